--- a/larchhall/books.py
+++ b/larchhall/books.py
@@ -1,4 +1,6 @@
-"""What a controller remembers: requests, attempts and the books it counts in. Nothing here decides."""
+"""What a controller remembers: requests, attempts and the books it counts in. Nothing here
+decides.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,9 @@
 
 
 def memberships(value: float, top: int) -> list[tuple[int, float]]:
-    """Levels and certainties of a value in [-1, 1] (beyond: the outermost), in triangles from -top to top."""
+    """Levels and certainties of a value in [-1, 1] (beyond: the outermost), in triangles from -top
+    to top.
+    """
     position = max(-1.0, min(1.0, value)) * top
     low = math.floor(position)
     part = position - low
@@ -22,17 +26,17 @@
 class LoopBooks:
     """What one fuzzy loop works with, of an engine or of the pool."""
 
-    start: float = 0.0           # thread-ns; where the bound begins
-    wanted: float = 1.0          # S_t, the mean delay to be had, in aims
-    thread_share: float = 0.0    # our threads past this are pressure by themselves
-    bound: float = 0.0           # thread-ns
-    backlog: int = 0             # thread-ns outstanding
+    start: float = 0.0  # thread-ns; where the bound begins
+    wanted: float = 1.0  # S_t, the mean delay to be had, in aims
+    thread_share: float = 0.0  # our threads past this are pressure by themselves
+    bound: float = 0.0  # thread-ns
+    backlog: int = 0  # thread-ns outstanding
     threads_out: int = 0
     delays: list[float] = field(default_factory=list)  # of this period, in aims
     last_error: float | None = None
-    bound_used: bool = False     # something was tested against the bound in this period
-    slowdown: float = 1.0        # geometric mean of latency over expected run time
-    best: float = 1.0            # the lowest slowdown, drifting up
+    bound_used: bool = False  # something was tested against the bound in this period
+    slowdown: float = 1.0  # geometric mean of latency over expected run time
+    best: float = 1.0  # the lowest slowdown, drifting up
     full_until: int = 0
 
     def rescale(self, start: float) -> None:
@@ -48,19 +52,19 @@
     engine: int
     sent: int
     size: int
-    calm: bool           # sent below pressure: its latency may teach what the query costs by itself
+    calm: bool  # sent below pressure: its latency may teach what the query costs by itself
     trial: bool = False  # sent to an engine held to be out
 
 
 @dataclass(slots=True)
 class Request:
     id: str
-    view: Any            # of its class, as it was when the request came; settings may change since
-    deadline: int        # when the client gives up
-    work: int            # expected, in thread-nanoseconds
+    view: Any  # of its class, as it was when the request came; settings may change since
+    deadline: int  # when the client gives up
+    work: int  # expected, in thread-nanoseconds
     estimate: int | None
-    data_set: int        # -1 where not told
-    key: str | None      # only for classes in order
+    data_set: int  # -1 where not told
+    key: str | None  # only for classes in order
     over_share: bool
     taken: int
     memory_mb: float
@@ -85,9 +89,13 @@
 class TokenBucket:
     """``rate`` tokens a nanosecond, ``most`` saved up; full at the start."""
 
-    def __init__(self, rate: float, most: float, now: int, before: TokenBucket | None = None) -> None:
+    def __init__(
+        self, rate: float, most: float, now: int, before: TokenBucket | None = None
+    ) -> None:
         self.rate, self.most, self.at = rate, most, now
-        self.tokens: float = most if before is None or not before.take(now, 0.0) else min(most, before.tokens)
+        self.tokens: float = (
+            most if before is None or not before.take(now, 0.0) else min(most, before.tokens)
+        )
 
     def take(self, now: int, tokens: float = 1.0) -> bool:
         self.tokens, self.at = min(self.most, self.tokens + self.rate * (now - self.at)), now
@@ -115,7 +123,9 @@
 
 
 class FadingMean:
-    """The mean over time of a value that holds until the next is noted; the past fades over ``memory``."""
+    """The mean over time of a value that holds until the next is noted; the past fades over
+    ``memory``.
+    """
 
     def __init__(self, memory: int, now: int) -> None:
         self.memory, self.value, self.mean, self.at_time = memory, 0.0, 0.0, now
@@ -125,4 +135,6 @@
         self.value, self.at_time = value, now
 
     def at(self, now: int) -> float:
-        return self.mean + (self.value - self.mean) * -math.expm1((self.at_time - now) / self.memory)
+        return self.mean + (self.value - self.mean) * -math.expm1(
+            (self.at_time - now) / self.memory
+        )
--- a/larchhall/broker.py
+++ b/larchhall/broker.py
@@ -1,8 +1,8 @@
 """The middle: from a client's request through the decisions to an engine, and back.
 
-It knows no client protocol. Whatever speaks with clients turns a request into an `Ask`, submits it and is
-told the one final answer through `served`, `refused` or `failed`. It decides nothing either: it carries out
-the facade's orders and reports what became of them.
+It knows no client protocol. Whatever speaks with clients turns a request into an `Ask`, submits it
+and is told the one final answer through `served`, `refused` or `failed`. It decides nothing either:
+it carries out the facade's orders and reports what became of them.
 """
 
 from __future__ import annotations
@@ -58,23 +58,36 @@
 
 MS = 1_000_000
 MOST_PATIENCE_MS = 3_600_000.0
-MOST_ESTIMATE = 1e7      # milliseconds, megabytes
-WAY_BACK = 10 * MS       # of a request's patience, for its way here and the answer's way back
-UNDO_WAY = 10 * MS       # the same for an `undo`, before what follows it may leave
-BASE_MB = 24             # what the process takes with nothing in hand, and some room
-LEAST_ROOM = 2 << 20     # bytes
+MOST_ESTIMATE = 1e7  # milliseconds, megabytes
+WAY_BACK = 10 * MS  # of a request's patience, for its way here and the answer's way back
+UNDO_WAY = 10 * MS  # the same for an `undo`, before what follows it may leave
+BASE_MB = 24  # what the process takes with nothing in hand, and some room
+LEAST_ROOM = 2 << 20  # bytes
 HELD_PAUSE_MS = 1_000
-OWN_WORTH = 0.01         # of a request: about one connection in a hundred ends with what else is on it
-LEAST_ENGINES = 4        # connections to engines, whatever the limit
-RESERVED = (24, 96)      # descriptors for the listener, the bus, the log and some in hand: an eighth, within
-BACK_FOR_GOOD = 600_000_000_000  # ns after which it is of no more use that an engine was called back
-NOTE_GAP = 100 * MS      # between two notes of one kind on an attempt; engines tell one a second
-LAST_LOOK = 3            # ticks before an attempt's end in which what has not left is taken back
-AHEAD = {Hand.POOL: (Stage.CONNECT, Stage.WRITE, Stage.ENGINE), Hand.CONNECTION: (Stage.WRITE, Stage.ENGINE),
-         Hand.SOCKET: (Stage.ENGINE,)}  # the stages that still lie before a request at each gate
-MOST_CALLERS = 12        # operators' calls at once; their descriptors are kept for them
-METER = {"busy": "utilisation", "util": "utilisation", "q": "queue", "queue": "queue",
-         "x0": "memory", "x1": "disk", "rif": "inflight", "inflight": "inflight"}
+OWN_WORTH = 0.01  # of a request: about one connection in a hundred ends with what else is on it
+LEAST_ENGINES = 4  # connections to engines, whatever the limit
+# descriptors for the listener, the bus, the log and some in hand: an eighth, within
+RESERVED = (24, 96)
+# ns after which it is of no more use that an engine was called back
+BACK_FOR_GOOD = 600_000_000_000
+NOTE_GAP = 100 * MS  # between two notes of one kind on an attempt; engines tell one a second
+LAST_LOOK = 3  # ticks before an attempt's end in which what has not left is taken back
+AHEAD = {
+    Hand.POOL: (Stage.CONNECT, Stage.WRITE, Stage.ENGINE),
+    Hand.CONNECTION: (Stage.WRITE, Stage.ENGINE),
+    Hand.SOCKET: (Stage.ENGINE,),
+}  # the stages that still lie before a request at each gate
+MOST_CALLERS = 12  # operators' calls at once; their descriptors are kept for them
+METER = {
+    "busy": "utilisation",
+    "util": "utilisation",
+    "q": "queue",
+    "queue": "queue",
+    "x0": "memory",
+    "x1": "disk",
+    "rif": "inflight",
+    "inflight": "inflight",
+}
 
 
 NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?")
@@ -90,7 +103,9 @@
 
 
 def read_number(text: str, name: str) -> float:
-    """Danger: `float` alone also takes signs, NaN, infinity, underscores and the digits of other scripts."""
+    """Danger: `float` alone also takes signs, NaN, infinity, underscores and the digits of other
+    scripts.
+    """
     if NUMBER.fullmatch(text) is None:
         raise Unusable(f"{name}: {text[:40]!r} is no number from 0 up")
     return float(text)
@@ -125,7 +140,8 @@
         self.engines = EngineTable()
         self.bans = Bans()
         self.figures = Figures(self.deadlines)
-        self.concurrent = 0  # requests taken that have no final answer and whose client has not left
+        # requests taken that have no final answer and whose client has not left
+        self.concurrent = 0
         self.pools = self._connections()
         self.pools.own = settings.handshake_price <= OWN_WORTH
         self.divide(1, 0)
@@ -137,41 +153,55 @@
         self.closing = False  # nothing more is sent
         self.tally = Tally()
         self.terms = Deadlines()
-        self.stages: Stages | None = None  # where operators want to see, or to learn from, each stage
+        # where operators want to see, or to learn from, each stage
+        self.stages: Stages | None = None
         self.budget: Budget | None = None  # for further attempts, where operators set one
         self.story: Callable[[OpenRequest, str], None] | None = None
         self.more_figures: list[Callable[[], bytes]] = []  # of what operators have switched on
-        self.adjust: list[Callable[[Settings], Settings]] = []  # what the module goes by, beside the files
+        # what the module goes by, beside the files
+        self.adjust: list[Callable[[Settings], Settings]] = []
         self.witness: list[Callable[[int, Result], None]] = []  # hear what becomes of probes
         self.said: Callable[[str, bool], None] | None = None  # hears operators' words on engines
         self.outcome: Callable[[int, Result], None] | None = None  # hears what becomes of attempts
-        self.arriving: Callable[[Ask, int], None] | None = None  # sees each request before it is decided on
+        # sees each request before it is decided on
+        self.arriving: Callable[[Ask, int], None] | None = None
         self.stay_away: Callable[[int], int] | None = None  # widens the pause of a refusal
         self.margin = WAY_BACK
         self.later: list[tuple[Attempt, Result]] = []
         self.count = 0
         self.held = 0
 
-    # What a broker with rooms of its own for parts of its traffic makes otherwise: `larchhall.rooms`.
+    # What a broker with rooms of its own for parts of its traffic makes otherwise:
+    # `larchhall.rooms`.
 
     def _decisions(self, now: int) -> Facade:
         return Facade(self.config.settings, self.config.seed, now, self.wheel)
 
     def _connections(self) -> Pools:
         config = self.config
-        return Pools(self, self.log, streams=config.streams, connect_timeout=config.connect_timeout,
-                     conn_idle=config.conn_idle, unsent=self._unsent, may_go=self._may_go)
+        return Pools(
+            self,
+            self.log,
+            streams=config.streams,
+            connect_timeout=config.connect_timeout,
+            conn_idle=config.conn_idle,
+            unsent=self._unsent,
+            may_go=self._may_go,
+        )
 
     def _has_room(self, request: OpenRequest) -> bool:
-        """For one more statement. Danger: a flood of large ones ends the process for memory, and all that it
-        had taken."""
+        """For one more statement. Danger: a flood of large ones ends the process for memory, and
+        all that it had taken.
+        """
         return self.held + len(request.statement) <= self.room
 
     def divide(self, processes: int, clients: int) -> None:
         """What this process may hold, beside others of this broker that hold so many clients.
 
-        Engines get three eighths of the descriptors, since most attempts have a connection of their own.
-        Danger: many clients ask once and stay a while; a third at the least, and all the rest, is theirs."""
+        Engines get three eighths of the descriptors, since most attempts have a connection of their
+        own. Danger: many clients ask once and stay a while; a third at the least, and all the rest,
+        is theirs.
+        """
         sockets = self.config.sockets
         reserved = min(RESERVED[1], max(RESERVED[0], sockets // 8))
         # Danger: floods of clients must not keep the operators' calls out.
@@ -182,8 +212,9 @@
         every = sockets - most - reserved
         self.most_clients = max(sockets // 3 // processes, every - clients)
         self.pools.limit(max(LEAST_ENGINES, most // processes))
-        # Danger: past its memory the process is killed, with all that it had taken. A quarter each of what is
-        # left goes to statements of open requests, frames that are half here, and answers nobody reads.
+        # Danger: past its memory the process is killed, with all that it had taken. A quarter each
+        # of what is left goes to statements of open requests, frames that are half here, and
+        # answers nobody reads.
         self.room = max(LEAST_ROOM, (self.config.memory_mb // processes - BASE_MB << 20) // 4)
 
     def now(self) -> int:
@@ -192,10 +223,17 @@
     def retune(self, read: Config) -> None:
         """Other settings, in one step: for all requests that come from now on."""
         now = self.now()
-        settings = replace(read.settings, tick=self.config.tick)  # the wheel turns by the one of the start
+        # the wheel turns by the one of the start
+        settings = replace(read.settings, tick=self.config.tick)
         self._carry_out(now, self.facade.report(now, Retuned(self._adjusted(settings))))
-        self.config = replace(self.config, settings=settings, told=read.told, streams=read.streams,
-                              connect_timeout=read.connect_timeout, conn_idle=read.conn_idle)
+        self.config = replace(
+            self.config,
+            settings=settings,
+            told=read.told,
+            streams=read.streams,
+            connect_timeout=read.connect_timeout,
+            conn_idle=read.conn_idle,
+        )
         self.deadlines = {c.name: c.deadline for c in read.settings.classes}
         self.keyed = keyed(read.settings)
         self.customers = {t.name for t in read.settings.tenants}
@@ -222,8 +260,9 @@
     # --- clients ---
 
     def submit(self, client: Client, stream: int, ask: Ask, came: int = 0) -> OpenRequest:
-        """Take a request; ``came``: when its first byte was read. Danger: nothing malformed may reach an
-        engine or the decisions."""
+        """Take a request; ``came``: when its first byte was read. Danger: nothing malformed may
+        reach an engine or the decisions.
+        """
         try:
             self._check(ask)
         except Unusable:
@@ -247,13 +286,19 @@
             # Danger: an engine would read the rest of it as a field of its own.
             raise Unusable("nonce: is empty or holds a comma: no engine can be told it")
         for other in self.ids.get(ask.trace.encode(), ()):
-            if (other.route, other.statement, other.nonce) != (ask.route.encode(), ask.statement, ask.nonce):
-                # Danger: the engine takes it for the open one, and answers one of them with the other's rows.
+            if (other.route, other.statement, other.nonce) != (
+                ask.route.encode(),
+                ask.statement,
+                ask.nonce,
+            ):
+                # Danger: the engine takes it for the open one, and answers one of them with the
+                # other's rows.
                 raise Unusable("trace: is open with another statement or nonce")
 
     def _take(self, client: Client, stream: int, ask: Ask, came: int = 0) -> OpenRequest:
         trace, now = ask.trace.encode(), self.now()
-        # Danger: books kept for an hour, since a client says that it waits so long: its class ends sooner.
+        # Danger: books kept for an hour, since a client says that it waits so long: its class ends
+        # sooner.
         patience = min(int(ask.patience_ms * MS), self.deadlines[ask.route])
         patience -= min(self.margin, patience // 4)
         if came and self.terms.count_from == "first":
@@ -261,8 +306,19 @@
         if self.arriving is not None:
             self.arriving(ask, now)
         self.count += 1
-        request = OpenRequest(str(self.count), trace, ask.route.encode(), ask.statement, client,
-                              stream, now + patience, ask.customer or "", came or now, now, nonce=ask.nonce)
+        request = OpenRequest(
+            str(self.count),
+            trace,
+            ask.route.encode(),
+            ask.statement,
+            client,
+            stream,
+            now + patience,
+            ask.customer or "",
+            came or now,
+            now,
+            nonce=ask.nonce,
+        )
         self.concurrent += 1
         if not self._has_room(request):
             self.log("client", "no room for another statement: refused")
@@ -271,12 +327,21 @@
         self.held += len(ask.statement)
         self.requests[request.id] = request
         self.ids.setdefault(trace, []).append(request)
-        query = Query(request.id, ask.route, patience, ask.customer or None, int(ask.weight_ms * MS),
-                      ask.ram_mb, ask.data_set, ask.retry)
+        query = Query(
+            request.id,
+            ask.route,
+            patience,
+            ask.customer or None,
+            int(ask.weight_ms * MS),
+            ask.ram_mb,
+            ask.data_set,
+            ask.retry,
+        )
         try:
             orders = self.facade.pick(now, query)
         except Exception:
-            # Danger: a fault in the decisions must cost this request alone, and even that gets its answer.
+            # Danger: a fault in the decisions must cost this request alone, and even that gets its
+            # answer.
             self.log("fault", traceback.format_exc())
             self._answering(request, ERROR).failed(stream, "internal error")
             self._close_out(request)
@@ -296,8 +361,9 @@
             self._close_out(request)
 
     def _answering(self, request: OpenRequest, status: int) -> Client:
-        """The client that gets its final answer now. Danger: a request that is counted anywhere else is
-        counted twice, or never: every answer passes here."""
+        """The client that gets its final answer now. Danger: a request that is counted anywhere
+        else is counted twice, or never: every answer passes here.
+        """
         client, request.client = request.client, None
         assert client is not None, "a second answer"
         self.concurrent -= 1
@@ -310,7 +376,8 @@
 
     def set_engine(self, uid: str, out: bool) -> bool:
         """Leave an engine out, or use it again; False if none has this uid."""
-        # Danger: it restarts while it is out, so that the list may not name it when it is called back.
+        # Danger: it restarts while it is out, so that the list may not name it when it is called
+        # back.
         if uid not in self.engines.by_uid and not self.bans.out(uid):
             return False
         if out != self.bans.out(uid):
@@ -371,8 +438,9 @@
         self.wheel.soon()
 
     def _rest(self, attempt: Attempt) -> None:
-        """Danger: its `undo`, or the end of its connection, and the attempt that follows go two ways, and
-        nothing orders them: what leaves next may be there first."""
+        """Danger: its `undo`, or the end of its connection, and the attempt that follows go two
+        ways, and nothing orders them: what leaves next may be there first.
+        """
         if not self.config.settings.limits.second_copies:
             attempt.quiet_until = self.now() + UNDO_WAY
 
@@ -417,8 +485,9 @@
             self._report(Closing(frozenset(request.id for request in requests)))
 
     def _take_back_unsent(self, requests: Iterable[OpenRequest]) -> None:
-        """Danger: what has not left would be answered as if it may have run: it is taken back before its
-        answer, and goes nowhere else."""
+        """Danger: what has not left would be answered as if it may have run: it is taken back
+        before its answer, and goes nowhere else.
+        """
         for attempt in [a for r in requests for a in r.attempts.values()]:
             connection = attempt.connection
             if not attempt.written and (connection is None or connection.take_back(attempt)):
@@ -468,7 +537,9 @@
         request = self.requests.get(order.request)
         if request is None:
             return
-        attempt = Attempt(request, order.attempt, order.engine, now, now + order.timeout, order.latest)
+        attempt = Attempt(
+            request, order.attempt, order.engine, now, now + order.timeout, order.latest
+        )
         request.attempts[attempt.number] = attempt
         if self.closing or request.given_up or request.unheard:
             self._end_soon(attempt, Result.NOT_SENT)
@@ -477,20 +548,25 @@
             self.tally.stopped[Hand.POOL, Stop.BUDGET] += 1
             self._end_soon(attempt, Result.NOT_SENT)
             return
-        attempt.timer = self.wheel.at(attempt.until - LAST_LOOK * self.wheel.tick,
-                                      partial(self._last_look, attempt))
+        attempt.timer = self.wheel.at(
+            attempt.until - LAST_LOOK * self.wheel.tick, partial(self._last_look, attempt)
+        )
         if (pool := self.pools.get(order.engine)) is not None:
             pool.send(attempt, now)
-        else:  # reported with the next tick: an order's failure must not come before the order is done
+        # reported with the next tick: an order's failure must not come before the order is done
+        else:
             self._end_soon(attempt, Result.CONNECT_FAILED)
 
     def _in_budget(self, budget: Budget, request: OpenRequest, attempt: Attempt) -> bool:
-        """A further attempt is paid for; a first one may be cut short where it can be made again."""
+        """A further attempt is paid for; a first one may be cut short where it can be made
+        again.
+        """
         route = request.route.decode()
         spec = next((c for c in self.config.settings.classes if c.name == route), None)
         safe = spec is not None and spec.effect is Effect.SAFE
-        attempt.until = attempt.sent + attempt_time(attempt.until - attempt.sent, attempt.number, safe,
-                                                    budget.terms)
+        attempt.until = attempt.sent + attempt_time(
+            attempt.until - attempt.sent, attempt.number, safe, budget.terms
+        )
         if attempt.number:
             attempt.paid = budget.further(route, request.customer)
             return attempt.paid
@@ -500,20 +576,27 @@
     # --- gates and scopes: what is not wanted any more goes no further ---
 
     def _may_go(self, attempt: Attempt, hand: Hand) -> bool:
-        """The gate at a hand-over. What it stops is reported as never sent, with the next tick. Danger: one
-        that was taken back while it waited, its report still to follow, would run beside the next one."""
+        """The gate at a hand-over. What it stops is reported as never sent, with the next tick.
+        Danger: one that was taken back while it waited, its report still to follow, would run
+        beside the next one.
+        """
         if attempt.reported or attempt.ended:
             return False
         now = self.now()
         known = self.engines.by_number.get(attempt.engine)
         drained = known is None or known.target.state is not EngineState.READY
-        why = stop(now, Passing(
-            attempt.request.client is not None and not attempt.request.unheard,
-            min(attempt.until, attempt.request.deadline, attempt.latest),
-            0 if self.stages is None else self.stages.fastest(
-                attempt.request.route.decode(), now, *AHEAD[hand]),
-            known is not None and bool(self.bans.words) and self.bans.out(known.target.uid),
-            now if drained else 0))
+        why = stop(
+            now,
+            Passing(
+                attempt.request.client is not None and not attempt.request.unheard,
+                min(attempt.until, attempt.request.deadline, attempt.latest),
+                0
+                if self.stages is None
+                else self.stages.fastest(attempt.request.route.decode(), now, *AHEAD[hand]),
+                known is not None and bool(self.bans.words) and self.bans.out(known.target.uid),
+                now if drained else 0,
+            ),
+        )
         if why is None:
             return True
         self.tally.stopped[hand, why] += 1
@@ -529,8 +612,9 @@
         self._end_soon(attempt, Result.NOT_SENT)
 
     def _end_scope(self, request: OpenRequest) -> None:
-        """Nobody waits for the request any more: nothing unsent of it leaves, what is out is undone where
-        engines honour that, and no more pages are asked for."""
+        """Nobody waits for the request any more: nothing unsent of it leaves, what is out is undone
+        where engines honour that, and no more pages are asked for.
+        """
         if request.attempts:
             for act, scope in request.scope().end(self.config.settings.limits.cancel):
                 if isinstance(scope.name, Attempt):
@@ -582,7 +666,9 @@
         self.count += 1
         tag = b"probe-%d" % self.count
         self.probing[tag] = (engine, now)
-        self.wheel.at(now + self.config.connect_timeout, partial(self._probe_out_of_time, engine, tag))
+        self.wheel.at(
+            now + self.config.connect_timeout, partial(self._probe_out_of_time, engine, tag)
+        )
         if (pool := self.pools.get(engine)) is not None:
             pool.probe(tag, now)
 
@@ -592,8 +678,9 @@
         self.probed(tag, Result.TIMEOUT, "")
 
     def _last_look(self, attempt: Attempt) -> None:
-        """Danger: the decisions answer a tick before the time is up. What has not left by then would be
-        answered as if it had: it is taken back while there is time to say so."""
+        """Danger: the decisions answer a tick before the time is up. What has not left by then
+        would be answered as if it had: it is taken back while there is time to say so.
+        """
         if attempt.written:
             attempt.timer = self.wheel.at(attempt.until, partial(self._out_of_time, attempt))
             return
@@ -628,7 +715,9 @@
 
     def twice(self, connection: EngineConnection, trace: bytes) -> bool:
         pool = self.pools.get(connection.engine)
-        return pool is not None and any(trace in c.carried for c in pool.connections if c is not connection)
+        return pool is not None and any(
+            trace in c.carried for c in pool.connections if c is not connection
+        )
 
     def whole(self, attempt: Attempt, meter: str) -> None:
         """Every page is here: the answer goes out as one frame, if somebody still waits for it."""
@@ -644,7 +733,9 @@
         self._end_scope(request)
 
     def _time(self, stages: Stages, attempt: Attempt, client: Client) -> None:
-        """How long each stage of a served request took; that of its answer is known once it has left."""
+        """How long each stage of a served request took; that of its answer is known once it has
+        left.
+        """
         request, now = attempt.request, self.now()
         route = request.route.decode()
         marks = (request.came, request.taken, attempt.sent, attempt.put, attempt.gone, now)
@@ -666,7 +757,9 @@
                 self.stages.add(route, Stage.ANSWER, now - since, now)
 
     def noted(self, attempt: Attempt, kind: NoteKind, amount: float) -> None:
-        """It is not over yet. Danger: a flood of notes would be a flood of work: one of a kind at a time."""
+        """It is not over yet. Danger: a flood of notes would be a flood of work: one of a kind at a
+        time.
+        """
         now = self.now()
         if now - attempt.notes.get(kind, -NOTE_GAP) >= NOTE_GAP:
             attempt.notes[kind] = now
@@ -689,15 +782,17 @@
                 heard(engine, result)
 
     def lost(self, connection: EngineConnection, why: str, spoilt: bool) -> None:
-        """Danger: what was open on a connection that ended may have run. Where a spoilt answer made us end
-        it, that tells nothing of the engine's health: it is reported as given up by us, not as reset."""
+        """Danger: what was open on a connection that ended may have run. Where a spoilt answer made
+        us end it, that tells nothing of the engine's health: it is reported as given up by us, not
+        as reset.
+        """
         self.pools.lost(connection)
         attempts, connection.open = list(connection.open.values()), {}
         if attempts:
             self.log("engine", f"connection with {len(attempts)} open attempts ended: {why}")
         for attempt in attempts:
-            # Of what had not left, nothing ran, whatever became of the rest. Danger: an end that is ours has
-            # not reached the engine yet; what follows it may not be there first.
+            # Of what had not left, nothing ran, whatever became of the rest. Danger: an end that is
+            # ours has not reached the engine yet; what follows it may not be there first.
             if spoilt and attempt.written and not attempt.reported:
                 attempt.ended = True
                 self._rest(attempt)
@@ -729,8 +824,17 @@
         if self.outcome is not None:
             self.outcome(attempt.engine, result)
         latency = (attempt.answered or self.now()) - attempt.sent
-        self._report(Ended(request.id, attempt.number, attempt.engine, result, latency,
-                           request.client is None, load))
+        self._report(
+            Ended(
+                request.id,
+                attempt.number,
+                attempt.engine,
+                result,
+                latency,
+                request.client is None,
+                load,
+            )
+        )
         self._close_out(request)
 
     def _close_out(self, request: OpenRequest) -> None:
--- a/larchhall/cells/loans.py
+++ b/larchhall/cells/loans.py
@@ -1,8 +1,11 @@
 """What each cell may hold of one thing that all share: its own part, and what others do not use.
 
-The owner's part is a promise: a quarter of it is never lent, and once the owner digs into the rest (it
-*asks*), nothing more of it is lent and what is lent comes back within `RETURN`. Only what can be given back
-may be borrowed: *firm* use (what may not be cut short, such as unsafe work) stays within the own part.
+The owner's part is a promise: a quarter of it is never lent, and once the owner digs into the rest
+(it
+*asks*), nothing more of it is lent and what is lent comes back within `RETURN`. Only what can be
+given back
+may be borrowed: *firm* use (what may not be cut short, such as unsafe work) stays within the own
+part.
 """
 
 from __future__ import annotations
@@ -11,9 +14,9 @@
 from dataclasses import dataclass, field
 
 S = 1_000_000_000
-KEPT = 0.25        # of a part is never lent
+KEPT = 0.25  # of a part is never lent
 RETURN = S * 3 // 5  # ns from the owner's asking to the last of it being called in
-HOLD = 5 * S       # ns that an owner who has asked keeps its whole part
+HOLD = 5 * S  # ns that an owner who has asked keeps its whole part
 
 
 @dataclass(slots=True)
@@ -25,7 +28,7 @@
     firm: int = 0
     asked: int | None = None  # since when its owner wants the whole part
     last_asked: int = 0
-    kept: int = 0             # of the part, never lent
+    kept: int = 0  # of the part, never lent
 
     def set_part(self, part: int) -> None:
         self.part, self.kept = part, int(KEPT * part)
@@ -45,7 +48,9 @@
     accounts: dict[str, Account] = field(default_factory=dict)
 
     def divide(self, total: int, shares: Mapping[str, float]) -> None:
-        """Set the parts anew; what is in use stays booked, also by cells that have no part any more."""
+        """Set the parts anew; what is in use stays booked, also by cells that have no part any
+        more.
+        """
         self.total = max(0, total)
         whole = sum(shares.values()) or 1.0
         for name, account in list(self.accounts.items()):
@@ -112,12 +117,15 @@
         return max(0, account.used - account.part)
 
     def due(self, now: int) -> dict[str, int]:
-        """What borrowers have to give back now: those with the largest loans first, and no more than is
-        missing for the owners that asked long enough ago."""
+        """What borrowers have to give back now: those with the largest loans first, and no more
+        than is missing for the owners that asked long enough ago.
+        """
         for account in self.accounts.values():
             if account.asked is not None and now - account.last_asked > HOLD:
                 account.asked = None
-        waited = [a for a in self.accounts.values() if a.asked is not None and now - a.asked >= RETURN]
+        waited = [
+            a for a in self.accounts.values() if a.asked is not None and now - a.asked >= RETURN
+        ]
         if not waited:
             return {}
         missing = sum(max(0, a.part - a.used) for a in waited) - max(0, self.free())
--- a/larchhall/cells/moves.py
+++ b/larchhall/cells/moves.py
@@ -4,12 +4,16 @@
         |          |           |           |
         +----------+--> taken back <-- returning
 
-New requests go to one cell: the source up to the switch, the target from then on, the source again from the
-moment a move is returning. What is open ends in the cell where it began; that cell's module alone makes its
+New requests go to one cell: the source up to the switch, the target from then on, the source again
+from the
+moment a move is returning. What is open ends in the cell where it began; that cell's module alone
+makes its
 further attempts, so that no switch can run it twice.
 
-Records carry a version, one counter over all processes of a broker (after L. Lamport, "Time, Clocks, and the
-Ordering of Events in a Distributed System", 1978): of two records on one subject the later version holds. One
+Records carry a version, one counter over all processes of a broker (after L. Lamport, "Time,
+Clocks, and the
+Ordering of Events in a Distributed System", 1978): of two records on one subject the later version
+holds. One
 process drives a move; the others follow, and take over when it has gone.
 """
 
@@ -23,10 +27,11 @@
 from .model import CellMap
 
 S = 1_000_000_000
-LEAD = 300_000_000   # ns from the decision to switch to the switch, where another process has to hear of it
-KEEP = 600 * S       # ns that an ended move is shown
-ABLE_PART = 0.5      # of the target's ready engines must be warm before the switch
-MOST_MOVES = 1_000   # at once
+# ns from the decision to switch to the switch, where another process has to hear of it
+LEAD = 300_000_000
+KEEP = 600 * S  # ns that an ended move is shown
+ABLE_PART = 0.5  # of the target's ready engines must be warm before the switch
+MOST_MOVES = 1_000  # at once
 MOST_HOMES = 20_000  # kept by subject
 CLOSED_OUT = "what was open past its time was closed out"
 
@@ -57,12 +62,12 @@
     target: str
     stage: Stage
     version: int
-    at: int            # when it came into this stage
-    begun: int         # when it was proposed
-    driver: str        # the process that moves it on
-    able_since: int = 0   # the target has been able since then; 0: it is not
-    lost_since: int = 0   # the target has had no engine since then
-    switch_at: int = 0    # from then on new requests go to the target
+    at: int  # when it came into this stage
+    begun: int  # when it was proposed
+    driver: str  # the process that moves it on
+    able_since: int = 0  # the target has been able since then; 0: it is not
+    lost_since: int = 0  # the target has had no engine since then
+    switch_at: int = 0  # from then on new requests go to the target
     why: str = ""
 
     def over(self) -> bool:
@@ -134,7 +139,8 @@
             if self.map.cell(cell) is not None:
                 return cell
         if (home := self.homes.get(subject)) is None:
-            if len(self.homes) >= MOST_HOMES:  # danger: where no tenants are set, clients name any they like
+            # danger: where no tenants are set, clients name any they like
+            if len(self.homes) >= MOST_HOMES:
                 self.homes.clear()
             home = self.homes[subject] = self.map.home(subject)
         return home
@@ -145,13 +151,17 @@
         if not subject or len(subject) > 256 or not subject.isprintable():
             raise Refused("tenant: is no name")
         if not self.map.known(subject):
-            raise Refused(f"tenant: {subject!r} is spread by a field; name one of its parts, as in "
-                          f"{subject.partition('#')[0]}#0")
+            raise Refused(
+                f"tenant: {subject!r} is spread by a field; name one of its parts, as in "
+                f"{subject.partition('#')[0]}#0"
+            )
         if self.map.cell(target) is None:
             raise Refused(f"cell: {target!r} is no cell")
         known = self.records.get(subject)
         if known is not None and not known.over():
-            raise Refused(f"tenant: {subject!r} is on the move to {known.target!r} ({known.stage.value})")
+            raise Refused(
+                f"tenant: {subject!r} is on the move to {known.target!r} ({known.stage.value})"
+            )
         source = self.cell(subject, now)
         if source == target:
             raise Refused(f"cell: {subject!r} is in {target!r} already")
@@ -184,8 +194,12 @@
                 STEPS[move.stage](self, move, now, sight)
 
     def _forget(self, move: Move, now: int) -> None:
-        """Where a move has led is kept for good, but not where the map says the same, or a cell has gone."""
-        same = move.cell(now) == self.map.home(move.subject) or self.map.cell(move.cell(now)) is None
+        """Where a move has led is kept for good, but not where the map says the same, or a cell has
+        gone.
+        """
+        same = (
+            move.cell(now) == self.map.home(move.subject) or self.map.cell(move.cell(now)) is None
+        )
         if same and now - move.at > KEEP:
             del self.records[move.subject]
 
@@ -218,8 +232,9 @@
             self._back(self.records[move.subject], now, "the target did not get warm in time")
 
     def _after(self, move: Move, now: int, sight: Sight) -> Move | None:
-        """Once switched: a target that loses its last engine gives the tenant back, if the source can have
-        it. None: it has."""
+        """Once switched: a target that loses its last engine gives the tenant back, if the source
+        can have it. None: it has.
+        """
         timing = self.map.timing
         if sight.fleet(move.target).ready:
             return self._put(replace(move, lost_since=0)) if move.lost_since else move
@@ -250,16 +265,22 @@
         if not sight.open(move.subject, move.target):
             self._stage(move, Stage.TAKEN_BACK, now)
         elif now - move.at >= self.map.timing.drain:
-            self._close_out(self._put(replace(move, stage=Stage.TAKEN_BACK, at=now, why=CLOSED_OUT)))
+            self._close_out(
+                self._put(replace(move, stage=Stage.TAKEN_BACK, at=now, why=CLOSED_OUT))
+            )
 
     def _close_out(self, move: Move) -> None:
         """What is still open where the subject does not belong any more."""
-        self.closing.append(CloseOut(move.subject, move.source if move.stage is Stage.DONE else move.target))
+        self.closing.append(
+            CloseOut(move.subject, move.source if move.stage is Stage.DONE else move.target)
+        )
 
     # --- maps and other processes ---
 
     def take(self, map: CellMap, now: int) -> None:
-        """A new map. What it names anew goes where it says; a move that names a dropped cell ends."""
+        """A new map. What it names anew goes where it says; a move that names a dropped cell
+        ends.
+        """
         before, self.map, self.homes = self.map, map, {}
         for move in list(self.records.values()):
             gone = [name for name in (move.source, move.target) if map.cell(name) is None]
@@ -267,15 +288,30 @@
             if move.over():
                 if gone or named:
                     # Danger: forgotten here alone, it would come back from another process.
-                    self._put(replace(move, stage=Stage.TAKEN_BACK, source=map.home(move.subject), at=now,
-                                      why="the map says otherwise"))
+                    self._put(
+                        replace(
+                            move,
+                            stage=Stage.TAKEN_BACK,
+                            source=map.home(move.subject),
+                            at=now,
+                            why="the map says otherwise",
+                        )
+                    )
             elif move.target in gone:
                 back = replace(move, source=map.home(move.subject)) if move.source in gone else move
                 self._back(back, now, f"the map has no cell {move.target!r} any more")
             elif move.source in gone:
-                # Its requests end in the old room, however long that takes; new ones have one place left.
-                self._put(replace(move, stage=Stage.DONE, at=now, switch_at=now,
-                                  why=f"the map has no cell {move.source!r} any more"))
+                # Its requests end in the old room, however long that takes; new ones have one place
+                # left.
+                self._put(
+                    replace(
+                        move,
+                        stage=Stage.DONE,
+                        at=now,
+                        switch_at=now,
+                        why=f"the map has no cell {move.source!r} any more",
+                    )
+                )
 
     def merge(self, moves: Iterable[Move]) -> bool:
         """Take in what another process has. True if something was newer there."""
@@ -316,5 +352,9 @@
 
 
 STEPS: dict[Stage, Callable[[Moves, Move, int, Sight], None]] = {
-    Stage.PROPOSED: Moves._proposed, Stage.WARMING: Moves._warming, Stage.SWITCHED: Moves._switched,
-    Stage.DRAINING: Moves._draining, Stage.RETURNING: Moves._returning}
+    Stage.PROPOSED: Moves._proposed,
+    Stage.WARMING: Moves._warming,
+    Stage.SWITCHED: Moves._switched,
+    Stage.DRAINING: Moves._draining,
+    Stage.RETURNING: Moves._returning,
+}
--- a/larchhall/cells/plan.py
+++ b/larchhall/cells/plan.py
@@ -1,6 +1,7 @@
 """Which tenants to move where: the problem, plain hashing to compare with, and what a plan does.
 
-The solver is behind `solve` in `larchhall.cells.solver`; here is what it is asked and how its answer is told.
+The solver is behind `solve` in `larchhall.cells.solver`; here is what it is asked and how its
+answer is told.
 """
 
 from __future__ import annotations
@@ -19,7 +20,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Loads in thread-seconds a second; capacities in cores. ``now`` is where each tenant is today."""
+    """Loads in thread-seconds a second; capacities in cores. ``now`` is where each tenant is
+    today.
+    """
 
     loads: Mapping[str, float]
     capacities: Mapping[str, float]
@@ -43,8 +46,10 @@
         for name in self.loads:
             if self.now.get(name) not in self.capacities:
                 raise BadProblem(f"tenants.cell: {self.now.get(name)!r} of {name!r} is no cell")
-        for key, names in (("apart", [n for pair in self.apart for n in pair]),
-                           ("fixed", list(self.fixed or {}))):
+        for key, names in (
+            ("apart", [n for pair in self.apart for n in pair]),
+            ("fixed", list(self.fixed or {})),
+        ):
             for name in names:
                 if name not in self.loads:
                     raise BadProblem(f"{key}: {name!r} is no tenant")
@@ -58,13 +63,15 @@
     for group in raw:
         if not isinstance(group, list) or not all(isinstance(n, str) for n in group):
             raise BadProblem(f"{key}: must be a list of lists of tenants")
-        pairs += [(a, b) for i, a in enumerate(group) for b in group[i + 1:]]
+        pairs += [(a, b) for i, a in enumerate(group) for b in group[i + 1 :]]
     return tuple(pairs)
 
 
 def read_problem(text: str) -> Problem:
-    """From JSON: ``{"tenants": {NAME: {"cell": C, "load": L}}, "cells": {C: CAPACITY}, "apart": [[A, B]],
-    "fixed": {NAME: C}, "most_moves": N, "most_load": SHARE}``; the last four may be absent."""
+    """From JSON: ``{"tenants": {NAME: {"cell": C, "load": L}}, "cells": {C: CAPACITY}, "apart":
+    [[A, B]], "fixed": {NAME: C}, "most_moves": N, "most_load": SHARE}``; the last four may be
+    absent.
+    """
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
@@ -82,20 +89,28 @@
             raise BadProblem(f"cells.capacity: of {name!r} is no number")
     for key in ("most_moves", "most_load"):
         value = raw.get(key)
-        if value is not None and (not isinstance(value, int | float) or isinstance(value, bool) or value < 0):
+        if value is not None and (
+            not isinstance(value, int | float) or isinstance(value, bool) or value < 0
+        ):
             raise BadProblem(f"{key}: is no number from 0 up")
     most_moves = raw.get("most_moves")
-    return Problem({n: float(t["load"]) for n, t in raw.get("tenants", {}).items()},
-                   {n: float(c) for n, c in raw.get("cells", {}).items()},
-                   {n: t.get("cell") for n, t in raw.get("tenants", {}).items()},
-                   _pairs(raw.get("apart", []), "apart"), raw.get("fixed"),
-                   None if most_moves is None else int(most_moves), raw.get("most_load"))
+    return Problem(
+        {n: float(t["load"]) for n, t in raw.get("tenants", {}).items()},
+        {n: float(c) for n, c in raw.get("cells", {}).items()},
+        {n: t.get("cell") for n, t in raw.get("tenants", {}).items()},
+        _pairs(raw.get("apart", []), "apart"),
+        raw.get("fixed"),
+        None if most_moves is None else int(most_moves),
+        raw.get("most_load"),
+    )
 
 
 def hashed(tenants: Iterable[str], capacities: Mapping[str, float]) -> dict[str, str]:
     """Plain weighted rendezvous hashing: what a plan is measured against."""
-    return {tenant: min(capacities, key=lambda cell: rendezvous(cell, tenant, capacities[cell]))
-            for tenant in tenants}
+    return {
+        tenant: min(capacities, key=lambda cell: rendezvous(cell, tenant, capacities[cell]))
+        for tenant in tenants
+    }
 
 
 def load_of(problem: Problem, placed: Mapping[str, str]) -> dict[str, float]:
@@ -107,22 +122,33 @@
 
 
 def faults(problem: Problem, placed: Mapping[str, str]) -> list[str]:
-    """The terms that a placement breaks, in words. Danger: a solver's answer is believed only after this."""
-    broken = [f"{a} and {b} are both in {placed[a]}" for a, b in problem.apart if placed[a] == placed[b]]
-    broken += [f"{tenant} is in {placed[tenant]}, not in {cell}"
-               for tenant, cell in (problem.fixed or {}).items() if placed[tenant] != cell]
+    """The terms that a placement breaks, in words. Danger: a solver's answer is believed only after
+    this.
+    """
+    broken = [
+        f"{a} and {b} are both in {placed[a]}" for a, b in problem.apart if placed[a] == placed[b]
+    ]
+    broken += [
+        f"{tenant} is in {placed[tenant]}, not in {cell}"
+        for tenant, cell in (problem.fixed or {}).items()
+        if placed[tenant] != cell
+    ]
     moved = sum(placed[t] != problem.now[t] for t in problem.loads)
     if problem.most_moves is not None and moved > problem.most_moves:
         broken.append(f"{moved} tenants move, more than {problem.most_moves}")
     if problem.most_load is not None:
-        broken += [f"{cell} has {load:.2f} of its capacity" for cell, load in load_of(problem, placed).items()
-                   if load > problem.most_load + 1e-6]
+        broken += [
+            f"{cell} has {load:.2f} of its capacity"
+            for cell, load in load_of(problem, placed).items()
+            if load > problem.most_load + 1e-6
+        ]
     return broken
 
 
 def greedy(problem: Problem) -> dict[str, str]:
-    """A start for the solver, and its answer where time runs out: repair what the terms forbid, then take
-    the move that lowers the fullest cell most, as long as there is one."""
+    """A start for the solver, and its answer where time runs out: repair what the terms forbid,
+    then take the move that lowers the fullest cell most, as long as there is one.
+    """
     placed = {**problem.now, **(problem.fixed or {})}
     foes: dict[str, set[str]] = {}
     for a, b in problem.apart:
@@ -133,7 +159,8 @@
         loads[cell] += problem.loads[tenant]
     fixed = set(problem.fixed or {})
     left = (len(placed) if problem.most_moves is None else problem.most_moves) - sum(
-        placed[t] != problem.now[t] for t in placed)
+        placed[t] != problem.now[t] for t in placed
+    )
 
     def free(tenant: str, cell: str) -> bool:
         return all(placed[f] != cell for f in foes.get(tenant, ()))
@@ -155,9 +182,19 @@
     while left > 0:
         fullest = max(loads, key=lambda c: loads[c] / problem.capacities[c])
         top = loads[fullest] / problem.capacities[fullest]
-        best = min(((after(t, c), t, c) for t, home in placed.items() if home == fullest and t not in fixed
-                    and t in problem.loads and problem.now[t] == home for c in problem.capacities
-                    if c != fullest and free(t, c) and after(t, c) < top - 1e-9), default=None)
+        best = min(
+            (
+                (after(t, c), t, c)
+                for t, home in placed.items()
+                if home == fullest
+                and t not in fixed
+                and t in problem.loads
+                and problem.now[t] == home
+                for c in problem.capacities
+                if c != fullest and free(t, c) and after(t, c) < top - 1e-9
+            ),
+            default=None,
+        )
         if best is None:
             break
         put(best[1], best[2])
@@ -175,14 +212,27 @@
     proven: bool  # nothing better satisfies the terms
 
     def plain(self) -> dict[str, Any]:
-        return {"moves": [{"tenant": t, "from": a, "to": b, "load": load} for t, a, b, load in self.moves],
-                "cells": {c: {"before": round(self.before[c], 6), "after": round(self.after[c], 6)}
-                          for c in self.before}, "proven": self.proven}
+        return {
+            "moves": [
+                {"tenant": t, "from": a, "to": b, "load": load} for t, a, b, load in self.moves
+            ],
+            "cells": {
+                c: {"before": round(self.before[c], 6), "after": round(self.after[c], 6)}
+                for c in self.before
+            },
+            "proven": self.proven,
+        }
 
 
 def plan_of(problem: Problem, placed: Mapping[str, str], proven: bool) -> Plan:
-    moves = sorted(((t, problem.now[t], placed[t], problem.loads[t]) for t in problem.loads
-                    if placed[t] != problem.now[t]), key=lambda m: (-m[3], m[0]))
+    moves = sorted(
+        (
+            (t, problem.now[t], placed[t], problem.loads[t])
+            for t in problem.loads
+            if placed[t] != problem.now[t]
+        ),
+        key=lambda m: (-m[3], m[0]),
+    )
     return Plan(tuple(moves), load_of(problem, problem.now), load_of(problem, placed), proven)
 
 
@@ -194,5 +244,10 @@
     def number(text: str) -> bool:
         return text.replace(".", "", 1).replace("%", "").isdigit()
 
-    return "\n".join("  ".join(text.rjust(w) if number(text) else text.ljust(w)
-                               for text, w in zip(line, widths, strict=True)).rstrip() for line in lines)
+    return "\n".join(
+        "  ".join(
+            text.rjust(w) if number(text) else text.ljust(w)
+            for text, w in zip(line, widths, strict=True)
+        ).rstrip()
+        for line in lines
+    )
--- a/larchhall/cells/rates.py
+++ b/larchhall/cells/rates.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 SPAN = 60_000_000_000  # ns; what came so long ago counts 1/e
-MOST = 4_096           # tenants whose rate is kept
+MOST = 4_096  # tenants whose rate is kept
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
         rate, at = self.held.get(name, (0.0, now))
         self.held[name] = rate * math.exp((at - now) / SPAN) + work / SPAN, now
         if len(self.held) > MOST:  # danger: where no tenants are set, clients name any they like
-            kept = sorted(self.held, key=lambda n: -self.at(n, now))[:MOST // 2]
+            kept = sorted(self.held, key=lambda n: -self.at(n, now))[: MOST // 2]
             self.held = {n: self.held[n] for n in kept}
 
     def at(self, name: str, now: int) -> float:
--- a/larchhall/cells/solver.py
+++ b/larchhall/cells/solver.py
@@ -1,7 +1,9 @@
-"""The planner's solver: a mixed-integer programme for HiGHS (highspy, an extra; the daemon never loads it).
+"""The planner's solver: a mixed-integer programme for HiGHS (highspy, an extra; the daemon never
+loads it).
 
-Least first: the fullest cell's share of its capacity, then how little is moved. Tenants are binary by cell;
-`apart` is a row for each pair and cell; a solution is checked against the terms before it is believed.
+Least first: the fullest cell's share of its capacity, then how little is moved. Tenants are binary
+by cell; `apart` is a row for each pair and cell; a solution is checked against the terms before it
+is believed.
 """
 
 from __future__ import annotations
@@ -11,7 +13,7 @@
 from .plan import Plan, Problem, faults, greedy, plan_of
 
 MOVE_PRICE = 1e-4  # of the fullest cell's share, for all tenants moved
-GAP = 0.01         # a plan so near to the best that can be is taken
+GAP = 0.01  # a plan so near to the best that can be is taken
 
 
 class NoPlan(Exception):
@@ -24,7 +26,9 @@
     placed, proven = _search(problem, start, seconds)
     if placed is None:
         if faults(problem, start):
-            raise NoPlan("no placement satisfies the terms" if proven else "no placement was found in time")
+            raise NoPlan(
+                "no placement satisfies the terms" if proven else "no placement was found in time"
+            )
         placed = start
     if broken := faults(problem, placed):
         raise NoPlan(f"the solver's placement breaks the terms: {broken[0]}")
@@ -37,7 +41,9 @@
     return max(plan_of(problem, placed, False).after.values())
 
 
-def _search(problem: Problem, start: dict[str, str], seconds: float) -> tuple[dict[str, str] | None, bool]:
+def _search(
+    problem: Problem, start: dict[str, str], seconds: float
+) -> tuple[dict[str, str] | None, bool]:
     import highspy
     import numpy
 
@@ -45,8 +51,13 @@
     count, wide = len(tenants), len(cells)
     top = count * wide  # the column of the fullest cell's share
     h = highspy.Highs()  # type: ignore[no-untyped-call]
-    for name, value in (("output_flag", False), ("time_limit", float(seconds)), ("mip_rel_gap", GAP),
-                        ("threads", 1), ("random_seed", 1)):
+    for name, value in (
+        ("output_flag", False),
+        ("time_limit", float(seconds)),
+        ("mip_rel_gap", GAP),
+        ("threads", 1),
+        ("random_seed", 1),
+    ):
         h.setOptionValue(name, value)
     price = MOVE_PRICE / max(1, count)
     row_start: list[int] = []
@@ -66,8 +77,16 @@
     for tenant in tenants:
         row(1.0, 1.0, [(at[tenant] + c, 1.0) for c in range(wide)])
     for c, cell in enumerate(cells):
-        row(-highspy.kHighsInf, 0.0, [(at[t] + c, problem.loads[t] / problem.capacities[cell])
-                                      for t in tenants if problem.loads[t]] + [(top, -1.0)])
+        row(
+            -highspy.kHighsInf,
+            0.0,
+            [
+                (at[t] + c, problem.loads[t] / problem.capacities[cell])
+                for t in tenants
+                if problem.loads[t]
+            ]
+            + [(top, -1.0)],
+        )
     for a, b in problem.apart:
         for c in range(wide):
             row(-highspy.kHighsInf, 1.0, [(at[a] + c, 1.0), (at[b] + c, 1.0)])
@@ -104,11 +123,16 @@
         h.setSolution(begin)
     h.run()
     status = h.getModelStatus()
-    if status in (highspy.HighsModelStatus.kInfeasible, highspy.HighsModelStatus.kUnboundedOrInfeasible):
+    if status in (
+        highspy.HighsModelStatus.kInfeasible,
+        highspy.HighsModelStatus.kUnboundedOrInfeasible,
+    ):
         return None, True
     solution = list(h.getSolution().col_value)
     if len(solution) != top + 1 or not any(value > 0.5 for value in solution[:top]):
         return None, False
-    placed = {t: cells[max(range(wide), key=lambda c, t=t: solution[at[t] + c])]  # type: ignore[misc]
-              for t in tenants}
+    placed = {
+        t: cells[max(range(wide), key=lambda c, t=t: solution[at[t] + c])]  # type: ignore[misc]
+        for t in tenants
+    }
     return placed, bool(status == highspy.HighsModelStatus.kOptimal)
--- a/larchhall/cells/turns.py
+++ b/larchhall/cells/turns.py
@@ -1,7 +1,8 @@
 """Whose turn it is on the one loop: deficit round robin over the cells, in time that was taken.
 
-M. Shreedhar and G. Varghese, "Efficient Fair Queueing using Deficit Round Robin", 1995. A cell alone may
-use the whole of a round; one that is crowded by others gets its share of it, and its debt is carried on.
+M. Shreedhar and G. Varghese, "Efficient Fair Queueing using Deficit Round Robin", 1995. A cell
+alone may use the whole of a round; one that is crowded by others gets its share of it, and its debt
+is carried on.
 """
 
 from __future__ import annotations
@@ -27,8 +28,9 @@
         self.left = {name: self.left.get(name, quantum) for name, quantum in self.quanta.items()}
 
     def allowed(self, name: str) -> bool:
-        """Whether the cell may go on in this round. Danger: with nobody else about, waiting helps nobody: a
-        cell alone goes on to the end of the round's whole cost."""
+        """Whether the cell may go on in this round. Danger: with nobody else about, waiting helps
+        nobody: a cell alone goes on to the end of the round's whole cost.
+        """
         left = self.left.get(name, 0.0)
         if left > 0:
             return True
--- a/larchhall/cli.py
+++ b/larchhall/cli.py
@@ -20,8 +20,9 @@
     from .lifecycle.boot import Node
     from .operators.script import Evaluated
 
-# Danger: a start at full speed takes the core, and what it may use of it, from the process beside it, whose
-# loop then stands still: half way through what has to be loaded it rests for so many seconds.
+# Danger: a start at full speed takes the core, and what it may use of it, from the process beside
+# it, whose loop then stands still: half way through what has to be loaded it rests for so many
+# seconds.
 BREATH = 0.15
 
 
@@ -40,13 +41,19 @@
 def main(context: click.Context) -> None:
     """A broker that shares a pool of data engines fairly. Without a command it serves."""
     if context.invoked_subcommand is None:
-        # Danger: a command that is not on the line does not have its options read from the environment.
+        # Danger: a command that is not on the line does not have its options read from the
+        # environment.
         context.invoke(serve, operator_file=os.environ.get("PROXY_OPERATOR_FILE", ""))
 
 
 @main.command()
-@click.option("--operator-file", envvar="PROXY_OPERATOR_FILE", default="", metavar="FILE",
-              help="The operators' own file (Starlark); without it nothing that it sets is there.")
+@click.option(
+    "--operator-file",
+    envvar="PROXY_OPERATOR_FILE",
+    default="",
+    metavar="FILE",
+    help="The operators' own file (Starlark); without it nothing that it sets is there.",
+)
 def serve(operator_file: str) -> None:
     """Serve clients until SIGTERM."""
     hold_hangup()
@@ -85,16 +92,23 @@
 
 
 @main.command("check-config")
-@click.option("--operator-file", envvar="PROXY_OPERATOR_FILE", default="", metavar="FILE",
-              help="The operators' own file, to be checked as well.")
+@click.option(
+    "--operator-file",
+    envvar="PROXY_OPERATOR_FILE",
+    default="",
+    metavar="FILE",
+    help="The operators' own file, to be checked as well.",
+)
 def check_config(operator_file: str) -> None:
     """Read the configuration, say what it holds, and do nothing."""
     with _telling():
         config = load(os.environ)
         said = _evaluated(operator_file) if operator_file else None
-    click.echo(f"{config.name}: ok, {len(config.settings.classes)} classes, "
-               f"listening on {config.host}:{config.port}"
-               + (f", {operator_file} ok" if operator_file else ""))
+    click.echo(
+        f"{config.name}: ok, {len(config.settings.classes)} classes, "
+        f"listening on {config.host}:{config.port}"
+        + (f", {operator_file} ok" if operator_file else "")
+    )
     if said is not None and said.start is not None:
         from .start.rates import lines
 
@@ -118,8 +132,13 @@
 
 
 @main.command()
-@click.option("--seconds", default=4.0, show_default=True, type=click.FloatRange(1.0, 60.0),
-              help="How long the load is played.")
+@click.option(
+    "--seconds",
+    default=4.0,
+    show_default=True,
+    type=click.FloatRange(1.0, 60.0),
+    help="How long the load is played.",
+)
 def demo(seconds: float) -> None:
     """Stand-in engines, a broker with two cells and some load, all on loopback; ends by itself."""
     from .demo import play
@@ -198,7 +217,8 @@
 @main.command()
 def version() -> None:
     """Print the versions of larchhall and of what it runs on."""
-    # Danger: imported with the rest it takes a sixth of a start's processor time, from the process beside it.
+    # Danger: imported with the rest it takes a sixth of a start's processor time, from the process
+    # beside it.
     from importlib.metadata import PackageNotFoundError
     from importlib.metadata import version as installed
 
--- a/larchhall/clickhouse/errors.py
+++ b/larchhall/clickhouse/errors.py
@@ -30,7 +30,9 @@
 
 
 class Fault(Exception):
-    """A request that gets an error in place of a result. ``pause``: seconds to stay away, on a refusal."""
+    """A request that gets an error in place of a result. ``pause``: seconds to stay away, on a
+    refusal.
+    """
 
     def __init__(self, kind: Kind, text: str, pause: float = 0.0) -> None:
         super().__init__(text)
--- a/larchhall/clickhouse/relay.py
+++ b/larchhall/clickhouse/relay.py
@@ -1,9 +1,10 @@
-"""One result on its way through: what may still be repeated, what is held, when the engine has to wait. Pure.
+"""One result on its way through: what may still be repeated, what is held, when the engine has to
+wait. Pure.
 
-Nothing is kept whole: what comes is handed on as it comes, up to marks on what the client has not read yet.
-Until the first byte of a result has gone to the client another attempt can take this one's place; after it a
-fault ends the response so that the client can tell, and is never repeated. `wait_end_of_query` holds a
-result back, up to a bound: past it, it is told and flows.
+Nothing is kept whole: what comes is handed on as it comes, up to marks on what the client has not
+read yet. Until the first byte of a result has gone to the client another attempt can take this
+one's place; after it a fault ends the response so that the client can tell, and is never repeated.
+`wait_end_of_query` holds a result back, up to a bound: past it, it is told and flows.
 """
 
 from __future__ import annotations
@@ -12,36 +13,36 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MARK = b"__exception__"       # in a body: the engine itself says that the result broke
-HIGH, LOW = 262_144, 65_536   # bytes that the client has not read
-MOST_HELD = 1 << 20           # bytes held back under wait_end_of_query
-TAIL = 16_384                 # bytes at a body's end in which the mark may stand
+MARK = b"__exception__"  # in a body: the engine itself says that the result broke
+HIGH, LOW = 262_144, 65_536  # bytes that the client has not read
+MOST_HELD = 1 << 20  # bytes held back under wait_end_of_query
+TAIL = 16_384  # bytes at a body's end in which the mark may stand
 
 
 class State(Enum):
-    WAITING = "waiting"   # no answer yet
-    HOLDING = "holding"   # it comes, and is held back
-    FLOWING = "flowing"   # a byte has gone to the client
+    WAITING = "waiting"  # no answer yet
+    HOLDING = "holding"  # it comes, and is held back
+    FLOWING = "flowing"  # a byte has gone to the client
     DONE = "done"
-    BROKEN = "broken"     # the client has been shown that it is not whole
+    BROKEN = "broken"  # the client has been shown that it is not whole
 
 
 class Act(Enum):
-    HEAD = "head"         # send the status line and the headers
-    BODY = "body"         # send these bytes as one chunk
-    END = "end"           # send the last chunk
-    TEAR = "tear"         # close without the last chunk: the client can tell
-    PAUSE = "pause"       # read no more from the engine
+    HEAD = "head"  # send the status line and the headers
+    BODY = "body"  # send these bytes as one chunk
+    END = "end"  # send the last chunk
+    TEAR = "tear"  # close without the last chunk: the client can tell
+    PAUSE = "pause"  # read no more from the engine
     RESUME = "resume"
-    ERROR = "error"       # nothing has gone out: a proper error instead
+    ERROR = "error"  # nothing has gone out: a proper error instead
 
 
 class Fate(Enum):
     """What a fault of the attempt means for the request."""
 
-    AGAIN = "again"       # another attempt may take its place, if its class allows
-    FAILED = "failed"     # the client has been shown, or is shown now
-    OVER = "over"         # it was over already
+    AGAIN = "again"  # another attempt may take its place, if its class allows
+    FAILED = "failed"  # the client has been shown, or is shown now
+    OVER = "over"  # it was over already
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,10 +61,10 @@
     head: Head | None = None
     held: deque[bytes] = field(default_factory=deque)
     held_bytes: int = 0
-    unread: int = 0            # handed to the client's side, and not gone
+    unread: int = 0  # handed to the client's side, and not gone
     paused: bool = False
     passed: int = 0
-    overflowed: bool = False   # it was to be held to its end, and was too large
+    overflowed: bool = False  # it was to be held to its end, and was too large
     tail: bytes = b""
     acts: list[tuple[Act, bytes]] = field(default_factory=list)
 
@@ -74,7 +75,9 @@
     # --- from the engine ---
 
     def begin(self, head: Head) -> None:
-        """Its status and headers are here. Danger: an error's head is no result: it may still be repeated."""
+        """Its status and headers are here. Danger: an error's head is no result: it may still be
+        repeated.
+        """
         if self.state is State.WAITING:
             self.head, self.state = head, State.HOLDING
 
@@ -104,7 +107,9 @@
         return True
 
     def fault(self) -> Fate:
-        """The attempt has come to nothing: reset, timed out, closed midway, or broken by its own word."""
+        """The attempt has come to nothing: reset, timed out, closed midway, or broken by its own
+        word.
+        """
         if self.state in (State.WAITING, State.HOLDING):
             self.again()
             return Fate.AGAIN
@@ -173,6 +178,8 @@
             self.acts.append((Act.RESUME, b""))
 
     def _marked(self) -> bool:
-        """Danger: a result may hold the word anywhere; only near its end, on a line of its own, it tells."""
+        """Danger: a result may hold the word anywhere; only near its end, on a line of its own, it
+        tells.
+        """
         tail = self.tail + b"".join(self.held)
         return any(line.strip() == MARK for line in tail[-TAIL:].splitlines())
--- a/larchhall/clickhouse/request.py
+++ b/larchhall/clickhouse/request.py
@@ -1,7 +1,8 @@
-"""A request of the interface: its URL, its headers, and how much of its body is the statement. Pure.
+"""A request of the interface: its URL, its headers, and how much of its body is the statement.
+Pure.
 
-The statement stands in the URL's ``query``, in the body, or in both (then the body follows it after a line
-feed, or is an INSERT's data). What is no word of the interface is a setting, passed on.
+The statement stands in the URL's ``query``, in the body, or in both (then the body follows it after
+a line feed, or is an INSERT's data). What is no word of the interface is a setting, passed on.
 """
 
 from __future__ import annotations
@@ -16,14 +17,34 @@
 from .errors import AUTHENTICATION_FAILED, BAD_ARGUMENTS, SYNTAX_ERROR, Fault
 
 S = 1_000_000_000
-MOST_URL = 65_536      # bytes
+MOST_URL = 65_536  # bytes
 MOST_PARAMETERS = 500
 NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_.]{0,127}")
 ID = re.compile(r"[\x21-\x7e]{1,200}")
-WORDS = frozenset({"query", "query_id", "session_id", "session_timeout", "session_check", "user", "password",
-                   "database", "default_format", "quota_key", "wait_end_of_query", "buffer_size", "compress",
-                   "decompress", "enable_http_compression", "send_progress_in_http_headers", "stacktrace",
-                   "http_write_exception_in_output_format", "role", "close_session"})
+WORDS = frozenset(
+    {
+        "query",
+        "query_id",
+        "session_id",
+        "session_timeout",
+        "session_check",
+        "user",
+        "password",
+        "database",
+        "default_format",
+        "quota_key",
+        "wait_end_of_query",
+        "buffer_size",
+        "compress",
+        "decompress",
+        "enable_http_compression",
+        "send_progress_in_http_headers",
+        "stacktrace",
+        "http_write_exception_in_output_format",
+        "role",
+        "close_session",
+    }
+)
 HIDDEN = frozenset({"password", "authorization", "x-clickhouse-key"})
 
 
@@ -40,7 +61,7 @@
     format: str
     quota: str
     session_id: str
-    session_timeout: int   # ns; 0: not said
+    session_timeout: int  # ns; 0: not said
     session_check: bool
     wait_end_of_query: bool
     buffer_size: int
@@ -65,17 +86,22 @@
 
 
 def credentials(headers: Mapping[str, str], found: Mapping[str, str]) -> tuple[str, str]:
-    """User and password: by the interface's own headers, by basic authentication, or in the URL. Danger: two
-    of them at once may name two users; whose rules hold would be a guess."""
+    """User and password: by the interface's own headers, by basic authentication, or in the URL.
+    Danger: two of them at once may name two users; whose rules hold would be a guess.
+    """
     ways: list[tuple[str, str]] = []
     if "x-clickhouse-user" in headers or "x-clickhouse-key" in headers:
-        ways.append((headers.get("x-clickhouse-user", "default"), headers.get("x-clickhouse-key", "")))
-    if (basic := headers.get("authorization", "")):
+        ways.append(
+            (headers.get("x-clickhouse-user", "default"), headers.get("x-clickhouse-key", ""))
+        )
+    if basic := headers.get("authorization", ""):
         scheme, _, value = basic.partition(" ")
         try:
             if scheme.lower() != "basic":
                 raise ValueError
-            name, colon, secret = base64.b64decode(value.strip(), validate=True).decode().partition(":")
+            name, colon, secret = (
+                base64.b64decode(value.strip(), validate=True).decode().partition(":")
+            )
             if not colon:
                 raise ValueError
         except (ValueError, binascii.Error, UnicodeDecodeError):
@@ -94,8 +120,12 @@
         raise Fault(BAD_ARGUMENTS, f"the URL is longer than {MOST_URL} bytes")
     path, _, raw = url.partition(b"?")
     try:
-        pairs = parse_qsl(raw.decode("ascii"), keep_blank_values=True, errors="strict",
-                          max_num_fields=MOST_PARAMETERS)
+        pairs = parse_qsl(
+            raw.decode("ascii"),
+            keep_blank_values=True,
+            errors="strict",
+            max_num_fields=MOST_PARAMETERS,
+        )
         found = dict(pairs)
         place = path.decode("ascii")
     except (ValueError, UnicodeDecodeError):
@@ -120,14 +150,24 @@
         else:
             settings[name] = value
     return Parameters(
-        place, found.get("query", ""), query_id, user, password,
+        place,
+        found.get("query", ""),
+        query_id,
+        user,
+        password,
         found.get("database") or head.get("x-clickhouse-database", ""),
         found.get("default_format") or head.get("x-clickhouse-format", ""),
-        found.get("quota_key") or head.get("x-clickhouse-quota", ""), found.get("session_id", ""),
-        _count(found, "session_timeout", 3_600) * S, _flag(found, "session_check"),
-        _flag(found, "wait_end_of_query"), _count(found, "buffer_size", 1 << 40),
-        _flag(found, "send_progress_in_http_headers"), _flag(found, "enable_http_compression"),
-        settings, params)
+        found.get("quota_key") or head.get("x-clickhouse-quota", ""),
+        found.get("session_id", ""),
+        _count(found, "session_timeout", 3_600) * S,
+        _flag(found, "session_check"),
+        _flag(found, "wait_end_of_query"),
+        _count(found, "buffer_size", 1 << 40),
+        _flag(found, "send_progress_in_http_headers"),
+        _flag(found, "enable_http_compression"),
+        settings,
+        params,
+    )
 
 
 def statement(said: Parameters, body: bytes, method: str) -> bytes:
--- a/larchhall/clickhouse/rules.py
+++ b/larchhall/clickhouse/rules.py
@@ -1,7 +1,8 @@
-"""Where a request goes and under which terms: operators' rules, first match wins, each part by itself. Pure.
+"""Where a request goes and under which terms: operators' rules, first match wins, each part by
+itself. Pure.
 
-A rule names conditions and what they lead to. What no rule says is taken from the defaults: the class by
-what the statement does, the tenant by the user, the pool and the patience of the class.
+A rule names conditions and what they lead to. What no rule says is taken from the defaults: the
+class by what the statement does, the tenant by the user, the pool and the patience of the class.
 """
 
 from __future__ import annotations
@@ -35,8 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Patterns as in a shell. ``setting`` and ``header`` are (name, pattern) pairs; all must match. An empty
-    outcome says nothing of that part."""
+    """Patterns as in a shell. ``setting`` and ``header`` are (name, pattern) pairs; all must match.
+    An empty outcome says nothing of that part.
+    """
 
     user: str = ""
     path: str = ""
@@ -54,7 +56,9 @@
     deny: str = ""
 
     def __post_init__(self) -> None:
-        if not (self.route or self.tenant or self.pool or self.cell or self.patience_ms or self.deny):
+        if not (
+            self.route or self.tenant or self.pool or self.cell or self.patience_ms or self.deny
+        ):
             raise BadRule("route: a rule must lead to something")
         if self.patience_ms < 0:
             raise BadRule("patience_ms: must not be negative")
@@ -62,12 +66,16 @@
             raise BadRule("first: words are written in capitals")
 
     def matches(self, seen: Seen) -> bool:
-        return (_fits(self.user, seen.user) and _fits(self.path, seen.path)
-                and _fits(self.database, seen.database) and _fits(self.quota, seen.quota)
-                and (not self.first or seen.statement.first in self.first)
-                and (not self.does or seen.statement.does in self.does)
-                and all(n in seen.settings and _fits(p, seen.settings[n]) for n, p in self.setting)
-                and all(n in seen.headers and _fits(p, seen.headers[n]) for n, p in self.header))
+        return (
+            _fits(self.user, seen.user)
+            and _fits(self.path, seen.path)
+            and _fits(self.database, seen.database)
+            and _fits(self.quota, seen.quota)
+            and (not self.first or seen.statement.first in self.first)
+            and (not self.does or seen.statement.does in self.does)
+            and all(n in seen.settings and _fits(p, seen.settings[n]) for n, p in self.setting)
+            and all(n in seen.headers and _fits(p, seen.headers[n]) for n, p in self.header)
+        )
 
 
 def _fits(pattern: str, value: str) -> bool:
@@ -84,14 +92,15 @@
     cell: str
     patience: int
     deny: str
-    keyed: bool       # a repeat is recognised by its engine
+    keyed: bool  # a repeat is recognised by its engine
     repeatable: bool  # a repeat does no harm at all
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """``classes``: the deadline of each class, in nanoseconds. ``by_does``: the class of what no rule names;
-    ``capped``: settings that tell how long the client waits."""
+    """``classes``: the deadline of each class, in nanoseconds. ``by_does``: the class of what no
+    rule names; ``capped``: settings that tell how long the client waits.
+    """
 
     classes: Mapping[str, int]
     by_does: Mapping[Does, str]
@@ -101,11 +110,13 @@
     limits: tuple[str, ...] = ("max_execution_time",)
     dedup: tuple[str, ...] = ("insert_deduplication_token",)
     keyed_by_id: bool = False
-    names: Mapping[str, str] = field(default_factory=dict)  # tenant by user, where it is not the user's name
+    # tenant by user, where it is not the user's name
+    names: Mapping[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         for key, route in [("rules.route", r.route) for r in self.rules] + [
-                ("by_does", r) for r in self.by_does.values()]:
+            ("by_does", r) for r in self.by_does.values()
+        ]:
             if route and route not in self.classes:
                 raise BadRule(f"{key}: {route!r} is no class of the settings")
         for does in Does:
@@ -126,13 +137,24 @@
         if self.tenants and tenant not in self.tenants:
             tenant = self.default_tenant
         keyed = seen.statement.does is Does.WRITE and (
-            any(seen.settings.get(name) for name in self.dedup) or (self.keyed_by_id and bool(query_id)))
-        return Went(route, tenant, said["pool"], said["cell"], self._patience(route, patience_ms, seen),
-                    said["deny"], keyed, seen.statement.does is Does.READ)
+            any(seen.settings.get(name) for name in self.dedup)
+            or (self.keyed_by_id and bool(query_id))
+        )
+        return Went(
+            route,
+            tenant,
+            said["pool"],
+            said["cell"],
+            self._patience(route, patience_ms, seen),
+            said["deny"],
+            keyed,
+            seen.statement.does is Does.READ,
+        )
 
     def _patience(self, route: str, patience_ms: int, seen: Seen) -> int:
-        """The least of the class's deadline, the rule's, and what the client says that it waits. Danger: 0,
-        and what is no number, mean no limit there; here the class's holds."""
+        """The least of the class's deadline, the rule's, and what the client says that it waits.
+        Danger: 0, and what is no number, mean no limit there; here the class's holds.
+        """
         found = [self.classes[route]] + ([patience_ms * MS] if patience_ms else [])
         for name in self.limits:
             try:
--- a/larchhall/clickhouse/sessions.py
+++ b/larchhall/clickhouse/sessions.py
@@ -1,8 +1,9 @@
 """Sessions: which engine holds a session's state, and what becomes of it. Pure.
 
-A session sticks to the engine that first served it, for as long as both live. One whose engine has gone is
-lost: its next request is told so, and no new session is begun in its place in silence, since temporary tables
-and settings would be missing without a word. One request of a session runs at a time.
+A session sticks to the engine that first served it, for as long as both live. One whose engine has
+gone is lost: its next request is told so, and no new session is begun in its place in silence,
+since temporary tables and settings would be missing without a word. One request of a session runs
+at a time.
 """
 
 from __future__ import annotations
@@ -37,8 +38,12 @@
     held: dict[tuple[str, str], Session] = field(default_factory=dict)
     by_engine: dict[int, set[tuple[str, str]]] = field(default_factory=dict)
 
-    def begin(self, user: str, id: str, now: int, *, check: bool = False, timeout: int = 0) -> Session:
-        """A request of the session begins; Fault where it may not. ``check``: it must be there already."""
+    def begin(
+        self, user: str, id: str, now: int, *, check: bool = False, timeout: int = 0
+    ) -> Session:
+        """A request of the session begins; Fault where it may not. ``check``: it must be there
+        already.
+        """
         if not 0 < len(id) <= MOST_ID:
             raise Fault(BAD_ARGUMENTS, f"session_id must have 1 to {MOST_ID} characters")
         if timeout < 0 or timeout > MOST_TIMEOUT:
@@ -75,8 +80,9 @@
         session.running, session.used = False, now
 
     def gone(self, engine: int) -> list[Session]:
-        """The engine has gone or restarted. Sessions that left nothing there may go elsewhere; the others are
-        lost, and their next request is told so."""
+        """The engine has gone or restarted. Sessions that left nothing there may go elsewhere; the
+        others are lost, and their next request is told so.
+        """
         lost = []
         for key in self.by_engine.pop(engine, set()):
             if (session := self.held.get(key)) is None:
@@ -103,7 +109,9 @@
                 del self.by_engine[session.engine]
 
     def _make_room(self, now: int) -> None:
-        """Danger: clients name any session they like; the one longest idle goes, if it left nothing."""
+        """Danger: clients name any session they like; the one longest idle goes, if it left
+        nothing.
+        """
         if len(self.held) < MOST_SESSIONS:
             return
         self.expire(now)
--- a/larchhall/clickhouse/statement.py
+++ b/larchhall/clickhouse/statement.py
@@ -1,6 +1,8 @@
-"""A statement's first words, read past comments, strings and brackets: what it does and whether it sticks.
+"""A statement's first words, read past comments, strings and brackets: what it does and whether it
+sticks.
 
-No parser of the language: what cannot be told is told as such, and goes by the rules for that. Pure.
+No parser of the language: what cannot be told is told as such, and goes by the rules for that.
+Pure.
 """
 
 from __future__ import annotations
@@ -15,17 +17,21 @@
 PART = r"(?:`[^`]+`|\"[^\"]+\"|[A-Za-z_]\w*)"
 NAME = re.compile(rf"{PART}(?:\s*\.\s*{PART})?")
 MAIN = re.compile(
-    r"'(?:[^'\\]|\\.|'')*'|`[^`]*`|\"[^\"]*\"|--[^\n]*|/\*.*?\*/|[()]|\b(?:SELECT|INSERT)\b", re.S | re.I)
+    r"'(?:[^'\\]|\\.|'')*'|`[^`]*`|\"[^\"]*\"|--[^\n]*|/\*.*?\*/|[()]|\b(?:SELECT|INSERT)\b",
+    re.S | re.I,
+)
 TOKENS = re.compile(
-    r"'(?:[^'\\]|\\.|'')*'|`[^`]*`|\"[^\"]*\"|--[^\n]*|/\*.*?\*/|\b(?:SETTINGS|FORMAT)\b|[();]", re.S | re.I)
+    r"'(?:[^'\\]|\\.|'')*'|`[^`]*`|\"[^\"]*\"|--[^\n]*|/\*.*?\*/|\b(?:SETTINGS|FORMAT)\b|[();]",
+    re.S | re.I,
+)
 READS = frozenset({"SELECT", "WITH", "SHOW", "DESCRIBE", "DESC", "EXISTS", "EXPLAIN", "CHECK"})
 STICKS = frozenset({"SET", "USE"})
 
 
 class Does(Enum):
     READ = "read"
-    WRITE = "write"      # INSERT
-    CHANGE = "change"    # everything else that changes something
+    WRITE = "write"  # INSERT
+    CHANGE = "change"  # everything else that changes something
     SESSION = "session"  # SET, USE, temporary tables: tells on what comes after it in its session
     UNKNOWN = "unknown"
 
@@ -56,7 +62,9 @@
 
 
 def read(text: str) -> Statement:
-    """Never raises: a statement that cannot be understood is UNKNOWN, and its engine says what is wrong."""
+    """Never raises: a statement that cannot be understood is UNKNOWN, and its engine says what is
+    wrong.
+    """
     text = text[:MOST_READ]
     first, at = _word(text, 0)
     if not first:
@@ -93,7 +101,9 @@
 
 
 def _main_word(text: str) -> str:
-    """Of `WITH ... SELECT` or `WITH ... INSERT`: the first of the two outside brackets and strings."""
+    """Of `WITH ... SELECT` or `WITH ... INSERT`: the first of the two outside brackets and
+    strings.
+    """
     depth = 0
     for found in MAIN.finditer(text):
         token = found[0].upper()
