--- a/larchhall/config.py
+++ b/larchhall/config.py
@@ -1,7 +1,8 @@
-"""The one place where configuration is read, checked and given defaults; messages name the faulty key.
+"""The one place where configuration is read, checked and given defaults; messages name the faulty
+key.
 
-The broker reads a JSON file and the environment, the simulator's adapter gets `settings` alone on its wire;
-both come through `parse_settings`.
+The broker reads a JSON file and the environment, the simulator's adapter gets `settings` alone on
+its wire; both come through `parse_settings`.
 """
 
 from __future__ import annotations
@@ -14,58 +15,170 @@
 from . import interface as api
 from .wire.bus import BadLine, BusEvent, parse_address, parse_event
 
-EFFECTS = {"read_like": api.Effect.SAFE, "idempotency_key": api.Effect.KEYED,
-           "non_idempotent": api.Effect.UNSAFE}
+EFFECTS = {
+    "read_like": api.Effect.SAFE,
+    "idempotency_key": api.Effect.KEYED,
+    "non_idempotent": api.Effect.UNSAFE,
+}
 SCOPES = {scope.value: scope for scope in api.Scope}
 DEFAULT_SOCKETS = 1_024
 DEFAULT_MEMORY = 64  # MB
 DEFAULT_CONNECT_TIMEOUT = 250_000_000  # ns
-DEFAULT_CONN_IDLE = 30_000_000_000     # ns
+DEFAULT_CONN_IDLE = 30_000_000_000  # ns
 DEFAULT_STREAMS = 32
 LEAST_SOCKETS = 64
 LEAST_MEMORY = 32
 MOST_NUMBER = 1e18  # NaN, infinity and what no field could hold are no numbers
 MISSING = object()
-# Read at the start alone: the fields of Config, by the key that an operator writes. `bus` and `settings` act
-# at SIGHUP, but for the tick: the wheel turns by it.
-FIXED = {"name": "name", "host": "listen", "port": "listen", "seed": "seed", "sockets": "limits.sockets",
-         "memory_mb": "limits.memory_mb", "operator": "operator",
-         "tick": "settings.tick"}
+# Read at the start alone: the fields of Config, by the key that an operator writes. `bus` and
+# `settings` act at SIGHUP, but for the tick: the wheel turns by it.
+FIXED = {
+    "name": "name",
+    "host": "listen",
+    "port": "listen",
+    "seed": "seed",
+    "sockets": "limits.sockets",
+    "memory_mb": "limits.memory_mb",
+    "operator": "operator",
+    "tick": "settings.tick",
+}
 # Where the module's checks speak of its own names: the key that the operator wrote.
 THEIR_KEYS = {
-    "contract.cold_from": "contract.start_capacity", "contract.order_settle": "contract.key_rest",
-    "contract.budget_window": "contract.ratio_span", "limits.max_attempts": "policy_limits.send_cap",
-    "classes.threads": "specifics.parallelism", "tenants.quota_per_s": "tenants.allowance_per_s",
-    "kind_cores": "specifics.size_cores"}
-
-
-# The keys under `settings`, by the object that holds them: those that are read, and those that a deployment
-# may hold and nothing here needs. Whatever else is there is named in the log: nothing is silently unread.
+    "contract.cold_from": "contract.start_capacity",
+    "contract.order_settle": "contract.key_rest",
+    "contract.budget_window": "contract.ratio_span",
+    "limits.max_attempts": "policy_limits.send_cap",
+    "classes.threads": "specifics.parallelism",
+    "tenants.quota_per_s": "tenants.allowance_per_s",
+    "kind_cores": "specifics.size_cores",
+}
+
+
+# The keys under `settings`, by the object that holds them: those that are read, and those that a
+# deployment may hold and nothing here needs. Whatever else is there is named in the log: nothing is
+# silently unread.
 READ = {
-    "": {"classes", "tenants", "contract", "policy_limits", "specifics", "charges", "report", "kinds",
-         "fleet_size", "tick", "me", "zone", "over_share_worth"},
-    "classes": {"name", "aim", "aim_stretch", "deadline", "worth", "late_value", "effect", "group", "window",
-                "fifo_by_key", "zones_only", "kinds_allowed"},
+    "": {
+        "classes",
+        "tenants",
+        "contract",
+        "policy_limits",
+        "specifics",
+        "charges",
+        "report",
+        "kinds",
+        "fleet_size",
+        "tick",
+        "me",
+        "zone",
+        "over_share_worth",
+    },
+    "classes": {
+        "name",
+        "aim",
+        "aim_stretch",
+        "deadline",
+        "worth",
+        "late_value",
+        "effect",
+        "group",
+        "window",
+        "fifo_by_key",
+        "zones_only",
+        "kinds_allowed",
+    },
     "tenants": {"name", "allowance_per_s"},
-    "contract": {"answer_slack", "drain_grace", "start_capacity", "cold", "fall", "fall_multiple", "key_rest",
-                 "ratio_span", "budget_free", "extra_ratio"},
-    "policy_limits": {"cancel", "probing", "peer_messages", "second_copies", "retry_after", "send_cap",
-                      "max_retry_after", "connect_timeout", "conn_idle", "streams_per_conn"},
-    "specifics": {"size_cores", "parallelism", "is_load", "blocked_by_loads", "memory_heeded", "lanes_count"},
-    "charges": {"cross_zone", "handshake"}, "report": {"fields"}}
+    "contract": {
+        "answer_slack",
+        "drain_grace",
+        "start_capacity",
+        "cold",
+        "fall",
+        "fall_multiple",
+        "key_rest",
+        "ratio_span",
+        "budget_free",
+        "extra_ratio",
+    },
+    "policy_limits": {
+        "cancel",
+        "probing",
+        "peer_messages",
+        "second_copies",
+        "retry_after",
+        "send_cap",
+        "max_retry_after",
+        "connect_timeout",
+        "conn_idle",
+        "streams_per_conn",
+    },
+    "specifics": {
+        "size_cores",
+        "parallelism",
+        "is_load",
+        "blocked_by_loads",
+        "memory_heeded",
+        "lanes_count",
+    },
+    "charges": {"cross_zone", "handshake"},
+    "report": {"fields"},
+}
 NOT_NEEDED = {
-    "": {"callers", "kind_of_service", "layers", "tier", "membership_mode", "score_parts", "weights",
-         "worth_by", "zones"},
-    "classes": {"streaming"}, "tenants": {"portion"}, "contract": {"must_ask_in"},
+    "": {
+        "callers",
+        "kind_of_service",
+        "layers",
+        "tier",
+        "membership_mode",
+        "score_parts",
+        "weights",
+        "worth_by",
+        "zones",
+    },
+    "classes": {"streaming"},
+    "tenants": {"portion"},
+    "contract": {"must_ask_in"},
     "policy_limits": {"cpu_us_per_request", "cpu_us_per_s", "max_open"},
-    "specifics": {"kind_memory_mb", "largest_share", "notes", "tells_every", "report_x0", "report_x1",
-                  "says_cost", "on_shortage"},
-    "charges": {"connection", "membership_mode", "fleet", "late_fail", "moves", "origin", "peer", "probe",
-                "waste"},
-    "report": {"via"}}
+    "specifics": {
+        "kind_memory_mb",
+        "largest_share",
+        "notes",
+        "tells_every",
+        "report_x0",
+        "report_x1",
+        "says_cost",
+        "on_shortage",
+    },
+    "charges": {
+        "connection",
+        "membership_mode",
+        "fleet",
+        "late_fail",
+        "moves",
+        "origin",
+        "peer",
+        "probe",
+        "waste",
+    },
+    "report": {"via"},
+}
 # What engines may tell of their load, by the simulator's names and the engines' own.
-REPORTED = {"busy", "util", "q", "queue", "x0", "x1", "rif", "inflight", "lat_ms", "latency_ms", "rate",
-            "qps", "fail_rate", "eps"}
+REPORTED = {
+    "busy",
+    "util",
+    "q",
+    "queue",
+    "x0",
+    "x1",
+    "rif",
+    "inflight",
+    "lat_ms",
+    "latency_ms",
+    "rate",
+    "qps",
+    "fail_rate",
+    "eps",
+}
 
 
 class ConfigError(ValueError):
@@ -73,16 +186,25 @@
 
 
 def get(source: Mapping[str, Any], path: str, kind: str, default: Any = MISSING) -> Any:
-    """The value under the last part of a dotted key, checked for its kind; null counts as absent."""
+    """The value under the last part of a dotted key, checked for its kind; null counts as
+    absent.
+    """
     value = source.get(path.rpartition(".")[2])
     if value is None:
         if default is MISSING:
             raise ConfigError(f"{path}: is missing")
         return default
-    number = isinstance(value, int | float) and not isinstance(value, bool) and abs(value) <= MOST_NUMBER
-    fits = {"text": isinstance(value, str), "object": isinstance(value, dict),
-            "list": isinstance(value, list), "bool": isinstance(value, bool), "number": number,
-            "whole number": number and value == int(value)}[kind]
+    number = (
+        isinstance(value, int | float) and not isinstance(value, bool) and abs(value) <= MOST_NUMBER
+    )
+    fits = {
+        "text": isinstance(value, str),
+        "object": isinstance(value, dict),
+        "list": isinstance(value, list),
+        "bool": isinstance(value, bool),
+        "number": number,
+        "whole number": number and value == int(value),
+    }[kind]
     if not fits:
         raise ConfigError(f"{path}: {json.dumps(value)[:60]} is no {kind}")
     return int(value) if kind == "whole number" else value
@@ -100,9 +222,14 @@
     return table[value]
 
 
-def _renamed(source: dict[str, Any], path: str, names: dict[str, tuple[str, str]]) -> dict[str, Any]:
-    return {ours: get(source, f"{path}.{theirs}", kind) for ours, (theirs, kind) in names.items()
-            if source.get(theirs) is not None}
+def _renamed(
+    source: dict[str, Any], path: str, names: dict[str, tuple[str, str]]
+) -> dict[str, Any]:
+    return {
+        ours: get(source, f"{path}.{theirs}", kind)
+        for ours, (theirs, kind) in names.items()
+        if source.get(theirs) is not None
+    }
 
 
 def _class_settings(source: Any, index: int, special: dict[str, Any]) -> api.RequestClass:
@@ -117,7 +244,8 @@
     # Danger: how long engines know a repeat can't be guessed; past that time it would run twice.
     window = MISSING if effect is api.Effect.KEYED else 0
     return api.RequestClass(
-        name=get(source, "classes.name", "text"), aim=get(source, "classes.aim", "whole number"),
+        name=get(source, "classes.name", "text"),
+        aim=get(source, "classes.aim", "whole number"),
         deadline=get(source, "classes.deadline", "whole number"),
         worth=get(source, "classes.worth", "number"),
         effect=effect,
@@ -128,15 +256,18 @@
         in_order=get(source, "classes.fifo_by_key", "bool", False),
         only_zones=tuple(listed(source, "classes.zones_only", "text")),
         only_kinds=tuple(listed(source, "classes.kinds_allowed", "text")),
-        threads=of_class("parallelism", "whole number", 1), is_load=of_class("is_load", "bool", False),
-        waits_for_loads=of_class("blocked_by_loads", "bool", False))
+        threads=of_class("parallelism", "whole number", 1),
+        is_load=of_class("is_load", "bool", False),
+        waits_for_loads=of_class("blocked_by_loads", "bool", False),
+    )
 
 
 def _tenant(source: Any, index: int) -> api.Tenant:
     if not isinstance(source, dict):
         raise ConfigError(f"tenants[{index}]: is no object")
-    return api.Tenant(get(source, "tenants.name", "text"),
-                      get(source, "tenants.allowance_per_s", "number", 0.0))
+    return api.Tenant(
+        get(source, "tenants.name", "text"), get(source, "tenants.allowance_per_s", "number", 0.0)
+    )
 
 
 def _price(charges: Mapping[str, Any], name: str) -> float:
@@ -159,32 +290,65 @@
 
 def _settings(facts: Mapping[str, Any]) -> api.Settings:
     special, limits, contract, charges = (
-        get(facts, key, "object", {}) for key in ("specifics", "policy_limits", "contract", "charges"))
+        get(facts, key, "object", {})
+        for key in ("specifics", "policy_limits", "contract", "charges")
+    )
     classes = get(facts, "classes", "list")
     listed(get(facts, "report", "object", {}), "report.fields", "text")
     fleet = get(facts, "fleet_size", "whole number")
     return api.Settings(
         classes=tuple(_class_settings(c, i, special) for i, c in enumerate(classes)),
-        fleet_size=fleet, tick=get(facts, "tick", "whole number"),
-        me=get(facts, "me", "whole number", 0) % max(1, fleet), zone=get(facts, "zone", "text", ""),
-        contract=api.Contract(**_renamed(contract, "contract", {
-            "answer_slack": ("answer_slack", "whole number"), "drain_grace": ("drain_grace", "whole number"),
-            "cold_from": ("start_capacity", "number"), "cold": ("cold", "whole number"),
-            "fall": ("fall", "whole number"), "fall_multiple": ("fall_multiple", "number"),
-            "order_settle": ("key_rest", "whole number"), "budget_window": ("ratio_span", "whole number"),
-            "budget_free": ("budget_free", "number"), "budget_share": ("extra_ratio", "number")})),
-        limits=api.Limits(**_renamed(limits, "policy_limits", {
-            "cancel": ("cancel", "bool"), "probes": ("probing", "bool"), "peers": ("peer_messages", "bool"),
-            "second_copies": ("second_copies", "bool"), "retry_after": ("retry_after", "bool"),
-            "max_attempts": ("send_cap", "whole number"),
-            "max_retry_after": ("max_retry_after", "whole number")})),
+        fleet_size=fleet,
+        tick=get(facts, "tick", "whole number"),
+        me=get(facts, "me", "whole number", 0) % max(1, fleet),
+        zone=get(facts, "zone", "text", ""),
+        contract=api.Contract(
+            **_renamed(
+                contract,
+                "contract",
+                {
+                    "answer_slack": ("answer_slack", "whole number"),
+                    "drain_grace": ("drain_grace", "whole number"),
+                    "cold_from": ("start_capacity", "number"),
+                    "cold": ("cold", "whole number"),
+                    "fall": ("fall", "whole number"),
+                    "fall_multiple": ("fall_multiple", "number"),
+                    "order_settle": ("key_rest", "whole number"),
+                    "budget_window": ("ratio_span", "whole number"),
+                    "budget_free": ("budget_free", "number"),
+                    "budget_share": ("extra_ratio", "number"),
+                },
+            )
+        ),
+        limits=api.Limits(
+            **_renamed(
+                limits,
+                "policy_limits",
+                {
+                    "cancel": ("cancel", "bool"),
+                    "probes": ("probing", "bool"),
+                    "peers": ("peer_messages", "bool"),
+                    "second_copies": ("second_copies", "bool"),
+                    "retry_after": ("retry_after", "bool"),
+                    "max_attempts": ("send_cap", "whole number"),
+                    "max_retry_after": ("max_retry_after", "whole number"),
+                },
+            )
+        ),
         tenants=tuple(_tenant(t, i) for i, t in enumerate(get(facts, "tenants", "list", []))),
-        kind_cores=tuple(zip(listed(facts, "kinds", "text"),
-                             listed(special, "specifics.size_cores", "whole number"), strict=False)),
-        cross_zone_price=_price(charges, "cross_zone"), handshake_price=_price(charges, "handshake"),
+        kind_cores=tuple(
+            zip(
+                listed(facts, "kinds", "text"),
+                listed(special, "specifics.size_cores", "whole number"),
+                strict=False,
+            )
+        ),
+        cross_zone_price=_price(charges, "cross_zone"),
+        handshake_price=_price(charges, "handshake"),
         over_share_worth=get(facts, "over_share_worth", "number", 1.0),
         grants_heeded=get(special, "specifics.memory_heeded", "bool", False),
-        priorities_heeded=get(special, "specifics.lanes_count", "bool", False))
+        priorities_heeded=get(special, "specifics.lanes_count", "bool", False),
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -197,11 +361,11 @@
     seed: int
     sockets: int
     memory_mb: int
-    cores: float                      # of processor time a second; the platform holds us to it
+    cores: float  # of processor time a second; the platform holds us to it
     bus: tuple[str, int] | None
     operator: tuple[str, int] | None  # where the operators' calls come in
-    accept_fd: int | None             # the clients' listening socket, where the platform holds it
-    folder: str                       # shared with another process of this broker
+    accept_fd: int | None  # the clients' listening socket, where the platform holds it
+    folder: str  # shared with another process of this broker
     known_offset: int
     known: tuple[BusEvent, ...]
     connect_timeout: int
@@ -215,15 +379,23 @@
         return self.settings.tick
 
     def remarks(self) -> list[str]:
-        """What is taken otherwise than it was told, a line each: a fleet that grows or shrinks may tell the
-        size and the places in it at different times, and that is no reason not to serve."""
+        """What is taken otherwise than it was told, a line each: a fleet that grows or shrinks may
+        tell the size and the places in it at different times, and that is no reason not to
+        serve.
+        """
         me, last = self.settings.me, self.settings.fleet_size - 1
         told = get(self.told.get("settings", {}), "settings.me", "whole number", me)
         facts = self.told.get("settings", {})
-        return ([] if told == me else [f"settings.me: {told} is outside 0 to {last}: taken as {me}"]) + [
-            f"settings.{key}: is not known here, and has no effect" for key in unknown(facts)] + [
-            f"settings.report.fields: {name!r} is no value that is known here, and has no effect"
-            for name in (facts.get("report") or {}).get("fields", []) if name not in REPORTED]
+        return (
+            ([] if told == me else [f"settings.me: {told} is outside 0 to {last}: taken as {me}"])
+            + [f"settings.{key}: is not known here, and has no effect" for key in unknown(facts)]
+            + [
+                f"settings.report.fields: {name!r} is no value that is known here, and has no "
+                "effect"
+                for name in (facts.get("report") or {}).get("fields", [])
+                if name not in REPORTED
+            ]
+        )
 
 
 def unknown(facts: Mapping[str, Any]) -> list[str]:
@@ -259,14 +431,22 @@
     try:
         settings = parse_settings(facts)
         policy = get(facts, "policy_limits", "object", {})
-        wire = [get(policy, f"policy_limits.{name}", "whole number", default) for name, default in (
-            ("connect_timeout", DEFAULT_CONNECT_TIMEOUT), ("conn_idle", DEFAULT_CONN_IDLE),
-            ("streams_per_conn", DEFAULT_STREAMS))]
+        wire = [
+            get(policy, f"policy_limits.{name}", "whole number", default)
+            for name, default in (
+                ("connect_timeout", DEFAULT_CONNECT_TIMEOUT),
+                ("conn_idle", DEFAULT_CONN_IDLE),
+                ("streams_per_conn", DEFAULT_STREAMS),
+            )
+        ]
     except ValueError as error:
         raise ConfigError(f"settings.{error}") from None
     connect_timeout, conn_idle, streams = (
         _at_least(1, value, f"settings.policy_limits.{name}")
-        for name, value in zip(("connect_timeout", "conn_idle", "streams_per_conn"), wire, strict=True))
+        for name, value in zip(
+            ("connect_timeout", "conn_idle", "streams_per_conn"), wire, strict=True
+        )
+    )
     listen_key = "PROXY_LISTEN" if environ.get("PROXY_LISTEN") else "listen"
     host, port = _address(environ.get("PROXY_LISTEN") or get(raw, "listen", "text"), listen_key)
     operator_key = "PROXY_OPERATOR" if environ.get("PROXY_OPERATOR") else "operator"
@@ -285,27 +465,46 @@
     except ValueError:
         raise ConfigError(f"seed: {seed!r} is no hexadecimal number") from None
     return Config(
-        name=environ.get("PROXY_NAME") or get(raw, "name", "text", "larchhall"), host=host, port=port,
+        name=environ.get("PROXY_NAME") or get(raw, "name", "text", "larchhall"),
+        host=host,
+        port=port,
         seed=seed_number,
-        sockets=_at_least(LEAST_SOCKETS, get(limits, "limits.sockets", "whole number", DEFAULT_SOCKETS),
-                          "limits.sockets"),
-        memory_mb=_at_least(LEAST_MEMORY, get(limits, "limits.memory_mb", "whole number", DEFAULT_MEMORY),
-                            "limits.memory_mb"),
-        cores=get(limits, "limits.cores", "number", 1.0), bus=_address(bus, "bus") if bus else None,
+        sockets=_at_least(
+            LEAST_SOCKETS,
+            get(limits, "limits.sockets", "whole number", DEFAULT_SOCKETS),
+            "limits.sockets",
+        ),
+        memory_mb=_at_least(
+            LEAST_MEMORY,
+            get(limits, "limits.memory_mb", "whole number", DEFAULT_MEMORY),
+            "limits.memory_mb",
+        ),
+        cores=get(limits, "limits.cores", "number", 1.0),
+        bus=_address(bus, "bus") if bus else None,
         operator=_address(operator, operator_key) if operator else None,
-        accept_fd=int(accept_fd) if accept_fd else None, folder=environ.get("TMPDIR") or "/tmp",
+        accept_fd=int(accept_fd) if accept_fd else None,
+        folder=environ.get("TMPDIR") or "/tmp",
         known_offset=get(known, "known.offset", "whole number", events[-1].offset if events else 0),
-        known=events, connect_timeout=connect_timeout, conn_idle=conn_idle, streams=streams,
-        settings=settings, told={key: value for key, value in raw.items() if key != "known"})
+        known=events,
+        connect_timeout=connect_timeout,
+        conn_idle=conn_idle,
+        streams=streams,
+        settings=settings,
+        told={key: value for key, value in raw.items() if key != "known"},
+    )
 
 
 def waiting_for_restart(running: Config, read: Config) -> list[str]:
     """The keys in which a configuration read anew differs without effect before the next start."""
-    return sorted({key for name, key in FIXED.items() if getattr(running, name) != getattr(read, name)})
+    return sorted(
+        {key for name, key in FIXED.items() if getattr(running, name) != getattr(read, name)}
+    )
 
 
 def lacking(told: Any, read: Any, path: str = "") -> Iterator[str]:
-    """The keys that are in one file and not in another; of lists of objects, what all of one list have."""
+    """The keys that are in one file and not in another; of lists of objects, what all of one list
+    have.
+    """
     if isinstance(told, dict) and isinstance(read, dict):
         for key, value in told.items():
             if value is not None and read.get(key) is None:
@@ -313,14 +512,20 @@
             else:
                 yield from lacking(value, read.get(key), f"{path}{key}.")
     elif isinstance(told, list) and isinstance(read, list) and told and isinstance(told[0], dict):
-        common = {key: told[0][key] for key in told[0] if all(isinstance(t, dict) and key in t for t in told)}
+        common = {
+            key: told[0][key]
+            for key in told[0]
+            if all(isinstance(t, dict) and key in t for t in told)
+        }
         for entry in read:
             yield from lacking(common, entry, path)
 
 
 def reload(running: Config, environ: Mapping[str, str]) -> Config:
-    """The file as SIGHUP finds it, in the place of the one in force. Danger: a key that has got lost would
-    fall back to its default, in service and without a word: such a file is turned down whole."""
+    """The file as SIGHUP finds it, in the place of the one in force. Danger: a key that has got
+    lost would fall back to its default, in service and without a word: such a file is turned down
+    whole.
+    """
     read = load(environ)
     for key in lacking(running.told, read.told):
         raise ConfigError(f"{key}: is missing, in {environ['PROXY_CONFIG']}")
@@ -328,8 +533,9 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """From the file that PROXY_CONFIG names; PROXY_NAME, PROXY_LISTEN and PROXY_OPERATOR stand above what it
-    holds."""
+    """From the file that PROXY_CONFIG names; PROXY_NAME, PROXY_LISTEN and PROXY_OPERATOR stand
+    above what it holds.
+    """
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG: is not set")
@@ -344,4 +550,6 @@
         return parse(raw, environ)
     except ConfigError as error:
         # Of the environment alone: the line names its variable, and no file holds it.
-        raise ConfigError(str(error) if str(error).startswith("PROXY_") else f"{error}, in {path}") from None
+        raise ConfigError(
+            str(error) if str(error).startswith("PROXY_") else f"{error}, in {path}"
+        ) from None
--- a/larchhall/deadlines/further.py
+++ b/larchhall/deadlines/further.py
@@ -1,8 +1,9 @@
 """Further attempts: a budget for each class and tenant, and the time that an attempt gets. Pure.
 
-The decisions choose whether and where to try again; this gate only bounds how often, where operators say so.
-A token bucket whose refill is a share of first attempts (as Finagle's retry budgets): trouble everywhere
-then adds at most that share to the load, while a few failures in calm times are all retried.
+The decisions choose whether and where to try again; this gate only bounds how often, where
+operators say so. A token bucket whose refill is a share of first attempts (as Finagle's retry
+budgets): trouble everywhere then adds at most that share to the load, while a few failures in calm
+times are all retried.
 """
 
 from __future__ import annotations
@@ -15,8 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """``share`` of a token for each first attempt, ``burst`` tokens at the most; per class where named.
-    ``first``: the part of the remaining time that a safe class's first attempt gets."""
+    """``share`` of a token for each first attempt, ``burst`` tokens at the most; per class where
+    named. ``first``: the part of the remaining time that a safe class's first attempt gets.
+    """
 
     share: float = 0.2
     burst: float = 10.0
@@ -49,9 +51,10 @@
         key = self._key(route, tenant)
         share, burst = self.terms.of(route)
         self.tokens[key] = min(burst, self.tokens.get(key, burst) + share)
-        if len(self.tokens) > MOST_KEPT:  # danger: where no tenants are set, clients name any they like
+        # danger: where no tenants are set, clients name any they like
+        if len(self.tokens) > MOST_KEPT:
             full = [k for k, t in self.tokens.items() if t >= self.terms.of(k[0])[1]]
-            for gone in full or list(self.tokens)[:MOST_KEPT // 2]:
+            for gone in full or list(self.tokens)[: MOST_KEPT // 2]:
                 del self.tokens[gone]
 
     def further(self, route: str, tenant: str) -> bool:
@@ -71,8 +74,9 @@
 
 
 def attempt_time(remaining: int, number: int, repeatable: bool, terms: Terms) -> int:
-    """How long an attempt may take. Danger: what may not be repeated gains nothing from being cut short, and
-    loses its answer: it gets all the time there is."""
+    """How long an attempt may take. Danger: what may not be repeated gains nothing from being cut
+    short, and loses its answer: it gets all the time there is.
+    """
     if number or not repeatable or terms.first >= 1:
         return remaining
     return min(remaining, max(terms.least, int(remaining * terms.first)))
--- a/larchhall/deadlines/gates.py
+++ b/larchhall/deadlines/gates.py
@@ -1,7 +1,8 @@
 """The gates: whether a request may still go on at a hand-over. Pure.
 
-A gate stands wherever a request changes hands before a byte of it has left for an engine: on its way into a
-pool, from the pool to a connection, from the outbox to the socket. What is stopped there never ran.
+A gate stands wherever a request changes hands before a byte of it has left for an engine: on its
+way into a pool, from the pool to a connection, from the outbox to the socket. What is stopped there
+never ran.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 class Stop(Enum):
     """Why a request does not go on."""
 
-    LEFT = "left"          # nobody waits for it any more, or it has its answer
-    PAST = "past"          # its time is up
+    LEFT = "left"  # nobody waits for it any more, or it has its answer
+    PAST = "past"  # its time is up
     TOO_LATE = "too late"  # it can no longer end in time
-    OUT = "out"            # the engine has been taken out by hand
-    DRAINED = "drained"    # the engine drains, or has gone
-    BUDGET = "budget"      # no further attempt is left in the budget
+    OUT = "out"  # the engine has been taken out by hand
+    DRAINED = "drained"  # the engine drains, or has gone
+    BUDGET = "budget"  # no further attempt is left in the budget
 
 
 class Hand(Enum):
@@ -32,8 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Passing:
-    """What a gate looks at. ``end``: when its answer must be here; ``fastest``: what the engine takes at the
-    least, 0 where that is not known. ``drained_at``: when the engine was told to drain; 0: it was not."""
+    """What a gate looks at. ``end``: when its answer must be here; ``fastest``: what the engine
+    takes at the least, 0 where that is not known. ``drained_at``: when the engine was told to
+    drain; 0: it was not.
+    """
 
     wanted: bool
     end: int
@@ -43,8 +46,9 @@
 
 
 def stop(now: int, passing: Passing) -> Stop | None:
-    """The first reason against it. Danger: the order counts; a request that nobody wants says nothing of its
-    engine, and must not be reported as if it did."""
+    """The first reason against it. Danger: the order counts; a request that nobody wants says
+    nothing of its engine, and must not be reported as if it did.
+    """
     if not passing.wanted:
         return Stop.LEFT
     if now >= passing.end:
@@ -64,11 +68,11 @@
 
     stopped: Counter[tuple[Hand, Stop]] = field(default_factory=Counter)
     begun_after: Counter[Stop] = field(default_factory=Counter)  # a byte had left, then this
-    cancelled: int = 0    # undone, and silent since
-    went_on: int = 0      # undone, and answered all the same
+    cancelled: int = 0  # undone, and silent since
+    went_on: int = 0  # undone, and answered all the same
     undone: int = 0
     resent: int = 0
-    late: int = 0         # answers that came when nobody waited
+    late: int = 0  # answers that came when nobody waited
 
     def taken_back(self) -> int:
         return sum(self.stopped.values())
--- a/larchhall/deadlines/outbox.py
+++ b/larchhall/deadlines/outbox.py
@@ -1,8 +1,8 @@
 """What waits to be written on one connection, in priority order, and what of it has left. Pure.
 
-A frame of which no byte has left can be taken back whole; one of which a byte has left may have run, and is
-written to its end before anything else. Frames are held as the pieces that they are made of: nothing is
-joined or copied here.
+A frame of which no byte has left can be taken back whole; one of which a byte has left may have
+run, and is written to its end before anything else. Frames are held as the pieces that they are
+made of: nothing is joined or copied here.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-CONTROL = 4          # above the queries' own priorities, 0 to 3: undo, bump, page, forget, probes
-MOST_PIECES = 64     # given to one call; the system's own limit lies at 1,024
+CONTROL = 4  # above the queries' own priorities, 0 to 3: undo, bump, page, forget, probes
+MOST_PIECES = 64  # given to one call; the system's own limit lies at 1,024
 
 
 @dataclass(slots=True)
 class Frame:
-    """``key``: what it is known by, for being taken back; None: never. ``left``: bytes that are gone; -1:
-    it has been taken back. ``about`` is handed to the outbox's calls."""
+    """``key``: what it is known by, for being taken back; None: never. ``left``: bytes that are
+    gone; -1: it has been taken back. ``about`` is handed to the outbox's calls.
+    """
 
     pieces: tuple[bytes, ...]
     key: bytes | None
@@ -31,10 +32,11 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """``leave`` is asked before the first byte of a frame that has waited: for its pieces as they must be
-    now, since what it tells of its time is older by as long as it waited, or None if it may not go. ``begun``
-    is told right after the first byte, ``gone`` after the last. ``most`` frames, and ``most_bytes`` of them,
-    may wait before it is full."""
+    """``leave`` is asked before the first byte of a frame that has waited: for its pieces as they
+    must be now, since what it tells of its time is older by as long as it waited, or None if it may
+    not go. ``begun`` is told right after the first byte, ``gone`` after the last. ``most`` frames,
+    and ``most_bytes`` of them, may wait before it is full.
+    """
 
     leave: Callable[[Frame], tuple[bytes, ...] | None]
     begun: Callable[[object], None]
@@ -55,8 +57,9 @@
         return len(self.heap) >= self.most or self.waiting_bytes >= self.most_bytes
 
     def put(self, frame: Frame) -> bool:
-        """True: nothing waits before it, and the caller writes now. Its gate is not asked then: it has just
-        been decided to send it."""
+        """True: nothing waits before it, and the caller writes now. Its gate is not asked then: it
+        has just been decided to send it.
+        """
         if self.current is None and not self.heap:
             self.current = frame
             return True
@@ -98,8 +101,9 @@
         return True
 
     def next(self) -> Sequence[bytes]:
-        """The pieces to write now: the rest of what is half gone, else the first frame that may go. What its
-        gate stops is dropped here, before a byte of it leaves."""
+        """The pieces to write now: the rest of what is half gone, else the first frame that may go.
+        What its gate stops is dropped here, before a byte of it leaves.
+        """
         while self.current is None:
             if not self.heap:
                 return ()
@@ -115,8 +119,9 @@
         return rest(self.current.pieces, self.current.left)
 
     def wrote(self, size: int) -> bool:
-        """So many bytes of what `next` gave have left. False: the socket takes no more for now. Where none
-        has, the frame goes back to its place, and may still be taken back."""
+        """So many bytes of what `next` gave have left. False: the socket takes no more for now.
+        Where none has, the frame goes back to its place, and may still be taken back.
+        """
         frame = self.current
         assert frame is not None, "nothing was given out"
         if frame.left == 0 and not frame.begun:
--- a/larchhall/deadlines/scopes.py
+++ b/larchhall/deadlines/scopes.py
@@ -1,8 +1,10 @@
-"""Cancel scopes: ending a request ends its attempts, ending an attempt ends its pages, in order. Pure.
+"""Cancel scopes: ending a request ends its attempts, ending an attempt ends its pages, in order.
+Pure.
 
-After trio's cancel scopes: an end goes down the tree, children first, once. What ending an attempt means
-depends on how far it has come: unsent it is taken back whole; sent, it is undone where engines honour that,
-and watched until it is silent or has answered all the same; else it is let run, and its answer dropped.
+After trio's cancel scopes: an end goes down the tree, children first, once. What ending an attempt
+means depends on how far it has come: unsent it is taken back whole; sent, it is undone where
+engines honour that, and watched until it is silent or has answered all the same; else it is let
+run, and its answer dropped.
 """
 
 from __future__ import annotations
@@ -12,8 +14,8 @@
 from enum import Enum
 
 MS = 1_000_000
-CONFIRM = 1_000 * MS   # ns of silence after which an undone attempt counts as stopped
-RESEND = 250 * MS      # ns between an `undo` and the next, while nothing shows that it was heard
+CONFIRM = 1_000 * MS  # ns of silence after which an undone attempt counts as stopped
+RESEND = 250 * MS  # ns between an `undo` and the next, while nothing shows that it was heard
 MOST_RESENDS = 2
 
 
@@ -27,22 +29,24 @@
 class Act(Enum):
     """What ending one scope asks for."""
 
-    TAKE_BACK = "take back"   # no byte has left
+    TAKE_BACK = "take back"  # no byte has left
     UNDO = "undo"
-    FORGET = "forget"         # no more pages are wanted
+    FORGET = "forget"  # no more pages are wanted
     LET_RUN = "let run"
-    ANSWER = "answer"         # the request itself: its client is owed nothing more
+    ANSWER = "answer"  # the request itself: its client is owed nothing more
 
 
 @dataclass(slots=True)
 class Scope:
-    """One thing under way and what belongs to it. Ended once; what is added to an ended one ends at once."""
+    """One thing under way and what belongs to it. Ended once; what is added to an ended one ends at
+    once.
+    """
 
     kind: Kind
     name: object
     parent: Scope | None = None
     children: list[Scope] = field(default_factory=list)
-    left: bool = False      # a byte of it has left for the engine
+    left: bool = False  # a byte of it has left for the engine
     over: bool = False
 
     def open(self, kind: Kind, name: object) -> Scope:
@@ -61,8 +65,9 @@
             self.parent.children.remove(self)
 
     def end(self, honoured: bool) -> list[tuple[Act, Scope]]:
-        """What is to be done, children before their parents; nothing the second time. ``honoured``: engines
-        heed an `undo`. Danger: where they do not, none may ever be sent."""
+        """What is to be done, children before their parents; nothing the second time. ``honoured``:
+        engines heed an `undo`. Danger: where they do not, none may ever be sent.
+        """
         if self.over:
             return []
         done = list(self._end(honoured))
@@ -90,9 +95,9 @@
 class Outcome(Enum):
     """What became of an undone attempt."""
 
-    STOPPED = "stopped"   # silent for long enough
-    WENT_ON = "went on"   # it answered after the undo
-    LOST = "lost"         # its connection ended first
+    STOPPED = "stopped"  # silent for long enough
+    WENT_ON = "went on"  # it answered after the undo
+    LOST = "lost"  # its connection ended first
 
 
 @dataclass(slots=True)
@@ -104,8 +109,9 @@
 
 @dataclass(slots=True)
 class Undoing:
-    """The undone attempts of one connection, until each is known to have stopped or gone on. They hold their
-    stream for as long: an answer that crosses the `undo` must be known to be dropped."""
+    """The undone attempts of one connection, until each is known to have stopped or gone on. They
+    hold their stream for as long: an answer that crosses the `undo` must be known to be dropped.
+    """
 
     waiting: dict[bytes, Undone] = field(default_factory=dict)
 
--- a/larchhall/deadlines/stages.py
+++ b/larchhall/deadlines/stages.py
@@ -1,7 +1,9 @@
-"""How long a request spends in each stage, as quantiles that fade, and the margin learned from them. Pure.
+"""How long a request spends in each stage, as quantiles that fade, and the margin learned from
+them. Pure.
 
-Quantiles are t-digests (fastdigest), in two generations: what is asked is answered from both, and the older
-is dropped when the newer is full of age. Histograms with fixed bounds are kept beside them for the figures.
+Quantiles are t-digests (fastdigest), in two generations: what is asked is answered from both, and
+the older is dropped when the newer is full of age. Histograms with fixed bounds are kept beside
+them for the figures.
 """
 
 from __future__ import annotations
@@ -15,12 +17,32 @@
 
 MS = 1_000_000
 S = 1_000 * MS
-BOUNDS = tuple(int(b * MS) for b in (0.1, 0.25, 0.5, 1, 2.5, 5, 10, 25, 50, 100, 250, 500, 1_000, 2_500,
-                                      5_000, 10_000, 30_000))
-GENERATION = 30 * S    # ns
-BATCH = 64             # values that are taken into the digest at once
-LEAST_SEEN = 50        # below that nothing is learned
-TRANSIT = 2 * MS       # of the way back that nobody here can see
+BOUNDS = tuple(
+    int(b * MS)
+    for b in (
+        0.1,
+        0.25,
+        0.5,
+        1,
+        2.5,
+        5,
+        10,
+        25,
+        50,
+        100,
+        250,
+        500,
+        1_000,
+        2_500,
+        5_000,
+        10_000,
+        30_000,
+    )
+)
+GENERATION = 30 * S  # ns
+BATCH = 64  # values that are taken into the digest at once
+LEAST_SEEN = 50  # below that nothing is learned
+TRANSIT = 2 * MS  # of the way back that nobody here can see
 
 
 @dataclass(slots=True)
@@ -88,23 +110,31 @@
         return self.margin
 
     def fastest(self, route: str, now: int, *stages: Stage) -> int:
-        """What these stages (the engine's alone without any) take at the least for this class; those of which
-        too little is known count nothing."""
+        """What these stages (the engine's alone without any) take at the least for this class;
+        those of which too little is known count nothing.
+        """
         known = [self.held.get((route, stage)) for stage in stages or (Stage.ENGINE,)]
         return sum(k.at(0.01, now) or 0 for k in known if k is not None)
 
     def text(self, prefix: str) -> list[str]:
         """Lines of the Prometheus text format, in seconds."""
-        lines = [f"# HELP {prefix}stage_seconds Time that requests spent in each stage.",
-                 f"# TYPE {prefix}stage_seconds histogram"]
+        lines = [
+            f"# HELP {prefix}stage_seconds Time that requests spent in each stage.",
+            f"# TYPE {prefix}stage_seconds histogram",
+        ]
         for (route, stage), known in sorted(
-                self.held.items(), key=lambda item: (item[0][0], item[0][1].value)):
+            self.held.items(), key=lambda item: (item[0][0], item[0][1].value)
+        ):
             labels = f'type="{route}",stage="{stage.value}"'
             so_far = 0
             for bound, count in zip(BOUNDS, known.counts, strict=False):
                 so_far += count
-                lines.append(f'{prefix}stage_seconds_bucket{{{labels},le="{bound / S:g}"}} {so_far}')
-            lines += (f'{prefix}stage_seconds_bucket{{{labels},le="+Inf"}} {known.seen}',
-                      f"{prefix}stage_seconds_sum{{{labels}}} {known.total / S:.6f}",
-                      f"{prefix}stage_seconds_count{{{labels}}} {known.seen}")
+                lines.append(
+                    f'{prefix}stage_seconds_bucket{{{labels},le="{bound / S:g}"}} {so_far}'
+                )
+            lines += (
+                f'{prefix}stage_seconds_bucket{{{labels},le="+Inf"}} {known.seen}',
+                f"{prefix}stage_seconds_sum{{{labels}}} {known.total / S:.6f}",
+                f"{prefix}stage_seconds_count{{{labels}}} {known.seen}",
+            )
         return lines
--- a/larchhall/deadlines/terms.py
+++ b/larchhall/deadlines/terms.py
@@ -14,12 +14,12 @@
 class Stage(Enum):
     """In the order in which a request goes through them."""
 
-    READ = "read"          # from its first byte to its last
+    READ = "read"  # from its first byte to its last
     DECIDE = "decide"
-    CONNECT = "connect"    # waiting for a connection
-    WRITE = "write"        # waiting in the outbox and going out
-    ENGINE = "engine"      # from its last byte out to its answer in
-    ANSWER = "answer"      # from the answer to its last byte out
+    CONNECT = "connect"  # waiting for a connection
+    WRITE = "write"  # waiting in the outbox and going out
+    ENGINE = "engine"  # from its last byte out to its answer in
+    ANSWER = "answer"  # from the answer to its last byte out
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,9 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Deadlines:
-    """``count_from``: whether a request's time counts from its first or its last byte. ``half_close``: a
-    client that ends its side has left, or still gets its answers. ``slow_reader``: ns that answers may lie
-    unread."""
+    """``count_from``: whether a request's time counts from its first or its last byte.
+    ``half_close``: a client that ends its side has left, or still gets its answers.
+    ``slow_reader``: ns that answers may lie unread.
+    """
 
     learn: bool = False
     margin: MarginTerms = MarginTerms()
@@ -48,8 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Logs:
-    """``stories``: the share of requests that get a line of their own; those that ended past their time
-    always do."""
+    """``stories``: the share of requests that get a line of their own; those that ended past their
+    time always do.
+    """
 
     format: Literal["plain", "text", "json"] = "plain"
     stories: float = 0.0
--- a/larchhall/demo.py
+++ b/larchhall/demo.py
@@ -18,14 +18,23 @@
 from .config import parse
 from .operators.script import Evaluated
 from .rooms.node import CelledNode
-from .standins.client import Book, quantile
+from .standins.client import Asked, Book, quantile
 from .standins.world import World, config, patiently, tenants
 from .wire import frames
 
 MS = 1_000_000
 AIMS = {"glance": 1_000 * MS, "stock-add": 3_000 * MS}
-CELLS = CellMap(1, (Cell("counters", engines=("s-1", "s-2")), Cell("finance", engines=("s-3",))), "counters",
-                {"harbour": Tenant("harbour", ("counters",)), "inland": Tenant("inland", ("finance",))})
+CELLS = CellMap(
+    1,
+    (Cell("counters", engines=("s-1", "s-2")), Cell("finance", engines=("s-3",))),
+    "counters",
+    {"harbour": Tenant("harbour", ("counters",)), "inland": Tenant("inland", ("finance",))},
+)
+
+
+def served_ms(asked: list[Asked]) -> list[float]:
+    """Milliseconds from request to answer, of those that were served."""
+    return [(a.answered - a.sent) / MS for a in asked if a.code == frames.SERVED]
 
 
 def play(seconds: float, say: Callable[[str], None]) -> int:
@@ -38,12 +47,18 @@
     await world.start("s-1", "s-2", "s-3", cores=2)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        raw = config(world, "127.0.0.1:1", tenants=tenants("harbour", "inland"),
-                     kinds=["std"], specifics={"size_cores": [2], "parallelism": [1, 2]})
+        raw = config(
+            world,
+            "127.0.0.1:1",
+            tenants=tenants("harbour", "inland"),
+            kinds=["std"],
+            specifics={"size_cores": [2], "parallelism": [1, 2]},
+        )
         path.write_text(json.dumps(raw))
         told = parse(raw, {})
-        node = CelledNode(replace(told, port=0), Evaluated(CELLS), str(path),
-                          {**os.environ, "TMPDIR": folder})
+        node = CelledNode(
+            replace(told, port=0), Evaluated(CELLS), str(path), {**os.environ, "TMPDIR": folder}
+        )
         running = asyncio.create_task(node.run())
         while node.server is None and not running.done():
             await asyncio.sleep(0.01)
@@ -53,21 +68,46 @@
         port = int(node.server.sockets[0].getsockname()[1])
         book = Book("127.0.0.1", port)
         ready = await patiently((await book.counter()).ask_ready(), 5.0)
-        say(f"three engines, their bus and a broker with two cells on 127.0.0.1:{port}; "
-            f"{'ready' if ready else 'not ready'}")
+        say(
+            f"three engines, their bus and a broker with two cells on 127.0.0.1:{port}; "
+            f"{'ready' if ready else 'not ready'}"
+        )
         say(f"for {seconds:.0f} s: harbour asks what its cell can do, inland four times that\n")
         await _load(book, seconds)
         await book.settle(6.0)
-        say(table(["tenant", "cell", "asked", "served", "in time", "refused", "failed", "median ms"], [
-            [name, CELLS.home(name), str(len(asked)), str(sum(a.code == frames.SERVED for a in asked)),
-             f"{sum(a.in_time(AIMS[a.route]) for a in asked) / max(1, len(asked)):.0%}",
-             str(sum(a.code == frames.REFUSED for a in asked)),
-             str(sum(a.code == frames.FAILED for a in asked)),
-             f"{quantile([(a.answered - a.sent) / MS for a in asked if a.code == 0], 0.5):.0f}"]
-            for name in ("harbour", "inland") for asked in [book.of(name)]]))
-        say("\n" + table(["engine", "cell", "queries run"], [
-            [uid, next(c.name for c in CELLS.cells if uid in c.engines), str(len(e.machine.ledger))]
-            for uid, e in world.engines.items()]))
+        say(
+            table(
+                ["tenant", "cell", "asked", "served", "in time", "refused", "failed", "median ms"],
+                [
+                    [
+                        name,
+                        CELLS.home(name),
+                        str(len(asked)),
+                        str(sum(a.code == frames.SERVED for a in asked)),
+                        f"{sum(a.in_time(AIMS[a.route]) for a in asked) / max(1, len(asked)):.0%}",
+                        str(sum(a.code == frames.REFUSED for a in asked)),
+                        str(sum(a.code == frames.FAILED for a in asked)),
+                        f"{quantile(served_ms(asked), 0.5):.0f}",
+                    ]
+                    for name in ("harbour", "inland")
+                    for asked in [book.of(name)]
+                ],
+            )
+        )
+        say(
+            "\n"
+            + table(
+                ["engine", "cell", "queries run"],
+                [
+                    [
+                        uid,
+                        next(c.name for c in CELLS.cells if uid in c.engines),
+                        str(len(e.machine.ledger)),
+                    ]
+                    for uid, e in world.engines.items()
+                ],
+            )
+        )
         once = all(a.answers == 1 for a in book.asked) and not book.strays
         say(f"\nevery request got exactly one answer: {'yes' if once else 'no'}")
         book.close()
@@ -90,6 +130,8 @@
         await asyncio.sleep(max(0.0, begun + due[name] - loop.time()))
         due[name] += draw.expovariate(rates[name])
         if draw.random() < 0.9:
-            await book.ask(name, "glance", draw.uniform(10, 60), 5_000 * MS, group=draw.randint(1, 20))
+            await book.ask(
+                name, "glance", draw.uniform(10, 60), 5_000 * MS, group=draw.randint(1, 20)
+            )
         else:
             await book.ask(name, "stock-add", draw.uniform(100, 200), 20_000 * MS, threads=2)
--- a/larchhall/facade.py
+++ b/larchhall/facade.py
@@ -1,7 +1,8 @@
-"""The decision module in blocking style: `pick`, `report` and `tick` take what happened and return orders.
+"""The decision module in blocking style: `pick`, `report` and `tick` take what happened and return
+orders.
 
-The network code speaks in the words below and never sees the module's events and actions. Nothing here
-decides anything: the facade translates, and keeps the module's timers on the wheel.
+The network code speaks in the words below and never sees the module's events and actions. Nothing
+here decides anything: the facade translates, and keeps the module's timers on the wheel.
 """
 
 from __future__ import annotations
@@ -12,12 +13,43 @@
 
 from . import interface as api
 from .brain import AdmissionController
-from .interface import Effect, EngineEntry, EngineState, LoadReport, NoteKind, Outstanding, Result, Settings
+from .interface import (
+    Effect,
+    EngineEntry,
+    EngineState,
+    LoadReport,
+    NoteKind,
+    Outstanding,
+    Result,
+    Settings,
+)
 from .state.wheel import Wheel
 
-__all__ = ["Beside", "Closing", "Effect", "Ended", "EngineBan", "EngineEntry", "EngineNews", "EngineState",
-           "Facade", "Left", "LoadReport", "News", "NoteKind", "Noted", "Orders", "Outstanding", "Probed",
-           "Query", "Result", "Retuned", "SendOrder", "Settings", "Verdict"]
+__all__ = [
+    "Beside",
+    "Closing",
+    "Effect",
+    "Ended",
+    "EngineBan",
+    "EngineEntry",
+    "EngineNews",
+    "EngineState",
+    "Facade",
+    "Left",
+    "LoadReport",
+    "News",
+    "NoteKind",
+    "Noted",
+    "Orders",
+    "Outstanding",
+    "Probed",
+    "Query",
+    "Result",
+    "Retuned",
+    "SendOrder",
+    "Settings",
+    "Verdict",
+]
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,8 +91,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Noted:
-    """An attempt that is out is not over yet; ``value`` by kind: share done, megabytes missing, 1 for memory
-    or 2 for a load that it waits for."""
+    """An attempt that is out is not over yet; ``value`` by kind: share done, megabytes missing, 1
+    for memory or 2 for a load that it waits for.
+    """
 
     request: str
     attempt: int
@@ -93,7 +126,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Beside:
-    """What other processes of this broker have out, by engine; how many processes take requests, with us."""
+    """What other processes of this broker have out, by engine; how many processes take requests,
+    with us.
+    """
 
     out: dict[int, Outstanding]
     taking: int
@@ -108,7 +143,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Closing:
-    """What is open must be closed out now, since the broker is about to end; or the named requests alone."""
+    """What is open must be closed out now, since the broker is about to end; or the named requests
+    alone.
+    """
 
     only: frozenset[str] | None = None
 
@@ -131,14 +168,17 @@
 
     request: str
     refused: bool  # a retry is harmless
-    pause: int     # nanoseconds the client is to stay away; 0: no advice
+    pause: int  # nanoseconds the client is to stay away; 0: no advice
 
 
 @dataclass(slots=True)
 class Orders:
-    """What the network is to do, each list in its order; terms come before the sends they are for."""
+    """What the network is to do, each list in its order; terms come before the sends they are
+    for.
+    """
 
-    terms: list[tuple[str, int, float]] = field(default_factory=list)  # request, priority, megabytes
+    # request, priority, megabytes
+    terms: list[tuple[str, int, float]] = field(default_factory=list)
     sends: list[SendOrder] = field(default_factory=list)
     verdicts: list[Verdict] = field(default_factory=list)
     cancels: list[tuple[str, int]] = field(default_factory=list)
@@ -155,16 +195,30 @@
     def pick(self, now: int, query: Query) -> Orders:
         """A request has come: where it goes, or that it does not."""
         self.sends[query.id] = 0
-        return self._handle(now, Orders(), api.Arrival(
-            query.id, query.route, query.patience, query.customer, None, query.estimate, query.memory_mb,
-            query.data_set, query.retry))
+        return self._handle(
+            now,
+            Orders(),
+            api.Arrival(
+                query.id,
+                query.route,
+                query.patience,
+                query.customer,
+                None,
+                query.estimate,
+                query.memory_mb,
+                query.data_set,
+                query.retry,
+            ),
+        )
 
     def report(self, now: int, news: News) -> Orders:
         """Something else happened."""
         orders = Orders()
         match news:
             case Ended(request, attempt, engine, result, latency, over, load):
-                event: api.Event = api.AttemptOutcome(request, attempt, engine, result, latency, over, load)
+                event: api.Event = api.AttemptOutcome(
+                    request, attempt, engine, result, latency, over, load
+                )
             case Noted(request, attempt, engine, kind, value):
                 event = api.AttemptNote(request, attempt, engine, kind, value)
             case Probed(engine, result, latency, load):
@@ -184,8 +238,10 @@
         return self._handle(now, orders, event)
 
     def tick(self, now: int) -> Orders:
-        """Hand over the first of the timers that are due. Danger: a fault in one must not cost the others,
-        among them the ones that guarantee a final answer; so each is taken out first, and alone."""
+        """Hand over the first of the timers that are due. Danger: a fault in one must not cost the
+        others, among them the ones that guarantee a final answer; so each is taken out first, and
+        alone.
+        """
         return self._handle(now, Orders(), api.TimerFired(self.due.popleft()))
 
     def forget(self, request: str) -> None:
@@ -201,7 +257,9 @@
         return self.controller.outstanding(now)
 
     def shares(self) -> dict[int, tuple[float, float]]:
-        """Of each engine: the threads, and the bound on work outstanding, that this process goes by."""
+        """Of each engine: the threads, and the bound on work outstanding, that this process goes
+        by.
+        """
         return {number: (e.thread_share, e.bound) for number, e in self.controller.engines.items()}
 
     def widest(self) -> int:
--- a/larchhall/interface.py
+++ b/larchhall/interface.py
@@ -1,6 +1,7 @@
 """Settings, events and actions of the admission controller, in the words of the field.
 
-Every time and duration is in integer nanoseconds, on the caller's clock. Nothing here decides anything.
+Every time and duration is in integer nanoseconds, on the caller's clock. Nothing here decides
+anything.
 """
 
 from __future__ import annotations
@@ -236,7 +237,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Ban:
-    """Operators take an engine out, whatever the list says, or back: it has restarted and is cold."""
+    """Operators take an engine out, whatever the list says, or back: it has restarted and is
+    cold.
+    """
 
     engine: int
     out: bool
@@ -244,7 +247,9 @@
 
 
 class Outstanding(NamedTuple):
-    """What one process of a gateway has out on an engine, and has sent it lately while it was cold."""
+    """What one process of a gateway has out on an engine, and has sent it lately while it was
+    cold.
+    """
 
     threads: int
     backlog: int  # thread-nanoseconds, as is ``cold``
@@ -253,8 +258,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Beside:
-    """Other processes of this gateway: theirs and ours go by one share. ``taking`` of them, with us, take
-    requests."""
+    """Other processes of this gateway: theirs and ours go by one share. ``taking`` of them, with
+    us, take requests.
+    """
 
     out: Mapping[int, Outstanding]
     taking: int
@@ -293,14 +299,28 @@
     payload: bytes
 
 
-Event = (ListNews | Arrival | AttemptOutcome | AttemptNote | Departure | Ban | Beside | Retuned | Closing
-         | TimerFired | ProbeResult | PeerMessage)
+Event = (
+    ListNews
+    | Arrival
+    | AttemptOutcome
+    | AttemptNote
+    | Departure
+    | Ban
+    | Beside
+    | Retuned
+    | Closing
+    | TimerFired
+    | ProbeResult
+    | PeerMessage
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; attempts of a request are numbered from 0 in the order of their sends. ``latest``:
-    when its first byte must have left; past that it may not run any more, and is reported as not sent."""
+    """Start an attempt; attempts of a request are numbered from 0 in the order of their sends.
+    ``latest``: when its first byte must have left; past that it may not run any more, and is
+    reported as not sent.
+    """
 
     request: str
     engine: int
--- a/larchhall/lifecycle/boot.py
+++ b/larchhall/lifecycle/boot.py
@@ -1,4 +1,6 @@
-"""Start: the listening socket, the event bus and the tick; the front that admits clients; SIGHUP."""
+"""Start: the listening socket, the event bus and the tick; the front that admits clients;
+SIGHUP.
+"""
 
 from __future__ import annotations
 
@@ -29,14 +31,15 @@
 from .siblings import Siblings
 
 BACKLOG = 1_024
-SWEEP = 0.25            # s between looks at idle connections and slow readers
-LAGGED = 100_000_000    # ns; a tick so late is logged
+SWEEP = 0.25  # s between looks at idle connections and slow readers
+LAGGED = 100_000_000  # ns; a tick so late is logged
 MS = 1_000_000
 
 
 def raise_descriptors(wanted: int) -> int:
-    """Danger: a limit of the system below the one we are told of is met as EMFILE at some busy moment. The
-    soft one is raised, the hard one is what we then plan with."""
+    """Danger: a limit of the system below the one we are told of is met as EMFILE at some busy
+    moment. The soft one is raised, the hard one is what we then plan with.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY:
         wanted = min(hard, wanted)
@@ -46,7 +49,9 @@
 
 
 def bound(key: str, host: str, port: int) -> socket.socket:
-    """Danger: after a kill the old connections linger; the address must be had at once all the same."""
+    """Danger: after a kill the old connections linger; the address must be had at once all the
+    same.
+    """
     listener = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -58,8 +63,10 @@
 
 
 def inherited(number: int) -> socket.socket:
-    """The clients' listening socket that the platform holds. Danger: to bind anew fails, since its address is
-    taken; to shut it down would end it for every process that has it: only our copy is ever closed."""
+    """The clients' listening socket that the platform holds. Danger: to bind anew fails, since its
+    address is taken; to shut it down would end it for every process that has it: only our copy is
+    ever closed.
+    """
     try:
         listener = socket.socket(fileno=number)
     except OSError as error:
@@ -96,7 +103,8 @@
         self.stopped = asyncio.Event()
         self.ticked = self.swept = self.clock.now()
 
-    # What a node with rooms of its own makes otherwise, and tells the other processes: `larchhall.rooms`.
+    # What a node with rooms of its own makes otherwise, and tells the other processes:
+    # `larchhall.rooms`.
 
     def _broker(self) -> Broker:
         return Broker(self.config, self.clock, self.log)
@@ -129,11 +137,15 @@
         return True
 
     def _has_place(self) -> bool:
-        return len(self.clients) < self.most_clients or self._end_one(c for c in self.clients if c.idle())
+        return len(self.clients) < self.most_clients or self._end_one(
+            c for c in self.clients if c.idle()
+        )
 
     def _end_one(self, free: Iterable[ClientConnection]) -> bool:
-        """Danger: connections that say nothing, or stay after one request, would keep usual clients out. The
-        place goes to the newcomer: first of those that are ending, then of the silent, then of the idle."""
+        """Danger: connections that say nothing, or stay after one request, would keep usual clients
+        out. The place goes to the newcomer: first of those that are ending, then of the silent,
+        then of the idle.
+        """
         victim = min(free, key=lambda c: (not c.broken, c.spoken, c.used), default=None)
         if victim is None:
             return False
@@ -145,7 +157,9 @@
         self.clients.discard(connection)
 
     def share(self, others: Collection[dict[str, Any]]) -> None:
-        """Other processes of this broker are beside us, or have ended: its limits hold for all together."""
+        """Other processes of this broker are beside us, or have ended: its limits hold for all
+        together.
+        """
         out: dict[int, Outstanding] = {}
         for other in others:
             for number, theirs in other["out"].items():
@@ -172,7 +186,8 @@
             self.listed = True
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.drain.begin)
-        # Danger: without a handler, the signal that asks for the new configuration ends the process.
+        # Danger: without a handler, the signal that asks for the new configuration ends the
+        # process.
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         if self.siblings is not None:
             self.siblings.start()
@@ -182,15 +197,18 @@
             self._follow(self.config.bus)
         if self.config.operator is not None:
             await self.operations.listen(bound("operator", *self.config.operator))
-        self.server = await loop.create_server(self._client, sock=self._listen(),
-                                               backlog=BACKLOG)
-        # What lives as long as the process is no work for the collector: it would stop the loop for it.
+        self.server = await loop.create_server(self._client, sock=self._listen(), backlog=BACKLOG)
+        # What lives as long as the process is no work for the collector: it would stop the loop for
+        # it.
         gc.collect()
         gc.freeze()
         for remark in self.config.remarks():
             self.log("config", remark)
-        self.log("start", f"listening on {self.config.host}:{self.config.port}; {self.config.cores:g} cores, "
-                          f"{self.config.memory_mb} MB, {self.config.sockets} descriptors")
+        self.log(
+            "start",
+            f"listening on {self.config.host}:{self.config.port}; {self.config.cores:g} cores, "
+            f"{self.config.memory_mb} MB, {self.config.sockets} descriptors",
+        )
         self.ticked = self.swept = self.clock.now()
         self.broker.wheel.sooner = self._wake
         self._tick(loop)
@@ -212,8 +230,14 @@
             self.feed.move(bus)
 
     def _feed(self, bus: tuple[str, int]) -> Feed:
-        return Feed(bus, self.config.known_offset, self._news, self.clock.now, self.log,
-                    random.Random(self.config.seed).random)
+        return Feed(
+            bus,
+            self.config.known_offset,
+            self._news,
+            self.clock.now,
+            self.log,
+            random.Random(self.config.seed).random,
+        )
 
     def reload(self) -> None:
         """SIGHUP: the file is read and checked wholly, then taken in one step or not at all."""
@@ -234,7 +258,9 @@
             self.log("config", remark)
         fixed = waiting_for_restart(self.told, read)
         self.config = self.broker.config
-        self.log("reload", "done" + (f"; with the next start only: {', '.join(fixed)}" if fixed else ""))
+        self.log(
+            "reload", "done" + (f"; with the next start only: {', '.join(fixed)}" if fixed else "")
+        )
         if read.bus is not None:
             self._follow(read.bus)
 
@@ -283,7 +309,8 @@
         for client in sorted(self.clients, key=ClientConnection.unread):
             unread += client.unread()
             if unread > self.broker.room or (
-                    client.paused_at and now - client.paused_at > self.broker.terms.slow_reader):
+                client.paused_at and now - client.paused_at > self.broker.terms.slow_reader
+            ):
                 self.log("client", "unread answers are given up, their connection closed")
                 client.drop()
 
@@ -302,6 +329,7 @@
 
 def serve(make: Callable[[], Node]) -> None:
     """Until SIGTERM; ConfigError where the address cannot be listened on."""
+
     async def main() -> None:
         await make().run()
         signals.let_be(asyncio.get_running_loop())
--- a/larchhall/lifecycle/drain.py
+++ b/larchhall/lifecycle/drain.py
@@ -7,17 +7,18 @@
 from ..wire.peer import has_input
 from .host import Host
 
-GO_ON = 0.65         # s after SIGTERM in which nothing changes: clients come for 0.4 s, ask for 0.2 s more
-HANDED_OVER = 0.7    # s after SIGTERM beside a successor in which requests on open connections are waited for
-QUEUE = 0.05         # s more in which the listener's queue is emptied
-LINGER = 0.1         # s after the word to leave in which a request that crossed it may still come
-LONGEST = 3.0        # s; the longest deadline counts as this where it is longer
-LONGEST_HELD = 5.0   # the same where the platform holds the clients' socket
-KILL = 0.7           # s that a SIGKILL comes after that, at the soonest
-MARGIN = 0.4         # s before the SIGKILL: everything open is closed out
-FLUSH = 0.25         # s in which the last answers may leave
-READ_OFF = 0.1       # s in which the clients end their side once we have ended ours
-LOOK = 0.01          # s between looks whether all is done
+GO_ON = 0.65  # s after SIGTERM in which nothing changes: clients come for 0.4 s, ask for 0.2 s more
+# s after SIGTERM beside a successor in which requests on open connections are waited for
+HANDED_OVER = 0.7
+QUEUE = 0.05  # s more in which the listener's queue is emptied
+LINGER = 0.1  # s after the word to leave in which a request that crossed it may still come
+LONGEST = 3.0  # s; the longest deadline counts as this where it is longer
+LONGEST_HELD = 5.0  # the same where the platform holds the clients' socket
+KILL = 0.7  # s that a SIGKILL comes after that, at the soonest
+MARGIN = 0.4  # s before the SIGKILL: everything open is closed out
+FLUSH = 0.25  # s in which the last answers may leave
+READ_OFF = 0.1  # s in which the clients end their side once we have ended ours
+LOOK = 0.01  # s between looks whether all is done
 S = 1_000_000_000
 
 
@@ -52,13 +53,17 @@
             self.loop.call_later(GO_ON, self._leave)
 
     def _leave(self, linger: float = LINGER) -> None:
-        """Danger: to close at once would break connections that the front still hands us, and reset those
-        that the system has accepted and the loop has not come to."""
+        """Danger: to close at once would break connections that the front still hands us, and reset
+        those that the system has accepted and the loop has not come to.
+        """
         node = self.node
         self.leave_at = self.leave_at or node.clock.now()
         if node.server is not None:
-            if node.config.accept_fd is None and node.clock.now() - self.leave_at < QUEUE * S and any(
-                    has_input(listener.fileno()) for listener in node.server.sockets):
+            if (
+                node.config.accept_fd is None
+                and node.clock.now() - self.leave_at < QUEUE * S
+                and any(has_input(listener.fileno()) for listener in node.server.sockets)
+            ):
                 self.loop.call_soon(self._leave, linger)
                 return
             node.server.close()
@@ -77,16 +82,18 @@
             self._shut()
             return
         if passed >= self.last and not self.closed_out:
-            # Danger: SIGKILL would take what is open with it; a final answer now is better than none.
+            # Danger: SIGKILL would take what is open with it; a final answer now is better than
+            # none.
             self.closed_out = True
             self.node.log("stop", f"closing out {len(self.node.broker.requests)} requests")
             self.node.broker.close_out_all()
         self.loop.call_later(LOOK, self._look)
 
     def _shut(self) -> None:
-        """Danger: a request that is read now and sent on would be lost with the process, and a close over
-        unread bytes takes with it what the client has not read yet: our side ends first, theirs is read
-        off."""
+        """Danger: a request that is read now and sent on would be lost with the process, and a
+        close over unread bytes takes with it what the client has not read yet: our side ends first,
+        theirs is read off.
+        """
         self.shut_at = self.node.clock.now()
         self.node.broker.closing = True
         for client in list(self.node.clients):
--- a/larchhall/lifecycle/host.py
+++ b/larchhall/lifecycle/host.py
@@ -29,7 +29,7 @@
 
 class Host(Protocol):
     leaving: bool  # the word to leave has gone out
-    listed: bool   # the engine list is there
+    listed: bool  # the engine list is there
 
     @property
     def config(self) -> Config: ...
--- a/larchhall/lifecycle/log.py
+++ b/larchhall/lifecycle/log.py
@@ -11,7 +11,9 @@
 
 
 class Log:
-    """Danger: a fault that comes with every request must not turn the log into load or fill a disk."""
+    """Danger: a fault that comes with every request must not turn the log into load or fill a
+    disk.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
--- a/larchhall/lifecycle/operations.py
+++ b/larchhall/lifecycle/operations.py
@@ -17,11 +17,13 @@
         self.wheel = node.broker.wheel
         self.callers: dict[OperatorConnection, None] = {}  # in the order in which they came
         self.server: asyncio.Server | None = None
-        self.calls: list[Callable[[str, str], tuple[int, bytes, str, str] | None]] = []  # of other subsystems
+        # of other subsystems
+        self.calls: list[Callable[[str, str], tuple[int, bytes, str, str] | None]] = []
 
     async def listen(self, listener: socket.socket) -> None:
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: OperatorConnection(self), sock=listener)
+            lambda: OperatorConnection(self), sock=listener
+        )
 
     def close(self) -> None:
         if self.server is not None:
@@ -43,16 +45,21 @@
     def set_engine(self, uid: str, out: bool) -> bool:
         done = self.node.broker.set_engine(uid, out)
         if done and self.node.siblings is not None:
-            self.node.siblings.tell()  # danger: after the yes it holds, also where a request went elsewhere
-        self.log("operator", f"{'out' if out else 'back'}: {uid[:80]!r} {'done' if done else 'is not known'}")
+            # danger: after the yes it holds, also where a request went elsewhere
+            self.node.siblings.tell()
+        self.log(
+            "operator",
+            f"{'out' if out else 'back'}: {uid[:80]!r} {'done' if done else 'is not known'}",
+        )
         return done
 
     def other(self, method: str, path: str) -> tuple[int, bytes, str, str] | None:
         return next((said for call in self.calls if (said := call(method, path)) is not None), None)
 
     def came(self, caller: OperatorConnection) -> None:
-        """Danger: a flood of callers takes the descriptors that are kept for calls: the newcomer takes the
-        place of one that has its answer, else of the one that has been silent longest."""
+        """Danger: a flood of callers takes the descriptors that are kept for calls: the newcomer
+        takes the place of one that has its answer, else of the one that has been silent longest.
+        """
         if len(self.callers) >= MOST_CALLERS:
             victim = next((c for c in self.callers if c.answered), next(iter(self.callers)))
             del self.callers[victim]
--- a/larchhall/lifecycle/siblings.py
+++ b/larchhall/lifecycle/siblings.py
@@ -1,4 +1,6 @@
-"""The other processes of this broker, beside us during an upgrade: known by files in the shared folder."""
+"""The other processes of this broker, beside us during an upgrade: known by files in the shared
+folder.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +17,14 @@
 from .host import Host
 
 PERIOD = 100_000_000  # ns between two looks; news for the other process is due within a second
-MOST_FILE = 1 << 20   # bytes
+MOST_FILE = 1 << 20  # bytes
 
 
 class Siblings:
-    """Each process holds a lock for as long as it lives and tells of itself in the file beside it. Danger:
-    what a killed process left must not count: a file without a held lock is removed unread."""
+    """Each process holds a lock for as long as it lives and tells of itself in the file beside it.
+    Danger: what a killed process left must not count: a file without a held lock is removed
+    unread.
+    """
 
     def __init__(self, node: Host, folder: str) -> None:
         self.node, self.folder = node, Path(folder)
@@ -43,8 +47,9 @@
             early = self.folder / f".{self.mine}"
             self.lock = os.open(early, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self.told = os.open(self.folder / f"{self.mine}.json",
-                                os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+            self.told = os.open(
+                self.folder / f"{self.mine}.json", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600
+            )
             os.rename(early, self.folder / f"{self.mine}.lock")
         except OSError as error:
             self.node.log("upgrade", f"no file in {self.folder}: {error}")
@@ -61,16 +66,21 @@
                 self.told = -1
 
     def tell(self) -> None:
-        """Danger: a file replaced by rename is written through to the disk first, 80 to 400 ms in which the
-        loop stood still, ten times a second. It is written over in place; half of it is known by its sum."""
+        """Danger: a file replaced by rename is written through to the disk first, 80 to 400 ms in
+        which the loop stood still, ten times a second. It is written over in place; half of it is
+        known by its sum.
+        """
         if self.lock is None or self.told < 0:
             return
         broker, now = self.node.broker, self.node.clock.now()
         # Danger: one that has no engine list yet would take the queue and could serve none of it.
-        said = {"accepting": self.accepting and self.node.listed, "clients": len(self.node.clients),
-                "words": {uid: list(word) for uid, word in broker.bans.words.items()},
-                "out": {str(n): list(o) for n, o in broker.facade.outstanding(now).items()},
-                **self.node.tells()}
+        said = {
+            "accepting": self.accepting and self.node.listed,
+            "clients": len(self.node.clients),
+            "words": {uid: list(word) for uid, word in broker.bans.words.items()},
+            "out": {str(n): list(o) for n, o in broker.facade.outstanding(now).items()},
+            **self.node.tells(),
+        }
         try:
             text = json.dumps({**said, "sum": checksum(said)}).encode()
             self.length = max(self.length, len(text))
@@ -94,8 +104,11 @@
         """Read what the others tell, and take it in."""
         before = self.others
         try:
-            names = [n.removesuffix(".lock") for n in os.listdir(self.folder)
-                     if n.startswith(self.prefix) and n.endswith(".lock") and n != f"{self.mine}.lock"]
+            names = [
+                n.removesuffix(".lock")
+                for n in os.listdir(self.folder)
+                if n.startswith(self.prefix) and n.endswith(".lock") and n != f"{self.mine}.lock"
+            ]
         except OSError as error:
             self.node.log("upgrade", f"{self.folder}: {error}")
             return
@@ -150,7 +163,12 @@
 
 def said_by(raw: dict[str, Any]) -> dict[str, Any]:
     """A process's file, checked; of an empty one, a process that has said nothing yet."""
-    return {"accepting": bool(raw.get("accepting", False)), "clients": int(raw.get("clients", 0)),
-            "words": {str(uid): Word(int(at), bool(out)) for uid, (at, out) in raw.get("words", {}).items()},
-            "out": {int(n): Outstanding(*map(int, out)) for n, out in raw.get("out", {}).items()},
-            "cells": raw.get("cells")}
+    return {
+        "accepting": bool(raw.get("accepting", False)),
+        "clients": int(raw.get("clients", 0)),
+        "words": {
+            str(uid): Word(int(at), bool(out)) for uid, (at, out) in raw.get("words", {}).items()
+        },
+        "out": {int(n): Outstanding(*map(int, out)) for n, out in raw.get("out", {}).items()},
+        "cells": raw.get("cells"),
+    }
--- a/larchhall/lifecycle/signals.py
+++ b/larchhall/lifecycle/signals.py
@@ -10,8 +10,10 @@
 
 
 def hold_hangup() -> None:
-    """Danger: a broker that has just been started is told of new settings like any other: without a handler
-    that ends the process, and what is ignored leaves it with the settings that it had begun to read."""
+    """Danger: a broker that has just been started is told of new settings like any other: without a
+    handler that ends the process, and what is ignored leaves it with the settings that it had begun
+    to read.
+    """
     signal.signal(signal.SIGHUP, lambda number, frame: early.append(number))
 
 
@@ -23,8 +25,9 @@
 
 
 def let_be(loop: asyncio.AbstractEventLoop) -> None:
-    """Danger: the interpreter gives signals back to the system as it ends, and a second SIGTERM would end by
-    signal a process that is on its way out."""
+    """Danger: the interpreter gives signals back to the system as it ends, and a second SIGTERM
+    would end by signal a process that is on its way out.
+    """
     for number in ALL:
         loop.remove_signal_handler(number)
         signal.signal(number, signal.SIG_IGN)
--- a/larchhall/lifecycle/structured.py
+++ b/larchhall/lifecycle/structured.py
@@ -1,4 +1,6 @@
-"""Structured lines on structlog, and a line for each request's story. Loaded only where it is asked for."""
+"""Structured lines on structlog, and a line for each request's story. Loaded only where it is asked
+for.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +21,15 @@
 
 def logger(name: str, format: str) -> Any:
     """JSON lines, or `key=value` text; on standard error."""
-    last: Any = (structlog.processors.JSONRenderer() if format == "json"
-                 else structlog.processors.LogfmtRenderer(key_order=["timestamp", "broker", "kind", "event"]))
+    last: Any = (
+        structlog.processors.JSONRenderer()
+        if format == "json"
+        else structlog.processors.LogfmtRenderer(key_order=["timestamp", "broker", "kind", "event"])
+    )
     return structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr),
-        processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), last]).bind(broker=name)
+        processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), last],
+    ).bind(broker=name)
 
 
 class Lines:
@@ -44,12 +50,23 @@
 def story(request: OpenRequest, end: str, now: int) -> dict[str, Any]:
     """Where a request's time went, in milliseconds."""
     told: dict[str, Any] = {
-        "trace": request.trace.decode(), "route": request.route.decode(), "customer": request.customer,
-        "end": end, "total_ms": _ms(now - request.came), "left_ms": _ms(request.deadline - now)}
+        "trace": request.trace.decode(),
+        "route": request.route.decode(),
+        "customer": request.customer,
+        "end": end,
+        "total_ms": _ms(now - request.came),
+        "left_ms": _ms(request.deadline - now),
+    }
     attempt = next(reversed(request.attempts.values()), None)
     if attempt is not None:
-        marks = (request.came, request.taken, attempt.sent, attempt.put, attempt.gone,
-                 attempt.answered or now)
+        marks = (
+            request.came,
+            request.taken,
+            attempt.sent,
+            attempt.put,
+            attempt.gone,
+            attempt.answered or now,
+        )
         for stage, begun, ended in zip(Stage, marks, marks[1:], strict=False):
             if begun and ended:
                 told[f"{stage.value}_ms"] = _ms(ended - begun)
@@ -62,8 +79,10 @@
 
 
 def stories(log: Log, lines: Lines, now: Callable[[], int]) -> Callable[[OpenRequest, str], None]:
-    """A line for each sampled request, and for each that ended past its time. Danger: in trouble every one
-    of them ends so: the log's own limit by kind holds for them too."""
+    """A line for each sampled request, and for each that ended past its time. Danger: in trouble
+    every one of them ends so: the log's own limit by kind holds for them too.
+    """
+
     def tell(request: OpenRequest, end: str) -> None:
         at = now()
         if at > request.deadline:
--- a/larchhall/limits_cli.py
+++ b/larchhall/limits_cli.py
@@ -1,4 +1,6 @@
-"""`larchhall limits ...` and `larchhall verdicts ...`: what brokers share of limits and of engines."""
+"""`larchhall limits ...` and `larchhall verdicts ...`: what brokers share of limits and of
+engines.
+"""
 
 from __future__ import annotations
 
@@ -26,13 +28,44 @@
 def show_limits(address: str, as_json: bool) -> None:
     """Each limit: what is ours, how old what we act on can be, by how much all can be over."""
     said = call(address, "GET", "/limits")
-    rows = [[li["name"], li["kind"], f"{li['whole']:.4g}", f"{li['ours']:.4g}", f"{li['asked']:.4g}",
-             f"{li['held']:.4g}" if li["hard"] else "-",
-             ("floor" if li["floor_in_force"] else f"{li['left_s']:.1f} s left") if li["hard"] else "-",
-             li["home"] if li["hard"] else "-", f"{li['stale_s']:g}", f"{li['overshoot_promised']:.4g}",
-             "-" if li["hard"] else f"{li['overshoot_seen']:.4g}"] for li in said["limits"]]
-    _said(said, as_json, table(["limit", "kind", "whole", "ours", "asked", "leased", "in force", "home",
-                                "stale s", "over, promised", "over, seen"], rows))
+    rows = [
+        [
+            li["name"],
+            li["kind"],
+            f"{li['whole']:.4g}",
+            f"{li['ours']:.4g}",
+            f"{li['asked']:.4g}",
+            f"{li['held']:.4g}" if li["hard"] else "-",
+            ("floor" if li["floor_in_force"] else f"{li['left_s']:.1f} s left")
+            if li["hard"]
+            else "-",
+            li["home"] if li["hard"] else "-",
+            f"{li['stale_s']:g}",
+            f"{li['overshoot_promised']:.4g}",
+            "-" if li["hard"] else f"{li['overshoot_seen']:.4g}",
+        ]
+        for li in said["limits"]
+    ]
+    _said(
+        said,
+        as_json,
+        table(
+            [
+                "limit",
+                "kind",
+                "whole",
+                "ours",
+                "asked",
+                "leased",
+                "in force",
+                "home",
+                "stale s",
+                "over, promised",
+                "over, seen",
+            ],
+            rows,
+        ),
+    )
 
 
 @limits.command()
@@ -67,16 +100,35 @@
 @_address
 @_json
 def show_verdicts(address: str, as_json: bool) -> None:
-    """Engines that are held out and on whose evidence, operators' words, and words that did not hold."""
+    """Engines that are held out and on whose evidence, operators' words, and words that did not
+    hold.
+    """
     said = call(address, "GET", "/verdicts")
-    rows = [[v["uid"], v["kind"], str(v["observers"]), f"{v['evidence_age']:.1f}", f"{v['for']:.1f}",
-             f"{v['at_least']:.1f}", str(v["relapses"])] for v in said["verdicts"]]
-    text = table(["engine", "verdict", "observers", "evidence s old", "for s", "at least s", "relapses"],
-                 rows)
-    words = [[w["uid"], w["word"], str(w["version"]), w["by"], kind]
-             for kind in ("words", "lost") for w in said[kind]]
-    text += "\n\n" + table(["engine", "word", "version", "by", "holds"],
-                           [[*w[:4], "yes" if w[4] == "words" else "no, another did"] for w in words])
+    rows = [
+        [
+            v["uid"],
+            v["kind"],
+            str(v["observers"]),
+            f"{v['evidence_age']:.1f}",
+            f"{v['for']:.1f}",
+            f"{v['at_least']:.1f}",
+            str(v["relapses"]),
+        ]
+        for v in said["verdicts"]
+    ]
+    text = table(
+        ["engine", "verdict", "observers", "evidence s old", "for s", "at least s", "relapses"],
+        rows,
+    )
+    words = [
+        [w["uid"], w["word"], str(w["version"]), w["by"], kind]
+        for kind in ("words", "lost")
+        for w in said[kind]
+    ]
+    text += "\n\n" + table(
+        ["engine", "word", "version", "by", "holds"],
+        [[*w[:4], "yes" if w[4] == "words" else "no, another did"] for w in words],
+    )
     _said(said, as_json, text)
 
 
--- a/larchhall/members/chain.py
+++ b/larchhall/members/chain.py
@@ -1,21 +1,22 @@
 """Incarnations that only their owner can make. Pure.
 
-All members have the same keys, so that a keyed hash tells members from strangers, not one member from
-another: one that lies could say that a dead one has come back, or that a living one has left. So a process
-draws a secret at its start and hashes it over and over; the last hash, with that of a second secret, is its
-identity. Its n-th incarnation is proven by the n-th hash from the end: whoever has seen one checks the next
-by hashing it, and nobody can go the other way (Lamport's chain of one-time passwords, 1981). The second
-secret proves a leave."""
+All members have the same keys, so that a keyed hash tells members from strangers, not one member
+from another: one that lies could say that a dead one has come back, or that a living one has left.
+So a process draws a secret at its start and hashes it over and over; the last hash, with that of a
+second secret, is its identity. Its n-th incarnation is proven by the n-th hash from the end:
+whoever has seen one checks the next by hashing it, and nobody can go the other way (Lamport's chain
+of one-time passwords, 1981). The second secret proves a leave.
+"""
 
 from __future__ import annotations
 
 import hashlib
 import os
 
-LENGTH = 1 << 14   # incarnations of one process; then it takes a new identity
-EVERY = 128        # hashes between two that are kept
-SIZE = 12          # bytes
-MOST_AHEAD = 256   # incarnations that a datagram may be ahead of what is known
+LENGTH = 1 << 14  # incarnations of one process; then it takes a new identity
+EVERY = 128  # hashes between two that are kept
+SIZE = 12  # bytes
+MOST_AHEAD = 256  # incarnations that a datagram may be ahead of what is known
 
 
 def step(value: bytes) -> bytes:
@@ -50,8 +51,14 @@
         return value
 
 
-def proven(boot: bytes, inc: int, proof: bytes, leave: bytes, known: tuple[int, bytes] | None,
-           ahead: int = MOST_AHEAD) -> bool:
+def proven(
+    boot: bytes,
+    inc: int,
+    proof: bytes,
+    leave: bytes,
+    known: tuple[int, bytes] | None,
+    ahead: int = MOST_AHEAD,
+) -> bool:
     """``known``: an incarnation of it that was proven before, and its proof."""
     base, against = known or (0, b"")
     if not 0 <= inc - base <= ahead or len(proof) != SIZE or len(leave) != SIZE:
--- a/larchhall/members/codec.py
+++ b/larchhall/members/codec.py
@@ -21,8 +21,8 @@
 HEAD = 4
 MAC = 16
 MOST_DATAGRAM = 1_400
-MOST_FRAME = 1 << 20      # over TCP
-WINDOW = 256              # messages of one sender that may overtake each other
+MOST_FRAME = 1 << 20  # over TCP
+WINDOW = 256  # messages of one sender that may overtake each other
 MOST_WINDOWS = 8_192
 LEAST_KEY, MOST_KEY = 16, 64  # bytes
 
@@ -37,8 +37,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRing:
-    """All are good for reading, the first one signs: a new key is added last everywhere, then moved to the
-    front everywhere, and then the old one is taken away."""
+    """All are good for reading, the first one signs: a new key is added last everywhere, then moved
+    to the front everywhere, and then the old one is taken away.
+    """
 
     keys: tuple[tuple[int, bytes], ...]
 
@@ -50,7 +51,9 @@
 
 
 def seal(key: bytes, head: bytes, body: bytes) -> bytes:
-    return hashlib.blake2b(head + body, key=key, digest_size=MAC, person=b"larchhall-peers").digest()
+    return hashlib.blake2b(
+        head + body, key=key, digest_size=MAC, person=b"larchhall-peers"
+    ).digest()
 
 
 def read_keys(text: str) -> KeyRing:
@@ -65,8 +68,10 @@
         except (ValueError, IndexError):
             raise BadKeys(f"line {number}: is no `ID HEX`") from None
         if len(parts) != 2 or not 0 <= id <= 255 or not LEAST_KEY <= len(key) <= MOST_KEY:
-            raise BadKeys(f"line {number}: needs an id of 0 to 255 and a key of {LEAST_KEY} to {MOST_KEY} "
-                          "bytes")
+            raise BadKeys(
+                f"line {number}: needs an id of 0 to 255 and a key of {LEAST_KEY} to {MOST_KEY} "
+                "bytes"
+            )
         if id in [i for i, _ in keys]:
             raise BadKeys(f"line {number}: id {id} is used twice")
         keys.append((id, key))
@@ -108,10 +113,13 @@
     by_key: dict[int, int] = field(default_factory=dict)
     encoder: msgspec.msgpack.Encoder = field(default_factory=msgspec.msgpack.Encoder)
     decoder: msgspec.msgpack.Decoder[Envelope] = field(
-        default_factory=lambda: msgspec.msgpack.Decoder(Envelope))
+        default_factory=lambda: msgspec.msgpack.Decoder(Envelope)
+    )
 
     def write(self, to: Identity, own: Claim, message: Message, speaks: int = PROTOCOL) -> bytes:
-        """``speaks``: the newest protocol that the receiver knows; the older of the two is spoken."""
+        """``speaks``: the newest protocol that the receiver knows; the older of the two is
+        spoken.
+        """
         self.count += 1
         body = self.encoder.encode(Envelope(self.installation, to.boot, self.count, own, message))
         head = MAGIC + bytes((min(self.protocol, max(1, speaks)), self.ring.keys[0][0]))
@@ -132,7 +140,7 @@
             raise Refused("foreign")
         if not 1 <= data[2] <= self.protocol:
             raise Refused("protocol")
-        head, mac, body = data[:HEAD], data[HEAD:HEAD + MAC], data[HEAD + MAC:]
+        head, mac, body = data[:HEAD], data[HEAD : HEAD + MAC], data[HEAD + MAC :]
         key = self.ring.of(data[3])
         if key is None:
             raise Refused("key")
@@ -141,7 +149,8 @@
         try:
             envelope = self.decoder.decode(body)
         except (msgspec.MsgspecError, RecursionError):
-            raise Refused("unknown") from None  # a kind of a later version, or nonsense with a good key
+            # a kind of a later version, or nonsense with a good key
+            raise Refused("unknown") from None
         if envelope.installation != self.installation:
             raise Refused("installation")
         if once and not self._window(envelope.me.id).new(envelope.count):
@@ -161,9 +170,11 @@
 
 
 def peek_sender(data: bytes) -> str:
-    """The address that a message gives as its sender's, unchecked: for stand-ins of links. Empty: none."""
+    """The address that a message gives as its sender's, unchecked: for stand-ins of links. Empty:
+    none.
+    """
     try:
-        envelope: Envelope = msgspec.msgpack.Decoder(Envelope).decode(data[HEAD + MAC:])
+        envelope: Envelope = msgspec.msgpack.Decoder(Envelope).decode(data[HEAD + MAC :])
         return envelope.me.id.address
     except msgspec.MsgspecError:
         return ""
--- a/larchhall/members/detector.py
+++ b/larchhall/members/detector.py
@@ -1,10 +1,12 @@
-"""Who is there: messages and ticks in, messages and changes out. Pure; time is the caller's, in nanoseconds.
+"""Who is there: messages and ticks in, messages and changes out. Pure; time is the caller's, in
+nanoseconds.
 
-Random-order probing with indirect probes and gossip that rides on both is SWIM's (Das, Gupta, Motivala 2002);
-suspicions that shrink as others confirm them, doubt in ourselves and telling a suspect first are Lifeguard's
-(Dadgar, Phillips, Currey 2018). Ours: incarnations and leaves that only their owner can prove (`chain`),
-witnesses for a suspect that speaks but can't hear, the word of a removal as no more than a confirmation, and
-the doubt of one that stood still."""
+Random-order probing with indirect probes and gossip that rides on both is SWIM's (Das, Gupta,
+Motivala 2002); suspicions that shrink as others confirm them, doubt in ourselves and telling a
+suspect first are Lifeguard's (Dadgar, Phillips, Currey 2018). Ours: incarnations and leaves that
+only their owner can prove (`chain`), witnesses for a suspect that speaks but can't hear, the word
+of a removal as no more than a confirmation, and the doubt of one that stood still.
+"""
 
 from __future__ import annotations
 
@@ -21,25 +23,25 @@
 
 S = 1_000_000_000
 MOST_PEERS = 4_096
-MOST_OPEN = 16        # probes and relays under way
-LATE = 10 * S         # an answer that comes so late still says that somebody is there
-AGAIN = 10            # intervals between two looks at one that is held to be gone
-ROUNDS = 2            # of helpers, and of further pings, before a probe has failed
-EXTRA = 4.0           # probes of one suspect, an interval, by all members beside those of their turns
-FADING = 60           # intervals
-RECENT = 10           # intervals: what was seen since stands in the verdict
+MOST_OPEN = 16  # probes and relays under way
+LATE = 10 * S  # an answer that comes so late still says that somebody is there
+AGAIN = 10  # intervals between two looks at one that is held to be gone
+ROUNDS = 2  # of helpers, and of further pings, before a probe has failed
+EXTRA = 4.0  # probes of one suspect, an interval, by all members beside those of their turns
+FADING = 60  # intervals
+RECENT = 10  # intervals: what was seen since stands in the verdict
 
 
 @dataclass(slots=True)
 class Probe:
     target: Identity
     sent: int
-    wait: int           # for one answer
+    wait: int  # for one answer
     indirect_at: int
     fail_at: int
     helpers: set[str] = field(default_factory=set)
-    rounds: int = 0     # of helpers
-    words: int = 0      # nacks
+    rounds: int = 0  # of helpers
+    words: int = 0  # nacks
 
 
 @dataclass(slots=True)
@@ -60,11 +62,22 @@
 
 
 class Detector:
-    """``out``: messages, and to whom, an empty boot for whoever is there; ``syncs``: addresses whose tables
-    are to be asked for; ``changes``: what became of members; the caller empties all three."""
-
-    def __init__(self, address: str, terms: MembersTerms, chain: Chain, draw: random.Random, now: int,
-                 place: int = 0, zone: str = "", speaks: int = 1) -> None:
+    """``out``: messages, and to whom, an empty boot for whoever is there; ``syncs``: addresses
+    whose tables are to be asked for; ``changes``: what became of members; the caller empties all
+    three.
+    """
+
+    def __init__(
+        self,
+        address: str,
+        terms: MembersTerms,
+        chain: Chain,
+        draw: random.Random,
+        now: int,
+        place: int = 0,
+        zone: str = "",
+        speaks: int = 1,
+    ) -> None:
         self.terms, self.chain, self.draw, self.speaks = terms, chain, draw, speaks
         self.me = Identity(address, chain.boot)
         self.place, self.zone, self.inc, self.left = place, zone, 0, False
@@ -95,8 +108,17 @@
     def own(self) -> Claim:
         if self._own is None:
             secret = self.chain.secret if self.left else self.chain.leave
-            self._own = Claim(self.me, self.inc, Status.LEFT if self.left else Status.ALIVE,
-                              self.chain.proof(self.inc), secret, "", self.place, self.zone, self.speaks)
+            self._own = Claim(
+                self.me,
+                self.inc,
+                Status.LEFT if self.left else Status.ALIVE,
+                self.chain.proof(self.inc),
+                secret,
+                "",
+                self.place,
+                self.zone,
+                self.speaks,
+            )
         return self._own
 
     def there(self) -> list[Identity]:
@@ -130,7 +152,7 @@
         if peer.acked > since:
             return "reached"
         if peer.via > since:
-            return ("its answers don't reach us" if peer.hears_us > since else "we can't reach it")
+            return "its answers don't reach us" if peer.hears_us > since else "we can't reach it"
         if peer.heard > since:
             return "it speaks and doesn't hear us"
         if peer.fresh > since and peer.status is Status.SUSPECT:
@@ -144,19 +166,23 @@
         for other in others:
             if other is not self:
                 own = other.own()
-                peer = Peer(own.id, own.inc, own.proof, own.leave, Status.ALIVE, 0, own.place, own.zone)
+                peer = Peer(
+                    own.id, own.inc, own.proof, own.leave, Status.ALIVE, 0, own.place, own.zone
+                )
                 self.table[own.id] = peer
                 self.ring.append(own.id)
         self.draw.shuffle(self.ring)
         self.joined, self.size = True, 1 + len(self.table)
 
     def receive(self, now: int, to: bytes, count: int, sender: Claim, message: Message) -> None:
-        """``to``, ``count``: as the envelope has them; the caller has checked that the count is new."""
+        """``to``, ``count``: as the envelope has them; the caller has checked that the count is
+        new.
+        """
         if sender.id == self.me or self.left:
             return
         if to != self.me.boot:
-            # Danger: what was meant for the process before us may be years old: it gets an answer that says
-            # who is here, and proves nothing but what its claims prove.
+            # Danger: what was meant for the process before us may be years old: it gets an answer
+            # that says who is here, and proves nothing but what its claims prove.
             if isinstance(message, Ping):
                 self.merge(now, sender)
                 self._merge_all(now, message.claims)
@@ -174,8 +200,10 @@
         match message:
             case Ping(seq, behalf, claims):
                 self._merge_all(now, claims)
-                heard = max((p.heard for p in self.table.values() if behalf and p.id.address == behalf),
-                            default=0)
+                heard = max(
+                    (p.heard for p in self.table.values() if behalf and p.id.address == behalf),
+                    default=0,
+                )
                 self._ack(sender.id, seq, (now - heard) // 1_000_000 if heard else -1)
             case PingReq(seq, target, claims):
                 self._merge_all(now, claims)
@@ -209,7 +237,9 @@
             return
         newer = claim.inc > peer.inc
         if newer:
-            if not proven(claim.id.boot, claim.inc, claim.proof, peer.leave, (peer.inc, peer.proof), ahead):
+            if not proven(
+                claim.id.boot, claim.inc, claim.proof, peer.leave, (peer.inc, peer.proof), ahead
+            ):
                 self.figures["unproven"] += 1
                 return
             peer.inc, peer.proof = claim.inc, claim.proof
@@ -229,8 +259,8 @@
         elif self.terms.plain and claim.status is Status.DEAD and peer.status is not Status.DEAD:
             self._remove(now, peer, claim.by)
         elif peer.status is Status.ALIVE or newer and peer.status is Status.DEAD:
-            # Danger: one member that lies, or has just woken, would remove whom it likes: the word that one
-            # is dead is no more than a suspicion, which it can still refute.
+            # Danger: one member that lies, or has just woken, would remove whom it likes: the word
+            # that one is dead is no more than a suspicion, which it can still refute.
             if newer and peer.status is Status.DEAD:
                 self._refuted(now, peer)  # it had come back, and is suspected again
             self._suspect(now, peer, claim.by)
@@ -238,9 +268,14 @@
             self._confirm(peer, claim.by)
 
     def _about_us(self, claim: Claim) -> None:
-        """Refute it. Danger: only the present incarnation counts, or old gossip would drive ours up for
-        ever."""
-        if claim.status in (Status.SUSPECT, Status.DEAD) and claim.inc >= self.inc and not self.left:
+        """Refute it. Danger: only the present incarnation counts, or old gossip would drive ours up
+        for ever.
+        """
+        if (
+            claim.status in (Status.SUSPECT, Status.DEAD)
+            and claim.inc >= self.inc
+            and not self.left
+        ):
             if self.inc + 1 >= self.chain.length:
                 self.chain = Chain()  # the last is used up: we are another from now on
                 self.me, self.inc = Identity(self.me.address, self.chain.boot), -1
@@ -256,12 +291,23 @@
         leave = claim.leave
         if claim.status is Status.LEFT:
             leave = step(leave) if len(leave) <= 16 else b""
-        if len(self.table) >= MOST_PEERS or not proven(claim.id.boot, claim.inc, claim.proof, leave, None,
-                                                       ahead):
+        if len(self.table) >= MOST_PEERS or not proven(
+            claim.id.boot, claim.inc, claim.proof, leave, None, ahead
+        ):
             self.figures["unproven"] += 1
             return
-        peer = Peer(claim.id, claim.inc, claim.proof, claim.leave, claim.status, now, claim.place, claim.zone,
-                    claim.speaks, claim.by)
+        peer = Peer(
+            claim.id,
+            claim.inc,
+            claim.proof,
+            claim.leave,
+            claim.status,
+            now,
+            claim.place,
+            claim.zone,
+            claim.speaks,
+            claim.by,
+        )
         self.table[claim.id] = peer
         if not peer.there():
             return  # remembered, so that it can't come back by old news
@@ -298,8 +344,9 @@
             self.gossip.put(peer.claim(Status.SUSPECT, by))
 
     def _confirm(self, peer: Peer, by: str) -> None:
-        """Danger: a liar that passes on one suspicion under ever new names can't make it shorter than the
-        shortest, in which a living one is told of it and refutes it."""
+        """Danger: a liar that passes on one suspicion under ever new names can't make it shorter
+        than the shortest, in which a living one is told of it and refutes it.
+        """
         doubted = self.suspicions[peer.id]
         if by not in doubted.by and len(doubted.by) <= CONFIRMERS:
             doubted.by.add(by)
@@ -326,7 +373,8 @@
             return doubted.begun + suspicion(self.terms.interval, self.size, CONFIRMERS)
         wrongly = self.table[id].doubted(doubted.born, FADING * self.terms.interval)
         return doubted.begun + self.health.slowed(
-            suspicion(self.terms.interval, self.size, len(doubted.by) - 1, wrongly))
+            suspicion(self.terms.interval, self.size, len(doubted.by) - 1, wrongly)
+        )
 
     def _wrongly(self, now: int, peer: Peer) -> None:
         peer.wrongly = min(LONGEST, peer.doubted(now, FADING * self.terms.interval) + 1)
@@ -340,13 +388,16 @@
             if self.terms.plain:
                 self._remove(now, peer, self.me.address)
             elif peer.heard > doubted.begun:
-                doubted.begun = doubted.born = now   # it speaks to us: that it does not hear is no end
+                # it speaks to us: that it does not hear is no end
+                doubted.begun = doubted.born = now
                 self._wrongly(now, peer)
-            elif peer.fresh > doubted.begun and now - doubted.born < cap(self.terms.interval, self.size):
-                doubted.begun = now                  # others hear it
+            elif peer.fresh > doubted.begun and now - doubted.born < cap(
+                self.terms.interval, self.size
+            ):
+                doubted.begun = now  # others hear it
                 self._wrongly(now, peer)
             elif now < self.health.recovers_at:
-                doubted.begun = now                  # we stood still, and have heard nobody since
+                doubted.begun = now  # we stood still, and have heard nobody since
             else:
                 self._remove(now, peer, self.me.address)
 
@@ -387,7 +438,12 @@
             wait = self.terms.interval * 2 // 5
         seq = self._seq()
         self.probes[seq] = Probe(
-            target, now, wait, now + wait, now + max(self.health.slowed(self.terms.interval), 3 * wait))
+            target,
+            now,
+            wait,
+            now + wait,
+            now + max(self.health.slowed(self.terms.interval), 3 * wait),
+        )
         self._send(target, Ping(seq, "", self._claims_for(target)))
 
     def _help(self, now: int, seq: int, probe: Probe) -> None:
@@ -395,11 +451,16 @@
         last = self.terms.plain or probe.rounds >= ROUNDS
         probe.indirect_at = probe.fail_at if last else now + probe.wait
         if not self.terms.plain:
-            # One datagram of three may be lost: a second one costs less than a suspicion of one that is
-            # there.
+            # One datagram of three may be lost: a second one costs less than a suspicion of one
+            # that is there.
             self._send(probe.target, Ping(seq, "", self._claims_for(probe.target)))
-        able = [p.id for p in self.table.values()
-                if p.status is Status.ALIVE and p.id != probe.target and p.id.address not in probe.helpers]
+        able = [
+            p.id
+            for p in self.table.values()
+            if p.status is Status.ALIVE
+            and p.id != probe.target
+            and p.id.address not in probe.helpers
+        ]
         for helper in self.draw.sample(able, min(HELPERS, len(able))):
             probe.helpers.add(helper.address)
             self._send(helper, PingReq(seq, probe.target, self._claims_for(helper)))
@@ -424,8 +485,8 @@
             return
         target, sent = found
         if self.health.reassured():
-            # Danger: as our doubt falls, so do the times that we give others: what was suspected while we
-            # heard nobody would end at once.
+            # Danger: as our doubt falls, so do the times that we give others: what was suspected
+            # while we heard nobody would end at once.
             for doubted in self.suspicions.values():
                 doubted.begun = now
         self.joined = True
@@ -451,7 +512,9 @@
                 peer.hears_us = now
 
     def _compare(self, now: int, ack: Ack) -> None:
-        """Two that hold different views though no news is under way ask each other for the whole."""
+        """Two that hold different views though no news is under way ask each other for the
+        whole.
+        """
         self.differs = self.differs + 1 if ack.digest and ack.digest != self.digest() else 0
         if self.differs >= 4 and not self.gossip.waiting and not self.suspicions:
             self.differs = 0
@@ -470,7 +533,8 @@
                 self.health.failed = 0
             elif probe.helpers:
                 self.health.failed += 1
-                self.health.doubt(min(2, len(probe.helpers)))  # not one helper could be reached either
+                # not one helper could be reached either
+                self.health.doubt(min(2, len(probe.helpers)))
             if now < self.health.recovers_at or probe.sent <= peer.via:
                 return
         if peer.status is Status.ALIVE:
@@ -499,8 +563,8 @@
                 self._help(now, seq, probe)
         self._expire(now)
         if now >= self.probe_at:
-            # Not slowed by doubt, as time-outs are: one that hears nobody shows by its probes that it is
-            # there.
+            # Not slowed by doubt, as time-outs are: one that hears nobody shows by its probes that
+            # it is there.
             self.probe_at = now + self.terms.interval
             if (target := self._next()) is not None:
                 self._probe(now, target)
@@ -520,8 +584,9 @@
                     del self.table[peer.id]
 
     def _rejoin(self, now: int) -> None:
-        """Seeds until somebody has answered; then, seldom, one that is held to be gone: a healed cut is found
-        by it, and each member asks one at a time, however many were lost."""
+        """Seeds until somebody has answered; then, seldom, one that is held to be gone: a healed
+        cut is found by it, and each member asks one at a time, however many were lost.
+        """
         if self.seeds and not self.joined and now >= self.seed_at:
             self.seed_tries = min(5, self.seed_tries + 1)
             spread = 0.5 + self.draw.random() * (1 << self.seed_tries) / 4
@@ -530,8 +595,11 @@
         if now >= self.again_at:
             self.again_at = now + int((0.5 + self.draw.random()) * AGAIN * self.terms.interval)
             known = {p.id.address for p in self.table.values() if p.there()}
-            gone = [p.id for p in self.table.values()
-                    if p.status is Status.DEAD and p.id.address not in known]
+            gone = [
+                p.id
+                for p in self.table.values()
+                if p.status is Status.DEAD and p.id.address not in known
+            ]
             gone += [Identity(seed, b"") for seed in self.seeds if seed not in known]
             if gone and not self.left:
                 self._call(now, self.draw.choice(gone))
--- a/larchhall/members/joins.py
+++ b/larchhall/members/joins.py
@@ -1,4 +1,6 @@
-"""Joins the membership to sockets, the key file and the node: the one module of it with input and output."""
+"""Joins the membership to sockets, the key file and the node: the one module of it with input and
+output.
+"""
 
 from __future__ import annotations
 
@@ -22,26 +24,31 @@
 from .view import View, Views
 
 S = 1_000_000_000
-PARTS = 5               # looks in an interval
-STRANGERS = 200         # datagrams a second that are looked at, of addresses that are no member's
-KNOWN = 2_000           # the same of members' addresses, and this many more for each
+PARTS = 5  # looks in an interval
+STRANGERS = 200  # datagrams a second that are looked at, of addresses that are no member's
+KNOWN = 2_000  # the same of members' addresses, and this many more for each
 EACH = 20
-MOST_SYNCS = 8          # connections at once that ask for the table
-SYNC_TIME = 3.0         # s for one of them
+MOST_SYNCS = 8  # connections at once that ask for the table
+SYNC_TIME = 3.0  # s for one of them
 MOST_SEEDS = 1_000
-MOST_LINES = 8          # names in a line of the log
+MOST_LINES = 8  # names in a line of the log
 JSON = "application/json"
 GAUGES = ("view_epoch", "view_certain", "view_limits_by", "doubt")
 HELP = {
-    "view_epoch": "Number of the view.", "view_certain": "1: limits go by the view.",
+    "view_epoch": "Number of the view.",
+    "view_certain": "1: limits go by the view.",
     "view_limits_by": "Brokers that limits are divided by.",
     "doubt": "How far the broker doubts its own senses, 0 to 8.",
-    "suspicions": "Members that were suspected.", "refuted": "Suspicions of this broker that it refuted.",
-    "false_suspicions": "Suspicions known to be false afterwards.", "removals": "Members that were removed.",
+    "suspicions": "Members that were suspected.",
+    "refuted": "Suspicions of this broker that it refuted.",
+    "false_suspicions": "Suspicions known to be false afterwards.",
+    "removals": "Members that were removed.",
     "false_removals": "Removed members that came back.",
     "removal_ms": "Milliseconds from the last word of a member to its removal.",
-    "bytes_in": "Bytes from members.", "bytes_out": "Bytes to members.",
-    "flooded": "Datagrams that were not looked at, being too many."}
+    "bytes_in": "Bytes from members.",
+    "bytes_out": "Bytes to members.",
+    "flooded": "Datagrams that were not looked at, being too many.",
+}
 
 
 def address_of(text: str) -> tuple[str, int]:
@@ -88,10 +95,17 @@
             raise ConfigError(f"members.address: {terms.address}: {error}") from None
         shown = terms.advertise or f"{host}:{self.tcp.getsockname()[1]}"
         now = node.clock.now()
-        self.detector = Detector(shown, terms, Chain(), random.Random(os.urandom(16)), now, settings.me,
-                                 settings.zone)
-        self.views = Views(settings.fleet_size, settings.me, terms.part, terms.settle, terms.interval,
-                           self._changed)
+        self.detector = Detector(
+            shown, terms, Chain(), random.Random(os.urandom(16)), now, settings.me, settings.zone
+        )
+        self.views = Views(
+            settings.fleet_size,
+            settings.me,
+            terms.part,
+            terms.settle,
+            terms.interval,
+            self._changed,
+        )
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.syncing: set[asyncio.Task[None]] = set()
@@ -119,12 +133,18 @@
         if self.terms.seeds_file:
             try:
                 with open(self.terms.seeds_file, encoding="utf-8") as file:
-                    seeds += [line.strip() for line in file.read(65_536).splitlines()
-                              if line.strip() and not line.startswith("#")]
+                    seeds += [
+                        line.strip()
+                        for line in file.read(65_536).splitlines()
+                        if line.strip() and not line.startswith("#")
+                    ]
             except (OSError, UnicodeDecodeError) as error:
                 self.node.log("members", f"seeds: {self.terms.seeds_file}: {error}")
-        self.detector.seeds = [s for s in dict.fromkeys(seeds[:MOST_SEEDS])
-                               if s.rpartition(":")[2].isdecimal() and s != self.detector.me.address]
+        self.detector.seeds = [
+            s
+            for s in dict.fromkeys(seeds[:MOST_SEEDS])
+            if s.rpartition(":")[2].isdecimal() and s != self.detector.me.address
+        ]
 
     def reload(self) -> None:
         """SIGHUP: keys, seeds, and the size and place of the configuration."""
@@ -142,7 +162,9 @@
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, sock=self.udp)
         self.server = await asyncio.start_server(self._serve, sock=self.tcp, limit=MOST_FRAME)
-        self.node.log("members", f"listening on {self.terms.address}, known as {self.detector.me.address}")
+        self.node.log(
+            "members", f"listening on {self.terms.address}, known as {self.detector.me.address}"
+        )
         self._look()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
@@ -267,7 +289,9 @@
     async def _sync(self, address: str) -> None:
         try:
             async with asyncio.timeout(SYNC_TIME):
-                reader, writer = await asyncio.open_connection(*address_of(address), limit=MOST_FRAME)
+                reader, writer = await asyncio.open_connection(
+                    *address_of(address), limit=MOST_FRAME
+                )
                 try:
                     self._write_frame(writer, self._whole(True, False))
                     theirs = await self._read_frame(reader)
@@ -280,7 +304,9 @@
         except (OSError, EOFError, TimeoutError, ValueError, Refused) as error:
             self.node.log("members", f"no table from {address[:60]}: {type(error).__name__}")
         except Exception as error:  # no peer may end the process
-            self.node.log("members", f"no table from {address[:60]}: {type(error).__name__}: {error}")
+            self.node.log(
+                "members", f"no table from {address[:60]}: {type(error).__name__}: {error}"
+            )
 
     def _take_table(self, theirs: Sync) -> None:
         now = self.node.clock.now()
@@ -310,12 +336,22 @@
         if not detector.left:
             there.append((detector.place, detector.me))
         engines = self.node.broker.engines.by_number.values()
-        unsettled = any(detector.deadline(id) - now < self.terms.interval for id in detector.suspicions)
+        unsettled = any(
+            detector.deadline(id) - now < self.terms.interval for id in detector.suspicions
+        )
         self.addresses = {id.address for _, id in there}
         self.views.look(
-            now, there, detector.me, detector.left or detector.health.isolated(len(there) - 1),
-            detector.joined, any(k.target.state is EngineState.READY and k.target.started + cold > now
-                                 for k in engines), unsettled)
+            now,
+            there,
+            detector.me,
+            detector.left or detector.health.isolated(len(there) - 1),
+            detector.joined,
+            any(
+                k.target.state is EngineState.READY and k.target.started + cold > now
+                for k in engines
+            ),
+            unsettled,
+        )
 
     # --- what the rest of the program reads ---
 
@@ -340,9 +376,12 @@
             more = f" and {len(ids) - MOST_LINES} more" if len(ids) > MOST_LINES else ""
             return f", {word} {', '.join(i.address for i in ids[:MOST_LINES])}{more}" if ids else ""
 
-        self.node.log("members", f"view {view.epoch} ({view.digest.hex()}): {view.alive} there, {view.why}; "
-                                 f"limits by {view.told}, place {view.place}{named('came', came)}"
-                                 f"{named('went', went)}")
+        self.node.log(
+            "members",
+            f"view {view.epoch} ({view.digest.hex()}): {view.alive} there, {view.why}; "
+            f"limits by {view.told}, place {view.place}{named('came', came)}"
+            f"{named('went', went)}",
+        )
         self.told(view)
 
     # --- the end ---
@@ -370,14 +409,22 @@
             return None
         wanted = "POST" if path == "/members/leave" else "GET"
         if method != wanted:
-            return 405, json.dumps({"error": f"this call is a {wanted}"}).encode() + b"\n", JSON, wanted
+            return (
+                405,
+                json.dumps({"error": f"this call is a {wanted}"}).encode() + b"\n",
+                JSON,
+                wanted,
+            )
         if path == "/members/leave":
             self.leave()
             said: dict[str, Any] = {"left": self.detector.me.address}
         elif path == "/members/keys":
-            said = {"signs": self.codec.ring.keys[0][0], "reads": [id for id, _ in self.codec.ring.keys],
-                    "taken_in": {str(k): n for k, n in self.codec.by_key.items()},
-                    "dropped": self.codec.dropped}
+            said = {
+                "signs": self.codec.ring.keys[0][0],
+                "reads": [id for id, _ in self.codec.ring.keys],
+                "taken_in": {str(k): n for k, n in self.codec.by_key.items()},
+                "dropped": self.codec.dropped,
+            }
         else:
             said = self.status()
         return 200, json.dumps(said).encode() + b"\n", JSON, ""
@@ -390,39 +437,88 @@
             return round((now - at) / S, 2) if at else None
 
         return {
-            "me": detector.me.address, "boot": detector.me.boot.hex(), "incarnation": detector.inc,
-            "left": detector.left, "doubt": detector.health.score, "pauses": detector.health.pauses,
+            "me": detector.me.address,
+            "boot": detector.me.boot.hex(),
+            "incarnation": detector.inc,
+            "left": detector.left,
+            "doubt": detector.health.score,
+            "pauses": detector.health.pauses,
             "isolated": detector.health.isolated(len(detector.there())),
-            "view": {"epoch": view.epoch, "digest": view.digest.hex(), "certain": view.certain,
-                     "why": view.why, "alive": view.alive, "reference": view.reference,
-                     "limits_by": view.told, "place": view.place, "configured": self.views.configured},
+            "view": {
+                "epoch": view.epoch,
+                "digest": view.digest.hex(),
+                "certain": view.certain,
+                "why": view.why,
+                "alive": view.alive,
+                "reference": view.reference,
+                "limits_by": view.told,
+                "place": view.place,
+                "configured": self.views.configured,
+            },
             "bounds_s": {k: round(v, 2) for k, v in bound.items()},
             "members": [
-                {"address": p.id.address, "boot": p.id.boot.hex(), "incarnation": p.inc,
-                 "status": p.status.name.lower(), "for": ago(p.since), "place": p.place, "zone": p.zone,
-                 "verdict": detector.verdict(p, now), "heard": ago(p.heard), "reached": ago(p.acked),
-                 "through_others": ago(p.via), "hears_us": ago(p.hears_us), "by": p.by,
-                 "round_trip_ms": round(p.trip.mean / 1e6, 2),
-                 "helpers": {h: {"reached": ok, "ago": ago(at)} for h, (ok, at) in p.rows.items()}}
-                for p in sorted(detector.table.values(), key=lambda p: (p.status, p.place, p.id))],
-            "figures": {**detector.figures, "bytes_in": self.bytes["in"], "bytes_out": self.bytes["out"],
-                        "flooded": self.flooded, "dropped": self.codec.dropped}}
+                {
+                    "address": p.id.address,
+                    "boot": p.id.boot.hex(),
+                    "incarnation": p.inc,
+                    "status": p.status.name.lower(),
+                    "for": ago(p.since),
+                    "place": p.place,
+                    "zone": p.zone,
+                    "verdict": detector.verdict(p, now),
+                    "heard": ago(p.heard),
+                    "reached": ago(p.acked),
+                    "through_others": ago(p.via),
+                    "hears_us": ago(p.hears_us),
+                    "by": p.by,
+                    "round_trip_ms": round(p.trip.mean / 1e6, 2),
+                    "helpers": {
+                        h: {"reached": ok, "ago": ago(at)} for h, (ok, at) in p.rows.items()
+                    },
+                }
+                for p in sorted(detector.table.values(), key=lambda p: (p.status, p.place, p.id))
+            ],
+            "figures": {
+                **detector.figures,
+                "bytes_in": self.bytes["in"],
+                "bytes_out": self.bytes["out"],
+                "flooded": self.flooded,
+                "dropped": self.codec.dropped,
+            },
+        }
 
     def figures(self) -> bytes:
         detector, view = self.detector, self.views.view
         counts = {s: sum(p.status is s for p in detector.table.values()) for s in list(Status)[:4]}
-        lines = ["# HELP edge_proxy_members Other members by what they are held to be.",
-                 "# TYPE edge_proxy_members gauge",
-                 *(f'edge_proxy_members{{status="{s.name.lower()}"}} {n}' for s, n in counts.items())]
-        values = {**detector.figures, "view_epoch": view.epoch, "view_certain": int(view.certain),
-                  "view_limits_by": view.told, "doubt": detector.health.score, "flooded": self.flooded,
-                  "bytes_in": self.bytes["in"], "bytes_out": self.bytes["out"]}
+        lines = [
+            "# HELP edge_proxy_members Other members by what they are held to be.",
+            "# TYPE edge_proxy_members gauge",
+            *(f'edge_proxy_members{{status="{s.name.lower()}"}} {n}' for s, n in counts.items()),
+        ]
+        values = {
+            **detector.figures,
+            "view_epoch": view.epoch,
+            "view_certain": int(view.certain),
+            "view_limits_by": view.told,
+            "doubt": detector.health.score,
+            "flooded": self.flooded,
+            "bytes_in": self.bytes["in"],
+            "bytes_out": self.bytes["out"],
+        }
         for key, help in HELP.items():
             kind = "gauge" if key in GAUGES else "counter"
             name = f"edge_proxy_members_{key}{'' if key in GAUGES else '_total'}"
-            lines += [f"# HELP {name} {help}", f"# TYPE {name} {kind}", f"{name} {values.get(key, 0)}"]
-        lines += ["# HELP edge_proxy_members_dropped_total Datagrams that changed nothing, by why.",
-                  "# TYPE edge_proxy_members_dropped_total counter",
-                  *(f'edge_proxy_members_dropped_total{{why="{w}"}} {n}'
-                    for w, n in self.codec.dropped.items())]
+            lines += [
+                f"# HELP {name} {help}",
+                f"# TYPE {name} {kind}",
+                f"{name} {values.get(key, 0)}",
+            ]
+        lines += [
+            "# HELP edge_proxy_members_dropped_total Datagrams that changed nothing, by why.",
+            "# TYPE edge_proxy_members_dropped_total counter",
+            *(
+                f'edge_proxy_members_dropped_total{{why="{w}"}} {n}'
+                for w, n in self.codec.dropped.items()
+            ),
+        ]
         return ("\n".join(lines) + "\n").encode()
--- a/larchhall/members/messages.py
+++ b/larchhall/members/messages.py
@@ -1,5 +1,6 @@
-"""What members say to each other. Arrays on the wire: what a later version adds at the end is passed over by
-an earlier one, and a kind that it does not know is dropped and counted."""
+"""What members say to each other. Arrays on the wire: what a later version adds at the end is
+passed over by an earlier one, and a kind that it does not know is dropped and counted.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +19,18 @@
 
 
 class Identity(NamedTuple):
-    """An address, and what one process there has drawn at its start: two processes are never taken for
-    one."""
+    """An address, and what one process there has drawn at its start: two processes are never taken
+    for one.
+    """
 
     address: str
     boot: bytes
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """``by``: who says it (address). ``proof``, ``leave``: see `chain`. ``count``: of its newest message that
-    is known, where the status is HEARD."""
+    """``by``: who says it (address). ``proof``, ``leave``: see `chain`. ``count``: of its newest
+    message that is known, where the status is HEARD.
+    """
 
     id: Identity
     inc: int
@@ -62,7 +65,9 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """``who`` is there. ``heard``: ms since it heard the one on whose behalf it was asked, -1: never."""
+    """``who`` is there. ``heard``: ms since it heard the one on whose behalf it was asked, -1:
+    never.
+    """
 
     seq: int
     who: Identity
@@ -101,9 +106,10 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """``to``: the boot of whom it is meant for, so that it says nothing to the next process there; empty:
-    whoever has the address. ``me``: the sender's own claim that it is alive. ``count`` rises with each
-    message of a process."""
+    """``to``: the boot of whom it is meant for, so that it says nothing to the next process there;
+    empty: whoever has the address. ``me``: the sender's own claim that it is alive. ``count`` rises
+    with each message of a process.
+    """
 
     installation: str
     to: bytes
--- a/larchhall/members/table.py
+++ b/larchhall/members/table.py
@@ -11,15 +11,17 @@
 from .messages import Claim, Identity, Status
 from .terms import retransmits
 
-ROOM = 900           # bytes of claims in one datagram
-MOST_ROWS = 4        # helpers whose word on one peer is kept
+ROOM = 900  # bytes of claims in one datagram
+MOST_ROWS = 4  # helpers whose word on one peer is kept
 
 
 @dataclass(slots=True)
 class Peer:
-    """``heard``: when its newest message came to us; ``fresh``: when we learned, from it or from a witness,
-    that it had spoken; ``acked``, ``via``: when it answered a probe of ours, itself or through a helper;
-    ``hears_us``: when it last said, through a helper, that it hears us. 0: never."""
+    """``heard``: when its newest message came to us; ``fresh``: when we learned, from it or from a
+    witness, that it had spoken; ``acked``, ``via``: when it answered a probe of ours, itself or
+    through a helper; ``hears_us``: when it last said, through a helper, that it hears us. 0:
+    never.
+    """
 
     id: Identity
     inc: int
@@ -38,8 +40,9 @@
     via: int = 0
     hears_us: int = 0
     trip: RoundTrip = field(default_factory=RoundTrip)
-    rows: dict[str, tuple[bool, int]] = field(default_factory=dict)  # helper: did it reach this one, when
-    removed: int = 0      # how often
+    # helper: did it reach this one, when
+    rows: dict[str, tuple[bool, int]] = field(default_factory=dict)
+    removed: int = 0  # how often
     wrongly: float = 0.0  # how often it was suspected of late and was there after all
     wrongly_at: int = 0
 
@@ -47,8 +50,18 @@
         return self.status in (Status.ALIVE, Status.SUSPECT)
 
     def claim(self, status: Status | None = None, by: str = "") -> Claim:
-        return Claim(self.id, self.inc, self.status if status is None else status, self.proof, self.leave,
-                     by or self.by, self.place, self.zone, self.speaks, self.count)
+        return Claim(
+            self.id,
+            self.inc,
+            self.status if status is None else status,
+            self.proof,
+            self.leave,
+            by or self.by,
+            self.place,
+            self.zone,
+            self.speaks,
+            self.count,
+        )
 
     def doubted(self, now: int, fading: int) -> float:
         """``wrongly``, which falls to a third in ``fading`` ns."""
@@ -63,7 +76,9 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """``born``: never moved; ``begun``: moved by what is heard of it; ``by``: who has confirmed it."""
+    """``born``: never moved; ``begun``: moved by what is heard of it; ``by``: who has confirmed
+    it.
+    """
 
     born: int
     begun: int
@@ -74,7 +89,8 @@
     """Claims on their way, each told a bounded number of times, the least told first."""
 
     def __init__(self) -> None:
-        self.waiting: dict[tuple[Identity, bool], tuple[Claim, int]] = {}  # heard or not: one of each
+        # heard or not: one of each
+        self.waiting: dict[tuple[Identity, bool], tuple[Claim, int]] = {}
 
     def put(self, claim: Claim) -> None:
         self.waiting[claim.id, claim.status is Status.HEARD] = (claim, 0)
@@ -88,7 +104,9 @@
         if not self.waiting:
             return tuple(taken)
         known = {(c.id, c.status) for c in taken}
-        for key, (claim, told) in heapq.nsmallest(16, self.waiting.items(), key=lambda item: item[1][1]):
+        for key, (claim, told) in heapq.nsmallest(
+            16, self.waiting.items(), key=lambda item: item[1][1]
+        ):
             if (claim.id, claim.status) in known:
                 continue
             if claim.size() > room:
--- a/larchhall/members_cli.py
+++ b/larchhall/members_cli.py
@@ -25,19 +25,46 @@
         click.echo(json.dumps(said, indent=2))
         return
     view = said["view"]
-    click.echo(f"{said['me']}, view {view['epoch']} ({view['digest']}): {view['alive']} there, "
-               f"{view['why']}; limits by {view['limits_by']}, place {view['place']}; "
-               f"doubt in itself {said['doubt']} of 8"
-               f"{', cut off' if said['isolated'] else ''}{', has left' if said['left'] else ''}\n")
+    click.echo(
+        f"{said['me']}, view {view['epoch']} ({view['digest']}): {view['alive']} there, "
+        f"{view['why']}; limits by {view['limits_by']}, place {view['place']}; "
+        f"doubt in itself {said['doubt']} of 8"
+        f"{', cut off' if said['isolated'] else ''}{', has left' if said['left'] else ''}\n"
+    )
 
     def ago(value: float | None) -> str:
         return "never" if value is None else f"{value:.1f}"
 
-    rows = [[m["address"], m["status"], m["verdict"], ago(m["for"]), ago(m["heard"]), ago(m["reached"]),
-             ago(m["through_others"]), f"{m['round_trip_ms']:.1f}", str(m["incarnation"])]
-            for m in said["members"]]
-    click.echo(table(["member", "status", "verdict", "for s", "heard s ago", "reached", "through others",
-                      "ms", "incarnation"], rows))
+    rows = [
+        [
+            m["address"],
+            m["status"],
+            m["verdict"],
+            ago(m["for"]),
+            ago(m["heard"]),
+            ago(m["reached"]),
+            ago(m["through_others"]),
+            f"{m['round_trip_ms']:.1f}",
+            str(m["incarnation"]),
+        ]
+        for m in said["members"]
+    ]
+    click.echo(
+        table(
+            [
+                "member",
+                "status",
+                "verdict",
+                "for s",
+                "heard s ago",
+                "reached",
+                "through others",
+                "ms",
+                "incarnation",
+            ],
+            rows,
+        )
+    )
 
 
 @members.command()
@@ -58,8 +85,18 @@
     if as_json:
         click.echo(json.dumps(said, indent=2))
         return
-    click.echo(table(["key", "signs", "messages taken in"], [
-        [str(id), "yes" if id == said["signs"] else "no", str(said["taken_in"].get(str(id), 0))]
-        for id in said["reads"]]))
+    click.echo(
+        table(
+            ["key", "signs", "messages taken in"],
+            [
+                [
+                    str(id),
+                    "yes" if id == said["signs"] else "no",
+                    str(said["taken_in"].get(str(id), 0)),
+                ]
+                for id in said["reads"]
+            ],
+        )
+    )
     for why, count in said["dropped"].items():
         click.echo(f"dropped, {why}: {count}")
--- a/larchhall/operators/node.py
+++ b/larchhall/operators/node.py
@@ -30,8 +30,9 @@
 class FiledNode(Node):
     """``said``: what the file says now; ``path``: where SIGHUP reads it again."""
 
-    def __init__(self, config: Config, said: Evaluated, path: str,
-                 environ: Mapping[str, str] = os.environ) -> None:
+    def __init__(
+        self, config: Config, said: Evaluated, path: str, environ: Mapping[str, str] = os.environ
+    ) -> None:
         self.said, self.path = said, path
         self.pending: Evaluated | None = None
         self.reading: asyncio.Future[Evaluated] | None = None
@@ -121,7 +122,9 @@
     def _check(self, said: Evaluated) -> Evaluated:
         """Turn it down here, before anything is changed."""
         if said.map is not None:
-            raise OperatorFileError(f"{self.path}: cell: cells need a start anew, since there were none")
+            raise OperatorFileError(
+                f"{self.path}: cell: cells need a start anew, since there were none"
+            )
         return said
 
     def _apply(self, said: Evaluated) -> None:
@@ -167,7 +170,9 @@
     # --- SIGHUP ---
 
     def reload(self) -> None:
-        """The operators' file is evaluated beside the loop, then both files are taken or neither."""
+        """The operators' file is evaluated beside the loop, then both files are taken or
+        neither.
+        """
         if self.drain.begun_at:
             return super().reload()
         if self.reading is not None:
--- a/larchhall/operators/script.py
+++ b/larchhall/operators/script.py
@@ -1,8 +1,8 @@
 """Evaluates the operators' file: in a process of its own, bounded in time, memory, steps and words.
 
-Danger: a script can build a list of any length in one step, which no count of steps sees: the daemon would
-be killed for memory with all that it had taken. So another process reads it, under a limit of its own, and
-tells what it says as JSON. The daemon never loads the interpreter.
+Danger: a script can build a list of any length in one step, which no count of steps sees: the
+daemon would be killed for memory with all that it had taken. So another process reads it, under a
+limit of its own, and tells what it says as JSON. The daemon never loads the interpreter.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 from ..verdicts.terms import VerdictTerms
 from .words import MOST_CALLS, WORDS, BadWord, Draft
 
-MOST_FILE = 4 << 20       # bytes of the file
-MOST_MEMORY = 512 << 20   # bytes of address space of the process that reads it
-MOST_SECONDS = 5.0        # of processor time there, and of waiting here
-MOST_DEPTH = 100          # calls within calls
+MOST_FILE = 4 << 20  # bytes of the file
+MOST_MEMORY = 512 << 20  # bytes of address space of the process that reads it
+MOST_SECONDS = 5.0  # of processor time there, and of waiting here
+MOST_DEPTH = 100  # calls within calls
 AT = re.compile(r" --> .*?:(\d+):\d+\n")
 
 
@@ -54,30 +54,48 @@
 
 def evaluate(path: str) -> Evaluated:
     """Read the file in another process; OperatorFileError says what is wrong with it, and where."""
-    environ = {**os.environ, "PYTHONPATH": os.pathsep.join(
-        [str(Path(__file__).parents[2]), *filter(None, [os.environ.get("PYTHONPATH")])])}
+    environ = {
+        **os.environ,
+        "PYTHONPATH": os.pathsep.join(
+            [str(Path(__file__).parents[2]), *filter(None, [os.environ.get("PYTHONPATH")])]
+        ),
+    }
     try:
-        done = subprocess.run([sys.executable, "-m", "larchhall.operators.script", path], env=environ,
-                              capture_output=True, text=True, timeout=2 * MOST_SECONDS, check=False,
-                              stdin=subprocess.DEVNULL)
+        done = subprocess.run(
+            [sys.executable, "-m", "larchhall.operators.script", path],
+            env=environ,
+            capture_output=True,
+            text=True,
+            timeout=2 * MOST_SECONDS,
+            check=False,
+            stdin=subprocess.DEVNULL,
+        )
     except subprocess.TimeoutExpired:
-        raise OperatorFileError(f"{path}: evaluation: took longer than {2 * MOST_SECONDS:.0f} s") from None
+        raise OperatorFileError(
+            f"{path}: evaluation: took longer than {2 * MOST_SECONDS:.0f} s"
+        ) from None
     except OSError as error:
         raise OperatorFileError(f"{path}: evaluation: {error}") from None
     if done.returncode == 2:
-        raise OperatorFileError(done.stdout.strip().replace("\n", " ") or f"{path}: evaluation: failed")
+        raise OperatorFileError(
+            done.stdout.strip().replace("\n", " ") or f"{path}: evaluation: failed"
+        )
     if done.returncode != 0:
         last = (done.stderr.strip().splitlines() or [f"ended with {done.returncode}"])[-1]
-        raise OperatorFileError(f"{path}: evaluation: {'out of its bounds' if done.returncode < 0 else last}")
+        raise OperatorFileError(
+            f"{path}: evaluation: {'out of its bounds' if done.returncode < 0 else last}"
+        )
     try:
         said = json.loads(done.stdout)
-        return Evaluated(None if said["map"] is None else from_plain(said["map"]),
-                         None if said["deadlines"] is None else _deadlines(said["deadlines"]),
-                         None if said["logs"] is None else Logs(**said["logs"]),
-                         None if said["start"] is None else StartTerms(**said["start"]),
-                         None if said["members"] is None else _members(said["members"]),
-                         None if said["shares"] is None else _shares(said["shares"]),
-                         None if said["verdicts"] is None else VerdictTerms(**said["verdicts"]))
+        return Evaluated(
+            None if said["map"] is None else from_plain(said["map"]),
+            None if said["deadlines"] is None else _deadlines(said["deadlines"]),
+            None if said["logs"] is None else Logs(**said["logs"]),
+            None if said["start"] is None else StartTerms(**said["start"]),
+            None if said["members"] is None else _members(said["members"]),
+            None if said["shares"] is None else _shares(said["shares"]),
+            None if said["verdicts"] is None else VerdictTerms(**said["verdicts"]),
+        )
     except (ValueError, KeyError, TypeError, BadMap) as error:
         raise OperatorFileError(f"{path}: evaluation: {error}") from None
 
@@ -100,8 +118,10 @@
 def run(path: str, text: str, stop: Callable[[], bool]) -> Draft:
     """All words of the text, in their order; OperatorFileError with file, line and key.
 
-    A fault that shows only at the end is about an earlier word, whose place the interpreter tells only while
-    it runs: the text, which does the same each time, is run again up to that word, which then fails."""
+    A fault that shows only at the end is about an earlier word, whose place the interpreter tells
+    only while it runs: the text, which does the same each time, is run again up to that word, which
+    then fails.
+    """
     draft = _run(path, text, stop, None)
     try:
         draft.finish()
@@ -112,8 +132,7 @@
     return draft
 
 
-def _run(path: str, text: str, stop: Callable[[], bool],
-         fail_at: tuple[int, str] | None) -> Draft:
+def _run(path: str, text: str, stop: Callable[[], bool], fail_at: tuple[int, str] | None) -> Draft:
     import starlark
 
     draft, module = Draft(), starlark.Module()
@@ -129,6 +148,7 @@
                 return does(draft, *args, **named)
             except TypeError as error:
                 raise BadWord(f"{name}: {_without_draft(str(error))}") from None
+
         return call
 
     for name, does in WORDS.items():
@@ -137,8 +157,12 @@
     dialect.enable_load = False
     try:
         tree = starlark.parse(path, text, dialect)
-        starlark.eval_with(starlark.EvalOptions(check_cancelled=stop, max_callstack_size=MOST_DEPTH),
-                           module, tree, starlark.Globals.standard())
+        starlark.eval_with(
+            starlark.EvalOptions(check_cancelled=stop, max_callstack_size=MOST_DEPTH),
+            module,
+            tree,
+            starlark.Globals.standard(),
+        )
     except starlark.StarlarkError as error:
         raise OperatorFileError(_told(path, str(error))) from None
     return draft
@@ -151,7 +175,9 @@
 
 def _told(path: str, text: str) -> str:
     """One line of the interpreter's several."""
-    error = next((line for line in text.splitlines() if line.startswith("error: ")), text.splitlines()[0])
+    error = next(
+        (line for line in text.splitlines() if line.startswith("error: ")), text.splitlines()[0]
+    )
     problem = error.removeprefix("error: ").removeprefix("BadWord: ")
     place = AT.search(text)
     where = f"{path}:{place[1]}" if place else path
@@ -172,13 +198,19 @@
             raise OperatorFileError(f"{path}: file: is longer than {MOST_FILE} characters")
         draft = run(path, text, lambda: time.monotonic() > end)
         map, deadlines, shares = draft.finish(), draft.deadline_terms(), draft.shared()
-        print(json.dumps({"map": None if map is None else map.plain(),
-                          "deadlines": None if deadlines is None else asdict(deadlines),
-                          "logs": None if draft.logs is None else asdict(draft.logs),
-                          "start": None if draft.start is None else asdict(draft.start),
-                          "members": None if draft.members is None else asdict(draft.members),
-                          "shares": None if shares is None else asdict(shares),
-                          "verdicts": None if draft.verdicts is None else asdict(draft.verdicts)}))
+        print(
+            json.dumps(
+                {
+                    "map": None if map is None else map.plain(),
+                    "deadlines": None if deadlines is None else asdict(deadlines),
+                    "logs": None if draft.logs is None else asdict(draft.logs),
+                    "start": None if draft.start is None else asdict(draft.start),
+                    "members": None if draft.members is None else asdict(draft.members),
+                    "shares": None if shares is None else asdict(shares),
+                    "verdicts": None if draft.verdicts is None else asdict(draft.verdicts),
+                }
+            )
+        )
         return 0
     except OperatorFileError as error:
         print(error)
--- a/larchhall/rooms/broker.py
+++ b/larchhall/rooms/broker.py
@@ -1,4 +1,6 @@
-"""The broker with cells: whose a request is, what its cell may hold, and what is called in from borrowers."""
+"""The broker with cells: whose a request is, what its cell may hold, and what is called in from
+borrowers.
+"""
 
 from __future__ import annotations
 
@@ -21,16 +23,17 @@
 from .hall import Hall
 
 MS = 1_000_000
-ANTEROOM = ""            # of connections that have not asked for anything yet
-ANTEROOM_PART = 0.2      # of what is divided among connections
-OPEN_BYTES = 4_096       # of the room for statements, for each request that may be open
-CALL_IN = 100 * MS       # ns between looks at what is due back
+ANTEROOM = ""  # of connections that have not asked for anything yet
+ANTEROOM_PART = 0.2  # of what is divided among connections
+OPEN_BYTES = 4_096  # of the room for statements, for each request that may be open
+CALL_IN = 100 * MS  # ns between looks at what is due back
 PREFIX = "larchhall_cell_"
 
 
 class CelledBroker(Broker):
-    def __init__(self, config: Config, clock: Clock, log: Callable[[str, str], None], map: CellMap,
-                 me: str) -> None:
+    def __init__(
+        self, config: Config, clock: Clock, log: Callable[[str, str], None], map: CellMap, me: str
+    ) -> None:
         self.map = map
         self.moves = Moves(map, me)
         self.requests_lent, self.statements = Ledger(), Ledger()
@@ -51,13 +54,28 @@
 
     def _decisions(self, now: int) -> Facade:
         # Only what the broker asks of a facade is asked of it.
-        return cast(Facade, Hall(self.config.settings, self.config.seed, now, self.wheel, self.map,
-                                 lambda number: self.engines.by_number[number].target.uid))
+        return cast(
+            Facade,
+            Hall(
+                self.config.settings,
+                self.config.seed,
+                now,
+                self.wheel,
+                self.map,
+                lambda number: self.engines.by_number[number].target.uid,
+            ),
+        )
 
     def _connections(self) -> Pools:
         config = self.config
-        return CelledPools(self, streams=config.streams, connect_timeout=config.connect_timeout,
-                           conn_idle=config.conn_idle, unsent=self._unsent, may_go=self._may_go)
+        return CelledPools(
+            self,
+            streams=config.streams,
+            connect_timeout=config.connect_timeout,
+            conn_idle=config.conn_idle,
+            unsent=self._unsent,
+            may_go=self._may_go,
+        )
 
     def shares(self) -> dict[str, float]:
         return {cell.name: cell.part() for cell in self.map.cells}
@@ -85,7 +103,9 @@
 
     def _learn_routes(self) -> None:
         """Classes whose work may not be cut short, since it may have run."""
-        self.firm_routes = {c.name for c in self.config.settings.classes if c.effect is not Effect.SAFE}
+        self.firm_routes = {
+            c.name for c in self.config.settings.classes if c.effect is not Effect.SAFE
+        }
 
     def take_map(self, map: CellMap) -> None:
         """Another map is in force. The caller has seen to it that it is no older one."""
@@ -118,12 +138,14 @@
         return super()._take(client, stream, ask, came)
 
     def _has_room(self, request: OpenRequest) -> bool:
-        """Danger: one tenant's flood takes the memory and the descriptors of all: each cell has its part.
-        What may have run cannot be called in again, so it is never taken on loan."""
+        """Danger: one tenant's flood takes the memory and the descriptors of all: each cell has its
+        part. What may have run cannot be called in again, so it is never taken on loan.
+        """
         assert self.hall.next is not None
         now, cell, size = self.now(), self.hall.next[1], len(request.statement)
         firm = request.route.decode() in self.firm_routes
-        settle = getattr(request.client, "settle", None)  # of a client that holds a descriptor on some part
+        # of a client that holds a descriptor on some part
+        settle = getattr(request.client, "settle", None)
         if settle is not None and not settle(cell):
             return self._turn_away(cell)
         if not self.requests_lent.take(cell, 1, now, firm):
@@ -171,9 +193,13 @@
             self._carry_out(now, self.hall.fade(now))
 
     def _call_in(self, now: int) -> None:
-        """An owner has asked: borrowers' safe requests, the youngest first, get their final answer, and their
-        statements go. What they have running goes on; nothing more is sent for them."""
-        for ledger, worth in ((self.requests_lent, lambda size: 1), (self.statements, lambda size: size)):
+        """An owner has asked: borrowers' safe requests, the youngest first, get their final answer,
+        and their statements go. What they have running goes on; nothing more is sent for them.
+        """
+        for ledger, worth in (
+            (self.requests_lent, lambda size: 1),
+            (self.statements, lambda size: size),
+        ):
             for cell, amount in ledger.due(now).items():
                 named: list[str] = []
                 for id, (whose, size, firm) in reversed(self.charged.items()):
@@ -200,50 +226,109 @@
 
     def cell_figures(self) -> bytes:
         now = self.now()
-        lines = [f"# HELP {PREFIX}replies_total Requests answered, by cell and class.",
-                 f"# TYPE {PREFIX}replies_total counter"]
+        lines = [
+            f"# HELP {PREFIX}replies_total Requests answered, by cell and class.",
+            f"# TYPE {PREFIX}replies_total counter",
+        ]
         for (cell, route, status), count in sorted(self.replies.items()):
-            lines.append(f'{PREFIX}replies_total{{cell="{escaped(cell)}",type="{escaped(route)}",'
-                         f'status="{STATUSES[status]}"}} {count}')
+            lines.append(
+                f'{PREFIX}replies_total{{cell="{escaped(cell)}",type="{escaped(route)}",'
+                f'status="{STATUSES[status]}"}} {count}'
+            )
         pools = cast(CelledPools, self.pools)
         pools.count_use()
         single: list[tuple[str, str, str, Mapping[str, float]]] = [
-            ("open", "gauge", "Requests that hold a part of the room.",
-             {c: a.used for c, a in self.requests_lent.accounts.items()}),
-            ("statement_bytes", "gauge", "Bytes of their statements.",
-             {c: a.used for c, a in self.statements.accounts.items()}),
-            ("engine_connections", "gauge", "Connections to the cell's engines.",
-             {c: a.used for c, a in pools.ledger.accounts.items()}),
-            ("lent", "gauge", "Requests beyond the cell's own part.",
-             {c: self.requests_lent.lent(c) for c in self.requests_lent.accounts}),
-            ("engines_ready", "gauge", "Engines that take new work.",
-             {c.name: self.hall.fleet(c.name, now).ready for c in self.map.cells}),
-            ("engines_cold", "gauge", "Those of them that are cold.",
-             {c.name: self.hall.fleet(c.name, now).cold for c in self.map.cells}),
-            ("refused_for_room_total", "counter", "Requests refused since the cell's part was full.",
-             {c.name: self.refused_for_room.get(c.name, 0) for c in self.map.cells})]
+            (
+                "open",
+                "gauge",
+                "Requests that hold a part of the room.",
+                {c: a.used for c, a in self.requests_lent.accounts.items()},
+            ),
+            (
+                "statement_bytes",
+                "gauge",
+                "Bytes of their statements.",
+                {c: a.used for c, a in self.statements.accounts.items()},
+            ),
+            (
+                "engine_connections",
+                "gauge",
+                "Connections to the cell's engines.",
+                {c: a.used for c, a in pools.ledger.accounts.items()},
+            ),
+            (
+                "lent",
+                "gauge",
+                "Requests beyond the cell's own part.",
+                {c: self.requests_lent.lent(c) for c in self.requests_lent.accounts},
+            ),
+            (
+                "engines_ready",
+                "gauge",
+                "Engines that take new work.",
+                {c.name: self.hall.fleet(c.name, now).ready for c in self.map.cells},
+            ),
+            (
+                "engines_cold",
+                "gauge",
+                "Those of them that are cold.",
+                {c.name: self.hall.fleet(c.name, now).cold for c in self.map.cells},
+            ),
+            (
+                "refused_for_room_total",
+                "counter",
+                "Requests refused since the cell's part was full.",
+                {c.name: self.refused_for_room.get(c.name, 0) for c in self.map.cells},
+            ),
+        ]
         for name, kind, help, values in single:
             lines += f"# HELP {PREFIX}{name} {help}", f"# TYPE {PREFIX}{name} {kind}"
-            lines += (f'{PREFIX}{name}{{cell="{escaped(c)}"}} {value}' for c, value in sorted(values.items()))
+            lines += (
+                f'{PREFIX}{name}{{cell="{escaped(c)}"}} {value}'
+                for c, value in sorted(values.items())
+            )
         stages: dict[str, int] = {}
         for move in self.moves.records.values():
             stages[move.stage.value] = stages.get(move.stage.value, 0) + 1
         lines += (f"# HELP {PREFIX}moves Moves on record, by stage.", f"# TYPE {PREFIX}moves gauge")
-        lines += (f'{PREFIX}moves{{stage="{stage}"}} {count}' for stage, count in sorted(stages.items()))
-        lines += (f"# HELP {PREFIX}called_in_total Requests on loan that were called in.",
-                  f"# TYPE {PREFIX}called_in_total counter", f"{PREFIX}called_in_total {self.called_in}")
-        lines += (f"# HELP {PREFIX}map_epoch Epoch of the map in force.", f"# TYPE {PREFIX}map_epoch gauge",
-                  f"{PREFIX}map_epoch {self.map.epoch}")
+        lines += (
+            f'{PREFIX}moves{{stage="{stage}"}} {count}' for stage, count in sorted(stages.items())
+        )
+        lines += (
+            f"# HELP {PREFIX}called_in_total Requests on loan that were called in.",
+            f"# TYPE {PREFIX}called_in_total counter",
+            f"{PREFIX}called_in_total {self.called_in}",
+        )
+        lines += (
+            f"# HELP {PREFIX}map_epoch Epoch of the map in force.",
+            f"# TYPE {PREFIX}map_epoch gauge",
+            f"{PREFIX}map_epoch {self.map.epoch}",
+        )
         return ("\n".join(lines) + "\n").encode()
 
 
 class CelledPools(Pools):
     """Connections to engines, each cell with its part of the descriptors."""
 
-    def __init__(self, owner: CelledBroker, *, streams: int, connect_timeout: int, conn_idle: int,
-                 unsent: Callable[..., None], may_go: Callable[..., bool]) -> None:
-        super().__init__(owner, owner.log, streams=streams, connect_timeout=connect_timeout,
-                         conn_idle=conn_idle, unsent=unsent, may_go=may_go)
+    def __init__(
+        self,
+        owner: CelledBroker,
+        *,
+        streams: int,
+        connect_timeout: int,
+        conn_idle: int,
+        unsent: Callable[..., None],
+        may_go: Callable[..., bool],
+    ) -> None:
+        super().__init__(
+            owner,
+            owner.log,
+            streams=streams,
+            connect_timeout=connect_timeout,
+            conn_idle=conn_idle,
+            unsent=unsent,
+            may_go=may_go,
+        )
         self.broker = owner
         self.ledger = Ledger()
 
@@ -251,7 +336,9 @@
         return self.broker.hall.cell_of(pool.number) or ""
 
     def count_use(self) -> None:
-        """Danger: an engine that has gone, or sits in no cell, holds connections too: all are counted."""
+        """Danger: an engine that has gone, or sits in no cell, holds connections too: all are
+        counted.
+        """
         used, strays = dict.fromkeys(self.ledger.accounts, 0), 0
         for pool in self.by_number.values():
             cell = self.cell(pool)
@@ -270,7 +357,9 @@
         account = self.ledger.accounts.get(cell)
         if account is None:
             return 1
-        lent = self.ledger.free() - sum(a.reserve() for n, a in self.ledger.accounts.items() if n != cell)
+        lent = self.ledger.free() - sum(
+            a.reserve() for n, a in self.ledger.accounts.items() if n != cell
+        )
         return max(account.part, account.used + max(0, lent))
 
     def share(self, pool: EnginePool) -> int:
@@ -300,29 +389,43 @@
             return super().make_room(pool)
         if account.used <= most and self.ledger.free() >= 0:
             if account.used > KEPT * account.part:
-                self.ledger.allows(cell, 0, now)  # it digs into what may be lent: nothing more of it is
+                # it digs into what may be lent: nothing more of it is
+                self.ledger.allows(cell, 0, now)
             return True
         # Its own idle ones first; then of those who hold more than their part.
         idle = self._idle()
         for connection in idle:
             whose = self.broker.hall.cell_of(connection.engine) or ""
-            if whose == cell or (account.used <= account.part and whose in self.ledger.accounts
-                                 and self.ledger.lent(whose)):
+            if whose == cell or (
+                account.used <= account.part
+                and whose in self.ledger.accounts
+                and self.ledger.lent(whose)
+            ):
                 connection.close()
                 return True
         self.ledger.allows(cell, 1, now)
         return False
 
     def call_in(self, now: int) -> None:
-        """An owner has asked: borrowers' connections go, idle ones first, then those on which nothing is
-        open that may not be cut short."""
+        """An owner has asked: borrowers' connections go, idle ones first, then those on which
+        nothing is open that may not be cut short.
+        """
         if not any(a.asked is not None for a in self.ledger.accounts.values()):
             return
         self.count_use()
         for cell, amount in self.ledger.due(now).items():
-            held = [c for p in self.by_number.values() if self.cell(p) == cell
-                    for c in p.connections if not c.ending]
-            able = [c for c in held if not any(self._firm(a.request) for a in c.open.values() if a.wanted())]
+            held = [
+                c
+                for p in self.by_number.values()
+                if self.cell(p) == cell
+                for c in p.connections
+                if not c.ending
+            ]
+            able = [
+                c
+                for c in held
+                if not any(self._firm(a.request) for a in c.open.values() if a.wanted())
+            ]
             for connection in sorted(able, key=_weight)[:amount]:
                 connection.give_up("called in by the cell that owns the descriptor")
 
--- a/larchhall/rooms/hall.py
+++ b/larchhall/rooms/hall.py
@@ -1,8 +1,8 @@
 """One face for many decision modules: a facade a cell, behind the words of `larchhall.facade`.
 
-A request belongs to one room from its arrival to its end. An engine belongs to one room at a time; where it
-changes rooms while attempts are out on it, the old room gets their outcomes, and what it still has out there
-counts in the new room as another process's work does.
+A request belongs to one room from its arrival to its end. An engine belongs to one room at a time;
+where it changes rooms while attempts are out on it, the old room gets their outcomes, and what it
+still has out there counts in the new room as another process's work does.
 """
 
 from __future__ import annotations
@@ -57,24 +57,42 @@
 
 
 class Hall:
-    """``uid_of``: the uid of a number of the engine table. ``home``: the cell of a subject at this time."""
-
-    def __init__(self, settings: Settings, seed: int, now: int, wheel: Wheel, map: CellMap,
-                 uid_of: Callable[[int], str]) -> None:
-        self.settings, self.seed, self.wheel, self.map, self.uid_of = settings, seed, wheel, map, uid_of
+    """``uid_of``: the uid of a number of the engine table. ``home``: the cell of a subject at this
+    time.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        now: int,
+        wheel: Wheel,
+        map: CellMap,
+        uid_of: Callable[[int], str],
+    ) -> None:
+        self.settings, self.seed, self.wheel, self.map, self.uid_of = (
+            settings,
+            seed,
+            wheel,
+            map,
+            uid_of,
+        )
         self.due: deque[RoomFacade] = deque()
         self.rooms: dict[str, RoomFacade] = {}
-        self.where: dict[str, tuple[RoomFacade, str]] = {}  # of each open request: its room and its subject
-        self.open: Counter[tuple[str, str]] = Counter()     # open requests by subject and cell
+        # of each open request: its room and its subject
+        self.where: dict[str, tuple[RoomFacade, str]] = {}
+        self.open: Counter[tuple[str, str]] = Counter()  # open requests by subject and cell
         self.placement = Placement(map)
         self.entries: dict[int, EngineEntry] = {}
         self.numbers: dict[str, int] = {}
         self.bans: dict[int, EngineBan] = {}
         self.beside = Beside({}, 1)
-        self.carried: dict[int, tuple[Outstanding, int]] = {}  # sent to cold engines by their former room
+        # sent to cold engines by their former room
+        self.carried: dict[int, tuple[Outstanding, int]] = {}
         self.left_over: set[int] = set()  # engines on which a former room has something out
         self.cold_until: dict[int, int] = {}
-        self.next: tuple[str, str] | None = None  # subject and cell of the request that is being taken
+        # subject and cell of the request that is being taken
+        self.next: tuple[str, str] | None = None
         for cell in map.cells:
             self._furnish(cell.name, now)
 
@@ -89,8 +107,9 @@
     # --- requests ---
 
     def pick(self, now: int, query: Query) -> Orders:
-        """Danger: the cell was chosen when the request was given its part of the room; to choose again here
-        could give it another one."""
+        """Danger: the cell was chosen when the request was given its part of the room; to choose
+        again here could give it another one.
+        """
         assert self.next is not None, "a request without a cell"
         (subject, cell), self.next = self.next, None
         room = self.rooms[cell]
@@ -117,8 +136,9 @@
             del self.rooms[room.cell]
 
     def requests_of(self, subject: str, cell: str) -> frozenset[str]:
-        return frozenset(id for id, (room, whose) in self.where.items()
-                         if room.cell == cell and whose == subject)
+        return frozenset(
+            id for id, (room, whose) in self.where.items() if room.cell == cell and whose == subject
+        )
 
     def tick(self, now: int) -> Orders:
         return self.due.popleft().tick(now)
@@ -189,12 +209,19 @@
             self.numbers[self.uid_of(entry.engine)] = entry.engine
             self.entries[entry.engine] = entry
         changes = self.placement.learn(
-            [Seen(self.uid_of(e.engine), e.zone, e.kind, e.state is EngineState.READY) for e in present],
-            [uids[number] for number in gone if number in uids])
+            [
+                Seen(self.uid_of(e.engine), e.zone, e.kind, e.state is EngineState.READY)
+                for e in present
+            ],
+            [uids[number] for number in gone if number in uids],
+        )
         orders = Orders()
         left = [e for e in entries if e.state is EngineState.GONE]
-        left += [replace(self.entries[n], state=EngineState.GONE) for n in gone
-                 if n not in told and n in self.entries]
+        left += [
+            replace(self.entries[n], state=EngineState.GONE)
+            for n in gone
+            if n not in told and n in self.entries
+        ]
         for entry in left:
             self.entries.pop(entry.engine, None)
             self.cold_until.pop(entry.engine, None)
@@ -213,8 +240,9 @@
         return orders
 
     def _reseat(self, now: int, changes: Iterable[Change], orders: Orders) -> None:
-        """Danger: an engine in two rooms gets two bounds' worth of work: it leaves the one first. What the
-        one sent it while it was cold counts in the other, or it would be pushed over."""
+        """Danger: an engine in two rooms gets two bounds' worth of work: it leaves the one first.
+        What the one sent it while it was cold counts in the other, or it would be pushed over.
+        """
         for change in changes:
             if (number := self.numbers.get(change.uid)) is None:
                 continue
@@ -223,20 +251,31 @@
             if before is not None and number in before.engines:
                 out = before.outstanding(now).get(number, NOTHING)
                 before.engines.discard(number)
-                _add(orders, before.report(now, EngineNews(False, (replace(entry, state=EngineState.GONE),))))
+                _add(
+                    orders,
+                    before.report(
+                        now, EngineNews(False, (replace(entry, state=EngineState.GONE),))
+                    ),
+                )
                 self.left_over.add(number)
                 if out.cold:
                     earlier = self.carried.get(number, (NOTHING, 0))[0].cold
-                    self.carried[number] = (Outstanding(0, 0, earlier + out.cold),
-                                            now + self.settings.contract.fall)
+                    self.carried[number] = (
+                        Outstanding(0, 0, earlier + out.cold),
+                        now + self.settings.contract.fall,
+                    )
             after = self.rooms.get(change.after or "")
             if after is not None:
                 after.engines.add(number)
                 started = max(entry.started, self.cold_until.get(number, 0))
-                _add(orders, after.report(now, EngineNews(False, (replace(entry, started=started),))))
+                _add(
+                    orders, after.report(now, EngineNews(False, (replace(entry, started=started),)))
+                )
 
     def _tell_beside(self, now: int, orders: Orders) -> None:
-        """Every room hears what others have out on its engines: other processes, and former rooms."""
+        """Every room hears what others have out on its engines: other processes, and former
+        rooms.
+        """
         theirs: dict[int, Outstanding] = {}
         for number in list(self.left_over):
             owner = self._room_of(number)
@@ -270,7 +309,9 @@
     # --- maps ---
 
     def take(self, map: CellMap, now: int) -> Orders:
-        """Another map: rooms for new cells, engines to their new seats; dropped cells end their requests."""
+        """Another map: rooms for new cells, engines to their new seats; dropped cells end their
+        requests.
+        """
         self.map = map
         for cell in map.cells:
             if cell.name not in self.rooms:
@@ -297,19 +338,30 @@
         room = self.rooms.get(cell)
         if room is None:
             return Fleet(0, 0)
-        ready = [n for n in room.engines if self.entries[n].state is EngineState.READY
-                 and n not in self.bans]
+        ready = [
+            n
+            for n in room.engines
+            if self.entries[n].state is EngineState.READY and n not in self.bans
+        ]
         cold = self.settings.contract.cold
-        return Fleet(len(ready), sum(
-            now < max(self.entries[n].started, self.cold_until.get(n, 0)) + cold for n in ready))
+        return Fleet(
+            len(ready),
+            sum(
+                now < max(self.entries[n].started, self.cold_until.get(n, 0)) + cold for n in ready
+            ),
+        )
 
     def avoided(self) -> int:
         return sum(room.avoided() for room in self.rooms.values())
 
     def shares(self) -> dict[int, tuple[float, float]]:
         """Threads and bound that the cell of each engine goes by there."""
-        return {n: share for room in self.rooms.values() for n, share in room.shares().items()
-                if n in room.engines}
+        return {
+            n: share
+            for room in self.rooms.values()
+            for n, share in room.shares().items()
+            if n in room.engines
+        }
 
     def widest(self) -> int:
         return max((room.widest() for room in self.rooms.values()), default=1)
--- a/larchhall/rooms/node.py
+++ b/larchhall/rooms/node.py
@@ -1,4 +1,6 @@
-"""A node with cells: its clients' places and turns, its moves, its maps, and the operators' calls on them."""
+"""A node with cells: its clients' places and turns, its moves, its maps, and the operators' calls
+on them.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +23,8 @@
 from .broker import ANTEROOM, CelledBroker
 from .front import CelledConnection
 
-STEP = 50_000_000      # ns between steps of the moves
-TURNS_PART = 0.6       # of the loop's time goes by turns: reading requests and deciding on them
+STEP = 50_000_000  # ns between steps of the moves
+TURNS_PART = 0.6  # of the loop's time goes by turns: reading requests and deciding on them
 MOST_TENANTS_TOLD = 5_000  # a larger map is not told to another process, only its epoch
 JSON = "application/json"
 
@@ -30,17 +32,22 @@
 class CelledNode(FiledNode):
     longest_rest = 0.0  # rounds go on with every tick
 
-    def __init__(self, config: Config, said: Evaluated, path: str,
-                 environ: Mapping[str, str] = os.environ) -> None:
+    def __init__(
+        self, config: Config, said: Evaluated, path: str, environ: Mapping[str, str] = os.environ
+    ) -> None:
         assert said.map is not None, "no cells"
         self._hold(said.map)
         self.me = f"{os.getpid()}-{os.urandom(4).hex()}"
-        self.queue: dict[CelledConnection, None] = {}  # connections whose turn has not come, in their order
-        self.theirs: dict[str, dict[str, Any]] = {}    # what other processes told of cells, by their name
+        # connections whose turn has not come, in their order
+        self.queue: dict[CelledConnection, None] = {}
+        # what other processes told of cells, by their name
+        self.theirs: dict[str, dict[str, Any]] = {}
         self.stepped = 0
         super().__init__(config, said, path, environ)
         # The rest of each tick is for the engines' answers.
-        self.turns = Turns(self.celled.shares_with_anteroom(), TURNS_PART * self.config.settings.tick)
+        self.turns = Turns(
+            self.celled.shares_with_anteroom(), TURNS_PART * self.config.settings.tick
+        )
         self.operations.calls.append(self._call)
         self._warn_of_strangers()
 
@@ -57,10 +64,15 @@
 
     def _warn_of_strangers(self) -> None:
         """Not a fault: the two files may change one after the other."""
-        strangers = [t for t in self.map.tenants if self.broker.customers and t not in self.broker.customers]
+        strangers = [
+            t for t in self.map.tenants if self.broker.customers and t not in self.broker.customers
+        ]
         if strangers:
-            self.log("cells", f"{len(strangers)} tenants of the file are none of the settings, among them "
-                              f"{strangers[0]!r}")
+            self.log(
+                "cells",
+                f"{len(strangers)} tenants of the file are none of the settings, among them "
+                f"{strangers[0]!r}",
+            )
 
     # --- clients ---
 
@@ -110,13 +122,19 @@
         return True
 
     def _make_room_in(self, cell: str) -> bool:
-        """The place of one of the cell's own idle connections, or of an idle one that is on loan."""
+        """The place of one of the cell's own idle connections, or of an idle one that is on
+        loan.
+        """
         ledger = self.celled.connections
         owner = ledger.accounts.get(cell)
         entitled = owner is not None and owner.used < owner.part
         return self._end_one(
-            c for c in self.clients if isinstance(c, CelledConnection) and c.idle()
-            and (c.cell == cell or (entitled and c.cell in ledger.accounts and ledger.lent(c.cell))))
+            c
+            for c in self.clients
+            if isinstance(c, CelledConnection)
+            and c.idle()
+            and (c.cell == cell or (entitled and c.cell in ledger.accounts and ledger.lent(c.cell)))
+        )
 
     def may_go_on(self, connection: CelledConnection) -> bool:
         if self.turns.allowed(connection.cell):
@@ -128,8 +146,9 @@
         self.turns.spent(cell, time)
 
     def _next_round(self) -> None:
-        """Those whose turn did not come go on, as far as their cells' shares reach. Danger: one that fails
-        its turn again queues anew, behind the others."""
+        """Those whose turn did not come go on, as far as their cells' shares reach. Danger: one
+        that fails its turn again queues anew, behind the others.
+        """
         self.turns.round()
         if self.queue:
             waiting, self.queue = list(self.queue), {}
@@ -145,12 +164,13 @@
             assert isinstance(client, CelledConnection)
             if client.paused_at and now - client.paused_at > self.broker.terms.slow_reader:
                 self._give_up_answers(client)
-            elif (unread := client.unread()):
+            elif unread := client.unread():
                 used[client.cell] = used.get(client.cell, 0) + unread
                 readers.setdefault(client.cell, []).append(client)
         for cell, amount in used.items():
             ledger.book(cell, amount)
-            ledger.allows(cell, 0, now)  # an owner with much of its own part in use is asking for it
+            # an owner with much of its own part in use is asking for it
+            ledger.allows(cell, 0, now)
         owed = _over(ledger)
         for cell, amount in ledger.due(now).items():
             owed[cell] = max(owed.get(cell, 0), amount)
@@ -199,8 +219,11 @@
             moves.step(now, self, taking)
         for subject, move in moves.records.items():
             if before.get(subject) is not move.stage:
-                self.log("cells", f"{subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}"
-                                  + (f" ({move.why})" if move.why else ""))
+                self.log(
+                    "cells",
+                    f"{subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}"
+                    + (f" ({move.why})" if move.why else ""),
+                )
         closing, moves.closing = moves.closing, []
         for out in closing:
             self.celled.close_out(out.subject, out.cell)
@@ -221,8 +244,10 @@
         return count
 
     def heard(self, move: Move) -> bool:
-        return all(any(m.subject == move.subject and m.version >= move.version for m in said["moves"])
-                   for said in self.theirs.values())
+        return all(
+            any(m.subject == move.subject and m.version >= move.version for m in said["moves"])
+            for said in self.theirs.values()
+        )
 
     # --- other processes ---
 
@@ -233,15 +258,21 @@
             if subject in moves.records:
                 open_now.setdefault(subject, {})[cell] = count
         told: dict[str, Any] = {
-            "me": self.me, "epoch": self.map.epoch, "digest": self.digest,
-            "moves": [m.plain() for m in moves.records.values()], "open": open_now,
-            "seats": broker.hall.placement.seats}
+            "me": self.me,
+            "epoch": self.map.epoch,
+            "digest": self.digest,
+            "moves": [m.plain() for m in moves.records.values()],
+            "open": open_now,
+            "seats": broker.hall.placement.seats,
+        }
         if self.plain is not None:
             told["map"] = self.plain
         return {"cells": told}
 
     def share(self, others: Collection[dict[str, Any]]) -> None:
-        """Danger: what another process tells may be of another version: what cannot be read is left."""
+        """Danger: what another process tells may be of another version: what cannot be read is
+        left.
+        """
         super().share(others)
         first = not self.theirs
         self.theirs = {}
@@ -250,10 +281,15 @@
                 self.theirs[said["me"]] = said
         for said in self.theirs.values():
             if said["map"] is not None and said["epoch"] > self.map.epoch:
-                self.log("cells", f"another process has the map of epoch {said['epoch']}: taken from there")
+                self.log(
+                    "cells",
+                    f"another process has the map of epoch {said['epoch']}: taken from there",
+                )
                 self._take_map(said["map"])
             elif said["epoch"] == self.map.epoch and said["digest"] != self.digest:
-                self.log("cells", f"another process has another map of the same epoch {self.map.epoch}")
+                self.log(
+                    "cells", f"another process has another map of the same epoch {self.map.epoch}"
+                )
         if first and not self.listed_before:
             for said in self.theirs.values():
                 if said["epoch"] <= self.map.epoch:
@@ -272,21 +308,33 @@
             return None
         try:
             return {
-                "me": str(raw["me"]), "accepting": bool(other["accepting"]), "epoch": int(raw["epoch"]),
-                "digest": str(raw["digest"]), "moves": [read_move(m) for m in raw["moves"]],
-                "open": {str(s): {str(c): int(n) for c, n in cells.items()}
-                         for s, cells in raw["open"].items()},
+                "me": str(raw["me"]),
+                "accepting": bool(other["accepting"]),
+                "epoch": int(raw["epoch"]),
+                "digest": str(raw["digest"]),
+                "moves": [read_move(m) for m in raw["moves"]],
+                "open": {
+                    str(s): {str(c): int(n) for c, n in cells.items()}
+                    for s, cells in raw["open"].items()
+                },
                 "seats": {str(u): None if c is None else str(c) for u, c in raw["seats"].items()},
-                "map": from_plain(raw["map"]) if "map" in raw and raw["epoch"] > self.map.epoch else None}
+                "map": from_plain(raw["map"])
+                if "map" in raw and raw["epoch"] > self.map.epoch
+                else None,
+            }
         except (BadMap, ValueError, TypeError, KeyError, AttributeError) as error:
-            self.log("cells", f"what another process tells cannot be read: {type(error).__name__}: {error}")
+            self.log(
+                "cells",
+                f"what another process tells cannot be read: {type(error).__name__}: {error}",
+            )
             return None
 
     # --- maps ---
 
     def _hold(self, map: CellMap) -> None:
-        """Danger: told ten times a second during an upgrade, a map of 1,000 tenants made plain each time
-        takes a tenth of the core."""
+        """Danger: told ten times a second during an upgrade, a map of 1,000 tenants made plain each
+        time takes a tenth of the core.
+        """
         self.map, self.digest = map, map.digest()
         self.plain = map.plain() if len(map.tenants) <= MOST_TENANTS_TOLD else None
 
@@ -295,8 +343,11 @@
         self.celled.take_map(map)
         self.turns.take(self.celled.shares_with_anteroom())
         for connection in self.clients:  # a cell that is gone has no part for its connections
-            if isinstance(connection, CelledConnection) and connection.cell != ANTEROOM \
-                    and map.cell(connection.cell) is None:
+            if (
+                isinstance(connection, CelledConnection)
+                and connection.cell != ANTEROOM
+                and map.cell(connection.cell) is None
+            ):
                 self.celled.connections.give(connection.cell, 1)
                 self.celled.frames.give(connection.cell, connection.booked)
                 connection.cell = ANTEROOM
@@ -305,16 +356,23 @@
         self._warn_of_strangers()
 
     def _check(self, said: Evaluated) -> Evaluated:
-        """Danger: an old file put back by mistake would undo moves at this process and not at the others."""
+        """Danger: an old file put back by mistake would undo moves at this process and not at the
+        others.
+        """
         if said.map is None:
-            raise OperatorFileError(f"{self.path}: cell: none is named, and the program was started with "
-                                    "some")
+            raise OperatorFileError(
+                f"{self.path}: cell: none is named, and the program was started with " "some"
+            )
         if said.map.epoch < self.map.epoch:
-            raise OperatorFileError(f"{self.path}: epoch: {said.map.epoch} is older than {self.map.epoch}, "
-                                    "which is in force")
+            raise OperatorFileError(
+                f"{self.path}: epoch: {said.map.epoch} is older than {self.map.epoch}, "
+                "which is in force"
+            )
         if said.map.epoch == self.map.epoch and said.map.digest() != self.digest:
-            raise OperatorFileError(f"{self.path}: epoch: {said.map.epoch} is in force with another map; "
-                                    "a changed map needs a higher one")
+            raise OperatorFileError(
+                f"{self.path}: epoch: {said.map.epoch} is in force with another map; "
+                "a changed map needs a higher one"
+            )
         return said
 
     def _apply(self, said: Evaluated) -> None:
@@ -349,8 +407,11 @@
             return _said(409, {"error": str(error)})
         if self.siblings is not None:
             self.siblings.tell()  # danger: after the yes it holds, also where this process ends now
-        self.log("cells", f"{move.subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}, "
-                          "by call")
+        self.log(
+            "cells",
+            f"{move.subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}, "
+            "by call",
+        )
         return _said(200, move.plain())
 
     def shown(self) -> dict[str, Any]:
@@ -362,20 +423,41 @@
             fleet = hall.fleet(cell.name, now)
             engines = {n: hall.entries[n] for n in hall.rooms[cell.name].engines}
             known = hall.rooms[cell.name].controller.engines
-            cells.append({
-                "cell": cell.name, "weight": cell.weight, "default": cell.name == self.map.default,
-                "ready": fleet.ready, "cold": fleet.cold, "short": fleet.ready < cell.least,
-                "cores": sum(known[n].cores for n in engines if n in known),
-                "open": hall.rooms[cell.name].open, "lent": broker.requests_lent.lent(cell.name),
-                "refused_for_room": broker.refused_for_room.get(cell.name, 0),
-                "engines": sorted(hall.uid_of(n) for n in engines)})
+            cells.append(
+                {
+                    "cell": cell.name,
+                    "weight": cell.weight,
+                    "default": cell.name == self.map.default,
+                    "ready": fleet.ready,
+                    "cold": fleet.cold,
+                    "short": fleet.ready < cell.least,
+                    "cores": sum(known[n].cores for n in engines if n in known),
+                    "open": hall.rooms[cell.name].open,
+                    "lent": broker.requests_lent.lent(cell.name),
+                    "refused_for_room": broker.refused_for_room.get(cell.name, 0),
+                    "engines": sorted(hall.uid_of(n) for n in engines),
+                }
+            )
         subjects = {*self.map.tenants, *broker.rates.held, *broker.moves.records}
         spread = {t.name for t in self.map.tenants.values() if t.key}
-        tenants = [{"tenant": s, "cell": broker.moves.cell(s, now), "load": round(broker.rates.at(s, now), 6)}
-                   for s in sorted(subjects - spread)]
-        return {"epoch": self.map.epoch, "digest": self.digest, "cells": cells, "tenants": tenants,
-                "unplaced": sorted(u for u, c in hall.placement.seats.items() if c is None),
-                "moves": [m.plain() for m in sorted(broker.moves.records.values(), key=lambda m: -m.begun)]}
+        tenants = [
+            {
+                "tenant": s,
+                "cell": broker.moves.cell(s, now),
+                "load": round(broker.rates.at(s, now), 6),
+            }
+            for s in sorted(subjects - spread)
+        ]
+        return {
+            "epoch": self.map.epoch,
+            "digest": self.digest,
+            "cells": cells,
+            "tenants": tenants,
+            "unplaced": sorted(u for u, c in hall.placement.seats.items() if c is None),
+            "moves": [
+                m.plain() for m in sorted(broker.moves.records.values(), key=lambda m: -m.begun)
+            ],
+        }
 
 
 def _over(ledger: Ledger) -> dict[str, int]:
--- a/larchhall/shares/fair.py
+++ b/larchhall/shares/fair.py
@@ -6,17 +6,22 @@
 
 
 def water_level(wanted: Mapping[str, float], whole: float) -> dict[str, float]:
-    """Each what it wants, up to a level that is the same for all: nobody gets more by asking for more."""
+    """Each what it wants, up to a level that is the same for all: nobody gets more by asking for
+    more.
+    """
     left, given = whole, dict[str, float]()
-    for count, (name, want) in enumerate(sorted(wanted.items(), key=lambda item: (item[1], item[0]))):
+    for count, (name, want) in enumerate(
+        sorted(wanted.items(), key=lambda item: (item[1], item[0]))
+    ):
         given[name] = max(0.0, min(want, left / (len(wanted) - count)))
         left -= given[name]
     return given
 
 
 class Forecast:
-    """What one broker will need: its recent mean, and what its last second says if that is more. Ahead of
-    need by ``ahead`` of it."""
+    """What one broker will need: its recent mean, and what its last second says if that is more.
+    Ahead of need by ``ahead`` of it.
+    """
 
     def __init__(self, ahead: float = 1.25, fading: float = 0.3) -> None:
         self.ahead, self.fading = ahead, fading
