--- a/larchhall/shares/joins.py
+++ b/larchhall/shares/joins.py
@@ -1,6 +1,7 @@
-"""Joins shared limits and verdicts to the membership, the broker and the operators: the one module of both
-with input and output. What comes from others reaches the module as settings (shares, quotas) and as words on
-engines."""
+"""Joins shared limits and verdicts to the membership, the broker and the operators: the one module
+of both with input and output. What comes from others reaches the module as settings (shares,
+quotas) and as words on engines.
+"""
 
 from __future__ import annotations
 
@@ -29,13 +30,13 @@
 S = 1_000_000_000
 MS = 1_000_000
 LOOK = S // 4
-ROOM = 1_000         # bytes of one message's body
-CHANGED = 0.05       # a share that moves by less is not told to the module anew
-MOST_SIZE = 8        # times the size in the file: no lease makes our part smaller than that
+ROOM = 1_000  # bytes of one message's body
+CHANGED = 0.05  # a share that moves by less is not told to the module anew
+MOST_SIZE = 8  # times the size in the file: no lease makes our part smaller than that
 GOOD, BAD = {Result.SERVED}, {Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET}
-PROBED = S           # between two probes of an engine that is held out
-KEPT = 60            # seconds of what was let pass, for the figures
-RECORD = 400         # changes of leases that an auditor may read
+PROBED = S  # between two probes of an engine that is held out
+KEPT = 60  # seconds of what was let pass, for the figures
+RECORD = 400  # changes of leases that an auditor may read
 JSON = "application/json"
 Answer = tuple[int, bytes, str, str]
 
@@ -80,10 +81,12 @@
         self.forecasts = {limit.name: Forecast() for limit in terms.limits}
         self.by_tenant = {limit.name: limit for limit in terms.limits if limit.kind == "tenant"}
         self.of_kind = {limit.kind: limit for limit in terms.limits if limit.kind != "tenant"}
-        self.asked: dict[str, float] = {}      # since the last second
-        self.passed: dict[str, deque[float]] = {limit.name: deque(maxlen=KEPT) for limit in terms.limits}
-        self.told: dict[str, float] = {}       # what the module goes by
-        self.ends = 0                          # of the first lease that the module goes by
+        self.asked: dict[str, float] = {}  # since the last second
+        self.passed: dict[str, deque[float]] = {
+            limit.name: deque(maxlen=KEPT) for limit in terms.limits
+        }
+        self.told: dict[str, float] = {}  # what the module goes by
+        self.ends = 0  # of the first lease that the module goes by
         self.looked = self.second = self.round = now
         self.tokens, self.tokens_at = 1.0, now
         self.breaches = 0
@@ -114,20 +117,25 @@
     def configure(self) -> None:
         """At the start, and at SIGHUP."""
         self.leases.fleet = self.node.config.settings.fleet_size
-        self.leases.limits = {limit.name: self.whole(limit) * (1 - self.terms.guaranteed)
-                              for limit in self.terms.limits if limit.hard()}
+        self.leases.limits = {
+            limit.name: self.whole(limit) * (1 - self.terms.guaranteed)
+            for limit in self.terms.limits
+            if limit.hard()
+        }
 
     def ours(self, limit: LimitTerms, now: int) -> float:
         """What we may use of it, a second, at this moment."""
         whole = self.whole(limit)
         if limit.hard():
             return self.leases.floor(whole) + self.leases.amount(limit.name, now)
-        return self.counters.may(now, limit.name, whole, self.node.config.settings.fleet_size,
-                                 self.membership.names())[0]
+        return self.counters.may(
+            now, limit.name, whole, self.node.config.settings.fleet_size, self.membership.names()
+        )[0]
 
     def adjust(self, settings: Settings) -> Settings:
-        """Shares that are leased in place of even ones. The module divides tenants' allowances by the size:
-        what is told is our own part times it."""
+        """Shares that are leased in place of even ones. The module divides tenants' allowances by
+        the size: what is told is our own part times it.
+        """
         now, even = self.node.clock.now(), settings.fleet_size
         size, me = even, settings.me
         work = self.of_kind.get("work")
@@ -135,22 +143,34 @@
             most = MOST_SIZE * self.node.config.settings.fleet_size
             size = max(1, min(most, round(1 / max(1e-6, self.ours(work, now)))))
             me %= size
-        tenants = tuple(replace(t, quota_per_s=size * (
-            self.ours(self.by_tenant[t.name], now) if t.name in self.by_tenant else t.quota_per_s / even))
-            for t in settings.tenants)
+        tenants = tuple(
+            replace(
+                t,
+                quota_per_s=size
+                * (
+                    self.ours(self.by_tenant[t.name], now)
+                    if t.name in self.by_tenant
+                    else t.quota_per_s / even
+                ),
+            )
+            for t in settings.tenants
+        )
         return replace(settings, fleet_size=size, me=me, tenants=tenants)
 
     def _cold(self, now: int) -> bool:
         """Danger: what many hold a large part of at once is pushed over while it is cold."""
         cold = self.node.config.settings.contract.cold
-        return any(k.target.state is EngineState.READY and k.target.started + cold > now
-                   for k in self.node.broker.engines.by_number.values())
+        return any(
+            k.target.state is EngineState.READY and k.target.started + cold > now
+            for k in self.node.broker.engines.by_number.values()
+        )
 
     # --- the ordinary path ---
 
     def _arriving(self, ask: Ask, now: int) -> None:
-        """Danger: one that was paused reads what waits for it before it looks at any timer: a lease that has
-        ended meanwhile must not be used."""
+        """Danger: one that was paused reads what waits for it before it looks at any timer: a lease
+        that has ended meanwhile must not be used.
+        """
         if self.ends and now >= self.ends:
             self._tell(now)
         if ask.customer in self.by_tenant:
@@ -193,9 +213,13 @@
             self._write_down(now)
             if now - self.round >= self.terms.told:
                 self.round = now
-                rates = {li.name: self.let_pass(li.name) for li in self.of_kind.values() if not li.hard()}
+                rates = {
+                    li.name: self.let_pass(li.name) for li in self.of_kind.values() if not li.hard()
+                }
                 for to, rows in self.counters.round(now, rates, self.membership.names()):
-                    for body in packed(rows.rows, lambda part: self.encoder.encode(Rows(tuple(part)))):
+                    for body in packed(
+                        rows.rows, lambda part: self.encoder.encode(Rows(tuple(part)))
+                    ):
                         self.membership.talk("limits", to, body)
             self._send()
             self._tell(now)
@@ -223,19 +247,30 @@
                 if need > self.leases.amount(limit.name, now):
                     self.leases.hurry(now)
             else:
-                total = sum(dict(k.row.rates).get(limit.name, 0.0) for k in self.counters.rows.values())
+                total = sum(
+                    dict(k.row.rates).get(limit.name, 0.0) for k in self.counters.rows.values()
+                )
                 over = total - self.whole(limit)
                 self.worst[limit.name] = max(self.worst.get(limit.name, 0.0), over)
                 promised = overshoot(self.terms, limit, self.whole(limit), self.leases.fleet)
                 if over > promised + 1e-9:
                     self.breaches += 1
-                    self.node.log("limits", f"{limit.name}: {total:.1f} a second were let pass, {over:.1f} "
-                                            f"over; {promised:.1f} are promised at the most")
+                    self.node.log(
+                        "limits",
+                        f"{limit.name}: {total:.1f} a second were let pass, {over:.1f} "
+                        f"over; {promised:.1f} are promised at the most",
+                    )
 
     def _cores(self) -> int:
-        sizes, known = dict(self.node.config.settings.kind_cores), self.node.broker.engines.by_number.values()
-        return sum(sizes.get(k.target.kind) or max(1, round(k.target.weight))
-                   for k in known if k.target.state is EngineState.READY)
+        sizes, known = (
+            dict(self.node.config.settings.kind_cores),
+            self.node.broker.engines.by_number.values(),
+        )
+        return sum(
+            sizes.get(k.target.kind) or max(1, round(k.target.weight))
+            for k in known
+            if k.target.state is EngineState.READY
+        )
 
     def _send(self) -> None:
         out, self.leases.out = self.leases.out, []
@@ -297,7 +332,9 @@
         if not name:
             return no(404, f"{address[:60]} is no member")
         if self.leases.home(limit) != self.leases.me:
-            return no(409, f"the home of {limit} is {self.leases.home(limit).split('/')[0]}: say it there")
+            return no(
+                409, f"the home of {limit} is {self.leases.home(limit).split('/')[0]}: say it there"
+            )
         self.leases.caps[limit, name] = most
         return yes({"limit": limit, "holder": address, "at_most": most})
 
@@ -308,50 +345,90 @@
             whole, lease = self.whole(limit), leases.held.get(limit.name)
             live = lease is not None and now < lease.until
             said: dict[str, Any] = {
-                "name": limit.name, "kind": limit.kind, "hard": limit.hard(), "whole": whole,
-                "ours": round(self.ours(limit, now), 6), "asked": round(self.forecasts[limit.name].last, 6),
+                "name": limit.name,
+                "kind": limit.kind,
+                "hard": limit.hard(),
+                "whole": whole,
+                "ours": round(self.ours(limit, now), 6),
+                "asked": round(self.forecasts[limit.name].last, 6),
                 "stale_s": stale(self.terms, limit),
-                "overshoot_promised": overshoot(self.terms, limit, whole, leases.fleet)}
+                "overshoot_promised": overshoot(self.terms, limit, whole, leases.fleet),
+            }
             if limit.hard():
                 home = leases.home(limit.name)
-                said |= {"floor": leases.floor(whole), "held": lease.amount if live and lease else 0.0,
-                         "left_s": round((lease.until - now) / S, 2) if live and lease else 0.0,
-                         "want": round(leases.want.get(limit.name, 0.0), 6), "home": home.split("/")[0],
-                         "floor_in_force": not live}
+                said |= {
+                    "floor": leases.floor(whole),
+                    "held": lease.amount if live and lease else 0.0,
+                    "left_s": round((lease.until - now) / S, 2) if live and lease else 0.0,
+                    "want": round(leases.want.get(limit.name, 0.0), 6),
+                    "home": home.split("/")[0],
+                    "floor_in_force": not live,
+                }
                 if home == leases.me:
                     said["lent"] = self._lent(limit.name, now)
             else:
-                age = self.counters.may(now, limit.name, whole, leases.fleet, self.membership.names())[1]
-                said |= {"age_s": round(age / S, 2),
-                         "overshoot_seen": round(self.worst.get(limit.name, 0.0), 3)}
+                age = self.counters.may(
+                    now, limit.name, whole, leases.fleet, self.membership.names()
+                )[1]
+                said |= {
+                    "age_s": round(age / S, 2),
+                    "overshoot_seen": round(self.worst.get(limit.name, 0.0), 3),
+                }
             told.append(said)
-        return {"me": self.membership.detector.me.address, "limits": told, "breaches": self.breaches,
-                "figures": {**leases.figures, **self.counters.figures}}
+        return {
+            "me": self.membership.detector.me.address,
+            "limits": told,
+            "breaches": self.breaches,
+            "figures": {**leases.figures, **self.counters.figures},
+        }
 
     def _lent(self, limit: str, now: int) -> dict[str, float]:
-        return {holder.split("/")[0]: round(entry.out(now), 6) for home in self.leases.homes.values()
-                for holder, entry in home.books.get(limit, {}).items()}
+        return {
+            holder.split("/")[0]: round(entry.out(now), 6)
+            for home in self.leases.homes.values()
+            for holder, entry in home.books.get(limit, {}).items()
+        }
 
     def figures(self) -> bytes:
         now, limits = self.node.clock.now(), self.terms.limits
         values: dict[str, tuple[str, list[float]]] = {
-            "ours": ("What this broker may use of a limit, a second.", [self.ours(li, now) for li in limits]),
-            "asked": ("What was asked of it in the last second.", [
-                self.forecasts[li.name].last for li in limits]),
+            "ours": (
+                "What this broker may use of a limit, a second.",
+                [self.ours(li, now) for li in limits],
+            ),
+            "asked": (
+                "What was asked of it in the last second.",
+                [self.forecasts[li.name].last for li in limits],
+            ),
             "held": ("What of it is leased.", [self.leases.amount(li.name, now) for li in limits]),
-            "overshoot_promised": ("By how much all may be over.", [
-                overshoot(self.terms, li, self.whole(li), self.leases.fleet) for li in limits]),
-            "overshoot_seen": ("By how much all were seen to be over.", [
-                self.worst.get(li.name, 0.0) for li in limits])}
+            "overshoot_promised": (
+                "By how much all may be over.",
+                [overshoot(self.terms, li, self.whole(li), self.leases.fleet) for li in limits],
+            ),
+            "overshoot_seen": (
+                "By how much all were seen to be over.",
+                [self.worst.get(li.name, 0.0) for li in limits],
+            ),
+        }
         lines = list[str]()
         for key, (help, told) in values.items():
             name = f"edge_proxy_limit_{key}"
-            lines += [f"# HELP {name} {help}", f"# TYPE {name} gauge",
-                      *(f'{name}{{limit="{li.name}"}} {v:.6g}' for li, v in zip(limits, told, strict=True))]
-        lines += ["# HELP edge_proxy_limit_events_total What became of leases.",
-                  "# TYPE edge_proxy_limit_events_total counter",
-                  *(f'edge_proxy_limit_events_total{{event="{k}"}} {n}'
-                    for k, n in {**self.leases.figures, "breaches": self.breaches}.items())]
+            lines += [
+                f"# HELP {name} {help}",
+                f"# TYPE {name} gauge",
+                *(
+                    f'{name}{{limit="{li.name}"}} {v:.6g}'
+                    for li, v in zip(limits, told, strict=True)
+                ),
+            ]
+        lines += [
+            "# HELP edge_proxy_limit_events_total What became of leases.",
+            "# TYPE edge_proxy_limit_events_total counter",
+            *(
+                f'edge_proxy_limit_events_total{{event="{k}"}} {n}'
+                for k, n in {**self.leases.figures, "breaches": self.breaches}.items()
+            ),
+        ]
         return ("\n".join(lines) + "\n").encode()
 
 
@@ -372,7 +449,9 @@
         self.book = Wordbook(membership.detector.me.address)
         self.held: dict[Engine, HeldOut] = {}
         self.encoder = msgspec.msgpack.Encoder()
-        self.decoder: msgspec.msgpack.Decoder[Reports | Words] = msgspec.msgpack.Decoder(Reports | Words)
+        self.decoder: msgspec.msgpack.Decoder[Reports | Words] = msgspec.msgpack.Decoder(
+            Reports | Words
+        )
         self.round = node.clock.now()
         self.answered: dict[str, int] = {}
         membership.subscribe("verdicts", self._heard)
@@ -397,9 +476,10 @@
             self.evidence.outcome(self.node.clock.now(), engine, result in GOOD)
 
     def _witness(self, number: int, result: Result) -> None:
-        """Probes tell of those that are held out alone: a report of load is no answer to a query. Danger: who
-        comes to a verdict first and takes an answer for a proof before the others have heard of the failures
-        takes from them what their verdict would rest on."""
+        """Probes tell of those that are held out alone: a report of load is no answer to a query.
+        Danger: who comes to a verdict first and takes an answer for a proof before the others have
+        heard of the failures takes from them what their verdict would rest on.
+        """
         engine, now = self._engine(number), self.node.clock.now()
         if engine is not None and (held := self.held.get(engine)) is not None and now >= held.heard:
             self.evidence.outcome(now, engine, result is Result.SERVED)
@@ -436,14 +516,19 @@
         self.membership.flush()
 
     def _judge(self, now: int) -> None:
-        engines = {Engine(k.target.uid, k.target.started // MS): k.target.zone
-                   for k in self.node.broker.engines.by_number.values()
-                   if k.target.state is EngineState.READY and not self._pinned(k.target.uid)}
+        engines = {
+            Engine(k.target.uid, k.target.started // MS): k.target.zone
+            for k in self.node.broker.engines.by_number.values()
+            if k.target.state is EngineState.READY and not self._pinned(k.target.uid)
+        }
         begun, lifted = self.evidence.judge(now, self.membership.names(), engines)
         for verdict in begun:
-            self.node.log("verdicts", f"{verdict.engine.uid[:80]}: {verdict.kind.value}, by "
-                                      f"{len(verdict.by)} observers, held out for "
-                                      f"{(verdict.until - now) / S:.0f} s at least")
+            self.node.log(
+                "verdicts",
+                f"{verdict.engine.uid[:80]}: {verdict.kind.value}, by "
+                f"{len(verdict.by)} observers, held out for "
+                f"{(verdict.until - now) / S:.0f} s at least",
+            )
             self._hold(now, verdict.engine, True)
         for engine in lifted:
             self.node.log("verdicts", f"{engine.uid[:80]}: let in again")
@@ -454,7 +539,9 @@
         return word is not None and word.value == "pinned"
 
     def _hold(self, now: int, engine: Engine, out: bool) -> None:
-        """As on an operator's word, which stands above it. Let in again it is no colder than it was."""
+        """As on an operator's word, which stands above it. Let in again it is no colder than it
+        was.
+        """
         number = self._number(engine)
         if out:
             heard = now + rounds(len(self.membership.names())) * self.terms.told
@@ -493,8 +580,9 @@
             for part in packed(mine, lambda words: self.encoder.encode(Words(b"", tuple(words)))):
                 self.membership.talk("verdicts", sender, part)
             if not message.answer:  # it may know what we don't
-                self.membership.talk("verdicts", sender, self.encoder.encode(
-                    Words(self.book.digest(), (), True)))
+                self.membership.talk(
+                    "verdicts", sender, self.encoder.encode(Words(self.book.digest(), (), True))
+                )
 
     def _said(self, uid: str, out: bool) -> None:
         """An operator's word, here."""
@@ -508,7 +596,9 @@
         self._free(uid)
         if known is None and value != "out" or known is not None and known.out == (value == "out"):
             return
-        self.node.broker.take_word(uid, Ban(now if known is None else max(now, known.at + 1), value == "out"))
+        self.node.broker.take_word(
+            uid, Ban(now if known is None else max(now, known.at + 1), value == "out")
+        )
 
     def _free(self, uid: str) -> None:
         """Operators have spoken: no verdict stands beside that."""
@@ -543,21 +633,40 @@
     def status(self) -> dict[str, Any]:
         now = self.node.clock.now()
         return {
-            "verdicts": [{"uid": v.engine.uid, "kind": v.kind.value, "zone": v.zone, "observers": len(v.by),
-                          "for": round((now - v.since) / S, 2), "at_least": round((v.until - now) / S, 2),
-                          "evidence_age": round((now - v.newest) / S, 2), "relapses": v.relapses}
-                         for v in self.evidence.verdicts.values()],
-            "words": [{"uid": w.uid, "word": w.value, "version": w.version, "by": w.by}
-                      for w in self.book.words.values()],
-            "lost": [{"uid": w.uid, "word": w.value, "version": w.version, "by": w.by}
-                     for w in self.book.lost.values()],
-            "figures": self.evidence.figures}
+            "verdicts": [
+                {
+                    "uid": v.engine.uid,
+                    "kind": v.kind.value,
+                    "zone": v.zone,
+                    "observers": len(v.by),
+                    "for": round((now - v.since) / S, 2),
+                    "at_least": round((v.until - now) / S, 2),
+                    "evidence_age": round((now - v.newest) / S, 2),
+                    "relapses": v.relapses,
+                }
+                for v in self.evidence.verdicts.values()
+            ],
+            "words": [
+                {"uid": w.uid, "word": w.value, "version": w.version, "by": w.by}
+                for w in self.book.words.values()
+            ],
+            "lost": [
+                {"uid": w.uid, "word": w.value, "version": w.version, "by": w.by}
+                for w in self.book.lost.values()
+            ],
+            "figures": self.evidence.figures,
+        }
 
     def figures(self) -> bytes:
-        lines = ["# HELP edge_proxy_verdicts Engines that shared verdicts hold out.",
-                 "# TYPE edge_proxy_verdicts gauge", f"edge_proxy_verdicts {len(self.evidence.verdicts)}",
-                 "# HELP edge_proxy_verdict_events_total Verdicts begun, lifted, or over the part.",
-                 "# TYPE edge_proxy_verdict_events_total counter",
-                 *(f'edge_proxy_verdict_events_total{{event="{k}"}} {n}'
-                   for k, n in self.evidence.figures.items())]
+        lines = [
+            "# HELP edge_proxy_verdicts Engines that shared verdicts hold out.",
+            "# TYPE edge_proxy_verdicts gauge",
+            f"edge_proxy_verdicts {len(self.evidence.verdicts)}",
+            "# HELP edge_proxy_verdict_events_total Verdicts begun, lifted, or over the part.",
+            "# TYPE edge_proxy_verdict_events_total counter",
+            *(
+                f'edge_proxy_verdict_events_total{{event="{k}"}} {n}'
+                for k, n in self.evidence.figures.items()
+            ),
+        ]
         return ("\n".join(lines) + "\n").encode()
--- a/larchhall/shares/leases.py
+++ b/larchhall/shares/leases.py
@@ -1,23 +1,32 @@
-"""Hard limits by leases: the promises that make one broker the home of a shard, what the home grants, what
+"""Hard limits by leases: the promises that make one broker the home of a shard, what the home
+grants, what
 each holds. Pure; `now` is this broker's own clock, which may run fast or slow by the stated drift.
 
 Three duties, all in every broker:
 
-* **Promiser**: agrees to one home of a shard at a time, for a while. One that has just started agrees to none
+* **Promiser**: agrees to one home of a shard at a time, for a while. One that has just started
+  agrees to none
 until
   whatever it promised before it died has ended.
-* **Home**: grants only while more than half of the fleet (by the size in the file) has agreed. Two homes
+* **Home**: grants only while more than half of the fleet (by the size in the file) has agreed. Two
+  homes
 never
-  both have that: two halves share a broker, and its promises follow one another (Gray and Cheriton's leases,
-  1989; the terms are those of Raft). A new home does not know what the last one granted: what holders show
-  it, dated after it became the only home, it renews; it raises nothing until all that the last one granted
+  both have that: two halves share a broker, and its promises follow one another (Gray and
+  Cheriton's leases,
+  1989; the terms are those of Raft). A new home does not know what the last one granted: what
+  holders show
+  it, dated after it became the only home, it renews; it raises nothing until all that the last one
+  granted
   has ended.
-* **Holder**: counts a lease from when it asked, shorter than the home does, and looks at its own clock at
+* **Holder**: counts a lease from when it asked, shorter than the home does, and looks at its own
+  clock at
 each use:
   one that was paused wakes to a lease that has ended.
 
-So the sum of what is valid never passes the limit, whatever is lost, late, twice, cut or restarted, while
-clocks keep the stated drift. """
+So the sum of what is valid never passes the limit, whatever is lost, late, twice, cut or restarted,
+while
+clocks keep the stated drift.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +40,7 @@
 from .terms import ASKS, SHARDS, SharesTerms, held_for, owed_for
 
 MOST_LIMITS = 4_096
-MOST_WANTS = 12     # in one message
+MOST_WANTS = 12  # in one message
 LEAST = 1e-9
 
 
@@ -42,7 +51,10 @@
 
 @lru_cache(256)
 def home_of(shard: int, members: tuple[str, ...]) -> str:
-    """Rendezvous: the same for all that hold the same view; one that goes moves its own shards alone."""
+    """Rendezvous: the same for all that hold the same view; one that goes moves its own shards
+    alone.
+    """
+
     def draw(member: str) -> bytes:
         return hashlib.blake2b(f"{shard}/{member}".encode(), digest_size=8).digest()
 
@@ -51,8 +63,9 @@
 
 @dataclass(slots=True)
 class Entry:
-    """What a home has out with one holder, by grant: any of those that have not ended may be what it goes
-    by."""
+    """What a home has out with one holder, by grant: any of those that have not ended may be what
+    it goes by.
+    """
 
     grants: dict[int, tuple[float, int]] = field(default_factory=dict)  # grant: amount, end
     seq: int = -1
@@ -69,9 +82,9 @@
 
     term: int
     promises: dict[str, int] = field(default_factory=dict)  # who: until when, by our clock
-    asked: dict[int, int] = field(default_factory=dict)     # seq: when it was sent
-    since: int = 0          # we alone grant, from then on; 0: not yet
-    raises_at: int = 0      # what the last home granted has ended
+    asked: dict[int, int] = field(default_factory=dict)  # seq: when it was sent
+    since: int = 0  # we alone grant, from then on; 0: not yet
+    raises_at: int = 0  # what the last home granted has ended
     books: dict[str, dict[str, Entry]] = field(default_factory=dict)  # limit: holder: entry
 
 
@@ -86,8 +99,14 @@
 class Leases:
     """``out``: messages, and to whom. ``limits``: the leased part of each hard limit."""
 
-    def __init__(self, me: str, terms: SharesTerms, fleet: int, now: int,
-                 draw: Callable[[], float] = lambda: 0.5) -> None:
+    def __init__(
+        self,
+        me: str,
+        terms: SharesTerms,
+        fleet: int,
+        now: int,
+        draw: Callable[[], float] = lambda: 0.5,
+    ) -> None:
         self.me, self.terms, self.fleet, self.draw = me, terms, fleet, draw
         self.limits: dict[str, float] = {}
         self.members: tuple[str, ...] = ()
@@ -97,16 +116,18 @@
         self.silent_until = now + owed_for(terms.promise, terms.drift)
         self.homes: dict[int, Home] = {}
         self.held: dict[str, Lease] = {}
-        self.terms_seen: dict[int, int] = {}    # shard: the highest
-        self.confirmed: dict[int, int] = {}     # shard: the term in which its home is held
+        self.terms_seen: dict[int, int] = {}  # shard: the highest
+        self.confirmed: dict[int, int] = {}  # shard: the term in which its home is held
         self.want: dict[str, float] = {}
         self.spare: set[str] = set()  # limits of which we take what others leave, also without need
         self.asking: dict[str, tuple[int, int]] = {}  # limit: seq of the last ask, when
         self.seq = 0
-        self.grant = 1 + int(draw() * (1 << 40))  # danger: another home's number would pass for one of ours
+        # danger: another home's number would pass for one of ours
+        self.grant = 1 + int(draw() * (1 << 40))
         self.home_at = self.ask_at = now
         self.figures = {"asked": 0, "granted": 0, "refused": 0, "homes_lost": 0, "ended": 0}
-        self.caps: dict[tuple[str, str], float] = {}  # limit, holder: what operators have recalled it to
+        # limit, holder: what operators have recalled it to
+        self.caps: dict[tuple[str, str], float] = {}
 
     # --- what others read ---
 
@@ -124,8 +145,9 @@
         return min((le.until for le in self.held.values() if le.until > now), default=0)
 
     def authority(self, shard: int, now: int) -> bool:
-        """Danger: where more brokers are there than the file says, two homes may each have half of its
-        number."""
+        """Danger: where more brokers are there than the file says, two homes may each have half of
+        its number.
+        """
         home = self.homes.get(shard)
         if home is None or len(self.members) > self.fleet:
             return False
@@ -172,8 +194,9 @@
         self._rule(now)
 
     def _rule(self, now: int) -> None:
-        """Who we are the only home of. Danger: authority that lapsed for a moment may have been another's
-        meanwhile: it begins anew, in a new term, with nothing known."""
+        """Who we are the only home of. Danger: authority that lapsed for a moment may have been
+        another's meanwhile: it begins anew, in a new term, with nothing known.
+        """
         for shard, home in self.homes.items():
             if self.authority(shard, now):
                 if not home.since:
@@ -187,8 +210,13 @@
 
     def _seek(self, now: int) -> None:
         """Ask all members to agree to us where the view says that we are home."""
-        mine = {s for s in range(SHARDS) if self.certain and home_of(s, self.members) == self.me
-                and any(shard_of(name) == s for name in self.limits)}
+        mine = {
+            s
+            for s in range(SHARDS)
+            if self.certain
+            and home_of(s, self.members) == self.me
+            and any(shard_of(name) == s for name in self.limits)
+        }
         for shard in list(self.homes):
             if shard not in mine and not self.authority(shard, now):
                 del self.homes[shard]
@@ -228,7 +256,8 @@
             amount = self._amount(now, home, book, holder, want, whole)
             if amount is None:
                 continue
-            # It takes no grant but the one for its last ask: all others but that which it goes by are void.
+            # It takes no grant but the one for its last ask: all others but that which it goes by
+            # are void.
             entry.grants = {g: v for g, v in entry.grants.items() if g == want.grant and v[1] > now}
             self.grant += 1
             entry.grants[self.grant] = (amount, now + self.terms.lease)
@@ -237,19 +266,26 @@
         if given:
             self.out.append((holder, LeaseGrant(ask.seq, tuple(given))))
 
-    def _amount(self, now: int, home: Home, book: dict[str, Entry], holder: str, want: Want,
-                whole: float) -> float | None:
+    def _amount(
+        self, now: int, home: Home, book: dict[str, Entry], holder: str, want: Want, whole: float
+    ) -> float | None:
         """None: nothing may be said to this one yet."""
         others = sum(e.out(now) for h, e in book.items() if h != holder)
         mine = book[holder]
         if now < home.raises_at:
-            # What it shows is of the last home, and all shown together is within the limit; no more is given.
+            # What it shows is of the last home, and all shown together is within the limit; no more
+            # is given.
             if want.term != home.term:
                 return None if want.held > 0 else 0.0
             shown = max(want.held, mine.out(now)) if want.grant else mine.out(now)
-            return max(0.0, min(max(want.want, shown if want.want >= 0 else 0.0), shown, whole - others))
-        fresh = {h: min(e.want, self.caps.get((want.limit, h), e.want)) for h, e in book.items()
-                 if now - e.wanted < self.terms.lease}
+            return max(
+                0.0, min(max(want.want, shown if want.want >= 0 else 0.0), shown, whole - others)
+            )
+        fresh = {
+            h: min(e.want, self.caps.get((want.limit, h), e.want))
+            for h, e in book.items()
+            if now - e.wanted < self.terms.lease
+        }
         levels = water_level({h: max(0.0, w) for h, w in fresh.items()}, whole)
         level = levels.get(holder, 0.0)
         if want.want >= 0 and (want.limit, holder) not in self.caps:
@@ -269,7 +305,11 @@
             self.terms_seen[shard] = given.term
             self.asking[given.limit] = -1, sent  # one grant for one ask
             self.held[given.limit] = Lease(
-                given.amount, sent + held_for(self.terms.lease, self.terms.drift), given.grant, given.term)
+                given.amount,
+                sent + held_for(self.terms.lease, self.terms.drift),
+                given.grant,
+                given.term,
+            )
 
     def _ask(self, now: int) -> None:
         """Ahead of need: each quarter of a lease, and at once for what is wanted and not held."""
@@ -289,10 +329,11 @@
                 lease.until = now  # it is given back: from this moment it is not used
                 want, held, number = -1.0, 0.0, 0
             by_home.setdefault(home, []).append(
-                Want(limit, want, held, number, self.confirmed.get(shard, -1)))
+                Want(limit, want, held, number, self.confirmed.get(shard, -1))
+            )
         for home, wants in by_home.items():
             for at in range(0, len(wants), MOST_WANTS):
-                part = wants[at:at + MOST_WANTS]
+                part = wants[at : at + MOST_WANTS]
                 self.seq += 1
                 for one in part:
                     self.asking[one.limit] = self.seq, now
@@ -309,7 +350,9 @@
 
     # --- from outside ---
 
-    def receive(self, now: int, sender: str, message: HomeAsk | Promise | LeaseAsk | LeaseGrant) -> None:
+    def receive(
+        self, now: int, sender: str, message: HomeAsk | Promise | LeaseAsk | LeaseGrant
+    ) -> None:
         match message:
             case HomeAsk():
                 self.out.append((sender, self._promise(now, sender, message)))
--- a/larchhall/shares/messages.py
+++ b/larchhall/shares/messages.py
@@ -6,15 +6,18 @@
 
 
 class HomeAsk(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Agree that I am home of these shards, each in this term. ``held``: I have been agreed to in this term,
-    and nobody else grants: what you hold from before is safe to be renewed."""
+    """Agree that I am home of these shards, each in this term. ``held``: I have been agreed to in
+    this term, and nobody else grants: what you hold from before is safe to be renewed.
+    """
 
     seq: int
     shards: tuple[tuple[int, int, bool], ...]  # shard, term, held
 
 
 class Promise(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """For `HomeAsk` ``seq``: shards that I agree to, and the terms that stand in the way of others."""
+    """For `HomeAsk` ``seq``: shards that I agree to, and the terms that stand in the way of
+    others.
+    """
 
     seq: int
     agreed: tuple[int, ...]
@@ -22,8 +25,9 @@
 
 
 class Want(msgspec.Struct, array_like=True, frozen=True):
-    """``held``, ``grant``: what I hold now, and by which grant; 0, 0: nothing. ``term``: in which I know the
-    home to be held."""
+    """``held``, ``grant``: what I hold now, and by which grant; 0, 0: nothing. ``term``: in which I
+    know the home to be held.
+    """
 
     limit: str
     want: float
--- a/larchhall/standins/bus.py
+++ b/larchhall/standins/bus.py
@@ -1,4 +1,6 @@
-"""The event bus on loopback: one whose every line is scripted, and one that keeps a list of engines."""
+"""The event bus on loopback: one whose every line is scripted, and one that keeps a list of
+engines.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +12,17 @@
 
 def target(uid: str, port: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
     """An engine as the bus tells of it."""
-    return {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": "east", "model": "std", "pod_group": 2,
-            "state": state, "capacity_hint": 8, "boot_ms": 0, **more}
+    return {
+        "uid": uid,
+        "endpoint": f"127.0.0.1:{port}",
+        "az": "east",
+        "model": "std",
+        "pod_group": 2,
+        "state": state,
+        "capacity_hint": 8,
+        "boot_ms": 0,
+        **more,
+    }
 
 
 def event(offset: int, *targets: dict[str, Any], full: bool = False) -> dict[str, Any]:
--- a/larchhall/start/joins.py
+++ b/larchhall/start/joins.py
@@ -25,22 +25,34 @@
 
 S = 1_000_000_000
 MS = 1_000_000
-SAVE = 5 * S              # between two looks whether the list on disk is still the one in force
+SAVE = 5 * S  # between two looks whether the list on disk is still the one in force
 NOWHERE = ("\0unconfirmed",)  # no engine is of this kind: rule on placement, the module's own
-STATES = {EngineState.READY: "in_service", EngineState.DRAINING: "terminating",
-          EngineState.GONE: "terminated"}
+STATES = {
+    EngineState.READY: "in_service",
+    EngineState.DRAINING: "terminating",
+    EngineState.GONE: "terminated",
+}
 JSON = "application/json"
 
 
 def plain(target: Target) -> dict[str, Any]:
     """A target as the bus tells of it."""
-    return {"uid": target.uid, "endpoint": f"{target.host}:{target.port}", "az": target.zone,
-            "model": target.kind, "pod_group": target.cell, "state": STATES[target.state],
-            "capacity_hint": target.weight, "boot_ms": target.started // MS}
+    return {
+        "uid": target.uid,
+        "endpoint": f"{target.host}:{target.port}",
+        "az": target.zone,
+        "model": target.kind,
+        "pod_group": target.cell,
+        "state": STATES[target.state],
+        "capacity_hint": target.weight,
+        "boot_ms": target.started // MS,
+    }
 
 
 def listed(table: EngineTable) -> tuple[dict[str, Any], ...]:
-    return tuple(plain(k.target) for k in table.by_uid.values() if k.target.state is not EngineState.GONE)
+    return tuple(
+        plain(k.target) for k in table.by_uid.values() if k.target.state is not EngineState.GONE
+    )
 
 
 class ListPace:
@@ -77,13 +89,13 @@
         now = node.clock.now()
         self.start = Start(terms, now)
         self.ramp: Ramp | None = None
-        self.seen: set[int] = set()             # engines that have answered, or refused to
-        self.asked: dict[int, int] = {}         # engine: when it is probed first
+        self.seen: set[int] = set()  # engines that have answered, or refused to
+        self.asked: dict[int, int] = {}  # engine: when it is probed first
         self.counted = (0, 0)
-        self.said = 0                           # stages that the log has
+        self.said = 0  # stages that the log has
         self.saved, self.saving, self.saved_offset = now, False, -1
-        self.own = node.broker.pools.own        # as it is in service
-        self.held_back = False                  # unsafe work is bound to no engine
+        self.own = node.broker.pools.own  # as it is in service
+        self.held_back = False  # unsafe work is bound to no engine
         self.feed: Feed | None = None
         self.kept = self._read_disk() if not node.config.known else None
         age = None if self.kept is None else max(0, node.clock.now() - self.kept.saved_at)
@@ -119,8 +131,12 @@
             return None
         try:
             with open(path, encoding="utf-8") as file:
-                kept = decode(file.read(MOST), self.terms.installation, self.node.clock.now(),
-                              self.terms.last_list_age)
+                kept = decode(
+                    file.read(MOST),
+                    self.terms.installation,
+                    self.node.clock.now(),
+                    self.terms.last_list_age,
+                )
             parse_event(kept.event())
             return kept
         except FileNotFoundError:
@@ -136,8 +152,9 @@
         return None
 
     def _take_disk(self, kept: LastList) -> None:
-        """Danger: an address may be another engine's by now: until the bus has spoken nothing that may not
-        run twice goes there. The module refuses it by its own rule on placement."""
+        """Danger: an address may be another engine's by now: until the bus has spoken nothing that
+        may not run twice goes there. The module refuses it by its own rule on placement.
+        """
         self.node.broker.news(parse_event(kept.event()))
         self.held_back = True
         self.node.broker.adjust.append(self._bind)
@@ -146,8 +163,13 @@
     def _bind(self, settings: Settings) -> Settings:
         if not self.held_back:
             return settings
-        return replace(settings, classes=tuple(
-            c if c.effect is Effect.SAFE else replace(c, only_kinds=NOWHERE) for c in settings.classes))
+        return replace(
+            settings,
+            classes=tuple(
+                c if c.effect is Effect.SAFE else replace(c, only_kinds=NOWHERE)
+                for c in settings.classes
+            ),
+        )
 
     def told(self) -> None:
         """News of the bus has been taken in."""
@@ -159,12 +181,16 @@
             self.held_back = False
             self.node.broker.readjust()
             self.node.log("start", "the bus has confirmed the last list")
-        if self.start.source is not Source.BUS and (self._count() or self.start.source is not Source.NONE):
+        if self.start.source is not Source.BUS and (
+            self._count() or self.start.source is not Source.NONE
+        ):
             self.node.listed = True
             self.start.list_told(self.node.clock.now(), Source.BUS, self._count())
 
     def _count(self) -> int:
-        return sum(k.target.state is EngineState.READY for k in self.node.broker.engines.by_number.values())
+        return sum(
+            k.target.state is EngineState.READY for k in self.node.broker.engines.by_number.values()
+        )
 
     # --- first contact ---
 
@@ -177,12 +203,17 @@
             self.seen.add(engine)
 
     def _contact(self, now: int) -> None:
-        ready = [n for n, k in self.node.broker.engines.by_number.items()
-                 if k.target.state is EngineState.READY]
+        ready = [
+            n
+            for n, k in self.node.broker.engines.by_number.items()
+            if k.target.state is EngineState.READY
+        ]
         for engine in ready:
             at = self.asked.get(engine)
             if at is None:
-                at = self.asked[engine] = probe_at(now, engine, self.me, self.fleet, self.terms.engine_probes)
+                at = self.asked[engine] = probe_at(
+                    now, engine, self.me, self.fleet, self.terms.engine_probes
+                )
             if 0 <= at <= now:
                 self.asked[engine] = -1
                 self.node.broker._probe(now, engine)
@@ -191,14 +222,23 @@
     # --- connections ---
 
     def _connect_wait(self, engine: int) -> int:
-        """Danger: hundreds that open connections to one engine in a second are a push by themselves."""
+        """Danger: hundreds that open connections to one engine in a second are a push by
+        themselves.
+        """
         now = self.node.clock.now()
-        return slot(now, self.me + engine, self.fleet, self.terms.engine_connects, self.draw()) - now
+        return (
+            slot(now, self.me + engine, self.fleet, self.terms.engine_connects, self.draw()) - now
+        )
 
     def came(self, client: ClientConnection) -> None:
-        """Danger: a front that finds this broker again hands it all that it holds back: those that are read
-        at once keep the ones that were taken from their answers."""
-        if self.start.stage is Stage.FULL or not self.unread and self.gate.free(self.node.clock.now()):
+        """Danger: a front that finds this broker again hands it all that it holds back: those that
+        are read at once keep the ones that were taken from their answers.
+        """
+        if (
+            self.start.stage is Stage.FULL
+            or not self.unread
+            and self.gate.free(self.node.clock.now())
+        ):
             return
         client.hold()
         self.unread[client] = None
@@ -220,7 +260,11 @@
             self.node.listed = True
             start.age = max(0, now - self.kept.saved_at) if self.kept is not None else 0
             start.list_told(now, Source.DISK, self._count())
-        if start.stage is Stage.LIST and not start.complained and now - start.since >= self.terms.list_wait:
+        if (
+            start.stage is Stage.LIST
+            and not start.complained
+            and now - start.since >= self.terms.list_wait
+        ):
             start.complained = True
             self.node.log("start", "no list from the bus and none on disk: still asking, not ready")
         if start.stage is Stage.CONTACT:
@@ -231,7 +275,7 @@
         if start.stage is Stage.RAMP:
             self._ramp(now)
         self._let_in(now, start.stage is Stage.FULL)
-        for passed in start.passed[self.said:]:
+        for passed in start.passed[self.said :]:
             self.node.log("start", f"{passed.stage.value}: {passed.took / S:.2f} s, {passed.why}")
         self.said = len(start.passed)
         if self.terms.last_list and now - self.saved >= SAVE:
@@ -248,21 +292,30 @@
         broker = self.node.broker
         if self.node.siblings is not None and self.node.siblings.others:
             return self._skip(now)
-        # Danger: a connection for each attempt, from every broker at once, is more handshakes than queries.
+        # Danger: a connection for each attempt, from every broker at once, is more handshakes than
+        # queries.
         broker.pools.own = False
         first_time = self.ramp is None
         if self.ramp is None:
             self.ramp = Ramp(self.terms, now)
             broker.stay_away = self._stay_away
-        counts = [sum(c[status] for c in broker.figures.replies.values()) for status in (SUCCESS, ERROR)]
+        counts = [
+            sum(c[status] for c in broker.figures.replies.values()) for status in (SUCCESS, ERROR)
+        ]
         before, at = self.ramp.share, self.ramp.at
         share = self.ramp.period(now, counts[0] - self.counted[0], counts[1] - self.counted[1])
         if self.ramp.at != at:
             self.counted = counts[0], counts[1]
         if first_time or share != before or self.ramp.at != at:
             widest = broker.facade.widest()
-            left = {n: Outstanding(*assumed(share, threads, bound, widest), 0)
-                    for n, (threads, bound) in broker.facade.shares().items()} if share < 1 else {}
+            left = (
+                {
+                    n: Outstanding(*assumed(share, threads, bound, widest), 0)
+                    for n, (threads, bound) in broker.facade.shares().items()
+                }
+                if share < 1
+                else {}
+            )
             broker.beside(Beside(left, 1))
         self.start.ramped(now, share)
         if self.start.stage is Stage.FULL:
@@ -281,8 +334,12 @@
         if self.saving or not self.start.confirmed() or offset == self.saved_offset:
             return
         self.saving = True
-        text = encode(LastList(self.terms.installation, offset, now, listed(self.node.broker.engines)))
-        future = asyncio.get_running_loop().run_in_executor(None, write_whole, self.terms.last_list, text)
+        text = encode(
+            LastList(self.terms.installation, offset, now, listed(self.node.broker.engines))
+        )
+        future = asyncio.get_running_loop().run_in_executor(
+            None, write_whole, self.terms.last_list, text
+        )
         future.add_done_callback(lambda done: self._was_saved(done, offset))
 
     def _was_saved(self, done: asyncio.Future[None], offset: int) -> None:
@@ -296,10 +353,20 @@
 
     def stop(self) -> None:
         """What has changed since the last look is written before the end, if the disk lets us."""
-        if self.terms.last_list and self.start.confirmed() and self.feed is not None \
-                and self.feed.last != self.saved_offset:
-            text = encode(LastList(self.terms.installation, self.feed.last, self.node.clock.now(),
-                                   listed(self.node.broker.engines)))
+        if (
+            self.terms.last_list
+            and self.start.confirmed()
+            and self.feed is not None
+            and self.feed.last != self.saved_offset
+        ):
+            text = encode(
+                LastList(
+                    self.terms.installation,
+                    self.feed.last,
+                    self.node.clock.now(),
+                    listed(self.node.broker.engines),
+                )
+            )
             try:
                 write_whole(self.terms.last_list, text)
             except OSError as error:
@@ -319,11 +386,17 @@
         now = self.node.clock.now()
         took = {p.stage: p.took for p in self.start.passed}
         took[self.start.stage] = now - self.start.since
-        lines = ["# HELP edge_proxy_start_seconds Time in each stage of the start.",
-                 "# TYPE edge_proxy_start_seconds gauge",
-                 *(f'edge_proxy_start_seconds{{stage="{s.value}"}} {t / S:.3f}' for s, t in took.items()),
-                 "# HELP edge_proxy_start_share Share of the admission that is open.",
-                 "# TYPE edge_proxy_start_share gauge", f"edge_proxy_start_share {self.start.share:.4f}"]
+        lines = [
+            "# HELP edge_proxy_start_seconds Time in each stage of the start.",
+            "# TYPE edge_proxy_start_seconds gauge",
+            *(
+                f'edge_proxy_start_seconds{{stage="{s.value}"}} {t / S:.3f}'
+                for s, t in took.items()
+            ),
+            "# HELP edge_proxy_start_share Share of the admission that is open.",
+            "# TYPE edge_proxy_start_share gauge",
+            f"edge_proxy_start_share {self.start.share:.4f}",
+        ]
         return ("\n".join(lines) + "\n").encode()
 
     def status(self) -> Mapping[str, Any]:
@@ -331,7 +404,9 @@
 
 
 def write_whole(path: str, text: str) -> None:
-    """By rename: whoever reads sees the whole of one or of the other. On a thread: it waits for the disk."""
+    """By rename: whoever reads sees the whole of one or of the other. On a thread: it waits for the
+    disk.
+    """
     early = f"{path}.{os.getpid()}.new"
     try:
         with open(early, "w", encoding="utf-8") as file:
--- a/larchhall/start/lastlist.py
+++ b/larchhall/start/lastlist.py
@@ -1,7 +1,7 @@
 """The last list of engines as a file's text: known by its sum, refused where it is not ours. Pure.
 
-One head line, `larchhall-list FORMAT SUM`, and one of JSON. The sum is keyed by nothing: it finds torn and
-altered files, not forged ones; the file lies where only the broker writes.
+One head line, `larchhall-list FORMAT SUM`, and one of JSON. The sum is keyed by nothing: it finds
+torn and altered files, not forged ones; the file lies where only the broker writes.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 FORMAT = 1
 MAGIC = "larchhall-list"
-MOST = 16 << 20            # bytes
+MOST = 16 << 20  # bytes
 S = 1_000_000_000
-AHEAD = 5 * S              # a list from so far in the future: the clock has been set back
+AHEAD = 5 * S  # a list from so far in the future: the clock has been set back
 
 
 class BadList(Exception):
@@ -26,13 +26,15 @@
 class LastList:
     installation: str
     offset: int
-    saved_at: int          # Unix nanoseconds
+    saved_at: int  # Unix nanoseconds
     targets: tuple[dict[str, Any], ...]
 
     def event(self) -> dict[str, Any]:
         """As the bus would tell it."""
-        return {"offset": self.offset, "topology": {"rev": self.offset, "all": True,
-                                                    "targets": list(self.targets)}}
+        return {
+            "offset": self.offset,
+            "topology": {"rev": self.offset, "all": True, "targets": list(self.targets)},
+        }
 
 
 def _sum(body: str) -> str:
@@ -40,8 +42,15 @@
 
 
 def encode(kept: LastList) -> str:
-    body = json.dumps({"installation": kept.installation, "offset": kept.offset, "saved_at": kept.saved_at,
-                       "targets": kept.targets}, separators=(",", ":"))
+    body = json.dumps(
+        {
+            "installation": kept.installation,
+            "offset": kept.offset,
+            "saved_at": kept.saved_at,
+            "targets": kept.targets,
+        },
+        separators=(",", ":"),
+    )
     return f"{MAGIC} {FORMAT} {_sum(body)}\n{body}\n"
 
 
@@ -58,8 +67,12 @@
         raise BadList("is torn or altered")
     try:
         raw = json.loads(body)
-        kept = LastList(str(raw["installation"]), int(raw["offset"]), int(raw["saved_at"]),
-                        tuple(dict(t) for t in raw["targets"]))
+        kept = LastList(
+            str(raw["installation"]),
+            int(raw["offset"]),
+            int(raw["saved_at"]),
+            tuple(dict(t) for t in raw["targets"]),
+        )
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         raise BadList(f"holds no list: {type(error).__name__}") from None
     if kept.installation != installation:
--- a/larchhall/start/paces.py
+++ b/larchhall/start/paces.py
@@ -1,10 +1,11 @@
 """When a broker may call on what all brokers share. Pure.
 
-Brokers that start together can't talk, but each knows its place `me`, the size of the fleet and the time. The
-clock is cut into windows of fleet / rate seconds, and each place has a slot of its own in every window: so
-that no second ever holds more calls than the rate and two, whatever subset starts and when, and however
-often they fail. A draw within the slot takes the edge off clocks that agree. What fails skips windows by full
-jitter (uniform below a count that doubles): a service that is down hears less and less.
+Brokers that start together can't talk, but each knows its place `me`, the size of the fleet and the
+time. The clock is cut into windows of fleet / rate seconds, and each place has a slot of its own in
+every window: so that no second ever holds more calls than the rate and two, whatever subset starts
+and when, and however often they fail. A draw within the slot takes the edge off clocks that agree.
+What fails skips windows by full jitter (uniform below a count that doubles): a service that is down
+hears less and less.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 S = 1_000_000_000
 LEAST_WINDOW = S // 5  # one broker alone does not ask more often than that
-MOST_SKIPPED = 4       # windows
+MOST_SKIPPED = 4  # windows
 
 
 def window(fleet: int, rate: float) -> int:
@@ -23,8 +24,9 @@
 
 
 def slot(now: int, place: int, fleet: int, rate: float, draw: float) -> int:
-    """The first moment from now on, in Unix nanoseconds, that lies in this place's slot; ``draw`` from 0 to
-    1."""
+    """The first moment from now on, in Unix nanoseconds, that lies in this place's slot; ``draw``
+    from 0 to 1.
+    """
     whole = window(fleet, rate)
     at = now - now % whole + int((place % max(1, fleet) + draw) / rate * S)
     return at if at >= now else at + whole
@@ -44,7 +46,9 @@
         return slot(now, self.me, self.fleet, self.rate, self.draw())
 
     def again(self, now: int) -> int:
-        """After a call that failed. Danger: the rest of the present slot would be a second call in it."""
+        """After a call that failed. Danger: the rest of the present slot would be a second call in
+        it.
+        """
         self.failed += 1
         skipped = int(self.draw() * min(MOST_SKIPPED, 1 << min(self.failed, 20)))
         whole = window(self.fleet, self.rate)
@@ -71,12 +75,14 @@
 
 
 def time_out(failed: int, least: int, most: int) -> int:
-    """How long one call may take: a service that is slow under a whole fleet is waited for longer each time,
-    not asked more often."""
+    """How long one call may take: a service that is slow under a whole fleet is waited for longer
+    each time, not asked more often.
+    """
     return min(most, least << min(failed, 20))
 
 
 def probe_at(now: int, engine: int, me: int, fleet: int, rate: float) -> int:
-    """When the broker of this place probes this engine: places are turned by the engine's number, so that one
-    broker's probes of many engines are spread as well as many brokers' of one."""
+    """When the broker of this place probes this engine: places are turned by the engine's number,
+    so that one broker's probes of many engines are spread as well as many brokers' of one.
+    """
     return slot(now, me + engine, fleet, rate, 0.0)
--- a/larchhall/start/ramp.py
+++ b/larchhall/start/ramp.py
@@ -1,10 +1,11 @@
-"""How much of its share a broker admits after a start, and what it takes for left by the dead. Pure.
+"""How much of its share a broker admits after a start, and what it takes for left by the dead.
+Pure.
 
-A broker that died may have left a full share of work at each engine, and one that starts knows nothing of
-it. So the share that is not open yet is booked as if another process of ours had it out there: the module
-bounds what it sends as ever, and decides alone. The open part grows evenly without news, doubles a second
-with good news (slow start), and holds while the news is bad; it is whole after `MOST` ramps whatever the
-news, since the module's own bounds hold from then on.
+A broker that died may have left a full share of work at each engine, and one that starts knows
+nothing of it. So the share that is not open yet is booked as if another process of ours had it out
+there: the module bounds what it sends as ever, and decides alone. The open part grows evenly
+without news, doubles a second with good news (slow start), and holds while the news is bad; it is
+whole after `MOST` ramps whatever the news, since the module's own bounds hold from then on.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 
 S = 1_000_000_000
 PERIOD = S
-GOOD = 2.0        # times the share, in a period with good news alone
-BAD_PART = 0.1    # of a period's answers: more errors than that is bad news
-MOST = 4          # ramps
+GOOD = 2.0  # times the share, in a period with good news alone
+BAD_PART = 0.1  # of a period's answers: more errors than that is bad news
+MOST = 4  # ramps
 
 
 @dataclass(slots=True)
@@ -27,7 +28,7 @@
     begun: int
     share: float = 0.0
     at: int = 0
-    held: int = 0     # periods in which the news was bad
+    held: int = 0  # periods in which the news was bad
 
     def __post_init__(self) -> None:
         self.share, self.at = self.terms.floor, self.begun
@@ -56,14 +57,17 @@
 
 
 def assumed(share: float, threads: float, bound: float, widest: int) -> tuple[int, int]:
-    """What is booked as left at one engine: threads and backlog. Danger: where the open part is less than one
-    query nothing would ever be sent, and no news could come: room for one is always left."""
+    """What is booked as left at one engine: threads and backlog. Danger: where the open part is
+    less than one query nothing would ever be sent, and no news could come: room for one is always
+    left.
+    """
     open_threads = max(float(widest), share * threads)
     return max(0, math.floor(threads - open_threads)), max(0, int(bound * (1 - share)))
 
 
 def pause(told: int, left: int, most: int, draw: float) -> int:
-    """How long a refused client is told to stay away, ns, with ``left`` of the ramp to go: what the module
-    says, or a draw from 0 to 1 over what is left if that is longer. Danger: all that were refused in its
-    first second would be back in its second."""
+    """How long a refused client is told to stay away, ns, with ``left`` of the ramp to go: what the
+    module says, or a draw from 0 to 1 over what is left if that is longer. Danger: all that were
+    refused in its first second would be back in its second.
+    """
     return told if most <= 0 else max(told, min(most, int(draw * left)))
--- a/larchhall/start/stages.py
+++ b/larchhall/start/stages.py
@@ -3,9 +3,12 @@
     settings -> list -> contact -> ramp -> full
 
 Each stage ends by what it waits for or by its time-out, and says which. A list is there once the
-configuration or the bus has told it; where the bus says nothing for `list_wait`, the last list kept on disk
-will do, and what it names is unconfirmed until the bus has spoken. Without any list the broker stays in
-`list`, says so, and goes on asking: it never ends for want of the bus, and never serves from nothing.
+configuration or the bus has told it; where the bus says nothing for `list_wait`, the last list kept
+on disk
+will do, and what it names is unconfirmed until the bus has spoken. Without any list the broker
+stays in
+`list`, says so, and goes on asking: it never ends for want of the bus, and never serves from
+nothing.
 """
 
 from __future__ import annotations
@@ -52,8 +55,8 @@
     stage: Stage = Stage.SETTINGS
     since: int = 0
     source: Source = Source.NONE
-    age: int = 0              # of a list from the disk
-    disk: int | None = None   # the age of a list on disk that may be used; None: none
+    age: int = 0  # of a list from the disk
+    disk: int | None = None  # the age of a list on disk that may be used; None: none
     listed: int = 0
     heard: int = 0
     share: float = 0.0
@@ -88,7 +91,11 @@
 
     def wants_disk(self, now: int) -> bool:
         """The bus has said nothing for long enough: the last list is to be taken now."""
-        return self.stage is Stage.LIST and self.disk is not None and now - self.since >= self.terms.list_wait
+        return (
+            self.stage is Stage.LIST
+            and self.disk is not None
+            and now - self.since >= self.terms.list_wait
+        )
 
     def tick(self, now: int) -> None:
         if self.stage is Stage.CONTACT:
@@ -96,7 +103,9 @@
             if self.listed and self.heard >= wanted:
                 self._pass(now, Stage.RAMP, f"heard of {self.heard} of {self.listed}")
             elif now - self.since >= self.terms.contact_wait:
-                self._pass(now, Stage.RAMP, f"time-out: heard of {self.heard} of {self.listed} only")
+                self._pass(
+                    now, Stage.RAMP, f"time-out: heard of {self.heard} of {self.listed} only"
+                )
 
     def ramped(self, now: int, share: float) -> None:
         self.share = share
@@ -121,17 +130,31 @@
             case Stage.SETTINGS:
                 return "the configuration"
             case Stage.LIST:
-                return "the bus" + ("" if self.disk is None else f", or {self.terms.list_wait / S:g} s")
+                return "the bus" + (
+                    "" if self.disk is None else f", or {self.terms.list_wait / S:g} s"
+                )
             case Stage.CONTACT:
-                return f"{self.terms.contact_part:g} of {self.listed} engines, heard of {self.heard}"
+                return (
+                    f"{self.terms.contact_part:g} of {self.listed} engines, heard of {self.heard}"
+                )
             case Stage.RAMP:
                 return f"its whole share, {self.share:.2f} now"
         return "nothing"
 
     def told(self, now: int) -> dict[str, Any]:
         """For operators; seconds."""
-        return {"stage": self.stage.value, "for": (now - self.since) / S, "waits_for": self.waits_for(),
-                "ready": self.ready(), "list": self.source.name.lower(), "list_age": self.age / S,
-                "confirmed": self.confirmed(), "listed": self.listed, "heard": self.heard,
-                "share": round(self.share, 4),
-                "passed": [{"stage": p.stage.value, "took": p.took / S, "why": p.why} for p in self.passed]}
+        return {
+            "stage": self.stage.value,
+            "for": (now - self.since) / S,
+            "waits_for": self.waits_for(),
+            "ready": self.ready(),
+            "list": self.source.name.lower(),
+            "list_age": self.age / S,
+            "confirmed": self.confirmed(),
+            "listed": self.listed,
+            "heard": self.heard,
+            "share": round(self.share, 4),
+            "passed": [
+                {"stage": p.stage.value, "took": p.took / S, "why": p.why} for p in self.passed
+            ],
+        }
--- a/larchhall/start/terms.py
+++ b/larchhall/start/terms.py
@@ -9,13 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTerms:
-    """``list_connects``, ``engine_probes``: what the list service, and one engine, take a second of the
-    whole fleet; a broker's part follows from `fleet_size`. ``contact_part`` of the listed engines must
-    have been heard of, or ``contact_wait`` be over, before the broker is ready. The admission begins with
-    ``floor`` of the full share and is whole after ``ramp`` without news, sooner with good, later with
-    bad. Until then one engine gets ``engine_connects`` new connections a second of the whole fleet, and
-    this broker begins to read ``accepts`` new clients a second. ``last_list``: a file that keeps the list;
-    empty: none."""
+    """``list_connects``, ``engine_probes``: what the list service, and one engine, take a second of
+    the whole fleet; a broker's part follows from `fleet_size`. ``contact_part`` of the listed
+    engines must have been heard of, or ``contact_wait`` be over, before the broker is ready. The
+    admission begins with ``floor`` of the full share and is whole after ``ramp`` without news,
+    sooner with good, later with bad. Until then one engine gets ``engine_connects`` new connections
+    a second of the whole fleet, and this broker begins to read ``accepts`` new clients a second.
+    ``last_list``: a file that keeps the list; empty: none.
+    """
 
     list_connects: float = 50.0
     list_wait: int = 10 * S
--- a/larchhall/start_cli.py
+++ b/larchhall/start_cli.py
@@ -24,9 +24,11 @@
     if as_json:
         click.echo(json.dumps(said, indent=2))
         return
-    click.echo(f"place {said['place']} of {said['fleet']}, {'ready' if said['ready'] else 'not ready'}, "
-               f"list from {said['list']}{'' if said['confirmed'] else ' (not confirmed)'}, "
-               f"share {said['share']:.2f}\n")
+    click.echo(
+        f"place {said['place']} of {said['fleet']}, {'ready' if said['ready'] else 'not ready'}, "
+        f"list from {said['list']}{'' if said['confirmed'] else ' (not confirmed)'}, "
+        f"share {said['share']:.2f}\n"
+    )
     rows = [[p["stage"], f"{p['took']:.2f}", p["why"]] for p in said["passed"]]
     rows.append([f"{said['stage']} *", f"{said['for']:.2f}", f"waits for {said['waits_for']}"])
     click.echo(table(["stage", "seconds", "what ended it"], rows))
--- a/larchhall/state/bans.py
+++ b/larchhall/state/bans.py
@@ -13,7 +13,9 @@
 
 
 class Bans:
-    """By uid, since an engine may restart while it is out. Words have no count: out twice is back once."""
+    """By uid, since an engine may restart while it is out. Words have no count: out twice is back
+    once.
+    """
 
     def __init__(self) -> None:
         self.words: dict[str, Word] = {}
@@ -29,5 +31,7 @@
         return True
 
     def forget(self, before: int) -> None:
-        """Danger: engines come under new uids for as long as we run: of those that are back, none is kept."""
+        """Danger: engines come under new uids for as long as we run: of those that are back, none
+        is kept.
+        """
         self.words = {uid: word for uid, word in self.words.items() if word.out or word.at > before}
--- a/larchhall/state/engines.py
+++ b/larchhall/state/engines.py
@@ -16,8 +16,10 @@
 
 
 class EngineTable:
-    """Danger: a new engine may take the address of one that has gone: engines are known by uid alone. The
-    number is a hash of the uid, so that all brokers rank engines alike with nothing sent between them."""
+    """Danger: a new engine may take the address of one that has gone: engines are known by uid
+    alone. The number is a hash of the uid, so that all brokers rank engines alike with nothing sent
+    between them.
+    """
 
     def __init__(self) -> None:
         self.by_uid: dict[str, KnownEngine] = {}
@@ -27,7 +29,8 @@
         if (known := self.by_uid.get(uid)) is not None:
             return known.number
         number = int.from_bytes(hashlib.blake2b(uid.encode(), digest_size=4).digest(), "big")
-        while number in self.by_number:  # two uids with one hash: the later one takes the next free number
+        # two uids with one hash: the later one takes the next free number
+        while number in self.by_number:
             number = (number + 1) % (1 << 32)
         return number
 
@@ -38,9 +41,13 @@
             # A listener at this address is another engine now, so the one that had it has gone.
             taken = {(t.host, t.port): t.uid for t in targets if t.state is not EngineState.GONE}
             told = {t.uid for t in targets}
-            targets[:0] = [_gone(k.target) for k in self.by_uid.values()
-                           if k.target.uid not in told and k.target.state is not EngineState.GONE
-                           and taken.get((k.target.host, k.target.port), k.target.uid) != k.target.uid]
+            targets[:0] = [
+                _gone(k.target)
+                for k in self.by_uid.values()
+                if k.target.uid not in told
+                and k.target.state is not EngineState.GONE
+                and taken.get((k.target.host, k.target.port), k.target.uid) != k.target.uid
+            ]
         else:
             told = {t.uid for t in targets}
             for known in self.by_uid.values():
@@ -50,18 +57,38 @@
         for target in targets:
             known = KnownEngine(self.number(target.uid), target)
             self.by_uid[target.uid] = self.by_number[known.number] = known
-            entries.append(EngineEntry(known.number, target.state, target.zone, target.kind, target.cell,
-                                       target.weight, target.started))
+            entries.append(
+                EngineEntry(
+                    known.number,
+                    target.state,
+                    target.zone,
+                    target.kind,
+                    target.cell,
+                    target.weight,
+                    target.started,
+                )
+            )
         return tuple(entries)
 
     def let_go(self) -> None:
-        """Danger: engines come under new uids for as long as we run. What has gone is known by its pool until
-        the last answer; should its uid come again, the hash gives it its number again."""
+        """Danger: engines come under new uids for as long as we run. What has gone is known by its
+        pool until the last answer; should its uid come again, the hash gives it its number
+        again.
+        """
         for uid, known in list(self.by_uid.items()):
             if known.target.state is EngineState.GONE:
                 del self.by_uid[uid], self.by_number[known.number]
 
 
 def _gone(target: Target) -> Target:
-    return Target(target.uid, target.host, target.port, target.zone, target.kind, target.cell,
-                  EngineState.GONE, target.weight, target.started)
+    return Target(
+        target.uid,
+        target.host,
+        target.port,
+        target.zone,
+        target.kind,
+        target.cell,
+        EngineState.GONE,
+        target.weight,
+        target.started,
+    )
--- a/larchhall/state/figures.py
+++ b/larchhall/state/figures.py
@@ -25,8 +25,9 @@
         self.learn(classes)
 
     def learn(self, classes: Iterable[str]) -> None:
-        """Every series is there from 0 on. Danger: a class that a new file drops must keep its counts, or
-        what reads them sees a counter run backwards."""
+        """Every series is there from 0 on. Danger: a class that a new file drops must keep its
+        counts, or what reads them sees a counter run backwards.
+        """
         for name in classes:
             self.replies.setdefault(name, [0, 0, 0])
 
@@ -37,18 +38,25 @@
 
     def text(self, concurrent: int, targets: int, disabled: int) -> bytes:
         """The Prometheus text format."""
-        single = {"dispatches_total": self.dispatches, "concurrent": concurrent, "targets": targets,
-                  "targets_disabled": disabled, "reload_success_total": self.reloads_taken,
-                  "reload_failure_total": self.reloads_turned_down}
+        single = {
+            "dispatches_total": self.dispatches,
+            "concurrent": concurrent,
+            "targets": targets,
+            "targets_disabled": disabled,
+            "reload_success_total": self.reloads_taken,
+            "reload_failure_total": self.reloads_turned_down,
+        }
         lines: list[str] = []
         for name, (kind, help) in HELP.items():
             lines += f"# HELP {PREFIX}{name} {help}", f"# TYPE {PREFIX}{name} {kind}"
             if name in single:
                 lines.append(f"{PREFIX}{name} {single[name]}")
             else:
-                lines += (f'{PREFIX}{name}{{type="{escaped(route)}",status="{status}"}} {count}'
-                          for route, counts in self.replies.items()
-                          for status, count in zip(STATUSES, counts, strict=True))
+                lines += (
+                    f'{PREFIX}{name}{{type="{escaped(route)}",status="{status}"}} {count}'
+                    for route, counts in self.replies.items()
+                    for status, count in zip(STATUSES, counts, strict=True)
+                )
         return ("\n".join(lines) + "\n").encode()
 
 
--- a/larchhall/state/pools.py
+++ b/larchhall/state/pools.py
@@ -1,4 +1,6 @@
-"""The pools of connections to the engines, one for each uid: bounded, opened as needed, closed when idle."""
+"""The pools of connections to the engines, one for each uid: bounded, opened as needed, closed when
+idle.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +15,18 @@
 from ..wire.engine import EngineConnection, Owner
 from .requests import Attempt
 
-SILENT = 1_000_000_000  # ns without a word while answers are owed: then a new connection shows what holds
+# ns without a word while answers are owed: then a new connection shows what holds
+SILENT = 1_000_000_000
 GONE_SILENT = 3_000_000_000  # ns without a word from an engine that the list says has ended: it has
-OWN_PART = 3 / 4  # of the connections may be attempts' own; the rest is for what must have a new one
+# of the connections may be attempts' own; the rest is for what must have a new one
+OWN_PART = 3 / 4
 AFTER = 30_000_000_000  # ns after an attempt's time is up, its answer is not expected any more
 
 
 class EnginePool:
-    """The connections to one engine. ``waiting`` holds the attempts that wait for one to come up; none of
-    them has left for the engine."""
+    """The connections to one engine. ``waiting`` holds the attempts that wait for one to come up;
+    none of them has left for the engine.
+    """
 
     def __init__(self, pools: Pools, number: int, target: Target) -> None:
         self.pools, self.number, self.target = pools, number, target
@@ -31,8 +36,10 @@
         self.probes_waiting: list[bytes] = []
 
     def _usable(self, now: int) -> list[EngineConnection]:
-        """Danger: an engine that is cut off says nothing and keeps its connections open: where it owes
-        answers and has been silent, nothing more goes there until a new connection has come up."""
+        """Danger: an engine that is cut off says nothing and keeps its connections open: where it
+        owes answers and has been silent, nothing more goes there until a new connection has come
+        up.
+        """
         live = [c for c in self.connections if not c.retired]
         owed = [a.sent for c in live for a in c.open.values()]
         if owed and now - max(min(owed), *(c.heard for c in live)) > SILENT:
@@ -40,10 +47,12 @@
         return live
 
     def send(self, attempt: Attempt, now: int, dial: bool = True) -> None:
-        """Danger: a spoilt answer or a reset ends its connection with all that is open there; so each attempt
-        gets one of its own while this engine's part of the descriptors lasts, where handshakes are cheap.
-        Answers come under the request's id, also twice, and pages late: nothing else under this id, of this
-        request or of one that comes again, uses a connection that carried it."""
+        """Danger: a spoilt answer or a reset ends its connection with all that is open there; so
+        each attempt gets one of its own while this engine's part of the descriptors lasts, where
+        handshakes are cheap. Answers come under the request's id, also twice, and pages late:
+        nothing else under this id, of this request or of one that comes again, uses a connection
+        that carried it.
+        """
         request = attempt.request
         best, least, stuck, full = None, self.pools.streams, None, False
         for c in self._usable(now):  # on every request's path: one pass, nothing built
@@ -51,7 +60,8 @@
             if open >= self.pools.streams or request.trace in c.carried:
                 continue
             if c.jammed:
-                # Backpressure: a connection whose socket takes no more gets nothing while there is another.
+                # Backpressure: a connection whose socket takes no more gets nothing while there is
+                # another.
                 full = full or c.outbox.full()
                 stuck = stuck if c.outbox.full() else c
             elif open < least:
@@ -63,14 +73,23 @@
             best.retired = True
             return self.send(attempt, now, dial)
         best = best or stuck
-        if best is None and full and not (len(self.connections) < self.pools.share(self)
-                                            and self.pools.room(self)):
-            self.pools.unsent(attempt, Result.NOT_SENT)  # nothing more fits before this engine's sockets
+        if (
+            best is None
+            and full
+            and not (len(self.connections) < self.pools.share(self) and self.pools.room(self))
+        ):
+            # nothing more fits before this engine's sockets
+            self.pools.unsent(attempt, Result.NOT_SENT)
             return
         if best is None and not dial:
             self.pools.unsent(attempt, Result.NOT_SENT)
-        elif best is None or (dial and best.open and self.pools.own
-                              and len(self.connections) < self.pools.share(self) and self.pools.room(self)):
+        elif best is None or (
+            dial
+            and best.open
+            and self.pools.own
+            and len(self.connections) < self.pools.share(self)
+            and self.pools.room(self)
+        ):
             self.waiting.append(attempt)
             self._open()
         else:
@@ -85,7 +104,9 @@
             self._open()
 
     def forget_probe(self, tag: bytes) -> None:
-        """Danger: a probe whose answer never comes would keep its connection from ever being idle."""
+        """Danger: a probe whose answer never comes would keep its connection from ever being
+        idle.
+        """
         for connection in self.connections:
             connection.probes.discard(tag)
         if tag in self.probes_waiting:
@@ -108,13 +129,15 @@
         address, began = (self.target.host, self.target.port), self.pools.owner.now()
         try:
             if not self.pools.make_room(self):
-                # Danger: that is no fault of the engine's; taken for one, it excludes the busiest of them.
+                # Danger: that is no fault of the engine's; taken for one, it excludes the busiest
+                # of them.
                 result = Result.NOT_SENT
                 raise OSError(errno.EMFILE, "no descriptor is left for engines")
             loop = asyncio.get_running_loop()
             async with asyncio.timeout(self.pools.connect_timeout / 1e9):
                 _, connection = await loop.create_connection(
-                    partial(EngineConnection, self.pools.owner, self.number), *address)
+                    partial(EngineConnection, self.pools.owner, self.number), *address
+                )
         except TimeoutError:
             why = "no connection in time"
         except OSError as error:
@@ -128,7 +151,8 @@
         if connection is not None and connection.closed:
             connection, why = None, "lost as it came up"
         if connection is not None and not self._still_at(address):
-            # Danger: another engine may listen there by now; nothing meant for this one may reach it.
+            # Danger: another engine may listen there by now; nothing meant for this one may reach
+            # it.
             connection.close()
             connection, why = None, "it has moved meanwhile"
         if connection is not None:
@@ -139,9 +163,12 @@
                 if self.pools.may_go(attempt, Hand.CONNECTION):
                     self.send(attempt, now)
             return
-        self.pools.log("engine", f"{self.target.uid} at {self.target.host}:{self.target.port}: {why}")
+        self.pools.log(
+            "engine", f"{self.target.uid} at {self.target.host}:{self.target.port}: {why}"
+        )
         if any(c.heard >= began for c in self._usable(now)):
-            # Danger: one connect that comes up late is no engine that is out: it has spoken meanwhile.
+            # Danger: one connect that comes up late is no engine that is out: it has spoken
+            # meanwhile.
             for tag in probes:
                 self.probe(tag, now)
             for attempt in waiting:
@@ -157,7 +184,9 @@
             self.pools.unsent(attempt, result)
 
     def moved(self, target: Target) -> None:
-        """News of the engine: at a new address, or in a new life, old connections take nothing more."""
+        """News of the engine: at a new address, or in a new life, old connections take nothing
+        more.
+        """
         before, self.target = self.target, target
         if not self._still_at((before.host, before.port)) or target.started > before.started:
             for connection in self.connections:
@@ -170,41 +199,57 @@
             self.pools.unsent(attempt, Result.NOT_SENT)
 
     def renew(self) -> None:
-        """Danger: the engine has restarted meanwhile, perhaps with nothing said on the old connections."""
+        """Danger: the engine has restarted meanwhile, perhaps with nothing said on the old
+        connections.
+        """
         for connection in self.connections:
             connection.retired = True
 
     def _still_at(self, address: tuple[str, int]) -> bool:
-        return (self.target.host, self.target.port) == address and self.target.state is not EngineState.GONE
+        return (
+            self.target.host,
+            self.target.port,
+        ) == address and self.target.state is not EngineState.GONE
 
     def sweep(self, now: int) -> None:
         for connection in list(self.connections):
             connection.check(now)
             if connection.quiet() and (
-                    connection.retired or now - max(connection.used, connection.heard) > self.pools.idle):
+                connection.retired or now - max(connection.used, connection.heard) > self.pools.idle
+            ):
                 connection.close()
             elif any(now > a.until + AFTER for a in connection.open.values()):
-                # Danger: an answer that never comes would hold its stream for good. Once nothing that is
-                # still expected is out on it, the connection ends: before, that would give it up.
+                # Danger: an answer that never comes would hold its stream for good. Once nothing
+                # that is still expected is out on it, the connection ends: before, that would give
+                # it up.
                 connection.retired = True
                 if all(now > a.until + AFTER for a in connection.open.values()):
                     connection.close()
             elif self.target.state is EngineState.GONE and now - connection.heard > GONE_SILENT:
-                # Danger: a machine that vanished resets nothing: what is open there would be held until its
-                # time is up, although no answer can come any more. It may have run.
+                # Danger: a machine that vanished resets nothing: what is open there would be held
+                # until its time is up, although no answer can come any more. It may have run.
                 connection.close()
 
 
 class Pools:
     """All pools, and the count of descriptors that they may hold together."""
 
-    def __init__(self, owner: Owner, log: Callable[[str, str], None], *, streams: int,
-                 connect_timeout: int, conn_idle: int,
-                 unsent: Callable[[Attempt, Result], None], may_go: Callable[[Attempt, Hand], bool]) -> None:
+    def __init__(
+        self,
+        owner: Owner,
+        log: Callable[[str, str], None],
+        *,
+        streams: int,
+        connect_timeout: int,
+        conn_idle: int,
+        unsent: Callable[[Attempt, Result], None],
+        may_go: Callable[[Attempt, Hand], bool],
+    ) -> None:
         self.owner, self.log, self.unsent, self.may_go = owner, log, unsent, may_go
         self.most = 0
         self.own = True  # attempts get connections of their own while there is room
-        self.turn: Callable[[int], int] | None = None  # ns that a new connection to this engine has to wait
+        # ns that a new connection to this engine has to wait
+        self.turn: Callable[[int], int] | None = None
         self.retune(streams, connect_timeout, conn_idle)
         self.by_number: dict[int, EnginePool] = {}
 
@@ -216,8 +261,9 @@
     def limit(self, most: int) -> None:
         """How many connections there may be from now on; idle ones past that end."""
         self.most = most
-        # Danger: a closed connection tells its loss later: a loop that waits for it stands still for good.
-        for connection in self._idle()[:max(0, self._held() - most)]:
+        # Danger: a closed connection tells its loss later: a loop that waits for it stands still
+        # for good.
+        for connection in self._idle()[: max(0, self._held() - most)]:
             connection.close()
 
     def get(self, number: int) -> EnginePool | None:
@@ -235,15 +281,19 @@
         return max(1, int(self.most * OWN_PART) // max(1, live))
 
     def _held(self) -> int:
-        return sum(sum(not c.ending for c in p.connections) + (p.opening is not None)
-                   for p in self.by_number.values())
+        return sum(
+            sum(not c.ending for c in p.connections) + (p.opening is not None)
+            for p in self.by_number.values()
+        )
 
     def room(self, pool: EnginePool) -> bool:
         """For one more that is an attempt's own."""
         return self._held() < self.most * OWN_PART
 
     def make_room(self, pool: EnginePool) -> bool:
-        """Danger: descriptors run out and clients can't come in: engines take no more than their part."""
+        """Danger: descriptors run out and clients can't come in: engines take no more than their
+        part.
+        """
         if self._held() <= self.most:  # the one that is opening counts already
             return True
         for connection in (idle := self._idle())[:1]:
@@ -251,8 +301,12 @@
         return bool(idle)
 
     def _idle(self) -> list[EngineConnection]:
-        return [connection for pool in self.by_number.values() for connection in pool.connections
-                if connection.quiet() and not connection.ending]
+        return [
+            connection
+            for pool in self.by_number.values()
+            for connection in pool.connections
+            if connection.quiet() and not connection.ending
+        ]
 
     def lost(self, connection: EngineConnection) -> None:
         pool = self.by_number.get(connection.engine)
@@ -262,7 +316,11 @@
     def sweep(self, now: int) -> None:
         for number, pool in list(self.by_number.items()):
             pool.sweep(now)
-            if pool.target.state is EngineState.GONE and not pool.connections and pool.opening is None:
+            if (
+                pool.target.state is EngineState.GONE
+                and not pool.connections
+                and pool.opening is None
+            ):
                 del self.by_number[number]
 
     def close(self) -> None:
--- a/larchhall/state/requests.py
+++ b/larchhall/state/requests.py
@@ -1,4 +1,6 @@
-"""Open requests and their attempts. Nothing here decides, and nothing here knows a client's protocol."""
+"""Open requests and their attempts. Nothing here decides, and nothing here knows a client's
+protocol.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +40,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    id: str                # ours; a trace is the client's word and may come twice
+    id: str  # ours; a trace is the client's word and may come twice
     trace: bytes
     route: bytes
     statement: bytes
@@ -46,18 +48,22 @@
     stream: int
     deadline: int
     customer: str = ""
-    came: int = 0          # when its first byte was read
+    came: int = 0  # when its first byte was read
     taken: int = 0
-    left: bool = False     # its client has gone before its answer
+    left: bool = False  # its client has gone before its answer
     given_up: bool = False  # it gets its final answer now: nothing more is sent for it
-    unheard: bool = False   # whether its client still waits can't be heard: nothing further begins for it
+    # whether its client still waits can't be heard: nothing further begins for it
+    unheard: bool = False
     level: int | None = None
     reserve: int = 0
     nonce: str | None = None
-    attempts: dict[int, Attempt] = field(default_factory=dict)  # those that have not been reported as ended
+    # those that have not been reported as ended
+    attempts: dict[int, Attempt] = field(default_factory=dict)
 
     def scope(self) -> Scope:
-        """All that is under way for it. Made when it is to be ended: most requests end by themselves."""
+        """All that is under way for it. Made when it is to be ended: most requests end by
+        themselves.
+        """
         made = Scope(Kind.REQUEST, self)
         for attempt in self.attempts.values():
             if not attempt.ended:
@@ -73,21 +79,21 @@
     number: int
     engine: int
     sent: int
-    until: int             # how long the broker waits for it
-    latest: int            # when its first byte must have left
+    until: int  # how long the broker waits for it
+    latest: int  # when its first byte must have left
     timer: Timer | None = None
     connection: Carrier | None = None
-    paid: bool = False     # out of the budget for further attempts
-    ended: bool = False    # taken back, undone or given up by us; its report follows
+    paid: bool = False  # out of the budget for further attempts
+    ended: bool = False  # taken back, undone or given up by us; its report follows
     written: bool = False  # a byte of it has left for the engine, so that it may have run
-    put: int = 0           # when it was given its connection
-    gone: int = 0          # when its last byte left
+    put: int = 0  # when it was given its connection
+    gone: int = 0  # when its last byte left
     reported: bool = False
     pages: list[bytes | None] = field(default_factory=list)
     missing: int = 0
-    answered: int = 0      # when page 0 came
+    answered: int = 0  # when page 0 came
     notes: dict[NoteKind, int] = field(default_factory=dict)  # when the last of each was taken
-    quiet_until: int = 0   # its end is not told before: the engine may not have heard of it yet
+    quiet_until: int = 0  # its end is not told before: the engine may not have heard of it yet
 
     def scope(self, parent: Scope) -> Scope:
         """It, and what belongs to it, below the request's scope."""
--- a/larchhall/state/wheel.py
+++ b/larchhall/state/wheel.py
@@ -31,7 +31,9 @@
 
 
 class Wheel:
-    """Timers in slots by tick. A timer never fires early and at most one tick (and the caller's lag) late."""
+    """Timers in slots by tick. A timer never fires early and at most one tick (and the caller's
+    lag) late.
+    """
 
     SLOTS = 1_024
 
@@ -55,11 +57,21 @@
         self.at(0, lambda: None)
 
     def rest(self, now: int, longest: int) -> int:
-        """How long, in nanoseconds, nothing falls due: `longest` at the most, a tick at the least. Danger:
-        a wheel that turns at every tick wakes an idle broker 200 times a second."""
+        """How long, in nanoseconds, nothing falls due: `longest` at the most, a tick at the least.
+        Danger: a wheel that turns at every tick wakes an idle broker 200 times a second.
+        """
         most = max(self.current + 1, (now + longest - self.origin) // self.tick)
-        self.rests_until = next((t for t in range(self.current + 1, most) if any(
-            timer.due <= t and timer.call is not _nothing for timer in self.slots[t % self.SLOTS])), most)
+        self.rests_until = next(
+            (
+                t
+                for t in range(self.current + 1, most)
+                if any(
+                    timer.due <= t and timer.call is not _nothing
+                    for timer in self.slots[t % self.SLOTS]
+                )
+            ),
+            most,
+        )
         return self.until(now)
 
     def until(self, now: int) -> int:
--- a/larchhall/verdicts/evidence.py
+++ b/larchhall/verdicts/evidence.py
@@ -1,8 +1,9 @@
 """Evidence, not opinions: who saw what of which engine, when. A verdict is a function of it. Pure.
 
-An engine is known by its uid and its start, so that one that is reborn begins clean. Each broker tells its
-own rows alone, with a version, as counters do; a verdict needs several distinct observers, so that one that
-lies, or whose own network is broken, holds out nothing. """
+An engine is known by its uid and its start, so that one that is reborn begins clean. Each broker
+tells its own rows alone, with a version, as counters do; a verdict needs several distinct
+observers, so that one that lies, or whose own network is broken, holds out nothing.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +16,8 @@
 
 from .terms import VerdictTerms
 
-MOST_ENGINES = 64   # in one broker's row: those of which it saw failures, the newest first
-MOST_KEPT = 16      # outcomes of one engine
+MOST_ENGINES = 64  # in one broker's row: those of which it saw failures, the newest first
+MOST_KEPT = 16  # outcomes of one engine
 MOST_OBSERVERS = 4_096
 
 
@@ -28,7 +29,9 @@
 
 
 class Seen(msgspec.Struct, array_like=True, frozen=True):
-    """By one observer: outcomes within the last while, and ms since the last of each kind; -1: none."""
+    """By one observer: outcomes within the last while, and ms since the last of each kind; -1:
+    none.
+    """
 
     engine: Engine
     bad: int
@@ -81,8 +84,8 @@
     kind: Kind
     zone: str
     since: int
-    until: int          # held out at least so long
-    newest: int         # the newest failure that it rests on, our clock
+    until: int  # held out at least so long
+    newest: int  # the newest failure that it rests on, our clock
     by: frozenset[str]
     relapses: int = 0
 
@@ -91,8 +94,8 @@
     def __init__(self, me: str, zone: str, terms: VerdictTerms) -> None:
         self.me, self.zone, self.terms = me, zone, terms
         self.own: dict[Engine, Own] = {}
-        self.watched: dict[Engine, int] = {}   # of which somebody told a failure, and when we heard
-        self.reports: dict[str, tuple[Report, int]] = {}   # observer: its row, when we learned it
+        self.watched: dict[Engine, int] = {}  # of which somebody told a failure, and when we heard
+        self.reports: dict[str, tuple[Report, int]] = {}  # observer: its row, when we learned it
         self.verdicts: dict[Engine, Verdict] = {}
         self.relapses: dict[Engine, tuple[int, int]] = {}  # how often held out, when last
         self.version = 0
@@ -117,25 +120,38 @@
         for engine in [e for e, at in self.watched.items() if now - at > self.terms.age]:
             del self.watched[engine]
         self.version += 1
-        seen = sorted((o.seen(e, now, self.terms.age) for e, o in self.own.items()),
-                      key=lambda s: (s.bad_ago < 0, s.bad_ago))[:MOST_ENGINES]
+        seen = sorted(
+            (o.seen(e, now, self.terms.age) for e, o in self.own.items()),
+            key=lambda s: (s.bad_ago < 0, s.bad_ago),
+        )[:MOST_ENGINES]
         mine = Report(self.me, self.zone, self.version, 0, tuple(seen))
         self.reports[self.me] = mine, now
         return mine
 
     def told(self, now: int, most: int) -> list[Report]:
         """The newest rows that say anything, ours first, with their ages."""
-        rows = sorted(self.reports.values(),
-                      key=lambda r: (r[0].who != self.me, r[0].age - r[1] // 1_000_000))
-        return [msgspec.structs.replace(r, age=r.age + (now - at) // 1_000_000) for r, at in rows
-                if r.seen or r.who == self.me][:most]
+        rows = sorted(
+            self.reports.values(), key=lambda r: (r[0].who != self.me, r[0].age - r[1] // 1_000_000)
+        )
+        return [
+            msgspec.structs.replace(r, age=r.age + (now - at) // 1_000_000)
+            for r, at in rows
+            if r.seen or r.who == self.me
+        ][:most]
 
     def receive(self, now: int, reports: Reports, members: Collection[str]) -> None:
         for report in reports.reports:
             before = self.reports.get(report.who)
-            if report.who == self.me or report.who not in members or len(report.seen) > MOST_ENGINES \
-                    or report.age < 0 or before is None and len(self.reports) >= MOST_OBSERVERS \
-                    or before is not None and before[0].version >= report.version:
+            if (
+                report.who == self.me
+                or report.who not in members
+                or len(report.seen) > MOST_ENGINES
+                or report.age < 0
+                or before is None
+                and len(self.reports) >= MOST_OBSERVERS
+                or before is not None
+                and before[0].version >= report.version
+            ):
                 continue
             self.reports[report.who] = report, now
             for seen in report.seen:
@@ -144,8 +160,12 @@
 
     # --- the verdict ---
 
-    def _views(self, now: int, members: Collection[str]) -> dict[Engine, dict[str, tuple[str, bool, int]]]:
-        """Of each engine: observer, its zone, whether it holds it for bad, and when the newest proof was."""
+    def _views(
+        self, now: int, members: Collection[str]
+    ) -> dict[Engine, dict[str, tuple[str, bool, int]]]:
+        """Of each engine: observer, its zone, whether it holds it for bad, and when the newest
+        proof was.
+        """
         found: dict[Engine, dict[str, tuple[str, bool, int]]] = {}
         for who, (report, learned) in list(self.reports.items()):
             if who not in members and who != self.me:
@@ -163,18 +183,25 @@
                     found.setdefault(seen.engine, {})[who] = report.zone, bad, newest
         return found
 
-    def judge(self, now: int, members: Collection[str], engines: Mapping[Engine, str]) -> tuple[
-            list[Verdict], list[Engine]]:
-        """``engines``: those listed, and their zones. Gives the verdicts that begin, and what is let in
-        again."""
+    def judge(
+        self, now: int, members: Collection[str], engines: Mapping[Engine, str]
+    ) -> tuple[list[Verdict], list[Engine]]:
+        """``engines``: those listed, and their zones. Gives the verdicts that begin, and what is
+        let in again.
+        """
         views = self._views(now, members)
-        lifted = [e for e, v in self.verdicts.items()
-                  if e not in engines or self._lifts(now, v, views.get(e, {}))]
+        lifted = [
+            e
+            for e, v in self.verdicts.items()
+            if e not in engines or self._lifts(now, v, views.get(e, {}))
+        ]
         for engine in lifted:
             del self.verdicts[engine]
             self.figures["lifted"] += 1
         begun = []
-        for engine, seen in sorted(views.items(), key=lambda item: min(at for _, _, at in item[1].values())):
+        for engine, seen in sorted(
+            views.items(), key=lambda item: min(at for _, _, at in item[1].values())
+        ):
             if engine in self.verdicts or engine not in engines or engine in lifted:
                 continue
             verdict = self._verdict(now, engine, seen)
@@ -190,17 +217,22 @@
             self.relapses[engine] = verdict.relapses + 1, now
             self.figures["verdicts"] += 1
             begun.append(verdict)
-        self.relapses = {e: r for e, r in self.relapses.items() if now - r[1] < 10 * self.terms.most_hold}
+        self.relapses = {
+            e: r for e, r in self.relapses.items() if now - r[1] < 10 * self.terms.most_hold
+        }
         return begun, lifted
 
-    def _verdict(self, now: int, engine: Engine, seen: Mapping[str, tuple[str, bool, int]]) -> Verdict | None:
+    def _verdict(
+        self, now: int, engine: Engine, seen: Mapping[str, tuple[str, bool, int]]
+    ) -> Verdict | None:
         bad = {who: view for who, view in seen.items() if view[1]}
         good = {who: view for who, view in seen.items() if not view[1]}
         if len(bad) < self.terms.observers:
             return None
         kind, zone, by = Kind.BAD, "", bad
         if len(good) * 2 > len(bad):
-            # Some reach it well. If those are all of other zones than ours, it is ours that is cut off.
+            # Some reach it well. If those are all of other zones than ours, it is ours that is cut
+            # off.
             here = {w: v for w, v in bad.items() if v[0] == self.zone}
             if len(here) < self.terms.observers or any(v[0] == self.zone for v in good.values()):
                 return None
@@ -211,11 +243,16 @@
         return Verdict(engine, kind, zone, now, now + hold, newest, frozenset(by), relapses)
 
     def _lifts(self, now: int, verdict: Verdict, seen: Mapping[str, tuple[str, bool, int]]) -> bool:
-        """By fewer and fresher proofs than it took; or because nothing bad was seen of it any more."""
+        """By fewer and fresher proofs than it took; or because nothing bad was seen of it any
+        more.
+        """
         if now < verdict.until:
             return False
-        fresher = sum(not bad and at > verdict.newest and (not verdict.zone or zone == verdict.zone)
-                      for zone, bad, at in seen.values())
+        fresher = sum(
+            not bad and at > verdict.newest and (not verdict.zone or zone == verdict.zone)
+            for zone, bad, at in seen.values()
+        )
         still = any(bad and at > verdict.newest for _, bad, at in seen.values())
         return fresher >= (self.terms.observers + 1) // 2 or (
-            not still and now - verdict.newest > self.terms.age)
+            not still and now - verdict.newest > self.terms.age
+        )
--- a/larchhall/verdicts/terms.py
+++ b/larchhall/verdicts/terms.py
@@ -11,9 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class VerdictTerms:
-    """``observers``: how many must have seen an engine fail; ``failures``: how many attempts each, more than
-    half of its last ones; ``age``: what is older counts no more; ``part``: of a zone's engines that shared
-    verdicts may hold out at once; ``hold``: how long one is held out at least, doubled with each relapse."""
+    """``observers``: how many must have seen an engine fail; ``failures``: how many attempts each,
+    more than half of its last ones; ``age``: what is older counts no more; ``part``: of a zone's
+    engines that shared verdicts may hold out at once; ``hold``: how long one is held out at least,
+    doubled with each relapse.
+    """
 
     observers: int = 3
     failures: int = 2
@@ -32,6 +34,9 @@
 def lines(terms: VerdictTerms, brokers: int) -> Iterable[str]:
     """For `check-config`."""
     spread = rounds(brokers) * terms.told / S
-    yield (f"verdicts: {terms.observers} observers of {terms.failures} failures each within "
-           f"{terms.age / S:g} s; all {brokers} brokers act on it within {spread:.1f} s, as on an operator's "
-           f"word; {terms.part:.0%} of a zone at the most, {terms.hold / S:g} s at least")
+    yield (
+        f"verdicts: {terms.observers} observers of {terms.failures} failures each within "
+        f"{terms.age / S:g} s; all {brokers} brokers act on it within {spread:.1f} s, as on an "
+        "operator's "
+        f"word; {terms.part:.0%} of a zone at the most, {terms.hold / S:g} s at least"
+    )
--- a/larchhall/wire/bus.py
+++ b/larchhall/wire/bus.py
@@ -8,8 +8,11 @@
 
 from ..facade import EngineState
 
-STATES = {"in_service": EngineState.READY, "terminating": EngineState.DRAINING,
-          "terminated": EngineState.GONE}
+STATES = {
+    "in_service": EngineState.READY,
+    "terminating": EngineState.DRAINING,
+    "terminated": EngineState.GONE,
+}
 MOST_LINE = 1 << 20
 MS = 1_000_000
 
@@ -59,9 +62,17 @@
     gone = STATES[state] is EngineState.GONE
     host, port = ("", 0) if gone and not raw.get("endpoint") else parse_address(raw.get("endpoint"))
     try:
-        return Target(uid, host, port, str(raw.get("az") or ""), str(raw.get("model") or ""),
-                      int(raw.get("pod_group") or 0), STATES[state], float(raw.get("capacity_hint") or 1.0),
-                      int(raw.get("boot_ms") or 0) * MS)
+        return Target(
+            uid,
+            host,
+            port,
+            str(raw.get("az") or ""),
+            str(raw.get("model") or ""),
+            int(raw.get("pod_group") or 0),
+            STATES[state],
+            float(raw.get("capacity_hint") or 1.0),
+            int(raw.get("boot_ms") or 0) * MS,
+        )
     except (TypeError, ValueError, OverflowError) as error:
         raise BadLine(f"{uid}: {error}") from None
 
--- a/larchhall/wire/client.py
+++ b/larchhall/wire/client.py
@@ -13,17 +13,18 @@
 from .statement import table_group
 
 MOST_OPEN = 32
-HIGH_WATER = 256 * 1024  # bytes waiting for a slow reader; past this its requests are not read any more
+# bytes waiting for a slow reader; past this its requests are not read any more
+HIGH_WATER = 256 * 1024
 MOST_TRACE = 16
 S = 1_000_000_000
-FIRST = 2 * S            # ns from connecting in which a whole frame must be here
-WHOLE = 2 * S            # ns from a frame's first byte to its last, where nothing else is open
-IDLE = 5 * S             # ns; usual clients close after 4 s idle
-LINGER = 1 * S           # ns that a broken connection is read on, so that the error is not lost with a reset
+FIRST = 2 * S  # ns from connecting in which a whole frame must be here
+WHOLE = 2 * S  # ns from a frame's first byte to its last, where nothing else is open
+IDLE = 5 * S  # ns; usual clients close after 4 s idle
+LINGER = 1 * S  # ns that a broken connection is read on, so that the error is not lost with a reset
 MOST_DISCARDED = 1 << 20  # bytes read on in that time
-TURN = 32                # frames of one connection before everybody else's turn
-AHEAD = 64 * 1024        # bytes that are read on for departures where what came before waits for its turn
-SKIMMED = 2_048          # frames looked at for departures in a turn
+TURN = 32  # frames of one connection before everybody else's turn
+AHEAD = 64 * 1024  # bytes that are read on for departures where what came before waits for its turn
+SKIMMED = 2_048  # frames looked at for departures in a turn
 MOST_AHEAD = 4 * MOST_OPEN  # requests of which a departure is heard before they are taken
 HEX = frozenset("0123456789abcdefABCDEF")
 
@@ -59,12 +60,17 @@
     if fields.get("redo", "1") not in ("0", "1"):
         raise Unusable("redo: is neither 1 nor absent")
     return Ask(
-        route=fields["route"], trace=trace, customer=fields.get("customer"),
+        route=fields["route"],
+        trace=trace,
+        customer=fields.get("customer"),
         patience_ms=read_number(fields["patience"], "patience"),
         weight_ms=read_number(fields.get("weight", "0"), "weight"),
         ram_mb=read_number(fields.get("ram", "0"), "ram"),
-        retry=fields.get("redo") == "1", data_set=table_group(statement), statement=statement,
-        nonce=fields.get("nonce"))
+        retry=fields.get("redo") == "1",
+        data_set=table_group(statement),
+        statement=statement,
+        nonce=fields.get("nonce"),
+    )
 
 
 class ClientConnection(asyncio.Protocol):
@@ -75,18 +81,19 @@
         self.parser = frames.FrameParser()
         self.open: dict[int, OpenRequest | None] = {}  # None while the broker is being asked
         self.last_stream = 0
-        self.broken = False   # nothing more is read; it is about to end
-        self.ended = False    # our side has ended: nothing more is written
-        self.spoken = False   # a whole frame has come
-        self.used = self.begun = self.first = front.broker.now()  # first: when the present frame began
+        self.broken = False  # nothing more is read; it is about to end
+        self.ended = False  # our side has ended: nothing more is written
+        self.spoken = False  # a whole frame has come
+        # first: when the present frame began
+        self.used = self.begun = self.first = front.broker.now()
         self.discarded = 0
         self.partial = 0  # bytes held of frames that are not whole yet
         self.reading_on = False  # whole frames wait for this connection's next turn
         self.recent: dict[str, None] = {}  # its last ids
-        self.ahead: set[int] = set()    # streams of requests that wait in the parser
+        self.ahead: set[int] = set()  # streams of requests that wait in the parser
         self.dropped: set[int] = set()  # of these, those that nobody waits for any more
         self.paused_at = 0  # since when the reader has been slow; 0: it is not
-        self.deaf = False   # what it says from now on is not read
+        self.deaf = False  # what it says from now on is not read
         self.timer: Timer | None = None
         self.half_closed = False  # it asks nothing more, and waits for its answers
 
@@ -124,7 +131,9 @@
         self.partial = held
 
     def _read_on(self) -> None:
-        """Danger: a chunk can hold 25,000 frames; all others would stand still until the last is answered."""
+        """Danger: a chunk can hold 25,000 frames; all others would stand still until the last is
+        answered.
+        """
         self.reading_on = False
         try:
             looked = False
@@ -151,8 +160,9 @@
             asyncio.get_running_loop().call_soon(self._resume)
 
     def _hear_departures(self) -> None:
-        """Danger: a client that stops waiting says so behind all that it asked before; while that waits for
-        its turn, or for answers to be read, attempts would begin for nobody."""
+        """Danger: a client that stops waiting says so behind all that it asked before; while that
+        waits for its turn, or for answers to be read, attempts would begin for nobody.
+        """
         try:
             for kind, stream in self.parser.skim(SKIMMED):
                 if kind == frames.REQUEST and len(self.ahead) < MOST_AHEAD:
@@ -174,8 +184,9 @@
         self._break("internal error")
 
     def _has_left(self) -> bool:
-        """Danger: who sends much and goes has gone before the last of it is read, and nothing of it may
-        begin then."""
+        """Danger: who sends much and goes has gone before the last of it is read, and nothing of it
+        may begin then.
+        """
         if self.fd < 0 or self.front.broker.terms.half_close == "answer" or not has_ended(self.fd):
             return False
         self.drop()
@@ -198,12 +209,17 @@
             self._count_partial()
 
     def _read_if_wanted(self) -> None:
-        """No more is read than departures need while frames wait for their turn, or answers for their
-        reader. Danger: behind more than that no departure can be heard: nothing further begins until then."""
+        """No more is read than departures need while frames wait for their turn, or answers for
+        their reader. Danger: behind more than that no departure can be heard: nothing further
+        begins until then.
+        """
         if self.transport is None or self.transport.is_closing():
             return
-        full = not self.broken and bool(self.reading_on or self.paused_at) and (
-            self.parser.held() > AHEAD or self.front.partial > self.front.broker.room // 2)
+        full = (
+            not self.broken
+            and bool(self.reading_on or self.paused_at)
+            and (self.parser.held() > AHEAD or self.front.partial > self.front.broker.room // 2)
+        )
         if full:
             self.transport.pause_reading()
         else:
@@ -215,10 +231,18 @@
                     request.unheard = self.deaf
 
     def eof_received(self) -> bool:
-        """A client that ends its side has left, unless operators say that it may still wait for answers."""
+        """A client that ends its side has left, unless operators say that it may still wait for
+        answers.
+        """
         waits = self.reading_on or self.paused_at  # what is held are whole frames
-        if self.front.broker.terms.half_close != "answer" or self.broken or self.parser.held() and not waits:
-            # Danger: where answers are still unread the loss of the connection is told only after them.
+        if (
+            self.front.broker.terms.half_close != "answer"
+            or self.broken
+            or self.parser.held()
+            and not waits
+        ):
+            # Danger: where answers are still unread the loss of the connection is told only after
+            # them.
             self.broken = True
             self._abandon_all()
             return False
@@ -241,11 +265,14 @@
         self._abandon_all()
 
     def _look(self) -> None:
-        """Danger: who says nothing, stops in the middle of a frame or stays for good after one request holds
-        a descriptor that usual clients need. One timer a connection; it looks again when that may be due."""
+        """Danger: who says nothing, stops in the middle of a frame or stays for good after one
+        request holds a descriptor that usual clients need. One timer a connection; it looks again
+        when that may be due.
+        """
         now = self.front.broker.now()
-        # Danger: who stood still itself, or was kept from its core, has not read what came meanwhile: a close
-        # over it would reset the connection, and lose requests that came long before.
+        # Danger: who stood still itself, or was kept from its core, has not read what came
+        # meanwhile: a close over it would reset the connection, and lose requests that came long
+        # before.
         if self.open or self.unread() or self.reading_on or self.fd >= 0 and has_input(self.fd):
             due = now + WHOLE
         elif self.parser.held():
@@ -260,7 +287,9 @@
             self._break("no whole frame in time")
 
     def pause_writing(self) -> None:
-        """Danger: a client that does not read while it asks would fill our memory with its answers."""
+        """Danger: a client that does not read while it asks would fill our memory with its
+        answers.
+        """
         self.paused_at = self.front.broker.now()
         self._read_if_wanted()
 
@@ -289,7 +318,8 @@
         try:
             ask = read_ask(payload)
             if ask.trace in self.recent:
-                # Danger: the same frame hundreds of times over would take a tenant's share from its others.
+                # Danger: the same frame hundreds of times over would take a tenant's share from its
+                # others.
                 raise Unusable("trace: is not new on this connection")
             self.recent[ask.trace] = None
             if len(self.recent) > MOST_OPEN:
@@ -306,8 +336,9 @@
             self.open[stream] = request
 
     def _break(self, why: str) -> None:
-        """An error that belongs to no request; nothing more on this connection can be read. What was taken
-        before it gets its answer first."""
+        """An error that belongs to no request; nothing more on this connection can be read. What
+        was taken before it gets its answer first.
+        """
         self.front.broker.log("client", f"broken connection: {why}")
         self.broken = True
         for stream in [stream for stream, request in self.open.items() if request is None]:
@@ -317,9 +348,10 @@
         self.shut()
 
     def shut(self) -> None:
-        """Nothing that comes from now on is read as a request. Danger: to close with bytes unread resets the
-        connection, and that can destroy what was written last: only our side is ended, after all of that,
-        and the other read on within bounds."""
+        """Nothing that comes from now on is read as a request. Danger: to close with bytes unread
+        resets the connection, and that can destroy what was written last: only our side is ended,
+        after all of that, and the other read on within bounds.
+        """
         self.broken = True
         self.parser.clear()
         self._count_partial()
@@ -352,7 +384,9 @@
         self._answer(stream, frames.answer(stream, frames.FAILED, {}, reason.encode()))
 
     def _answer(self, stream: int, data: bytes) -> None:
-        """Each answer is one write of one whole frame; asyncio keeps what the socket does not take."""
+        """Each answer is one write of one whole frame; asyncio keeps what the socket does not
+        take.
+        """
         self.open.pop(stream, None)
         # Danger: idle time counted from the request ends the connection right under a late answer.
         self.used = self.front.broker.now()
@@ -379,6 +413,7 @@
             self.transport.close()
 
     def drop(self) -> None:
-        self.fd = -1  # danger: the number of a descriptor that is closed is soon another connection's
+        # danger: the number of a descriptor that is closed is soon another connection's
+        self.fd = -1
         if self.transport is not None:
             self.transport.abort()
--- a/larchhall/wire/engine.py
+++ b/larchhall/wire/engine.py
@@ -19,11 +19,12 @@
 MS = 1_000_000
 MOST_PAGES = 1_024
 NOTSENT_LOWAT = getattr(socket, "TCP_NOTSENT_LOWAT", 25)
-UNSENT = 16_384        # bytes that may lie unsent in the system's buffer
-MOST_RESULT = 48_000   # bytes
-CARRIED = 64           # ids that a connection knows to have carried
-PART = 500 * MS        # ns in which an answer that has begun must be whole
-ROWS = re.compile(rb"(?:[^\t\n\0]*\t[^\t\n\0]*\t[^\t\n\0]*\n)*")  # three text columns and a line end each
+UNSENT = 16_384  # bytes that may lie unsent in the system's buffer
+MOST_RESULT = 48_000  # bytes
+CARRIED = 64  # ids that a connection knows to have carried
+PART = 500 * MS  # ns in which an answer that has begun must be whole
+# three text columns and a line end each
+ROWS = re.compile(rb"(?:[^\t\n\0]*\t[^\t\n\0]*\t[^\t\n\0]*\n)*")
 WORDS = {b"overload": Result.FULL, b"crashed": Result.ERROR, b"nobody": Result.NOT_SENT}
 TOLD = {"pct": NoteKind.PROGRESS, "overflow": NoteKind.SPILLING, "queued": NoteKind.WAITING}
 HEALTH = {b"green": Result.SERVED, b"red": Result.ERROR}
@@ -66,19 +67,21 @@
 
 
 class EngineConnection(asyncio.Protocol):
-    """Attempts stay in ``open`` until the engine answered them, also those that nobody waits for: they hold
-    their stream, and their answer must be known to be dropped."""
+    """Attempts stay in ``open`` until the engine answered them, also those that nobody waits for:
+    they hold their stream, and their answer must be known to be dropped.
+    """
 
     def __init__(self, owner: Owner, engine: int) -> None:
         self.owner, self.engine = owner, engine
         self.transport: asyncio.Transport | None = None
         self.parser = resp.RespParser()
         self.open: dict[bytes, Attempt] = {}
-        self.carried: dict[bytes, None] = {}  # ids under which something may still come, the newest last
+        # ids under which something may still come, the newest last
+        self.carried: dict[bytes, None] = {}
         self.probes: set[bytes] = set()
         self.heard = self.used = self.begun = owner.now()
         self.retired = False  # takes no further sends
-        self.ending = False   # closed by us, its loss not told yet
+        self.ending = False  # closed by us, its loss not told yet
         self.closed = False
         self.fd = -1
         self.outbox = Outbox(self._leave, self._begun, self._gone)
@@ -96,7 +99,9 @@
     def _leave(self, frame: Frame) -> tuple[bytes, ...] | None:
         if not isinstance(frame.about, Attempt):
             return frame.pieces
-        return self._pieces(frame.about, self.owner.now()) if self.owner.may_go(frame.about) else None
+        return (
+            self._pieces(frame.about, self.owner.now()) if self.owner.may_go(frame.about) else None
+        )
 
     def _begun(self, about: object) -> None:
         if isinstance(about, Attempt):
@@ -113,12 +118,17 @@
         return self.fd >= 0 and has_ended(self.fd)
 
     def flush(self) -> None:
-        """Write until the socket takes no more. Danger: what the transport's own buffer holds can't be taken
-        back: it is given nothing; how much has left is known to the byte."""
+        """Write until the socket takes no more. Danger: what the transport's own buffer holds can't
+        be taken back: it is given nothing; how much has left is known to the byte.
+        """
         outbox = self.outbox
         # Danger: the number of a descriptor that has been closed is soon another connection's.
-        while self.fd >= 0 and self.transport is not None and not self.transport.is_closing() and (
-                pieces := outbox.next()):
+        while (
+            self.fd >= 0
+            and self.transport is not None
+            and not self.transport.is_closing()
+            and (pieces := outbox.next())
+        ):
             try:
                 wrote = os.writev(self.fd, pieces)
             except BlockingIOError:
@@ -153,8 +163,13 @@
 
     def do(self, attempt: Attempt, now: int) -> None:
         request, pieces = attempt.request, self._pieces(attempt, now)
-        if len(pieces) == 1 and self.fd >= 0 and not self.jammed and self.transport is not None \
-                and not self.transport.is_closing():
+        if (
+            len(pieces) == 1
+            and self.fd >= 0
+            and not self.jammed
+            and self.transport is not None
+            and not self.transport.is_closing()
+        ):
             # The ordinary path: it has just been decided on, and leaves whole.
             try:
                 wrote = os.write(self.fd, pieces[0])
@@ -167,14 +182,24 @@
                 self.owner.written_at_once()
                 return
             pieces = (pieces[0][wrote:],)
-        self._put(now, attempt, request.trace, 1 if request.level is None else request.level, pieces,
-                  attempt.written)
+        self._put(
+            now,
+            attempt,
+            request.trace,
+            1 if request.level is None else request.level,
+            pieces,
+            attempt.written,
+        )
 
     def _pieces(self, attempt: Attempt, now: int) -> tuple[bytes, ...]:
-        """Danger: class, key and statement go on as they came; only our own fields are written anew."""
+        """Danger: class, key and statement go on as they came; only our own fields are written
+        anew.
+        """
         request = attempt.request
-        fields: dict[str, object] = {"cls": request.route.decode(),
-                                     "limit": max(1, (attempt.until - now) // MS)}
+        fields: dict[str, object] = {
+            "cls": request.route.decode(),
+            "limit": max(1, (attempt.until - now) // MS),
+        }
         if request.nonce is not None:
             fields["nonce"] = request.nonce
         if request.reserve > 0:
@@ -188,14 +213,21 @@
             self._write(self.owner.now(), b"bump", attempt.request.trace, b"%d" % level)
 
     def undo(self, attempt: Attempt) -> None:
-        """Its stream is held until it has been silent for long enough, or has answered all the same."""
+        """Its stream is held until it has been silent for long enough, or has answered all the
+        same.
+        """
         now = self.owner.now()
         self.open.pop(attempt.request.trace, None)
         self.undoing.begin(attempt.request.trace, now)
         if self.transport is not None and not self.transport.is_closing():
             self.undo_waits.add(attempt.request.trace)
-            self._put(now, attempt.request.trace, None, CONTROL,
-                      resp.pieces(b"undo", attempt.request.trace))
+            self._put(
+                now,
+                attempt.request.trace,
+                None,
+                CONTROL,
+                resp.pieces(b"undo", attempt.request.trace),
+            )
 
     def forget(self, attempt: Attempt) -> None:
         """No more pages of it are wanted."""
@@ -209,11 +241,20 @@
     def _write(self, now: int, *parts: bytes) -> None:
         self._put(now, None, None, CONTROL, resp.pieces(*parts))
 
-    def _put(self, now: int, about: object, key: bytes | None, level: int, pieces: tuple[bytes, ...],
-             begun: bool = False) -> None:
+    def _put(
+        self,
+        now: int,
+        about: object,
+        key: bytes | None,
+        level: int,
+        pieces: tuple[bytes, ...],
+        begun: bool = False,
+    ) -> None:
         self.used = now
         if self.transport is not None and not self.transport.is_closing():
-            if self.outbox.put(Frame(pieces, key, level, sum(map(len, pieces)), about, begun=begun)):
+            if self.outbox.put(
+                Frame(pieces, key, level, sum(map(len, pieces)), about, begun=begun)
+            ):
                 self.flush()
 
     def give_up(self, why: str) -> None:
@@ -239,8 +280,9 @@
             pass  # no system like that: its buffer is somewhat larger, and all else as it is
 
     def data_received(self, data: bytes) -> None:
-        """Danger: a malformed answer leaves the place of the next one unknown: this connection ends, and
-        what was open on it may have run."""
+        """Danger: a malformed answer leaves the place of the next one unknown: this connection
+        ends, and what was open on it may have run.
+        """
         if self.closed:
             return
         self.heard = self.owner.now()
@@ -258,15 +300,20 @@
             self._drop(f"{type(error).__name__} while reading: {error}", spoilt=True)
 
     def check(self, now: int) -> None:
-        """Danger: an answer that stops short on an open connection swallows all answers behind it, and what
-        is sent there later is never heard of again. Where we stood still, its rest lies here unread."""
+        """Danger: an answer that stops short on an open connection swallows all answers behind it,
+        and what is sent there later is never heard of again. Where we stood still, its rest lies
+        here unread.
+        """
         again, stopped = self.undoing.due(now)
         for trace in again:
             self._write(now, b"undo", trace)
         if stopped:
             self.owner.undone(Outcome.STOPPED, len(stopped))
-        if self.parser.buffer and now - self.begun > PART and not (
-                now - self.heard > PART and self.fd >= 0 and has_input(self.fd)):
+        if (
+            self.parser.buffer
+            and now - self.begun > PART
+            and not (now - self.heard > PART and self.fd >= 0 and has_input(self.fd))
+        ):
             self._drop("an answer stopped short", spoilt=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -279,7 +326,7 @@
             self.parser.buffer.clear()
             self.outbox.abandon()
             self.undo_waits.clear()  # its end gives up all that was open there
-            if (lost := self.undoing.lost()):
+            if lost := self.undoing.lost():
                 self.owner.undone(Outcome.LOST, lost)
             self.close()
             self.owner.lost(self, why, spoilt)
@@ -300,8 +347,8 @@
         elif word not in WORDS and word not in (b"served", b"rows"):
             raise resp.BadAnswer(f"unknown word {word[:40]!r}")
         elif (attempt := self.open.get(tag)) is None:
-            # A second copy, or more than was asked for: it belongs to nothing that is open here. Or it
-            # crossed the `undo`.
+            # A second copy, or more than was asked for: it belongs to nothing that is open here. Or
+            # it crossed the `undo`.
             if (outcome := self.undoing.answered(tag)) is not None:
                 self.owner.undone(outcome, 1)
             return
@@ -314,8 +361,9 @@
             self._over(tag, attempt, Result.ERROR if attempt.pages else WORDS[word], meter)
 
     def _note(self, tag: bytes, raw_fields: bytes) -> None:
-        """Danger: the frame is whole, so that nothing behind it is lost: a note that can't be read, or of an
-        attempt that is over or undone, ends nothing."""
+        """Danger: the frame is whole, so that nothing behind it is lost: a note that can't be read,
+        or of an attempt that is over or undone, ends nothing.
+        """
         attempt = self.open.get(tag)
         if attempt is None or attempt.reported:
             return
@@ -334,13 +382,16 @@
         else:
             self.owner.ended(attempt, result, meter)
 
-    def _served(self, tag: bytes, attempt: Attempt, fields: dict[str, str], body: bytes, meter: str) -> None:
+    def _served(
+        self, tag: bytes, attempt: Attempt, fields: dict[str, str], body: bytes, meter: str
+    ) -> None:
         if attempt.pages:
             return  # a second copy
         chunks = _count(fields.get("chunks", "1"), "chunks")
         _check_rows(body)
         if not attempt.wanted():
-            # Answered elsewhere, timed out, or the client left: the pages behind this one are not wanted.
+            # Answered elsewhere, timed out, or the client left: the pages behind this one are not
+            # wanted.
             if chunks > 1:
                 self._write(self.heard, b"forget", tag)
             self._over(tag, attempt, Result.SERVED, meter)
@@ -357,7 +408,9 @@
             for n in range(1, chunks):
                 self._write(self.heard, b"page", tag, b"%d" % n)
 
-    def _page(self, tag: bytes, attempt: Attempt, fields: dict[str, str], body: bytes, meter: str) -> None:
+    def _page(
+        self, tag: bytes, attempt: Attempt, fields: dict[str, str], body: bytes, meter: str
+    ) -> None:
         at = _count(fields.get("at", ""), "at")
         if not attempt.pages or not 0 < at < len(attempt.pages):
             if not attempt.reported:
@@ -381,8 +434,10 @@
             self.owner.whole(attempt, meter)
 
     def _mixed(self, tag: bytes, attempt: Attempt, meter: str) -> None:
-        """Danger: the engine runs, or has run, another query under this id, and knows pages by the id alone:
-        those that it gives may be of either, also when the other one has just been answered."""
+        """Danger: the engine runs, or has run, another query under this id, and knows pages by the
+        id alone: those that it gives may be of either, also when the other one has just been
+        answered.
+        """
         self._write(self.heard, b"forget", tag)
         attempt.pages = []
         self._over(tag, attempt, Result.ERROR, meter)
--- a/larchhall/wire/feed.py
+++ b/larchhall/wire/feed.py
@@ -1,4 +1,6 @@
-"""The connection to the event bus: resumes after cuts, notices that the bus has gone silent, and moves."""
+"""The connection to the event bus: resumes after cuts, notices that the bus has gone silent, and
+moves.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +12,10 @@
 from . import bus
 
 SILENT = 1_700_000_000  # ns; a beat comes every second, and after a stop news counts as told in 4 s
-RETRY = (0.05, 0.4)     # s; the first and the longest wait before the next try: after a break told in 2 s
-CONNECT = 0.5           # s
-LOWER = 2               # beats in turn that name less than we have, after which the numbering has begun anew
+# s; the first and the longest wait before the next try: after a break told in 2 s
+RETRY = (0.05, 0.4)
+CONNECT = 0.5  # s
+LOWER = 2  # beats in turn that name less than we have, after which the numbering has begun anew
 
 
 class Pace(Protocol):
@@ -40,7 +43,8 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Danger: uvloop's transports are no subclass of asyncio's; a test by isinstance drops every write.
+        # Danger: uvloop's transports are no subclass of asyncio's; a test by isinstance drops every
+        # write.
         self.transport = cast(asyncio.Transport, transport)
         self.transport.write(b"from %d\n" % self.feed.last)
         self.feed.came_up(self)
@@ -69,11 +73,19 @@
 class Feed:
     """Keeps one connection to the bus and hands its events on in order, each once."""
 
-    def __init__(self, address: tuple[str, int], last: int, take: Callable[[bus.BusEvent], None],
-                 now: Callable[[], int], log: Callable[[str, str], None],
-                 draw: Callable[[], float], pace: Pace | None = None) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        last: int,
+        take: Callable[[bus.BusEvent], None],
+        now: Callable[[], int],
+        log: Callable[[str, str], None],
+        draw: Callable[[], float],
+        pace: Pace | None = None,
+    ) -> None:
         self.address, self.last, self.take, self.now, self.log = address, last, take, now, log
-        self.draw, self.pace = draw, pace  # from 0 to 1; None: the bus is ours alone, or takes any number
+        # from 0 to 1; None: the bus is ours alone, or takes any number
+        self.draw, self.pace = draw, pace
         self.lower = 0  # beats in turn that named less than we have
         self.heard = now()
         self.connection: FeedConnection | None = None
@@ -91,8 +103,10 @@
             self.connection.drop()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Connect to another address at once. Danger: the old one may still tell what the new one, not yet
-        up, can't: its connection is kept until the new one has come up; events are known by their number."""
+        """Connect to another address at once. Danger: the old one may still tell what the new one,
+        not yet up, can't: its connection is kept until the new one has come up; events are known by
+        their number.
+        """
         if address != self.address:
             self.address, self.wait = address, RETRY[0]
             self._connect_after(0.0)
@@ -108,7 +122,8 @@
         try:
             async with asyncio.timeout(CONNECT if self.pace is None else self.pace.time_out()):
                 await asyncio.get_running_loop().create_connection(
-                    partial(FeedConnection, self, address), *address)
+                    partial(FeedConnection, self, address), *address
+                )
         except (OSError, TimeoutError) as error:
             if self.task is asyncio.current_task():
                 self.log("bus", f"no connection: {error or 'no answer in time'}")
@@ -126,7 +141,9 @@
 
     def _again(self) -> None:
         """Danger: all brokers lose the bus at one moment, and would come back to it together."""
-        self._connect_after(self.wait * (0.5 + self.draw() / 2) if self.pace is None else self.pace.wait())
+        self._connect_after(
+            self.wait * (0.5 + self.draw() / 2) if self.pace is None else self.pace.wait()
+        )
         self.wait = min(RETRY[1], self.wait * 2)
 
     def lost(self, connection: FeedConnection) -> None:
@@ -139,7 +156,8 @@
     def check(self, now: int) -> None:
         """Danger: a bus that is cut off says nothing, and news counts as told all the same."""
         if self.connection is not None and now - self.heard > (
-                SILENT if self.pace is None else self.pace.silent()):
+            SILENT if self.pace is None else self.pace.silent()
+        ):
             self.log("bus", "no beat: connecting anew")
             self.heard = now
             self.connection.drop()
@@ -154,8 +172,8 @@
             self.log("bus", f"read past a line after event {self.last}: {error}")
             return
         offset = event if isinstance(event, int) else event.offset
-        # A beat names the last event there is: one that we do not have was missed. Past a line that can't
-        # be read a gap is to be expected.
+        # A beat names the last event there is: one that we do not have was missed. Past a line that
+        # can't be read a gap is to be expected.
         if offset > self.last + (0 if isinstance(event, int) else 1) and self.bad_at != self.last:
             raise bus.BadLine(f"events after {self.last} are missing before {offset}")
         self.wait = RETRY[0]
@@ -170,10 +188,15 @@
                 self.pace.spoke()
 
     def _numbered_lower(self, offset: int) -> None:
-        """Danger: a bus that begins its numbers anew, with a fleet that holds larger ones, would never be
-        heard again. One beat may be a replica's that lags; the whole list costs the service more."""
+        """Danger: a bus that begins its numbers anew, with a fleet that holds larger ones, would
+        never be heard again. One beat may be a replica's that lags; the whole list costs the
+        service more.
+        """
         self.lower += 1
         if self.lower >= LOWER and self.connection is not None:
-            self.log("bus", f"the numbers begin anew: {offset} after {self.last}, asking for the whole list")
+            self.log(
+                "bus",
+                f"the numbers begin anew: {offset} after {self.last}, asking for the whole list",
+            )
             self.last = self.lower = 0
             self.connection.drop()
--- a/larchhall/wire/frames.py
+++ b/larchhall/wire/frames.py
@@ -32,13 +32,15 @@
         self.skimmed = 0  # up to here `skim` has looked
 
     def feed(self, data: bytes) -> None:
-        del self.buffer[:self.at]
+        del self.buffer[: self.at]
         self.skimmed = max(0, self.skimmed - self.at)
         self.at = 0
         self.buffer += data
 
     def skim(self, most: int) -> Iterator[tuple[int, int]]:
-        """Type and stream of whole frames that wait to be given out, each once, so many at the most."""
+        """Type and stream of whole frames that wait to be given out, each once, so many at the
+        most.
+        """
         buffer, at = self.buffer, max(self.at, self.skimmed)
         for _ in range(most):
             if len(buffer) - at < HEAD.size:
@@ -51,12 +53,13 @@
         self.skimmed = at
 
     def next(self) -> Frame | None:
-        """Danger: a length is believed before its bytes are there: an impossible one is an error at once,
-        and what is held never passes one frame's length."""
+        """Danger: a length is believed before its bytes are there: an impossible one is an error at
+        once, and what is held never passes one frame's length.
+        """
         buffer, at = self.buffer, self.at
         if len(buffer) - at < 4:
             return None
-        length = int.from_bytes(buffer[at:at + 4], "big")
+        length = int.from_bytes(buffer[at : at + 4], "big")
         if not LEAST <= length <= MOST:
             raise BadFrame(f"length {length} is not within {LEAST} to {MOST}")
         if len(buffer) - at >= 5 and buffer[at + 4] not in FROM_CLIENT:
@@ -65,7 +68,7 @@
             return None
         self.at = at + 4 + length
         _, kind, stream = HEAD.unpack_from(buffer, at)
-        return Frame(kind, stream, bytes(buffer[at + HEAD.size:self.at]))
+        return Frame(kind, stream, bytes(buffer[at + HEAD.size : self.at]))
 
     def held(self) -> int:
         """Bytes that are here and not given out yet."""
@@ -87,7 +90,7 @@
             value_end = value_at + int.from_bytes(payload[name_end:value_at], "big")
             if value_end > len(payload) or value_at > len(payload):
                 raise BadFrame("the fields end inside a value")
-            name = payload[at + 1:name_end].decode()
+            name = payload[at + 1 : name_end].decode()
             if name in fields:
                 raise BadFrame(f"the field {name[:40]!r} comes twice")
             fields[name] = payload[value_at:value_end].decode()
@@ -103,7 +106,9 @@
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         raw_name, raw_value = name.encode(), value.encode()
-        parts.append(bytes((len(raw_name),)) + raw_name + len(raw_value).to_bytes(2, "big") + raw_value)
+        parts.append(
+            bytes((len(raw_name),)) + raw_name + len(raw_value).to_bytes(2, "big") + raw_value
+        )
     return b"".join(parts)
 
 
--- a/larchhall/wire/operator.py
+++ b/larchhall/wire/operator.py
@@ -10,14 +10,23 @@
 
 from ..state.wheel import Timer, Wheel
 
-MOST_HEAD = 8_192        # bytes of the request line and the headers
-MOST_BODY = 16_384       # bytes; no call needs any
-PATIENCE = 800_000_000   # ns from connecting to the end of the connection, answered or not
+MOST_HEAD = 8_192  # bytes of the request line and the headers
+MOST_BODY = 16_384  # bytes; no call needs any
+PATIENCE = 800_000_000  # ns from connecting to the end of the connection, answered or not
 TEXT = "text/plain; charset=utf-8"
 METRICS = "text/plain; version=0.0.4; charset=utf-8"
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-           409: "Conflict", 413: "Content Too Large",
-           431: "Request Header Fields Too Large", 500: "Internal Server Error", 503: "Service Unavailable"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 DISABLE, ENABLE = "/data-engines/disable/", "/data-engines/enable/"
 
 
@@ -35,7 +44,9 @@
     def set_engine(self, uid: str, out: bool) -> bool: ...
 
     def other(self, method: str, path: str) -> tuple[int, bytes, str, str] | None:
-        """Status, body, kind and allowed method of a call that is not the daemon's own; None: no such."""
+        """Status, body, kind and allowed method of a call that is not the daemon's own; None: no
+        such.
+        """
 
     def came(self, caller: OperatorConnection) -> None: ...
 
@@ -76,7 +87,8 @@
         try:
             self.size += len(data)
             self.parser.feed_data(data)
-            self._check_head(0 if self.headed else self.size)  # danger: one header without end tells nothing
+            # danger: one header without end tells nothing
+            self._check_head(0 if self.headed else self.size)
         except httptools.HttpParserUpgrade:
             pass  # the call is whole; nothing else is spoken here
         except Answer as answer:
@@ -158,7 +170,7 @@
             self._write(200, "ready")
         else:
             try:
-                uid = unquote_to_bytes(path[path.index("/", 14) + 1:]).decode()
+                uid = unquote_to_bytes(path[path.index("/", 14) + 1 :]).decode()
             except UnicodeDecodeError:
                 raise Answer(400, "the id is no text") from None
             if not self.operations.set_engine(uid, out=path.startswith(DISABLE)):
@@ -173,8 +185,13 @@
             return
         self.answered = True
         body = text if isinstance(text, bytes) else f"{text}\n".encode()
-        head = [f"HTTP/1.1 {status} {REASONS[status]}", f"Content-Type: {kind}",
-                f"Content-Length: {len(body)}", "Connection: close", *([f"Allow: {allow}"] if allow else [])]
+        head = [
+            f"HTTP/1.1 {status} {REASONS[status]}",
+            f"Content-Type: {kind}",
+            f"Content-Length: {len(body)}",
+            "Connection: close",
+            *([f"Allow: {allow}"] if allow else []),
+        ]
         self.transport.write("\r\n".join([*head, "", ""]).encode() + body)
         if self.transport.can_write_eof():
             self.transport.write_eof()
--- a/larchhall/wire/peer.py
+++ b/larchhall/wire/peer.py
@@ -8,8 +8,9 @@
 
 
 def has_ended(fd: int) -> bool:
-    """The other end has closed, or reset, the connection. Danger: its end stands behind all that it sent, so
-    that whoever reads in order, and in turns, hears of it late."""
+    """The other end has closed, or reset, the connection. Danger: its end stands behind all that it
+    sent, so that whoever reads in order, and in turns, hears of it late.
+    """
     return _told(fd, GONE)
 
 
--- a/larchhall/wire/resp.py
+++ b/larchhall/wire/resp.py
@@ -1,4 +1,6 @@
-"""The engines' RESP: arrays of bulk strings, and the `name=value` fields within. Knows no socket."""
+"""The engines' RESP: arrays of bulk strings, and the `name=value` fields within. Knows no
+socket.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +9,7 @@
 MOST_BULK = 48_000  # the largest result, were it one page
 MOST_PARTS = 4
 MOST_LINE = 32
-SMALL = 4_096        # bytes up to which a copy costs less than a piece of its own
+SMALL = 4_096  # bytes up to which a copy costs less than a piece of its own
 
 
 class BadAnswer(Exception):
@@ -53,7 +55,7 @@
             if len(buffer) - at >= MOST_LINE:
                 raise BadAnswer("a length without its end")
             return None
-        digits = bytes(buffer[at + 1:end])
+        digits = bytes(buffer[at + 1 : end])
         if not digits.isdigit() or int(digits) > most:
             raise BadAnswer(f"{digits!r} is no length up to {most}")
         return int(digits), end + 2
@@ -71,9 +73,9 @@
             length, at = size
             if len(self.buffer) < at + length + 2:
                 return None
-            if self.buffer[at + length:at + length + 2] != b"\r\n":
+            if self.buffer[at + length : at + length + 2] != b"\r\n":
                 raise BadAnswer("a bulk string runs past its length")
-            parts.append(bytes(self.buffer[at:at + length]))
+            parts.append(bytes(self.buffer[at : at + length]))
             at += length + 2
         return parts, at
 
