--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -18,18 +18,18 @@
 
 import uvloop
 
-from larchhall.cells.model import Cell, CellMap, Tenant, Timing
-from larchhall.cells.moves import Refused, Stage
-from larchhall.cells.placement import Placement, Seen
-from larchhall.cells.plan import Problem, hashed, load_of
-from larchhall.cells.solver import solve
-from larchhall.config import parse
-from larchhall.operators.script import Evaluated, evaluate
-from larchhall.rooms.node import CelledNode
-from larchhall.standins.client import Asked, Book, quantile
-from larchhall.standins.engine import ran_twice
-from larchhall.standins.world import World, config, tenants
-from larchhall.wire import frames
+from query_broker.cells.migrations import Refused, Stage
+from query_broker.cells.model import Cell, CellMap, Tenant, Timing
+from query_broker.cells.node import CelledNode
+from query_broker.cells.placement import Placement, Seen
+from query_broker.cells.planner import Problem, hashed, load_of
+from query_broker.cells.solver import solve
+from query_broker.config.reading import parse
+from query_broker.emulator.clients import Asked, Book, quantile
+from query_broker.emulator.cluster import World, config, tenants
+from query_broker.emulator.data_engine import ran_twice
+from query_broker.operator_config.script import Evaluated, evaluate
+from query_broker.protocols import client_frames as frames
 
 from .harness import ROOT, Daemon, Figures, worktree
 
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass
 from functools import partial
 
-from larchhall.facade import EngineEntry, EngineNews, EngineState, Result
-from larchhall.standins.machine import Machine
-from larchhall.standins.simulated import BEGIN, SimBroker, SimEngine, Simulation
+from query_broker.decisions.facade import EngineEntry, EngineNews, EngineState, Result
+from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
+from query_broker.emulator.machine import Machine
 
 from .harness import Figures
 from .start import sim_settings
--- a/benchmarks/deadlines.py
+++ b/benchmarks/deadlines.py
@@ -20,13 +20,14 @@
 
 import uvloop
 
-from larchhall.config import parse
-from larchhall.lifecycle.boot import Node
-from larchhall.standins.bus import target
-from larchhall.standins.client import Asked, Book, Counter, quantile
-from larchhall.standins.world import World, config, settings, tenants
-from larchhall.wire import frames, resp
-from larchhall.wire.engine import EngineConnection
+from query_broker.config.reading import parse
+from query_broker.emulator.clients import Asked, Book, Counter, quantile
+from query_broker.emulator.cluster import World, config, settings, tenants
+from query_broker.emulator.discovery_service import target
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.protocols.engine_connection import EngineConnection
+from query_broker.server.node import Node
 
 from .cells import _ask_many
 from .harness import ROOT, Daemon, Figures, worktree
@@ -382,7 +383,7 @@
 EARLIER = """
 import sys
 sys.path.insert(0, sys.argv[1])
-import larchhall.wire.engine
+import query_broker.protocols.engine_connection
 sys.path.insert(0, sys.argv[2])
 import json, uvloop
 from benchmarks.deadlines import unsent_before
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,9 +14,9 @@
 
 import uvloop
 
-from larchhall import interface as api
-from larchhall.brain import AdmissionController
-from larchhall.standins.world import World, tenants
+from query_broker import decisions as api
+from query_broker.decisions.controller import AdmissionController
+from query_broker.emulator.cluster import World, tenants
 
 from .cells import _ask_many
 from .harness import ROOT, Daemon, Figures, worktree
@@ -28,9 +28,9 @@
 # Runs in each tree alike: the facade's words are older than both.
 DECIDE = """
 import json, random, sys, time
-from larchhall import interface as api
-from larchhall.facade import Ended, EngineNews, Facade, Query, Result
-from larchhall.state.wheel import Wheel
+from query_broker import decisions as api
+from query_broker.decisions.facade import Ended, EngineNews, Facade, Query, Result
+from query_broker.timer_wheel import Wheel
 engines, brokers, count = map(int, sys.argv[1:])
 S = 10**9
 classes = (api.RequestClass("glance", S, 5 * S, 1.0),
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from larchhall.standins.client import Book
-from larchhall.standins.fleet import free_ports
-from larchhall.standins.world import World, config, patiently
+from query_broker.emulator.clients import Book
+from query_broker.emulator.cluster import World, config, patiently
+from query_broker.emulator.processes import free_ports
 
 ROOT = Path(__file__).parents[1]
 
@@ -81,7 +81,7 @@
 
     async def start(self) -> Daemon:
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "larchhall", "serve"],
+            [sys.executable, "-m", package_of(self.tree), "serve"],
             cwd=self.tree,
             env=self.env,
             stderr=subprocess.DEVNULL,
@@ -119,6 +119,11 @@
         self.folder.cleanup()
 
 
+def package_of(tree: Path) -> str:
+    """The import package of a tree of this project: it was `larchhall` up to 0.2."""
+    return "query_broker" if (tree / "query_broker").is_dir() else "larchhall"
+
+
 @contextmanager
 def worktree(revision: str) -> Iterator[Path]:
     """An earlier commit of this project, beside this one."""
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -25,14 +25,14 @@
 
 import uvloop
 
-from larchhall.members.codec import peek_sender
-from larchhall.members.messages import Status
-from larchhall.members.terms import MembersTerms, bounds, shortest
-from larchhall.standins.client import quantile
-from larchhall.standins.fleet import Fleet, free_ports
-from larchhall.standins.links import Fault, Kind, RelayNet, Script
-from larchhall.standins.memberworld import BEGIN, MemberWorld
-from larchhall.standins.world import World, config, settings, tenants
+from query_broker.emulator.clients import quantile
+from query_broker.emulator.cluster import World, config, settings, tenants
+from query_broker.emulator.faulty_links import Fault, Kind, RelayNet, Script
+from query_broker.emulator.membership_simulation import BEGIN, MemberWorld
+from query_broker.emulator.processes import Fleet, free_ports
+from query_broker.membership.codec import peek_sender
+from query_broker.membership.messages import Status
+from query_broker.membership.settings import MembersTerms, bounds, shortest
 
 from .cells import _ask_many
 from .harness import ROOT, Daemon, Figures, worktree
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,9 +21,9 @@
 
 import uvloop
 
-from larchhall.standins.bus import event, target
-from larchhall.standins.fleet import ROOT, Fleet, Member, free_ports
-from larchhall.standins.world import World, config
+from query_broker.emulator.cluster import World, config
+from query_broker.emulator.discovery_service import event, target
+from query_broker.emulator.processes import ROOT, Fleet, Member, free_ports
 
 from .harness import Figures
 
@@ -72,7 +72,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     count = 20 if parser.parse_args().quick else 200
-    compileall.compile_dir(ROOT / "larchhall", quiet=1)  # as `build` does
+    compileall.compile_dir(ROOT / "query_broker", quiet=1)  # as `build` does
     figures, world = Figures(), World()
     await world.start(*(f"s-{i}" for i in range(4)))
     raw: dict[str, Any] = config(world, "", fleet_size=count, tenants=[])
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -19,14 +19,14 @@
 
 import uvloop
 
-from larchhall import interface as api
-from larchhall.facade import EngineBan, Result
-from larchhall.shares.terms import LimitTerms, SharesTerms
-from larchhall.standins.machine import Machine
-from larchhall.standins.shareworld import ShareWorld, trouble
-from larchhall.standins.simulated import BEGIN, SimBroker, SimEngine, Simulation
-from larchhall.verdicts.evidence import Engine, Evidence, Reports
-from larchhall.verdicts.terms import VerdictTerms, rounds
+from query_broker import decisions as api
+from query_broker.decisions.facade import EngineBan, Result
+from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
+from query_broker.emulator.machine import Machine
+from query_broker.emulator.quota_simulation import ShareWorld, trouble
+from query_broker.outlier_consensus.observations import Engine, Evidence, Reports
+from query_broker.outlier_consensus.settings import VerdictTerms, rounds
+from query_broker.quotas.settings import LimitTerms, SharesTerms
 
 from .harness import ROOT, Figures
 from .members import costs
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -22,19 +22,19 @@
 
 import uvloop
 
-from larchhall import interface as api
-from larchhall.facade import Beside, Outstanding
-from larchhall.standins.bus import target
-from larchhall.standins.client import Book
-from larchhall.standins.engine import ran_twice
-from larchhall.standins.fleet import ROOT, Fleet
-from larchhall.standins.links import Fault, Kind, Link, Script, Way
-from larchhall.standins.machine import Machine
-from larchhall.standins.simulated import BEGIN, SimBroker, SimEngine, Simulation
-from larchhall.standins.world import World, config
-from larchhall.start.paces import Calls, probe_at, window
-from larchhall.start.ramp import Ramp, assumed
-from larchhall.start.terms import StartTerms
+from query_broker import decisions as api
+from query_broker.decisions.facade import Beside, Outstanding
+from query_broker.emulator.clients import Book
+from query_broker.emulator.cluster import World, config
+from query_broker.emulator.data_engine import ran_twice
+from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
+from query_broker.emulator.discovery_service import target
+from query_broker.emulator.faulty_links import Fault, Kind, Link, Script, Way
+from query_broker.emulator.machine import Machine
+from query_broker.emulator.processes import ROOT, Fleet
+from query_broker.startup.admission_ramp import Ramp, assumed
+from query_broker.startup.pacing import Calls, probe_at, window
+from query_broker.startup.settings import StartTerms
 
 from .harness import Figures, worktree
 
--- a/larchhall/__init__.py
+++ b/larchhall/__init__.py
@@ -1,8 +1,1 @@
-"""larchhall: a broker for queries on a pool of data engines, and its admission decisions."""
-
-from .brain import AdmissionController
-from .interface import Settings
-
-__all__ = ["AdmissionController", "Settings", "__version__"]
-
-__version__ = "0.2.0"
+"""The former name of the package: `python -m larchhall` runs the same command line."""
--- a/larchhall/__main__.py
+++ b/larchhall/__main__.py
@@ -1,5 +1,5 @@
-"""`python -m larchhall`: the command line."""
+"""`python -m larchhall`, so that operators' scripts of before the rename go on."""
 
-from .cli import main
+from query_broker.cli.main import main
 
 main(prog_name="larchhall")
--- a/larchhall/state/__init__.py
+++ /dev/null
@@ -1,3 +0,0 @@
-"""What is kept in memory: open requests, attempts, the engine table, connection pools and the
-wheel.
-"""
--- a/larchhall/rooms/front.py
+++ b/query_broker/cells/client_connection.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-from ..wire.client import ClientConnection, Front
-from .broker import ANTEROOM
+from ..protocols.client_connection import ClientConnection, Front
+from .dispatcher import ANTEROOM
 
 
 class CelledFront(Front, Protocol):
--- a/larchhall/rooms/broker.py
+++ b/query_broker/cells/dispatcher.py
@@ -7,20 +7,20 @@
 from collections.abc import Callable, Mapping
 from typing import cast
 
-from ..broker import Ask, Broker
-from ..cells.loans import KEPT, Ledger
-from ..cells.model import CellMap
-from ..cells.moves import Moves
-from ..cells.rates import Rates
-from ..config import Config
-from ..facade import Closing, Facade
-from ..interface import Effect
-from ..state.figures import STATUSES, escaped
-from ..state.pools import OWN_PART, EnginePool, Pools
-from ..state.requests import Client, OpenRequest
-from ..state.wheel import Clock
-from ..wire.engine import EngineConnection
-from .hall import Hall
+from ..config.reading import Config
+from ..decisions.facade import Closing, Facade
+from ..decisions.settings import Effect
+from ..dispatch.dispatcher import Ask, Broker
+from ..dispatch.requests import Client, OpenRequest
+from ..endpoints.connection_pools import OWN_PART, EnginePool, Pools
+from ..metrics import STATUSES, escaped
+from ..protocols.engine_connection import EngineConnection
+from ..timer_wheel import Clock
+from .borrowing import KEPT, Ledger
+from .migrations import Moves
+from .model import CellMap
+from .router import Hall
+from .work_rates import Rates
 
 MS = 1_000_000
 ANTEROOM = ""  # of connections that have not asked for anything yet
--- a/larchhall/rooms/node.py
+++ b/query_broker/cells/node.py
@@ -11,17 +11,17 @@
 from typing import Any
 from urllib.parse import unquote_to_bytes
 
-from ..broker import Broker
-from ..cells.loans import Ledger
-from ..cells.model import BadMap, CellMap, from_plain
-from ..cells.moves import Fleet, Move, Refused, read_move
-from ..cells.turns import Turns
-from ..config import Config
-from ..operators.node import FiledNode
-from ..operators.script import Evaluated, OperatorFileError
-from ..wire.client import ClientConnection
-from .broker import ANTEROOM, CelledBroker
-from .front import CelledConnection
+from ..config.reading import Config
+from ..dispatch.dispatcher import Broker
+from ..operator_config.script import Evaluated, OperatorFileError
+from ..operator_config.service import FiledNode
+from ..protocols.client_connection import ClientConnection
+from .borrowing import Ledger
+from .client_connection import CelledConnection
+from .dispatcher import ANTEROOM, CelledBroker
+from .fair_turns import Turns
+from .migrations import Fleet, Move, Refused, read_move
+from .model import BadMap, CellMap, from_plain
 
 STEP = 50_000_000  # ns between steps of the moves
 TURNS_PART = 0.6  # of the loop's time goes by turns: reading requests and deciding on them
--- a/larchhall/cells/plan.py
+++ b/query_broker/cells/planner.py
@@ -1,6 +1,6 @@
 """Which tenants to move where: the problem, plain hashing to compare with, and what a plan does.
 
-The solver is behind `solve` in `larchhall.cells.solver`; here is what it is asked and how its
+The solver is behind `solve` in `query_broker.cells.solver`; here is what it is asked and how its
 answer is told.
 """
 
--- a/larchhall/rooms/hall.py
+++ b/query_broker/cells/router.py
@@ -1,4 +1,5 @@
-"""One face for many decision modules: a facade a cell, behind the words of `larchhall.facade`.
+"""One face for many decision modules: a facade a cell, behind the words of
+`query_broker.decisions.facade`.
 
 A request belongs to one room from its arrival to its end. An engine belongs to one room at a time;
 where it changes rooms while attempts are out on it, the old room gets their outcomes, and what it
@@ -11,10 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from ..cells.model import CellMap
-from ..cells.moves import Fleet
-from ..cells.placement import Change, Placement, Seen
-from ..facade import (
+from ..decisions.facade import (
     Beside,
     Closing,
     Ended,
@@ -30,8 +28,11 @@
     Query,
     Retuned,
 )
-from ..interface import Settings
-from ..state.wheel import Wheel
+from ..decisions.settings import Settings
+from ..timer_wheel import Wheel
+from .migrations import Fleet
+from .model import CellMap
+from .placement import Change, Placement, Seen
 
 News = Ended | Probed | Left | EngineNews | EngineBan | Beside | Retuned | Closing
 NOTHING = Outstanding(0, 0, 0)
--- a/larchhall/cells/solver.py
+++ b/query_broker/cells/solver.py
@@ -10,7 +10,7 @@
 
 from typing import Any
 
-from .plan import Plan, Problem, faults, greedy, plan_of
+from .planner import Plan, Problem, faults, greedy, plan_of
 
 MOVE_PRICE = 1e-4  # of the fullest cell's share, for all tenants moved
 GAP = 0.01  # a plan so near to the best that can be is taken
--- a/larchhall/cells_cli.py
+++ b/query_broker/cli/cells.py
@@ -11,7 +11,7 @@
 
 import click
 
-from .cells.plan import BadProblem, Problem, read_problem, table
+from ..cells.planner import BadProblem, Problem, read_problem, table
 
 TIMEOUT = 2.0  # s; a broker answers within one
 
@@ -214,7 +214,7 @@
     except (BadProblem, UnicodeDecodeError, OSError) as error:
         _fail(f"{file or address}: {error}", 2)
     try:
-        from .cells.solver import NoPlan, solve
+        from ..cells.solver import NoPlan, solve
 
         made = solve(problem, seconds)
     except ImportError:
--- a/larchhall/limits_cli.py
+++ b/query_broker/cli/limits.py
@@ -9,8 +9,8 @@
 
 import click
 
-from .cells.plan import table
-from .cells_cli import _address, _json, call
+from ..cells.planner import table
+from .cells import _address, _json, call
 
 
 def _said(said: Any, as_json: bool, text: str) -> None:
--- a/larchhall/cli.py
+++ b/query_broker/cli/main.py
@@ -12,13 +12,13 @@
 
 import click
 
-from . import __version__
-from .config import Config, ConfigError, load
-from .lifecycle.signals import hold_hangup
+from .. import __version__
+from ..config.reading import Config, ConfigError, load
+from ..server.signals import hold_hangup
 
 if TYPE_CHECKING:
-    from .lifecycle.boot import Node
-    from .operators.script import Evaluated
+    from ..operator_config.script import Evaluated
+    from ..server.node import Node
 
 # Danger: a start at full speed takes the core, and what it may use of it, from the process beside
 # it, whose loop then stands still: half way through what has to be loaded it rests for so many
@@ -61,8 +61,8 @@
         config = load(os.environ)
         if config.accept_fd is not None:
             time.sleep(BREATH)
-        from .lifecycle.boot import Node
-        from .lifecycle.boot import serve as run
+        from ..server.node import Node
+        from ..server.node import serve as run
 
         make: Callable[[], Node] = partial(Node, config)
         if operator_file:
@@ -72,7 +72,7 @@
 
 def _evaluated(path: str) -> Evaluated:
     """Loaded only here: without the file, what it sets costs nothing."""
-    from .operators.script import OperatorFileError, evaluate
+    from ..operator_config.script import OperatorFileError, evaluate
 
     try:
         return evaluate(path)
@@ -83,10 +83,10 @@
 def _with_operator_file(config: Config, path: str) -> Callable[[], Node]:
     said = _evaluated(path)
     if said.map is None:
-        from .operators.node import FiledNode
+        from ..operator_config.service import FiledNode
 
         return partial(FiledNode, config, said, path)
-    from .rooms.node import CelledNode
+    from ..cells.node import CelledNode
 
     return partial(CelledNode, config, said, path)
 
@@ -110,22 +110,22 @@
         + (f", {operator_file} ok" if operator_file else "")
     )
     if said is not None and said.start is not None:
-        from .start.rates import lines
+        from ..startup.bounds import lines
 
         for line in lines(said.start, config.settings.me, config.settings.fleet_size):
             click.echo(line)
     if said is not None and said.members is not None:
-        from .members.terms import lines as member_lines
+        from ..membership.settings import lines as member_lines
 
         for line in member_lines(said.members, config.settings.fleet_size):
             click.echo(line)
     if said is not None and said.shares is not None:
-        from .shares.terms import lines as share_lines
+        from ..quotas.settings import lines as share_lines
 
         for line in share_lines(said.shares, config.settings.fleet_size):
             click.echo(line)
     if said is not None and said.verdicts is not None:
-        from .verdicts.terms import lines as verdict_lines
+        from ..outlier_consensus.settings import lines as verdict_lines
 
         for line in verdict_lines(said.verdicts, config.settings.fleet_size):
             click.echo(line)
@@ -141,7 +141,7 @@
 )
 def demo(seconds: float) -> None:
     """Stand-in engines, a broker with two cells and some load, all on loopback; ends by itself."""
-    from .demo import play
+    from ..emulator.demo import play
 
     sys.exit(play(seconds, click.echo))
 
@@ -150,7 +150,7 @@
     """Danger: loaded with the daemon, these commands would cost each of its starts."""
 
     def _load(self) -> click.Group:
-        from .cells_cli import cells
+        from .cells import cells
 
         return cells
 
@@ -163,7 +163,7 @@
 
 class _LazyStart(_Lazy):
     def _load(self) -> click.Group:
-        from .start_cli import start
+        from .start import start
 
         return start
 
@@ -175,14 +175,14 @@
 
 class _LazyMembers(_Lazy):
     def _load(self) -> click.Group:
-        from .members_cli import members
+        from .members import members
 
         return members
 
 
 class _LazyLimits(_Lazy):
     def _load(self) -> click.Group:
-        from .limits_cli import limits
+        from .limits import limits
 
         return limits
 
@@ -194,7 +194,7 @@
 
 class _LazyVerdicts(_Lazy):
     def _load(self) -> click.Group:
-        from .limits_cli import verdicts
+        from .limits import verdicts
 
         return verdicts
 
--- a/larchhall/start_cli.py
+++ b/query_broker/cli/start.py
@@ -6,8 +6,8 @@
 
 import click
 
-from .cells.plan import table
-from .cells_cli import _address, _json, call
+from ..cells.planner import table
+from .cells import _address, _json, call
 
 
 @click.group()
--- /dev/null
+++ b/query_broker/config/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's settings: schema, reading and checking, defaults, reload."""
--- a/larchhall/config.py
+++ b/query_broker/config/reading.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from . import interface as api
-from .wire.bus import BadLine, BusEvent, parse_address, parse_event
+from .. import decisions as api
+from ..discovery.event_codec import BadLine, BusEvent, parse_address, parse_event
 
 EFFECTS = {
     "read_like": api.Effect.SAFE,
--- a/larchhall/deadlines/figures.py
+++ b/query_broker/deadlines/metrics.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from .further import Budget
-from .gates import Tally
-from .stages import Stages
+from .handover_checks import Tally
+from .retry_budget import Budget
+from .stage_latencies import Stages
 
 PREFIX = "larchhall_"
 SINGLE = {
--- a/larchhall/deadlines/terms.py
+++ b/query_broker/deadlines/settings.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Literal
 
-from .further import Terms as FurtherTerms
+from .retry_budget import Terms as FurtherTerms
 
 S = 1_000_000_000
 
--- a/larchhall/deadlines/stages.py
+++ b/query_broker/deadlines/stage_latencies.py
@@ -13,7 +13,7 @@
 
 from fastdigest import TDigest
 
-from .terms import MarginTerms, Stage
+from .settings import MarginTerms, Stage
 
 MS = 1_000_000
 S = 1_000 * MS
--- a/larchhall/books.py
+++ b/query_broker/decisions/accounting.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from . import interface as api
+from .settings import RequestClass
 
 
 def memberships(value: float, top: int) -> list[tuple[int, float]]:
@@ -76,7 +76,7 @@
     done: bool = False
 
     @property
-    def spec(self) -> api.RequestClass:
+    def spec(self) -> RequestClass:
         return self.view.spec  # type: ignore[no-any-return]
 
     def run_time(self) -> int:
--- a/larchhall/brain.py
+++ b/query_broker/decisions/controller.py
@@ -12,9 +12,39 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from . import interface as api
-from .books import Attempt, FadingMean, LoopBooks, Request, SlidingSum, TokenBucket, memberships
-from .interface import NEVER_RAN, Effect, EngineState, ListKind, Result, Scope
+from .accounting import (
+    Attempt,
+    FadingMean,
+    LoopBooks,
+    Request,
+    SlidingSum,
+    TokenBucket,
+    memberships,
+)
+from .events import (
+    NEVER_RAN,
+    Arrival,
+    AttemptNote,
+    AttemptOutcome,
+    Ban,
+    Beside,
+    Closing,
+    Departure,
+    EngineEntry,
+    EngineState,
+    Event,
+    ListKind,
+    ListNews,
+    LoadReport,
+    Outstanding,
+    PeerMessage,
+    ProbeResult,
+    Result,
+    Retuned,
+    TimerFired,
+)
+from .orders import Action, Cancel, Fail, Probe, Refuse, Send, SetTimer, Terms
+from .settings import Effect, RequestClass, Scope, Settings
 
 PERIOD = 1_000_000_000  # ns; the controller's period, also the unit of the retry-after
 SPAN = 0.5  # of a class's aim; half-width of the fuzzy universe of error and change
@@ -96,7 +126,7 @@
 class ClassView:
     """What outcomes have taught of a class: how far its estimates lie off, and its mean work."""
 
-    spec: api.RequestClass
+    spec: RequestClass
     log_bias: float = 0.0
     answers: int = 0
     mean_work: float = 0.0
@@ -190,18 +220,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class Engine(Loop):
-    entry: api.EngineEntry
+    entry: EngineEntry
     cores: int
     out: dict[tuple[str, int], Attempt] = field(default_factory=dict)
     failures: float = 0.0
     erring: float = 0.0  # the fading share of errors among its answers
-    report: api.LoadReport | None = None
+    report: LoadReport | None = None
     threads_since_report: int = 0
     cold_until: int = 0
     cold_sends: SlidingSum
     last_sign: int = 0
     # of other processes of this gateway; booked as ours
-    beside: api.Outstanding = api.Outstanding(0, 0, 0)
+    beside: Outstanding = Outstanding(0, 0, 0)
     born: int = 0  # what was sent before belongs to another process
     suspect: bool = False
     counted: bool = False  # in the pool's books
@@ -209,7 +239,7 @@
     asked: int = 0  # when we last asked for its load
 
     def busy(self) -> float:  # the scarcest of what it reports; a queue for memory: all is taken
-        r = self.report or api.LoadReport()
+        r = self.report or LoadReport()
         hands = (r.inflight or 0.0) / THREADS_A_CORE / self.cores
         return max(
             r.utilisation or 0.0, r.memory or 0.0, r.disk or 0.0, min(1.0, r.queue or 0.0), hands
@@ -229,7 +259,7 @@
 class AdmissionController:
     """One gateway's decisions: `handle` takes an event at the caller's time and returns actions."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: int) -> None:
+    def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.views, self.shares = dict[str, ClassView](), dict[str, TokenBucket]()
         self.engines, self.banned = dict[int, Engine](), set[int]()
         # processes that take requests; means
@@ -254,24 +284,24 @@
             now + PERIOD,
             -1,
         )
-        self._retune(now, api.Retuned(settings))
-        self.actions: list[api.Action] = []
+        self._retune(now, Retuned(settings))
+        self.actions: list[Action] = []
         self.handlers: dict[type, Callable[[int, Any], None]] = {
-            api.Arrival: self._arrive,
-            api.AttemptOutcome: self._outcome,
-            api.AttemptNote: self._note,
-            api.Departure: self._depart,
-            api.TimerFired: self._fire,
-            api.ListNews: self._list_news,
-            api.Ban: self._ban,
-            api.Beside: self._beside,
-            api.ProbeResult: self._seen,
-            api.Retuned: self._retune,
-            api.Closing: self._close,
-            api.PeerMessage: lambda now, event: None,
+            Arrival: self._arrive,
+            AttemptOutcome: self._outcome,
+            AttemptNote: self._note,
+            Departure: self._depart,
+            TimerFired: self._fire,
+            ListNews: self._list_news,
+            Ban: self._ban,
+            Beside: self._beside,
+            ProbeResult: self._seen,
+            Retuned: self._retune,
+            Closing: self._close,
+            PeerMessage: lambda now, event: None,
         }
 
-    def _retune(self, now: int, event: api.Retuned) -> None:
+    def _retune(self, now: int, event: Retuned) -> None:
         """For all that comes from now on; classes that stay keep what was learned. Danger: a
         request under way may not change its class's terms, above all whether it may run twice: it
         keeps its view.
@@ -296,7 +326,7 @@
             self._measure(engine)
         self._measure_pool(now)
 
-    def handle(self, now: int, event: api.Event) -> list[api.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         if type(event) not in self.handlers:
             raise TypeError(f"event: {type(event).__name__} is none of the interface's events")
         self.actions = []
@@ -309,14 +339,14 @@
 
     def _timer(self, at: int, call: Callable[..., None], *about: Any) -> None:
         self.timers[self.next_token] = (call, about)
-        self.actions.append(api.SetTimer(at, self.next_token))
+        self.actions.append(SetTimer(at, self.next_token))
         self.next_token += 1
 
-    def _fire(self, now: int, event: api.TimerFired) -> None:
+    def _fire(self, now: int, event: TimerFired) -> None:
         call, about = self.timers.pop(event.token, (lambda now: None, ()))
         call(now, *about)
 
-    def _arrive(self, now: int, event: api.Arrival) -> None:
+    def _arrive(self, now: int, event: Arrival) -> None:
         if (view := self.views.get(event.class_name)) is None:
             raise ValueError(f"class_name: {event.class_name!r} is not in the settings")
         self.period_arrivals += 1
@@ -399,7 +429,7 @@
             or self.pool.fits(now, size, threads, room / max(LEAST_ADMITTED, request.view.admitted))
         )
 
-    def _seen(self, now: int, event: api.ProbeResult) -> None:
+    def _seen(self, now: int, event: ProbeResult) -> None:
         if (engine := self.engines.get(event.engine)) is None:
             return
         if event.report is not None:
@@ -428,7 +458,7 @@
             weight *= APART
         return max(weight, 1e-9)
 
-    def _data_set_factor(self, spec: api.RequestClass, data_set: int, engine: Engine) -> float:
+    def _data_set_factor(self, spec: RequestClass, data_set: int, engine: Engine) -> float:
         """A load stops the readers of its data set on its engine: keep the two apart. All gateways
         rank alike, by a hash: loads go to a data set's last engines, its readers to others, warm
         ones first.
@@ -489,7 +519,7 @@
             and (spec.scope is Scope.ZONE or origin.entry.cell == engine.entry.cell)
         )
 
-    def _placed(self, spec: api.RequestClass, engine: Engine) -> bool:
+    def _placed(self, spec: RequestClass, engine: Engine) -> bool:
         return (not spec.only_zones or engine.entry.zone in spec.only_zones) and (
             not spec.only_kinds or engine.entry.kind in spec.only_kinds
         )
@@ -574,13 +604,11 @@
                 if request.over_share
                 else 1 + (run < self.shortest_aim) + (run < self.longest_aim)
             )
-            self.actions.append(api.Terms(request.id, rank, GRANT_MARGIN * request.memory_mb))
+            self.actions.append(Terms(request.id, rank, GRANT_MARGIN * request.memory_mb))
         # rule 2 counts what leaves
         keyed = request.may_have_run and request.spec.effect is Effect.KEYED
         latest = request.may_have_run[0].sent + request.spec.window if keyed else request.deadline
-        self.actions.append(
-            api.Send(request.id, engine.entry.engine, request.deadline - now, latest)
-        )
+        self.actions.append(Send(request.id, engine.entry.engine, request.deadline - now, latest))
         request.sends += 1
         request.tried.append(engine.entry.engine)
         request.out[attempt.number] = attempt
@@ -614,7 +642,7 @@
             and request.sends < self.limits.max_attempts
             and request.deadline - now >= request.run_time()
         ):
-            self.actions.append(api.Cancel(request.id, number))
+            self.actions.append(Cancel(request.id, number))
 
     def _overdue(self, now: int, request: Request, number: int) -> None:
         """Danger: its answer was lost, or the engine is jammed: of many gateways each hears of it
@@ -631,13 +659,13 @@
 
     def _ask(self, now: int, engine: Engine) -> None:
         engine.next_trial, engine.asked = now + TRIAL_GAP, now
-        self.actions.append(api.Probe(engine.entry.engine))
+        self.actions.append(Probe(engine.entry.engine))
 
-    def _note(self, now: int, event: api.AttemptNote) -> None:
+    def _note(self, now: int, event: AttemptNote) -> None:
         if (engine := self.engines.get(event.engine)) is not None:
             engine.last_sign = now  # a sign of life; no progress is told that could be heeded
 
-    def _outcome(self, now: int, event: api.AttemptOutcome) -> None:
+    def _outcome(self, now: int, event: AttemptOutcome) -> None:
         engine, request = self.engines.get(event.engine), self.requests.get(event.request)
         if request is None or (attempt := request.out.pop(event.attempt, None)) is None:
             return
@@ -677,7 +705,7 @@
         engine: Engine,
         request: Request,
         attempt: Attempt,
-        event: api.AttemptOutcome,
+        event: AttemptOutcome,
     ) -> None:
         """Health and the controller's delay. Danger: an engine that fails fast looks quick to the
         draw.
@@ -764,24 +792,22 @@
                 self.refused_share, min(1.0, self.period_refusals / max(1, self.period_arrivals))
             )
             pause = min(int(share * PERIOD), self.limits.max_retry_after) * self.limits.retry_after
-            self.actions.append(api.Refuse(request.id, pause))
+            self.actions.append(Refuse(request.id, pause))
         else:
-            self.actions.append(api.Fail(request.id))
+            self.actions.append(Fail(request.id))
         self._end(now, request)
 
     def _end(self, now: int, request: Request) -> None:
         if not request.done:
             request.done = True
-            self.actions.extend(
-                api.Cancel(request.id, n) for n in request.out if self.limits.cancel
-            )
+            self.actions.extend(Cancel(request.id, n) for n in request.out if self.limits.cancel)
             self._settle(now, request)
 
-    def _depart(self, now: int, event: api.Departure) -> None:
+    def _depart(self, now: int, event: Departure) -> None:
         if (request := self.requests.get(event.request)) is not None:
             self._end(now, request)
 
-    def _close(self, now: int, event: api.Closing) -> None:
+    def _close(self, now: int, event: Closing) -> None:
         for request in [
             r for r in self.requests.values() if event.only is None or r.id in event.only
         ]:
@@ -891,7 +917,7 @@
             self._blame(engine, True)
             self._suspect(now, engine, True)
 
-    def _list_news(self, now: int, news: api.ListNews) -> None:
+    def _list_news(self, now: int, news: ListNews) -> None:
         self.ranks.clear()
         for entry in news.entries:
             self._list_entry(now, entry)
@@ -900,7 +926,7 @@
                 self._remove(name)
         self._measure_pool(now)
 
-    def _list_entry(self, now: int, entry: api.EngineEntry) -> None:
+    def _list_entry(self, now: int, entry: EngineEntry) -> None:
         if entry.state is EngineState.GONE:
             return self._remove(entry.engine)
         if (engine := self.engines.get(entry.engine)) is None:
@@ -937,24 +963,24 @@
         engine.last_sign = max(engine.last_sign, engine.born)
         engine.cold_until = max(engine.cold_until, started + self.contract.cold)
 
-    def _ban(self, now: int, event: api.Ban) -> None:
+    def _ban(self, now: int, event: Ban) -> None:
         (self.banned.add if event.out else self.banned.discard)(event.engine)
         if not event.out and (engine := self.engines.get(event.engine)) is not None:
             # danger: the list tells of its restart late, or not at all
             self._renew(now, engine, event.at)
         self._measure_pool(now)
 
-    def _beside(self, now: int, event: api.Beside) -> None:
+    def _beside(self, now: int, event: Beside) -> None:
         """Danger: two processes that each fill the whole share overrun engines, cold ones first."""
         self.taking = event.taking
         for number, engine in self.engines.items():
-            was, engine.beside = engine.beside, event.out.get(number, api.Outstanding(0, 0, 0))
+            was, engine.beside = engine.beside, event.out.get(number, Outstanding(0, 0, 0))
             engine.threads_out += engine.beside.threads - was.threads
             engine.backlog += engine.beside.backlog - was.backlog
 
-    def outstanding(self, now: int) -> dict[int, api.Outstanding]:  # ours alone
+    def outstanding(self, now: int) -> dict[int, Outstanding]:  # ours alone
         return {
-            number: api.Outstanding(
+            number: Outstanding(
                 e.threads_out - e.beside.threads, e.backlog - e.beside.backlog, e.cold_sends.at(now)
             )
             for number, e in self.engines.items()
--- a/larchhall/facade.py
+++ b/query_broker/decisions/facade.py
@@ -11,19 +11,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from . import interface as api
-from .brain import AdmissionController
-from .interface import (
-    Effect,
-    EngineEntry,
-    EngineState,
-    LoadReport,
-    NoteKind,
-    Outstanding,
-    Result,
-    Settings,
-)
-from .state.wheel import Wheel
+from ..timer_wheel import Wheel
+from . import events as api_events
+from . import orders as api_orders
+from . import settings as api_settings
+from .controller import AdmissionController
+from .events import EngineEntry, EngineState, LoadReport, NoteKind, Outstanding, Result
+from .settings import Effect, Settings
 
 __all__ = [
     "Beside",
@@ -138,7 +132,7 @@
 class Retuned:
     """Other settings are in force."""
 
-    settings: api.Settings
+    settings: api_settings.Settings
 
 
 @dataclass(frozen=True, slots=True)
@@ -186,7 +180,7 @@
 
 
 class Facade:
-    def __init__(self, settings: api.Settings, seed: int, now: int, wheel: Wheel) -> None:
+    def __init__(self, settings: api_settings.Settings, seed: int, now: int, wheel: Wheel) -> None:
         self.controller = AdmissionController(settings, seed, now)
         self.wheel = wheel
         self.due: deque[int] = deque()  # timers of the module that the wheel has found due
@@ -198,7 +192,7 @@
         return self._handle(
             now,
             Orders(),
-            api.Arrival(
+            api_events.Arrival(
                 query.id,
                 query.route,
                 query.patience,
@@ -216,25 +210,27 @@
         orders = Orders()
         match news:
             case Ended(request, attempt, engine, result, latency, over, load):
-                event: api.Event = api.AttemptOutcome(
+                event: api_events.Event = api_events.AttemptOutcome(
                     request, attempt, engine, result, latency, over, load
                 )
             case Noted(request, attempt, engine, kind, value):
-                event = api.AttemptNote(request, attempt, engine, kind, value)
+                event = api_events.AttemptNote(request, attempt, engine, kind, value)
             case Probed(engine, result, latency, load):
-                event = api.ProbeResult(engine, result, latency, load)
+                event = api_events.ProbeResult(engine, result, latency, load)
             case Left(request):
-                event = api.Departure(request)
+                event = api_events.Departure(request)
             case EngineNews(full, entries):
-                event = api.ListNews(api.ListKind.FULL if full else api.ListKind.CHANGES, entries)
+                event = api_events.ListNews(
+                    api_events.ListKind.FULL if full else api_events.ListKind.CHANGES, entries
+                )
             case EngineBan(engine, out, at):
-                event = api.Ban(engine, out, at)
+                event = api_events.Ban(engine, out, at)
             case Beside(beside, taking):
-                event = api.Beside(beside, taking)
+                event = api_events.Beside(beside, taking)
             case Retuned(settings):
-                event = api.Retuned(settings)
+                event = api_events.Retuned(settings)
             case Closing(only):
-                event = api.Closing(only)
+                event = api_events.Closing(only)
         return self._handle(now, orders, event)
 
     def tick(self, now: int) -> Orders:
@@ -242,7 +238,7 @@
         others, among them the ones that guarantee a final answer; so each is taken out first, and
         alone.
         """
-        return self._handle(now, Orders(), api.TimerFired(self.due.popleft()))
+        return self._handle(now, Orders(), api_events.TimerFired(self.due.popleft()))
 
     def forget(self, request: str) -> None:
         """The network holds nothing of this request any more."""
@@ -269,23 +265,23 @@
     def _fired(self, token: int) -> Callable[[], None]:
         return lambda: self.due.append(token)
 
-    def _handle(self, now: int, orders: Orders, event: api.Event) -> Orders:
+    def _handle(self, now: int, orders: Orders, event: api_events.Event) -> Orders:
         for action in self.controller.handle(now, event):
             match action:
-                case api.SetTimer(at, token):
+                case api_orders.SetTimer(at, token):
                     self.wheel.at(at, self._fired(token))
-                case api.Send(request, engine, timeout, latest):
+                case api_orders.Send(request, engine, timeout, latest):
                     number = self.sends.get(request, 0)
                     self.sends[request] = number + 1
                     orders.sends.append(SendOrder(request, number, engine, timeout, latest))
-                case api.Terms(request, priority, memory_mb):
+                case api_orders.Terms(request, priority, memory_mb):
                     orders.terms.append((request, priority, memory_mb))
-                case api.Refuse(request, retry_after):
+                case api_orders.Refuse(request, retry_after):
                     orders.verdicts.append(Verdict(request, True, retry_after))
-                case api.Fail(request):
+                case api_orders.Fail(request):
                     orders.verdicts.append(Verdict(request, False, 0))
-                case api.Cancel(request, attempt):
+                case api_orders.Cancel(request, attempt):
                     orders.cancels.append((request, attempt))
-                case api.Probe(engine):
+                case api_orders.Probe(engine):
                     orders.probes.append(engine)
         return orders
--- /dev/null
+++ b/query_broker/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The endpoint list: its line codec and the client that watches it."""
--- a/larchhall/wire/bus.py
+++ b/query_broker/discovery/event_codec.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..facade import EngineState
+from ..decisions.facade import EngineState
 
 STATES = {
     "in_service": EngineState.READY,
--- a/larchhall/wire/feed.py
+++ b/query_broker/discovery/watch_client.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Protocol, cast
 
-from . import bus
+from . import event_codec as bus
 
 SILENT = 1_700_000_000  # ns; a beat comes every second, and after a stop news counts as told in 4 s
 # s; the first and the longest wait before the next try: after a break told in 2 s
--- a/larchhall/broker.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -16,12 +16,12 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from .config import Config
-from .deadlines.further import Budget, attempt_time
-from .deadlines.gates import Hand, Passing, Stop, Tally, stop
-from .deadlines.scopes import Act, Kind, Outcome, Scope
-from .deadlines.terms import Deadlines, Stage
-from .facade import (
+from ..config.reading import Config
+from ..deadlines.cancel_scopes import Act, Kind, Outcome, Scope
+from ..deadlines.handover_checks import Hand, Passing, Stop, Tally, stop
+from ..deadlines.retry_budget import Budget, attempt_time
+from ..deadlines.settings import Deadlines, Stage
+from ..decisions.facade import (
     Beside,
     Closing,
     Effect,
@@ -43,18 +43,18 @@
     SendOrder,
     Settings,
 )
-from .state.bans import Bans, Word
-from .state.engines import EngineTable
-from .state.figures import ERROR, OVERLOAD, STATUSES, SUCCESS, Figures
-from .state.pools import Pools
-from .state.requests import Attempt, Carrier, Client, OpenRequest
-from .state.wheel import Clock, Wheel
-from .wire import resp
-from .wire.bus import BusEvent
-from .wire.engine import EngineConnection
+from ..discovery.event_codec import BusEvent
+from ..endpoints.administrative_state import Bans, Word
+from ..endpoints.connection_pools import Pools
+from ..endpoints.endpoint_table import EngineTable
+from ..metrics import ERROR, OVERLOAD, STATUSES, SUCCESS, Figures
+from ..protocols import resp
+from ..protocols.engine_connection import EngineConnection
+from ..timer_wheel import Clock, Wheel
+from .requests import Attempt, Carrier, Client, OpenRequest
 
 if TYPE_CHECKING:
-    from .deadlines.stages import Stages
+    from ..deadlines.stage_latencies import Stages
 
 MS = 1_000_000
 MOST_PATIENCE_MS = 3_600_000.0
@@ -172,7 +172,7 @@
         self.held = 0
 
     # What a broker with rooms of its own for parts of its traffic makes otherwise:
-    # `larchhall.rooms`.
+    # `query_broker.cells`.
 
     def _decisions(self, now: int) -> Facade:
         return Facade(self.config.settings, self.config.seed, now, self.wheel)
@@ -403,7 +403,7 @@
         return text if self.stages is None else text + self.deadline_figures()
 
     def deadline_figures(self) -> bytes:
-        from .deadlines.figures import text
+        from ..deadlines.metrics import text
 
         assert self.stages is not None
         return text(self.tally, self.stages, self.margin, self.budget)
--- a/larchhall/state/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..deadlines.scopes import Kind, Scope
-from ..facade import NoteKind
-from .wheel import Timer
+from ..deadlines.cancel_scopes import Kind, Scope
+from ..decisions.facade import NoteKind
+from ..timer_wheel import Timer
 
 
 class Client(Protocol):
--- a/larchhall/standins/client.py
+++ b/query_broker/emulator/clients.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..wire import frames
+from ..protocols import client_frames as frames
 
 MOST_ASKED = 32  # open requests on one connection, the protocol's limit
 
--- a/larchhall/standins/world.py
+++ b/query_broker/emulator/cluster.py
@@ -6,8 +6,8 @@
 import time
 from typing import Any
 
-from .bus import ListBus, target
-from .engine import MachineEngine
+from .data_engine import MachineEngine
+from .discovery_service import ListBus, target
 from .machine import Machine
 
 MS = 1_000_000
--- a/larchhall/standins/engine.py
+++ b/query_broker/emulator/data_engine.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..wire import resp
+from ..protocols import resp
 from .machine import Machine, Run
 
 MS = 1_000_000
--- a/larchhall/standins/simulated.py
+++ b/query_broker/emulator/decision_simulation.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..facade import (
+from ..decisions.facade import (
     Ended,
     EngineEntry,
     EngineNews,
@@ -25,7 +25,7 @@
     SendOrder,
     Settings,
 )
-from ..state.wheel import Wheel
+from ..timer_wheel import Wheel
 from .machine import Machine, Run
 
 MS = 1_000_000
--- a/larchhall/demo.py
+++ b/query_broker/emulator/demo.py
@@ -13,14 +13,14 @@
 
 import uvloop
 
-from .cells.model import Cell, CellMap, Tenant
-from .cells.plan import table
-from .config import parse
-from .operators.script import Evaluated
-from .rooms.node import CelledNode
-from .standins.client import Asked, Book, quantile
-from .standins.world import World, config, patiently, tenants
-from .wire import frames
+from ..cells.model import Cell, CellMap, Tenant
+from ..cells.node import CelledNode
+from ..cells.planner import table
+from ..config.reading import parse
+from ..operator_config.script import Evaluated
+from ..protocols import client_frames as frames
+from .clients import Asked, Book, quantile
+from .cluster import World, config, patiently, tenants
 
 MS = 1_000_000
 AIMS = {"glance": 1_000 * MS, "stock-add": 3_000 * MS}
--- a/larchhall/standins/memberworld.py
+++ b/query_broker/emulator/membership_simulation.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from ..members.chain import EVERY, Chain
-from ..members.detector import Change, Detector
-from ..members.messages import Claim, Identity, Message, Status
-from ..members.terms import MembersTerms
+from ..membership.failure_detector import Change, Detector
+from ..membership.incarnations import EVERY, Chain
+from ..membership.messages import Claim, Identity, Message, Status
+from ..membership.settings import MembersTerms
 
 MS = 1_000_000
 S = 1_000 * MS
--- a/larchhall/standins/fleet.py
+++ b/query_broker/emulator/processes.py
@@ -22,7 +22,7 @@
 from types import TracebackType
 from typing import Any
 
-from .client import Counter
+from .clients import Counter
 
 ROOT = Path(__file__).parents[2]
 
@@ -124,7 +124,7 @@
         self.started = time.monotonic()
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "larchhall", "serve"],
+                [sys.executable, "-m", "query_broker", "serve"],
                 cwd=self.tree,
                 env=self.env,
                 stderr=log,
@@ -164,7 +164,7 @@
 
     async def ready(self) -> bool:
         """As the front asks: type 16 on the clients' address."""
-        from .client import Book
+        from .clients import Book
 
         try:
             _, counter = await asyncio.get_running_loop().create_connection(
--- a/larchhall/standins/shareworld.py
+++ b/query_broker/emulator/quota_simulation.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from ..shares.leases import Leases, shard_of
-from ..shares.messages import HomeAsk, LeaseAsk, LeaseGrant, Promise
-from ..shares.terms import SharesTerms
+from ..quotas.leases import Leases, shard_of
+from ..quotas.messages import HomeAsk, LeaseAsk, LeaseGrant, Promise
+from ..quotas.settings import SharesTerms
 
 MS = 1_000_000
 S = 1_000 * MS
--- /dev/null
+++ b/query_broker/endpoints/__init__.py
@@ -0,0 +1,1 @@
+"""Endpoints: their table, connection pools and administrative state."""
--- a/larchhall/state/pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..deadlines.gates import Hand
-from ..facade import EngineState, Result
-from ..wire.bus import Target
-from ..wire.engine import EngineConnection, Owner
-from .requests import Attempt
+from ..deadlines.handover_checks import Hand
+from ..decisions.facade import EngineState, Result
+from ..discovery.event_codec import Target
+from ..dispatch.requests import Attempt
+from ..protocols.engine_connection import EngineConnection, Owner
 
 # ns without a word while answers are owed: then a new connection shows what holds
 SILENT = 1_000_000_000
--- a/larchhall/state/engines.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -5,8 +5,8 @@
 import hashlib
 from dataclasses import dataclass
 
-from ..facade import EngineEntry, EngineState
-from ..wire.bus import BusEvent, Target
+from ..decisions.facade import EngineEntry, EngineState
+from ..discovery.event_codec import BusEvent, Target
 
 
 @dataclass(slots=True)
--- a/larchhall/members/detector.py
+++ b/query_broker/membership/failure_detector.py
@@ -15,11 +15,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .chain import LENGTH, MOST_AHEAD, Chain, proven, step
-from .health import Health, RoundTrip
+from .incarnations import LENGTH, MOST_AHEAD, Chain, proven, step
+from .local_health import Health, RoundTrip
+from .member_table import Gossip, Peer, Suspicion, digest
 from .messages import Ack, Claim, Identity, Message, Nack, Ping, PingReq, Status
-from .table import Gossip, Peer, Suspicion, digest
-from .terms import CONFIRMERS, HELPERS, LONGEST, MembersTerms, cap, suspicion
+from .settings import CONFIRMERS, HELPERS, LONGEST, MembersTerms, cap, suspicion
 
 S = 1_000_000_000
 MOST_PEERS = 4_096
--- a/larchhall/members/table.py
+++ b/query_broker/membership/member_table.py
@@ -7,9 +7,9 @@
 import math
 from dataclasses import dataclass, field
 
-from .health import RoundTrip
+from .local_health import RoundTrip
 from .messages import Claim, Identity, Status
-from .terms import retransmits
+from .settings import retransmits
 
 ROOM = 900  # bytes of claims in one datagram
 MOST_ROWS = 4  # helpers whose word on one peer is kept
--- a/larchhall/members/joins.py
+++ b/query_broker/membership/service.py
@@ -13,15 +13,15 @@
 from dataclasses import replace
 from typing import Any
 
-from ..config import ConfigError
-from ..facade import EngineState, Settings
-from ..lifecycle.host import Host
-from .chain import Chain
+from ..config.reading import ConfigError
+from ..decisions.facade import EngineState, Settings
+from ..server.host import Host
 from .codec import MOST_FRAME, BadKeys, Codec, KeyRing, Refused, read_keys
-from .detector import Detector
+from .failure_detector import Detector
+from .incarnations import Chain
 from .messages import Identity, Status, Sync, Talk, name_of
-from .terms import MembersTerms, bounds
-from .view import View, Views
+from .settings import MembersTerms, bounds
+from .views import View, Views
 
 S = 1_000_000_000
 PARTS = 5  # looks in an interval
--- a/larchhall/members/view.py
+++ b/query_broker/membership/views.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
+from .member_table import digest
 from .messages import Identity
-from .table import digest
 
 S = 1_000_000_000
 LEAST_PART = 1 / 3  # of the size in the file: fewer are never gone by, whatever the view says
--- a/larchhall/operators/words.py
+++ b/query_broker/operator_config/directives.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 from ..cells.model import KEY_FIELDS, BadMap, Cell, CellMap, Tenant, Timing
-from ..deadlines.further import Terms as FurtherTerms
-from ..deadlines.terms import Deadlines, Logs, MarginTerms
-from ..members.terms import MembersTerms
-from ..shares.terms import KINDS, LimitTerms, SharesTerms
-from ..start.terms import StartTerms
-from ..verdicts.terms import VerdictTerms
+from ..deadlines.retry_budget import Terms as FurtherTerms
+from ..deadlines.settings import Deadlines, Logs, MarginTerms
+from ..membership.settings import MembersTerms
+from ..outlier_consensus.settings import VerdictTerms
+from ..quotas.settings import KINDS, LimitTerms, SharesTerms
+from ..startup.settings import StartTerms
 
 MOST_CALLS = 200_000
 MS = 1_000_000
--- a/larchhall/operators/script.py
+++ b/query_broker/operator_config/script.py
@@ -20,13 +20,13 @@
 from typing import Any
 
 from ..cells.model import BadMap, CellMap, from_plain
-from ..deadlines.further import Terms as FurtherTerms
-from ..deadlines.terms import Deadlines, Logs, MarginTerms
-from ..members.terms import MembersTerms
-from ..shares.terms import LimitTerms, SharesTerms
-from ..start.terms import StartTerms
-from ..verdicts.terms import VerdictTerms
-from .words import MOST_CALLS, WORDS, BadWord, Draft
+from ..deadlines.retry_budget import Terms as FurtherTerms
+from ..deadlines.settings import Deadlines, Logs, MarginTerms
+from ..membership.settings import MembersTerms
+from ..outlier_consensus.settings import VerdictTerms
+from ..quotas.settings import LimitTerms, SharesTerms
+from ..startup.settings import StartTerms
+from .directives import MOST_CALLS, WORDS, BadWord, Draft
 
 MOST_FILE = 4 << 20  # bytes of the file
 MOST_MEMORY = 512 << 20  # bytes of address space of the process that reads it
@@ -62,7 +62,7 @@
     }
     try:
         done = subprocess.run(
-            [sys.executable, "-m", "larchhall.operators.script", path],
+            [sys.executable, "-m", "query_broker.operator_config.script", path],
             env=environ,
             capture_output=True,
             text=True,
--- a/larchhall/operators/node.py
+++ b/query_broker/operator_config/service.py
@@ -8,21 +8,21 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ..broker import WAY_BACK
-from ..config import Config, ConfigError
-from ..deadlines.further import Budget
-from ..deadlines.terms import Deadlines
-from ..lifecycle.boot import Node
-from ..wire.bus import BusEvent
-from ..wire.client import ClientConnection
-from ..wire.feed import Feed
+from ..config.reading import Config, ConfigError
+from ..deadlines.retry_budget import Budget
+from ..deadlines.settings import Deadlines
+from ..discovery.event_codec import BusEvent
+from ..discovery.watch_client import Feed
+from ..dispatch.dispatcher import WAY_BACK
+from ..protocols.client_connection import ClientConnection
+from ..server.node import Node
 from .script import Evaluated, OperatorFileError, evaluate
 
 if TYPE_CHECKING:
-    from ..members.joins import Membership
-    from ..members.view import View
-    from ..shares.joins import Judging, Sharing
-    from ..start.joins import Starting
+    from ..membership.service import Membership
+    from ..membership.views import View
+    from ..quotas.service import Judging, Sharing
+    from ..startup.service import Starting
 
 LEARN = 1_000_000_000  # ns between two looks at the margin
 
@@ -45,13 +45,13 @@
         super().__init__(config, environ)
         self._set_terms(said)
         if said.start is not None:
-            from ..start.joins import Starting
+            from ..startup.service import Starting
 
             self.starting = Starting(self, said.start)
             self.operations.calls.append(self.starting.call)
         if said.members is not None:
             try:
-                from ..members.joins import Membership
+                from ..membership.service import Membership
             except ImportError as error:
                 raise ConfigError(f"members: needs the extra 'members': {error}") from None
             self.membership = Membership(self, said.members, self._view_changed)
@@ -95,7 +95,7 @@
     def _share(self, said: Evaluated, membership: Membership) -> None:
         if said.shares is None and said.verdicts is None:
             return
-        from ..shares.joins import Judging, Sharing
+        from ..quotas.service import Judging, Sharing
 
         if said.shares is not None:
             self.sharing = Sharing(self, membership, said.shares)
@@ -135,7 +135,7 @@
         broker, terms = self.broker, said.deadlines or Deadlines()
         broker.terms = terms
         if terms.learn:
-            from ..deadlines.stages import Stages
+            from ..deadlines.stage_latencies import Stages
 
             if broker.stages is None or broker.stages.terms != terms.margin:
                 broker.stages = Stages(terms.margin)
@@ -150,7 +150,7 @@
                 broker.budget.gate = self.sharing.may_try
         self.log.sink, broker.story = None, None
         if said.logs is not None and said.logs.format != "plain":
-            from ..lifecycle.structured import Lines, stories
+            from ..server.structured_log import Lines, stories
 
             lines = Lines(self.config.name, said.logs)
             self.log.sink = lines
--- a/larchhall/verdicts/evidence.py
+++ b/query_broker/outlier_consensus/observations.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from .terms import VerdictTerms
+from .settings import VerdictTerms
 
 MOST_ENGINES = 64  # in one broker's row: those of which it saw failures, the newest first
 MOST_KEPT = 16  # outcomes of one engine
--- /dev/null
+++ b/query_broker/protocols/__init__.py
@@ -0,0 +1,1 @@
+"""Codecs and connection classes of the protocols on the sockets."""
--- a/larchhall/wire/client.py
+++ b/query_broker/protocols/client_connection.py
@@ -5,11 +5,11 @@
 import asyncio
 from typing import Protocol, cast
 
-from ..broker import Ask, Broker, Unusable, read_number
-from ..state.requests import OpenRequest
-from ..state.wheel import Timer
-from . import frames
-from .peer import has_ended, has_input
+from ..dispatch.dispatcher import Ask, Broker, Unusable, read_number
+from ..dispatch.requests import OpenRequest
+from ..timer_wheel import Timer
+from . import client_frames as frames
+from .socket_state import has_ended, has_input
 from .statement import table_group
 
 MOST_OPEN = 32
--- a/larchhall/wire/engine.py
+++ b/query_broker/protocols/engine_connection.py
@@ -9,12 +9,12 @@
 import socket
 from typing import Protocol, cast
 
-from ..deadlines.outbox import CONTROL, Frame, Outbox
-from ..deadlines.scopes import Outcome, Undoing
-from ..facade import NoteKind, Result
-from ..state.requests import Attempt
+from ..deadlines.cancel_scopes import Outcome, Undoing
+from ..deadlines.write_queue import CONTROL, Frame, Outbox
+from ..decisions.facade import NoteKind, Result
+from ..dispatch.requests import Attempt
 from . import resp
-from .peer import has_ended, has_input
+from .socket_state import has_ended, has_input
 
 MS = 1_000_000
 MOST_PAGES = 1_024
--- a/larchhall/wire/operator.py
+++ b/query_broker/protocols/operator_http.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from ..state.wheel import Timer, Wheel
+from ..timer_wheel import Timer, Wheel
 
 MOST_HEAD = 8_192  # bytes of the request line and the headers
 MOST_BODY = 16_384  # bytes; no call needs any
--- a/larchhall/shares/counters.py
+++ b/query_broker/quotas/counters.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from .messages import Row, Rows
-from .terms import STALE_ROUNDS
+from .settings import STALE_ROUNDS
 
 MOST_ROWS = 4_096
 MOST_TOLD = 12  # rows in one message
--- a/larchhall/shares/leases.py
+++ b/query_broker/quotas/leases.py
@@ -35,9 +35,9 @@
 from dataclasses import dataclass, field
 from functools import lru_cache
 
-from .fair import water_level
+from .fair_allocation import water_level
 from .messages import Granted, HomeAsk, LeaseAsk, LeaseGrant, Promise, Want
-from .terms import ASKS, SHARDS, SharesTerms, held_for, owed_for
+from .settings import ASKS, SHARDS, SharesTerms, held_for, owed_for
 
 MOST_LIMITS = 4_096
 MOST_WANTS = 12  # in one message
--- a/larchhall/shares/joins.py
+++ b/query_broker/quotas/service.py
@@ -13,19 +13,19 @@
 
 import msgspec
 
-from ..broker import Ask
-from ..facade import EngineBan, EngineState, Result, Settings
-from ..lifecycle.host import Host
-from ..members.joins import Membership
-from ..state.bans import Word as Ban
-from ..verdicts.evidence import Engine, Evidence, Reports
-from ..verdicts.terms import VerdictTerms, rounds
-from ..verdicts.words import VALUES, Wordbook, Words
+from ..decisions.facade import EngineBan, EngineState, Result, Settings
+from ..dispatch.dispatcher import Ask
+from ..endpoints.administrative_state import Word as Ban
+from ..membership.service import Membership
+from ..outlier_consensus.observations import Engine, Evidence, Reports
+from ..outlier_consensus.overrides import VALUES, Wordbook, Words
+from ..outlier_consensus.settings import VerdictTerms, rounds
+from ..server.host import Host
 from .counters import Counters
-from .fair import Forecast
+from .fair_allocation import Forecast
 from .leases import Leases
 from .messages import Body, LeaseGrant, Rows
-from .terms import LimitTerms, SharesTerms, overshoot, stale
+from .settings import LimitTerms, SharesTerms, overshoot, stale
 
 S = 1_000_000_000
 MS = 1_000_000
--- a/larchhall/lifecycle/operations.py
+++ b/query_broker/server/admin_api.py
@@ -6,8 +6,8 @@
 import socket
 from collections.abc import Callable
 
-from ..broker import MOST_CALLERS
-from ..wire.operator import OperatorConnection
+from ..dispatch.dispatcher import MOST_CALLERS
+from ..protocols.operator_http import OperatorConnection
 from .host import Host
 
 
--- a/larchhall/lifecycle/drain.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ..wire.peer import has_input
+from ..protocols.socket_state import has_input
 from .host import Host
 
 GO_ON = 0.65  # s after SIGTERM in which nothing changes: clients come for 0.4 s, ask for 0.2 s more
--- a/larchhall/lifecycle/host.py
+++ b/query_broker/server/host.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Collection, Mapping
 from typing import Any, Protocol
 
-from ..broker import Broker
-from ..config import Config
-from ..state.wheel import Clock
-from ..wire.client import ClientConnection
+from ..config.reading import Config
+from ..dispatch.dispatcher import Broker
+from ..protocols.client_connection import ClientConnection
+from ..timer_wheel import Clock
 
 
 class Processes(Protocol):
--- a/larchhall/lifecycle/boot.py
+++ b/query_broker/server/node.py
@@ -17,18 +17,18 @@
 
 import uvloop
 
-from ..broker import Broker
-from ..config import Config, ConfigError, waiting_for_restart
-from ..config import reload as read_again
-from ..facade import Beside, Outstanding
-from ..state.wheel import Clock
-from ..wire.client import ClientConnection
-from ..wire.feed import Feed
+from ..config.reading import Config, ConfigError, waiting_for_restart
+from ..config.reading import reload as read_again
+from ..decisions.facade import Beside, Outstanding
+from ..discovery.watch_client import Feed
+from ..dispatch.dispatcher import Broker
+from ..protocols.client_connection import ClientConnection
+from ..timer_wheel import Clock
 from . import signals
-from .drain import Drain
+from .admin_api import Operations
+from .graceful_shutdown import Drain
 from .log import Log
-from .operations import Operations
-from .siblings import Siblings
+from .peer_process import Siblings
 
 BACKLOG = 1_024
 SWEEP = 0.25  # s between looks at idle connections and slow readers
@@ -104,7 +104,7 @@
         self.ticked = self.swept = self.clock.now()
 
     # What a node with rooms of its own makes otherwise, and tells the other processes:
-    # `larchhall.rooms`.
+    # `query_broker.cells`.
 
     def _broker(self) -> Broker:
         return Broker(self.config, self.clock, self.log)
--- a/larchhall/lifecycle/siblings.py
+++ b/query_broker/server/peer_process.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from ..facade import Outstanding
-from ..state.bans import Word
+from ..decisions.facade import Outstanding
+from ..endpoints.administrative_state import Word
 from .host import Host
 
 PERIOD = 100_000_000  # ns between two looks; news for the other process is due within a second
--- a/larchhall/lifecycle/structured.py
+++ b/query_broker/server/structured_log.py
@@ -11,8 +11,8 @@
 import structlog
 import xxhash
 
-from ..deadlines.terms import Logs, Stage
-from ..state.requests import OpenRequest
+from ..deadlines.settings import Logs, Stage
+from ..dispatch.requests import OpenRequest
 from .log import Log
 
 MS = 1_000_000
--- a/larchhall/benchlink.py
+++ b/query_broker/simulator_adapter.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from . import interface as api
-from .brain import AdmissionController
-from .config import parse_settings
+from . import decisions as api
+from .config.reading import parse_settings
+from .decisions.controller import AdmissionController
 
 STATES = {
     "SERVING": api.EngineState.READY,
--- a/larchhall/start/ramp.py
+++ b/query_broker/startup/admission_ramp.py
@@ -13,7 +13,7 @@
 import math
 from dataclasses import dataclass
 
-from .terms import StartTerms
+from .settings import StartTerms
 
 S = 1_000_000_000
 PERIOD = S
--- a/larchhall/start/rates.py
+++ b/query_broker/startup/bounds.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .paces import MOST_SKIPPED, window
-from .terms import StartTerms
+from .pacing import MOST_SKIPPED, window
+from .settings import StartTerms
 
 S = 1_000_000_000
 
--- a/larchhall/start/joins.py
+++ b/query_broker/startup/service.py
@@ -10,18 +10,18 @@
 from dataclasses import replace
 from typing import Any
 
-from ..facade import Beside, Effect, EngineState, Outstanding, Result, Settings
-from ..lifecycle.host import Host
-from ..state.engines import EngineTable
-from ..state.figures import ERROR, SUCCESS
-from ..wire.bus import BadLine, Target, parse_event
-from ..wire.client import ClientConnection
-from ..wire.feed import CONNECT, SILENT, Feed
-from .lastlist import MOST, BadList, LastList, decode, encode
-from .paces import Calls, Gate, probe_at, slot, time_out
-from .ramp import Ramp, assumed, pause
+from ..decisions.facade import Beside, Effect, EngineState, Outstanding, Result, Settings
+from ..discovery.event_codec import BadLine, Target, parse_event
+from ..discovery.watch_client import CONNECT, SILENT, Feed
+from ..endpoints.endpoint_table import EngineTable
+from ..metrics import ERROR, SUCCESS
+from ..protocols.client_connection import ClientConnection
+from ..server.host import Host
+from .admission_ramp import Ramp, assumed, pause
+from .endpoint_snapshot import MOST, BadList, LastList, decode, encode
+from .pacing import Calls, Gate, probe_at, slot, time_out
+from .settings import StartTerms
 from .stages import Source, Stage, Start
-from .terms import StartTerms
 
 S = 1_000_000_000
 MS = 1_000_000
--- a/larchhall/start/stages.py
+++ b/query_broker/startup/stages.py
@@ -17,7 +17,7 @@
 from enum import Enum
 from typing import Any
 
-from .terms import StartTerms
+from .settings import StartTerms
 
 S = 1_000_000_000
 
--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from larchhall.standins.world import settings, tenants
+from query_broker.emulator.cluster import settings, tenants
 
 MS = 1_000_000
 S = 1_000 * MS
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,8 +6,8 @@
 
 from typing import Any
 
-from larchhall import interface as api
-from larchhall.brain import AdmissionController
+from query_broker import decisions as api
+from query_broker.decisions.controller import AdmissionController
 
 MS = 1_000_000
 S = 1_000 * MS
--- a/tests/members_model.py
+++ b/tests/members_model.py
@@ -14,10 +14,10 @@
 from collections.abc import Iterator
 from typing import Any
 
-from larchhall.members.chain import EVERY, Chain
-from larchhall.members.detector import Detector
-from larchhall.members.messages import Claim, Identity, Message, Status
-from larchhall.members.terms import MembersTerms
+from query_broker.membership.failure_detector import Detector
+from query_broker.membership.incarnations import EVERY, Chain
+from query_broker.membership.messages import Claim, Identity, Message, Status
+from query_broker.membership.settings import MembersTerms
 
 S = 1_000_000_000
 TERMS = MembersTerms()
--- a/tests/shares_model.py
+++ b/tests/shares_model.py
@@ -13,9 +13,9 @@
 import itertools
 from collections.abc import Iterator
 
-from larchhall.shares.leases import Leases, home_of, shard_of
-from larchhall.shares.messages import HomeAsk, LeaseAsk, LeaseGrant, Promise
-from larchhall.shares.terms import SharesTerms
+from query_broker.quotas.leases import Leases, home_of, shard_of
+from query_broker.quotas.messages import HomeAsk, LeaseAsk, LeaseGrant, Promise
+from query_broker.quotas.settings import SharesTerms
 
 S = 1_000_000_000
 TERMS = SharesTerms(lease=4 * S, promise=8 * S, drift=0.01, guaranteed=0.2)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -19,18 +19,18 @@
 
 import uvloop
 
-from larchhall.cells.model import CellMap
-from larchhall.config import Config, parse
-from larchhall.lifecycle.boot import Node
-from larchhall.operators.script import Evaluated
-from larchhall.rooms.node import CelledNode
-from larchhall.standins.bus import ScriptedBus as Bus
-from larchhall.standins.bus import event, target
-from larchhall.standins.engine import ScriptedEngine as Engine
-from larchhall.standins.fleet import free_ports
-from larchhall.standins.world import settings
-from larchhall.state.pools import EnginePool
-from larchhall.wire import frames
+from query_broker.cells.model import CellMap
+from query_broker.cells.node import CelledNode
+from query_broker.config.reading import Config, parse
+from query_broker.emulator.cluster import settings
+from query_broker.emulator.data_engine import ScriptedEngine as Engine
+from query_broker.emulator.discovery_service import ScriptedBus as Bus
+from query_broker.emulator.discovery_service import event, target
+from query_broker.emulator.processes import free_ports
+from query_broker.endpoints.connection_pools import EnginePool
+from query_broker.operator_config.script import Evaluated
+from query_broker.protocols import client_frames as frames
+from query_broker.server.node import Node
 
 __all__ = [
     "MS",
@@ -120,7 +120,7 @@
     made = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "larchhall",
+        "query_broker",
         "serve",
         cwd=ROOT,
         stderr=asyncio.subprocess.DEVNULL,
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from larchhall.config import parse_settings
+from query_broker.config.reading import parse_settings
 
 ROOT = Path(__file__).parent.parent
 MS = 1_000_000
@@ -51,7 +51,7 @@
 
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "larchhall.benchlink"],
+        [sys.executable, "-m", "query_broker.simulator_adapter"],
         input=text,
         text=True,
         cwd=ROOT,
--- a/tests/test_cells_pure.py
+++ b/tests/test_cells_pure.py
@@ -9,14 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchhall.cells import loans, moves, plan
-from larchhall.cells.loans import Ledger
-from larchhall.cells.model import BadMap, Cell, CellMap, Tenant, Timing, from_plain
-from larchhall.cells.moves import CloseOut, Fleet, Move, Moves, Refused, Stage, read_move
-from larchhall.cells.placement import Placement, Seen
-from larchhall.cells.rates import SPAN, Rates
-from larchhall.cells.solver import NoPlan, solve
-from larchhall.cells.turns import Turns
+from query_broker.cells import borrowing as loans
+from query_broker.cells import migrations as moves
+from query_broker.cells import planner as plan
+from query_broker.cells.borrowing import Ledger
+from query_broker.cells.fair_turns import Turns
+from query_broker.cells.migrations import CloseOut, Fleet, Move, Moves, Refused, Stage, read_move
+from query_broker.cells.model import BadMap, Cell, CellMap, Tenant, Timing, from_plain
+from query_broker.cells.placement import Placement, Seen
+from query_broker.cells.solver import NoPlan, solve
+from query_broker.cells.work_rates import SPAN, Rates
 
 S = 1_000_000_000
 
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -17,21 +17,22 @@
 import pytest
 from click.testing import CliRunner
 
-from larchhall.cells.loans import KEPT
-from larchhall.cells.model import Cell, CellMap, Tenant, Timing
-from larchhall.cells.moves import Stage
-from larchhall.cli import main
-from larchhall.config import Config
-from larchhall.rooms.broker import ANTEROOM
-from larchhall.rooms.front import CelledConnection
-from larchhall.rooms.hall import Hall
-from larchhall.rooms.node import CelledNode
-from larchhall.standins.client import Book
-from larchhall.standins.engine import ran_twice
-from larchhall.standins.world import World, config, tenants
-from larchhall.state.wheel import Wheel
-from larchhall.wire import frames, resp
-from larchhall.wire.bus import parse_event
+from query_broker.cells.borrowing import KEPT
+from query_broker.cells.client_connection import CelledConnection
+from query_broker.cells.dispatcher import ANTEROOM
+from query_broker.cells.migrations import Stage
+from query_broker.cells.model import Cell, CellMap, Tenant, Timing
+from query_broker.cells.node import CelledNode
+from query_broker.cells.router import Hall
+from query_broker.cli.main import main
+from query_broker.config.reading import Config
+from query_broker.discovery.event_codec import parse_event
+from query_broker.emulator.clients import Book
+from query_broker.emulator.cluster import World, config, tenants
+from query_broker.emulator.data_engine import ran_twice
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.timer_wheel import Wheel
 
 from .sockets import (
     MS,
@@ -266,7 +267,7 @@
     made = make_config(tenants=TWO)
     now = 1_000 * S
     moved = Hall(made.settings, 1, now, Wheel(5 * MS, now), two(), lambda n: f"s-{n}")
-    from larchhall.facade import EngineEntry, EngineNews, EngineState, Query
+    from query_broker.decisions.facade import EngineEntry, EngineNews, EngineState, Query
 
     cold = EngineEntry(1, EngineState.READY, "east", "std", 0, 8.0, now - MS)
     moved.report(now, EngineNews(True, (cold,)))
@@ -470,7 +471,7 @@
     told = make_config(
         tenants=TWO, specifics={"size_cores": [2], "parallelism": [1, 2]}, listed=False
     )
-    from larchhall.config import parse
+    from query_broker.config.reading import parse
 
     raw = config(
         world,
@@ -509,7 +510,7 @@
         {"acme": Tenant("acme", ("a",)), "beta": Tenant("beta", ("b",))},
         FAST,
     )
-    from larchhall.config import parse
+    from query_broker.config.reading import parse
 
     raw = config(
         world,
@@ -658,7 +659,12 @@
 
     async def start() -> asyncio.subprocess.Process:
         return await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "larchhall", cwd=ROOT, env=env, stderr=asyncio.subprocess.DEVNULL
+            sys.executable,
+            "-m",
+            "query_broker",
+            cwd=ROOT,
+            env=env,
+            stderr=asyncio.subprocess.DEVNULL,
         )
 
     async def http(raw: str) -> Any:
@@ -700,8 +706,8 @@
 async def test_sighup_takes_the_operators_file_whole_or_not_at_all(tmp_path: Path) -> None:
     env = write_files(tmp_path, 1, [target("s-1", 9), target("s-2", 9)])
     path = Path(env["PROXY_OPERATOR_FILE"])
-    from larchhall.config import load
-    from larchhall.operators.script import evaluate
+    from query_broker.config.reading import load
+    from query_broker.operator_config.script import evaluate
 
     first = evaluate(str(path)).map
     assert first is not None
--- a/tests/test_clickhouse_pure.py
+++ b/tests/test_clickhouse_pure.py
@@ -9,19 +9,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchhall.clickhouse import sessions as sessions_
-from larchhall.clickhouse.errors import (
+from query_broker.clickhouse import sessions as sessions_
+from query_broker.clickhouse.errors import (
     HEADER,
     SESSION_NOT_FOUND,
     TOO_MANY_SIMULTANEOUS_QUERIES,
     Fault,
 )
-from larchhall.clickhouse.relay import Act, Fate, Head, Relay, State
-from larchhall.clickhouse.request import read as read_head
-from larchhall.clickhouse.request import shown, statement
-from larchhall.clickhouse.rules import BadRule, Rule, Rules, Seen
-from larchhall.clickhouse.sessions import Sessions
-from larchhall.clickhouse.statement import Does, Statement, read
+from query_broker.clickhouse.relay import Act, Fate, Head, Relay, State
+from query_broker.clickhouse.request import read as read_head
+from query_broker.clickhouse.request import shown, statement
+from query_broker.clickhouse.rules import BadRule, Rule, Rules, Seen
+from query_broker.clickhouse.sessions import Sessions
+from query_broker.clickhouse.statement import Does, Statement, read
 
 S = 1_000_000_000
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from larchhall.config import DEFAULT_SOCKETS, NOT_NEEDED, READ, ConfigError, load, parse
-from larchhall.interface import Effect
+from query_broker.config.reading import DEFAULT_SOCKETS, NOT_NEEDED, READ, ConfigError, load, parse
+from query_broker.decisions.settings import Effect
 
 from . import deployments
 from .sockets import MS, event, settings, target
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,13 +18,14 @@
 
 import pytest
 
-from larchhall import interface as api
-from larchhall.broker import UNDO_WAY, Ask
-from larchhall.lifecycle.drain import Drain
-from larchhall.wire import frames, resp
-from larchhall.wire.bus import parse_event
-from larchhall.wire.client import IDLE, TURN, ClientConnection
-from larchhall.wire.engine import PART
+from query_broker import decisions as api
+from query_broker.discovery.event_codec import parse_event
+from query_broker.dispatch.dispatcher import UNDO_WAY, Ask
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.protocols.client_connection import IDLE, TURN, ClientConnection
+from query_broker.protocols.engine_connection import PART
+from query_broker.server.graceful_shutdown import Drain
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 from .sockets import (
@@ -150,7 +151,7 @@
     """It gives handlers back to the system before its last objects go; an end by signal is no 0."""
     program = (
         "import os, signal\n"
-        "from larchhall.lifecycle.boot import serve\n"
+        "from query_broker.server.node import serve\n"
         "class Short:\n"
         "    async def run(self):\n"
         "        pass\n"
@@ -199,7 +200,7 @@
     broker = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "larchhall",
+        "query_broker",
         "serve",
         cwd=ROOT,
         env=env,
@@ -721,7 +722,7 @@
     made = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "larchhall",
+        "query_broker",
         "serve",
         cwd=ROOT,
         env=env,
@@ -745,7 +746,7 @@
     env = write_config(tmp_path)
     (tmp_path / "config.json").write_text('{"seed": ' + "9" * 5_000 + "}")
     done = subprocess.run(
-        [sys.executable, "-m", "larchhall", "serve"],
+        [sys.executable, "-m", "query_broker", "serve"],
         env=env,
         cwd=ROOT,
         capture_output=True,
--- a/tests/test_deadlines_pure.py
+++ b/tests/test_deadlines_pure.py
@@ -11,19 +11,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchhall.deadlines import further, scopes
-from larchhall.deadlines.further import Budget, Terms, attempt_time
-from larchhall.deadlines.gates import Passing, Stop, stop
-from larchhall.deadlines.outbox import CONTROL, Frame, Outbox, rest
-from larchhall.deadlines.scopes import Act, Kind, Outcome, Scope, Undoing
-from larchhall.deadlines.stages import GENERATION, Quantiles, Stages
-from larchhall.deadlines.terms import Deadlines, Logs, MarginTerms, Stage
-from larchhall.lifecycle.log import Log
-from larchhall.lifecycle.structured import Lines, sampled, stories
-from larchhall.operators.script import OperatorFileError, evaluate, run
-from larchhall.state.requests import Attempt, OpenRequest
-from larchhall.state.wheel import Clock
-from larchhall.wire import resp
+from query_broker.deadlines import cancel_scopes as scopes
+from query_broker.deadlines import retry_budget as further
+from query_broker.deadlines.cancel_scopes import Act, Kind, Outcome, Scope, Undoing
+from query_broker.deadlines.handover_checks import Passing, Stop, stop
+from query_broker.deadlines.retry_budget import Budget, Terms, attempt_time
+from query_broker.deadlines.settings import Deadlines, Logs, MarginTerms, Stage
+from query_broker.deadlines.stage_latencies import GENERATION, Quantiles, Stages
+from query_broker.deadlines.write_queue import CONTROL, Frame, Outbox, rest
+from query_broker.dispatch.requests import Attempt, OpenRequest
+from query_broker.operator_config.script import OperatorFileError, evaluate, run
+from query_broker.protocols import resp
+from query_broker.server.log import Log
+from query_broker.server.structured_log import Lines, sampled, stories
+from query_broker.timer_wheel import Clock
 
 from .sockets import ROOT
 
--- a/tests/test_deadlines_sockets.py
+++ b/tests/test_deadlines_sockets.py
@@ -13,14 +13,15 @@
 
 import pytest
 
-from larchhall.deadlines.further import Terms
-from larchhall.deadlines.gates import Hand, Stop
-from larchhall.deadlines.terms import Deadlines, Logs
-from larchhall.lifecycle.boot import Node
-from larchhall.operators.node import FiledNode
-from larchhall.operators.script import Evaluated
-from larchhall.wire import frames, resp
-from larchhall.wire.bus import parse_event
+from query_broker.deadlines.handover_checks import Hand, Stop
+from query_broker.deadlines.retry_budget import Terms
+from query_broker.deadlines.settings import Deadlines, Logs
+from query_broker.discovery.event_codec import parse_event
+from query_broker.operator_config.script import Evaluated
+from query_broker.operator_config.service import FiledNode
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.server.node import Node
 
 from .sockets import (
     MS,
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -14,22 +14,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchhall.broker import Ask, Broker, Unusable
-from larchhall.config import parse, parse_settings
-from larchhall.deadlines.gates import Hand
-from larchhall.interface import Result
-from larchhall.standins.client import Book
-from larchhall.standins.engine import Keys, key_ran_twice
-from larchhall.standins.world import World
-from larchhall.standins.world import config as world_config
-from larchhall.state.pools import EnginePool
-from larchhall.state.requests import Client as Asker
-from larchhall.state.requests import OpenRequest
-from larchhall.state.wheel import Clock
-from larchhall.wire import frames, resp
-from larchhall.wire.bus import parse_event
-from larchhall.wire.client import read_ask
-from larchhall.wire.engine import EngineConnection
+from query_broker.config.reading import parse, parse_settings
+from query_broker.deadlines.handover_checks import Hand
+from query_broker.decisions.events import Result
+from query_broker.discovery.event_codec import parse_event
+from query_broker.dispatch.dispatcher import Ask, Broker, Unusable
+from query_broker.dispatch.requests import Client as Asker
+from query_broker.dispatch.requests import OpenRequest
+from query_broker.emulator.clients import Book
+from query_broker.emulator.cluster import World
+from query_broker.emulator.cluster import config as world_config
+from query_broker.emulator.data_engine import Keys, key_ran_twice
+from query_broker.endpoints.connection_pools import EnginePool
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.protocols.client_connection import read_ask
+from query_broker.protocols.engine_connection import EngineConnection
+from query_broker.timer_wheel import Clock
 
 from . import deployments
 from .deployments import ALL, MS, S
@@ -248,7 +249,7 @@
 
     def __init__(self, facts: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(
-            "larchhall.wire.engine.os",
+            "query_broker.protocols.engine_connection.os",
             SimpleNamespace(
                 write=self.write,
                 writev=lambda fd, pieces: self.write(fd, b"".join(map(bytes, pieces))),
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from larchhall.standins.client import Book
-from larchhall.standins.world import MS, World, config
-from larchhall.wire import frames
+from query_broker.emulator.clients import Book
+from query_broker.emulator.cluster import MS, World, config
+from query_broker.protocols import client_frames as frames
 
 from .deployments import ALL
 from .sockets import HANG, ROOT, Client, free_port, on_uvloop, until, within
@@ -41,7 +41,7 @@
         "PROXY_ACCEPT_FD": str(held.fileno()),
     }
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "larchhall", "serve", cwd=ROOT, env=env, pass_fds=(held.fileno(),)
+        sys.executable, "-m", "query_broker", "serve", cwd=ROOT, env=env, pass_fds=(held.fileno(),)
     )
     async with asyncio.timeout(HANG):
         while not await says_yes(port):
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from larchhall import interface as api
-from larchhall.brain import AdmissionController
-from larchhall.config import parse_settings
+from query_broker import decisions as api
+from query_broker.config.reading import parse_settings
+from query_broker.decisions.controller import AdmissionController
 
 from . import deployments
 from .helpers import MS, S, entry, make_settings, query_class
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -13,15 +13,19 @@
 import msgspec
 import pytest
 
-from larchhall.members import chain, codec, joins, messages, table
-from larchhall.members.detector import Detector
-from larchhall.members.messages import Claim, Envelope, Identity, Message, Status
-from larchhall.members.terms import MembersTerms
-from larchhall.shares import counters, leases
-from larchhall.shares import joins as shares_joins
-from larchhall.shares import messages as shares_messages
-from larchhall.verdicts import evidence, words
-from larchhall.verdicts.terms import VerdictTerms
+from query_broker.membership import codec, messages
+from query_broker.membership import incarnations as chain
+from query_broker.membership import member_table as table
+from query_broker.membership import service as joins
+from query_broker.membership.failure_detector import Detector
+from query_broker.membership.messages import Claim, Envelope, Identity, Message, Status
+from query_broker.membership.settings import MembersTerms
+from query_broker.outlier_consensus import observations as evidence
+from query_broker.outlier_consensus import overrides as words
+from query_broker.outlier_consensus.settings import VerdictTerms
+from query_broker.quotas import counters, leases
+from query_broker.quotas import messages as shares_messages
+from query_broker.quotas import service as shares_joins
 
 S = 1_000_000_000
 RING = codec.read_keys("7 " + "ab" * 32)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -17,15 +17,19 @@
 
 import pytest
 
-from larchhall import brain
-from larchhall.cells import model, moves, placement
-from larchhall.facade import EngineState, Outstanding
-from larchhall.lifecycle import siblings, structured
-from larchhall.rooms.node import CelledNode
-from larchhall.start import joins as start_joins
-from larchhall.start import lastlist, paces
-from larchhall.state import bans, engines
-from larchhall.wire.bus import BusEvent, Target
+from query_broker.cells import migrations as moves
+from query_broker.cells import model, placement
+from query_broker.cells.node import CelledNode
+from query_broker.decisions import controller as brain
+from query_broker.decisions.facade import EngineState, Outstanding
+from query_broker.discovery.event_codec import BusEvent, Target
+from query_broker.endpoints import administrative_state as bans
+from query_broker.endpoints import endpoint_table as engines
+from query_broker.server import peer_process as siblings
+from query_broker.server import structured_log as structured
+from query_broker.startup import endpoint_snapshot as lastlist
+from query_broker.startup import pacing as paces
+from query_broker.startup import service as start_joins
 
 S = 1_000_000_000
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from larchhall import interface as api
+from query_broker import decisions as api
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -14,11 +14,11 @@
 import pytest
 from click.testing import CliRunner
 
-from larchhall import __version__
-from larchhall.cli import BREATH, main
-from larchhall.lifecycle.boot import raise_descriptors
-from larchhall.lifecycle.drain import Drain
-from larchhall.wire import frames
+from query_broker import __version__
+from query_broker.cli.main import BREATH, main
+from query_broker.protocols import client_frames as frames
+from query_broker.server.graceful_shutdown import Drain
+from query_broker.server.node import raise_descriptors
 
 from .sockets import (
     ROOT,
@@ -53,7 +53,7 @@
     tmp_path: Path, changes: Any, key: str
 ) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "larchhall", "serve"],
+        [sys.executable, "-m", "query_broker", "serve"],
         env=write_config(tmp_path, **changes),
         cwd=ROOT,
         capture_output=True,
@@ -86,7 +86,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for name in ("GO_ON", "LINGER"):  # the steps are taken by hand
-        monkeypatch.setattr(f"larchhall.lifecycle.drain.{name}", 3_600.0)
+        monkeypatch.setattr(f"query_broker.server.graceful_shutdown.{name}", 3_600.0)
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         drain = Drain(rig.node)
@@ -110,7 +110,7 @@
     with socket.create_server(("127.0.0.1", 0)) as other:
         env = write_config(tmp_path, listen=f"127.0.0.1:{other.getsockname()[1]}")
         done = subprocess.run(
-            [sys.executable, "-m", "larchhall"],
+            [sys.executable, "-m", "query_broker"],
             env=env,
             cwd=ROOT,
             capture_output=True,
@@ -141,7 +141,7 @@
 async def test_a_request_that_comes_in_pieces_is_waited_for_at_the_end_of_the_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("larchhall.lifecycle.drain.LINGER", 0.0)
+    monkeypatch.setattr("query_broker.server.graceful_shutdown.LINGER", 0.0)
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -236,9 +236,9 @@
     still.
     """
     done: list[Any] = []
-    monkeypatch.setattr("larchhall.cli.time.sleep", done.append)
+    monkeypatch.setattr("query_broker.cli.main.time.sleep", done.append)
     monkeypatch.setattr(
-        "larchhall.lifecycle.boot.serve", lambda make: done.append(make.args[0].accept_fd)
+        "query_broker.server.node.serve", lambda make: done.append(make.args[0].accept_fd)
     )
     env = write_config(tmp_path) | ({"PROXY_ACCEPT_FD": "3"} if held else {"PROXY_ACCEPT_FD": ""})
     assert CliRunner().invoke(main, ["serve"], env=env).exit_code == 0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import ast
 import re
 import tomllib
 from pathlib import Path
@@ -9,39 +10,50 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_network_code_sees_the_module_through_the_facade_alone() -> None:
-    """Danger: a decision that slips into network code is one that the simulator never plays."""
-    folders = [ROOT / "larchhall" / name for name in ("wire", "state", "lifecycle")]
-    for path in [ROOT / "larchhall" / "broker.py", *(p for f in folders for p in f.glob("*.py"))]:
-        text = path.read_text(encoding="utf-8")
-        assert not re.search(
-            r"^\s*from \.+(interface|brain|books)\b|import (interface|brain|books)\b", text, re.M
-        ), path.name
+NETWORK_CODE = ("protocols", "discovery", "dispatch", "endpoints", "server")
 
 
-FROM = re.compile(r"^ *from (\.+)([\w.]*) import ([\w, ]+)?", re.M)
+def imported(path: Path) -> set[str]:
+    """Absolute names of the modules, and of what it takes from them, that a module imports."""
+    package = path.relative_to(ROOT).parent.parts
+    found: set[str] = set()
+    for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+        if isinstance(node, ast.Import):
+            found |= {alias.name for alias in node.names}
+        elif isinstance(node, ast.ImportFrom):
+            parents = package[: len(package) - node.level + 1] if node.level else ()
+            module = ".".join([*parents, *filter(None, [node.module])])
+            found |= {module, *(f"{module}.{alias.name}" for alias in node.names)}
+    return found
+
+
+def test_network_code_sees_the_decisions_through_the_facade_alone() -> None:
+    """A decision that slips into network code is one that the simulator never plays."""
+    decisions, facade = "query_broker.decisions", "query_broker.decisions.facade"
+    seen = 0
+    for folder in NETWORK_CODE:
+        for path in (ROOT / "query_broker" / folder).glob("*.py"):
+            names = {name for name in imported(path) if name.startswith(decisions)}
+            seen += facade in names
+            assert {name for name in names if not name.startswith(facade)} <= {decisions}, path.name
+            assert decisions not in names or facade in names, path.name
+    assert seen > 3
 
 
 def imports() -> dict[str, set[str]]:
     """What each module of the package imports, also for its types alone."""
     found: dict[str, set[str]] = {}
-    for path in (ROOT / "larchhall").rglob("*.py"):
+    for path in (ROOT / "query_broker").rglob("*.py"):
         name = ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
-        parts = path.relative_to(ROOT).parent.parts
-        of = found.setdefault(name, set())
-        for dots, module, names in FROM.findall(path.read_text(encoding="utf-8")):
-            where = ".".join([*parts[: len(parts) - len(dots) + 1], *filter(None, [module])])
-            of |= {
-                where,
-                *(f"{where}.{word.split()[0]}" for word in names.split(",") if word.strip()),
-            }
+        found[name] = imported(path)
     return {name: of & found.keys() - {name} for name, of in found.items()}
 
 
 def test_modules_form_no_circle() -> None:
-    """Danger: parts that know each other can't be tested, or used, alone."""
-    graph = {name: of - {"larchhall"} for name, of in imports().items()}
-    assert len(graph) > 70 and "larchhall.wire.resp" in graph["larchhall.wire.engine"]
+    """Parts that know each other can't be tested, or used, alone."""
+    graph = {name: of - {"query_broker"} for name, of in imports().items()}
+    assert len(graph) > 70
+    assert "query_broker.protocols.resp" in graph["query_broker.protocols.engine_connection"]
     while graph:
         leaves = [name for name, of in graph.items() if not of & graph.keys()]
         assert leaves, f"a circle among {sorted(graph)}"
@@ -62,11 +74,11 @@
 CLASSES = {"lookup", "report", "till-load", "load"}
 #: Words of the settings, of cells and of the command line that are spelled like a class.
 OTHER_WORDS = {
-    "larchhall/config.py": {"report"},
-    "larchhall/benchlink.py": {"report"},
-    "larchhall/cells_cli.py": {"load"},
-    "larchhall/rooms/node.py": {"load"},
-    "larchhall/cells/plan.py": {"load"},
+    "query_broker/config/reading.py": {"report"},
+    "query_broker/simulator_adapter.py": {"report"},
+    "query_broker/cli/cells.py": {"load"},
+    "query_broker/cells/node.py": {"load"},
+    "query_broker/cells/planner.py": {"load"},
 }
 
 
@@ -86,7 +98,7 @@
 
 def test_no_name_of_a_customer_stands_in_the_program() -> None:
     """Danger: what goes by the name of a class, a tenant or a site serves one deployment alone."""
-    for path in [ROOT / "deploy" / "balancer.toml", *(ROOT / "larchhall").rglob("*.py")]:
+    for path in [ROOT / "deploy" / "balancer.toml", *(ROOT / "query_broker").rglob("*.py")]:
         name = path.relative_to(ROOT).as_posix()
         assert named(path) <= OTHER_WORDS.get(name, set()), f"{name}: {named(path)}"
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from larchhall import interface as api
-from larchhall.books import memberships
-from larchhall.brain import CEILING, REACH, fuzzy_step, rule
+from query_broker import decisions as api
+from query_broker.decisions.accounting import memberships
+from query_broker.decisions.controller import CEILING, REACH, fuzzy_step, rule
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 
--- a/tests/test_members_broker.py
+++ b/tests/test_members_broker.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from larchhall.facade import Retuned
-from larchhall.interface import Contract, Limits, RequestClass, Settings
-from larchhall.members.messages import Identity
-from larchhall.members.view import Views
-from larchhall.standins.machine import Machine
-from larchhall.standins.simulated import BEGIN, SimBroker, SimEngine, Simulation
+from query_broker.decisions.facade import Retuned
+from query_broker.decisions.settings import Contract, Limits, RequestClass, Settings
+from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
+from query_broker.emulator.machine import Machine
+from query_broker.membership.messages import Identity
+from query_broker.membership.views import Views
 
 from .sockets import MS, Engine, make_config, on_uvloop, running, target
 
--- a/tests/test_members_processes.py
+++ b/tests/test_members_processes.py
@@ -18,14 +18,14 @@
 import pytest
 from click.testing import CliRunner
 
-from larchhall.cli import main
-from larchhall.members.chain import EVERY, Chain
-from larchhall.members.codec import Codec, peek_sender, read_keys
-from larchhall.members.messages import Claim, Identity, Ping, Status
-from larchhall.standins.fleet import Fleet, Member, free_ports
-from larchhall.standins.links import Fault, Kind, RelayNet, Script, partition
-from larchhall.standins.world import MS, World, config
-from larchhall.standins.world import settings as world_settings
+from query_broker.cli.main import main
+from query_broker.emulator.cluster import MS, World, config
+from query_broker.emulator.cluster import settings as world_settings
+from query_broker.emulator.faulty_links import Fault, Kind, RelayNet, Script, partition
+from query_broker.emulator.processes import Fleet, Member, free_ports
+from query_broker.membership.codec import Codec, peek_sender, read_keys
+from query_broker.membership.incarnations import EVERY, Chain
+from query_broker.membership.messages import Claim, Identity, Ping, Status
 
 from .sockets import HANG, on_uvloop, until, write_config
 
@@ -423,9 +423,9 @@
     import sys
 
     code = (
-        "import sys, larchhall.lifecycle.boot, larchhall.operators.node, "
-        "larchhall.operators.script; "
-        "print([m for m in sys.modules if m.startswith(('msgspec', 'larchhall.members.d'))])"
+        "import sys, query_broker.server.node, query_broker.operator_config.service, "
+        "query_broker.operator_config.script; "
+        "print([m for m in sys.modules if m.startswith(('msgspec', 'query_broker.membership.d'))])"
     )
     done = subprocess.run(
         [sys.executable, "-c", code],
--- a/tests/test_members_pure.py
+++ b/tests/test_members_pure.py
@@ -15,15 +15,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchhall.members import codec as wire
-from larchhall.members.chain import EVERY, Chain, proven, step
-from larchhall.members.codec import BadKeys, Codec, Refused, read_keys
-from larchhall.members.detector import Detector
-from larchhall.members.messages import Ack, Claim, Envelope, Identity, Ping, PingReq, Status
-from larchhall.members.terms import MembersTerms, bounds, lines, shortest, suspicion
-from larchhall.members.view import View, Views
-from larchhall.operators.script import OperatorFileError, run
-from larchhall.standins.memberworld import BEGIN, Lost, MemberWorld
+from query_broker.emulator.membership_simulation import BEGIN, Lost, MemberWorld
+from query_broker.membership import codec as wire
+from query_broker.membership.codec import BadKeys, Codec, Refused, read_keys
+from query_broker.membership.failure_detector import Detector
+from query_broker.membership.incarnations import EVERY, Chain, proven, step
+from query_broker.membership.messages import Ack, Claim, Envelope, Identity, Ping, PingReq, Status
+from query_broker.membership.settings import MembersTerms, bounds, lines, shortest, suspicion
+from query_broker.membership.views import View, Views
+from query_broker.operator_config.script import OperatorFileError, run
 
 from .members_model import Broken, World, explore, replay
 
@@ -436,7 +436,7 @@
 
 
 def cap_seconds(size: int) -> float:
-    from larchhall.members.terms import cap
+    from query_broker.membership.settings import cap
 
     return cap(TERMS.interval, size) / S
 
@@ -517,7 +517,7 @@
 
         monkeypatch.setattr(Detector, "merge", merge)
     else:
-        monkeypatch.setattr("larchhall.members.detector.proven", lambda *_: True)
+        monkeypatch.setattr("query_broker.membership.failure_detector.proven", lambda *_: True)
         monkeypatch.setattr(
             Detector, "_confirm", lambda self, peer, by: setattr(peer, "inc", peer.inc + 1)
         )
--- a/tests/test_middle.py
+++ b/tests/test_middle.py
@@ -8,13 +8,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchhall import facade as f
-from larchhall.broker import Broker
-from larchhall.interface import Effect, EngineState, Result
-from larchhall.lifecycle import log
-from larchhall.state.engines import EngineTable
-from larchhall.state.wheel import Clock, Wheel
-from larchhall.wire.bus import parse_event
+from query_broker.decisions import facade as f
+from query_broker.decisions.events import EngineState, Result
+from query_broker.decisions.settings import Effect
+from query_broker.discovery.event_codec import parse_event
+from query_broker.dispatch.dispatcher import Broker
+from query_broker.endpoints.endpoint_table import EngineTable
+from query_broker.server import log
+from query_broker.timer_wheel import Clock, Wheel
 
 from .helpers import MS, S, make_settings, query_class
 from .sockets import event, make_config, target
@@ -115,7 +116,7 @@
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = 50.0
-    monkeypatch.setattr("larchhall.lifecycle.log.time.monotonic", lambda: now)
+    monkeypatch.setattr("query_broker.server.log.time.monotonic", lambda: now)
     write = log.Log("n0")
     for _ in range(log.MOST + 30):
         write("client", "odd")
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -6,11 +6,11 @@
 from contextlib import suppress
 from typing import Any
 
-from larchhall.deadlines.outbox import Frame
-from larchhall.state.figures import ERROR, SUCCESS, Figures, escaped
-from larchhall.wire import frames
-from larchhall.wire.bus import parse_event
-from larchhall.wire.operator import MOST_BODY, MOST_HEAD
+from query_broker.deadlines.write_queue import Frame
+from query_broker.discovery.event_codec import parse_event
+from query_broker.metrics import ERROR, SUCCESS, Figures, escaped
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols.operator_http import MOST_BODY, MOST_HEAD
 
 from .sockets import Engine, Rig, event, make_config, on_uvloop, running, target, until, within
 
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -11,10 +11,10 @@
 import pytest
 from click.testing import CliRunner
 
-from larchhall.cells.model import Timing
-from larchhall.cli import main
-from larchhall.operators.script import OperatorFileError, evaluate, run
-from larchhall.operators.words import BadWord, Draft, moves
+from query_broker.cells.model import Timing
+from query_broker.cli.main import main
+from query_broker.operator_config.directives import BadWord, Draft, moves
+from query_broker.operator_config.script import OperatorFileError, evaluate, run
 
 from .sockets import ROOT, write_config
 
@@ -120,7 +120,7 @@
         argv = [
             sys.executable,
             "-m",
-            "larchhall",
+            "query_broker",
             "serve",
             *([] if by else ["--operator-file", str(path)]),
         ]
@@ -143,10 +143,10 @@
 def test_without_the_file_nothing_of_it_is_loaded(tmp_path: Path) -> None:
     """With a thing off it costs nothing: no module of it, and no library that it alone needs."""
     script = (
-        "import sys, larchhall.cli, larchhall.lifecycle.boot\n"
+        "import sys, query_broker.cli.main, query_broker.server.node\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('xxhash', 'starlark', 'highspy')\n"
-        "       or m.startswith(('larchhall.cells', 'larchhall.rooms', 'larchhall.operators',\n"
-        "                        'larchhall.standins', 'larchhall.demo'))])"
+        "       or m.startswith(('query_broker.cells', 'query_broker.operator_config',\n"
+        "                        'query_broker.emulator'))])"
     )
     done = subprocess.run(
         [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
@@ -167,7 +167,7 @@
 
 def test_the_demo_plays_to_its_end() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "larchhall", "demo", "--seconds", "1"],
+        [sys.executable, "-m", "query_broker", "demo", "--seconds", "1"],
         cwd=ROOT,
         capture_output=True,
         text=True,
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from larchhall import interface as api
-from larchhall.config import ConfigError, load, reload
-from larchhall.wire import frames
+from query_broker import decisions as api
+from query_broker.config.reading import ConfigError, load, reload
+from query_broker.protocols import client_frames as frames
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 from .sockets import Engine, Rig, make_config, on_uvloop, running, settings, target, until
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from larchhall import interface as api
+from query_broker import decisions as api
 
 from .helpers import MS, TICK, Harness, S, entry, make_settings, query_class
 
--- a/tests/test_shares_processes.py
+++ b/tests/test_shares_processes.py
@@ -15,20 +15,20 @@
 
 from click.testing import CliRunner
 
-from larchhall.cli import main
-from larchhall.facade import Result
-from larchhall.members.codec import peek_sender
-from larchhall.shares.joins import Judging
-from larchhall.standins.bus import target
-from larchhall.standins.client import Book
-from larchhall.standins.engine import ScriptedEngine
-from larchhall.standins.fleet import Fleet, free_ports
-from larchhall.standins.links import Fault, Kind, RelayNet, Script, partition
-from larchhall.standins.shareworld import audit
-from larchhall.standins.world import MS, World, config, settings, tenants
-from larchhall.verdicts.evidence import Engine, Report, Reports, Seen
-from larchhall.verdicts.terms import VerdictTerms, rounds
-from larchhall.wire import resp
+from query_broker.cli.main import main
+from query_broker.decisions.facade import Result
+from query_broker.emulator.clients import Book
+from query_broker.emulator.cluster import MS, World, config, settings, tenants
+from query_broker.emulator.data_engine import ScriptedEngine
+from query_broker.emulator.discovery_service import target
+from query_broker.emulator.faulty_links import Fault, Kind, RelayNet, Script, partition
+from query_broker.emulator.processes import Fleet, free_ports
+from query_broker.emulator.quota_simulation import audit
+from query_broker.membership.codec import peek_sender
+from query_broker.outlier_consensus.observations import Engine, Report, Reports, Seen
+from query_broker.outlier_consensus.settings import VerdictTerms, rounds
+from query_broker.protocols import resp
+from query_broker.quotas.service import Judging
 
 from .sockets import HANG, make_config, on_uvloop, running, until, write_config
 from .test_members_processes import LIMITS, OLD, Peers, word
--- a/tests/test_shares_pure.py
+++ b/tests/test_shares_pure.py
@@ -12,17 +12,31 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larchhall.operators.script import OperatorFileError, run
-from larchhall.shares import leases as lease_module
-from larchhall.shares.counters import Counters
-from larchhall.shares.fair import Forecast, water_level
-from larchhall.shares.leases import Leases, home_of
-from larchhall.shares.messages import Row, Rows
-from larchhall.shares.terms import LimitTerms, SharesTerms, held_for, lines, overshoot, owed_for
-from larchhall.standins.shareworld import BEGIN, ShareWorld, audit, trouble
-from larchhall.verdicts.evidence import Engine, Evidence, Kind, Report, Reports, Seen
-from larchhall.verdicts.terms import VerdictTerms
-from larchhall.verdicts.words import Word, Wordbook
+from query_broker.emulator.quota_simulation import BEGIN, ShareWorld, audit, trouble
+from query_broker.operator_config.script import OperatorFileError, run
+from query_broker.outlier_consensus.observations import (
+    Engine,
+    Evidence,
+    Kind,
+    Report,
+    Reports,
+    Seen,
+)
+from query_broker.outlier_consensus.overrides import Word, Wordbook
+from query_broker.outlier_consensus.settings import VerdictTerms
+from query_broker.quotas import leases as lease_module
+from query_broker.quotas.counters import Counters
+from query_broker.quotas.fair_allocation import Forecast, water_level
+from query_broker.quotas.leases import Leases, home_of
+from query_broker.quotas.messages import Row, Rows
+from query_broker.quotas.settings import (
+    LimitTerms,
+    SharesTerms,
+    held_for,
+    lines,
+    overshoot,
+    owed_for,
+)
 
 from .shares_model import Broken, explore, replay
 
--- a/tests/test_sockets_bus.py
+++ b/tests/test_sockets_bus.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from larchhall.wire.bus import BusEvent
-from larchhall.wire.feed import SILENT
+from query_broker.discovery.event_codec import BusEvent
+from query_broker.discovery.watch_client import SILENT
 
 from .sockets import (
     MS,
@@ -33,7 +33,9 @@
 
 @pytest.fixture(autouse=True)
 def never_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("larchhall.wire.feed.SILENT", 1 << 62)  # a slow machine is no silent bus
+    monkeypatch.setattr(
+        "query_broker.discovery.watch_client.SILENT", 1 << 62
+    )  # a slow machine is no silent bus
 
 
 @on_uvloop
@@ -129,11 +131,11 @@
         bus.writer.write(b'{"offset":2,"topo')
         feed = rig.node.feed
         await until(lambda: feed.connection is not None and feed.connection.parser.buffer)
-        monkeypatch.setattr("larchhall.wire.feed.SILENT", SILENT)
+        monkeypatch.setattr("query_broker.discovery.watch_client.SILENT", SILENT)
         feed.check(feed.heard + 1_500 * MS)  # a beat may be late
         assert not feed.connection.transport.is_closing()  # type: ignore[union-attr]
         feed.check(feed.heard + 2_000 * MS)
-        monkeypatch.setattr("larchhall.wire.feed.SILENT", 1 << 62)
+        monkeypatch.setattr("query_broker.discovery.watch_client.SILENT", 1 << 62)
         await until(lambda: len(bus.asked) == 2)
         assert bus.asked[1] == b"from 1\n"
         bus.tell(event(2, target("s-2", 9)))
@@ -175,9 +177,9 @@
         line = json.dumps(drain).encode() + b"\n"
         old.write(line[:40])
         await until(lambda: feed.connection is not None and feed.connection.parser.buffer)
-        monkeypatch.setattr("larchhall.wire.feed.SILENT", SILENT)
+        monkeypatch.setattr("query_broker.discovery.watch_client.SILENT", SILENT)
         feed.check(feed.heard + 2_000 * MS)
-        monkeypatch.setattr("larchhall.wire.feed.SILENT", 1 << 62)
+        monkeypatch.setattr("query_broker.discovery.watch_client.SILENT", 1 << 62)
         await until(lambda: len(bus.asked) == 2 and bus.writer is not old)
         assert bus.asked[1] == b"from 1\n"
         old.write(line[40:] + b'{"offset":3,"topology":{"rev":3,"all":true,"targets":[]}}\n')
--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from larchhall.broker import WAY_BACK
-from larchhall.wire import frames, resp
+from query_broker.dispatch.dispatcher import WAY_BACK
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
 
 from .sockets import (
     MS,
@@ -318,7 +319,7 @@
     asked: bytes, half: bytes, told: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in ("FIRST", "WHOLE", "IDLE"):
-        monkeypatch.setattr(f"larchhall.wire.client.{name}", 50 * MS)
+        monkeypatch.setattr(f"query_broker.protocols.client_connection.{name}", 50 * MS)
     async with running(make_config()) as rig:
         client = await rig.client()
         client.writer.write(asked + half)
--- a/tests/test_sockets_engine.py
+++ b/tests/test_sockets_engine.py
@@ -8,12 +8,13 @@
 
 import pytest
 
-from larchhall.broker import Ask, Broker
-from larchhall.state import pools
-from larchhall.state.requests import Attempt, OpenRequest
-from larchhall.state.wheel import Clock
-from larchhall.wire import frames, resp
-from larchhall.wire.bus import parse_event
+from query_broker.discovery.event_codec import parse_event
+from query_broker.dispatch.dispatcher import Ask, Broker
+from query_broker.dispatch.requests import Attempt, OpenRequest
+from query_broker.endpoints import connection_pools as pools
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.timer_wheel import Clock
 
 from .sockets import (
     MS,
--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -16,14 +16,14 @@
 import pytest
 from click.testing import CliRunner
 
-from larchhall.cli import main
-from larchhall.standins.bus import ScriptedBus, event, target
-from larchhall.standins.client import Book
-from larchhall.standins.fleet import Fleet, Member
-from larchhall.standins.links import Fault, Kind, Link, Script, Way, partition
-from larchhall.standins.world import MS, World, config
-from larchhall.start.lastlist import LastList, encode
-from larchhall.wire import frames
+from query_broker.cli.main import main
+from query_broker.emulator.clients import Book
+from query_broker.emulator.cluster import MS, World, config
+from query_broker.emulator.discovery_service import ScriptedBus, event, target
+from query_broker.emulator.faulty_links import Fault, Kind, Link, Script, Way, partition
+from query_broker.emulator.processes import Fleet, Member
+from query_broker.protocols import client_frames as frames
+from query_broker.startup.endpoint_snapshot import LastList, encode
 
 from . import deployments
 from .sockets import HANG, Engine, on_uvloop, until, write_config
--- a/tests/test_start_pure.py
+++ b/tests/test_start_pure.py
@@ -10,13 +10,14 @@
 
 import pytest
 
-from larchhall.operators.script import OperatorFileError, run
-from larchhall.start import lastlist, paces
-from larchhall.start.lastlist import BadList, LastList, decode, encode
-from larchhall.start.ramp import MOST, Ramp, assumed, pause
-from larchhall.start.rates import lines
-from larchhall.start.stages import Source, Stage, Start
-from larchhall.start.terms import StartTerms
+from query_broker.operator_config.script import OperatorFileError, run
+from query_broker.startup import endpoint_snapshot as lastlist
+from query_broker.startup import pacing as paces
+from query_broker.startup.admission_ramp import MOST, Ramp, assumed, pause
+from query_broker.startup.bounds import lines
+from query_broker.startup.endpoint_snapshot import BadList, LastList, decode, encode
+from query_broker.startup.settings import StartTerms
+from query_broker.startup.stages import Source, Stage, Start
 
 from .sockets import target
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,11 +18,11 @@
 
 import pytest
 
-from larchhall import interface as api
-from larchhall.config import Config
-from larchhall.lifecycle.siblings import Siblings, said_by
-from larchhall.wire import frames
-from larchhall.wire.bus import parse_event
+from query_broker import decisions as api
+from query_broker.config.reading import Config
+from query_broker.discovery.event_codec import parse_event
+from query_broker.protocols import client_frames as frames
+from query_broker.server.peer_process import Siblings, said_by
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 from .sockets import (
@@ -253,7 +253,7 @@
 ) -> None:
     env = {**write_config(tmp_path), "PROXY_ACCEPT_FD": descriptor}
     done = subprocess.run(
-        [sys.executable, "-m", "larchhall"],
+        [sys.executable, "-m", "query_broker"],
         env=env,
         cwd=ROOT,
         capture_output=True,
--- a/tests/test_wire_tables.py
+++ b/tests/test_wire_tables.py
@@ -9,10 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchhall.interface import EngineState
-from larchhall.wire import bus, frames, resp
-from larchhall.wire.client import read_ask
-from larchhall.wire.statement import table_group
+from query_broker.decisions.events import EngineState
+from query_broker.discovery import event_codec as bus
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.protocols.client_connection import read_ask
+from query_broker.protocols.statement import table_group
 
 from .sockets import TRACE, event, target
 
