--- a/tests/test_golden_client_wire.py
+++ b/tests/test_golden_client_wire.py
@@ -13,11 +13,12 @@
 
 import pytest
 
-from larchhall import interface as api
-from larchhall.benchlink import Adapter, _render
-from larchhall.state.requests import Attempt, OpenRequest
-from larchhall.wire import frames, resp
-from larchhall.wire.engine import EngineConnection, Owner
+from query_broker import decisions as api
+from query_broker.dispatch.requests import Attempt, OpenRequest
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.protocols.engine_connection import EngineConnection, Owner
+from query_broker.simulator_adapter import Adapter, _render
 
 from .sockets import Engine, make_config, on_uvloop, running, target, until, within
 
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -10,30 +10,30 @@
 
 import pytest
 
-from larchhall.cells.moves import Stage as MoveStage
-from larchhall.deadlines import figures as deadline_figures
-from larchhall.deadlines.further import Budget
-from larchhall.deadlines.further import Terms as FurtherTerms
-from larchhall.deadlines.gates import Hand, Stop, Tally
-from larchhall.deadlines.stages import Stages
-from larchhall.deadlines.terms import Logs, MarginTerms, Stage
-from larchhall.lifecycle.log import Log
-from larchhall.lifecycle.structured import Lines, story
-from larchhall.members.messages import Identity, Status
-from larchhall.members.table import Peer
-from larchhall.operators.node import FiledNode
-from larchhall.operators.script import evaluate
-from larchhall.rooms.node import CelledNode
-from larchhall.shares.leases import Lease
-from larchhall.start.stages import Stage as StartStage
-from larchhall.state.figures import ERROR, OVERLOAD, SUCCESS, Figures
-from larchhall.state.requests import Attempt, OpenRequest
-from larchhall.state.wheel import Clock
-from larchhall.verdicts.evidence import Engine as JudgedEngine
-from larchhall.verdicts.evidence import Kind, Verdict
-from larchhall.verdicts.words import VALUES
-from larchhall.wire.bus import parse_event
-from larchhall.wire.operator import REASONS
+from query_broker.cells.migrations import Stage as MoveStage
+from query_broker.cells.node import CelledNode
+from query_broker.deadlines import metrics as deadline_figures
+from query_broker.deadlines.handover_checks import Hand, Stop, Tally
+from query_broker.deadlines.retry_budget import Budget
+from query_broker.deadlines.retry_budget import Terms as FurtherTerms
+from query_broker.deadlines.settings import Logs, MarginTerms, Stage
+from query_broker.deadlines.stage_latencies import Stages
+from query_broker.discovery.event_codec import parse_event
+from query_broker.dispatch.requests import Attempt, OpenRequest
+from query_broker.membership.member_table import Peer
+from query_broker.membership.messages import Identity, Status
+from query_broker.metrics import ERROR, OVERLOAD, SUCCESS, Figures
+from query_broker.operator_config.script import evaluate
+from query_broker.operator_config.service import FiledNode
+from query_broker.outlier_consensus.observations import Engine as JudgedEngine
+from query_broker.outlier_consensus.observations import Kind, Verdict
+from query_broker.outlier_consensus.overrides import VALUES
+from query_broker.protocols.operator_http import REASONS
+from query_broker.quotas.leases import Lease
+from query_broker.server.log import Log
+from query_broker.server.structured_log import Lines, story
+from query_broker.startup.stages import Stage as StartStage
+from query_broker.timer_wheel import Clock
 
 from .sockets import event, make_config, on_uvloop, running, target, within
 
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -19,8 +19,8 @@
 import pytest
 from click.testing import CliRunner
 
-from larchhall.cli import main
-from larchhall.config import (
+from query_broker.cli.main import main
+from query_broker.config.reading import (
     NOT_NEEDED,
     READ,
     REPORTED,
@@ -29,8 +29,8 @@
     parse,
     waiting_for_restart,
 )
-from larchhall.operators.script import OperatorFileError, evaluate, run
-from larchhall.operators.words import WORDS
+from query_broker.operator_config.directives import WORDS
+from query_broker.operator_config.script import OperatorFileError, evaluate, run
 
 # --- directives of the operators' file ---
 
