--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from query_broker.decisions.facade import EngineEntry, EngineNews, EngineState, Result
+from query_broker.decisions.facade import EngineEntry, EngineState, ListKind, ListNews, Result
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
 
@@ -80,8 +80,8 @@
     def tell(broker: SimBroker, number: int) -> None:
         heard[broker.settings.me, number] = sim.now
         broker.report(
-            EngineNews(
-                False,
+            ListNews(
+                ListKind.CHANGES,
                 (
                     EngineEntry(
                         number,
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -29,7 +29,8 @@
 DECIDE = """
 import json, random, sys, time
 from query_broker import decisions as api
-from query_broker.decisions.facade import Ended, EngineNews, Facade, Query, Result
+from query_broker.decisions.facade import AttemptOutcome, ListKind, ListNews
+from query_broker.decisions.facade import Arrival, Facade, Result
 from query_broker.timer_wheel import Wheel
 engines, brokers, count = map(int, sys.argv[1:])
 S = 10**9
@@ -40,7 +41,7 @@
 draw, now = random.Random(11), 100 * S
 wheel = Wheel(settings.tick, now)
 facade = Facade(settings, 7, now, wheel)
-facade.report(now, EngineNews(True, tuple(api.EngineEntry(
+facade.report(now, ListNews(ListKind.FULL, tuple(api.EngineEntry(
     draw.randrange(1 << 32), api.EngineState.READY, "ab"[i % 2], "std") for i in range(engines))))
 out = []
 def step(i):
@@ -50,12 +51,13 @@
     while facade.due:
         facade.tick(now)
     route, work = ("report", 4 * S) if draw.random() < 0.05 else ("glance", S // 5)
-    query = Query(str(i), route, 5 * S, None, work, 10.0, draw.randrange(40), False)
+    query = Arrival(str(i), route, 5 * S, None, None, work, 10.0, draw.randrange(40), False)
     orders = facade.pick(now, query)
-    out.extend((s, now) for s in orders.sends)
+    out.extend((s, now) for s in orders.dispatches)
     while out and (len(out) > 6 or out[0][1] < now - S // 4):
         send, sent = out.pop(0)
-        ended = Ended(send.request, send.attempt, send.engine, Result.SERVED, now - sent, True)
+        served = Result.SERVED
+        ended = AttemptOutcome(send.request, send.attempt, send.engine, served, now - sent, True)
         facade.report(now, ended)
         facade.forget(send.request)
 for i in range(300):
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from query_broker import decisions as api
-from query_broker.decisions.facade import EngineBan, Result
+from query_broker.decisions.facade import Ban, Result
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
 from query_broker.emulator.quota_simulation import ShareWorld, trouble
@@ -134,7 +134,7 @@
         begun, _ = evidence.judge(sim.now, names, zones)
         for verdict in begun:
             acted.setdefault(evidence.me, sim.now)
-            broker.report(EngineBan(int(verdict.engine.uid), True, sim.now))
+            broker.report(Ban(int(verdict.engine.uid), True, sim.now))
 
     for one in brokers:
         sim.at(BEGIN + sim.draw.randrange(terms.told), partial(tell, *one))
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -13,19 +13,20 @@
 from dataclasses import replace
 
 from ..decisions.facade import (
+    Arrival,
+    AttemptOutcome,
+    Ban,
     Beside,
     Closing,
-    Ended,
-    EngineBan,
+    Departure,
     EngineEntry,
-    EngineNews,
     EngineState,
     Facade,
-    Left,
+    ListKind,
+    ListNews,
     Orders,
     Outstanding,
-    Probed,
-    Query,
+    ProbeResult,
     Retuned,
 )
 from ..decisions.settings import Settings
@@ -34,7 +35,7 @@
 from .model import CellMap
 from .placement import Change, Placement, Seen
 
-News = Ended | Probed | Left | EngineNews | EngineBan | Beside | Retuned | Closing
+News = AttemptOutcome | ProbeResult | Departure | ListNews | Ban | Beside | Retuned | Closing
 NOTHING = Outstanding(0, 0, 0)
 
 
@@ -86,7 +87,7 @@
         self.placement = Placement(map)
         self.entries: dict[int, EngineEntry] = {}
         self.numbers: dict[str, int] = {}
-        self.bans: dict[int, EngineBan] = {}
+        self.bans: dict[int, Ban] = {}
         self.beside = Beside({}, 1)
         # sent to cold engines by their former room
         self.carried: dict[int, tuple[Outstanding, int]] = {}
@@ -107,14 +108,14 @@
 
     # --- requests ---
 
-    def pick(self, now: int, query: Query) -> Orders:
+    def pick(self, now: int, query: Arrival) -> Orders:
         """Danger: the cell was chosen when the request was given its part of the room; to choose
         again here could give it another one.
         """
         assert self.next is not None, "a request without a cell"
         (subject, cell), self.next = self.next, None
         room = self.rooms[cell]
-        self.where[query.id] = room, subject
+        self.where[query.request] = room, subject
         room.open += 1
         self.open[subject, cell] += 1
         return room.pick(now, query)
@@ -148,19 +149,19 @@
 
     def report(self, now: int, news: News) -> Orders:
         match news:
-            case Ended() | Left():
+            case AttemptOutcome() | Departure():
                 if (place := self.where.get(news.request)) is None:
                     return Orders()
                 orders = place[0].report(now, news)
-                if isinstance(news, Ended) and news.engine in self.left_over:
+                if isinstance(news, AttemptOutcome) and news.engine in self.left_over:
                     self._tell_beside(now, orders)
                 return orders
-            case Probed(engine):
+            case ProbeResult(engine):
                 room = self._room_of(engine)
                 return room.report(now, news) if room is not None else Orders()
-            case EngineNews(full, entries):
-                return self._engine_news(now, full, entries)
-            case EngineBan(engine, out, at):
+            case ListNews(kind, entries):
+                return self._engine_news(now, kind is ListKind.FULL, entries)
+            case Ban(engine, out, at):
                 if out:
                     self.bans[engine] = news
                 else:  # a room that gets it later must know that it is cold
@@ -230,13 +231,13 @@
                 del self.numbers[uid]
             if (room := self._room_of(entry.engine)) is not None:
                 room.engines.discard(entry.engine)
-                _add(orders, room.report(now, EngineNews(False, (entry,))))
+                _add(orders, room.report(now, ListNews(ListKind.CHANGES, (entry,))))
         self._reseat(now, changes, orders)
         moved = {self.numbers[c.uid] for c in changes if c.uid in self.numbers}
         for room in list(self.rooms.values()):
             mine = tuple(e for e in present if e.engine in room.engines and e.engine not in moved)
             if mine:
-                _add(orders, room.report(now, EngineNews(False, mine)))
+                _add(orders, room.report(now, ListNews(ListKind.CHANGES, mine)))
         self._tell_beside(now, orders)
         return orders
 
@@ -255,7 +256,7 @@
                 _add(
                     orders,
                     before.report(
-                        now, EngineNews(False, (replace(entry, state=EngineState.GONE),))
+                        now, ListNews(ListKind.CHANGES, (replace(entry, state=EngineState.GONE),))
                     ),
                 )
                 self.left_over.add(number)
@@ -270,7 +271,10 @@
                 after.engines.add(number)
                 started = max(entry.started, self.cold_until.get(number, 0))
                 _add(
-                    orders, after.report(now, EngineNews(False, (replace(entry, started=started),)))
+                    orders,
+                    after.report(
+                        now, ListNews(ListKind.CHANGES, (replace(entry, started=started),))
+                    ),
                 )
 
     def _tell_beside(self, now: int, orders: Orders) -> None:
@@ -380,8 +384,8 @@
 
 
 def _add(orders: Orders, more: Orders) -> None:
-    orders.terms += more.terms
-    orders.sends += more.sends
-    orders.verdicts += more.verdicts
-    orders.cancels += more.cancels
-    orders.probes += more.probes
+    orders.options += more.options
+    orders.dispatches += more.dispatches
+    orders.answers += more.answers
+    orders.cancellations += more.cancellations
+    orders.health_checks += more.health_checks
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -608,7 +608,9 @@
         # rule 2 counts what leaves
         keyed = request.may_have_run and request.spec.effect is Effect.KEYED
         latest = request.may_have_run[0].sent + request.spec.window if keyed else request.deadline
-        self.actions.append(Send(request.id, engine.entry.engine, request.deadline - now, latest))
+        self.actions.append(
+            Send(request.id, attempt.number, engine.entry.engine, request.deadline - now, latest)
+        )
         request.sends += 1
         request.tried.append(engine.entry.engine)
         request.out[attempt.number] = attempt
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -1,8 +1,8 @@
-"""The decision module in blocking style: `pick`, `report` and `tick` take what happened and return
-orders.
+"""The decisions in blocking style: `pick`, `report` and `tick` take an event and return orders.
 
-The network code speaks in the words below and never sees the module's events and actions. Nothing
-here decides anything: the facade translates, and keeps the module's timers on the wheel.
+The network code sees the decisions through this module alone; it takes the types of events, orders
+and settings from here too. Performs no I/O and decides nothing: it groups the controller's orders
+and keeps its timers on the wheel.
 """
 
 from __future__ import annotations
@@ -12,237 +12,105 @@
 from dataclasses import dataclass, field
 
 from ..timer_wheel import Wheel
-from . import events as api_events
-from . import orders as api_orders
-from . import settings as api_settings
 from .controller import AdmissionController
-from .events import EngineEntry, EngineState, LoadReport, NoteKind, Outstanding, Result
+from .events import (
+    Arrival,
+    AttemptNote,
+    AttemptOutcome,
+    Ban,
+    Beside,
+    Closing,
+    Departure,
+    EngineEntry,
+    EngineState,
+    Event,
+    ListKind,
+    ListNews,
+    LoadReport,
+    NoteKind,
+    Outstanding,
+    ProbeResult,
+    Result,
+    Retuned,
+    TimerFired,
+)
+from .orders import Cancel, Fail, Probe, Refuse, Send, SetTimer, Terms
 from .settings import Effect, Settings
 
 __all__ = [
+    "Arrival",
+    "AttemptNote",
+    "AttemptOutcome",
+    "Ban",
     "Beside",
+    "Cancel",
     "Closing",
+    "Departure",
     "Effect",
-    "Ended",
-    "EngineBan",
     "EngineEntry",
-    "EngineNews",
     "EngineState",
+    "Event",
     "Facade",
-    "Left",
+    "Fail",
+    "ListKind",
+    "ListNews",
     "LoadReport",
-    "News",
     "NoteKind",
-    "Noted",
     "Orders",
     "Outstanding",
-    "Probed",
-    "Query",
+    "Probe",
+    "ProbeResult",
+    "Refuse",
     "Result",
     "Retuned",
-    "SendOrder",
+    "Send",
+    "SetTimer",
     "Settings",
-    "Verdict",
+    "Terms",
+    "TimerFired",
 ]
 
 
-@dataclass(frozen=True, slots=True)
-class Query:
-    """A client's request as the decisions see it. Times in nanoseconds."""
-
-    id: str
-    route: str
-    patience: int
-    customer: str | None
-    estimate: int
-    memory_mb: float
-    data_set: int
-    retry: bool
-
-
-@dataclass(frozen=True, slots=True)
-class Ended:
-    """An attempt ended. ``over``: nothing more is owed to the client for this request."""
-
-    request: str
-    attempt: int
-    engine: int
-    result: Result
-    latency: int
-    over: bool
-    load: LoadReport | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class Probed:
-    """An engine told of its load, or a probe of it failed."""
-
-    engine: int
-    result: Result
-    latency: int
-    load: LoadReport | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class Noted:
-    """An attempt that is out is not over yet; ``value`` by kind: share done, megabytes missing, 1
-    for memory or 2 for a load that it waits for.
-    """
-
-    request: str
-    attempt: int
-    engine: int
-    kind: NoteKind
-    value: float
-
-
-@dataclass(frozen=True, slots=True)
-class Left:
-    """Nobody waits for this request any more."""
-
-    request: str
-
-
-@dataclass(frozen=True, slots=True)
-class EngineNews:
-    full: bool
-    entries: tuple[EngineEntry, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class EngineBan:
-    """The operators have taken an engine out, or back, at this time."""
-
-    engine: int
-    out: bool
-    at: int
-
-
-@dataclass(frozen=True, slots=True)
-class Beside:
-    """What other processes of this broker have out, by engine; how many processes take requests,
-    with us.
-    """
-
-    out: dict[int, Outstanding]
-    taking: int
-
-
-@dataclass(frozen=True, slots=True)
-class Retuned:
-    """Other settings are in force."""
-
-    settings: api_settings.Settings
-
-
-@dataclass(frozen=True, slots=True)
-class Closing:
-    """What is open must be closed out now, since the broker is about to end; or the named requests
-    alone.
-    """
-
-    only: frozenset[str] | None = None
-
-
-News = Ended | Noted | Probed | Left | EngineNews | EngineBan | Beside | Retuned | Closing
-
-
-@dataclass(frozen=True, slots=True)
-class SendOrder:
-    request: str
-    attempt: int
-    engine: int
-    timeout: int
-    latest: int  # when its first byte must have left
-
-
-@dataclass(frozen=True, slots=True)
-class Verdict:
-    """The final answer of a request that no engine served."""
-
-    request: str
-    refused: bool  # a retry is harmless
-    pause: int  # nanoseconds the client is to stay away; 0: no advice
-
-
 @dataclass(slots=True)
 class Orders:
-    """What the network is to do, each list in its order; terms come before the sends they are
-    for.
+    """What the network is to do, each list in its order.
+
+    Options come before the dispatches that they are for.
     """
 
-    # request, priority, megabytes
-    terms: list[tuple[str, int, float]] = field(default_factory=list)
-    sends: list[SendOrder] = field(default_factory=list)
-    verdicts: list[Verdict] = field(default_factory=list)
-    cancels: list[tuple[str, int]] = field(default_factory=list)
-    probes: list[int] = field(default_factory=list)
+    options: list[Terms] = field(default_factory=list)
+    dispatches: list[Send] = field(default_factory=list)
+    answers: list[Refuse | Fail] = field(default_factory=list)
+    cancellations: list[Cancel] = field(default_factory=list)
+    health_checks: list[Probe] = field(default_factory=list)
 
 
 class Facade:
-    def __init__(self, settings: api_settings.Settings, seed: int, now: int, wheel: Wheel) -> None:
+    """One controller, with its timers on the wheel of the caller."""
+
+    def __init__(self, settings: Settings, seed: int, now: int, wheel: Wheel) -> None:
         self.controller = AdmissionController(settings, seed, now)
         self.wheel = wheel
-        self.due: deque[int] = deque()  # timers of the module that the wheel has found due
-        self.sends: dict[str, int] = {}  # attempts are numbered in the order of a request's sends
+        self.due: deque[int] = deque()  # timers of the controller that the wheel has found due
 
-    def pick(self, now: int, query: Query) -> Orders:
-        """A request has come: where it goes, or that it does not."""
-        self.sends[query.id] = 0
-        return self._handle(
-            now,
-            Orders(),
-            api_events.Arrival(
-                query.id,
-                query.route,
-                query.patience,
-                query.customer,
-                None,
-                query.estimate,
-                query.memory_mb,
-                query.data_set,
-                query.retry,
-            ),
-        )
+    def pick(self, now: int, arrival: Arrival) -> Orders:
+        """Decide on a request that has arrived: where it goes, or that it does not."""
+        return self._handle(now, arrival)
 
-    def report(self, now: int, news: News) -> Orders:
-        """Something else happened."""
-        orders = Orders()
-        match news:
-            case Ended(request, attempt, engine, result, latency, over, load):
-                event: api_events.Event = api_events.AttemptOutcome(
-                    request, attempt, engine, result, latency, over, load
-                )
-            case Noted(request, attempt, engine, kind, value):
-                event = api_events.AttemptNote(request, attempt, engine, kind, value)
-            case Probed(engine, result, latency, load):
-                event = api_events.ProbeResult(engine, result, latency, load)
-            case Left(request):
-                event = api_events.Departure(request)
-            case EngineNews(full, entries):
-                event = api_events.ListNews(
-                    api_events.ListKind.FULL if full else api_events.ListKind.CHANGES, entries
-                )
-            case EngineBan(engine, out, at):
-                event = api_events.Ban(engine, out, at)
-            case Beside(beside, taking):
-                event = api_events.Beside(beside, taking)
-            case Retuned(settings):
-                event = api_events.Retuned(settings)
-            case Closing(only):
-                event = api_events.Closing(only)
-        return self._handle(now, orders, event)
+    def report(self, now: int, event: Event) -> Orders:
+        """Report any other event."""
+        return self._handle(now, event)
 
     def tick(self, now: int) -> Orders:
-        """Hand over the first of the timers that are due. Danger: a fault in one must not cost the
-        others, among them the ones that guarantee a final answer; so each is taken out first, and
-        alone.
+        """Handle the first of the timers that are due.
+
+        Each is taken out first and handled alone: a fault in one must not cost the others, among
+        them those that guarantee a final answer.
         """
-        return self._handle(now, Orders(), api_events.TimerFired(self.due.popleft()))
+        return self._handle(now, TimerFired(self.due.popleft()))
 
     def forget(self, request: str) -> None:
-        """The network holds nothing of this request any more."""
-        self.sends.pop(request, None)
+        """Take note that the network holds nothing of this request any more."""
 
     def avoided(self) -> int:
         """How many listed engines the decisions leave out, by hand or by choice."""
@@ -265,23 +133,20 @@
     def _fired(self, token: int) -> Callable[[], None]:
         return lambda: self.due.append(token)
 
-    def _handle(self, now: int, orders: Orders, event: api_events.Event) -> Orders:
+    def _handle(self, now: int, event: Event) -> Orders:
+        orders = Orders()
         for action in self.controller.handle(now, event):
             match action:
-                case api_orders.SetTimer(at, token):
+                case SetTimer(at, token):
                     self.wheel.at(at, self._fired(token))
-                case api_orders.Send(request, engine, timeout, latest):
-                    number = self.sends.get(request, 0)
-                    self.sends[request] = number + 1
-                    orders.sends.append(SendOrder(request, number, engine, timeout, latest))
-                case api_orders.Terms(request, priority, memory_mb):
-                    orders.terms.append((request, priority, memory_mb))
-                case api_orders.Refuse(request, retry_after):
-                    orders.verdicts.append(Verdict(request, True, retry_after))
-                case api_orders.Fail(request):
-                    orders.verdicts.append(Verdict(request, False, 0))
-                case api_orders.Cancel(request, attempt):
-                    orders.cancels.append((request, attempt))
-                case api_orders.Probe(engine):
-                    orders.probes.append(engine)
+                case Send():
+                    orders.dispatches.append(action)
+                case Terms():
+                    orders.options.append(action)
+                case Refuse() | Fail():
+                    orders.answers.append(action)
+                case Cancel():
+                    orders.cancellations.append(action)
+                case Probe():
+                    orders.health_checks.append(action)
         return orders
--- a/query_broker/decisions/orders.py
+++ b/query_broker/decisions/orders.py
@@ -13,6 +13,7 @@
     """
 
     request: str
+    attempt: int
     engine: int
     timeout: int
     latest: int
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -22,26 +22,30 @@
 from ..deadlines.retry_budget import Budget, attempt_time
 from ..deadlines.settings import Deadlines, Stage
 from ..decisions.facade import (
+    Arrival,
+    AttemptNote,
+    AttemptOutcome,
+    Ban,
     Beside,
+    Cancel,
     Closing,
+    Departure,
     Effect,
-    Ended,
-    EngineBan,
-    EngineNews,
     EngineState,
+    Event,
     Facade,
-    Left,
+    ListKind,
+    ListNews,
     LoadReport,
-    News,
-    Noted,
     NoteKind,
     Orders,
-    Probed,
-    Query,
+    ProbeResult,
+    Refuse,
     Result,
     Retuned,
-    SendOrder,
+    Send,
     Settings,
+    Terms,
 )
 from ..discovery.event_codec import BusEvent
 from ..endpoints.administrative_state import Bans, Word
@@ -246,7 +250,7 @@
             settings = change(settings)
         return settings
 
-    def tell(self, news: News) -> None:
+    def tell(self, news: Event) -> None:
         """What others than the engines and clients of this broker have found out."""
         self._report(news)
 
@@ -327,11 +331,12 @@
         self.held += len(ask.statement)
         self.requests[request.id] = request
         self.ids.setdefault(trace, []).append(request)
-        query = Query(
+        query = Arrival(
             request.id,
             ask.route,
             patience,
             ask.customer or None,
+            None,
             int(ask.weight_ms * MS),
             ask.ram_mb,
             ask.data_set,
@@ -356,7 +361,7 @@
             self.concurrent -= 1
             if self.story is not None:
                 self.story(request, "left")
-            self._report(Left(request.id))
+            self._report(Departure(request.id))
             self._end_scope(request)
             self._close_out(request)
 
@@ -392,7 +397,7 @@
             return
         self.bans.forget(self.now() - BACK_FOR_GOOD)
         number = self.engines.number(uid)
-        self._report(EngineBan(number, word.out, word.at))
+        self._report(Ban(number, word.out, word.at))
         if (pool := self.pools.get(number)) is not None:
             # Danger: what still waits for a connection would leave after the yes; it has not run.
             pool.take_back() if word.out else pool.renew()
@@ -467,7 +472,7 @@
         if event.full:
             for known in self.engines.by_number.values():
                 self.pools.learn(known.number, known.target)
-        self._report(EngineNews(event.full, entries))
+        self._report(ListNews(ListKind.FULL if event.full else ListKind.CHANGES, entries))
         self.engines.let_go()
 
     def close_out_all(self) -> None:
@@ -496,7 +501,7 @@
 
     # --- orders ---
 
-    def _report(self, news: News) -> None:
+    def _report(self, news: Event) -> None:
         now = self.now()
         try:
             self._carry_out(now, self.facade.report(now, news))
@@ -504,36 +509,39 @@
             self.log("fault", traceback.format_exc())
 
     def _carry_out(self, now: int, orders: Orders) -> None:
-        for id, priority, memory_mb in orders.terms:
-            self._set_terms(id, priority, memory_mb)
-        for send in orders.sends:
+        for options in orders.options:
+            self._set_terms(options)
+        for send in orders.dispatches:
             self._send(now, send)
-        for verdict in orders.verdicts:
-            request = self.requests.get(verdict.request)
+        for answer in orders.answers:
+            request = self.requests.get(answer.request)
             if request is None or request.client is None:
                 continue
-            if verdict.refused:
-                pause = verdict.pause if self.stay_away is None else self.stay_away(verdict.pause)
+            if isinstance(answer, Refuse):
+                pause = answer.retry_after
+                if self.stay_away is not None:
+                    pause = self.stay_away(pause)
                 self._answering(request, OVERLOAD).refused(request.stream, -(-pause // MS))
             else:
                 self._answering(request, ERROR).failed(request.stream, "")
             self._end_scope(request)
             self._close_out(request)
-        for id, number in orders.cancels:
-            self._cancel(id, number)
-        for engine in orders.probes:
-            self._probe(now, engine)
+        for cancellation in orders.cancellations:
+            self._cancel(cancellation)
+        for check in orders.health_checks:
+            self._probe(now, check.engine)
 
-    def _set_terms(self, id: str, priority: int, memory_mb: float) -> None:
-        if (request := self.requests.get(id)) is None:
+    def _set_terms(self, options: Terms) -> None:
+        if (request := self.requests.get(options.request)) is None:
             return
-        changed = request.level is not None and request.level != priority
-        request.level, request.reserve = priority, math.ceil(memory_mb)
+        changed = request.level is not None and request.level != options.priority
+        request.level = options.priority
+        request.reserve = math.ceil(options.memory_mb)
         for attempt in request.attempts.values() if changed else ():
             if attempt.connection is not None:
-                attempt.connection.bump(attempt, priority)
+                attempt.connection.bump(attempt, options.priority)
 
-    def _send(self, now: int, order: SendOrder) -> None:
+    def _send(self, now: int, order: Send) -> None:
         request = self.requests.get(order.request)
         if request is None:
             return
@@ -653,9 +661,9 @@
         self.blocked[connection] = None
         self.wheel.soon()
 
-    def _cancel(self, id: str, number: int) -> None:
-        request = self.requests.get(id)
-        attempt = request.attempts.get(number) if request is not None else None
+    def _cancel(self, order: Cancel) -> None:
+        request = self.requests.get(order.request)
+        attempt = request.attempts.get(order.attempt) if request is not None else None
         # Danger: sites forbid it; an `undo` there is a broken rule.
         if attempt is None or not self.config.settings.limits.cancel:
             return
@@ -763,7 +771,9 @@
         now = self.now()
         if now - attempt.notes.get(kind, -NOTE_GAP) >= NOTE_GAP:
             attempt.notes[kind] = now
-            self._report(Noted(attempt.request.id, attempt.number, attempt.engine, kind, amount))
+            self._report(
+                AttemptNote(attempt.request.id, attempt.number, attempt.engine, kind, amount)
+            )
 
     def ended(self, attempt: Attempt, result: Result, meter: str) -> None:
         self._end(attempt, result, self._load(meter))
@@ -772,12 +782,12 @@
         """An answer that nobody waits for: dropped, but its load report is as good as any."""
         self.tally.late += 1
         if (load := self._load(meter)) is not None:
-            self._report(Probed(attempt.engine, Result.SERVED, 0, load))
+            self._report(ProbeResult(attempt.engine, Result.SERVED, 0, load))
 
     def probed(self, tag: bytes, result: Result, meter: str) -> None:
         engine, sent = self.probing.pop(tag, (None, 0))
         if engine is not None:
-            self._report(Probed(engine, result, self.now() - sent, self._load(meter)))
+            self._report(ProbeResult(engine, result, self.now() - sent, self._load(meter)))
             for heard in self.witness:
                 heard(engine, result)
 
@@ -825,7 +835,7 @@
             self.outcome(attempt.engine, result)
         latency = (attempt.answered or self.now()) - attempt.sent
         self._report(
-            Ended(
+            AttemptOutcome(
                 request.id,
                 attempt.number,
                 attempt.engine,
--- a/query_broker/emulator/decision_simulation.py
+++ b/query_broker/emulator/decision_simulation.py
@@ -11,18 +11,20 @@
 from functools import partial
 
 from ..decisions.facade import (
-    Ended,
+    Arrival,
+    AttemptOutcome,
     EngineEntry,
-    EngineNews,
     EngineState,
+    Event,
     Facade,
+    ListKind,
+    ListNews,
     LoadReport,
-    News,
     Orders,
-    Probed,
-    Query,
+    ProbeResult,
+    Refuse,
     Result,
-    SendOrder,
+    Send,
     Settings,
 )
 from ..timer_wheel import Wheel
@@ -134,8 +136,8 @@
 
     def list_told(self) -> None:
         self.report(
-            EngineNews(
-                True,
+            ListNews(
+                ListKind.FULL,
                 tuple(
                     EngineEntry(e.number, EngineState.READY, "a", "std", started=e.machine.started)
                     for e in self.engines.values()
@@ -143,7 +145,7 @@
             )
         )
 
-    def report(self, news: News) -> None:
+    def report(self, news: Event) -> None:
         if self.up:
             self._carry_out(self.facade.report(self.sim.now, news))
 
@@ -154,7 +156,7 @@
         self.work[id] = (work, threads)
         self._carry_out(
             self.facade.pick(
-                self.sim.now, Query(id, cls, patience, None, int(work), 10.0, 0, False)
+                self.sim.now, Arrival(id, cls, patience, None, None, int(work), 10.0, 0, False)
             )
         )
 
@@ -168,23 +170,23 @@
                 load = target.load()
                 self.sim.at(
                     self.sim.now + WAY,
-                    lambda: self.report(Probed(engine, Result.SERVED, 2 * WAY, load)),
+                    lambda: self.report(ProbeResult(engine, Result.SERVED, 2 * WAY, load)),
                 )
 
         self.sim.at(self.sim.now + WAY, answer)
 
     def _carry_out(self, orders: Orders) -> None:
-        for send in orders.sends:
+        for send in orders.dispatches:
             self._send(send)
-        for verdict in orders.verdicts:
-            came, cls, answered, served = self.asked[verdict.request]
-            self.asked[verdict.request] = (came, cls, answered or self.sim.now, served)
-            if verdict.refused:
-                self.pauses.append((self.sim.now, verdict.pause))
-        for engine in orders.probes:
-            self.probe(engine)
-
-    def _send(self, send: SendOrder) -> None:
+        for answer in orders.answers:
+            came, cls, answered, served = self.asked[answer.request]
+            self.asked[answer.request] = (came, cls, answered or self.sim.now, served)
+            if isinstance(answer, Refuse):
+                self.pauses.append((self.sim.now, answer.retry_after))
+        for check in orders.health_checks:
+            self.probe(check.engine)
+
+    def _send(self, send: Send) -> None:
         sent, engine = self.sim.now, self.engines[send.engine]
         work, threads = self.work[send.request]
         ended: list[Result] = []
@@ -201,7 +203,7 @@
                 self.outcome(send.engine, result)
             load = engine.load() if result in (Result.SERVED, Result.FULL) else None
             self.report(
-                Ended(
+                AttemptOutcome(
                     send.request,
                     send.attempt,
                     send.engine,
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from ..decisions.facade import EngineBan, EngineState, Result, Settings
+from ..decisions.facade import Ban, EngineState, Result, Settings
 from ..dispatch.dispatcher import Ask
-from ..endpoints.administrative_state import Word as Ban
+from ..endpoints.administrative_state import Word as BanWord
 from ..membership.service import Membership
 from ..outlier_consensus.observations import Engine, Evidence, Reports
 from ..outlier_consensus.overrides import VALUES, Wordbook, Words
@@ -549,7 +549,7 @@
         else:
             self.held.pop(engine, None)
         if number is not None and not self.node.broker.bans.out(engine.uid):
-            self.node.broker.tell(EngineBan(number, out, now if out else engine.boot * MS))
+            self.node.broker.tell(Ban(number, out, now if out else engine.boot * MS))
 
     def _probe(self, now: int) -> None:
         """What is held out is asked by as many as it takes to let it in, each once in a while."""
@@ -597,7 +597,7 @@
         if known is None and value != "out" or known is not None and known.out == (value == "out"):
             return
         self.node.broker.take_word(
-            uid, Ban(now if known is None else max(now, known.at + 1), value == "out")
+            uid, BanWord(now if known is None else max(now, known.at + 1), value == "out")
         )
 
     def _free(self, uid: str) -> None:
--- a/query_broker/simulator_adapter.py
+++ b/query_broker/simulator_adapter.py
@@ -189,7 +189,7 @@
 
 def _render(inst: str, action: api.Action) -> str:
     match action:
-        case api.Send(request, engine, timeout, _):
+        case api.Send(request, _, engine, timeout, _):
             return f"FORWARD\ti={inst}\treq={request}\tengine={engine}\tallow_for={timeout}\n"
         case api.Refuse(request, retry_after):
             return f"DENY\ti={inst}\treq={request}\twait={retry_after}\n"
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -267,29 +267,38 @@
     made = make_config(tenants=TWO)
     now = 1_000 * S
     moved = Hall(made.settings, 1, now, Wheel(5 * MS, now), two(), lambda n: f"s-{n}")
-    from query_broker.decisions.facade import EngineEntry, EngineNews, EngineState, Query
+    from query_broker.decisions.facade import (
+        Arrival,
+        EngineEntry,
+        EngineState,
+        ListKind,
+        ListNews,
+        Refuse,
+    )
 
     cold = EngineEntry(1, EngineState.READY, "east", "std", 0, 8.0, now - MS)
-    moved.report(now, EngineNews(True, (cold,)))
+    moved.report(now, ListNews(ListKind.FULL, (cold,)))
     sent = 0
     for i in range(200):
         moved.next = ("acme", "a")
         sent += len(
-            moved.pick(now, Query(f"{i}", "glance", 5 * S, "acme", 200 * MS, 1.0, -1, False)).sends
+            moved.pick(
+                now, Arrival(f"{i}", "glance", 5 * S, "acme", None, 200 * MS, 1.0, -1, False)
+            ).dispatches
         )
     assert sent == 14  # 0.36 x 8 cores x 1.5 s x 2, with a margin of 3
     moved.take(two(2, a=(), b=("s-1",)), now + 10 * MS)
     for i in range(200, 400):
         moved.next = ("beta", "b")
         orders = moved.pick(
-            now + 10 * MS, Query(f"{i}", "glance", 5 * S, "beta", 200 * MS, 1.0, -1, False)
+            now + 10 * MS, Arrival(f"{i}", "glance", 5 * S, "beta", None, 200 * MS, 1.0, -1, False)
         )
-        assert not orders.sends and orders.verdicts[0].refused
+        assert not orders.dispatches and isinstance(orders.answers[0], Refuse)
     moved.fade(now + 3 * S)  # the window has passed
     moved.next = ("beta", "b")
     assert moved.pick(
-        now + 3 * S, Query("z", "glance", 5 * S, "beta", 100 * MS, 1.0, -1, False)
-    ).sends
+        now + 3 * S, Arrival("z", "glance", 5 * S, "beta", None, 100 * MS, 1.0, -1, False)
+    ).dispatches
 
 
 @on_uvloop
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,6 +19,7 @@
 import pytest
 
 from query_broker import decisions as api
+from query_broker.decisions.facade import Cancel
 from query_broker.discovery.event_codec import parse_event
 from query_broker.dispatch.dispatcher import UNDO_WAY, Ask
 from query_broker.protocols import client_frames as frames
@@ -401,7 +402,7 @@
         await until(lambda: any(e.words(b"do") for e in engines))
         still = clock.now()
         monkeypatch.setattr(clock, "now", lambda: still)
-        broker._cancel(request.id, 0)
+        broker._cancel(Cancel(request.id, 0))
         await until(lambda: any(e.words(b"undo") for e in engines))
         broker._end_later()
         assert list(request.attempts) == [0] and request.attempts[0].ended
@@ -669,7 +670,7 @@
         assert pool.waiting
         report = broker._end_later
         monkeypatch.setattr(broker, "_end_later", lambda: None)  # the next tick is still to come
-        broker._cancel(request.id, 0)
+        broker._cancel(Cancel(request.id, 0))
         gate.set()
         await until(lambda: pool.connections and not pool.waiting)
         assert not engine.words(b"do")
--- a/tests/test_golden_client_wire.py
+++ b/tests/test_golden_client_wire.py
@@ -612,7 +612,7 @@
 # --- the simulator's wire ---
 
 RENDERED: list[tuple[str, api.Action, str]] = [
-    ("send", api.Send("r-1", 51, 4, 5), "FORWARD\ti=g/0\treq=r-1\tengine=51\tallow_for=4\n"),
+    ("send", api.Send("r-1", 0, 51, 4, 5), "FORWARD\ti=g/0\treq=r-1\tengine=51\tallow_for=4\n"),
     ("refuse", api.Refuse("r-1", 250), "DENY\ti=g/0\treq=r-1\twait=250\n"),
     ("fail", api.Fail("r-1"), "GIVE_UP\ti=g/0\treq=r-1\n"),
     ("cancel", api.Cancel("r-1", 2), "DROP_ATTEMPT\ti=g/0\treq=r-1\tn=2\n"),
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -121,7 +121,11 @@
     def handle(self, event: api.Event) -> None:
         for action in self.controller.handle(self.now, event):
             self.actions += 1
-            fields = [getattr(action, f.name) for f in dataclasses.fields(action)]
+            names = [field.name for field in dataclasses.fields(action)]
+            if isinstance(action, api.Send):
+                assert action.attempt == self.sends.get(action.request, 0)
+                names.remove("attempt")  # it was counted by the caller when the digests were taken
+            fields = [getattr(action, name) for name in names]
             self.digest.update(repr((self.now, TAGS[type(action)], fields)).encode())
             if isinstance(action, api.SetTimer):
                 self.timers.append((action.at, action.token))
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -186,7 +186,7 @@
         await client.answer()
         client.writer.close()
         await until(lambda: not rig.node.clients)
-        assert not rig.node.broker.requests and not rig.node.broker.facade.sends
+        assert not rig.node.broker.requests and not rig.node.broker.facade.controller.requests
 
 
 def test_the_command_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_middle.py
+++ b/tests/test_middle.py
@@ -91,25 +91,29 @@
     unsafe = query_class("load", effect=Effect.UNSAFE, deadline=2 * S)
     settings = make_settings(query_class(), unsafe, grants_heeded=True, priorities_heeded=True)
     facade = f.Facade(settings, 7, 0, wheel)
-    facade.report(0, f.EngineNews(True, (f.EngineEntry(9, EngineState.READY, "a", "box"),)))
-    ask = f.Query("1", "load", 2 * S, None, 50 * MS, 64.0, 3, False)
+    facade.report(
+        0, f.ListNews(f.ListKind.FULL, (f.EngineEntry(9, EngineState.READY, "a", "box"),))
+    )
+    ask = f.Arrival("1", "load", 2 * S, None, None, 50 * MS, 64.0, 3, False)
     orders = facade.pick(0, ask)
-    assert [(s.request, s.attempt, s.engine) for s in orders.sends] == [("1", 0, 9)]
-    assert [(r, m) for r, _, m in orders.terms] == [("1", 1.2 * 64.0)]
+    assert [(s.request, s.attempt, s.engine) for s in orders.dispatches] == [("1", 0, 9)]
+    assert [(o.request, o.memory_mb) for o in orders.options] == [("1", 1.2 * 64.0)]
     assert not facade.due  # before the wheel says so
     wheel.advance(2 * S)
-    verdicts = [verdict for _ in range(len(facade.due)) for verdict in facade.tick(2 * S).verdicts]
-    assert verdicts == [f.Verdict("1", False, 0)]  # it may have run: failed, not refused
-    late = facade.report(2 * S, f.Ended("1", 0, 9, Result.SERVED, 2 * S, True))
-    assert not late.sends and not late.verdicts
+    answers = [answer for _ in range(len(facade.due)) for answer in facade.tick(2 * S).answers]
+    assert answers == [f.Fail("1")]  # it may have run: failed, not refused
+    late = facade.report(2 * S, f.AttemptOutcome("1", 0, 9, Result.SERVED, 2 * S, True))
+    assert not late.dispatches and not late.answers
 
 
 def test_closing_refuses_what_never_ran_and_fails_what_may_have() -> None:
     facade = f.Facade(make_settings(query_class(effect=Effect.UNSAFE)), 7, 0, Wheel(5 * MS, 0))
-    facade.report(0, f.EngineNews(True, (f.EngineEntry(9, EngineState.READY, "a", "box"),)))
-    facade.pick(0, f.Query("1", "short", 5 * S, None, 0, 0.0, -1, False))
-    assert facade.report(1, f.Closing()).verdicts == [f.Verdict("1", False, 0)]
-    assert facade.report(2, f.Closing()).verdicts == []
+    facade.report(
+        0, f.ListNews(f.ListKind.FULL, (f.EngineEntry(9, EngineState.READY, "a", "box"),))
+    )
+    facade.pick(0, f.Arrival("1", "short", 5 * S, None, None, 0, 0.0, -1, False))
+    assert facade.report(1, f.Closing()).answers == [f.Fail("1")]
+    assert facade.report(2, f.Closing()).answers == []
 
 
 def test_the_log_is_limited_by_kind(
--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -301,7 +301,7 @@
         facade.pick = whole  # type: ignore[method-assign]
         client.ask(2, trace="2" * 16)
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        assert not rig.node.broker.requests and not facade.sends
+        assert not rig.node.broker.requests and not facade.controller.requests
 
 
 @pytest.mark.parametrize(
