--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -20,7 +20,7 @@
 
 from query_broker.cells.migrations import Refused, Stage
 from query_broker.cells.model import Cell, CellMap, Tenant, Timing
-from query_broker.cells.node import CelledNode
+from query_broker.cells.node import CellNode
 from query_broker.cells.placement import Placement, Seen
 from query_broker.cells.planner import Problem, hashed, load_of
 from query_broker.cells.solver import solve
@@ -28,7 +28,7 @@
 from query_broker.emulator.clients import Asked, Book, quantile
 from query_broker.emulator.cluster import World, config, tenants
 from query_broker.emulator.data_engine import ran_twice
-from query_broker.operator_config.script import Evaluated, evaluate
+from query_broker.operator_config.script import OperatorConfig, evaluate
 from query_broker.protocols import client_frames as frames
 
 from .harness import ROOT, Daemon, Figures, worktree
@@ -144,13 +144,13 @@
         limits={"sockets": 1_024, "memory_mb": 128},
     )
     with tempfile.TemporaryDirectory() as folder:
-        node = CelledNode(
+        node = CellNode(
             replace(parse(json.loads(json.dumps(raw)), {}), port=0),
-            Evaluated(told),
+            OperatorConfig(told),
             "",
             {**os.environ, "TMPDIR": folder},
         )
-        node.log = node.broker.log = node.broker.pools.log = lambda kind, text: None  # type: ignore[assignment]
+        node.log = node.dispatcher.log = node.dispatcher.pools.log = lambda kind, text: None  # type: ignore[assignment]
         running = asyncio.create_task(node.run())
         while node.server is None:
             await asyncio.sleep(0.01)
@@ -237,7 +237,7 @@
         await asyncio.sleep(draw.expovariate(150.0))
 
 
-async def _faults(world: World, node: CelledNode, draw: random.Random, over: asyncio.Event) -> None:
+async def _faults(world: World, node: CellNode, draw: random.Random, over: asyncio.Event) -> None:
     """Drains with successors, crashes without a word, silence, bans; never all of a cell at
     once.
     """
@@ -262,9 +262,9 @@
             await asyncio.sleep(0.4)
             world.engines[uid].silent = False
         else:
-            node.broker.set_engine(uid, True)
+            node.dispatcher.set_endpoint_disabled(uid, True)
             await asyncio.sleep(0.5)
-            node.broker.set_engine(uid, False)
+            node.dispatcher.set_endpoint_disabled(uid, False)
 
 
 # --- what is lent comes back ---
@@ -285,8 +285,10 @@
     raw = config(
         world, "127.0.0.1:1", tenants=tenants("x", "y"), limits={"sockets": 256, "memory_mb": 32}
     )
-    node = CelledNode(replace(parse(json.loads(json.dumps(raw)), {}), port=0), Evaluated(told), "")
-    node.log = node.broker.log = node.broker.pools.log = lambda kind, text: None  # type: ignore[assignment]
+    node = CellNode(
+        replace(parse(json.loads(json.dumps(raw)), {}), port=0), OperatorConfig(told), ""
+    )
+    node.log = node.dispatcher.log = node.dispatcher.pools.log = lambda kind, text: None  # type: ignore[assignment]
     running = asyncio.create_task(node.run())
     while node.server is None:
         await asyncio.sleep(0.01)
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -16,7 +16,13 @@
 from dataclasses import dataclass
 from functools import partial
 
-from query_broker.decisions.facade import EngineEntry, EngineState, ListKind, ListNews, Result
+from query_broker.decisions.facade import (
+    AttemptResult,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointState,
+    ListUpdateKind,
+)
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
 
@@ -78,17 +84,17 @@
     heard: dict[tuple[int, int], int] = {}
 
     def tell(broker: SimBroker, number: int) -> None:
-        heard[broker.settings.me, number] = sim.now
+        heard[broker.settings.broker_index, number] = sim.now
         broker.report(
-            ListNews(
-                ListKind.CHANGES,
+            EndpointListUpdate(
+                ListUpdateKind.CHANGES,
                 (
-                    EngineEntry(
+                    EndpointEntry(
                         number,
-                        EngineState.READY,
+                        EndpointState.READY,
                         "a",
                         "std",
-                        started=engines[number].machine.started,
+                        started_ns=engines[number].machine.started,
                     ),
                 ),
             )
@@ -98,7 +104,7 @@
         if (was := engines.get(number)) is not None:
             askers, was.askers = was.askers, {}
             for done in askers.values():
-                done(Result.RESET)
+                done(AttemptResult.RESET)
             was.machine.running.clear()
             was.machine = Machine(started=sim.now)
             engine = was
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -118,10 +118,15 @@
     return api.Settings(
         classes=classes,
         fleet_size=brokers,
-        me=me,
-        tick=5 * MS,
+        broker_index=me,
+        tick_ns=5 * MS,
         kind_cores=(("std", 8),),
-        contract=api.Contract(cold_from=0.36, cold=12 * S, fall=1_500 * MS, fall_multiple=2.0),
+        contract=api.Contract(
+            warmup_initial_capacity=0.36,
+            warmup_ns=12 * S,
+            overload_window_ns=1_500 * MS,
+            overload_multiple=2.0,
+        ),
     )
 
 
@@ -130,15 +135,15 @@
     for engines, brokers in ((6, 3), (30, 40), (60, 40), (60, 200)):
         uids = random.Random(5).sample(range(1 << 32), engines)
         used = dict.fromkeys(uids, 0)
-        news = api.ListNews(
-            api.ListKind.FULL,
-            tuple(api.EngineEntry(u, api.EngineState.READY, "a", "std") for u in uids),
+        news = api.EndpointListUpdate(
+            api.ListUpdateKind.FULL,
+            tuple(api.EndpointEntry(u, api.EndpointState.READY, "a", "std") for u in uids),
         )
         for me in range(brokers):
             controller = AdmissionController(settings(me, brokers), me, 0)
             controller.handle(0, news)
             for engine in controller.near:
-                used[engine.entry.engine] += 1
+                used[engine.entry.endpoint] += 1
         mean = sum(used.values()) / engines
         name = f"spread.{brokers}_brokers_{engines}_engines"
         figures.tell(f"{name}_each_uses", sum(used.values()) / brokers, most=10)
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from query_broker import decisions as api
-from query_broker.decisions.facade import Ban, Result
+from query_broker.decisions.facade import AdministrativeChange, AttemptResult
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
 from query_broker.emulator.quota_simulation import ShareWorld, trouble
@@ -84,7 +84,7 @@
     def take(self, id: bytes, cls: str, work: float, threads: int, done: Any) -> None:
         if self.sim.now >= BEGIN + BAD_AT:
             self.met = getattr(self, "met", 0) + 1
-            self.sim.at(self.sim.now + MS, partial(done, Result.ERROR))
+            self.sim.at(self.sim.now + MS, partial(done, AttemptResult.ERROR))
         else:
             super().take(id, cls, work, threads, done)
 
@@ -108,18 +108,18 @@
         settings = api.Settings(
             classes=classes,
             fleet_size=count,
-            me=me,
-            tick=25 * MS,
+            broker_index=me,
+            tick_ns=25 * MS,
             kind_cores=(("std", 8),),
-            limits=api.Limits(probes=True, max_attempts=3, max_retry_after=2 * S),
+            limits=api.Limits(health_checks=True, max_attempts=3, max_retry_after_ns=2 * S),
         )
         broker, evidence = SimBroker(sim, settings, me, engines), Evidence(name, "a", terms)
 
-        def outcome(number: int, result: Result, evidence: Evidence = evidence) -> None:
-            if result is Result.ERROR and not first:
+        def outcome(number: int, result: AttemptResult, evidence: Evidence = evidence) -> None:
+            if result is AttemptResult.ERROR and not first:
                 first.append(sim.now)
-            if result in (Result.SERVED, Result.ERROR):
-                evidence.outcome(sim.now, Engine(str(number), 0), result is Result.SERVED)
+            if result in (AttemptResult.SERVED, AttemptResult.ERROR):
+                evidence.outcome(sim.now, Engine(str(number), 0), result is AttemptResult.SERVED)
 
         broker.outcome = outcome
         broker.list_told()
@@ -134,7 +134,7 @@
         begun, _ = evidence.judge(sim.now, names, zones)
         for verdict in begun:
             acted.setdefault(evidence.me, sim.now)
-            broker.report(Ban(int(verdict.engine.uid), True, sim.now))
+            broker.report(AdministrativeChange(int(verdict.engine.uid), True, sim.now))
 
     for one in brokers:
         sim.at(BEGIN + sim.draw.randrange(terms.told), partial(tell, *one))
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -23,7 +23,7 @@
 import uvloop
 
 from query_broker import decisions as api
-from query_broker.decisions.facade import Beside, Outstanding
+from query_broker.decisions.facade import CoProcessLoad, OutstandingWork
 from query_broker.emulator.clients import Book
 from query_broker.emulator.cluster import World, config
 from query_broker.emulator.data_engine import ran_twice
@@ -34,7 +34,7 @@
 from query_broker.emulator.processes import ROOT, Fleet
 from query_broker.startup.admission_ramp import Ramp, assumed
 from query_broker.startup.pacing import Calls, probe_at, window
-from query_broker.startup.settings import StartTerms
+from query_broker.startup.settings import StartupSettings
 
 from .harness import Figures, worktree
 
@@ -214,7 +214,7 @@
     draw, now = random.Random(seed), 0.0
     script = Script(faults, lambda: now)
     resets = sorted(f.begin for f in faults if f.kind is Kind.RESET)
-    terms = StartTerms(list_connects=RATE, engine_probes=40.0)
+    terms = StartupSettings(list_connects=RATE, engine_probes=40.0)
     calls: list[float] = []
     probes: list[float] = []
     full: list[float] = []
@@ -263,11 +263,16 @@
     return api.Settings(
         classes=CLASSES,
         fleet_size=brokers,
-        me=me,
-        tick=25 * MS,
+        broker_index=me,
+        tick_ns=25 * MS,
         kind_cores=(("std", 8),),
-        limits=api.Limits(probes=True, max_attempts=3, max_retry_after=2 * S),
-        contract=api.Contract(cold_from=0.36, cold=12 * S, fall=1_500 * MS, fall_multiple=2.0),
+        limits=api.Limits(health_checks=True, max_attempts=3, max_retry_after_ns=2 * S),
+        contract=api.Contract(
+            warmup_initial_capacity=0.36,
+            warmup_ns=12 * S,
+            overload_window_ns=1_500 * MS,
+            overload_multiple=2.0,
+        ),
     )
 
 
@@ -281,7 +286,7 @@
         n: SimEngine(sim, n, Machine(started=BEGIN - sim.draw.randrange(S // 2)))
         for n in (sim.draw.randrange(1 << 32) for _ in range(max(3, min(80, 2 * brokers // 5))))
     }
-    terms = StartTerms(list_connects=RATE, engine_probes=PROBES)
+    terms = StartupSettings(list_connects=RATE, engine_probes=PROBES)
     full: list[float] = []
     members: list[SimBroker] = []
 
@@ -292,13 +297,13 @@
         widest = broker.facade.widest()
         left = (
             {
-                n: Outstanding(*assumed(share, threads, bound, widest), 0)
+                n: OutstandingWork(*assumed(share, threads, bound, widest), 0)
                 for n, (threads, bound) in broker.facade.shares().items()
             }
             if share < 1
             else {}
         )
-        broker.report(Beside(left, 1))
+        broker.report(CoProcessLoad(left, 1))
         if ramp.over():
             full.append((sim.now - BEGIN) / S)
         else:
@@ -310,7 +315,8 @@
             return opens(broker)
         for n in engines:
             sim.at(
-                probe_at(sim.now, n, broker.settings.me, brokers, PROBES), partial(broker.probe, n)
+                probe_at(sim.now, n, broker.settings.broker_index, brokers, PROBES),
+                partial(broker.probe, n),
             )
         sim.at(sim.now + terms.contact_wait, lambda: opens(broker))
 
--- a/query_broker/cells/client_connection.py
+++ b/query_broker/cells/client_connection.py
@@ -33,9 +33,9 @@
             self.reading_on = True
             self._read_if_wanted()
             return
-        cell, began = self.cell, self.front.broker.now()
+        cell, began = self.cell, self.front.dispatcher.now()
         super()._read_on()
-        self.house.spent(cell, self.front.broker.now() - began)
+        self.house.spent(cell, self.front.dispatcher.now() - began)
 
     def _count_partial(self) -> None:
         super()._count_partial()
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -8,18 +8,18 @@
 from typing import cast
 
 from ..config.reading import Config
-from ..decisions.facade import Closing, Facade
+from ..decisions.facade import CloseRequests, Facade
 from ..decisions.settings import Effect
-from ..dispatch.dispatcher import Ask, Broker
-from ..dispatch.requests import Client, OpenRequest
-from ..endpoints.connection_pools import OWN_PART, EnginePool, Pools
+from ..dispatch.dispatcher import Dispatcher, ParsedRequest
+from ..dispatch.requests import ActiveRequest, Client
+from ..endpoints.connection_pools import OWN_PART, ConnectionPool, ConnectionPools
 from ..metrics import STATUSES, escaped
 from ..protocols.engine_connection import EngineConnection
 from ..timer_wheel import Clock
 from .borrowing import KEPT, Ledger
 from .migrations import Moves
 from .model import CellMap
-from .router import Hall
+from .router import CellRouter
 from .work_rates import Rates
 
 MS = 1_000_000
@@ -30,7 +30,7 @@
 PREFIX = "larchhall_cell_"
 
 
-class CelledBroker(Broker):
+class CellDispatcher(Dispatcher):
     def __init__(
         self, config: Config, clock: Clock, log: Callable[[str, str], None], map: CellMap, me: str
     ) -> None:
@@ -49,24 +49,24 @@
         self._learn_routes()
 
     @property
-    def hall(self) -> Hall:
-        return cast(Hall, self.facade)
+    def hall(self) -> CellRouter:
+        return cast(CellRouter, self.facade)
 
     def _decisions(self, now: int) -> Facade:
         # Only what the broker asks of a facade is asked of it.
         return cast(
             Facade,
-            Hall(
+            CellRouter(
                 self.config.settings,
                 self.config.seed,
                 now,
                 self.wheel,
                 self.map,
-                lambda number: self.engines.by_number[number].target.uid,
+                lambda number: self.endpoint_table.by_number[number].target.uid,
             ),
         )
 
-    def _connections(self) -> Pools:
+    def _connections(self) -> ConnectionPools:
         config = self.config
         return CelledPools(
             self,
@@ -97,14 +97,14 @@
         self.connections.divide(self.most_clients, outer)
         cast(CelledPools, self.pools).ledger.divide(self.pools.most, inner)
 
-    def retune(self, read: Config) -> None:
-        super().retune(read)
+    def apply_settings(self, read: Config) -> None:
+        super().apply_settings(read)
         self._learn_routes()
 
     def _learn_routes(self) -> None:
         """Classes whose work may not be cut short, since it may have run."""
         self.firm_routes = {
-            c.name for c in self.config.settings.classes if c.effect is not Effect.SAFE
+            c.name for c in self.config.settings.classes if c.effect is not Effect.IDEMPOTENT
         }
 
     def take_map(self, map: CellMap) -> None:
@@ -121,29 +121,31 @@
 
     def close_out(self, subject: str, cell: str) -> None:
         """What is open of the subject there gets the final answer that the rules allow."""
-        self._report(Closing(self.hall.requests_of(subject, cell)))
+        self._report(CloseRequests(self.hall.requests_of(subject, cell)))
 
     # --- requests ---
 
-    def _take(self, client: Client, stream: int, ask: Ask, came: int = 0) -> OpenRequest:
+    def _take(
+        self, client: Client, stream: int, ask: ParsedRequest, came: int = 0
+    ) -> ActiveRequest:
         now = self.now()
-        subject = self.map.subject(ask.customer or "", ask.route, ask.data_set)
+        subject = self.map.subject(ask.tenant or "", ask.class_name, ask.data_set)
         cell = self.moves.cell(subject, now)
-        for other in self.ids.get(ask.trace.encode(), ()) if self.ids else ():
+        for other in self.ids.get(ask.client_request_id.encode(), ()) if self.ids else ():
             # Danger: an engine of another cell knows nothing of the one that is open under this id.
             if (place := self.hall.where.get(other.id)) is not None:
                 cell, subject = place[0].cell, place[1]
         self.hall.next = subject, cell
-        self.rates.add(subject, int(ask.weight_ms * MS))
+        self.rates.add(subject, int(ask.estimate_ms * MS))
         return super()._take(client, stream, ask, came)
 
-    def _has_room(self, request: OpenRequest) -> bool:
+    def _has_room(self, request: ActiveRequest) -> bool:
         """Danger: one tenant's flood takes the memory and the descriptors of all: each cell has its
         part. What may have run cannot be called in again, so it is never taken on loan.
         """
         assert self.hall.next is not None
         now, cell, size = self.now(), self.hall.next[1], len(request.statement)
-        firm = request.route.decode() in self.firm_routes
+        firm = request.class_name.decode() in self.firm_routes
         # of a client that holds a descriptor on some part
         settle = getattr(request.client, "settle", None)
         if settle is not None and not settle(cell):
@@ -166,16 +168,16 @@
             self.requests_lent.give(cell, 1, firm)
             self.statements.give(cell, size, firm)
 
-    def _answering(self, request: OpenRequest, status: int) -> Client:
+    def _answering(self, request: ActiveRequest, status: int) -> Client:
         if (place := self.hall.where.get(request.id)) is not None:
             cell = place[0].cell
         else:
             cell = self.hall.next[1] if self.hall.next is not None else ""
-        key = cell, request.route.decode(), status
+        key = cell, request.class_name.decode(), status
         self.replies[key] = self.replies.get(key, 0) + 1
         return super()._answering(request, status)
 
-    def _close_out(self, request: OpenRequest) -> None:
+    def _close_out(self, request: ActiveRequest) -> None:
         super()._close_out(request)
         if request.id not in self.requests:
             self._release(request.id)
@@ -212,7 +214,7 @@
                     continue
                 self.called_in += len(named)
                 self.log("cells", f"{len(named)} requests on loan to {cell!r} are called in")
-                self._report(Closing(frozenset(named)))
+                self._report(CloseRequests(frozenset(named)))
                 for id in named:
                     if (request := self.requests.get(id)) is not None and request.client is None:
                         self.held -= len(request.statement)
@@ -307,12 +309,12 @@
         return ("\n".join(lines) + "\n").encode()
 
 
-class CelledPools(Pools):
+class CelledPools(ConnectionPools):
     """Connections to engines, each cell with its part of the descriptors."""
 
     def __init__(
         self,
-        owner: CelledBroker,
+        owner: CellDispatcher,
         *,
         streams: int,
         connect_timeout: int,
@@ -332,7 +334,7 @@
         self.broker = owner
         self.ledger = Ledger()
 
-    def cell(self, pool: EnginePool) -> str:
+    def cell(self, pool: ConnectionPool) -> str:
         return self.broker.hall.cell_of(pool.number) or ""
 
     def count_use(self) -> None:
@@ -362,7 +364,7 @@
         )
         return max(account.part, account.used + max(0, lent))
 
-    def share(self, pool: EnginePool) -> int:
+    def share(self, pool: ConnectionPool) -> int:
         cell = self.cell(pool)
         live = sum(n in self.by_number for n in self._engines(cell))
         return max(1, int(self._most(cell) * OWN_PART) // max(1, live))
@@ -371,7 +373,7 @@
         room = self.broker.hall.rooms.get(cell)
         return room.engines if room is not None else set()
 
-    def room(self, pool: EnginePool) -> bool:
+    def room(self, pool: ConnectionPool) -> bool:
         cell = self.cell(pool)
         most = self._most(cell)
         account = self.ledger.accounts.get(cell)
@@ -380,7 +382,7 @@
         # Danger: what is lent out is not there yet: until it is back, attempts share connections.
         return account.used < most * OWN_PART and (self.ledger.free() > 0 or bool(self._idle()))
 
-    def make_room(self, pool: EnginePool) -> bool:
+    def make_room(self, pool: ConnectionPool) -> bool:
         """The one that is opening counts already."""
         cell, now = self.cell(pool), self.broker.now()
         most = self._most(cell)
@@ -395,7 +397,7 @@
         # Its own idle ones first; then of those who hold more than their part.
         idle = self._idle()
         for connection in idle:
-            whose = self.broker.hall.cell_of(connection.engine) or ""
+            whose = self.broker.hall.cell_of(connection.endpoint) or ""
             if whose == cell or (
                 account.used <= account.part
                 and whose in self.ledger.accounts
@@ -424,14 +426,14 @@
             able = [
                 c
                 for c in held
-                if not any(self._firm(a.request) for a in c.open.values() if a.wanted())
+                if not any(self._firm(a.request) for a in c.in_flight.values() if a.wanted())
             ]
             for connection in sorted(able, key=_weight)[:amount]:
                 connection.give_up("called in by the cell that owns the descriptor")
 
-    def _firm(self, request: OpenRequest) -> bool:
-        return request.route.decode() in self.broker.firm_routes
+    def _firm(self, request: ActiveRequest) -> bool:
+        return request.class_name.decode() in self.broker.firm_routes
 
 
 def _weight(connection: EngineConnection) -> tuple[int, int]:
-    return sum(a.wanted() for a in connection.open.values()), connection.used
+    return sum(a.wanted() for a in connection.in_flight.values()), connection.used
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -12,13 +12,13 @@
 from urllib.parse import unquote_to_bytes
 
 from ..config.reading import Config
-from ..dispatch.dispatcher import Broker
-from ..operator_config.script import Evaluated, OperatorFileError
-from ..operator_config.service import FiledNode
+from ..dispatch.dispatcher import Dispatcher
+from ..operator_config.script import OperatorConfig, OperatorFileError
+from ..operator_config.service import ConfiguredNode
 from ..protocols.client_connection import ClientConnection
 from .borrowing import Ledger
 from .client_connection import CelledConnection
-from .dispatcher import ANTEROOM, CelledBroker
+from .dispatcher import ANTEROOM, CellDispatcher
 from .fair_turns import Turns
 from .migrations import Fleet, Move, Refused, read_move
 from .model import BadMap, CellMap, from_plain
@@ -29,11 +29,15 @@
 JSON = "application/json"
 
 
-class CelledNode(FiledNode):
+class CellNode(ConfiguredNode):
     longest_rest = 0.0  # rounds go on with every tick
 
     def __init__(
-        self, config: Config, said: Evaluated, path: str, environ: Mapping[str, str] = os.environ
+        self,
+        config: Config,
+        said: OperatorConfig,
+        path: str,
+        environ: Mapping[str, str] = os.environ,
     ) -> None:
         assert said.map is not None, "no cells"
         self._hold(said.map)
@@ -46,18 +50,18 @@
         super().__init__(config, said, path, environ)
         # The rest of each tick is for the engines' answers.
         self.turns = Turns(
-            self.celled.shares_with_anteroom(), TURNS_PART * self.config.settings.tick
+            self.celled.shares_with_anteroom(), TURNS_PART * self.config.settings.tick_ns
         )
-        self.operations.calls.append(self._call)
+        self.admin_api.calls.append(self._call)
         self._warn_of_strangers()
 
     @property
-    def celled(self) -> CelledBroker:
-        assert isinstance(self.broker, CelledBroker)
-        return self.broker
+    def celled(self) -> CellDispatcher:
+        assert isinstance(self.dispatcher, CellDispatcher)
+        return self.dispatcher
 
-    def _broker(self) -> Broker:
-        return CelledBroker(self.config, self.clock, self.log, self.map, self.me)
+    def _broker(self) -> Dispatcher:
+        return CellDispatcher(self.config, self.clock, self.log, self.map, self.me)
 
     def _client(self) -> ClientConnection:
         return CelledConnection(self)
@@ -65,7 +69,9 @@
     def _warn_of_strangers(self) -> None:
         """Not a fault: the two files may change one after the other."""
         strangers = [
-            t for t in self.map.tenants if self.broker.customers and t not in self.broker.customers
+            t
+            for t in self.map.tenants
+            if self.dispatcher.customers and t not in self.dispatcher.customers
         ]
         if strangers:
             self.log(
@@ -156,13 +162,13 @@
                 connection.go_on()
 
     def _sweep(self, now: int) -> None:
-        self.broker.pools.sweep(now)
+        self.dispatcher.pools.sweep(now)
         ledger = self.celled.answers
         used = dict.fromkeys(ledger.accounts, 0)
         readers: dict[str, list[CelledConnection]] = {}
         for client in self.clients:
             assert isinstance(client, CelledConnection)
-            if client.paused_at and now - client.paused_at > self.broker.terms.slow_reader:
+            if client.paused_at and now - client.paused_at > self.dispatcher.terms.slow_reader:
                 self._give_up_answers(client)
             elif unread := client.unread():
                 used[client.cell] = used.get(client.cell, 0) + unread
@@ -215,7 +221,7 @@
         before = {s: m.stage for s, m in moves.records.items()}
         # Danger: one that leaves must not drive what it will not see the end of.
         taking = [name for name, said in self.theirs.items() if said["accepting"]]
-        if not self.leaving or not taking:
+        if not self.closing_announced or not taking:
             moves.step(now, self, taking)
         for subject, move in moves.records.items():
             if before.get(subject) is not move.stage:
@@ -229,8 +235,8 @@
             self.celled.close_out(out.subject, out.cell)
         if moves.changed:
             moves.changed = False
-            if self.siblings is not None:
-                self.siblings.tell()
+            if self.peer_processes is not None:
+                self.peer_processes.tell()
 
     # --- what a step of a move looks at ---
 
@@ -355,7 +361,7 @@
                 self.celled.frames.force(ANTEROOM, connection.booked)
         self._warn_of_strangers()
 
-    def _check(self, said: Evaluated) -> Evaluated:
+    def _check(self, said: OperatorConfig) -> OperatorConfig:
         """Danger: an old file put back by mistake would undo moves at this process and not at the
         others.
         """
@@ -375,7 +381,7 @@
             )
         return said
 
-    def _apply(self, said: Evaluated) -> None:
+    def _apply(self, said: OperatorConfig) -> None:
         super()._apply(said)
         if said.map is not None:
             self._take_map(said.map)
@@ -405,8 +411,9 @@
                     return _said(404, {"error": "no such call"})
         except Refused as error:
             return _said(409, {"error": str(error)})
-        if self.siblings is not None:
-            self.siblings.tell()  # danger: after the yes it holds, also where this process ends now
+        if self.peer_processes is not None:
+            # danger: after the yes it holds, also where this process ends now
+            self.peer_processes.tell()
         self.log(
             "cells",
             f"{move.subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}, "
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -13,36 +13,45 @@
 from dataclasses import replace
 
 from ..decisions.facade import (
-    Arrival,
-    AttemptOutcome,
-    Ban,
-    Beside,
-    Closing,
-    Departure,
-    EngineEntry,
-    EngineState,
+    AdministrativeChange,
+    AttemptEnded,
+    CloseRequests,
+    CoProcessLoad,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointState,
     Facade,
-    ListKind,
-    ListNews,
-    Orders,
-    Outstanding,
-    ProbeResult,
-    Retuned,
+    HealthCheckResult,
+    ListUpdateKind,
+    OrderBatch,
+    OutstandingWork,
+    RequestAbandoned,
+    RequestArrived,
+    SettingsChanged,
 )
 from ..decisions.settings import Settings
-from ..timer_wheel import Wheel
+from ..timer_wheel import TimerWheel
 from .migrations import Fleet
 from .model import CellMap
 from .placement import Change, Placement, Seen
 
-News = AttemptOutcome | ProbeResult | Departure | ListNews | Ban | Beside | Retuned | Closing
-NOTHING = Outstanding(0, 0, 0)
+News = (
+    AttemptEnded
+    | HealthCheckResult
+    | RequestAbandoned
+    | EndpointListUpdate
+    | AdministrativeChange
+    | CoProcessLoad
+    | SettingsChanged
+    | CloseRequests
+)
+NOTHING = OutstandingWork(0, 0, 0)
 
 
-class RoomFacade(Facade):
+class CellFacade(Facade):
     """One cell's decisions. Timers of all rooms fall due in one line, in the wheel's order."""
 
-    def __init__(self, hall: Hall, cell: str, seed: int, now: int) -> None:
+    def __init__(self, hall: CellRouter, cell: str, seed: int, now: int) -> None:
         self.hall, self.cell = hall, cell
         self.engines: set[int] = set()
         self.open = 0
@@ -58,7 +67,7 @@
             self.hall.due.append(self)
 
 
-class Hall:
+class CellRouter:
     """``uid_of``: the uid of a number of the engine table. ``home``: the cell of a subject at this
     time.
     """
@@ -68,7 +77,7 @@
         settings: Settings,
         seed: int,
         now: int,
-        wheel: Wheel,
+        wheel: TimerWheel,
         map: CellMap,
         uid_of: Callable[[int], str],
     ) -> None:
@@ -79,18 +88,18 @@
             map,
             uid_of,
         )
-        self.due: deque[RoomFacade] = deque()
-        self.rooms: dict[str, RoomFacade] = {}
+        self.due: deque[CellFacade] = deque()
+        self.rooms: dict[str, CellFacade] = {}
         # of each open request: its room and its subject
-        self.where: dict[str, tuple[RoomFacade, str]] = {}
+        self.where: dict[str, tuple[CellFacade, str]] = {}
         self.open: Counter[tuple[str, str]] = Counter()  # open requests by subject and cell
         self.placement = Placement(map)
-        self.entries: dict[int, EngineEntry] = {}
+        self.entries: dict[int, EndpointEntry] = {}
         self.numbers: dict[str, int] = {}
-        self.bans: dict[int, Ban] = {}
-        self.beside = Beside({}, 1)
+        self.bans: dict[int, AdministrativeChange] = {}
+        self.beside = CoProcessLoad({}, 1)
         # sent to cold engines by their former room
-        self.carried: dict[int, tuple[Outstanding, int]] = {}
+        self.carried: dict[int, tuple[OutstandingWork, int]] = {}
         self.left_over: set[int] = set()  # engines on which a former room has something out
         self.cold_until: dict[int, int] = {}
         # subject and cell of the request that is being taken
@@ -98,24 +107,24 @@
         for cell in map.cells:
             self._furnish(cell.name, now)
 
-    def _furnish(self, cell: str, now: int) -> RoomFacade:
+    def _furnish(self, cell: str, now: int) -> CellFacade:
         seed = int.from_bytes(f"{self.seed:x}/{cell}".encode(), "big")
-        room = self.rooms[cell] = RoomFacade(self, cell, seed, now)
+        room = self.rooms[cell] = CellFacade(self, cell, seed, now)
         for ban in self.bans.values():
             room.report(now, ban)
-        room.report(now, Beside({}, self.beside.taking))
+        room.report(now, CoProcessLoad({}, self.beside.accepting_processes))
         return room
 
     # --- requests ---
 
-    def pick(self, now: int, query: Arrival) -> Orders:
+    def pick(self, now: int, query: RequestArrived) -> OrderBatch:
         """Danger: the cell was chosen when the request was given its part of the room; to choose
         again here could give it another one.
         """
         assert self.next is not None, "a request without a cell"
         (subject, cell), self.next = self.next, None
         room = self.rooms[cell]
-        self.where[query.request] = room, subject
+        self.where[query.request_id] = room, subject
         room.open += 1
         self.open[subject, cell] += 1
         return room.pick(now, query)
@@ -131,7 +140,7 @@
             del self.open[subject, room.cell]
         self._dissolve(room)
 
-    def _dissolve(self, room: RoomFacade) -> None:
+    def _dissolve(self, room: CellFacade) -> None:
         """A cell that the map has dropped ends with its last request."""
         if not room.open and self.map.cell(room.cell) is None and self.rooms.get(room.cell) is room:
             room.dissolved = True
@@ -142,106 +151,108 @@
             id for id, (room, whose) in self.where.items() if room.cell == cell and whose == subject
         )
 
-    def tick(self, now: int) -> Orders:
+    def tick(self, now: int) -> OrderBatch:
         return self.due.popleft().tick(now)
 
     # --- what happens ---
 
-    def report(self, now: int, news: News) -> Orders:
+    def report(self, now: int, news: News) -> OrderBatch:
         match news:
-            case AttemptOutcome() | Departure():
-                if (place := self.where.get(news.request)) is None:
-                    return Orders()
+            case AttemptEnded() | RequestAbandoned():
+                if (place := self.where.get(news.request_id)) is None:
+                    return OrderBatch()
                 orders = place[0].report(now, news)
-                if isinstance(news, AttemptOutcome) and news.engine in self.left_over:
+                if isinstance(news, AttemptEnded) and news.endpoint in self.left_over:
                     self._tell_beside(now, orders)
                 return orders
-            case ProbeResult(engine):
+            case HealthCheckResult(engine):
                 room = self._room_of(engine)
-                return room.report(now, news) if room is not None else Orders()
-            case ListNews(kind, entries):
-                return self._engine_news(now, kind is ListKind.FULL, entries)
-            case Ban(engine, out, at):
+                return room.report(now, news) if room is not None else OrderBatch()
+            case EndpointListUpdate(kind, entries):
+                return self._engine_news(now, kind is ListUpdateKind.FULL, entries)
+            case AdministrativeChange(engine, out, at):
                 if out:
                     self.bans[engine] = news
                 else:  # a room that gets it later must know that it is cold
                     self.bans.pop(engine, None)
                     self.cold_until[engine] = at
                 return self._all(now, news)
-            case Beside():
+            case CoProcessLoad():
                 self.beside = news
-                orders = Orders()
+                orders = OrderBatch()
                 self._tell_beside(now, orders)
                 return orders
-            case Retuned(settings):
+            case SettingsChanged(settings):
                 self.settings = settings
                 return self._all(now, news)
-            case Closing(only):
+            case CloseRequests(only):
                 if only is None:
                     return self._all(now, news)
                 rooms = {self.where[id][0].cell for id in only if id in self.where}
                 return self._all(now, news, sorted(rooms))
 
-    def _all(self, now: int, news: News, cells: Iterable[str] | None = None) -> Orders:
-        orders = Orders()
+    def _all(self, now: int, news: News, cells: Iterable[str] | None = None) -> OrderBatch:
+        orders = OrderBatch()
         for cell in list(self.rooms) if cells is None else cells:
             _add(orders, self.rooms[cell].report(now, news))
         return orders
 
     # --- engines ---
 
-    def _room_of(self, engine: int) -> RoomFacade | None:
+    def _room_of(self, engine: int) -> CellFacade | None:
         return next((room for room in self.rooms.values() if engine in room.engines), None)
 
     def cell_of(self, engine: int) -> str | None:
         """The cell of an engine; of one that has gone, the last that had something out there."""
         if (entry := self.entries.get(engine)) is not None:
-            return self.placement.of(self.uid_of(entry.engine))
+            return self.placement.of(self.uid_of(entry.endpoint))
         return next((r.cell for r in self.rooms.values() if engine in r.controller.engines), None)
 
-    def _engine_news(self, now: int, full: bool, entries: tuple[EngineEntry, ...]) -> Orders:
+    def _engine_news(self, now: int, full: bool, entries: tuple[EndpointEntry, ...]) -> OrderBatch:
         """Seats first, then each room hears of its own engines alone."""
-        told = {e.engine for e in entries}
-        gone = [e.engine for e in entries if e.state is EngineState.GONE]
+        told = {e.endpoint for e in entries}
+        gone = [e.endpoint for e in entries if e.state is EndpointState.REMOVED]
         if full:
             gone += [number for number in self.entries if number not in told]
         uids = {number: uid for uid, number in self.numbers.items()}
-        present = [e for e in entries if e.state is not EngineState.GONE]
+        present = [e for e in entries if e.state is not EndpointState.REMOVED]
         for entry in present:
-            self.numbers[self.uid_of(entry.engine)] = entry.engine
-            self.entries[entry.engine] = entry
+            self.numbers[self.uid_of(entry.endpoint)] = entry.endpoint
+            self.entries[entry.endpoint] = entry
         changes = self.placement.learn(
             [
-                Seen(self.uid_of(e.engine), e.zone, e.kind, e.state is EngineState.READY)
+                Seen(self.uid_of(e.endpoint), e.zone, e.kind, e.state is EndpointState.READY)
                 for e in present
             ],
             [uids[number] for number in gone if number in uids],
         )
-        orders = Orders()
-        left = [e for e in entries if e.state is EngineState.GONE]
+        orders = OrderBatch()
+        left = [e for e in entries if e.state is EndpointState.REMOVED]
         left += [
-            replace(self.entries[n], state=EngineState.GONE)
+            replace(self.entries[n], state=EndpointState.REMOVED)
             for n in gone
             if n not in told and n in self.entries
         ]
         for entry in left:
-            self.entries.pop(entry.engine, None)
-            self.cold_until.pop(entry.engine, None)
-            if (uid := uids.get(entry.engine)) is not None:
+            self.entries.pop(entry.endpoint, None)
+            self.cold_until.pop(entry.endpoint, None)
+            if (uid := uids.get(entry.endpoint)) is not None:
                 del self.numbers[uid]
-            if (room := self._room_of(entry.engine)) is not None:
-                room.engines.discard(entry.engine)
-                _add(orders, room.report(now, ListNews(ListKind.CHANGES, (entry,))))
+            if (room := self._room_of(entry.endpoint)) is not None:
+                room.engines.discard(entry.endpoint)
+                _add(orders, room.report(now, EndpointListUpdate(ListUpdateKind.CHANGES, (entry,))))
         self._reseat(now, changes, orders)
         moved = {self.numbers[c.uid] for c in changes if c.uid in self.numbers}
         for room in list(self.rooms.values()):
-            mine = tuple(e for e in present if e.engine in room.engines and e.engine not in moved)
+            mine = tuple(
+                e for e in present if e.endpoint in room.engines and e.endpoint not in moved
+            )
             if mine:
-                _add(orders, room.report(now, ListNews(ListKind.CHANGES, mine)))
+                _add(orders, room.report(now, EndpointListUpdate(ListUpdateKind.CHANGES, mine)))
         self._tell_beside(now, orders)
         return orders
 
-    def _reseat(self, now: int, changes: Iterable[Change], orders: Orders) -> None:
+    def _reseat(self, now: int, changes: Iterable[Change], orders: OrderBatch) -> None:
         """Danger: an engine in two rooms gets two bounds' worth of work: it leaves the one first.
         What the one sent it while it was cold counts in the other, or it would be pushed over.
         """
@@ -256,32 +267,38 @@
                 _add(
                     orders,
                     before.report(
-                        now, ListNews(ListKind.CHANGES, (replace(entry, state=EngineState.GONE),))
+                        now,
+                        EndpointListUpdate(
+                            ListUpdateKind.CHANGES, (replace(entry, state=EndpointState.REMOVED),)
+                        ),
                     ),
                 )
                 self.left_over.add(number)
-                if out.cold:
-                    earlier = self.carried.get(number, (NOTHING, 0))[0].cold
+                if out.warmup_ns:
+                    earlier = self.carried.get(number, (NOTHING, 0))[0].warmup_ns
                     self.carried[number] = (
-                        Outstanding(0, 0, earlier + out.cold),
-                        now + self.settings.contract.fall,
+                        OutstandingWork(0, 0, earlier + out.warmup_ns),
+                        now + self.settings.contract.overload_window_ns,
                     )
             after = self.rooms.get(change.after or "")
             if after is not None:
                 after.engines.add(number)
-                started = max(entry.started, self.cold_until.get(number, 0))
+                started = max(entry.started_ns, self.cold_until.get(number, 0))
                 _add(
                     orders,
                     after.report(
-                        now, ListNews(ListKind.CHANGES, (replace(entry, started=started),))
+                        now,
+                        EndpointListUpdate(
+                            ListUpdateKind.CHANGES, (replace(entry, started_ns=started),)
+                        ),
                     ),
                 )
 
-    def _tell_beside(self, now: int, orders: Orders) -> None:
+    def _tell_beside(self, now: int, orders: OrderBatch) -> None:
         """Every room hears what others have out on its engines: other processes, and former
         rooms.
         """
-        theirs: dict[int, Outstanding] = {}
+        theirs: dict[int, OutstandingWork] = {}
         for number in list(self.left_over):
             owner = self._room_of(number)
             total = NOTHING
@@ -291,7 +308,9 @@
             carried, until = self.carried.get(number, (NOTHING, 0))
             if now < until:
                 # What the former room still has on its books of cold sends is the same work.
-                total = Outstanding(total.threads, total.backlog, max(total.cold, carried.cold))
+                total = OutstandingWork(
+                    total.threads, total.backlog_ns, max(total.warmup_ns, carried.warmup_ns)
+                )
             else:
                 self.carried.pop(number, None)
             if total == NOTHING:
@@ -299,21 +318,21 @@
             else:
                 theirs[number] = total
         for room in self.rooms.values():
-            out = {n: o for n, o in self.beside.out.items() if n in room.engines}
+            out = {n: o for n, o in self.beside.outstanding.items() if n in room.engines}
             for number in theirs.keys() & room.engines:
                 out[number] = _sum(out.get(number, NOTHING), theirs[number])
-            _add(orders, room.report(now, Beside(out, self.beside.taking)))
+            _add(orders, room.report(now, CoProcessLoad(out, self.beside.accepting_processes)))
 
-    def fade(self, now: int) -> Orders:
+    def fade(self, now: int) -> OrderBatch:
         """What former rooms have out and sent fades; to be called now and then."""
-        orders = Orders()
+        orders = OrderBatch()
         if self.left_over:
             self._tell_beside(now, orders)
         return orders
 
     # --- maps ---
 
-    def take(self, map: CellMap, now: int) -> Orders:
+    def take(self, map: CellMap, now: int) -> OrderBatch:
         """Another map: rooms for new cells, engines to their new seats; dropped cells end their
         requests.
         """
@@ -321,16 +340,16 @@
         for cell in map.cells:
             if cell.name not in self.rooms:
                 self._furnish(cell.name, now)
-        orders = Orders()
+        orders = OrderBatch()
         self._reseat(now, self.placement.take(map), orders)
         self._tell_beside(now, orders)
         for room in list(self.rooms.values()):
             self._dissolve(room)
         return orders
 
-    def adopt(self, seats: dict[str, str | None], now: int) -> Orders:
+    def adopt(self, seats: dict[str, str | None], now: int) -> OrderBatch:
         """The seats of another process of this broker."""
-        orders = Orders()
+        orders = OrderBatch()
         if changes := self.placement.adopt(seats):
             self._reseat(now, changes, orders)
             self._tell_beside(now, orders)
@@ -346,13 +365,14 @@
         ready = [
             n
             for n in room.engines
-            if self.entries[n].state is EngineState.READY and n not in self.bans
+            if self.entries[n].state is EndpointState.READY and n not in self.bans
         ]
-        cold = self.settings.contract.cold
+        cold = self.settings.contract.warmup_ns
         return Fleet(
             len(ready),
             sum(
-                now < max(self.entries[n].started, self.cold_until.get(n, 0)) + cold for n in ready
+                now < max(self.entries[n].started_ns, self.cold_until.get(n, 0)) + cold
+                for n in ready
             ),
         )
 
@@ -371,19 +391,21 @@
     def widest(self) -> int:
         return max((room.widest() for room in self.rooms.values()), default=1)
 
-    def outstanding(self, now: int) -> dict[int, Outstanding]:
-        out: dict[int, Outstanding] = {}
+    def outstanding(self, now: int) -> dict[int, OutstandingWork]:
+        out: dict[int, OutstandingWork] = {}
         for room in self.rooms.values():
             for number, theirs in room.outstanding(now).items():
                 out[number] = _sum(out.get(number, NOTHING), theirs)
         return out
 
 
-def _sum(a: Outstanding, b: Outstanding) -> Outstanding:
-    return Outstanding(a.threads + b.threads, a.backlog + b.backlog, a.cold + b.cold)
+def _sum(a: OutstandingWork, b: OutstandingWork) -> OutstandingWork:
+    return OutstandingWork(
+        a.threads + b.threads, a.backlog_ns + b.backlog_ns, a.warmup_ns + b.warmup_ns
+    )
 
 
-def _add(orders: Orders, more: Orders) -> None:
+def _add(orders: OrderBatch, more: OrderBatch) -> None:
     orders.options += more.options
     orders.dispatches += more.dispatches
     orders.answers += more.answers
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -17,7 +17,7 @@
 from ..server.signals import hold_hangup
 
 if TYPE_CHECKING:
-    from ..operator_config.script import Evaluated
+    from ..operator_config.script import OperatorConfig
     from ..server.node import Node
 
 # Danger: a start at full speed takes the core, and what it may use of it, from the process beside
@@ -70,7 +70,7 @@
         run(make)
 
 
-def _evaluated(path: str) -> Evaluated:
+def _evaluated(path: str) -> OperatorConfig:
     """Loaded only here: without the file, what it sets costs nothing."""
     from ..operator_config.script import OperatorFileError, evaluate
 
@@ -83,12 +83,12 @@
 def _with_operator_file(config: Config, path: str) -> Callable[[], Node]:
     said = _evaluated(path)
     if said.map is None:
-        from ..operator_config.service import FiledNode
+        from ..operator_config.service import ConfiguredNode
 
-        return partial(FiledNode, config, said, path)
-    from ..cells.node import CelledNode
+        return partial(ConfiguredNode, config, said, path)
+    from ..cells.node import CellNode
 
-    return partial(CelledNode, config, said, path)
+    return partial(CellNode, config, said, path)
 
 
 @main.command("check-config")
@@ -112,7 +112,7 @@
     if said is not None and said.start is not None:
         from ..startup.bounds import lines
 
-        for line in lines(said.start, config.settings.me, config.settings.fleet_size):
+        for line in lines(said.start, config.settings.broker_index, config.settings.fleet_size):
             click.echo(line)
     if said is not None and said.members is not None:
         from ..membership.settings import lines as member_lines
--- a/query_broker/config/reading.py
+++ b/query_broker/config/reading.py
@@ -13,14 +13,14 @@
 from typing import Any
 
 from .. import decisions as api
-from ..discovery.event_codec import BadLine, BusEvent, parse_address, parse_event
+from ..discovery.event_codec import BadLine, EndpointListEvent, parse_address, parse_event
 
 EFFECTS = {
-    "read_like": api.Effect.SAFE,
-    "idempotency_key": api.Effect.KEYED,
-    "non_idempotent": api.Effect.UNSAFE,
+    "read_like": api.Effect.IDEMPOTENT,
+    "idempotency_key": api.Effect.IDEMPOTENCY_KEY,
+    "non_idempotent": api.Effect.NON_IDEMPOTENT,
 }
-SCOPES = {scope.value: scope for scope in api.Scope}
+SCOPES = {scope.value: scope for scope in api.IdempotencyScope}
 DEFAULT_SOCKETS = 1_024
 DEFAULT_MEMORY = 64  # MB
 DEFAULT_CONNECT_TIMEOUT = 250_000_000  # ns
@@ -242,23 +242,25 @@
 
     effect = chosen(EFFECTS, get(source, "classes.effect", "text"), "classes.effect")
     # Danger: how long engines know a repeat can't be guessed; past that time it would run twice.
-    window = MISSING if effect is api.Effect.KEYED else 0
+    window = MISSING if effect is api.Effect.IDEMPOTENCY_KEY else 0
     return api.RequestClass(
         name=get(source, "classes.name", "text"),
-        aim=get(source, "classes.aim", "whole number"),
-        deadline=get(source, "classes.deadline", "whole number"),
-        worth=get(source, "classes.worth", "number"),
+        latency_objective_ns=get(source, "classes.aim", "whole number"),
+        deadline_ns=get(source, "classes.deadline", "whole number"),
+        priority_weight=get(source, "classes.worth", "number"),
         effect=effect,
-        late_worth=get(source, "classes.late_value", "number", 0.0),
-        aim_stretch=get(source, "classes.aim_stretch", "number", 0.0),
-        scope=chosen(SCOPES, get(source, "classes.group", "text", "all") or "all", "classes.group"),
-        window=get(source, "classes.window", "whole number", window),
-        in_order=get(source, "classes.fifo_by_key", "bool", False),
-        only_zones=tuple(listed(source, "classes.zones_only", "text")),
-        only_kinds=tuple(listed(source, "classes.kinds_allowed", "text")),
+        late_priority_weight=get(source, "classes.late_value", "number", 0.0),
+        objective_stretch=get(source, "classes.aim_stretch", "number", 0.0),
+        idempotency_scope=chosen(
+            SCOPES, get(source, "classes.group", "text", "all") or "all", "classes.group"
+        ),
+        idempotency_window_ns=get(source, "classes.window", "whole number", window),
+        ordered_by_key=get(source, "classes.fifo_by_key", "bool", False),
+        allowed_zones=tuple(listed(source, "classes.zones_only", "text")),
+        allowed_kinds=tuple(listed(source, "classes.kinds_allowed", "text")),
         threads=of_class("parallelism", "whole number", 1),
         is_load=of_class("is_load", "bool", False),
-        waits_for_loads=of_class("blocked_by_loads", "bool", False),
+        blocked_by_loads=of_class("blocked_by_loads", "bool", False),
     )
 
 
@@ -299,24 +301,24 @@
     return api.Settings(
         classes=tuple(_class_settings(c, i, special) for i, c in enumerate(classes)),
         fleet_size=fleet,
-        tick=get(facts, "tick", "whole number"),
-        me=get(facts, "me", "whole number", 0) % max(1, fleet),
+        tick_ns=get(facts, "tick", "whole number"),
+        broker_index=get(facts, "me", "whole number", 0) % max(1, fleet),
         zone=get(facts, "zone", "text", ""),
         contract=api.Contract(
             **_renamed(
                 contract,
                 "contract",
                 {
-                    "answer_slack": ("answer_slack", "whole number"),
-                    "drain_grace": ("drain_grace", "whole number"),
-                    "cold_from": ("start_capacity", "number"),
-                    "cold": ("cold", "whole number"),
-                    "fall": ("fall", "whole number"),
-                    "fall_multiple": ("fall_multiple", "number"),
-                    "order_settle": ("key_rest", "whole number"),
-                    "budget_window": ("ratio_span", "whole number"),
-                    "budget_free": ("budget_free", "number"),
-                    "budget_share": ("extra_ratio", "number"),
+                    "answer_slack_ns": ("answer_slack", "whole number"),
+                    "drain_grace_ns": ("drain_grace", "whole number"),
+                    "warmup_initial_capacity": ("start_capacity", "number"),
+                    "warmup_ns": ("cold", "whole number"),
+                    "overload_window_ns": ("fall", "whole number"),
+                    "overload_multiple": ("fall_multiple", "number"),
+                    "key_rest_ns": ("key_rest", "whole number"),
+                    "retry_budget_window_ns": ("ratio_span", "whole number"),
+                    "retry_budget_free": ("budget_free", "number"),
+                    "retry_budget_ratio": ("extra_ratio", "number"),
                 },
             )
         ),
@@ -325,13 +327,13 @@
                 limits,
                 "policy_limits",
                 {
-                    "cancel": ("cancel", "bool"),
-                    "probes": ("probing", "bool"),
-                    "peers": ("peer_messages", "bool"),
-                    "second_copies": ("second_copies", "bool"),
+                    "cancellation": ("cancel", "bool"),
+                    "health_checks": ("probing", "bool"),
+                    "peer_messages": ("peer_messages", "bool"),
+                    "hedging": ("second_copies", "bool"),
                     "retry_after": ("retry_after", "bool"),
                     "max_attempts": ("send_cap", "whole number"),
-                    "max_retry_after": ("max_retry_after", "whole number"),
+                    "max_retry_after_ns": ("max_retry_after", "whole number"),
                 },
             )
         ),
@@ -345,9 +347,9 @@
         ),
         cross_zone_price=_price(charges, "cross_zone"),
         handshake_price=_price(charges, "handshake"),
-        over_share_worth=get(facts, "over_share_worth", "number", 1.0),
-        grants_heeded=get(special, "specifics.memory_heeded", "bool", False),
-        priorities_heeded=get(special, "specifics.lanes_count", "bool", False),
+        over_quota_weight=get(facts, "over_share_worth", "number", 1.0),
+        memory_grants=get(special, "specifics.memory_heeded", "bool", False),
+        priorities=get(special, "specifics.lanes_count", "bool", False),
     )
 
 
@@ -367,7 +369,7 @@
     accept_fd: int | None  # the clients' listening socket, where the platform holds it
     folder: str  # shared with another process of this broker
     known_offset: int
-    known: tuple[BusEvent, ...]
+    known: tuple[EndpointListEvent, ...]
     connect_timeout: int
     conn_idle: int
     streams: int
@@ -376,14 +378,14 @@
 
     @property
     def tick(self) -> int:
-        return self.settings.tick
+        return self.settings.tick_ns
 
     def remarks(self) -> list[str]:
         """What is taken otherwise than it was told, a line each: a fleet that grows or shrinks may
         tell the size and the places in it at different times, and that is no reason not to
         serve.
         """
-        me, last = self.settings.me, self.settings.fleet_size - 1
+        me, last = self.settings.broker_index, self.settings.fleet_size - 1
         told = get(self.told.get("settings", {}), "settings.me", "whole number", me)
         facts = self.told.get("settings", {})
         return (
--- a/query_broker/deadlines/cancel_scopes.py
+++ b/query_broker/deadlines/cancel_scopes.py
@@ -19,14 +19,14 @@
 MOST_RESENDS = 2
 
 
-class Kind(Enum):
+class ScopeKind(Enum):
     REQUEST = "request"
     ATTEMPT = "attempt"
     PAGE = "page"
     PROBE = "probe"
 
 
-class Act(Enum):
+class CancelAction(Enum):
     """What ending one scope asks for."""
 
     TAKE_BACK = "take back"  # no byte has left
@@ -37,20 +37,20 @@
 
 
 @dataclass(slots=True)
-class Scope:
+class CancelScope:
     """One thing under way and what belongs to it. Ended once; what is added to an ended one ends at
     once.
     """
 
-    kind: Kind
+    kind: ScopeKind
     name: object
-    parent: Scope | None = None
-    children: list[Scope] = field(default_factory=list)
+    parent: CancelScope | None = None
+    children: list[CancelScope] = field(default_factory=list)
     left: bool = False  # a byte of it has left for the engine
     over: bool = False
 
-    def open(self, kind: Kind, name: object) -> Scope:
-        child = Scope(kind, name, self, over=self.over)
+    def open(self, kind: ScopeKind, name: object) -> CancelScope:
+        child = CancelScope(kind, name, self, over=self.over)
         if not self.over:
             self.children.append(child)
         return child
@@ -64,7 +64,7 @@
         if self.parent is not None and self in self.parent.children:
             self.parent.children.remove(self)
 
-    def end(self, honoured: bool) -> list[tuple[Act, Scope]]:
+    def end(self, honoured: bool) -> list[tuple[CancelAction, CancelScope]]:
         """What is to be done, children before their parents; nothing the second time. ``honoured``:
         engines heed an `undo`. Danger: where they do not, none may ever be sent.
         """
@@ -74,25 +74,25 @@
         self.close()
         return done
 
-    def _end(self, honoured: bool) -> Iterator[tuple[Act, Scope]]:
+    def _end(self, honoured: bool) -> Iterator[tuple[CancelAction, CancelScope]]:
         self.over = True
         for child in list(self.children):
             if not child.over:
                 yield from child._end(honoured)
         match self.kind:
-            case Kind.REQUEST:
-                yield Act.ANSWER, self
-            case Kind.ATTEMPT if not self.left:
-                yield Act.TAKE_BACK, self
-            case Kind.ATTEMPT:
-                yield Act.UNDO if honoured else Act.LET_RUN, self
-            case Kind.PAGE:
-                yield Act.FORGET, self
-            case Kind.PROBE:
-                yield Act.LET_RUN, self
-
-
-class Outcome(Enum):
+            case ScopeKind.REQUEST:
+                yield CancelAction.ANSWER, self
+            case ScopeKind.ATTEMPT if not self.left:
+                yield CancelAction.TAKE_BACK, self
+            case ScopeKind.ATTEMPT:
+                yield CancelAction.UNDO if honoured else CancelAction.LET_RUN, self
+            case ScopeKind.PAGE:
+                yield CancelAction.FORGET, self
+            case ScopeKind.PROBE:
+                yield CancelAction.LET_RUN, self
+
+
+class CancelOutcome(Enum):
     """What became of an undone attempt."""
 
     STOPPED = "stopped"  # silent for long enough
@@ -118,9 +118,9 @@
     def begin(self, id: bytes, now: int) -> None:
         self.waiting.setdefault(id, Undone(now, now))
 
-    def answered(self, id: bytes) -> Outcome | None:
+    def answered(self, id: bytes) -> CancelOutcome | None:
         """An answer came under the id; None: it was not undone."""
-        return None if self.waiting.pop(id, None) is None else Outcome.WENT_ON
+        return None if self.waiting.pop(id, None) is None else CancelOutcome.WENT_ON
 
     def due(self, now: int) -> tuple[list[bytes], list[bytes]]:
         """Those to be undone again, and those that have stopped."""
--- a/query_broker/deadlines/handover_checks.py
+++ b/query_broker/deadlines/handover_checks.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 
-class Stop(Enum):
+class StopReason(Enum):
     """Why a request does not go on."""
 
     LEFT = "left"  # nobody waits for it any more, or it has its answer
@@ -23,7 +23,7 @@
     BUDGET = "budget"  # no further attempt is left in the budget
 
 
-class Hand(Enum):
+class HandOver(Enum):
     """The hand-overs."""
 
     POOL = "pool"
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passing:
+class HandOverCheck:
     """What a gate looks at. ``end``: when its answer must be here; ``fastest``: what the engine
     takes at the least, 0 where that is not known. ``drained_at``: when the engine was told to
     drain; 0: it was not.
@@ -45,29 +45,29 @@
     drained_at: int = 0
 
 
-def stop(now: int, passing: Passing) -> Stop | None:
+def stop(now: int, passing: HandOverCheck) -> StopReason | None:
     """The first reason against it. Danger: the order counts; a request that nobody wants says
     nothing of its engine, and must not be reported as if it did.
     """
     if not passing.wanted:
-        return Stop.LEFT
+        return StopReason.LEFT
     if now >= passing.end:
-        return Stop.PAST
+        return StopReason.PAST
     if passing.out:
-        return Stop.OUT
+        return StopReason.OUT
     if passing.drained_at and now >= passing.drained_at:
-        return Stop.DRAINED
+        return StopReason.DRAINED
     if passing.fastest and passing.end - now < passing.fastest:
-        return Stop.TOO_LATE
+        return StopReason.TOO_LATE
     return None
 
 
 @dataclass(slots=True)
-class Tally:
+class HandOverStatistics:
     """What the gates have stopped, and what went on all the same."""
 
-    stopped: Counter[tuple[Hand, Stop]] = field(default_factory=Counter)
-    begun_after: Counter[Stop] = field(default_factory=Counter)  # a byte had left, then this
+    stopped: Counter[tuple[HandOver, StopReason]] = field(default_factory=Counter)
+    begun_after: Counter[StopReason] = field(default_factory=Counter)  # a byte had left, then this
     cancelled: int = 0  # undone, and silent since
     went_on: int = 0  # undone, and answered all the same
     undone: int = 0
--- a/query_broker/deadlines/metrics.py
+++ b/query_broker/deadlines/metrics.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from .handover_checks import Tally
-from .retry_budget import Budget
-from .stage_latencies import Stages
+from .handover_checks import HandOverStatistics
+from .retry_budget import RetryBudget
+from .stage_latencies import StageLatencies
 
 PREFIX = "larchhall_"
 SINGLE = {
@@ -15,7 +15,9 @@
 }
 
 
-def text(tally: Tally, stages: Stages, margin: int, budget: Budget | None) -> bytes:
+def text(
+    tally: HandOverStatistics, stages: StageLatencies, margin: int, budget: RetryBudget | None
+) -> bytes:
     """Lines of the Prometheus text format."""
     lines = [
         f"# HELP {PREFIX}taken_back_total Attempts stopped at a hand-over before a byte left.",
--- a/query_broker/deadlines/retry_budget.py
+++ b/query_broker/deadlines/retry_budget.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RetryBudgetSettings:
     """``share`` of a token for each first attempt, ``burst`` tokens at the most; per class where
     named. ``first``: the part of the remaining time that a safe class's first attempt gets.
     """
@@ -35,10 +35,10 @@
 
 
 @dataclass(slots=True)
-class Budget:
+class RetryBudget:
     """Tokens by class and tenant. New ones begin full: a start must not look like trouble."""
 
-    terms: Terms
+    terms: RetryBudgetSettings
     tokens: dict[tuple[str, str], float] = field(default_factory=dict)
     refused: int = 0
     gate: Callable[[], bool] | None = None  # asked besides, where brokers share such a limit
@@ -73,7 +73,7 @@
         self.tokens[key] = min(self.terms.of(route)[1], self.tokens.get(key, 0.0) + 1)
 
 
-def attempt_time(remaining: int, number: int, repeatable: bool, terms: Terms) -> int:
+def attempt_time(remaining: int, number: int, repeatable: bool, terms: RetryBudgetSettings) -> int:
     """How long an attempt may take. Danger: what may not be repeated gains nothing from being cut
     short, and loses its answer: it gets all the time there is.
     """
--- a/query_broker/deadlines/settings.py
+++ b/query_broker/deadlines/settings.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Literal
 
-from .retry_budget import Terms as FurtherTerms
+from .retry_budget import RetryBudgetSettings as FurtherTerms
 
 S = 1_000_000_000
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deadlines:
+class DeadlineSettings:
     """``count_from``: whether a request's time counts from its first or its last byte.
     ``half_close``: a client that ends its side has left, or still gets its answers.
     ``slow_reader``: ns that answers may lie unread.
--- a/query_broker/deadlines/stage_latencies.py
+++ b/query_broker/deadlines/stage_latencies.py
@@ -81,7 +81,7 @@
         return int(digest.quantile(share)) if digest.n_values >= LEAST_SEEN else None
 
 
-class Stages:
+class StageLatencies:
     """All stages, by class; and the margin."""
 
     def __init__(self, margin: MarginTerms) -> None:
--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Outbox:
+class WriteQueue:
     """``leave`` is asked before the first byte of a frame that has waited: for its pieces as they
     must be now, since what it tells of its time is older by as long as it waited, or None if it may
     not go. ``begun`` is told right after the first byte, ``gone`` after the last. ``most`` frames,
--- a/query_broker/decisions/accounting.py
+++ b/query_broker/decisions/accounting.py
@@ -83,7 +83,7 @@
         return self.work // self.spec.threads
 
     def aim(self) -> int:
-        return self.spec.aim + int(self.spec.aim_stretch * self.run_time())
+        return self.spec.latency_objective_ns + int(self.spec.objective_stretch * self.run_time())
 
 
 class TokenBucket:
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -22,29 +22,38 @@
     memberships,
 )
 from .events import (
-    NEVER_RAN,
-    Arrival,
-    AttemptNote,
-    AttemptOutcome,
-    Ban,
-    Beside,
-    Closing,
-    Departure,
-    EngineEntry,
-    EngineState,
+    NEVER_EXECUTED,
+    AdministrativeChange,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptResult,
+    CloseRequests,
+    CoProcessLoad,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointState,
     Event,
-    ListKind,
-    ListNews,
+    HealthCheckResult,
+    ListUpdateKind,
     LoadReport,
-    Outstanding,
+    OutstandingWork,
     PeerMessage,
-    ProbeResult,
-    Result,
-    Retuned,
+    RequestAbandoned,
+    RequestArrived,
+    SettingsChanged,
     TimerFired,
 )
-from .orders import Action, Cancel, Fail, Probe, Refuse, Send, SetTimer, Terms
-from .settings import Effect, RequestClass, Scope, Settings
+from .orders import (
+    CancelAttempt,
+    Dispatch,
+    DispatchOptions,
+    Fail,
+    HealthCheck,
+    Order,
+    Reject,
+    SetTimer,
+)
+from .settings import Effect, IdempotencyScope, RequestClass, Settings
 
 PERIOD = 1_000_000_000  # ns; the controller's period, also the unit of the retry-after
 SPAN = 0.5  # of a class's aim; half-width of the fuzzy universe of error and change
@@ -137,7 +146,9 @@
         """Thread-nanoseconds: the estimate corrected from outcomes, else the class mean."""
         if estimate is None or estimate <= 0:
             return max(
-                1, int(self.mean_work) or self.spec.aim * self.spec.threads // THREADS_A_CORE
+                1,
+                int(self.mean_work)
+                or self.spec.latency_objective_ns * self.spec.threads // THREADS_A_CORE,
             )
         return max(1, int(estimate * math.exp(self.log_bias)))
 
@@ -220,7 +231,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Engine(Loop):
-    entry: EngineEntry
+    entry: EndpointEntry
     cores: int
     out: dict[tuple[str, int], Attempt] = field(default_factory=dict)
     failures: float = 0.0
@@ -231,7 +242,7 @@
     cold_sends: SlidingSum
     last_sign: int = 0
     # of other processes of this gateway; booked as ours
-    beside: Outstanding = Outstanding(0, 0, 0)
+    beside: OutstandingWork = OutstandingWork(0, 0, 0)
     born: int = 0  # what was sent before belongs to another process
     suspect: bool = False
     counted: bool = False  # in the pool's books
@@ -275,7 +286,9 @@
         # failure share by room and by kind
         self.groups: defaultdict[str, float] = defaultdict(float)
         self.ranks: dict[int, dict[int, float]] = {}
-        self.taken, self.further = (SlidingSum(settings.contract.budget_window) for _ in range(2))
+        self.taken, self.further = (
+            SlidingSum(settings.contract.retry_budget_window_ns) for _ in range(2)
+        )
         self.period_arrivals, self.period_refusals, self.refused_share = 0, 0, 0.0
         self.timers: dict[int, tuple[Callable[..., None], tuple[Any, ...]]] = {}
         self.random, self.next_token, self.period_due, self.stalled = (
@@ -284,24 +297,24 @@
             now + PERIOD,
             -1,
         )
-        self._retune(now, Retuned(settings))
-        self.actions: list[Action] = []
+        self._retune(now, SettingsChanged(settings))
+        self.actions: list[Order] = []
         self.handlers: dict[type, Callable[[int, Any], None]] = {
-            Arrival: self._arrive,
-            AttemptOutcome: self._outcome,
-            AttemptNote: self._note,
-            Departure: self._depart,
+            RequestArrived: self._arrive,
+            AttemptEnded: self._outcome,
+            AttemptProgress: self._note,
+            RequestAbandoned: self._depart,
             TimerFired: self._fire,
-            ListNews: self._list_news,
-            Ban: self._ban,
-            Beside: self._beside,
-            ProbeResult: self._seen,
-            Retuned: self._retune,
-            Closing: self._close,
+            EndpointListUpdate: self._list_news,
+            AdministrativeChange: self._ban,
+            CoProcessLoad: self._beside,
+            HealthCheckResult: self._seen,
+            SettingsChanged: self._retune,
+            CloseRequests: self._close,
             PeerMessage: lambda now, event: None,
         }
 
-    def _retune(self, now: int, event: Retuned) -> None:
+    def _retune(self, now: int, event: SettingsChanged) -> None:
         """For all that comes from now on; classes that stay keep what was learned. Danger: a
         request under way may not change its class's terms, above all whether it may run twice: it
         keeps its view.
@@ -312,8 +325,8 @@
             c.name: replace(self.views.get(c.name, ClassView(c)), spec=c) for c in classes
         }
         self.longest_aim, self.shortest_aim = (
-            max(c.aim for c in classes),
-            min(c.aim for c in classes),
+            max(c.latency_objective_ns for c in classes),
+            min(c.latency_objective_ns for c in classes),
         )
         self.widest = max(c.threads for c in classes)
         self.shares = {
@@ -321,12 +334,12 @@
             for t in settings.tenants
             for rate in [t.quota_per_s / settings.fleet_size]
         }
-        self.taken.span = self.further.span = self.contract.budget_window
+        self.taken.span = self.further.span = self.contract.retry_budget_window_ns
         for engine in self.engines.values():
             self._measure(engine)
         self._measure_pool(now)
 
-    def handle(self, now: int, event: Event) -> list[Action]:
+    def handle(self, now: int, event: Event) -> list[Order]:
         if type(event) not in self.handlers:
             raise TypeError(f"event: {type(event).__name__} is none of the interface's events")
         self.actions = []
@@ -346,7 +359,7 @@
         call, about = self.timers.pop(event.token, (lambda now: None, ()))
         call(now, *about)
 
-    def _arrive(self, now: int, event: Arrival) -> None:
+    def _arrive(self, now: int, event: RequestArrived) -> None:
         if (view := self.views.get(event.class_name)) is None:
             raise ValueError(f"class_name: {event.class_name!r} is not in the settings")
         self.period_arrivals += 1
@@ -354,15 +367,15 @@
         # Danger: refused traffic comes back and takes the tokens of new requests: a marked retry
         # gets none.
         share = self.shares.get(event.tenant or "")
-        beyond = share is not None and (event.retry or not share.take(now, self.taking))
+        beyond = share is not None and (event.is_retry or not share.take(now, self.taking))
         request = Request(
-            event.request,
+            event.request_id,
             view,
-            now + event.patience,
-            view.expected_work(event.estimate),
-            event.estimate,
+            now + event.timeout_ns,
+            view.expected_work(event.estimate_ns),
+            event.estimate_ns,
             -1 if event.data_set is None else event.data_set,
-            event.key if view.spec.in_order else None,
+            event.key if view.spec.ordered_by_key else None,
             beyond,
             now,
             max(0.0, event.memory_mb or 0.0),
@@ -370,11 +383,11 @@
         self.requests[request.id] = request
         if request.key is not None:
             self.queues.setdefault(request.key, deque()).append(request)
-        if event.patience <= 2 * self.settings.tick or self._waits_too_long(now, request):
+        if event.timeout_ns <= 2 * self.settings.tick_ns or self._waits_too_long(now, request):
             return self._finish(now, request)
         self._admit(now, request) if request.key is None else self._serve_key(now, request.key)
         if not request.done:  # rule 1: a final answer a tick before the client gives up
-            self._timer(request.deadline - self.settings.tick, self._finish, request)
+            self._timer(request.deadline - self.settings.tick_ns, self._finish, request)
 
     def _waits_too_long(self, now: int, request: Request) -> bool:
         """Danger: a key's requests run one at a time; a queue longer than the aim makes all of them
@@ -422,21 +435,21 @@
         size, threads = engine.size(request.work), request.spec.threads
         # Danger: large work shuts out small queries that pay more for theirs: each sees its worth
         # per work.
-        room = request.spec.worth / request.work * self.mean_work / self.mean_worth
+        room = request.spec.priority_weight / request.work * self.mean_work / self.mean_worth
         room *= OVER_SHARE_ROOM if request.over_share else 1.0
         return engine.fits(now, size, threads, room) and (
             not self.thin
             or self.pool.fits(now, size, threads, room / max(LEAST_ADMITTED, request.view.admitted))
         )
 
-    def _seen(self, now: int, event: ProbeResult) -> None:
-        if (engine := self.engines.get(event.engine)) is None:
+    def _seen(self, now: int, event: HealthCheckResult) -> None:
+        if (engine := self.engines.get(event.endpoint)) is None:
             return
-        if event.report is not None:
-            engine.report, engine.threads_since_report = event.report, 0
+        if event.load_report is not None:
+            engine.report, engine.threads_since_report = event.load_report, 0
         if self.by_probe:  # danger: a jammed engine that says it lives would be given more
-            told = event.report.inflight or 0.0 if event.report is not None else 0.0
-            held = event.result is not Result.SERVED or told > THREADS_A_CORE * engine.cores
+            told = event.load_report.inflight or 0.0 if event.load_report is not None else 0.0
+            held = event.result is not AttemptResult.SERVED or told > THREADS_A_CORE * engine.cores
             self._blame(engine, held)
             self._suspect(now, engine, held)
 
@@ -449,12 +462,12 @@
         weight = engine.cores * ((1 - failing) / (IDLE_LOAD + engine.load())) ** SHARPNESS
         weight /= max(1.0, engine.slowdown / engine.best) * engine.slowdown
         # it would be lost
-        weight *= (1 - failing) ** (SHARPNESS * (request.spec.effect is Effect.UNSAFE))
+        weight *= (1 - failing) ** (SHARPNESS * (request.spec.effect is Effect.NON_IDEMPOTENT))
         if engine.entry.zone != self.settings.zone:
             weight /= 1 + FOREIGN_COST * self.settings.cross_zone_price
         if request.data_set >= 0:
             weight *= self._data_set_factor(request.spec, request.data_set, engine)
-        if engine.entry.engine in request.tried:
+        if engine.entry.endpoint in request.tried:
             weight *= APART
         return max(weight, 1e-9)
 
@@ -466,8 +479,10 @@
         if not any(v.spec.is_load for v in self.views.values()):
             return 1.0 if self._rank(data_set, engine) < HOME_SHARE else COLD_SET
         home = self._rank(data_set, engine) >= 1 - HOME_SHARE
-        factor = APART if (not home if spec.is_load else home and spec.waits_for_loads) else 1.0
-        if (spec.is_load or spec.waits_for_loads) and self.held_sets[engine.entry.engine, data_set]:
+        factor = APART if (not home if spec.is_load else home and spec.blocked_by_loads) else 1.0
+        if (spec.is_load or spec.blocked_by_loads) and self.held_sets[
+            engine.entry.endpoint, data_set
+        ]:
             factor *= BESIDE_LOAD
         return factor
 
@@ -480,7 +495,7 @@
                 self.engines, key=lambda e: hashlib.blake2b(b"%d/%d" % (data_set, e)).digest()
             )
             self.ranks[data_set] = {e: i / len(order) for i, e in enumerate(order)}
-        return self.ranks[data_set].get(engine.entry.engine, 0.0)
+        return self.ranks[data_set].get(engine.entry.endpoint, 0.0)
 
     def _may_send(self, now: int, request: Request, engine: Engine) -> bool:
         return (
@@ -499,29 +514,37 @@
         """Danger: the list calls an engine ready that the operators have taken out: no news lifts
         that.
         """
-        return engine.entry.state is EngineState.READY and engine.entry.engine not in self.banned
+        return (
+            engine.entry.state is EndpointState.READY and engine.entry.endpoint not in self.banned
+        )
 
     def _effect_allows(self, now: int, request: Request, engine: Engine) -> bool:
         """Rule 2. Danger: a repeat of what may have run does it twice."""
         spec = request.spec
         if request.out and not (
-            self.limits.second_copies and spec.effect is Effect.SAFE and len(request.out) == 1
+            self.limits.hedging and spec.effect is Effect.IDEMPOTENT and len(request.out) == 1
         ):
             return False
-        if not request.may_have_run or spec.effect is Effect.SAFE:
+        if not request.may_have_run or spec.effect is Effect.IDEMPOTENT:
             return True
         origin = self.engines.get((first := request.may_have_run[0]).engine)
-        if spec.effect is Effect.UNSAFE or now - first.sent >= spec.window - 2 * self.settings.tick:
+        if (
+            spec.effect is Effect.NON_IDEMPOTENT
+            or now - first.sent >= spec.idempotency_window_ns - 2 * self.settings.tick_ns
+        ):
             return False
-        return spec.scope is Scope.ALL or (
+        return spec.idempotency_scope is IdempotencyScope.ALL or (
             origin is not None
             and origin.entry.zone == engine.entry.zone
-            and (spec.scope is Scope.ZONE or origin.entry.cell == engine.entry.cell)
+            and (
+                spec.idempotency_scope is IdempotencyScope.ZONE
+                or origin.entry.cell == engine.entry.cell
+            )
         )
 
     def _placed(self, spec: RequestClass, engine: Engine) -> bool:
-        return (not spec.only_zones or engine.entry.zone in spec.only_zones) and (
-            not spec.only_kinds or engine.entry.kind in spec.only_kinds
+        return (not spec.allowed_zones or engine.entry.zone in spec.allowed_zones) and (
+            not spec.allowed_kinds or engine.entry.kind in spec.allowed_kinds
         )
 
     def _turn_has_come(self, now: int, request: Request) -> bool:
@@ -531,8 +554,10 @@
         )
 
     def _budget_allows(self, now: int) -> bool:
-        allowed = self.contract.budget_free + self.contract.budget_share * self.taken.at(now)
-        return self.contract.budget_window <= 0 or self.further.at(now) + 1 <= allowed
+        allowed = (
+            self.contract.retry_budget_free + self.contract.retry_budget_ratio * self.taken.at(now)
+        )
+        return self.contract.retry_budget_window_ns <= 0 or self.further.at(now) + 1 <= allowed
 
     def _cold_allows(self, now: int, engine: Engine, work: int) -> bool:
         """Rule 4. Danger: a fresh engine falls over and stays down. Our share of its budget, any
@@ -540,28 +565,36 @@
         after each is nobody's.
         """
         rules = self.contract
-        if now >= engine.cold_until or rules.fall <= 0:
+        if now >= engine.cold_until or rules.overload_window_ns <= 0:
             return True
-        budget = engine.cores * rules.fall * rules.fall_multiple * self._warmth(now, engine)
+        budget = (
+            engine.cores
+            * rules.overload_window_ns
+            * rules.overload_multiple
+            * self._warmth(now, engine)
+        )
         part = (
             self._our_turn(now, engine) / TURN_SAFETY / self.owners
             if self.thin
             else 1 / COLD_SAFETY / self.settings.fleet_size
         )
-        return engine.cold_sends.at(now) + engine.beside.cold + work <= budget * part
+        return engine.cold_sends.at(now) + engine.beside.warmup_ns + work <= budget * part
 
     def _our_turn(self, now: int, engine: Engine) -> bool:
         # not all engines in step
-        turn, into = divmod(now + engine.entry.engine, TURN * self.contract.fall)
+        turn, into = divmod(now + engine.entry.endpoint, TURN * self.contract.overload_window_ns)
         place = (
-            turn * self.owners + engine.entry.engine - self.settings.me
+            turn * self.owners + engine.entry.endpoint - self.settings.broker_index
         ) % self.settings.fleet_size
-        return into < (TURN - 1) * self.contract.fall and place < self.owners
+        return into < (TURN - 1) * self.contract.overload_window_ns and place < self.owners
 
     # of its capacity; the ramp is not told: late
     def _warmth(self, now: int, engine: Engine) -> float:
-        past = 1 - max(0, engine.cold_until - now) / max(1, self.contract.cold)
-        return self.contract.cold_from + (1 - self.contract.cold_from) * max(0.0, past) ** 2
+        past = 1 - max(0, engine.cold_until - now) / max(1, self.contract.warmup_ns)
+        return (
+            self.contract.warmup_initial_capacity
+            + (1 - self.contract.warmup_initial_capacity) * max(0.0, past) ** 2
+        )
 
     def _healthy(self, now: int, request: Request, engine: Engine) -> bool:
         """An engine held to be out gets one safe trial at a time, unless every open engine is held
@@ -575,7 +608,7 @@
             return True
         return (
             now >= engine.next_trial
-            and request.spec.effect is Effect.SAFE
+            and request.spec.effect is Effect.IDEMPOTENT
             and not self.by_probe
             and not any(a.trial for a in engine.out.values())
         )
@@ -586,17 +619,17 @@
         if request.sends > 0:
             self.further.add(now)
         else:  # danger: what never fits must not move what others are held to
-            self.mean_worth += YIELD_LEARN * (request.spec.worth - self.mean_worth)
+            self.mean_worth += YIELD_LEARN * (request.spec.priority_weight - self.mean_worth)
             self.mean_work += YIELD_LEARN * (request.work - self.mean_work)
         attempt = Attempt(
             request.sends,
-            engine.entry.engine,
+            engine.entry.endpoint,
             now,
             engine.size(request.work),
             engine.load() < CALM_LOAD and not engine.pressed(now),
             engine.suspect,
         )
-        if (self.settings.priorities_heeded or self.settings.grants_heeded) and request.sends == 0:
+        if (self.settings.priorities or self.settings.memory_grants) and request.sends == 0:
             # short work first: 3 below the shortest aim, 0 what is beyond a share
             run = request.run_time()
             rank = (
@@ -604,15 +637,21 @@
                 if request.over_share
                 else 1 + (run < self.shortest_aim) + (run < self.longest_aim)
             )
-            self.actions.append(Terms(request.id, rank, GRANT_MARGIN * request.memory_mb))
+            self.actions.append(DispatchOptions(request.id, rank, GRANT_MARGIN * request.memory_mb))
         # rule 2 counts what leaves
-        keyed = request.may_have_run and request.spec.effect is Effect.KEYED
-        latest = request.may_have_run[0].sent + request.spec.window if keyed else request.deadline
+        keyed = request.may_have_run and request.spec.effect is Effect.IDEMPOTENCY_KEY
+        latest = (
+            request.may_have_run[0].sent + request.spec.idempotency_window_ns
+            if keyed
+            else request.deadline
+        )
         self.actions.append(
-            Send(request.id, attempt.number, engine.entry.engine, request.deadline - now, latest)
+            Dispatch(
+                request.id, attempt.number, engine.entry.endpoint, request.deadline - now, latest
+            )
         )
         request.sends += 1
-        request.tried.append(engine.entry.engine)
+        request.tried.append(engine.entry.endpoint)
         request.out[attempt.number] = attempt
         request.may_have_run.append(attempt)  # until an outcome proves that it never ran
         engine.out[(request.id, attempt.number)] = attempt
@@ -623,10 +662,10 @@
         engine.next_trial = now + TRIAL_GAP
         if now < engine.cold_until:
             engine.cold_sends.add(now, request.work)
-        if self.by_probe or self.limits.second_copies and request.spec.effect is Effect.SAFE:
+        if self.by_probe or self.limits.hedging and request.spec.effect is Effect.IDEMPOTENT:
             expected = request.view.expected_time(request.work) / self._warmth(now, engine)
             self._timer(now + int(COPY * expected), self._overdue, request, attempt.number)
-        if self.limits.cancel:
+        if self.limits.cancellation:
             wait = OVERDUE * 2**attempt.number * request.run_time() * max(1.0, engine.slowdown)
             self._timer(
                 now + max(int(wait), self.shortest_aim), self._review, request, attempt.number
@@ -639,12 +678,12 @@
         """
         if (
             number in request.out
-            and request.spec.effect is not Effect.UNSAFE
+            and request.spec.effect is not Effect.NON_IDEMPOTENT
             and not request.done
             and request.sends < self.limits.max_attempts
             and request.deadline - now >= request.run_time()
         ):
-            self.actions.append(Cancel(request.id, number))
+            self.actions.append(CancelAttempt(request.id, number))
 
     def _overdue(self, now: int, request: Request, number: int) -> None:
         """Danger: its answer was lost, or the engine is jammed: of many gateways each hears of it
@@ -661,30 +700,30 @@
 
     def _ask(self, now: int, engine: Engine) -> None:
         engine.next_trial, engine.asked = now + TRIAL_GAP, now
-        self.actions.append(Probe(engine.entry.engine))
+        self.actions.append(HealthCheck(engine.entry.endpoint))
 
-    def _note(self, now: int, event: AttemptNote) -> None:
-        if (engine := self.engines.get(event.engine)) is not None:
+    def _note(self, now: int, event: AttemptProgress) -> None:
+        if (engine := self.engines.get(event.endpoint)) is not None:
             engine.last_sign = now  # a sign of life; no progress is told that could be heeded
 
-    def _outcome(self, now: int, event: AttemptOutcome) -> None:
-        engine, request = self.engines.get(event.engine), self.requests.get(event.request)
+    def _outcome(self, now: int, event: AttemptEnded) -> None:
+        engine, request = self.engines.get(event.endpoint), self.requests.get(event.request_id)
         if request is None or (attempt := request.out.pop(event.attempt, None)) is None:
             return
-        if event.result in NEVER_RAN:
+        if event.result in NEVER_EXECUTED:
             request.may_have_run.remove(attempt)
         if engine is not None:
             del engine.out[(request.id, attempt.number)]
             self._book(now, engine, request, attempt.size, -1)
             if attempt.sent >= engine.born:
                 self._judge(now, engine, request, attempt, event)
-            if engine.entry.state is EngineState.GONE:
-                self._remove(event.engine)
+            if engine.entry.state is EndpointState.REMOVED:
+                self._remove(event.endpoint)
         if (
-            event.result in (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
+            event.result in (AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED)
             and request.key is not None
         ):
-            self.key_free_at[request.key] = now + self.contract.order_settle
+            self.key_free_at[request.key] = now + self.contract.key_rest_ns
         if event.finished:
             self._end(now, request)
         if not request.done and not request.out and not self._further(now, request):
@@ -697,7 +736,7 @@
             loop.threads_out += sign * request.spec.threads
         self.pool.held.note(now, self.pool.threads_out)
         if request.spec.is_load:
-            self.held_sets[(engine.entry.engine, request.data_set)] += sign
+            self.held_sets[(engine.entry.endpoint, request.data_set)] += sign
             # danger: zeros of engines and sets that came and went would pile up
             self.held_sets += Counter()
 
@@ -707,48 +746,48 @@
         engine: Engine,
         request: Request,
         attempt: Attempt,
-        event: AttemptOutcome,
+        event: AttemptEnded,
     ) -> None:
         """Health and the controller's delay. Danger: an engine that fails fast looks quick to the
         draw.
         """
-        if event.report is not None:
-            engine.report, engine.threads_since_report = event.report, 0
-        bad = event.result in (Result.RESET, Result.CONNECT_FAILED)
-        if event.result in (Result.TIMEOUT, Result.RESET):
+        if event.load_report is not None:
+            engine.report, engine.threads_since_report = event.load_report, 0
+        bad = event.result in (AttemptResult.RESET, AttemptResult.CONNECT_FAILED)
+        if event.result in (AttemptResult.TIMEOUT, AttemptResult.RESET):
             for loop in (engine, self.pool):
                 loop.delays.append(TIMEOUT_SCORE)
-        if bad or event.result is Result.SERVED:
+        if bad or event.result is AttemptResult.SERVED:
             self._blame(engine, bad)
-        if event.result in (Result.ERROR, Result.SERVED):
-            engine.erring += ERROR_LEARN * ((event.result is Result.ERROR) - engine.erring)
-        if event.result is Result.ERROR:
+        if event.result in (AttemptResult.ERROR, AttemptResult.SERVED):
+            engine.erring += ERROR_LEARN * ((event.result is AttemptResult.ERROR) - engine.erring)
+        if event.result is AttemptResult.ERROR:
             request.erred.append(engine)
-        elif event.result is Result.FULL:
+        elif event.result is AttemptResult.FULL:
             engine.full_until = self.pool.full_until = now + TRIAL_GAP
             self._suspect(now, engine, engine.suspect or self.by_probe)
-        if event.result is Result.CONNECT_FAILED or bad and engine.failures > ONE_RESET:
+        if event.result is AttemptResult.CONNECT_FAILED or bad and engine.failures > ONE_RESET:
             self._suspect(now, engine, True)
-        if event.result is not Result.SERVED:
+        if event.result is not AttemptResult.SERVED:
             return
         # few engines: each is worth its good half
         for other in request.erred if self.by_probe else ():
             self._blame(other, True)
             self._suspect(now, other, other.suspect or other.failures > ONE_RESET)
         engine.last_sign = now
-        late = event.latency > COPY * request.view.expected_time(request.work)
+        late = event.latency_ns > COPY * request.view.expected_time(request.work)
         self._suspect(now, engine, engine.suspect and self.by_probe and late)
         if now == self.stalled:  # danger: the latency holds the time that this gateway stood still
             return
         ratio = max(
-            1 / OVERDUE, event.latency * self._warmth(now, engine) / max(1, request.run_time())
+            1 / OVERDUE, event.latency_ns * self._warmth(now, engine) / max(1, request.run_time())
         )
         for loop in (engine, self.pool):
-            loop.delays.append(event.latency / max(1, request.aim()))
+            loop.delays.append(event.latency_ns / max(1, request.aim()))
             loop.learn(ratio)
         request.view.pace *= (ratio / request.view.pace) ** LEARN
         if attempt.calm:
-            request.view.learn(request.estimate, event.latency)
+            request.view.learn(request.estimate, event.latency_ns)
 
     def _blame(self, engine: Engine, bad: bool) -> None:
         """Danger: a room or a kind is lost at once: failures and silences of a few foretell the
@@ -769,7 +808,9 @@
             if self._may_send(now, request, e)
             and (self._fits(now, request, e) if self.thin or request.erred else not e.pressed(now))
         ]
-        fit = [e for e in able if e.entry.engine not in request.tried] or able * (not request.erred)
+        fit = [e for e in able if e.entry.endpoint not in request.tried] or able * (
+            not request.erred
+        )
         return (
             bool(fit)
             and len(request.erred) < 2
@@ -786,15 +827,20 @@
         spec = request.spec
         if (
             not request.may_have_run
-            or spec.effect is Effect.SAFE
-            or (spec.effect is Effect.KEYED and spec.scope is Scope.ALL)
+            or spec.effect is Effect.IDEMPOTENT
+            or (
+                spec.effect is Effect.IDEMPOTENCY_KEY
+                and spec.idempotency_scope is IdempotencyScope.ALL
+            )
         ):  # a retry is harmless
             self.period_refusals += 1
             share = max(
                 self.refused_share, min(1.0, self.period_refusals / max(1, self.period_arrivals))
             )
-            pause = min(int(share * PERIOD), self.limits.max_retry_after) * self.limits.retry_after
-            self.actions.append(Refuse(request.id, pause))
+            pause = (
+                min(int(share * PERIOD), self.limits.max_retry_after_ns) * self.limits.retry_after
+            )
+            self.actions.append(Reject(request.id, pause))
         else:
             self.actions.append(Fail(request.id))
         self._end(now, request)
@@ -802,16 +848,20 @@
     def _end(self, now: int, request: Request) -> None:
         if not request.done:
             request.done = True
-            self.actions.extend(Cancel(request.id, n) for n in request.out if self.limits.cancel)
+            self.actions.extend(
+                CancelAttempt(request.id, n) for n in request.out if self.limits.cancellation
+            )
             self._settle(now, request)
 
-    def _depart(self, now: int, event: Departure) -> None:
-        if (request := self.requests.get(event.request)) is not None:
+    def _depart(self, now: int, event: RequestAbandoned) -> None:
+        if (request := self.requests.get(event.request_id)) is not None:
             self._end(now, request)
 
-    def _close(self, now: int, event: Closing) -> None:
+    def _close(self, now: int, event: CloseRequests) -> None:
         for request in [
-            r for r in self.requests.values() if event.only is None or r.id in event.only
+            r
+            for r in self.requests.values()
+            if event.request_ids is None or r.id in event.request_ids
         ]:
             self._finish(now, request)
 
@@ -847,11 +897,11 @@
         self.refused_share = min(1.0, self.period_refusals / max(1, self.period_arrivals))
         self.period_arrivals = self.period_refusals = 0
         self._measure_pool(now)  # cold engines may be warm by now
-        used = {e.entry.engine for e in self.near}
+        used = {e.entry.endpoint for e in self.near}
         for engine in self.engines.values() if self.by_probe else ():
             engine.report = None  # danger: our sends since would add up for good
             if engine.suspect and now >= engine.next_trial:  # danger: not in use, it would stay so
-                self._ask(now, engine) if engine.entry.engine in used else self._suspect(
+                self._ask(now, engine) if engine.entry.endpoint in used else self._suspect(
                     now, engine, False
                 )
         for loop in (*self.engines.values(), self.pool):
@@ -866,14 +916,14 @@
         fleet, cores = self.settings.fleet_size, [e.cores for e in listed] or [0]
         self.thin = 0 < THREADS_A_CORE * sum(cores) / len(cores) < self.widest * fleet
         # danger: trials by query add up and jam an engine
-        self.by_probe = self.thin and self.limits.probes
+        self.by_probe = self.thin and self.limits.health_checks
         self.owners = max(1, round(fleet / max(1, len(listed))))
         for e in self.engines.values():
             e.counted = self._open(e) and not (e.suspect or self.thin and now < e.cold_until)
         ready = [e for e in listed if e.counted]
         self.pool.rescale(sum(e.start for e in ready))
         self.pool.thread_share = POOL_THREADS * sum(e.cores for e in ready) / fleet or self.widest
-        self.pool.backlog = sum(e.backlog - e.beside.backlog for e in ready)
+        self.pool.backlog = sum(e.backlog - e.beside.backlog_ns for e in ready)
         self.pool.threads_out = sum(e.threads_out - e.beside.threads for e in ready)
         self.pool.held.note(now, self.pool.threads_out)
         self._choose_near(now, listed)
@@ -883,8 +933,8 @@
         bad one: each uses a few, one more for each held to be out, from places spread evenly in an
         order all share.
         """
-        order = sorted(listed, key=lambda e: e.entry.engine)
-        first = int(self.settings.me * GOLDEN % 1 * len(order))
+        order = sorted(listed, key=lambda e: e.entry.endpoint)
+        first = int(self.settings.broker_index * GOLDEN % 1 * len(order))
         self.near, room = [], NEAR if self.thin else len(order)
         for engine in order[first:] + order[:first]:
             if room > 0 and (engine.counted or engine.suspect):
@@ -919,29 +969,29 @@
             self._blame(engine, True)
             self._suspect(now, engine, True)
 
-    def _list_news(self, now: int, news: ListNews) -> None:
+    def _list_news(self, now: int, news: EndpointListUpdate) -> None:
         self.ranks.clear()
         for entry in news.entries:
             self._list_entry(now, entry)
-        if news.kind in (ListKind.FULL, ListKind.CACHED):
-            for name in self.engines.keys() - {entry.engine for entry in news.entries}:
+        if news.kind in (ListUpdateKind.FULL, ListUpdateKind.CACHED):
+            for name in self.engines.keys() - {entry.endpoint for entry in news.entries}:
                 self._remove(name)
         self._measure_pool(now)
 
-    def _list_entry(self, now: int, entry: EngineEntry) -> None:
-        if entry.state is EngineState.GONE:
-            return self._remove(entry.engine)
-        if (engine := self.engines.get(entry.engine)) is None:
+    def _list_entry(self, now: int, entry: EndpointEntry) -> None:
+        if entry.state is EndpointState.REMOVED:
+            return self._remove(entry.endpoint)
+        if (engine := self.engines.get(entry.endpoint)) is None:
             cores = dict(self.settings.kind_cores).get(entry.kind) or max(1, round(entry.weight))
-            engine = self.engines[entry.engine] = Engine(
-                entry=replace(entry, started=0),
+            engine = self.engines[entry.endpoint] = Engine(
+                entry=replace(entry, started_ns=0),
                 cores=cores,
                 last_sign=now,
                 cold_sends=SlidingSum(0),
             )
             self._measure(engine)
-        if entry.started > engine.entry.started:
-            self._renew(now, engine, entry.started)
+        if entry.started_ns > engine.entry.started_ns:
+            self._renew(now, engine, entry.started_ns)
         engine.entry = entry
 
     def _measure(self, engine: Engine) -> None:
@@ -949,7 +999,7 @@
         engine.rescale(share * self.longest_aim)
         # Several gateways seldom peak together, so one query more than its share for each of them.
         engine.thread_share = share + (1 - 1 / self.settings.fleet_size) * self.widest
-        engine.cold_sends.span = self.contract.fall
+        engine.cold_sends.span = self.contract.overload_window_ns
 
     def _renew(self, now: int, engine: Engine, started: int) -> None:
         """Another process under the same id: cold, and nothing that was learned of the last one
@@ -963,41 +1013,46 @@
             0.0,
         )
         engine.last_sign = max(engine.last_sign, engine.born)
-        engine.cold_until = max(engine.cold_until, started + self.contract.cold)
+        engine.cold_until = max(engine.cold_until, started + self.contract.warmup_ns)
 
-    def _ban(self, now: int, event: Ban) -> None:
-        (self.banned.add if event.out else self.banned.discard)(event.engine)
-        if not event.out and (engine := self.engines.get(event.engine)) is not None:
+    def _ban(self, now: int, event: AdministrativeChange) -> None:
+        (self.banned.add if event.disabled else self.banned.discard)(event.endpoint)
+        if not event.disabled and (engine := self.engines.get(event.endpoint)) is not None:
             # danger: the list tells of its restart late, or not at all
-            self._renew(now, engine, event.at)
+            self._renew(now, engine, event.at_ns)
         self._measure_pool(now)
 
-    def _beside(self, now: int, event: Beside) -> None:
+    def _beside(self, now: int, event: CoProcessLoad) -> None:
         """Danger: two processes that each fill the whole share overrun engines, cold ones first."""
-        self.taking = event.taking
+        self.taking = event.accepting_processes
         for number, engine in self.engines.items():
-            was, engine.beside = engine.beside, event.out.get(number, Outstanding(0, 0, 0))
+            was, engine.beside = (
+                engine.beside,
+                event.outstanding.get(number, OutstandingWork(0, 0, 0)),
+            )
             engine.threads_out += engine.beside.threads - was.threads
-            engine.backlog += engine.beside.backlog - was.backlog
+            engine.backlog += engine.beside.backlog_ns - was.backlog_ns
 
-    def outstanding(self, now: int) -> dict[int, Outstanding]:  # ours alone
+    def outstanding(self, now: int) -> dict[int, OutstandingWork]:  # ours alone
         return {
-            number: Outstanding(
-                e.threads_out - e.beside.threads, e.backlog - e.beside.backlog, e.cold_sends.at(now)
+            number: OutstandingWork(
+                e.threads_out - e.beside.threads,
+                e.backlog - e.beside.backlog_ns,
+                e.cold_sends.at(now),
             )
             for number, e in self.engines.items()
         }
 
     def avoided(self) -> int:  # listed engines that get nothing, by word or choice
         return sum(
-            e.suspect or e.entry.engine in self.banned
+            e.suspect or e.entry.endpoint in self.banned
             for e in self.engines.values()
-            if e.entry.state is not EngineState.GONE
+            if e.entry.state is not EndpointState.REMOVED
         )
 
     # keeps its books until the last outcome, and takes no sends
     def _remove(self, name: int) -> None:
         if (engine := self.engines.get(name)) is not None:
-            engine.entry = replace(engine.entry, state=EngineState.GONE)
+            engine.entry = replace(engine.entry, state=EndpointState.REMOVED)
             if not engine.out:
                 del self.engines[name]
--- a/query_broker/decisions/events.py
+++ b/query_broker/decisions/events.py
@@ -10,20 +10,20 @@
 from .settings import Settings
 
 
-class EngineState(Enum):
+class EndpointState(Enum):
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
-class ListKind(Enum):
+class ListUpdateKind(Enum):
     CHANGES = "changes"
     FULL = "full"
     CACHED = "cached"
     FAILED = "failed"
 
 
-class Result(Enum):
+class AttemptResult(Enum):
     """How an attempt ended."""
 
     SERVED = "served"
@@ -37,26 +37,28 @@
 
 
 #: Results that prove that the attempt never ran.
-NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT})
+NEVER_EXECUTED = frozenset(
+    {AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT}
+)
 
 
-class NoteKind(Enum):
+class ProgressKind(Enum):
     PROGRESS = 1
     SPILLING = 2
     WAITING = 3
 
 
 @dataclass(frozen=True, slots=True)
-class EngineEntry:
+class EndpointEntry:
     """One line of the engine list. ``started`` is 0 when that is long ago."""
 
-    engine: int
-    state: EngineState
+    endpoint: int
+    state: EndpointState
     zone: str = ""
     kind: str = ""
     cell: int = 0
     weight: float = 1.0
-    started: int = 0
+    started_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,92 +73,92 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
-    kind: ListKind
-    entries: tuple[EngineEntry, ...] = ()
+class EndpointListUpdate:
+    kind: ListUpdateKind
+    entries: tuple[EndpointEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
-    request: str
+class RequestArrived:
+    request_id: str
     class_name: str
-    patience: int
+    timeout_ns: int
     tenant: str | None = None
     key: str | None = None
-    estimate: int | None = None
+    estimate_ns: int | None = None
     memory_mb: float | None = None
     data_set: int | None = None
-    retry: bool = False
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptOutcome:
-    request: str
+class AttemptEnded:
+    request_id: str
     attempt: int
-    engine: int
-    result: Result
-    latency: int
+    endpoint: int
+    result: AttemptResult
+    latency_ns: int
     finished: bool
-    report: LoadReport | None = None
+    load_report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptNote:
-    request: str
+class AttemptProgress:
+    request_id: str
     attempt: int
-    engine: int
-    kind: NoteKind
+    endpoint: int
+    kind: ProgressKind
     value: float
 
 
 @dataclass(frozen=True, slots=True)
-class Departure:
-    request: str
+class RequestAbandoned:
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Ban:
+class AdministrativeChange:
     """Operators take an engine out, whatever the list says, or back: it has restarted and is
     cold.
     """
 
-    engine: int
-    out: bool
-    at: int
+    endpoint: int
+    disabled: bool
+    at_ns: int
 
 
-class Outstanding(NamedTuple):
+class OutstandingWork(NamedTuple):
     """What one process of a gateway has out on an engine, and has sent it lately while it was
     cold.
     """
 
     threads: int
-    backlog: int  # thread-nanoseconds, as is ``cold``
-    cold: int
+    backlog_ns: int  # thread-nanoseconds, as is ``cold``
+    warmup_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Beside:
+class CoProcessLoad:
     """Other processes of this gateway: theirs and ours go by one share. ``taking`` of them, with
     us, take requests.
     """
 
-    out: Mapping[int, Outstanding]
-    taking: int
+    outstanding: Mapping[int, OutstandingWork]
+    accepting_processes: int
 
 
 @dataclass(frozen=True, slots=True)
-class Retuned:
+class SettingsChanged:
     """Other settings, for all requests that come from now on."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class CloseRequests:
     """What is open gets its final answer now: all of it, or the requests that are named."""
 
-    only: frozenset[str] | None = None
+    request_ids: frozenset[str] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,11 +167,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult:
-    engine: int
-    result: Result
-    latency: int
-    report: LoadReport | None = None
+class HealthCheckResult:
+    endpoint: int
+    result: AttemptResult
+    latency_ns: int
+    load_report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -179,16 +181,16 @@
 
 
 Event = (
-    ListNews
-    | Arrival
-    | AttemptOutcome
-    | AttemptNote
-    | Departure
-    | Ban
-    | Beside
-    | Retuned
-    | Closing
+    EndpointListUpdate
+    | RequestArrived
+    | AttemptEnded
+    | AttemptProgress
+    | RequestAbandoned
+    | AdministrativeChange
+    | CoProcessLoad
+    | SettingsChanged
+    | CloseRequests
     | TimerFired
-    | ProbeResult
+    | HealthCheckResult
     | PeerMessage
 )
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -11,97 +11,97 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ..timer_wheel import Wheel
+from ..timer_wheel import TimerWheel
 from .controller import AdmissionController
 from .events import (
-    Arrival,
-    AttemptNote,
-    AttemptOutcome,
-    Ban,
-    Beside,
-    Closing,
-    Departure,
-    EngineEntry,
-    EngineState,
+    AdministrativeChange,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptResult,
+    CloseRequests,
+    CoProcessLoad,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointState,
     Event,
-    ListKind,
-    ListNews,
+    HealthCheckResult,
+    ListUpdateKind,
     LoadReport,
-    NoteKind,
-    Outstanding,
-    ProbeResult,
-    Result,
-    Retuned,
+    OutstandingWork,
+    ProgressKind,
+    RequestAbandoned,
+    RequestArrived,
+    SettingsChanged,
     TimerFired,
 )
-from .orders import Cancel, Fail, Probe, Refuse, Send, SetTimer, Terms
+from .orders import CancelAttempt, Dispatch, DispatchOptions, Fail, HealthCheck, Reject, SetTimer
 from .settings import Effect, Settings
 
 __all__ = [
-    "Arrival",
-    "AttemptNote",
-    "AttemptOutcome",
-    "Ban",
-    "Beside",
-    "Cancel",
-    "Closing",
-    "Departure",
+    "RequestArrived",
+    "AttemptProgress",
+    "AttemptEnded",
+    "AdministrativeChange",
+    "CoProcessLoad",
+    "CancelAttempt",
+    "CloseRequests",
+    "RequestAbandoned",
     "Effect",
-    "EngineEntry",
-    "EngineState",
+    "EndpointEntry",
+    "EndpointState",
     "Event",
     "Facade",
     "Fail",
-    "ListKind",
-    "ListNews",
+    "ListUpdateKind",
+    "EndpointListUpdate",
     "LoadReport",
-    "NoteKind",
-    "Orders",
-    "Outstanding",
-    "Probe",
-    "ProbeResult",
-    "Refuse",
-    "Result",
-    "Retuned",
-    "Send",
+    "ProgressKind",
+    "OrderBatch",
+    "OutstandingWork",
+    "HealthCheck",
+    "HealthCheckResult",
+    "Reject",
+    "AttemptResult",
+    "SettingsChanged",
+    "Dispatch",
     "SetTimer",
     "Settings",
-    "Terms",
+    "DispatchOptions",
     "TimerFired",
 ]
 
 
 @dataclass(slots=True)
-class Orders:
+class OrderBatch:
     """What the network is to do, each list in its order.
 
     Options come before the dispatches that they are for.
     """
 
-    options: list[Terms] = field(default_factory=list)
-    dispatches: list[Send] = field(default_factory=list)
-    answers: list[Refuse | Fail] = field(default_factory=list)
-    cancellations: list[Cancel] = field(default_factory=list)
-    health_checks: list[Probe] = field(default_factory=list)
+    options: list[DispatchOptions] = field(default_factory=list)
+    dispatches: list[Dispatch] = field(default_factory=list)
+    answers: list[Reject | Fail] = field(default_factory=list)
+    cancellations: list[CancelAttempt] = field(default_factory=list)
+    health_checks: list[HealthCheck] = field(default_factory=list)
 
 
 class Facade:
     """One controller, with its timers on the wheel of the caller."""
 
-    def __init__(self, settings: Settings, seed: int, now: int, wheel: Wheel) -> None:
+    def __init__(self, settings: Settings, seed: int, now: int, wheel: TimerWheel) -> None:
         self.controller = AdmissionController(settings, seed, now)
         self.wheel = wheel
         self.due: deque[int] = deque()  # timers of the controller that the wheel has found due
 
-    def pick(self, now: int, arrival: Arrival) -> Orders:
+    def pick(self, now: int, arrival: RequestArrived) -> OrderBatch:
         """Decide on a request that has arrived: where it goes, or that it does not."""
         return self._handle(now, arrival)
 
-    def report(self, now: int, event: Event) -> Orders:
+    def report(self, now: int, event: Event) -> OrderBatch:
         """Report any other event."""
         return self._handle(now, event)
 
-    def tick(self, now: int) -> Orders:
+    def tick(self, now: int) -> OrderBatch:
         """Handle the first of the timers that are due.
 
         Each is taken out first and handled alone: a fault in one must not cost the others, among
@@ -116,7 +116,7 @@
         """How many listed engines the decisions leave out, by hand or by choice."""
         return self.controller.avoided()
 
-    def outstanding(self, now: int) -> dict[int, Outstanding]:
+    def outstanding(self, now: int) -> dict[int, OutstandingWork]:
         """What this process has out, for others of this broker."""
         return self.controller.outstanding(now)
 
@@ -133,20 +133,20 @@
     def _fired(self, token: int) -> Callable[[], None]:
         return lambda: self.due.append(token)
 
-    def _handle(self, now: int, event: Event) -> Orders:
-        orders = Orders()
+    def _handle(self, now: int, event: Event) -> OrderBatch:
+        orders = OrderBatch()
         for action in self.controller.handle(now, event):
             match action:
                 case SetTimer(at, token):
                     self.wheel.at(at, self._fired(token))
-                case Send():
+                case Dispatch():
                     orders.dispatches.append(action)
-                case Terms():
+                case DispatchOptions():
                     orders.options.append(action)
-                case Refuse() | Fail():
+                case Reject() | Fail():
                     orders.answers.append(action)
-                case Cancel():
+                case CancelAttempt():
                     orders.cancellations.append(action)
-                case Probe():
+                case HealthCheck():
                     orders.health_checks.append(action)
         return orders
--- a/query_broker/decisions/orders.py
+++ b/query_broker/decisions/orders.py
@@ -6,54 +6,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class Dispatch:
     """Start an attempt; attempts of a request are numbered from 0 in the order of their sends.
     ``latest``: when its first byte must have left; past that it may not run any more, and is
     reported as not sent.
     """
 
-    request: str
+    request_id: str
     attempt: int
-    engine: int
-    timeout: int
-    latest: int
+    endpoint: int
+    timeout_ns: int
+    latest_start_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    request: str
-    retry_after: int
+class Reject:
+    request_id: str
+    retry_after_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
-    request: str
+class CancelAttempt:
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    at: int
+    due_ns: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    engine: int
+class HealthCheck:
+    endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class DispatchOptions:
     """Priority (0 to 3) and memory grant (0 leaves it to the engine) of a request's sends."""
 
-    request: str
+    request_id: str
     priority: int
     memory_mb: float
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | Terms
+Order = Dispatch | Reject | Fail | CancelAttempt | SetTimer | HealthCheck | DispatchOptions
--- a/query_broker/decisions/settings.py
+++ b/query_broker/decisions/settings.py
@@ -9,12 +9,12 @@
 class Effect(Enum):
     """What a repeat of a request may do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENCY_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
-class Scope(Enum):
+class IdempotencyScope(Enum):
     """The engines that share the memory of a keyed request's repeats."""
 
     ALL = "all"
@@ -30,28 +30,28 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim: int
-    deadline: int
-    worth: float
-    effect: Effect = Effect.SAFE
-    late_worth: float = 0.0
-    aim_stretch: float = 0.0
-    scope: Scope = Scope.ALL
-    window: int = 0
-    in_order: bool = False
-    only_zones: tuple[str, ...] = ()
-    only_kinds: tuple[str, ...] = ()
+    latency_objective_ns: int
+    deadline_ns: int
+    priority_weight: float
+    effect: Effect = Effect.IDEMPOTENT
+    late_priority_weight: float = 0.0
+    objective_stretch: float = 0.0
+    idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
+    idempotency_window_ns: int = 0
+    ordered_by_key: bool = False
+    allowed_zones: tuple[str, ...] = ()
+    allowed_kinds: tuple[str, ...] = ()
     threads: int = 1
     is_load: bool = False
-    waits_for_loads: bool = False
+    blocked_by_loads: bool = False
 
     def __post_init__(self) -> None:
         _require(bool(self.name), "classes.name", "is empty")
-        _require(self.aim > 0, "classes.aim", "must be above 0")
-        _require(self.deadline > 0, "classes.deadline", "must be above 0")
-        _require(self.worth >= 0, "classes.worth", "must not be negative")
+        _require(self.latency_objective_ns > 0, "classes.aim", "must be above 0")
+        _require(self.deadline_ns > 0, "classes.deadline", "must be above 0")
+        _require(self.priority_weight >= 0, "classes.worth", "must not be negative")
         _require(self.threads > 0, "classes.threads", "must be above 0")
-        _require(self.window >= 0, "classes.window", "must not be negative")
+        _require(self.idempotency_window_ns >= 0, "classes.window", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,33 +67,41 @@
 class Contract:
     """The figures of the rules."""
 
-    answer_slack: int = 0
-    drain_grace: int = 0
-    cold_from: float = 1.0
-    cold: int = 0
-    fall: int = 0
-    fall_multiple: float = 1.0
-    order_settle: int = 0
-    budget_window: int = 0
-    budget_free: float = 0.0
-    budget_share: float = 0.0
+    answer_slack_ns: int = 0
+    drain_grace_ns: int = 0
+    warmup_initial_capacity: float = 1.0
+    warmup_ns: int = 0
+    overload_window_ns: int = 0
+    overload_multiple: float = 1.0
+    key_rest_ns: int = 0
+    retry_budget_window_ns: int = 0
+    retry_budget_free: float = 0.0
+    retry_budget_ratio: float = 0.0
 
     def __post_init__(self) -> None:
-        _require(0 < self.cold_from <= 1, "contract.cold_from", "must lie in (0, 1]")
-        _require(self.fall_multiple > 0, "contract.fall_multiple", "must be above 0")
-        for key in ("answer_slack", "drain_grace", "cold", "fall", "order_settle", "budget_window"):
-            _require(getattr(self, key) >= 0, f"contract.{key}", "must not be negative")
+        _require(0 < self.warmup_initial_capacity <= 1, "contract.cold_from", "must lie in (0, 1]")
+        _require(self.overload_multiple > 0, "contract.fall_multiple", "must be above 0")
+        durations = {
+            "answer_slack": self.answer_slack_ns,
+            "drain_grace": self.drain_grace_ns,
+            "cold": self.warmup_ns,
+            "fall": self.overload_window_ns,
+            "order_settle": self.key_rest_ns,
+            "budget_window": self.retry_budget_window_ns,
+        }
+        for key, duration_ns in durations.items():
+            _require(duration_ns >= 0, f"contract.{key}", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    cancel: bool = False
-    probes: bool = False
-    peers: bool = False
-    second_copies: bool = False
+    cancellation: bool = False
+    health_checks: bool = False
+    peer_messages: bool = False
+    hedging: bool = False
     retry_after: bool = True
     max_attempts: int = 1
-    max_retry_after: int = 0
+    max_retry_after_ns: int = 0
 
     def __post_init__(self) -> None:
         _require(self.max_attempts > 0, "limits.max_attempts", "must be above 0")
@@ -103,8 +111,8 @@
 class Settings:
     classes: tuple[RequestClass, ...]
     fleet_size: int
-    tick: int
-    me: int = 0  # our place among them, from 0
+    tick_ns: int
+    broker_index: int = 0  # our place among them, from 0
     zone: str = ""
     contract: Contract = Contract()
     limits: Limits = Limits()
@@ -112,14 +120,14 @@
     kind_cores: tuple[tuple[str, int], ...] = ()
     cross_zone_price: float = 0.0
     handshake_price: float = 0.0  # of a request's worth, for a new connection to an engine
-    over_share_worth: float = 1.0
-    grants_heeded: bool = False
-    priorities_heeded: bool = False
+    over_quota_weight: float = 1.0
+    memory_grants: bool = False
+    priorities: bool = False
 
     def __post_init__(self) -> None:
         _require(bool(self.classes), "classes", "at least one class is needed")
         names = [c.name for c in self.classes]
         _require(len(set(names)) == len(names), "classes.name", "is used twice")
         _require(self.fleet_size > 0, "fleet_size", "must be above 0")
-        _require(self.tick > 0, "tick", "must be above 0")
+        _require(self.tick_ns > 0, "tick", "must be above 0")
         _require(all(cores > 0 for _, cores in self.kind_cores), "kind_cores", "must be above 0")
--- a/query_broker/discovery/event_codec.py
+++ b/query_broker/discovery/event_codec.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..decisions.facade import EngineState
+from ..decisions.facade import EndpointState
 
 STATES = {
-    "in_service": EngineState.READY,
-    "terminating": EngineState.DRAINING,
-    "terminated": EngineState.GONE,
+    "in_service": EndpointState.READY,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.REMOVED,
 }
 MOST_LINE = 1 << 20
 MS = 1_000_000
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class ListedEndpoint:
     """One engine as the bus tells of it."""
 
     uid: str
@@ -31,16 +31,16 @@
     zone: str
     kind: str
     cell: int
-    state: EngineState
+    state: EndpointState
     weight: float
-    started: int  # Unix nanoseconds; 0: long ago
+    started_ns: int  # Unix nanoseconds; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
-class BusEvent:
+class EndpointListEvent:
     offset: int
     full: bool
-    targets: tuple[Target, ...]
+    targets: tuple[ListedEndpoint, ...]
 
 
 def parse_address(text: Any) -> tuple[str, int]:
@@ -50,7 +50,7 @@
     return host.strip("[]"), int(port)
 
 
-def _target(raw: Any) -> Target:
+def _target(raw: Any) -> ListedEndpoint:
     if not isinstance(raw, dict):
         raise BadLine("a target that is no object")
     state, uid = raw.get("state"), raw.get("uid")
@@ -59,10 +59,10 @@
     if state not in STATES:
         raise BadLine(f"{uid}: unknown state {state!r}")
     # A terminated engine may come without the rest: there is nothing to connect to any more.
-    gone = STATES[state] is EngineState.GONE
+    gone = STATES[state] is EndpointState.REMOVED
     host, port = ("", 0) if gone and not raw.get("endpoint") else parse_address(raw.get("endpoint"))
     try:
-        return Target(
+        return ListedEndpoint(
             uid,
             host,
             port,
@@ -77,20 +77,24 @@
         raise BadLine(f"{uid}: {error}") from None
 
 
-def parse_event(raw: Any) -> BusEvent:
+def parse_event(raw: Any) -> EndpointListEvent:
     """One event, as on the bus and under `known`."""
     if not isinstance(raw, dict) or type(raw.get("offset")) is not int:
         raise BadLine("an event without its offset")
     topology = raw.get("topology")
     if not isinstance(topology, dict):
-        return BusEvent(raw["offset"], False, ())  # some other event: only its number counts
+        return EndpointListEvent(
+            raw["offset"], False, ()
+        )  # some other event: only its number counts
     targets = topology.get("targets", [])
     if not isinstance(targets, list):
         raise BadLine("targets is no list")
-    return BusEvent(raw["offset"], topology.get("all") is True, tuple(_target(t) for t in targets))
+    return EndpointListEvent(
+        raw["offset"], topology.get("all") is True, tuple(_target(t) for t in targets)
+    )
 
 
-def parse_line(line: bytes) -> BusEvent | int:
+def parse_line(line: bytes) -> EndpointListEvent | int:
     """An event, or the last offset that a second-beat names."""
     try:
         raw = json.loads(line)
--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -37,7 +37,7 @@
 
 
 class FeedConnection(asyncio.Protocol):
-    def __init__(self, feed: Feed, address: tuple[str, int]) -> None:
+    def __init__(self, feed: WatchClient, address: tuple[str, int]) -> None:
         self.feed, self.address = feed, address
         self.parser = bus.LineParser()
         self.transport: asyncio.Transport | None = None
@@ -70,14 +70,14 @@
             self.transport.abort()
 
 
-class Feed:
+class WatchClient:
     """Keeps one connection to the bus and hands its events on in order, each once."""
 
     def __init__(
         self,
         address: tuple[str, int],
         last: int,
-        take: Callable[[bus.BusEvent], None],
+        take: Callable[[bus.EndpointListEvent], None],
         now: Callable[[], int],
         log: Callable[[str, str], None],
         draw: Callable[[], float],
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -17,48 +17,54 @@
 from typing import TYPE_CHECKING
 
 from ..config.reading import Config
-from ..deadlines.cancel_scopes import Act, Kind, Outcome, Scope
-from ..deadlines.handover_checks import Hand, Passing, Stop, Tally, stop
-from ..deadlines.retry_budget import Budget, attempt_time
-from ..deadlines.settings import Deadlines, Stage
+from ..deadlines.cancel_scopes import CancelAction, CancelOutcome, CancelScope, ScopeKind
+from ..deadlines.handover_checks import (
+    HandOver,
+    HandOverCheck,
+    HandOverStatistics,
+    StopReason,
+    stop,
+)
+from ..deadlines.retry_budget import RetryBudget, attempt_time
+from ..deadlines.settings import DeadlineSettings, Stage
 from ..decisions.facade import (
-    Arrival,
-    AttemptNote,
-    AttemptOutcome,
-    Ban,
-    Beside,
-    Cancel,
-    Closing,
-    Departure,
+    AdministrativeChange,
+    AttemptEnded,
+    AttemptProgress,
+    AttemptResult,
+    CancelAttempt,
+    CloseRequests,
+    CoProcessLoad,
+    Dispatch,
+    DispatchOptions,
     Effect,
-    EngineState,
+    EndpointListUpdate,
+    EndpointState,
     Event,
     Facade,
-    ListKind,
-    ListNews,
+    HealthCheckResult,
+    ListUpdateKind,
     LoadReport,
-    NoteKind,
-    Orders,
-    ProbeResult,
-    Refuse,
-    Result,
-    Retuned,
-    Send,
+    OrderBatch,
+    ProgressKind,
+    Reject,
+    RequestAbandoned,
+    RequestArrived,
     Settings,
-    Terms,
+    SettingsChanged,
 )
-from ..discovery.event_codec import BusEvent
-from ..endpoints.administrative_state import Bans, Word
-from ..endpoints.connection_pools import Pools
-from ..endpoints.endpoint_table import EngineTable
-from ..metrics import ERROR, OVERLOAD, STATUSES, SUCCESS, Figures
+from ..discovery.event_codec import EndpointListEvent
+from ..endpoints.administrative_state import AdministrativeState, AdministrativeStates
+from ..endpoints.connection_pools import ConnectionPools
+from ..endpoints.endpoint_table import EndpointTable
+from ..metrics import ERROR, OVERLOAD, STATUSES, SUCCESS, Metrics
 from ..protocols import resp
 from ..protocols.engine_connection import EngineConnection
-from ..timer_wheel import Clock, Wheel
-from .requests import Attempt, Carrier, Client, OpenRequest
+from ..timer_wheel import Clock, TimerWheel
+from .requests import ActiveRequest, Attempt, AttemptConnection, Client
 
 if TYPE_CHECKING:
-    from ..deadlines.stage_latencies import Stages
+    from ..deadlines.stage_latencies import StageLatencies
 
 MS = 1_000_000
 MOST_PATIENCE_MS = 3_600_000.0
@@ -77,9 +83,9 @@
 NOTE_GAP = 100 * MS  # between two notes of one kind on an attempt; engines tell one a second
 LAST_LOOK = 3  # ticks before an attempt's end in which what has not left is taken back
 AHEAD = {
-    Hand.POOL: (Stage.CONNECT, Stage.WRITE, Stage.ENGINE),
-    Hand.CONNECTION: (Stage.WRITE, Stage.ENGINE),
-    Hand.SOCKET: (Stage.ENGINE,),
+    HandOver.POOL: (Stage.CONNECT, Stage.WRITE, Stage.ENGINE),
+    HandOver.CONNECTION: (Stage.WRITE, Stage.ENGINE),
+    HandOver.SOCKET: (Stage.ENGINE,),
 }  # the stages that still lie before a request at each gate
 MOST_CALLERS = 12  # operators' calls at once; their descriptors are kept for them
 METER = {
@@ -97,13 +103,13 @@
 NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?")
 
 
-class Unusable(Exception):
+class InvalidRequestError(Exception):
     """A request that cannot be used, although its frame can be read: one failed answer."""
 
 
 def keyed(settings: Settings) -> frozenset[str]:
     """The classes whose requests carry an idempotency key."""
-    return frozenset(c.name for c in settings.classes if c.effect is Effect.KEYED)
+    return frozenset(c.name for c in settings.classes if c.effect is Effect.IDEMPOTENCY_KEY)
 
 
 def read_number(text: str, name: str) -> float:
@@ -111,67 +117,71 @@
     scripts.
     """
     if NUMBER.fullmatch(text) is None:
-        raise Unusable(f"{name}: {text[:40]!r} is no number from 0 up")
+        raise InvalidRequestError(f"{name}: {text[:40]!r} is no number from 0 up")
     return float(text)
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ParsedRequest:
     """A request in no protocol's words."""
 
-    route: str
-    trace: str
-    customer: str | None
-    patience_ms: float
-    weight_ms: float
-    ram_mb: float
-    retry: bool
+    class_name: str
+    client_request_id: str
+    tenant: str | None
+    timeout_ms: float
+    estimate_ms: float
+    memory_mb: float
+    is_retry: bool
     data_set: int
     statement: bytes
-    nonce: str | None = None  # the client's idempotency key
+    idempotency_key: str | None = None  # the client's idempotency key
 
 
-class Broker:
+class Dispatcher:
     def __init__(self, config: Config, clock: Clock, log: Callable[[str, str], None]) -> None:
         self.config, self.clock, self.log = config, clock, log
         now = clock.now()
         settings = config.settings
-        self.wheel = Wheel(settings.tick, now)
+        self.wheel = TimerWheel(settings.tick_ns, now)
         self.facade = self._decisions(now)
-        self.deadlines = {c.name: c.deadline for c in settings.classes}
+        self.deadlines = {c.name: c.deadline_ns for c in settings.classes}
         self.keyed = keyed(settings)
         self.customers = {t.name for t in settings.tenants}
-        self.engines = EngineTable()
-        self.bans = Bans()
-        self.figures = Figures(self.deadlines)
+        self.endpoint_table = EndpointTable()
+        self.administrative_states = AdministrativeStates()
+        self.metrics_counts = Metrics(self.deadlines)
         # requests taken that have no final answer and whose client has not left
         self.concurrent = 0
         self.pools = self._connections()
         self.pools.own = settings.handshake_price <= OWN_WORTH
         self.divide(1, 0)
-        self.requests: dict[str, OpenRequest] = {}
-        self.ids: dict[bytes, list[OpenRequest]] = {}  # the open requests again, by the client's id
+        self.requests: dict[str, ActiveRequest] = {}
+        self.ids: dict[
+            bytes, list[ActiveRequest]
+        ] = {}  # the open requests again, by the client's id
         self.probing: dict[bytes, tuple[int, int]] = {}
         self.blocked: dict[EngineConnection, None] = {}  # their sockets took no more
         self.going: list[tuple[Client, str, int]] = []  # not gone yet, where stages are told
         self.closing = False  # nothing more is sent
-        self.tally = Tally()
-        self.terms = Deadlines()
+        self.tally = HandOverStatistics()
+        self.terms = DeadlineSettings()
         # where operators want to see, or to learn from, each stage
-        self.stages: Stages | None = None
-        self.budget: Budget | None = None  # for further attempts, where operators set one
-        self.story: Callable[[OpenRequest, str], None] | None = None
+        self.stages: StageLatencies | None = None
+        self.budget: RetryBudget | None = None  # for further attempts, where operators set one
+        self.story: Callable[[ActiveRequest, str], None] | None = None
         self.more_figures: list[Callable[[], bytes]] = []  # of what operators have switched on
         # what the module goes by, beside the files
         self.adjust: list[Callable[[Settings], Settings]] = []
-        self.witness: list[Callable[[int, Result], None]] = []  # hear what becomes of probes
+        self.witness: list[Callable[[int, AttemptResult], None]] = []  # hear what becomes of probes
         self.said: Callable[[str, bool], None] | None = None  # hears operators' words on engines
-        self.outcome: Callable[[int, Result], None] | None = None  # hears what becomes of attempts
+        self.outcome: Callable[[int, AttemptResult], None] | None = (
+            None  # hears what becomes of attempts
+        )
         # sees each request before it is decided on
-        self.arriving: Callable[[Ask, int], None] | None = None
+        self.arriving: Callable[[ParsedRequest, int], None] | None = None
         self.stay_away: Callable[[int], int] | None = None  # widens the pause of a refusal
         self.margin = WAY_BACK
-        self.later: list[tuple[Attempt, Result]] = []
+        self.later: list[tuple[Attempt, AttemptResult]] = []
         self.count = 0
         self.held = 0
 
@@ -181,9 +191,9 @@
     def _decisions(self, now: int) -> Facade:
         return Facade(self.config.settings, self.config.seed, now, self.wheel)
 
-    def _connections(self) -> Pools:
+    def _connections(self) -> ConnectionPools:
         config = self.config
-        return Pools(
+        return ConnectionPools(
             self,
             self.log,
             streams=config.streams,
@@ -193,7 +203,7 @@
             may_go=self._may_go,
         )
 
-    def _has_room(self, request: OpenRequest) -> bool:
+    def _has_room(self, request: ActiveRequest) -> bool:
         """For one more statement. Danger: a flood of large ones ends the process for memory, and
         all that it had taken.
         """
@@ -224,12 +234,12 @@
     def now(self) -> int:
         return self.clock.now()
 
-    def retune(self, read: Config) -> None:
+    def apply_settings(self, read: Config) -> None:
         """Other settings, in one step: for all requests that come from now on."""
         now = self.now()
         # the wheel turns by the one of the start
-        settings = replace(read.settings, tick=self.config.tick)
-        self._carry_out(now, self.facade.report(now, Retuned(self._adjusted(settings))))
+        settings = replace(read.settings, tick_ns=self.config.tick)
+        self._carry_out(now, self.facade.report(now, SettingsChanged(self._adjusted(settings))))
         self.config = replace(
             self.config,
             settings=settings,
@@ -238,10 +248,10 @@
             connect_timeout=read.connect_timeout,
             conn_idle=read.conn_idle,
         )
-        self.deadlines = {c.name: c.deadline for c in read.settings.classes}
+        self.deadlines = {c.name: c.deadline_ns for c in read.settings.classes}
         self.keyed = keyed(read.settings)
         self.customers = {t.name for t in read.settings.tenants}
-        self.figures.learn(self.deadlines)
+        self.metrics_counts.learn(self.deadlines)
         self.pools.retune(read.streams, read.connect_timeout, read.conn_idle)
         self.pools.own = settings.handshake_price <= OWN_WORTH
 
@@ -250,97 +260,105 @@
             settings = change(settings)
         return settings
 
-    def tell(self, news: Event) -> None:
+    def report_event(self, news: Event) -> None:
         """What others than the engines and clients of this broker have found out."""
         self._report(news)
 
     def probe(self, engine: int) -> None:
         self._probe(self.now(), engine)
 
-    def readjust(self) -> None:
+    def refresh_settings(self) -> None:
         """What `adjust` says has changed."""
-        self._report(Retuned(self._adjusted(self.config.settings)))
+        self._report(SettingsChanged(self._adjusted(self.config.settings)))
 
     # --- clients ---
 
-    def submit(self, client: Client, stream: int, ask: Ask, came: int = 0) -> OpenRequest:
+    def submit(
+        self, client: Client, stream: int, ask: ParsedRequest, came: int = 0
+    ) -> ActiveRequest:
         """Take a request; ``came``: when its first byte was read. Danger: nothing malformed may
         reach an engine or the decisions.
         """
         try:
             self._check(ask)
-        except Unusable:
-            self.figures.answered(ask.route, ERROR)
+        except InvalidRequestError:
+            self.metrics_counts.answered(ask.class_name, ERROR)
             raise
         return self._take(client, stream, ask, came)
 
-    def _check(self, ask: Ask) -> None:
-        if ask.route not in self.deadlines:
-            raise Unusable(f"route: {ask.route[:40]!r} is no class of the settings")
-        if not 1 <= ask.patience_ms <= MOST_PATIENCE_MS:
-            raise Unusable(f"patience: must be 1 to {MOST_PATIENCE_MS:.0f} ms")
-        if max(ask.weight_ms, ask.ram_mb) > MOST_ESTIMATE:
-            raise Unusable("weight or ram: is out of range")
-        if self.customers and ask.customer not in self.customers:
-            raise Unusable(f"customer: {(ask.customer or '')[:40]!r} is none of the settings")
-        if ask.nonce is None and ask.route in self.keyed:
+    def _check(self, ask: ParsedRequest) -> None:
+        if ask.class_name not in self.deadlines:
+            raise InvalidRequestError(f"route: {ask.class_name[:40]!r} is no class of the settings")
+        if not 1 <= ask.timeout_ms <= MOST_PATIENCE_MS:
+            raise InvalidRequestError(f"patience: must be 1 to {MOST_PATIENCE_MS:.0f} ms")
+        if max(ask.estimate_ms, ask.memory_mb) > MOST_ESTIMATE:
+            raise InvalidRequestError("weight or ram: is out of range")
+        if self.customers and ask.tenant not in self.customers:
+            raise InvalidRequestError(
+                f"customer: {(ask.tenant or '')[:40]!r} is none of the settings"
+            )
+        if ask.idempotency_key is None and ask.class_name in self.keyed:
             # Danger: without its key no engine knows a repeat of it, and it would run twice.
-            raise Unusable("nonce: is missing")
-        if ask.nonce is not None and (not ask.nonce or "," in ask.nonce):
+            raise InvalidRequestError("nonce: is missing")
+        if ask.idempotency_key is not None and (
+            not ask.idempotency_key or "," in ask.idempotency_key
+        ):
             # Danger: an engine would read the rest of it as a field of its own.
-            raise Unusable("nonce: is empty or holds a comma: no engine can be told it")
-        for other in self.ids.get(ask.trace.encode(), ()):
-            if (other.route, other.statement, other.nonce) != (
-                ask.route.encode(),
+            raise InvalidRequestError("nonce: is empty or holds a comma: no engine can be told it")
+        for other in self.ids.get(ask.client_request_id.encode(), ()):
+            if (other.class_name, other.statement, other.idempotency_key) != (
+                ask.class_name.encode(),
                 ask.statement,
-                ask.nonce,
+                ask.idempotency_key,
             ):
                 # Danger: the engine takes it for the open one, and answers one of them with the
                 # other's rows.
-                raise Unusable("trace: is open with another statement or nonce")
+                raise InvalidRequestError("trace: is open with another statement or nonce")
 
-    def _take(self, client: Client, stream: int, ask: Ask, came: int = 0) -> OpenRequest:
-        trace, now = ask.trace.encode(), self.now()
+    def _take(
+        self, client: Client, stream: int, ask: ParsedRequest, came: int = 0
+    ) -> ActiveRequest:
+        trace, now = ask.client_request_id.encode(), self.now()
         # Danger: books kept for an hour, since a client says that it waits so long: its class ends
         # sooner.
-        patience = min(int(ask.patience_ms * MS), self.deadlines[ask.route])
+        patience = min(int(ask.timeout_ms * MS), self.deadlines[ask.class_name])
         patience -= min(self.margin, patience // 4)
         if came and self.terms.count_from == "first":
             patience = max(1, patience - (now - came))
         if self.arriving is not None:
             self.arriving(ask, now)
         self.count += 1
-        request = OpenRequest(
+        request = ActiveRequest(
             str(self.count),
             trace,
-            ask.route.encode(),
+            ask.class_name.encode(),
             ask.statement,
             client,
             stream,
             now + patience,
-            ask.customer or "",
+            ask.tenant or "",
             came or now,
             now,
-            nonce=ask.nonce,
+            idempotency_key=ask.idempotency_key,
         )
         self.concurrent += 1
         if not self._has_room(request):
             self.log("client", "no room for another statement: refused")
-            self._answering(request, OVERLOAD).refused(stream, HELD_PAUSE_MS)
+            self._answering(request, OVERLOAD).rejected(stream, HELD_PAUSE_MS)
             return request
         self.held += len(ask.statement)
         self.requests[request.id] = request
         self.ids.setdefault(trace, []).append(request)
-        query = Arrival(
+        query = RequestArrived(
             request.id,
-            ask.route,
+            ask.class_name,
             patience,
-            ask.customer or None,
+            ask.tenant or None,
             None,
-            int(ask.weight_ms * MS),
-            ask.ram_mb,
+            int(ask.estimate_ms * MS),
+            ask.memory_mb,
             ask.data_set,
-            ask.retry,
+            ask.is_retry,
         )
         try:
             orders = self.facade.pick(now, query)
@@ -354,56 +372,60 @@
         self._carry_out(now, orders)
         return request
 
-    def leave(self, request: OpenRequest) -> None:
+    def abandon(self, request: ActiveRequest) -> None:
         """Nobody waits for this request any more; no answer is owed."""
         if request.client is not None:
-            request.client, request.left = None, True
+            request.client, request.abandoned = None, True
             self.concurrent -= 1
             if self.story is not None:
                 self.story(request, "left")
-            self._report(Departure(request.id))
+            self._report(RequestAbandoned(request.id))
             self._end_scope(request)
             self._close_out(request)
 
-    def _answering(self, request: OpenRequest, status: int) -> Client:
+    def _answering(self, request: ActiveRequest, status: int) -> Client:
         """The client that gets its final answer now. Danger: a request that is counted anywhere
         else is counted twice, or never: every answer passes here.
         """
         client, request.client = request.client, None
         assert client is not None, "a second answer"
         self.concurrent -= 1
-        self.figures.answered(request.route.decode(), status)
+        self.metrics_counts.answered(request.class_name.decode(), status)
         if self.story is not None:
             self.story(request, STATUSES[status])
         return client
 
     # --- operators ---
 
-    def set_engine(self, uid: str, out: bool) -> bool:
+    def set_endpoint_disabled(self, uid: str, out: bool) -> bool:
         """Leave an engine out, or use it again; False if none has this uid."""
         # Danger: it restarts while it is out, so that the list may not name it when it is called
         # back.
-        if uid not in self.engines.by_uid and not self.bans.out(uid):
+        if uid not in self.endpoint_table.by_uid and not self.administrative_states.is_disabled(
+            uid
+        ):
             return False
-        if out != self.bans.out(uid):
-            self.take_word(uid, Word(self.now(), out))
+        if out != self.administrative_states.is_disabled(uid):
+            self.apply_administrative_state(uid, AdministrativeState(self.now(), out))
         if self.said is not None:
             self.said(uid, out)
         return True
 
-    def take_word(self, uid: str, word: Word) -> None:
+    def apply_administrative_state(self, uid: str, word: AdministrativeState) -> None:
         """The operators' word on an engine, said to us or to a process beside us."""
-        if not self.bans.say(uid, word):
+        if not self.administrative_states.record(uid, word):
             return
-        self.bans.forget(self.now() - BACK_FOR_GOOD)
-        number = self.engines.number(uid)
-        self._report(Ban(number, word.out, word.at))
+        self.administrative_states.forget(self.now() - BACK_FOR_GOOD)
+        number = self.endpoint_table.number(uid)
+        self._report(AdministrativeChange(number, word.disabled, word.at_ns))
         if (pool := self.pools.get(number)) is not None:
             # Danger: what still waits for a connection would leave after the yes; it has not run.
-            pool.take_back() if word.out else pool.renew()
+            pool.take_back() if word.disabled else pool.renew()
 
     def metrics(self) -> bytes:
-        text = self.figures.text(self.concurrent, len(self.engines.by_uid), self.facade.avoided())
+        text = self.metrics_counts.text(
+            self.concurrent, len(self.endpoint_table.by_uid), self.facade.avoided()
+        )
         text += b"".join(more() for more in self.more_figures)
         return text if self.stages is None else text + self.deadline_figures()
 
@@ -413,7 +435,7 @@
         assert self.stages is not None
         return text(self.tally, self.stages, self.margin, self.budget)
 
-    def beside(self, others: Beside) -> None:
+    def beside(self, others: CoProcessLoad) -> None:
         """What the other processes of this broker have out counts with ours."""
         self._report(others)
 
@@ -437,7 +459,7 @@
         if self.going or self.blocked:
             self.wheel.soon()
 
-    def _end_soon(self, attempt: Attempt, result: Result) -> None:
+    def _end_soon(self, attempt: Attempt, result: AttemptResult) -> None:
         """With the next tick."""
         self.later.append((attempt, result))
         self.wheel.soon()
@@ -446,57 +468,61 @@
         """Danger: its `undo`, or the end of its connection, and the attempt that follows go two
         ways, and nothing orders them: what leaves next may be there first.
         """
-        if not self.config.settings.limits.second_copies:
-            attempt.quiet_until = self.now() + UNDO_WAY
+        if not self.config.settings.limits.hedging:
+            attempt.report_after_ns = self.now() + UNDO_WAY
 
     def _end_later(self) -> None:
         now = self.now()
-        stay: list[tuple[Attempt, Result]] = []
+        stay: list[tuple[Attempt, AttemptResult]] = []
         while self.later:  # an end may order what ends at once
             later, self.later = self.later, []
             for attempt, result in later:
                 by = attempt.connection
-                if by is not None and attempt.request.trace in by.undo_waits:
+                if by is not None and attempt.request.client_request_id in by.cancels_in_transit:
                     self._rest(attempt)
                 # Danger: the next attempt may leave with the report, and two would be out at once.
-                held = attempt.quiet_until > now
+                held = attempt.report_after_ns > now
                 stay.append((attempt, result)) if held else self._end(attempt, result, None)
         self.later = stay
         if stay:
             self.wheel.soon()
 
-    def news(self, event: BusEvent) -> None:
-        entries = self.engines.learn(event)
+    def endpoint_list_changed(self, event: EndpointListEvent) -> None:
+        entries = self.endpoint_table.learn(event)
         for entry in entries:
-            self.pools.learn(entry.engine, self.engines.by_number[entry.engine].target)
+            self.pools.learn(entry.endpoint, self.endpoint_table.by_number[entry.endpoint].target)
         if event.full:
-            for known in self.engines.by_number.values():
+            for known in self.endpoint_table.by_number.values():
                 self.pools.learn(known.number, known.target)
-        self._report(ListNews(ListKind.FULL if event.full else ListKind.CHANGES, entries))
-        self.engines.let_go()
+        self._report(
+            EndpointListUpdate(
+                ListUpdateKind.FULL if event.full else ListUpdateKind.CHANGES, entries
+            )
+        )
+        self.endpoint_table.let_go()
 
     def close_out_all(self) -> None:
         """The process is about to end: what is open gets the answer that the rules allow."""
         self.closing = True
         self._take_back_unsent(self.requests.values())
-        self._report(Closing())
+        self._report(CloseRequests())
 
-    def give_up(self, requests: Sequence[OpenRequest]) -> None:
+    def give_up(self, requests: Sequence[ActiveRequest]) -> None:
         """The same for these alone: their client can't be read any more."""
         if requests:
             for request in requests:
-                request.given_up = True
+                request.closing = True
             self._take_back_unsent(requests)
-            self._report(Closing(frozenset(request.id for request in requests)))
+            self._report(CloseRequests(frozenset(request.id for request in requests)))
 
-    def _take_back_unsent(self, requests: Iterable[OpenRequest]) -> None:
+    def _take_back_unsent(self, requests: Iterable[ActiveRequest]) -> None:
         """Danger: what has not left would be answered as if it may have run: it is taken back
         before its answer, and goes nowhere else.
         """
         for attempt in [a for r in requests for a in r.attempts.values()]:
             connection = attempt.connection
-            if not attempt.written and (connection is None or connection.take_back(attempt)):
-                self._end(attempt, Result.NOT_SENT, None)
+            if not attempt.write_started and (connection is None or connection.withdraw(attempt)):
+                self._end(attempt, AttemptResult.NOT_SENT, None)
         self._end_later()
 
     # --- orders ---
@@ -508,20 +534,20 @@
         except Exception:
             self.log("fault", traceback.format_exc())
 
-    def _carry_out(self, now: int, orders: Orders) -> None:
+    def _carry_out(self, now: int, orders: OrderBatch) -> None:
         for options in orders.options:
             self._set_terms(options)
         for send in orders.dispatches:
             self._send(now, send)
         for answer in orders.answers:
-            request = self.requests.get(answer.request)
+            request = self.requests.get(answer.request_id)
             if request is None or request.client is None:
                 continue
-            if isinstance(answer, Refuse):
-                pause = answer.retry_after
+            if isinstance(answer, Reject):
+                pause = answer.retry_after_ns
                 if self.stay_away is not None:
                     pause = self.stay_away(pause)
-                self._answering(request, OVERLOAD).refused(request.stream, -(-pause // MS))
+                self._answering(request, OVERLOAD).rejected(request.stream, -(-pause // MS))
             else:
                 self._answering(request, ERROR).failed(request.stream, "")
             self._end_scope(request)
@@ -529,79 +555,86 @@
         for cancellation in orders.cancellations:
             self._cancel(cancellation)
         for check in orders.health_checks:
-            self._probe(now, check.engine)
+            self._probe(now, check.endpoint)
 
-    def _set_terms(self, options: Terms) -> None:
-        if (request := self.requests.get(options.request)) is None:
+    def _set_terms(self, options: DispatchOptions) -> None:
+        if (request := self.requests.get(options.request_id)) is None:
             return
-        changed = request.level is not None and request.level != options.priority
-        request.level = options.priority
-        request.reserve = math.ceil(options.memory_mb)
+        changed = request.priority is not None and request.priority != options.priority
+        request.priority = options.priority
+        request.memory_mb = math.ceil(options.memory_mb)
         for attempt in request.attempts.values() if changed else ():
             if attempt.connection is not None:
-                attempt.connection.bump(attempt, options.priority)
+                attempt.connection.raise_priority(attempt, options.priority)
 
-    def _send(self, now: int, order: Send) -> None:
-        request = self.requests.get(order.request)
+    def _send(self, now: int, order: Dispatch) -> None:
+        request = self.requests.get(order.request_id)
         if request is None:
             return
         attempt = Attempt(
-            request, order.attempt, order.engine, now, now + order.timeout, order.latest
+            request,
+            order.attempt,
+            order.endpoint,
+            now,
+            now + order.timeout_ns,
+            order.latest_start_ns,
         )
         request.attempts[attempt.number] = attempt
-        if self.closing or request.given_up or request.unheard:
-            self._end_soon(attempt, Result.NOT_SENT)
+        if self.closing or request.closing or request.client_unreadable:
+            self._end_soon(attempt, AttemptResult.NOT_SENT)
             return
         if self.budget is not None and not self._in_budget(self.budget, request, attempt):
-            self.tally.stopped[Hand.POOL, Stop.BUDGET] += 1
-            self._end_soon(attempt, Result.NOT_SENT)
+            self.tally.stopped[HandOver.POOL, StopReason.BUDGET] += 1
+            self._end_soon(attempt, AttemptResult.NOT_SENT)
             return
         attempt.timer = self.wheel.at(
-            attempt.until - LAST_LOOK * self.wheel.tick, partial(self._last_look, attempt)
+            attempt.deadline_ns - LAST_LOOK * self.wheel.tick_ns, partial(self._last_look, attempt)
         )
-        if (pool := self.pools.get(order.engine)) is not None:
+        if (pool := self.pools.get(order.endpoint)) is not None:
             pool.send(attempt, now)
         # reported with the next tick: an order's failure must not come before the order is done
         else:
-            self._end_soon(attempt, Result.CONNECT_FAILED)
+            self._end_soon(attempt, AttemptResult.CONNECT_FAILED)
 
-    def _in_budget(self, budget: Budget, request: OpenRequest, attempt: Attempt) -> bool:
+    def _in_budget(self, budget: RetryBudget, request: ActiveRequest, attempt: Attempt) -> bool:
         """A further attempt is paid for; a first one may be cut short where it can be made
         again.
         """
-        route = request.route.decode()
+        route = request.class_name.decode()
         spec = next((c for c in self.config.settings.classes if c.name == route), None)
-        safe = spec is not None and spec.effect is Effect.SAFE
-        attempt.until = attempt.sent + attempt_time(
-            attempt.until - attempt.sent, attempt.number, safe, budget.terms
+        safe = spec is not None and spec.effect is Effect.IDEMPOTENT
+        attempt.deadline_ns = attempt.dispatched_ns + attempt_time(
+            attempt.deadline_ns - attempt.dispatched_ns, attempt.number, safe, budget.terms
         )
         if attempt.number:
-            attempt.paid = budget.further(route, request.customer)
-            return attempt.paid
-        budget.first(route, request.customer)
+            attempt.budgeted = budget.further(route, request.tenant)
+            return attempt.budgeted
+        budget.first(route, request.tenant)
         return True
 
     # --- gates and scopes: what is not wanted any more goes no further ---
 
-    def _may_go(self, attempt: Attempt, hand: Hand) -> bool:
+    def _may_go(self, attempt: Attempt, hand: HandOver) -> bool:
         """The gate at a hand-over. What it stops is reported as never sent, with the next tick.
         Danger: one that was taken back while it waited, its report still to follow, would run
         beside the next one.
         """
-        if attempt.reported or attempt.ended:
+        if attempt.reported or attempt.concluded:
             return False
         now = self.now()
-        known = self.engines.by_number.get(attempt.engine)
-        drained = known is None or known.target.state is not EngineState.READY
+        known = self.endpoint_table.by_number.get(attempt.endpoint)
+        drained = known is None or known.target.state is not EndpointState.READY
         why = stop(
             now,
-            Passing(
-                attempt.request.client is not None and not attempt.request.unheard,
-                min(attempt.until, attempt.request.deadline, attempt.latest),
+            HandOverCheck(
+                attempt.request.client is not None and not attempt.request.client_unreadable,
+                min(attempt.deadline_ns, attempt.request.deadline_ns, attempt.latest_start_ns),
                 0
                 if self.stages is None
-                else self.stages.fastest(attempt.request.route.decode(), now, *AHEAD[hand]),
-                known is not None and bool(self.bans.words) and self.bans.out(known.target.uid),
+                else self.stages.fastest(attempt.request.class_name.decode(), now, *AHEAD[hand]),
+                known is not None
+                and bool(self.administrative_states.states)
+                and self.administrative_states.is_disabled(known.target.uid),
                 now if drained else 0,
             ),
         )
@@ -612,47 +645,49 @@
         return False
 
     def may_go(self, attempt: Attempt) -> bool:
-        return self._may_go(attempt, Hand.SOCKET)
+        return self._may_go(attempt, HandOver.SOCKET)
 
     def _unsent_later(self, attempt: Attempt) -> None:
         if attempt.connection is not None:
-            attempt.connection.open.pop(attempt.request.trace, None)
-        self._end_soon(attempt, Result.NOT_SENT)
+            attempt.connection.in_flight.pop(attempt.request.client_request_id, None)
+        self._end_soon(attempt, AttemptResult.NOT_SENT)
 
-    def _end_scope(self, request: OpenRequest) -> None:
+    def _end_scope(self, request: ActiveRequest) -> None:
         """Nobody waits for the request any more: nothing unsent of it leaves, what is out is undone
         where engines honour that, and no more pages are asked for.
         """
         if request.attempts:
-            for act, scope in request.scope().end(self.config.settings.limits.cancel):
+            for act, scope in request.scope().end(self.config.settings.limits.cancellation):
                 if isinstance(scope.name, Attempt):
                     self._act(act, scope.name)
 
-    def _act(self, act: Act, attempt: Attempt) -> None:
+    def _act(self, act: CancelAction, attempt: Attempt) -> None:
         connection = attempt.connection
-        if attempt.reported or attempt.ended or act is Act.LET_RUN:
+        if attempt.reported or attempt.concluded or act is CancelAction.LET_RUN:
             return
-        if act is Act.TAKE_BACK and (connection is None or connection.take_back(attempt)):
-            self.tally.stopped[Hand.POOL if connection is None else Hand.SOCKET, Stop.LEFT] += 1
-            result = Result.NOT_SENT
-        elif act is Act.UNDO and connection is not None:
+        if act is CancelAction.TAKE_BACK and (connection is None or connection.withdraw(attempt)):
+            self.tally.stopped[
+                HandOver.POOL if connection is None else HandOver.SOCKET, StopReason.LEFT
+            ] += 1
+            result = AttemptResult.NOT_SENT
+        elif act is CancelAction.UNDO and connection is not None:
             self._undo(attempt, connection)
-            result = Result.CANCELLED
-        elif act is Act.FORGET and connection is not None:
+            result = AttemptResult.CANCELLED
+        elif act is CancelAction.FORGET and connection is not None:
             connection.forget(attempt)  # it has run; only its pages are left
-            result = Result.SERVED
+            result = AttemptResult.SERVED
         else:
             return
-        attempt.ended = True
+        attempt.concluded = True
         self._end_soon(attempt, result)
 
-    def _undo(self, attempt: Attempt, connection: Carrier) -> None:
-        connection.undo(attempt)
+    def _undo(self, attempt: Attempt, connection: AttemptConnection) -> None:
+        connection.cancel(attempt)
         self._rest(attempt)
         self.tally.undone += 1
 
-    def undone(self, outcome: Outcome, count: int) -> None:
-        if outcome is Outcome.WENT_ON:
+    def undone(self, outcome: CancelOutcome, count: int) -> None:
+        if outcome is CancelOutcome.WENT_ON:
             self.tally.went_on += count
         else:
             self.tally.cancelled += count
@@ -661,13 +696,13 @@
         self.blocked[connection] = None
         self.wheel.soon()
 
-    def _cancel(self, order: Cancel) -> None:
-        request = self.requests.get(order.request)
+    def _cancel(self, order: CancelAttempt) -> None:
+        request = self.requests.get(order.request_id)
         attempt = request.attempts.get(order.attempt) if request is not None else None
         # Danger: sites forbid it; an `undo` there is a broken rule.
-        if attempt is None or not self.config.settings.limits.cancel:
+        if attempt is None or not self.config.settings.limits.cancellation:
             return
-        for act, _ in attempt.scope(Scope(Kind.REQUEST, request)).end(True):
+        for act, _ in attempt.scope(CancelScope(ScopeKind.REQUEST, request)).end(True):
             self._act(act, attempt)
 
     def _probe(self, now: int, engine: int) -> None:
@@ -683,46 +718,52 @@
     def _probe_out_of_time(self, engine: int, tag: bytes) -> None:
         if (pool := self.pools.get(engine)) is not None:
             pool.forget_probe(tag)
-        self.probed(tag, Result.TIMEOUT, "")
+        self.probed(tag, AttemptResult.TIMEOUT, "")
 
     def _last_look(self, attempt: Attempt) -> None:
         """Danger: the decisions answer a tick before the time is up. What has not left by then
         would be answered as if it had: it is taken back while there is time to say so.
         """
-        if attempt.written:
-            attempt.timer = self.wheel.at(attempt.until, partial(self._out_of_time, attempt))
+        if attempt.write_started:
+            attempt.timer = self.wheel.at(attempt.deadline_ns, partial(self._out_of_time, attempt))
             return
         if attempt.connection is not None:
-            attempt.connection.take_back(attempt)
-        self._end(attempt, Result.CONNECT_FAILED, None)
+            attempt.connection.withdraw(attempt)
+        self._end(attempt, AttemptResult.CONNECT_FAILED, None)
 
     def _out_of_time(self, attempt: Attempt) -> None:
         connection = attempt.connection
-        if attempt.ended:
+        if attempt.concluded:
             return  # its report follows
-        if connection is not None and not attempt.reported and self.config.settings.limits.cancel:
+        if (
+            connection is not None
+            and not attempt.reported
+            and self.config.settings.limits.cancellation
+        ):
             self._undo(attempt, connection)  # what nobody waits for any more
-            attempt.ended = True
-            self._end_soon(attempt, Result.TIMEOUT)
+            attempt.concluded = True
+            self._end_soon(attempt, AttemptResult.TIMEOUT)
         else:
-            self._end(attempt, Result.TIMEOUT, None)
+            self._end(attempt, AttemptResult.TIMEOUT, None)
 
-    def _unsent(self, attempt: Attempt, result: Result) -> None:
+    def _unsent(self, attempt: Attempt, result: AttemptResult) -> None:
         self._end(attempt, result, None)
 
     # --- what connections to engines tell ---
 
     def written_at_once(self) -> None:
-        self.figures.dispatches += 1
+        self.metrics_counts.dispatches += 1
 
     def written(self, attempt: Attempt) -> None:
-        self.figures.dispatches += 1
-        attempt.gone = self.now()
+        self.metrics_counts.dispatches += 1
+        attempt.written_ns = self.now()
         if not attempt.wanted():  # it was half gone when this came: the rest had to follow
-            self.tally.begun_after[Stop.LEFT if attempt.request.left else Stop.PAST] += 1
+            self.tally.begun_after[
+                StopReason.LEFT if attempt.request.abandoned else StopReason.PAST
+            ] += 1
 
     def twice(self, connection: EngineConnection, trace: bytes) -> bool:
-        pool = self.pools.get(connection.engine)
+        pool = self.pools.get(connection.endpoint)
         return pool is not None and any(
             trace in c.carried for c in pool.connections if c is not connection
         )
@@ -737,16 +778,23 @@
             if self.stages is not None:
                 self._time(self.stages, attempt, client)
         attempt.pages = []
-        self._end(attempt, Result.SERVED, self._load(meter))
+        self._end(attempt, AttemptResult.SERVED, self._load(meter))
         self._end_scope(request)
 
-    def _time(self, stages: Stages, attempt: Attempt, client: Client) -> None:
+    def _time(self, stages: StageLatencies, attempt: Attempt, client: Client) -> None:
         """How long each stage of a served request took; that of its answer is known once it has
         left.
         """
         request, now = attempt.request, self.now()
-        route = request.route.decode()
-        marks = (request.came, request.taken, attempt.sent, attempt.put, attempt.gone, now)
+        route = request.class_name.decode()
+        marks = (
+            request.received_ns,
+            request.accepted_ns,
+            attempt.dispatched_ns,
+            attempt.assigned_ns,
+            attempt.written_ns,
+            now,
+        )
         for stage, begun, ended in zip(Stage, marks, marks[1:], strict=False):
             stages.add(route, stage, ended - begun, now)
         self.going.append((client, route, now))
@@ -764,30 +812,30 @@
             elif self.stages is not None:
                 self.stages.add(route, Stage.ANSWER, now - since, now)
 
-    def noted(self, attempt: Attempt, kind: NoteKind, amount: float) -> None:
+    def noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """It is not over yet. Danger: a flood of notes would be a flood of work: one of a kind at a
         time.
         """
         now = self.now()
-        if now - attempt.notes.get(kind, -NOTE_GAP) >= NOTE_GAP:
-            attempt.notes[kind] = now
+        if now - attempt.progress_ns.get(kind, -NOTE_GAP) >= NOTE_GAP:
+            attempt.progress_ns[kind] = now
             self._report(
-                AttemptNote(attempt.request.id, attempt.number, attempt.engine, kind, amount)
+                AttemptProgress(attempt.request.id, attempt.number, attempt.endpoint, kind, amount)
             )
 
-    def ended(self, attempt: Attempt, result: Result, meter: str) -> None:
+    def ended(self, attempt: Attempt, result: AttemptResult, meter: str) -> None:
         self._end(attempt, result, self._load(meter))
 
     def late(self, attempt: Attempt, meter: str) -> None:
         """An answer that nobody waits for: dropped, but its load report is as good as any."""
         self.tally.late += 1
         if (load := self._load(meter)) is not None:
-            self._report(ProbeResult(attempt.engine, Result.SERVED, 0, load))
+            self._report(HealthCheckResult(attempt.endpoint, AttemptResult.SERVED, 0, load))
 
-    def probed(self, tag: bytes, result: Result, meter: str) -> None:
+    def probed(self, tag: bytes, result: AttemptResult, meter: str) -> None:
         engine, sent = self.probing.pop(tag, (None, 0))
         if engine is not None:
-            self._report(ProbeResult(engine, result, self.now() - sent, self._load(meter)))
+            self._report(HealthCheckResult(engine, result, self.now() - sent, self._load(meter)))
             for heard in self.witness:
                 heard(engine, result)
 
@@ -797,20 +845,24 @@
         as reset.
         """
         self.pools.lost(connection)
-        attempts, connection.open = list(connection.open.values()), {}
+        attempts, connection.in_flight = list(connection.in_flight.values()), {}
         if attempts:
             self.log("engine", f"connection with {len(attempts)} open attempts ended: {why}")
         for attempt in attempts:
             # Of what had not left, nothing ran, whatever became of the rest. Danger: an end that is
             # ours has not reached the engine yet; what follows it may not be there first.
-            if spoilt and attempt.written and not attempt.reported:
-                attempt.ended = True
+            if spoilt and attempt.write_started and not attempt.reported:
+                attempt.concluded = True
                 self._rest(attempt)
-                self._end_soon(attempt, Result.CANCELLED)
+                self._end_soon(attempt, AttemptResult.CANCELLED)
             else:
-                self._end(attempt, Result.RESET if attempt.written else Result.NOT_SENT, None)
+                self._end(
+                    attempt,
+                    AttemptResult.RESET if attempt.write_started else AttemptResult.NOT_SENT,
+                    None,
+                )
         for tag in connection.probes:
-            self.probed(tag, Result.RESET, "")
+            self.probed(tag, AttemptResult.RESET, "")
 
     def _load(self, meter: str) -> LoadReport | None:
         try:
@@ -821,7 +873,7 @@
         known = {METER[name]: value for name, value in values.items() if name in METER}
         return LoadReport(**known) if known else None
 
-    def _end(self, attempt: Attempt, result: Result, load: LoadReport | None) -> None:
+    def _end(self, attempt: Attempt, result: AttemptResult, load: LoadReport | None) -> None:
         if attempt.reported:
             return
         attempt.reported = True
@@ -829,16 +881,16 @@
             attempt.timer.cancel()
         request = attempt.request
         request.attempts.pop(attempt.number, None)
-        if attempt.paid and self.budget is not None and not attempt.written:
-            self.budget.back(request.route.decode(), request.customer)
+        if attempt.budgeted and self.budget is not None and not attempt.write_started:
+            self.budget.back(request.class_name.decode(), request.tenant)
         if self.outcome is not None:
-            self.outcome(attempt.engine, result)
-        latency = (attempt.answered or self.now()) - attempt.sent
+            self.outcome(attempt.endpoint, result)
+        latency = (attempt.answered_ns or self.now()) - attempt.dispatched_ns
         self._report(
-            AttemptOutcome(
+            AttemptEnded(
                 request.id,
                 attempt.number,
-                attempt.engine,
+                attempt.endpoint,
                 result,
                 latency,
                 request.client is None,
@@ -847,11 +899,11 @@
         )
         self._close_out(request)
 
-    def _close_out(self, request: OpenRequest) -> None:
+    def _close_out(self, request: ActiveRequest) -> None:
         gone = request.client is None and not request.attempts
         if gone and self.requests.pop(request.id, None) is not None:
             self.held -= len(request.statement)
-            self.ids[request.trace].remove(request)
-            if not self.ids[request.trace]:
-                del self.ids[request.trace]
+            self.ids[request.client_request_id].remove(request)
+            if not self.ids[request.client_request_id]:
+                del self.ids[request.client_request_id]
             self.facade.forget(request.id)
--- a/query_broker/emulator/decision_simulation.py
+++ b/query_broker/emulator/decision_simulation.py
@@ -11,23 +11,23 @@
 from functools import partial
 
 from ..decisions.facade import (
-    Arrival,
-    AttemptOutcome,
-    EngineEntry,
-    EngineState,
+    AttemptEnded,
+    AttemptResult,
+    Dispatch,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointState,
     Event,
     Facade,
-    ListKind,
-    ListNews,
+    HealthCheckResult,
+    ListUpdateKind,
     LoadReport,
-    Orders,
-    ProbeResult,
-    Refuse,
-    Result,
-    Send,
+    OrderBatch,
+    Reject,
+    RequestArrived,
     Settings,
 )
-from ..timer_wheel import Wheel
+from ..timer_wheel import TimerWheel
 from .machine import Machine, Run
 
 MS = 1_000_000
@@ -63,7 +63,7 @@
 
     def __init__(self, sim: Simulation, number: int, machine: Machine) -> None:
         self.sim, self.number, self.machine = sim, number, machine
-        self.askers: dict[bytes, Callable[[Result], None]] = {}
+        self.askers: dict[bytes, Callable[[AttemptResult], None]] = {}
         self.turn, self.most, self.probes = 0, 0.0, list[int]()
 
     def load(self) -> LoadReport:
@@ -74,14 +74,14 @@
         )
 
     def take(
-        self, id: bytes, cls: str, work: float, threads: int, done: Callable[[Result], None]
+        self, id: bytes, cls: str, work: float, threads: int, done: Callable[[AttemptResult], None]
     ) -> None:
         now = self.sim.now
         self._end(self.machine.pass_time(now))
         if self.machine.fallen:
             return  # it says nothing any more
         if not self.machine.arrive(now, id, cls.encode(), id, work, threads):
-            self.sim.at(now + WAY, lambda: done(Result.FULL))
+            self.sim.at(now + WAY, lambda: done(AttemptResult.FULL))
             return
         self.askers[id] = done
         self.most = max(self.most, sum(r.left for r in self.machine.running.values()))
@@ -91,7 +91,7 @@
         for run in runs:
             done = self.askers.pop(run.id, None)
             if done is not None and not self.machine.fallen:
-                self.sim.at(self.sim.now + WAY, partial(done, Result.SERVED))
+                self.sim.at(self.sim.now + WAY, partial(done, AttemptResult.SERVED))
 
     def _look(self) -> None:
         self.turn += 1
@@ -114,13 +114,15 @@
         self, sim: Simulation, settings: Settings, seed: int, engines: dict[int, SimEngine]
     ) -> None:
         self.sim, self.settings, self.engines = sim, settings, engines
-        self.wheel = Wheel(settings.tick, sim.now)
+        self.wheel = TimerWheel(settings.tick_ns, sim.now)
         self.facade = Facade(settings, seed, sim.now, self.wheel)
         self.asked: dict[str, tuple[int, str, int, bool]] = {}
         self.work: dict[str, tuple[float, int]] = {}
         self.pauses: list[tuple[int, int]] = []
         self.up = True
-        self.outcome: Callable[[int, Result], None] | None = None  # hears what becomes of attempts
+        self.outcome: Callable[[int, AttemptResult], None] | None = (
+            None  # hears what becomes of attempts
+        )
         self._tick()
 
     def _tick(self) -> None:
@@ -129,17 +131,19 @@
         self.wheel.advance(self.sim.now)
         while self.facade.due:
             self._carry_out(self.facade.tick(self.sim.now))
-        self.sim.at(self.sim.now + self.settings.tick, self._tick)
+        self.sim.at(self.sim.now + self.settings.tick_ns, self._tick)
 
     def kill(self) -> None:
         self.up = False
 
     def list_told(self) -> None:
         self.report(
-            ListNews(
-                ListKind.FULL,
+            EndpointListUpdate(
+                ListUpdateKind.FULL,
                 tuple(
-                    EngineEntry(e.number, EngineState.READY, "a", "std", started=e.machine.started)
+                    EndpointEntry(
+                        e.number, EndpointState.READY, "a", "std", started_ns=e.machine.started
+                    )
                     for e in self.engines.values()
                 ),
             )
@@ -156,7 +160,8 @@
         self.work[id] = (work, threads)
         self._carry_out(
             self.facade.pick(
-                self.sim.now, Arrival(id, cls, patience, None, None, int(work), 10.0, 0, False)
+                self.sim.now,
+                RequestArrived(id, cls, patience, None, None, int(work), 10.0, 0, False),
             )
         )
 
@@ -170,43 +175,45 @@
                 load = target.load()
                 self.sim.at(
                     self.sim.now + WAY,
-                    lambda: self.report(ProbeResult(engine, Result.SERVED, 2 * WAY, load)),
+                    lambda: self.report(
+                        HealthCheckResult(engine, AttemptResult.SERVED, 2 * WAY, load)
+                    ),
                 )
 
         self.sim.at(self.sim.now + WAY, answer)
 
-    def _carry_out(self, orders: Orders) -> None:
+    def _carry_out(self, orders: OrderBatch) -> None:
         for send in orders.dispatches:
             self._send(send)
         for answer in orders.answers:
-            came, cls, answered, served = self.asked[answer.request]
-            self.asked[answer.request] = (came, cls, answered or self.sim.now, served)
-            if isinstance(answer, Refuse):
-                self.pauses.append((self.sim.now, answer.retry_after))
+            came, cls, answered, served = self.asked[answer.request_id]
+            self.asked[answer.request_id] = (came, cls, answered or self.sim.now, served)
+            if isinstance(answer, Reject):
+                self.pauses.append((self.sim.now, answer.retry_after_ns))
         for check in orders.health_checks:
-            self.probe(check.engine)
+            self.probe(check.endpoint)
 
-    def _send(self, send: Send) -> None:
-        sent, engine = self.sim.now, self.engines[send.engine]
-        work, threads = self.work[send.request]
-        ended: list[Result] = []
+    def _send(self, send: Dispatch) -> None:
+        sent, engine = self.sim.now, self.engines[send.endpoint]
+        work, threads = self.work[send.request_id]
+        ended: list[AttemptResult] = []
 
-        def done(result: Result) -> None:
+        def done(result: AttemptResult) -> None:
             if ended:
                 return
             ended.append(result)
-            served = result is Result.SERVED
+            served = result is AttemptResult.SERVED
             if served:
-                came, cls, answered, _ = self.asked[send.request]
-                self.asked[send.request] = (came, cls, answered or self.sim.now, not answered)
+                came, cls, answered, _ = self.asked[send.request_id]
+                self.asked[send.request_id] = (came, cls, answered or self.sim.now, not answered)
             if self.outcome is not None:
-                self.outcome(send.engine, result)
-            load = engine.load() if result in (Result.SERVED, Result.FULL) else None
+                self.outcome(send.endpoint, result)
+            load = engine.load() if result in (AttemptResult.SERVED, AttemptResult.FULL) else None
             self.report(
-                AttemptOutcome(
-                    send.request,
+                AttemptEnded(
+                    send.request_id,
                     send.attempt,
-                    send.engine,
+                    send.endpoint,
                     result,
                     self.sim.now - sent,
                     served,
@@ -214,7 +221,7 @@
                 )
             )
 
-        id = f"{self.settings.me}/{send.request}/{send.attempt}".encode()
-        cls = self.asked[send.request][1]
+        id = f"{self.settings.broker_index}/{send.request_id}/{send.attempt}".encode()
+        cls = self.asked[send.request_id][1]
         self.sim.at(sent + WAY, lambda: engine.take(id, cls, work, threads, done))
-        self.sim.at(sent + send.timeout, lambda: done(Result.TIMEOUT))
+        self.sim.at(sent + send.timeout_ns, lambda: done(AttemptResult.TIMEOUT))
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -14,10 +14,10 @@
 import uvloop
 
 from ..cells.model import Cell, CellMap, Tenant
-from ..cells.node import CelledNode
+from ..cells.node import CellNode
 from ..cells.planner import table
 from ..config.reading import parse
-from ..operator_config.script import Evaluated
+from ..operator_config.script import OperatorConfig
 from ..protocols import client_frames as frames
 from .clients import Asked, Book, quantile
 from .cluster import World, config, patiently, tenants
@@ -56,8 +56,11 @@
         )
         path.write_text(json.dumps(raw))
         told = parse(raw, {})
-        node = CelledNode(
-            replace(told, port=0), Evaluated(CELLS), str(path), {**os.environ, "TMPDIR": folder}
+        node = CellNode(
+            replace(told, port=0),
+            OperatorConfig(CELLS),
+            str(path),
+            {**os.environ, "TMPDIR": folder},
         )
         running = asyncio.create_task(node.run())
         while node.server is None and not running.done():
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..deadlines.handover_checks import Hand
-from ..decisions.facade import EngineState, Result
-from ..discovery.event_codec import Target
+from ..deadlines.handover_checks import HandOver
+from ..decisions.facade import AttemptResult, EndpointState
+from ..discovery.event_codec import ListedEndpoint
 from ..dispatch.requests import Attempt
 from ..protocols.engine_connection import EngineConnection, Owner
 
@@ -23,12 +23,12 @@
 AFTER = 30_000_000_000  # ns after an attempt's time is up, its answer is not expected any more
 
 
-class EnginePool:
+class ConnectionPool:
     """The connections to one engine. ``waiting`` holds the attempts that wait for one to come up;
     none of them has left for the engine.
     """
 
-    def __init__(self, pools: Pools, number: int, target: Target) -> None:
+    def __init__(self, pools: ConnectionPools, number: int, target: ListedEndpoint) -> None:
         self.pools, self.number, self.target = pools, number, target
         self.connections: list[EngineConnection] = []
         self.waiting: list[Attempt] = []
@@ -41,7 +41,7 @@
         up.
         """
         live = [c for c in self.connections if not c.retired]
-        owed = [a.sent for c in live for a in c.open.values()]
+        owed = [a.dispatched_ns for c in live for a in c.in_flight.values()]
         if owed and now - max(min(owed), *(c.heard for c in live)) > SILENT:
             return []
         return live
@@ -56,14 +56,14 @@
         request = attempt.request
         best, least, stuck, full = None, self.pools.streams, None, False
         for c in self._usable(now):  # on every request's path: one pass, nothing built
-            open = len(c.open) + len(c.undone) if c.undone else len(c.open)
-            if open >= self.pools.streams or request.trace in c.carried:
+            open = len(c.in_flight) + len(c.cancelled) if c.cancelled else len(c.in_flight)
+            if open >= self.pools.streams or request.client_request_id in c.carried:
                 continue
             if c.jammed:
                 # Backpressure: a connection whose socket takes no more gets nothing while there is
                 # another.
-                full = full or c.outbox.full()
-                stuck = stuck if c.outbox.full() else c
+                full = full or c.write_queue.full()
+                stuck = stuck if c.write_queue.full() else c
             elif open < least:
                 best, least = c, open
                 if not open:
@@ -79,13 +79,13 @@
             and not (len(self.connections) < self.pools.share(self) and self.pools.room(self))
         ):
             # nothing more fits before this engine's sockets
-            self.pools.unsent(attempt, Result.NOT_SENT)
+            self.pools.unsent(attempt, AttemptResult.NOT_SENT)
             return
         if best is None and not dial:
-            self.pools.unsent(attempt, Result.NOT_SENT)
+            self.pools.unsent(attempt, AttemptResult.NOT_SENT)
         elif best is None or (
             dial
-            and best.open
+            and best.in_flight
             and self.pools.own
             and len(self.connections) < self.pools.share(self)
             and self.pools.room(self)
@@ -98,7 +98,7 @@
     def probe(self, tag: bytes, now: int) -> None:
         usable = self._usable(now)
         if usable:
-            min(usable, key=lambda c: len(c.open)).probe(tag)
+            min(usable, key=lambda c: len(c.in_flight)).probe(tag)
         else:
             self.probes_waiting.append(tag)
             self._open()
@@ -113,7 +113,7 @@
             self.probes_waiting.remove(tag)
 
     def _put(self, connection: EngineConnection, attempt: Attempt, now: int) -> None:
-        attempt.connection, attempt.put = connection, now
+        attempt.connection, attempt.assigned_ns = connection, now
         connection.carry(attempt)
         connection.do(attempt, now)
 
@@ -122,7 +122,7 @@
             self.opening = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
-        why, result = "", Result.CONNECT_FAILED
+        why, result = "", AttemptResult.CONNECT_FAILED
         connection: EngineConnection | None = None
         if self.pools.turn is not None:
             await asyncio.sleep(self.pools.turn(self.number) / 1e9)
@@ -131,7 +131,7 @@
             if not self.pools.make_room(self):
                 # Danger: that is no fault of the engine's; taken for one, it excludes the busiest
                 # of them.
-                result = Result.NOT_SENT
+                result = AttemptResult.NOT_SENT
                 raise OSError(errno.EMFILE, "no descriptor is left for engines")
             loop = asyncio.get_running_loop()
             async with asyncio.timeout(self.pools.connect_timeout / 1e9):
@@ -160,7 +160,7 @@
             for tag in probes:
                 connection.probe(tag)
             for attempt in waiting:
-                if self.pools.may_go(attempt, Hand.CONNECTION):
+                if self.pools.may_go(attempt, HandOver.CONNECTION):
                     self.send(attempt, now)
             return
         self.pools.log(
@@ -172,23 +172,23 @@
             for tag in probes:
                 self.probe(tag, now)
             for attempt in waiting:
-                if self.pools.may_go(attempt, Hand.CONNECTION):
+                if self.pools.may_go(attempt, HandOver.CONNECTION):
                     self.send(attempt, now, dial=False)
             return
-        for connection in self.connections if result is Result.CONNECT_FAILED else ():
-            if connection.open and now - connection.heard > SILENT:
+        for connection in self.connections if result is AttemptResult.CONNECT_FAILED else ():
+            if connection.in_flight and now - connection.heard > SILENT:
                 connection.retired = True
         for tag in probes:
             self.pools.owner.probed(tag, result, "")
         for attempt in waiting:  # nothing has left for the engine: it never ran
             self.pools.unsent(attempt, result)
 
-    def moved(self, target: Target) -> None:
+    def moved(self, target: ListedEndpoint) -> None:
         """News of the engine: at a new address, or in a new life, old connections take nothing
         more.
         """
         before, self.target = self.target, target
-        if not self._still_at((before.host, before.port)) or target.started > before.started:
+        if not self._still_at((before.host, before.port)) or target.started_ns > before.started_ns:
             for connection in self.connections:
                 connection.retired = True
 
@@ -196,7 +196,7 @@
         """What waits for a connection has not left for the engine: it never ran."""
         waiting, self.waiting = self.waiting, []
         for attempt in waiting:
-            self.pools.unsent(attempt, Result.NOT_SENT)
+            self.pools.unsent(attempt, AttemptResult.NOT_SENT)
 
     def renew(self) -> None:
         """Danger: the engine has restarted meanwhile, perhaps with nothing said on the old
@@ -209,7 +209,7 @@
         return (
             self.target.host,
             self.target.port,
-        ) == address and self.target.state is not EngineState.GONE
+        ) == address and self.target.state is not EndpointState.REMOVED
 
     def sweep(self, now: int) -> None:
         for connection in list(self.connections):
@@ -218,20 +218,22 @@
                 connection.retired or now - max(connection.used, connection.heard) > self.pools.idle
             ):
                 connection.close()
-            elif any(now > a.until + AFTER for a in connection.open.values()):
+            elif any(now > a.deadline_ns + AFTER for a in connection.in_flight.values()):
                 # Danger: an answer that never comes would hold its stream for good. Once nothing
                 # that is still expected is out on it, the connection ends: before, that would give
                 # it up.
                 connection.retired = True
-                if all(now > a.until + AFTER for a in connection.open.values()):
+                if all(now > a.deadline_ns + AFTER for a in connection.in_flight.values()):
                     connection.close()
-            elif self.target.state is EngineState.GONE and now - connection.heard > GONE_SILENT:
+            elif (
+                self.target.state is EndpointState.REMOVED and now - connection.heard > GONE_SILENT
+            ):
                 # Danger: a machine that vanished resets nothing: what is open there would be held
                 # until its time is up, although no answer can come any more. It may have run.
                 connection.close()
 
 
-class Pools:
+class ConnectionPools:
     """All pools, and the count of descriptors that they may hold together."""
 
     def __init__(
@@ -242,8 +244,8 @@
         streams: int,
         connect_timeout: int,
         conn_idle: int,
-        unsent: Callable[[Attempt, Result], None],
-        may_go: Callable[[Attempt, Hand], bool],
+        unsent: Callable[[Attempt, AttemptResult], None],
+        may_go: Callable[[Attempt, HandOver], bool],
     ) -> None:
         self.owner, self.log, self.unsent, self.may_go = owner, log, unsent, may_go
         self.most = 0
@@ -251,7 +253,7 @@
         # ns that a new connection to this engine has to wait
         self.turn: Callable[[int], int] | None = None
         self.retune(streams, connect_timeout, conn_idle)
-        self.by_number: dict[int, EnginePool] = {}
+        self.by_number: dict[int, ConnectionPool] = {}
 
     def retune(self, streams: int, connect_timeout: int, conn_idle: int) -> None:
         self.streams, self.connect_timeout = streams, connect_timeout
@@ -266,18 +268,18 @@
         for connection in self._idle()[: max(0, self._held() - most)]:
             connection.close()
 
-    def get(self, number: int) -> EnginePool | None:
+    def get(self, number: int) -> ConnectionPool | None:
         return self.by_number.get(number)
 
-    def learn(self, number: int, target: Target) -> None:
+    def learn(self, number: int, target: ListedEndpoint) -> None:
         if (pool := self.by_number.get(number)) is not None:
             pool.moved(target)
         else:
-            self.by_number[number] = EnginePool(self, number, target)
+            self.by_number[number] = ConnectionPool(self, number, target)
 
-    def share(self, pool: EnginePool) -> int:
+    def share(self, pool: ConnectionPool) -> int:
         """Of the connections, for each engine."""
-        live = sum(p.target.state is not EngineState.GONE for p in self.by_number.values())
+        live = sum(p.target.state is not EndpointState.REMOVED for p in self.by_number.values())
         return max(1, int(self.most * OWN_PART) // max(1, live))
 
     def _held(self) -> int:
@@ -286,11 +288,11 @@
             for p in self.by_number.values()
         )
 
-    def room(self, pool: EnginePool) -> bool:
+    def room(self, pool: ConnectionPool) -> bool:
         """For one more that is an attempt's own."""
         return self._held() < self.most * OWN_PART
 
-    def make_room(self, pool: EnginePool) -> bool:
+    def make_room(self, pool: ConnectionPool) -> bool:
         """Danger: descriptors run out and clients can't come in: engines take no more than their
         part.
         """
@@ -309,7 +311,7 @@
         ]
 
     def lost(self, connection: EngineConnection) -> None:
-        pool = self.by_number.get(connection.engine)
+        pool = self.by_number.get(connection.endpoint)
         if pool is not None and connection in pool.connections:
             pool.connections.remove(connection)
 
@@ -317,7 +319,7 @@
         for number, pool in list(self.by_number.items()):
             pool.sweep(now)
             if (
-                pool.target.state is EngineState.GONE
+                pool.target.state is EndpointState.REMOVED
                 and not pool.connections
                 and pool.opening is None
             ):
