--- a/query_broker/endpoints/endpoint_table.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -5,25 +5,25 @@
 import hashlib
 from dataclasses import dataclass
 
-from ..decisions.facade import EngineEntry, EngineState
-from ..discovery.event_codec import BusEvent, Target
+from ..decisions.facade import EndpointEntry, EndpointState
+from ..discovery.event_codec import EndpointListEvent, ListedEndpoint
 
 
 @dataclass(slots=True)
-class KnownEngine:
+class KnownEndpoint:
     number: int
-    target: Target
+    target: ListedEndpoint
 
 
-class EngineTable:
+class EndpointTable:
     """Danger: a new engine may take the address of one that has gone: engines are known by uid
     alone. The number is a hash of the uid, so that all brokers rank engines alike with nothing sent
     between them.
     """
 
     def __init__(self) -> None:
-        self.by_uid: dict[str, KnownEngine] = {}
-        self.by_number: dict[int, KnownEngine] = {}
+        self.by_uid: dict[str, KnownEndpoint] = {}
+        self.by_number: dict[int, KnownEndpoint] = {}
 
     def number(self, uid: str) -> int:
         if (known := self.by_uid.get(uid)) is not None:
@@ -34,18 +34,20 @@
             number = (number + 1) % (1 << 32)
         return number
 
-    def learn(self, event: BusEvent) -> tuple[EngineEntry, ...]:
+    def learn(self, event: EndpointListEvent) -> tuple[EndpointEntry, ...]:
         """Take the news in; returns it with the module's numbers. A uid keeps its number."""
         targets = list(event.targets)
         if not event.full:
             # A listener at this address is another engine now, so the one that had it has gone.
-            taken = {(t.host, t.port): t.uid for t in targets if t.state is not EngineState.GONE}
+            taken = {
+                (t.host, t.port): t.uid for t in targets if t.state is not EndpointState.REMOVED
+            }
             told = {t.uid for t in targets}
             targets[:0] = [
                 _gone(k.target)
                 for k in self.by_uid.values()
                 if k.target.uid not in told
-                and k.target.state is not EngineState.GONE
+                and k.target.state is not EndpointState.REMOVED
                 and taken.get((k.target.host, k.target.port), k.target.uid) != k.target.uid
             ]
         else:
@@ -55,17 +57,17 @@
                     known.target = _gone(known.target)
         entries = []
         for target in targets:
-            known = KnownEngine(self.number(target.uid), target)
+            known = KnownEndpoint(self.number(target.uid), target)
             self.by_uid[target.uid] = self.by_number[known.number] = known
             entries.append(
-                EngineEntry(
+                EndpointEntry(
                     known.number,
                     target.state,
                     target.zone,
                     target.kind,
                     target.cell,
                     target.weight,
-                    target.started,
+                    target.started_ns,
                 )
             )
         return tuple(entries)
@@ -76,19 +78,19 @@
         again.
         """
         for uid, known in list(self.by_uid.items()):
-            if known.target.state is EngineState.GONE:
+            if known.target.state is EndpointState.REMOVED:
                 del self.by_uid[uid], self.by_number[known.number]
 
 
-def _gone(target: Target) -> Target:
-    return Target(
+def _gone(target: ListedEndpoint) -> ListedEndpoint:
+    return ListedEndpoint(
         target.uid,
         target.host,
         target.port,
         target.zone,
         target.kind,
         target.cell,
-        EngineState.GONE,
+        EndpointState.REMOVED,
         target.weight,
-        target.started,
+        target.started_ns,
     )
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from ..config.reading import ConfigError
-from ..decisions.facade import EngineState, Settings
+from ..decisions.facade import EndpointState, Settings
 from ..server.host import Host
 from .codec import MOST_FRAME, BadKeys, Codec, KeyRing, Refused, read_keys
 from .failure_detector import Detector
@@ -76,7 +76,7 @@
     def __init__(self, node: Host, terms: MembersTerms, changed: Callable[[View], None]) -> None:
         self.node, self.terms, self.told = node, terms, changed
         settings = node.config.settings
-        if not settings.limits.peers:
+        if not settings.limits.peer_messages:
             raise ConfigError("members: settings.policy_limits.peer_messages does not allow talk")
         try:
             self.codec = Codec(terms.installation, self._read_keys())
@@ -96,11 +96,17 @@
         shown = terms.advertise or f"{host}:{self.tcp.getsockname()[1]}"
         now = node.clock.now()
         self.detector = Detector(
-            shown, terms, Chain(), random.Random(os.urandom(16)), now, settings.me, settings.zone
+            shown,
+            terms,
+            Chain(),
+            random.Random(os.urandom(16)),
+            now,
+            settings.broker_index,
+            settings.zone,
         )
         self.views = Views(
             settings.fleet_size,
-            settings.me,
+            settings.broker_index,
             terms.part,
             terms.settle,
             terms.interval,
@@ -154,7 +160,7 @@
             self.node.log("members", f"the keys stay as they were: {self.terms.key_file}: {error}")
         self._read_seeds()
         settings = self.node.config.settings
-        self.views.configure(settings.fleet_size, settings.me)
+        self.views.configure(settings.fleet_size, settings.broker_index)
 
     # --- sockets ---
 
@@ -320,7 +326,7 @@
             return
         now = self.node.clock.now()
         late, self.due = max(0, now - self.due), now + self.terms.interval // PARTS
-        self.node.broker.wheel.at(self.due, self._look)
+        self.node.dispatcher.wheel.at(self.due, self._look)
         try:
             self.detector.tick(now, late)
             self._flush(now)
@@ -331,11 +337,11 @@
 
     def _look_at_view(self, now: int) -> None:
         self.looked = now
-        detector, cold = self.detector, self.node.config.settings.contract.cold
+        detector, cold = self.detector, self.node.config.settings.contract.warmup_ns
         there = [(p.place, p.id) for p in detector.table.values() if p.there()]
         if not detector.left:
             there.append((detector.place, detector.me))
-        engines = self.node.broker.engines.by_number.values()
+        engines = self.node.dispatcher.endpoint_table.by_number.values()
         unsettled = any(
             detector.deadline(id) - now < self.terms.interval for id in detector.suspicions
         )
@@ -347,7 +353,7 @@
             detector.left or detector.health.isolated(len(there) - 1),
             detector.joined,
             any(
-                k.target.state is EngineState.READY and k.target.started + cold > now
+                k.target.state is EndpointState.READY and k.target.started_ns + cold > now
                 for k in engines
             ),
             unsettled,
@@ -369,7 +375,7 @@
     def adjust(self, settings: Settings) -> Settings:
         """The size and the place that the module goes by."""
         view = self.views.view
-        return replace(settings, fleet_size=view.told, me=view.place)
+        return replace(settings, fleet_size=view.told, broker_index=view.place)
 
     def _changed(self, view: View, came: tuple[Identity, ...], went: tuple[Identity, ...]) -> None:
         def named(word: str, ids: tuple[Identity, ...]) -> str:
--- a/query_broker/metrics.py
+++ b/query_broker/metrics.py
@@ -18,7 +18,7 @@
 }
 
 
-class Figures:
+class Metrics:
     def __init__(self, classes: Iterable[str]) -> None:
         self.replies: dict[str, list[int]] = {}
         self.dispatches = self.reloads_taken = self.reloads_turned_down = 0
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 from ..cells.model import KEY_FIELDS, BadMap, Cell, CellMap, Tenant, Timing
-from ..deadlines.retry_budget import Terms as FurtherTerms
-from ..deadlines.settings import Deadlines, Logs, MarginTerms
+from ..deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
+from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
 from ..membership.settings import MembersTerms
 from ..outlier_consensus.settings import VerdictTerms
 from ..quotas.settings import KINDS, LimitTerms, SharesTerms
-from ..startup.settings import StartTerms
+from ..startup.settings import StartupSettings
 
 MOST_CALLS = 200_000
 MS = 1_000_000
@@ -48,11 +48,11 @@
     # the call of a word on a name
     said_at: dict[tuple[str, str], int] = field(default_factory=dict)
     once: set[str] = field(default_factory=set)
-    deadlines: Deadlines | None = None
+    deadlines: DeadlineSettings | None = None
     further: FurtherTerms | None = None
     further_classes: dict[str, tuple[str, float, float]] = field(default_factory=dict)
     logs: Logs | None = None
-    start: StartTerms | None = None
+    start: StartupSettings | None = None
     members: MembersTerms | None = None
     limits: dict[str, LimitTerms] = field(default_factory=dict)
     shares: SharesTerms | None = None
@@ -71,14 +71,14 @@
             return None
         return replace(self.shares or SharesTerms(), limits=tuple(self.limits.values()))
 
-    def deadline_terms(self) -> Deadlines | None:
+    def deadline_terms(self) -> DeadlineSettings | None:
         """What is said of deadlines and of further attempts; None: nothing."""
         if self.deadlines is None and self.further is None:
             return None
         further = self.further and replace(
             self.further, classes=tuple(self.further_classes.values())
         )
-        return replace(self.deadlines or Deadlines(), further=further)
+        return replace(self.deadlines or DeadlineSettings(), further=further)
 
     def finish(self) -> CellMap | None:
         """The cell map, if the file names cells; BadWord where its words do not fit together."""
@@ -281,7 +281,7 @@
     )
     if not least <= start <= most:
         raise BadWord("deadlines.margin_ms: must lie in least_margin_ms to most_margin_ms")
-    draft.deadlines = Deadlines(
+    draft.deadlines = DeadlineSettings(
         _flag(learn, "deadlines.learn"),
         MarginTerms(start, least, most, _share(margin_share, "deadlines.margin_share")),
         _choice(count_from, "deadlines.count_from", ("first", "last")),
@@ -360,7 +360,7 @@
     def span(value: Any, key: str) -> int:
         return int(_number(value, f"start.{key}") * 1000) * MS
 
-    draft.start = StartTerms(
+    draft.start = StartupSettings(
         _number(list_connects, "start.list_connects", above=True),
         span(list_wait, "list_wait"),
         _number(engine_probes, "start.engine_probes", above=True),
--- a/query_broker/operator_config/script.py
+++ b/query_broker/operator_config/script.py
@@ -20,12 +20,12 @@
 from typing import Any
 
 from ..cells.model import BadMap, CellMap, from_plain
-from ..deadlines.retry_budget import Terms as FurtherTerms
-from ..deadlines.settings import Deadlines, Logs, MarginTerms
+from ..deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
+from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
 from ..membership.settings import MembersTerms
 from ..outlier_consensus.settings import VerdictTerms
 from ..quotas.settings import LimitTerms, SharesTerms
-from ..startup.settings import StartTerms
+from ..startup.settings import StartupSettings
 from .directives import MOST_CALLS, WORDS, BadWord, Draft
 
 MOST_FILE = 4 << 20  # bytes of the file
@@ -40,19 +40,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evaluated:
+class OperatorConfig:
     """What the operators' file says. A part of which it says nothing is None."""
 
     map: CellMap | None = None
-    deadlines: Deadlines | None = None
+    deadlines: DeadlineSettings | None = None
     logs: Logs | None = None
-    start: StartTerms | None = None
+    start: StartupSettings | None = None
     members: MembersTerms | None = None
     shares: SharesTerms | None = None
     verdicts: VerdictTerms | None = None
 
 
-def evaluate(path: str) -> Evaluated:
+def evaluate(path: str) -> OperatorConfig:
     """Read the file in another process; OperatorFileError says what is wrong with it, and where."""
     environ = {
         **os.environ,
@@ -87,11 +87,11 @@
         )
     try:
         said = json.loads(done.stdout)
-        return Evaluated(
+        return OperatorConfig(
             None if said["map"] is None else from_plain(said["map"]),
             None if said["deadlines"] is None else _deadlines(said["deadlines"]),
             None if said["logs"] is None else Logs(**said["logs"]),
-            None if said["start"] is None else StartTerms(**said["start"]),
+            None if said["start"] is None else StartupSettings(**said["start"]),
             None if said["members"] is None else _members(said["members"]),
             None if said["shares"] is None else _shares(said["shares"]),
             None if said["verdicts"] is None else VerdictTerms(**said["verdicts"]),
@@ -108,11 +108,11 @@
     return SharesTerms(**{**raw, "limits": tuple(LimitTerms(**limit) for limit in raw["limits"])})
 
 
-def _deadlines(raw: dict[str, Any]) -> Deadlines:
+def _deadlines(raw: dict[str, Any]) -> DeadlineSettings:
     further = raw["further"]
     if further is not None:
         further = FurtherTerms(**{**further, "classes": tuple(map(tuple, further["classes"]))})
-    return Deadlines(**{**raw, "margin": MarginTerms(**raw["margin"]), "further": further})
+    return DeadlineSettings(**{**raw, "margin": MarginTerms(**raw["margin"]), "further": further})
 
 
 def run(path: str, text: str, stop: Callable[[], bool]) -> Draft:
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -9,55 +9,62 @@
 from typing import TYPE_CHECKING
 
 from ..config.reading import Config, ConfigError
-from ..deadlines.retry_budget import Budget
-from ..deadlines.settings import Deadlines
-from ..discovery.event_codec import BusEvent
-from ..discovery.watch_client import Feed
+from ..deadlines.retry_budget import RetryBudget
+from ..deadlines.settings import DeadlineSettings
+from ..discovery.event_codec import EndpointListEvent
+from ..discovery.watch_client import WatchClient
 from ..dispatch.dispatcher import WAY_BACK
 from ..protocols.client_connection import ClientConnection
 from ..server.node import Node
-from .script import Evaluated, OperatorFileError, evaluate
+from .script import OperatorConfig, OperatorFileError, evaluate
 
 if TYPE_CHECKING:
     from ..membership.service import Membership
     from ..membership.views import View
     from ..quotas.service import Judging, Sharing
-    from ..startup.service import Starting
+    from ..startup.service import StartupService
 
 LEARN = 1_000_000_000  # ns between two looks at the margin
 
 
-class FiledNode(Node):
+class ConfiguredNode(Node):
     """``said``: what the file says now; ``path``: where SIGHUP reads it again."""
 
     def __init__(
-        self, config: Config, said: Evaluated, path: str, environ: Mapping[str, str] = os.environ
+        self,
+        config: Config,
+        said: OperatorConfig,
+        path: str,
+        environ: Mapping[str, str] = os.environ,
     ) -> None:
         self.said, self.path = said, path
-        self.pending: Evaluated | None = None
-        self.reading: asyncio.Future[Evaluated] | None = None
+        self.pending: OperatorConfig | None = None
+        self.reading: asyncio.Future[OperatorConfig] | None = None
         self.learned = 0
-        self.sized = config.settings.fleet_size, config.settings.me  # what the module goes by
-        self.starting: Starting | None = None
+        self.sized = (
+            config.settings.fleet_size,
+            config.settings.broker_index,
+        )  # what the module goes by
+        self.starting: StartupService | None = None
         self.membership: Membership | None = None
         self.sharing: Sharing | None = None
         self.judging: Judging | None = None
         super().__init__(config, environ)
         self._set_terms(said)
         if said.start is not None:
-            from ..startup.service import Starting
+            from ..startup.service import StartupService
 
-            self.starting = Starting(self, said.start)
-            self.operations.calls.append(self.starting.call)
+            self.starting = StartupService(self, said.start)
+            self.admin_api.calls.append(self.starting.call)
         if said.members is not None:
             try:
                 from ..membership.service import Membership
             except ImportError as error:
                 raise ConfigError(f"members: needs the extra 'members': {error}") from None
             self.membership = Membership(self, said.members, self._view_changed)
-            self.operations.calls.append(self.membership.call)
-            self.broker.more_figures.append(self.membership.figures)
-            self.broker.adjust.append(self.membership.adjust)
+            self.admin_api.calls.append(self.membership.call)
+            self.dispatcher.more_figures.append(self.membership.figures)
+            self.dispatcher.adjust.append(self.membership.adjust)
             self._share(said, self.membership)
 
     # --- the start ---
@@ -72,13 +79,13 @@
             self.starting.came(connection)
         return True
 
-    def _feed(self, bus: tuple[str, int]) -> Feed:
+    def _feed(self, bus: tuple[str, int]) -> WatchClient:
         feed = super()._feed(bus)
         if self.starting is not None:
             self.starting.pace(feed)
         return feed
 
-    def _news(self, event: BusEvent) -> None:
+    def _news(self, event: EndpointListEvent) -> None:
         super()._news(event)
         if self.starting is not None:
             self.starting.told()
@@ -92,19 +99,19 @@
 
     # --- the other brokers ---
 
-    def _share(self, said: Evaluated, membership: Membership) -> None:
+    def _share(self, said: OperatorConfig, membership: Membership) -> None:
         if said.shares is None and said.verdicts is None:
             return
         from ..quotas.service import Judging, Sharing
 
         if said.shares is not None:
             self.sharing = Sharing(self, membership, said.shares)
-            self.operations.calls.append(self.sharing.call)
-            if self.broker.budget is not None and "further" in self.sharing.of_kind:
-                self.broker.budget.gate = self.sharing.may_try
+            self.admin_api.calls.append(self.sharing.call)
+            if self.dispatcher.budget is not None and "further" in self.sharing.of_kind:
+                self.dispatcher.budget.gate = self.sharing.may_try
         if said.verdicts is not None:
             self.judging = Judging(self, membership, said.verdicts)
-            self.operations.calls.append(self.judging.call)
+            self.admin_api.calls.append(self.judging.call)
 
     async def _open(self) -> None:
         if self.membership is not None:
@@ -113,13 +120,13 @@
     def _view_changed(self, view: View) -> None:
         if (view.told, view.place) != self.sized:
             self.sized = view.told, view.place
-            self.broker.readjust()
+            self.dispatcher.refresh_settings()
             if self.starting is not None:
                 self.starting.resize(view.place, view.told)
 
     # --- what the file says ---
 
-    def _check(self, said: Evaluated) -> Evaluated:
+    def _check(self, said: OperatorConfig) -> OperatorConfig:
         """Turn it down here, before anything is changed."""
         if said.map is not None:
             raise OperatorFileError(
@@ -127,25 +134,25 @@
             )
         return said
 
-    def _apply(self, said: Evaluated) -> None:
+    def _apply(self, said: OperatorConfig) -> None:
         self.said = said
         self._set_terms(said)
 
-    def _set_terms(self, said: Evaluated) -> None:
-        broker, terms = self.broker, said.deadlines or Deadlines()
+    def _set_terms(self, said: OperatorConfig) -> None:
+        broker, terms = self.dispatcher, said.deadlines or DeadlineSettings()
         broker.terms = terms
         if terms.learn:
-            from ..deadlines.stage_latencies import Stages
+            from ..deadlines.stage_latencies import StageLatencies
 
             if broker.stages is None or broker.stages.terms != terms.margin:
-                broker.stages = Stages(terms.margin)
+                broker.stages = StageLatencies(terms.margin)
             broker.margin = broker.stages.margin
         else:
             broker.stages, broker.margin = None, WAY_BACK
         if terms.further is None:
             broker.budget = None
         elif broker.budget is None or broker.budget.terms != terms.further:
-            broker.budget = Budget(terms.further)
+            broker.budget = RetryBudget(terms.further)
             if self.sharing is not None and "further" in self.sharing.of_kind:
                 broker.budget.gate = self.sharing.may_try
         self.log.sink, broker.story = None, None
@@ -161,11 +168,15 @@
         now = self.clock.now()
         if self.starting is not None:
             self.starting.tick(now)
-        if self.leaving and self.membership is not None and not self.membership.detector.left:
+        if (
+            self.closing_announced
+            and self.membership is not None
+            and not self.membership.detector.left
+        ):
             self.membership.leave()
-        if self.broker.stages is not None and now - self.learned >= LEARN:
+        if self.dispatcher.stages is not None and now - self.learned >= LEARN:
             self.learned = now
-            self.broker.margin = self.broker.stages.learn(now)
+            self.dispatcher.margin = self.dispatcher.stages.learn(now)
 
     # --- SIGHUP ---
 
@@ -173,7 +184,7 @@
         """The operators' file is evaluated beside the loop, then both files are taken or
         neither.
         """
-        if self.drain.begun_at:
+        if self.shutdown.begun_at:
             return super().reload()
         if self.reading is not None:
             return
@@ -181,7 +192,7 @@
         self.reading = loop.run_in_executor(None, partial(evaluate, self.path))
         self.reading.add_done_callback(self._evaluated)
 
-    def _evaluated(self, future: asyncio.Future[Evaluated]) -> None:
+    def _evaluated(self, future: asyncio.Future[OperatorConfig]) -> None:
         self.reading = None
         if future.cancelled():
             return
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import Protocol, cast
 
-from ..dispatch.dispatcher import Ask, Broker, Unusable, read_number
-from ..dispatch.requests import OpenRequest
+from ..dispatch.dispatcher import Dispatcher, InvalidRequestError, ParsedRequest, read_number
+from ..dispatch.requests import ActiveRequest
 from ..timer_wheel import Timer
 from . import client_frames as frames
 from .socket_state import has_ended, has_input
@@ -32,7 +32,7 @@
 class Front(Protocol):
     """The side of the broker that admits clients."""
 
-    broker: Broker
+    dispatcher: Dispatcher
     partial: int
 
     def ready(self) -> bool: ...
@@ -42,34 +42,34 @@
     def went(self, connection: ClientConnection) -> None: ...
 
 
-def read_ask(payload: bytes) -> Ask:
+def read_ask(payload: bytes) -> ParsedRequest:
     """A request's fields and statement; Unusable says which field cannot be used."""
     fields, statement = frames.read_fields(payload)
     for name in ("route", "trace", "patience"):
         if not fields.get(name):
-            raise Unusable(f"{name}: is missing")
+            raise InvalidRequestError(f"{name}: is missing")
     trace = fields["trace"]
     if len(trace) != MOST_TRACE or not HEX.issuperset(trace):
-        raise Unusable("trace: is not 16 hex digits")
+        raise InvalidRequestError("trace: is not 16 hex digits")
     try:
         statement.decode()
     except UnicodeDecodeError:
-        raise Unusable("the statement is no text") from None
+        raise InvalidRequestError("the statement is no text") from None
     if not statement.strip() or b"\0" in statement:
-        raise Unusable("the statement is empty or no text")
+        raise InvalidRequestError("the statement is empty or no text")
     if fields.get("redo", "1") not in ("0", "1"):
-        raise Unusable("redo: is neither 1 nor absent")
-    return Ask(
-        route=fields["route"],
-        trace=trace,
-        customer=fields.get("customer"),
-        patience_ms=read_number(fields["patience"], "patience"),
-        weight_ms=read_number(fields.get("weight", "0"), "weight"),
-        ram_mb=read_number(fields.get("ram", "0"), "ram"),
-        retry=fields.get("redo") == "1",
+        raise InvalidRequestError("redo: is neither 1 nor absent")
+    return ParsedRequest(
+        class_name=fields["route"],
+        client_request_id=trace,
+        tenant=fields.get("customer"),
+        timeout_ms=read_number(fields["patience"], "patience"),
+        estimate_ms=read_number(fields.get("weight", "0"), "weight"),
+        memory_mb=read_number(fields.get("ram", "0"), "ram"),
+        is_retry=fields.get("redo") == "1",
         data_set=table_group(statement),
         statement=statement,
-        nonce=fields.get("nonce"),
+        idempotency_key=fields.get("nonce"),
     )
 
 
@@ -79,13 +79,13 @@
         self.transport: asyncio.Transport | None = None
         self.fd = -1
         self.parser = frames.FrameParser()
-        self.open: dict[int, OpenRequest | None] = {}  # None while the broker is being asked
+        self.open: dict[int, ActiveRequest | None] = {}  # None while the broker is being asked
         self.last_stream = 0
         self.broken = False  # nothing more is read; it is about to end
         self.ended = False  # our side has ended: nothing more is written
         self.spoken = False  # a whole frame has come
         # first: when the present frame began
-        self.used = self.begun = self.first = front.broker.now()
+        self.used = self.begun = self.first = front.dispatcher.now()
         self.discarded = 0
         self.partial = 0  # bytes held of frames that are not whole yet
         self.reading_on = False  # whole frames wait for this connection's next turn
@@ -104,7 +104,7 @@
         self.transport.set_write_buffer_limits(high=HIGH_WATER)
         self.fd = transport.get_extra_info("socket").fileno()
         if self.front.came(self):
-            self.timer = self.front.broker.wheel.at(self.used + FIRST, self._look)
+            self.timer = self.front.dispatcher.wheel.at(self.used + FIRST, self._look)
         else:
             self.broken = True
             self.transport.abort()
@@ -116,13 +116,13 @@
             if self.discarded > MOST_DISCARDED and self.transport is not None:
                 self.transport.pause_reading()
             return
-        self.used = self.front.broker.now()
+        self.used = self.front.dispatcher.now()
         if not self.parser.held():
             self.begun = self.used
         self.parser.feed(data)
         self._hear_departures() if self.reading_on else self._read_on()
         self._count_partial()
-        if self.front.partial > self.front.broker.room and not self.broken:
+        if self.front.partial > self.front.dispatcher.room and not self.broken:
             self._break("no room for more frames that are not whole")
 
     def _count_partial(self) -> None:
@@ -177,17 +177,21 @@
 
     def _abandon(self, stream: int) -> None:
         if (request := self.open.pop(stream, None)) is not None:
-            self.front.broker.leave(request)
+            self.front.dispatcher.abandon(request)
 
     def _fault(self, error: Exception) -> None:
-        self.front.broker.log("client", f"{type(error).__name__}: {error}")
+        self.front.dispatcher.log("client", f"{type(error).__name__}: {error}")
         self._break("internal error")
 
     def _has_left(self) -> bool:
         """Danger: who sends much and goes has gone before the last of it is read, and nothing of it
         may begin then.
         """
-        if self.fd < 0 or self.front.broker.terms.half_close == "answer" or not has_ended(self.fd):
+        if (
+            self.fd < 0
+            or self.front.dispatcher.terms.half_close == "answer"
+            or not has_ended(self.fd)
+        ):
             return False
         self.drop()
         self._abandon_all()
@@ -218,7 +222,7 @@
         full = (
             not self.broken
             and bool(self.reading_on or self.paused_at)
-            and (self.parser.held() > AHEAD or self.front.partial > self.front.broker.room // 2)
+            and (self.parser.held() > AHEAD or self.front.partial > self.front.dispatcher.room // 2)
         )
         if full:
             self.transport.pause_reading()
@@ -228,7 +232,7 @@
             self.deaf = full
             for request in self.open.values():
                 if request is not None:
-                    request.unheard = self.deaf
+                    request.client_unreadable = self.deaf
 
     def eof_received(self) -> bool:
         """A client that ends its side has left, unless operators say that it may still wait for
@@ -236,7 +240,7 @@
         """
         waits = self.reading_on or self.paused_at  # what is held are whole frames
         if (
-            self.front.broker.terms.half_close != "answer"
+            self.front.dispatcher.terms.half_close != "answer"
             or self.broken
             or self.parser.held()
             and not waits
@@ -269,7 +273,7 @@
         request holds a descriptor that usual clients need. One timer a connection; it looks again
         when that may be due.
         """
-        now = self.front.broker.now()
+        now = self.front.dispatcher.now()
         # Danger: who stood still itself, or was kept from its core, has not read what came
         # meanwhile: a close over it would reset the connection, and lose requests that came long
         # before.
@@ -280,7 +284,7 @@
         else:
             due = self.used + IDLE if self.spoken else self.begun + FIRST
         if due > now:
-            self.timer = self.front.broker.wheel.at(due, self._look)
+            self.timer = self.front.dispatcher.wheel.at(due, self._look)
         elif self.spoken and not self.parser.held():
             self.let_go()
         else:
@@ -290,7 +294,7 @@
         """Danger: a client that does not read while it asks would fill our memory with its
         answers.
         """
-        self.paused_at = self.front.broker.now()
+        self.paused_at = self.front.dispatcher.now()
         self._read_if_wanted()
 
     def resume_writing(self) -> None:
@@ -317,19 +321,19 @@
             return
         try:
             ask = read_ask(payload)
-            if ask.trace in self.recent:
+            if ask.client_request_id in self.recent:
                 # Danger: the same frame hundreds of times over would take a tenant's share from its
                 # others.
-                raise Unusable("trace: is not new on this connection")
-            self.recent[ask.trace] = None
+                raise InvalidRequestError("trace: is not new on this connection")
+            self.recent[ask.client_request_id] = None
             if len(self.recent) > MOST_OPEN:
                 del self.recent[next(iter(self.recent))]
             if len(self.open) >= MOST_OPEN:
-                raise Unusable(f"more than {MOST_OPEN} open requests on one connection")
+                raise InvalidRequestError(f"more than {MOST_OPEN} open requests on one connection")
             self.open[stream] = None
-            request = self.front.broker.submit(self, stream, ask, self.first)
-        except Unusable as error:
-            self.front.broker.log("client", f"unusable request: {error}")
+            request = self.front.dispatcher.submit(self, stream, ask, self.first)
+        except InvalidRequestError as error:
+            self.front.dispatcher.log("client", f"unusable request: {error}")
             self.failed(stream, str(error))
             return
         if stream in self.open:
@@ -339,11 +343,11 @@
         """An error that belongs to no request; nothing more on this connection can be read. What
         was taken before it gets its answer first.
         """
-        self.front.broker.log("client", f"broken connection: {why}")
+        self.front.dispatcher.log("client", f"broken connection: {why}")
         self.broken = True
         for stream in [stream for stream, request in self.open.items() if request is None]:
             self.failed(stream, why)  # a fault while the broker was being asked
-        self.front.broker.give_up([r for r in self.open.values() if r is not None])
+        self.front.dispatcher.give_up([r for r in self.open.values() if r is not None])
         self._write(frames.answer(0, frames.FAILED, {}, why.encode()))
         self.shut()
 
@@ -361,12 +365,14 @@
         if self.transport is not None and not self.ended and not self.transport.is_closing():
             self.ended = True
             self.transport.write_eof()
-            self.timer = self.front.broker.wheel.at(self.front.broker.now() + LINGER, self.drop)
+            self.timer = self.front.dispatcher.wheel.at(
+                self.front.dispatcher.now() + LINGER, self.drop
+            )
 
     def _abandon_all(self) -> None:
         requests, self.open = [r for r in self.open.values() if r is not None], {}
         for request in requests:
-            self.front.broker.leave(request)
+            self.front.dispatcher.abandon(request)
 
     def _write(self, data: bytes) -> None:
         if self.transport is not None and not self.ended and not self.transport.is_closing():
@@ -377,7 +383,7 @@
     def served(self, stream: int, body: bytes) -> None:
         self._answer(stream, frames.answer(stream, frames.SERVED, {}, body))
 
-    def refused(self, stream: int, pause_ms: int) -> None:
+    def rejected(self, stream: int, pause_ms: int) -> None:
         self._answer(stream, frames.answer(stream, frames.REFUSED, {"pause": str(pause_ms)}))
 
     def failed(self, stream: int, reason: str) -> None:
@@ -389,7 +395,7 @@
         """
         self.open.pop(stream, None)
         # Danger: idle time counted from the request ends the connection right under a late answer.
-        self.used = self.front.broker.now()
+        self.used = self.front.dispatcher.now()
         self._write(data)
         if self.half_closed:
             self._end_if_answered()
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -9,9 +9,9 @@
 import socket
 from typing import Protocol, cast
 
-from ..deadlines.cancel_scopes import Outcome, Undoing
-from ..deadlines.write_queue import CONTROL, Frame, Outbox
-from ..decisions.facade import NoteKind, Result
+from ..deadlines.cancel_scopes import CancelOutcome, Undoing
+from ..deadlines.write_queue import CONTROL, Frame, WriteQueue
+from ..decisions.facade import AttemptResult, ProgressKind
 from ..dispatch.requests import Attempt
 from . import resp
 from .socket_state import has_ended, has_input
@@ -25,9 +25,17 @@
 PART = 500 * MS  # ns in which an answer that has begun must be whole
 # three text columns and a line end each
 ROWS = re.compile(rb"(?:[^\t\n\0]*\t[^\t\n\0]*\t[^\t\n\0]*\n)*")
-WORDS = {b"overload": Result.FULL, b"crashed": Result.ERROR, b"nobody": Result.NOT_SENT}
-TOLD = {"pct": NoteKind.PROGRESS, "overflow": NoteKind.SPILLING, "queued": NoteKind.WAITING}
-HEALTH = {b"green": Result.SERVED, b"red": Result.ERROR}
+WORDS = {
+    b"overload": AttemptResult.FULL,
+    b"crashed": AttemptResult.ERROR,
+    b"nobody": AttemptResult.NOT_SENT,
+}
+TOLD = {
+    "pct": ProgressKind.PROGRESS,
+    "overflow": ProgressKind.SPILLING,
+    "queued": ProgressKind.WAITING,
+}
+HEALTH = {b"green": AttemptResult.SERVED, b"red": AttemptResult.ERROR}
 
 
 class Owner(Protocol):
@@ -37,11 +45,11 @@
 
     def whole(self, attempt: Attempt, meter: str) -> None: ...
 
-    def ended(self, attempt: Attempt, result: Result, meter: str) -> None: ...
+    def ended(self, attempt: Attempt, result: AttemptResult, meter: str) -> None: ...
 
-    def noted(self, attempt: Attempt, kind: NoteKind, amount: float) -> None: ...
+    def noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None: ...
 
-    def probed(self, tag: bytes, result: Result, meter: str) -> None: ...
+    def probed(self, tag: bytes, result: AttemptResult, meter: str) -> None: ...
 
     def late(self, attempt: Attempt, meter: str) -> None: ...
 
@@ -59,7 +67,7 @@
     def stuck(self, connection: EngineConnection) -> None:
         """The socket takes no more for now: to be flushed again at the next tick."""
 
-    def undone(self, outcome: Outcome, count: int) -> None:
+    def undone(self, outcome: CancelOutcome, count: int) -> None:
         """What became of attempts that were undone."""
 
     def twice(self, connection: EngineConnection, trace: bytes) -> bool:
@@ -72,10 +80,10 @@
     """
 
     def __init__(self, owner: Owner, engine: int) -> None:
-        self.owner, self.engine = owner, engine
+        self.owner, self.endpoint = owner, engine
         self.transport: asyncio.Transport | None = None
         self.parser = resp.RespParser()
-        self.open: dict[bytes, Attempt] = {}
+        self.in_flight: dict[bytes, Attempt] = {}
         # ids under which something may still come, the newest last
         self.carried: dict[bytes, None] = {}
         self.probes: set[bytes] = set()
@@ -84,15 +92,17 @@
         self.ending = False  # closed by us, its loss not told yet
         self.closed = False
         self.fd = -1
-        self.outbox = Outbox(self._leave, self._begun, self._gone)
+        self.write_queue = WriteQueue(self._leave, self._begun, self._gone)
         self.undoing = Undoing()
-        self.undone = self.undoing.waiting
+        self.cancelled = self.undoing.waiting
         self.jammed = False  # its socket took no more, and frames wait
-        self.undo_waits: set[bytes] = set()  # undone, and the engine can't have heard of it yet
+        self.cancels_in_transit: set[bytes] = (
+            set()
+        )  # undone, and the engine can't have heard of it yet
 
     def quiet(self) -> bool:
         """Nothing is open on it, and nothing of it is waited for."""
-        return not (self.open or self.probes or self.undone)
+        return not (self.in_flight or self.probes or self.cancelled)
 
     # --- the outbox ---
 
@@ -105,13 +115,13 @@
 
     def _begun(self, about: object) -> None:
         if isinstance(about, Attempt):
-            about.written = True
+            about.write_started = True
 
     def _gone(self, about: object) -> None:
         if isinstance(about, Attempt):
             self.owner.written(about)
         elif isinstance(about, bytes):
-            self.undo_waits.discard(about)
+            self.cancels_in_transit.discard(about)
 
     def ended_by_engine(self) -> bool:
         """Its end has come, and is not read yet: what would be written now can't run."""
@@ -121,7 +131,7 @@
         """Write until the socket takes no more. Danger: what the transport's own buffer holds can't
         be taken back: it is given nothing; how much has left is known to the byte.
         """
-        outbox = self.outbox
+        outbox = self.write_queue
         # Danger: the number of a descriptor that has been closed is soon another connection's.
         while (
             self.fd >= 0
@@ -142,23 +152,25 @@
                 return
         self.jammed = False
 
-    def take_back(self, attempt: Attempt) -> bool:
+    def withdraw(self, attempt: Attempt) -> bool:
         """True: no byte of it has left, and none will."""
-        if attempt.written or not self.outbox.take_back(attempt.request.trace):
+        if attempt.write_started or not self.write_queue.take_back(
+            attempt.request.client_request_id
+        ):
             return False
-        self.open.pop(attempt.request.trace, None)
+        self.in_flight.pop(attempt.request.client_request_id, None)
         return True
 
     # --- from the broker ---
 
     def carry(self, attempt: Attempt) -> None:
-        trace = attempt.request.trace
-        self.open[trace] = attempt
+        trace = attempt.request.client_request_id
+        self.in_flight[trace] = attempt
         self.carried[trace] = None
         if len(self.carried) > CARRIED:  # the oldest; one that is still open there stays
             old = next(iter(self.carried))
             del self.carried[old]
-            if old in self.open:
+            if old in self.in_flight:
                 self.carried[old] = None
 
     def do(self, attempt: Attempt, now: int) -> None:
@@ -178,17 +190,17 @@
             if wrote:
                 self._begun(attempt)
             if wrote == len(pieces[0]):
-                self.used = attempt.gone = now
+                self.used = attempt.written_ns = now
                 self.owner.written_at_once()
                 return
             pieces = (pieces[0][wrote:],)
         self._put(
             now,
             attempt,
-            request.trace,
-            1 if request.level is None else request.level,
+            request.client_request_id,
+            1 if request.priority is None else request.priority,
             pieces,
-            attempt.written,
+            attempt.write_started,
         )
 
     def _pieces(self, attempt: Attempt, now: int) -> tuple[bytes, ...]:
@@ -197,42 +209,44 @@
         """
         request = attempt.request
         fields: dict[str, object] = {
-            "cls": request.route.decode(),
-            "limit": max(1, (attempt.until - now) // MS),
+            "cls": request.class_name.decode(),
+            "limit": max(1, (attempt.deadline_ns - now) // MS),
         }
-        if request.nonce is not None:
-            fields["nonce"] = request.nonce
-        if request.reserve > 0:
-            fields["reserve"] = request.reserve
-        if request.level is not None:
-            fields["level"] = request.level
-        return resp.pieces(b"do", request.trace, resp.write_pairs(fields), request.statement)
-
-    def bump(self, attempt: Attempt, level: int) -> None:
-        if not self.outbox.raise_level(attempt.request.trace, level):
-            self._write(self.owner.now(), b"bump", attempt.request.trace, b"%d" % level)
-
-    def undo(self, attempt: Attempt) -> None:
+        if request.idempotency_key is not None:
+            fields["nonce"] = request.idempotency_key
+        if request.memory_mb > 0:
+            fields["reserve"] = request.memory_mb
+        if request.priority is not None:
+            fields["level"] = request.priority
+        return resp.pieces(
+            b"do", request.client_request_id, resp.write_pairs(fields), request.statement
+        )
+
+    def raise_priority(self, attempt: Attempt, level: int) -> None:
+        if not self.write_queue.raise_level(attempt.request.client_request_id, level):
+            self._write(self.owner.now(), b"bump", attempt.request.client_request_id, b"%d" % level)
+
+    def cancel(self, attempt: Attempt) -> None:
         """Its stream is held until it has been silent for long enough, or has answered all the
         same.
         """
         now = self.owner.now()
-        self.open.pop(attempt.request.trace, None)
-        self.undoing.begin(attempt.request.trace, now)
+        self.in_flight.pop(attempt.request.client_request_id, None)
+        self.undoing.begin(attempt.request.client_request_id, now)
         if self.transport is not None and not self.transport.is_closing():
-            self.undo_waits.add(attempt.request.trace)
+            self.cancels_in_transit.add(attempt.request.client_request_id)
             self._put(
                 now,
-                attempt.request.trace,
+                attempt.request.client_request_id,
                 None,
                 CONTROL,
-                resp.pieces(b"undo", attempt.request.trace),
+                resp.pieces(b"undo", attempt.request.client_request_id),
             )
 
     def forget(self, attempt: Attempt) -> None:
         """No more pages of it are wanted."""
-        if self.open.pop(attempt.request.trace, None) is not None:
-            self._write(self.owner.now(), b"forget", attempt.request.trace)
+        if self.in_flight.pop(attempt.request.client_request_id, None) is not None:
+            self._write(self.owner.now(), b"forget", attempt.request.client_request_id)
 
     def probe(self, tag: bytes, word: bytes = b"top") -> None:
         self.probes.add(tag)
@@ -252,7 +266,7 @@
     ) -> None:
         self.used = now
         if self.transport is not None and not self.transport.is_closing():
-            if self.outbox.put(
+            if self.write_queue.put(
                 Frame(pieces, key, level, sum(map(len, pieces)), about, begun=begun)
             ):
                 self.flush()
@@ -308,7 +322,7 @@
         for trace in again:
             self._write(now, b"undo", trace)
         if stopped:
-            self.owner.undone(Outcome.STOPPED, len(stopped))
+            self.owner.undone(CancelOutcome.STOPPED, len(stopped))
         if (
             self.parser.buffer
             and now - self.begun > PART
@@ -324,10 +338,10 @@
             self.closed = self.retired = True
             self.fd = -1
             self.parser.buffer.clear()
-            self.outbox.abandon()
-            self.undo_waits.clear()  # its end gives up all that was open there
+            self.write_queue.abandon()
+            self.cancels_in_transit.clear()  # its end gives up all that was open there
             if lost := self.undoing.lost():
-                self.owner.undone(Outcome.LOST, lost)
+                self.owner.undone(CancelOutcome.LOST, lost)
             self.close()
             self.owner.lost(self, why, spoilt)
 
@@ -346,7 +360,7 @@
                 self.owner.probed(tag, HEALTH[word], meter)
         elif word not in WORDS and word not in (b"served", b"rows"):
             raise resp.BadAnswer(f"unknown word {word[:40]!r}")
-        elif (attempt := self.open.get(tag)) is None:
+        elif (attempt := self.in_flight.get(tag)) is None:
             # A second copy, or more than was asked for: it belongs to nothing that is open here. Or
             # it crossed the `undo`.
             if (outcome := self.undoing.answered(tag)) is not None:
@@ -358,13 +372,13 @@
             self._page(tag, attempt, fields, body, meter)
         else:
             # A page that its engine lost also ends here: it may have run, and is no short result.
-            self._over(tag, attempt, Result.ERROR if attempt.pages else WORDS[word], meter)
+            self._over(tag, attempt, AttemptResult.ERROR if attempt.pages else WORDS[word], meter)
 
     def _note(self, tag: bytes, raw_fields: bytes) -> None:
         """Danger: the frame is whole, so that nothing behind it is lost: a note that can't be read,
         or of an attempt that is over or undone, ends nothing.
         """
-        attempt = self.open.get(tag)
+        attempt = self.in_flight.get(tag)
         if attempt is None or attempt.reported:
             return
         try:
@@ -375,8 +389,8 @@
         if kind is not None and math.isfinite(amount):
             self.owner.noted(attempt, kind, amount)
 
-    def _over(self, tag: bytes, attempt: Attempt, result: Result, meter: str) -> None:
-        del self.open[tag]
+    def _over(self, tag: bytes, attempt: Attempt, result: AttemptResult, meter: str) -> None:
+        del self.in_flight[tag]
         if attempt.reported:
             self.owner.late(attempt, meter)
         else:
@@ -394,13 +408,13 @@
             # wanted.
             if chunks > 1:
                 self._write(self.heard, b"forget", tag)
-            self._over(tag, attempt, Result.SERVED, meter)
+            self._over(tag, attempt, AttemptResult.SERVED, meter)
             return
-        attempt.answered = self.heard
+        attempt.answered_ns = self.heard
         attempt.pages = [body, *([None] * (chunks - 1))]
         attempt.missing = max(0, chunks - 1)
         if attempt.missing == 0:
-            del self.open[tag]
+            del self.in_flight[tag]
             self.owner.whole(attempt, meter)
         elif self.owner.twice(self, tag):
             self._mixed(tag, attempt, meter)
@@ -419,7 +433,7 @@
         _check_rows(body)
         if not attempt.wanted():
             self._write(self.heard, b"forget", tag)
-            self._over(tag, attempt, Result.SERVED, meter)
+            self._over(tag, attempt, AttemptResult.SERVED, meter)
             return
         if attempt.pages[at] is None:
             attempt.pages[at] = body
@@ -429,7 +443,7 @@
         if attempt.missing == 0:
             if self.owner.twice(self, tag):
                 return self._mixed(tag, attempt, meter)
-            del self.open[tag]
+            del self.in_flight[tag]
             self._write(self.heard, b"forget", tag)
             self.owner.whole(attempt, meter)
 
@@ -440,7 +454,7 @@
         """
         self._write(self.heard, b"forget", tag)
         attempt.pages = []
-        self._over(tag, attempt, Result.ERROR, meter)
+        self._over(tag, attempt, AttemptResult.ERROR, meter)
 
 
 def _check_rows(page: bytes) -> None:
--- a/query_broker/protocols/operator_http.py
+++ b/query_broker/protocols/operator_http.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from ..timer_wheel import Timer, Wheel
+from ..timer_wheel import Timer, TimerWheel
 
 MOST_HEAD = 8_192  # bytes of the request line and the headers
 MOST_BODY = 16_384  # bytes; no call needs any
@@ -33,7 +33,7 @@
 class Operations(Protocol):
     """What the calls ask for."""
 
-    wheel: Wheel
+    wheel: TimerWheel
 
     def now(self) -> int: ...
 
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from ..decisions.facade import Ban, EngineState, Result, Settings
-from ..dispatch.dispatcher import Ask
-from ..endpoints.administrative_state import Word as BanWord
+from ..decisions.facade import AdministrativeChange, AttemptResult, EndpointState, Settings
+from ..dispatch.dispatcher import ParsedRequest
+from ..endpoints.administrative_state import AdministrativeState as BanWord
 from ..membership.service import Membership
 from ..outlier_consensus.observations import Engine, Evidence, Reports
 from ..outlier_consensus.overrides import VALUES, Wordbook, Words
@@ -33,7 +33,10 @@
 ROOM = 1_000  # bytes of one message's body
 CHANGED = 0.05  # a share that moves by less is not told to the module anew
 MOST_SIZE = 8  # times the size in the file: no lease makes our part smaller than that
-GOOD, BAD = {Result.SERVED}, {Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET}
+GOOD, BAD = (
+    {AttemptResult.SERVED},
+    {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET},
+)
 PROBED = S  # between two probes of an engine that is held out
 KEPT = 60  # seconds of what was let pass, for the figures
 RECORD = 400  # changes of leases that an auditor may read
@@ -96,13 +99,13 @@
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
         membership.subscribe("limits", self._heard)
-        node.broker.arriving = self._arriving
-        node.broker.adjust.append(self.adjust)
-        node.broker.more_figures.append(self.figures)
+        node.dispatcher.arriving = self._arriving
+        node.dispatcher.adjust.append(self.adjust)
+        node.dispatcher.more_figures.append(self.figures)
         if "connects" in self.of_kind:
-            node.broker.pools.turn = self._connect_wait
+            node.dispatcher.pools.turn = self._connect_wait
         self.configure()
-        node.broker.wheel.at(now + LOOK, self._look)
+        node.dispatcher.wheel.at(now + LOOK, self._look)
 
     # --- what the limits are ---
 
@@ -137,7 +140,7 @@
         the size: what is told is our own part times it.
         """
         now, even = self.node.clock.now(), settings.fleet_size
-        size, me = even, settings.me
+        size, me = even, settings.broker_index
         work = self.of_kind.get("work")
         if work is not None and not self._cold(now):
             most = MOST_SIZE * self.node.config.settings.fleet_size
@@ -155,29 +158,29 @@
             )
             for t in settings.tenants
         )
-        return replace(settings, fleet_size=size, me=me, tenants=tenants)
+        return replace(settings, fleet_size=size, broker_index=me, tenants=tenants)
 
     def _cold(self, now: int) -> bool:
         """Danger: what many hold a large part of at once is pushed over while it is cold."""
-        cold = self.node.config.settings.contract.cold
+        cold = self.node.config.settings.contract.warmup_ns
         return any(
-            k.target.state is EngineState.READY and k.target.started + cold > now
-            for k in self.node.broker.engines.by_number.values()
+            k.target.state is EndpointState.READY and k.target.started_ns + cold > now
+            for k in self.node.dispatcher.endpoint_table.by_number.values()
         )
 
     # --- the ordinary path ---
 
-    def _arriving(self, ask: Ask, now: int) -> None:
+    def _arriving(self, ask: ParsedRequest, now: int) -> None:
         """Danger: one that was paused reads what waits for it before it looks at any timer: a lease
         that has ended meanwhile must not be used.
         """
         if self.ends and now >= self.ends:
             self._tell(now)
-        if ask.customer in self.by_tenant:
-            self.asked[ask.customer] = self.asked.get(ask.customer, 0.0) + 1
+        if ask.tenant in self.by_tenant:
+            self.asked[ask.tenant] = self.asked.get(ask.tenant, 0.0) + 1
         if "work" in self.of_kind:
             name = self.of_kind["work"].name
-            self.asked[name] = self.asked.get(name, 0.0) + ask.weight_ms / 1_000
+            self.asked[name] = self.asked.get(name, 0.0) + ask.estimate_ms / 1_000
 
     def may_try(self) -> bool:
         """A further attempt, under the soft limit of them all."""
@@ -203,7 +206,7 @@
 
     def _look(self) -> None:
         now = self.node.clock.now()
-        self.node.broker.wheel.at(now + LOOK, self._look)
+        self.node.dispatcher.wheel.at(now + LOOK, self._look)
         try:
             self._second(now)
             view = self.membership.views.view
@@ -264,12 +267,12 @@
     def _cores(self) -> int:
         sizes, known = (
             dict(self.node.config.settings.kind_cores),
-            self.node.broker.engines.by_number.values(),
+            self.node.dispatcher.endpoint_table.by_number.values(),
         )
         return sum(
             sizes.get(k.target.kind) or max(1, round(k.target.weight))
             for k in known
-            if k.target.state is EngineState.READY
+            if k.target.state is EndpointState.READY
         )
 
     def _send(self) -> None:
@@ -284,7 +287,7 @@
         ours = {limit.name: self.ours(limit, now) for limit in self.terms.limits if limit.hard()}
         if any(abs(ours[n] - self.told.get(n, -1.0)) > CHANGED * max(ours[n], 1e-9) for n in ours):
             self.told = ours
-            self.node.broker.readjust()
+            self.node.dispatcher.refresh_settings()
 
     def _heard(self, now: int, sender: str, body: bytes) -> None:
         message = self.decoder.decode(body)
@@ -455,40 +458,42 @@
         self.round = node.clock.now()
         self.answered: dict[str, int] = {}
         membership.subscribe("verdicts", self._heard)
-        node.broker.outcome = self._outcome
-        node.broker.witness.append(self._witness)
-        node.broker.said = self._said
-        node.broker.more_figures.append(self.figures)
-        node.broker.wheel.at(self.round + LOOK, self._look)
+        node.dispatcher.outcome = self._outcome
+        node.dispatcher.witness.append(self._witness)
+        node.dispatcher.said = self._said
+        node.dispatcher.more_figures.append(self.figures)
+        node.dispatcher.wheel.at(self.round + LOOK, self._look)
 
     # --- what is seen here ---
 
     def _engine(self, number: int) -> Engine | None:
-        known = self.node.broker.engines.by_number.get(number)
-        return None if known is None else Engine(known.target.uid, known.target.started // MS)
+        known = self.node.dispatcher.endpoint_table.by_number.get(number)
+        return None if known is None else Engine(known.target.uid, known.target.started_ns // MS)
 
     def _number(self, engine: Engine) -> int | None:
-        known = self.node.broker.engines.by_uid.get(engine.uid)
-        return None if known is None or known.target.started // MS != engine.boot else known.number
+        known = self.node.dispatcher.endpoint_table.by_uid.get(engine.uid)
+        return (
+            None if known is None or known.target.started_ns // MS != engine.boot else known.number
+        )
 
-    def _outcome(self, number: int, result: Result) -> None:
+    def _outcome(self, number: int, result: AttemptResult) -> None:
         if (result in GOOD or result in BAD) and (engine := self._engine(number)) is not None:
             self.evidence.outcome(self.node.clock.now(), engine, result in GOOD)
 
-    def _witness(self, number: int, result: Result) -> None:
+    def _witness(self, number: int, result: AttemptResult) -> None:
         """Probes tell of those that are held out alone: a report of load is no answer to a query.
         Danger: who comes to a verdict first and takes an answer for a proof before the others have
         heard of the failures takes from them what their verdict would rest on.
         """
         engine, now = self._engine(number), self.node.clock.now()
         if engine is not None and (held := self.held.get(engine)) is not None and now >= held.heard:
-            self.evidence.outcome(now, engine, result is Result.SERVED)
+            self.evidence.outcome(now, engine, result is AttemptResult.SERVED)
 
     # --- time ---
 
     def _look(self) -> None:
         now = self.node.clock.now()
-        self.node.broker.wheel.at(now + LOOK, self._look)
+        self.node.dispatcher.wheel.at(now + LOOK, self._look)
         try:
             self.evidence.me = self.membership.name
             if now - self.round >= self.terms.told:
@@ -517,9 +522,9 @@
 
     def _judge(self, now: int) -> None:
         engines = {
-            Engine(k.target.uid, k.target.started // MS): k.target.zone
-            for k in self.node.broker.engines.by_number.values()
-            if k.target.state is EngineState.READY and not self._pinned(k.target.uid)
+            Engine(k.target.uid, k.target.started_ns // MS): k.target.zone
+            for k in self.node.dispatcher.endpoint_table.by_number.values()
+            if k.target.state is EndpointState.READY and not self._pinned(k.target.uid)
         }
         begun, lifted = self.evidence.judge(now, self.membership.names(), engines)
         for verdict in begun:
@@ -548,8 +553,12 @@
             self.held[engine] = HeldOut(heard, heard)
         else:
             self.held.pop(engine, None)
-        if number is not None and not self.node.broker.bans.out(engine.uid):
-            self.node.broker.tell(Ban(number, out, now if out else engine.boot * MS))
+        if number is not None and not self.node.dispatcher.administrative_states.is_disabled(
+            engine.uid
+        ):
+            self.node.dispatcher.report_event(
+                AdministrativeChange(number, out, now if out else engine.boot * MS)
+            )
 
     def _probe(self, now: int) -> None:
         """What is held out is asked by as many as it takes to let it in, each once in a while."""
@@ -562,7 +571,7 @@
             place = members.index(self.membership.name) if self.membership.name in members else 0
             turn = (now // PROBED * self.terms.observers) % max(1, len(members))
             if (place - turn) % max(1, len(members)) < self.terms.observers:
-                self.node.broker.probe(number)
+                self.node.dispatcher.probe(number)
 
     # --- what others say ---
 
@@ -592,12 +601,17 @@
 
     def _act(self, uid: str, value: str) -> None:
         now = self.node.clock.now()
-        known = self.node.broker.bans.words.get(uid)
+        known = self.node.dispatcher.administrative_states.states.get(uid)
         self._free(uid)
-        if known is None and value != "out" or known is not None and known.out == (value == "out"):
+        if (
+            known is None
+            and value != "out"
+            or known is not None
+            and known.disabled == (value == "out")
+        ):
             return
-        self.node.broker.take_word(
-            uid, BanWord(now if known is None else max(now, known.at + 1), value == "out")
+        self.node.dispatcher.apply_administrative_state(
+            uid, BanWord(now if known is None else max(now, known.at_ns + 1), value == "out")
         )
 
     def _free(self, uid: str) -> None:
@@ -622,7 +636,7 @@
         if value is None or len(parts) != 3:
             return no(404, "no such call")
         uid = parts[2]
-        if uid not in self.node.broker.engines.by_uid and uid not in self.book.words:
+        if uid not in self.node.dispatcher.endpoint_table.by_uid and uid not in self.book.words:
             return no(404, "no data engine has this id")
         assert value in VALUES
         word = self.book.say(uid, value, rounds(len(self.membership.names())))
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -11,10 +11,10 @@
 from .host import Host
 
 
-class Operations:
+class AdminApi:
     def __init__(self, node: Host) -> None:
         self.node = node
-        self.wheel = node.broker.wheel
+        self.wheel = node.dispatcher.wheel
         self.callers: dict[OperatorConnection, None] = {}  # in the order in which they came
         self.server: asyncio.Server | None = None
         # of other subsystems
@@ -40,13 +40,13 @@
         return self.node.ready()
 
     def metrics(self) -> bytes:
-        return self.node.broker.metrics()
+        return self.node.dispatcher.metrics()
 
     def set_engine(self, uid: str, out: bool) -> bool:
-        done = self.node.broker.set_engine(uid, out)
-        if done and self.node.siblings is not None:
+        done = self.node.dispatcher.set_endpoint_disabled(uid, out)
+        if done and self.node.peer_processes is not None:
             # danger: after the yes it holds, also where a request went elsewhere
-            self.node.siblings.tell()
+            self.node.peer_processes.tell()
         self.log(
             "operator",
             f"{'out' if out else 'back'}: {uid[:80]!r} {'done' if done else 'is not known'}",
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -22,7 +22,7 @@
 S = 1_000_000_000
 
 
-class Drain:
+class GracefulShutdown:
     def __init__(self, node: Host) -> None:
         self.node = node
         self.begun_at = 0
@@ -34,7 +34,7 @@
     def last(self) -> float:
         """Seconds after SIGTERM at which everything open is closed out."""
         config = self.node.config
-        deadline = max(c.deadline for c in config.settings.classes) / 1e9
+        deadline = max(c.deadline_ns for c in config.settings.classes) / 1e9
         return min(deadline, LONGEST if config.accept_fd is None else LONGEST_HELD) + KILL - MARGIN
 
     def begin(self) -> None:
@@ -42,7 +42,7 @@
             return
         self.begun_at = self.node.clock.now()
         self.loop = asyncio.get_running_loop()
-        siblings = self.node.siblings
+        siblings = self.node.peer_processes
         if siblings is not None:
             siblings.poll()
         if siblings is not None and siblings.successor():
@@ -67,10 +67,10 @@
                 self.loop.call_soon(self._leave, linger)
                 return
             node.server.close()
-        node.leaving = True
-        if node.siblings is not None:
-            node.siblings.accepting = False
-            node.siblings.tell()
+        node.closing_announced = True
+        if node.peer_processes is not None:
+            node.peer_processes.accepting = False
+            node.peer_processes.tell()
         for client in list(node.clients):
             client.leave_off()
         self.loop.call_later(linger, self._look)
@@ -85,8 +85,8 @@
             # Danger: SIGKILL would take what is open with it; a final answer now is better than
             # none.
             self.closed_out = True
-            self.node.log("stop", f"closing out {len(self.node.broker.requests)} requests")
-            self.node.broker.close_out_all()
+            self.node.log("stop", f"closing out {len(self.node.dispatcher.requests)} requests")
+            self.node.dispatcher.close_out_all()
         self.loop.call_later(LOOK, self._look)
 
     def _shut(self) -> None:
@@ -95,7 +95,7 @@
         theirs is read off.
         """
         self.shut_at = self.node.clock.now()
-        self.node.broker.closing = True
+        self.node.dispatcher.closing = True
         for client in list(self.node.clients):
             client.shut()
         self._end()
--- a/query_broker/server/host.py
+++ b/query_broker/server/host.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from ..config.reading import Config
-from ..dispatch.dispatcher import Broker
+from ..dispatch.dispatcher import Dispatcher
 from ..protocols.client_connection import ClientConnection
 from ..timer_wheel import Clock
 
@@ -28,8 +28,8 @@
 
 
 class Host(Protocol):
-    leaving: bool  # the word to leave has gone out
-    listed: bool  # the engine list is there
+    closing_announced: bool  # the word to leave has gone out
+    endpoint_list_known: bool  # the engine list is there
 
     @property
     def config(self) -> Config: ...
@@ -41,7 +41,7 @@
     def log(self) -> Callable[[str, str], None]: ...
 
     @property
-    def broker(self) -> Broker: ...
+    def dispatcher(self) -> Dispatcher: ...
 
     @property
     def clients(self) -> Collection[ClientConnection]: ...
@@ -54,7 +54,7 @@
     def server(self) -> asyncio.Server | None: ...
 
     @property
-    def siblings(self) -> Processes | None: ...
+    def peer_processes(self) -> Processes | None: ...
 
     def ready(self) -> bool: ...
 
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -19,16 +19,16 @@
 
 from ..config.reading import Config, ConfigError, waiting_for_restart
 from ..config.reading import reload as read_again
-from ..decisions.facade import Beside, Outstanding
-from ..discovery.watch_client import Feed
-from ..dispatch.dispatcher import Broker
+from ..decisions.facade import CoProcessLoad, OutstandingWork
+from ..discovery.watch_client import WatchClient
+from ..dispatch.dispatcher import Dispatcher
 from ..protocols.client_connection import ClientConnection
 from ..timer_wheel import Clock
 from . import signals
-from .admin_api import Operations
-from .graceful_shutdown import Drain
+from .admin_api import AdminApi
+from .graceful_shutdown import GracefulShutdown
 from .log import Log
-from .peer_process import Siblings
+from .peer_process import PeerProcesses
 
 BACKLOG = 1_024
 SWEEP = 0.25  # s between looks at idle connections and slow readers
@@ -86,19 +86,21 @@
         self.config = config = replace(config, sockets=raise_descriptors(config.sockets))
         self.log = Log(config.name)
         self.clock = Clock()
-        self.broker = self._broker()
+        self.dispatcher = self._broker()
         # Danger: a flood of clients takes every descriptor, and none is left to reach an engine.
-        self.most_clients = self.broker.most_clients
+        self.most_clients = self.dispatcher.most_clients
         self.clients: set[ClientConnection] = set()
         self.partial = 0  # bytes of frames that are not whole yet
         self.server: asyncio.Server | None = None
-        self.operations = Operations(self)
+        self.admin_api = AdminApi(self)
         # Without an inherited socket no second process can listen: nobody is beside us.
-        self.siblings = None if config.accept_fd is None else Siblings(self, config.folder)
-        self.feed: Feed | None = None
-        self.listed = False
-        self.drain = Drain(self)
-        self.leaving = False  # the type 64 has gone out: not ready any more
+        self.peer_processes = (
+            None if config.accept_fd is None else PeerProcesses(self, config.folder)
+        )
+        self.watch_client: WatchClient | None = None
+        self.endpoint_list_known = False
+        self.shutdown = GracefulShutdown(self)
+        self.closing_announced = False  # the type 64 has gone out: not ready any more
         self.next_tick: asyncio.TimerHandle | None = None  # none while one is under way
         self.stopped = asyncio.Event()
         self.ticked = self.swept = self.clock.now()
@@ -106,15 +108,15 @@
     # What a node with rooms of its own makes otherwise, and tells the other processes:
     # `query_broker.cells`.
 
-    def _broker(self) -> Broker:
-        return Broker(self.config, self.clock, self.log)
+    def _broker(self) -> Dispatcher:
+        return Dispatcher(self.config, self.clock, self.log)
 
     def _client(self) -> ClientConnection:
         return ClientConnection(self)
 
     def _take(self, read: Config) -> None:
         """Other settings: what can be turned down is turned down before anything is changed."""
-        self.broker.retune(read)
+        self.dispatcher.apply_settings(read)
 
     def tells(self) -> dict[str, Any]:
         return {}
@@ -125,14 +127,14 @@
     # --- the front ---
 
     def ready(self) -> bool:
-        return self.listed and not self.leaving
+        return self.endpoint_list_known and not self.closing_announced
 
     def came(self, connection: ClientConnection) -> bool:
         if not self._has_place():
             self.log("client", f"more than {self.most_clients} connections: one is refused")
             return False
         self.clients.add(connection)
-        if self.leaving:
+        if self.closing_announced:
             connection.leave_off()
         return True
 
@@ -160,14 +162,14 @@
         """Other processes of this broker are beside us, or have ended: its limits hold for all
         together.
         """
-        out: dict[int, Outstanding] = {}
+        out: dict[int, OutstandingWork] = {}
         for other in others:
             for number, theirs in other["out"].items():
-                so_far = out.get(number, Outstanding(0, 0, 0))
-                out[number] = Outstanding(*(a + b for a, b in zip(so_far, theirs, strict=True)))
-        self.broker.beside(Beside(out, 1 + sum(other["accepting"] for other in others)))
-        self.broker.divide(1 + len(others), sum(other["clients"] for other in others))
-        self.most_clients = self.broker.most_clients
+                so_far = out.get(number, OutstandingWork(0, 0, 0))
+                out[number] = OutstandingWork(*(a + b for a, b in zip(so_far, theirs, strict=True)))
+        self.dispatcher.beside(CoProcessLoad(out, 1 + sum(other["accepting"] for other in others)))
+        self.dispatcher.divide(1 + len(others), sum(other["clients"] for other in others))
+        self.most_clients = self.dispatcher.most_clients
 
     def went(self, connection: ClientConnection) -> None:
         self._discard(connection)
@@ -182,21 +184,21 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._loop_fault)
         for event in self.config.known:
-            self.broker.news(event)
-            self.listed = True
+            self.dispatcher.endpoint_list_changed(event)
+            self.endpoint_list_known = True
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.drain.begin)
+            loop.add_signal_handler(number, self.shutdown.begin)
         # Danger: without a handler, the signal that asks for the new configuration ends the
         # process.
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        if self.siblings is not None:
-            self.siblings.start()
-            self.siblings.look()
+        if self.peer_processes is not None:
+            self.peer_processes.start()
+            self.peer_processes.look()
         await self._open()
         if self.config.bus is not None:
             self._follow(self.config.bus)
         if self.config.operator is not None:
-            await self.operations.listen(bound("operator", *self.config.operator))
+            await self.admin_api.listen(bound("operator", *self.config.operator))
         self.server = await loop.create_server(self._client, sock=self._listen(), backlog=BACKLOG)
         # What lives as long as the process is no work for the collector: it would stop the loop for
         # it.
@@ -210,7 +212,7 @@
             f"{self.config.memory_mb} MB, {self.config.sockets} descriptors",
         )
         self.ticked = self.swept = self.clock.now()
-        self.broker.wheel.sooner = self._wake
+        self.dispatcher.wheel.sooner = self._wake
         self._tick(loop)
         if signals.came_early():
             self.reload()
@@ -223,14 +225,14 @@
         return inherited(self.config.accept_fd)
 
     def _follow(self, bus: tuple[str, int]) -> None:
-        if self.feed is None:
-            self.feed = self._feed(bus)
-            self.feed.start()
+        if self.watch_client is None:
+            self.watch_client = self._feed(bus)
+            self.watch_client.start()
         else:
-            self.feed.move(bus)
+            self.watch_client.move(bus)
 
-    def _feed(self, bus: tuple[str, int]) -> Feed:
-        return Feed(
+    def _feed(self, bus: tuple[str, int]) -> WatchClient:
+        return WatchClient(
             bus,
             self.config.known_offset,
             self._news,
@@ -241,7 +243,7 @@
 
     def reload(self) -> None:
         """SIGHUP: the file is read and checked wholly, then taken in one step or not at all."""
-        if self.drain.begun_at:
+        if self.shutdown.begun_at:
             self.log("reload", "SIGHUP: not during the drain")
             return
         try:
@@ -253,11 +255,11 @@
         except Exception as error:  # danger: no file, however odd, may end a process that serves
             self._turned_down(f"{type(error).__name__}: {error}")
             return
-        self.broker.figures.reloads_taken += 1
+        self.dispatcher.metrics_counts.reloads_taken += 1
         for remark in read.remarks():
             self.log("config", remark)
         fixed = waiting_for_restart(self.told, read)
-        self.config = self.broker.config
+        self.config = self.dispatcher.config
         self.log(
             "reload", "done" + (f"; with the next start only: {', '.join(fixed)}" if fixed else "")
         )
@@ -265,31 +267,33 @@
             self._follow(read.bus)
 
     def _turned_down(self, why: str) -> None:
-        self.broker.figures.reloads_turned_down += 1
+        self.dispatcher.metrics_counts.reloads_turned_down += 1
         self.log("reload", f"the configuration stays as it was: {why}")
 
     def _news(self, event: Any) -> None:
-        first, self.listed = not self.listed, True
-        self.broker.news(event)
-        if first and self.siblings is not None:
-            self.siblings.tell()
+        first, self.endpoint_list_known = not self.endpoint_list_known, True
+        self.dispatcher.endpoint_list_changed(event)
+        if first and self.peer_processes is not None:
+            self.peer_processes.tell()
 
     def _tick(self, loop: asyncio.AbstractEventLoop) -> None:
         now = self.clock.now()
-        tick = self.config.settings.tick
+        tick = self.config.settings.tick_ns
         if now - self.ticked > tick + LAGGED:
             self.log("lag", f"the loop stood still for {(now - self.ticked) / 1e6:.0f} ms")
         self.next_tick = None
         try:
-            self.broker.tick()
-            if self.feed is not None:
-                self.feed.check(now)
+            self.dispatcher.tick()
+            if self.watch_client is not None:
+                self.watch_client.check(now)
             if now - self.swept > SWEEP * 1e9:
                 self.swept = now
                 self._sweep(now)
         finally:
             now = self.clock.now()
-            self._tick_after(loop, self.broker.wheel.rest(now, int(self.longest_rest * 1e9)), now)
+            self._tick_after(
+                loop, self.dispatcher.wheel.rest(now, int(self.longest_rest * 1e9)), now
+            )
 
     def _tick_after(self, loop: asyncio.AbstractEventLoop, rest: int, now: int) -> None:
         self.ticked = now + rest
@@ -301,15 +305,15 @@
         if self.next_tick is not None:
             self.next_tick.cancel()
             now = self.clock.now()
-            self._tick_after(asyncio.get_running_loop(), self.broker.wheel.until(now), now)
+            self._tick_after(asyncio.get_running_loop(), self.dispatcher.wheel.until(now), now)
 
     def _sweep(self, now: int) -> None:
-        self.broker.pools.sweep(now)
+        self.dispatcher.pools.sweep(now)
         unread = 0
         for client in sorted(self.clients, key=ClientConnection.unread):
             unread += client.unread()
-            if unread > self.broker.room or (
-                client.paused_at and now - client.paused_at > self.broker.terms.slow_reader
+            if unread > self.dispatcher.room or (
+                client.paused_at and now - client.paused_at > self.dispatcher.terms.slow_reader
             ):
                 self.log("client", "unread answers are given up, their connection closed")
                 client.drop()
@@ -318,12 +322,12 @@
         self.log("fault", f"{context.get('message')}: {context.get('exception')!r}")
 
     def stop(self) -> None:
-        self.broker.pools.close()
-        self.operations.close()
-        if self.siblings is not None:
-            self.siblings.stop()
-        if self.feed is not None:
-            self.feed.stop()
+        self.dispatcher.pools.close()
+        self.admin_api.close()
+        if self.peer_processes is not None:
+            self.peer_processes.stop()
+        if self.watch_client is not None:
+            self.watch_client.stop()
         self.stopped.set()
 
 
--- a/query_broker/server/peer_process.py
+++ b/query_broker/server/peer_process.py
@@ -12,15 +12,15 @@
 from pathlib import Path
 from typing import Any
 
-from ..decisions.facade import Outstanding
-from ..endpoints.administrative_state import Word
+from ..decisions.facade import OutstandingWork
+from ..endpoints.administrative_state import AdministrativeState
 from .host import Host
 
 PERIOD = 100_000_000  # ns between two looks; news for the other process is due within a second
 MOST_FILE = 1 << 20  # bytes
 
 
-class Siblings:
+class PeerProcesses:
     """Each process holds a lock for as long as it lives and tells of itself in the file beside it.
     Danger: what a killed process left must not count: a file without a held lock is removed
     unread.
@@ -72,12 +72,12 @@
         """
         if self.lock is None or self.told < 0:
             return
-        broker, now = self.node.broker, self.node.clock.now()
+        broker, now = self.node.dispatcher, self.node.clock.now()
         # Danger: one that has no engine list yet would take the queue and could serve none of it.
         said = {
-            "accepting": self.accepting and self.node.listed,
+            "accepting": self.accepting and self.node.endpoint_list_known,
             "clients": len(self.node.clients),
-            "words": {uid: list(word) for uid, word in broker.bans.words.items()},
+            "words": {uid: list(word) for uid, word in broker.administrative_states.states.items()},
             "out": {str(n): list(o) for n, o in broker.facade.outstanding(now).items()},
             **self.node.tells(),
         }
@@ -95,7 +95,7 @@
         return any(other["accepting"] for other in self.others.values())
 
     def look(self) -> None:
-        self.node.broker.wheel.at(self.node.clock.now() + PERIOD, self.look)
+        self.node.dispatcher.wheel.at(self.node.clock.now() + PERIOD, self.look)
         self.poll()
         if self.others:
             self.tell()
@@ -122,7 +122,7 @@
             return
         for other in self.others.values():
             for uid, word in other["words"].items():
-                self.node.broker.take_word(uid, word)
+                self.node.dispatcher.apply_administrative_state(uid, word)
         self.node.share(self.others.values())
         if before.keys() != self.others.keys():
             self.node.log("upgrade", f"{len(self.others)} other processes of this broker")
@@ -167,8 +167,9 @@
         "accepting": bool(raw.get("accepting", False)),
         "clients": int(raw.get("clients", 0)),
         "words": {
-            str(uid): Word(int(at), bool(out)) for uid, (at, out) in raw.get("words", {}).items()
+            str(uid): AdministrativeState(int(at), bool(out))
+            for uid, (at, out) in raw.get("words", {}).items()
         },
-        "out": {int(n): Outstanding(*map(int, out)) for n, out in raw.get("out", {}).items()},
+        "out": {int(n): OutstandingWork(*map(int, out)) for n, out in raw.get("out", {}).items()},
         "cells": raw.get("cells"),
     }
--- a/query_broker/server/structured_log.py
+++ b/query_broker/server/structured_log.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from ..deadlines.settings import Logs, Stage
-from ..dispatch.requests import OpenRequest
+from ..dispatch.requests import ActiveRequest
 from .log import Log
 
 MS = 1_000_000
@@ -47,30 +47,30 @@
     return xxhash.xxh3_64_intdigest(trace) % WHOLE < share * WHOLE
 
 
-def story(request: OpenRequest, end: str, now: int) -> dict[str, Any]:
+def story(request: ActiveRequest, end: str, now: int) -> dict[str, Any]:
     """Where a request's time went, in milliseconds."""
     told: dict[str, Any] = {
-        "trace": request.trace.decode(),
-        "route": request.route.decode(),
-        "customer": request.customer,
+        "trace": request.client_request_id.decode(),
+        "route": request.class_name.decode(),
+        "customer": request.tenant,
         "end": end,
-        "total_ms": _ms(now - request.came),
-        "left_ms": _ms(request.deadline - now),
+        "total_ms": _ms(now - request.received_ns),
+        "left_ms": _ms(request.deadline_ns - now),
     }
     attempt = next(reversed(request.attempts.values()), None)
     if attempt is not None:
         marks = (
-            request.came,
-            request.taken,
-            attempt.sent,
-            attempt.put,
-            attempt.gone,
-            attempt.answered or now,
+            request.received_ns,
+            request.accepted_ns,
+            attempt.dispatched_ns,
+            attempt.assigned_ns,
+            attempt.written_ns,
+            attempt.answered_ns or now,
         )
         for stage, begun, ended in zip(Stage, marks, marks[1:], strict=False):
             if begun and ended:
                 told[f"{stage.value}_ms"] = _ms(ended - begun)
-        told["attempt"], told["engine"] = attempt.number, attempt.engine
+        told["attempt"], told["engine"] = attempt.number, attempt.endpoint
     return told
 
 
@@ -78,16 +78,16 @@
     return round(time / MS, 3)
 
 
-def stories(log: Log, lines: Lines, now: Callable[[], int]) -> Callable[[OpenRequest, str], None]:
+def stories(log: Log, lines: Lines, now: Callable[[], int]) -> Callable[[ActiveRequest, str], None]:
     """A line for each sampled request, and for each that ended past its time. Danger: in trouble
     every one of them ends so: the log's own limit by kind holds for them too.
     """
 
-    def tell(request: OpenRequest, end: str) -> None:
+    def tell(request: ActiveRequest, end: str) -> None:
         at = now()
-        if at > request.deadline:
+        if at > request.deadline_ns:
             kind = "late"
-        elif sampled(request.trace, lines.terms.stories):
+        elif sampled(request.client_request_id, lines.terms.stories):
             kind = "story"
         else:
             return
--- a/query_broker/simulator_adapter.py
+++ b/query_broker/simulator_adapter.py
@@ -19,25 +19,25 @@
 from .decisions.controller import AdmissionController
 
 STATES = {
-    "SERVING": api.EngineState.READY,
-    "DRAINING": api.EngineState.DRAINING,
-    "DELETED": api.EngineState.GONE,
+    "SERVING": api.EndpointState.READY,
+    "DRAINING": api.EndpointState.DRAINING,
+    "DELETED": api.EndpointState.REMOVED,
 }
 LIST_KINDS = {
-    "D": api.ListKind.CHANGES,
-    "F": api.ListKind.FULL,
-    "C": api.ListKind.CACHED,
-    "X": api.ListKind.FAILED,
+    "D": api.ListUpdateKind.CHANGES,
+    "F": api.ListUpdateKind.FULL,
+    "C": api.ListUpdateKind.CACHED,
+    "X": api.ListUpdateKind.FAILED,
 }
 RESULTS = {
-    "served": api.Result.SERVED,
-    "server_error": api.Result.ERROR,
-    "turned_away": api.Result.FULL,
-    "no_answer": api.Result.TIMEOUT,
-    "no_connection": api.Result.CONNECT_FAILED,
-    "connection_lost": api.Result.RESET,
-    "called_off": api.Result.CANCELLED,
-    "not_sent": api.Result.NOT_SENT,
+    "served": api.AttemptResult.SERVED,
+    "server_error": api.AttemptResult.ERROR,
+    "turned_away": api.AttemptResult.FULL,
+    "no_answer": api.AttemptResult.TIMEOUT,
+    "no_connection": api.AttemptResult.CONNECT_FAILED,
+    "connection_lost": api.AttemptResult.RESET,
+    "called_off": api.AttemptResult.CANCELLED,
+    "not_sent": api.AttemptResult.NOT_SENT,
 }
 REPORT_FIELDS = {"busy": "utilisation", "q": "queue", "x0": "memory", "x1": "disk"}
 Fields = dict[str, str]
@@ -77,15 +77,15 @@
     return value == "1"
 
 
-def _entry(fields: Fields) -> api.EngineEntry:
-    return api.EngineEntry(
-        engine=_number(fields, "engine", int),
+def _entry(fields: Fields) -> api.EndpointEntry:
+    return api.EndpointEntry(
+        endpoint=_number(fields, "engine", int),
         state=_pick(STATES, fields.get("stage_state", "SERVING"), "stage_state"),
         zone=fields.get("area", ""),
         kind=fields.get("class_of_host", ""),
         cell=_number(fields, "bay", int, 0),
         weight=_number(fields, "power_hint", float, 1.0),
-        started=_number(fields, "up_since", int, 0),
+        started_ns=_number(fields, "up_since", int, 0),
     )
 
 
@@ -121,20 +121,20 @@
         )
 
     def event(
-        self, name: str, f: Fields, lists: dict[int, tuple[api.EngineEntry, ...]]
+        self, name: str, f: Fields, lists: dict[int, tuple[api.EndpointEntry, ...]]
     ) -> api.Event | None:
         """The interface's event for a line of the wire; None for a message that is not known."""
         if name == "TARGETS":
             kind = _pick(LIST_KINDS, _text(f, "mode"), "mode")
-            if kind is api.ListKind.FAILED:
-                return api.ListNews(kind)
+            if kind is api.ListUpdateKind.FAILED:
+                return api.EndpointListUpdate(kind)
             number = _number(f, "list", int)
             if number not in lists:
                 raise WireError(f"list: {number} was never laid out")
-            return api.ListNews(kind, lists[number])
+            return api.EndpointListUpdate(kind, lists[number])
         if name == "INGRESS":
             tenant = f.get("user_group")
-            return api.Arrival(
+            return api.RequestArrived(
                 _text(f, "req"),
                 _text(f, "kind"),
                 _number(f, "patience_left", int),
@@ -146,7 +146,7 @@
                 _flag(f, "again_by_client"),
             )
         if name == "FINISHED":
-            return api.AttemptOutcome(
+            return api.AttemptEnded(
                 _text(f, "req"),
                 _number(f, "n", int),
                 _number(f, "engine", int),
@@ -159,19 +159,19 @@
             what = _number(f, "what", int)
             if what not in (1, 2, 3):
                 return None
-            return api.AttemptNote(
+            return api.AttemptProgress(
                 _text(f, "req"),
                 _number(f, "n", int),
                 _number(f, "engine", int),
-                api.NoteKind(what),
+                api.ProgressKind(what),
                 _number(f, "level", float, 0.0),
             )
         if name == "VANISHED":
-            return api.Departure(_text(f, "req"))
+            return api.RequestAbandoned(_text(f, "req"))
         if name == "TIMEOUT_FIRED":
             return api.TimerFired(_number(f, "nonce", int))
         if name == "STATUS_BACK":
-            return api.ProbeResult(
+            return api.HealthCheckResult(
                 _number(f, "engine", int),
                 _pick(RESULTS, _text(f, "reason"), "reason"),
                 _number(f, "time_taken", int, 0),
@@ -187,21 +187,21 @@
         return None
 
 
-def _render(inst: str, action: api.Action) -> str:
+def _render(inst: str, action: api.Order) -> str:
     match action:
-        case api.Send(request, _, engine, timeout, _):
+        case api.Dispatch(request, _, engine, timeout, _):
             return f"FORWARD\ti={inst}\treq={request}\tengine={engine}\tallow_for={timeout}\n"
-        case api.Refuse(request, retry_after):
+        case api.Reject(request, retry_after):
             return f"DENY\ti={inst}\treq={request}\twait={retry_after}\n"
         case api.Fail(request):
             return f"GIVE_UP\ti={inst}\treq={request}\n"
-        case api.Cancel(request, attempt):
+        case api.CancelAttempt(request, attempt):
             return f"DROP_ATTEMPT\ti={inst}\treq={request}\tn={attempt}\n"
         case api.SetTimer(at, token):
             return f"SET_ALARM\ti={inst}\tfire_at={at}\tnonce={token}\n"
-        case api.Probe(engine):
+        case api.HealthCheck(engine):
             return f"ASK_LOAD\ti={inst}\tengine={engine}\n"
-        case api.Terms(request, priority, memory):
+        case api.DispatchOptions(request, priority, memory):
             return (
                 f"RESOURCES\ti={inst}\treq={request}\t"
                 f"importance={priority}\tallot_mb={memory:.3f}\n"
@@ -214,7 +214,7 @@
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source, self.sink = source, sink
         self.instances: dict[str, Instance] = {}
-        self.lists: dict[int, tuple[api.EngineEntry, ...]] = {}
+        self.lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
         self.frame: int | None = None
 
     def run(self) -> None:
--- a/query_broker/startup/admission_ramp.py
+++ b/query_broker/startup/admission_ramp.py
@@ -13,7 +13,7 @@
 import math
 from dataclasses import dataclass
 
-from .settings import StartTerms
+from .settings import StartupSettings
 
 S = 1_000_000_000
 PERIOD = S
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Ramp:
-    terms: StartTerms
+    terms: StartupSettings
     begun: int
     share: float = 0.0
     at: int = 0
--- a/query_broker/startup/bounds.py
+++ b/query_broker/startup/bounds.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from .pacing import MOST_SKIPPED, window
-from .settings import StartTerms
+from .settings import StartupSettings
 
 S = 1_000_000_000
 
 
-def lines(terms: StartTerms, me: int, fleet: int) -> list[str]:
+def lines(terms: StartupSettings, me: int, fleet: int) -> list[str]:
     whole = window(fleet, terms.list_connects) / S
     contact = window(fleet, terms.engine_probes) / S
     told = [
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -10,17 +10,24 @@
 from dataclasses import replace
 from typing import Any
 
-from ..decisions.facade import Beside, Effect, EngineState, Outstanding, Result, Settings
-from ..discovery.event_codec import BadLine, Target, parse_event
-from ..discovery.watch_client import CONNECT, SILENT, Feed
-from ..endpoints.endpoint_table import EngineTable
+from ..decisions.facade import (
+    AttemptResult,
+    CoProcessLoad,
+    Effect,
+    EndpointState,
+    OutstandingWork,
+    Settings,
+)
+from ..discovery.event_codec import BadLine, ListedEndpoint, parse_event
+from ..discovery.watch_client import CONNECT, SILENT, WatchClient
+from ..endpoints.endpoint_table import EndpointTable
 from ..metrics import ERROR, SUCCESS
 from ..protocols.client_connection import ClientConnection
 from ..server.host import Host
 from .admission_ramp import Ramp, assumed, pause
 from .endpoint_snapshot import MOST, BadList, LastList, decode, encode
 from .pacing import Calls, Gate, probe_at, slot, time_out
-from .settings import StartTerms
+from .settings import StartupSettings
 from .stages import Source, Stage, Start
 
 S = 1_000_000_000
@@ -28,14 +35,14 @@
 SAVE = 5 * S  # between two looks whether the list on disk is still the one in force
 NOWHERE = ("\0unconfirmed",)  # no engine is of this kind: rule on placement, the module's own
 STATES = {
-    EngineState.READY: "in_service",
-    EngineState.DRAINING: "terminating",
-    EngineState.GONE: "terminated",
+    EndpointState.READY: "in_service",
+    EndpointState.DRAINING: "terminating",
+    EndpointState.REMOVED: "terminated",
 }
 JSON = "application/json"
 
 
-def plain(target: Target) -> dict[str, Any]:
+def plain(target: ListedEndpoint) -> dict[str, Any]:
     """A target as the bus tells of it."""
     return {
         "uid": target.uid,
@@ -45,20 +52,22 @@
         "pod_group": target.cell,
         "state": STATES[target.state],
         "capacity_hint": target.weight,
-        "boot_ms": target.started // MS,
+        "boot_ms": target.started_ns // MS,
     }
 
 
-def listed(table: EngineTable) -> tuple[dict[str, Any], ...]:
+def listed(table: EndpointTable) -> tuple[dict[str, Any], ...]:
     return tuple(
-        plain(k.target) for k in table.by_uid.values() if k.target.state is not EngineState.GONE
+        plain(k.target)
+        for k in table.by_uid.values()
+        if k.target.state is not EndpointState.REMOVED
     )
 
 
 class ListPace:
     """The feed's pace: by place, then by full jitter."""
 
-    def __init__(self, owner: Starting, me: int, fleet: int, terms: StartTerms) -> None:
+    def __init__(self, owner: StartupService, me: int, fleet: int, terms: StartupSettings) -> None:
         self.owner, self.now = owner, owner.node.clock.now
         self.calls = Calls(me, fleet, terms.list_connects, owner.draw)
         now = self.now()
@@ -79,12 +88,12 @@
         self.owner.confirmed()
 
 
-class Starting:
+class StartupService:
     """One node's start. Everything is asked from its tick; files are written on a thread."""
 
-    def __init__(self, node: Host, terms: StartTerms) -> None:
+    def __init__(self, node: Host, terms: StartupSettings) -> None:
         self.node, self.terms = node, terms
-        self.me, self.fleet = node.config.settings.me, node.config.settings.fleet_size
+        self.me, self.fleet = node.config.settings.broker_index, node.config.settings.fleet_size
         self.draw = random.Random(node.config.seed ^ 0x5747).random
         now = node.clock.now()
         self.start = Start(terms, now)
@@ -94,9 +103,9 @@
         self.counted = (0, 0)
         self.said = 0  # stages that the log has
         self.saved, self.saving, self.saved_offset = now, False, -1
-        self.own = node.broker.pools.own  # as it is in service
+        self.own = node.dispatcher.pools.own  # as it is in service
         self.held_back = False  # unsafe work is bound to no engine
-        self.feed: Feed | None = None
+        self.feed: WatchClient | None = None
         self.kept = self._read_disk() if not node.config.known else None
         age = None if self.kept is None else max(0, node.clock.now() - self.kept.saved_at)
         self.start.settings_read(now, age)
@@ -105,9 +114,9 @@
         if node.config.known:
             self.start.list_told(now, Source.KNOWN, 0)
         self._ask_contact(now)
-        node.broker.witness.append(self._witness)
-        node.broker.more_figures.append(self.figures)
-        node.broker.pools.turn = self._connect_wait
+        node.dispatcher.witness.append(self._witness)
+        node.dispatcher.more_figures.append(self.figures)
+        node.dispatcher.pools.turn = self._connect_wait
         self.gate = Gate(terms.accepts, now)
         self.unread: dict[ClientConnection, None] = {}  # let in, and not read yet, in their order
 
@@ -119,7 +128,7 @@
 
     # --- the list ---
 
-    def pace(self, feed: Feed) -> None:
+    def pace(self, feed: WatchClient) -> None:
         self.feed = feed
         feed.pace = ListPace(self, self.me, self.fleet, self.terms)
         if self.kept is not None:
@@ -155,10 +164,10 @@
         """Danger: an address may be another engine's by now: until the bus has spoken nothing that
         may not run twice goes there. The module refuses it by its own rule on placement.
         """
-        self.node.broker.news(parse_event(kept.event()))
+        self.node.dispatcher.endpoint_list_changed(parse_event(kept.event()))
         self.held_back = True
-        self.node.broker.adjust.append(self._bind)
-        self.node.broker.readjust()
+        self.node.dispatcher.adjust.append(self._bind)
+        self.node.dispatcher.refresh_settings()
 
     def _bind(self, settings: Settings) -> Settings:
         if not self.held_back:
@@ -166,7 +175,7 @@
         return replace(
             settings,
             classes=tuple(
-                c if c.effect is Effect.SAFE else replace(c, only_kinds=NOWHERE)
+                c if c.effect is Effect.IDEMPOTENT else replace(c, allowed_kinds=NOWHERE)
                 for c in settings.classes
             ),
         )
@@ -179,34 +188,35 @@
         """The bus has nothing newer than we have."""
         if self.held_back:
             self.held_back = False
-            self.node.broker.readjust()
+            self.node.dispatcher.refresh_settings()
             self.node.log("start", "the bus has confirmed the last list")
         if self.start.source is not Source.BUS and (
             self._count() or self.start.source is not Source.NONE
         ):
-            self.node.listed = True
+            self.node.endpoint_list_known = True
             self.start.list_told(self.node.clock.now(), Source.BUS, self._count())
 
     def _count(self) -> int:
         return sum(
-            k.target.state is EngineState.READY for k in self.node.broker.engines.by_number.values()
+            k.target.state is EndpointState.READY
+            for k in self.node.dispatcher.endpoint_table.by_number.values()
         )
 
     # --- first contact ---
 
     def _ask_contact(self, now: int) -> None:
-        if not self.node.config.settings.limits.probes:
+        if not self.node.config.settings.limits.health_checks:
             self.start.terms = replace(self.start.terms, contact_part=0.0)  # nobody may be asked
 
-    def _witness(self, engine: int, result: Result) -> None:
-        if result is not Result.TIMEOUT:  # refused is heard of, too; silence is not
+    def _witness(self, engine: int, result: AttemptResult) -> None:
+        if result is not AttemptResult.TIMEOUT:  # refused is heard of, too; silence is not
             self.seen.add(engine)
 
     def _contact(self, now: int) -> None:
         ready = [
             n
-            for n, k in self.node.broker.engines.by_number.items()
-            if k.target.state is EngineState.READY
+            for n, k in self.node.dispatcher.endpoint_table.by_number.items()
+            if k.target.state is EndpointState.READY
         ]
         for engine in ready:
             at = self.asked.get(engine)
@@ -216,7 +226,7 @@
                 )
             if 0 <= at <= now:
                 self.asked[engine] = -1
-                self.node.broker._probe(now, engine)
+                self.node.dispatcher._probe(now, engine)
         self.start.heard_of(now, len(self.seen.intersection(ready)), len(ready))
 
     # --- connections ---
@@ -257,7 +267,7 @@
     def tick(self, now: int) -> None:
         start = self.start
         if start.wants_disk(now):
-            self.node.listed = True
+            self.node.endpoint_list_known = True
             start.age = max(0, now - self.kept.saved_at) if self.kept is not None else 0
             start.list_told(now, Source.DISK, self._count())
         if (
@@ -268,7 +278,7 @@
             start.complained = True
             self.node.log("start", "no list from the bus and none on disk: still asking, not ready")
         if start.stage is Stage.CONTACT:
-            if self.node.siblings is not None and self.node.siblings.others:
+            if self.node.peer_processes is not None and self.node.peer_processes.others:
                 self._skip(now)
             else:
                 self._contact(now)
@@ -281,16 +291,16 @@
         if self.terms.last_list and now - self.saved >= SAVE:
             self._save(now)
         if start.stage is not Stage.FULL:
-            self.node.broker.wheel.soon()
+            self.node.dispatcher.wheel.soon()
 
     def _skip(self, now: int) -> None:
         self.start.skip(now, "another process of this broker serves beside it")
-        self.node.broker.pools.own, self.node.broker.pools.turn = self.own, None
-        self.node.broker.stay_away = None
+        self.node.dispatcher.pools.own, self.node.dispatcher.pools.turn = self.own, None
+        self.node.dispatcher.stay_away = None
 
     def _ramp(self, now: int) -> None:
-        broker = self.node.broker
-        if self.node.siblings is not None and self.node.siblings.others:
+        broker = self.node.dispatcher
+        if self.node.peer_processes is not None and self.node.peer_processes.others:
             return self._skip(now)
         # Danger: a connection for each attempt, from every broker at once, is more handshakes than
         # queries.
@@ -300,7 +310,8 @@
             self.ramp = Ramp(self.terms, now)
             broker.stay_away = self._stay_away
         counts = [
-            sum(c[status] for c in broker.figures.replies.values()) for status in (SUCCESS, ERROR)
+            sum(c[status] for c in broker.metrics_counts.replies.values())
+            for status in (SUCCESS, ERROR)
         ]
         before, at = self.ramp.share, self.ramp.at
         share = self.ramp.period(now, counts[0] - self.counted[0], counts[1] - self.counted[1])
@@ -310,13 +321,13 @@
             widest = broker.facade.widest()
             left = (
                 {
-                    n: Outstanding(*assumed(share, threads, bound, widest), 0)
+                    n: OutstandingWork(*assumed(share, threads, bound, widest), 0)
                     for n, (threads, bound) in broker.facade.shares().items()
                 }
                 if share < 1
                 else {}
             )
-            broker.beside(Beside(left, 1))
+            broker.beside(CoProcessLoad(left, 1))
         self.start.ramped(now, share)
         if self.start.stage is Stage.FULL:
             broker.pools.own, broker.pools.turn, broker.stay_away = self.own, None, None
@@ -324,7 +335,9 @@
     def _stay_away(self, told: int) -> int:
         limits = self.node.config.settings.limits
         left = self.start.since + self.terms.ramp - self.node.clock.now()
-        return pause(told, max(0, left), limits.max_retry_after * limits.retry_after, self.draw())
+        return pause(
+            told, max(0, left), limits.max_retry_after_ns * limits.retry_after, self.draw()
+        )
 
     # --- the last list ---
 
@@ -335,7 +348,9 @@
             return
         self.saving = True
         text = encode(
-            LastList(self.terms.installation, offset, now, listed(self.node.broker.engines))
+            LastList(
+                self.terms.installation, offset, now, listed(self.node.dispatcher.endpoint_table)
+            )
         )
         future = asyncio.get_running_loop().run_in_executor(
             None, write_whole, self.terms.last_list, text
@@ -364,7 +379,7 @@
                     self.terms.installation,
                     self.feed.last,
                     self.node.clock.now(),
-                    listed(self.node.broker.engines),
+                    listed(self.node.dispatcher.endpoint_table),
                 )
             )
             try:
--- a/query_broker/startup/settings.py
+++ b/query_broker/startup/settings.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartTerms:
+class StartupSettings:
     """``list_connects``, ``engine_probes``: what the list service, and one engine, take a second of
     the whole fleet; a broker's part follows from `fleet_size`. ``contact_part`` of the listed
     engines must have been heard of, or ``contact_wait`` be over, before the broker is ready. The
--- a/query_broker/startup/stages.py
+++ b/query_broker/startup/stages.py
@@ -17,7 +17,7 @@
 from enum import Enum
 from typing import Any
 
-from .settings import StartTerms
+from .settings import StartupSettings
 
 S = 1_000_000_000
 
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Start:
-    terms: StartTerms
+    terms: StartupSettings
     begun: int
     stage: Stage = Stage.SETTINGS
     since: int = 0
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -30,7 +30,7 @@
     pass
 
 
-class Wheel:
+class TimerWheel:
     """Timers in slots by tick. A timer never fires early and at most one tick (and the caller's
     lag) late.
     """
@@ -38,13 +38,13 @@
     SLOTS = 1_024
 
     def __init__(self, tick: int, now: int) -> None:
-        self.tick, self.origin, self.current = tick, now, 0
+        self.tick_ns, self.origin, self.current = tick, now, 0
         self.slots: list[list[Timer]] = [[] for _ in range(self.SLOTS)]
         self.rests_until = 0  # the tick at which `advance` is called next
         self.sooner: Callable[[], None] = _nothing  # called where a timer falls due before that
 
     def at(self, when: int, call: Callable[[], None]) -> Timer:
-        due = max(self.current + 1, -((self.origin - when) // self.tick))
+        due = max(self.current + 1, -((self.origin - when) // self.tick_ns))
         timer = Timer(due, call)
         self.slots[due % self.SLOTS].append(timer)
         if due < self.rests_until:
@@ -60,7 +60,7 @@
         """How long, in nanoseconds, nothing falls due: `longest` at the most, a tick at the least.
         Danger: a wheel that turns at every tick wakes an idle broker 200 times a second.
         """
-        most = max(self.current + 1, (now + longest - self.origin) // self.tick)
+        most = max(self.current + 1, (now + longest - self.origin) // self.tick_ns)
         self.rests_until = next(
             (
                 t
@@ -76,11 +76,11 @@
 
     def until(self, now: int) -> int:
         """Nanoseconds to the tick that is rested for."""
-        return max(0, self.origin + self.rests_until * self.tick - now)
+        return max(0, self.origin + self.rests_until * self.tick_ns - now)
 
     def advance(self, now: int) -> None:
         """Fire what is due, tick by tick. Each slot is taken out first: calls may add timers."""
-        target = (now - self.origin) // self.tick
+        target = (now - self.origin) // self.tick_ns
         while self.current < target:
             self.current += 1
             index = self.current % self.SLOTS
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,9 @@
 
 
 def query_class(name: str = "short", **changes: Any) -> api.RequestClass:
-    base: dict[str, Any] = dict(name=name, aim=500 * MS, deadline=5 * S, worth=1.0, threads=1)
+    base: dict[str, Any] = dict(
+        name=name, latency_objective_ns=500 * MS, deadline_ns=5 * S, priority_weight=1.0, threads=1
+    )
     return api.RequestClass(**{**base, **changes})
 
 
@@ -23,47 +25,49 @@
     base: dict[str, Any] = dict(
         classes=classes or (query_class(),),
         fleet_size=1,
-        tick=TICK,
+        tick_ns=TICK,
         zone="a",
         kind_cores=(("box", 4),),
         contract=api.Contract(
-            answer_slack=20 * MS,
-            drain_grace=S,
-            cold_from=0.3,
-            cold=10 * S,
-            fall=2 * S,
-            fall_multiple=2.0,
-            order_settle=300 * MS,
+            answer_slack_ns=20 * MS,
+            drain_grace_ns=S,
+            warmup_initial_capacity=0.3,
+            warmup_ns=10 * S,
+            overload_window_ns=2 * S,
+            overload_multiple=2.0,
+            key_rest_ns=300 * MS,
         ),
-        limits=api.Limits(cancel=True, max_attempts=4, max_retry_after=2 * S),
+        limits=api.Limits(cancellation=True, max_attempts=4, max_retry_after_ns=2 * S),
     )
     return api.Settings(**{**base, **changes})
 
 
-def entry(engine: int, **changes: Any) -> api.EngineEntry:
-    base: dict[str, Any] = dict(engine=engine, state=api.EngineState.READY, zone="a", kind="box")
-    return api.EngineEntry(**{**base, **changes})
+def entry(engine: int, **changes: Any) -> api.EndpointEntry:
+    base: dict[str, Any] = dict(
+        endpoint=engine, state=api.EndpointState.READY, zone="a", kind="box"
+    )
+    return api.EndpointEntry(**{**base, **changes})
 
 
 class Harness:
     """Drives one controller, fires its timers and remembers its actions with their times."""
 
-    def __init__(self, settings: api.Settings, *entries: api.EngineEntry, seed: int = 7) -> None:
+    def __init__(self, settings: api.Settings, *entries: api.EndpointEntry, seed: int = 7) -> None:
         self.now = 100 * S
         self.controller = AdmissionController(settings, seed, self.now)
-        self.log: list[tuple[int, api.Action]] = []
+        self.log: list[tuple[int, api.Order]] = []
         self.timers: list[tuple[int, int]] = []
-        self.sent: dict[str, list[api.Send]] = {}
-        self.do(api.ListNews(api.ListKind.CACHED, entries))
+        self.sent: dict[str, list[api.Dispatch]] = {}
+        self.do(api.EndpointListUpdate(api.ListUpdateKind.CACHED, entries))
 
-    def do(self, event: api.Event) -> list[api.Action]:
+    def do(self, event: api.Event) -> list[api.Order]:
         actions = self.controller.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
             if isinstance(action, api.SetTimer):
-                self.timers.append((action.at, action.token))
-            if isinstance(action, api.Send):
-                self.sent.setdefault(action.request, []).append(action)
+                self.timers.append((action.due_ns, action.token))
+            if isinstance(action, api.Dispatch):
+                self.sent.setdefault(action.request_id, []).append(action)
         return actions
 
     def pass_time(self, span: int) -> None:
@@ -78,32 +82,34 @@
 
     def arrive(
         self, request: str, class_name: str = "short", patience: int = 5 * S, **more: Any
-    ) -> list[api.Action]:
-        return self.do(api.Arrival(request, class_name, patience, **more))
+    ) -> list[api.Order]:
+        return self.do(api.RequestArrived(request, class_name, patience, **more))
 
     def end(
         self,
         request: str,
-        result: api.Result,
+        result: api.AttemptResult,
         attempt: int | None = None,
         latency: int = 50 * MS,
         finished: bool | None = None,
         report: api.LoadReport | None = None,
-    ) -> list[api.Action]:
+    ) -> list[api.Order]:
         number = len(self.sent[request]) - 1 if attempt is None else attempt
-        over = result is api.Result.SERVED if finished is None else finished
+        over = result is api.AttemptResult.SERVED if finished is None else finished
         return self.do(
-            api.AttemptOutcome(
-                request, number, self.sent[request][number].engine, result, latency, over, report
+            api.AttemptEnded(
+                request, number, self.sent[request][number].endpoint, result, latency, over, report
             )
         )
 
-    def sends(self, request: str) -> list[api.Send]:
+    def sends(self, request: str) -> list[api.Dispatch]:
         return self.sent.get(request, [])
 
-    def answers(self, request: str) -> list[api.Action]:
+    def answers(self, request: str) -> list[api.Order]:
         return [
-            a for _, a in self.log if isinstance(a, api.Refuse | api.Fail) and a.request == request
+            a
+            for _, a in self.log
+            if isinstance(a, api.Reject | api.Fail) and a.request_id == request
         ]
 
     def backlog(self) -> int:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -20,15 +20,15 @@
 import uvloop
 
 from query_broker.cells.model import CellMap
-from query_broker.cells.node import CelledNode
+from query_broker.cells.node import CellNode
 from query_broker.config.reading import Config, parse
 from query_broker.emulator.cluster import settings
 from query_broker.emulator.data_engine import ScriptedEngine as Engine
 from query_broker.emulator.discovery_service import ScriptedBus as Bus
 from query_broker.emulator.discovery_service import event, target
 from query_broker.emulator.processes import free_ports
-from query_broker.endpoints.connection_pools import EnginePool
-from query_broker.operator_config.script import Evaluated
+from query_broker.endpoints.connection_pools import ConnectionPool
+from query_broker.operator_config.script import OperatorConfig
 from query_broker.protocols import client_frames as frames
 from query_broker.server.node import Node
 
@@ -134,17 +134,17 @@
         await made.wait()
 
 
-def gated(monkeypatch: Any, first: int = 0) -> tuple[asyncio.Event, list[EnginePool]]:
+def gated(monkeypatch: Any, first: int = 0) -> tuple[asyncio.Event, list[ConnectionPool]]:
     """Connects to engines wait for the event, but for so many; the pools that dial, as they do."""
-    gate, dialled, connect = asyncio.Event(), list[EnginePool](), EnginePool._connect
+    gate, dialled, connect = asyncio.Event(), list[ConnectionPool](), ConnectionPool._connect
 
-    async def late(self: EnginePool) -> None:
+    async def late(self: ConnectionPool) -> None:
         dialled.append(self)
         if len(dialled) > first:
             await gate.wait()
         await connect(self)
 
-    monkeypatch.setattr(EnginePool, "_connect", late)
+    monkeypatch.setattr(ConnectionPool, "_connect", late)
     return gate, dialled
 
 
@@ -212,7 +212,7 @@
     def __init__(self, node: Node) -> None:
         self.node = node
         self.logged: list[str] = []
-        node.log = node.broker.log = node.broker.pools.log = (  # type: ignore[assignment]
+        node.log = node.dispatcher.log = node.dispatcher.pools.log = (  # type: ignore[assignment]
             lambda kind, text: self.logged.append(f"{kind}: {text}")
         )
 
@@ -225,7 +225,7 @@
 
     @property
     def operator_port(self) -> int:
-        server = self.node.operations.server
+        server = self.node.admin_api.server
         assert server is not None
         return int(server.sockets[0].getsockname()[1])
 
@@ -235,7 +235,7 @@
 
 def celled(map: CellMap, path: str = "") -> Callable[[Config, Mapping[str, str]], Node]:
     """Makes a node with these cells; ``path`` is where SIGHUP reads them again."""
-    return lambda config, environ: CelledNode(config, Evaluated(map), path, environ)
+    return lambda config, environ: CellNode(config, OperatorConfig(map), path, environ)
 
 
 @asynccontextmanager
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -22,8 +22,8 @@
 from query_broker.cells.dispatcher import ANTEROOM
 from query_broker.cells.migrations import Stage
 from query_broker.cells.model import Cell, CellMap, Tenant, Timing
-from query_broker.cells.node import CelledNode
-from query_broker.cells.router import Hall
+from query_broker.cells.node import CellNode
+from query_broker.cells.router import CellRouter
 from query_broker.cli.main import main
 from query_broker.config.reading import Config
 from query_broker.discovery.event_codec import parse_event
@@ -32,7 +32,7 @@
 from query_broker.emulator.data_engine import ran_twice
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
-from query_broker.timer_wheel import Wheel
+from query_broker.timer_wheel import TimerWheel
 
 from .sockets import (
     MS,
@@ -77,12 +77,12 @@
     )
 
 
-def node(rig: Rig) -> CelledNode:
-    assert isinstance(rig.node, CelledNode)
+def node(rig: Rig) -> CellNode:
+    assert isinstance(rig.node, CellNode)
     return rig.node
 
 
-def hall(rig: Rig) -> Hall:
+def hall(rig: Rig) -> CellRouter:
     return node(rig).celled.hall
 
 
@@ -168,7 +168,7 @@
         shown = await cells("show")
         assert "a *" in shown and "s-2" in shown and "acme" in shown
         assert json.loads((await cells("show", "--json"))[2:])["epoch"] == 1
-        rig.node.broker.set_engine("s-2", True)  # so that it stays where it is
+        rig.node.dispatcher.set_endpoint_disabled("s-2", True)  # so that it stays where it is
         assert await cells("move", "acme", "b") == "0 acme from a to b: proposed\n"
         assert "is on the move to 'b'" in await cells("move", "acme", "b")
         assert "proposed" in await cells("show")
@@ -208,8 +208,10 @@
         await until(lambda: one.words(b"do"))
         node(rig).celled.moves.propose("acme", "b", rig.node.clock.now())
         await until(lambda: stage(rig) is Stage.DRAINING)
-        port = rig.node.broker.engines.by_uid["s-2"].target.port
-        rig.node.broker.news(parse_event(event(2, target("s-2", port, "terminating"))))
+        port = rig.node.dispatcher.endpoint_table.by_uid["s-2"].target.port
+        rig.node.dispatcher.endpoint_list_changed(
+            parse_event(event(2, target("s-2", port, "terminating")))
+        )
         await until(lambda: stage(rig) is Stage.TAKEN_BACK)
         ask(client, 2, "acme")
         await until(lambda: len(one.words(b"do")) == 2)
@@ -223,7 +225,7 @@
 async def test_a_banned_engine_is_banned_in_whatever_cell_it_comes_to() -> None:
     one, two_ = Engine(), Engine()
     async with pair(two(), one, two_) as rig:
-        assert rig.node.broker.set_engine("s-2", True)
+        assert rig.node.dispatcher.set_endpoint_disabled("s-2", True)
         assert hall(rig).fleet("b", rig.node.clock.now()).ready == 0
         node(rig)._take_map(two(2, a=("s-1", "s-2"), b=()))
         client = await rig.client()
@@ -231,7 +233,7 @@
             ask(client, stream, "acme")
             assert (await client.answer())[1] == frames.SERVED
         assert not two_.words(b"do")
-        assert rig.node.broker.set_engine("s-2", False)  # back, and cold
+        assert rig.node.dispatcher.set_endpoint_disabled("s-2", False)  # back, and cold
         assert hall(rig).fleet("a", rig.node.clock.now()).cold == 1
         node(rig)._take_map(two(3))
         room = hall(rig).rooms["b"]
@@ -242,16 +244,16 @@
 async def test_an_engine_that_changes_cells_with_attempts_out_ends_them_where_they_began() -> None:
     one, two_, three = Engine(lambda *_: None), Engine(), Engine()
     async with pair(two(a=("s-1", "s-3")), one, two_, three) as rig:
-        rig.node.broker.set_engine("s-3", True)
+        rig.node.dispatcher.set_endpoint_disabled("s-3", True)
         client = await rig.client()
         ask(client, 1, "acme", route="stock-add", weight="500")
         await until(lambda: one.words(b"do"))
         node(rig)._take_map(two(2, a=("s-3",), b=("s-1", "s-2")))
-        number = rig.node.broker.engines.number("s-1")
+        number = rig.node.dispatcher.endpoint_table.number("s-1")
         assert hall(rig).cell_of(number) == "b" and number in hall(rig).left_over
         beside = hall(rig).rooms["b"].controller.engines[number].beside
         # what is out there counts in its new cell
-        assert beside.threads == 2 and beside.backlog > 0
+        assert beside.threads == 2 and beside.backlog_ns > 0
         assert hall(rig).outstanding(0)[number].threads == 2  # and once for other processes
         one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
@@ -266,24 +268,24 @@
     """Danger: each cell with a cold budget of its own for the same engine pushes it over."""
     made = make_config(tenants=TWO)
     now = 1_000 * S
-    moved = Hall(made.settings, 1, now, Wheel(5 * MS, now), two(), lambda n: f"s-{n}")
+    moved = CellRouter(made.settings, 1, now, TimerWheel(5 * MS, now), two(), lambda n: f"s-{n}")
     from query_broker.decisions.facade import (
-        Arrival,
-        EngineEntry,
-        EngineState,
-        ListKind,
-        ListNews,
-        Refuse,
+        EndpointEntry,
+        EndpointListUpdate,
+        EndpointState,
+        ListUpdateKind,
+        Reject,
+        RequestArrived,
     )
 
-    cold = EngineEntry(1, EngineState.READY, "east", "std", 0, 8.0, now - MS)
-    moved.report(now, ListNews(ListKind.FULL, (cold,)))
+    cold = EndpointEntry(1, EndpointState.READY, "east", "std", 0, 8.0, now - MS)
+    moved.report(now, EndpointListUpdate(ListUpdateKind.FULL, (cold,)))
     sent = 0
     for i in range(200):
         moved.next = ("acme", "a")
         sent += len(
             moved.pick(
-                now, Arrival(f"{i}", "glance", 5 * S, "acme", None, 200 * MS, 1.0, -1, False)
+                now, RequestArrived(f"{i}", "glance", 5 * S, "acme", None, 200 * MS, 1.0, -1, False)
             ).dispatches
         )
     assert sent == 14  # 0.36 x 8 cores x 1.5 s x 2, with a margin of 3
@@ -291,13 +293,14 @@
     for i in range(200, 400):
         moved.next = ("beta", "b")
         orders = moved.pick(
-            now + 10 * MS, Arrival(f"{i}", "glance", 5 * S, "beta", None, 200 * MS, 1.0, -1, False)
+            now + 10 * MS,
+            RequestArrived(f"{i}", "glance", 5 * S, "beta", None, 200 * MS, 1.0, -1, False),
         )
-        assert not orders.dispatches and isinstance(orders.answers[0], Refuse)
+        assert not orders.dispatches and isinstance(orders.answers[0], Reject)
     moved.fade(now + 3 * S)  # the window has passed
     moved.next = ("beta", "b")
     assert moved.pick(
-        now + 3 * S, Arrival("z", "glance", 5 * S, "beta", None, 100 * MS, 1.0, -1, False)
+        now + 3 * S, RequestArrived("z", "glance", 5 * S, "beta", None, 100 * MS, 1.0, -1, False)
     ).dispatches
 
 
@@ -368,7 +371,7 @@
             lambda: pools.count_use()
             or not pools.ledger.due(rig.node.clock.now() + S)
             or all(
-                any(pools._firm(a.request) for a in c.open.values())
+                any(pools._firm(a.request) for a in c.in_flight.values())
                 for p in pools.by_number.values()
                 if pools.cell(p) == "a"
                 for c in p.connections
@@ -593,8 +596,8 @@
             async with beside(made, held, tmp_path, two(1, acme="a", beta="a")) as new:
                 await until(lambda: node(new).theirs and node(old).theirs)
                 assert node(new).map.epoch == 2 and stage(new) is Stage.DRAINING
-                old.node.drain.begin()
-                await until(lambda: old.node.leaving)
+                old.node.shutdown.begin()
+                await until(lambda: old.node.closing_announced)
                 assert stage(new) is Stage.DRAINING  # open at the other process counts
                 one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
                 assert (await client.frame())[0] == frames.NO_MORE
@@ -721,7 +724,7 @@
     first = evaluate(str(path)).map
     assert first is not None
     async with running(load(env), env, make=celled(first, str(path))) as rig:
-        figures = rig.node.broker.figures
+        figures = rig.node.dispatcher.metrics_counts
 
         async def hup(text: str) -> None:
             path.write_text(text)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -43,7 +43,7 @@
     assert (config.sockets, config.bus, config.known_offset) == (4096, ("10.2.0.1", 7070), 3)
     assert [t.uid for t in config.known[0].targets] == ["s-1"]
     assert (config.connect_timeout, config.conn_idle, config.streams) == (250 * MS, 30_000 * MS, 32)
-    assert [c.effect for c in config.settings.classes] == [Effect.SAFE, Effect.UNSAFE]
+    assert [c.effect for c in config.settings.classes] == [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT]
     assert config.settings.classes[1].threads == 2
 
 
@@ -114,7 +114,7 @@
     raw = changed("settings.fleet_size", fleet)
     raw["settings"]["me"] = me
     config = parse(raw, {})
-    assert config.settings.me == taken
+    assert config.settings.broker_index == taken
     assert len(config.remarks()) == (me != taken) and all(
         "settings.me" in line for line in config.remarks()
     )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,14 +19,14 @@
 import pytest
 
 from query_broker import decisions as api
-from query_broker.decisions.facade import Cancel
+from query_broker.decisions.facade import CancelAttempt
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.dispatcher import UNDO_WAY, Ask
+from query_broker.dispatch.dispatcher import UNDO_WAY, ParsedRequest
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.client_connection import IDLE, TURN, ClientConnection
 from query_broker.protocols.engine_connection import PART
-from query_broker.server.graceful_shutdown import Drain
+from query_broker.server.graceful_shutdown import GracefulShutdown
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 from .sockets import (
@@ -87,7 +87,7 @@
         with socket.create_connection(("127.0.0.1", rig.port)) as raw:
             raw.sendall(asked(1))
             await until(lambda: engine.words(b"do"))
-            drain = Drain(rig.node)
+            drain = GracefulShutdown(rig.node)
             drain.loop, drain.begun_at = loop, rig.node.clock.now()
             # in the system's buffer between the last look and the end
             raw.sendall(asked(2) + asked(3)[:20])
@@ -137,7 +137,7 @@
         client = await rig.client()
         client.ask(patience="700")
         await until(lambda: engine.words(b"do"))
-        drain = Drain(rig.node)
+        drain = GracefulShutdown(rig.node)
         drain.loop = asyncio.get_running_loop()
         drain.begun_at = rig.node.clock.now() - int(drain.last * 1e9)
         assert drain.last < 0.7 + 0.7
@@ -182,7 +182,7 @@
         answers = {(await client.answer())[:2] for _ in range(3)}
         assert answers == {(1, frames.REFUSED), (2, frames.FAILED), (0, frames.FAILED)}
         assert await within(client.reader.read()) == b""
-        assert not [r for r in rig.node.broker.requests.values() if r.client is not None]
+        assert not [r for r in rig.node.dispatcher.requests.values() if r.client is not None]
 
 
 # --- signals at the start ---
@@ -248,7 +248,7 @@
         assert (await client.answer())[1] == frames.SERVED
         assert [do[1] for do in engine.words(b"do")] == [b"f" * 16]
         await until(lambda: len(rig.node.clients) == 1)
-        assert not rig.node.broker.requests
+        assert not rig.node.dispatcher.requests
 
 
 @on_uvloop
@@ -270,7 +270,7 @@
         await until(rig.node.ready)
         client.ask()
         assert (await client.answer())[1] == frames.SERVED
-        held = len(rig.node.clients) + rig.node.broker.pools._held()
+        held = len(rig.node.clients) + rig.node.dispatcher.pools._held()
         assert held < config.sockets
         for raw in idle:
             raw.close()
@@ -305,12 +305,12 @@
     """Danger: its requests were not read until it read on: a further attempt began for nobody."""
     async with begun_at_one_of_two() as (rig, client, first, other):
         await paused(rig)
-        (request,) = rig.node.broker.requests.values()
+        (request,) = rig.node.dispatcher.requests.values()
         client.send(frames.ABANDON, 1)
         await until(lambda: request.client is None)
-        assert request.left
+        assert request.abandoned
         first.writers[0].write(resp.encode(b"1" * 16, b"crashed", b"-", b""))
-        await until(lambda: not rig.node.broker.requests)
+        await until(lambda: not rig.node.dispatcher.requests)
         assert not other.words(b"do") and len(first.words(b"do")) == 1
 
 
@@ -345,10 +345,10 @@
         client.reader._transport.pause_reading()  # type: ignore[attr-defined]
         while connection.unread() < 1 << 20:  # more than the system takes
             connection.transport.write(b"\0" * (1 << 20))
-        (request,) = rig.node.broker.requests.values()
+        (request,) = rig.node.dispatcher.requests.values()
         client.writer.write_eof()
         await until(lambda: request.client is None)
-        assert request.left and connection in rig.node.clients
+        assert request.abandoned and connection in rig.node.clients
         connection.drop()
 
 
@@ -384,7 +384,7 @@
         connection._read_on()
         assert connection.reading_on and (request := connection.open[1]) is not None
         connection.data_received(frames.frame(frames.ABANDON, 1))
-        assert request.left and not connection.open
+        assert request.abandoned and not connection.open
         client.writer.close()
 
 
@@ -397,15 +397,15 @@
     targets = [target(f"s-{n}", await e.start()) for n, e in enumerate(engines)]
     limits = {**settings()["policy_limits"], "cancel": True}
     async with running(make_config(*targets, policy_limits=limits)) as rig:
-        broker, clock = rig.node.broker, rig.node.clock
+        broker, clock = rig.node.dispatcher, rig.node.clock
         request = broker.submit(Caller(), 1, ask_of("glance"))
         await until(lambda: any(e.words(b"do") for e in engines))
         still = clock.now()
         monkeypatch.setattr(clock, "now", lambda: still)
-        broker._cancel(Cancel(request.id, 0))
+        broker._cancel(CancelAttempt(request.id, 0))
         await until(lambda: any(e.words(b"undo") for e in engines))
         broker._end_later()
-        assert list(request.attempts) == [0] and request.attempts[0].ended
+        assert list(request.attempts) == [0] and request.attempts[0].concluded
         still += UNDO_WAY
         broker._end_later()
         assert list(request.attempts) == [1]
@@ -417,7 +417,7 @@
     """The system has accepted them, and with the listener they would be reset."""
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        drain = Drain(rig.node)
+        drain = GracefulShutdown(rig.node)
         drain.loop, drain.begun_at = asyncio.get_running_loop(), rig.node.clock.now()
         waiting = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(20)]
         for number, raw in enumerate(waiting):
@@ -470,7 +470,7 @@
         await until(lambda: engine.words(b"do"))
         answer = resp.encode(TRACE.encode(), b"served", b"chunks=1", b"a\tb\tc\n")
         engine.writers[0].write(answer[:20])
-        (connection,) = next(iter(rig.node.broker.pools.by_number.values())).connections
+        (connection,) = next(iter(rig.node.dispatcher.pools.by_number.values())).connections
         await until(lambda: connection.parser.buffer)
         number = engine.writers[0].transport.get_extra_info("socket").fileno()
         os.write(number, answer[20:])
@@ -491,15 +491,17 @@
     def served(self, stream: int, body: bytes) -> None:
         self.told.put_nowait("served")
 
-    def refused(self, stream: int, pause_ms: int) -> None:
+    def rejected(self, stream: int, pause_ms: int) -> None:
         self.told.put_nowait("refused")
 
     def failed(self, stream: int, reason: str) -> None:
         self.told.put_nowait("failed")
 
 
-def ask_of(route: str = "stock-add", trace: str = "a" * 16, nonce: str | None = None) -> Ask:
-    return Ask(route, trace, "acme", 4_000.0, 10.0, 1.0, False, 3, STATEMENT, nonce)
+def ask_of(
+    route: str = "stock-add", trace: str = "a" * 16, nonce: str | None = None
+) -> ParsedRequest:
+    return ParsedRequest(route, trace, "acme", 4_000.0, 10.0, 1.0, False, 3, STATEMENT, nonce)
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -511,7 +513,7 @@
     """
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        rig.node.broker.pools.own = not busy
+        rig.node.dispatcher.pools.own = not busy
         client = await rig.client()
         client.ask()
         assert (await client.answer())[1] == frames.SERVED
@@ -528,7 +530,7 @@
                 await until(lambda: engine.writers[0].transport.is_closing())
             its.shutdown(socket.SHUT_RDWR)
         caller = Caller()
-        rig.node.broker.submit(caller, 1, ask_of())
+        rig.node.dispatcher.submit(caller, 1, ask_of())
         assert await within(caller.told.get()) == "served"
         assert [do[1] for do in engine.words(b"do")].count(b"a" * 16) == 1 and len(
             engine.writers
@@ -575,7 +577,7 @@
         await within(engine.reader.readuntil(STATEMENT))
         with held.fill():
             client.ask(2, trace="2" * 16)
-            pool = next(iter(rig.node.broker.pools.by_number.values()))
+            pool = next(iter(rig.node.dispatcher.pools.by_number.values()))
             await until(lambda: pool.waiting)
             engine.writer.write(resp.encode(b"1" * 16, b"update", b"tell=pct,amount=0.5", b""))
             assert b"2" * 16 in await within(engine.reader.readuntil(STATEMENT))
@@ -585,7 +587,7 @@
                 (1, frames.SERVED),
                 (2, frames.SERVED),
             }
-        assert not next(iter(rig.node.broker.facade.controller.engines.values())).suspect
+        assert not next(iter(rig.node.dispatcher.facade.controller.engines.values())).suspect
         held.listener.close()
 
 
@@ -599,7 +601,7 @@
         with held.fill():
             client.ask(2, trace="2" * 16)
             assert (await client.answer())[:2] == (2, frames.REFUSED)
-        assert next(iter(rig.node.broker.facade.controller.engines.values())).suspect
+        assert next(iter(rig.node.dispatcher.facade.controller.engines.values())).suspect
         engine.writer.close()
         held.listener.close()
 
@@ -612,8 +614,10 @@
         client = await rig.client()
         client.ask(1, trace="1" * 16)
         assert (await client.answer())[1] == frames.SERVED
-        born = rig.node.broker.now() // MS - 60_000
-        rig.node.broker.news(parse_event(event(2, target("s-1", port, boot_ms=born))))
+        born = rig.node.dispatcher.now() // MS - 60_000
+        rig.node.dispatcher.endpoint_list_changed(
+            parse_event(event(2, target("s-1", port, boot_ms=born)))
+        )
         client.ask(2, trace="2" * 16)
         assert (await client.answer())[1] == frames.SERVED
         assert engine.carried[-1] is engine.writers[1] and len(engine.writers) == 2
@@ -642,7 +646,7 @@
     targets = [target(f"s-{n}", await e.start()) for n, e in enumerate(engines)]
     async with running(make_config(*targets, classes=classes)) as rig:
         caller = Caller()
-        rig.node.broker.submit(caller, 1, ask_of("claim", nonce="k1"))
+        rig.node.dispatcher.submit(caller, 1, ask_of("claim", nonce="k1"))
         await until(lambda: len(dialled) == 2 and dialled[1].waiting)
         assert sum(len(e.words(b"do")) for e in engines) == 1
         if late:
@@ -664,13 +668,13 @@
     async with running(
         make_config(target("s-1", await engine.start()), policy_limits=limits)
     ) as rig:
-        broker, caller = rig.node.broker, Caller()
+        broker, caller = rig.node.dispatcher, Caller()
         request = broker.submit(caller, 1, ask_of("glance"))
         pool = next(iter(broker.pools.by_number.values()))
         assert pool.waiting
         report = broker._end_later
         monkeypatch.setattr(broker, "_end_later", lambda: None)  # the next tick is still to come
-        broker._cancel(Cancel(request.id, 0))
+        broker._cancel(CancelAttempt(request.id, 0))
         gate.set()
         await until(lambda: pool.connections and not pool.waiting)
         assert not engine.words(b"do")
@@ -687,13 +691,17 @@
     """Danger: where all are held to be out, all are tried; one that drains in good health is none
     to try.
     """
-    h = Harness(make_settings(query_class(deadline=60 * S)), entry(1), entry(2), entry(3))
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(3, state=api.EngineState.DRAINING),)))
+    h = Harness(make_settings(query_class(deadline_ns=60 * S)), entry(1), entry(2), entry(3))
+    h.do(
+        api.EndpointListUpdate(
+            api.ListUpdateKind.CHANGES, (entry(3, state=api.EndpointState.DRAINING),)
+        )
+    )
     for number in (1, 2):
         h.controller._suspect(h.now, h.controller.engines[number], True)
         h.controller.engines[number].next_trial = h.now + 9 * S
-    h.arrive("r", estimate=40 * MS)
-    assert h.sends("r")[0].engine in (1, 2)
+    h.arrive("r", estimate_ns=40 * MS)
+    assert h.sends("r")[0].endpoint in (1, 2)
 
 
 # --- settings ---
@@ -739,7 +747,7 @@
     async with running(make_config(classes=[KEYED]), env) as rig:
         before = rig.node.config
         rig.node.reload()
-        assert rig.node.config is before and rig.node.broker.config.settings is before.settings
+        assert rig.node.config is before and rig.node.dispatcher.config.settings is before.settings
         assert any(line in said for said in rig.logged), rig.logged
 
 
--- a/tests/test_deadlines_pure.py
+++ b/tests/test_deadlines_pure.py
@@ -13,13 +13,19 @@
 
 from query_broker.deadlines import cancel_scopes as scopes
 from query_broker.deadlines import retry_budget as further
-from query_broker.deadlines.cancel_scopes import Act, Kind, Outcome, Scope, Undoing
-from query_broker.deadlines.handover_checks import Passing, Stop, stop
-from query_broker.deadlines.retry_budget import Budget, Terms, attempt_time
-from query_broker.deadlines.settings import Deadlines, Logs, MarginTerms, Stage
-from query_broker.deadlines.stage_latencies import GENERATION, Quantiles, Stages
-from query_broker.deadlines.write_queue import CONTROL, Frame, Outbox, rest
-from query_broker.dispatch.requests import Attempt, OpenRequest
+from query_broker.deadlines.cancel_scopes import (
+    CancelAction,
+    CancelOutcome,
+    CancelScope,
+    ScopeKind,
+    Undoing,
+)
+from query_broker.deadlines.handover_checks import HandOverCheck, StopReason, stop
+from query_broker.deadlines.retry_budget import RetryBudget, RetryBudgetSettings, attempt_time
+from query_broker.deadlines.settings import DeadlineSettings, Logs, MarginTerms, Stage
+from query_broker.deadlines.stage_latencies import GENERATION, Quantiles, StageLatencies
+from query_broker.deadlines.write_queue import CONTROL, Frame, WriteQueue, rest
+from query_broker.dispatch.requests import ActiveRequest, Attempt
 from query_broker.operator_config.script import OperatorFileError, evaluate, run
 from query_broker.protocols import resp
 from query_broker.server.log import Log
@@ -37,19 +43,21 @@
 @pytest.mark.parametrize(
     ("passing", "why"),
     [
-        (Passing(True, 10), None),
-        (Passing(False, 10), Stop.LEFT),
-        (Passing(True, 5), Stop.PAST),
-        (Passing(True, 4), Stop.PAST),
-        (Passing(True, 10, out=True), Stop.OUT),
-        (Passing(True, 10, drained_at=5), Stop.DRAINED),
-        (Passing(True, 10, drained_at=6), None),
-        (Passing(True, 10, fastest=6), Stop.TOO_LATE),
-        (Passing(True, 10, fastest=5), None),
-        (Passing(False, 4, 9, True, 1), Stop.LEFT),
+        (HandOverCheck(True, 10), None),
+        (HandOverCheck(False, 10), StopReason.LEFT),
+        (HandOverCheck(True, 5), StopReason.PAST),
+        (HandOverCheck(True, 4), StopReason.PAST),
+        (HandOverCheck(True, 10, out=True), StopReason.OUT),
+        (HandOverCheck(True, 10, drained_at=5), StopReason.DRAINED),
+        (HandOverCheck(True, 10, drained_at=6), None),
+        (HandOverCheck(True, 10, fastest=6), StopReason.TOO_LATE),
+        (HandOverCheck(True, 10, fastest=5), None),
+        (HandOverCheck(False, 4, 9, True, 1), StopReason.LEFT),
     ],
 )  # nobody wants it: that says nothing of the engine
-def test_a_gate_tells_the_first_reason_against_it(passing: Passing, why: Stop | None) -> None:
+def test_a_gate_tells_the_first_reason_against_it(
+    passing: HandOverCheck, why: StopReason | None
+) -> None:
     assert stop(5, passing) is why
 
 
@@ -62,7 +70,7 @@
     def __init__(self) -> None:
         self.begun: list[object] = []
         self.gone: list[object] = []
-        self.box = Outbox(self.leave, self.begun.append, self.gone.append)
+        self.box = WriteQueue(self.leave, self.begun.append, self.gone.append)
         self.out = b""
         self.stopped: set[object] = set()
         self.whole: dict[object, bytes] = {}
@@ -187,33 +195,40 @@
 # --- scopes ---
 
 
-def tree() -> tuple[Scope, list[Scope]]:
-    request = Scope(Kind.REQUEST, "r")
-    unsent, sent = request.open(Kind.ATTEMPT, 0), request.open(Kind.ATTEMPT, 1)
+def tree() -> tuple[CancelScope, list[CancelScope]]:
+    request = CancelScope(ScopeKind.REQUEST, "r")
+    unsent, sent = request.open(ScopeKind.ATTEMPT, 0), request.open(ScopeKind.ATTEMPT, 1)
     sent.left = True
-    page, probe = sent.open(Kind.PAGE, "p"), sent.open(Kind.PROBE, "q")
+    page, probe = sent.open(ScopeKind.PAGE, "p"), sent.open(ScopeKind.PROBE, "q")
     return request, [unsent, sent, page, probe]
 
 
-@pytest.mark.parametrize(("honoured", "act"), [(True, Act.UNDO), (False, Act.LET_RUN)])
-def test_ending_a_scope_ends_all_below_it_children_first_and_once(honoured: bool, act: Act) -> None:
+@pytest.mark.parametrize(
+    ("honoured", "act"), [(True, CancelAction.UNDO), (False, CancelAction.LET_RUN)]
+)
+def test_ending_a_scope_ends_all_below_it_children_first_and_once(
+    honoured: bool, act: CancelAction
+) -> None:
     request, (unsent, sent, page, probe) = tree()
     assert request.end(honoured) == [
-        (Act.TAKE_BACK, unsent),
-        (Act.FORGET, page),
-        (Act.LET_RUN, probe),
+        (CancelAction.TAKE_BACK, unsent),
+        (CancelAction.FORGET, page),
+        (CancelAction.LET_RUN, probe),
         (act, sent),
-        (Act.ANSWER, request),
+        (CancelAction.ANSWER, request),
     ]
     assert request.end(honoured) == [] and sent.end(honoured) == []
-    late = request.open(Kind.ATTEMPT, 2)
+    late = request.open(ScopeKind.ATTEMPT, 2)
     assert late.over and late.end(True) == []
 
 
 def test_a_scope_that_is_over_by_itself_is_not_ended_with_the_rest() -> None:
     request, (unsent, sent, page, probe) = tree()
     sent.close()
-    assert page.over and request.end(True) == [(Act.TAKE_BACK, unsent), (Act.ANSWER, request)]
+    assert page.over and request.end(True) == [
+        (CancelAction.TAKE_BACK, unsent),
+        (CancelAction.ANSWER, request),
+    ]
 
 
 def test_an_undo_is_said_again_within_bounds_and_ends_by_silence_or_answer() -> None:
@@ -222,7 +237,7 @@
     undoing.begin(b"b", 0)
     assert undoing.due(scopes.RESEND - 1) == ([], [])
     assert undoing.due(scopes.RESEND) == ([b"a", b"b"], [])
-    assert undoing.answered(b"a") is Outcome.WENT_ON and undoing.answered(b"a") is None
+    assert undoing.answered(b"a") is CancelOutcome.WENT_ON and undoing.answered(b"a") is None
     assert undoing.due(2 * scopes.RESEND) == ([b"b"], []) and undoing.due(3 * scopes.RESEND) == (
         [],
         [],
@@ -236,7 +251,7 @@
 
 
 def test_a_budget_gives_a_share_of_first_attempts_and_a_burst() -> None:
-    budget = Budget(Terms(share=0.2, burst=3.0, classes=(("load", 0.0, 1.0),)))
+    budget = RetryBudget(RetryBudgetSettings(share=0.2, burst=3.0, classes=(("load", 0.0, 1.0),)))
     assert [budget.further("glance", "x") for _ in range(4)] == [True, True, True, False]
     assert budget.further("glance", "y")  # another tenant's is its own
     for _ in range(5):
@@ -247,7 +262,7 @@
     budget.back("glance", "x")  # it never left
     assert budget.further("glance", "x")
     assert budget.further("load", "x") and not budget.further("load", "x")
-    one = Budget(Terms(burst=1.0, by_tenant=False))
+    one = RetryBudget(RetryBudgetSettings(burst=1.0, by_tenant=False))
     assert one.further("glance", "x") and not one.further("glance", "y")
 
 
@@ -255,7 +270,7 @@
 def test_no_more_further_attempts_than_the_terms_allow(
     steps: list[bool], share: float, burst: float
 ) -> None:
-    budget, firsts, made = Budget(Terms(share, burst)), 0, 0
+    budget, firsts, made = RetryBudget(RetryBudgetSettings(share, burst)), 0, 0
     for first in steps:
         if first:
             budget.first("glance", "x")
@@ -266,7 +281,7 @@
 
 
 def test_books_of_many_tenants_are_bounded() -> None:
-    budget = Budget(Terms())
+    budget = RetryBudget(RetryBudgetSettings())
     for i in range(3 * further.MOST_KEPT):
         budget.further("glance", f"t{i}")
         budget.first("glance", f"t{i}")
@@ -286,8 +301,10 @@
 def test_a_first_attempt_that_can_be_made_again_may_be_cut_short(
     number: int, repeatable: bool, first: float, time: int
 ) -> None:
-    assert attempt_time(1_000 * MS, number, repeatable, Terms(first=first)) == time * MS
-    assert attempt_time(50 * MS, number, repeatable, Terms(first=first)) <= 50 * MS
+    assert (
+        attempt_time(1_000 * MS, number, repeatable, RetryBudgetSettings(first=first)) == time * MS
+    )
+    assert attempt_time(50 * MS, number, repeatable, RetryBudgetSettings(first=first)) <= 50 * MS
 
 
 # --- stages ---
@@ -309,7 +326,7 @@
 
 
 def test_the_margin_starts_as_today_moves_slowly_and_stays_within_bounds() -> None:
-    stages = Stages(MarginTerms(most=40 * MS))
+    stages = StageLatencies(MarginTerms(most=40 * MS))
     assert stages.learn(0) == 10 * MS
     for slow in (30 * MS, 500 * MS):
         before = stages.margin
@@ -359,8 +376,10 @@
         and said.deadlines.learn
         and said.deadlines.half_close == "answer"
     )
-    assert said.deadlines.further == Terms(0.2, 10, (("report", 0.1, 2.0),), True, 0.7)
-    assert said.logs == Logs("json", 0.01) and Deadlines().further is None
+    assert said.deadlines.further == RetryBudgetSettings(
+        0.2, 10, (("report", 0.1, 2.0),), True, 0.7
+    )
+    assert said.logs == Logs("json", 0.01) and DeadlineSettings().further is None
 
 
 def told(format: str, capsys: pytest.CaptureFixture[str], **more: Any) -> list[str]:
@@ -369,11 +388,18 @@
     log.sink = lines
     tell = stories(log, lines, lambda: 2 * S)
     for i, deadline in enumerate((3 * S, S)):
-        request = OpenRequest(
+        request = ActiveRequest(
             f"{i}", b"%016x" % i, b"glance", b"", None, 1, deadline, "acme", S, S + MS
         )
         attempt = Attempt(
-            request, 0, 7, S + 2 * MS, deadline, deadline, put=S + 2 * MS, gone=S + 3 * MS
+            request,
+            0,
+            7,
+            S + 2 * MS,
+            deadline,
+            deadline,
+            assigned_ns=S + 2 * MS,
+            written_ns=S + 3 * MS,
         )
         request.attempts[0] = attempt
         tell(request, "success")
--- a/tests/test_deadlines_sockets.py
+++ b/tests/test_deadlines_sockets.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from query_broker.deadlines.handover_checks import Hand, Stop
-from query_broker.deadlines.retry_budget import Terms
-from query_broker.deadlines.settings import Deadlines, Logs
+from query_broker.deadlines.handover_checks import HandOver, StopReason
+from query_broker.deadlines.retry_budget import RetryBudgetSettings
+from query_broker.deadlines.settings import DeadlineSettings, Logs
 from query_broker.discovery.event_codec import parse_event
-from query_broker.operator_config.script import Evaluated
-from query_broker.operator_config.service import FiledNode
+from query_broker.operator_config.script import OperatorConfig
+from query_broker.operator_config.service import ConfiguredNode
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.server.node import Node
@@ -107,8 +107,8 @@
     return whole
 
 
-def tally(rig: Rig, hand: Hand, why: Stop) -> int:
-    return rig.node.broker.tally.stopped[hand, why]
+def tally(rig: Rig, hand: HandOver, why: StopReason) -> int:
+    return rig.node.dispatcher.tally.stopped[hand, why]
 
 
 def trace(number: int) -> str:
@@ -117,15 +117,15 @@
 
 async def jammed(rig: Rig, most: int = 1) -> Client:
     """A client whose large request is half written before an engine that does not read."""
-    rig.node.broker.pools.most = most
+    rig.node.dispatcher.pools.most = most
     client = await rig.client()
     client.ask(1, body=LARGE, trace=trace(1), patience="5000", route="stock-add", weight="1.0")
-    await until(lambda: rig.node.broker.blocked)
+    await until(lambda: rig.node.dispatcher.blocked)
     return client
 
 
 def held(rig: Rig) -> Any:
-    return [c for p in rig.node.broker.pools.by_number.values() for c in p.connections]
+    return [c for p in rig.node.dispatcher.pools.by_number.values() for c in p.connections]
 
 
 @on_uvloop
@@ -135,10 +135,10 @@
         client = await jammed(rig)
         for number in (2, 3):
             client.ask(number, trace=trace(number), weight="1.0")
-        await until(lambda: held(rig)[0].outbox.keyed)
+        await until(lambda: held(rig)[0].write_queue.keyed)
         client.send(frames.ABANDON, 2)
-        await until(lambda: tally(rig, Hand.SOCKET, Stop.LEFT) == 1)
-        await until(lambda: trace(2).encode() not in held(rig)[0].open)
+        await until(lambda: tally(rig, HandOver.SOCKET, StopReason.LEFT) == 1)
+        await until(lambda: trace(2).encode() not in held(rig)[0].in_flight)
         client.send(frames.ABANDON, 1)  # half of it has left: the rest must follow
         for _ in range(400):
             await slow.read()
@@ -147,7 +147,7 @@
             await asyncio.sleep(0.005)
         assert [d[1] for d in slow.words(b"do")] == [trace(1).encode(), trace(3).encode()]
         assert slow.words(b"do")[0][3] == LARGE
-        assert rig.node.broker.tally.begun_after == {Stop.LEFT: 1}
+        assert rig.node.dispatcher.tally.begun_after == {StopReason.LEFT: 1}
     slow.close()
 
 
@@ -155,7 +155,7 @@
 async def test_a_deadline_that_passes_while_the_frame_is_half_written() -> None:
     slow = Slow()
     async with running(make_config(target("s-1", slow.port))) as rig:
-        rig.node.broker.pools.most = 1
+        rig.node.dispatcher.pools.most = 1
         client = await rig.client()
         client.ask(1, body=LARGE, trace=trace(1), patience="300", route="stock-add", weight="1.0")
         client.ask(2, trace=trace(2), patience="300", route="stock-add", weight="1.0")
@@ -169,7 +169,7 @@
             await slow.read()
             await asyncio.sleep(0.005)
         assert [d[1] for d in slow.words(b"do")] == [trace(1).encode()]
-        assert rig.node.broker.tally.begun_after == {Stop.PAST: 1}
+        assert rig.node.dispatcher.tally.begun_after == {StopReason.PAST: 1}
     slow.close()
 
 
@@ -180,8 +180,8 @@
     async with running(make_config(target("s-1", slow.port))) as rig:
         client = await jammed(rig)
         client.ask(2, trace=trace(2), patience="4000", weight="1.0")
-        await until(lambda: held(rig)[0].outbox.keyed)
-        (attempt,) = (f.about for f in held(rig)[0].outbox.keyed.values())
+        await until(lambda: held(rig)[0].write_queue.keyed)
+        (attempt,) = (f.about for f in held(rig)[0].write_queue.keyed.values())
         await asyncio.sleep(0.2)
         for _ in range(400):
             await slow.read()
@@ -190,9 +190,12 @@
             await asyncio.sleep(0.005)
         limit = int(dict(p.split(b"=") for p in slow.words(b"do")[1][2].split(b","))[b"limit"])
         assert limit <= 3_800
-        attempt.until = rig.node.broker.now()
+        attempt.deadline_ns = rig.node.dispatcher.now()
         attempt.reported = False
-        assert not rig.node.broker.may_go(attempt) and tally(rig, Hand.SOCKET, Stop.PAST) == 1
+        assert (
+            not rig.node.dispatcher.may_go(attempt)
+            and tally(rig, HandOver.SOCKET, StopReason.PAST) == 1
+        )
     slow.close()
 
 
@@ -205,10 +208,11 @@
         client = await rig.client()
         client.ask(1, trace=trace(1), weight="1.0")
         client.ask(2, trace=trace(2), weight="1.0")
-        await until(lambda: len(rig.node.broker.requests) == 2)
+        await until(lambda: len(rig.node.dispatcher.requests) == 2)
         client.send(frames.ABANDON, 1)
         await until(
-            lambda: tally(rig, Hand.POOL, Stop.LEFT) == 1 and len(rig.node.broker.requests) == 1
+            lambda: tally(rig, HandOver.POOL, StopReason.LEFT) == 1
+            and len(rig.node.dispatcher.requests) == 1
         )
         gate.set()
         assert (await client.answer())[:2] == (2, frames.SERVED)
@@ -223,13 +227,15 @@
     async with running(make_config(target("s-1", slow.port))) as rig:
         client = await jammed(rig)
         client.ask(2, trace=trace(2), route="stock-add", weight="1.0")
-        await until(lambda: held(rig)[0].outbox.keyed)
-        rig.node.broker.pools.most = 8
-        rig.node.broker.news(parse_event(event(2, target("s-2", spare))))
+        await until(lambda: held(rig)[0].write_queue.keyed)
+        rig.node.dispatcher.pools.most = 8
+        rig.node.dispatcher.endpoint_list_changed(parse_event(event(2, target("s-2", spare))))
         if how == "out":
-            rig.node.broker.set_engine("s-1", True)
+            rig.node.dispatcher.set_endpoint_disabled("s-1", True)
         else:
-            rig.node.broker.news(parse_event(event(3, target("s-1", slow.port, "terminating"))))
+            rig.node.dispatcher.endpoint_list_changed(
+                parse_event(event(3, target("s-1", slow.port, "terminating")))
+            )
         for _ in range(400):
             await slow.read()
             if other.words(b"do"):
@@ -238,7 +244,9 @@
         # Unsafe, and sent elsewhere all the same: it never left for the first engine.
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert [d[1] for d in slow.words(b"do")] == [trace(1).encode()]
-        assert tally(rig, Hand.SOCKET, Stop.OUT if how == "out" else Stop.DRAINED) == 1
+        assert (
+            tally(rig, HandOver.SOCKET, StopReason.OUT if how == "out" else StopReason.DRAINED) == 1
+        )
     slow.close()
 
 
@@ -247,15 +255,17 @@
     slow, other = Slow(), Engine()
     async with running(make_config(target("s-1", slow.port))) as rig:
         client = await jammed(rig, 2)
-        rig.node.broker.news(parse_event(event(2, target("s-2", await other.start()))))
-        rig.node.broker.pools.most = 16
+        rig.node.dispatcher.endpoint_list_changed(
+            parse_event(event(2, target("s-2", await other.start())))
+        )
+        rig.node.dispatcher.pools.most = 16
         for number in range(2, 32):
             await slow.read(1)
             client.ask(number, trace=trace(number), weight="1.0", patience="400")
             await asyncio.sleep(0.005)
         codes = [(await client.answer())[1] for _ in range(30)]
         assert codes.count(frames.SERVED) >= 10 and len(codes) == 30
-        assert all(len(c.outbox.heap) <= c.outbox.most for c in held(rig))
+        assert all(len(c.write_queue.heap) <= c.write_queue.most for c in held(rig))
     slow.close()
 
 
@@ -270,17 +280,17 @@
         clients = [await rig.client() for _ in range(500)]
         for number, client in enumerate(clients, 100):
             client.ask(1, trace=trace(number), weight="0.1", customer=None)
-        await until(lambda: rig.node.broker.concurrent == 500)
+        await until(lambda: rig.node.dispatcher.concurrent == 500)
         for client in clients:
             client.writer.transport.abort()
-        await until(lambda: not rig.node.broker.concurrent and not rig.node.broker.requests)
-        assert tally(rig, Hand.POOL, Stop.LEFT) == 500
+        await until(lambda: not rig.node.dispatcher.concurrent and not rig.node.dispatcher.requests)
+        assert tally(rig, HandOver.POOL, StopReason.LEFT) == 500
         gate.set()
         last = await rig.client()
         last.ask(1, trace=trace(1), weight="0.1", customer=None)
         assert (await last.answer())[1] == frames.SERVED
         assert [d[1] for d in engine.words(b"do")] == [trace(1).encode()]
-        assert not rig.node.broker.later and not rig.node.broker.held
+        assert not rig.node.dispatcher.later and not rig.node.dispatcher.held
 
 
 # --- cancels ---
@@ -297,8 +307,8 @@
         client.send(frames.ABANDON, 1)
         for _ in range(4):
             await client.answer()
-        await until(lambda: not rig.node.broker.requests)
-        assert not engine.words(b"undo") and rig.node.broker.tally.undone == 0
+        await until(lambda: not rig.node.dispatcher.requests)
+        assert not engine.words(b"undo") and rig.node.dispatcher.tally.undone == 0
 
 
 @pytest.mark.parametrize("end", ["left", "closed", "deadline"])
@@ -321,9 +331,9 @@
             assert (await client.answer())[1] == frames.FAILED
         await until(lambda: engine.words(b"undo"))
         assert {d[1] for d in engine.words(b"undo")} == {TRACE.encode()}
-        await until(lambda: rig.node.broker.tally.cancelled == 1)  # by silence
-        assert rig.node.broker.tally.undone == 1 and len(engine.words(b"undo")) <= 3
-        assert held(rig)[0].quiet() and not rig.node.broker.requests
+        await until(lambda: rig.node.dispatcher.tally.cancelled == 1)  # by silence
+        assert rig.node.dispatcher.tally.undone == 1 and len(engine.words(b"undo")) <= 3
+        assert held(rig)[0].quiet() and not rig.node.dispatcher.requests
 
 
 @on_uvloop
@@ -338,12 +348,12 @@
         client.send(frames.ABANDON, 1)
         await until(lambda: engine.words(b"undo"))
         engine.serve(engine.words(b"do")[0], engine.writers[0])
-        await until(lambda: rig.node.broker.tally.went_on == 1)
+        await until(lambda: rig.node.dispatcher.tally.went_on == 1)
         client.ask(2, trace=trace(2), weight="1.0")
         await until(lambda: len(engine.words(b"do")) == 2)
         engine.serve(engine.words(b"do")[1], engine.writers[-1])
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        assert rig.node.broker.tally.cancelled == 0
+        assert rig.node.dispatcher.tally.cancelled == 0
 
 
 @on_uvloop
@@ -358,7 +368,7 @@
         one.serve(one.words(b"do")[0], one.writers[0])
         assert (await client.answer())[1] == frames.SERVED
         await until(lambda: sum(len(e.words(b"undo")) for e in engines) >= 1)
-        assert rig.node.broker.tally.undone == 1
+        assert rig.node.dispatcher.tally.undone == 1
 
 
 @on_uvloop
@@ -368,9 +378,9 @@
         client = await rig.client()
         client.ask(1, patience="300", route="stock-add", weight="1.0")
         assert (await client.answer())[:2] == (1, frames.FAILED)
-        await until(lambda: not rig.node.broker.requests)
+        await until(lambda: not rig.node.dispatcher.requests)
         engine.serve(engine.words(b"do")[0], engine.writers[0])
-        await until(lambda: rig.node.broker.tally.late == 1)
+        await until(lambda: rig.node.dispatcher.tally.late == 1)
         client.send(frames.ASK_READY, 0, b"\0")
         assert (await client.frame())[0] == frames.READY  # and no second answer before it
 
@@ -388,7 +398,7 @@
         await until(lambda: len(engine.words(b"page")) == 2)
         client.send(frames.ABANDON, 1)
         await until(lambda: engine.words(b"forget"))
-        await until(lambda: not rig.node.broker.requests and held(rig)[0].quiet())
+        await until(lambda: not rig.node.dispatcher.requests and held(rig)[0].quiet())
 
 
 @on_uvloop
@@ -401,9 +411,9 @@
     async with running(make_config(target("s-1", slow.port))) as rig:
         client = await jammed(rig)
         client.ask(2, trace=trace(2), route="stock-add", weight="1.0")
-        await until(lambda: held(rig)[0].outbox.keyed)
-        rig.node.broker.pools.most = 8
-        rig.node.broker.news(parse_event(event(2, target("s-2", spare))))
+        await until(lambda: held(rig)[0].write_queue.keyed)
+        rig.node.dispatcher.pools.most = 8
+        rig.node.dispatcher.endpoint_list_changed(parse_event(event(2, target("s-2", spare))))
         held(rig)[0].transport.abort()  # as if the engine had reset it
         answers = {}
         for _ in range(2):
@@ -421,9 +431,9 @@
     async with running(make_config(target("s-1", slow.port))) as rig:
         client = await jammed(rig)
         client.ask(2, trace=trace(2), route="stock-add", weight="1.0")
-        await until(lambda: held(rig)[0].outbox.keyed)
-        rig.node.broker.news(parse_event(event(2, target("s-2", spare))))
-        rig.node.broker.close_out_all()
+        await until(lambda: held(rig)[0].write_queue.keyed)
+        rig.node.dispatcher.endpoint_list_changed(parse_event(event(2, target("s-2", spare))))
+        rig.node.dispatcher.close_out_all()
         answers = {}
         for _ in range(2):
             stream, code, _, _ = await client.answer()
@@ -440,10 +450,10 @@
         async with beside(made, listening, tmp_path) as old:
             client = await jammed(old)
             client.ask(2, trace=trace(2), patience="900", route="stock-add", weight="200")
-            await until(lambda: held(old)[0].outbox.keyed)
+            await until(lambda: held(old)[0].write_queue.keyed)
             async with beside(made, listening, tmp_path) as new:
                 await meet(old, new)
-                old.node.drain.begin()
+                old.node.shutdown.begin()
                 assert (await client.frame())[0] == frames.NO_MORE
                 assert (await client.answer())[:2] == (2, frames.REFUSED)  # it never left
                 client.send(frames.ABANDON, 1)
@@ -459,12 +469,12 @@
 
 
 def filed(**said: Any) -> Any:
-    return lambda config, environ: FiledNode(config, Evaluated(**said), "", environ)
+    return lambda config, environ: ConfiguredNode(config, OperatorConfig(**said), "", environ)
 
 
 @on_uvloop
 async def test_a_half_closed_client_gets_its_answers_where_that_is_said() -> None:
-    for said, answered in ((Deadlines(half_close="answer"), True), (None, False)):
+    for said, answered in ((DeadlineSettings(half_close="answer"), True), (None, False)):
         engine = Engine(lambda *_: None)
         made = make_config(target("s-1", await engine.start()))
         async with running(made, make=filed(deadlines=said)) as rig:
@@ -478,7 +488,7 @@
                 assert (await client.answer())[:2] == (1, frames.SERVED)
                 assert await client.ended()
             else:
-                await until(lambda: not rig.node.broker.concurrent)
+                await until(lambda: not rig.node.dispatcher.concurrent)
             await until(lambda: not rig.node.clients)
 
 
@@ -491,7 +501,7 @@
         )
     )
     made = make_config(target("s-1", await engine.start()))
-    async with running(made, make=filed(deadlines=Deadlines(slow_reader=200 * MS))) as rig:
+    async with running(made, make=filed(deadlines=DeadlineSettings(slow_reader=200 * MS))) as rig:
         client = await rig.client()
         await until(lambda: rig.node.clients)
         for end in (
@@ -513,14 +523,16 @@
 
     engines = [Engine(reset) for _ in range(3)]
     targets = [target(f"s-{i}", await e.start()) for i, e in enumerate(engines)]
-    terms = Deadlines(further=Terms(share=0.0, burst=2.0))
+    terms = DeadlineSettings(further=RetryBudgetSettings(share=0.0, burst=2.0))
     async with running(make_config(*targets), make=filed(deadlines=terms)) as rig:
         client = await rig.client()
         for number in range(1, 11):
             client.ask(number, trace=trace(number), weight="1.0")
             assert (await client.answer())[1] == frames.REFUSED
         assert sum(len(e.words(b"do")) for e in engines) == 12
-        assert tally(rig, Hand.POOL, Stop.BUDGET) and rig.node.broker.budget is not None
+        assert (
+            tally(rig, HandOver.POOL, StopReason.BUDGET) and rig.node.dispatcher.budget is not None
+        )
 
 
 @on_uvloop
@@ -528,7 +540,7 @@
     engine = Engine()
     made = make_config(target("s-1", await engine.start()), operator=True)
     async with running(
-        made, make=filed(deadlines=Deadlines(learn=True), logs=Logs("json", 1.0))
+        made, make=filed(deadlines=DeadlineSettings(learn=True), logs=Logs("json", 1.0))
     ) as rig:
         client = await rig.client()
         for number in range(1, 81):
@@ -538,17 +550,20 @@
         for stage in ("read", "decide", "connect", "write", "engine", "answer"):
             assert f'larchhall_stage_seconds_count{{type="glance",stage="{stage}"}} 80' in text
         assert "larchhall_margin_seconds 0.01" in text and "larchhall_undone_total 0" in text
-        rig.node.broker.stages.learn(rig.node.broker.now())  # type: ignore[union-attr]
-        assert rig.node.broker.stages.margin < 10 * MS  # type: ignore[union-attr]
+        rig.node.dispatcher.stages.learn(rig.node.dispatcher.now())  # type: ignore[union-attr]
+        assert rig.node.dispatcher.stages.margin < 10 * MS  # type: ignore[union-attr]
         ordinary = Node(made, os.environ)
-        assert b"larchhall_" not in ordinary.broker.metrics() and ordinary.broker.stages is None
+        assert (
+            b"larchhall_" not in ordinary.dispatcher.metrics()
+            and ordinary.dispatcher.stages is None
+        )
 
 
 @on_uvloop
 async def test_time_may_count_from_the_first_byte() -> None:
     engine = Engine(lambda *_: None)
     made = make_config(target("s-1", await engine.start()))
-    for terms in (Deadlines(count_from="first"), Deadlines(count_from="last")):
+    for terms in (DeadlineSettings(count_from="first"), DeadlineSettings(count_from="last")):
         async with running(made, make=filed(deadlines=terms)) as rig:
             client = await rig.client()
             fields = {
@@ -562,9 +577,9 @@
             client.writer.write(whole[:30])
             await asyncio.sleep(0.3)
             client.writer.write(whole[30:])
-            await until(lambda: rig.node.broker.requests)  # noqa: B023
-            (request,) = rig.node.broker.requests.values()
-            taken = request.deadline - request.taken
+            await until(lambda: rig.node.dispatcher.requests)  # noqa: B023
+            (request,) = rig.node.dispatcher.requests.values()
+            taken = request.deadline_ns - request.accepted_ns
             assert (taken < 2_750 * MS) == (terms.count_from == "first") and taken <= 2_990 * MS
             client.writer.transport.abort()
-            await until(lambda: not rig.node.broker.concurrent)  # noqa: B023
+            await until(lambda: not rig.node.dispatcher.concurrent)  # noqa: B023
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -15,17 +15,17 @@
 from hypothesis import strategies as st
 
 from query_broker.config.reading import parse, parse_settings
-from query_broker.deadlines.handover_checks import Hand
-from query_broker.decisions.events import Result
+from query_broker.deadlines.handover_checks import HandOver
+from query_broker.decisions.events import AttemptResult
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.dispatcher import Ask, Broker, Unusable
+from query_broker.dispatch.dispatcher import Dispatcher, InvalidRequestError, ParsedRequest
+from query_broker.dispatch.requests import ActiveRequest
 from query_broker.dispatch.requests import Client as Asker
-from query_broker.dispatch.requests import OpenRequest
 from query_broker.emulator.clients import Book
 from query_broker.emulator.cluster import World
 from query_broker.emulator.cluster import config as world_config
 from query_broker.emulator.data_engine import Keys, key_ran_twice
-from query_broker.endpoints.connection_pools import EnginePool
+from query_broker.endpoints.connection_pools import ConnectionPool
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.client_connection import read_ask
@@ -111,7 +111,7 @@
 def test_any_key_is_told_byte_for_byte(key: str) -> None:
     fields = {"route": "load", "trace": "9" * 16, "patience": "9", "nonce": key}
     ask = read_ask(frames.write_fields(fields) + STATEMENT)
-    told = resp.write_pairs({"cls": "load", "limit": 5, "nonce": ask.nonce, "level": 1})
+    told = resp.write_pairs({"cls": "load", "limit": 5, "nonce": ask.idempotency_key, "level": 1})
     assert resp.read_pairs(told) == {"cls": "load", "limit": "5", "nonce": key, "level": "1"}
 
 
@@ -121,7 +121,7 @@
     """
     orders = Orders(deployments.WAREHOUSE, monkeypatch)
     orders.take("load")
-    with pytest.raises(Unusable):
+    with pytest.raises(InvalidRequestError):
         orders.broker._check(orders.ask("load", nonce="f" * 32))
 
 
@@ -130,11 +130,11 @@
 def test_no_keyed_attempt_after_its_window(name: str, part: float, sends: int) -> None:
     """Danger: past the window no engine knows the key, and the load runs twice."""
     settings = parse_settings(ALL[name])
-    window = next(c.window for c in settings.classes if c.name == "load")
+    window = next(c.idempotency_window_ns for c in settings.classes if c.name == "load")
     h = Harness(settings, *(entry(i, zone="east") for i in (1, 2, 3)))
-    h.arrive("r", "load", 10 * window, estimate=MS, tenant="acme")
+    h.arrive("r", "load", 10 * window, estimate_ns=MS, tenant="acme")
     h.now += int(part * window)  # its timers don't fire: nothing else ends the first attempt
-    h.end("r", Result.ERROR)
+    h.end("r", AttemptResult.ERROR)
     assert len(h.sends("r")) == sends
 
 
@@ -152,7 +152,7 @@
         await until(lambda: engine.words(b"do"))
         (do,) = engine.words(b"do")
         heard: Counter[str] = Counter()
-        controller = rig.node.broker.facade.controller
+        controller = rig.node.dispatcher.facade.controller
         handle = controller.handle
 
         def listen(now: int, event: Any) -> Any:
@@ -179,7 +179,7 @@
         writer.write(resp.encode(b"f" * 16, b"update", b"tell=pct,amount=0.5", b""))
         engine.serve(do, writer)
         assert (await client.answer())[1] == frames.SERVED
-        assert 3 <= heard["AttemptNote"] <= 30
+        assert 3 <= heard["AttemptProgress"] <= 30
         assert not [line for line in rig.logged if line.startswith("engine")]
 
 
@@ -258,13 +258,13 @@
         self.clock = StoppedClock()
         targets = [target(f"s-{i}", i, az="east") for i in (1, 2, 3)]
         raw = {"listen": "127.0.0.1:1", "settings": facts, "seed": "7"}
-        self.broker = Broker(
+        self.broker = Dispatcher(
             parse(raw, {}),
             self.clock,
             lambda kind, text: self.faults.append(text) if kind == "fault" else None,
         )
         self.faults: list[str] = []
-        self.broker.news(parse_event(event(1, *targets, full=True)))
+        self.broker.endpoint_list_changed(parse_event(event(1, *targets, full=True)))
         self.broker.pools.limit(100)
         self.out: dict[int, set[bytes]] = {}
         self.jammed: set[int] = set()
@@ -273,12 +273,12 @@
         self.answers: list[str] = []
         self.parser: dict[int, resp.RespParser] = {}
         self.connections: dict[int, EngineConnection] = {}
-        self.opening: list[EnginePool] = []
-        monkeypatch.setattr(EnginePool, "_open", lambda pool: self.opening.append(pool))
+        self.opening: list[ConnectionPool] = []
+        monkeypatch.setattr(ConnectionPool, "_open", lambda pool: self.opening.append(pool))
         for pool in [*self.broker.pools.by_number.values()] * 2:
             self.connect(pool)
 
-    def connect(self, pool: EnginePool) -> None:
+    def connect(self, pool: ConnectionPool) -> None:
         fd = 1_000 + len(self.connections)
         made = EngineConnection(self.broker, pool.number)
         self.out[fd], self.parser[fd], self.connections[fd] = set(), resp.RespParser(), made
@@ -292,7 +292,7 @@
             self.connect(pool)
             waiting, pool.waiting = pool.waiting, []
             for attempt in waiting:
-                if self.broker._may_go(attempt, Hand.CONNECTION):
+                if self.broker._may_go(attempt, HandOver.CONNECTION):
                     pool.send(attempt, self.clock.time)
         self.broker.tick()
 
@@ -319,14 +319,14 @@
     def served(self, stream: int, body: bytes) -> None:
         self.answers.append("served")
 
-    def refused(self, stream: int, pause_ms: int) -> None:
+    def rejected(self, stream: int, pause_ms: int) -> None:
         self.answers.append("refused")
 
     def failed(self, stream: int, reason: str) -> None:
         self.answers.append("failed")
 
-    def ask(self, route: str, nonce: str | None = KEY) -> Ask:
-        return Ask(
+    def ask(self, route: str, nonce: str | None = KEY) -> ParsedRequest:
+        return ParsedRequest(
             route,
             "9" * 16,
             "acme",
@@ -339,7 +339,7 @@
             nonce if route == "load" else None,
         )
 
-    def take(self, route: str) -> OpenRequest:
+    def take(self, route: str) -> ActiveRequest:
         self.request = self.broker.submit(cast(Asker, self), 1, self.ask(route))
         return self.request
 
@@ -372,10 +372,10 @@
                 self.out[self.first].discard(b"9" * 16)
                 connection.data_received(resp.encode(b"9" * 16, b"served", b"-", b"a\tb\tc\n"))
         elif what == "left":
-            broker.leave(self.request)
+            broker.abandon(self.request)
         elif what == "drain":
-            for known in list(broker.engines.by_uid)[:2]:
-                broker.news(parse_event(event(2, target(known, 1, "terminating"))))
+            for known in list(broker.endpoint_table.by_uid)[:2]:
+                broker.endpoint_list_changed(parse_event(event(2, target(known, 1, "terminating"))))
         elif what == "free":
             self.jammed.clear()
             self.turn()
