--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,11 +15,21 @@
 
 FLEET, CORES = 40, 8
 CONTRACT = api.Contract(
-    drain_grace=S, cold_from=0.36, cold=12 * S, fall=1_500 * MS, fall_multiple=2.0
+    drain_grace_ns=S,
+    warmup_initial_capacity=0.36,
+    warmup_ns=12 * S,
+    overload_window_ns=1_500 * MS,
+    overload_multiple=2.0,
 )
 CLASSES = (
-    query_class("glance", aim=S, deadline=5 * S),
-    query_class("report", aim=1_500 * MS, deadline=20 * S, worth=10.0, threads=4),
+    query_class("glance", latency_objective_ns=S, deadline_ns=5 * S),
+    query_class(
+        "report",
+        latency_objective_ns=1_500 * MS,
+        deadline_ns=20 * S,
+        priority_weight=10.0,
+        threads=4,
+    ),
 )
 
 
@@ -35,7 +45,7 @@
             make_settings(
                 *CLASSES,
                 fleet_size=fleet,
-                me=me,
+                broker_index=me,
                 kind_cores=(("box", CORES),),
                 contract=CONTRACT,
                 **more,
@@ -78,7 +88,9 @@
     cold = set(engines[:fresh])
     fleet = gateways(engines, brokers)
     began = fleet[0].now
-    news = api.ListNews(api.ListKind.CHANGES, tuple(entry(e, started=began) for e in sorted(cold)))
+    news = api.EndpointListUpdate(
+        api.ListUpdateKind.CHANGES, tuple(entry(e, started_ns=began) for e in sorted(cold))
+    )
     told = [began + draw.randrange(2 * S) for _ in fleet]
     sent: dict[int, list[tuple[int, int]]] = {e: [] for e in cold}
     absent = set(draw.sample(range(brokers), brokers // 10)) if brokers > FLEET else set()
@@ -95,30 +107,41 @@
                 told[me] = 0
             name, work = ("report", 2 * S) if draw.random() < 0.2 else ("glance", 200 * MS)
             work = int(work * draw.uniform(0.5, 1.5))
-            h.arrive(f"r{step}", name, estimate=work)
+            h.arrive(f"r{step}", name, estimate_ns=work)
             for send in h.sends(f"r{step}"):
-                if send.engine in cold:
-                    sent[send.engine].append((h.now, work))
-                h.end(f"r{step}", api.Result.SERVED, latency=work // 4)
+                if send.endpoint in cold:
+                    sent[send.endpoint].append((h.now, work))
+                h.end(f"r{step}", api.AttemptResult.SERVED, latency=work // 4)
     for engine in cold:
         for at, _ in sent[engine]:
-            part = CONTRACT.cold_from + (1 - CONTRACT.cold_from) * min(
-                1.0, (at - began) / CONTRACT.cold
+            part = CONTRACT.warmup_initial_capacity + (1 - CONTRACT.warmup_initial_capacity) * min(
+                1.0, (at - began) / CONTRACT.warmup_ns
+            )
+            within = sum(
+                work for when, work in sent[engine] if at - CONTRACT.overload_window_ns < when <= at
             )
-            within = sum(work for when, work in sent[engine] if at - CONTRACT.fall < when <= at)
-            assert within <= part * CORES * CONTRACT.fall_multiple * CONTRACT.fall
+            assert within <= part * CORES * CONTRACT.overload_multiple * CONTRACT.overload_window_ns
     used = sum(work for items in sent.values() for _, work in items) / len(cold) / (12 * S)
-    assert used > 0.3 * CONTRACT.cold_from * CORES  # of what they can do at their start
+    assert (
+        used > 0.3 * CONTRACT.warmup_initial_capacity * CORES
+    )  # of what they can do at their start
 
 
 def test_turns_on_different_engines_are_not_in_step() -> None:
     """Danger: all fresh engines idle at the same moments, and the warm ones get everything then."""
     engines = uids(30)
     h = gateways(engines)[0]
-    h.do(api.ListNews(api.ListKind.CHANGES, tuple(entry(e, started=h.now) for e in engines[:15])))
+    h.do(
+        api.EndpointListUpdate(
+            api.ListUpdateKind.CHANGES, tuple(entry(e, started_ns=h.now) for e in engines[:15])
+        )
+    )
 
     def open_now(at: int) -> int:
-        return sum((at + e) % (2 * CONTRACT.fall) < CONTRACT.fall for e in engines[:15])
+        return sum(
+            (at + e) % (2 * CONTRACT.overload_window_ns) < CONTRACT.overload_window_ns
+            for e in engines[:15]
+        )
 
     shares = [open_now(h.now + i * 100 * MS) for i in range(30)]
     assert min(shares) >= 3 and max(shares) <= 12
@@ -141,7 +164,7 @@
     of it.
     """
     fleet = gateways(uids(listed), brokers)
-    used = Counter(e.entry.engine for h in fleet for e in h.controller.near)
+    used = Counter(e.entry.endpoint for h in fleet for e in h.controller.near)
     each = {len(h.controller.near) for h in fleet}
     mean = sum(used.values()) / listed
     assert each == {10} and len(used) == listed  # not more where there are more engines
@@ -152,11 +175,15 @@
     engines = uids(30)
     h = gateways(engines)[7]
     gateway = h.controller
-    before = [e.entry.engine for e in gateway.near]
+    before = [e.entry.endpoint for e in gateway.near]
     gateway._suspect(h.now, gateway.near[2], True)
-    assert [e.entry.engine for e in gateway.near][:10] == before and len(gateway.near) == 11
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(engines[0], state=api.EngineState.GONE),)))
-    assert len({e.entry.engine for e in gateway.near} & set(before)) >= 8
+    assert [e.entry.endpoint for e in gateway.near][:10] == before and len(gateway.near) == 11
+    h.do(
+        api.EndpointListUpdate(
+            api.ListUpdateKind.CHANGES, (entry(engines[0], state=api.EndpointState.REMOVED),)
+        )
+    )
+    assert len({e.entry.endpoint for e in gateway.near} & set(before)) >= 8
 
 
 def test_few_gateways_use_all_engines() -> None:
@@ -171,7 +198,7 @@
     h = gateways(uids(30))[0]
     gateway = h.controller
     for i in range(40):
-        h.arrive(f"r{i}", "report", patience=20 * S, estimate=S)
+        h.arrive(f"r{i}", "report", patience=20 * S, estimate_ns=S)
     pool, before = gateway.pool, gateway.pool.threads_out
     lost = [e for e in gateway.near if e.out][:5]
     held = sum(e.threads_out for e in lost)
@@ -180,20 +207,23 @@
     assert held > 0 and pool.threads_out == before - held
     assert pool.thread_share == pytest.approx(1.5 * CORES * 25 / FLEET)
     number = next(a for a in lost[0].out)
-    h.end(number[0], api.Result.TIMEOUT, attempt=number[1])  # told at last: not booked out twice
+    h.end(
+        number[0], api.AttemptResult.TIMEOUT, attempt=number[1]
+    )  # told at last: not booked out twice
     assert pool.threads_out == sum(e.threads_out for e in gateway.engines.values() if e.counted)
 
 
 def test_what_drains_takes_no_room_in_the_pool() -> None:
     h = gateways(uids(30))[0]
     for i in range(10):
-        h.arrive(f"r{i}", "report", patience=20 * S, estimate=S)
+        h.arrive(f"r{i}", "report", patience=20 * S, estimate_ns=S)
     gateway = h.controller
     engine = next(e for e in gateway.near if e.out)
     before = gateway.pool.threads_out
     h.do(
-        api.ListNews(
-            api.ListKind.CHANGES, (entry(engine.entry.engine, state=api.EngineState.DRAINING),)
+        api.EndpointListUpdate(
+            api.ListUpdateKind.CHANGES,
+            (entry(engine.entry.endpoint, state=api.EndpointState.DRAINING),),
         )
     )
     assert gateway.pool.threads_out == before - engine.threads_out
@@ -206,7 +236,7 @@
         assert len(h.controller._within_reach(h.now)) <= 10
 
 
-PROBES = api.Limits(probes=True, second_copies=True, max_attempts=5, max_retry_after=2 * S)
+PROBES = api.Limits(health_checks=True, hedging=True, max_attempts=5, max_retry_after_ns=2 * S)
 
 
 def fail(h: Harness, engine: int, times: int) -> None:
@@ -216,26 +246,26 @@
         request = h.controller
         for other in request.engines.values():
             other.entry = entry(
-                other.entry.engine,
-                state=api.EngineState.READY
-                if other.entry.engine == engine
-                else api.EngineState.DRAINING,
+                other.entry.endpoint,
+                state=api.EndpointState.READY
+                if other.entry.endpoint == engine
+                else api.EndpointState.DRAINING,
             )
-        h.arrive(name, "glance", estimate=MS)
+        h.arrive(name, "glance", estimate_ns=MS)
         for other in request.engines.values():
-            other.entry = entry(other.entry.engine)
-        assert h.sends(name)[0].engine == engine
-        h.end(name, api.Result.ERROR)
-        h.end(name, api.Result.SERVED, latency=MS)
+            other.entry = entry(other.entry.endpoint)
+        assert h.sends(name)[0].endpoint == engine
+        h.end(name, api.AttemptResult.ERROR)
+        h.end(name, api.AttemptResult.SERVED, latency=MS)
 
 
 def test_an_engine_that_fails_what_others_serve_is_held_out() -> None:
     """Danger: it fails fast, looks idle, and draws three times as much as the others."""
     h = gateways(uids(30), limits=PROBES)[0]
     engine = h.controller.near[0]
-    fail(h, engine.entry.engine, 1)
+    fail(h, engine.entry.endpoint, 1)
     assert not engine.suspect
-    fail(h, engine.entry.engine, 2)
+    fail(h, engine.entry.endpoint, 2)
     assert engine.suspect
 
 
@@ -243,14 +273,14 @@
     """Danger: one client's statements would take out every engine."""
     h = gateways(uids(30), limits=PROBES)[0]
     for i in range(40):
-        h.arrive(f"bad{i}", "glance", estimate=MS)
+        h.arrive(f"bad{i}", "glance", estimate_ns=MS)
         while not h.answers(f"bad{i}"):
-            h.end(f"bad{i}", api.Result.ERROR)
+            h.end(f"bad{i}", api.AttemptResult.ERROR)
     assert not any(e.suspect for e in h.controller.engines.values())
 
 
 def probes_of(h: Harness) -> list[tuple[int, int]]:
-    return [(at, a.engine) for at, a in h.log if isinstance(a, api.Probe)]
+    return [(at, a.endpoint) for at, a in h.log if isinstance(a, api.HealthCheck)]
 
 
 def test_trials_of_many_gateways_are_probes_with_rests() -> None:
@@ -261,16 +291,20 @@
     engine = h.controller.near[0]
     h.controller._suspect(h.now, engine, True)
     for step in range(300):
-        h.arrive(f"r{step}", "glance", estimate=MS)
-        assert all(s.engine != engine.entry.engine for s in h.sends(f"r{step}"))
-        h.end(f"r{step}", api.Result.SERVED, latency=MS)
+        h.arrive(f"r{step}", "glance", estimate_ns=MS)
+        assert all(s.endpoint != engine.entry.endpoint for s in h.sends(f"r{step}"))
+        h.end(f"r{step}", api.AttemptResult.SERVED, latency=MS)
         before = len(probes_of(h))
         h.pass_time(100 * MS)
         for _ in range(len(probes_of(h)) - before):
-            h.do(api.ProbeResult(engine.entry.engine, api.Result.TIMEOUT, 250 * MS))
-    times = [at for at, e in probes_of(h) if e == engine.entry.engine]
+            h.do(api.HealthCheckResult(engine.entry.endpoint, api.AttemptResult.TIMEOUT, 250 * MS))
+    times = [at for at, e in probes_of(h) if e == engine.entry.endpoint]
     assert 5 <= len(times) <= 20  # in 30 s: seldom, and ever more so
-    h.do(api.ProbeResult(engine.entry.engine, api.Result.SERVED, MS, api.LoadReport(memory=0.1)))
+    h.do(
+        api.HealthCheckResult(
+            engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(memory=0.1)
+        )
+    )
     assert not engine.suspect and engine.counted
 
 
@@ -291,8 +325,8 @@
     h.controller._suspect(h.now, engine, True)
     h.pass_time(9 * S)
     for i in range(60):
-        h.arrive(f"r{i}", "glance", estimate=MS)
-        h.end(f"r{i}", api.Result.SERVED, latency=MS)
+        h.arrive(f"r{i}", "glance", estimate_ns=MS)
+        h.end(f"r{i}", api.AttemptResult.SERVED, latency=MS)
     assert not probes_of(h) and not engine.suspect
 
 
@@ -302,13 +336,17 @@
     """
     engines = uids(30)
     h = gateways(engines)[0]
-    h.do(api.ListNews(api.ListKind.CHANGES, tuple(entry(e, started=h.now) for e in engines)))
+    h.do(
+        api.EndpointListUpdate(
+            api.ListUpdateKind.CHANGES, tuple(entry(e, started_ns=h.now) for e in engines)
+        )
+    )
     gateway = h.controller
     while not any(gateway._our_turn(h.now, e) for e in gateway.cold):
         h.pass_time(50 * MS)
     engine = next(e for e in gateway.cold if gateway._our_turn(h.now, e))
     for i in range(60):
-        h.arrive(f"r{i}", "glance", estimate=200 * MS)
+        h.arrive(f"r{i}", "glance", estimate_ns=200 * MS)
     assert engine.thread_share < engine.threads_out <= 2 * CORES
 
 
@@ -331,14 +369,20 @@
     """
     classes = (
         *CLASSES,
-        query_class("load", aim=3 * S, deadline=25 * S, threads=2, effect=api.Effect.UNSAFE),
+        query_class(
+            "load",
+            latency_objective_ns=3 * S,
+            deadline_ns=25 * S,
+            threads=2,
+            effect=api.Effect.NON_IDEMPOTENT,
+        ),
     )
     engines = uids(30)
     h = Harness(
         make_settings(
             *classes,
             fleet_size=FLEET,
-            me=3,
+            broker_index=3,
             kind_cores=(("box", CORES),),
             contract=CONTRACT,
             limits=PROBES,
@@ -346,21 +390,23 @@
         *(entry(e, zone="ab"[i % 2]) for i, e in enumerate(engines)),
     )
     draw, kinds, served, zone = random.Random(9), dict[str, str](), set[str](), set(engines[1::2])
-    ends: dict[tuple[str, int], tuple[int, api.Result]] = {}
+    ends: dict[tuple[str, int], tuple[int, api.AttemptResult]] = {}
     for step in range(420):
         if step < 380:
             kinds[f"r{step}"] = draw.choice(["glance", "glance", "report", "load"])
-            h.arrive(f"r{step}", kinds[f"r{step}"], patience=5 * S, estimate=300 * MS)
+            h.arrive(f"r{step}", kinds[f"r{step}"], patience=5 * S, estimate_ns=300 * MS)
         for name in kinds:
             for number, send in enumerate(h.sends(name)):
-                silent = send.engine in zone and step < 200
+                silent = send.endpoint in zone and step < 200
                 ends.setdefault(
                     (name, number),
-                    (step + 50, api.Result.TIMEOUT) if silent else (step + 3, api.Result.SERVED),
+                    (step + 50, api.AttemptResult.TIMEOUT)
+                    if silent
+                    else (step + 3, api.AttemptResult.SERVED),
                 )
         for (name, number), (due, result) in list(ends.items()):
             if due == step:
-                if result is api.Result.SERVED and not h.answers(name):
+                if result is api.AttemptResult.SERVED and not h.answers(name):
                     served.add(name)
                 h.end(
                     name,
@@ -371,35 +417,41 @@
                 )
         h.pass_time(100 * MS)
         if step == 199:
-            out = [e for e in h.controller.near if e.entry.engine in zone]
+            out = [e for e in h.controller.near if e.entry.endpoint in zone]
             assert out and all(e.suspect for e in out)
             h.do(
-                api.ListNews(
-                    api.ListKind.CHANGES,
-                    tuple(entry(e, zone="b", started=h.now) for e in sorted(zone)),
+                api.EndpointListUpdate(
+                    api.ListUpdateKind.CHANGES,
+                    tuple(entry(e, zone="b", started_ns=h.now) for e in sorted(zone)),
                 )
             )
             assert not any(h.controller.engines[e].suspect for e in zone)
-    assert sum(result is api.Result.TIMEOUT for _, result in ends.values()) >= 3
+    assert sum(result is api.AttemptResult.TIMEOUT for _, result in ends.values()) >= 3
     assert not h.controller.requests
     for name, kind in kinds.items():
         assert len(h.answers(name)) + (name in served) == 1
         assert kind != "load" or len(h.sends(name)) <= 1
-    assert any(a.engine in zone for at, a in h.log if isinstance(a, api.Send) and at > 122 * S)
+    assert any(
+        a.endpoint in zone for at, a in h.log if isinstance(a, api.Dispatch) and at > 122 * S
+    )
 
 
 @pytest.mark.parametrize("count", [0, 1, 500])
 def test_a_whole_list_of_any_length_in_mid_service(count: int) -> None:
     h = gateways(uids(30))[0]
-    h.arrive("open", "report", patience=20 * S, estimate=S)
-    h.do(api.ListNews(api.ListKind.FULL, tuple(entry(e) for e in uids(count, seed=8))))
+    h.arrive("open", "report", patience=20 * S, estimate_ns=S)
+    h.do(
+        api.EndpointListUpdate(
+            api.ListUpdateKind.FULL, tuple(entry(e) for e in uids(count, seed=8))
+        )
+    )
     h.pass_time(2 * S)
-    went = h.sends("open")[0].engine
+    went = h.sends("open")[0].endpoint
     for i in range(50):
-        h.arrive(f"r{i}", "glance", estimate=MS)
-        assert all(s.engine != went or went in uids(count, seed=8) for s in h.sends(f"r{i}"))
-        assert h.sends(f"r{i}") or isinstance(h.answers(f"r{i}")[0], api.Refuse)
-    h.end("open", api.Result.SERVED)
+        h.arrive(f"r{i}", "glance", estimate_ns=MS)
+        assert all(s.endpoint != went or went in uids(count, seed=8) for s in h.sends(f"r{i}"))
+        assert h.sends(f"r{i}") or isinstance(h.answers(f"r{i}")[0], api.Reject)
+    h.end("open", api.AttemptResult.SERVED)
     assert not h.answers("open")
 
 
@@ -408,10 +460,10 @@
     for share, goes in ((1.0, False), (0.4, True)):
         h = gateways(uids(30))[0]
         view, pool = h.controller.views["report"], h.controller.pool
-        h.arrive("out", "report", patience=20 * S, estimate=2 * S)
+        h.arrive("out", "report", patience=20 * S, estimate_ns=2 * S)
         h.controller.mean_work, h.controller.mean_worth = 2.0 * S, 10.0  # a report is as the mean
         pool.full_until, pool.bound, view.admitted = h.now + 99 * S, pool.backlog * 1.5, share
-        h.arrive("r", "report", patience=20 * S, estimate=2 * S)
+        h.arrive("r", "report", patience=20 * S, estimate_ns=2 * S)
         assert bool(h.sends("r")) is goes and (view.admitted > share) is goes
 
 
@@ -420,7 +472,7 @@
     h = gateways(uids(30), tenants=(api.Tenant("acme", 0.0),))[0]
     h.controller.pool.full_until, h.controller.pool.bound = h.now + 99 * S, 0.0
     for i in range(30):
-        h.arrive(f"r{i}", "glance", estimate=200 * MS, tenant="acme")
+        h.arrive(f"r{i}", "glance", estimate_ns=200 * MS, tenant="acme")
     assert (
         any(h.answers(f"r{i}") for i in range(30)) and h.controller.views["glance"].admitted == 1.0
     )
@@ -432,11 +484,11 @@
     h, full, asked = gateways(engines, limits=PROBES)[0], set(engines[::2]), 0
     for i in range(100):
         name = f"r{i}"
-        h.arrive(name, "glance", estimate=MS)
-        while h.sends(name)[-1].engine in full:
+        h.arrive(name, "glance", estimate_ns=MS)
+        while h.sends(name)[-1].endpoint in full:
             asked += 1
-            h.end(name, api.Result.CONNECT_FAILED)
-        h.end(name, api.Result.SERVED, latency=MS)
+            h.end(name, api.AttemptResult.CONNECT_FAILED)
+        h.end(name, api.AttemptResult.SERVED, latency=MS)
         h.pass_time(100 * MS)
     assert 0 < asked <= len(full)  # once each: from then on they are tried by probes
 
@@ -444,13 +496,21 @@
 def test_a_full_engine_is_held_out_and_asked_before_it_gets_more() -> None:
     """Danger: 50 brokers that each have nothing out there send one query each, again and again."""
     h = gateways(uids(80), 200, limits=PROBES)[0]
-    h.arrive("r0", "glance", estimate=MS)
-    engine = h.controller.engines[h.sends("r0")[0].engine]
-    h.end("r0", api.Result.FULL)
-    assert engine.suspect and h.sends("r0")[-1].engine != engine.entry.engine
-    h.do(api.ProbeResult(engine.entry.engine, api.Result.SERVED, MS, api.LoadReport(inflight=30.0)))
+    h.arrive("r0", "glance", estimate_ns=MS)
+    engine = h.controller.engines[h.sends("r0")[0].endpoint]
+    h.end("r0", api.AttemptResult.FULL)
+    assert engine.suspect and h.sends("r0")[-1].endpoint != engine.entry.endpoint
+    h.do(
+        api.HealthCheckResult(
+            engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=30.0)
+        )
+    )
     assert engine.suspect  # it lives, and is jammed
-    h.do(api.ProbeResult(engine.entry.engine, api.Result.SERVED, MS, api.LoadReport(inflight=3.0)))
+    h.do(
+        api.HealthCheckResult(
+            engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=3.0)
+        )
+    )
     assert not engine.suspect and engine.counted
 
 
@@ -460,7 +520,13 @@
     """
     classes = (
         *CLASSES,
-        query_class("load", aim=3 * S, deadline=25 * S, threads=2, effect=api.Effect.UNSAFE),
+        query_class(
+            "load",
+            latency_objective_ns=3 * S,
+            deadline_ns=25 * S,
+            threads=2,
+            effect=api.Effect.NON_IDEMPOTENT,
+        ),
     )
     h = Harness(
         make_settings(
@@ -468,21 +534,29 @@
         ),
         *(entry(e, zone="ab"[e % 2]) for e in uids(80)),
     )
-    h.arrive("r0", "load", patience=25 * S, estimate=200 * MS)
-    engine = h.controller.engines[h.sends("r0")[0].engine]
+    h.arrive("r0", "load", patience=25 * S, estimate_ns=200 * MS)
+    engine = h.controller.engines[h.sends("r0")[0].endpoint]
     h.pass_time(3 * S)
-    assert [e for _, e in probes_of(h)] == [engine.entry.engine]
-    h.do(api.ProbeResult(engine.entry.engine, api.Result.SERVED, MS, api.LoadReport(inflight=30.0)))
+    assert [e for _, e in probes_of(h)] == [engine.entry.endpoint]
+    h.do(
+        api.HealthCheckResult(
+            engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=30.0)
+        )
+    )
     assert engine.suspect and len(h.sends("r0")) == 1
 
 
 def test_an_answer_that_was_late_does_not_clear_a_jammed_engine() -> None:
     h = gateways(uids(80), 200, limits=PROBES)[0]
-    h.arrive("r0", "glance", patience=20 * S, estimate=100 * MS)
-    engine = h.controller.engines[h.sends("r0")[0].engine]
-    h.do(api.ProbeResult(engine.entry.engine, api.Result.SERVED, MS, api.LoadReport(inflight=30.0)))
+    h.arrive("r0", "glance", patience=20 * S, estimate_ns=100 * MS)
+    engine = h.controller.engines[h.sends("r0")[0].endpoint]
+    h.do(
+        api.HealthCheckResult(
+            engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=30.0)
+        )
+    )
     h.pass_time(250 * MS)
-    h.end("r0", api.Result.SERVED, latency=5 * S)
+    h.end("r0", api.AttemptResult.SERVED, latency=5 * S)
     assert engine.suspect
 
 
@@ -499,13 +573,17 @@
     assert gateway.pool.thread_share < share
     h.pass_time(12 * S)
     assert not far.suspect and gateway.pool.thread_share == pytest.approx(share)
-    assert far.entry.engine not in {e for _, e in probes_of(h)}
+    assert far.entry.endpoint not in {e for _, e in probes_of(h)}
 
 
 def test_reports_are_not_kept_while_sends_add_up_on_them() -> None:
     h = gateways(uids(80), 200, limits=PROBES)[0]
     engine = h.controller.near[0]
-    h.do(api.ProbeResult(engine.entry.engine, api.Result.SERVED, MS, api.LoadReport(memory=0.9)))
+    h.do(
+        api.HealthCheckResult(
+            engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(memory=0.9)
+        )
+    )
     assert engine.load() > 0.8
     h.pass_time(2 * S)
     assert engine.load() == 0.0
@@ -518,7 +596,7 @@
     engines, draw = uids(80), random.Random(4)
     fleet, read = gateways(engines, 200, limits=PROBES), [0] * 200
     held: Counter[int] = Counter()
-    ends: list[tuple[int, int, int, Harness, api.Send, int, int]] = []
+    ends: list[tuple[int, int, int, Harness, api.Dispatch, int, int]] = []
     sums, peaks = list[int](), list[int]()
     began, count, kill = fleet[0].now, 0, 80
     for step in range(150):
@@ -528,22 +606,22 @@
         now = began + step * 100 * MS
         while ends and ends[0][0] <= now:
             _, _, threads, h, send, number, sent = heapq.heappop(ends)
-            held[send.engine] -= threads
+            held[send.endpoint] -= threads
             if h in fleet:
-                h.end(send.request, api.Result.SERVED, attempt=number, latency=now - sent)
+                h.end(send.request_id, api.AttemptResult.SERVED, attempt=number, latency=now - sent)
         for me, h in enumerate(fleet):
             h.pass_time(now - h.now)
             if draw.random() < 0.25:
                 name, work = ("report", 2 * S) if draw.random() < 0.15 else ("glance", 200 * MS)
                 h.arrive(
-                    f"{step}", name, patience=20 * S, estimate=int(work * draw.uniform(0.5, 1.5))
+                    f"{step}", name, patience=20 * S, estimate_ns=int(work * draw.uniform(0.5, 1.5))
                 )
             for _, action in h.log[read[me] :]:
-                if isinstance(action, api.Send):
-                    request = h.controller.requests[action.request]
+                if isinstance(action, api.Dispatch):
+                    request = h.controller.requests[action.request_id]
                     threads = request.spec.threads
-                    held[action.engine] += threads
-                    crowd = max(1.0, held[action.engine] / CORES)
+                    held[action.endpoint] += threads
+                    crowd = max(1.0, held[action.endpoint] / CORES)
                     count += 1
                     heapq.heappush(
                         ends,
@@ -553,7 +631,7 @@
                             threads,
                             h,
                             action,
-                            h.sends(action.request).index(action),
+                            h.sends(action.request_id).index(action),
                             now,
                         ),
                     )
--- a/tests/test_golden_client_wire.py
+++ b/tests/test_golden_client_wire.py
@@ -14,7 +14,7 @@
 import pytest
 
 from query_broker import decisions as api
-from query_broker.dispatch.requests import Attempt, OpenRequest
+from query_broker.dispatch.requests import ActiveRequest, Attempt
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.engine_connection import EngineConnection, Owner
@@ -374,7 +374,7 @@
 
 
 def make_attempt(statement: bytes = b"SELECT 1", **changes: Any) -> Attempt:
-    asked = OpenRequest("1", ID, b"glance", statement, cast(Any, object()), 1, NOW + 5_000 * MS)
+    asked = ActiveRequest("1", ID, b"glance", statement, cast(Any, object()), 1, NOW + 5_000 * MS)
     for name, value in changes.items():
         setattr(asked, name, value)
     return Attempt(asked, 0, 51, NOW, NOW + 4_000 * MS, NOW + 3_000 * MS)
@@ -404,7 +404,7 @@
     (
         "with an idempotency key",
         {
-            "nonce": "k-1",
+            "idempotency_key": "k-1",
         },
         (
             b"*4\r\n"
@@ -421,7 +421,7 @@
     (
         "with a memory reserve",
         {
-            "reserve": 96,
+            "memory_mb": 96,
         },
         (
             b"*4\r\n"
@@ -438,7 +438,7 @@
     (
         "with a priority",
         {
-            "level": 2,
+            "priority": 2,
         },
         (
             b"*4\r\n"
@@ -455,9 +455,9 @@
     (
         "with all",
         {
-            "nonce": "k-1",
-            "reserve": 96,
-            "level": 0,
+            "idempotency_key": "k-1",
+            "memory_mb": 96,
+            "priority": 0,
         },
         (
             b"*4\r\n"
@@ -504,7 +504,7 @@
 
 def test_a_query_whose_time_is_all_but_over_gets_one_millisecond(line: Line) -> None:
     attempt = make_attempt()
-    attempt.until = NOW + 10
+    attempt.deadline_ns = NOW + 10
     begin(line, attempt)
     assert line.read() == (
         b"*4\r\n$2\r\ndo\r\n$16\r\n9b1f03aa5c7e2d41\r\n$18\r\ncls=glance,limit=1\r\n"
@@ -515,7 +515,7 @@
 CONTROL: list[tuple[str, Callable[[EngineConnection, Attempt], None], bytes]] = [
     (
         "undo",
-        lambda connection, attempt: connection.undo(attempt),
+        lambda connection, attempt: connection.cancel(attempt),
         b"*2\r\n$4\r\nundo\r\n$16\r\n9b1f03aa5c7e2d41\r\n",
     ),
     (
@@ -525,7 +525,7 @@
     ),
     (
         "bump",
-        lambda connection, attempt: connection.bump(attempt, 3),
+        lambda connection, attempt: connection.raise_priority(attempt, 3),
         b"*3\r\n$4\r\nbump\r\n$16\r\n9b1f03aa5c7e2d41\r\n$1\r\n3\r\n",
     ),
     (
@@ -611,16 +611,16 @@
 
 # --- the simulator's wire ---
 
-RENDERED: list[tuple[str, api.Action, str]] = [
-    ("send", api.Send("r-1", 0, 51, 4, 5), "FORWARD\ti=g/0\treq=r-1\tengine=51\tallow_for=4\n"),
-    ("refuse", api.Refuse("r-1", 250), "DENY\ti=g/0\treq=r-1\twait=250\n"),
+RENDERED: list[tuple[str, api.Order, str]] = [
+    ("send", api.Dispatch("r-1", 0, 51, 4, 5), "FORWARD\ti=g/0\treq=r-1\tengine=51\tallow_for=4\n"),
+    ("refuse", api.Reject("r-1", 250), "DENY\ti=g/0\treq=r-1\twait=250\n"),
     ("fail", api.Fail("r-1"), "GIVE_UP\ti=g/0\treq=r-1\n"),
-    ("cancel", api.Cancel("r-1", 2), "DROP_ATTEMPT\ti=g/0\treq=r-1\tn=2\n"),
+    ("cancel", api.CancelAttempt("r-1", 2), "DROP_ATTEMPT\ti=g/0\treq=r-1\tn=2\n"),
     ("set timer", api.SetTimer(70, 3), "SET_ALARM\ti=g/0\tfire_at=70\tnonce=3\n"),
-    ("probe", api.Probe(51), "ASK_LOAD\ti=g/0\tengine=51\n"),
+    ("probe", api.HealthCheck(51), "ASK_LOAD\ti=g/0\tengine=51\n"),
     (
         "terms",
-        api.Terms("r-1", 2, 96.5),
+        api.DispatchOptions("r-1", 2, 96.5),
         "RESOURCES\ti=g/0\treq=r-1\timportance=2\tallot_mb=96.500\n",
     ),
 ]
@@ -629,7 +629,7 @@
 @pytest.mark.parametrize(
     ("action", "wire"), [pytest.param(*case, id=name) for name, *case in RENDERED]
 )
-def test_line_of_an_action_to_the_simulator(action: api.Action, wire: str) -> None:
+def test_line_of_an_action_to_the_simulator(action: api.Order, wire: str) -> None:
     assert _render("g/0", action) == wire
 
 
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -26,31 +26,52 @@
 
 #: What each action is called in the digest; it outlives renames of the types.
 TAGS: dict[type, str] = {
-    api.Send: "send",
-    api.Refuse: "refuse",
+    api.Dispatch: "send",
+    api.Reject: "refuse",
     api.Fail: "fail",
-    api.Cancel: "cancel",
+    api.CancelAttempt: "cancel",
     api.SetTimer: "timer",
-    api.Probe: "probe",
-    api.Terms: "terms",
+    api.HealthCheck: "probe",
+    api.DispatchOptions: "terms",
 }
 
 
 def own_settings(**changes: Any) -> api.Settings:
     """Every rule at once: order by key, placement, a retry budget, hedging, probes, tenants."""
     classes = (
-        query_class("short", deadline=2 * S),
-        query_class("keyed", effect=api.Effect.KEYED, window=S, threads=2, in_order=True),
-        query_class("zonal", effect=api.Effect.KEYED, window=2 * S, scope=api.Scope.ZONE),
-        query_class("unsafe", effect=api.Effect.UNSAFE, is_load=True, worth=5.0, deadline=8 * S),
-        query_class("bound", only_kinds=("big",), threads=4, waits_for_loads=True, worth=3.0),
-        query_class("wide", threads=2, aim_stretch=1.5, deadline=10 * S, worth=0.3),
+        query_class("short", deadline_ns=2 * S),
+        query_class(
+            "keyed",
+            effect=api.Effect.IDEMPOTENCY_KEY,
+            idempotency_window_ns=S,
+            threads=2,
+            ordered_by_key=True,
+        ),
+        query_class(
+            "zonal",
+            effect=api.Effect.IDEMPOTENCY_KEY,
+            idempotency_window_ns=2 * S,
+            idempotency_scope=api.IdempotencyScope.ZONE,
+        ),
+        query_class(
+            "unsafe",
+            effect=api.Effect.NON_IDEMPOTENT,
+            is_load=True,
+            priority_weight=5.0,
+            deadline_ns=8 * S,
+        ),
+        query_class(
+            "bound", allowed_kinds=("big",), threads=4, blocked_by_loads=True, priority_weight=3.0
+        ),
+        query_class(
+            "wide", threads=2, objective_stretch=1.5, deadline_ns=10 * S, priority_weight=0.3
+        ),
     )
     base = make_settings(*classes)
     contract = dataclasses.replace(
-        base.contract, budget_window=2 * S, budget_free=20.0, budget_share=0.3
+        base.contract, retry_budget_window_ns=2 * S, retry_budget_free=20.0, retry_budget_ratio=0.3
     )
-    limits = dataclasses.replace(base.limits, second_copies=True)
+    limits = dataclasses.replace(base.limits, hedging=True)
     tenants = (api.Tenant("acme", 30.0), api.Tenant("other", 5.0))
     return dataclasses.replace(
         base,
@@ -59,19 +80,19 @@
         tenants=tenants,
         kind_cores=(("box", 4), ("big", 8)),
         cross_zone_price=0.02,
-        grants_heeded=True,
-        priorities_heeded=True,
+        memory_grants=True,
+        priorities=True,
         **changes,
     )
 
 
 SETTINGS = {
     "one gateway": own_settings(),
-    "three gateways": own_settings(fleet_size=3, me=1),
-    "many gateways": own_settings(fleet_size=60, me=17),
+    "three gateways": own_settings(fleet_size=3, broker_index=1),
+    "many gateways": own_settings(fleet_size=60, broker_index=17),
     "many gateways with probes": dataclasses.replace(
-        own_settings(fleet_size=60, me=40),
-        limits=api.Limits(probes=True, second_copies=True, max_attempts=3, max_retry_after=S),
+        own_settings(fleet_size=60, broker_index=40),
+        limits=api.Limits(health_checks=True, hedging=True, max_attempts=3, max_retry_after_ns=S),
     ),
     **{name: parse_settings(facts) for name, facts in deployments.ALL.items()},
 }
@@ -89,11 +110,11 @@
         self.timers: list[tuple[int, int]] = []
         self.open: dict[tuple[str, int], tuple[int, int]] = {}  # engine, time of the send
         self.sends: dict[str, int] = {}
-        self.states = dict.fromkeys(range(1, ENGINES + 1), api.EngineState.READY)
+        self.states = dict.fromkeys(range(1, ENGINES + 1), api.EndpointState.READY)
         self.started = dict.fromkeys(self.states, 0)
         self.actions = 0
 
-    def engine_entry(self, engine: int) -> api.EngineEntry:
+    def engine_entry(self, engine: int) -> api.EndpointEntry:
         return entry(
             engine,
             state=self.states[engine],
@@ -101,15 +122,19 @@
             kind=("box", "big", "")[engine % 3],
             cell=engine % 2,
             weight=4.0,
-            started=self.started[engine],
+            started_ns=self.started[engine],
         )
 
     def play(self) -> str:
-        self.handle(api.ListNews(api.ListKind.CACHED, tuple(map(self.engine_entry, self.states))))
+        self.handle(
+            api.EndpointListUpdate(
+                api.ListUpdateKind.CACHED, tuple(map(self.engine_entry, self.states))
+            )
+        )
         for number in range(STEPS):
             self.pass_time(self.draw.randrange(1, 40) * MS)
             self.step(number)
-        self.handle(api.Closing())
+        self.handle(api.CloseRequests())
         figures = (
             self.controller.avoided(),
             sorted((n, tuple(o)) for n, o in self.controller.outstanding(self.now).items()),
@@ -122,17 +147,17 @@
         for action in self.controller.handle(self.now, event):
             self.actions += 1
             names = [field.name for field in dataclasses.fields(action)]
-            if isinstance(action, api.Send):
-                assert action.attempt == self.sends.get(action.request, 0)
+            if isinstance(action, api.Dispatch):
+                assert action.attempt == self.sends.get(action.request_id, 0)
                 names.remove("attempt")  # it was counted by the caller when the digests were taken
             fields = [getattr(action, name) for name in names]
             self.digest.update(repr((self.now, TAGS[type(action)], fields)).encode())
             if isinstance(action, api.SetTimer):
-                self.timers.append((action.at, action.token))
-            elif isinstance(action, api.Send):
-                number = self.sends.get(action.request, 0)
-                self.sends[action.request] = number + 1
-                self.open[action.request, number] = (action.engine, self.now)
+                self.timers.append((action.due_ns, action.token))
+            elif isinstance(action, api.Dispatch):
+                number = self.sends.get(action.request_id, 0)
+                self.sends[action.request_id] = number + 1
+                self.open[action.request_id, number] = (action.endpoint, self.now)
 
     def pass_time(self, span: int) -> None:
         end = self.now + span
@@ -157,10 +182,10 @@
     def arrive(self, number: int) -> None:
         spec = self.draw.choice(self.settings.classes)
         self.handle(
-            api.Arrival(
+            api.RequestArrived(
                 f"r{number}",
                 spec.name,
-                self.draw.choice((8 * MS, 300 * MS, spec.deadline)),
+                self.draw.choice((8 * MS, 300 * MS, spec.deadline_ns)),
                 self.draw.choice((None, "acme", "other")),
                 self.draw.choice("xyz"),
                 self.draw.choice((None, MS, 40 * MS, 400 * MS, 2 * S)),
@@ -182,50 +207,54 @@
         request, number = self.draw.choice(list(self.open))
         engine, sent = self.open.pop((request, number))
         chance = self.draw.random()
-        result = api.Result.SERVED if chance < 0.75 else self.draw.choice(list(api.Result))
-        over = result is api.Result.SERVED
+        result = (
+            api.AttemptResult.SERVED if chance < 0.75 else self.draw.choice(list(api.AttemptResult))
+        )
+        over = result is api.AttemptResult.SERVED
         self.handle(
-            api.AttemptOutcome(
-                request, number, engine, result, self.now - sent, over, self.report()
-            )
+            api.AttemptEnded(request, number, engine, result, self.now - sent, over, self.report())
         )
 
     def change_engine(self) -> None:
         engine = self.draw.randrange(1, ENGINES + 1)
-        self.states[engine] = self.draw.choice((api.EngineState.READY, *api.EngineState))
-        if self.states[engine] is api.EngineState.READY and self.draw.random() < 0.5:
+        self.states[engine] = self.draw.choice((api.EndpointState.READY, *api.EndpointState))
+        if self.states[engine] is api.EndpointState.READY and self.draw.random() < 0.5:
             self.started[engine] = self.now - self.draw.randrange(3) * S
         if self.draw.random() < 0.2:
-            kept = [n for n in self.states if self.states[n] is not api.EngineState.GONE]
-            news = api.ListNews(api.ListKind.FULL, tuple(map(self.engine_entry, kept)))
+            kept = [n for n in self.states if self.states[n] is not api.EndpointState.REMOVED]
+            news = api.EndpointListUpdate(
+                api.ListUpdateKind.FULL, tuple(map(self.engine_entry, kept))
+            )
         else:
-            news = api.ListNews(api.ListKind.CHANGES, (self.engine_entry(engine),))
+            news = api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (self.engine_entry(engine),))
         self.handle(news)
 
     def other_event(self) -> None:
         engine = self.draw.randrange(1, ENGINES + 1)
         choice = self.draw.randrange(6)
         if choice == 0:
-            result = self.draw.choice((api.Result.SERVED, api.Result.TIMEOUT))
-            self.handle(api.ProbeResult(engine, result, 3 * MS, self.report()))
+            result = self.draw.choice((api.AttemptResult.SERVED, api.AttemptResult.TIMEOUT))
+            self.handle(api.HealthCheckResult(engine, result, 3 * MS, self.report()))
         elif choice == 1:
-            self.handle(api.Ban(engine, self.draw.random() < 0.3, self.now))
+            self.handle(api.AdministrativeChange(engine, self.draw.random() < 0.3, self.now))
         elif choice == 2:
-            out = api.Outstanding(self.draw.randrange(4), self.draw.randrange(S), 0)
-            self.handle(api.Beside({engine: out}, self.draw.choice((1, 1, 2))))
+            out = api.OutstandingWork(self.draw.randrange(4), self.draw.randrange(S), 0)
+            self.handle(api.CoProcessLoad({engine: out}, self.draw.choice((1, 1, 2))))
         elif choice == 3 and self.open:
-            self.handle(api.Departure(self.draw.choice(list(self.open))[0]))
+            self.handle(api.RequestAbandoned(self.draw.choice(list(self.open))[0]))
         elif choice == 4 and self.open:
             request, number = self.draw.choice(list(self.open))
-            kind = self.draw.choice(list(api.NoteKind))
-            self.handle(api.AttemptNote(request, number, self.open[request, number][0], kind, 1.0))
+            kind = self.draw.choice(list(api.ProgressKind))
+            self.handle(
+                api.AttemptProgress(request, number, self.open[request, number][0], kind, 1.0)
+            )
         else:
             quotas = tuple(
                 dataclasses.replace(t, quota_per_s=t.quota_per_s + 1.0)
                 for t in self.settings.tenants
             )
             self.settings = dataclasses.replace(self.settings, tenants=quotas)
-            self.handle(api.Retuned(self.settings))
+            self.handle(api.SettingsChanged(self.settings))
 
 
 DIGESTS: dict[tuple[str, int], str] = {
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -11,20 +11,20 @@
 import pytest
 
 from query_broker.cells.migrations import Stage as MoveStage
-from query_broker.cells.node import CelledNode
+from query_broker.cells.node import CellNode
 from query_broker.deadlines import metrics as deadline_figures
-from query_broker.deadlines.handover_checks import Hand, Stop, Tally
-from query_broker.deadlines.retry_budget import Budget
-from query_broker.deadlines.retry_budget import Terms as FurtherTerms
+from query_broker.deadlines.handover_checks import HandOver, HandOverStatistics, StopReason
+from query_broker.deadlines.retry_budget import RetryBudget
+from query_broker.deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
 from query_broker.deadlines.settings import Logs, MarginTerms, Stage
-from query_broker.deadlines.stage_latencies import Stages
+from query_broker.deadlines.stage_latencies import StageLatencies
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.requests import Attempt, OpenRequest
+from query_broker.dispatch.requests import ActiveRequest, Attempt
 from query_broker.membership.member_table import Peer
 from query_broker.membership.messages import Identity, Status
-from query_broker.metrics import ERROR, OVERLOAD, SUCCESS, Figures
+from query_broker.metrics import ERROR, OVERLOAD, SUCCESS, Metrics
 from query_broker.operator_config.script import evaluate
-from query_broker.operator_config.service import FiledNode
+from query_broker.operator_config.service import ConfiguredNode
 from query_broker.outlier_consensus.observations import Engine as JudgedEngine
 from query_broker.outlier_consensus.observations import Kind, Verdict
 from query_broker.outlier_consensus.overrides import VALUES
@@ -749,7 +749,7 @@
     return str(path)
 
 
-def make_node(folder: Path, cells: bool) -> FiledNode:
+def make_node(folder: Path, cells: bool) -> ConfiguredNode:
     """A node with all subsystems of the operators' file, which is not run."""
     path = write_operators_file(folder, CELLS if cells else "")
     limits = {
@@ -761,18 +761,20 @@
         "max_retry_after": 2 * S,
     }
     config = make_config(target("s-1", 9), operator=True, policy_limits=limits)
-    kind = CelledNode if cells else FiledNode
+    kind = CellNode if cells else ConfiguredNode
     node = kind(config, evaluate(path), path, {})
-    node.broker.news(parse_event(event(1, target("s-1", 9), target("s-2", 9), full=True)))
+    node.dispatcher.endpoint_list_changed(
+        parse_event(event(1, target("s-1", 9), target("s-2", 9), full=True))
+    )
     return node
 
 
-def play(node: FiledNode, method: str, path: str) -> Answer:
-    answer = node.operations.other(method, path)
+def play(node: ConfiguredNode, method: str, path: str) -> Answer:
+    answer = node.admin_api.other(method, path)
     return answer and (answer[0], answer[1].decode(), answer[2], answer[3])
 
 
-def check_calls(node: FiledNode, calls: list[tuple[str, str, Answer]]) -> None:
+def check_calls(node: ConfiguredNode, calls: list[tuple[str, str, Answer]]) -> None:
     async def check() -> None:
         for method, path, expected in calls:
             assert play(node, method, path) == expected, (method, path)
@@ -1025,7 +1027,7 @@
 )
 
 
-def make_busy_node(folder: Path) -> FiledNode:
+def make_busy_node(folder: Path) -> ConfiguredNode:
     node = make_node(folder, cells=False)
     membership, sharing, judging = node.membership, node.sharing, node.judging
     assert membership is not None and sharing is not None and judging is not None
@@ -1063,9 +1065,9 @@
     check_calls(node, BUSY_CALLS)
 
 
-def subsystem_metrics(node: FiledNode) -> str:
+def subsystem_metrics(node: ConfiguredNode) -> str:
     """Those of members, limits and verdicts."""
-    lines = node.operations.metrics().decode().splitlines(keepends=True)
+    lines = node.admin_api.metrics().decode().splitlines(keepends=True)
     names = ("edge_proxy_members", "edge_proxy_limit", "edge_proxy_verdict")
     return "".join(line for line in lines if any(name in line for name in names))
 
@@ -1486,7 +1488,7 @@
 
 
 def base_metrics() -> str:
-    figures = Figures(["glance", 'quo"te'])
+    figures = Metrics(["glance", 'quo"te'])
     figures.answered("glance", SUCCESS)
     figures.answered("glance", OVERLOAD)
     figures.answered('quo"te', ERROR)
@@ -1500,9 +1502,9 @@
     assert base_metrics() == BASE_METRICS
 
 
-def node_metrics(node: FiledNode) -> str:
+def node_metrics(node: ConfiguredNode) -> str:
     async def read() -> str:
-        text = node.operations.metrics().decode()
+        text = node.admin_api.metrics().decode()
         node.stop()
         return text
 
@@ -1521,17 +1523,17 @@
 
 
 def deadline_metrics() -> str:
-    tally = Tally(cancelled=1, went_on=2, undone=3, late=4)
-    for number, hand in enumerate(Hand, 1):
-        for stop in Stop:
+    tally = HandOverStatistics(cancelled=1, went_on=2, undone=3, late=4)
+    for number, hand in enumerate(HandOver, 1):
+        for stop in StopReason:
             tally.stopped[hand, stop] = number
-    for number, stop in enumerate(Stop, 1):
+    for number, stop in enumerate(StopReason, 1):
         tally.begun_after[stop] = number
-    stages = Stages(MarginTerms())
+    stages = StageLatencies(MarginTerms())
     for number, stage in enumerate(Stage, 1):
         stages.add("glance", stage, number * S // 1000, NOW)
     return deadline_figures.text(
-        tally, stages, 10_000_000, Budget(FurtherTerms(), refused=6)
+        tally, stages, 10_000_000, RetryBudget(FurtherTerms(), refused=6)
     ).decode()
 
 
@@ -1540,7 +1542,9 @@
 
 
 def test_metrics_of_deadlines_without_a_retry_budget() -> None:
-    text = deadline_figures.text(Tally(), Stages(MarginTerms()), 10_000_000, None).decode()
+    text = deadline_figures.text(
+        HandOverStatistics(), StageLatencies(MarginTerms()), 10_000_000, None
+    ).decode()
     assert text == EMPTY_DEADLINE_METRICS
 
 
@@ -1568,17 +1572,17 @@
     assert first.startswith("timestamp=20") and rest == 'broker=n0 kind=bus event="no beat"\n'
 
 
-def traced_request() -> OpenRequest:
+def traced_request() -> ActiveRequest:
     ms = S // 1000
-    request = OpenRequest(
-        "1", b"9b1f03aa5c7e2d41", b"glance", b"SELECT 1", None, 1, NOW + 5 * S, customer="acme"
+    request = ActiveRequest(
+        "1", b"9b1f03aa5c7e2d41", b"glance", b"SELECT 1", None, 1, NOW + 5 * S, tenant="acme"
     )
-    request.came = NOW
-    request.taken = NOW + 1 * ms
+    request.received_ns = NOW
+    request.accepted_ns = NOW + 1 * ms
     attempt = Attempt(request, 0, 51, NOW + 3 * ms, NOW + 4 * S, NOW + 3 * S)
-    attempt.put = NOW + 6 * ms
-    attempt.gone = NOW + 10 * ms
-    attempt.answered = NOW + 15 * ms
+    attempt.assigned_ns = NOW + 6 * ms
+    attempt.written_ns = NOW + 10 * ms
+    attempt.answered_ns = NOW + 15 * ms
     request.attempts[0] = attempt
     return request
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -19,10 +19,10 @@
 
 from query_broker.cells import migrations as moves
 from query_broker.cells import model, placement
-from query_broker.cells.node import CelledNode
+from query_broker.cells.node import CellNode
 from query_broker.decisions import controller as brain
-from query_broker.decisions.facade import EngineState, Outstanding
-from query_broker.discovery.event_codec import BusEvent, Target
+from query_broker.decisions.facade import EndpointState, OutstandingWork
+from query_broker.discovery.event_codec import EndpointListEvent, ListedEndpoint
 from query_broker.endpoints import administrative_state as bans
 from query_broker.endpoints import endpoint_table as engines
 from query_broker.server import peer_process as siblings
@@ -145,7 +145,7 @@
 )
 
 
-def celled_node() -> CelledNode:
+def celled_node() -> CellNode:
     """As much of a node with cells as its part of the status file needs."""
     record = moves.Moves(CELL_MAP, "41-00ff00ff")
     record.records["acme#7"] = MOVE
@@ -157,7 +157,7 @@
         ),
     )
 
-    class Node(CelledNode):
+    class Node(CellNode):
         celled = cast(Any, told)
 
     made = Node.__new__(Node)
@@ -252,7 +252,7 @@
     [("s-1", 3977715312), ("s-2", 3855517240), ("pod-7f9c/zürich", 1996978082), ("", 309448485)],
 )
 def test_number_of_an_engine(uid: str, number: int) -> None:
-    assert engines.EngineTable().number(uid) == number
+    assert engines.EndpointTable().number(uid) == number
 
 
 @pytest.mark.parametrize(
@@ -268,7 +268,7 @@
     controller = brain.AdmissionController.__new__(brain.AdmissionController)
     controller.engines = cast(Any, dict.fromkeys((1, 2, 3, 4, 4_000_000_001)))
     controller.ranks = {}
-    first = cast(Any, SimpleNamespace(entry=SimpleNamespace(engine=1)))
+    first = cast(Any, SimpleNamespace(entry=SimpleNamespace(endpoint=1)))
     place = controller._rank(data_set, first)
     assert list(controller.ranks[data_set]) == order
     assert place == order.index(1) / 5
@@ -305,19 +305,19 @@
 # --- the last endpoint list ---
 
 TARGETS = (
-    Target(
+    ListedEndpoint(
         "s-1",
         "10.1.0.1",
         9090,
         "zone-a",
         "m-1",
         2,
-        EngineState.READY,
+        EndpointState.READY,
         1.5,
         1_700_000_000_123_000_000,
     ),
-    Target("s-2", "10.1.0.2", 9091, "zone-b", "m-2", 0, EngineState.DRAINING, 1.0, 0),
-    Target("s-3", "10.1.0.3", 9092, "zone-b", "m-2", 0, EngineState.GONE, 1.0, 0),
+    ListedEndpoint("s-2", "10.1.0.2", 9091, "zone-b", "m-2", 0, EndpointState.DRAINING, 1.0, 0),
+    ListedEndpoint("s-3", "10.1.0.3", 9092, "zone-b", "m-2", 0, EndpointState.REMOVED, 1.0, 0),
 )
 LIST_HEAD = "larchhall-list 1 cce077e7063d97261dcb94460f7d3d3f"
 LIST_BODY = (
@@ -331,8 +331,8 @@
 
 
 def stored_list() -> lastlist.LastList:
-    table = engines.EngineTable()
-    table.learn(BusEvent(41, True, TARGETS))
+    table = engines.EndpointTable()
+    table.learn(EndpointListEvent(41, True, TARGETS))
     return lastlist.LastList("atlanta", 41, 1_000 * S, start_joins.listed(table))
 
 
@@ -377,16 +377,20 @@
     def __init__(self, extra: dict[str, Any]) -> None:
         self.config = SimpleNamespace(name="broker-1")
         self.clock = SimpleNamespace(now=lambda: 5 * S)
-        self.taken: list[tuple[str, bans.Word]] = []
+        self.taken: list[tuple[str, bans.AdministrativeState]] = []
         self.shared: list[dict[str, Any]] = []
-        self.listed, self.clients, self.extra = True, [1, 2, 3], extra
-        out = {7: Outstanding(2, 3_000_000, 0), 4_000_000_001: Outstanding(1, 2, 3)}
-        self.broker = SimpleNamespace(
-            bans=SimpleNamespace(
-                words={"s-1": bans.Word(1_700, True), "zürich": bans.Word(1_800, False)}
+        self.endpoint_list_known = True
+        self.clients, self.extra = [1, 2, 3], extra
+        out = {7: OutstandingWork(2, 3_000_000, 0), 4_000_000_001: OutstandingWork(1, 2, 3)}
+        self.dispatcher = SimpleNamespace(
+            administrative_states=SimpleNamespace(
+                states={
+                    "s-1": bans.AdministrativeState(1_700, True),
+                    "zürich": bans.AdministrativeState(1_800, False),
+                }
             ),
             facade=SimpleNamespace(outstanding=lambda now: out),
-            take_word=lambda uid, word: self.taken.append((uid, word)),
+            apply_administrative_state=lambda uid, word: self.taken.append((uid, word)),
         )
 
     def tells(self) -> dict[str, Any]:
@@ -399,9 +403,9 @@
         pass
 
 
-def status_file(folder: Path, extra: dict[str, Any]) -> tuple[Node, siblings.Siblings]:
+def status_file(folder: Path, extra: dict[str, Any]) -> tuple[Node, siblings.PeerProcesses]:
     node = Node(extra)
-    return node, siblings.Siblings(cast(Any, node), str(folder))
+    return node, siblings.PeerProcesses(cast(Any, node), str(folder))
 
 
 def test_status_file_is_written_byte_for_byte(tmp_path: Path) -> None:
@@ -441,12 +445,18 @@
     read = {
         "accepting": True,
         "clients": 3,
-        "words": {"s-1": bans.Word(1_700, True), "zürich": bans.Word(1_800, False)},
-        "out": {7: Outstanding(2, 3_000_000, 0), 4_000_000_001: Outstanding(1, 2, 3)},
+        "words": {
+            "s-1": bans.AdministrativeState(1_700, True),
+            "zürich": bans.AdministrativeState(1_800, False),
+        },
+        "out": {7: OutstandingWork(2, 3_000_000, 0), 4_000_000_001: OutstandingWork(1, 2, 3)},
         "cells": None,
     }
     assert own.others == {name: read} and node.shared == [read]
-    assert node.taken == [("s-1", bans.Word(1_700, True)), ("zürich", bans.Word(1_800, False))]
+    assert node.taken == [
+        ("s-1", bans.AdministrativeState(1_700, True)),
+        ("zürich", bans.AdministrativeState(1_800, False)),
+    ]
 
 
 def test_checksum_of_a_status_file() -> None:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -17,7 +17,7 @@
 from query_broker import __version__
 from query_broker.cli.main import BREATH, main
 from query_broker.protocols import client_frames as frames
-from query_broker.server.graceful_shutdown import Drain
+from query_broker.server.graceful_shutdown import GracefulShutdown
 from query_broker.server.node import raise_descriptors
 
 from .sockets import (
@@ -89,7 +89,7 @@
         monkeypatch.setattr(f"query_broker.server.graceful_shutdown.{name}", 3_600.0)
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        drain = Drain(rig.node)
+        drain = GracefulShutdown(rig.node)
         drain.begin()
         client = await rig.client()
         client.send(frames.ASK_READY, 0, b"\0")
@@ -128,7 +128,7 @@
         client.ask(stream=1, route="stock-add", patience="20000", trace="1" * 16)
         client.ask(stream=2, trace="2" * 16)
         await until(lambda: len(engine.words(b"do")) == 2)
-        drain = Drain(rig.node)
+        drain = GracefulShutdown(rig.node)
         drain.loop = asyncio.get_running_loop()
         drain.begun_at = rig.node.clock.now() - int(drain.last * 1e9)
         drain._look()
@@ -155,7 +155,7 @@
         )
         client.writer.write(frame[:9])
         await until(lambda: rig.node.partial)
-        drain = Drain(rig.node)
+        drain = GracefulShutdown(rig.node)
         drain.loop, drain.begun_at = asyncio.get_running_loop(), rig.node.clock.now()
         drain._leave()
         drain._look()
@@ -186,7 +186,9 @@
         await client.answer()
         client.writer.close()
         await until(lambda: not rig.node.clients)
-        assert not rig.node.broker.requests and not rig.node.broker.facade.controller.requests
+        assert (
+            not rig.node.dispatcher.requests and not rig.node.dispatcher.facade.controller.requests
+        )
 
 
 def test_the_command_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -253,19 +255,19 @@
     """
     async with running(make_config()) as rig:
         node, ticks = rig.node, 0
-        turn = node.broker.tick
+        turn = node.dispatcher.tick
 
         def counted() -> None:
             nonlocal ticks
             ticks += 1
             turn()
 
-        node.broker.tick = counted  # type: ignore[method-assign]
+        node.dispatcher.tick = counted  # type: ignore[method-assign]
         begun = node.clock.now()
         await asyncio.sleep(1.0)
         assert 1 <= ticks <= 10 * (node.clock.now() - begun) / 1e9
         fired: list[int] = []
-        node.broker.wheel.at(node.clock.now() + 20_000_000, lambda: fired.append(ticks))
+        node.dispatcher.wheel.at(node.clock.now() + 20_000_000, lambda: fired.append(ticks))
         before = ticks
         await until(lambda: bool(fired))
         assert fired[0] <= before + 3
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -52,7 +52,7 @@
 def test_bound_is_clamped_and_steps_as_designed() -> None:
     h, settings = one_engine()
     engine = h.controller.engines[1]
-    start = 2 * 4 * settings.classes[0].aim
+    start = 2 * 4 * settings.classes[0].latency_objective_ns
     assert engine.bound == start
     engine.bound_used, engine.delays = True, [0.1]
     h.pass_time(S)
@@ -91,33 +91,33 @@
     assert engine.bound == start
 
 
-@pytest.mark.parametrize("result", list(api.Result))
-def test_backlog_enters_once_and_leaves_once(result: api.Result) -> None:
+@pytest.mark.parametrize("result", list(api.AttemptResult))
+def test_backlog_enters_once_and_leaves_once(result: api.AttemptResult) -> None:
     h, _ = one_engine()
-    h.arrive("r", estimate=80 * MS)
+    h.arrive("r", estimate_ns=80 * MS)
     assert h.backlog() == 80 * MS
     h.end("r", result)
-    while not h.answers("r") and result is not api.Result.SERVED and len(h.sends("r")) < 4:
+    while not h.answers("r") and result is not api.AttemptResult.SERVED and len(h.sends("r")) < 4:
         h.end("r", result)
     if h.controller.engines[1].out:
-        h.end("r", api.Result.SERVED)
+        h.end("r", api.AttemptResult.SERVED)
     assert h.backlog() == 0
 
 
 def test_backlog_after_departure_and_repeated_outcome() -> None:
     h, _ = one_engine()
-    h.arrive("r", estimate=80 * MS)
-    actions = h.do(api.Departure("r"))
-    assert api.Cancel("r", 0) in actions
-    h.end("r", api.Result.CANCELLED)
-    h.end("r", api.Result.CANCELLED)
+    h.arrive("r", estimate_ns=80 * MS)
+    actions = h.do(api.RequestAbandoned("r"))
+    assert api.CancelAttempt("r", 0) in actions
+    h.end("r", api.AttemptResult.CANCELLED)
+    h.end("r", api.AttemptResult.CANCELLED)
     assert h.backlog() == 0
     assert not h.answers("r")
 
 
 def crowd(h: Harness, count: int, estimate: int) -> None:
     for i in range(count):
-        h.arrive(f"c{i}", estimate=estimate)
+        h.arrive(f"c{i}", estimate_ns=estimate)
 
 
 def test_fits_and_misfits() -> None:
@@ -125,14 +125,14 @@
     crowd(h, 6, estimate=100 * MS)
     engine = h.controller.engines[1]
     engine.full_until = h.now + S
-    h.arrive("fits", estimate=100 * MS)
+    h.arrive("fits", estimate_ns=100 * MS)
     assert h.sends("fits")
-    h.arrive("misfit", estimate=60 * S, patience=99 * S)
+    h.arrive("misfit", estimate_ns=60 * S, patience=99 * S)
     (answer,) = h.answers("misfit")
     # one of eight arrivals refused
-    assert isinstance(answer, api.Refuse) and answer.retry_after == S // 8
+    assert isinstance(answer, api.Reject) and answer.retry_after_ns == S // 8
     engine.full_until = 0
-    h.arrive("no pressure", estimate=60 * S, patience=99 * S)
+    h.arrive("no pressure", estimate_ns=60 * S, patience=99 * S)
     assert h.sends("no pressure")
 
 
@@ -148,15 +148,15 @@
     h, _ = one_engine()
     h.controller.engines[1].bound = 0.0
     h.controller.engines[1].full_until = h.now + S
-    h.arrive("r", estimate=60 * S, patience=99 * S)
+    h.arrive("r", estimate_ns=60 * S, patience=99 * S)
     assert h.sends("r")
 
 
-@pytest.mark.parametrize("entries", [(), (entry(1, state=api.EngineState.DRAINING),)])
-def test_no_engine_is_refused_at_once(entries: tuple[api.EngineEntry, ...]) -> None:
+@pytest.mark.parametrize("entries", [(), (entry(1, state=api.EndpointState.DRAINING),)])
+def test_no_engine_is_refused_at_once(entries: tuple[api.EndpointEntry, ...]) -> None:
     h = Harness(make_settings(), *entries)
     h.arrive("r")
-    assert isinstance(h.answers("r")[0], api.Refuse)
+    assert isinstance(h.answers("r")[0], api.Reject)
 
 
 def test_estimates_learn_from_calm_sends_only() -> None:
@@ -167,7 +167,7 @@
     view = h.controller.views["short"]
     crowd(h, 8, estimate=100 * MS)
     for i in range(8):
-        h.end(f"c{i}", api.Result.SERVED, latency=4 * S)
+        h.end(f"c{i}", api.AttemptResult.SERVED, latency=4 * S)
     calm = view.answers
     assert 0 < calm < 8
 
@@ -176,10 +176,10 @@
     h, _ = one_engine(tenants=(api.Tenant("x", 2.0), api.Tenant("y", 2.0)))
     engine = h.controller.engines[1]
     for i in range(8):
-        h.arrive(f"x{i}", tenant="x", estimate=200 * MS)
+        h.arrive(f"x{i}", tenant="x", estimate_ns=200 * MS)
     engine.full_until = h.now + S
-    h.arrive("more x", tenant="x", estimate=200 * MS)
-    h.arrive("first y", tenant="y", estimate=200 * MS)
+    h.arrive("more x", tenant="x", estimate_ns=200 * MS)
+    h.arrive("first y", tenant="y", estimate_ns=200 * MS)
     assert not h.sends("more x") and h.sends("first y")
 
 
@@ -187,22 +187,22 @@
     h = Harness(make_settings(), entry(1), entry(2))
     h.controller.engines[1].failures = 0.9
     for i in range(40):
-        h.arrive(f"r{i}", estimate=10 * MS)
-        h.end(f"r{i}", api.Result.SERVED, latency=10 * MS)
-    assert sum(h.sends(f"r{i}")[0].engine == 2 for i in range(40)) > 35
+        h.arrive(f"r{i}", estimate_ns=10 * MS)
+        h.end(f"r{i}", api.AttemptResult.SERVED, latency=10 * MS)
+    assert sum(h.sends(f"r{i}")[0].endpoint == 2 for i in range(40)) > 35
 
 
 def test_loads_keep_apart_from_readers() -> None:
     """Danger: a load stops the readers of its data set on its engine."""
     load = query_class("load", is_load=True)
-    reader = query_class("short", waits_for_loads=True)
+    reader = query_class("short", blocked_by_loads=True)
     h = Harness(make_settings(reader, load), *(entry(i) for i in range(6)))
     where: dict[str, list[int]] = {"load": [], "short": []}
     for i in range(160):
         name = "load" if i % 2 else "short"
-        h.arrive(f"r{i}", name, data_set=3, estimate=10 * MS)
-        where[name].append(h.sends(f"r{i}")[0].engine)
-        h.end(f"r{i}", api.Result.SERVED, latency=10 * MS)
+        h.arrive(f"r{i}", name, data_set=3, estimate_ns=10 * MS)
+        where[name].append(h.sends(f"r{i}")[0].endpoint)
+        h.end(f"r{i}", api.AttemptResult.SERVED, latency=10 * MS)
     homes = sorted(set(where["load"]), key=where["load"].count)[-2:]
     assert sum(e in homes for e in where["load"]) > 56
     assert sum(e in homes for e in where["short"]) < 18
@@ -210,13 +210,13 @@
 
 def test_readers_avoid_an_engine_where_our_load_runs() -> None:
     load = query_class("load", is_load=True)
-    reader = query_class("short", waits_for_loads=True)
+    reader = query_class("short", blocked_by_loads=True)
     h = Harness(make_settings(reader, load), entry(1), entry(2))
-    h.arrive("load", "load", data_set=3, estimate=10 * MS)
+    h.arrive("load", "load", data_set=3, estimate_ns=10 * MS)
     for i in range(20):
-        h.arrive(f"r{i}", data_set=3, estimate=10 * MS)
-        h.end(f"r{i}", api.Result.SERVED, latency=10 * MS)
-    assert sum(h.sends(f"r{i}")[0].engine == h.sends("load")[0].engine for i in range(20)) < 6
+        h.arrive(f"r{i}", data_set=3, estimate_ns=10 * MS)
+        h.end(f"r{i}", api.AttemptResult.SERVED, latency=10 * MS)
+    assert sum(h.sends(f"r{i}")[0].endpoint == h.sends("load")[0].endpoint for i in range(20)) < 6
 
 
 def test_classes_need_a_known_name() -> None:
@@ -229,8 +229,8 @@
     """Danger: refused excess comes back and takes the tokens of new requests within the share."""
     h, _ = one_engine(tenants=(api.Tenant("x", 4.0),))
     for i in range(30):
-        h.arrive(f"again{i}", tenant="x", estimate=MS, retry=True)
-    h.arrive("new", tenant="x", estimate=MS)
+        h.arrive(f"again{i}", tenant="x", estimate_ns=MS, is_retry=True)
+    h.arrive("new", tenant="x", estimate_ns=MS)
     assert h.controller.requests["again0"].over_share
     assert not h.controller.requests["new"].over_share
 
@@ -239,7 +239,7 @@
     """Danger: a pool of engines whose memory is granted twice over makes every second query
     spill.
     """
-    h = Harness(make_settings(grants_heeded=True), entry(1))
-    h.arrive("r", estimate=MS, memory_mb=100.0)
-    granted = [a.memory_mb for _, a in h.log if isinstance(a, api.Terms)]
+    h = Harness(make_settings(memory_grants=True), entry(1))
+    h.arrive("r", estimate_ns=MS, memory_mb=100.0)
+    granted = [a.memory_mb for _, a in h.log if isinstance(a, api.DispatchOptions)]
     assert len(granted) == 1 and 100.0 < granted[0] <= 130.0
--- a/tests/test_members_broker.py
+++ b/tests/test_members_broker.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from query_broker.decisions.facade import Retuned
+from query_broker.decisions.facade import SettingsChanged
 from query_broker.decisions.settings import Contract, Limits, RequestClass, Settings
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
@@ -46,7 +46,9 @@
         )
         views.look(sim.now, [*there, (views.me, own)], own, False, True, cold, False)
         broker.report(
-            Retuned(replace(broker.settings, fleet_size=views.view.told, me=views.view.place))
+            SettingsChanged(
+                replace(broker.settings, fleet_size=views.view.told, broker_index=views.view.place)
+            )
         )
         sim.at(sim.now + S, lambda: lie(broker, views, own))
 
@@ -54,11 +56,16 @@
         settings = Settings(
             classes=CLASSES,
             fleet_size=BROKERS,
-            me=me,
-            tick=25 * MS,
+            broker_index=me,
+            tick_ns=25 * MS,
             kind_cores=(("std", 8),),
-            limits=Limits(probes=True, max_attempts=3, max_retry_after=2 * S),
-            contract=Contract(cold_from=0.36, cold=12 * S, fall=1_500 * MS, fall_multiple=2.0),
+            limits=Limits(health_checks=True, max_attempts=3, max_retry_after_ns=2 * S),
+            contract=Contract(
+                warmup_initial_capacity=0.36,
+                warmup_ns=12 * S,
+                overload_window_ns=1_500 * MS,
+                overload_multiple=2.0,
+            ),
         )
         broker = SimBroker(sim, settings, me, engines)
         broker.list_told()
@@ -95,13 +102,13 @@
     draw, engine = random.Random(3), Engine()
     async with running(make_config(target("s-1", await engine.start()), fleet_size=10)) as rig:
         told = [10]
-        rig.node.broker.adjust.append(lambda s: replace(s, fleet_size=told[0], me=0))
+        rig.node.dispatcher.adjust.append(lambda s: replace(s, fleet_size=told[0], broker_index=0))
         client = await rig.client()
         for stream in range(1, 31):
             told[0] = draw.choice([1, 2, 100, 10])
-            rig.node.broker.readjust()
+            rig.node.dispatcher.refresh_settings()
             client.ask(stream, trace=f"{stream:016x}")
         answers = [await client.answer() for _ in range(30)]
         assert sorted(a[0] for a in answers) == list(range(1, 31))
-        assert rig.node.broker.facade.controller.settings.fleet_size == told[0]
-        assert rig.node.broker.config.settings.fleet_size == 10  # the file's
+        assert rig.node.dispatcher.facade.controller.settings.fleet_size == told[0]
+        assert rig.node.dispatcher.config.settings.fleet_size == 10  # the file's
--- a/tests/test_middle.py
+++ b/tests/test_middle.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from query_broker.decisions import facade as f
-from query_broker.decisions.events import EngineState, Result
+from query_broker.decisions.events import AttemptResult, EndpointState
 from query_broker.decisions.settings import Effect
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.dispatcher import Broker
-from query_broker.endpoints.endpoint_table import EngineTable
+from query_broker.dispatch.dispatcher import Dispatcher
+from query_broker.endpoints.endpoint_table import EndpointTable
 from query_broker.server import log
-from query_broker.timer_wheel import Clock, Wheel
+from query_broker.timer_wheel import Clock, TimerWheel
 
 from .helpers import MS, S, make_settings, query_class
 from .sockets import event, make_config, target
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("after", [0, 1, 5 * MS, 5 * MS + 1, 12 * S])
 def test_a_timer_fires_once_never_early_and_at_most_a_tick_late(after: int) -> None:
-    wheel, fired, now = Wheel(5 * MS, 100), [], 100
+    wheel, fired, now = TimerWheel(5 * MS, 100), [], 100
     wheel.at(100 + after, lambda: fired.append(now))
     while now < 100 + after + 20 * MS:
         now += MS
@@ -33,7 +33,7 @@
 
 
 def test_a_wheel_that_stood_still_fires_all_in_order_and_no_cancelled_one() -> None:
-    wheel, fired = Wheel(5 * MS, 0), []
+    wheel, fired = TimerWheel(5 * MS, 0), []
     for at in (7 * S, 30 * MS, 10 * MS):
         wheel.at(at, lambda at=at: fired.append(at))  # type: ignore[misc]
     wheel.at(20 * MS, lambda: fired.append(-1)).cancel()
@@ -48,72 +48,80 @@
 
 
 def test_uids_keep_their_numbers_whatever_their_addresses() -> None:
-    table, other = EngineTable(), EngineTable()
+    table, other = EndpointTable(), EndpointTable()
     first = table.learn(parse_event(event(1, target("a", 1), target("b", 2), full=True)))
     other.learn(parse_event(event(1, target("b", 2), full=True)))
-    assert other.number("b") == first[1].engine  # all brokers rank engines alike
+    assert other.number("b") == first[1].endpoint  # all brokers rank engines alike
     moved = table.learn(parse_event(event(2, target("c", 1, boot_ms=9), target("b", 3))))
-    assert [(e.engine, e.state) for e in moved] == [
-        (first[0].engine, EngineState.GONE),
-        (table.number("c"), EngineState.READY),
-        (first[1].engine, EngineState.READY),
+    assert [(e.endpoint, e.state) for e in moved] == [
+        (first[0].endpoint, EndpointState.REMOVED),
+        (table.number("c"), EndpointState.READY),
+        (first[1].endpoint, EndpointState.READY),
     ]
-    assert moved[1].started == 9 * MS
+    assert moved[1].started_ns == 9 * MS
     again = table.learn(parse_event(event(3, target("a", 4), full=True)))
-    assert [e.engine for e in again] == [first[0].engine]
-    assert table.by_uid["b"].target.state is EngineState.GONE
+    assert [e.endpoint for e in again] == [first[0].endpoint]
+    assert table.by_uid["b"].target.state is EndpointState.REMOVED
 
 
 def test_engines_that_come_and_go_all_day_leave_nothing_behind() -> None:
-    broker = Broker(make_config(), Clock(), lambda kind, text: None)
+    broker = Dispatcher(make_config(), Clock(), lambda kind, text: None)
     for life in range(2, 400):
         news = [target(f"s-{life}", 1 + life % 2), target(f"s-{life - 1}", 1, "terminated")]
         # half are never said to have gone
-        broker.news(parse_event(event(life, *news[: 1 + life % 2])))
+        broker.endpoint_list_changed(parse_event(event(life, *news[: 1 + life % 2])))
         broker.pools.sweep(broker.now())
     for held in (
-        broker.engines.by_uid,
-        broker.engines.by_number,
+        broker.endpoint_table.by_uid,
+        broker.endpoint_table.by_number,
         broker.pools.by_number,
         broker.facade.controller.engines,
     ):
         assert 1 <= len(held) <= 2
-    number = broker.engines.number("s-399")
-    broker.news(parse_event(event(400, target("s-399", 1, "terminated"))))
-    assert "s-399" not in broker.engines.by_uid
-    broker.news(parse_event(event(401, target("s-399", 1))))
+    number = broker.endpoint_table.number("s-399")
+    broker.endpoint_list_changed(parse_event(event(400, target("s-399", 1, "terminated"))))
+    assert "s-399" not in broker.endpoint_table.by_uid
+    broker.endpoint_list_changed(parse_event(event(401, target("s-399", 1))))
     # the same as every other broker gives it
-    assert broker.engines.by_uid["s-399"].number == number
+    assert broker.endpoint_table.by_uid["s-399"].number == number
 
 
 def test_the_facade_says_what_to_do_and_fires_timers_by_tick() -> None:
-    wheel = Wheel(5 * MS, 0)
-    unsafe = query_class("load", effect=Effect.UNSAFE, deadline=2 * S)
-    settings = make_settings(query_class(), unsafe, grants_heeded=True, priorities_heeded=True)
+    wheel = TimerWheel(5 * MS, 0)
+    unsafe = query_class("load", effect=Effect.NON_IDEMPOTENT, deadline_ns=2 * S)
+    settings = make_settings(query_class(), unsafe, memory_grants=True, priorities=True)
     facade = f.Facade(settings, 7, 0, wheel)
     facade.report(
-        0, f.ListNews(f.ListKind.FULL, (f.EngineEntry(9, EngineState.READY, "a", "box"),))
+        0,
+        f.EndpointListUpdate(
+            f.ListUpdateKind.FULL, (f.EndpointEntry(9, EndpointState.READY, "a", "box"),)
+        ),
     )
-    ask = f.Arrival("1", "load", 2 * S, None, None, 50 * MS, 64.0, 3, False)
+    ask = f.RequestArrived("1", "load", 2 * S, None, None, 50 * MS, 64.0, 3, False)
     orders = facade.pick(0, ask)
-    assert [(s.request, s.attempt, s.engine) for s in orders.dispatches] == [("1", 0, 9)]
-    assert [(o.request, o.memory_mb) for o in orders.options] == [("1", 1.2 * 64.0)]
+    assert [(s.request_id, s.attempt, s.endpoint) for s in orders.dispatches] == [("1", 0, 9)]
+    assert [(o.request_id, o.memory_mb) for o in orders.options] == [("1", 1.2 * 64.0)]
     assert not facade.due  # before the wheel says so
     wheel.advance(2 * S)
     answers = [answer for _ in range(len(facade.due)) for answer in facade.tick(2 * S).answers]
     assert answers == [f.Fail("1")]  # it may have run: failed, not refused
-    late = facade.report(2 * S, f.AttemptOutcome("1", 0, 9, Result.SERVED, 2 * S, True))
+    late = facade.report(2 * S, f.AttemptEnded("1", 0, 9, AttemptResult.SERVED, 2 * S, True))
     assert not late.dispatches and not late.answers
 
 
 def test_closing_refuses_what_never_ran_and_fails_what_may_have() -> None:
-    facade = f.Facade(make_settings(query_class(effect=Effect.UNSAFE)), 7, 0, Wheel(5 * MS, 0))
+    facade = f.Facade(
+        make_settings(query_class(effect=Effect.NON_IDEMPOTENT)), 7, 0, TimerWheel(5 * MS, 0)
+    )
     facade.report(
-        0, f.ListNews(f.ListKind.FULL, (f.EngineEntry(9, EngineState.READY, "a", "box"),))
+        0,
+        f.EndpointListUpdate(
+            f.ListUpdateKind.FULL, (f.EndpointEntry(9, EndpointState.READY, "a", "box"),)
+        ),
     )
-    facade.pick(0, f.Arrival("1", "short", 5 * S, None, None, 0, 0.0, -1, False))
-    assert facade.report(1, f.Closing()).answers == [f.Fail("1")]
-    assert facade.report(2, f.Closing()).answers == []
+    facade.pick(0, f.RequestArrived("1", "short", 5 * S, None, None, 0, 0.0, -1, False))
+    assert facade.report(1, f.CloseRequests()).answers == [f.Fail("1")]
+    assert facade.report(2, f.CloseRequests()).answers == []
 
 
 def test_the_log_is_limited_by_kind(
@@ -137,7 +145,7 @@
 
 def test_a_wheel_rests_until_something_falls_due_and_is_woken_for_what_comes_sooner() -> None:
     """Danger: a wheel that turns at every tick wakes 200 idle brokers 200 times a second each."""
-    wheel, woken = Wheel(5 * MS, 0), []
+    wheel, woken = TimerWheel(5 * MS, 0), []
     wheel.sooner = lambda: woken.append(wheel.until(0))
     assert wheel.rest(0, 250 * MS) == 250 * MS
     wheel.at(400 * MS, lambda: None)
@@ -160,7 +168,7 @@
     plan: list[tuple[int, int]],
 ) -> None:
     """Timers set at any moment of a rest; times in milliseconds."""
-    wheel, due, late = Wheel(5 * MS, 0), list[int](), list[int]()
+    wheel, due, late = TimerWheel(5 * MS, 0), list[int](), list[int]()
     coming = sorted(plan)
     wheel.rest(0, 250 * MS)
     for now in range(1_200):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,7 @@
 
 from query_broker.deadlines.write_queue import Frame
 from query_broker.discovery.event_codec import parse_event
-from query_broker.metrics import ERROR, SUCCESS, Figures, escaped
+from query_broker.metrics import ERROR, SUCCESS, Metrics, escaped
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols.operator_http import MOST_BODY, MOST_HEAD
 
@@ -97,7 +97,7 @@
         idle = [await asyncio.open_connection("127.0.0.1", rig.operator_port) for _ in range(40)]
         idle[-1][1].write(b"GET /rea")
         assert (await call(rig, CALLS[0][0]))[0] == 200
-        await until(lambda: not rig.node.operations.callers)
+        await until(lambda: not rig.node.admin_api.callers)
         assert (await within(idle[-1][0].read())).startswith(b"HTTP/1.1 408 ")
         for reader, writer in idle[:-1]:
             with suppress(ConnectionError):
@@ -109,9 +109,9 @@
 async def test_not_ready_without_a_list_and_in_the_drain() -> None:
     async with running(make_config(operator=True, listed=False)) as rig:
         assert (await call(rig, CALLS[0][0]))[0] == 503
-        rig.node.listed = True
+        rig.node.endpoint_list_known = True
         assert (await call(rig, CALLS[0][0]))[0] == 200
-        rig.node.leaving = True
+        rig.node.closing_announced = True
         assert (await call(rig, CALLS[0][0]))[0] == 503
 
 
@@ -154,7 +154,7 @@
 
 
 def test_the_text_has_help_and_type_and_its_labels_are_escaped() -> None:
-    figures = Figures(['a"b'])
+    figures = Metrics(['a"b'])
     figures.answered('a"b', SUCCESS)
     figures.answered("unheard of", ERROR)  # no series for whatever a client names
     figures.learn(["c"])
@@ -175,12 +175,14 @@
         client = await rig.client()
         client.ask()
         await until(lambda: engine.words(b"do"))
-        (connection,) = (c for p in rig.node.broker.pools.by_number.values() for c in p.connections)
-        await until(lambda: rig.node.broker.figures.dispatches == 1)
-        slow = connection.outbox
-        slow.current = Frame((b"x" * 100,), None, 1, 100, next(iter(connection.open.values())))
-        assert not slow.wrote(99) and rig.node.broker.figures.dispatches == 1
-        assert slow.wrote(1) and rig.node.broker.figures.dispatches == 2
+        (connection,) = (
+            c for p in rig.node.dispatcher.pools.by_number.values() for c in p.connections
+        )
+        await until(lambda: rig.node.dispatcher.metrics_counts.dispatches == 1)
+        slow = connection.write_queue
+        slow.current = Frame((b"x" * 100,), None, 1, 100, next(iter(connection.in_flight.values())))
+        assert not slow.wrote(99) and rig.node.dispatcher.metrics_counts.dispatches == 1
+        assert slow.wrote(1) and rig.node.dispatcher.metrics_counts.dispatches == 2
 
 
 @on_uvloop
@@ -209,7 +211,7 @@
 
 
 async def tell(rig: Rig, offset: int, *targets: dict[str, Any]) -> None:
-    rig.node.broker.news(parse_event(event(offset, *targets)))
+    rig.node.dispatcher.endpoint_list_changed(parse_event(event(offset, *targets)))
 
 
 @on_uvloop
@@ -221,7 +223,9 @@
         make_config(target("s-1", port), target("s-2", port, "terminating"), operator=True)
     ) as rig:
         client = await rig.client()
-        pool = next(p for p in rig.node.broker.pools.by_number.values() if p.target.uid == "s-1")
+        pool = next(
+            p for p in rig.node.dispatcher.pools.by_number.values() if p.target.uid == "s-1"
+        )
         pool._open = lambda: None  # type: ignore[method-assign]  # its connection never comes up
         client.ask(route="stock-add")
         await until(lambda: pool.waiting)
@@ -239,7 +243,7 @@
         await client.answer()
         await set_engine(rig, "disable")
         await set_engine(rig, "enable")
-        (known,) = rig.node.broker.facade.controller.engines.values()
+        (known,) = rig.node.dispatcher.facade.controller.engines.values()
         assert known.cold_until > rig.node.clock.now()
         client.ask(stream=2, trace="2" * 16)
         assert (await client.answer())[1] == frames.SERVED
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -16,10 +16,17 @@
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 
 CLASSES = (
-    query_class("short", deadline=2 * S),
-    query_class("keyed", effect=api.Effect.KEYED, window=S, threads=2, in_order=True, is_load=True),
-    query_class("unsafe", effect=api.Effect.UNSAFE, in_order=True),
-    query_class("bound", only_kinds=("big",), threads=4, waits_for_loads=True),
+    query_class("short", deadline_ns=2 * S),
+    query_class(
+        "keyed",
+        effect=api.Effect.IDEMPOTENCY_KEY,
+        idempotency_window_ns=S,
+        threads=2,
+        ordered_by_key=True,
+        is_load=True,
+    ),
+    query_class("unsafe", effect=api.Effect.NON_IDEMPOTENT, ordered_by_key=True),
+    query_class("bound", allowed_kinds=("big",), threads=4, blocked_by_loads=True),
 )
 ENGINES = (1, 2, 3)
 
@@ -28,7 +35,7 @@
     """Strict order, placement and a budget, with short times."""
     base = make_settings(*CLASSES)
     contract = dataclasses.replace(
-        base.contract, budget_window=2 * S, budget_free=2.0, budget_share=0.2
+        base.contract, retry_budget_window_ns=2 * S, retry_budget_free=2.0, retry_budget_ratio=0.2
     )
     return dataclasses.replace(base, contract=contract)
 
@@ -40,13 +47,16 @@
 STEP = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 11), st.sampled_from("km"), st.integers(-1, 3000)),
     st.tuples(
-        st.just("end"), st.integers(0, 50), st.sampled_from(list(api.Result)), st.integers(1, 3000)
+        st.just("end"),
+        st.integers(0, 50),
+        st.sampled_from(list(api.AttemptResult)),
+        st.integers(1, 3000),
     ),
     st.tuples(st.just("depart"), st.integers(0, 50)),
     st.tuples(
         st.just("list"),
         st.sampled_from(ENGINES),
-        st.sampled_from(list(api.EngineState)),
+        st.sampled_from(list(api.EndpointState)),
         st.booleans(),
     ),
     st.tuples(st.just("wait"), st.integers(1, 1500)),
@@ -62,7 +72,7 @@
         self.zones = {1: "east", 2: "east", 3: "north"}
         self.h = Harness(self.settings, *(self.entry(e) for e in ENGINES))
         self.first_at: dict[str, int] = {}
-        self.listed = dict.fromkeys(ENGINES, api.EngineState.READY)
+        self.listed = dict.fromkeys(ENGINES, api.EndpointState.READY)
         self.cls: dict[str, api.RequestClass] = {}
         self.key: dict[str, str] = {}
         self.deadline: dict[str, int] = {}
@@ -78,58 +88,61 @@
         self.seen = 0
         self.order: list[str] = []
 
-    def entry(self, engine: int, **more: Any) -> api.EngineEntry:
+    def entry(self, engine: int, **more: Any) -> api.EndpointEntry:
         return entry(engine, kind=self.kinds[engine], zone=self.zones[engine], **more)
 
     def check(self) -> None:
         for now, action in self.h.log[self.seen :]:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.Dispatch):
                 self.check_send(now, action)
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 self.check_answer(now, action)
         self.seen = len(self.h.log)
 
-    def check_send(self, now: int, send: api.Send) -> None:
-        name, spec = send.request, self.cls[send.request]
+    def check_send(self, now: int, send: api.Dispatch) -> None:
+        name, spec = send.request_id, self.cls[send.request_id]
         number = self.counts.get(name, 0)
         assert name not in self.over, "sent after its end"
-        assert self.listed[send.engine] is api.EngineState.READY, "sent to a draining engine"
-        assert not spec.only_kinds or self.kinds[send.engine] in spec.only_kinds
-        assert not spec.only_zones or self.zones[send.engine] in spec.only_zones
-        copies = self.settings.limits.second_copies and spec.effect is api.Effect.SAFE
+        assert self.listed[send.endpoint] is api.EndpointState.READY, "sent to a draining engine"
+        assert not spec.allowed_kinds or self.kinds[send.endpoint] in spec.allowed_kinds
+        assert not spec.allowed_zones or self.zones[send.endpoint] in spec.allowed_zones
+        copies = self.settings.limits.hedging and spec.effect is api.Effect.IDEMPOTENT
         assert sum(r == name for r, _ in self.out) <= copies, "too many attempts at once"
         assert number < self.settings.limits.max_attempts
-        if spec.effect is api.Effect.UNSAFE:
+        if spec.effect is api.Effect.NON_IDEMPOTENT:
             assert name not in self.ran_from, "unsafe work repeated"
-        if spec.effect is api.Effect.KEYED and name in self.ran_from:
-            assert now - self.ran_from[name] < spec.window
-            if spec.scope is api.Scope.ZONE:
-                assert self.zones[send.engine] == self.zones[self.first_at[name]]
-        if spec.in_order:
+        if spec.effect is api.Effect.IDEMPOTENCY_KEY and name in self.ran_from:
+            assert now - self.ran_from[name] < spec.idempotency_window_ns
+            if spec.idempotency_scope is api.IdempotencyScope.ZONE:
+                assert self.zones[send.endpoint] == self.zones[self.first_at[name]]
+        if spec.ordered_by_key:
             for other in self.order[: self.order.index(name)]:
-                if self.key.get(other) == self.key[name] and self.cls[other].in_order:
+                if self.key.get(other) == self.key[name] and self.cls[other].ordered_by_key:
                     assert other in self.over and not any(
                         r == other for r, _ in self.out
                     ), "out of turn"
             assert number > 0 or now >= self.rest_until.get(self.key[name], 0), "the key rests"
-        if number > 0 and (window := (rules := self.settings.contract).budget_window):
+        if number > 0 and (window := (rules := self.settings.contract).retry_budget_window_ns):
             self.further.append(now)
             recent = sum(t > now - window for t in self.taken)
-            most = rules.budget_free + rules.budget_share * recent
+            most = rules.retry_budget_free + rules.retry_budget_ratio * recent
             assert sum(t > now - window for t in self.further) <= most
         self.out[(name, number)] = now
         self.counts[name] = number + 1
         if name not in self.ran_from:
-            self.ran_from[name], self.first_at[name] = now, send.engine
+            self.ran_from[name], self.first_at[name] = now, send.endpoint
 
-    def check_answer(self, now: int, action: api.Refuse | api.Fail) -> None:
-        name = action.request
+    def check_answer(self, now: int, action: api.Reject | api.Fail) -> None:
+        name = action.request_id
         assert name not in self.over, "answered twice"
         assert now <= max(self.deadline[name], self.arrived[name]), "answered too late"
         spec = self.cls[name]
-        if isinstance(action, api.Refuse) and (
-            spec.effect is api.Effect.UNSAFE
-            or (spec.effect is api.Effect.KEYED and spec.scope is not api.Scope.ALL)
+        if isinstance(action, api.Reject) and (
+            spec.effect is api.Effect.NON_IDEMPOTENT
+            or (
+                spec.effect is api.Effect.IDEMPOTENCY_KEY
+                and spec.idempotency_scope is not api.IdempotencyScope.ALL
+            )
         ):
             assert name not in self.ran_from, "refused although it may have run"
         self.over[name] = now
@@ -143,25 +156,26 @@
         self.taken.append(self.h.now)
         tenant = self.settings.tenants[0].name if self.settings.tenants else None
         self.h.arrive(
-            name, spec.name, patience * MS, key=key, estimate=50 * MS, data_set=1, tenant=tenant
+            name, spec.name, patience * MS, key=key, estimate_ns=50 * MS, data_set=1, tenant=tenant
         )
 
-    def end(self, index: int, result: api.Result, latency: int) -> None:
+    def end(self, index: int, result: api.AttemptResult, latency: int) -> None:
         if not self.out:
             return
         name, number = sorted(self.out)[index % len(self.out)]
         del self.out[(name, number)]
-        if result in api.NEVER_RAN and not any(r == name for r, _ in self.out):
+        if result in api.NEVER_EXECUTED and not any(r == name for r, _ in self.out):
             if self.clean.get(name, True):
                 self.ran_from.pop(name, None)
         else:
             self.clean[name] = False
         if (
-            result in (api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED)
-            and self.cls[name].in_order
+            result
+            in (api.AttemptResult.TIMEOUT, api.AttemptResult.RESET, api.AttemptResult.CANCELLED)
+            and self.cls[name].ordered_by_key
         ):
-            self.rest_until[self.key[name]] = self.h.now + self.settings.contract.order_settle
-        if result is api.Result.SERVED:
+            self.rest_until[self.key[name]] = self.h.now + self.settings.contract.key_rest_ns
+        if result is api.AttemptResult.SERVED:
             self.over.setdefault(name, self.h.now)
         self.h.end(name, result, number, latency * MS, finished=name in self.over)
 
@@ -176,18 +190,18 @@
         match step:
             case ("arrive", int(which), str(key), int(patience)):
                 ledger.arrive(classes[which % len(classes)], key, patience)
-            case ("end", int(index), api.Result() as result, int(latency)):
+            case ("end", int(index), api.AttemptResult() as result, int(latency)):
                 ledger.end(index, result, latency)
             case ("depart", int(index)):
                 open_ones = [n for n in ledger.order if n not in ledger.over]
                 if open_ones:
                     leaving = open_ones[index % len(open_ones)]
                     ledger.over[leaving] = ledger.h.now
-                    ledger.h.do(api.Departure(leaving))
-            case ("list", int(engine), api.EngineState() as state, bool(fresh)):
+                    ledger.h.do(api.RequestAbandoned(leaving))
+            case ("list", int(engine), api.EndpointState() as state, bool(fresh)):
                 ledger.listed[engine] = state
-                news = ledger.entry(engine, state=state, started=ledger.h.now if fresh else 0)
-                ledger.h.do(api.ListNews(api.ListKind.CHANGES, (news,)))
+                news = ledger.entry(engine, state=state, started_ns=ledger.h.now if fresh else 0)
+                ledger.h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (news,)))
             case ("wait", int(span)):
                 ledger.h.pass_time(span * MS)
         ledger.check()
@@ -195,7 +209,7 @@
     ledger.check()
     assert set(ledger.order) == set(ledger.over), "a request without a final answer"
     for request, number in sorted(ledger.out):
-        ledger.h.end(request, api.Result.CANCELLED, number, finished=True)
+        ledger.h.end(request, api.AttemptResult.CANCELLED, number, finished=True)
     ledger.h.pass_time(S)
     ledger.check()
     assert ledger.h.backlog() == 0
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -160,14 +160,14 @@
     """Danger: a request that came as safe is failed, or one that must not run twice is sent
     again.
     """
-    safe, unsafe = query_class(), query_class(effect=api.Effect.UNSAFE)
+    safe, unsafe = query_class(), query_class(effect=api.Effect.NON_IDEMPOTENT)
     for before, after in ((safe, unsafe), (unsafe, safe)):
         h = Harness(make_settings(before), entry(1))
-        h.arrive("old", estimate=MS)
-        h.do(api.Retuned(make_settings(after)))
-        h.arrive("new", estimate=MS)
+        h.arrive("old", estimate_ns=MS)
+        h.do(api.SettingsChanged(make_settings(after)))
+        h.arrive("new", estimate_ns=MS)
         for request, spec in (("old", before), ("new", after)):
-            h.end(request, api.Result.RESET, finished=False)
+            h.end(request, api.AttemptResult.RESET, finished=False)
             assert (api.Fail(request) in h.answers(request)) is (spec is unsafe)
             assert spec is safe or len(h.sends(request)) == 1
 
@@ -176,21 +176,21 @@
     None
 ):
     h = Harness(make_settings(), entry(1), entry(2))
-    h.arrive("r", estimate=MS)
-    limits = api.Limits(max_attempts=1, max_retry_after=S)
-    h.do(api.Retuned(make_settings(query_class("other"), limits=limits)))
-    h.end("r", api.Result.FULL)
-    assert len(h.sends("r")) == 1 and isinstance(h.answers("r")[0], api.Refuse)
+    h.arrive("r", estimate_ns=MS)
+    limits = api.Limits(max_attempts=1, max_retry_after_ns=S)
+    h.do(api.SettingsChanged(make_settings(query_class("other"), limits=limits)))
+    h.end("r", api.AttemptResult.FULL)
+    assert len(h.sends("r")) == 1 and isinstance(h.answers("r")[0], api.Reject)
     with pytest.raises(ValueError, match="class_name"):
         h.arrive("s")
-    h.arrive("t", "other", estimate=MS)
+    h.arrive("t", "other", estimate_ns=MS)
     assert h.sends("t")
 
 
 def test_a_class_that_stays_keeps_what_was_learned_and_bounds_keep_their_place() -> None:
     h = Harness(make_settings(tenants=(api.Tenant("a", 4.0),)), entry(1))
-    h.arrive("r", estimate=100 * MS, tenant="a")
-    h.end("r", api.Result.SERVED, latency=300 * MS)
+    h.arrive("r", estimate_ns=100 * MS, tenant="a")
+    h.end("r", api.AttemptResult.SERVED, latency=300 * MS)
     view, engine = h.controller.views["short"], h.controller.engines[1]
     learned, bound, tokens = (
         (view.log_bias, view.pace),
@@ -198,7 +198,13 @@
         h.controller.shares["a"].tokens,
     )
     tenants = (api.Tenant("a", 4.0),)
-    h.do(api.Retuned(make_settings(query_class(), query_class("more", aim=S), tenants=tenants)))
+    h.do(
+        api.SettingsChanged(
+            make_settings(
+                query_class(), query_class("more", latency_objective_ns=S), tenants=tenants
+            )
+        )
+    )
     kept = h.controller.views["short"]
     assert (kept.log_bias, kept.pace) == learned and h.controller.shares["a"].tokens == tokens
     assert engine.bound == 2 * bound  # the longest aim has doubled
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,14 +11,14 @@
 
 from .helpers import MS, TICK, Harness, S, entry, make_settings, query_class
 
-KEYED: dict[str, Any] = dict(effect=api.Effect.KEYED, window=3 * S)
+KEYED: dict[str, Any] = dict(effect=api.Effect.IDEMPOTENCY_KEY, idempotency_window_ns=3 * S)
 
 
 # 1. No request is lost.
 
 
 def test_hanging_attempt_is_answered_before_patience_ends() -> None:
-    h = Harness(make_settings(query_class(effect=api.Effect.UNSAFE)), entry(1))
+    h = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1))
     h.arrive("r", patience=2 * S)
     start = h.now
     h.pass_time(3 * S)
@@ -27,7 +27,9 @@
 
 
 def test_request_held_behind_a_key_is_answered() -> None:
-    h = Harness(make_settings(query_class(in_order=True, effect=api.Effect.UNSAFE)), entry(1))
+    h = Harness(
+        make_settings(query_class(ordered_by_key=True, effect=api.Effect.NON_IDEMPOTENT)), entry(1)
+    )
     h.arrive("first", key="k", patience=5 * S)
     h.arrive("held", key="k", patience=2 * S)
     h.pass_time(2 * S)
@@ -37,7 +39,7 @@
 
 
 def test_used_up_patience_is_answered_at_once() -> None:
-    h = Harness(make_settings(query_class(in_order=True)), entry(1))
+    h = Harness(make_settings(query_class(ordered_by_key=True)), entry(1))
     for i, patience in enumerate((0, -5, TICK)):
         h.arrive(f"r{i}", patience=patience, key="k")
         assert len(h.answers(f"r{i}")) == 1 and not h.sends(f"r{i}")
@@ -49,27 +51,33 @@
     h.pass_time(2 * S)
     assert len(h.answers("r")) == 1
     sends = len(h.sends("r"))
-    h.end("r", api.Result.CONNECT_FAILED, finished=True)
-    h.do(api.Departure("r"))
+    h.end("r", api.AttemptResult.CONNECT_FAILED, finished=True)
+    h.do(api.RequestAbandoned("r"))
     assert len(h.sends("r")) == sends and len(h.answers("r")) == 1
 
 
 def test_unknown_events_are_ignored() -> None:
     h = Harness(make_settings(), entry(1))
-    assert h.do(api.Departure("nobody")) == []
+    assert h.do(api.RequestAbandoned("nobody")) == []
     assert h.do(api.TimerFired(999)) == []
-    assert h.do(api.AttemptOutcome("nobody", 0, 1, api.Result.SERVED, 1, True)) == []
-    assert h.do(api.AttemptNote("nobody", 0, 1, api.NoteKind.PROGRESS, 0.5)) == []
+    assert h.do(api.AttemptEnded("nobody", 0, 1, api.AttemptResult.SERVED, 1, True)) == []
+    assert h.do(api.AttemptProgress("nobody", 0, 1, api.ProgressKind.PROGRESS, 0.5)) == []
 
 
 # 2. No effect happens twice.
 
 
 @pytest.mark.parametrize(
-    "result", [api.Result.ERROR, api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED]
+    "result",
+    [
+        api.AttemptResult.ERROR,
+        api.AttemptResult.TIMEOUT,
+        api.AttemptResult.RESET,
+        api.AttemptResult.CANCELLED,
+    ],
 )
-def test_unsafe_work_that_may_have_run_is_failed(result: api.Result) -> None:
-    h = Harness(make_settings(query_class(effect=api.Effect.UNSAFE)), entry(1), entry(2))
+def test_unsafe_work_that_may_have_run_is_failed(result: api.AttemptResult) -> None:
+    h = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1), entry(2))
     h.arrive("r")
     h.end("r", result)
     assert len(h.sends("r")) == 1
@@ -77,39 +85,45 @@
 
 
 @pytest.mark.parametrize(
-    "result", [api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_SENT]
+    "result", [api.AttemptResult.FULL, api.AttemptResult.CONNECT_FAILED, api.AttemptResult.NOT_SENT]
 )
-def test_unsafe_work_that_never_ran_goes_on(result: api.Result) -> None:
-    h = Harness(make_settings(query_class(effect=api.Effect.UNSAFE)), entry(1), entry(2))
+def test_unsafe_work_that_never_ran_goes_on(result: api.AttemptResult) -> None:
+    h = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1), entry(2))
     h.arrive("r")
     h.end("r", result)
     assert len(h.sends("r")) == 2
 
 
 def test_unsafe_refusal_only_when_nothing_ran() -> None:
-    h = Harness(make_settings(query_class(effect=api.Effect.UNSAFE)))
+    h = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)))
     h.arrive("r")
-    assert isinstance(h.answers("r")[0], api.Refuse)
+    assert isinstance(h.answers("r")[0], api.Reject)
 
 
 def test_keyed_repeat_only_within_the_window_of_the_first_send() -> None:
     h = Harness(make_settings(query_class(**KEYED)), entry(1), entry(2))
     h.arrive("early")
     h.now += S
-    h.end("early", api.Result.ERROR)
+    h.end("early", api.AttemptResult.ERROR)
     assert len(h.sends("early")) == 2
     h.now += 2 * S + 500 * MS  # counted from the first send, not the last
-    h.end("early", api.Result.ERROR)
-    assert len(h.sends("early")) == 2 and isinstance(h.answers("early")[0], api.Refuse)
+    h.end("early", api.AttemptResult.ERROR)
+    assert len(h.sends("early")) == 2 and isinstance(h.answers("early")[0], api.Reject)
 
 
-@pytest.mark.parametrize("scope", [api.Scope.ZONE, api.Scope.CELL])
-def test_keyed_repeat_stays_in_its_group(scope: api.Scope) -> None:
-    h = Harness(make_settings(query_class(scope=scope, **KEYED)), entry(1, zone="a", cell=1))
+@pytest.mark.parametrize("scope", [api.IdempotencyScope.ZONE, api.IdempotencyScope.CELL])
+def test_keyed_repeat_stays_in_its_group(scope: api.IdempotencyScope) -> None:
+    h = Harness(
+        make_settings(query_class(idempotency_scope=scope, **KEYED)), entry(1, zone="a", cell=1)
+    )
     h.arrive("r")
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(2, zone="b", cell=2),)))
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(1, cell=1, state=api.EngineState.DRAINING),)))
-    h.end("r", api.Result.ERROR)
+    h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(2, zone="b", cell=2),)))
+    h.do(
+        api.EndpointListUpdate(
+            api.ListUpdateKind.CHANGES, (entry(1, cell=1, state=api.EndpointState.DRAINING),)
+        )
+    )
+    h.end("r", api.AttemptResult.ERROR)
     assert len(h.sends("r")) == 1
     # a refusal is only allowed where the group is all
     assert isinstance(h.answers("r")[0], api.Fail)
@@ -117,25 +131,25 @@
 
 def test_never_two_attempts_at_once_without_leave() -> None:
     h = Harness(make_settings(), entry(1), entry(2))
-    h.arrive("r", estimate=10 * MS)
+    h.arrive("r", estimate_ns=10 * MS)
     h.pass_time(4 * S)
     assert len(h.sends("r")) == 1
-    assert api.Cancel("r", 0) in [a for _, a in h.log]
-    h.end("r", api.Result.CANCELLED)
+    assert api.CancelAttempt("r", 0) in [a for _, a in h.log]
+    h.end("r", api.AttemptResult.CANCELLED)
     assert len(h.sends("r")) == 2
 
 
 # 3. Drains are kept.
 
 
-@pytest.mark.parametrize("state", [api.EngineState.DRAINING, api.EngineState.GONE])
-def test_no_send_once_told(state: api.EngineState) -> None:
-    h = Harness(make_settings(query_class(in_order=True)), entry(1))
+@pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
+def test_no_send_once_told(state: api.EndpointState) -> None:
+    h = Harness(make_settings(query_class(ordered_by_key=True)), entry(1))
     h.arrive("first", key="k")
     h.arrive("held", key="k")
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(1, state=state),)))
+    h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(1, state=state),)))
     h.now += 2 * S
-    h.end("first", api.Result.CONNECT_FAILED)
+    h.end("first", api.AttemptResult.CONNECT_FAILED)
     h.arrive("new")
     assert len(h.sends("first")) == 1 and not h.sends("held") and not h.sends("new")
     assert len(h.answers("held")) == 1
@@ -144,13 +158,13 @@
 def test_engine_missing_from_a_full_list_is_gone() -> None:
     h = Harness(make_settings(), entry(1), entry(2))
     h.arrive("busy")
-    h.do(api.ListNews(api.ListKind.FULL, ()))
+    h.do(api.EndpointListUpdate(api.ListUpdateKind.FULL, ()))
     h.arrive("new")
     assert not h.sends("new")
-    h.do(api.ListNews(api.ListKind.FAILED))
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(1), entry(1))))
+    h.do(api.EndpointListUpdate(api.ListUpdateKind.FAILED))
+    h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(1), entry(1))))
     h.arrive("again")
-    assert h.sends("again")[0].engine == 1
+    assert h.sends("again")[0].endpoint == 1
 
 
 # 4. A cold engine is not pushed over.
@@ -159,33 +173,37 @@
 @pytest.mark.parametrize("fleet_size", [1, 3])
 def test_cold_budget_over_any_window(fleet_size: int) -> None:
     settings = make_settings(fleet_size=fleet_size)
-    h = Harness(settings, entry(1, started=99 * S))
+    h = Harness(settings, entry(1, started_ns=99 * S))
     rules = settings.contract
-    budget = rules.fall_multiple * 4 * rules.fall / fleet_size
+    budget = rules.overload_multiple * 4 * rules.overload_window_ns / fleet_size
     sent: list[tuple[int, int]] = []
     for i in range(400):
-        h.arrive(f"r{i}", estimate=50 * MS)
+        h.arrive(f"r{i}", estimate_ns=50 * MS)
         if h.sends(f"r{i}"):
             sent.append((h.now, 50 * MS))
-            h.end(f"r{i}", api.Result.SERVED, latency=50 * MS)
+            h.end(f"r{i}", api.AttemptResult.SERVED, latency=50 * MS)
         h.now += 10 * MS
     assert len(sent) > 5
     for t, _ in sent:
-        within = sum(w for s, w in sent if t - rules.fall < s <= t)
-        assert within <= rules.cold_from * budget  # however late its ramp
+        within = sum(w for s, w in sent if t - rules.overload_window_ns < s <= t)
+        assert within <= rules.warmup_initial_capacity * budget  # however late its ramp
         assert (
             within * 2
-            <= (rules.cold_from + (1 - rules.cold_from) * (t - 99 * S) / rules.cold) * budget
+            <= (
+                rules.warmup_initial_capacity
+                + (1 - rules.warmup_initial_capacity) * (t - 99 * S) / rules.warmup_ns
+            )
+            * budget
         )
 
 
 def test_a_restart_is_seen_by_its_start_time() -> None:
     h = Harness(make_settings(), entry(1))
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(1, started=h.now - S),)))
-    h.arrive("large", estimate=20 * S, patience=99 * S)
+    h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(1, started_ns=h.now - S),)))
+    h.arrive("large", estimate_ns=20 * S, patience=99 * S)
     assert not h.sends("large")
     h.now += 10 * S
-    h.arrive("later", estimate=20 * S, patience=99 * S)
+    h.arrive("later", estimate_ns=20 * S, patience=99 * S)
     assert h.sends("later")
 
 
@@ -194,7 +212,11 @@
 
 def ordered() -> Harness:
     return Harness(
-        make_settings(query_class(in_order=True, effect=api.Effect.KEYED, window=9 * S)),
+        make_settings(
+            query_class(
+                ordered_by_key=True, effect=api.Effect.IDEMPOTENCY_KEY, idempotency_window_ns=9 * S
+            )
+        ),
         entry(1),
         entry(2),
     )
@@ -206,16 +228,18 @@
         h.arrive(name, key="k")
     h.arrive("other", key="k2")
     assert h.sends("a") and h.sends("other") and not h.sends("b") and not h.sends("c")
-    h.end("a", api.Result.SERVED)
+    h.end("a", api.AttemptResult.SERVED)
     assert h.sends("b") and not h.sends("c")
 
 
-@pytest.mark.parametrize("result", [api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED])
-def test_departed_request_holds_its_key_until_outcome_and_rest(result: api.Result) -> None:
+@pytest.mark.parametrize(
+    "result", [api.AttemptResult.TIMEOUT, api.AttemptResult.RESET, api.AttemptResult.CANCELLED]
+)
+def test_departed_request_holds_its_key_until_outcome_and_rest(result: api.AttemptResult) -> None:
     h = ordered()
     h.arrive("a", key="k")
     h.arrive("b", key="k")
-    h.do(api.Departure("a"))
+    h.do(api.RequestAbandoned("a"))
     assert not h.sends("b")
     h.end("a", result, finished=True)
     assert not h.sends("b")
@@ -228,8 +252,8 @@
 def test_a_key_left_empty_still_rests() -> None:
     h = ordered()
     h.arrive("a", key="k")
-    h.do(api.Departure("a"))
-    h.end("a", api.Result.CANCELLED, finished=True)
+    h.do(api.RequestAbandoned("a"))
+    h.end("a", api.AttemptResult.CANCELLED, finished=True)
     h.arrive("b", key="k")
     assert not h.sends("b")
     h.pass_time(300 * MS)
@@ -240,13 +264,17 @@
 
 
 def test_placement_at_every_attempt() -> None:
-    bound = query_class("bound", only_kinds=("big",))
+    bound = query_class("bound", allowed_kinds=("big",))
     h = Harness(make_settings(query_class(), bound), entry(1, kind="big"), entry(2))
     h.arrive("r", "bound")
-    assert [s.engine for s in h.sends("r")] == [1]
-    h.end("r", api.Result.CONNECT_FAILED)
-    assert all(s.engine == 1 for s in h.sends("r"))
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(1, kind="big", state=api.EngineState.GONE),)))
+    assert [s.endpoint for s in h.sends("r")] == [1]
+    h.end("r", api.AttemptResult.CONNECT_FAILED)
+    assert all(s.endpoint == 1 for s in h.sends("r"))
+    h.do(
+        api.EndpointListUpdate(
+            api.ListUpdateKind.CHANGES, (entry(1, kind="big", state=api.EndpointState.REMOVED),)
+        )
+    )
     h.arrive("homeless", "bound")
     assert not h.sends("homeless") and h.answers("homeless")
 
@@ -258,13 +286,15 @@
     """
     taken = []
     for age in (0, 5 * S, 9 * S):
-        h = Harness(make_settings(fleet_size=2), entry(1, started=100 * S - age))
+        h = Harness(make_settings(fleet_size=2), entry(1, started_ns=100 * S - age))
         engine, rules = h.controller.engines[1], h.controller.contract
         for i in range(2_000):
-            h.arrive(f"r{i}", estimate=10 * MS)
-            h.end(f"r{i}", api.Result.SERVED, latency=10 * MS) if h.sends(f"r{i}") else None
+            h.arrive(f"r{i}", estimate_ns=10 * MS)
+            h.end(f"r{i}", api.AttemptResult.SERVED, latency=10 * MS) if h.sends(f"r{i}") else None
         taken.append(engine.cold_sends.at(h.now))
-        assert 2 * taken[-1] <= rules.fall_multiple * engine.cores * rules.fall / 3
+        assert (
+            2 * taken[-1] <= rules.overload_multiple * engine.cores * rules.overload_window_ns / 3
+        )
     assert taken[0] < taken[1] < taken[2] and taken[2] > 2 * taken[0]
 
 
@@ -274,17 +304,20 @@
 def test_attempt_budget_over_its_span() -> None:
     settings = make_settings()
     contract = dataclasses.replace(
-        settings.contract, budget_window=2 * S, budget_free=1.0, budget_share=0.25
+        settings.contract,
+        retry_budget_window_ns=2 * S,
+        retry_budget_free=1.0,
+        retry_budget_ratio=0.25,
     )
     h = Harness(dataclasses.replace(settings, contract=contract), *(entry(i) for i in range(12)))
     for i in range(8):
-        h.arrive(f"r{i}", estimate=10 * MS)
-        h.end(f"r{i}", api.Result.ERROR)
+        h.arrive(f"r{i}", estimate_ns=10 * MS)
+        h.end(f"r{i}", api.AttemptResult.ERROR)
     further = sum(len(h.sends(f"r{i}")) - 1 for i in range(8))
     assert 0 < further <= 3
     h.now += 3 * S
-    h.arrive("late", estimate=10 * MS)
-    h.end("late", api.Result.ERROR)
+    h.arrive("late", estimate_ns=10 * MS)
+    h.end("late", api.AttemptResult.ERROR)
     assert len(h.sends("late")) == 2
 
 
@@ -296,7 +329,7 @@
     [
         ("classes", dict(classes=())),
         ("fleet_size", dict(fleet_size=0)),
-        ("tick", dict(tick=0)),
+        ("tick", dict(tick_ns=0)),
         ("kind_cores", dict(kind_cores=(("box", 0),))),
     ],
 )
@@ -307,23 +340,32 @@
 
 def test_impossible_class() -> None:
     with pytest.raises(ValueError, match="deadline"):
-        query_class(deadline=0)
+        query_class(deadline_ns=0)
 
 
 @pytest.mark.parametrize("estimate", [None, 0, -7])
 def test_no_estimate_is_the_class_mean(estimate: int | None) -> None:
     h = Harness(make_settings(kind_cores=()), entry(1))
-    h.arrive("r", estimate=estimate)
+    h.arrive("r", estimate_ns=estimate)
     assert h.sends("r") and h.backlog() > 0
 
 
 def test_a_long_key_queue_is_refused_without_deep_recursion() -> None:
     """Danger: hundreds held behind one key, then no engine left: each refusal asks for the next."""
-    h = Harness(make_settings(query_class(in_order=True, aim=60 * S, deadline=90 * S)), entry(1))
+    h = Harness(
+        make_settings(
+            query_class(ordered_by_key=True, latency_objective_ns=60 * S, deadline_ns=90 * S)
+        ),
+        entry(1),
+    )
     for i in range(600):
-        h.arrive(f"r{i}", key="k", estimate=MS, patience=80 * S)
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(1, state=api.EngineState.DRAINING),)))
-    h.end("r0", api.Result.SERVED)
+        h.arrive(f"r{i}", key="k", estimate_ns=MS, patience=80 * S)
+    h.do(
+        api.EndpointListUpdate(
+            api.ListUpdateKind.CHANGES, (entry(1, state=api.EndpointState.DRAINING),)
+        )
+    )
+    h.end("r0", api.AttemptResult.SERVED)
     assert len(h.sends("r0")) == 1
     assert all(len(h.answers(f"r{i}")) == 1 and not h.sends(f"r{i}") for i in range(1, 600))
 
@@ -337,5 +379,5 @@
     h.arrive("b", key="k")
     second, engine = h.controller.requests["b"], h.controller.engines[2]
     assert not h.controller._may_send(h.now, second, engine)
-    h.end("a", api.Result.SERVED)
+    h.end("a", api.AttemptResult.SERVED)
     assert len(h.sends("b")) == 1
--- a/tests/test_shares_processes.py
+++ b/tests/test_shares_processes.py
@@ -16,7 +16,7 @@
 from click.testing import CliRunner
 
 from query_broker.cli.main import main
-from query_broker.decisions.facade import Result
+from query_broker.decisions.facade import AttemptResult
 from query_broker.emulator.clients import Book
 from query_broker.emulator.cluster import MS, World, config, settings, tenants
 from query_broker.emulator.data_engine import ScriptedEngine
@@ -326,9 +326,9 @@
     async with running(make_config(target("bad", await bad.start()))) as rig:
         clock, terms = rig.node.clock, VerdictTerms(observers=2, failures=2, part=1.0)
         judging = Judging(rig.node, Few("n0", "n1", "n2"), terms)  # type: ignore[arg-type]
-        number = rig.node.broker.engines.by_uid["bad"].number
+        number = rig.node.dispatcher.endpoint_table.by_uid["bad"].number
         for _ in range(2):
-            judging._outcome(number, Result.ERROR)
+            judging._outcome(number, AttemptResult.ERROR)
         judging.evidence.receive(
             clock.now(),
             Reports((Report("n1", "east", 1, 0, (Seen(Engine("bad", 0), 2, 0, 0, -1),)),)),
@@ -337,7 +337,7 @@
         clock.anchor += terms.told
         judging._look()
         assert [v.engine.uid for v in judging.evidence.verdicts.values()] == ["bad"]
-        judging._witness(number, Result.SERVED)  # of a probe that was on its way
+        judging._witness(number, AttemptResult.SERVED)  # of a probe that was on its way
         judging._look()
         row = judging.evidence.report(clock.now()).seen[0]
         assert (row.bad, row.good) == (2, 0) and not bad.words(b"top")
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -14,7 +14,7 @@
 
 
 def many(count: int = 8, fleet: int = 100, seed: int = 7, **more: Any) -> Harness:
-    classes = more.pop("classes", (query_class(deadline=60 * S),))
+    classes = more.pop("classes", (query_class(deadline_ns=60 * S),))
     kinds = more.pop("kinds", ["box"])
     settings = make_settings(
         *classes, fleet_size=fleet, kind_cores=tuple((k, 4) for k in kinds), **more
@@ -26,7 +26,7 @@
 
 def fill(h: Harness, count: int) -> None:
     for i in range(count):
-        h.arrive(f"fill{i}", estimate=400 * MS, patience=60 * S)
+        h.arrive(f"fill{i}", estimate_ns=400 * MS, patience=60 * S)
 
 
 def test_pool_bound_refuses_where_no_engine_of_its_own_would() -> None:
@@ -37,8 +37,8 @@
     fill(h, 3)
     h.controller.pool.full_until = h.now + S
     h.controller.pool.bound = 0.0
-    h.arrive("r", estimate=400 * MS)
-    assert isinstance(h.answers("r")[0], api.Refuse)
+    h.arrive("r", estimate_ns=400 * MS)
+    assert isinstance(h.answers("r")[0], api.Reject)
 
 
 def test_pool_stands_aside_with_one_gateway() -> None:
@@ -46,14 +46,18 @@
     fill(h, 3)
     h.controller.pool.full_until = h.now + S
     h.controller.pool.bound = 0.0
-    h.arrive("r", estimate=400 * MS)
+    h.arrive("r", estimate_ns=400 * MS)
     assert not h.controller.thin and h.sends("r")
 
 
 def test_pool_follows_the_list() -> None:
     h = many(count=8)
     before = h.controller.pool.start
-    h.do(api.ListNews(api.ListKind.CHANGES, (entry(1, state=api.EngineState.GONE),)))
+    h.do(
+        api.EndpointListUpdate(
+            api.ListUpdateKind.CHANGES, (entry(1, state=api.EndpointState.REMOVED),)
+        )
+    )
     assert h.controller.pool.start == pytest.approx(before * 7 / 8)
     assert h.controller.pool.bound == pytest.approx(h.controller.pool.start)
 
@@ -73,31 +77,31 @@
     fill(h, 4)
     pool = h.controller.pool
     pool.full_until, pool.bound = h.now + S, pool.backlog + 1.0 * MS
-    h.arrive("small", estimate=5 * MS)
-    h.arrive("large", estimate=2 * S)
+    h.arrive("small", estimate_ns=5 * MS)
+    h.arrive("large", estimate_ns=2 * S)
     assert h.sends("small") and h.answers("large")
 
 
 def test_stall_of_the_gateway_is_no_engines_silence_or_delay() -> None:
     """Danger: a gateway stands still, then finds every engine silent and every answer late."""
     h = many(count=2, fleet=1)
-    h.arrive("r", estimate=40 * MS, patience=60 * S)
-    engine = h.controller.engines[h.sends("r")[0].engine]
+    h.arrive("r", estimate_ns=40 * MS, patience=60 * S)
+    engine = h.controller.engines[h.sends("r")[0].endpoint]
     h.now += 3 * S  # no timer fired meanwhile
-    h.arrive("s", estimate=40 * MS)
+    h.arrive("s", estimate_ns=40 * MS)
     assert not engine.suspect
-    h.end("r", api.Result.SERVED, latency=3 * S)
+    h.end("r", api.AttemptResult.SERVED, latency=3 * S)
     assert engine.slowdown == 1.0 and not engine.delays
 
 
 def test_overdue_safe_query_gets_a_second_copy_and_the_loser_is_cancelled() -> None:
     """Danger: the work ran but its answer is lost; the engine shows no sign."""
-    limits = api.Limits(cancel=True, second_copies=True, max_attempts=3)
+    limits = api.Limits(cancellation=True, hedging=True, max_attempts=3)
     h = many(count=3, fleet=1, limits=limits)
-    h.arrive("r", estimate=40 * MS, patience=60 * S)
+    h.arrive("r", estimate_ns=40 * MS, patience=60 * S)
     h.pass_time(200 * MS)
-    assert len({s.engine for s in h.sends("r")}) == 2
-    assert api.Cancel("r", 0) in h.end("r", api.Result.SERVED, attempt=1)
+    assert len({s.endpoint for s in h.sends("r")}) == 2
+    assert api.CancelAttempt("r", 0) in h.end("r", api.AttemptResult.SERVED, attempt=1)
 
 
 def test_unknown_event_is_a_type_error() -> None:
@@ -115,9 +119,9 @@
         h.controller._blame(h.controller.engines[engine], False)
     went = []
     for i in range(60):
-        h.arrive(f"r{i}", estimate=MS)
-        went.append(h.sends(f"r{i}")[0].engine)
-        h.end(f"r{i}", api.Result.CANCELLED, finished=True)
+        h.arrive(f"r{i}", estimate_ns=MS)
+        went.append(h.sends(f"r{i}")[0].endpoint)
+        h.end(f"r{i}", api.AttemptResult.CANCELLED, finished=True)
     assert sum(engine % 2 for engine in went) < len(went) / 4
     # nothing has been seen of these two
     assert sum(engine in (5, 7) for engine in went) < len(went) / 8
@@ -126,9 +130,9 @@
 def test_books_do_not_grow_with_time() -> None:
     h = many(count=3)
     for i in range(300):
-        h.arrive(f"r{i}", estimate=MS)
+        h.arrive(f"r{i}", estimate_ns=MS)
         for _ in h.sends(f"r{i}"):
-            h.end(f"r{i}", api.Result.SERVED, latency=MS)
+            h.end(f"r{i}", api.AttemptResult.SERVED, latency=MS)
         h.pass_time(50 * MS)
     h.pass_time(10 * S)
     gateway = h.controller
--- a/tests/test_sockets_bus.py
+++ b/tests/test_sockets_bus.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from query_broker.discovery.event_codec import BusEvent
+from query_broker.discovery.event_codec import EndpointListEvent
 from query_broker.discovery.watch_client import SILENT
 
 from .sockets import (
@@ -46,7 +46,7 @@
         await until(lambda: bus.asked)
         assert bus.asked == [b"from 1\n"]
         bus.tell(event(2, target("s-1", port)))
-        await until(lambda: "s-1" in rig.node.broker.engines.by_uid)
+        await until(lambda: "s-1" in rig.node.dispatcher.endpoint_table.by_uid)
         client = await rig.client()
         client.ask()
         assert (await client.answer())[1] == 0
@@ -68,9 +68,9 @@
         await until(lambda: len(bus.asked) == 3)
         bus.tell('{"offset":2,')  # again: read past, the connection goes on
         bus.tell(event(3, target("s-3", 9)))
-        await until(lambda: "s-3" in rig.node.broker.engines.by_uid)
+        await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
         assert len(bus.asked) == 3
-        assert rig.node.feed is not None and rig.node.feed.last == 3
+        assert rig.node.watch_client is not None and rig.node.watch_client.last == 3
 
 
 @on_uvloop
@@ -105,15 +105,15 @@
         ask(rig, json.dumps({**raw, "bus": f"127.0.0.1:{empty}"}))
         await until(lambda: any("no connection" in line for line in rig.logged))
         old.tell(event(2, target("s-2", 9)))  # nobody listens at the new address yet
-        await until(lambda: "s-2" in rig.node.broker.engines.by_uid)
+        await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
         ask(rig, json.dumps({**raw, "bus": f"127.0.0.1:{await new.start()}"}))
         await until(lambda: new.asked)
         assert new.asked == [b"from 2\n"] and len(old.asked) == 1
         new.tell(event(2, target("s-9", 9)))  # told already
         new.tell(event(3, target("s-3", 9)))
-        await until(lambda: "s-3" in rig.node.broker.engines.by_uid)
-        assert "s-9" not in rig.node.broker.engines.by_uid
-        rig.node.drain.begun_at = 1
+        await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
+        assert "s-9" not in rig.node.dispatcher.endpoint_table.by_uid
+        rig.node.shutdown.begun_at = 1
         ask(rig, json.dumps({**raw, "bus": f"127.0.0.1:{await late.start()}"}))
         await until(lambda: any("not during the drain" in line for line in rig.logged))
         assert not late.asked
@@ -127,9 +127,9 @@
     async with running(make_config(bus=await bus.start())) as rig:
         await until(lambda: bus.asked)
         bus.tell(1)
-        assert bus.writer is not None and rig.node.feed is not None
+        assert bus.writer is not None and rig.node.watch_client is not None
         bus.writer.write(b'{"offset":2,"topo')
-        feed = rig.node.feed
+        feed = rig.node.watch_client
         await until(lambda: feed.connection is not None and feed.connection.parser.buffer)
         monkeypatch.setattr("query_broker.discovery.watch_client.SILENT", SILENT)
         feed.check(feed.heard + 1_500 * MS)  # a beat may be late
@@ -139,7 +139,7 @@
         await until(lambda: len(bus.asked) == 2)
         assert bus.asked[1] == b"from 1\n"
         bus.tell(event(2, target("s-2", 9)))
-        await until(lambda: "s-2" in rig.node.broker.engines.by_uid)
+        await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
 
 
 async def drained_is_left_out(
@@ -164,11 +164,11 @@
     targets = [target("s-1", await leaving.start()), target("s-2", await other.start())]
     async with running(make_config(*targets, bus=await bus.start())) as rig:
         await until(lambda: bus.writer)
-        old, feed, taken = bus.writer, rig.node.feed, list[int]()
+        old, feed, taken = bus.writer, rig.node.watch_client, list[int]()
         assert old is not None and feed is not None
         take = feed.take
 
-        def count(event: BusEvent) -> None:
+        def count(event: EndpointListEvent) -> None:
             taken.append(event.offset)
             take(event)
 
@@ -190,7 +190,7 @@
         await drained_is_left_out(rig, client, leaving, other, 1)
         bus.tell(event(3))
         await until(lambda: feed.last == 3)
-        assert taken == [2, 3] and set(rig.node.broker.engines.by_uid) == {"s-1", "s-2"}
+        assert taken == [2, 3] and set(rig.node.dispatcher.endpoint_table.by_uid) == {"s-1", "s-2"}
 
 
 @on_uvloop
@@ -212,7 +212,7 @@
         await until(lambda: len(bus.asked) == 2)
         assert bus.asked == [b"from 1\n", b"from 1\n"]
         bus.tell(event(2, {**targets[0], "state": "terminating"}))
-        await until(lambda: rig.node.feed is not None and rig.node.feed.last == 2)
+        await until(lambda: rig.node.watch_client is not None and rig.node.watch_client.last == 2)
         await drained_is_left_out(rig, client, leaving, other, 2)
 
 
@@ -226,7 +226,7 @@
     moved = write_config(tmp_path, bus=f"127.0.0.1:{await new.start()}", limits={"sockets": 256})
     async with running(config, moved) as rig:
         await until(lambda: old.writer)
-        feed = rig.node.feed
+        feed = rig.node.watch_client
         assert feed is not None and old.writer is not None
         line = json.dumps(event(2, {**targets[1], "state": "terminating"})).encode() + b"\n"
         old.writer.write(line[:50])
--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -87,7 +87,7 @@
         stream, code, _, _ = await client.answer()
         assert (stream, code) == (0, frames.FAILED)
         assert await client.ended()
-        assert not engine.seen and not rig.node.broker.requests
+        assert not engine.seen and not rig.node.dispatcher.requests
 
 
 @on_uvloop
@@ -129,7 +129,7 @@
         for stream, statement in enumerate((b"", b" \n", b"SELECT \xff", b"SELECT \0"), 100):
             client.ask(stream, statement, trace=f"{stream:016x}")
             assert (await client.answer())[:2] == (stream, frames.FAILED)
-        assert not engine.seen and not rig.node.broker.requests
+        assert not engine.seen and not rig.node.dispatcher.requests
         client.ask(stream=200)
         assert (await client.answer())[:2] == (200, frames.SERVED)
 
@@ -152,7 +152,7 @@
         assert len(engine.words(b"do")) == 1
         engine.serve(engine.words(b"do")[0], engine.writers[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert not rig.node.broker.ids
+        assert not rig.node.dispatcher.ids
 
 
 @on_uvloop
@@ -162,8 +162,8 @@
         client = await rig.client()
         client.ask(patience="3600000")
         await until(lambda: engine.words(b"do"))
-        [request] = rig.node.broker.requests.values()
-        assert request.deadline < rig.node.clock.now() + 5_000 * MS
+        [request] = rig.node.dispatcher.requests.values()
+        assert request.deadline_ns < rig.node.clock.now() + 5_000 * MS
 
 
 @on_uvloop
@@ -184,7 +184,7 @@
 @on_uvloop
 async def test_frames_that_are_half_here_are_bounded_in_all() -> None:
     async with running(make_config()) as rig:
-        rig.node.broker.room = 310_000
+        rig.node.dispatcher.room = 310_000
         clients = [await rig.client() for _ in range(3)]
         for client in clients:
             client.writer.write((200_000).to_bytes(4, "big") + b"\x02" + bytes(150_000))
@@ -215,12 +215,14 @@
         await until(lambda: len(engine.words(b"do")) == 2)
         client.send(frames.ABANDON, 1)
         other.writer.close()
-        await until(lambda: not any(r.client for r in rig.node.broker.requests.values()))
+        await until(lambda: not any(r.client for r in rig.node.dispatcher.requests.values()))
         for do in engine.words(b"do"):
             engine.writer_of(do).write(resp.encode(do[1], b"served", b"chunks=3", b"1\ta\tb\n"))
         await until(lambda: len(engine.words(b"forget")) == 2)
         assert (
-            not engine.words(b"page") and not engine.words(b"undo") and not rig.node.broker.requests
+            not engine.words(b"page")
+            and not engine.words(b"undo")
+            and not rig.node.dispatcher.requests
         )
         client.send(frames.ASK_READY, 0, b"\0")
         # the next frame: no answer went before it
@@ -236,8 +238,8 @@
         sent = loop.time()
         client.ask(patience="300")
         await until(lambda: engine.words(b"do"))
-        request = next(iter(rig.node.broker.requests.values()))
-        assert request.deadline <= rig.node.clock.now() + 300 * MS - WAY_BACK
+        request = next(iter(rig.node.dispatcher.requests.values()))
+        assert request.deadline_ns <= rig.node.clock.now() + 300 * MS - WAY_BACK
         assert (await client.answer())[1] == frames.REFUSED
         assert 0.25 < loop.time() - sent
 
@@ -272,14 +274,14 @@
         for stream in range(1, 34):
             client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
         assert (await client.answer())[:2] == (33, frames.FAILED)
-        assert len(rig.node.broker.requests) == 32
+        assert len(rig.node.dispatcher.requests) == 32
 
 
 @on_uvloop
 async def test_held_statements_are_bounded_and_given_back() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        rig.node.broker.room = 100
+        rig.node.dispatcher.room = 100
         client = await rig.client()
         client.ask(1, b"x" * 90, weight="900.0")
         client.ask(2, b"x" * 20, trace="2" * 16)
@@ -287,21 +289,21 @@
         await until(lambda: engine.words(b"do"))
         engine.serve(engine.words(b"do")[0], engine.writers[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert rig.node.broker.held == 0
+        assert rig.node.dispatcher.held == 0
 
 
 @on_uvloop
 async def test_a_fault_in_the_decisions_costs_one_request_and_its_answer_is_failed() -> None:
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        client, facade = await rig.client(), rig.node.broker.facade
+        client, facade = await rig.client(), rig.node.dispatcher.facade
         whole, facade.pick = facade.pick, None  # type: ignore[method-assign, assignment]
         client.ask(1)
         assert (await client.answer())[:2] == (1, frames.FAILED)
         facade.pick = whole  # type: ignore[method-assign]
         client.ask(2, trace="2" * 16)
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        assert not rig.node.broker.requests and not facade.controller.requests
+        assert not rig.node.dispatcher.requests and not facade.controller.requests
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sockets_engine.py
+++ b/tests/test_sockets_engine.py
@@ -9,8 +9,8 @@
 import pytest
 
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.dispatcher import Ask, Broker
-from query_broker.dispatch.requests import Attempt, OpenRequest
+from query_broker.dispatch.dispatcher import Dispatcher, ParsedRequest
+from query_broker.dispatch.requests import ActiveRequest, Attempt
 from query_broker.endpoints import connection_pools as pools
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
@@ -169,16 +169,16 @@
 async def test_no_second_attempt_goes_where_a_second_answer_of_the_first_may_still_come() -> None:
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        client, broker = await rig.client(), rig.node.broker
+        client, broker = await rig.client(), rig.node.dispatcher
         client.ask()
         await client.answer()
         pool = next(iter(broker.pools.by_number.values()))
         [first] = pool.connections
         for trace, same in ((b"9" * 16, True), (TRACE.encode(), False)):
             end = broker.now() + 9_000 * MS
-            request = OpenRequest("9", trace, b"glance", STATEMENT, Waiter(), 1, end)
+            request = ActiveRequest("9", trace, b"glance", STATEMENT, Waiter(), 1, end)
             attempt = Attempt(
-                request, 1, pool.number, broker.now(), request.deadline, request.deadline
+                request, 1, pool.number, broker.now(), request.deadline_ns, request.deadline_ns
             )
             pool.send(attempt, broker.now())
             await until(lambda: attempt.reported)  # noqa: B023
@@ -220,7 +220,7 @@
         # tried again, well before its time is up
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert asked == [b"1" * 16, TRACE.encode(), TRACE.encode()]
-        known = rig.node.broker.facade.controller.engines.values()
+        known = rig.node.dispatcher.facade.controller.engines.values()
         assert not any(e.suspect or e.failures for e in known)  # a spoilt answer is no dead process
         first = next(e for e in engines if e.words(b"do") and e.words(b"do")[0][1] == asked[0])
         first.serve(first.words(b"do")[0], first.writer_of(first.words(b"do")[0]))
@@ -243,7 +243,7 @@
                 stream, route="stock-add", trace=f"{stream}" * 16, patience="20000", weight="1.0"
             )
             await until(lambda: len(engine.words(b"do")) == stream)  # noqa: B023
-        pool = next(iter(rig.node.broker.pools.by_number.values()))
+        pool = next(iter(rig.node.dispatcher.pools.by_number.values()))
         assert len(pool.connections) == connections
 
 
@@ -256,7 +256,9 @@
             clients[number % 2].ask(stream=number // 2 + 1, trace=f"{number:016x}", weight="1.0")
         await until(lambda: len(engine.words(b"do")) == 60)
         open_ = [
-            len(c.open) for p in rig.node.broker.pools.by_number.values() for c in p.connections
+            len(c.in_flight)
+            for p in rig.node.dispatcher.pools.by_number.values()
+            for c in p.connections
         ]
         assert max(open_) <= 32 and sum(open_) == 60
 
@@ -285,7 +287,7 @@
         client = await rig.client()
         client.ask(stream=1)
         await until(lambda: engine.words(b"do"))
-        pool = next(iter(rig.node.broker.pools.by_number.values()))
+        pool = next(iter(rig.node.dispatcher.pools.by_number.values()))
         now = rig.node.clock.now()
         assert pool._usable(now) == pool.connections
         assert pool._usable(now + 2 * pools.SILENT) == []
@@ -299,7 +301,7 @@
         client.ask()
         await client.answer()
         node = rig.node
-        pool = next(iter(node.broker.pools.by_number.values()))
+        pool = next(iter(node.dispatcher.pools.by_number.values()))
         pool.sweep(node.clock.now())
         assert [c.closed for c in pool.connections] == [False]
         pool.sweep(node.clock.now() + node.config.conn_idle * 6 // 10)
@@ -311,14 +313,14 @@
     engine = Engine()
     port = await engine.start()
     async with running(make_config(target("s-1", port))) as rig:
-        broker = rig.node.broker
-        first = broker.engines.number("s-1")
-        broker.news(parse_event(event(2, target("s-2", port, boot_ms=1))))
-        assert broker.engines.number("s-2") != first == broker.engines.number("s-1")
+        broker = rig.node.dispatcher
+        first = broker.endpoint_table.number("s-1")
+        broker.endpoint_list_changed(parse_event(event(2, target("s-2", port, boot_ms=1))))
+        assert broker.endpoint_table.number("s-2") != first == broker.endpoint_table.number("s-1")
         client = await rig.client()
         client.ask(weight="1.0")
         assert (await client.answer())[1] == frames.SERVED
-        assert list(broker.facade.controller.engines) == [broker.engines.number("s-2")]
+        assert list(broker.facade.controller.engines) == [broker.endpoint_table.number("s-2")]
 
 
 @on_uvloop
@@ -335,19 +337,19 @@
 async def test_with_no_descriptor_left_a_send_counts_as_never_run() -> None:
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        rig.node.broker.pools.most = -1
+        rig.node.dispatcher.pools.most = -1
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
         assert not engine.seen
-        assert not any(e.suspect for e in rig.node.broker.facade.controller.engines.values())
+        assert not any(e.suspect for e in rig.node.dispatcher.facade.controller.engines.values())
 
 
 @on_uvloop
 async def test_attempts_share_connections_once_their_part_is_taken_and_leave_some_in_hand() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        client, pools_ = await rig.client(), rig.node.broker.pools
+        client, pools_ = await rig.client(), rig.node.dispatcher.pools
         pools_.most = 8
         for stream in range(1, 21):
             client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
@@ -364,9 +366,9 @@
 
     engine = Engine(script)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        broker = rig.node.broker
-        known = broker.facade.controller.engines[broker.engines.number("s-1")]
-        broker._probe(broker.now(), broker.engines.number("s-1"))
+        broker = rig.node.dispatcher
+        known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
+        broker._probe(broker.now(), broker.endpoint_table.number("s-1"))
         await until(lambda: known.report)
         assert known.report is not None
         assert (known.report.queue, known.report.memory, known.report.disk) == (2.0, 0.25, 0.5)
@@ -386,13 +388,13 @@
     engine = Engine(lambda *_: None)
     port = await engine.start()
     async with running(make_config(target("s-1", port))) as rig:
-        client, broker = await rig.client(), rig.node.broker
+        client, broker = await rig.client(), rig.node.dispatcher
         client.ask(route="stock-add", patience="20000")
         await until(lambda: engine.words(b"do"))
         pool = next(iter(broker.pools.by_number.values()))
         pool.sweep(broker.now() + 2 * pools.GONE_SILENT)
         assert not pool.connections[0].closed  # silent, but nobody says that it has ended
-        broker.news(parse_event(event(2, target("s-1", port, "terminated"))))
+        broker.endpoint_list_changed(parse_event(event(2, target("s-1", port, "terminated"))))
         pool.sweep(broker.now())
         assert not pool.connections[0].closed
         pool.sweep(broker.now() + 2 * pools.GONE_SILENT)
@@ -402,7 +404,7 @@
 @pytest.mark.parametrize(("sockets", "most"), [(64, 19), (128, 48), (256, 96), (1024, 384)])
 def test_descriptors_are_kept_for_clients_and_a_reserve(sockets: int, most: int) -> None:
     config = replace(make_config(), sockets=sockets)
-    broker = Broker(config, Clock(), lambda kind, text: None)
+    broker = Dispatcher(config, Clock(), lambda kind, text: None)
     assert broker.pools.most == most
     assert most + sockets // 3 + 24 <= sockets
 
@@ -418,7 +420,7 @@
         client.ask(route="stock-add", patience="20000")
         assert await client.answer() == (1, frames.SERVED, {}, b"1\ta\tb\n")
         await until(
-            lambda: not any(p.connections for p in rig.node.broker.pools.by_number.values())
+            lambda: not any(p.connections for p in rig.node.dispatcher.pools.by_number.values())
         )
 
 
@@ -426,7 +428,7 @@
 async def test_a_fault_in_one_timer_costs_no_other_its_answer() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        client, facade = await rig.client(), rig.node.broker.facade
+        client, facade = await rig.client(), rig.node.dispatcher.facade
 
         def fault(now: int) -> None:
             raise ZeroDivisionError
@@ -448,7 +450,7 @@
     def served(self, stream: int, body: bytes) -> None:
         self.answers.append("served")
 
-    def refused(self, stream: int, pause_ms: int) -> None:
+    def rejected(self, stream: int, pause_ms: int) -> None:
         self.answers.append("refused")
 
     def failed(self, stream: int, reason: str) -> None:
@@ -461,11 +463,13 @@
     port = await engine.start()
     async with running(make_config(target("s-1", port))) as rig:
         client = Waiter()
-        rig.node.broker.submit(
-            client, 1, Ask("stock-add", TRACE, "acme", 20_000, 10, 16, False, 17, b"x")
+        rig.node.dispatcher.submit(
+            client, 1, ParsedRequest("stock-add", TRACE, "acme", 20_000, 10, 16, False, 17, b"x")
         )
         # In the same turn of the loop, so that its connect is under way.
-        rig.node.broker.news(parse_event(event(2, target("s-2", port, "terminating"))))
+        rig.node.dispatcher.endpoint_list_changed(
+            parse_event(event(2, target("s-2", port, "terminating")))
+        )
         await until(lambda: client.answers)
         assert client.answers == ["refused"] and not engine.seen
 
@@ -474,7 +478,7 @@
 async def test_an_answer_that_never_comes_does_not_hold_its_stream_for_good() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        client, broker = await rig.client(), rig.node.broker
+        client, broker = await rig.client(), rig.node.dispatcher
         broker.pools.most = 1  # so that both share a connection
         client.ask(stream=1, patience="200", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
@@ -515,7 +519,7 @@
         await until(lambda: silent.words(b"forget"))
         client.send(frames.ASK_READY, 0, b"\0")
         assert (await client.frame())[0] == frames.READY  # no second answer went before it
-        assert len(asked) == 3 and not rig.node.broker.requests
+        assert len(asked) == 3 and not rig.node.dispatcher.requests
 
 
 @on_uvloop
@@ -547,8 +551,8 @@
         target("s-1", port), *[target(f"s-{n}", closed_port()) for n in range(2, 5)], fleet_size=40
     )
     async with running(config) as rig:
-        broker = rig.node.broker
-        known = broker.facade.controller.engines[broker.engines.number("s-1")]
+        broker = rig.node.dispatcher
+        known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
         broker.facade.controller._suspect(broker.now(), known, True)
         await until(lambda: engine.words(b"top") and not known.suspect)
 
@@ -558,10 +562,10 @@
     waits: list[float] = []
     for seed in range(6):
         async with running(replace(make_config(bus=free_port()), seed=seed)) as rig:
-            assert rig.node.feed is not None
-            rig.node.feed._connect_after = waits.append  # type: ignore[method-assign, assignment]
-            rig.node.feed.wait = 0.4
-            rig.node.feed._again()
+            assert rig.node.watch_client is not None
+            rig.node.watch_client._connect_after = waits.append  # type: ignore[method-assign, assignment]
+            rig.node.watch_client.wait = 0.4
+            rig.node.watch_client._again()
     assert len(set(waits[-6:])) > 3 and all(0.2 <= wait <= 0.4 for wait in waits)
 
 
--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -190,7 +190,11 @@
     return encode(LastList("", 9, time.time_ns() + 86_400 * 10**9, (target("s-9", 9),)))
 
 
-@pytest.mark.parametrize("kept", ["", "larchhall-list 1 00\n{}\n", "nonsense", from_tomorrow()])
+@pytest.mark.parametrize(
+    "kept",
+    ["", "larchhall-list 1 00\n{}\n", "nonsense", from_tomorrow()],
+    ids=["empty", "wrong sum", "no list", "saved tomorrow"],
+)
 @on_uvloop
 async def test_a_bad_last_list_is_set_aside_and_the_bus_waited_for(
     tmp_path: Path, kept: str
--- a/tests/test_start_pure.py
+++ b/tests/test_start_pure.py
@@ -16,13 +16,13 @@
 from query_broker.startup.admission_ramp import MOST, Ramp, assumed, pause
 from query_broker.startup.bounds import lines
 from query_broker.startup.endpoint_snapshot import BadList, LastList, decode, encode
-from query_broker.startup.settings import StartTerms
+from query_broker.startup.settings import StartupSettings
 from query_broker.startup.stages import Source, Stage, Start
 
 from .sockets import target
 
 S = 1_000_000_000
-TERMS = StartTerms()
+TERMS = StartupSettings()
 
 
 # --- paces ---
@@ -300,6 +300,6 @@
 
 
 def test_what_follows_for_this_fleet_is_told() -> None:
-    told = lines(StartTerms(last_list="/x"), 7, 300)
+    told = lines(StartupSettings(last_list="/x"), 7, 300)
     assert "place 7 of 300" in told[0] and "at 0.14 s of each" in told[0] and "6.00 s" in told[0]
     assert any("time-out ends this stage" in line for line in told) and "/x" in told[-1]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,7 +22,7 @@
 from query_broker.config.reading import Config
 from query_broker.discovery.event_codec import parse_event
 from query_broker.protocols import client_frames as frames
-from query_broker.server.peer_process import Siblings, said_by
+from query_broker.server.peer_process import PeerProcesses, said_by
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 from .sockets import (
@@ -47,9 +47,9 @@
         yield rig
 
 
-def siblings(rig: Rig) -> Siblings:
-    assert rig.node.siblings is not None
-    return rig.node.siblings
+def siblings(rig: Rig) -> PeerProcesses:
+    assert rig.node.peer_processes is not None
+    return rig.node.peer_processes
 
 
 async def meet(*rigs: Rig) -> None:
@@ -64,17 +64,21 @@
     config = make_config(target("s-1", await engine.start()), operator=True)
     with socket.create_server(("127.0.0.1", 0)) as held:
         async with beside(config, held, tmp_path) as old:
-            assert old.node.operations.set_engine("s-1", out=True)
+            assert old.node.admin_api.set_engine("s-1", out=True)
             async with beside(config, held, tmp_path) as new:
-                assert new.node.broker.bans.out("s-1")  # before it serves anybody
-                assert new.node.broker.facade.avoided() == 1
+                assert new.node.dispatcher.administrative_states.is_disabled(
+                    "s-1"
+                )  # before it serves anybody
+                assert new.node.dispatcher.facade.avoided() == 1
                 await meet(old, new)
-                assert new.node.operations.set_engine("s-1", out=False)
-                await until(lambda: not old.node.broker.bans.out("s-1"))
-                (known,) = old.node.broker.facade.controller.engines.values()
+                assert new.node.admin_api.set_engine("s-1", out=False)
+                await until(
+                    lambda: not old.node.dispatcher.administrative_states.is_disabled("s-1")
+                )
+                (known,) = old.node.dispatcher.facade.controller.engines.values()
                 assert known.cold_until > old.node.clock.now()
-                assert old.node.operations.set_engine("s-1", out=True)
-                await until(lambda: new.node.broker.bans.out("s-1"))
+                assert old.node.admin_api.set_engine("s-1", out=True)
+                await until(lambda: new.node.dispatcher.administrative_states.is_disabled("s-1"))
 
 
 @on_uvloop
@@ -91,7 +95,7 @@
             await until(lambda: engine.words(b"do"))
             async with beside(config, held, tmp_path) as new:
                 await meet(old, new)
-                old.node.drain.begin()
+                old.node.shutdown.begin()
                 assert await client.frame() == (frames.NO_MORE, 0, b"")
                 client.ask(stream=2, trace="2" * 16)  # it crossed the word to leave off
                 await until(lambda: len(engine.words(b"do")) == 2)
@@ -120,7 +124,7 @@
 async def test_alone_on_an_inherited_socket_it_goes_on_taking_after_sigterm(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as held:
         async with beside(make_config(target("s-1", 9)), held, tmp_path) as rig:
-            rig.node.drain.begin()
+            rig.node.shutdown.begin()
             assert rig.node.ready() and rig.node.server is not None and rig.node.server.is_serving()
 
 
@@ -142,21 +146,21 @@
     config = make_config(target("s-1", 9), operator=True)
     with socket.create_server(("127.0.0.1", 0)) as held:
         async with beside(config, held, tmp_path) as old:
-            whole = old.node.most_clients, old.node.broker.pools.most, old.node.broker.room
+            whole = old.node.most_clients, old.node.dispatcher.pools.most, old.node.dispatcher.room
             async with beside(config, held, tmp_path) as new:
                 await meet(old, new)
                 for rig in (old, new):
                     assert (
-                        rig.node.broker.pools.most <= whole[1] // 2
-                        and rig.node.broker.room < whole[2]
+                        rig.node.dispatcher.pools.most <= whole[1] // 2
+                        and rig.node.dispatcher.room < whole[2]
                     )
             await until(lambda: not siblings(old).others)
             assert (
                 old.node.most_clients,
-                old.node.broker.pools.most,
-                old.node.broker.room,
+                old.node.dispatcher.pools.most,
+                old.node.dispatcher.room,
             ) == whole
-            broker = old.node.broker
+            broker = old.node.dispatcher
             broker.divide(2, 42)
             # two reserves
             assert broker.most_clients + 42 + 2 * broker.pools.most <= config.sockets - 90
@@ -172,7 +176,7 @@
     """
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        client, pools = await rig.client(), rig.node.broker.pools
+        client, pools = await rig.client(), rig.node.dispatcher.pools
         for stream in range(1, 13):
             client.ask(stream=stream, trace=f"{stream:016x}")
         await until(lambda: len(engine.words(b"do")) == 12)
@@ -199,9 +203,9 @@
                 fcntl.flock(lock, fcntl.LOCK_EX)
                 (tmp_path / f"{siblings(rig).prefix}8-alive.json").write_text('{"words": {"s-1": [')
                 await until(lambda: siblings(rig).others)
-                assert not (tmp_path / f"{name}.json").exists() and not rig.node.broker.bans.out(
-                    "s-1"
-                )
+                assert not (
+                    tmp_path / f"{name}.json"
+                ).exists() and not rig.node.dispatcher.administrative_states.is_disabled("s-1")
                 assert not siblings(rig).successor()  # half a file: nothing is known of it
 
 
@@ -215,10 +219,10 @@
             ours = siblings(rig)
             (file,) = tmp_path.glob("*.json")
             inode, name = file.stat().st_ino, file.name.removesuffix(".json")
-            assert rig.node.operations.set_engine("s-1", out=True)
+            assert rig.node.admin_api.set_engine("s-1", out=True)
             long = file.read_bytes()
             assert "s-1" in ours._read(name)["words"]  # type: ignore[index]
-            rig.node.broker.bans.words.clear()
+            rig.node.dispatcher.administrative_states.states.clear()
             ours.tell()
             short = file.read_bytes()
             assert file.stat().st_ino == inode and ours._read(name)["words"] == {}  # type: ignore[index]
@@ -270,24 +274,28 @@
     """Danger: each fills the whole share, and together they overrun the engine."""
     h = Harness(make_settings(), entry(1))
     bound = int(h.controller.engines[1].bound)
-    h.do(api.Beside({1: api.Outstanding(40, bound, 0), 7: api.Outstanding(1, 1, 1)}, 2))
-    h.arrive("r", estimate=100 * MS)
-    assert not h.sends("r") and isinstance(h.answers("r")[0], api.Refuse)
+    h.do(
+        api.CoProcessLoad(
+            {1: api.OutstandingWork(40, bound, 0), 7: api.OutstandingWork(1, 1, 1)}, 2
+        )
+    )
+    h.arrive("r", estimate_ns=100 * MS)
+    assert not h.sends("r") and isinstance(h.answers("r")[0], api.Reject)
     # theirs is not told back as ours
-    assert h.controller.outstanding(h.now)[1] == api.Outstanding(0, 0, 0)
-    h.do(api.Beside({}, 1))
+    assert h.controller.outstanding(h.now)[1] == api.OutstandingWork(0, 0, 0)
+    h.do(api.CoProcessLoad({}, 1))
     assert h.backlog() == 0
-    h.arrive("s", estimate=100 * MS)
+    h.arrive("s", estimate_ns=100 * MS)
     assert h.sends("s")
 
 
 def test_a_cold_engine_gets_no_more_of_two_processes_than_of_one() -> None:
-    h = Harness(make_settings(), entry(1, started=100 * S))
-    h.do(api.Beside({1: api.Outstanding(0, 0, 2 * S)}, 2))
-    h.arrive("r", estimate=100 * MS)
+    h = Harness(make_settings(), entry(1, started_ns=100 * S))
+    h.do(api.CoProcessLoad({1: api.OutstandingWork(0, 0, 2 * S)}, 2))
+    h.arrive("r", estimate_ns=100 * MS)
     assert not h.sends("r")
-    h.do(api.Beside({}, 1))
-    h.arrive("s", estimate=100 * MS)
+    h.do(api.CoProcessLoad({}, 1))
+    h.arrive("s", estimate_ns=100 * MS)
     assert h.sends("s")
 
 
@@ -296,9 +304,9 @@
 
     def within_share(taking: int) -> int:
         h = Harness(make_settings(query_class(), tenants=tenants), entry(1))
-        h.do(api.Beside({}, taking))
+        h.do(api.CoProcessLoad({}, taking))
         for i in range(10):
-            h.arrive(f"r{i}", estimate=MS, tenant="a")
+            h.arrive(f"r{i}", estimate_ns=MS, tenant="a")
         return sum(not r.over_share for r in h.controller.requests.values())
 
     assert (within_share(1), within_share(2)) == (8, 4)
@@ -306,18 +314,18 @@
 
 def test_an_engine_whose_start_is_told_ahead_is_judged_all_the_same() -> None:
     """Danger: its silences and failures would teach nothing until that time."""
-    h = Harness(make_settings(), entry(1, started=110 * S))
-    h.arrive("r", estimate=MS)
-    h.end("r", api.Result.CONNECT_FAILED)
+    h = Harness(make_settings(), entry(1, started_ns=110 * S))
+    h.arrive("r", estimate_ns=MS)
+    h.end("r", api.AttemptResult.CONNECT_FAILED)
     assert h.controller.engines[1].suspect
 
 
 def test_what_was_sent_before_a_call_back_teaches_nothing_of_the_engine_as_it_is_now() -> None:
     h = Harness(make_settings(), entry(1), entry(2))
-    h.arrive("r", estimate=MS)
-    engine = h.sends("r")[0].engine
-    h.do(api.Ban(engine, True, h.now))
+    h.arrive("r", estimate_ns=MS)
+    engine = h.sends("r")[0].endpoint
+    h.do(api.AdministrativeChange(engine, True, h.now))
     h.now += S
-    h.do(api.Ban(engine, False, h.now))
-    h.end("r", api.Result.CONNECT_FAILED)
+    h.do(api.AdministrativeChange(engine, False, h.now))
+    h.end("r", api.AttemptResult.CONNECT_FAILED)
     assert not h.controller.engines[engine].suspect and h.controller.avoided() == 0
--- a/tests/test_wire_tables.py
+++ b/tests/test_wire_tables.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from query_broker.decisions.events import EngineState
+from query_broker.decisions.events import EndpointState
 from query_broker.discovery import event_codec as bus
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
@@ -166,7 +166,9 @@
         read_ask(
             frames.write_fields({k: v for k, v in base.items() if v is not None}) + b"SELECT 1"
         )
-    assert type(caught.value).__name__ == "Unusable" and next(iter(changes)) in str(caught.value)
+    assert type(caught.value).__name__ == "InvalidRequestError" and next(iter(changes)) in str(
+        caught.value
+    )
 
 
 @pytest.mark.parametrize("step", [1, 4, 1_000])
@@ -241,16 +243,16 @@
 def test_bus_lines() -> None:
     line = json.dumps(event(41, target("s-1", 9090, boot_ms=1_700_000_000_123), full=True)).encode()
     told = bus.parse_line(line)
-    assert isinstance(told, bus.BusEvent) and told.offset == 41 and told.full
+    assert isinstance(told, bus.EndpointListEvent) and told.offset == 41 and told.full
     one = told.targets[0]
-    assert one == bus.Target(
+    assert one == bus.ListedEndpoint(
         "s-1",
         "127.0.0.1",
         9090,
         "east",
         "std",
         2,
-        EngineState.READY,
+        EndpointState.READY,
         8.0,
         1_700_000_000_123_000_000,
     )
