--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,19 +19,61 @@
 from query_broker.emulator.cluster import World, tenants
 
 from .cells import _ask_many
-from .harness import ROOT, Daemon, Figures, worktree
+from .harness import ROOT, Daemon, Figures, package_of, worktree
 
 MS = 1_000_000
 S = 1_000 * MS
 BASE = "649d4a1"  # the last commit before brokers used a part of the engines
 SIZES = ((6, 3), (60, 40))  # engines, brokers
-# Runs in each tree alike: the facade's words are older than both.
+# The same steps in the names of each tree: those of the package `larchhall` are older than BASE.
 DECIDE = """
 import json, random, sys, time
 from query_broker import decisions as api
-from query_broker.decisions.facade import AttemptOutcome, ListKind, ListNews
-from query_broker.decisions.facade import Arrival, Facade, Result
-from query_broker.timer_wheel import Wheel
+from query_broker.decisions.facade import AttemptEnded, ListUpdateKind, EndpointListUpdate
+from query_broker.decisions.facade import AttemptResult, Facade, RequestArrived
+from query_broker.timer_wheel import TimerWheel
+engines, brokers, count = map(int, sys.argv[1:])
+S = 10**9
+classes = (api.RequestClass("glance", S, 5 * S, 1.0),
+           api.RequestClass("report", 3 * S // 2, 20 * S, 10.0, threads=4))
+settings = api.Settings(
+    classes=classes, fleet_size=brokers, tick_ns=5_000_000, kind_cores=(("std", 8),))
+draw, now = random.Random(11), 100 * S
+wheel = TimerWheel(settings.tick_ns, now)
+facade = Facade(settings, 7, now, wheel)
+entries = tuple(
+    api.EndpointEntry(draw.randrange(1 << 32), api.EndpointState.READY, "ab"[i % 2], "std")
+    for i in range(engines))
+facade.report(now, EndpointListUpdate(ListUpdateKind.FULL, entries))
+out = []
+def step(i):
+    global now
+    now += 120_000_000 // 12
+    wheel.advance(now)
+    while facade.due:
+        facade.tick(now)
+    route, work = ("report", 4 * S) if draw.random() < 0.05 else ("glance", S // 5)
+    query = RequestArrived(str(i), route, 5 * S, None, None, work, 10.0, draw.randrange(40), False)
+    orders = facade.pick(now, query)
+    out.extend((s, now) for s in orders.dispatches)
+    while out and (len(out) > 6 or out[0][1] < now - S // 4):
+        send, sent = out.pop(0)
+        served = AttemptResult.SERVED
+        ended = AttemptEnded(send.request_id, send.attempt, send.endpoint, served, now - sent, True)
+        facade.report(now, ended)
+        facade.forget(send.request_id)
+for i in range(300):
+    step(i)
+begun = time.process_time_ns()
+for i in range(300, 300 + count):
+    step(i)
+print((time.process_time_ns() - begun) / count / 1e3)
+"""
+DECIDE_LARCHHALL = """
+import json, random, sys, time
+from larchhall import interface as api
+from larchhall.facade import Ended, EngineNews, Facade, Query, Result
+from larchhall.state.wheel import Wheel
 engines, brokers, count = map(int, sys.argv[1:])
 S = 10**9
 classes = (api.RequestClass("glance", S, 5 * S, 1.0),
@@ -41,7 +83,7 @@
 draw, now = random.Random(11), 100 * S
 wheel = Wheel(settings.tick, now)
 facade = Facade(settings, 7, now, wheel)
-facade.report(now, ListNews(ListKind.FULL, tuple(api.EngineEntry(
+facade.report(now, EngineNews(True, tuple(api.EngineEntry(
     draw.randrange(1 << 32), api.EngineState.READY, "ab"[i % 2], "std") for i in range(engines))))
 out = []
 def step(i):
@@ -51,13 +93,12 @@
     while facade.due:
         facade.tick(now)
     route, work = ("report", 4 * S) if draw.random() < 0.05 else ("glance", S // 5)
-    query = Arrival(str(i), route, 5 * S, None, None, work, 10.0, draw.randrange(40), False)
+    query = Query(str(i), route, 5 * S, None, work, 10.0, draw.randrange(40), False)
     orders = facade.pick(now, query)
-    out.extend((s, now) for s in orders.dispatches)
+    out.extend((s, now) for s in orders.sends)
     while out and (len(out) > 6 or out[0][1] < now - S // 4):
         send, sent = out.pop(0)
-        served = Result.SERVED
-        ended = AttemptOutcome(send.request, send.attempt, send.engine, served, now - sent, True)
+        ended = Ended(send.request, send.attempt, send.engine, Result.SERVED, now - sent, True)
         facade.report(now, ended)
         facade.forget(send.request)
 for i in range(300):
@@ -71,8 +112,9 @@
 
 def decide(tree: Path, engines: int, brokers: int, count: int) -> float:
     """Microseconds of processor time in the decisions for a request, its outcome and its timers."""
+    text = DECIDE if package_of(tree) == "query_broker" else DECIDE_LARCHHALL
     done = subprocess.run(
-        [sys.executable, "-c", DECIDE, str(engines), str(brokers), str(count)],
+        [sys.executable, "-c", text, str(engines), str(brokers), str(count)],
         env={**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": "0"},
         cwd=tree,
         capture_output=True,
