--- a/query_broker/deadlines/__init__.py
+++ b/query_broker/deadlines/__init__.py
@@ -1,6 +1,6 @@
-"""Deadlines carried end to end: gates at each hand-over, what waits to be written and in which
-order, cancel scopes, learned margins, budgets for further attempts.
+"""Deadlines carried end to end.
 
-Pure: nothing here reads a clock, a socket or a file. Times are integer nanoseconds on the caller's
-clock.
+Checks at each hand-over, the queue of what waits to be written and its order, cancel scopes,
+learned margins and budgets for retries. Performs no I/O and reads no clock. Times are integer
+nanoseconds on the caller's clock.
 """
--- a/query_broker/deadlines/cancel_scopes.py
+++ b/query_broker/deadlines/cancel_scopes.py
@@ -1,10 +1,9 @@
 """Cancel scopes: ending a request ends its attempts, ending an attempt ends its pages, in order.
-Pure.
 
-After trio's cancel scopes: an end goes down the tree, children first, once. What ending an attempt
-means depends on how far it has come: unsent it is taken back whole; sent, it is undone where
-engines honour that, and watched until it is silent or has answered all the same; else it is let
-run, and its answer dropped.
+Performs no I/O. After trio's cancel scopes: an end goes down the tree, children first, once. What
+ending an attempt means depends on how far it has come: unsent, it is withdrawn; sent, it is
+cancelled where endpoints honour that, and watched until it is silent or has answered all the same;
+else it is let run and its answer dropped.
 """
 
 from __future__ import annotations
@@ -20,6 +19,8 @@
 
 
 class ScopeKind(Enum):
+    """What a scope stands for."""
+
     REQUEST = "request"
     ATTEMPT = "attempt"
     PAGE = "page"
@@ -27,7 +28,7 @@
 
 
 class CancelAction(Enum):
-    """What ending one scope asks for."""
+    """What the end of one scope asks the caller to do."""
 
     TAKE_BACK = "take back"  # no byte has left
     UNDO = "undo"
@@ -38,8 +39,9 @@
 
 @dataclass(slots=True)
 class CancelScope:
-    """One thing under way and what belongs to it. Ended once; what is added to an ended one ends at
-    once.
+    """One thing under way and what belongs to it.
+
+    A scope ends once; what is added to a scope that has ended has ended too.
     """
 
     kind: ScopeKind
@@ -50,13 +52,14 @@
     over: bool = False
 
     def open(self, kind: ScopeKind, name: object) -> CancelScope:
+        """Return a new scope below this one."""
         child = CancelScope(kind, name, self, over=self.over)
         if not self.over:
             self.children.append(child)
         return child
 
     def close(self) -> None:
-        """It is over by itself. What belongs to it is, too."""
+        """Close the scope because its work is over by itself; its children close with it."""
         self.over = True
         for child in self.children:
             child.over = True
@@ -65,8 +68,10 @@
             self.parent.children.remove(self)
 
     def end(self, honoured: bool) -> list[tuple[CancelAction, CancelScope]]:
-        """What is to be done, children before their parents; nothing the second time. ``honoured``:
-        engines heed an `undo`. Danger: where they do not, none may ever be sent.
+        """End the scope and return what is to be done, children before their parents.
+
+        The second call returns nothing. ``honoured`` says whether endpoints heed a cancellation
+        (`undo` on the wire); where they do not, none may ever be sent.
         """
         if self.over:
             return []
@@ -93,7 +98,7 @@
 
 
 class CancelOutcome(Enum):
-    """What became of an undone attempt."""
+    """What became of a cancelled attempt."""
 
     STOPPED = "stopped"  # silent for long enough
     WENT_ON = "went on"  # it answered after the undo
@@ -101,41 +106,50 @@
 
 
 @dataclass(slots=True)
-class Undone:
-    at: int
-    last: int
+class PendingCancel:
+    """A cancellation that has been asked for: when first, when last, and how often again."""
+
+    first_sent_ns: int
+    last_sent_ns: int
     resends: int = 0
 
 
 @dataclass(slots=True)
 class Undoing:
-    """The undone attempts of one connection, until each is known to have stopped or gone on. They
-    hold their stream for as long: an answer that crosses the `undo` must be known to be dropped.
+    """The cancelled attempts of one connection, until each is known to have stopped or gone on.
+
+    They hold their stream for as long: an answer that crosses the cancellation must be known, so
+    that it can be dropped.
     """
 
-    waiting: dict[bytes, Undone] = field(default_factory=dict)
+    waiting: dict[bytes, PendingCancel] = field(default_factory=dict)
 
     def begin(self, id: bytes, now: int) -> None:
-        self.waiting.setdefault(id, Undone(now, now))
+        """Record that the attempt under this id is being cancelled."""
+        self.waiting.setdefault(id, PendingCancel(now, now))
 
     def answered(self, id: bytes) -> CancelOutcome | None:
-        """An answer came under the id; None: it was not undone."""
-        return None if self.waiting.pop(id, None) is None else CancelOutcome.WENT_ON
+        """Take note of an answer under the id; None if it was not cancelled."""
+        if self.waiting.pop(id, None) is None:
+            return None
+        return CancelOutcome.WENT_ON
 
     def due(self, now: int) -> tuple[list[bytes], list[bytes]]:
-        """Those to be undone again, and those that have stopped."""
-        again, stopped = [], []
-        for id, undone in list(self.waiting.items()):
-            if now - undone.at >= CONFIRM:
+        """Return the ids to be cancelled again, and those that count as stopped."""
+        again: list[bytes] = []
+        stopped: list[bytes] = []
+        for id, pending in list(self.waiting.items()):
+            if now - pending.first_sent_ns >= CONFIRM:
                 stopped.append(id)
                 del self.waiting[id]
-            elif now - undone.last >= RESEND and undone.resends < MOST_RESENDS:
-                undone.resends, undone.last = undone.resends + 1, now
+            elif now - pending.last_sent_ns >= RESEND and pending.resends < MOST_RESENDS:
+                pending.resends += 1
+                pending.last_sent_ns = now
                 again.append(id)
         return again, stopped
 
     def lost(self) -> int:
-        """The connection has ended, and what was open on it with it."""
+        """Forget all, as the connection has ended; return how many there were."""
         count = len(self.waiting)
         self.waiting.clear()
         return count
--- a/query_broker/deadlines/handover_checks.py
+++ b/query_broker/deadlines/handover_checks.py
@@ -1,8 +1,8 @@
-"""The gates: whether a request may still go on at a hand-over. Pure.
+"""Checks at each hand-over: whether a request may still go on. Performs no I/O.
 
-A gate stands wherever a request changes hands before a byte of it has left for an engine: on its
-way into a pool, from the pool to a connection, from the outbox to the socket. What is stopped there
-never ran.
+A check stands wherever a request changes hands before a byte of it has left for an endpoint: on
+its way into a connection pool, from the pool to a connection, from the write queue to the socket.
+What is stopped there never ran.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 class StopReason(Enum):
     """Why a request does not go on."""
 
-    LEFT = "left"  # nobody waits for it any more, or it has its answer
+    LEFT = "left"  # its client has gone, or it has its answer
     PAST = "past"  # its time is up
     TOO_LATE = "too late"  # it can no longer end in time
     OUT = "out"  # the engine has been taken out by hand
@@ -24,7 +24,7 @@
 
 
 class HandOver(Enum):
-    """The hand-overs."""
+    """The hand-overs, in the order in which a request passes them."""
 
     POOL = "pool"
     CONNECTION = "connection"
@@ -33,9 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverCheck:
-    """What a gate looks at. ``end``: when its answer must be here; ``fastest``: what the engine
-    takes at the least, 0 where that is not known. ``drained_at``: when the engine was told to
-    drain; 0: it was not.
+    """What a check looks at, in nanoseconds of the caller's clock.
+
+    ``end``: when the answer must be here. ``fastest``: what the endpoint takes at the least, 0
+    where that is not known. ``out``: the endpoint is administratively disabled. ``drained_at``:
+    when the endpoint was told to drain, 0 where it was not.
     """
 
     wanted: bool
@@ -46,8 +48,10 @@
 
 
 def stop(now: int, passing: HandOverCheck) -> StopReason | None:
-    """The first reason against it. Danger: the order counts; a request that nobody wants says
-    nothing of its engine, and must not be reported as if it did.
+    """Return the first reason against going on, or None.
+
+    The order of the reasons counts: a request whose client has gone says nothing of its endpoint
+    and must not be reported as if it did.
     """
     if not passing.wanted:
         return StopReason.LEFT
@@ -64,7 +68,7 @@
 
 @dataclass(slots=True)
 class HandOverStatistics:
-    """What the gates have stopped, and what went on all the same."""
+    """Counts of what the checks have stopped, and of what went on all the same."""
 
     stopped: Counter[tuple[HandOver, StopReason]] = field(default_factory=Counter)
     begun_after: Counter[StopReason] = field(default_factory=Counter)  # a byte had left, then this
@@ -75,4 +79,5 @@
     late: int = 0  # answers that came when nobody waited
 
     def taken_back(self) -> int:
+        """Return the number of attempts that were stopped before a byte of them left."""
         return sum(self.stopped.values())
--- a/query_broker/deadlines/metrics.py
+++ b/query_broker/deadlines/metrics.py
@@ -1,4 +1,4 @@
-"""What deadlines tell on the second address. Pure."""
+"""Metrics of deadlines in the Prometheus text format. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -18,43 +18,55 @@
 def text(
     tally: HandOverStatistics, stages: StageLatencies, margin: int, budget: RetryBudget | None
 ) -> bytes:
-    """Lines of the Prometheus text format."""
+    """Return the lines of all metrics of deadlines; ``margin`` in nanoseconds."""
     lines = [
-        f"# HELP {PREFIX}taken_back_total Attempts stopped at a hand-over before a byte left.",
-        f"# TYPE {PREFIX}taken_back_total counter",
+        *_handover_lines(tally),
+        *_cancellation_lines(tally),
+        *_single(
+            "margin_seconds",
+            "gauge",
+            "Kept of each request's time for its answer's way back.",
+            f"{margin / 1e9:.6f}",
+        ),
     ]
-    lines += (
-        f'{PREFIX}taken_back_total{{at="{hand.value}",cause="{why.value}"}} {count}'
-        for (hand, why), count in sorted(
-            tally.stopped.items(), key=lambda item: (item[0][0].value, item[0][1].value)
-        )
-    )
-    lines += (
-        f"# HELP {PREFIX}begun_after_total Attempts half written when their request ended.",
-        f"# TYPE {PREFIX}begun_after_total counter",
-    )
-    lines += (
-        f'{PREFIX}begun_after_total{{cause="{why.value}"}} {count}'
-        for why, count in sorted(tally.begun_after.items(), key=lambda i: i[0].value)
-    )
-    values = dict(
-        zip(SINGLE, (tally.undone, tally.cancelled, tally.went_on, tally.late), strict=True)
-    )
-    for name, help in SINGLE.items():
-        lines += (
-            f"# HELP {PREFIX}{name} {help}",
-            f"# TYPE {PREFIX}{name} counter",
-            f"{PREFIX}{name} {values[name]}",
-        )
-    lines += (
-        f"# HELP {PREFIX}margin_seconds Kept of each request's time for its answer's way back.",
-        f"# TYPE {PREFIX}margin_seconds gauge",
-        f"{PREFIX}margin_seconds {margin / 1e9:.6f}",
-    )
     if budget is not None:
-        lines += (
-            f"# HELP {PREFIX}further_refused_total Further attempts that the budget did not allow.",
-            f"# TYPE {PREFIX}further_refused_total counter",
-            f"{PREFIX}further_refused_total {budget.refused}",
+        lines += _single(
+            "further_refused_total",
+            "counter",
+            "Further attempts that the budget did not allow.",
+            str(budget.refused),
         )
     return ("\n".join([*lines, *stages.text(PREFIX)]) + "\n").encode()
+
+
+def _head(name: str, kind: str, description: str) -> list[str]:
+    return [f"# HELP {PREFIX}{name} {description}", f"# TYPE {PREFIX}{name} {kind}"]
+
+
+def _single(name: str, kind: str, description: str, value: str) -> list[str]:
+    return [*_head(name, kind, description), f"{PREFIX}{name} {value}"]
+
+
+def _handover_lines(tally: HandOverStatistics) -> list[str]:
+    """Attempts stopped at a hand-over, and those that were half written by then."""
+    stopped = sorted((hand.value, why.value, count) for (hand, why), count in tally.stopped.items())
+    begun_after = sorted((why.value, count) for why, count in tally.begun_after.items())
+    return [
+        *_head(
+            "taken_back_total", "counter", "Attempts stopped at a hand-over before a byte left."
+        ),
+        *(
+            f'{PREFIX}taken_back_total{{at="{hand}",cause="{cause}"}} {count}'
+            for hand, cause, count in stopped
+        ),
+        *_head("begun_after_total", "counter", "Attempts half written when their request ended."),
+        *(f'{PREFIX}begun_after_total{{cause="{cause}"}} {count}' for cause, count in begun_after),
+    ]
+
+
+def _cancellation_lines(tally: HandOverStatistics) -> list[str]:
+    counts = (tally.undone, tally.cancelled, tally.went_on, tally.late)
+    lines: list[str] = []
+    for (name, description), count in zip(SINGLE.items(), counts, strict=True):
+        lines += _single(name, "counter", description, str(count))
+    return lines
--- a/query_broker/deadlines/retry_budget.py
+++ b/query_broker/deadlines/retry_budget.py
@@ -1,4 +1,6 @@
-"""Further attempts: a budget for each class and tenant, and the time that an attempt gets. Pure.
+"""Retries: a budget for each class and tenant, and the time that an attempt gets.
+
+Performs no I/O.
 
 The decisions choose whether and where to try again; this gate only bounds how often, where
 operators say so. A token bucket whose refill is a share of first attempts (as Finagle's retry
@@ -16,8 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetSettings:
-    """``share`` of a token for each first attempt, ``burst`` tokens at the most; per class where
-    named. ``first``: the part of the remaining time that a safe class's first attempt gets.
+    """The operators' settings of the retry budget.
+
+    ``share`` of a token is earned by each first attempt, ``burst`` tokens are kept at the most; by
+    class where one is named. ``first``: the part of the remaining time that the first attempt of
+    an idempotent class gets.
     """
 
     share: float = 0.2
@@ -28,6 +33,7 @@
     least: int = 100_000_000  # ns; no attempt is cut shorter than that
 
     def of(self, route: str) -> tuple[float, float]:
+        """Return the share and the burst of a request class."""
         for name, share, burst in self.classes:
             if name == route:
                 return share, burst
@@ -36,7 +42,7 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Tokens by class and tenant. New ones begin full: a start must not look like trouble."""
+    """Tokens by class and tenant; a new bucket is full, so that a start is not held back."""
 
     terms: RetryBudgetSettings
     tokens: dict[tuple[str, str], float] = field(default_factory=dict)
@@ -47,18 +53,22 @@
         return route, tenant if self.terms.by_tenant else ""
 
     def first(self, route: str, tenant: str) -> None:
-        """A first attempt has been sent."""
+        """Earn part of a token, as a first attempt has been sent."""
         key = self._key(route, tenant)
         share, burst = self.terms.of(route)
         self.tokens[key] = min(burst, self.tokens.get(key, burst) + share)
-        # danger: where no tenants are set, clients name any they like
+        # Where no tenants are set, clients name any they like: the table is bounded.
         if len(self.tokens) > MOST_KEPT:
-            full = [k for k, t in self.tokens.items() if t >= self.terms.of(k[0])[1]]
-            for gone in full or list(self.tokens)[: MOST_KEPT // 2]:
-                del self.tokens[gone]
+            self._evict()
+
+    def _evict(self) -> None:
+        """Drop the full buckets, which say nothing; else the older half."""
+        full = [key for key, left in self.tokens.items() if left >= self.terms.of(key[0])[1]]
+        for key in full or list(self.tokens)[: MOST_KEPT // 2]:
+            del self.tokens[key]
 
     def further(self, route: str, tenant: str) -> bool:
-        """Whether one more attempt may be made; it is paid for at once."""
+        """Return whether one more attempt may be made, and pay for it."""
         key = self._key(route, tenant)
         left = self.tokens.get(key, self.terms.of(route)[1])
         if left < 1 or self.gate is not None and not self.gate():
@@ -68,14 +78,16 @@
         return True
 
     def back(self, route: str, tenant: str) -> None:
-        """It never left: its token goes back."""
+        """Return the token of an attempt that never left."""
         key = self._key(route, tenant)
         self.tokens[key] = min(self.terms.of(route)[1], self.tokens.get(key, 0.0) + 1)
 
 
 def attempt_time(remaining: int, number: int, repeatable: bool, terms: RetryBudgetSettings) -> int:
-    """How long an attempt may take. Danger: what may not be repeated gains nothing from being cut
-    short, and loses its answer: it gets all the time there is.
+    """Return how long an attempt may take, in nanoseconds.
+
+    What may not be repeated gains nothing from being cut short and would lose its answer: it gets
+    all the time there is.
     """
     if number or not repeatable or terms.first >= 1:
         return remaining
--- a/query_broker/deadlines/settings.py
+++ b/query_broker/deadlines/settings.py
@@ -1,18 +1,18 @@
-"""What operators may set about deadlines, with today's behaviour as defaults. Pure."""
+"""What operators may set about deadlines; the defaults are the behaviour without any setting."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import Enum
 from typing import Literal
 
-from .retry_budget import RetryBudgetSettings as FurtherTerms
+from .retry_budget import RetryBudgetSettings
 
 S = 1_000_000_000
 
 
 class Stage(Enum):
-    """In the order in which a request goes through them."""
+    """The stages of a request, in the order in which it goes through them."""
 
     READ = "read"  # from its first byte to its last
     DECIDE = "decide"
@@ -24,7 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MarginTerms:
-    """What is kept of a request's time for its answer's way back, and how it is learned."""
+    """The margin kept of a request's time for its answer's way back, and how it is learned.
+
+    Durations in nanoseconds; ``share`` is the quantile of the measured stages that must fit.
+    """
 
     start: int = 10_000_000
     least: int = 2_000_000
@@ -34,23 +37,27 @@
 
 @dataclass(frozen=True, slots=True)
 class DeadlineSettings:
-    """``count_from``: whether a request's time counts from its first or its last byte.
+    """The operators' settings of deadlines.
+
+    ``count_from``: whether a request's time counts from its first or its last byte.
     ``half_close``: a client that ends its side has left, or still gets its answers.
-    ``slow_reader``: ns that answers may lie unread.
+    ``slow_reader``: nanoseconds that answers may lie unread.
     """
 
     learn: bool = False
-    margin: MarginTerms = MarginTerms()
+    margin: MarginTerms = field(default_factory=MarginTerms)
     count_from: Literal["first", "last"] = "last"
     half_close: Literal["left", "answer"] = "left"
     slow_reader: int = 30 * S
-    further: FurtherTerms | None = None
+    further: RetryBudgetSettings | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Logs:
-    """``stories``: the share of requests that get a line of their own; those that ended past their
-    time always do.
+    """The format of the log, and which requests get a line of their own.
+
+    ``stories``: the part of the requests that are traced; those that ended past their deadline
+    always are.
     """
 
     format: Literal["plain", "text", "json"] = "plain"
--- a/query_broker/deadlines/stage_latencies.py
+++ b/query_broker/deadlines/stage_latencies.py
@@ -1,9 +1,8 @@
-"""How long a request spends in each stage, as quantiles that fade, and the margin learned from
-them. Pure.
+"""Latencies of each stage, as quantiles that fade, and the margin learned from them.
 
-Quantiles are t-digests (fastdigest), in two generations: what is asked is answered from both, and
-the older is dropped when the newer is full of age. Histograms with fixed bounds are kept beside
-them for the figures.
+Performs no I/O. Quantiles are t-digests (fastdigest) in two generations: a query is answered from
+both, and the older one is dropped when the newer one is full of age. Histograms with fixed bounds
+are kept beside them for the metrics.
 """
 
 from __future__ import annotations
@@ -18,8 +17,8 @@
 MS = 1_000_000
 S = 1_000 * MS
 BOUNDS = tuple(
-    int(b * MS)
-    for b in (
+    int(bound_ms * MS)
+    for bound_ms in (
         0.1,
         0.25,
         0.5,
@@ -42,12 +41,13 @@
 GENERATION = 30 * S  # ns
 BATCH = 64  # values that are taken into the digest at once
 LEAST_SEEN = 50  # below that nothing is learned
+FASTEST = 0.01  # the quantile that counts as the least a stage takes
 TRANSIT = 2 * MS  # of the way back that nobody here can see
 
 
 @dataclass(slots=True)
 class Quantiles:
-    """Of one thing, over the last half to whole minute."""
+    """Quantiles and histogram of one latency, over the last half to one minute."""
 
     since: int = 0
     fresh: list[float] = field(default_factory=list)
@@ -58,6 +58,7 @@
     seen: int = 0
 
     def add(self, value: int, now: int) -> None:
+        """Add one latency, in nanoseconds."""
         self.counts[bisect_left(BOUNDS, value)] += 1
         self.total += value
         self.seen += 1
@@ -69,28 +70,31 @@
         if now - self.since >= GENERATION:
             # After a long silence neither generation tells of the present.
             self.old = self.young if now - self.since < 2 * GENERATION else TDigest()
-            self.young, self.since = TDigest(), now
+            self.young = TDigest()
+            self.since = now
         if self.fresh:
             self.young.batch_update(self.fresh)
             self.fresh = []
 
     def at(self, share: float, now: int) -> int | None:
-        """The quantile; None while too little is known."""
+        """Return a quantile in nanoseconds, or None while too little is known."""
         self._fold(now)
         digest = self.old + self.young
         return int(digest.quantile(share)) if digest.n_values >= LEAST_SEEN else None
 
 
 class StageLatencies:
-    """All stages, by class; and the margin."""
+    """The latencies of all stages by request class, and the margin learned from them."""
 
     def __init__(self, margin: MarginTerms) -> None:
+        """Start with the margin of the settings and no latency known."""
         self.terms = margin
         self.held: dict[tuple[str, Stage], Quantiles] = {}
         self.all: dict[Stage, Quantiles] = {stage: Quantiles() for stage in Stage}
         self.margin = margin.start
 
     def add(self, route: str, stage: Stage, time: int, now: int) -> None:
+        """Add how long a request of this class spent in a stage, in nanoseconds."""
         time = max(0, time)
         if (known := self.held.get((route, stage))) is None:
             known = self.held[route, stage] = Quantiles(now)
@@ -98,26 +102,29 @@
         self.all[stage].add(time, now)
 
     def learn(self, now: int) -> int:
-        """The margin, moved at most by a quarter at a time: one odd second must not swing it."""
+        """Move the margin, by a quarter at most, so that one odd second does not swing it."""
         terms = self.terms
-        parts = [self.all[s].at(terms.share, now) for s in (Stage.DECIDE, Stage.ANSWER)]
-        if any(p is None for p in parts):
+        decide = self.all[Stage.DECIDE].at(terms.share, now)
+        answer = self.all[Stage.ANSWER].at(terms.share, now)
+        if decide is None or answer is None:
             return self.margin
-        wanted = sum(p for p in parts if p is not None) + TRANSIT
+        wanted = decide + answer + TRANSIT
         wanted = max(terms.least, min(terms.most, wanted))
         self.margin = max(int(self.margin * 0.75), min(int(self.margin * 1.25), wanted))
         self.margin = max(terms.least, min(terms.most, self.margin))
         return self.margin
 
     def fastest(self, route: str, now: int, *stages: Stage) -> int:
-        """What these stages (the engine's alone without any) take at the least for this class;
-        those of which too little is known count nothing.
+        """Return what these stages take at the least for this class, in nanoseconds.
+
+        Without any stage it is the endpoint's alone. Stages of which too little is known count
+        nothing.
         """
         known = [self.held.get((route, stage)) for stage in stages or (Stage.ENGINE,)]
-        return sum(k.at(0.01, now) or 0 for k in known if k is not None)
+        return sum(latency.at(FASTEST, now) or 0 for latency in known if latency is not None)
 
     def text(self, prefix: str) -> list[str]:
-        """Lines of the Prometheus text format, in seconds."""
+        """Return lines of the Prometheus text format, in seconds."""
         lines = [
             f"# HELP {prefix}stage_seconds Time that requests spent in each stage.",
             f"# TYPE {prefix}stage_seconds histogram",
--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -1,8 +1,8 @@
-"""What waits to be written on one connection, in priority order, and what of it has left. Pure.
+"""The frames that wait to be written on one connection, by priority, and what of them has left.
 
-A frame of which no byte has left can be taken back whole; one of which a byte has left may have
-run, and is written to its end before anything else. Frames are held as the pieces that they are
-made of: nothing is joined or copied here.
+Performs no I/O. A frame of which no byte has left can be withdrawn; one of which a byte has left
+may have run, and is written to its end before anything else. Frames are kept as the pieces that
+they are made of: nothing is joined or copied here.
 """
 
 from __future__ import annotations
@@ -13,12 +13,15 @@
 
 CONTROL = 4  # above the queries' own priorities, 0 to 3: undo, bump, page, forget, probes
 MOST_PIECES = 64  # given to one call; the system's own limit lies at 1,024
+WITHDRAWN = -1  # in place of the count of bytes that have left
 
 
 @dataclass(slots=True)
 class Frame:
-    """``key``: what it is known by, for being taken back; None: never. ``left``: bytes that are
-    gone; -1: it has been taken back. ``about`` is handed to the outbox's calls.
+    """One frame, as the pieces that a vectored write takes.
+
+    ``key``: what it is known by for being withdrawn; None where it never is. ``left``: bytes that
+    have left, or `WITHDRAWN`. ``about`` is handed to the queue's callbacks.
     """
 
     pieces: tuple[bytes, ...]
@@ -32,10 +35,12 @@
 
 @dataclass(slots=True)
 class WriteQueue:
-    """``leave`` is asked before the first byte of a frame that has waited: for its pieces as they
-    must be now, since what it tells of its time is older by as long as it waited, or None if it may
-    not go. ``begun`` is told right after the first byte, ``gone`` after the last. ``most`` frames,
-    and ``most_bytes`` of them, may wait before it is full.
+    """A priority queue of frames, of which at most one is half written.
+
+    ``leave`` is asked before the first byte of a frame that has waited: it returns the pieces as
+    they must be now, since the time that they tell has run on meanwhile, or None if the frame may
+    not go. ``begun`` is called right after the first byte, ``gone`` after the last. ``most``
+    frames, and ``most_bytes`` of them, may wait before the queue is full.
     """
 
     leave: Callable[[Frame], tuple[bytes, ...] | None]
@@ -51,14 +56,17 @@
     before: int = 0
 
     def empty(self) -> bool:
+        """Return whether nothing waits and nothing is half written."""
         return self.current is None and not self.heap
 
     def full(self) -> bool:
+        """Return whether no further frame should be queued."""
         return len(self.heap) >= self.most or self.waiting_bytes >= self.most_bytes
 
     def put(self, frame: Frame) -> bool:
-        """True: nothing waits before it, and the caller writes now. Its gate is not asked then: it
-        has just been decided to send it.
+        """Queue a frame; return True if nothing waits before it and the caller writes now.
+
+        ``leave`` is not asked in that case: it has just been decided to send the frame.
         """
         if self.current is None and not self.heap:
             self.current = frame
@@ -69,14 +77,14 @@
 
     def _wait(self, frame: Frame, order: int) -> None:
         if frame.key is not None:
-            # Danger: two frames under one key could not both be taken back.
+            # Two frames under one key could not both be withdrawn.
             assert frame.key not in self.keyed, "a frame under this key waits already"
             self.keyed[frame.key] = frame
         heapq.heappush(self.heap, (-frame.level, order, frame))
         self.waiting_bytes += frame.size
 
     def take_back(self, key: bytes) -> bool:
-        """True: no byte of it has left, and none will. False: it has, or it is not here."""
+        """Withdraw a frame; return whether none of its bytes has left, so that none will."""
         frame = self.keyed.pop(key, None)
         if frame is None:
             return False
@@ -84,13 +92,13 @@
         return True
 
     def _drop(self, frame: Frame) -> None:
-        frame.left = -1  # it stays in the heap until it comes up
+        frame.left = WITHDRAWN  # it stays in the heap until it comes up
         self.waiting_bytes -= frame.size
         while self.heap and self.heap[0][2].left < 0:
             heapq.heappop(self.heap)
 
     def raise_level(self, key: bytes, level: int) -> bool:
-        """A frame that still waits gets another priority; False if it is not waiting."""
+        """Give a waiting frame another priority; return False if it does not wait."""
         frame = self.keyed.get(key)
         if frame is None:
             return False
@@ -101,8 +109,10 @@
         return True
 
     def next(self) -> Sequence[bytes]:
-        """The pieces to write now: the rest of what is half gone, else the first frame that may go.
-        What its gate stops is dropped here, before a byte of it leaves.
+        """Return the pieces to write now; none if nothing may go.
+
+        They are the rest of the frame that is half written, else the first frame that may go. What
+        ``leave`` stops is dropped here, before a byte of it leaves.
         """
         while self.current is None:
             if not self.heap:
@@ -114,13 +124,16 @@
             if frame.key is not None:
                 del self.keyed[frame.key]
             if (pieces := self.leave(frame)) is not None:
-                frame.pieces, frame.size = pieces, sum(map(len, pieces))
+                frame.pieces = pieces
+                frame.size = sum(map(len, pieces))
                 self.current = frame
         return rest(self.current.pieces, self.current.left)
 
     def wrote(self, size: int) -> bool:
-        """So many bytes of what `next` gave have left. False: the socket takes no more for now.
-        Where none has, the frame goes back to its place, and may still be taken back.
+        """Take note that so many bytes of what `next` returned have left.
+
+        Returns False where the socket takes no more for now. Where no byte has left, the frame goes
+        back to its place and may still be withdrawn.
         """
         frame = self.current
         assert frame is not None, "nothing was given out"
@@ -139,23 +152,24 @@
         return True
 
     def abandon(self) -> None:
-        """The connection has ended: nothing more leaves."""
+        """Drop everything, as the connection has ended."""
         self.heap.clear()
         self.keyed.clear()
-        self.current, self.waiting_bytes = None, 0
+        self.current = None
+        self.waiting_bytes = 0
 
 
 def rest(pieces: Sequence[bytes], left: int) -> Sequence[bytes]:
-    """The pieces without their first bytes; views, not copies."""
+    """Return the pieces without their first ``left`` bytes, as views and not as copies."""
     if not left:
         return pieces[:MOST_PIECES]
-    kept: list[bytes] = []
+    remaining: list[bytes] = []
     for piece in pieces:
         if left >= len(piece):
             left -= len(piece)
         elif left:
-            kept.append(memoryview(piece)[left:])
+            remaining.append(memoryview(piece)[left:])
             left = 0
         else:
-            kept.append(piece)
-    return kept[:MOST_PIECES]
+            remaining.append(piece)
+    return remaining[:MOST_PIECES]
