--- a/query_broker/cli/cells.py
+++ b/query_broker/cli/cells.py
@@ -1,65 +1,30 @@
-"""`larchhall cells ...`: the operators' calls on cells from a shell, and the planner."""
+"""`query-broker cells ...`: operators' calls on cells from a shell, and the planner."""
 
 from __future__ import annotations
 
-import http.client
 import json
-import sys
 from pathlib import Path
-from typing import Any, NoReturn
+from typing import Any
 from urllib.parse import quote
 
 import click
 
-from ..cells.planner import BadProblem, Problem, read_problem, table
-
-TIMEOUT = 2.0  # s; a broker answers within one
-
-
-def _fail(text: str, code: int = 1) -> NoReturn:
-    click.echo(f"larchhall: {text}", err=True)
-    sys.exit(code)
+from ..cells.planner import BadProblem, Plan, Problem, read_problem, table
+from ..cells.solver import NoPlan, solve
+from .admin_client import (
+    EXIT_NO_PLAN,
+    EXIT_USAGE,
+    address_option,
+    call,
+    fail,
+    json_option,
+)
 
+CELL_COLUMNS = ["cell", "ready", "cold", "cores", "open", "lent", "refused", "", "engines"]
+CELL_COUNTS = ("ready", "cold", "cores", "open", "lent", "refused_for_room")
+MOST_ENGINES_SHOWN = 6
 
-def call(address: str, method: str, path: str) -> Any:
-    """One call on the second address. A no, or no answer, ends the command with 1 and one line."""
-    host, colon, port = address.rpartition(":")
-    if not colon or not port.isdecimal() or not 0 < int(port) < 65_536:
-        _fail(f"--address: {address!r} is no address host:port", 2)
-    line = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=TIMEOUT)
-    try:
-        line.request(method, path)
-        answer = line.getresponse()
-        body = answer.read()
-    except (OSError, http.client.HTTPException) as error:
-        _fail(f"{address}: {error or type(error).__name__}")
-    finally:
-        line.close()
-    if answer.status == 404 and path == "/cells":
-        _fail(f"{address}: this broker has no cells")
-    try:
-        said = json.loads(body)
-    except ValueError:
-        _fail(f"{address}: {answer.status} {body[:200].decode(errors='replace').strip()}")
-    if answer.status != 200:
-        _fail(f"{address}: {said.get('error', answer.status)}")
-    return said
-
-
-def _address(command: Any) -> Any:
-    return click.option(
-        "--address",
-        envvar="PROXY_OPERATOR",
-        required=True,
-        metavar="HOST:PORT",
-        help="The broker's second address (or PROXY_OPERATOR).",
-    )(command)
-
-
-def _json(command: Any) -> Any:
-    return click.option("--json", "as_json", is_flag=True, help="Print JSON in place of tables.")(
-        command
-    )
+TenantPairs = tuple[tuple[str, ...], ...]
 
 
 @click.group()
@@ -67,106 +32,76 @@
     """Cells of a running broker."""
 
 
-@cells.command()
-@_address
-@_json
+@cells.command(help="Cells with their engines, tenants with their loads, and the moves.")
+@address_option
+@json_option
 def show(address: str, as_json: bool) -> None:
-    """Cells with their engines, tenants with their loads, and the moves."""
-    said = call(address, "GET", "/cells")
+    """Print the cells, the tenants and the migrations."""
+    answer = call(address, "GET", "/cells")
     if as_json:
-        click.echo(json.dumps(said, indent=2, ensure_ascii=False))
+        click.echo(json.dumps(answer, indent=2, ensure_ascii=False))
         return
-    click.echo(f"epoch {said['epoch']}, map {said['digest']}\n")
-    click.echo(
-        table(
-            ["cell", "ready", "cold", "cores", "open", "lent", "refused", "", "engines"],
-            [
-                [
-                    c["cell"] + (" *" if c["default"] else ""),
-                    *(
-                        str(c[k])
-                        for k in ("ready", "cold", "cores", "open", "lent", "refused_for_room")
-                    ),
-                    "short" if c["short"] else "",
-                    " ".join(c["engines"][:6]) + (" ..." if len(c["engines"]) > 6 else ""),
-                ]
-                for c in said["cells"]
-            ],
-        )
-    )
-    if said["unplaced"]:
-        click.echo(f"\nin no cell: {' '.join(said['unplaced'])}")
-    click.echo(
-        "\n"
-        + table(
-            ["tenant", "cell", "load"],
-            [[t["tenant"], t["cell"], f"{t['load']:.3f}"] for t in said["tenants"]],
-        )
-    )
-    if said["moves"]:
-        click.echo(
-            "\n"
-            + table(
-                ["tenant", "from", "to", "stage", "why"],
-                [
-                    [m["subject"], m["source"], m["target"], m["stage"], m["why"]]
-                    for m in said["moves"]
-                ],
-            )
-        )
-
-
-def _tell(move: dict[str, Any], as_json: bool) -> None:
-    click.echo(
-        json.dumps(move, ensure_ascii=False)
-        if as_json
-        else f"{move['subject']} from {move['source']} to {move['target']}: {move['stage']}"
-        + (f" ({move['why']})" if move["why"] else "")
-    )
+    click.echo(f"epoch {answer['epoch']}, map {answer['digest']}\n")
+    click.echo(table(CELL_COLUMNS, [_cell_row(cell) for cell in answer["cells"]]))
+    if answer["unplaced"]:
+        click.echo(f"\nin no cell: {' '.join(answer['unplaced'])}")
+    tenants = [
+        [tenant["tenant"], tenant["cell"], f"{tenant['load']:.3f}"] for tenant in answer["tenants"]
+    ]
+    click.echo("\n" + table(["tenant", "cell", "load"], tenants))
+    if answer["moves"]:
+        moves = [
+            [item["subject"], item["source"], item["target"], item["stage"], item["why"]]
+            for item in answer["moves"]
+        ]
+        click.echo("\n" + table(["tenant", "from", "to", "stage", "why"], moves))
+
+
+def _cell_row(cell: dict[str, Any]) -> list[str]:
+    engines = " ".join(cell["engines"][:MOST_ENGINES_SHOWN])
+    if len(cell["engines"]) > MOST_ENGINES_SHOWN:
+        engines += " ..."
+    name = cell["cell"]
+    if cell["default"]:
+        name += " *"
+    counts = [str(cell[count]) for count in CELL_COUNTS]
+    return [name, *counts, "short" if cell["short"] else "", engines]
+
+
+def _print_move(migration: dict[str, Any], as_json: bool) -> None:
+    if as_json:
+        click.echo(json.dumps(migration, ensure_ascii=False))
+        return
+    route = f"{migration['subject']} from {migration['source']} to {migration['target']}"
+    why = f" ({migration['why']})" if migration["why"] else ""
+    click.echo(f"{route}: {migration['stage']}{why}")
 
 
-@cells.command()
-@_address
-@_json
+@cells.command(help="Move TENANT (or one part of a spread one, TENANT#N) to CELL.")
+@address_option
+@json_option
 @click.argument("tenant")
 @click.argument("cell")
 def move(address: str, as_json: bool, tenant: str, cell: str) -> None:
-    """Move TENANT (or one part of a spread one, TENANT#N) to CELL."""
-    _tell(
-        call(address, "POST", f"/cells/move/{quote(tenant, safe='')}/{quote(cell, safe='')}"),
-        as_json,
-    )
+    """Start the migration of a tenant to another cell."""
+    path = f"/cells/move/{quote(tenant, safe='')}/{quote(cell, safe='')}"
+    _print_move(call(address, "POST", path), as_json)
 
 
-@cells.command()
-@_address
-@_json
+@cells.command(help="Take back the move of TENANT that is under way.")
+@address_option
+@json_option
 @click.argument("tenant")
 def abort(address: str, as_json: bool, tenant: str) -> None:
-    """Take back the move of TENANT that is under way."""
-    _tell(call(address, "POST", f"/cells/abort/{quote(tenant, safe='')}"), as_json)
-
-
-def _problem_of(
-    said: dict[str, Any],
-    most_moves: int | None,
-    most_load: float | None,
-    apart: tuple[tuple[str, ...], ...],
-) -> Problem:
-    """From what a running broker shows: measured loads, cores of the engines that each cell has."""
-    return Problem(
-        {t["tenant"]: t["load"] for t in said["tenants"]},
-        {c["cell"]: float(c["cores"]) for c in said["cells"] if c["cores"]},
-        {t["tenant"]: t["cell"] for t in said["tenants"]},
-        tuple((a, b) for a, b in apart),
-        None,
-        most_moves,
-        most_load,
-    )
+    """Abort the migration of a tenant."""
+    _print_move(call(address, "POST", f"/cells/abort/{quote(tenant, safe='')}"), as_json)
 
 
-@cells.command()
-@_json
+@cells.command(
+    help="Which tenants to move so that the cells are balanced; ends with 3 where no placement\n"
+    "satisfies the terms. Nothing is moved."
+)
+@json_option
 @click.argument("file", required=False, type=click.Path(exists=True, dir_okay=False))
 @click.option(
     "--address", metavar="HOST:PORT", default="", help="Loads and cells of a running broker."
@@ -189,60 +124,89 @@
     address: str,
     most_moves: int | None,
     most_load: float | None,
-    apart: tuple[tuple[str, ...], ...],
+    apart: TenantPairs,
     seconds: float,
 ) -> None:
-    """Which tenants to move so that the cells are balanced; ends with 3 where no placement
-    satisfies the terms. Nothing is moved.
-    """
+    """Print which tenants to move so that the cells are balanced."""
     if (file is None) == (not address):
-        _fail("plan: name a FILE or an --address", 2)
+        fail("plan: name a FILE or an --address", EXIT_USAGE)
     try:
         if file is not None:
-            read = read_problem(Path(file).read_text(encoding="utf-8"))
-            problem = Problem(
-                read.loads,
-                read.capacities,
-                read.now,
-                read.apart + tuple((a, b) for a, b in apart),
-                read.fixed,
-                read.most_moves if most_moves is None else most_moves,
-                read.most_load if most_load is None else most_load,
-            )
+            problem = _problem_of_file(file, most_moves, most_load, apart)
         else:
-            problem = _problem_of(call(address, "GET", "/cells"), most_moves, most_load, apart)
+            answer = call(address, "GET", "/cells")
+            problem = _problem_of_broker(answer, most_moves, most_load, apart)
     except (BadProblem, UnicodeDecodeError, OSError) as error:
-        _fail(f"{file or address}: {error}", 2)
-    try:
-        from ..cells.solver import NoPlan, solve
+        fail(f"{file or address}: {error}", EXIT_USAGE)
+    solution = _solve(problem, seconds, as_json)
+    if as_json:
+        click.echo(json.dumps(solution.plain(), indent=2, ensure_ascii=False))
+    else:
+        _print_plan(solution, len(problem.loads))
+
+
+def _problem_of_file(
+    file: str, most_moves: int | None, most_load: float | None, apart: TenantPairs
+) -> Problem:
+    """Return the problem that a file states; options on the command line stand above it."""
+    read = read_problem(Path(file).read_text(encoding="utf-8"))
+    return Problem(
+        read.loads,
+        read.capacities,
+        read.now,
+        read.apart + _pairs(apart),
+        read.fixed,
+        read.most_moves if most_moves is None else most_moves,
+        read.most_load if most_load is None else most_load,
+    )
+
+
+def _problem_of_broker(
+    answer: dict[str, Any], most_moves: int | None, most_load: float | None, apart: TenantPairs
+) -> Problem:
+    """Return the problem of a running broker: its measured loads and the cores of each cell."""
+    return Problem(
+        {tenant["tenant"]: tenant["load"] for tenant in answer["tenants"]},
+        {cell["cell"]: float(cell["cores"]) for cell in answer["cells"] if cell["cores"]},
+        {tenant["tenant"]: tenant["cell"] for tenant in answer["tenants"]},
+        _pairs(apart),
+        None,
+        most_moves,
+        most_load,
+    )
+
 
-        made = solve(problem, seconds)
+def _pairs(apart: TenantPairs) -> tuple[tuple[str, str], ...]:
+    return tuple((first, second) for first, second in apart)
+
+
+def _solve(problem: Problem, seconds: float, as_json: bool) -> Plan:
+    try:
+        return solve(problem, seconds)
     except ImportError:
-        _fail("plan: needs the extra 'planner' (highspy), which is not installed", 2)
+        fail("plan: needs the extra 'planner' (highspy), which is not installed", EXIT_USAGE)
     except NoPlan as error:
         if as_json:
             click.echo(json.dumps({"moves": None, "why": str(error)}))
-        _fail(f"plan: {error}", 3)
-    if as_json:
-        click.echo(json.dumps(made.plain(), indent=2, ensure_ascii=False))
-        return
-    click.echo(
-        table(
-            ["tenant", "from", "to", "load"],
-            [[t, a, b, f"{load:.3f}"] for t, a, b, load in made.moves],
-        )
-        if made.moves
-        else "nothing to move"
-    )
-    click.echo(
-        "\n"
-        + table(
-            ["cell", "before", "after"],
-            [[c, f"{made.before[c]:.3f}", f"{made.after[c]:.3f}"] for c in made.before],
-        )
-    )
+        fail(f"plan: {error}", EXIT_NO_PLAN)
+
+
+def _print_plan(solution: Plan, tenants: int) -> None:
+    if solution.moves:
+        rows = [
+            [tenant, source, target, f"{load:.3f}"]
+            for tenant, source, target, load in solution.moves
+        ]
+        click.echo(table(["tenant", "from", "to", "load"], rows))
+    else:
+        click.echo("nothing to move")
+    loads = [
+        [cell, f"{before:.3f}", f"{solution.after[cell]:.3f}"]
+        for cell, before in solution.before.items()
+    ]
+    click.echo("\n" + table(["cell", "before", "after"], loads))
+    proven = "" if solution.proven else "; not proven to be the best"
     click.echo(
-        f"\n{len(made.moves)} of {len(problem.loads)} tenants move; the fullest cell goes from "
-        f"{max(made.before.values()):.3f} to {max(made.after.values()):.3f}"
-        + ("" if made.proven else "; not proven to be the best")
+        f"\n{len(solution.moves)} of {tenants} tenants move; the fullest cell goes from "
+        f"{max(solution.before.values()):.3f} to {max(solution.after.values()):.3f}{proven}"
     )
--- /dev/null
+++ b/query_broker/cli/lazy_group.py
@@ -0,0 +1,33 @@
+"""A group of sub-commands whose module is loaded when one of them is asked for."""
+
+from __future__ import annotations
+
+from importlib import import_module
+from typing import Any
+
+import click
+
+
+class LazyGroup(click.Group):
+    """A click group that stands for another one.
+
+    Loaded with the daemon, the sub-commands' modules would cost each of its starts.
+    """
+
+    def __init__(self, *args: Any, module: str, group: str, **options: Any) -> None:
+        """Stand for the group of that name in a module of this package."""
+        super().__init__(*args, **options)
+        self.module = module
+        self.group_name = group
+
+    def _load(self) -> click.Group:
+        loaded: click.Group = getattr(import_module(self.module, __package__), self.group_name)
+        return loaded
+
+    def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return the names of the sub-commands."""
+        return self._load().list_commands(ctx)
+
+    def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
+        """Return a sub-command, or None if there is none of this name."""
+        return self._load().get_command(ctx, name)
--- a/query_broker/cli/limits.py
+++ b/query_broker/cli/limits.py
@@ -1,20 +1,47 @@
-"""`larchhall limits ...` and `larchhall verdicts ...`: what brokers share of limits and of
-engines.
+"""`query-broker limits ...` and `query-broker verdicts ...`: what brokers share.
+
+The limits that all brokers share, and what they know together of the endpoints.
 """
 
 from __future__ import annotations
 
-import json
 from typing import Any
 
 import click
 
 from ..cells.planner import table
-from .cells import _address, _json, call
-
-
-def _said(said: Any, as_json: bool, text: str) -> None:
-    click.echo(json.dumps(said, indent=2) if as_json else text)
+from .admin_client import address_option, call, json_option, print_json
+
+LIMIT_COLUMNS = [
+    "limit",
+    "kind",
+    "whole",
+    "ours",
+    "asked",
+    "leased",
+    "in force",
+    "home",
+    "stale s",
+    "over, promised",
+    "over, seen",
+]
+VERDICT_COLUMNS = [
+    "engine",
+    "verdict",
+    "observers",
+    "evidence s old",
+    "for s",
+    "at least s",
+    "relapses",
+]
+NOT_APPLICABLE = "-"
+
+
+def _print(answer: Any, as_json: bool, text: str) -> None:
+    if as_json:
+        print_json(answer)
+    else:
+        click.echo(text)
 
 
 @click.group()
@@ -22,73 +49,68 @@
     """The limits that all brokers share."""
 
 
-@limits.command("show")
-@_address
-@_json
+@limits.command(
+    "show",
+    help="Each limit: what is ours, how old what we act on can be, by how much all can be over.",
+)
+@address_option
+@json_option
 def show_limits(address: str, as_json: bool) -> None:
-    """Each limit: what is ours, how old what we act on can be, by how much all can be over."""
-    said = call(address, "GET", "/limits")
-    rows = [
-        [
-            li["name"],
-            li["kind"],
-            f"{li['whole']:.4g}",
-            f"{li['ours']:.4g}",
-            f"{li['asked']:.4g}",
-            f"{li['held']:.4g}" if li["hard"] else "-",
-            ("floor" if li["floor_in_force"] else f"{li['left_s']:.1f} s left")
-            if li["hard"]
-            else "-",
-            li["home"] if li["hard"] else "-",
-            f"{li['stale_s']:g}",
-            f"{li['overshoot_promised']:.4g}",
-            "-" if li["hard"] else f"{li['overshoot_seen']:.4g}",
-        ]
-        for li in said["limits"]
+    """Print one row for each limit."""
+    answer = call(address, "GET", "/limits")
+    rows = [_limit_row(limit) for limit in answer["limits"]]
+    _print(answer, as_json, table(LIMIT_COLUMNS, rows))
+
+
+def _limit_row(limit: dict[str, Any]) -> list[str]:
+    leased = NOT_APPLICABLE
+    in_force = NOT_APPLICABLE
+    home = NOT_APPLICABLE
+    overshoot_seen = NOT_APPLICABLE
+    if limit["hard"]:
+        leased = f"{limit['held']:.4g}"
+        in_force = "floor" if limit["floor_in_force"] else f"{limit['left_s']:.1f} s left"
+        home = limit["home"]
+    else:
+        overshoot_seen = f"{limit['overshoot_seen']:.4g}"
+    return [
+        limit["name"],
+        limit["kind"],
+        f"{limit['whole']:.4g}",
+        f"{limit['ours']:.4g}",
+        f"{limit['asked']:.4g}",
+        leased,
+        in_force,
+        home,
+        f"{limit['stale_s']:g}",
+        f"{limit['overshoot_promised']:.4g}",
+        overshoot_seen,
     ]
-    _said(
-        said,
-        as_json,
-        table(
-            [
-                "limit",
-                "kind",
-                "whole",
-                "ours",
-                "asked",
-                "leased",
-                "in force",
-                "home",
-                "stale s",
-                "over, promised",
-                "over, seen",
-            ],
-            rows,
-        ),
-    )
-
-
-@limits.command()
+
+
+@limits.command(help="Lend the broker HOLDER no more than MOST of LIMIT; said at the limit's home.")
 @click.argument("limit")
 @click.argument("holder")
 @click.argument("most", type=float)
-@_address
-@_json
+@address_option
+@json_option
 def lend(limit: str, holder: str, most: float, address: str, as_json: bool) -> None:
-    """Lend the broker HOLDER no more than MOST of LIMIT; said at the limit's home."""
-    said = call(address, "POST", f"/limits/lend/{limit}/{holder}/{most}")
-    _said(said, as_json, f"{holder} gets {most:g} of {limit} at the most")
+    """Cap what one broker is lent of a limit."""
+    answer = call(address, "POST", f"/limits/lend/{limit}/{holder}/{most}")
+    _print(answer, as_json, f"{holder} gets {most:g} of {limit} at the most")
 
 
-@limits.command()
+@limits.command(
+    help="Lend the broker HOLDER nothing of LIMIT any more; it keeps its guaranteed part."
+)
 @click.argument("limit")
 @click.argument("holder")
-@_address
-@_json
+@address_option
+@json_option
 def recall(limit: str, holder: str, address: str, as_json: bool) -> None:
-    """Lend the broker HOLDER nothing of LIMIT any more; it keeps its guaranteed part."""
-    said = call(address, "POST", f"/limits/recall/{limit}/{holder}")
-    _said(said, as_json, f"{holder} gets nothing of {limit} when its lease has ended")
+    """Lend one broker nothing of a limit any more."""
+    answer = call(address, "POST", f"/limits/recall/{limit}/{holder}")
+    _print(answer, as_json, f"{holder} gets nothing of {limit} when its lease has ended")
 
 
 @click.group()
@@ -96,52 +118,51 @@
     """What all brokers know together of the engines."""
 
 
-@verdicts.command("show")
-@_address
-@_json
+@verdicts.command(
+    "show",
+    help="Engines that are held out and on whose evidence, operators' words, and words that did not"
+    "\nhold.",
+)
+@address_option
+@json_option
 def show_verdicts(address: str, as_json: bool) -> None:
-    """Engines that are held out and on whose evidence, operators' words, and words that did not
-    hold.
-    """
-    said = call(address, "GET", "/verdicts")
-    rows = [
+    """Print the ejected endpoints and the operators' overrides."""
+    answer = call(address, "GET", "/verdicts")
+    ejected = [
         [
-            v["uid"],
-            v["kind"],
-            str(v["observers"]),
-            f"{v['evidence_age']:.1f}",
-            f"{v['for']:.1f}",
-            f"{v['at_least']:.1f}",
-            str(v["relapses"]),
+            verdict["uid"],
+            verdict["kind"],
+            str(verdict["observers"]),
+            f"{verdict['evidence_age']:.1f}",
+            f"{verdict['for']:.1f}",
+            f"{verdict['at_least']:.1f}",
+            str(verdict["relapses"]),
         ]
-        for v in said["verdicts"]
+        for verdict in answer["verdicts"]
     ]
-    text = table(
-        ["engine", "verdict", "observers", "evidence s old", "for s", "at least s", "relapses"],
-        rows,
-    )
-    words = [
-        [w["uid"], w["word"], str(w["version"]), w["by"], kind]
-        for kind in ("words", "lost")
-        for w in said[kind]
+    overrides = [
+        *(_override_row(override, "yes") for override in answer["words"]),
+        *(_override_row(override, "no, another did") for override in answer["lost"]),
     ]
-    text += "\n\n" + table(
-        ["engine", "word", "version", "by", "holds"],
-        [[*w[:4], "yes" if w[4] == "words" else "no, another did"] for w in words],
-    )
-    _said(said, as_json, text)
+    text = table(VERDICT_COLUMNS, ejected)
+    text += "\n\n" + table(["engine", "word", "version", "by", "holds"], overrides)
+    _print(answer, as_json, text)
+
+
+def _override_row(override: dict[str, Any], holds: str) -> list[str]:
+    return [override["uid"], override["word"], str(override["version"]), override["by"], holds]
 
 
-def _word(value: str, help: str) -> None:
-    @verdicts.command(value, help=help)
+def _add_override_command(value: str, help_text: str) -> None:
+    @verdicts.command(value, help=help_text)
     @click.argument("uid")
-    @_address
-    @_json
-    def say(uid: str, address: str, as_json: bool) -> None:
-        said = call(address, "POST", f"/verdicts/{value}/{uid}")
-        _said(said, as_json, f"{uid}: {said['word']}, version {said['version']}")
+    @address_option
+    @json_option
+    def override(uid: str, address: str, as_json: bool) -> None:
+        answer = call(address, "POST", f"/verdicts/{value}/{uid}")
+        _print(answer, as_json, f"{uid}: {answer['word']}, version {answer['version']}")
 
 
-_word("clear", "Use the engine again, everywhere; a verdict on it ends.")
-_word("pin", "Let no shared verdict hold the engine out.")
-_word("out", "Leave the engine out, everywhere.")
+_add_override_command("clear", "Use the engine again, everywhere; a verdict on it ends.")
+_add_override_command("pin", "Let no shared verdict hold the engine out.")
+_add_override_command("out", "Leave the engine out, everywhere.")
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -15,20 +15,20 @@
 from .. import __version__
 from ..config.reading import Config, ConfigError, load
 from ..server.signals import hold_hangup
+from .lazy_group import LazyGroup
 
 if TYPE_CHECKING:
     from ..operator_config.script import OperatorConfig
     from ..server.node import Node
 
-# Danger: a start at full speed takes the core, and what it may use of it, from the process beside
-# it, whose loop then stands still: half way through what has to be loaded it rests for so many
-# seconds.
-BREATH = 0.15
+# Seconds that a start beside another process of this broker rests half way through its imports: at
+# full speed it would take the one core from the other process, whose loop would stand still.
+START_PAUSE_S = 0.15
 
 
 @contextmanager
-def _telling() -> Iterator[None]:
-    """Bad configuration is one line that names the key, and exit code 2."""
+def _configuration_errors() -> Iterator[None]:
+    """Turn bad configuration into one line that names the key, and exit code 2."""
     try:
         yield
     except ConfigError as error:
@@ -41,8 +41,7 @@
 def main(context: click.Context) -> None:
     """A broker that shares a pool of data engines fairly. Without a command it serves."""
     if context.invoked_subcommand is None:
-        # Danger: a command that is not on the line does not have its options read from the
-        # environment.
+        # A command that is not on the line does not have its options read from the environment.
         context.invoke(serve, operator_file=os.environ.get("PROXY_OPERATOR_FILE", ""))
 
 
@@ -57,21 +56,21 @@
 def serve(operator_file: str) -> None:
     """Serve clients until SIGTERM."""
     hold_hangup()
-    with _telling():
+    with _configuration_errors():
         config = load(os.environ)
         if config.accept_fd is not None:
-            time.sleep(BREATH)
+            time.sleep(START_PAUSE_S)
         from ..server.node import Node
         from ..server.node import serve as run
 
         make: Callable[[], Node] = partial(Node, config)
         if operator_file:
-            make = _with_operator_file(config, operator_file)
+            make = _node_with_operator_file(config, operator_file)
         run(make)
 
 
-def _evaluated(path: str) -> OperatorConfig:
-    """Loaded only here: without the file, what it sets costs nothing."""
+def _read_operator_file(path: str) -> OperatorConfig:
+    """Evaluate the operators' file; its modules are loaded only where there is one."""
     from ..operator_config.script import OperatorFileError, evaluate
 
     try:
@@ -80,15 +79,15 @@
         raise ConfigError(str(error)) from None
 
 
-def _with_operator_file(config: Config, path: str) -> Callable[[], Node]:
-    said = _evaluated(path)
-    if said.map is None:
+def _node_with_operator_file(config: Config, path: str) -> Callable[[], Node]:
+    operator_config = _read_operator_file(path)
+    if operator_config.map is None:
         from ..operator_config.service import ConfiguredNode
 
-        return partial(ConfiguredNode, config, said, path)
+        return partial(ConfiguredNode, config, operator_config, path)
     from ..cells.node import CellNode
 
-    return partial(CellNode, config, said, path)
+    return partial(CellNode, config, operator_config, path)
 
 
 @main.command("check-config")
@@ -101,34 +100,38 @@
 )
 def check_config(operator_file: str) -> None:
     """Read the configuration, say what it holds, and do nothing."""
-    with _telling():
+    with _configuration_errors():
         config = load(os.environ)
-        said = _evaluated(operator_file) if operator_file else None
+        operator_config = _read_operator_file(operator_file) if operator_file else None
     click.echo(
         f"{config.name}: ok, {len(config.settings.classes)} classes, "
         f"listening on {config.host}:{config.port}"
         + (f", {operator_file} ok" if operator_file else "")
     )
-    if said is not None and said.start is not None:
-        from ..startup.bounds import lines
-
-        for line in lines(said.start, config.settings.broker_index, config.settings.fleet_size):
+    if operator_config is not None:
+        for line in _bounds(config, operator_config):
             click.echo(line)
-    if said is not None and said.members is not None:
-        from ..membership.settings import lines as member_lines
 
-        for line in member_lines(said.members, config.settings.fleet_size):
-            click.echo(line)
-    if said is not None and said.shares is not None:
-        from ..quotas.settings import lines as share_lines
 
-        for line in share_lines(said.shares, config.settings.fleet_size):
-            click.echo(line)
-    if said is not None and said.verdicts is not None:
-        from ..outlier_consensus.settings import lines as verdict_lines
+def _bounds(config: Config, operator_config: OperatorConfig) -> Iterator[str]:
+    """Yield what follows from the operators' file for this installation, a line each."""
+    fleet_size = config.settings.fleet_size
+    if operator_config.start is not None:
+        from ..startup.bounds import lines as startup_lines
 
-        for line in verdict_lines(said.verdicts, config.settings.fleet_size):
-            click.echo(line)
+        yield from startup_lines(operator_config.start, config.settings.broker_index, fleet_size)
+    if operator_config.members is not None:
+        from ..membership.settings import lines as membership_lines
+
+        yield from membership_lines(operator_config.members, fleet_size)
+    if operator_config.shares is not None:
+        from ..quotas.settings import lines as quota_lines
+
+        yield from quota_lines(operator_config.shares, fleet_size)
+    if operator_config.verdicts is not None:
+        from ..outlier_consensus.settings import lines as consensus_lines
+
+        yield from consensus_lines(operator_config.verdicts, fleet_size)
 
 
 @main.command()
@@ -146,70 +149,27 @@
     sys.exit(play(seconds, click.echo))
 
 
-class _Lazy(click.Group):
-    """Danger: loaded with the daemon, these commands would cost each of its starts."""
-
-    def _load(self) -> click.Group:
-        from .cells import cells
-
-        return cells
-
-    def list_commands(self, ctx: click.Context) -> list[str]:
-        return self._load().list_commands(ctx)
-
-    def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        return self._load().get_command(ctx, name)
-
-
-class _LazyStart(_Lazy):
-    def _load(self) -> click.Group:
-        from .start import start
-
-        return start
-
-
-@main.group(cls=_LazyStart)
+@main.group(cls=LazyGroup, module=".start", group="start")
 def start() -> None:
     """Show how far a broker has come in its start."""
 
 
-class _LazyMembers(_Lazy):
-    def _load(self) -> click.Group:
-        from .members import members
-
-        return members
-
-
-class _LazyLimits(_Lazy):
-    def _load(self) -> click.Group:
-        from .limits import limits
-
-        return limits
-
-
-@main.group(cls=_LazyLimits)
+@main.group(cls=LazyGroup, module=".limits", group="limits")
 def limits() -> None:
     """Show the limits that brokers share, lend them, recall them."""
 
 
-class _LazyVerdicts(_Lazy):
-    def _load(self) -> click.Group:
-        from .limits import verdicts
-
-        return verdicts
-
-
-@main.group(cls=_LazyVerdicts)
+@main.group(cls=LazyGroup, module=".limits", group="verdicts")
 def verdicts() -> None:
     """Show what brokers know together of engines; say a word for all of them."""
 
 
-@main.group(cls=_LazyMembers)
+@main.group(cls=LazyGroup, module=".members", group="members")
 def members() -> None:
     """Show which brokers are there, leave, look at the keys."""
 
 
-@main.group(cls=_Lazy)
+@main.group(cls=LazyGroup, module=".cells", group="cells")
 def cells() -> None:
     """Show the cells of a running broker, move tenants between them, plan moves."""
 
@@ -217,8 +177,7 @@
 @main.command()
 def version() -> None:
     """Print the versions of larchhall and of what it runs on."""
-    # Danger: imported with the rest it takes a sixth of a start's processor time, from the process
-    # beside it.
+    # Imported with the rest it would take a sixth of a start's processor time.
     from importlib.metadata import PackageNotFoundError
     from importlib.metadata import version as installed
 
--- a/query_broker/cli/members.py
+++ b/query_broker/cli/members.py
@@ -1,13 +1,25 @@
-"""`larchhall members ...`: which brokers of the installation are there."""
+"""`query-broker members ...`: which brokers of the installation are there."""
 
 from __future__ import annotations
 
-import json
+from typing import Any
 
 import click
 
 from ..cells.planner import table
-from .cells import _address, _json, call
+from .admin_client import address_option, call, json_option, print_json
+
+MEMBER_COLUMNS = [
+    "member",
+    "status",
+    "verdict",
+    "for s",
+    "heard s ago",
+    "reached",
+    "through others",
+    "ms",
+    "incarnation",
+]
 
 
 @click.group()
@@ -15,88 +27,79 @@
     """The brokers that a running broker knows of."""
 
 
-@members.command()
-@_address
-@_json
+@members.command(help="The view, how sure it is, and what is known of each member.")
+@address_option
+@json_option
 def show(address: str, as_json: bool) -> None:
-    """The view, how sure it is, and what is known of each member."""
-    said = call(address, "GET", "/members")
+    """Print the view and one row for each member."""
+    answer = call(address, "GET", "/members")
     if as_json:
-        click.echo(json.dumps(said, indent=2))
+        print_json(answer)
         return
-    view = said["view"]
-    click.echo(
-        f"{said['me']}, view {view['epoch']} ({view['digest']}): {view['alive']} there, "
+    click.echo(f"{_summary(answer)}\n")
+    click.echo(table(MEMBER_COLUMNS, [_row(member) for member in answer["members"]]))
+
+
+def _summary(answer: dict[str, Any]) -> str:
+    view = answer["view"]
+    isolated = ", cut off" if answer["isolated"] else ""
+    left = ", has left" if answer["left"] else ""
+    return (
+        f"{answer['me']}, view {view['epoch']} ({view['digest']}): {view['alive']} there, "
         f"{view['why']}; limits by {view['limits_by']}, place {view['place']}; "
-        f"doubt in itself {said['doubt']} of 8"
-        f"{', cut off' if said['isolated'] else ''}{', has left' if said['left'] else ''}\n"
+        f"doubt in itself {answer['doubt']} of 8{isolated}{left}"
     )
 
-    def ago(value: float | None) -> str:
-        return "never" if value is None else f"{value:.1f}"
 
-    rows = [
-        [
-            m["address"],
-            m["status"],
-            m["verdict"],
-            ago(m["for"]),
-            ago(m["heard"]),
-            ago(m["reached"]),
-            ago(m["through_others"]),
-            f"{m['round_trip_ms']:.1f}",
-            str(m["incarnation"]),
-        ]
-        for m in said["members"]
+def _row(member: dict[str, Any]) -> list[str]:
+    return [
+        member["address"],
+        member["status"],
+        member["verdict"],
+        _seconds(member["for"]),
+        _seconds(member["heard"]),
+        _seconds(member["reached"]),
+        _seconds(member["through_others"]),
+        f"{member['round_trip_ms']:.1f}",
+        str(member["incarnation"]),
     ]
-    click.echo(
-        table(
-            [
-                "member",
-                "status",
-                "verdict",
-                "for s",
-                "heard s ago",
-                "reached",
-                "through others",
-                "ms",
-                "incarnation",
-            ],
-            rows,
-        )
-    )
 
 
-@members.command()
-@_address
-@_json
+def _seconds(value: float | None) -> str:
+    return "never" if value is None else f"{value:.1f}"
+
+
+@members.command(
+    help="Take the broker out of the view by its own word; it serves on, by the size in its file."
+)
+@address_option
+@json_option
 def leave(address: str, as_json: bool) -> None:
-    """Take the broker out of the view by its own word; it serves on, by the size in its file."""
-    said = call(address, "POST", "/members/leave")
-    click.echo(json.dumps(said, indent=2) if as_json else f"{said['left']} has left")
+    """Make the broker leave the membership."""
+    answer = call(address, "POST", "/members/leave")
+    if as_json:
+        print_json(answer)
+    else:
+        click.echo(f"{answer['left']} has left")
 
 
-@members.command()
-@_address
-@_json
+@members.command(help="Which key signs, which are read, and how many messages came under each.")
+@address_option
+@json_option
 def keys(address: str, as_json: bool) -> None:
-    """Which key signs, which are read, and how many messages came under each."""
-    said = call(address, "GET", "/members/keys")
+    """Print the keys and the counts of accepted and dropped messages."""
+    answer = call(address, "GET", "/members/keys")
     if as_json:
-        click.echo(json.dumps(said, indent=2))
+        print_json(answer)
         return
-    click.echo(
-        table(
-            ["key", "signs", "messages taken in"],
-            [
-                [
-                    str(id),
-                    "yes" if id == said["signs"] else "no",
-                    str(said["taken_in"].get(str(id), 0)),
-                ]
-                for id in said["reads"]
-            ],
-        )
-    )
-    for why, count in said["dropped"].items():
+    rows = [
+        [
+            str(key),
+            "yes" if key == answer["signs"] else "no",
+            str(answer["taken_in"].get(str(key), 0)),
+        ]
+        for key in answer["reads"]
+    ]
+    click.echo(table(["key", "signs", "messages taken in"], rows))
+    for why, count in answer["dropped"].items():
         click.echo(f"dropped, {why}: {count}")
--- a/query_broker/cli/start.py
+++ b/query_broker/cli/start.py
@@ -1,13 +1,13 @@
-"""`larchhall start show`: how far a broker has come in its start."""
+"""`query-broker start show`: how far a broker has come in its start-up."""
 
 from __future__ import annotations
 
-import json
+from typing import Any
 
 import click
 
 from ..cells.planner import table
-from .cells import _address, _json, call
+from .admin_client import address_option, call, json_option, print_json
 
 
 @click.group()
@@ -15,20 +15,29 @@
     """The start of a running broker."""
 
 
-@start.command()
-@_address
-@_json
+@start.command(
+    help="The stages that are over and how long they took, the present one and what it waits for."
+)
+@address_option
+@json_option
 def show(address: str, as_json: bool) -> None:
-    """The stages that are over and how long they took, the present one and what it waits for."""
-    said = call(address, "GET", "/start")
+    """Print the stages of the start-up and what the present one waits for."""
+    answer = call(address, "GET", "/start")
     if as_json:
-        click.echo(json.dumps(said, indent=2))
+        print_json(answer)
         return
-    click.echo(
-        f"place {said['place']} of {said['fleet']}, {'ready' if said['ready'] else 'not ready'}, "
-        f"list from {said['list']}{'' if said['confirmed'] else ' (not confirmed)'}, "
-        f"share {said['share']:.2f}\n"
+    click.echo(f"{_summary(answer)}\n")
+    rows = [[stage["stage"], f"{stage['took']:.2f}", stage["why"]] for stage in answer["passed"]]
+    rows.append(
+        [f"{answer['stage']} *", f"{answer['for']:.2f}", f"waits for {answer['waits_for']}"]
     )
-    rows = [[p["stage"], f"{p['took']:.2f}", p["why"]] for p in said["passed"]]
-    rows.append([f"{said['stage']} *", f"{said['for']:.2f}", f"waits for {said['waits_for']}"])
     click.echo(table(["stage", "seconds", "what ended it"], rows))
+
+
+def _summary(answer: dict[str, Any]) -> str:
+    ready = "ready" if answer["ready"] else "not ready"
+    confirmed = "" if answer["confirmed"] else " (not confirmed)"
+    return (
+        f"place {answer['place']} of {answer['fleet']}, {ready}, "
+        f"list from {answer['list']}{confirmed}, share {answer['share']:.2f}"
+    )
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from query_broker import __version__
-from query_broker.cli.main import BREATH, main
+from query_broker.cli.main import START_PAUSE_S, main
 from query_broker.protocols import client_frames as frames
 from query_broker.server.graceful_shutdown import GracefulShutdown
 from query_broker.server.node import raise_descriptors
@@ -244,7 +244,7 @@
     )
     env = write_config(tmp_path) | ({"PROXY_ACCEPT_FD": "3"} if held else {"PROXY_ACCEPT_FD": ""})
     assert CliRunner().invoke(main, ["serve"], env=env).exit_code == 0
-    expected: list[Any] = [BREATH, 3] if held else [None]
+    expected: list[Any] = [START_PAUSE_S, 3] if held else [None]
     assert done == expected
 
 
