--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,25 +4,35 @@
 
 import pytest
 
-#: Files whose tests start processes of the broker or wait for real time: they run one after the
-#: other, in one worker, so that they take no core from each other.
-PROCESS_TESTS = frozenset(
+#: Files whose tests start processes, open sockets or wait for real time. CI runs them one after
+#: the other, so that none takes a core from another; all other tests run over several processes.
+REAL_TIME_FILES = frozenset(
     {
+        "test_cells_sockets",
+        "test_crossings",
+        "test_deadlines_sockets",
         "test_door",
+        "test_golden_operators",
+        "test_lifecycle",
+        "test_members_broker",
         "test_members_processes",
+        "test_middle",
+        "test_operator",
+        "test_operator_file",
+        "test_retune",
         "test_shares_processes",
+        "test_sockets_bus",
+        "test_sockets_client",
+        "test_sockets_engine",
         "test_start_processes",
         "test_upgrade",
     }
 )
 
 
-@pytest.hookimpl(tryfirst=True)  # xdist reads the groups in the same hook
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Keep each file's tests together, and those that start processes in one group."""
+    """Mark the tests of `REAL_TIME_FILES`, and those of test_deployments that use sockets."""
     for item in items:
-        name = item.path.stem
-        group = "processes" if name in PROCESS_TESTS else name
-        if name == "test_deployments":
-            group = f"{name}:{item.name}"  # pure, and long: each by itself
-        item.add_marker(pytest.mark.xdist_group(group))
+        sockets_within = item.path.stem == "test_deployments" and "no_order" not in item.name
+        if item.path.stem in REAL_TIME_FILES or sockets_within:
+            item.add_marker(pytest.mark.real_time)
