--- a/query_broker/simulator_adapter.py
+++ b/query_broker/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The adapter: the simulator's wire on standard input and output, one controller for each instance.
+"""The simulator's wire on standard input and output, with one controller for each instance.
 
-It translates and decides nothing. Malformed input ends the process with a line on standard error
-and code 2.
+The adapter translates and decides nothing; the wire's words stand here beside the terms that they
+map to. Malformed input ends the process with one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -40,11 +40,16 @@
     "not_sent": api.AttemptResult.NOT_SENT,
 }
 REPORT_FIELDS = {"busy": "utilisation", "q": "queue", "x0": "memory", "x1": "disk"}
+NO_TENANT = "0"  # the group of a user who belongs to none
+EMPTY_PAYLOAD = "-"
+EXIT_BAD_INPUT = 2
+
 Fields = dict[str, str]
+Lists = dict[int, tuple[api.EndpointEntry, ...]]  # endpoint lists by their number on the wire
 
 
 class WireError(Exception):
-    """Input that does not keep to the wire."""
+    """Input that does not keep to the wire; the text says which field is wrong."""
 
 
 def _pick(table: dict[str, Any], value: str, what: str) -> Any:
@@ -60,7 +65,7 @@
 
 
 def _number(fields: Fields, name: str, kind: Callable[[str], Any], default: Any = None) -> Any:
-    """A number of the line; without a default the field must be there."""
+    """Return a number of the line; without a default the field must be there."""
     if name not in fields and default is not None:
         return default
     value = _text(fields, name)
@@ -90,9 +95,10 @@
 
 
 class Instance:
-    """One gateway: its controller and the order of its load report's fields."""
+    """One simulated broker: its controller and the order of its load report's fields."""
 
     def __init__(self, fields: Fields, now: int) -> None:
+        """Start a controller with the settings of a BEGIN line."""
         try:
             facts = json.loads(_text(fields, "facts"))
         except json.JSONDecodeError as error:
@@ -105,6 +111,7 @@
         )
 
     def report(self, fields: Fields) -> api.LoadReport | None:
+        """Return the load report of a line, or None where it has none."""
         row = fields.get("report")
         if not row or not self.report_fields:
             return None
@@ -112,83 +119,112 @@
             values = [float(value) for value in row.split(",")]
         except ValueError:
             raise WireError(f"report: {row!r} holds no numbers") from None
-        return api.LoadReport(
-            **{
-                REPORT_FIELDS[name]: value
-                for name, value in zip(self.report_fields, values, strict=False)
-                if name in REPORT_FIELDS
-            }
-        )
+        pairs = zip(self.report_fields, values, strict=False)
+        known = {REPORT_FIELDS[name]: value for name, value in pairs if name in REPORT_FIELDS}
+        return api.LoadReport(**known)
+
+    def event(self, name: str, fields: Fields, lists: Lists) -> api.Event | None:
+        """Return the event of a line, or None for a message that is not known."""
+        read = EVENT_READERS.get(name)
+        return None if read is None else read(self, fields, lists)
+
+
+def _endpoint_list_update(
+    instance: Instance, fields: Fields, lists: Lists
+) -> api.EndpointListUpdate:
+    kind = _pick(LIST_KINDS, _text(fields, "mode"), "mode")
+    if kind is api.ListUpdateKind.FAILED:
+        return api.EndpointListUpdate(kind)
+    number = _number(fields, "list", int)
+    if number not in lists:
+        raise WireError(f"list: {number} was never laid out")
+    return api.EndpointListUpdate(kind, lists[number])
+
+
+def _request_arrived(instance: Instance, fields: Fields, lists: Lists) -> api.RequestArrived:
+    tenant = fields.get("user_group")
+    return api.RequestArrived(
+        request_id=_text(fields, "req"),
+        class_name=_text(fields, "kind"),
+        timeout_ns=_number(fields, "patience_left", int),
+        tenant=None if tenant in (None, NO_TENANT) else tenant,
+        key=fields.get("table"),
+        estimate_ns=_number(fields, "expected", int, 0),
+        memory_mb=_number(fields, "mem_mb", float, 0.0),
+        data_set=_number(fields, "tables", int, -1),
+        is_retry=_flag(fields, "again_by_client"),
+    )
 
-    def event(
-        self, name: str, f: Fields, lists: dict[int, tuple[api.EndpointEntry, ...]]
-    ) -> api.Event | None:
-        """The interface's event for a line of the wire; None for a message that is not known."""
-        if name == "TARGETS":
-            kind = _pick(LIST_KINDS, _text(f, "mode"), "mode")
-            if kind is api.ListUpdateKind.FAILED:
-                return api.EndpointListUpdate(kind)
-            number = _number(f, "list", int)
-            if number not in lists:
-                raise WireError(f"list: {number} was never laid out")
-            return api.EndpointListUpdate(kind, lists[number])
-        if name == "INGRESS":
-            tenant = f.get("user_group")
-            return api.RequestArrived(
-                _text(f, "req"),
-                _text(f, "kind"),
-                _number(f, "patience_left", int),
-                None if tenant in (None, "0") else tenant,
-                f.get("table"),
-                _number(f, "expected", int, 0),
-                _number(f, "mem_mb", float, 0.0),
-                _number(f, "tables", int, -1),
-                _flag(f, "again_by_client"),
-            )
-        if name == "FINISHED":
-            return api.AttemptEnded(
-                _text(f, "req"),
-                _number(f, "n", int),
-                _number(f, "engine", int),
-                _pick(RESULTS, _text(f, "reason"), "reason"),
-                _number(f, "time_taken", int, 0),
-                _flag(f, "done_flag"),
-                self.report(f),
-            )
-        if name == "HEARTBEAT":
-            what = _number(f, "what", int)
-            if what not in (1, 2, 3):
-                return None
-            return api.AttemptProgress(
-                _text(f, "req"),
-                _number(f, "n", int),
-                _number(f, "engine", int),
-                api.ProgressKind(what),
-                _number(f, "level", float, 0.0),
-            )
-        if name == "VANISHED":
-            return api.RequestAbandoned(_text(f, "req"))
-        if name == "TIMEOUT_FIRED":
-            return api.TimerFired(_number(f, "nonce", int))
-        if name == "STATUS_BACK":
-            return api.HealthCheckResult(
-                _number(f, "engine", int),
-                _pick(RESULTS, _text(f, "reason"), "reason"),
-                _number(f, "time_taken", int, 0),
-                self.report(f),
-            )
-        if name == "WHISPER":
-            try:
-                raw = f.get("raw", "-")
-                payload = b"" if raw == "-" else base64.b64decode(raw, validate=True)
-            except binascii.Error:
-                raise WireError("raw: no base64") from None
-            return api.PeerMessage(_number(f, "neighbour", int), payload)
+
+def _attempt_ended(instance: Instance, fields: Fields, lists: Lists) -> api.AttemptEnded:
+    return api.AttemptEnded(
+        request_id=_text(fields, "req"),
+        attempt=_number(fields, "n", int),
+        endpoint=_number(fields, "engine", int),
+        result=_pick(RESULTS, _text(fields, "reason"), "reason"),
+        latency_ns=_number(fields, "time_taken", int, 0),
+        finished=_flag(fields, "done_flag"),
+        load_report=instance.report(fields),
+    )
+
+
+def _attempt_progress(
+    instance: Instance, fields: Fields, lists: Lists
+) -> api.AttemptProgress | None:
+    what = _number(fields, "what", int)
+    if what not in {kind.value for kind in api.ProgressKind}:
         return None
+    return api.AttemptProgress(
+        request_id=_text(fields, "req"),
+        attempt=_number(fields, "n", int),
+        endpoint=_number(fields, "engine", int),
+        kind=api.ProgressKind(what),
+        value=_number(fields, "level", float, 0.0),
+    )
 
 
-def _render(inst: str, action: api.Order) -> str:
-    match action:
+def _request_abandoned(instance: Instance, fields: Fields, lists: Lists) -> api.RequestAbandoned:
+    return api.RequestAbandoned(_text(fields, "req"))
+
+
+def _timer_fired(instance: Instance, fields: Fields, lists: Lists) -> api.TimerFired:
+    return api.TimerFired(_number(fields, "nonce", int))
+
+
+def _health_check_result(instance: Instance, fields: Fields, lists: Lists) -> api.HealthCheckResult:
+    return api.HealthCheckResult(
+        endpoint=_number(fields, "engine", int),
+        result=_pick(RESULTS, _text(fields, "reason"), "reason"),
+        latency_ns=_number(fields, "time_taken", int, 0),
+        load_report=instance.report(fields),
+    )
+
+
+def _peer_message(instance: Instance, fields: Fields, lists: Lists) -> api.PeerMessage:
+    raw = fields.get("raw", EMPTY_PAYLOAD)
+    try:
+        payload = b"" if raw == EMPTY_PAYLOAD else base64.b64decode(raw, validate=True)
+    except binascii.Error:
+        raise WireError("raw: no base64") from None
+    return api.PeerMessage(_number(fields, "neighbour", int), payload)
+
+
+#: What reads the event of each message of the wire.
+EVENT_READERS: dict[str, Callable[[Instance, Fields, Lists], api.Event | None]] = {
+    "TARGETS": _endpoint_list_update,
+    "INGRESS": _request_arrived,
+    "FINISHED": _attempt_ended,
+    "HEARTBEAT": _attempt_progress,
+    "VANISHED": _request_abandoned,
+    "TIMEOUT_FIRED": _timer_fired,
+    "STATUS_BACK": _health_check_result,
+    "WHISPER": _peer_message,
+}
+
+
+def _render(inst: str, order: api.Order) -> str:
+    """Return the line of the wire for an order of an instance."""
+    match order:
         case api.Dispatch(request, _, engine, timeout, _):
             return f"FORWARD\ti={inst}\treq={request}\tengine={engine}\tallow_for={timeout}\n"
         case api.Reject(request, retry_after):
@@ -212,12 +248,15 @@
     """Reads batches, hands events to the instances and writes one reply for each batch."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        self.source, self.sink = source, sink
+        """Serve the batches of a source; `run` does so until its end."""
+        self.source = source
+        self.sink = sink
         self.instances: dict[str, Instance] = {}
-        self.lists: dict[int, tuple[api.EndpointEntry, ...]] = {}
+        self.lists: Lists = {}
         self.frame: int | None = None
 
     def run(self) -> None:
+        """Serve batches until the input ends; WireError where it does not keep to the wire."""
         while line := self.source.readline():
             if line.strip():
                 self._batch(line)
@@ -270,13 +309,7 @@
             self.instances.pop(inst, None)
             return
         try:
-            if name == "BEGIN":
-                self.instances[inst] = Instance(fields, now)
-                return
-            if inst not in self.instances:
-                raise WireError(f"{name} for {inst}, which never began")
-            event = self.instances[inst].event(name, fields, self.lists)
-            actions = [] if event is None else self.instances[inst].controller.handle(now, event)
+            orders = self._handle(now, name, inst, fields)
         except WireError as error:
             raise WireError(f"{name}: {error}") from None
         except Exception as error:
@@ -284,17 +317,28 @@
             text = f"{type(error).__name__}: {error}".replace("\n", " ").replace("\t", " ")
             out.append(f"BUG\ti={inst}\tbody_text={text}\n")
             return
-        out.extend(_render(inst, action) for action in actions)
+        out.extend(_render(inst, order) for order in orders)
+
+    def _handle(self, now: int, name: str, inst: str, fields: Fields) -> list[api.Order]:
+        if name == "BEGIN":
+            self.instances[inst] = Instance(fields, now)
+            return []
+        instance = self.instances.get(inst)
+        if instance is None:
+            raise WireError(f"{name} for {inst}, which never began")
+        event = instance.event(name, fields, self.lists)
+        return [] if event is None else instance.controller.handle(now, event)
 
 
 def main() -> int:
+    """Serve standard input and output; return the exit code."""
     adapter = Adapter(sys.stdin, sys.stdout)
     try:
         adapter.run()
     except (WireError, UnicodeDecodeError) as error:
         where = "before the first frame" if adapter.frame is None else f"frame {adapter.frame}"
         print(f"benchlink: {where}: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     return 0
 
 
