--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -142,7 +142,7 @@
         for me in range(brokers):
             controller = AdmissionController(settings(me, brokers), me, 0)
             controller.handle(0, news)
-            for engine in controller.near:
+            for engine in controller.pool.subset:
                 used[engine.entry.endpoint] += 1
         mean = sum(used.values()) / engines
         name = f"spread.{brokers}_brokers_{engines}_engines"
--- a/query_broker/decisions/accounting.py
+++ b/query_broker/decisions/accounting.py
@@ -1,140 +1,83 @@
-"""What a controller remembers: requests, attempts and the books it counts in. Nothing here
-decides.
+"""Attempts, sliding sums and fading means: what the decisions are counted with.
+
+Nothing here decides, and nothing performs I/O. Times and durations are integer nanoseconds.
 """
 
 from __future__ import annotations
 
 import math
 from collections import deque
-from dataclasses import dataclass, field
-from typing import Any
-
-from .settings import RequestClass
-
-
-def memberships(value: float, top: int) -> list[tuple[int, float]]:
-    """Levels and certainties of a value in [-1, 1] (beyond: the outermost), in triangles from -top
-    to top.
-    """
-    position = max(-1.0, min(1.0, value)) * top
-    low = math.floor(position)
-    part = position - low
-    return [(low, 1 - part)] if part == 0 else [(low, 1 - part), (low + 1, part)]
-
-
-@dataclass(slots=True, kw_only=True)
-class LoopBooks:
-    """What one fuzzy loop works with, of an engine or of the pool."""
-
-    start: float = 0.0  # thread-ns; where the bound begins
-    wanted: float = 1.0  # S_t, the mean delay to be had, in aims
-    thread_share: float = 0.0  # our threads past this are pressure by themselves
-    bound: float = 0.0  # thread-ns
-    backlog: int = 0  # thread-ns outstanding
-    threads_out: int = 0
-    delays: list[float] = field(default_factory=list)  # of this period, in aims
-    last_error: float | None = None
-    bound_used: bool = False  # something was tested against the bound in this period
-    slowdown: float = 1.0  # geometric mean of latency over expected run time
-    best: float = 1.0  # the lowest slowdown, drifting up
-    full_until: int = 0
-
-    def rescale(self, start: float) -> None:
-        """Another start: the bound keeps its place against it."""
-        self.bound, self.start = (self.bound / self.start if self.start > 0 else 1) * start, start
+from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One send. ``size`` is what it added to the backlog, in thread-nanoseconds."""
+    """One dispatch of a request to an endpoint.
+
+    Attributes:
+        number: Place among the request's attempts, from 0.
+        endpoint: Number of the endpoint.
+        dispatched_ns: When it was dispatched.
+        backlog_ns: What it added to the endpoint's backlog, in thread-nanoseconds.
+        uncontended: Dispatched below pressure, so that its latency may teach what the request
+            costs by itself.
+        is_trial: Dispatched to an ejected endpoint.
+    """
 
     number: int
-    engine: int
-    sent: int
-    size: int
-    calm: bool  # sent below pressure: its latency may teach what the query costs by itself
-    trial: bool = False  # sent to an engine held to be out
-
-
-@dataclass(slots=True)
-class Request:
-    id: str
-    view: Any  # of its class, as it was when the request came; settings may change since
-    deadline: int  # when the client gives up
-    work: int  # expected, in thread-nanoseconds
-    estimate: int | None
-    data_set: int  # -1 where not told
-    key: str | None  # only for classes in order
-    over_share: bool
-    taken: int
-    memory_mb: float
-    sends: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
-    tried: list[int] = field(default_factory=list)
-    may_have_run: list[Attempt] = field(default_factory=list)
-    erred: list[Any] = field(default_factory=list)  # engines that answered it with an error
-    done: bool = False
-
-    @property
-    def spec(self) -> RequestClass:
-        return self.view.spec  # type: ignore[no-any-return]
-
-    def run_time(self) -> int:
-        return self.work // self.spec.threads
-
-    def aim(self) -> int:
-        return self.spec.latency_objective_ns + int(self.spec.objective_stretch * self.run_time())
-
-
-class TokenBucket:
-    """``rate`` tokens a nanosecond, ``most`` saved up; full at the start."""
-
-    def __init__(
-        self, rate: float, most: float, now: int, before: TokenBucket | None = None
-    ) -> None:
-        self.rate, self.most, self.at = rate, most, now
-        self.tokens: float = (
-            most if before is None or not before.take(now, 0.0) else min(most, before.tokens)
-        )
-
-    def take(self, now: int, tokens: float = 1.0) -> bool:
-        self.tokens, self.at = min(self.most, self.tokens + self.rate * (now - self.at)), now
-        enough = self.tokens >= tokens
-        self.tokens -= tokens * enough
-        return enough
+    endpoint: int
+    dispatched_ns: int
+    backlog_ns: int
+    uncontended: bool
+    is_trial: bool = False
 
 
 class SlidingSum:
-    """What was added within the last ``span`` nanoseconds; nothing is kept where the span is 0."""
+    """Sum of the amounts added within the last ``span_ns``; with a span of 0 nothing is kept."""
 
-    def __init__(self, span: int) -> None:
-        self.span, self.total = span, 0
+    __slots__ = ("items", "span_ns", "total")
+
+    def __init__(self, span_ns: int) -> None:
+        """Begin with nothing."""
+        self.span_ns = span_ns
+        self.total = 0
         self.items: deque[tuple[int, int]] = deque()
 
     def add(self, now: int, amount: int = 1) -> None:
-        if self.span > 0:
+        """Add an amount at a time that is not before that of the last one."""
+        if self.span_ns > 0:
             self.items.append((now, amount))
             self.total += amount
 
     def at(self, now: int) -> int:
-        while self.items and self.items[0][0] <= now - self.span:
+        """Return the sum at a time and forget what has left the span."""
+        while self.items and self.items[0][0] <= now - self.span_ns:
             self.total -= self.items.popleft()[1]
         return self.total
 
 
 class FadingMean:
-    """The mean over time of a value that holds until the next is noted; the past fades over
-    ``memory``.
+    """Mean over time of a value that holds until the next is recorded.
+
+    The past fades exponentially with the time constant ``memory_ns``.
     """
 
-    def __init__(self, memory: int, now: int) -> None:
-        self.memory, self.value, self.mean, self.at_time = memory, 0.0, 0.0, now
+    __slots__ = ("mean", "memory_ns", "recorded_ns", "value")
+
+    def __init__(self, memory_ns: int, now: int) -> None:
+        """Begin with a value and a mean of 0."""
+        self.memory_ns = memory_ns
+        self.value = 0.0
+        self.mean = 0.0
+        self.recorded_ns = now
 
-    def note(self, now: int, value: float) -> None:
+    def record(self, now: int, value: float) -> None:
+        """Record the value that holds from now on."""
         self.mean = self.at(now)
-        self.value, self.at_time = value, now
+        self.value = value
+        self.recorded_ns = now
 
     def at(self, now: int) -> float:
-        return self.mean + (self.value - self.mean) * -math.expm1(
-            (self.at_time - now) / self.memory
-        )
+        """Return the mean at a time that is not before that of the last value."""
+        weight = -math.expm1((self.recorded_ns - now) / self.memory_ns)
+        return self.mean + (self.value - self.mean) * weight
--- /dev/null
+++ b/query_broker/decisions/delay_feedback.py
@@ -0,0 +1,72 @@
+"""What latencies teach the control loops and the classes of requests. Performs no I/O."""
+
+from __future__ import annotations
+
+from .accounting import Attempt
+from .concurrency_limit import LEARNING_RATE
+from .endpoint_pool import EndpointPool
+from .events import AttemptEnded, AttemptResult
+from .open_requests import Request
+from .period_clock import PeriodClock
+from .slow_start import SlowStart
+from .tracked_endpoint import TrackedEndpoint
+
+# What a time-out counts for in the mean delay, in latency objectives; from the design page.
+TIMEOUT_DELAY = 2.0
+# The least ratio of a latency to its expectation: one estimate that is far too high must not make
+# an endpoint look fast.
+MIN_LATENCY_RATIO = 1 / 6
+
+NO_ANSWER = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET})
+
+
+class DelayFeedback:
+    """Feeds the outcomes of attempts to the loops of endpoint and pool, and to their class."""
+
+    __slots__ = ("clock", "pool", "slow_start")
+
+    def __init__(self, pool: EndpointPool, slow_start: SlowStart, clock: PeriodClock) -> None:
+        """Take the collaborators."""
+        self.pool = pool
+        self.slow_start = slow_start
+        self.clock = clock
+
+    def take_outcome(
+        self,
+        now: int,
+        endpoint: TrackedEndpoint,
+        request: Request,
+        attempt: Attempt,
+        event: AttemptEnded,
+    ) -> None:
+        """Learn from the outcome of an attempt.
+
+        An answer that came while this process stood still teaches nothing: its latency holds that
+        time.
+        """
+        if event.result in NO_ANSWER:
+            endpoint.delays.append(TIMEOUT_DELAY)
+            self.pool.limit.delays.append(TIMEOUT_DELAY)
+        if event.result is AttemptResult.SERVED and now != self.clock.stalled_at_ns:
+            self._learn(now, endpoint, request, attempt, event.latency_ns)
+
+    def _learn(
+        self,
+        now: int,
+        endpoint: TrackedEndpoint,
+        request: Request,
+        attempt: Attempt,
+        latency_ns: int,
+    ) -> None:
+        warm_latency_ns = latency_ns * self.slow_start.capacity_fraction(now, endpoint)
+        ratio = max(MIN_LATENCY_RATIO, warm_latency_ns / max(1, request.run_time()))
+        delay = latency_ns / max(1, request.latency_objective())
+        limit = self.pool.limit
+        endpoint.delays.append(delay)
+        endpoint.learn(ratio)
+        limit.delays.append(delay)
+        limit.learn(ratio)
+        statistics = request.statistics
+        statistics.slowdown *= (ratio / statistics.slowdown) ** LEARNING_RATE
+        if attempt.uncontended:
+            statistics.learn(request.estimate_ns, latency_ns)
--- /dev/null
+++ b/query_broker/decisions/endpoint_selection.py
@@ -0,0 +1,83 @@
+"""The choice of the endpoint of an attempt: eligible, with capacity, and drawn by weight.
+
+Performs no I/O.
+"""
+
+from __future__ import annotations
+
+from .capacity_check import CapacityCheck
+from .eligibility import Eligibility
+from .endpoint_pool import EndpointPool
+from .load_balancing import LoadBalancer
+from .open_requests import Request
+from .tracked_endpoint import TrackedEndpoint
+
+# Endpoints that answer a request with an error before it is taken to be at fault itself.
+MAX_ERROR_ENDPOINTS = 2
+
+
+class EndpointSelector:
+    """Chooses the endpoint of the next attempt of a request."""
+
+    __slots__ = ("balancer", "capacity", "eligibility", "pool")
+
+    def __init__(
+        self,
+        pool: EndpointPool,
+        balancer: LoadBalancer,
+        eligibility: Eligibility,
+        capacity: CapacityCheck,
+    ) -> None:
+        """Take the collaborators."""
+        self.pool = pool
+        self.balancer = balancer
+        self.eligibility = eligibility
+        self.capacity = capacity
+
+    def for_first_attempt(self, now: int, request: Request) -> TrackedEndpoint | None:
+        """Draw among the endpoints where a request fits; None where it fits nowhere."""
+        allows = self.eligibility.allows
+        candidates = self.balancer.candidates(now)
+        eligible = [endpoint for endpoint in candidates if allows(now, request, endpoint)]
+        # What can't be over in time is all waste.
+        if not _has_time_to_run(now, request):
+            return None
+        fits = self.capacity.fits
+        fitting = [endpoint for endpoint in eligible if fits(now, request, endpoint)]
+        # Endpoints in warm-up come first: what our turn there leaves unused is lost.
+        warming = [endpoint for endpoint in fitting if not (endpoint.in_pool or endpoint.suspect)]
+        return self._draw(request, warming or fitting)
+
+    def for_retry(self, now: int, request: Request) -> TrackedEndpoint | None:
+        """Draw the endpoint of a retry or a hedge; None where there should be none.
+
+        Retries feed the jam that caused them: there is none under pressure, none that can't be
+        over in time, and none of what two endpoints answered with an error.
+        """
+        errors = request.error_endpoints
+        eligible = [
+            endpoint
+            for endpoint in self.balancer.candidates(now)
+            if self._may_retry_at(now, request, endpoint)
+        ]
+        if len(errors) >= MAX_ERROR_ENDPOINTS or not _has_time_to_run(now, request):
+            return None
+        tried = request.tried_endpoints
+        untried = [endpoint for endpoint in eligible if endpoint.entry.endpoint not in tried]
+        if untried or errors:
+            return self._draw(request, untried)
+        return self._draw(request, eligible)
+
+    def _may_retry_at(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
+        if not self.eligibility.allows(now, request, endpoint):
+            return False
+        if self.pool.large_fleet or request.error_endpoints:
+            return self.capacity.fits(now, request, endpoint)
+        return not endpoint.is_pressed(now)
+
+    def _draw(self, request: Request, endpoints: list[TrackedEndpoint]) -> TrackedEndpoint | None:
+        return self.balancer.draw(request, endpoints) if endpoints else None
+
+
+def _has_time_to_run(now: int, request: Request) -> bool:
+    return request.deadline_ns - now > request.run_time()
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -124,11 +124,12 @@
         """Of each engine: the threads, and the bound on work outstanding, that this process goes
         by.
         """
-        return {number: (e.thread_share, e.bound) for number, e in self.controller.engines.items()}
+        endpoints = self.controller.engines
+        return {number: (known.thread_quota, known.bound) for number, known in endpoints.items()}
 
     def widest(self) -> int:
         """Threads of the widest query."""
-        return self.controller.widest
+        return self.controller.active.widest_threads
 
     def _fired(self, token: int) -> Callable[[], None]:
         return lambda: self.due.append(token)
--- /dev/null
+++ b/query_broker/decisions/key_ordering.py
@@ -0,0 +1,83 @@
+"""Rule 5: the order of requests with one key. Performs no I/O."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from .open_requests import Request
+
+
+class KeyQueues:
+    """The open requests of each key in the order of their arrival.
+
+    Only the oldest may be in flight. After an attempt whose end at the endpoint is unknown, a key
+    rests before its next request is dispatched.
+
+    Attributes:
+        queues: Open requests by key.
+        rest_until_ns: When the rest of a key ends.
+    """
+
+    __slots__ = ("queues", "rest_until_ns")
+
+    def __init__(self) -> None:
+        """Begin without requests."""
+        self.queues: dict[str, deque[Request]] = {}
+        self.rest_until_ns: dict[str, int] = {}
+
+    def append(self, key: str, request: Request) -> None:
+        """Queue a request behind the others of its key."""
+        self.queues.setdefault(key, deque()).append(request)
+
+    def remove(self, key: str, request: Request) -> None:
+        """Take a request out of its queue."""
+        self.queues[key].remove(request)
+
+    def rest(self, key: str, until_ns: int) -> None:
+        """Dispatch no further request of a key before a time."""
+        self.rest_until_ns[key] = until_ns
+
+    def rests_until(self, key: str) -> int:
+        """Return when the rest of a key ends, 0 where it does not rest."""
+        return self.rest_until_ns.get(key, 0)
+
+    def next_waiting(self, key: str) -> Request | None:
+        """Return the oldest request of a key if it has not been dispatched."""
+        queue = self.queues.get(key)
+        if not queue:
+            return None
+        oldest = queue[0]
+        return None if oldest.finished or oldest.attempts_started > 0 else oldest
+
+    def may_dispatch(self, now: int, key: str, request: Request) -> bool:
+        """Whether a request of a key is the oldest and, at its first attempt, the key rests not."""
+        if self.queues[key][0] is not request:
+            return False
+        return request.attempts_started > 0 or now >= self.rests_until(key)
+
+    def waits_too_long(self, now: int, key: str, request: Request) -> bool:
+        """Whether the queue with this request in it exceeds the request's latency objective.
+
+        A queue longer than the objective would make all of its requests late.
+        """
+        queue = self.queues[key]
+        if len(queue) <= 1:
+            return False
+        expected_wait = sum(_remaining_time(now, queued) for queued in queue)
+        return request.latency_objective() < expected_wait
+
+    def discard_if_idle(self, now: int, key: str) -> None:
+        """Forget a key that has no requests, and its rest once it is over."""
+        if self.queues.get(key):
+            return
+        self.queues.pop(key, None)
+        if self.rests_until(key) <= now:
+            self.rest_until_ns.pop(key, None)
+
+
+def _remaining_time(now: int, request: Request) -> float:
+    """Return the expected time to the answer, less the age of the oldest attempt in flight."""
+    ages = (now - attempt.dispatched_ns for attempt in request.in_flight.values())
+    oldest_age = max(ages, default=0)
+    expected = request.statistics.expected_latency(request.work_ns)
+    return max(0.0, expected - oldest_age)
--- /dev/null
+++ b/query_broker/decisions/open_requests.py
@@ -0,0 +1,146 @@
+"""Requests that have no final answer yet, and what outcomes have taught of their classes.
+
+Performs no I/O. Works are in thread-nanoseconds: run time times threads.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field, replace
+
+from .accounting import Attempt
+from .concurrency_limit import LEARNING_RATE, THREADS_PER_CORE
+from .settings import RequestClass
+from .tracked_endpoint import TrackedEndpoint
+
+# Quantile of (latency x threads / estimate) that the correction of estimates follows: below the
+# middle, since contention only ever adds to a latency.
+BIAS_QUANTILE = 0.3
+# Logarithmic step of that quantile, small against the scatter of estimates.
+BIAS_STEP = 0.05
+# Data set of a request that names none; no data set has a negative number.
+NO_DATA_SET = -1
+
+
+@dataclass(slots=True)
+class ClassStatistics:
+    """What outcomes have taught of a request class.
+
+    Attributes:
+        spec: The class as the settings describe it.
+        log_bias: Natural logarithm of true work over estimated work.
+        answers: Number of uncontended answers that it was learned from.
+        mean_work_ns: Mean work of a request, in thread-nanoseconds.
+        slowdown: Geometric mean of latency over expected run time, over all endpoints.
+        admitted: Fading fraction of the requests within their tenants' quotas that were dispatched.
+    """
+
+    spec: RequestClass
+    log_bias: float = 0.0
+    answers: int = 0
+    mean_work_ns: float = 0.0
+    slowdown: float = 1.0
+    admitted: float = 1.0
+
+    def expected_work(self, estimate_ns: int | None) -> int:
+        """Return the expected work in thread-nanoseconds, at least 1.
+
+        It is the estimate corrected from outcomes; without an estimate the class mean, and before
+        the first answer what fills the latency objective at half a thread a core.
+        """
+        if estimate_ns is not None and estimate_ns > 0:
+            return max(1, int(estimate_ns * math.exp(self.log_bias)))
+        mean_work_ns = int(self.mean_work_ns)
+        if mean_work_ns:
+            return max(1, mean_work_ns)
+        return max(1, self.spec.latency_objective_ns * self.spec.threads // THREADS_PER_CORE)
+
+    def expected_latency(self, work_ns: int) -> float:
+        """Return the expected time from dispatch to answer at the present slowdown, in ns."""
+        return work_ns / self.spec.threads * max(1.0, self.slowdown)
+
+    def learn(self, estimate_ns: int | None, latency_ns: int) -> None:
+        """Learn from the latency of an uncontended attempt."""
+        work_ns = max(1, latency_ns) * self.spec.threads
+        self.answers += 1
+        self.mean_work_ns += (work_ns - self.mean_work_ns) / min(self.answers, 1 / LEARNING_RATE)
+        if estimate_ns is not None and estimate_ns > 0:
+            is_above = math.log(work_ns / estimate_ns) > self.log_bias
+            # The first answers move the quantile faster.
+            step = BIAS_STEP + 1 / (1 + self.answers)
+            self.log_bias += step * (BIAS_QUANTILE - (not is_above))
+
+
+@dataclass(slots=True)
+class Request:
+    """A request that was admitted or is to be: its terms, its attempts and what became of them.
+
+    Attributes:
+        id: The caller's name of the request.
+        statistics: Of its class as it was when the request came; a request under way must not
+            change its terms when the settings change, above all whether it may run twice.
+        deadline_ns: When the client gives up.
+        work_ns: Expected work, in thread-nanoseconds.
+        estimate_ns: The client's estimate of the work, in thread-nanoseconds.
+        data_set: Number of the data set that it reads or loads, or `NO_DATA_SET`.
+        key: Its key, in classes that keep the order by key (rule 5), else None.
+        over_share: It exceeds its tenant's quota.
+        memory_mb: Estimated memory.
+        attempts_started: Number of attempts so far.
+        in_flight: Attempts without an outcome, by number.
+        tried_endpoints: Endpoints of its attempts, in their order.
+        maybe_executed: Attempts that may have run (rule 2), in their order.
+        error_endpoints: Endpoints that answered it with an error.
+        finished: It has its final answer, or its client has left.
+    """
+
+    id: str
+    statistics: ClassStatistics
+    deadline_ns: int
+    work_ns: int
+    estimate_ns: int | None
+    data_set: int
+    key: str | None
+    over_share: bool
+    memory_mb: float
+    attempts_started: int = 0
+    in_flight: dict[int, Attempt] = field(default_factory=dict)
+    tried_endpoints: list[int] = field(default_factory=list)
+    maybe_executed: list[Attempt] = field(default_factory=list)
+    error_endpoints: list[TrackedEndpoint] = field(default_factory=list)
+    finished: bool = False
+
+    @property
+    def spec(self) -> RequestClass:
+        """The request's class as it was when the request came."""
+        return self.statistics.spec
+
+    def run_time(self) -> int:
+        """Return the expected run time without contention, in nanoseconds."""
+        return self.work_ns // self.spec.threads
+
+    def latency_objective(self) -> int:
+        """Return the latency that this request is to be answered within, in nanoseconds."""
+        spec = self.spec
+        return spec.latency_objective_ns + int(spec.objective_stretch * self.run_time())
+
+
+class RequestClasses:
+    """The statistics of the classes in the settings, by name."""
+
+    __slots__ = ("by_name",)
+
+    def __init__(self) -> None:
+        """Begin without classes."""
+        self.by_name: dict[str, ClassStatistics] = {}
+
+    def apply(self, classes: tuple[RequestClass, ...]) -> None:
+        """Take over the classes of other settings; classes that stay keep what was learned.
+
+        The statistics are copied: a request under way keeps those that it came with.
+        """
+        known = self.by_name
+        self.by_name = {}
+        for spec in classes:
+            statistics = known.get(spec.name, ClassStatistics(spec))
+            self.by_name[spec.name] = replace(statistics, spec=spec)
--- /dev/null
+++ b/query_broker/decisions/outcomes.py
@@ -0,0 +1,95 @@
+"""What follows from the outcome of an attempt. Performs no I/O."""
+
+from __future__ import annotations
+
+from .accounting import Attempt
+from .active_settings import ActiveSettings
+from .admission import Admission
+from .delay_feedback import DelayFeedback
+from .dispatching import AttemptDispatcher
+from .endpoint_pool import EndpointPool
+from .events import NEVER_EXECUTED, AttemptEnded, AttemptResult, EndpointState
+from .key_ordering import KeyQueues
+from .open_requests import Request
+from .outlier_detection import OutlierDetector
+from .retries import RetryPolicy
+from .tracked_endpoint import TrackedEndpoint
+
+# Results after which the endpoint may still be running the attempt, so that its key must rest.
+MAY_STILL_RUN = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED})
+
+
+class AttemptOutcomes:
+    """Takes outcomes: accounts, health, learning, and what the request does next."""
+
+    __slots__ = (
+        "active",
+        "admission",
+        "dispatcher",
+        "feedback",
+        "key_queues",
+        "outliers",
+        "pool",
+        "retries",
+    )
+
+    def __init__(
+        self,
+        active: ActiveSettings,
+        pool: EndpointPool,
+        outliers: OutlierDetector,
+        feedback: DelayFeedback,
+        dispatcher: AttemptDispatcher,
+        key_queues: KeyQueues,
+        retries: RetryPolicy,
+        admission: Admission,
+    ) -> None:
+        """Take the collaborators."""
+        self.active = active
+        self.pool = pool
+        self.outliers = outliers
+        self.feedback = feedback
+        self.dispatcher = dispatcher
+        self.key_queues = key_queues
+        self.retries = retries
+        self.admission = admission
+
+    def take(self, now: int, event: AttemptEnded) -> None:
+        """Take the outcome of an attempt; one that is not in flight is ignored."""
+        request = self.admission.requests.get(event.request_id)
+        if request is None:
+            return
+        attempt = request.in_flight.pop(event.attempt, None)
+        if attempt is None:
+            return
+        if event.result in NEVER_EXECUTED:
+            request.maybe_executed.remove(attempt)
+        endpoint = self.pool.endpoints.get(event.endpoint)
+        if endpoint is not None:
+            self._account(now, endpoint, request, attempt, event)
+        if request.key is not None and event.result in MAY_STILL_RUN:
+            self.key_queues.rest(request.key, now + self.active.contract.key_rest_ns)
+        if event.finished:
+            self.admission.end(now, request)
+        if not request.finished and not request.in_flight and not self.retries.retry(now, request):
+            self.admission.finish(now, request)
+        self.admission.settle(now, request)
+
+    def _account(
+        self,
+        now: int,
+        endpoint: TrackedEndpoint,
+        request: Request,
+        attempt: Attempt,
+        event: AttemptEnded,
+    ) -> None:
+        """Take an outcome into the accounts and the judgement of its endpoint."""
+        self.dispatcher.release(now, request, endpoint, attempt)
+        # What was dispatched to an earlier process teaches nothing of this one.
+        if attempt.dispatched_ns >= endpoint.process_started_ns:
+            if event.load_report is not None:
+                endpoint.take_report(event.load_report)
+            self.outliers.take_outcome(now, endpoint, request, event)
+            self.feedback.take_outcome(now, endpoint, request, attempt, event)
+        if endpoint.entry.state is EndpointState.REMOVED:
+            self.pool.remove(event.endpoint)
--- /dev/null
+++ b/query_broker/decisions/outlier_detection.py
@@ -0,0 +1,242 @@
+"""Ejection of outliers: endpoints that fail, fall silent, are full, or are reported jammed.
+
+Performs no I/O.
+"""
+
+from __future__ import annotations
+
+import random
+
+from .accounting import Attempt
+from .active_settings import ActiveSettings
+from .concurrency_limit import THREADS_PER_CORE
+from .endpoint_pool import EndpointPool
+from .events import (
+    AttemptEnded,
+    AttemptProgress,
+    AttemptResult,
+    EndpointEntry,
+    HealthCheckResult,
+)
+from .open_requests import Request
+from .order_buffer import OrderBuffer
+from .orders import HealthCheck
+from .period_clock import PERIOD_NS, PeriodClock
+from .settings import Effect
+from .tracked_endpoint import TrackedEndpoint
+
+# Weight of one outcome in the fading fractions of failures and errors.
+FAILURE_LEARNING_RATE = 0.2
+# More failures than one reset adds: a second one soon after it shows a dead process.
+SINGLE_RESET = 0.3
+# An endpoint that owes answers and gives none for this multiple of the shortest objective is out.
+SILENCE_MULTIPLE = 1.0
+# Between single trials of an ejected or full endpoint; so long a rejection counts as pressure.
+TRIAL_INTERVAL_NS = PERIOD_NS
+# Times its failure fraction, the most that is added to that, so that brokers don't try in step.
+TRIAL_JITTER_NS = 8 * PERIOD_NS
+# Multiple of its expected latency from which an answer is no sign that the endpoint is well.
+LATE_MULTIPLE = 3.0
+
+CONNECTION_FAILURES = frozenset({AttemptResult.RESET, AttemptResult.CONNECT_FAILED})
+
+
+class OutlierDetector:
+    """Judges endpoints by their outcomes, their silence and their health checks.
+
+    An ejected endpoint gets one trial at a time by an idempotent request; in a large fleet that
+    may use health checks it gets these instead. Never are all open endpoints left out.
+
+    Attributes:
+        group_failures: Fading fraction of failures by zone and by kind; a zone or a kind is lost
+            at once, and the failures of a few endpoints foretell those of the others.
+    """
+
+    __slots__ = ("active", "clock", "group_failures", "orders", "pool", "random")
+
+    def __init__(
+        self,
+        active: ActiveSettings,
+        pool: EndpointPool,
+        clock: PeriodClock,
+        orders: OrderBuffer,
+        random_source: random.Random,
+    ) -> None:
+        """Take the collaborators and the source of random numbers."""
+        self.active = active
+        self.pool = pool
+        self.clock = clock
+        self.orders = orders
+        self.random = random_source
+        self.group_failures: dict[str, float] = {}
+
+    def allows(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
+        """Whether the endpoint's health lets this request be dispatched to it."""
+        self._check_silence(now, endpoint)
+        # With nothing of ours in flight everything fits: a full endpoint would admit, reject and
+        # be tried again without end.
+        if endpoint.backlog == 0 and now < endpoint.full_until:
+            return now >= endpoint.next_trial
+        if not endpoint.suspect or self._all_ejected():
+            return True
+        return (
+            now >= endpoint.next_trial
+            and request.spec.effect is Effect.IDEMPOTENT
+            and not self.pool.ejects_by_health_check
+            and not any(attempt.is_trial for attempt in endpoint.in_flight.values())
+        )
+
+    def record(self, endpoint: TrackedEndpoint, failed: bool) -> None:
+        """Take an outcome into the failures of an endpoint, of its zone and of its kind."""
+        endpoint.failures += FAILURE_LEARNING_RATE * (failed - endpoint.failures)
+        groups = self.group_failures
+        for group in (endpoint.entry.zone, endpoint.entry.kind):
+            failures = groups.get(group, 0.0)
+            groups[group] = failures + FAILURE_LEARNING_RATE * (failed - failures)
+
+    def failure_rate(self, endpoint: TrackedEndpoint) -> float:
+        """Return the greatest of the rates at which an endpoint fails, for the draw.
+
+        In a large fleet each endpoint is met too seldom, so its zone and kind count as well.
+        """
+        own = max(endpoint.failures, endpoint.error_rate)
+        if not self.pool.large_fleet:
+            return own
+        groups = self.group_failures
+        entry: EndpointEntry = endpoint.entry
+        return max(own, groups.get(entry.zone, 0.0), groups.get(entry.kind, 0.0))
+
+    def set_ejected(self, now: int, endpoint: TrackedEndpoint, ejected: bool) -> None:
+        """Eject an endpoint, keep it ejected, or take it back into use."""
+        if ejected or endpoint.suspect:
+            endpoint.suspect = ejected
+            jitter_ns = int(TRIAL_JITTER_NS * endpoint.failures * self.random.random())
+            endpoint.next_trial = now + TRIAL_INTERVAL_NS + jitter_ns
+            self.pool.refresh(now)
+
+    def request_health_check(self, now: int, endpoint: TrackedEndpoint) -> None:
+        """Order a health check."""
+        endpoint.next_trial = now + TRIAL_INTERVAL_NS
+        endpoint.health_check_requested_ns = now
+        self.orders.add(HealthCheck(endpoint.entry.endpoint))
+
+    def take_health_check(self, now: int, event: HealthCheckResult) -> None:
+        """Judge an endpoint by the result of a health check.
+
+        One that answers while it holds more than it can run is jammed; taken back into use it
+        would be given more.
+        """
+        endpoint = self.pool.endpoints.get(event.endpoint)
+        if endpoint is None:
+            return
+        inflight = 0.0
+        if event.load_report is not None:
+            endpoint.take_report(event.load_report)
+            inflight = event.load_report.inflight or 0.0
+        if self.pool.ejects_by_health_check:
+            is_jammed = inflight > THREADS_PER_CORE * endpoint.cores
+            failed = event.result is not AttemptResult.SERVED or is_jammed
+            self.record(endpoint, failed)
+            self.set_ejected(now, endpoint, failed)
+
+    def take_progress(self, now: int, event: AttemptProgress) -> None:
+        """Note a sign of life; what it says of progress is not used."""
+        endpoint = self.pool.endpoints.get(event.endpoint)
+        if endpoint is not None:
+            endpoint.last_activity_ns = now
+
+    def take_outcome(
+        self, now: int, endpoint: TrackedEndpoint, request: Request, event: AttemptEnded
+    ) -> None:
+        """Judge an endpoint by the outcome of an attempt.
+
+        An endpoint that fails fast looks idle, and without this judgement it would be given most
+        of the requests.
+        """
+        result = event.result
+        connection_failed = result in CONNECTION_FAILURES
+        if connection_failed or result is AttemptResult.SERVED:
+            self.record(endpoint, connection_failed)
+        if result is AttemptResult.ERROR or result is AttemptResult.SERVED:
+            is_error = result is AttemptResult.ERROR
+            endpoint.error_rate += FAILURE_LEARNING_RATE * (is_error - endpoint.error_rate)
+        if result is AttemptResult.ERROR:
+            request.error_endpoints.append(endpoint)
+        elif result is AttemptResult.FULL:
+            self._take_rejection(now, endpoint)
+        elif connection_failed:
+            self._take_connection_failure(now, endpoint, result)
+        elif result is AttemptResult.SERVED:
+            self._take_answer(now, endpoint, request, event.latency_ns)
+
+    def end_period(self, now: int) -> None:
+        """Check ejected endpoints that are in use, and end the ejection of the others.
+
+        An endpoint that is not in use would get no check and stay ejected.
+        """
+        used = {endpoint.entry.endpoint for endpoint in self.pool.subset}
+        if not self.pool.ejects_by_health_check:
+            return
+        for endpoint in self.pool.endpoints.values():
+            # Nothing renews the report, and our dispatches since would add up for good.
+            endpoint.report = None
+            if not endpoint.suspect or now < endpoint.next_trial:
+                continue
+            if endpoint.entry.endpoint in used:
+                self.request_health_check(now, endpoint)
+            else:
+                self.set_ejected(now, endpoint, False)
+
+    def _take_rejection(self, now: int, endpoint: TrackedEndpoint) -> None:
+        full_until = now + TRIAL_INTERVAL_NS
+        endpoint.full_until = full_until
+        self.pool.limit.full_until = full_until
+        ejected = endpoint.suspect or self.pool.ejects_by_health_check
+        self.set_ejected(now, endpoint, ejected)
+
+    def _take_connection_failure(
+        self, now: int, endpoint: TrackedEndpoint, result: AttemptResult
+    ) -> None:
+        if result is AttemptResult.CONNECT_FAILED or endpoint.failures > SINGLE_RESET:
+            self.set_ejected(now, endpoint, True)
+
+    def _take_answer(
+        self, now: int, endpoint: TrackedEndpoint, request: Request, latency_ns: int
+    ) -> None:
+        if self.pool.ejects_by_health_check:
+            # What another endpoint serves, the one that erred could have: here endpoints are many,
+            # and the half of its work that succeeds isn't missed.
+            for other in request.error_endpoints:
+                self.record(other, True)
+                ejected = other.suspect or other.failures > SINGLE_RESET
+                self.set_ejected(now, other, ejected)
+        endpoint.last_activity_ns = now
+        expected_ns = request.statistics.expected_latency(request.work_ns)
+        is_late = latency_ns > LATE_MULTIPLE * expected_ns
+        ejected = endpoint.suspect and self.pool.ejects_by_health_check and is_late
+        self.set_ejected(now, endpoint, ejected)
+
+    def _check_silence(self, now: int, endpoint: TrackedEndpoint) -> None:
+        """Eject an endpoint that takes work and answers nothing, before the list shows it."""
+        limit_ns = SILENCE_MULTIPLE * self.active.shortest_objective_ns
+        last_activity_ns = max(endpoint.last_activity_ns, self.clock.stalled_at_ns)
+        if endpoint.suspect or now - last_activity_ns <= limit_ns:
+            return
+        if any(
+            _is_unanswered(now, attempt, limit_ns, endpoint.process_started_ns)
+            for attempt in endpoint.in_flight.values()
+        ):
+            self.record(endpoint, True)
+            self.set_ejected(now, endpoint, True)
+
+    def _all_ejected(self) -> bool:
+        pool = self.pool
+        return all(
+            endpoint.suspect for endpoint in pool.endpoints.values() if pool.is_open(endpoint)
+        )
+
+
+def _is_unanswered(now: int, attempt: Attempt, limit_ns: float, process_started_ns: int) -> bool:
+    age_ns = now - attempt.dispatched_ns
+    is_overdue = age_ns > max(limit_ns, attempt.backlog_ns)
+    return is_overdue and attempt.dispatched_ns >= process_started_ns
--- /dev/null
+++ b/query_broker/decisions/slow_start.py
@@ -0,0 +1,83 @@
+"""Rule 4: slow start of endpoints that have just started. Performs no I/O."""
+
+from __future__ import annotations
+
+from .active_settings import ActiveSettings
+from .concurrency_limit import THREADS_PER_CORE
+from .endpoint_pool import EndpointPool
+from .tracked_endpoint import TrackedEndpoint
+
+# Divides the budget of an endpoint in warm-up: estimates may be this far too low.
+ESTIMATE_SAFETY = 3.0
+# The same for a whole turn of one broker of a large fleet: errors of its requests even out.
+TURN_ESTIMATE_SAFETY = 1.5
+# Windows of the contract to a turn. In the last nobody dispatches, so that no window of the
+# contract meets two turns.
+WINDOWS_PER_TURN = 4
+
+
+class SlowStart:
+    """Limits what is dispatched to endpoints in warm-up.
+
+    An endpoint that is sent more than its contract allows while it is cold falls over and stays
+    down. Each broker uses its part of the budget in any window; in a large fleet, where that part
+    is less than a request, brokers take turns and use the budget in full.
+    """
+
+    __slots__ = ("active", "pool")
+
+    def __init__(self, active: ActiveSettings, pool: EndpointPool) -> None:
+        """Take the collaborators."""
+        self.active = active
+        self.pool = pool
+
+    def capacity_fraction(self, now: int, endpoint: TrackedEndpoint) -> float:
+        """Return the assumed fraction of an endpoint's capacity, 1 once it is warm.
+
+        The shape of the ramp is not known; a square makes it late.
+        """
+        contract = self.active.contract
+        warmup_left = max(0, endpoint.cold_until - now) / max(1, contract.warmup_ns)
+        ramp = max(0.0, 1 - warmup_left) ** 2
+        initial_capacity = contract.warmup_initial_capacity
+        return initial_capacity + (1 - initial_capacity) * ramp
+
+    def is_our_turn(self, now: int, endpoint: TrackedEndpoint) -> bool:
+        """Whether this broker may use an endpoint in warm-up now, in a large fleet."""
+        window_ns = self.active.contract.overload_window_ns
+        settings = self.active.settings
+        turn_owners = self.pool.turn_owners
+        number = endpoint.entry.endpoint
+        # The number of the endpoint is added, so that not all endpoints change turns in step.
+        turn, time_in_turn = divmod(now + number, WINDOWS_PER_TURN * window_ns)
+        place = (turn * turn_owners + number - settings.broker_index) % settings.fleet_size
+        return time_in_turn < (WINDOWS_PER_TURN - 1) * window_ns and place < turn_owners
+
+    def allows(self, now: int, endpoint: TrackedEndpoint, work_ns: int) -> bool:
+        """Whether a work, in thread-nanoseconds, stays within the budget of the warm-up."""
+        contract = self.active.contract
+        if now >= endpoint.cold_until or contract.overload_window_ns <= 0:
+            return True
+        budget = (
+            endpoint.cores
+            * contract.overload_window_ns
+            * contract.overload_multiple
+            * self.capacity_fraction(now, endpoint)
+        )
+        if self.pool.large_fleet:
+            is_our_turn = self.is_our_turn(now, endpoint)
+            fraction = is_our_turn / TURN_ESTIMATE_SAFETY / self.pool.turn_owners
+        else:
+            fraction = 1 / ESTIMATE_SAFETY / self.active.settings.fleet_size
+        used_ns = endpoint.warmup_work.at(now) + endpoint.beside.warmup_ns
+        return used_ns + work_ns <= budget * fraction
+
+    def fits_in_turn(self, now: int, endpoint: TrackedEndpoint, threads: int) -> bool:
+        """Whether an endpoint in warm-up has capacity for a request in our turn.
+
+        The usual quota would waste the turn: its owners have the endpoint to themselves.
+        """
+        if endpoint.backlog == 0:
+            return True
+        capacity = THREADS_PER_CORE * endpoint.cores * self.capacity_fraction(now, endpoint)
+        return endpoint.threads_out + threads <= capacity / self.pool.turn_owners
--- /dev/null
+++ b/query_broker/decisions/tracked_endpoint.py
@@ -0,0 +1,95 @@
+"""What this broker knows of one endpoint: its list entry, load, health and outstanding work.
+
+Performs no I/O.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from .accounting import Attempt, SlidingSum
+from .concurrency_limit import THREADS_PER_CORE, ConcurrencyLimit
+from .events import EndpointEntry, LoadReport, OutstandingWork
+
+# Reported utilisation, memory or disk fraction of an endpoint that counts as busy.
+BUSY_UTILISATION = 0.9
+# What a co-process has out on an endpoint that it does not mention.
+NO_OUTSTANDING_WORK = OutstandingWork(0, 0, 0)
+
+
+@dataclass(slots=True, kw_only=True)
+class TrackedEndpoint(ConcurrencyLimit):
+    """An endpoint of the list, with the control loop over this broker's work on it.
+
+    Attributes:
+        entry: Its last entry in the endpoint list.
+        cores: Its cores, from its kind or its weight.
+        in_flight: Attempts without an outcome, by request id and attempt number.
+        failures: Fading fraction of failed connections among its outcomes.
+        error_rate: Fading fraction of errors among its answers.
+        report: Its last load report.
+        threads_since_report: Threads dispatched since that report.
+        cold_until: When its warm-up ends, in ns (rule 4).
+        warmup_work: Work dispatched to it while it warms up, over the window of rule 4.
+        last_activity_ns: When it last showed that it lives.
+        beside: What other processes of this broker have out on it; included in backlog and threads.
+        process_started_ns: What was dispatched earlier went to another process.
+        suspect: It is ejected as an outlier.
+        in_pool: Its work counts in the limit of the pool.
+        next_trial: When an ejected or full endpoint may next be tried, in ns.
+        health_check_requested_ns: When a health check was last ordered.
+    """
+
+    entry: EndpointEntry
+    cores: int
+    in_flight: dict[tuple[str, int], Attempt] = field(default_factory=dict)
+    failures: float = 0.0
+    error_rate: float = 0.0
+    report: LoadReport | None = None
+    threads_since_report: int = 0
+    cold_until: int = 0
+    warmup_work: SlidingSum
+    last_activity_ns: int = 0
+    beside: OutstandingWork = NO_OUTSTANDING_WORK
+    process_started_ns: int = 0
+    suspect: bool = False
+    in_pool: bool = False
+    next_trial: int = 0
+    health_check_requested_ns: int = 0
+
+    def utilisation(self) -> float:
+        """Return the scarcest of what the endpoint reports, 0 without a report.
+
+        A queue for memory means that all memory is granted.
+        """
+        report = self.report
+        if report is None:
+            return 0.0
+        return max(
+            report.utilisation or 0.0,
+            report.memory or 0.0,
+            report.disk or 0.0,
+            min(1.0, report.queue or 0.0),
+            (report.inflight or 0.0) / THREADS_PER_CORE / self.cores,
+        )
+
+    def load(self) -> float:
+        """Return the load in threads a core: reported and dispatched since, at least our own."""
+        if self.report is None:
+            return self.threads_out / self.cores
+        reported_threads = self.utilisation() * self.cores + self.threads_since_report
+        return max(self.threads_out, reported_threads) / self.cores
+
+    def backlog_of(self, work_ns: int) -> int:
+        """Return the thread-nanoseconds that a work takes here, at the slowdown seen so far."""
+        return int(work_ns * max(1.0, self.slowdown))
+
+    def is_pressed(self, now: int) -> bool:
+        """Whether its report, answers, a rejection or our own threads show pressure."""
+        # Not super(): a slotted dataclass is another class than the one that super() refers to.
+        return self.utilisation() > BUSY_UTILISATION or ConcurrencyLimit.is_pressed(self, now)
+
+    def take_report(self, report: LoadReport) -> None:
+        """Replace the load report."""
+        self.report = report
+        self.threads_since_report = 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -698,7 +698,7 @@
         )
     )
     for number in (1, 2):
-        h.controller._suspect(h.now, h.controller.engines[number], True)
+        h.controller.outliers.set_ejected(h.now, h.controller.engines[number], True)
         h.controller.engines[number].next_trial = h.now + 9 * S
     h.arrive("r", estimate_ns=40 * MS)
     assert h.sends("r")[0].endpoint in (1, 2)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -149,7 +149,7 @@
         e: [
             me
             for me, g in enumerate(gateways(engines))
-            if g.controller._our_turn(h.now, g.controller.engines[e])
+            if g.controller.slow_start.is_our_turn(h.now, g.controller.engines[e])
         ]
         for e in engines[:15]
     }
@@ -164,8 +164,8 @@
     of it.
     """
     fleet = gateways(uids(listed), brokers)
-    used = Counter(e.entry.endpoint for h in fleet for e in h.controller.near)
-    each = {len(h.controller.near) for h in fleet}
+    used = Counter(e.entry.endpoint for h in fleet for e in h.controller.pool.subset)
+    each = {len(h.controller.pool.subset) for h in fleet}
     mean = sum(used.values()) / listed
     assert each == {10} and len(used) == listed  # not more where there are more engines
     assert 0.7 * mean <= min(used.values()) and max(used.values()) <= 1.3 * mean
@@ -175,20 +175,22 @@
     engines = uids(30)
     h = gateways(engines)[7]
     gateway = h.controller
-    before = [e.entry.endpoint for e in gateway.near]
-    gateway._suspect(h.now, gateway.near[2], True)
-    assert [e.entry.endpoint for e in gateway.near][:10] == before and len(gateway.near) == 11
+    before = [e.entry.endpoint for e in gateway.pool.subset]
+    gateway.outliers.set_ejected(h.now, gateway.pool.subset[2], True)
+    assert [e.entry.endpoint for e in gateway.pool.subset][:10] == before and len(
+        gateway.pool.subset
+    ) == 11
     h.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES, (entry(engines[0], state=api.EndpointState.REMOVED),)
         )
     )
-    assert len({e.entry.endpoint for e in gateway.near} & set(before)) >= 8
+    assert len({e.entry.endpoint for e in gateway.pool.subset} & set(before)) >= 8
 
 
 def test_few_gateways_use_all_engines() -> None:
     h = gateways(uids(8), fleet=3)[1]
-    assert not h.controller.thin and len(h.controller.near) == 8
+    assert not h.controller.pool.large_fleet and len(h.controller.pool.subset) == 8
 
 
 def test_what_vanished_with_a_zone_leaves_room_for_the_rest() -> None:
@@ -199,18 +201,18 @@
     gateway = h.controller
     for i in range(40):
         h.arrive(f"r{i}", "report", patience=20 * S, estimate_ns=S)
-    pool, before = gateway.pool, gateway.pool.threads_out
-    lost = [e for e in gateway.near if e.out][:5]
+    pool, before = gateway.pool.limit, gateway.pool.limit.threads_out
+    lost = [e for e in gateway.pool.subset if e.in_flight][:5]
     held = sum(e.threads_out for e in lost)
     for engine in lost:
-        gateway._suspect(h.now, engine, True)
+        gateway.outliers.set_ejected(h.now, engine, True)
     assert held > 0 and pool.threads_out == before - held
-    assert pool.thread_share == pytest.approx(1.5 * CORES * 25 / FLEET)
-    number = next(a for a in lost[0].out)
+    assert pool.thread_quota == pytest.approx(1.5 * CORES * 25 / FLEET)
+    number = next(a for a in lost[0].in_flight)
     h.end(
         number[0], api.AttemptResult.TIMEOUT, attempt=number[1]
     )  # told at last: not booked out twice
-    assert pool.threads_out == sum(e.threads_out for e in gateway.engines.values() if e.counted)
+    assert pool.threads_out == sum(e.threads_out for e in gateway.engines.values() if e.in_pool)
 
 
 def test_what_drains_takes_no_room_in_the_pool() -> None:
@@ -218,22 +220,22 @@
     for i in range(10):
         h.arrive(f"r{i}", "report", patience=20 * S, estimate_ns=S)
     gateway = h.controller
-    engine = next(e for e in gateway.near if e.out)
-    before = gateway.pool.threads_out
+    engine = next(e for e in gateway.pool.subset if e.in_flight)
+    before = gateway.pool.limit.threads_out
     h.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES,
             (entry(engine.entry.endpoint, state=api.EndpointState.DRAINING),),
         )
     )
-    assert gateway.pool.threads_out == before - engine.threads_out
+    assert gateway.pool.limit.threads_out == before - engine.threads_out
 
 
 def test_work_of_an_arrival_does_not_grow_with_the_engines() -> None:
     """A count of engines examined, not a time."""
     for listed in (30, 60, 240):
         h = gateways(uids(listed))[3]
-        assert len(h.controller._within_reach(h.now)) <= 10
+        assert len(h.controller.selector.balancer.candidates(h.now)) <= 10
 
 
 PROBES = api.Limits(health_checks=True, hedging=True, max_attempts=5, max_retry_after_ns=2 * S)
@@ -262,7 +264,7 @@
 def test_an_engine_that_fails_what_others_serve_is_held_out() -> None:
     """Danger: it fails fast, looks idle, and draws three times as much as the others."""
     h = gateways(uids(30), limits=PROBES)[0]
-    engine = h.controller.near[0]
+    engine = h.controller.pool.subset[0]
     fail(h, engine.entry.endpoint, 1)
     assert not engine.suspect
     fail(h, engine.entry.endpoint, 2)
@@ -288,8 +290,8 @@
     client.
     """
     h = gateways(uids(30), limits=PROBES)[0]
-    engine = h.controller.near[0]
-    h.controller._suspect(h.now, engine, True)
+    engine = h.controller.pool.subset[0]
+    h.controller.outliers.set_ejected(h.now, engine, True)
     for step in range(300):
         h.arrive(f"r{step}", "glance", estimate_ns=MS)
         assert all(s.endpoint != engine.entry.endpoint for s in h.sends(f"r{step}"))
@@ -305,24 +307,24 @@
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(memory=0.1)
         )
     )
-    assert not engine.suspect and engine.counted
+    assert not engine.suspect and engine.in_pool
 
 
 def test_rests_of_many_gateways_are_not_in_step() -> None:
     fleet = gateways(uids(30), limits=PROBES)
     due = set()
     for h in fleet:
-        engine = h.controller.near[0]
+        engine = h.controller.pool.subset[0]
         engine.failures = 0.6
-        h.controller._suspect(h.now, engine, True)
+        h.controller.outliers.set_ejected(h.now, engine, True)
         due.add(engine.next_trial - h.now)
     assert len(due) == len(fleet) and max(due) - min(due) > 3 * S
 
 
 def test_few_gateways_try_by_query_and_send_no_probe() -> None:
     h = gateways(uids(4), fleet=2, limits=PROBES)[0]
-    engine = h.controller.near[0]
-    h.controller._suspect(h.now, engine, True)
+    engine = h.controller.pool.subset[0]
+    h.controller.outliers.set_ejected(h.now, engine, True)
     h.pass_time(9 * S)
     for i in range(60):
         h.arrive(f"r{i}", "glance", estimate_ns=MS)
@@ -342,12 +344,12 @@
         )
     )
     gateway = h.controller
-    while not any(gateway._our_turn(h.now, e) for e in gateway.cold):
+    while not any(gateway.slow_start.is_our_turn(h.now, e) for e in gateway.pool.warming):
         h.pass_time(50 * MS)
-    engine = next(e for e in gateway.cold if gateway._our_turn(h.now, e))
+    engine = next(e for e in gateway.pool.warming if gateway.slow_start.is_our_turn(h.now, e))
     for i in range(60):
         h.arrive(f"r{i}", "glance", estimate_ns=200 * MS)
-    assert engine.thread_share < engine.threads_out <= 2 * CORES
+    assert engine.thread_quota < engine.threads_out <= 2 * CORES
 
 
 def test_the_pool_wants_less_delay_than_the_whole_aim() -> None:
@@ -355,12 +357,12 @@
     late.
     """
     h = gateways(uids(30))[0]
-    pool = h.controller.pool
+    pool = h.controller.pool.limit
     before = pool.bound
     pool.bound_used, pool.delays = True, [0.8]
-    pool.move()
+    pool.end_period()
     assert pool.bound < before
-    assert all(e.wanted == 1.0 for e in h.controller.engines.values())
+    assert all(e.delay_objective == 1.0 for e in h.controller.engines.values())
 
 
 def test_a_zone_goes_silent_and_comes_back_cold() -> None:
@@ -417,7 +419,7 @@
                 )
         h.pass_time(100 * MS)
         if step == 199:
-            out = [e for e in h.controller.near if e.entry.endpoint in zone]
+            out = [e for e in h.controller.pool.subset if e.entry.endpoint in zone]
             assert out and all(e.suspect for e in out)
             h.do(
                 api.EndpointListUpdate(
@@ -459,9 +461,12 @@
     """Danger: large work that must not run twice was refused three times as often as lookups."""
     for share, goes in ((1.0, False), (0.4, True)):
         h = gateways(uids(30))[0]
-        view, pool = h.controller.views["report"], h.controller.pool
+        view, pool = h.controller.classes.by_name["report"], h.controller.pool.limit
         h.arrive("out", "report", patience=20 * S, estimate_ns=2 * S)
-        h.controller.mean_work, h.controller.mean_worth = 2.0 * S, 10.0  # a report is as the mean
+        h.controller.capacity.mean_work_ns, h.controller.capacity.mean_priority_weight = (
+            2.0 * S,
+            10.0,
+        )  # a report is as the mean
         pool.full_until, pool.bound, view.admitted = h.now + 99 * S, pool.backlog * 1.5, share
         h.arrive("r", "report", patience=20 * S, estimate_ns=2 * S)
         assert bool(h.sends("r")) is goes and (view.admitted > share) is goes
@@ -470,11 +475,12 @@
 def test_what_is_beyond_a_tenants_share_moves_no_class_s_share() -> None:
     """Danger: a flood that is refused would win room for its class."""
     h = gateways(uids(30), tenants=(api.Tenant("acme", 0.0),))[0]
-    h.controller.pool.full_until, h.controller.pool.bound = h.now + 99 * S, 0.0
+    h.controller.pool.limit.full_until, h.controller.pool.limit.bound = h.now + 99 * S, 0.0
     for i in range(30):
         h.arrive(f"r{i}", "glance", estimate_ns=200 * MS, tenant="acme")
     assert (
-        any(h.answers(f"r{i}") for i in range(30)) and h.controller.views["glance"].admitted == 1.0
+        any(h.answers(f"r{i}") for i in range(30))
+        and h.controller.classes.by_name["glance"].admitted == 1.0
     )
 
 
@@ -511,7 +517,7 @@
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=3.0)
         )
     )
-    assert not engine.suspect and engine.counted
+    assert not engine.suspect and engine.in_pool
 
 
 def test_an_engine_whose_answer_is_overdue_is_asked_for_its_load() -> None:
@@ -567,18 +573,18 @@
     """
     h = gateways(uids(80), 200, limits=PROBES)[0]
     gateway = h.controller
-    far = next(e for e in gateway.engines.values() if e not in gateway.near)
-    share = gateway.pool.thread_share
-    gateway._suspect(h.now, far, True)
-    assert gateway.pool.thread_share < share
+    far = next(e for e in gateway.engines.values() if e not in gateway.pool.subset)
+    share = gateway.pool.limit.thread_quota
+    gateway.outliers.set_ejected(h.now, far, True)
+    assert gateway.pool.limit.thread_quota < share
     h.pass_time(12 * S)
-    assert not far.suspect and gateway.pool.thread_share == pytest.approx(share)
+    assert not far.suspect and gateway.pool.limit.thread_quota == pytest.approx(share)
     assert far.entry.endpoint not in {e for _, e in probes_of(h)}
 
 
 def test_reports_are_not_kept_while_sends_add_up_on_them() -> None:
     h = gateways(uids(80), 200, limits=PROBES)[0]
-    engine = h.controller.near[0]
+    engine = h.controller.pool.subset[0]
     h.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(memory=0.9)
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -20,7 +20,7 @@
 from query_broker.cells import migrations as moves
 from query_broker.cells import model, placement
 from query_broker.cells.node import CellNode
-from query_broker.decisions import controller as brain
+from query_broker.decisions.data_set_affinity import DataSetAffinity
 from query_broker.decisions.facade import EndpointState, OutstandingWork
 from query_broker.discovery.event_codec import EndpointListEvent, ListedEndpoint
 from query_broker.endpoints import administrative_state as bans
@@ -265,12 +265,9 @@
 )
 def test_order_of_engines_for_a_data_set(data_set: int, order: list[int]) -> None:
     """Each broker sends a data set's requests to the first engines of this order, by itself."""
-    controller = brain.AdmissionController.__new__(brain.AdmissionController)
-    controller.engines = cast(Any, dict.fromkeys((1, 2, 3, 4, 4_000_000_001)))
-    controller.ranks = {}
-    first = cast(Any, SimpleNamespace(entry=SimpleNamespace(endpoint=1)))
-    place = controller._rank(data_set, first)
-    assert list(controller.ranks[data_set]) == order
+    affinity = DataSetAffinity(cast(Any, None), dict.fromkeys((1, 2, 3, 4, 4_000_000_001)))
+    place = affinity.rank(data_set, 1)
+    assert list(affinity.ranks[data_set]) == order
     assert place == order.index(1) / 5
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -89,7 +89,7 @@
             assert [s.endpoint for s in h.sends(f"r{i}")] == [1, 2]  # never again where it erred
             h.end(f"r{i}", api.AttemptResult.SERVED)
     first = [h.sends(f"r{i}")[0].endpoint for i in range(100, 200)].count(1)
-    assert 0 < first < 25 and bad.erring > 0.3 and not bad.suspect
+    assert 0 < first < 25 and bad.error_rate > 0.3 and not bad.suspect
 
 
 def test_what_no_engine_can_read_makes_none_look_worse_than_the_others() -> None:
@@ -103,14 +103,14 @@
             h.end(f"bad{i}", api.AttemptResult.ERROR)
         assert len(h.sends(f"bad{i}")) == 2  # a second error ends it
     one, other = h.controller.engines.values()
-    assert one.failures == other.failures == 0.0 and abs(one.erring - other.erring) < 1e-9
+    assert one.failures == other.failures == 0.0 and abs(one.error_rate - other.error_rate) < 1e-9
 
 
 def test_unsafe_work_keeps_away_from_an_engine_that_errs() -> None:
     """Danger: an error there may have run: it is lost, where safe work goes on elsewhere."""
     load = query_class("load", effect=api.Effect.NON_IDEMPOTENT)
     h = Harness(make_settings(query_class(), load), entry(1), entry(2))
-    h.controller.engines[1].erring = 0.5
+    h.controller.engines[1].error_rate = 0.5
     went: dict[str, int] = {}
     for name in ("short", "load"):
         for i in range(300):
@@ -125,11 +125,19 @@
     jammed.
     """
     h = two_engines()
-    before = h.controller.mean_work, h.controller.mean_worth, len(h.controller.timers)
+    before = (
+        h.controller.capacity.mean_work_ns,
+        h.controller.capacity.mean_priority_weight,
+        len(h.controller.orders.timers),
+    )
     for i in range(50):
         h.arrive(f"r{i}", estimate_ns=10_000 * S)
         assert isinstance(h.answers(f"r{i}")[0], api.Reject)
-    assert (h.controller.mean_work, h.controller.mean_worth, len(h.controller.timers)) == before
+    assert (
+        h.controller.capacity.mean_work_ns,
+        h.controller.capacity.mean_priority_weight,
+        len(h.controller.orders.timers),
+    ) == before
     assert not h.controller.requests
 
 
@@ -141,7 +149,7 @@
     for i in range(3_000):
         h.arrive(f"r{i}", estimate_ns=MS, data_set=i)
         h.end(f"r{i}", api.AttemptResult.SERVED, latency=MS)
-    assert len(h.controller.ranks) <= 1_001 and not h.controller.held_sets
+    assert len(h.controller.affinity.ranks) <= 1_001 and not h.controller.affinity.loads_in_flight
 
 
 def test_unsafe_work_is_no_trial() -> None:
@@ -158,7 +166,7 @@
     h.arrive("r", estimate_ns=2 * S)
     h.now += 2 * S
     assert h.do(api.AttemptProgress("r", 0, 1, api.ProgressKind.PROGRESS, 0.1)) == []
-    assert h.controller.engines[1].last_sign == h.now
+    assert h.controller.engines[1].last_activity_ns == h.now
 
 
 def test_no_cancel_where_it_is_not_heeded() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,8 +5,8 @@
 import pytest
 
 from query_broker import decisions as api
-from query_broker.decisions.accounting import memberships
-from query_broker.decisions.controller import CEILING, REACH, fuzzy_step, rule
+from query_broker.decisions.concurrency_limit import CEILING_MULTIPLE, LARGEST_STEP_FRACTION
+from query_broker.decisions.fuzzy_control import fuzzy_step, memberships, output_level
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 
@@ -28,14 +28,19 @@
     rows = [line.split() for line in TABLE_2.strip().splitlines()]
     for e, row in enumerate(rows):
         for c, name in enumerate(row):
-            assert NAMES[rule(e - 4, c - 4) + 4] == name, (NAMES[e], NAMES[c])
+            assert NAMES[output_level(e - 4, c - 4) + 4] == name, (NAMES[e], NAMES[c])
 
 
 def test_paper_example() -> None:
     """Section 5.1: e = -0.2 s and change = -0.4 s over +-1 s give -57.15, centres up to 100."""
     assert dict(memberships(-0.2, 4)) == pytest.approx({-1: 0.8, 0: 0.2})
     assert dict(memberships(-0.4, 4)) == pytest.approx({-2: 0.6, -1: 0.4})
-    assert [rule(-1, -2), rule(-1, -1), rule(0, -2), rule(0, -1)] == [-3, -2, -2, -1]
+    assert [
+        output_level(-1, -2),
+        output_level(-1, -1),
+        output_level(0, -2),
+        output_level(0, -1),
+    ] == [-3, -2, -2, -1]
     assert fuzzy_step(-0.2, -0.4, 100.0) == pytest.approx(-57.15, abs=0.01)
 
 
@@ -57,11 +62,13 @@
     engine.bound_used, engine.delays = True, [0.1]
     h.pass_time(S)
     # PVL with ZE gives PL
-    assert engine.bound - start == pytest.approx(start * CEILING * REACH * 3 / 4)
+    assert engine.bound - start == pytest.approx(
+        start * CEILING_MULTIPLE * LARGEST_STEP_FRACTION * 3 / 4
+    )
     for _ in range(20):
         engine.bound_used, engine.delays = True, [0.1]
         h.pass_time(S)
-    assert engine.bound == CEILING * start
+    assert engine.bound == CEILING_MULTIPLE * start
     for _ in range(40):
         engine.bound_used, engine.delays = True, [9.0]
         h.pass_time(S)
@@ -99,7 +106,7 @@
     h.end("r", result)
     while not h.answers("r") and result is not api.AttemptResult.SERVED and len(h.sends("r")) < 4:
         h.end("r", result)
-    if h.controller.engines[1].out:
+    if h.controller.engines[1].in_flight:
         h.end("r", api.AttemptResult.SERVED)
     assert h.backlog() == 0
 
@@ -164,7 +171,7 @@
     open.
     """
     h, _ = one_engine()
-    view = h.controller.views["short"]
+    view = h.controller.classes.by_name["short"]
     crowd(h, 8, estimate=100 * MS)
     for i in range(8):
         h.end(f"c{i}", api.AttemptResult.SERVED, latency=4 * S)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -287,11 +287,11 @@
     taken = []
     for age in (0, 5 * S, 9 * S):
         h = Harness(make_settings(fleet_size=2), entry(1, started_ns=100 * S - age))
-        engine, rules = h.controller.engines[1], h.controller.contract
+        engine, rules = h.controller.engines[1], h.controller.active.contract
         for i in range(2_000):
             h.arrive(f"r{i}", estimate_ns=10 * MS)
             h.end(f"r{i}", api.AttemptResult.SERVED, latency=10 * MS) if h.sends(f"r{i}") else None
-        taken.append(engine.cold_sends.at(h.now))
+        taken.append(engine.warmup_work.at(h.now))
         assert (
             2 * taken[-1] <= rules.overload_multiple * engine.cores * rules.overload_window_ns / 3
         )
@@ -378,6 +378,6 @@
     h.arrive("a", key="k")
     h.arrive("b", key="k")
     second, engine = h.controller.requests["b"], h.controller.engines[2]
-    assert not h.controller._may_send(h.now, second, engine)
+    assert not h.controller.eligibility.allows(h.now, second, engine)
     h.end("a", api.AttemptResult.SERVED)
     assert len(h.sends("b")) == 1
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -35,8 +35,8 @@
     """
     h = many()
     fill(h, 3)
-    h.controller.pool.full_until = h.now + S
-    h.controller.pool.bound = 0.0
+    h.controller.pool.limit.full_until = h.now + S
+    h.controller.pool.limit.bound = 0.0
     h.arrive("r", estimate_ns=400 * MS)
     assert isinstance(h.answers("r")[0], api.Reject)
 
@@ -44,38 +44,38 @@
 def test_pool_stands_aside_with_one_gateway() -> None:
     h = many(fleet=1)
     fill(h, 3)
-    h.controller.pool.full_until = h.now + S
-    h.controller.pool.bound = 0.0
+    h.controller.pool.limit.full_until = h.now + S
+    h.controller.pool.limit.bound = 0.0
     h.arrive("r", estimate_ns=400 * MS)
-    assert not h.controller.thin and h.sends("r")
+    assert not h.controller.pool.large_fleet and h.sends("r")
 
 
 def test_pool_follows_the_list() -> None:
     h = many(count=8)
-    before = h.controller.pool.start
+    before = h.controller.pool.limit.initial_bound
     h.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES, (entry(1, state=api.EndpointState.REMOVED),)
         )
     )
-    assert h.controller.pool.start == pytest.approx(before * 7 / 8)
-    assert h.controller.pool.bound == pytest.approx(h.controller.pool.start)
+    assert h.controller.pool.limit.initial_bound == pytest.approx(before * 7 / 8)
+    assert h.controller.pool.limit.bound == pytest.approx(h.controller.pool.limit.initial_bound)
 
 
 def test_chance_is_no_crowd_but_lasting_threads_are() -> None:
     """Danger: few threads pass one gateway's share by chance; their mean over seconds tells."""
     h = many()
     fill(h, 3)
-    pool = h.controller.pool
-    assert pool.threads_out > pool.thread_share and pool.crowd(h.now, 0) < 1
-    assert pool.crowd(h.now + 20 * S, 0) > 1
+    pool = h.controller.pool.limit
+    assert pool.threads_out > pool.thread_quota and pool.crowding(h.now, 0) < 1
+    assert pool.crowding(h.now + 20 * S, 0) > 1
 
 
 def test_under_pressure_worth_per_work_decides() -> None:
     """Danger: large queries fill the bound and small ones of the same worth are refused."""
     h = many()
     fill(h, 4)
-    pool = h.controller.pool
+    pool = h.controller.pool.limit
     pool.full_until, pool.bound = h.now + S, pool.backlog + 1.0 * MS
     h.arrive("small", estimate_ns=5 * MS)
     h.arrive("large", estimate_ns=2 * S)
@@ -114,9 +114,9 @@
     h = many(kinds=["good", "bad"])  # engines 2, 4 .. are good, 1, 3 .. bad
     for engine in (1, 3):
         for _ in range(3):
-            h.controller._blame(h.controller.engines[engine], True)
+            h.controller.outliers.record(h.controller.engines[engine], True)
     for engine in (2, 4, 2, 4, 2, 4):
-        h.controller._blame(h.controller.engines[engine], False)
+        h.controller.outliers.record(h.controller.engines[engine], False)
     went = []
     for i in range(60):
         h.arrive(f"r{i}", estimate_ns=MS)
@@ -136,4 +136,8 @@
         h.pass_time(50 * MS)
     h.pass_time(10 * S)
     gateway = h.controller
-    assert not gateway.requests and not gateway.taken.items and len(gateway.timers) <= 1
+    assert (
+        not gateway.requests
+        and not gateway.retry_budget.arrivals.items
+        and len(gateway.orders.timers) <= 1
+    )
--- a/tests/test_sockets_engine.py
+++ b/tests/test_sockets_engine.py
@@ -433,7 +433,7 @@
         def fault(now: int) -> None:
             raise ZeroDivisionError
 
-        facade.controller.timers[-1] = (fault, ())
+        facade.controller.orders.timers[-1] = (fault, ())
         client.ask(patience="300")
         await until(lambda: engine.words(b"do"))
         facade.due.append(-1)
@@ -553,7 +553,7 @@
     async with running(config) as rig:
         broker = rig.node.dispatcher
         known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
-        broker.facade.controller._suspect(broker.now(), known, True)
+        broker.facade.controller.outliers.set_ejected(broker.now(), known, True)
         await until(lambda: engine.words(b"top") and not known.suspect)
 
 
