--- a/query_broker/endpoints/administrative_state.py
+++ b/query_broker/endpoints/administrative_state.py
@@ -1,4 +1,8 @@
-"""Which data engines the operators have taken out by hand."""
+"""Which endpoints the operators have disabled by hand.
+
+Performs no I/O: the operators' HTTP interface and the other process of this broker bring the
+directives in.
+"""
 
 from __future__ import annotations
 
@@ -6,34 +10,54 @@
 
 
 class AdministrativeState(NamedTuple):
-    """The operators' last word on one engine, and when it was said."""
+    """The operators' latest directive on one endpoint.
+
+    Attributes:
+        at_ns: When the directive was given, in Unix nanoseconds.
+        disabled: Whether the endpoint takes no requests until it is enabled again.
+    """
 
     at_ns: int
     disabled: bool
 
 
 class AdministrativeStates:
-    """By uid, since an engine may restart while it is out. Words have no count: out twice is back
-    once.
+    """The administrative state of each endpoint, by uid.
+
+    The uid is the key, not the endpoint's number in the table, because an endpoint may restart or
+    leave the list while it is disabled. Directives are not counted: an endpoint that was disabled
+    twice is enabled by one directive.
     """
 
     def __init__(self) -> None:
+        """Start with no directive: every endpoint is enabled."""
         self.states: dict[str, AdministrativeState] = {}
 
     def is_disabled(self, uid: str) -> bool:
-        return (word := self.states.get(uid)) is not None and word.disabled
+        """Return whether the operators have disabled this endpoint."""
+        state = self.states.get(uid)
+        return state is not None and state.disabled
 
-    def record(self, uid: str, word: AdministrativeState) -> bool:
-        """Take in a word; False if a later one is known, or the same."""
-        if (known := self.states.get(uid)) is not None and known.at_ns >= word.at_ns:
+    def record(self, uid: str, state: AdministrativeState) -> bool:
+        """Record a directive unless the same one or a later one is known.
+
+        Returns:
+            Whether the directive was news.
+        """
+        known = self.states.get(uid)
+        if known is not None and known.at_ns >= state.at_ns:
             return False
-        self.states[uid] = word
+        self.states[uid] = state
         return True
 
-    def forget(self, before: int) -> None:
-        """Danger: engines come under new uids for as long as we run: of those that are back, none
-        is kept.
+    def forget(self, before_ns: int) -> None:
+        """Drop the endpoints that were enabled again at ``before_ns`` (Unix time) or earlier.
+
+        Endpoints come under new uids for as long as the process runs, so that states which are
+        never dropped would grow without bound. Disabled endpoints stay.
         """
         self.states = {
-            uid: word for uid, word in self.states.items() if word.disabled or word.at_ns > before
+            uid: state
+            for uid, state in self.states.items()
+            if state.disabled or state.at_ns > before_ns
         }
--- a/query_broker/endpoints/endpoint_table.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -1,96 +1,133 @@
-"""The engine table: which uid the module's numbers stand for, and where each engine listens."""
+"""The endpoint table: the number of each endpoint, and where it listens.
+
+Performs no I/O. The decisions and the connection pools know an endpoint by its number alone.
+"""
 
 from __future__ import annotations
 
 import hashlib
-from dataclasses import dataclass
+from collections.abc import Iterable
+from dataclasses import dataclass, replace
 
 from ..decisions.facade import EndpointEntry, EndpointState
 from ..discovery.event_codec import EndpointListEvent, ListedEndpoint
 
+#: Bytes of the hash that numbers an endpoint: 32 bits, as the decisions' draws expect.
+NUMBER_BYTES = 4
+NUMBER_RANGE = 1 << (8 * NUMBER_BYTES)
+
 
 @dataclass(slots=True)
 class KnownEndpoint:
+    """One endpoint of the table.
+
+    Attributes:
+        number: The number that stands for its uid; it never changes while the endpoint is known.
+        target: What the endpoint list said of it last.
+    """
+
     number: int
     target: ListedEndpoint
 
 
 class EndpointTable:
-    """Danger: a new engine may take the address of one that has gone: engines are known by uid
-    alone. The number is a hash of the uid, so that all brokers rank engines alike with nothing sent
-    between them.
+    """The endpoints of the list, by uid and by number.
+
+    Endpoints are known by uid alone, since a new endpoint may take the address of a removed one.
+    The number is a hash of the uid, so that all brokers rank endpoints alike without exchanging
+    anything.
     """
 
     def __init__(self) -> None:
+        """Start with no endpoint."""
         self.by_uid: dict[str, KnownEndpoint] = {}
         self.by_number: dict[int, KnownEndpoint] = {}
 
     def number(self, uid: str) -> int:
-        if (known := self.by_uid.get(uid)) is not None:
+        """Return the number of a uid, whether or not the endpoint is in the table."""
+        known = self.by_uid.get(uid)
+        if known is not None:
             return known.number
-        number = int.from_bytes(hashlib.blake2b(uid.encode(), digest_size=4).digest(), "big")
-        # two uids with one hash: the later one takes the next free number
+        digest = hashlib.blake2b(uid.encode(), digest_size=NUMBER_BYTES).digest()
+        number = int.from_bytes(digest, "big")
+        # Two uids with one hash: the later one takes the next free number.
         while number in self.by_number:
-            number = (number + 1) % (1 << 32)
+            number = (number + 1) % NUMBER_RANGE
         return number
 
     def learn(self, event: EndpointListEvent) -> tuple[EndpointEntry, ...]:
-        """Take the news in; returns it with the module's numbers. A uid keeps its number."""
+        """Apply an event of the endpoint list.
+
+        Args:
+            event: The complete list, or the endpoints that have changed.
+
+        Returns:
+            The event's endpoints under their numbers, as the decisions take them; before them,
+            those that a change of addresses has shown to be removed. What is missing from a
+            complete list is marked as removed in the table and isn't part of the answer.
+        """
         targets = list(event.targets)
-        if not event.full:
-            # A listener at this address is another engine now, so the one that had it has gone.
-            taken = {
-                (t.host, t.port): t.uid for t in targets if t.state is not EndpointState.REMOVED
-            }
-            told = {t.uid for t in targets}
-            targets[:0] = [
-                _gone(k.target)
-                for k in self.by_uid.values()
-                if k.target.uid not in told
-                and k.target.state is not EndpointState.REMOVED
-                and taken.get((k.target.host, k.target.port), k.target.uid) != k.target.uid
-            ]
+        listed_uids = {target.uid for target in targets}
+        if event.full:
+            self._remove_unlisted(listed_uids)
         else:
-            told = {t.uid for t in targets}
-            for known in self.by_uid.values():
-                if known.target.uid not in told:
-                    known.target = _gone(known.target)
-        entries = []
-        for target in targets:
-            known = KnownEndpoint(self.number(target.uid), target)
-            self.by_uid[target.uid] = self.by_number[known.number] = known
-            entries.append(
-                EndpointEntry(
-                    known.number,
-                    target.state,
-                    target.zone,
-                    target.kind,
-                    target.cell,
-                    target.weight,
-                    target.started_ns,
-                )
-            )
-        return tuple(entries)
+            targets = [*self._displaced(targets, listed_uids), *targets]
+        return tuple(self._entry(target) for target in targets)
 
     def let_go(self) -> None:
-        """Danger: engines come under new uids for as long as we run. What has gone is known by its
-        pool until the last answer; should its uid come again, the hash gives it its number
-        again.
+        """Drop the removed endpoints from the table.
+
+        Endpoints come under new uids for as long as the process runs. The pool of a removed
+        endpoint keeps what it needs until the last answer; should the uid come again, its hash
+        gives it the same number.
         """
         for uid, known in list(self.by_uid.items()):
             if known.target.state is EndpointState.REMOVED:
-                del self.by_uid[uid], self.by_number[known.number]
-
-
-def _gone(target: ListedEndpoint) -> ListedEndpoint:
-    return ListedEndpoint(
-        target.uid,
-        target.host,
-        target.port,
-        target.zone,
-        target.kind,
-        target.cell,
-        EndpointState.REMOVED,
-        target.weight,
-        target.started_ns,
-    )
+                del self.by_uid[uid]
+                del self.by_number[known.number]
+
+    def _remove_unlisted(self, listed_uids: set[str]) -> None:
+        for known in self.by_uid.values():
+            if known.target.uid not in listed_uids:
+                known.target = _removed(known.target)
+
+    def _displaced(
+        self, targets: Iterable[ListedEndpoint], listed_uids: set[str]
+    ) -> list[ListedEndpoint]:
+        """Return, as removed, the endpoints whose address another one has taken.
+
+        Whatever listens at that address now is another endpoint, so that the one which had it must
+        have ended, although the event doesn't say so.
+        """
+        listeners = {
+            (target.host, target.port): target.uid
+            for target in targets
+            if target.state is not EndpointState.REMOVED
+        }
+        displaced = []
+        for known in self.by_uid.values():
+            target = known.target
+            if target.uid in listed_uids or target.state is EndpointState.REMOVED:
+                continue
+            if listeners.get((target.host, target.port), target.uid) != target.uid:
+                displaced.append(_removed(target))
+        return displaced
+
+    def _entry(self, target: ListedEndpoint) -> EndpointEntry:
+        """Enter one endpoint in the table; a uid that is known keeps its number."""
+        known = KnownEndpoint(self.number(target.uid), target)
+        self.by_uid[target.uid] = known
+        self.by_number[known.number] = known
+        return EndpointEntry(
+            known.number,
+            target.state,
+            target.zone,
+            target.kind,
+            target.cell,
+            target.weight,
+            target.started_ns,
+        )
+
+
+def _removed(target: ListedEndpoint) -> ListedEndpoint:
+    return replace(target, state=EndpointState.REMOVED)
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -1,4 +1,8 @@
-"""One clock and one timer wheel with coarse ticks."""
+"""The clock of a process, and a timer wheel with coarse ticks.
+
+The wheel performs no I/O and reads no clock: its caller says what time it is. All times are Unix
+nanoseconds, all durations nanoseconds.
+"""
 
 from __future__ import annotations
 
@@ -10,85 +14,121 @@
     """Unix nanoseconds that never step: the monotonic clock, anchored to Unix time once."""
 
     def __init__(self) -> None:
+        """Anchor the clock to the present Unix time."""
         self.anchor = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
+        """Return the time in Unix nanoseconds."""
         return time.monotonic_ns() + self.anchor
 
 
 class Timer:
-    __slots__ = ("due", "call")
+    """One call that is due at a tick.
+
+    Attributes:
+        due: The tick of the wheel at which it fires.
+        call: What is called then.
+    """
+
+    __slots__ = ("call", "due")
 
     def __init__(self, due: int, call: Callable[[], None]) -> None:
-        self.due, self.call = due, call
+        """Made by `TimerWheel.at` alone."""
+        self.due = due
+        self.call = call
 
     def cancel(self) -> None:
+        """Make the timer do nothing when it is due; harmless if it has fired."""
         self.call = _nothing
 
 
 def _nothing() -> None:
-    pass
+    """Do nothing: what a cancelled timer calls."""
 
 
 class TimerWheel:
-    """Timers in slots by tick. A timer never fires early and at most one tick (and the caller's
-    lag) late.
+    """Timers in slots by tick.
+
+    A timer never fires early, and at most one tick (and the caller's lag) late. The timers of one
+    tick fire in the order in which they were set.
+
+    Attributes:
+        tick_ns: The length of a tick.
+        sooner: Called where a new timer is due before the tick that `rest` has named, so that the
+            owner can wake up for it.
     """
 
+    #: Slots of the wheel. With ticks of 5 ms it turns once in 5 s, longer than most timers run, so
+    #: that few timers are looked at in vain.
     SLOTS = 1_024
 
-    def __init__(self, tick: int, now: int) -> None:
-        self.tick_ns, self.origin, self.current = tick, now, 0
-        self.slots: list[list[Timer]] = [[] for _ in range(self.SLOTS)]
-        self.rests_until = 0  # the tick at which `advance` is called next
-        self.sooner: Callable[[], None] = _nothing  # called where a timer falls due before that
+    def __init__(self, tick_ns: int, now: int) -> None:
+        """Make an empty wheel whose tick 0 is ``now``."""
+        self.tick_ns = tick_ns
+        self.sooner: Callable[[], None] = _nothing
+        self._origin_ns = now
+        self._current_tick = 0
+        self._slots: list[list[Timer]] = [[] for _ in range(self.SLOTS)]
+        self._wake_tick = 0  # the tick at which the owner calls `advance` next
 
     def at(self, when: int, call: Callable[[], None]) -> Timer:
-        due = max(self.current + 1, -((self.origin - when) // self.tick_ns))
+        """Set a timer for the first tick at or after ``when``, the next one at the earliest."""
+        # The double negation rounds up.
+        due = max(self._current_tick + 1, -((self._origin_ns - when) // self.tick_ns))
         timer = Timer(due, call)
-        self.slots[due % self.SLOTS].append(timer)
-        if due < self.rests_until:
-            self.rests_until = due
+        self._slots[due % self.SLOTS].append(timer)
+        if due < self._wake_tick:
+            self._wake_tick = due
             self.sooner()
         return timer
 
     def soon(self) -> None:
-        """Something waits for the next tick that is no timer."""
+        """Make the next tick come: something waits for it that isn't a timer."""
         self.at(0, lambda: None)
 
-    def rest(self, now: int, longest: int) -> int:
-        """How long, in nanoseconds, nothing falls due: `longest` at the most, a tick at the least.
-        Danger: a wheel that turns at every tick wakes an idle broker 200 times a second.
+    def rest(self, now: int, longest_ns: int) -> int:
+        """Return for how long nothing is due: ``longest_ns`` at most, one tick at least.
+
+        A wheel that turned at every tick would wake an idle broker 200 times a second.
         """
-        most = max(self.current + 1, (now + longest - self.origin) // self.tick_ns)
-        self.rests_until = next(
-            (
-                t
-                for t in range(self.current + 1, most)
-                if any(
-                    timer.due <= t and timer.call is not _nothing
-                    for timer in self.slots[t % self.SLOTS]
-                )
-            ),
-            most,
+        last_tick = max(
+            self._current_tick + 1, (now + longest_ns - self._origin_ns) // self.tick_ns
         )
+        self._wake_tick = last_tick
+        for tick in range(self._current_tick + 1, last_tick):
+            if self._is_due(tick):
+                self._wake_tick = tick
+                break
         return self.until(now)
 
     def until(self, now: int) -> int:
-        """Nanoseconds to the tick that is rested for."""
-        return max(0, self.origin + self.rests_until * self.tick_ns - now)
+        """Return the time that is left to the tick which `rest` has named."""
+        return max(0, self._origin_ns + self._wake_tick * self.tick_ns - now)
 
     def advance(self, now: int) -> None:
-        """Fire what is due, tick by tick. Each slot is taken out first: calls may add timers."""
-        target = (now - self.origin) // self.tick_ns
-        while self.current < target:
-            self.current += 1
-            index = self.current % self.SLOTS
-            if not self.slots[index]:
-                continue
-            timers, self.slots[index] = self.slots[index], []
-            later = [t for t in timers if t.due > self.current and t.call is not _nothing]
-            self.slots[index].extend(later)
-            for timer in timers:
-                if timer.due <= self.current:
-                    timer.call()
+        """Fire what is due, tick by tick.
+
+        Each slot is emptied before its timers fire, since their calls may set new ones.
+        """
+        target_tick = (now - self._origin_ns) // self.tick_ns
+        while self._current_tick < target_tick:
+            self._current_tick += 1
+            index = self._current_tick % self.SLOTS
+            if self._slots[index]:
+                self._fire(index)
+
+    def _is_due(self, tick: int) -> bool:
+        return any(
+            timer.due <= tick and timer.call is not _nothing
+            for timer in self._slots[tick % self.SLOTS]
+        )
+
+    def _fire(self, index: int) -> None:
+        current_tick = self._current_tick
+        timers = self._slots[index]
+        self._slots[index] = [
+            timer for timer in timers if timer.due > current_tick and timer.call is not _nothing
+        ]
+        for timer in timers:
+            if timer.due <= current_tick:
+                timer.call()
