--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -33,14 +33,14 @@
 
     Attributes:
         calls: The calls of other subsystems, asked in this order.
-        callers: The open connections, in the order in which they came.
+        connections: The open connections, in the order in which they came.
     """
 
     def __init__(self, node: Host) -> None:
         """Prepare the calls; ``listen`` opens the address."""
         self.node = node
         self.wheel = node.dispatcher.wheel
-        self.callers: dict[OperatorConnection, None] = {}
+        self.connections: dict[OperatorConnection, None] = {}
         self.server: asyncio.Server | None = None
         self.calls: list[AdminCall] = []
 
@@ -53,7 +53,7 @@
         """Stop listening and end all connections; an answer that is on its way still leaves."""
         if self.server is not None:
             self.server.close()
-        for connection in list(self.callers):
+        for connection in list(self.connections):
             if connection.answered:
                 connection.close()
             else:
@@ -92,27 +92,27 @@
                 return AdminResponse(*answer)
         return None
 
-    def came(self, caller: OperatorConnection) -> None:
+    def came(self, connection: OperatorConnection) -> None:
         """Admit a connection; past the limit it takes the place of another.
 
         A flood of connections would take the descriptors that are reserved for calls. The place is
         that of one that has its answer, else of the one that has been silent longest.
         """
-        if len(self.callers) >= MOST_CALLERS:
+        if len(self.connections) >= MOST_CALLERS:
             victim = self._eviction_candidate()
-            del self.callers[victim]
+            del self.connections[victim]
             victim.drop()
-        self.callers[caller] = None
+        self.connections[connection] = None
 
     def _eviction_candidate(self) -> OperatorConnection:
-        for connection in self.callers:
+        for connection in self.connections:
             if connection.answered:
                 return connection
-        return next(iter(self.callers))
+        return next(iter(self.connections))
 
-    def went(self, caller: OperatorConnection) -> None:
+    def went(self, connection: OperatorConnection) -> None:
         """Forget a connection that has ended."""
-        self.callers.pop(caller, None)
+        self.connections.pop(connection, None)
 
     def log(self, kind: str, text: str) -> None:
         """Write a line to the node's log."""
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -2,9 +2,10 @@
 
 1. ``begin``: the grace period, in which nothing changes for clients. It is left out where another
    process accepts connections.
-2. ``_leave``: the listener is closed and clients are told to send no new requests.
-3. ``_look``: requests in flight are awaited, up to ``last``; then all that is open is closed out.
-4. ``_shut``: this side of each connection ends.
+2. ``_announce_leaving``: the listener is closed and clients are told to send no new requests.
+3. ``_await_requests``: requests in flight are awaited; at ``close_out_after_s`` all open ones get a
+   final answer.
+4. ``_end_connections``: this side of each connection ends.
 5. ``_await_disconnects``: the clients end theirs, and the node stops.
 """
 
@@ -16,18 +17,17 @@
 from ..protocols.socket_state import has_input
 from .host import Host
 
-# Seconds after SIGTERM in which nothing changes: clients are sent here for 0.4 s more, and their
-# last readiness request may come 0.2 s later.
-GO_ON = 0.65
+# Seconds after SIGTERM in which nothing changes: new connections come for 0.4 s more, and their
+# first requests up to 0.2 s later.
+GRACE_PERIOD_S = 0.65
 # Seconds after SIGTERM, where another process accepts connections, in which requests on open
 # connections are awaited.
-HANDED_OVER = 0.7
+HANDOVER_LINGER_S = 0.7
 # Seconds after clients were told to leave in which a request that crossed the message may come.
-LINGER = 0.1
+LINGER_S = 0.1
 # More time, for the connections that the system has accepted and the loop has not come to.
 ACCEPT_QUEUE_TIMEOUT_NS = 50_000_000
-# The longest deadline of a request class counts up to this; the platform waits no longer before it
-# sends SIGKILL.
+# The longest deadline of a request class counts up to this: the platform's SIGKILL waits no longer.
 MAX_DEADLINE_S = 3.0
 # The same where the platform holds the clients' socket: it waits longer for a handover.
 MAX_DEADLINE_INHERITED_S = 5.0
@@ -38,7 +38,8 @@
 CLOSE_OUT_MARGIN_S = 0.4
 # Time in which the answers of the close-out may leave.
 FLUSH_TIMEOUT_S = 0.25
-# Time in which the clients end their side once this one has ended; it lies on one network.
+# Time in which the clients end their side once this one has ended: after that nothing is owed to
+# them, and the node does not wait for a client that stays.
 DISCONNECT_TIMEOUT_NS = 100_000_000
 # Time between two checks of whether all is done; short beside every timeout above.
 CHECK_PERIOD_S = 0.01
@@ -49,14 +50,14 @@
     """Takes a node from SIGTERM to its stop.
 
     Attributes:
-        begun_at: When SIGTERM came, in Unix nanoseconds; 0 before that.
-        closed_out: The requests that were open at ``last`` have got their final answers.
+        begun_at_ns: When SIGTERM came, in Unix nanoseconds; 0 before that.
+        closed_out: The requests that were open at ``close_out_after_s`` got a final answer.
     """
 
     def __init__(self, node: Host) -> None:
         """Prepare the shutdown; ``begin`` starts it."""
         self.node = node
-        self.begun_at = 0
+        self.begun_at_ns = 0
         self.closed_out = False
         self._leaving_since_ns = 0
         self._ended_at_ns = 0  # from then on nothing that is read is dispatched
@@ -64,10 +65,10 @@
     @property
     def begun(self) -> bool:
         """SIGTERM has come."""
-        return self.begun_at != 0
+        return self.begun_at_ns != 0
 
     @property
-    def last(self) -> float:
+    def close_out_after_s(self) -> float:
         """Seconds after SIGTERM at which everything open is closed out."""
         config = self.node.config
         inherited = config.accept_fd is not None
@@ -79,18 +80,18 @@
         """Start the shutdown at SIGTERM; further signals change nothing."""
         if self.begun:
             return
-        self.begun_at = self.node.clock.now()
+        self.begun_at_ns = self.node.clock.now()
         peer_processes = self.node.peer_processes
         if peer_processes is not None:
             peer_processes.poll()
         if peer_processes is not None and peer_processes.successor():
             self.node.log("stop", "SIGTERM: another process takes what comes, draining")
-            self._leave(HANDED_OVER)
+            self._announce_leaving(HANDOVER_LINGER_S)
         else:
             self.node.log("stop", "SIGTERM: going on, then draining")
-            _call_later(GO_ON, self._leave)
+            _call_later(GRACE_PERIOD_S, self._announce_leaving)
 
-    def _leave(self, linger_s: float = LINGER) -> None:
+    def _announce_leaving(self, linger_s: float = LINGER_S) -> None:
         """Close the listener once its queue is empty, then tell the clients to leave.
 
         To close it at once would break connections that clients are still sent here for, and reset
@@ -101,7 +102,7 @@
             self._leaving_since_ns = node.clock.now()
         if node.server is not None:
             if self._accept_queue_filled(node.server):
-                asyncio.get_running_loop().call_soon(self._leave, linger_s)
+                asyncio.get_running_loop().call_soon(self._announce_leaving, linger_s)
                 return
             node.server.close()
         node.closing_announced = True
@@ -110,7 +111,7 @@
             node.peer_processes.tell()
         for client in list(node.clients):
             client.leave_off()
-        _call_later(linger_s, self._look)
+        _call_later(linger_s, self._await_requests)
 
     def _accept_queue_filled(self, server: asyncio.Server) -> bool:
         """Whether connections wait to be accepted that no other process would take."""
@@ -120,18 +121,18 @@
             return False
         return any(has_input(listener.fileno()) for listener in server.sockets)
 
-    def _look(self) -> None:
+    def _await_requests(self) -> None:
         """Wait until nothing is in flight; close out what is open when the time is up."""
-        passed_s = (self.node.clock.now() - self.begun_at) / NS_PER_S
-        if self._is_idle() or passed_s > self.last + FLUSH_TIMEOUT_S:
-            self._shut()
+        passed_s = (self.node.clock.now() - self.begun_at_ns) / NS_PER_S
+        if self._is_idle() or passed_s > self.close_out_after_s + FLUSH_TIMEOUT_S:
+            self._end_connections()
             return
-        if passed_s >= self.last and not self.closed_out:
+        if passed_s >= self.close_out_after_s and not self.closed_out:
             # SIGKILL would take what is open with it: a final answer now is better than none.
             self.closed_out = True
             self.node.log("stop", f"closing out {len(self.node.dispatcher.requests)} requests")
             self.node.dispatcher.close_out_all()
-        _call_later(CHECK_PERIOD_S, self._look)
+        _call_later(CHECK_PERIOD_S, self._await_requests)
 
     def _is_idle(self) -> bool:
         """Whether every answer has left and no request has come in part.
@@ -140,7 +141,7 @@
         """
         return all(client.idle() for client in self.node.clients) and not self.node.partial
 
-    def _shut(self) -> None:
+    def _end_connections(self) -> None:
         """End this side of each connection, and read the other side to its end.
 
         A request that is read now and dispatched would be lost with the process. To close over
--- a/query_broker/server/listener.py
+++ b/query_broker/server/listener.py
@@ -7,8 +7,8 @@
 
 from ..config.reading import Config, ConfigError
 
-# Connections that the system queues while the loop is busy. A fleet of clients reconnects within
-# the moments after a handover; the system cuts the number to its own limit (somaxconn).
+# Connections that the system queues until the loop accepts them: enough for all clients of a broker
+# that come at once. The system cuts it to its own limit (somaxconn).
 ACCEPT_BACKLOG = 1_024
 # Keys of the settings, as a faulty one is named at the start.
 CLIENT_KEY = "listen"
--- a/query_broker/server/status_files.py
+++ b/query_broker/server/status_files.py
@@ -16,8 +16,8 @@
 
 LOCK_SUFFIX = ".lock"
 STATUS_SUFFIX = ".json"
-# Characters of a status file that are read. A status takes some 100 bytes for each endpoint; a
-# larger file is none of ours and must not fill the memory.
+# Characters of a status file that are read: more than a status with a map of cells takes. A larger
+# file is none of ours and must not fill the memory.
 MAX_STATUS_LENGTH = 1 << 20
 OWNER_ONLY = 0o600  # the files name endpoints and tenants
 CREATE_FLAGS = os.O_CREAT | os.O_RDWR | os.O_CLOEXEC
--- a/query_broker/server/tick_loop.py
+++ b/query_broker/server/tick_loop.py
@@ -13,8 +13,8 @@
 # Time between two sweeps of idle connections and slow readers. What the sweep ends has been idle
 # for seconds; a quarter of one adds little to that.
 SWEEP_PERIOD_NS = 250_000_000
-# A tick that is later than this is logged: requests have deadlines from some 300 ms up, and a third
-# of that lost in the loop is an on-call matter.
+# A tick that is later than this is logged. Ticks are a few milliseconds apart: one so late means
+# that the process had too little processor time.
 MAX_LAG_NS = 100_000_000
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -88,10 +88,10 @@
             raw.sendall(asked(1))
             await until(lambda: engine.words(b"do"))
             drain = GracefulShutdown(rig.node)
-            drain.begun_at = rig.node.clock.now()
+            drain.begun_at_ns = rig.node.clock.now()
             # in the system's buffer between the last look and the end
             raw.sendall(asked(2) + asked(3)[:20])
-            drain._shut()
+            drain._end_connections()
             raw.setblocking(False)
             read = b""
             while part := await within(loop.sock_recv(raw, 65_536)):  # raises where it is reset
@@ -138,9 +138,9 @@
         client.ask(patience="700")
         await until(lambda: engine.words(b"do"))
         drain = GracefulShutdown(rig.node)
-        drain.begun_at = rig.node.clock.now() - int(drain.last * 1e9)
-        assert drain.last < 0.7 + 0.7
-        drain._look()
+        drain.begun_at_ns = rig.node.clock.now() - int(drain.close_out_after_s * 1e9)
+        assert drain.close_out_after_s < 0.7 + 0.7
+        drain._await_requests()
         assert (await client.answer())[:2] == (1, frames.REFUSED)
         assert await within(client.reader.read()) == b""
         client.writer.close()
@@ -417,11 +417,11 @@
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         drain = GracefulShutdown(rig.node)
-        drain.begun_at = rig.node.clock.now()
+        drain.begun_at_ns = rig.node.clock.now()
         waiting = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(20)]
         for number, raw in enumerate(waiting):
             raw.sendall(asked(1, trace=f"{number:016x}"))
-        drain._leave()  # the loop has had no turn since
+        drain._announce_leaving()  # the loop has had no turn since
         for raw in waiting:
             raw.setblocking(False)
             read = b""
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -85,7 +85,7 @@
 async def test_between_sigterm_and_leaving_off_nothing_changes_for_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for name in ("GO_ON", "LINGER"):  # the steps are taken by hand
+    for name in ("GRACE_PERIOD_S", "LINGER_S"):  # the steps are taken by hand
         monkeypatch.setattr(f"query_broker.server.graceful_shutdown.{name}", 3_600.0)
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
@@ -96,7 +96,7 @@
         assert await client.frame() == (frames.READY, 0, b"\0\0")
         client.ask(stream=1)
         assert (await client.answer())[1] == frames.SERVED
-        drain._leave()
+        drain._announce_leaving()
         assert await client.frame() == (frames.NO_MORE, 0, b"")
         client.send(frames.ASK_READY, 0, b"\0")
         client.ask(stream=2, trace="2" * 16)  # it crossed the word to leave off
@@ -129,8 +129,8 @@
         client.ask(stream=2, trace="2" * 16)
         await until(lambda: len(engine.words(b"do")) == 2)
         drain = GracefulShutdown(rig.node)
-        drain.begun_at = rig.node.clock.now() - int(drain.last * 1e9)
-        drain._look()
+        drain.begun_at_ns = rig.node.clock.now() - int(drain.close_out_after_s * 1e9)
+        drain._await_requests()
         answers = dict([(await client.answer())[:2], (await client.answer())[:2]])
         assert answers == {1: frames.FAILED, 2: frames.REFUSED}
         await within(rig.node.stopped.wait())
@@ -140,7 +140,7 @@
 async def test_a_request_that_comes_in_pieces_is_waited_for_at_the_end_of_the_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("query_broker.server.graceful_shutdown.LINGER", 0.0)
+    monkeypatch.setattr("query_broker.server.graceful_shutdown.LINGER_S", 0.0)
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -155,9 +155,9 @@
         client.writer.write(frame[:9])
         await until(lambda: rig.node.partial)
         drain = GracefulShutdown(rig.node)
-        drain.begun_at = rig.node.clock.now()
-        drain._leave()
-        drain._look()
+        drain.begun_at_ns = rig.node.clock.now()
+        drain._announce_leaving()
+        drain._await_requests()
         assert not rig.node.stopped.is_set()
         client.writer.write(frame[9:])
         assert await client.frame() == (frames.NO_MORE, 0, b"")
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -97,7 +97,7 @@
         idle = [await asyncio.open_connection("127.0.0.1", rig.operator_port) for _ in range(40)]
         idle[-1][1].write(b"GET /rea")
         assert (await call(rig, CALLS[0][0]))[0] == 200
-        await until(lambda: not rig.node.admin_api.callers)
+        await until(lambda: not rig.node.admin_api.connections)
         assert (await within(idle[-1][0].read())).startswith(b"HTTP/1.1 408 ")
         for reader, writer in idle[:-1]:
             with suppress(ConnectionError):
--- a/tests/test_sockets_bus.py
+++ b/tests/test_sockets_bus.py
@@ -113,7 +113,7 @@
         new.tell(event(3, target("s-3", 9)))
         await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
         assert "s-9" not in rig.node.dispatcher.endpoint_table.by_uid
-        rig.node.shutdown.begun_at = 1
+        rig.node.shutdown.begun_at_ns = 1
         ask(rig, json.dumps({**raw, "bus": f"127.0.0.1:{await late.start()}"}))
         await until(lambda: any("not during the drain" in line for line in rig.logged))
         assert not late.asked
