--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -84,7 +84,7 @@
         peer_processes = self.node.peer_processes
         if peer_processes is not None:
             peer_processes.poll()
-        if peer_processes is not None and peer_processes.successor():
+        if peer_processes is not None and peer_processes.has_successor():
             self.node.log("stop", "SIGTERM: another process takes what comes, draining")
             self._announce_leaving(HANDOVER_LINGER_S)
         else:
--- a/query_broker/server/host.py
+++ b/query_broker/server/host.py
@@ -28,7 +28,7 @@
     def poll(self) -> None:
         """Read the status of each other process and apply what has changed."""
 
-    def successor(self) -> bool:
+    def has_successor(self) -> bool:
         """Return whether another process accepts the connections that come from now on."""
 
     def tell(self) -> None:
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -189,7 +189,7 @@
         handle_signals(loop, stop=self.shutdown.begin, reload=self.reload)
         if self.peer_processes is not None:
             self.peer_processes.start()
-            self.peer_processes.look()
+            self.peer_processes.poll_periodically()
         await self.open_sockets()
         if self.config.bus is not None:
             self.follow_endpoint_list(self.config.bus)
--- a/query_broker/server/peer_process.py
+++ b/query_broker/server/peer_process.py
@@ -69,13 +69,13 @@
         except OSError as error:
             self.node.log("upgrade", f"nothing published to the other process: {error}")
 
-    def successor(self) -> bool:
+    def has_successor(self) -> bool:
         """Return whether another process accepts the connections that come from now on."""
         return any(status.accepting for status in self.statuses.values())
 
-    def look(self) -> None:
+    def poll_periodically(self) -> None:
         """Poll now and again after each period; publish while another process is alive."""
-        self.node.dispatcher.wheel.at(self.node.clock.now() + POLL_PERIOD_NS, self.look)
+        self.node.dispatcher.wheel.at(self.node.clock.now() + POLL_PERIOD_NS, self.poll_periodically)
         self.poll()
         if self.statuses:
             self.tell()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -136,10 +136,10 @@
         async with beside(make_config(target("s-1", 9)), held, tmp_path) as old:
             async with beside(make_config(listed=False), held, tmp_path) as new:
                 await meet(old, new)
-                assert not siblings(old).successor()
+                assert not siblings(old).has_successor()
                 new.node.endpoint_list_changed(parse_event(event(2, target("s-1", 9))))
                 siblings(old).poll()
-                assert siblings(old).successor()
+                assert siblings(old).has_successor()
 
 
 @on_uvloop
@@ -213,7 +213,7 @@
                 assert not (
                     tmp_path / f"{name}.json"
                 ).exists() and not rig.node.dispatcher.administrative_states.is_disabled("s-1")
-                assert not siblings(rig).successor()  # half a file: nothing is known of it
+                assert not siblings(rig).has_successor()  # half a file: nothing is known of it
 
 
 @on_uvloop
