--- a/benchmarks/deadlines.py
+++ b/benchmarks/deadlines.py
@@ -256,7 +256,7 @@
         node.log = node.dispatcher.log = node.dispatcher.pools.log = lambda kind, text: None  # type: ignore[assignment]
         known: dict[bytes, int] = {}
         late: list[bytes] = []
-        leave, begun = node.dispatcher.abandon, EngineConnection._begun
+        leave, begun = node.dispatcher.cancellations.abandon, EngineConnection._begun
 
         def leaves(request: Any, leave: Any = leave, known: Any = known) -> None:
             known[request.trace] = time.monotonic_ns()
@@ -273,7 +273,7 @@
                 late.append(about.request.trace)
             begun(self, about)
 
-        node.dispatcher.abandon = leaves  # type: ignore[method-assign]
+        node.dispatcher.cancellations.abandon = leaves  # type: ignore[method-assign]
         EngineConnection._begun = begins  # type: ignore[method-assign]
         running = asyncio.create_task(node.run())
         while node.server is None:
@@ -285,11 +285,11 @@
         for name in ("asked", "unanswered", "twice", "unsafe_twice", "departures"):
             setattr(total, name, getattr(total, name) + getattr(day, name))
         total.known_after += len(late)
-        taken = sum(node.dispatcher.tally.stopped.values())
+        taken = sum(node.dispatcher.deadline_controls.statistics.stopped.values())
         figures.tell(f"inside.seed_{seed}.taken_back_unsent", taken)
         figures.tell(
             f"inside.seed_{seed}.half_written_at_departure",
-            sum(node.dispatcher.tally.begun_after.values()),
+            sum(node.dispatcher.deadline_controls.statistics.begun_after.values()),
         )
         for _ in range(400):  # engines that never answer hold a request to its end
             if not node.dispatcher.requests:
@@ -327,7 +327,11 @@
         handed: dict[Any, int] = {}
         starts: dict[tuple[Any, bytes], int] = {}
         unsent: set[bytes] = set()
-        leave, write, do = node.dispatcher.abandon, EngineConnection._write, EngineConnection.do
+        leave, write, do = (
+            node.dispatcher.cancellations.abandon,
+            EngineConnection._write,
+            EngineConnection.do,
+        )
 
         def writes(
             self: Any, now: int, *parts: bytes, write: Any = write, handed: Any = handed
@@ -362,7 +366,7 @@
                     unsent.add(request.trace)
             leave(request)
 
-        node.dispatcher.abandon = leaves  # type: ignore[method-assign]
+        node.dispatcher.cancellations.abandon = leaves  # type: ignore[method-assign]
         EngineConnection._write = writes  # type: ignore[method-assign]
         EngineConnection.do = does  # type: ignore[method-assign]
         running = asyncio.create_task(node.run())
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -10,8 +10,9 @@
 from ..config.reading import Config
 from ..decisions.facade import CloseRequests, Facade
 from ..decisions.settings import Effect
-from ..dispatch.dispatcher import Dispatcher, ParsedRequest
+from ..dispatch.dispatcher import Dispatcher
 from ..dispatch.requests import ActiveRequest, Client
+from ..dispatch.validation import ParsedRequest
 from ..endpoints.connection_pools import OWN_PART, ConnectionPool, ConnectionPools
 from ..metrics import STATUSES, escaped
 from ..protocols.engine_connection import EngineConnection
@@ -52,29 +53,29 @@
     def hall(self) -> CellRouter:
         return cast(CellRouter, self.facade)
 
-    def _decisions(self, now: int) -> Facade:
+    def make_facade(self, now_ns: int) -> Facade:
         # Only what the broker asks of a facade is asked of it.
         return cast(
             Facade,
             CellRouter(
                 self.config.settings,
                 self.config.seed,
-                now,
+                now_ns,
                 self.wheel,
                 self.map,
                 lambda number: self.endpoint_table.by_number[number].target.uid,
             ),
         )
 
-    def _connections(self) -> ConnectionPools:
+    def make_connection_pools(self) -> ConnectionPools:
         config = self.config
         return CelledPools(
             self,
             streams=config.streams,
             connect_timeout=config.connect_timeout,
             conn_idle=config.conn_idle,
-            unsent=self._unsent,
-            may_go=self._may_go,
+            unsent=self.outcomes.end,
+            may_go=self.gate.may_go,
         )
 
     def shares(self) -> dict[str, float]:
@@ -112,34 +113,35 @@
         now = self.now()
         self.map = map
         self.moves.take(map, now)
-        self._carry_out(now, self.hall.take(map, now))
+        self.carry_out(now, self.hall.take(map, now))
         self._divide_among_cells()
 
     def adopt_seats(self, seats: dict[str, str | None]) -> None:
         now = self.now()
-        self._carry_out(now, self.hall.adopt(seats, now))
+        self.carry_out(now, self.hall.adopt(seats, now))
 
     def close_out(self, subject: str, cell: str) -> None:
         """What is open of the subject there gets the final answer that the rules allow."""
-        self._report(CloseRequests(self.hall.requests_of(subject, cell)))
+        self.report_event(CloseRequests(self.hall.requests_of(subject, cell)))
 
     # --- requests ---
 
-    def _take(
-        self, client: Client, stream: int, ask: ParsedRequest, came: int = 0
+    def admit(
+        self, client: Client, stream: int, parsed: ParsedRequest, received_ns: int = 0
     ) -> ActiveRequest:
         now = self.now()
-        subject = self.map.subject(ask.tenant or "", ask.class_name, ask.data_set)
+        subject = self.map.subject(parsed.tenant or "", parsed.class_name, parsed.data_set)
         cell = self.moves.cell(subject, now)
-        for other in self.ids.get(ask.client_request_id.encode(), ()) if self.ids else ():
+        same_id = self.request_table.by_client_id.get(parsed.client_request_id.encode(), ())
+        for other in same_id:
             # Danger: an engine of another cell knows nothing of the one that is open under this id.
             if (place := self.hall.where.get(other.id)) is not None:
                 cell, subject = place[0].cell, place[1]
         self.hall.next = subject, cell
-        self.rates.add(subject, int(ask.estimate_ms * MS))
-        return super()._take(client, stream, ask, came)
+        self.rates.add(subject, int(parsed.estimate_ms * MS))
+        return super().admit(client, stream, parsed, received_ns)
 
-    def _has_room(self, request: ActiveRequest) -> bool:
+    def has_statement_capacity(self, request: ActiveRequest) -> bool:
         """Danger: one tenant's flood takes the memory and the descriptors of all: each cell has its
         part. What may have run cannot be called in again, so it is never taken on loan.
         """
@@ -168,17 +170,17 @@
             self.requests_lent.give(cell, 1, firm)
             self.statements.give(cell, size, firm)
 
-    def _answering(self, request: ActiveRequest, status: int) -> Client:
+    def begin_answer(self, request: ActiveRequest, status: int) -> Client:
         if (place := self.hall.where.get(request.id)) is not None:
             cell = place[0].cell
         else:
             cell = self.hall.next[1] if self.hall.next is not None else ""
         key = cell, request.class_name.decode(), status
         self.replies[key] = self.replies.get(key, 0) + 1
-        return super()._answering(request, status)
+        return super().begin_answer(request, status)
 
-    def _close_out(self, request: ActiveRequest) -> None:
-        super()._close_out(request)
+    def release(self, request: ActiveRequest) -> None:
+        super().release(request)
         if request.id not in self.requests:
             self._release(request.id)
 
@@ -192,7 +194,7 @@
             self.rates.fold(now)
             self._call_in(now)
             cast(CelledPools, self.pools).call_in(now)
-            self._carry_out(now, self.hall.fade(now))
+            self.carry_out(now, self.hall.fade(now))
 
     def _call_in(self, now: int) -> None:
         """An owner has asked: borrowers' safe requests, the youngest first, get their final answer,
@@ -214,10 +216,10 @@
                     continue
                 self.called_in += len(named)
                 self.log("cells", f"{len(named)} requests on loan to {cell!r} are called in")
-                self._report(CloseRequests(frozenset(named)))
+                self.report_event(CloseRequests(frozenset(named)))
                 for id in named:
                     if (request := self.requests.get(id)) is not None and request.client is None:
-                        self.held -= len(request.statement)
+                        self.request_table.statement_bytes -= len(request.statement)
                         request.statement = b""
                         self._release(id)
 
@@ -323,7 +325,7 @@
         may_go: Callable[..., bool],
     ) -> None:
         super().__init__(
-            owner,
+            owner.connection_events,
             owner.log,
             streams=streams,
             connect_timeout=connect_timeout,
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -71,7 +71,7 @@
         strangers = [
             t
             for t in self.map.tenants
-            if self.dispatcher.customers and t not in self.dispatcher.customers
+            if self.dispatcher.validator.tenants and t not in self.dispatcher.validator.tenants
         ]
         if strangers:
             self.log(
@@ -168,7 +168,10 @@
         readers: dict[str, list[CelledConnection]] = {}
         for client in self.clients:
             assert isinstance(client, CelledConnection)
-            if client.paused_at and now - client.paused_at > self.dispatcher.terms.slow_reader:
+            if (
+                client.paused_at
+                and now - client.paused_at > self.dispatcher.deadline_controls.settings.slow_reader
+            ):
                 self._give_up_answers(client)
             elif unread := client.unread():
                 used[client.cell] = used.get(client.cell, 0) + unread
--- /dev/null
+++ b/query_broker/dispatch/assembly.py
@@ -0,0 +1,61 @@
+"""Assembly of the parts of one dispatcher."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from ..endpoints.administrative_state import AdministrativeStates
+from ..endpoints.endpoint_table import EndpointTable
+from ..metrics import Metrics
+from ..timer_wheel import Clock, TimerWheel
+from .attempt_dispatch import AttemptDispatcher
+from .attempt_outcomes import AttemptOutcomes
+from .cancellation import HandOverGate, RequestCancellation
+from .client_answers import ClientAnswers
+from .connection_events import ConnectionEvents
+from .context import DispatchContext
+from .deadline_controls import DeadlineControls
+from .health_checks import HealthChecks
+from .observers import DispatchExtensions
+from .request_table import RequestTable
+from .stage_timing import StageTimer
+
+
+class DispatchParts:
+    """Makes the parts of a dispatcher, each with the collaborators that it needs."""
+
+    def __init__(
+        self,
+        context: DispatchContext,
+        clock: Clock,
+        timers: TimerWheel,
+        table: RequestTable,
+        endpoints: EndpointTable,
+        administrative_states: AdministrativeStates,
+        extensions: DispatchExtensions,
+        controls: DeadlineControls,
+        metrics: Metrics,
+        numbers: Iterator[int],
+    ) -> None:
+        """Make the parts; ``numbers`` is the count that requests' ids come from too."""
+        self.stage_timer = StageTimer(clock, timers, controls)
+        self.outcomes = AttemptOutcomes(context, clock, timers, extensions, controls)
+        self.attempts = AttemptDispatcher(context, timers, table, controls, self.outcomes)
+        self.gate = HandOverGate(clock, endpoints, administrative_states, controls, self.outcomes)
+        self.cancellations = RequestCancellation(
+            context, table, extensions, controls, self.outcomes
+        )
+        self.client_answers = ClientAnswers(context, table, extensions, self.cancellations)
+        self.health_checks = HealthChecks(context, clock, timers, extensions, numbers)
+        self.connection_events = ConnectionEvents(
+            context,
+            clock,
+            timers,
+            metrics,
+            controls,
+            self.outcomes,
+            self.gate,
+            self.cancellations,
+            self.health_checks,
+            self.stage_timer,
+        )
--- /dev/null
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -0,0 +1,135 @@
+"""Dispatch of attempts to their endpoints, and their time-outs."""
+
+from __future__ import annotations
+
+import math
+from functools import partial
+
+from ..deadlines.handover_checks import HandOver, StopReason
+from ..deadlines.retry_budget import RetryBudget, attempt_time
+from ..decisions.facade import AttemptResult, Dispatch, DispatchOptions, Effect
+from ..timer_wheel import TimerWheel
+from .attempt_outcomes import AttemptOutcomes
+from .context import DispatchContext
+from .deadline_controls import DeadlineControls
+from .request_table import RequestTable
+from .requests import Attempt
+
+# Ticks before an attempt's deadline at which what has not left is taken back. The decisions answer
+# one tick before the deadline, and the report needs one itself.
+TAKE_BACK_TICKS = 3
+
+
+class AttemptDispatcher:
+    """Carries out the orders to dispatch attempts, and ends those that run out of time."""
+
+    def __init__(
+        self,
+        context: DispatchContext,
+        timers: TimerWheel,
+        table: RequestTable,
+        controls: DeadlineControls,
+        outcomes: AttemptOutcomes,
+    ) -> None:
+        """Take what attempts are made from and reported to."""
+        self._context = context
+        self._timers = timers
+        self._table = table
+        self._controls = controls
+        self._outcomes = outcomes
+
+    def apply_options(self, options: DispatchOptions) -> None:
+        """Set the priority and memory of a request; attempts in flight get the new priority."""
+        request = self._table.by_id.get(options.request_id)
+        if request is None:
+            return
+        changed = request.priority is not None and request.priority != options.priority
+        request.priority = options.priority
+        request.memory_mb = math.ceil(options.memory_mb)
+        if not changed:
+            return
+        for attempt in request.attempts.values():
+            if attempt.connection is not None:
+                attempt.connection.raise_priority(attempt, options.priority)
+
+    def dispatch(self, now_ns: int, order: Dispatch) -> None:
+        """Hand a new attempt to the connection pool of its endpoint.
+
+        Where that is not possible, its end is reported with the next tick: an order's failure must
+        not come before the order has been carried out.
+        """
+        request = self._table.by_id.get(order.request_id)
+        if request is None:
+            return
+        attempt = Attempt(
+            request,
+            order.attempt,
+            order.endpoint,
+            now_ns,
+            now_ns + order.timeout_ns,
+            order.latest_start_ns,
+        )
+        request.attempts[attempt.number] = attempt
+        if self._table.closing or request.closing or request.client_unreadable:
+            self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
+            return
+        budget = self._controls.retry_budget
+        if budget is not None and not self._is_within_budget(budget, attempt):
+            self._controls.statistics.stopped[HandOver.POOL, StopReason.BUDGET] += 1
+            self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
+            return
+        attempt.timer = self._timers.at(
+            attempt.deadline_ns - TAKE_BACK_TICKS * self._timers.tick_ns,
+            partial(self._take_back_before_deadline, attempt),
+        )
+        pool = self._context.pools.get(order.endpoint)
+        if pool is not None:
+            pool.send(attempt, now_ns)
+        else:
+            self._outcomes.end_next_tick(attempt, AttemptResult.CONNECT_FAILED)
+
+    def _is_within_budget(self, budget: RetryBudget, attempt: Attempt) -> bool:
+        """Pay for a retry; cut a first attempt short where it can be made again."""
+        request = attempt.request
+        class_name = request.class_name.decode()
+        remaining_ns = attempt.deadline_ns - attempt.dispatched_ns
+        idempotent = self._is_idempotent(class_name)
+        allowed_ns = attempt_time(remaining_ns, attempt.number, idempotent, budget.terms)
+        attempt.deadline_ns = attempt.dispatched_ns + allowed_ns
+        if attempt.number:
+            attempt.budgeted = budget.further(class_name, request.tenant)
+            return attempt.budgeted
+        budget.first(class_name, request.tenant)
+        return True
+
+    def _is_idempotent(self, class_name: str) -> bool:
+        for spec in self._context.config.settings.classes:
+            if spec.name == class_name:
+                return spec.effect is Effect.IDEMPOTENT
+        return False
+
+    def _take_back_before_deadline(self, attempt: Attempt) -> None:
+        """End an attempt that has not left; else wait for its deadline.
+
+        The decisions answer a tick before the deadline. What has not left by then would be answered
+        as if it had: it is taken back while there is time to say so.
+        """
+        if attempt.write_started:
+            attempt.timer = self._timers.at(attempt.deadline_ns, partial(self._time_out, attempt))
+            return
+        if attempt.connection is not None:
+            attempt.connection.withdraw(attempt)
+        self._outcomes.end(attempt, AttemptResult.CONNECT_FAILED)
+
+    def _time_out(self, attempt: Attempt) -> None:
+        """End an attempt whose deadline has passed, cancelling it where engines honour that."""
+        if attempt.concluded:
+            return  # its report follows
+        connection = attempt.connection
+        honoured = self._context.config.settings.limits.cancellation
+        if connection is not None and not attempt.reported and honoured:
+            self._outcomes.cancel_in_flight(attempt, connection)
+            attempt.concluded = True
+            self._outcomes.end_next_tick(attempt, AttemptResult.TIMEOUT)
+        else:
+            self._outcomes.end(attempt, AttemptResult.TIMEOUT)
--- /dev/null
+++ b/query_broker/dispatch/attempt_outcomes.py
@@ -0,0 +1,127 @@
+"""How attempts end: each is reported to the decisions once, at once or with a later tick."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from ..decisions.facade import AttemptEnded, AttemptResult, LoadReport
+from ..timer_wheel import Clock, TimerWheel
+from .context import DispatchContext
+from .deadline_controls import NS_PER_MS, DeadlineControls
+from .observers import DispatchExtensions
+from .requests import Attempt, AttemptConnection
+
+# How long a cancellation takes to an endpoint. What follows it goes another way, so that it leaves
+# only after this time.
+CANCEL_TRANSIT_NS = 10 * NS_PER_MS
+
+
+class DeferredOutcome(NamedTuple):
+    """An attempt that is over, with its report still to be made."""
+
+    attempt: Attempt
+    result: AttemptResult
+
+
+class AttemptOutcomes:
+    """Reports the end of attempts.
+
+    An outcome that an order itself causes is deferred to the next tick: it must not be reported
+    before the order has been carried out.
+
+    Attributes:
+        deferred: Outcomes to be reported with a later tick, in their order.
+    """
+
+    def __init__(
+        self,
+        context: DispatchContext,
+        clock: Clock,
+        timers: TimerWheel,
+        extensions: DispatchExtensions,
+        controls: DeadlineControls,
+    ) -> None:
+        """Begin with nothing deferred."""
+        self._context = context
+        self._clock = clock
+        self._timers = timers
+        self._extensions = extensions
+        self._controls = controls
+        self.deferred: list[DeferredOutcome] = []
+
+    def end(self, attempt: Attempt, result: AttemptResult, load: LoadReport | None = None) -> None:
+        """Report the end of an attempt now; nothing happens if it has been reported."""
+        if attempt.reported:
+            return
+        attempt.reported = True
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        request = attempt.request
+        request.attempts.pop(attempt.number, None)
+        if attempt.budgeted and not attempt.write_started:
+            self._refund(attempt)
+        for observer in self._extensions.observers:
+            observer.attempt_ended(attempt.endpoint, result)
+        latency_ns = (attempt.answered_ns or self._clock.now()) - attempt.dispatched_ns
+        self._context.report_event(
+            AttemptEnded(
+                request.id,
+                attempt.number,
+                attempt.endpoint,
+                result,
+                latency_ns,
+                request.client is None,
+                load,
+            )
+        )
+        self._context.release(request)
+
+    def _refund(self, attempt: Attempt) -> None:
+        """Give a retry's token back, since it never left."""
+        budget = self._controls.retry_budget
+        if budget is not None:
+            budget.back(attempt.request.class_name.decode(), attempt.request.tenant)
+
+    def end_next_tick(self, attempt: Attempt, result: AttemptResult) -> None:
+        """Report the end of an attempt with the next tick."""
+        self.deferred.append(DeferredOutcome(attempt, result))
+        self._timers.soon()
+
+    def cancel_in_flight(self, attempt: Attempt, connection: AttemptConnection) -> None:
+        """Tell the endpoint to stop; only where the settings allow cancellation."""
+        connection.cancel(attempt)
+        self.delay_report(attempt)
+        self._controls.statistics.undone += 1
+
+    def delay_report(self, attempt: Attempt) -> None:
+        """Report the attempt only when its cancellation, or its connection's end, has arrived.
+
+        That and the attempt that follows go two ways and nothing orders them. Where hedging is
+        allowed, two attempts may be in flight anyway.
+        """
+        if not self._context.config.settings.limits.hedging:
+            attempt.report_after_ns = self._clock.now() + CANCEL_TRANSIT_NS
+
+    def report_deferred(self) -> None:
+        """Report what is deferred and may be reported now."""
+        now_ns = self._clock.now()
+        delayed: list[DeferredOutcome] = []
+        while self.deferred:  # a report may lead to an order that defers another one
+            due = self.deferred
+            self.deferred = []
+            for outcome in due:
+                if self._may_be_reported(outcome.attempt, now_ns):
+                    self.end(outcome.attempt, outcome.result)
+                else:
+                    delayed.append(outcome)
+        self.deferred = delayed
+        if delayed:
+            self._timers.soon()
+
+    def _may_be_reported(self, attempt: Attempt, now_ns: int) -> bool:
+        """False while its cancellation is under way: the next attempt may leave with the report."""
+        connection = attempt.connection
+        request_id = attempt.request.client_request_id
+        if connection is not None and request_id in connection.cancels_in_transit:
+            self.delay_report(attempt)
+        return attempt.report_after_ns <= now_ns
--- /dev/null
+++ b/query_broker/dispatch/cancellation.py
@@ -0,0 +1,215 @@
+"""Cancellation: what is not wanted any more goes no further, or is undone where that is possible.
+
+`HandOverGate` stops attempts on their way to an endpoint. `RequestCancellation` ends all that is
+under way for a request whose client has gone or has its answer.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+
+from ..deadlines.cancel_scopes import CancelAction, CancelScope, ScopeKind
+from ..deadlines.handover_checks import HandOver, HandOverCheck, StopReason, stop
+from ..deadlines.settings import Stage
+from ..decisions.facade import (
+    AttemptResult,
+    CancelAttempt,
+    CloseRequests,
+    EndpointState,
+    RequestAbandoned,
+)
+from ..endpoints.administrative_state import AdministrativeStates
+from ..endpoints.endpoint_table import EndpointTable
+from ..timer_wheel import Clock
+from .attempt_outcomes import AttemptOutcomes
+from .context import DispatchContext
+from .deadline_controls import DeadlineControls
+from .observers import DispatchExtensions, RequestEnding
+from .request_table import RequestTable
+from .requests import ActiveRequest, Attempt
+
+# The stages that still lie before a request at each hand-over.
+REMAINING_STAGES = {
+    HandOver.POOL: (Stage.CONNECT, Stage.WRITE, Stage.ENGINE),
+    HandOver.CONNECTION: (Stage.WRITE, Stage.ENGINE),
+    HandOver.SOCKET: (Stage.ENGINE,),
+}
+
+
+class HandOverGate:
+    """Decides at each hand-over whether an attempt still goes on to its endpoint."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        endpoints: EndpointTable,
+        administrative_states: AdministrativeStates,
+        controls: DeadlineControls,
+        outcomes: AttemptOutcomes,
+    ) -> None:
+        """Take what the checks look at, and where stopped attempts are reported."""
+        self._clock = clock
+        self._endpoints = endpoints
+        self._administrative_states = administrative_states
+        self._controls = controls
+        self._outcomes = outcomes
+
+    def may_go(self, attempt: Attempt, hand_over: HandOver) -> bool:
+        """Whether the attempt goes on; if not, it is reported as never sent with the next tick.
+
+        One that was taken back while it waited, its report still to follow, would run at the same
+        time as the next one.
+        """
+        if attempt.reported or attempt.concluded:
+            return False
+        now_ns = self._clock.now()
+        reason = stop(now_ns, self._facts(attempt, hand_over, now_ns))
+        if reason is None:
+            return True
+        self._controls.statistics.stopped[hand_over, reason] += 1
+        if attempt.connection is not None:
+            attempt.connection.in_flight.pop(attempt.request.client_request_id, None)
+        self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
+        return False
+
+    def _facts(self, attempt: Attempt, hand_over: HandOver, now_ns: int) -> HandOverCheck:
+        """What the check of a hand-over looks at."""
+        request = attempt.request
+        known = self._endpoints.by_number.get(attempt.endpoint)
+        stages = self._controls.stages
+        fastest_ns = 0
+        if stages is not None:
+            remaining = REMAINING_STAGES[hand_over]
+            fastest_ns = stages.fastest(request.class_name.decode(), now_ns, *remaining)
+        disabled = False
+        if known is not None and self._administrative_states.states:
+            disabled = self._administrative_states.is_disabled(known.target.uid)
+        draining = known is None or known.target.state is not EndpointState.READY
+        return HandOverCheck(
+            request.client is not None and not request.client_unreadable,
+            min(attempt.deadline_ns, request.deadline_ns, attempt.latest_start_ns),
+            fastest_ns,
+            disabled,
+            now_ns if draining else 0,
+        )
+
+
+class RequestCancellation:
+    """Ends requests before their time, and cancels attempts."""
+
+    def __init__(
+        self,
+        context: DispatchContext,
+        table: RequestTable,
+        extensions: DispatchExtensions,
+        controls: DeadlineControls,
+        outcomes: AttemptOutcomes,
+    ) -> None:
+        """Take the open requests, and where the ends of their attempts are reported."""
+        self._context = context
+        self._table = table
+        self._extensions = extensions
+        self._controls = controls
+        self._outcomes = outcomes
+
+    def abandon(self, request: ActiveRequest) -> None:
+        """End a request whose client has gone; no answer is owed."""
+        if request.client is None:
+            return
+        request.client = None
+        request.abandoned = True
+        self._table.unanswered_count -= 1
+        for observer in self._extensions.observers:
+            observer.request_ended(request, RequestEnding.ABANDONED)
+        self._context.report_event(RequestAbandoned(request.id))
+        self.end_scope(request)
+        self._context.release(request)
+
+    def close_out_all(self) -> None:
+        """Answer all requests as the rules allow, since the process is about to end."""
+        self._table.closing = True
+        self._take_back_unsent(self._table.by_id.values())
+        self._context.report_event(CloseRequests())
+
+    def close_out(self, requests: Sequence[ActiveRequest]) -> None:
+        """Answer these requests as the rules allow, since their client can't be read any more."""
+        if not requests:
+            return
+        for request in requests:
+            request.closing = True
+        self._take_back_unsent(requests)
+        self._context.report_event(CloseRequests(frozenset(request.id for request in requests)))
+
+    def _take_back_unsent(self, requests: Iterable[ActiveRequest]) -> None:
+        """Take back what has not left, before its request is answered.
+
+        Else it would be answered as if it may have run.
+        """
+        attempts = [attempt for request in requests for attempt in request.attempts.values()]
+        for attempt in attempts:
+            if attempt.write_started:
+                continue
+            connection = attempt.connection
+            if connection is None or connection.withdraw(attempt):
+                self._outcomes.end(attempt, AttemptResult.NOT_SENT)
+        self._outcomes.report_deferred()
+
+    def end_scope(self, request: ActiveRequest) -> None:
+        """End all that is under way for a request that nobody waits for any more.
+
+        Nothing unsent of it leaves, what is in flight is cancelled where engines honour that, and
+        no more pages are wanted.
+        """
+        if not request.attempts:
+            return
+        honoured = self._context.config.settings.limits.cancellation
+        for action, scope in request.scope().end(honoured):
+            if isinstance(scope.name, Attempt):
+                self._apply(action, scope.name)
+
+    def cancel_attempt(self, order: CancelAttempt) -> None:
+        """Cancel one attempt by order of the decisions.
+
+        Nothing happens where the settings forbid cancellation: engines there do not know it.
+        """
+        if not self._context.config.settings.limits.cancellation:
+            return
+        request = self._table.by_id.get(order.request_id)
+        if request is None:
+            return
+        attempt = request.attempts.get(order.attempt)
+        if attempt is None:
+            return
+        scope = attempt.scope(CancelScope(ScopeKind.REQUEST, request))
+        for action, _ in scope.end(True):
+            self._apply(action, attempt)
+
+    def _apply(self, action: CancelAction, attempt: Attempt) -> None:
+        """Carry out one action; the end of the attempt is reported with the next tick."""
+        if attempt.reported or attempt.concluded:
+            return
+        result = self._result_of(action, attempt)
+        if result is None:
+            return
+        attempt.concluded = True
+        self._outcomes.end_next_tick(attempt, result)
+
+    def _result_of(self, action: CancelAction, attempt: Attempt) -> AttemptResult | None:
+        """Carry out an action and return how the attempt ended; None: it goes on."""
+        connection = attempt.connection
+        match action:
+            case CancelAction.TAKE_BACK if connection is None:
+                self._controls.statistics.stopped[HandOver.POOL, StopReason.LEFT] += 1
+                return AttemptResult.NOT_SENT
+            case CancelAction.TAKE_BACK if connection is not None:
+                if not connection.withdraw(attempt):
+                    return None
+                self._controls.statistics.stopped[HandOver.SOCKET, StopReason.LEFT] += 1
+                return AttemptResult.NOT_SENT
+            case CancelAction.UNDO if connection is not None:
+                self._outcomes.cancel_in_flight(attempt, connection)
+                return AttemptResult.CANCELLED
+            case CancelAction.FORGET if connection is not None:
+                connection.forget(attempt)  # it has run; only its pages are left
+                return AttemptResult.SERVED
+        return None
--- /dev/null
+++ b/query_broker/dispatch/health_checks.py
@@ -0,0 +1,72 @@
+"""Health checks of endpoints, and their time-outs."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from functools import partial
+from typing import NamedTuple
+
+from ..decisions.facade import AttemptResult, HealthCheckResult
+from ..timer_wheel import Clock, TimerWheel
+from .context import DispatchContext
+from .load_reports import parse_load_report
+from .observers import DispatchExtensions
+
+
+class PendingCheck(NamedTuple):
+    """A health check that has no outcome yet."""
+
+    endpoint: int
+    started_ns: int
+
+
+class HealthChecks:
+    """Starts health checks and reports what becomes of them.
+
+    Attributes:
+        pending: Health checks without an outcome, by the tag that the endpoint repeats.
+    """
+
+    def __init__(
+        self,
+        context: DispatchContext,
+        clock: Clock,
+        timers: TimerWheel,
+        extensions: DispatchExtensions,
+        numbers: Iterator[int],
+    ) -> None:
+        """Take ``numbers``, which requests' ids come from too: no tag may equal an id."""
+        self._context = context
+        self._clock = clock
+        self._timers = timers
+        self._extensions = extensions
+        self._numbers = numbers
+        self.pending: dict[bytes, PendingCheck] = {}
+
+    def start(self, now_ns: int, endpoint: int) -> None:
+        """Check one endpoint; it has as long as a connection may take to come up."""
+        tag = b"probe-%d" % next(self._numbers)
+        self.pending[tag] = PendingCheck(endpoint, now_ns)
+        self._timers.at(
+            now_ns + self._context.config.connect_timeout, partial(self._time_out, endpoint, tag)
+        )
+        pool = self._context.pools.get(endpoint)
+        if pool is not None:
+            pool.probe(tag, now_ns)
+
+    def _time_out(self, endpoint: int, tag: bytes) -> None:
+        pool = self._context.pools.get(endpoint)
+        if pool is not None:
+            pool.forget_probe(tag)
+        self.end(tag, AttemptResult.TIMEOUT, "")
+
+    def end(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
+        """Report the outcome of a health check; nothing happens if it has one already."""
+        check = self.pending.pop(tag, None)
+        if check is None:
+            return
+        duration_ns = self._clock.now() - check.started_ns
+        load = parse_load_report(load_text, self._context.log)
+        self._context.report_event(HealthCheckResult(check.endpoint, result, duration_ns, load))
+        for observer in self._extensions.observers:
+            observer.health_check_ended(check.endpoint, result)
--- /dev/null
+++ b/query_broker/dispatch/observers.py
@@ -0,0 +1,104 @@
+"""What other parts register at the dispatcher: observers, and policies that change its work.
+
+An observer implements the methods it needs; the base class does nothing. The policies are typed
+callables, so that a bound method can be registered. Without any, requests pass empty tuples.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import Protocol
+
+from ..decisions.facade import AttemptResult, Settings
+from .requests import ActiveRequest
+from .validation import ParsedRequest
+
+
+class RequestEnding(Enum):
+    """How a request ended for its client; the values stand in the log lines."""
+
+    SUCCESS = "success"
+    OVERLOAD = "overload"
+    ERROR = "error"
+    ABANDONED = "left"  # its client had gone before the answer
+
+
+class DispatchObserver:
+    """Observes requests, attempts, health checks and administrative changes.
+
+    Methods are called in the order of registration, within the dispatcher's own call: they must not
+    block, nor raise.
+    """
+
+    def request_arrived(self, parsed: ParsedRequest, now_ns: int) -> None:
+        """A valid request has come; it has not been decided on."""
+
+    def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
+        """A request gets its final answer now, or its client has gone."""
+
+    def attempt_ended(self, endpoint: int, result: AttemptResult) -> None:
+        """An attempt has ended at this endpoint; the decisions get their event afterwards."""
+
+    def health_check_ended(self, endpoint: int, result: AttemptResult) -> None:
+        """A health check has ended; the decisions have got their event."""
+
+    def endpoint_administered(self, uid: str, disabled: bool) -> None:
+        """An operator has disabled or re-enabled an endpoint at this process."""
+
+
+class SettingsAdjuster(Protocol):
+    """Replaces parts of the settings that the decisions go by, beside the files."""
+
+    def __call__(self, settings: Settings, /) -> Settings:
+        """Return the settings with this part's values."""
+
+
+class RetryAfterPolicy(Protocol):
+    """Widens the pause that a rejected client is asked to keep."""
+
+    def __call__(self, retry_after_ns: int, /) -> int:
+        """Return the pause, in nanoseconds, in place of the decided one."""
+
+
+class MetricsSource(Protocol):
+    """Adds lines to the metrics page."""
+
+    def __call__(self) -> bytes:
+        """Return lines of the Prometheus text format."""
+
+
+class DispatchExtensions:
+    """All that is registered at one dispatcher.
+
+    Attributes:
+        observers: In the order of registration. A tuple, so that an observer may leave while the
+            others are called.
+        settings_adjusters: Applied one after the other.
+        metrics_sources: Their lines follow the dispatcher's own, in this order.
+        retry_after_policy: None where rejections state the decided pause.
+    """
+
+    def __init__(self) -> None:
+        """Begin with nothing registered."""
+        self.observers: tuple[DispatchObserver, ...] = ()
+        self.settings_adjusters: list[SettingsAdjuster] = []
+        self.metrics_sources: list[MetricsSource] = []
+        self.retry_after_policy: RetryAfterPolicy | None = None
+
+    def add_observer(self, observer: DispatchObserver) -> None:
+        """Register an observer behind those that are there."""
+        self.observers = (*self.observers, observer)
+
+    def remove_observer(self, observer: DispatchObserver) -> None:
+        """Remove an observer; nothing happens where it is not registered."""
+        self.observers = tuple(known for known in self.observers if known is not observer)
+
+    def adjusted(self, settings: Settings) -> Settings:
+        """Return the settings after all adjusters."""
+        for adjust in self.settings_adjusters:
+            settings = adjust(settings)
+        return settings
+
+    def metrics_text(self) -> bytes:
+        """Return the lines of all metrics sources."""
+        return b"".join(source() for source in self.metrics_sources)
--- a/query_broker/dispatch/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -1,5 +1,6 @@
-"""Open requests and their attempts. Nothing here decides, and nothing here knows a client's
-protocol.
+"""Open requests and their attempts.
+
+Nothing here decides, and nothing here knows a client's protocol. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -13,98 +14,163 @@
 
 
 class Client(Protocol):
-    """Whoever waits for a request: a connection of any client protocol."""
+    """Whoever waits for a request: a connection of any client protocol.
+
+    Each request gets exactly one of the three answers. ``stream`` is the client's number of the
+    request on its connection.
+    """
+
+    def served(self, stream: int, body: bytes) -> None:
+        """Answer with the complete result."""
 
-    def served(self, stream: int, body: bytes) -> None: ...
+    def rejected(self, stream: int, pause_ms: int) -> None:
+        """Answer that nothing has run and that the client may retry after so many milliseconds."""
 
-    def rejected(self, stream: int, pause_ms: int) -> None: ...
+    def failed(self, stream: int, reason: str) -> None:
+        """Answer that the request has failed, and may have run."""
 
-    def failed(self, stream: int, reason: str) -> None: ...
+    def unread(self) -> int:
+        """Bytes of answers that wait for the client to read them."""
 
 
 class AttemptConnection(Protocol):
-    """A connection to an engine, as far as an attempt knows it."""
+    """A connection to an endpoint, as far as an attempt knows it.
+
+    Attributes:
+        in_flight: Attempts that are not answered, by the client's request id.
+        cancels_in_transit: Cancelled ids of which the endpoint can't have heard yet.
+    """
 
     in_flight: dict[bytes, Attempt]
-    cancels_in_transit: set[bytes]  # undone, and the engine can't have heard of it yet
+    cancels_in_transit: set[bytes]
 
-    def raise_priority(self, attempt: Attempt, level: int) -> None: ...
+    def raise_priority(self, attempt: Attempt, level: int) -> None:
+        """Tell the endpoint the new priority level of the attempt."""
 
     def withdraw(self, attempt: Attempt) -> bool:
-        """True: no byte of it has left, and none will."""
+        """Take the attempt back; True: no byte of it has left, and none will."""
 
-    def cancel(self, attempt: Attempt) -> None: ...
+    def cancel(self, attempt: Attempt) -> None:
+        """Tell the endpoint to stop the attempt."""
 
-    def forget(self, attempt: Attempt) -> None: ...
+    def forget(self, attempt: Attempt) -> None:
+        """Tell the endpoint that no more pages of the attempt are wanted."""
 
 
 @dataclass(slots=True)
 class ActiveRequest:
-    id: str  # ours; a trace is the client's word and may come twice
+    """A request that has been admitted.
+
+    Times are Unix nanoseconds.
+
+    Attributes:
+        id: The broker's id. The client's may come twice.
+        client_request_id: The client's id.
+        class_name: The request class.
+        statement: The statement, passed on unread.
+        client: Who waits for it; None once it is answered or its client has gone.
+        stream: The client's number of the request on its connection.
+        deadline_ns: When its answer must be on its way.
+        tenant: The tenant, empty where the client named none.
+        received_ns: When its first byte was read.
+        accepted_ns: When it was admitted.
+        abandoned: Its client has gone before its answer.
+        closing: It gets its final answer now: no attempt is dispatched for it any more.
+        client_unreadable: Whether its client still waits can't be heard: no further attempt begins.
+        priority: Level that the decisions gave it; None before the first order.
+        memory_mb: Memory that the decisions gave it, in megabytes.
+        idempotency_key: The client's idempotency key, None where it gave none.
+        attempts: Attempts whose end has not been reported, by number.
+    """
+
+    id: str
     client_request_id: bytes
     class_name: bytes
     statement: bytes
-    client: Client | None  # None once it is answered or nobody waits
+    client: Client | None
     stream: int
     deadline_ns: int
     tenant: str = ""
-    received_ns: int = 0  # when its first byte was read
+    received_ns: int = 0
     accepted_ns: int = 0
-    abandoned: bool = False  # its client has gone before its answer
-    closing: bool = False  # it gets its final answer now: nothing more is sent for it
-    # whether its client still waits can't be heard: nothing further begins for it
+    abandoned: bool = False
+    closing: bool = False
     client_unreadable: bool = False
     priority: int | None = None
     memory_mb: int = 0
     idempotency_key: str | None = None
-    # those that have not been reported as ended
     attempts: dict[int, Attempt] = field(default_factory=dict)
 
     def scope(self) -> CancelScope:
-        """All that is under way for it. Made when it is to be ended: most requests end by
-        themselves.
+        """All that is under way for it.
+
+        Made only when it is to be ended, since most requests end by themselves.
         """
-        made = CancelScope(ScopeKind.REQUEST, self)
+        scope = CancelScope(ScopeKind.REQUEST, self)
         for attempt in self.attempts.values():
             if not attempt.concluded:
-                attempt.scope(made)
-        return made
+                attempt.scope(scope)
+        return scope
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One send. It outlives its report: an answer that comes later is known by it, and dropped."""
+    """One dispatch of a request to an endpoint.
+
+    It outlives its report: an answer that comes later is known by it, and dropped. Times are Unix
+    nanoseconds, 0 while they are not known.
+
+    Attributes:
+        request: The request.
+        number: Its number among the attempts of the request, from 0.
+        endpoint: Number of the endpoint.
+        dispatched_ns: When it was ordered.
+        deadline_ns: How long the broker waits for its answer.
+        latest_start_ns: When its first byte must have left.
+        timer: Its time-out.
+        connection: The connection that it was assigned; None while it waits for one.
+        budgeted: A token of the retry budget has been paid for it.
+        concluded: Taken back, cancelled or given up by the broker; its report follows.
+        write_started: A byte of it has left for the endpoint, so that it may have run.
+        assigned_ns: When it got its connection.
+        written_ns: When its last byte left.
+        reported: Its end has been reported to the decisions.
+        pages: Pages of its result, None while they are missing.
+        missing: How many pages are missing.
+        answered_ns: When the first page came.
+        progress_ns: When the last progress note of each kind was taken.
+        report_after_ns: Its end is not reported before: the endpoint may not have heard of its
+            cancellation yet.
+    """
 
     request: ActiveRequest
     number: int
     endpoint: int
     dispatched_ns: int
-    deadline_ns: int  # how long the broker waits for it
-    latest_start_ns: int  # when its first byte must have left
+    deadline_ns: int
+    latest_start_ns: int
     timer: Timer | None = None
     connection: AttemptConnection | None = None
-    budgeted: bool = False  # out of the budget for further attempts
-    concluded: bool = False  # taken back, undone or given up by us; its report follows
-    write_started: bool = False  # a byte of it has left for the engine, so that it may have run
-    assigned_ns: int = 0  # when it was given its connection
-    written_ns: int = 0  # when its last byte left
+    budgeted: bool = False
+    concluded: bool = False
+    write_started: bool = False
+    assigned_ns: int = 0
+    written_ns: int = 0
     reported: bool = False
     pages: list[bytes | None] = field(default_factory=list)
     missing: int = 0
-    answered_ns: int = 0  # when page 0 came
-    progress_ns: dict[ProgressKind, int] = field(
-        default_factory=dict
-    )  # when the last of each was taken
-    report_after_ns: int = 0  # its end is not told before: the engine may not have heard of it yet
+    answered_ns: int = 0
+    progress_ns: dict[ProgressKind, int] = field(default_factory=dict)
+    report_after_ns: int = 0
 
     def scope(self, parent: CancelScope) -> CancelScope:
-        """It, and what belongs to it, below the request's scope."""
-        made = parent.open(ScopeKind.ATTEMPT, self)
-        made.left = self.write_started
+        """It, and the pages that belong to it, below the scope of its request."""
+        scope = parent.open(ScopeKind.ATTEMPT, self)
+        scope.left = self.write_started
         if self.missing:
-            made.open(ScopeKind.PAGE, self)
-        return made
+            scope.open(ScopeKind.PAGE, self)
+        return scope
 
     def wanted(self) -> bool:
-        """Somebody still waits for its result."""
+        """Whether somebody still waits for its result."""
         return not self.reported and self.request.client is not None
--- /dev/null
+++ b/query_broker/dispatch/stage_timing.py
@@ -0,0 +1,78 @@
+"""How long each stage of a served request took, where operators want to know."""
+
+from __future__ import annotations
+
+import asyncio
+from itertools import pairwise
+from typing import NamedTuple
+
+from ..deadlines.settings import Stage
+from ..timer_wheel import Clock, TimerWheel
+from .deadline_controls import DeadlineControls
+from .requests import Attempt, Client
+
+
+class WaitingAnswer(NamedTuple):
+    """An answer that may not have left for its client yet."""
+
+    client: Client
+    class_name: str
+    answered_ns: int
+
+
+class StageTimer:
+    """Records the stages of served requests.
+
+    The stage of the answer is known only once its last byte has left, so that answers are looked at
+    until then.
+
+    Attributes:
+        waiting: Answers that were unread at the last look.
+    """
+
+    def __init__(self, clock: Clock, timers: TimerWheel, controls: DeadlineControls) -> None:
+        """Begin with no answers."""
+        self._clock = clock
+        self._timers = timers
+        self._controls = controls
+        self.waiting: list[WaitingAnswer] = []
+
+    def record(self, attempt: Attempt, client: Client) -> None:
+        """Record the stages up to the answer; nothing happens where stages are not recorded."""
+        stages = self._controls.stages
+        if stages is None:
+            return
+        request = attempt.request
+        now_ns = self._clock.now()
+        class_name = request.class_name.decode()
+        marks_ns = (
+            request.received_ns,
+            request.accepted_ns,
+            attempt.dispatched_ns,
+            attempt.assigned_ns,
+            attempt.written_ns,
+            now_ns,
+        )
+        # One stage more than there are marks: that of the answer follows.
+        for stage, (begin_ns, end_ns) in zip(Stage, pairwise(marks_ns), strict=False):
+            stages.add(class_name, stage, end_ns - begin_ns, now_ns)
+        self.waiting.append(WaitingAnswer(client, class_name, now_ns))
+        self._timers.soon()
+        if len(self.waiting) == 1:
+            asyncio.get_running_loop().call_soon(self.check_waiting)
+
+    def check_waiting(self) -> None:
+        """Record the answers that have left.
+
+        One that lies unread for longer than a slow reader may take is recorded as it is: a client
+        that never reads would keep it here for good.
+        """
+        now_ns = self._clock.now()
+        answers = self.waiting
+        self.waiting = []
+        for answer in answers:
+            age_ns = now_ns - answer.answered_ns
+            if answer.client.unread() and age_ns < self._controls.settings.slow_reader:
+                self.waiting.append(answer)
+            elif self._controls.stages is not None:
+                self._controls.stages.add(answer.class_name, Stage.ANSWER, age_ns, now_ns)
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import os
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from functools import partial
 from typing import TYPE_CHECKING
 
@@ -13,7 +13,9 @@
 from ..deadlines.settings import DeadlineSettings
 from ..discovery.event_codec import EndpointListEvent
 from ..discovery.watch_client import WatchClient
-from ..dispatch.dispatcher import WAY_BACK
+from ..dispatch.deadline_controls import DEFAULT_ANSWER_MARGIN_NS
+from ..dispatch.observers import DispatchObserver, RequestEnding
+from ..dispatch.requests import ActiveRequest
 from ..protocols.client_connection import ClientConnection
 from ..server.node import Node
 from .script import OperatorConfig, OperatorFileError, evaluate
@@ -27,6 +29,16 @@
 LEARN = 1_000_000_000  # ns between two looks at the margin
 
 
+class _TraceObserver(DispatchObserver):
+    """Gives the log of requests' traces the end of each request."""
+
+    def __init__(self, write: Callable[[ActiveRequest, str], None]) -> None:
+        self._write = write
+
+    def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
+        self._write(request, ending.value)
+
+
 class ConfiguredNode(Node):
     """``said``: what the file says now; ``path``: where SIGHUP reads it again."""
 
@@ -49,6 +61,7 @@
         self.membership: Membership | None = None
         self.sharing: Sharing | None = None
         self.judging: Judging | None = None
+        self.trace_observer: _TraceObserver | None = None
         super().__init__(config, environ)
         self._set_terms(said)
         if said.start is not None:
@@ -63,8 +76,8 @@
                 raise ConfigError(f"members: needs the extra 'members': {error}") from None
             self.membership = Membership(self, said.members, self._view_changed)
             self.admin_api.calls.append(self.membership.call)
-            self.dispatcher.more_figures.append(self.membership.figures)
-            self.dispatcher.adjust.append(self.membership.adjust)
+            self.dispatcher.extensions.metrics_sources.append(self.membership.figures)
+            self.dispatcher.extensions.settings_adjusters.append(self.membership.adjust)
             self._share(said, self.membership)
 
     # --- the start ---
@@ -107,8 +120,9 @@
         if said.shares is not None:
             self.sharing = Sharing(self, membership, said.shares)
             self.admin_api.calls.append(self.sharing.call)
-            if self.dispatcher.budget is not None and "further" in self.sharing.of_kind:
-                self.dispatcher.budget.gate = self.sharing.may_try
+            budget = self.dispatcher.deadline_controls.retry_budget
+            if budget is not None and "further" in self.sharing.of_kind:
+                budget.gate = self.sharing.may_try
         if said.verdicts is not None:
             self.judging = Judging(self, membership, said.verdicts)
             self.admin_api.calls.append(self.judging.call)
@@ -139,29 +153,35 @@
         self._set_terms(said)
 
     def _set_terms(self, said: OperatorConfig) -> None:
-        broker, terms = self.dispatcher, said.deadlines or DeadlineSettings()
-        broker.terms = terms
+        controls = self.dispatcher.deadline_controls
+        terms = said.deadlines or DeadlineSettings()
+        controls.settings = terms
         if terms.learn:
             from ..deadlines.stage_latencies import StageLatencies
 
-            if broker.stages is None or broker.stages.terms != terms.margin:
-                broker.stages = StageLatencies(terms.margin)
-            broker.margin = broker.stages.margin
+            if controls.stages is None or controls.stages.terms != terms.margin:
+                controls.stages = StageLatencies(terms.margin)
+            controls.margin_ns = controls.stages.margin
         else:
-            broker.stages, broker.margin = None, WAY_BACK
+            controls.stages = None
+            controls.margin_ns = DEFAULT_ANSWER_MARGIN_NS
         if terms.further is None:
-            broker.budget = None
-        elif broker.budget is None or broker.budget.terms != terms.further:
-            broker.budget = RetryBudget(terms.further)
+            controls.retry_budget = None
+        elif controls.retry_budget is None or controls.retry_budget.terms != terms.further:
+            controls.retry_budget = RetryBudget(terms.further)
             if self.sharing is not None and "further" in self.sharing.of_kind:
-                broker.budget.gate = self.sharing.may_try
-        self.log.sink, broker.story = None, None
+                controls.retry_budget.gate = self.sharing.may_try
+        self.log.sink = None
+        if self.trace_observer is not None:
+            self.dispatcher.extensions.remove_observer(self.trace_observer)
+            self.trace_observer = None
         if said.logs is not None and said.logs.format != "plain":
             from ..server.structured_log import Lines, stories
 
             lines = Lines(self.config.name, said.logs)
             self.log.sink = lines
-            broker.story = stories(self.log, lines, self.clock.now)
+            self.trace_observer = _TraceObserver(stories(self.log, lines, self.clock.now))
+            self.dispatcher.add_observer(self.trace_observer)
 
     def _tick(self, loop: asyncio.AbstractEventLoop) -> None:
         super()._tick(loop)
@@ -174,9 +194,10 @@
             and not self.membership.detector.left
         ):
             self.membership.leave()
-        if self.dispatcher.stages is not None and now - self.learned >= LEARN:
+        controls = self.dispatcher.deadline_controls
+        if controls.stages is not None and now - self.learned >= LEARN:
             self.learned = now
-            self.dispatcher.margin = self.dispatcher.stages.learn(now)
+            controls.margin_ns = controls.stages.learn(now)
 
     # --- SIGHUP ---
 
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -5,8 +5,9 @@
 import asyncio
 from typing import Protocol, cast
 
-from ..dispatch.dispatcher import Dispatcher, InvalidRequestError, ParsedRequest, read_number
+from ..dispatch.dispatcher import Dispatcher
 from ..dispatch.requests import ActiveRequest
+from ..dispatch.validation import InvalidRequestError, ParsedRequest, read_number
 from ..timer_wheel import Timer
 from . import client_frames as frames
 from .socket_state import has_ended, has_input
@@ -177,7 +178,7 @@
 
     def _abandon(self, stream: int) -> None:
         if (request := self.open.pop(stream, None)) is not None:
-            self.front.dispatcher.abandon(request)
+            self.front.dispatcher.cancellations.abandon(request)
 
     def _fault(self, error: Exception) -> None:
         self.front.dispatcher.log("client", f"{type(error).__name__}: {error}")
@@ -189,7 +190,7 @@
         """
         if (
             self.fd < 0
-            or self.front.dispatcher.terms.half_close == "answer"
+            or self.front.dispatcher.deadline_controls.settings.half_close == "answer"
             or not has_ended(self.fd)
         ):
             return False
@@ -240,7 +241,7 @@
         """
         waits = self.reading_on or self.paused_at  # what is held are whole frames
         if (
-            self.front.dispatcher.terms.half_close != "answer"
+            self.front.dispatcher.deadline_controls.settings.half_close != "answer"
             or self.broken
             or self.parser.held()
             and not waits
@@ -347,7 +348,9 @@
         self.broken = True
         for stream in [stream for stream, request in self.open.items() if request is None]:
             self.failed(stream, why)  # a fault while the broker was being asked
-        self.front.dispatcher.give_up([r for r in self.open.values() if r is not None])
+        self.front.dispatcher.cancellations.close_out(
+            [r for r in self.open.values() if r is not None]
+        )
         self._write(frames.answer(0, frames.FAILED, {}, why.encode()))
         self.shut()
 
@@ -372,7 +375,7 @@
     def _abandon_all(self) -> None:
         requests, self.open = [r for r in self.open.values() if r is not None], {}
         for request in requests:
-            self.front.dispatcher.abandon(request)
+            self.front.dispatcher.cancellations.abandon(request)
 
     def _write(self, data: bytes) -> None:
         if self.transport is not None and not self.ended and not self.transport.is_closing():
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -14,7 +14,8 @@
 import msgspec
 
 from ..decisions.facade import AdministrativeChange, AttemptResult, EndpointState, Settings
-from ..dispatch.dispatcher import ParsedRequest
+from ..dispatch.observers import DispatchObserver
+from ..dispatch.validation import ParsedRequest
 from ..endpoints.administrative_state import AdministrativeState as BanWord
 from ..membership.service import Membership
 from ..outlier_consensus.observations import Engine, Evidence, Reports
@@ -70,7 +71,7 @@
         yield body
 
 
-class Sharing:
+class Sharing(DispatchObserver):
     """One broker's part of the limits."""
 
     def __init__(self, node: Host, membership: Membership, terms: SharesTerms) -> None:
@@ -99,9 +100,9 @@
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
         membership.subscribe("limits", self._heard)
-        node.dispatcher.arriving = self._arriving
-        node.dispatcher.adjust.append(self.adjust)
-        node.dispatcher.more_figures.append(self.figures)
+        node.dispatcher.add_observer(self)
+        node.dispatcher.extensions.settings_adjusters.append(self.adjust)
+        node.dispatcher.extensions.metrics_sources.append(self.figures)
         if "connects" in self.of_kind:
             node.dispatcher.pools.turn = self._connect_wait
         self.configure()
@@ -170,17 +171,17 @@
 
     # --- the ordinary path ---
 
-    def _arriving(self, ask: ParsedRequest, now: int) -> None:
+    def request_arrived(self, parsed: ParsedRequest, now_ns: int) -> None:
         """Danger: one that was paused reads what waits for it before it looks at any timer: a lease
         that has ended meanwhile must not be used.
         """
-        if self.ends and now >= self.ends:
-            self._tell(now)
-        if ask.tenant in self.by_tenant:
-            self.asked[ask.tenant] = self.asked.get(ask.tenant, 0.0) + 1
+        if self.ends and now_ns >= self.ends:
+            self._tell(now_ns)
+        if parsed.tenant in self.by_tenant:
+            self.asked[parsed.tenant] = self.asked.get(parsed.tenant, 0.0) + 1
         if "work" in self.of_kind:
             name = self.of_kind["work"].name
-            self.asked[name] = self.asked.get(name, 0.0) + ask.estimate_ms / 1_000
+            self.asked[name] = self.asked.get(name, 0.0) + parsed.estimate_ms / 1_000
 
     def may_try(self) -> bool:
         """A further attempt, under the soft limit of them all."""
@@ -443,7 +444,7 @@
     probe_at: int
 
 
-class Judging:
+class Judging(DispatchObserver):
     """One broker's part of the verdicts, and of the operators' words."""
 
     def __init__(self, node: Host, membership: Membership, terms: VerdictTerms) -> None:
@@ -458,10 +459,8 @@
         self.round = node.clock.now()
         self.answered: dict[str, int] = {}
         membership.subscribe("verdicts", self._heard)
-        node.dispatcher.outcome = self._outcome
-        node.dispatcher.witness.append(self._witness)
-        node.dispatcher.said = self._said
-        node.dispatcher.more_figures.append(self.figures)
+        node.dispatcher.add_observer(self)
+        node.dispatcher.extensions.metrics_sources.append(self.figures)
         node.dispatcher.wheel.at(self.round + LOOK, self._look)
 
     # --- what is seen here ---
@@ -476,16 +475,16 @@
             None if known is None or known.target.started_ns // MS != engine.boot else known.number
         )
 
-    def _outcome(self, number: int, result: AttemptResult) -> None:
-        if (result in GOOD or result in BAD) and (engine := self._engine(number)) is not None:
+    def attempt_ended(self, endpoint: int, result: AttemptResult) -> None:
+        if (result in GOOD or result in BAD) and (engine := self._engine(endpoint)) is not None:
             self.evidence.outcome(self.node.clock.now(), engine, result in GOOD)
 
-    def _witness(self, number: int, result: AttemptResult) -> None:
+    def health_check_ended(self, endpoint: int, result: AttemptResult) -> None:
         """Probes tell of those that are held out alone: a report of load is no answer to a query.
         Danger: who comes to a verdict first and takes an answer for a proof before the others have
         heard of the failures takes from them what their verdict would rest on.
         """
-        engine, now = self._engine(number), self.node.clock.now()
+        engine, now = self._engine(endpoint), self.node.clock.now()
         if engine is not None and (held := self.held.get(engine)) is not None and now >= held.heard:
             self.evidence.outcome(now, engine, result is AttemptResult.SERVED)
 
@@ -571,7 +570,7 @@
             place = members.index(self.membership.name) if self.membership.name in members else 0
             turn = (now // PROBED * self.terms.observers) % max(1, len(members))
             if (place - turn) % max(1, len(members)) < self.terms.observers:
-                self.node.dispatcher.probe(number)
+                self.node.dispatcher.health_checks.start(self.node.dispatcher.now(), number)
 
     # --- what others say ---
 
@@ -593,11 +592,12 @@
                     "verdicts", sender, self.encoder.encode(Words(self.book.digest(), (), True))
                 )
 
-    def _said(self, uid: str, out: bool) -> None:
+    def endpoint_administered(self, uid: str, disabled: bool) -> None:
         """An operator's word, here."""
         word = self.book.words.get(uid)
-        if word is None or word.value != ("out" if out else "back"):
-            self.book.say(uid, "out" if out else "back", rounds(len(self.membership.names())))
+        value = "out" if disabled else "back"
+        if word is None or word.value != value:
+            self.book.say(uid, value, rounds(len(self.membership.names())))
 
     def _act(self, uid: str, value: str) -> None:
         now = self.node.clock.now()
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from ..dispatch.dispatcher import MOST_CALLERS
+from ..dispatch.capacity import MOST_CALLERS
 from ..protocols.operator_http import OperatorConnection
 from .host import Host
 
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -86,7 +86,7 @@
             # none.
             self.closed_out = True
             self.node.log("stop", f"closing out {len(self.node.dispatcher.requests)} requests")
-            self.node.dispatcher.close_out_all()
+            self.node.dispatcher.cancellations.close_out_all()
         self.loop.call_later(LOOK, self._look)
 
     def _shut(self) -> None:
@@ -95,7 +95,7 @@
         theirs is read off.
         """
         self.shut_at = self.node.clock.now()
-        self.node.dispatcher.closing = True
+        self.node.dispatcher.request_table.closing = True
         for client in list(self.node.clients):
             client.shut()
         self._end()
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -167,7 +167,9 @@
             for number, theirs in other["out"].items():
                 so_far = out.get(number, OutstandingWork(0, 0, 0))
                 out[number] = OutstandingWork(*(a + b for a, b in zip(so_far, theirs, strict=True)))
-        self.dispatcher.beside(CoProcessLoad(out, 1 + sum(other["accepting"] for other in others)))
+        self.dispatcher.report_event(
+            CoProcessLoad(out, 1 + sum(other["accepting"] for other in others))
+        )
         self.dispatcher.divide(1 + len(others), sum(other["clients"] for other in others))
         self.most_clients = self.dispatcher.most_clients
 
@@ -313,7 +315,8 @@
         for client in sorted(self.clients, key=ClientConnection.unread):
             unread += client.unread()
             if unread > self.dispatcher.room or (
-                client.paused_at and now - client.paused_at > self.dispatcher.terms.slow_reader
+                client.paused_at
+                and now - client.paused_at > self.dispatcher.deadline_controls.settings.slow_reader
             ):
                 self.log("client", "unread answers are given up, their connection closed")
                 client.drop()
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -20,6 +20,7 @@
 )
 from ..discovery.event_codec import BadLine, ListedEndpoint, parse_event
 from ..discovery.watch_client import CONNECT, SILENT, WatchClient
+from ..dispatch.observers import DispatchObserver
 from ..endpoints.endpoint_table import EndpointTable
 from ..metrics import ERROR, SUCCESS
 from ..protocols.client_connection import ClientConnection
@@ -88,7 +89,7 @@
         self.owner.confirmed()
 
 
-class StartupService:
+class StartupService(DispatchObserver):
     """One node's start. Everything is asked from its tick; files are written on a thread."""
 
     def __init__(self, node: Host, terms: StartupSettings) -> None:
@@ -114,8 +115,8 @@
         if node.config.known:
             self.start.list_told(now, Source.KNOWN, 0)
         self._ask_contact(now)
-        node.dispatcher.witness.append(self._witness)
-        node.dispatcher.more_figures.append(self.figures)
+        node.dispatcher.add_observer(self)
+        node.dispatcher.extensions.metrics_sources.append(self.figures)
         node.dispatcher.pools.turn = self._connect_wait
         self.gate = Gate(terms.accepts, now)
         self.unread: dict[ClientConnection, None] = {}  # let in, and not read yet, in their order
@@ -166,7 +167,7 @@
         """
         self.node.dispatcher.endpoint_list_changed(parse_event(kept.event()))
         self.held_back = True
-        self.node.dispatcher.adjust.append(self._bind)
+        self.node.dispatcher.extensions.settings_adjusters.append(self._bind)
         self.node.dispatcher.refresh_settings()
 
     def _bind(self, settings: Settings) -> Settings:
@@ -208,9 +209,9 @@
         if not self.node.config.settings.limits.health_checks:
             self.start.terms = replace(self.start.terms, contact_part=0.0)  # nobody may be asked
 
-    def _witness(self, engine: int, result: AttemptResult) -> None:
+    def health_check_ended(self, endpoint: int, result: AttemptResult) -> None:
         if result is not AttemptResult.TIMEOUT:  # refused is heard of, too; silence is not
-            self.seen.add(engine)
+            self.seen.add(endpoint)
 
     def _contact(self, now: int) -> None:
         ready = [
@@ -226,7 +227,7 @@
                 )
             if 0 <= at <= now:
                 self.asked[engine] = -1
-                self.node.dispatcher._probe(now, engine)
+                self.node.dispatcher.health_checks.start(now, engine)
         self.start.heard_of(now, len(self.seen.intersection(ready)), len(ready))
 
     # --- connections ---
@@ -296,7 +297,7 @@
     def _skip(self, now: int) -> None:
         self.start.skip(now, "another process of this broker serves beside it")
         self.node.dispatcher.pools.own, self.node.dispatcher.pools.turn = self.own, None
-        self.node.dispatcher.stay_away = None
+        self.node.dispatcher.extensions.retry_after_policy = None
 
     def _ramp(self, now: int) -> None:
         broker = self.node.dispatcher
@@ -308,7 +309,7 @@
         first_time = self.ramp is None
         if self.ramp is None:
             self.ramp = Ramp(self.terms, now)
-            broker.stay_away = self._stay_away
+            broker.extensions.retry_after_policy = self._stay_away
         counts = [
             sum(c[status] for c in broker.metrics_counts.replies.values())
             for status in (SUCCESS, ERROR)
@@ -327,10 +328,11 @@
                 if share < 1
                 else {}
             )
-            broker.beside(CoProcessLoad(left, 1))
+            broker.report_event(CoProcessLoad(left, 1))
         self.start.ramped(now, share)
         if self.start.stage is Stage.FULL:
-            broker.pools.own, broker.pools.turn, broker.stay_away = self.own, None, None
+            broker.pools.own, broker.pools.turn = self.own, None
+            broker.extensions.retry_after_policy = None
 
     def _stay_away(self, told: int) -> int:
         limits = self.node.config.settings.limits
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,8 @@
 from query_broker import decisions as api
 from query_broker.decisions.facade import CancelAttempt
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.dispatcher import UNDO_WAY, ParsedRequest
+from query_broker.dispatch.attempt_outcomes import CANCEL_TRANSIT_NS
+from query_broker.dispatch.validation import ParsedRequest
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.client_connection import IDLE, TURN, ClientConnection
@@ -402,12 +403,12 @@
         await until(lambda: any(e.words(b"do") for e in engines))
         still = clock.now()
         monkeypatch.setattr(clock, "now", lambda: still)
-        broker._cancel(CancelAttempt(request.id, 0))
+        broker.cancellations.cancel_attempt(CancelAttempt(request.id, 0))
         await until(lambda: any(e.words(b"undo") for e in engines))
-        broker._end_later()
+        broker.outcomes.report_deferred()
         assert list(request.attempts) == [0] and request.attempts[0].concluded
-        still += UNDO_WAY
-        broker._end_later()
+        still += CANCEL_TRANSIT_NS
+        broker.outcomes.report_deferred()
         assert list(request.attempts) == [1]
         await until(lambda: all(e.words(b"do") for e in engines))
 
@@ -497,6 +498,9 @@
     def failed(self, stream: int, reason: str) -> None:
         self.told.put_nowait("failed")
 
+    def unread(self) -> int:
+        return 0
+
 
 def ask_of(
     route: str = "stock-add", trace: str = "a" * 16, nonce: str | None = None
@@ -672,13 +676,14 @@
         request = broker.submit(caller, 1, ask_of("glance"))
         pool = next(iter(broker.pools.by_number.values()))
         assert pool.waiting
-        report = broker._end_later
-        monkeypatch.setattr(broker, "_end_later", lambda: None)  # the next tick is still to come
-        broker._cancel(CancelAttempt(request.id, 0))
+        report = broker.outcomes.report_deferred
+        # The next tick is still to come.
+        monkeypatch.setattr(broker.outcomes, "report_deferred", lambda: None)
+        broker.cancellations.cancel_attempt(CancelAttempt(request.id, 0))
         gate.set()
         await until(lambda: pool.connections and not pool.waiting)
         assert not engine.words(b"do")
-        monkeypatch.setattr(broker, "_end_later", report)
+        monkeypatch.setattr(broker.outcomes, "report_deferred", report)
         broker.wheel.soon()
         assert await within(caller.told.get()) == "served"
         assert len(engine.words(b"do")) == 1
--- a/tests/test_deadlines_sockets.py
+++ b/tests/test_deadlines_sockets.py
@@ -13,10 +13,11 @@
 
 import pytest
 
-from query_broker.deadlines.handover_checks import HandOver, StopReason
+from query_broker.deadlines.handover_checks import HandOver, HandOverStatistics, StopReason
 from query_broker.deadlines.retry_budget import RetryBudgetSettings
 from query_broker.deadlines.settings import DeadlineSettings, Logs
 from query_broker.discovery.event_codec import parse_event
+from query_broker.dispatch.deadline_controls import DeadlineControls
 from query_broker.operator_config.script import OperatorConfig
 from query_broker.operator_config.service import ConfiguredNode
 from query_broker.protocols import client_frames as frames
@@ -107,8 +108,16 @@
     return whole
 
 
+def controls(rig: Rig) -> DeadlineControls:
+    return rig.node.dispatcher.deadline_controls
+
+
+def statistics(rig: Rig) -> HandOverStatistics:
+    return controls(rig).statistics
+
+
 def tally(rig: Rig, hand: HandOver, why: StopReason) -> int:
-    return rig.node.dispatcher.tally.stopped[hand, why]
+    return statistics(rig).stopped[hand, why]
 
 
 def trace(number: int) -> str:
@@ -120,7 +129,7 @@
     rig.node.dispatcher.pools.most = most
     client = await rig.client()
     client.ask(1, body=LARGE, trace=trace(1), patience="5000", route="stock-add", weight="1.0")
-    await until(lambda: rig.node.dispatcher.blocked)
+    await until(lambda: rig.node.dispatcher.connection_events.blocked)
     return client
 
 
@@ -147,7 +156,7 @@
             await asyncio.sleep(0.005)
         assert [d[1] for d in slow.words(b"do")] == [trace(1).encode(), trace(3).encode()]
         assert slow.words(b"do")[0][3] == LARGE
-        assert rig.node.dispatcher.tally.begun_after == {StopReason.LEFT: 1}
+        assert statistics(rig).begun_after == {StopReason.LEFT: 1}
     slow.close()
 
 
@@ -169,7 +178,7 @@
             await slow.read()
             await asyncio.sleep(0.005)
         assert [d[1] for d in slow.words(b"do")] == [trace(1).encode()]
-        assert rig.node.dispatcher.tally.begun_after == {StopReason.PAST: 1}
+        assert statistics(rig).begun_after == {StopReason.PAST: 1}
     slow.close()
 
 
@@ -193,7 +202,7 @@
         attempt.deadline_ns = rig.node.dispatcher.now()
         attempt.reported = False
         assert (
-            not rig.node.dispatcher.may_go(attempt)
+            not rig.node.dispatcher.connection_events.may_go(attempt)
             and tally(rig, HandOver.SOCKET, StopReason.PAST) == 1
         )
     slow.close()
@@ -280,17 +289,23 @@
         clients = [await rig.client() for _ in range(500)]
         for number, client in enumerate(clients, 100):
             client.ask(1, trace=trace(number), weight="0.1", customer=None)
-        await until(lambda: rig.node.dispatcher.concurrent == 500)
+        await until(lambda: rig.node.dispatcher.request_table.unanswered_count == 500)
         for client in clients:
             client.writer.transport.abort()
-        await until(lambda: not rig.node.dispatcher.concurrent and not rig.node.dispatcher.requests)
+        await until(
+            lambda: not rig.node.dispatcher.request_table.unanswered_count
+            and not rig.node.dispatcher.requests
+        )
         assert tally(rig, HandOver.POOL, StopReason.LEFT) == 500
         gate.set()
         last = await rig.client()
         last.ask(1, trace=trace(1), weight="0.1", customer=None)
         assert (await last.answer())[1] == frames.SERVED
         assert [d[1] for d in engine.words(b"do")] == [trace(1).encode()]
-        assert not rig.node.dispatcher.later and not rig.node.dispatcher.held
+        assert (
+            not rig.node.dispatcher.outcomes.deferred
+            and not rig.node.dispatcher.request_table.statement_bytes
+        )
 
 
 # --- cancels ---
@@ -308,7 +323,7 @@
         for _ in range(4):
             await client.answer()
         await until(lambda: not rig.node.dispatcher.requests)
-        assert not engine.words(b"undo") and rig.node.dispatcher.tally.undone == 0
+        assert not engine.words(b"undo") and statistics(rig).undone == 0
 
 
 @pytest.mark.parametrize("end", ["left", "closed", "deadline"])
@@ -331,8 +346,8 @@
             assert (await client.answer())[1] == frames.FAILED
         await until(lambda: engine.words(b"undo"))
         assert {d[1] for d in engine.words(b"undo")} == {TRACE.encode()}
-        await until(lambda: rig.node.dispatcher.tally.cancelled == 1)  # by silence
-        assert rig.node.dispatcher.tally.undone == 1 and len(engine.words(b"undo")) <= 3
+        await until(lambda: statistics(rig).cancelled == 1)  # by silence
+        assert statistics(rig).undone == 1 and len(engine.words(b"undo")) <= 3
         assert held(rig)[0].quiet() and not rig.node.dispatcher.requests
 
 
@@ -348,12 +363,12 @@
         client.send(frames.ABANDON, 1)
         await until(lambda: engine.words(b"undo"))
         engine.serve(engine.words(b"do")[0], engine.writers[0])
-        await until(lambda: rig.node.dispatcher.tally.went_on == 1)
+        await until(lambda: statistics(rig).went_on == 1)
         client.ask(2, trace=trace(2), weight="1.0")
         await until(lambda: len(engine.words(b"do")) == 2)
         engine.serve(engine.words(b"do")[1], engine.writers[-1])
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        assert rig.node.dispatcher.tally.cancelled == 0
+        assert statistics(rig).cancelled == 0
 
 
 @on_uvloop
@@ -368,7 +383,7 @@
         one.serve(one.words(b"do")[0], one.writers[0])
         assert (await client.answer())[1] == frames.SERVED
         await until(lambda: sum(len(e.words(b"undo")) for e in engines) >= 1)
-        assert rig.node.dispatcher.tally.undone == 1
+        assert statistics(rig).undone == 1
 
 
 @on_uvloop
@@ -380,7 +395,7 @@
         assert (await client.answer())[:2] == (1, frames.FAILED)
         await until(lambda: not rig.node.dispatcher.requests)
         engine.serve(engine.words(b"do")[0], engine.writers[0])
-        await until(lambda: rig.node.dispatcher.tally.late == 1)
+        await until(lambda: statistics(rig).late == 1)
         client.send(frames.ASK_READY, 0, b"\0")
         assert (await client.frame())[0] == frames.READY  # and no second answer before it
 
@@ -433,7 +448,7 @@
         client.ask(2, trace=trace(2), route="stock-add", weight="1.0")
         await until(lambda: held(rig)[0].write_queue.keyed)
         rig.node.dispatcher.endpoint_list_changed(parse_event(event(2, target("s-2", spare))))
-        rig.node.dispatcher.close_out_all()
+        rig.node.dispatcher.cancellations.close_out_all()
         answers = {}
         for _ in range(2):
             stream, code, _, _ = await client.answer()
@@ -488,7 +503,7 @@
                 assert (await client.answer())[:2] == (1, frames.SERVED)
                 assert await client.ended()
             else:
-                await until(lambda: not rig.node.dispatcher.concurrent)
+                await until(lambda: not rig.node.dispatcher.request_table.unanswered_count)
             await until(lambda: not rig.node.clients)
 
 
@@ -531,7 +546,7 @@
             assert (await client.answer())[1] == frames.REFUSED
         assert sum(len(e.words(b"do")) for e in engines) == 12
         assert (
-            tally(rig, HandOver.POOL, StopReason.BUDGET) and rig.node.dispatcher.budget is not None
+            tally(rig, HandOver.POOL, StopReason.BUDGET) and controls(rig).retry_budget is not None
         )
 
 
@@ -550,12 +565,12 @@
         for stage in ("read", "decide", "connect", "write", "engine", "answer"):
             assert f'larchhall_stage_seconds_count{{type="glance",stage="{stage}"}} 80' in text
         assert "larchhall_margin_seconds 0.01" in text and "larchhall_undone_total 0" in text
-        rig.node.dispatcher.stages.learn(rig.node.dispatcher.now())  # type: ignore[union-attr]
-        assert rig.node.dispatcher.stages.margin < 10 * MS  # type: ignore[union-attr]
+        controls(rig).stages.learn(rig.node.dispatcher.now())  # type: ignore[union-attr]
+        assert controls(rig).stages.margin < 10 * MS  # type: ignore[union-attr]
         ordinary = Node(made, os.environ)
         assert (
             b"larchhall_" not in ordinary.dispatcher.metrics()
-            and ordinary.dispatcher.stages is None
+            and ordinary.dispatcher.deadline_controls.stages is None
         )
 
 
@@ -582,4 +597,4 @@
             taken = request.deadline_ns - request.accepted_ns
             assert (taken < 2_750 * MS) == (terms.count_from == "first") and taken <= 2_990 * MS
             client.writer.transport.abort()
-            await until(lambda: not rig.node.dispatcher.concurrent)  # noqa: B023
+            await until(lambda: not rig.node.dispatcher.request_table.unanswered_count)  # noqa: B023
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -18,9 +18,10 @@
 from query_broker.deadlines.handover_checks import HandOver
 from query_broker.decisions.events import AttemptResult
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.dispatcher import Dispatcher, InvalidRequestError, ParsedRequest
+from query_broker.dispatch.dispatcher import Dispatcher
 from query_broker.dispatch.requests import ActiveRequest
 from query_broker.dispatch.requests import Client as Asker
+from query_broker.dispatch.validation import InvalidRequestError, ParsedRequest
 from query_broker.emulator.clients import Book
 from query_broker.emulator.cluster import World
 from query_broker.emulator.cluster import config as world_config
@@ -122,7 +123,7 @@
     orders = Orders(deployments.WAREHOUSE, monkeypatch)
     orders.take("load")
     with pytest.raises(InvalidRequestError):
-        orders.broker._check(orders.ask("load", nonce="f" * 32))
+        orders.broker.validator.check(orders.ask("load", nonce="f" * 32))
 
 
 @pytest.mark.parametrize("name", ["warehouse", "bound"])
@@ -280,7 +281,7 @@
 
     def connect(self, pool: ConnectionPool) -> None:
         fd = 1_000 + len(self.connections)
-        made = EngineConnection(self.broker, pool.number)
+        made = EngineConnection(self.broker.connection_events, pool.number)
         self.out[fd], self.parser[fd], self.connections[fd] = set(), resp.RespParser(), made
         made.connection_made(cast(Any, Transport(self, fd)))
         pool.connections.append(made)
@@ -292,7 +293,7 @@
             self.connect(pool)
             waiting, pool.waiting = pool.waiting, []
             for attempt in waiting:
-                if self.broker._may_go(attempt, HandOver.CONNECTION):
+                if self.broker.gate.may_go(attempt, HandOver.CONNECTION):
                     pool.send(attempt, self.clock.time)
         self.broker.tick()
 
@@ -372,7 +373,7 @@
                 self.out[self.first].discard(b"9" * 16)
                 connection.data_received(resp.encode(b"9" * 16, b"served", b"-", b"a\tb\tc\n"))
         elif what == "left":
-            broker.abandon(self.request)
+            broker.cancellations.abandon(self.request)
         elif what == "drain":
             for known in list(broker.endpoint_table.by_uid)[:2]:
                 broker.endpoint_list_changed(parse_event(event(2, target(known, 1, "terminating"))))
@@ -448,4 +449,4 @@
             order
         ):
             assert orders.dos <= 1, order
-        assert not orders.broker.requests and not orders.broker.ids, order
+        assert not orders.broker.requests and not orders.broker.request_table.by_client_id, order
--- a/tests/test_members_broker.py
+++ b/tests/test_members_broker.py
@@ -102,7 +102,9 @@
     draw, engine = random.Random(3), Engine()
     async with running(make_config(target("s-1", await engine.start()), fleet_size=10)) as rig:
         told = [10]
-        rig.node.dispatcher.adjust.append(lambda s: replace(s, fleet_size=told[0], broker_index=0))
+        rig.node.dispatcher.extensions.settings_adjusters.append(
+            lambda s: replace(s, fleet_size=told[0], broker_index=0)
+        )
         client = await rig.client()
         for stream in range(1, 31):
             told[0] = draw.choice([1, 2, 100, 10])
--- a/tests/test_shares_processes.py
+++ b/tests/test_shares_processes.py
@@ -328,7 +328,7 @@
         judging = Judging(rig.node, Few("n0", "n1", "n2"), terms)  # type: ignore[arg-type]
         number = rig.node.dispatcher.endpoint_table.by_uid["bad"].number
         for _ in range(2):
-            judging._outcome(number, AttemptResult.ERROR)
+            judging.attempt_ended(number, AttemptResult.ERROR)
         judging.evidence.receive(
             clock.now(),
             Reports((Report("n1", "east", 1, 0, (Seen(Engine("bad", 0), 2, 0, 0, -1),)),)),
@@ -337,7 +337,7 @@
         clock.anchor += terms.told
         judging._look()
         assert [v.engine.uid for v in judging.evidence.verdicts.values()] == ["bad"]
-        judging._witness(number, AttemptResult.SERVED)  # of a probe that was on its way
+        judging.health_check_ended(number, AttemptResult.SERVED)  # of a probe that was on its way
         judging._look()
         row = judging.evidence.report(clock.now()).seen[0]
         assert (row.bad, row.good) == (2, 0) and not bad.words(b"top")
--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from query_broker.dispatch.dispatcher import WAY_BACK
+from query_broker.dispatch.deadline_controls import DEFAULT_ANSWER_MARGIN_NS
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 
@@ -152,7 +152,7 @@
         assert len(engine.words(b"do")) == 1
         engine.serve(engine.words(b"do")[0], engine.writers[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert not rig.node.dispatcher.ids
+        assert not rig.node.dispatcher.request_table.by_client_id
 
 
 @on_uvloop
@@ -239,7 +239,7 @@
         client.ask(patience="300")
         await until(lambda: engine.words(b"do"))
         request = next(iter(rig.node.dispatcher.requests.values()))
-        assert request.deadline_ns <= rig.node.clock.now() + 300 * MS - WAY_BACK
+        assert request.deadline_ns <= rig.node.clock.now() + 300 * MS - DEFAULT_ANSWER_MARGIN_NS
         assert (await client.answer())[1] == frames.REFUSED
         assert 0.25 < loop.time() - sent
 
@@ -289,7 +289,7 @@
         await until(lambda: engine.words(b"do"))
         engine.serve(engine.words(b"do")[0], engine.writers[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert rig.node.dispatcher.held == 0
+        assert rig.node.dispatcher.request_table.statement_bytes == 0
 
 
 @on_uvloop
--- a/tests/test_sockets_engine.py
+++ b/tests/test_sockets_engine.py
@@ -9,8 +9,9 @@
 import pytest
 
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.dispatcher import Dispatcher, ParsedRequest
+from query_broker.dispatch.dispatcher import Dispatcher
 from query_broker.dispatch.requests import ActiveRequest, Attempt
+from query_broker.dispatch.validation import ParsedRequest
 from query_broker.endpoints import connection_pools as pools
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
@@ -368,11 +369,11 @@
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         broker = rig.node.dispatcher
         known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
-        broker._probe(broker.now(), broker.endpoint_table.number("s-1"))
+        broker.health_checks.start(broker.now(), broker.endpoint_table.number("s-1"))
         await until(lambda: known.report)
         assert known.report is not None
         assert (known.report.queue, known.report.memory, known.report.disk) == (2.0, 0.25, 0.5)
-        assert not broker.probing
+        assert not broker.health_checks.pending
         client = await rig.client()
         client.ask(patience="150", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
@@ -456,6 +457,9 @@
     def failed(self, stream: int, reason: str) -> None:
         self.answers.append("failed")
 
+    def unread(self) -> int:
+        return 0
+
 
 @on_uvloop
 async def test_a_connect_that_news_overtook_takes_nothing_to_whoever_listens_there_now() -> None:
