--- a/query_broker/server/client_admission.py
+++ b/query_broker/server/client_admission.py
@@ -76,7 +76,10 @@
         unread = 0  # bytes
         for client in sorted(self.connections, key=ClientConnection.unread):
             unread += client.unread()
-            paused = client.paused_at and now_ns - client.paused_at > dispatcher.terms.slow_reader
+            paused = (
+                client.paused_at
+                and now_ns - client.paused_at > dispatcher.deadline_controls.settings.slow_reader
+            )
             if unread > dispatcher.room or paused:
                 self.drop_slow_reader(client)
 
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -131,7 +131,7 @@
             # SIGKILL would take what is open with it: a final answer now is better than none.
             self.closed_out = True
             self.node.log("stop", f"closing out {len(self.node.dispatcher.requests)} requests")
-            self.node.dispatcher.close_out_all()
+            self.node.dispatcher.cancellations.close_out_all()
         _call_later(CHECK_PERIOD_S, self._await_requests)
 
     def _is_idle(self) -> bool:
@@ -148,7 +148,7 @@
         unread bytes resets the connection, and takes what the client has not read yet with it.
         """
         self._ended_at_ns = self.node.clock.now()
-        self.node.dispatcher.closing = True
+        self.node.dispatcher.request_table.closing = True
         for client in list(self.node.clients):
             client.shut()
         self._await_disconnects()
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -169,7 +169,7 @@
     def apply_peer_statuses(self, others: Collection[ProcessStatus]) -> None:
         """Divide the broker's limits with these other processes; with none, take them all."""
         accepting = 1 + sum(other.accepting for other in others)
-        self.dispatcher.beside(CoProcessLoad(total_outstanding_work(others), accepting))
+        self.dispatcher.report_event(CoProcessLoad(total_outstanding_work(others), accepting))
         self.dispatcher.divide(1 + len(others), sum(other.clients for other in others))
         self.admission.max_connections = self.dispatcher.most_clients
 
