--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,9 +1,8 @@
-"""What shared limits and verdicts are worth, and what they promise: `python -m benchmarks.shares
-[--quick]`.
+"""What shared limits and outlier consensus achieve: `python -m benchmarks.shares [--quick]`.
 
-Schedules of faults on a simulated clock, read by an auditor; uneven traffic beside plain division
-and a central counter without faults; how soon all act on a bad engine with and without sharing;
-every order of three brokers.
+Schedules of faults on a simulated clock, watched by an auditor; uneven demand beside an even
+division and a central counter without faults; how soon all act on a failing endpoint with and
+without gossip; every order of events among three brokers.
 """
 
 from __future__ import annotations
@@ -11,11 +10,13 @@
 import argparse
 import itertools
 import multiprocessing
+import multiprocessing.pool
 import os
 import random
 import sys
+from collections.abc import Sequence
 from functools import partial
-from typing import Any
+from typing import Any, NamedTuple
 
 import uvloop
 
@@ -23,193 +24,311 @@
 from query_broker.decisions.facade import EngineBan, Result
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
-from query_broker.emulator.quota_simulation import ShareWorld, trouble
-from query_broker.outlier_consensus.observations import Engine, Evidence, Reports
-from query_broker.outlier_consensus.settings import VerdictTerms, rounds
-from query_broker.quotas.settings import LimitTerms, SharesTerms
+from query_broker.emulator.quota_simulation import FaultInjector, QuotaSimulation
+from query_broker.outlier_consensus.consensus import OutlierConsensus
+from query_broker.outlier_consensus.messages import Endpoint, ObserverReports
+from query_broker.outlier_consensus.observations import ObservationStore
+from query_broker.outlier_consensus.settings import OutlierConsensusSettings, gossip_rounds
+from query_broker.quotas.settings import LimitSettings, QuotaSettings
 
 from .harness import ROOT, Figures
 from .members import costs
 
-S = 1_000_000_000
-MS = 1_000_000
-TERMS = SharesTerms(limits=(LimitTerms("a", rate=100.0), LimitTerms("b", rate=50.0)))
+NS_PER_S = 1_000_000_000
+NS_PER_MS = 1_000_000
+SETTINGS = QuotaSettings(
+    limits=(LimitSettings("a", rate_per_s=100.0), LimitSettings("b", rate_per_s=50.0))
+)
 LIMITS = {"a": 100.0, "b": 50.0}
-BAD_AT = 5 * S
+FAILS_AFTER_NS = 5 * NS_PER_S
+GOSSIP_DELAY_NS = 2 * NS_PER_MS
+ROUNDING_ERROR = 1e-6
 
 
-def schedule(count: int, seconds: float, seed: int) -> tuple[float, float, bool]:
-    """By how much a limit was over at the worst, messages a second a broker, whether two homes were
-    seen.
-    """
+class FaultScheduleResult(NamedTuple):
+    """What the auditor saw during one schedule of faults."""
+
+    overshoot_per_s: float
+    messages_per_s: float  # of one broker
+    had_two_leaders: bool
+
+
+def run_fault_schedule(count: int, seconds: float, seed: int) -> FaultScheduleResult:
+    """Play one schedule of faults among some brokers."""
     draw = random.Random(seed)
-    world = ShareWorld(
+    simulation = QuotaSimulation(
         count,
-        TERMS,
+        SETTINGS,
         LIMITS,
         seed,
-        TERMS.drift,
+        SETTINGS.clock_drift,
         draw.choice([0.0, 0.1, 0.3]),
-        view_delay=draw.choice([S // 2, 4 * S, 10 * S]),
+        view_delay_ns=draw.choice([NS_PER_S // 2, 4 * NS_PER_S, 10 * NS_PER_S]),
     )
-    trouble(world, seed, seconds - 10)
+    FaultInjector(simulation, seed).schedule(seconds - 10)
     try:
-        world.run(seconds)
+        simulation.run(seconds)
     except AssertionError:
-        return 0.0, 0.0, True
-    return max(world.worst.values()), world.messages / count / seconds, False
-
-
-def skewed(count: int, seed: int) -> tuple[float, float, float]:
-    """Used of a limit that is asked for 1 : 10 : 100: leased, divided, and by a central counter."""
-    world = ShareWorld(count, TERMS, LIMITS, seed, TERMS.drift)
-    asked = [1.0, 10.0, 100.0]
-    scale = 3 * 120.0 / (count * sum(asked))  # in all a fifth more than the limit
-    wants = [asked[b.number % 3] * scale for b in world.brokers]
-    floor = LIMITS["a"] * TERMS.guaranteed / count
-    for broker, want in zip(world.brokers, wants, strict=True):
-        broker.leases.want = {"a": max(0.0, want - floor)}
-    world.run(30)
+        return FaultScheduleResult(0.0, 0.0, True)
+    overshoot = max(simulation.worst_overshoot_per_s.values())
+    return FaultScheduleResult(overshoot, simulation.messages / count / seconds, False)
+
+
+class UsedFractions(NamedTuple):
+    """Which fraction of a limit is used: by leases, by even division, by a central counter."""
+
+    leased: float
+    divided: float
+    central: float
+
+
+def run_uneven_demand(count: int, seed: int) -> UsedFractions:
+    """Ask for a limit 1 : 10 : 100, in all a fifth more than the limit."""
+    simulation = QuotaSimulation(count, SETTINGS, LIMITS, seed, SETTINGS.clock_drift)
+    limit_per_s = LIMITS["a"]
+    ratios = [1.0, 10.0, 100.0]
+    scale = 3 * 120.0 / (count * sum(ratios))
+    demands = [ratios[broker.number % 3] * scale for broker in simulation.brokers]
+    guaranteed = limit_per_s * SETTINGS.guaranteed_fraction / count
+    for broker, demand in zip(simulation.brokers, demands, strict=True):
+        broker.leases.holder.wanted_per_s = {"a": max(0.0, demand - guaranteed)}
+    simulation.run(30)
     leased = sum(
-        min(w, floor + b.leases.amount("a", b.clock(world.now)))
-        for b, w in zip(world.brokers, wants, strict=True)
+        min(demand, guaranteed + broker.amount_per_s("a", simulation.now_ns))
+        for broker, demand in zip(simulation.brokers, demands, strict=True)
     )
-    divided = sum(min(w, LIMITS["a"] / count) for w in wants)
-    return leased / LIMITS["a"], divided / LIMITS["a"], min(sum(wants), LIMITS["a"]) / LIMITS["a"]
+    divided = sum(min(demand, limit_per_s / count) for demand in demands)
+    central = min(sum(demands), limit_per_s)
+    return UsedFractions(leased / limit_per_s, divided / limit_per_s, central / limit_per_s)
 
 
-class Failing(SimEngine):
+class FailingEngine(SimEngine):
     """Fails every query from a moment on, at once."""
 
+    failed_queries = 0
+
     def take(self, id: bytes, cls: str, work: float, threads: int, done: Any) -> None:
-        if self.sim.now >= BEGIN + BAD_AT:
-            self.met = getattr(self, "met", 0) + 1
-            self.sim.at(self.sim.now + MS, partial(done, Result.ERROR))
-        else:
+        """Fail the query, or run it as long as the endpoint works."""
+        if self.sim.now < BEGIN + FAILS_AFTER_NS:
             super().take(id, cls, work, threads, done)
+            return
+        self.failed_queries += 1
+        self.sim.at(self.sim.now + NS_PER_MS, partial(done, Result.ERROR))
+
 
+class FailingEndpointResult(NamedTuple):
+    """How the brokers coped with a failing endpoint.
 
-def bad_engine(count: int, shared: bool, seed: int) -> tuple[float, float, int]:
-    """Seconds from the first failure until the last broker holds the engine out (the run's end: one
-    never did), queries that failed there, and brokers that acted.
+    Attributes:
+        until_last_s: From the first failure until the last broker ejected it; until the end of the
+            run if one never did.
+        failed_queries: Queries that failed there.
+        brokers: How many brokers ejected it.
     """
-    sim, terms = Simulation(seed), VerdictTerms()
-    numbers = [sim.draw.randrange(1 << 32) for _ in range(max(5, count // 4))]
-    bad = Failing(sim, numbers[0], Machine())
-    engines: dict[int, SimEngine] = {n: SimEngine(sim, n, Machine()) for n in numbers[1:]}
-    engines[numbers[0]] = bad
-    classes = (api.RequestClass("glance", S, 5 * S, 1.0),)
-    names = [f"b{i}" for i in range(count)]
-    zones = {Engine(str(n), 0): "a" for n in numbers}
-    acted: dict[str, int] = {}
-    first: list[int] = []
-    brokers: list[tuple[SimBroker, Evidence]] = []
-    for me, name in enumerate(names):
+
+    until_last_s: float
+    failed_queries: int
+    brokers: int
+
+
+class FailingEndpointRun:
+    """Brokers and endpoints, one of which fails every query from a moment on."""
+
+    def __init__(self, count: int, use_gossip: bool, seed: int) -> None:
+        """Create the endpoints and the brokers."""
+        self.simulation = Simulation(seed)
+        self.use_gossip = use_gossip
+        self.settings = OutlierConsensusSettings()
+        draw = self.simulation.draw
+        numbers = [draw.randrange(1 << 32) for _ in range(max(5, count // 4))]
+        self.failing = FailingEngine(self.simulation, numbers[0], Machine())
+        self.engines: dict[int, SimEngine] = {
+            number: SimEngine(self.simulation, number, Machine()) for number in numbers[1:]
+        }
+        self.engines[numbers[0]] = self.failing
+        self.names = [f"b{number}" for number in range(count)]
+        self.zones = {Endpoint(str(number), 0): "a" for number in numbers}
+        self.ejected_at_ns: dict[str, int] = {}
+        self.first_failure_ns: int | None = None
+        self.brokers = [self._create(position) for position in range(count)]
+        self.request_ids = itertools.count()
+        self.request_gap_ns = int(NS_PER_S / (4 * count))
+
+    def _create(self, position: int) -> tuple[SimBroker, OutlierConsensus]:
         settings = api.Settings(
-            classes=classes,
-            fleet_size=count,
-            me=me,
-            tick=25 * MS,
+            classes=(api.RequestClass("glance", NS_PER_S, 5 * NS_PER_S, 1.0),),
+            fleet_size=len(self.names),
+            me=position,
+            tick=25 * NS_PER_MS,
             kind_cores=(("std", 8),),
-            limits=api.Limits(probes=True, max_attempts=3, max_retry_after=2 * S),
+            limits=api.Limits(probes=True, max_attempts=3, max_retry_after=2 * NS_PER_S),
+        )
+        broker = SimBroker(self.simulation, settings, position, self.engines)
+        observations = ObservationStore(self.names[position], "a", self.settings)
+        broker.outcome = partial(self._record, observations)
+        broker.list_told()
+        return broker, OutlierConsensus(observations)
+
+    def _record(self, observations: ObservationStore, number: int, result: Result) -> None:
+        now_ns = self.simulation.now
+        if result is Result.ERROR and self.first_failure_ns is None:
+            self.first_failure_ns = now_ns
+        if result in (Result.SERVED, Result.ERROR):
+            observations.record(now_ns, Endpoint(str(number), 0), result is Result.SERVED)
+
+    def _gossip(self, broker: SimBroker, consensus: OutlierConsensus) -> None:
+        simulation = self.simulation
+        now_ns = simulation.now
+        due_ns = now_ns + self.settings.gossip_interval_ns
+        simulation.at(due_ns, partial(self._gossip, broker, consensus))
+        consensus.observations.write_report(now_ns)
+        newest = consensus.observations.newest_reports(now_ns, 16)
+        batch = ObserverReports(tuple(report for report in newest if report.observations))
+        if self.use_gossip:
+            arrival_ns = now_ns + GOSSIP_DELAY_NS
+            for _, other in simulation.draw.sample(self.brokers, 3):
+                receive = partial(other.observations.receive, arrival_ns, batch, self.names)
+                simulation.at(arrival_ns, receive)
+        for ejection in consensus.evaluate(now_ns, self.names, self.zones).ejected:
+            self.ejected_at_ns.setdefault(consensus.observations.name, now_ns)
+            broker.report(EngineBan(int(ejection.endpoint.uid), True, now_ns))
+
+    def _send_request(self) -> None:
+        simulation = self.simulation
+        gap_ns = int(simulation.draw.expovariate(1) * self.request_gap_ns)
+        simulation.at(simulation.now + gap_ns, self._send_request)
+        broker, _ = simulation.draw.choice(self.brokers)
+        request_id = str(next(self.request_ids))
+        broker.ask(request_id, "glance", NS_PER_S // 5, 1, 5 * NS_PER_S)
+
+    def run(self) -> FailingEndpointResult:
+        """Play 25 seconds."""
+        simulation = self.simulation
+        for broker, consensus in self.brokers:
+            offset_ns = simulation.draw.randrange(self.settings.gossip_interval_ns)
+            simulation.at(BEGIN + offset_ns, partial(self._gossip, broker, consensus))
+        self._send_request()
+        simulation.run(25)
+        last_ns = simulation.now
+        if len(self.ejected_at_ns) == len(self.names):
+            last_ns = max(self.ejected_at_ns.values())
+        first_ns = simulation.now if self.first_failure_ns is None else self.first_failure_ns
+        return FailingEndpointResult(
+            (last_ns - first_ns) / NS_PER_S, self.failing.failed_queries, len(self.ejected_at_ns)
         )
-        broker, evidence = SimBroker(sim, settings, me, engines), Evidence(name, "a", terms)
 
-        def outcome(number: int, result: Result, evidence: Evidence = evidence) -> None:
-            if result is Result.ERROR and not first:
-                first.append(sim.now)
-            if result in (Result.SERVED, Result.ERROR):
-                evidence.outcome(sim.now, Engine(str(number), 0), result is Result.SERVED)
 
-        broker.outcome = outcome
-        broker.list_told()
-        brokers.append((broker, evidence))
-
-    def tell(broker: SimBroker, evidence: Evidence) -> None:
-        sim.at(sim.now + terms.told, lambda: tell(broker, evidence))
-        evidence.report(sim.now)
-        rows = Reports(tuple(r for r in evidence.told(sim.now, 16) if r.seen))
-        for _, other in sim.draw.sample(brokers, 3) if shared else ():
-            sim.at(sim.now + 2 * MS, partial(other.receive, sim.now + 2 * MS, rows, names))
-        begun, _ = evidence.judge(sim.now, names, zones)
-        for verdict in begun:
-            acted.setdefault(evidence.me, sim.now)
-            broker.report(EngineBan(int(verdict.engine.uid), True, sim.now))
-
-    for one in brokers:
-        sim.at(BEGIN + sim.draw.randrange(terms.told), partial(tell, *one))
-    ids, gap = itertools.count(), int(S / (4 * count))
-
-    def arrive() -> None:
-        sim.at(sim.now + int(sim.draw.expovariate(1) * gap), arrive)
-        sim.draw.choice(brokers)[0].ask(str(next(ids)), "glance", S // 5, 1, 5 * S)
-
-    arrive()
-    sim.run(25)
-    last = max(acted.values()) if len(acted) == count else sim.now
-    return (last - (first[0] if first else sim.now)) / S, getattr(bad, "met", 0), len(acted)
-
-
-def simulated(
-    figures: Figures, sizes: dict[int, tuple[int, float]], engines: tuple[int, ...]
+def run_failing_endpoint(count: int, use_gossip: bool, seed: int) -> FailingEndpointResult:
+    """Play one run with a failing endpoint, in a process of its own."""
+    return FailingEndpointRun(count, use_gossip, seed).run()
+
+
+class SimulationSize(NamedTuple):
+    """How much to simulate with a number of brokers."""
+
+    brokers: int
+    seeds: int
+    seconds: float
+
+
+def report_fault_schedules(
+    figures: Figures, pool: multiprocessing.pool.Pool, size: SimulationSize
+) -> None:
+    """Print what the auditor saw over many schedules."""
+    play = partial(run_fault_schedule, size.brokers, size.seconds)
+    results = pool.map(play, range(size.seeds), 1)
+    name = f"schedules_{size.brokers}"
+    breaches = sum(result.overshoot_per_s > ROUNDING_ERROR for result in results)
+    figures.tell(f"{name}.seeds", size.seeds)
+    figures.tell(f"{name}.breaches", breaches, most=0)
+    figures.tell(f"{name}.two_homes", sum(result.had_two_leaders for result in results), most=0)
+    busiest = max(result.messages_per_s for result in results)
+    figures.tell(f"{name}.messages_a_second", busiest, most=40.0)
+
+
+def report_uneven_demand(
+    figures: Figures, pool: multiprocessing.pool.Pool, size: SimulationSize
+) -> None:
+    """Print which fraction of a limit is used at uneven demand."""
+    results = pool.map(partial(run_uneven_demand, size.brokers), range(min(size.seeds, 8)), 1)
+    for position, name in enumerate(UsedFractions._fields):
+        mean = sum(result[position] for result in results) / len(results)
+        bound = 0.9 if name == "leased" else None
+        figures.tell(f"skewed_{size.brokers}.{name}", mean, least=bound)
+
+
+def report_failing_endpoint(
+    figures: Figures, pool: multiprocessing.pool.Pool, count: int, use_gossip: bool
 ) -> None:
+    """Print how soon all brokers eject a failing endpoint."""
+    results = pool.map(partial(run_failing_endpoint, count, use_gossip), range(1, 5), 1)
+    interval_s = OutlierConsensusSettings().gossip_interval_ns / NS_PER_S
+    bound_s = 2.0 + gossip_rounds(count) * interval_s if use_gossip else None
+    name = f"bad_engine_{count}.{'shared' if use_gossip else 'alone'}"
+    slowest = max(result.until_last_s for result in results)
+    figures.tell(f"{name}.until_the_last_acts_s", slowest, most=bound_s)
+    mean_failed = sum(result.failed_queries for result in results) / len(results)
+    figures.tell(f"{name}.queries_that_failed", mean_failed)
+
+
+def report_simulations(
+    figures: Figures, sizes: Sequence[SimulationSize], endpoint_runs: Sequence[int]
+) -> None:
+    """Print the figures of all simulations.
+
+    Args:
+        figures: Prints each figure and remembers broken bounds.
+        sizes: Simulations of shared limits.
+        endpoint_runs: Numbers of brokers in the runs with a failing endpoint.
+    """
     with multiprocessing.get_context("fork").Pool(len(os.sched_getaffinity(0))) as pool:
-        for count, (seeds, seconds) in sizes.items():
-            runs = pool.map(partial(schedule, count, seconds), range(seeds), 1)
-            figures.tell(f"schedules_{count}.seeds", seeds)
-            figures.tell(f"schedules_{count}.breaches", sum(r[0] > 1e-6 for r in runs), most=0)
-            figures.tell(f"schedules_{count}.two_homes", sum(r[2] for r in runs), most=0)
-            figures.tell(f"schedules_{count}.messages_a_second", max(r[1] for r in runs), most=40.0)
-            used = pool.map(partial(skewed, count), range(min(seeds, 8)), 1)
-            for part, name in enumerate(("leased", "divided", "central")):
-                figures.tell(
-                    f"skewed_{count}.{name}",
-                    sum(u[part] for u in used) / len(used),
-                    least=0.9 if name == "leased" else None,
-                )
-        for count in engines:
-            for shared in (False, True):
-                got = pool.map(partial(bad_engine, count, shared), range(1, 5), 1)
-                at = f"bad_engine_{count}.{'shared' if shared else 'alone'}"
-                figures.tell(
-                    f"{at}.until_the_last_acts_s",
-                    max(g[0] for g in got),
-                    most=2.0 + rounds(count) * VerdictTerms().told / S if shared else None,
-                )
-                figures.tell(f"{at}.queries_that_failed", sum(g[1] for g in got) / len(got))
-
-
-def model(figures: Figures, depth: int) -> None:
+        for size in sizes:
+            report_fault_schedules(figures, pool, size)
+            report_uneven_demand(figures, pool, size)
+        for count in endpoint_runs:
+            for use_gossip in (False, True):
+                report_failing_endpoint(figures, pool, count, use_gossip)
+
+
+def report_model_checker(figures: Figures, depth: int) -> None:
+    """Print how many states the model checker reached; 0, a broken bound, if it found a fault."""
     sys.path.insert(0, str(ROOT))
-    from tests.shares_model import Broken, explore
+    from tests.quota_model import PropertyViolated, explore
 
     try:
         states = explore(depth)
-    except Broken as broken:
-        print(f"# {broken}")
+    except PropertyViolated as violation:
+        print(f"# {violation}")
         states = 0
     figures.tell(f"model.states_to_depth_{depth}", states, least=1)
 
 
-WORDS = (
+DIRECTIVES = (
     '\nlimit("t0")\nlimit("t1")\nlimit("work", kind = "work")\n'
     'limit("c", kind = "connects", rate = 500)\n'
     "verdicts()"
 )
+QUICK_SIZES = (SimulationSize(10, 48, 60.0),)
+FULL_SIZES = (
+    SimulationSize(10, 1_000, 60.0),
+    SimulationSize(100, 48, 60.0),
+    SimulationSize(500, 8, 40.0),
+)
 
 
 def main() -> int:
+    """Run all; return 1 if a bound was broken."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     figures = Figures()
-    if given.quick:
-        simulated(figures, {10: (48, 60.0)}, (10, 40))
-        model(figures, 3)
+    if arguments.quick:
+        report_simulations(figures, QUICK_SIZES, (10, 40))
+        report_model_checker(figures, 3)
         return figures.exit()
-    simulated(figures, {10: (1_000, 60.0), 100: (48, 60.0), 500: (8, 40.0)}, (10, 100, 500))
-    model(figures, 4)
-    uvloop.run(costs(figures, 12, 400, "limits", WORDS, 1.08))
+    report_simulations(figures, FULL_SIZES, (10, 100, 500))
+    report_model_checker(figures, 4)
+    uvloop.run(costs(figures, 12, 400, "limits", DIRECTIVES, 1.08))
     return figures.exit()
 
 
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -120,12 +120,12 @@
         for line in member_lines(said.members, config.settings.fleet_size):
             click.echo(line)
     if said is not None and said.shares is not None:
-        from ..quotas.settings import lines as share_lines
+        from ..quotas.settings import describe as share_lines
 
         for line in share_lines(said.shares, config.settings.fleet_size):
             click.echo(line)
     if said is not None and said.verdicts is not None:
-        from ..outlier_consensus.settings import lines as verdict_lines
+        from ..outlier_consensus.settings import describe as verdict_lines
 
         for line in verdict_lines(said.verdicts, config.settings.fleet_size):
             click.echo(line)
--- a/query_broker/emulator/quota_simulation.py
+++ b/query_broker/emulator/quota_simulation.py
@@ -1,5 +1,6 @@
-"""Many brokers that share limits, on a simulated clock with faults, and an auditor with the one
-true clock. Pure.
+"""Simulates many brokers that share limits, on a simulated clock with faults.
+
+An auditor with the one true clock adds up all leases. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -9,272 +10,390 @@
 import random
 from collections.abc import Callable, Iterable
 from functools import partial
-
-from ..quotas.leases import Leases, shard_of
-from ..quotas.messages import HomeAsk, LeaseAsk, LeaseGrant, Promise
-from ..quotas.settings import SharesTerms
-
-MS = 1_000_000
-S = 1_000 * MS
-BEGIN = 1_000 * S
-Body = HomeAsk | Promise | LeaseAsk | LeaseGrant
-Cut = Callable[[int, int, int], bool]  # now, from, to
-
-
-class SharingBroker:
-    """``rate``: how fast its clock runs; it stands still until ``paused_until``."""
-
-    def __init__(self, number: int, name: str, leases: Leases, rate: float, offset: int) -> None:
-        self.number, self.name, self.leases, self.rate, self.offset = (
-            number,
-            name,
-            leases,
-            rate,
-            offset,
-        )
-        self.up, self.paused_until, self.generation = True, 0, 0
-        self.waiting: list[tuple[str, Body]] = []
-
-    def clock(self, now: int) -> int:
-        return int(now * self.rate) + self.offset
-
-
-class ShareWorld:
-    """``loss``: the share of messages; ``view_delay``: how long until a view follows who is there.
-    The auditor looks at every lease each `LOOK`: `worst` is the most by which one limit was
-    over.
+from typing import NamedTuple
+
+from ..quotas.lease_log import LeaseRecord
+from ..quotas.leases import LeaseManager
+from ..quotas.messages import LeaseMessage
+from ..quotas.settings import QuotaSettings
+
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000 * NS_PER_MS
+BEGIN_NS = 1_000 * NS_PER_S
+TICK_NS = 100 * NS_PER_MS
+AUDIT_INTERVAL_NS = 50 * NS_PER_MS
+VIEW_INTERVAL_NS = NS_PER_S
+DEMAND_INTERVAL_NS = 2 * NS_PER_S
+DEMANDS_PER_S = (0.0, 1.0, 10.0, 100.0, 300.0)
+MAX_CLOCK_OFFSET_NS = 1_000 * NS_PER_S
+#: Messages that a paused broker finds when it resumes; more are lost.
+MAX_WAITING_MESSAGES = 200
+#: A message is slow, and is overtaken by others, with this probability and by this factor.
+SLOW_PROBABILITY = 0.05
+SLOW_FACTOR = 50
+CERTAIN_FRACTION = 2 / 3
+
+#: Whether messages are cut off: time in ns, number of the sender, number of the recipient.
+Cut = Callable[[int, int, int], bool]
+
+
+class SimulatedBroker:
+    """One broker with a clock of its own.
+
+    Attributes:
+        number: Its place among the brokers.
+        name: Its name, another one after each restart.
+        leases: What is simulated.
+        clock_rate: How fast its clock runs.
+        clock_offset_ns: What its clock is ahead of the true one.
+        generation: How often it was restarted.
+        is_running: False once it was killed.
+        paused_until_ns: Until then, by the true clock, it does nothing.
+        waiting: Messages that arrived while it was paused, each with its sender.
     """
 
-    LOOK = 50 * MS
+    def __init__(
+        self,
+        number: int,
+        generation: int,
+        leases: LeaseManager,
+        clock_rate: float,
+        clock_offset_ns: int,
+    ) -> None:
+        """Create a running broker."""
+        self.number = number
+        self.name = leases.state.name
+        self.leases = leases
+        self.clock_rate = clock_rate
+        self.clock_offset_ns = clock_offset_ns
+        self.generation = generation
+        self.is_running = True
+        self.paused_until_ns = 0
+        self.waiting: list[tuple[str, LeaseMessage]] = []
+
+    def clock_ns(self, now_ns: int) -> int:
+        """Return what its clock shows at a true time."""
+        return int(now_ns * self.clock_rate) + self.clock_offset_ns
+
+    def amount_per_s(self, limit: str, now_ns: int) -> float:
+        """Return what it may use of the leased part of a limit at a true time."""
+        return self.leases.amount_per_s(limit, self.clock_ns(now_ns))
+
+
+class QuotaSimulation:
+    """Brokers, the messages between them, and the auditor.
+
+    Attributes:
+        brokers: All brokers by number.
+        worst_overshoot_per_s: The most by which the leases of a limit exceeded its leased part.
+        used: Lease-seconds that were wanted and valid, by limit.
+        messages: Number of messages sent.
+        cut: Which messages are cut off; None for none.
+        now_ns: The true time.
+    """
 
     def __init__(
         self,
         count: int,
-        terms: SharesTerms,
+        settings: QuotaSettings,
         limits: dict[str, float],
         seed: int,
-        drift: float = 0.0,
+        clock_drift: float = 0.0,
         loss: float = 0.0,
         cut: Cut | None = None,
-        view_delay: int = 4 * S,
+        view_delay_ns: int = 4 * NS_PER_S,
     ) -> None:
-        self.terms, self.limits, self.draw, self.drift = (
-            terms,
-            dict(limits),
-            random.Random(seed),
-            drift,
-        )
-        self.loss, self.cut, self.view_delay = loss, cut, view_delay
-        self.now, self.order = BEGIN, itertools.count()
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.brokers: list[SharingBroker] = []
-        self.by_name: dict[str, SharingBroker] = {}
-        self.worst: dict[str, float] = dict.fromkeys(limits, 0.0)
-        # lease-seconds that were wanted and valid
+        """Create the brokers.
+
+        Args:
+            count: Number of brokers.
+            settings: Settings of the shared limits.
+            limits: Rate of each hard limit, per second.
+            seed: Seed of all random draws.
+            clock_drift: By how much the clocks' rates differ at most from the true one.
+            loss: Fraction of messages that are lost.
+            cut: Which messages are cut off.
+            view_delay_ns: How long until the views follow who is reachable.
+        """
+        self.settings = settings
+        self.limits = dict(limits)
+        self.draw = random.Random(seed)
+        self.clock_drift = clock_drift
+        self.loss = loss
+        self.cut = cut
+        self.view_delay_ns = view_delay_ns
+        self.now_ns = BEGIN_NS
+        self.order = itertools.count()
+        self.events: list[tuple[int, int, Callable[[], None]]] = []
+        self.brokers: list[SimulatedBroker] = []
+        self.brokers_by_name: dict[str, SimulatedBroker] = {}
+        self.worst_overshoot_per_s: dict[str, float] = dict.fromkeys(limits, 0.0)
         self.used: dict[str, float] = dict.fromkeys(limits, 0.0)
         self.messages = 0
         self.count = count
-        self.look = self.LOOK * max(1, count // 50)
+        self.audit_interval_ns = AUDIT_INTERVAL_NS * max(1, count // 50)
         for number in range(count):
-            self._make(number)
-        self._views()
-        self.at(self.now, self._audit)
-
-    def _make(self, number: int) -> SharingBroker:
-        generation = self.brokers[number].generation + 1 if number < len(self.brokers) else 0
-        rate, offset = 1 + self.drift * self.draw.uniform(-1, 1), self.draw.randrange(1_000 * S)
-        name = f"b{number}/{generation}"
-        leases = Leases(
-            name, self.terms, self.count, int(self.now * rate) + offset, self.draw.random
+            self.brokers.append(self._create(number, 0))
+        self._update_views()
+        self.at(self.now_ns, self._audit)
+
+    def _create(self, number: int, generation: int) -> SimulatedBroker:
+        clock_rate = 1 + self.clock_drift * self.draw.uniform(-1, 1)
+        clock_offset_ns = self.draw.randrange(MAX_CLOCK_OFFSET_NS)
+        leases = LeaseManager(
+            f"b{number}/{generation}",
+            self.settings,
+            self.count,
+            int(self.now_ns * clock_rate) + clock_offset_ns,
+            self.draw.random,
         )
-        broker = SharingBroker(number, name, leases, rate, offset)
-        broker.generation = generation
-        broker.leases.limits = {n: v * (1 - self.terms.guaranteed) for n, v in self.limits.items()}
-        if generation:
-            self.brokers[number] = broker
-        else:
-            self.brokers.append(broker)
-        self.by_name[name] = broker
-        self.at(self.now + self.draw.randrange(100 * MS), lambda: self._tick(broker))
+        leased_fraction = 1 - self.settings.guaranteed_fraction
+        leases.state.limits = {
+            limit: rate_per_s * leased_fraction for limit, rate_per_s in self.limits.items()
+        }
+        broker = SimulatedBroker(number, generation, leases, clock_rate, clock_offset_ns)
+        self.brokers_by_name[broker.name] = broker
+        self.at(self.now_ns + self.draw.randrange(TICK_NS), lambda: self._tick(broker))
         return broker
 
     # --- the clock ---
 
-    def at(self, when: int, call: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (when, next(self.order), call))
+    def at(self, due_ns: int, callback: Callable[[], None]) -> None:
+        """Call back at a true time."""
+        heapq.heappush(self.events, (due_ns, next(self.order), callback))
 
     def run(self, seconds: float) -> None:
-        end = self.now + int(seconds * S)
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.heap)
-            call()
-        self.now = end
-
-    def _tick(self, broker: SharingBroker) -> None:
-        if not broker.up:
+        """Let time pass."""
+        end_ns = self.now_ns + int(seconds * NS_PER_S)
+        while self.events and self.events[0][0] <= end_ns:
+            self.now_ns, _, callback = heapq.heappop(self.events)
+            callback()
+        self.now_ns = end_ns
+
+    def _tick(self, broker: SimulatedBroker) -> None:
+        if not broker.is_running:
             return
-        if self.now < broker.paused_until:
-            self.at(broker.paused_until, lambda: self._tick(broker))
+        if self.now_ns < broker.paused_until_ns:
+            self.at(broker.paused_until_ns, lambda: self._tick(broker))
             return
-        waiting, broker.waiting = broker.waiting, []
-        for sender, body in waiting:
-            broker.leases.receive(broker.clock(self.now), sender, body)
-        broker.leases.tick(broker.clock(self.now))
-        self._flush(broker)
-        self.at(self.now + 100 * MS, lambda: self._tick(broker))
-
-    def _flush(self, broker: SharingBroker) -> None:
-        out, broker.leases.out = broker.leases.out, []
-        for to, body in out:
+        waiting = broker.waiting
+        broker.waiting = []
+        for sender, message in waiting:
+            broker.leases.receive(broker.clock_ns(self.now_ns), sender, message)
+        broker.leases.tick(broker.clock_ns(self.now_ns))
+        self._send_outbox(broker)
+        self.at(self.now_ns + TICK_NS, lambda: self._tick(broker))
+
+    # --- messages ---
+
+    def _send_outbox(self, broker: SimulatedBroker) -> None:
+        outbox = list(broker.leases.outbox)
+        broker.leases.outbox.clear()
+        for recipient, message in outbox:
             self.messages += 1
-            target = self.by_name.get(to)
+            target = self.brokers_by_name.get(recipient)
             if target is None or self.draw.random() < self.loss:
                 continue
-            if self.cut is not None and self.cut(self.now, broker.number, target.number):
+            if self.cut is not None and self.cut(self.now_ns, broker.number, target.number):
                 continue
-            slow = 50 if self.draw.random() < 0.05 else 1  # some overtake each other
-            self.at(
-                self.now + slow * self.draw.randrange(MS // 2, 3 * MS),
-                partial(self._arrive, target, broker.name, body),
-            )
+            factor = SLOW_FACTOR if self.draw.random() < SLOW_PROBABILITY else 1
+            delay_ns = factor * self.draw.randrange(NS_PER_MS // 2, 3 * NS_PER_MS)
+            self.at(self.now_ns + delay_ns, partial(self._deliver, target, broker.name, message))
 
-    def _arrive(self, target: SharingBroker, sender: str, body: Body) -> None:
-        if not target.up:
+    def _deliver(self, target: SimulatedBroker, sender: str, message: LeaseMessage) -> None:
+        if not target.is_running:
             return
-        if self.now < target.paused_until:
-            if len(target.waiting) < 200:
-                target.waiting.append((sender, body))
+        if self.now_ns < target.paused_until_ns:
+            if len(target.waiting) < MAX_WAITING_MESSAGES:
+                target.waiting.append((sender, message))
             return
-        target.leases.receive(target.clock(self.now), sender, body)
-        self._flush(target)
+        target.leases.receive(target.clock_ns(self.now_ns), sender, message)
+        self._send_outbox(target)
 
-    # --- who is there ---
+    # --- views of the membership ---
 
-    def _views(self) -> None:
-        """What a membership would tell: those that are there and not cut off, some seconds late."""
-        past = self.now - self.view_delay
+    def _update_views(self) -> None:
+        """Give each broker a view of those that run and were reachable some seconds ago."""
         for broker in self.brokers:
-            there = [
-                b.name
-                for b in self.brokers
-                if b.up
-                and self.now >= b.paused_until
-                and (
-                    b is broker
-                    or self.cut is None
-                    or past < BEGIN
-                    or not (
-                        self.cut(past, b.number, broker.number)
-                        and self.cut(past, broker.number, b.number)
-                    )
-                )
+            reachable = [
+                other.name
+                for other in self.brokers
+                if other.is_running
+                and self.now_ns >= other.paused_until_ns
+                and self._was_reachable(broker, other)
             ]
-            sure = len(there) > self.count * 2 / 3
-            self.at(self.now + self.draw.randrange(S), partial(broker.leases.view, there, sure))
-        self.at(self.now + S, self._views)
+            is_certain = len(reachable) > self.count * CERTAIN_FRACTION
+            due_ns = self.now_ns + self.draw.randrange(VIEW_INTERVAL_NS)
+            self.at(due_ns, partial(broker.leases.set_view, reachable, is_certain))
+        self.at(self.now_ns + VIEW_INTERVAL_NS, self._update_views)
+
+    def _was_reachable(self, broker: SimulatedBroker, other: SimulatedBroker) -> bool:
+        past_ns = self.now_ns - self.view_delay_ns
+        if other is broker or self.cut is None or past_ns < BEGIN_NS:
+            return True
+        is_cut_there = self.cut(past_ns, other.number, broker.number)
+        return not (is_cut_there and self.cut(past_ns, broker.number, other.number))
 
     # --- faults ---
 
     def kill(self, numbers: Iterable[int]) -> None:
+        """End brokers for good."""
         for number in numbers:
-            self.brokers[number].up = False
+            self.brokers[number].is_running = False
 
     def restart(self, number: int) -> None:
-        self.brokers[number].up = False
-        self._make(number)
+        """End a broker and start it under a new name."""
+        self.brokers[number].is_running = False
+        generation = self.brokers[number].generation + 1
+        self.brokers[number] = self._create(number, generation)
 
     def pause(self, number: int, seconds: float) -> None:
-        self.brokers[number].paused_until = self.now + int(seconds * S)
-
-    def home(self, limit: str) -> SharingBroker | None:
-        """Who may grant at this moment; more than one is a fault of its own."""
-        held = [
-            b
-            for b in self.brokers
-            if b.up and b.leases.authority(shard_of(limit), b.clock(self.now))
+        """Stop a broker for a while; its messages wait."""
+        self.brokers[number].paused_until_ns = self.now_ns + int(seconds * NS_PER_S)
+
+    def leader(self, limit: str) -> SimulatedBroker | None:
+        """Return the broker that may grant leases of a limit at this moment.
+
+        Raises:
+            AssertionError: Two brokers may.
+        """
+        leaders = [
+            broker
+            for broker in self.brokers
+            if broker.is_running
+            and broker.leases.has_authority(limit, broker.clock_ns(self.now_ns))
         ]
-        assert len(held) < 2, f"two homes: {[b.name for b in held]}"
-        return held[0] if held else None
+        assert len(leaders) < 2, f"two leaders: {[leader.name for leader in leaders]}"
+        return leaders[0] if leaders else None
 
     # --- the auditor ---
 
-    def valid(self, limit: str) -> float:
-        return sum(b.leases.amount(limit, b.clock(self.now)) for b in self.brokers if b.up)
+    def valid_per_s(self, limit: str) -> float:
+        """Return the sum of all valid leases of a limit."""
+        return sum(
+            broker.amount_per_s(limit, self.now_ns) for broker in self.brokers if broker.is_running
+        )
 
     def _audit(self) -> None:
-        for limit, whole in self.limits.items():
-            valid = self.valid(limit)
-            self.worst[limit] = max(self.worst[limit], valid - whole * (1 - self.terms.guaranteed))
-            self.used[limit] += (
-                self.look
-                / S
-                * sum(
-                    min(b.leases.want.get(limit, 0.0), b.leases.amount(limit, b.clock(self.now)))
-                    for b in self.brokers
-                    if b.up
-                )
+        for limit, rate_per_s in self.limits.items():
+            leased_per_s = rate_per_s * (1 - self.settings.guaranteed_fraction)
+            overshoot = self.valid_per_s(limit) - leased_per_s
+            worst = self.worst_overshoot_per_s[limit]
+            self.worst_overshoot_per_s[limit] = max(worst, overshoot)
+            self.used[limit] += self.audit_interval_ns / NS_PER_S * self._used_per_s(limit)
+            self.leader(limit)  # raises if there are two
+        self.at(self.now_ns + self.audit_interval_ns, self._audit)
+
+    def _used_per_s(self, limit: str) -> float:
+        return sum(
+            min(
+                broker.leases.holder.wanted_per_s.get(limit, 0.0),
+                broker.amount_per_s(limit, self.now_ns),
             )
-            self.home(limit)
-        self.at(self.now + self.look, self._audit)
-
-
-def trouble(world: ShareWorld, seed: int, seconds: float) -> None:
-    """Faults drawn from a seed, and demand that jumps: ends and pauses of homes and of any,
-    restarts, cuts.
-    """
-    draw, begun, count = random.Random(seed * 7 + 1), world.now, world.count
-    cuts: list[tuple[int, int, frozenset[int], bool]] = []
-    names = list(world.limits)
-
-    def cut(now: int, a: int, b: int) -> bool:
-        return any(
-            start <= now < end and ((a in side) > (b in side) or both and (b in side) > (a in side))
-            for start, end, side, both in cuts
+            for broker in self.brokers
+            if broker.is_running
         )
 
-    def at_home(does: Callable[[int], None]) -> None:
-        if (home := world.home(names[0])) is not None:
-            does(home.number)
-
-    def demand() -> None:
-        for broker in world.brokers:
-            broker.leases.want = {n: draw.choice([0.0, 1.0, 10.0, 100.0, 300.0]) for n in names}
-        world.at(world.now + 2 * S, demand)
-
-    world.cut = cut
-    for _ in range(draw.randrange(4, 12)):
-        when, who, span = (
-            begun + int(draw.random() * seconds * S),
-            draw.randrange(count),
-            draw.uniform(1, 15),
-        )
-        match draw.randrange(6):
+
+class Partition(NamedTuple):
+    """Cuts messages between one side and the rest, from the side outwards or both ways."""
+
+    start_ns: int
+    end_ns: int
+    side: frozenset[int]
+    both_ways: bool
+
+    def cuts(self, now_ns: int, sender: int, recipient: int) -> bool:
+        """Return whether a message is cut off."""
+        if not self.start_ns <= now_ns < self.end_ns:
+            return False
+        if sender in self.side and recipient not in self.side:
+            return True
+        return self.both_ways and recipient in self.side and sender not in self.side
+
+
+class FaultInjector:
+    """Draws faults and demand from a seed and schedules them in a simulation."""
+
+    def __init__(self, simulation: QuotaSimulation, seed: int) -> None:
+        """Take the simulation; nothing is scheduled yet."""
+        self.simulation = simulation
+        self.draw = random.Random(seed * 7 + 1)
+        self.partitions: list[Partition] = []
+        self.limits = list(simulation.limits)
+
+    def schedule(self, seconds: float) -> None:
+        """Schedule faults within the next seconds, and demand that changes suddenly.
+
+        Leaders and others are killed, paused and restarted; partitions cut one way or both ways.
+        """
+        simulation = self.simulation
+        begin_ns = simulation.now_ns
+        simulation.cut = self._is_cut
+        for _ in range(self.draw.randrange(4, 12)):
+            self._schedule_fault(begin_ns, seconds)
+        simulation.at(simulation.now_ns, self._change_demand)
+
+    def _is_cut(self, now_ns: int, sender: int, recipient: int) -> bool:
+        return any(partition.cuts(now_ns, sender, recipient) for partition in self.partitions)
+
+    def _schedule_fault(self, begin_ns: int, seconds: float) -> None:
+        simulation = self.simulation
+        due_ns = begin_ns + int(self.draw.random() * seconds * NS_PER_S)
+        number = self.draw.randrange(simulation.count)
+        duration_s = self.draw.uniform(1, 15)
+        match self.draw.randrange(6):
             case 0:
-                world.at(when, partial(at_home, lambda n: world.kill([n])))
+                simulation.at(due_ns, self._kill_leader)
             case 1:
-                world.at(when, partial(at_home, partial(world.pause, seconds=span)))
+                simulation.at(due_ns, partial(self._pause_leader, duration_s))
             case 2:
-                world.at(when, partial(world.pause, who, span))
+                simulation.at(due_ns, partial(simulation.pause, number, duration_s))
             case 3 | 4 as kind:
-                side = frozenset(draw.sample(range(count), draw.randrange(1, count)))
-                cuts.append((when, when + int(span * S), side, kind == 4))
+                size = self.draw.randrange(1, simulation.count)
+                side = frozenset(self.draw.sample(range(simulation.count), size))
+                end_ns = due_ns + int(duration_s * NS_PER_S)
+                self.partitions.append(Partition(due_ns, end_ns, side, kind == 4))
             case 5:
-                world.at(when, partial(world.restart, who))
-    world.at(world.now, demand)
+                simulation.at(due_ns, partial(simulation.restart, number))
+
+    def _kill_leader(self) -> None:
+        leader = self.simulation.leader(self.limits[0])
+        if leader is not None:
+            self.simulation.kill([leader.number])
+
+    def _pause_leader(self, seconds: float) -> None:
+        leader = self.simulation.leader(self.limits[0])
+        if leader is not None:
+            self.simulation.pause(leader.number, seconds)
+
+    def _change_demand(self) -> None:
+        for broker in self.simulation.brokers:
+            broker.leases.holder.wanted_per_s = {
+                limit: self.draw.choice(DEMANDS_PER_S) for limit in self.limits
+            }
+        self.simulation.at(self.simulation.now_ns + DEMAND_INTERVAL_NS, self._change_demand)
+
 
+def max_concurrent_leases_per_s(records: Iterable[Iterable[LeaseRecord]], limit: str) -> float:
+    """Return the most that leases of a limit added up to at any moment.
 
-def audit(records: Iterable[Iterable[tuple[int, str, float, int]]], limit: str) -> float:
-    """The most that leases of a limit, written down by real processes on one machine's clock, added
-    up to at any moment. Of each process: when a lease changed, the limit, the amount, and until
-    when it was to be used.
+    Args:
+        records: Of each process its record of leases, in any order and with repeated entries, all
+            by the clock of one machine.
+        limit: Name of the limit.
     """
     steps: list[tuple[int, float]] = []
     for record in records:
-        mine = sorted({(at, amount, until) for at, name, amount, until in record if name == limit})
-        for (at, amount, until), after in zip(mine, [*mine[1:], None], strict=True):
-            end = until if after is None else min(until, after[0])
-            if end > at and amount > 0:
-                steps += [(at, amount), (end, -amount)]
-    # what ends at a moment has ended before what begins
-    steps.sort(key=lambda step: (step[0], step[1]))
-    return max(itertools.accumulate((change for _, change in steps), initial=0.0))
+        changes = sorted({change for change in record if change.limit == limit})
+        for change, following in itertools.zip_longest(changes, changes[1:]):
+            end_ns = change.expires_at_ns
+            if following is not None:
+                end_ns = min(end_ns, following.at_ns)
+            if end_ns > change.at_ns and change.amount_per_s > 0:
+                steps.append((change.at_ns, change.amount_per_s))
+                steps.append((end_ns, -change.amount_per_s))
+    # At equal times the ends, which are negative, come before the beginnings.
+    steps.sort()
+    totals = itertools.accumulate((change for _, change in steps), initial=0.0)
+    return max(totals)
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -17,8 +17,8 @@
 from ..deadlines.retry_budget import Terms as FurtherTerms
 from ..deadlines.settings import Deadlines, Logs, MarginTerms
 from ..membership.settings import MembersTerms
-from ..outlier_consensus.settings import VerdictTerms
-from ..quotas.settings import KINDS, LimitTerms, SharesTerms
+from ..outlier_consensus.settings import OutlierConsensusSettings
+from ..quotas.settings import QUOTA_KINDS, LimitSettings, QuotaSettings
 from ..startup.settings import StartTerms
 
 MOST_CALLS = 200_000
@@ -54,11 +54,11 @@
     logs: Logs | None = None
     start: StartTerms | None = None
     members: MembersTerms | None = None
-    limits: dict[str, LimitTerms] = field(default_factory=dict)
-    shares: SharesTerms | None = None
-    verdicts: VerdictTerms | None = None
+    limits: dict[str, LimitSettings] = field(default_factory=dict)
+    shares: QuotaSettings | None = None
+    verdicts: OutlierConsensusSettings | None = None
 
-    def shared(self) -> SharesTerms | None:
+    def shared(self) -> QuotaSettings | None:
         """The limits that are shared, and how; None: none. They rest on `members`, as verdicts
         do.
         """
@@ -69,7 +69,7 @@
                 )
         if not self.limits:
             return None
-        return replace(self.shares or SharesTerms(), limits=tuple(self.limits.values()))
+        return replace(self.shares or QuotaSettings(), limits=tuple(self.limits.values()))
 
     def deadline_terms(self) -> Deadlines | None:
         """What is said of deadlines and of further attempts; None: nothing."""
@@ -432,7 +432,7 @@
     """A limit that all brokers share; without a rate it is as the settings have it."""
     name = _text(name, "limit.name")
     _new(draft, "limit", name, draft.limits)
-    kind = _choice(kind, "limit.kind", KINDS)
+    kind = _choice(kind, "limit.kind", QUOTA_KINDS)
     if "/" in name or len(name) > 64:
         raise BadWord(f"limit.name: {name!r:.70} must have 64 characters at the most, and no /")
     if kind != "tenant" and any(li.kind == kind for li in draft.limits.values()):
@@ -442,7 +442,7 @@
         raise BadWord(f"limit.rate: is missing, the settings have none for {kind}")
     if kind == "work" and rate:
         raise BadWord("limit.rate: the engines say how much work there can be")
-    draft.limits[name] = LimitTerms(name, kind, rate)
+    draft.limits[name] = LimitSettings(name, kind, rate)
 
 
 def limits(
@@ -465,7 +465,7 @@
         k: int(_number(v, f"limits.{k}", 0.2) * 1000) * MS
         for k, v in (("lease", lease), ("promise", promise), ("told", told))
     }
-    draft.shares = SharesTerms(span["lease"], span["promise"], drift, guaranteed, span["told"])
+    draft.shares = QuotaSettings(span["lease"], span["promise"], drift, guaranteed, span["told"])
 
 
 def verdicts(
@@ -488,7 +488,7 @@
         k: int(_number(v, f"verdicts.{k}", above=True) * 1000) * MS
         for k, v in (("age", age), ("hold", hold), ("most_hold", most_hold), ("told", told))
     }
-    draft.verdicts = VerdictTerms(
+    draft.verdicts = OutlierConsensusSettings(
         observers,
         _whole(failures, "verdicts.failures", 1),
         span["age"],
--- a/query_broker/operator_config/script.py
+++ b/query_broker/operator_config/script.py
@@ -23,8 +23,8 @@
 from ..deadlines.retry_budget import Terms as FurtherTerms
 from ..deadlines.settings import Deadlines, Logs, MarginTerms
 from ..membership.settings import MembersTerms
-from ..outlier_consensus.settings import VerdictTerms
-from ..quotas.settings import LimitTerms, SharesTerms
+from ..outlier_consensus.settings import OutlierConsensusSettings
+from ..quotas.settings import LimitSettings, QuotaSettings
 from ..startup.settings import StartTerms
 from .directives import MOST_CALLS, WORDS, BadWord, Draft
 
@@ -48,8 +48,8 @@
     logs: Logs | None = None
     start: StartTerms | None = None
     members: MembersTerms | None = None
-    shares: SharesTerms | None = None
-    verdicts: VerdictTerms | None = None
+    shares: QuotaSettings | None = None
+    verdicts: OutlierConsensusSettings | None = None
 
 
 def evaluate(path: str) -> Evaluated:
@@ -94,7 +94,7 @@
             None if said["start"] is None else StartTerms(**said["start"]),
             None if said["members"] is None else _members(said["members"]),
             None if said["shares"] is None else _shares(said["shares"]),
-            None if said["verdicts"] is None else VerdictTerms(**said["verdicts"]),
+            None if said["verdicts"] is None else OutlierConsensusSettings(**said["verdicts"]),
         )
     except (ValueError, KeyError, TypeError, BadMap) as error:
         raise OperatorFileError(f"{path}: evaluation: {error}") from None
@@ -104,8 +104,10 @@
     return MembersTerms(**{**raw, "seeds": tuple(raw["seeds"])})
 
 
-def _shares(raw: dict[str, Any]) -> SharesTerms:
-    return SharesTerms(**{**raw, "limits": tuple(LimitTerms(**limit) for limit in raw["limits"])})
+def _shares(raw: dict[str, Any]) -> QuotaSettings:
+    return QuotaSettings(
+        **{**raw, "limits": tuple(LimitSettings(**limit) for limit in raw["limits"])}
+    )
 
 
 def _deadlines(raw: dict[str, Any]) -> Deadlines:
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -21,7 +21,8 @@
 if TYPE_CHECKING:
     from ..membership.service import Membership
     from ..membership.views import View
-    from ..quotas.service import Judging, Sharing
+    from ..outlier_consensus.service import OutlierConsensusService
+    from ..quotas.service import QuotaService
     from ..startup.service import Starting
 
 LEARN = 1_000_000_000  # ns between two looks at the margin
@@ -40,8 +41,8 @@
         self.sized = config.settings.fleet_size, config.settings.me  # what the module goes by
         self.starting: Starting | None = None
         self.membership: Membership | None = None
-        self.sharing: Sharing | None = None
-        self.judging: Judging | None = None
+        self.sharing: QuotaService | None = None
+        self.judging: OutlierConsensusService | None = None
         super().__init__(config, environ)
         self._set_terms(said)
         if said.start is not None:
@@ -95,16 +96,18 @@
     def _share(self, said: Evaluated, membership: Membership) -> None:
         if said.shares is None and said.verdicts is None:
             return
-        from ..quotas.service import Judging, Sharing
-
         if said.shares is not None:
-            self.sharing = Sharing(self, membership, said.shares)
-            self.operations.calls.append(self.sharing.call)
-            if self.broker.budget is not None and "further" in self.sharing.of_kind:
-                self.broker.budget.gate = self.sharing.may_try
+            from ..quotas.service import QuotaService
+
+            self.sharing = QuotaService(self, membership, said.shares)
+            self.operations.calls.append(self.sharing.handle_admin_call)
+            if self.broker.budget is not None and "further" in self.sharing.rates.limits_by_kind:
+                self.broker.budget.gate = self.sharing.admit_retry
         if said.verdicts is not None:
-            self.judging = Judging(self, membership, said.verdicts)
-            self.operations.calls.append(self.judging.call)
+            from ..outlier_consensus.service import OutlierConsensusService
+
+            self.judging = OutlierConsensusService(self, membership, said.verdicts)
+            self.operations.calls.append(self.judging.handle_admin_call)
 
     async def _open(self) -> None:
         if self.membership is not None:
@@ -146,8 +149,8 @@
             broker.budget = None
         elif broker.budget is None or broker.budget.terms != terms.further:
             broker.budget = Budget(terms.further)
-            if self.sharing is not None and "further" in self.sharing.of_kind:
-                broker.budget.gate = self.sharing.may_try
+            if self.sharing is not None and "further" in self.sharing.rates.limits_by_kind:
+                broker.budget.gate = self.sharing.admit_retry
         self.log.sink, broker.story = None, None
         if said.logs is not None and said.logs.format != "plain":
             from ..server.structured_log import Lines, stories
--- a/query_broker/outlier_consensus/__init__.py
+++ b/query_broker/outlier_consensus/__init__.py
@@ -1,6 +1,6 @@
-"""What the brokers of an installation know together of engines: evidence, verdicts on it,
-operators' words. Pure.
+"""What the brokers of an installation know together of endpoints.
 
-`query_broker.quotas.service` carries it; without the operators' word `verdicts` nothing of it is
-loaded.
+Observations of failures, the consensus that an endpoint is an outlier, and operators' overrides.
+`service.py` is the one module with I/O; nothing of this package is loaded unless the operators'
+file declares `verdicts`.
 """
--- /dev/null
+++ b/query_broker/outlier_consensus/consensus.py
@@ -0,0 +1,213 @@
+"""The consensus on outliers: ejects endpoints that several brokers observe to fail.
+
+A pure function of the observations and of earlier ejections. It takes several distinct observers,
+so that one that lies, or whose own network is broken, ejects nothing; a bounded part of a zone
+can be ejected. Performs no I/O.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Mapping
+from dataclasses import dataclass
+from enum import Enum, StrEnum
+from typing import NamedTuple
+
+from .messages import Endpoint
+from .observations import ObservationStore, View
+from .settings import OutlierConsensusSettings
+
+MAX_DOUBLINGS = 10
+#: Relapses are remembered for so many times the longest ejection.
+RELAPSE_MEMORY = 10
+
+
+class OutlierScope(Enum):
+    """For whom an endpoint fails; the values stand in the log and in the operators' JSON."""
+
+    FLEET = "bad for all"
+    ZONE = "out of this zone's reach"
+
+
+class ConsensusEvent(StrEnum):
+    """What is counted; the values are the labels in the metrics and in the operators' JSON."""
+
+    EJECTED = "verdicts"
+    READMITTED = "lifted"
+    OVER_FRACTION = "over_part"
+
+
+@dataclass(slots=True)
+class Ejection:
+    """An endpoint that is ejected by consensus.
+
+    Attributes:
+        endpoint: The endpoint.
+        scope: Whether it fails for all brokers or for this zone only.
+        zone: The zone for which it is ejected; empty for all.
+        since_ns: When it was ejected.
+        until_ns: Until when it stays ejected at least.
+        newest_ns: When the newest failure happened that the ejection rests on, by our clock.
+        observers: The brokers on whose observations it rests.
+        relapses: How often the endpoint was ejected before.
+    """
+
+    endpoint: Endpoint
+    scope: OutlierScope
+    zone: str
+    since_ns: int
+    until_ns: int
+    newest_ns: int
+    observers: frozenset[str]
+    relapses: int = 0
+
+
+class Relapses(NamedTuple):
+    """How often an endpoint was ejected, and when the last time."""
+
+    times: int
+    last_ns: int
+
+
+class ConsensusChange(NamedTuple):
+    """The ejections that begin and the endpoints that are readmitted."""
+
+    ejected: list[Ejection]
+    readmitted: list[Endpoint]
+
+
+class OutlierConsensus:
+    """Derives ejections from a store of observations.
+
+    Attributes:
+        ejections: Ejection by endpoint.
+        relapses: Past ejections by endpoint.
+        event_counts: How often each `ConsensusEvent` happened.
+    """
+
+    def __init__(self, observations: ObservationStore) -> None:
+        """Start without ejections.
+
+        Args:
+            observations: Observations of this broker and of others.
+        """
+        self.observations = observations
+        self.settings: OutlierConsensusSettings = observations.settings
+        self.ejections: dict[Endpoint, Ejection] = {}
+        self.relapses: dict[Endpoint, Relapses] = {}
+        self.event_counts: dict[str, int] = {event.value: 0 for event in ConsensusEvent}
+
+    def evaluate(
+        self, now_ns: int, members: Collection[str], zones: Mapping[Endpoint, str]
+    ) -> ConsensusChange:
+        """Eject and readmit endpoints according to the present observations.
+
+        Args:
+            now_ns: This broker's clock.
+            members: Names of the members; observations of others do not count.
+            zones: Zone of each endpoint that may be ejected.
+        """
+        views = self.observations.views(now_ns, members)
+        readmitted = self._readmit(now_ns, zones, views)
+        ejected: list[Ejection] = []
+        for endpoint, by_observer in sorted(views.items(), key=_oldest_proof):
+            if endpoint in self.ejections or endpoint not in zones or endpoint in readmitted:
+                continue
+            ejection = self._ejection(now_ns, endpoint, by_observer)
+            if ejection is None:
+                continue
+            if not self._may_eject_another(zones, zones[endpoint]):
+                self.event_counts[ConsensusEvent.OVER_FRACTION] += 1
+                continue
+            self.ejections[endpoint] = ejection
+            self.relapses[endpoint] = Relapses(ejection.relapses + 1, now_ns)
+            self.event_counts[ConsensusEvent.EJECTED] += 1
+            ejected.append(ejection)
+        self._forget_relapses(now_ns)
+        return ConsensusChange(ejected, readmitted)
+
+    def forget(self, endpoint: Endpoint) -> None:
+        """Drop the ejection and the own observations of an endpoint that operators override."""
+        self.ejections.pop(endpoint, None)
+        self.observations.own.pop(endpoint, None)
+
+    def _readmit(
+        self,
+        now_ns: int,
+        zones: Mapping[Endpoint, str],
+        views: Mapping[Endpoint, Mapping[str, View]],
+    ) -> list[Endpoint]:
+        readmitted = [
+            endpoint
+            for endpoint, ejection in self.ejections.items()
+            if endpoint not in zones or self._has_ended(now_ns, ejection, views.get(endpoint, {}))
+        ]
+        for endpoint in readmitted:
+            del self.ejections[endpoint]
+            self.event_counts[ConsensusEvent.READMITTED] += 1
+        return readmitted
+
+    def _may_eject_another(self, zones: Mapping[Endpoint, str], zone: str) -> bool:
+        ejected = sum(zones.get(endpoint) == zone for endpoint in self.ejections)
+        endpoints = sum(other == zone for other in zones.values())
+        return ejected + 1 <= max(self.settings.max_ejected_fraction * endpoints, 0)
+
+    def _forget_relapses(self, now_ns: int) -> None:
+        memory_ns = RELAPSE_MEMORY * self.settings.max_ejection_ns
+        self.relapses = {
+            endpoint: relapses
+            for endpoint, relapses in self.relapses.items()
+            if now_ns - relapses.last_ns < memory_ns
+        }
+
+    def _ejection(
+        self, now_ns: int, endpoint: Endpoint, views: Mapping[str, View]
+    ) -> Ejection | None:
+        """Return the ejection that the observers' views justify, if any."""
+        failing = {name: view for name, view in views.items() if view.is_failing}
+        working = [view for view in views.values() if not view.is_failing]
+        if len(failing) < self.settings.observers:
+            return None
+        scope = OutlierScope.FLEET
+        zone = ""
+        if len(working) * 2 > len(failing):
+            # Some reach it well. If all of those are in other zones, this zone is cut off from it.
+            scope = OutlierScope.ZONE
+            zone = self.observations.zone
+            failing = {name: view for name, view in failing.items() if view.zone == zone}
+            if len(failing) < self.settings.observers:
+                return None
+            if any(view.zone == zone for view in working):
+                return None
+        relapses = self.relapses[endpoint].times if endpoint in self.relapses else 0
+        newest_ns = max(view.newest_ns for view in failing.values())
+        until_ns = now_ns + self._duration_ns(relapses)
+        observers = frozenset(failing)
+        return Ejection(endpoint, scope, zone, now_ns, until_ns, newest_ns, observers, relapses)
+
+    def _duration_ns(self, relapses: int) -> int:
+        doubled_ns = self.settings.min_ejection_ns << min(MAX_DOUBLINGS, relapses)
+        return min(self.settings.max_ejection_ns, doubled_ns)
+
+    def _has_ended(self, now_ns: int, ejection: Ejection, views: Mapping[str, View]) -> bool:
+        """Return whether an endpoint is readmitted.
+
+        That takes half as many newer successes as the ejection took observers, or that no failure
+        has been observed for a while.
+        """
+        if now_ns < ejection.until_ns:
+            return False
+        newer = [view for view in views.values() if view.newest_ns > ejection.newest_ns]
+        successes = sum(
+            not view.is_failing and (not ejection.zone or view.zone == ejection.zone)
+            for view in newer
+        )
+        if successes >= (self.settings.observers + 1) // 2:
+            return True
+        still_failing = any(view.is_failing for view in newer)
+        is_outdated = now_ns - ejection.newest_ns > self.settings.max_age_ns
+        return not still_failing and is_outdated
+
+
+def _oldest_proof(item: tuple[Endpoint, Mapping[str, View]]) -> int:
+    _, views = item
+    return min(view.newest_ns for view in views.values())
--- a/query_broker/outlier_consensus/observations.py
+++ b/query_broker/outlier_consensus/observations.py
@@ -1,258 +1,226 @@
-"""Evidence, not opinions: who saw what of which engine, when. A verdict is a function of it. Pure.
+"""What this broker and others have observed of failing endpoints.
 
-An engine is known by its uid and its start, so that one that is reborn begins clean. Each broker
-tells its own rows alone, with a version, as counters do; a verdict needs several distinct
-observers, so that one that lies, or whose own network is broken, holds out nothing.
+Each broker writes its own report alone, with a rising version; of two reports the newer replaces
+the other. Reports hold observations, not opinions: every broker derives the consensus itself.
+Performs no I/O.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Collection, Mapping
+from collections.abc import Collection
 from dataclasses import dataclass, field
-from enum import Enum
+from typing import NamedTuple
 
 import msgspec
 
-from .settings import VerdictTerms
+from .messages import Endpoint, Observation, ObserverReport, ObserverReports
+from .settings import OutlierConsensusSettings
 
-MOST_ENGINES = 64  # in one broker's row: those of which it saw failures, the newest first
-MOST_KEPT = 16  # outcomes of one engine
-MOST_OBSERVERS = 4_096
+NS_PER_MS = 1_000_000
+MAX_ENDPOINTS = 64  # in one report: those that failed, the latest failure first
+MAX_TRACKED_ENDPOINTS = 4 * MAX_ENDPOINTS
+MAX_OUTCOMES = 16  # of one endpoint
+MAX_OBSERVERS = 4_096
+NO_AGE_MS = -1
+NEVER_NS = -1
 
 
-class Engine(msgspec.Struct, array_like=True, frozen=True):
-    """``boot``: ms since the epoch of its start."""
+class Outcome(NamedTuple):
+    """The end of one attempt."""
 
-    uid: str
-    boot: int
+    at_ns: int
+    succeeded: bool
 
 
-class Seen(msgspec.Struct, array_like=True, frozen=True):
-    """By one observer: outcomes within the last while, and ms since the last of each kind; -1:
-    none.
-    """
-
-    engine: Engine
-    bad: int
-    good: int
-    bad_ago: int
-    good_ago: int
-
-
-class Report(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """One observer's row. ``age``: ms since it was written."""
-
-    who: str
-    zone: str
-    version: int
-    age: int
-    seen: tuple[Seen, ...]
+@dataclass(slots=True)
+class EndpointOutcomes:
+    """The latest outcomes of one endpoint, as this broker met them."""
+
+    outcomes: deque[Outcome] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
+
+    def observation(self, endpoint: Endpoint, now_ns: int, max_age_ns: int) -> Observation:
+        """Return the outcomes that are recent enough as an observation."""
+        recent = [outcome for outcome in self.outcomes if now_ns - outcome.at_ns < max_age_ns]
+        successes = sum(outcome.succeeded for outcome in recent)
+        return Observation(
+            endpoint,
+            len(recent) - successes,
+            successes,
+            _last_age_ms(recent, now_ns, succeeded=False),
+            _last_age_ms(recent, now_ns, succeeded=True),
+        )
 
 
-class Reports(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    reports: tuple[Report, ...]
+def _last_age_ms(outcomes: list[Outcome], now_ns: int, *, succeeded: bool) -> int:
+    times = (outcome.at_ns for outcome in outcomes if outcome.succeeded is succeeded)
+    last_ns = max(times, default=NEVER_NS)
+    return NO_AGE_MS if last_ns < 0 else (now_ns - last_ns) // NS_PER_MS
 
 
-class Kind(Enum):
-    BAD = "bad for all"
-    ZONE = "out of this zone's reach"
+class ReceivedReport(NamedTuple):
+    """A report, and when it arrived by our clock."""
 
+    report: ObserverReport
+    received_at_ns: int
 
-@dataclass(slots=True)
-class Own:
-    """Outcomes of one engine, as this broker met them."""
 
-    outcomes: deque[tuple[int, bool]] = field(default_factory=lambda: deque(maxlen=MOST_KEPT))
+class View(NamedTuple):
+    """What one observer's latest proof says of an endpoint.
 
-    def seen(self, engine: Engine, now: int, age: int) -> Seen:
-        recent = [(at, good) for at, good in self.outcomes if now - at < age]
+    Attributes:
+        zone: Zone of the observer.
+        is_failing: Whether the endpoint fails for it.
+        newest_ns: When it met the latest outcome, by our clock.
+    """
 
-        def ago(wanted: bool) -> int:
-            last = max((at for at, good in recent if good is wanted), default=-1)
-            return -1 if last < 0 else (now - last) // 1_000_000
+    zone: str
+    is_failing: bool
+    newest_ns: int
 
-        good = sum(g for _, g in recent)
-        return Seen(engine, len(recent) - good, good, ago(False), ago(True))
 
+class ObservationStore:
+    """This broker's observations and the latest report of each other broker.
 
-@dataclass(slots=True)
-class Verdict:
-    """``by``: the observers on whom it rests; ``zone``: whom it is for, empty: all."""
+    Attributes:
+        name: Name of this broker.
+        zone: Its zone.
+        settings: Settings of the consensus.
+        own: Outcomes by endpoint, as this broker met them.
+        reported_failing_ns: Endpoints that another broker reported as failing, and when.
+        reports: Latest report by observer.
+    """
 
-    engine: Engine
-    kind: Kind
-    zone: str
-    since: int
-    until: int  # held out at least so long
-    newest: int  # the newest failure that it rests on, our clock
-    by: frozenset[str]
-    relapses: int = 0
-
-
-class Evidence:
-    def __init__(self, me: str, zone: str, terms: VerdictTerms) -> None:
-        self.me, self.zone, self.terms = me, zone, terms
-        self.own: dict[Engine, Own] = {}
-        self.watched: dict[Engine, int] = {}  # of which somebody told a failure, and when we heard
-        self.reports: dict[str, tuple[Report, int]] = {}  # observer: its row, when we learned it
-        self.verdicts: dict[Engine, Verdict] = {}
-        self.relapses: dict[Engine, tuple[int, int]] = {}  # how often held out, when last
+    def __init__(self, name: str, zone: str, settings: OutlierConsensusSettings) -> None:
+        """Start without observations."""
+        self.name = name
+        self.zone = zone
+        self.settings = settings
+        self.own: dict[Endpoint, EndpointOutcomes] = {}
+        self.reported_failing_ns: dict[Endpoint, int] = {}
+        self.reports: dict[str, ReceivedReport] = {}
         self.version = 0
-        self.figures = {"verdicts": 0, "lifted": 0, "over_part": 0}
 
-    # --- what is seen and told ---
+    def record(self, now_ns: int, endpoint: Endpoint, succeeded: bool) -> None:
+        """Take in the outcome of an attempt or health check of this broker.
 
-    def outcome(self, now: int, engine: Engine, good: bool) -> None:
-        own = self.own.get(engine)
-        if own is None:
-            if good and engine not in self.watched:
-                return  # nobody needs to know of what is well, until somebody says that it is not
-            if len(self.own) >= 4 * MOST_ENGINES:
+        Successes are of interest only for endpoints that failed here or elsewhere.
+        """
+        known = self.own.get(endpoint)
+        if known is None:
+            if succeeded and endpoint not in self.reported_failing_ns:
+                return
+            if len(self.own) >= MAX_TRACKED_ENDPOINTS:
                 self.own.pop(next(iter(self.own)))
-            own = self.own[engine] = Own()
-        own.outcomes.append((now, good))
-
-    def report(self, now: int) -> Report:
-        """Our own row, and at the same time what others would be told of us."""
-        for engine in [e for e, o in self.own.items() if now - o.outcomes[-1][0] > self.terms.age]:
-            del self.own[engine]
-        for engine in [e for e, at in self.watched.items() if now - at > self.terms.age]:
-            del self.watched[engine]
+            known = EndpointOutcomes()
+            self.own[endpoint] = known
+        known.outcomes.append(Outcome(now_ns, succeeded))
+
+    def write_report(self, now_ns: int) -> ObserverReport:
+        """Write this broker's next report, and forget what is too old."""
+        self._forget_old(now_ns)
         self.version += 1
-        seen = sorted(
-            (o.seen(e, now, self.terms.age) for e, o in self.own.items()),
-            key=lambda s: (s.bad_ago < 0, s.bad_ago),
-        )[:MOST_ENGINES]
-        mine = Report(self.me, self.zone, self.version, 0, tuple(seen))
-        self.reports[self.me] = mine, now
-        return mine
-
-    def told(self, now: int, most: int) -> list[Report]:
-        """The newest rows that say anything, ours first, with their ages."""
-        rows = sorted(
-            self.reports.values(), key=lambda r: (r[0].who != self.me, r[0].age - r[1] // 1_000_000)
+        max_age_ns = self.settings.max_age_ns
+        observations = [
+            outcomes.observation(endpoint, now_ns, max_age_ns)
+            for endpoint, outcomes in self.own.items()
+        ]
+        observations.sort(key=_latest_failure_first)
+        report = ObserverReport(
+            self.name, self.zone, self.version, 0, tuple(observations[:MAX_ENDPOINTS])
         )
+        self.reports[self.name] = ReceivedReport(report, now_ns)
+        return report
+
+    def _forget_old(self, now_ns: int) -> None:
+        max_age_ns = self.settings.max_age_ns
+        for endpoint, known in list(self.own.items()):
+            if now_ns - known.outcomes[-1].at_ns > max_age_ns:
+                del self.own[endpoint]
+        for endpoint, reported_at_ns in list(self.reported_failing_ns.items()):
+            if now_ns - reported_at_ns > max_age_ns:
+                del self.reported_failing_ns[endpoint]
+
+    def newest_reports(self, now_ns: int, count: int) -> list[ObserverReport]:
+        """Return the newest reports with observations, the own one first, with present ages."""
+        candidates = [
+            received
+            for received in self.reports.values()
+            if received.report.observations or received.report.observer == self.name
+        ]
+        candidates.sort(key=self._own_then_newest)
         return [
-            msgspec.structs.replace(r, age=r.age + (now - at) // 1_000_000)
-            for r, at in rows
-            if r.seen or r.who == self.me
-        ][:most]
-
-    def receive(self, now: int, reports: Reports, members: Collection[str]) -> None:
-        for report in reports.reports:
-            before = self.reports.get(report.who)
-            if (
-                report.who == self.me
-                or report.who not in members
-                or len(report.seen) > MOST_ENGINES
-                or report.age < 0
-                or before is None
-                and len(self.reports) >= MOST_OBSERVERS
-                or before is not None
-                and before[0].version >= report.version
-            ):
-                continue
-            self.reports[report.who] = report, now
-            for seen in report.seen:
-                if seen.bad and len(self.watched) < 4 * MOST_ENGINES:
-                    self.watched[seen.engine] = now
-
-    # --- the verdict ---
-
-    def _views(
-        self, now: int, members: Collection[str]
-    ) -> dict[Engine, dict[str, tuple[str, bool, int]]]:
-        """Of each engine: observer, its zone, whether it holds it for bad, and when the newest
-        proof was.
-        """
-        found: dict[Engine, dict[str, tuple[str, bool, int]]] = {}
-        for who, (report, learned) in list(self.reports.items()):
-            if who not in members and who != self.me:
-                del self.reports[who]
-                continue
-            age = report.age * 1_000_000 + now - learned
-            for seen in report.seen:
-                bad_at = now - age - seen.bad_ago * 1_000_000 if seen.bad_ago >= 0 else -1
-                good_at = now - age - seen.good_ago * 1_000_000 if seen.good_ago >= 0 else -1
-                newest = max(bad_at, good_at)
-                if newest < 0 or now - newest > self.terms.age:
-                    continue
-                bad = seen.bad >= self.terms.failures and seen.bad > seen.good and bad_at > good_at
-                if bad or good_at > bad_at:
-                    found.setdefault(seen.engine, {})[who] = report.zone, bad, newest
-        return found
-
-    def judge(
-        self, now: int, members: Collection[str], engines: Mapping[Engine, str]
-    ) -> tuple[list[Verdict], list[Engine]]:
-        """``engines``: those listed, and their zones. Gives the verdicts that begin, and what is
-        let in again.
-        """
-        views = self._views(now, members)
-        lifted = [
-            e
-            for e, v in self.verdicts.items()
-            if e not in engines or self._lifts(now, v, views.get(e, {}))
+            msgspec.structs.replace(
+                report, age_ms=report.age_ms + (now_ns - received_at_ns) // NS_PER_MS
+            )
+            for report, received_at_ns in candidates[:count]
         ]
-        for engine in lifted:
-            del self.verdicts[engine]
-            self.figures["lifted"] += 1
-        begun = []
-        for engine, seen in sorted(
-            views.items(), key=lambda item: min(at for _, _, at in item[1].values())
-        ):
-            if engine in self.verdicts or engine not in engines or engine in lifted:
-                continue
-            verdict = self._verdict(now, engine, seen)
-            if verdict is None:
-                continue
-            zone = engines[engine]
-            out = sum(engines.get(e) == zone for e in self.verdicts)
-            whole = sum(z == zone for z in engines.values())
-            if out + 1 > max(self.terms.part * whole, 0):
-                self.figures["over_part"] += 1
+
+    def _own_then_newest(self, received: ReceivedReport) -> tuple[bool, int]:
+        report = received.report
+        is_other = report.observer != self.name
+        return is_other, report.age_ms - received.received_at_ns // NS_PER_MS
+
+    def receive(self, now_ns: int, batch: ObserverReports, members: Collection[str]) -> None:
+        """Merge reports of others; those of strangers, outdated or out of bounds are ignored."""
+        for report in batch.reports:
+            if not self._is_acceptable(report, members):
                 continue
-            self.verdicts[engine] = verdict
-            self.relapses[engine] = verdict.relapses + 1, now
-            self.figures["verdicts"] += 1
-            begun.append(verdict)
-        self.relapses = {
-            e: r for e, r in self.relapses.items() if now - r[1] < 10 * self.terms.most_hold
-        }
-        return begun, lifted
-
-    def _verdict(
-        self, now: int, engine: Engine, seen: Mapping[str, tuple[str, bool, int]]
-    ) -> Verdict | None:
-        bad = {who: view for who, view in seen.items() if view[1]}
-        good = {who: view for who, view in seen.items() if not view[1]}
-        if len(bad) < self.terms.observers:
-            return None
-        kind, zone, by = Kind.BAD, "", bad
-        if len(good) * 2 > len(bad):
-            # Some reach it well. If those are all of other zones than ours, it is ours that is cut
-            # off.
-            here = {w: v for w, v in bad.items() if v[0] == self.zone}
-            if len(here) < self.terms.observers or any(v[0] == self.zone for v in good.values()):
-                return None
-            kind, zone, by = Kind.ZONE, self.zone, here
-        relapses = self.relapses.get(engine, (0, 0))[0]
-        hold = min(self.terms.most_hold, self.terms.hold << min(10, relapses))
-        newest = max(v[2] for v in by.values())
-        return Verdict(engine, kind, zone, now, now + hold, newest, frozenset(by), relapses)
-
-    def _lifts(self, now: int, verdict: Verdict, seen: Mapping[str, tuple[str, bool, int]]) -> bool:
-        """By fewer and fresher proofs than it took; or because nothing bad was seen of it any
-        more.
-        """
-        if now < verdict.until:
+            self.reports[report.observer] = ReceivedReport(report, now_ns)
+            for observation in report.observations:
+                has_room = len(self.reported_failing_ns) < MAX_TRACKED_ENDPOINTS
+                if observation.failures and has_room:
+                    self.reported_failing_ns[observation.endpoint] = now_ns
+
+    def _is_acceptable(self, report: ObserverReport, members: Collection[str]) -> bool:
+        if report.observer == self.name or report.observer not in members:
             return False
-        fresher = sum(
-            not bad and at > verdict.newest and (not verdict.zone or zone == verdict.zone)
-            for zone, bad, at in seen.values()
-        )
-        still = any(bad and at > verdict.newest for _, bad, at in seen.values())
-        return fresher >= (self.terms.observers + 1) // 2 or (
-            not still and now - verdict.newest > self.terms.age
+        if report.age_ms < 0 or len(report.observations) > MAX_ENDPOINTS:
+            return False
+        known = self.reports.get(report.observer)
+        if known is None:
+            return len(self.reports) < MAX_OBSERVERS
+        return known.report.version < report.version
+
+    def views(self, now_ns: int, members: Collection[str]) -> dict[Endpoint, dict[str, View]]:
+        """Return of each endpoint what each observer's recent proof says.
+
+        Reports of brokers that are no members any more are forgotten.
+        """
+        for observer in list(self.reports):
+            if observer not in members and observer != self.name:
+                del self.reports[observer]
+        views: dict[Endpoint, dict[str, View]] = {}
+        for observer, received in self.reports.items():
+            for observation in received.report.observations:
+                view = self._view(now_ns, received, observation)
+                if view is not None:
+                    views.setdefault(observation.endpoint, {})[observer] = view
+        return views
+
+    def _view(self, now_ns: int, received: ReceivedReport, observation: Observation) -> View | None:
+        """Return what an observation proves, or None if that is nothing or too old."""
+        report = received.report
+        written_at_ns = received.received_at_ns - report.age_ms * NS_PER_MS
+        failed_at_ns = _time_of(written_at_ns, observation.failure_age_ms)
+        succeeded_at_ns = _time_of(written_at_ns, observation.success_age_ms)
+        newest_ns = max(failed_at_ns, succeeded_at_ns)
+        if newest_ns < 0 or now_ns - newest_ns > self.settings.max_age_ns:
+            return None
+        has_succeeded_last = succeeded_at_ns > failed_at_ns
+        is_failing = (
+            observation.failures >= self.settings.failures
+            and observation.failures > observation.successes
+            and failed_at_ns > succeeded_at_ns
         )
+        if not is_failing and not has_succeeded_last:
+            return None
+        return View(report.zone, is_failing, newest_ns)
+
+
+def _latest_failure_first(observation: Observation) -> tuple[bool, int]:
+    return observation.failure_age_ms < 0, observation.failure_age_ms
+
+
+def _time_of(written_at_ns: int, age_ms: int) -> int:
+    return written_at_ns - age_ms * NS_PER_MS if age_ms >= 0 else NEVER_NS
--- a/query_broker/outlier_consensus/overrides.py
+++ b/query_broker/outlier_consensus/overrides.py
@@ -1,10 +1,10 @@
-"""Operators' words on engines, in an order that survives partitions. Pure.
+"""Operators' overrides on endpoints, in an order that survives network partitions.
 
-A word has a version, one more than the last that its broker knew, and names the word that it
-replaces. The higher version holds; of two of the same version, or of which neither knew the other,
-the later by version, then `out` before the others, then the greater address: every broker comes to
-the same, in whatever order it hears them. The one that lost is kept, so that whoever said it is
-shown that it did not hold.
+An override has a version, one more than the last that its author knew, and names the override it
+replaces. The higher version holds; of two with the same version, or of which neither author knew
+the other, the later by version, then `out` before the others, then the greater address. So every
+broker comes to the same result in whatever order it receives them. The one that did not hold is
+kept for display, so that the operator who took it can see that. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -12,94 +12,107 @@
 import hashlib
 from collections.abc import Iterable
 
-import msgspec
+from .messages import Override, OverrideValue
 
-VALUES = ("out", "back", "pinned")  # pinned: no shared verdict holds it out
-MOST_WORDS = 4_096
+MAX_OVERRIDES = 4_096
+DIGEST_BYTES = 8
+NOTHING_REPLACED = (0, "")
+#: Versions that lie further apart than this are not of concurrent overrides.
+CONCURRENT_DISTANCE = 2
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True):
-    """``before``: version and address of the word that it replaced."""
+OVERRIDE_VALUES = tuple(value.value for value in OverrideValue)
 
-    uid: str
-    value: str
-    version: int
-    by: str
-    before: tuple[int, str] = (0, "")
 
-    def rank(self) -> tuple[int, bool, str]:
-        return self.version, self.value == "out", self.by
+class OverrideStore:
+    """The overrides that hold, those that did not, and what is still to be sent.
 
-
-class Words(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """``digest``: of all that the sender knows, so that who knows something else answers with
-    it.
+    Attributes:
+        own_address: Address of this broker, the author of the overrides taken here.
+        overrides: The override that holds, by endpoint id.
+        superseded: By endpoint id, the last override that lost against a concurrent one.
+        remaining_sends: By endpoint id, in how many more batches its override is sent.
     """
 
-    digest: bytes
-    words: tuple[Word, ...]
-    answer: bool = False
-
-
-class Wordbook:
-    def __init__(self, me: str) -> None:
-        self.me = me
-        self.words: dict[str, Word] = {}
-        self.lost: dict[str, Word] = {}  # by uid: the last that did not hold
-        self.news: dict[str, int] = {}  # how often each is still told on
+    def __init__(self, own_address: str) -> None:
+        """Start without overrides."""
+        self.own_address = own_address
+        self.overrides: dict[str, Override] = {}
+        self.superseded: dict[str, Override] = {}
+        self.remaining_sends: dict[str, int] = {}
 
     def digest(self) -> bytes:
-        told = hashlib.blake2b(digest_size=8)
-        for uid in sorted(self.words):
-            word = self.words[uid]
-            told.update(f"{uid}\0{word.value}\0{word.version}\0{word.by}\0".encode())
-        return told.digest()
-
-    def say(self, uid: str, value: str, retold: int) -> Word:
-        """An operator says it here."""
-        before = self.words.get(uid)
-        word = Word(
-            uid,
-            value,
-            1 + (before.version if before is not None else 0),
-            self.me,
-            (before.version, before.by) if before is not None else (0, ""),
-        )
-        self.words[uid], self.news[uid] = word, retold
-        return word
-
-    def hear(self, words: Iterable[Word], retold: int) -> list[Word]:
-        """Those that hold from now on and did not before."""
-        taken = []
-        for word in words:
-            known = self.words.get(word.uid)
-            if (
-                known == word
-                or word.value not in VALUES
-                or word.version < 1
-                or known is None
-                and len(self.words) >= MOST_WORDS
-            ):
+        """Return a hash of all overrides that hold."""
+        digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
+        for uid in sorted(self.overrides):
+            override = self.overrides[uid]
+            digest.update(
+                f"{uid}\0{override.value}\0{override.version}\0{override.author}\0".encode()
+            )
+        return digest.digest()
+
+    def has_value(self, uid: str, value: OverrideValue) -> bool:
+        """Return whether the override of an endpoint has this value."""
+        override = self.overrides.get(uid)
+        return override is not None and override.value == value
+
+    def set(self, uid: str, value: str, sends: int) -> Override:
+        """Take an operator's decision made here; send it in so many batches."""
+        known = self.overrides.get(uid)
+        if known is None:
+            override = Override(uid, value, 1, self.own_address, NOTHING_REPLACED)
+        else:
+            replaced = (known.version, known.author)
+            override = Override(uid, value, 1 + known.version, self.own_address, replaced)
+        self._hold(override, sends)
+        return override
+
+    def merge(self, overrides: Iterable[Override], sends: int) -> list[Override]:
+        """Merge overrides of other brokers; return those that hold from now on.
+
+        Args:
+            overrides: As received; invalid ones are ignored.
+            sends: In how many batches each new one is passed on.
+        """
+        accepted: list[Override] = []
+        for override in overrides:
+            known = self.overrides.get(override.uid)
+            if not self._is_acceptable(override, known):
                 continue
-            if known is not None and word.rank() <= known.rank():
-                if known.before != (word.version, word.by) and known.version - word.version < 2:
-                    self.lost[word.uid] = word
+            if known is not None and override.rank() <= known.rank():
+                if _are_concurrent(known, override):
+                    self.superseded[override.uid] = override
                 continue
-            if (
-                known is not None
-                and word.before != (known.version, known.by)
-                and word.version - known.version < 2
-            ):
-                self.lost[word.uid] = known
-            self.words[word.uid], self.news[word.uid] = word, retold
-            taken.append(word)
-        return taken
-
-    def told(self, most: int) -> tuple[Word, ...]:
-        """News for one telling."""
-        picked = sorted(self.news, key=lambda uid: -self.news[uid])[:most]
-        for uid in picked:
-            self.news[uid] -= 1
-            if self.news[uid] <= 0:
-                del self.news[uid]
-        return tuple(self.words[uid] for uid in picked)
+            if known is not None and _are_concurrent(override, known):
+                self.superseded[override.uid] = known
+            self._hold(override, sends)
+            accepted.append(override)
+        return accepted
+
+    def _is_acceptable(self, override: Override, known: Override | None) -> bool:
+        if override.value not in OVERRIDE_VALUES or override.version < 1:
+            return False
+        if known is None:
+            return len(self.overrides) < MAX_OVERRIDES
+        return known != override
+
+    def _hold(self, override: Override, sends: int) -> None:
+        self.overrides[override.uid] = override
+        self.remaining_sends[override.uid] = sends
+
+    def next_batch(self, max_count: int) -> tuple[Override, ...]:
+        """Return the overrides to send in one round, those sent least often first."""
+        uids = sorted(self.remaining_sends, key=lambda uid: -self.remaining_sends[uid])
+        chosen = uids[:max_count]
+        for uid in chosen:
+            self.remaining_sends[uid] -= 1
+            if self.remaining_sends[uid] <= 0:
+                del self.remaining_sends[uid]
+        return tuple(self.overrides[uid] for uid in chosen)
+
+
+def _are_concurrent(winner: Override, loser: Override) -> bool:
+    """Return whether the winner's author did not know the loser."""
+    if winner.replaced == (loser.version, loser.author):
+        return False
+    return winner.version - loser.version < CONCURRENT_DISTANCE
--- a/query_broker/outlier_consensus/settings.py
+++ b/query_broker/outlier_consensus/settings.py
@@ -1,4 +1,7 @@
-"""What the operators' file says of shared verdicts. Times in nanoseconds."""
+"""Settings of the consensus on outliers, as the operators' file declares them under `verdicts`.
+
+All durations are in nanoseconds. Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -6,37 +9,46 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-S = 1_000_000_000
+NS_PER_S = 1_000_000_000
+FANOUT = 3  # members to which a round of gossip goes
+SPARE_ROUNDS = 3  # beyond those that full coverage takes on average
 
 
 @dataclass(frozen=True, slots=True)
-class VerdictTerms:
-    """``observers``: how many must have seen an engine fail; ``failures``: how many attempts each,
-    more than half of its last ones; ``age``: what is older counts no more; ``part``: of a zone's
-    engines that shared verdicts may hold out at once; ``hold``: how long one is held out at least,
-    doubled with each relapse.
+class OutlierConsensusSettings:
+    """When shared observations eject an endpoint, and for how long.
+
+    Attributes:
+        observers: How many brokers must have seen the endpoint fail.
+        failures: How many failed attempts each of them must have seen, and more failures than
+            successes.
+        max_age_ns: An observation older than that does not count.
+        max_ejected_fraction: The most of a zone's endpoints that may be ejected at once.
+        min_ejection_ns: How long the first ejection lasts at least; doubled with each relapse.
+        max_ejection_ns: Bound of that duration.
+        gossip_interval_ns: Time between two rounds of gossip.
     """
 
     observers: int = 3
     failures: int = 2
-    age: int = 10 * S
-    part: float = 0.3
-    hold: int = 5 * S
-    most_hold: int = 60 * S
-    told: int = S // 2
+    max_age_ns: int = 10 * NS_PER_S
+    max_ejected_fraction: float = 0.3
+    min_ejection_ns: int = 5 * NS_PER_S
+    max_ejection_ns: int = 60 * NS_PER_S
+    gossip_interval_ns: int = NS_PER_S // 2
 
 
-def rounds(brokers: int, fanout: int = 3) -> int:
-    """Tellings until all have heard: each passes news on to a few."""
-    return 1 + math.ceil(math.log(max(2, brokers)) / math.log(1 + fanout)) + 2
+def gossip_rounds(brokers: int, fanout: int = FANOUT) -> int:
+    """Return after how many rounds of gossip all brokers have received a message."""
+    return math.ceil(math.log(max(2, brokers)) / math.log(1 + fanout)) + SPARE_ROUNDS
 
 
-def lines(terms: VerdictTerms, brokers: int) -> Iterable[str]:
-    """For `check-config`."""
-    spread = rounds(brokers) * terms.told / S
+def describe(settings: OutlierConsensusSettings, brokers: int) -> Iterable[str]:
+    """Yield the lines that `check-config` prints on the consensus."""
+    spread_s = gossip_rounds(brokers) * settings.gossip_interval_ns / NS_PER_S
     yield (
-        f"verdicts: {terms.observers} observers of {terms.failures} failures each within "
-        f"{terms.age / S:g} s; all {brokers} brokers act on it within {spread:.1f} s, as on an "
-        "operator's "
-        f"word; {terms.part:.0%} of a zone at the most, {terms.hold / S:g} s at least"
+        f"verdicts: {settings.observers} observers of {settings.failures} failures each within "
+        f"{settings.max_age_ns / NS_PER_S:g} s; all {brokers} brokers act on it within "
+        f"{spread_s:.1f} s, as on an operator's word; {settings.max_ejected_fraction:.0%} of a "
+        f"zone at the most, {settings.min_ejection_ns / NS_PER_S:g} s at least"
     )
--- a/query_broker/quotas/__init__.py
+++ b/query_broker/quotas/__init__.py
@@ -1,6 +1,6 @@
-"""Limits that all brokers of an installation share: hard ones by leases, soft ones by counters that
-merge.
+"""Limits that all brokers of an installation share.
 
-All but `joins.py` is free of input and output; without the operators' word `limit` nothing of it is
-loaded.
+Hard limits are divided by leases, soft limits by gossiped usage counters. `service.py` is the one
+module with I/O; all others perform none. Nothing of this package is loaded unless the operators'
+file declares a `limit` or `verdicts`.
 """
--- /dev/null
+++ b/query_broker/quotas/collaborators.py
@@ -0,0 +1,125 @@
+"""What the services of shared limits and outlier consensus need of the rest of the broker.
+
+Protocols only: the node, the membership and the dispatcher satisfy them by their shape.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Protocol
+
+from ..config.reading import Config
+from ..decisions.facade import Settings
+from ..endpoints.endpoint_table import EngineTable
+from ..timer_wheel import Clock, Wheel
+
+if TYPE_CHECKING:
+    from ..dispatch.dispatcher import Ask
+    from ..endpoints.connection_pools import Pools
+
+
+class MemberIdentity(Protocol):
+    """Identity of a member."""
+
+    @property
+    def address(self) -> str:
+        """Address as host:port."""
+
+
+class FailureDetector(Protocol):
+    """The failure detector of the membership."""
+
+    @property
+    def me(self) -> MemberIdentity:
+        """This broker's identity."""
+
+    @property
+    def draw(self) -> random.Random:
+        """The source of all random choices of the membership and of what it carries."""
+
+
+class GossipMembership(Protocol):
+    """Carries messages between the brokers of an installation."""
+
+    @property
+    def detector(self) -> FailureDetector:
+        """The failure detector."""
+
+    @property
+    def name(self) -> str:
+        """Name of this broker: address/incarnation."""
+
+    def names(self) -> tuple[str, ...]:
+        """Return the names of all members in the view."""
+
+    def subscribe(self, topic: str, heard: Callable[[int, str, bytes], None], /) -> None:
+        """Register what receives a topic's messages: time in ns, name of the sender, body."""
+
+    def talk(self, topic: str, name: str, body: bytes, /) -> None:
+        """Queue a message for a member; the body must fit into a datagram."""
+
+    def flush(self) -> None:
+        """Send what is queued."""
+
+
+class MembershipView(Protocol):
+    """One view of the membership."""
+
+    @property
+    def certain(self) -> bool:
+        """Whether the membership considers the view reliable."""
+
+
+class MembershipViews(Protocol):
+    """Holds the current view."""
+
+    @property
+    def view(self) -> MembershipView:
+        """The current view."""
+
+
+class QuotaMembership(GossipMembership, Protocol):
+    """A membership that also tells how reliable its view is."""
+
+    @property
+    def views(self) -> MembershipViews:
+        """Holder of the current view."""
+
+
+class QuotaDispatcher(Protocol):
+    """What shared limits use of the dispatcher."""
+
+    arriving: Callable[[Ask, int], None] | None
+    adjust: list[Callable[[Settings], Settings]]
+    more_figures: list[Callable[[], bytes]]
+    engines: EngineTable
+    pools: Pools
+    wheel: Wheel
+
+    def readjust(self) -> None:
+        """Apply the settings again, since an adjustment has changed."""
+
+
+class ServiceHost(Protocol):
+    """What a service needs of the node whatever its dispatcher."""
+
+    @property
+    def config(self) -> Config:
+        """Platform settings in force."""
+
+    @property
+    def clock(self) -> Clock:
+        """This broker's clock."""
+
+    @property
+    def log(self) -> Callable[[str, str], None]:
+        """Writes a log line: kind and text."""
+
+
+class QuotaHost(ServiceHost, Protocol):
+    """The node as `QuotaService` sees it."""
+
+    @property
+    def broker(self) -> QuotaDispatcher:
+        """The dispatcher."""
--- a/query_broker/quotas/counters.py
+++ b/query_broker/quotas/counters.py
@@ -1,103 +1,170 @@
-"""Soft limits: each broker counts for itself, tells its own rates on, and goes by what all told.
-Pure.
+"""Soft limits: brokers gossip the rates they use, and each derives its quota from the reports.
 
-A row is written by its broker alone, with a version that rises: the newer one of two replaces the
-other, so that rows merge in any order, twice or never (a state-based counter, Shapiro et al. 2011).
-Each carries its age, which grows on the way; one that is too old counts as unknown, and its broker
-as if it used its even part.
+A report is written by its own broker alone, with a rising version; of two reports the newer
+replaces the other, so that they merge in any order and any number of times (a state-based
+counter, Shapiro et al. 2011). A report carries its age, which grows on the way. A broker without
+a recent report counts as using its even part. Performs no I/O.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
 
-from .messages import Row, Rows
-from .settings import STALE_ROUNDS
+from .messages import UsageReport, UsageReports
+from .settings import STALE_AFTER_ROUNDS
 
-MOST_ROWS = 4_096
-MOST_TOLD = 12  # rows in one message
-MOST_RATES = 16  # limits in one row
+NS_PER_MS = 1_000_000
+MAX_REPORTS = 4_096
+MAX_REPORTS_PER_MESSAGE = 12
+MAX_LIMITS_PER_REPORT = 16
 FANOUT = 3
-GROWTH = 2.0  # times what one used, from one telling to the next: not all may jump at once
+#: A quota is at most so many times the own use: not all brokers may jump at once.
+MAX_GROWTH = 2.0
+
+
+class UsageEvent(StrEnum):
+    """What is counted; the values are the keys in the operators' JSON."""
+
+    MERGED = "rows"
+    OUTDATED = "old_rows"
 
 
 @dataclass(slots=True)
-class Known:
-    row: Row
-    learned: int
+class ReceivedReport:
+    """A report, and when it arrived by our clock."""
+
+    report: UsageReport
+    received_at_ns: int
+
+    def age_ns(self, now_ns: int) -> int:
+        """Return how long ago its broker measured the rates."""
+        return self.report.age_ms * NS_PER_MS + now_ns - self.received_at_ns
+
+
+class SoftQuota(NamedTuple):
+    """This broker's part of a soft limit, and the age of the oldest report it rests on."""
+
+    rate_per_s: float
+    oldest_report_ns: int
+
 
-    def age(self, now: int) -> int:
-        """Nanoseconds."""
-        return self.row.age * 1_000_000 + now - self.learned
+class UsageCounters:
+    """One broker's reports on the soft limits, its own and those received.
 
+    Attributes:
+        name: Name of this broker.
+        reports: Latest report by broker.
+        own_rates_per_s: What this broker reported in the last round, by limit.
+        event_counts: How often each `UsageEvent` happened.
+    """
 
-class Counters:
-    """``rates``: what this broker used in the last round, a second, by limit."""
+    def __init__(self, name: str, gossip_interval_ns: int, draw: Callable[[], float]) -> None:
+        """Start without reports.
 
-    def __init__(self, me: str, told: int, draw: Callable[[], float]) -> None:
-        self.me, self.told, self.draw = me, told, draw
-        self.rows: dict[str, Known] = {}
-        self.rates: dict[str, float] = {}
-        self.allowed: dict[str, float] = {}
+        Args:
+            name: Name of this broker.
+            gossip_interval_ns: Time between two rounds.
+            draw: Returns a random number in [0, 1).
+        """
+        self.name = name
+        self.gossip_interval_ns = gossip_interval_ns
+        self.draw = draw
+        self.reports: dict[str, ReceivedReport] = {}
+        self.own_rates_per_s: dict[str, float] = {}
         self.version = 0
-        self.figures = {"rows": 0, "old_rows": 0}
+        self.event_counts: dict[str, int] = {event.value: 0 for event in UsageEvent}
 
-    def round(
-        self, now: int, rates: dict[str, float], members: Collection[str]
-    ) -> list[tuple[str, Rows]]:
-        """Once a `told`: our own row, and some of the others' newest, to a few."""
-        self.rates = dict(list(rates.items())[:MOST_RATES])
+    def next_round(
+        self, now_ns: int, rates_per_s: dict[str, float], members: Collection[str]
+    ) -> list[tuple[str, UsageReports]]:
+        """Report the own rates; return the messages of this round, each with its recipient."""
+        self.own_rates_per_s = dict(list(rates_per_s.items())[:MAX_LIMITS_PER_REPORT])
         self.version += 1
-        self.rows[self.me] = Known(Row(self.me, self.version, 0, tuple(self.rates.items())), now)
-        for gone in [w for w in self.rows if w not in members and w != self.me]:
-            del self.rows[gone]
-        others = [m for m in members if m != self.me]
-        picked = [
-            others.pop(int(self.draw() * len(others))) for _ in range(min(FANOUT, len(others)))
-        ]
-        freshest = sorted(self.rows.values(), key=lambda k: k.age(now))[:MOST_TOLD]
-        rows = tuple(
-            Row(k.row.who, k.row.version, k.age(now) // 1_000_000, k.row.rates) for k in freshest
+        own_report = UsageReport(self.name, self.version, 0, tuple(self.own_rates_per_s.items()))
+        self.reports[self.name] = ReceivedReport(own_report, now_ns)
+        for broker in list(self.reports):
+            if broker not in members and broker != self.name:
+                del self.reports[broker]
+        recipients = self._draw_recipients(members)
+        batch = self._freshest(now_ns)
+        return [(recipient, batch) for recipient in recipients]
+
+    def _draw_recipients(self, members: Collection[str]) -> list[str]:
+        others = [member for member in members if member != self.name]
+        recipients: list[str] = []
+        for _ in range(min(FANOUT, len(others))):
+            position = int(self.draw() * len(others))
+            recipients.append(others.pop(position))
+        return recipients
+
+    def _freshest(self, now_ns: int) -> UsageReports:
+        by_age = sorted(self.reports.values(), key=lambda received: received.age_ns(now_ns))
+        return UsageReports(
+            tuple(
+                UsageReport(
+                    received.report.broker,
+                    received.report.version,
+                    received.age_ns(now_ns) // NS_PER_MS,
+                    received.report.rates_per_s,
+                )
+                for received in by_age[:MAX_REPORTS_PER_MESSAGE]
+            )
         )
-        return [(to, Rows(rows)) for to in picked]
-
-    def receive(self, now: int, told: Rows, members: Collection[str]) -> None:
-        for row in told.rows[:MOST_TOLD]:
-            before = self.rows.get(row.who)
-            if (
-                row.who == self.me
-                or row.who not in members
-                or row.age < 0
-                or len(row.rates) > MOST_RATES
-            ):
+
+    def receive(self, now_ns: int, batch: UsageReports, members: Collection[str]) -> None:
+        """Merge reports of others; those of strangers or out of bounds are ignored."""
+        for report in batch.reports[:MAX_REPORTS_PER_MESSAGE]:
+            if not self._is_acceptable(report, members):
                 continue
-            if before is not None and before.row.version >= row.version:
-                self.figures["old_rows"] += 1
+            known = self.reports.get(report.broker)
+            if known is not None and known.report.version >= report.version:
+                self.event_counts[UsageEvent.OUTDATED] += 1
                 continue
-            if before is None and len(self.rows) >= MOST_ROWS:
+            if known is None and len(self.reports) >= MAX_REPORTS:
                 continue
-            self.rows[row.who] = Known(row, now)
-            self.figures["rows"] += 1
-
-    def may(
-        self, now: int, limit: str, whole: float, fleet: int, members: Collection[str]
-    ) -> tuple[float, int]:
-        """What we may use, a second, and how old what it rests on is, ns. Never under the even part
-        of the size in the file, never more than so many times what we used or that part.
+            self.reports[report.broker] = ReceivedReport(report, now_ns)
+            self.event_counts[UsageEvent.MERGED] += 1
+
+    def _is_acceptable(self, report: UsageReport, members: Collection[str]) -> bool:
+        if report.broker == self.name or report.broker not in members:
+            return False
+        return report.age_ms >= 0 and len(report.rates_per_s) <= MAX_LIMITS_PER_REPORT
+
+    def quota(
+        self,
+        now_ns: int,
+        limit: str,
+        limit_per_s: float,
+        fleet_size: int,
+        members: Collection[str],
+    ) -> SoftQuota:
+        """Return what this broker may use of a limit.
+
+        Never less than the even part, never more than `MAX_GROWTH` times what it used or that part.
         """
-        even = whole / max(fleet, len(members), 1)
-        others, oldest = 0.0, 0
-        for who in members:
-            if who == self.me:
+        even_part = limit_per_s / max(fleet_size, len(members), 1)
+        used_by_others = 0.0
+        oldest_ns = 0
+        for member in members:
+            if member == self.name:
                 continue
-            known = self.rows.get(who)
-            if known is None or known.age(now) > STALE_ROUNDS * self.told:
-                others += even
+            received = self.reports.get(member)
+            if received is None or self._is_stale(received, now_ns):
+                used_by_others += even_part
                 continue
-            others += max(0.0, dict(known.row.rates).get(limit, 0.0))
-            oldest = max(oldest, known.age(now))
-        left = max(even, whole - others)
-        free = min(left, GROWTH * max(even, self.rates.get(limit, 0.0)))
-        self.allowed[limit] = free
-        return free, oldest
+            used_by_others += max(0.0, dict(received.report.rates_per_s).get(limit, 0.0))
+            oldest_ns = max(oldest_ns, received.age_ns(now_ns))
+        remaining = max(even_part, limit_per_s - used_by_others)
+        own_rate = max(even_part, self.own_rates_per_s.get(limit, 0.0))
+        return SoftQuota(min(remaining, MAX_GROWTH * own_rate), oldest_ns)
+
+    def _is_stale(self, received: ReceivedReport, now_ns: int) -> bool:
+        return received.age_ns(now_ns) > STALE_AFTER_ROUNDS * self.gossip_interval_ns
+
+    def reported_total_per_s(self, limit: str) -> float:
+        """Return what all known brokers report to use of a limit."""
+        rates = (dict(known.report.rates_per_s) for known in self.reports.values())
+        return sum(rate.get(limit, 0.0) for rate in rates)
--- a/query_broker/quotas/messages.py
+++ b/query_broker/quotas/messages.py
@@ -1,71 +1,104 @@
-"""What homes, holders and tellers of counters say to each other, inside a member's `Talk`."""
+"""Messages between brokers on shared limits, each carried in one message of the membership.
+
+All are msgpack arrays that begin with the tag of the message: the names of the fields do not appear
+on the wire. Amounts and rates are per second. Performs no I/O.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
 
-class HomeAsk(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Agree that I am home of these shards, each in this term. ``held``: I have been agreed to in
-    this term, and nobody else grants: what you hold from before is safe to be renewed.
+class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
+    """Asks for a vote for the sender as leader of some shards.
+
+    Attributes:
+        sequence: Number that the answer repeats.
+        candidacies: For each shard its number, the term, and whether the sender is its leader in
+            this term already; if so, leases that the receiver holds from earlier are safe to renew.
     """
 
-    seq: int
-    shards: tuple[tuple[int, int, bool], ...]  # shard, term, held
+    sequence: int
+    candidacies: tuple[tuple[int, int, bool], ...]
+
 
+class VoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """Answers a `VoteRequest`.
 
-class Promise(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """For `HomeAsk` ``seq``: shards that I agree to, and the terms that stand in the way of
-    others.
+    Attributes:
+        sequence: Number of the request.
+        granted_shards: Shards for which the sender votes for the candidate.
+        rejected_shards: Of each other shard its number and the highest term the sender has seen.
     """
 
-    seq: int
-    agreed: tuple[int, ...]
-    terms: tuple[tuple[int, int], ...] = ()
+    sequence: int
+    granted_shards: tuple[int, ...]
+    rejected_shards: tuple[tuple[int, int], ...] = ()
 
 
-class Want(msgspec.Struct, array_like=True, frozen=True):
-    """``held``, ``grant``: what I hold now, and by which grant; 0, 0: nothing. ``term``: in which I
-    know the home to be held.
+class LeaseDemand(msgspec.Struct, array_like=True, frozen=True):
+    """What a holder wants of one limit.
+
+    Attributes:
+        limit: Name of the limit.
+        wanted_per_s: The amount needed beyond the guaranteed part; -1 returns the lease.
+        held_per_s: The amount of the lease in force; 0 without one.
+        grant_id: The grant that lease rests on; 0 without one.
+        leader_term: Latest term in which the sender knows the shard's leader to be elected; -1 if
+            none.
     """
 
     limit: str
-    want: float
-    held: float
-    grant: int
-    term: int
+    wanted_per_s: float
+    held_per_s: float
+    grant_id: int
+    leader_term: int
+
 
+class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """Asks the leader of the limits' shards for leases, or to renew them."""
 
-class LeaseAsk(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    seq: int
-    wants: tuple[Want, ...]
+    sequence: int
+    demands: tuple[LeaseDemand, ...]
 
 
-class Granted(msgspec.Struct, array_like=True, frozen=True):
+class Grant(msgspec.Struct, array_like=True, frozen=True):
+    """One granted lease: the amount, the number of the grant, and the term of the leader."""
+
     limit: str
-    amount: float
-    grant: int
-    term: int
+    amount_per_s: float
+    grant_id: int
+    leader_term: int
+
 
+class LeaseResponse(msgspec.Struct, array_like=True, frozen=True, tag=4):
+    """Answers a `LeaseRequest`; each lease lasts from the moment the request was sent."""
 
-class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """For `LeaseAsk` ``seq``; each lasts a lease from when that was sent."""
+    sequence: int
+    grants: tuple[Grant, ...]
 
-    seq: int
-    granted: tuple[Granted, ...]
 
+class UsageReport(msgspec.Struct, array_like=True, frozen=True):
+    """What one broker uses of the soft limits.
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
-    """One broker's own counts: ``rates`` a second by limit, ``age`` ms since it counted them."""
+    Attributes:
+        broker: Name of the broker; it alone writes its report.
+        version: Rises with each report of this broker.
+        age_ms: Milliseconds since the broker measured the rates.
+        rates_per_s: Pairs of a limit's name and the rate used of it.
+    """
 
-    who: str
+    broker: str
     version: int
-    age: int
-    rates: tuple[tuple[str, float], ...]
+    age_ms: int
+    rates_per_s: tuple[tuple[str, float], ...]
+
 
+class UsageReports(msgspec.Struct, array_like=True, frozen=True, tag=5):
+    """One batch of gossip on soft limits: reports of the sender and of others."""
 
-class Rows(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    rows: tuple[Row, ...]
+    reports: tuple[UsageReport, ...]
 
 
-Body = HomeAsk | Promise | LeaseAsk | LeaseGrant | Rows
+LeaseMessage = VoteRequest | VoteResponse | LeaseRequest | LeaseResponse
+QuotaMessage = VoteRequest | VoteResponse | LeaseRequest | LeaseResponse | UsageReports
--- /dev/null
+++ b/query_broker/quotas/prometheus_text.py
@@ -0,0 +1,21 @@
+"""Metrics in the Prometheus text format. Performs no I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+
+def metric_header(name: str, help_text: str, metric_type: str) -> list[str]:
+    """Return the HELP and TYPE lines of a metric."""
+    return [f"# HELP {name} {help_text}", f"# TYPE {name} {metric_type}"]
+
+
+def event_counter(name: str, help_text: str, counts: Mapping[str, int]) -> list[str]:
+    """Return the lines of a counter with one time series an event."""
+    samples = [f'{name}{{event="{event}"}} {count}' for event, count in counts.items()]
+    return [*metric_header(name, help_text, "counter"), *samples]
+
+
+def metrics_page(lines: Iterable[str]) -> bytes:
+    """Join lines into a part of the metrics page."""
+    return ("\n".join(lines) + "\n").encode()
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -1,672 +1,261 @@
-"""Joins shared limits and verdicts to the membership, the broker and the operators: the one module
-of both with input and output. What comes from others reaches the module as settings (shares,
-quotas) and as words on engines.
+"""The service of shared limits: connects them to the membership, the dispatcher and the node.
+
+The one module of the package with I/O. Quotas reach the decisions as platform settings alone: the
+size of the fleet and the tenants' quotas.
 """
 
 from __future__ import annotations
 
-import json
-from collections import deque
-from collections.abc import Iterable, Sequence
-from dataclasses import dataclass, replace
-from typing import Any
+from typing import TYPE_CHECKING
 
 import msgspec
 
-from ..decisions.facade import EngineBan, EngineState, Result, Settings
-from ..dispatch.dispatcher import Ask
-from ..endpoints.administrative_state import Word as Ban
-from ..membership.service import Membership
-from ..outlier_consensus.observations import Engine, Evidence, Reports
-from ..outlier_consensus.overrides import VALUES, Wordbook, Words
-from ..outlier_consensus.settings import VerdictTerms, rounds
-from ..server.host import Host
-from .counters import Counters
-from .fair_allocation import Forecast
-from .leases import Leases
-from .messages import Body, LeaseGrant, Rows
-from .settings import LimitTerms, SharesTerms, overshoot, stale
-
-S = 1_000_000_000
-MS = 1_000_000
-LOOK = S // 4
-ROOM = 1_000  # bytes of one message's body
-CHANGED = 0.05  # a share that moves by less is not told to the module anew
-MOST_SIZE = 8  # times the size in the file: no lease makes our part smaller than that
-GOOD, BAD = {Result.SERVED}, {Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET}
-PROBED = S  # between two probes of an engine that is held out
-KEPT = 60  # seconds of what was let pass, for the figures
-RECORD = 400  # changes of leases that an auditor may read
-JSON = "application/json"
-Answer = tuple[int, bytes, str, str]
-
-
-def no(status: int, why: str, allow: str = "") -> Answer:
-    return status, json.dumps({"error": why}).encode() + b"\n", JSON, allow
-
-
-def yes(said: Any) -> Answer:
-    return 200, json.dumps(said).encode() + b"\n", JSON, ""
-
-
-def packed(items: Sequence[Any], encode: Any) -> Iterable[bytes]:
-    """As few bodies as they fit in; what alone is too large is left out."""
-    body, part = b"", list[Any]()
-    for item in items:
-        more = encode([*part, item])
-        if len(more) > ROOM:
-            if part:
-                yield body
-            part, body = [item], encode([item])
-            if len(body) > ROOM:
-                part, body = [], b""
-            continue
-        part.append(item)
-        body = more
-    if part:
-        yield body
-
-
-class Sharing:
-    """One broker's part of the limits."""
-
-    def __init__(self, node: Host, membership: Membership, terms: SharesTerms) -> None:
-        self.node, self.membership, self.terms = node, membership, terms
-        now, settings = node.clock.now(), node.config.settings
-        draw = membership.detector.draw
-        self.leases = Leases(membership.name, terms, settings.fleet_size, now, draw.random)
-        self.leases.spare = {limit.name for limit in terms.limits if limit.kind == "work"}
-        self.record: deque[tuple[int, str, float, int]] = deque(maxlen=RECORD)
-        self.counters = Counters(membership.name, terms.told, draw.random)
-        self.forecasts = {limit.name: Forecast() for limit in terms.limits}
-        self.by_tenant = {limit.name: limit for limit in terms.limits if limit.kind == "tenant"}
-        self.of_kind = {limit.kind: limit for limit in terms.limits if limit.kind != "tenant"}
-        self.asked: dict[str, float] = {}  # since the last second
-        self.passed: dict[str, deque[float]] = {
-            limit.name: deque(maxlen=KEPT) for limit in terms.limits
-        }
-        self.told: dict[str, float] = {}  # what the module goes by
-        self.ends = 0  # of the first lease that the module goes by
-        self.looked = self.second = self.round = now
-        self.tokens, self.tokens_at = 1.0, now
-        self.breaches = 0
-        self.written: dict[str, tuple[float, int]] = {}
-        self.worst: dict[str, float] = {}
-        self.lent: dict[str, str] = {}
+from ..decisions.facade import EngineState, Settings
+from .admin import QuotaAdmin
+from .admin_responses import AdminResponse
+from .batching import message_bodies
+from .collaborators import QuotaHost, QuotaMembership
+from .counters import UsageCounters
+from .demand_tracker import DemandTracker
+from .lease_log import LeaseLog
+from .leases import LeaseManager
+from .messages import LeaseResponse, QuotaMessage, UsageReports
+from .metrics import quota_metrics
+from .quota_rates import QuotaRates
+from .settings import NS_PER_S, QuotaKind, QuotaSettings
+from .token_bucket import TokenBucket
+
+if TYPE_CHECKING:
+    from ..dispatch.dispatcher import Ask
+
+TOPIC = "limits"
+TICK_NS = NS_PER_S // 4
+#: A quota that moves by a smaller fraction is not applied anew.
+SIGNIFICANT_CHANGE = 0.05
+SMALLEST_QUOTA = 1e-9
+NEVER_APPLIED = -1.0
+MS_PER_S = 1_000
+
+
+class NodeEnvironment:
+    """Platform settings and members, read from the node and the membership at each use."""
+
+    def __init__(self, host: QuotaHost, membership: QuotaMembership) -> None:
+        """Take the node and the membership."""
+        self._host = host
+        self._membership = membership
+
+    def platform_settings(self) -> Settings:
+        """Return the platform settings in force."""
+        return self._host.config.settings
+
+    def member_names(self) -> tuple[str, ...]:
+        """Return the names of all members in the current view."""
+        return self._membership.names()
+
+
+class QuotaService:
+    """One broker's part in the shared limits.
+
+    Attributes:
+        leases: Leases of the hard limits.
+        counters: Gossip on the soft limits.
+        rates: What this broker may use of each limit.
+        tracker: Demand on each limit.
+        admin: Answers operators' calls.
+    """
+
+    def __init__(
+        self, host: QuotaHost, membership: QuotaMembership, settings: QuotaSettings
+    ) -> None:
+        """Subscribe to the membership and to the dispatcher, and start the timer.
+
+        Args:
+            host: The node.
+            membership: Carries the messages between brokers.
+            settings: Settings of the shared limits.
+        """
+        self.host = host
+        self.membership = membership
+        self.settings = settings
+        now_ns = host.clock.now()
+        draw = membership.detector.draw.random
+        fleet_size = host.config.settings.fleet_size
+        self.leases = LeaseManager(membership.name, settings, fleet_size, now_ns, draw)
+        self.leases.holder.always_requested = frozenset(
+            limit.name for limit in settings.limits if limit.kind == QuotaKind.WORK
+        )
+        self.counters = UsageCounters(membership.name, settings.gossip_interval_ns, draw)
+        environment = NodeEnvironment(host, membership)
+        self.rates = QuotaRates(settings, environment, self.leases, self.counters)
+        self.tracker = DemandTracker(self.rates, now_ns)
+        self.lease_log = LeaseLog(self.leases)
+        own_address = membership.detector.me.address
+        self.admin = QuotaAdmin(self.rates, self.tracker, self.lease_log, host.clock, own_address)
+        # Retries and connections draw from one bucket, each at its own rate.
+        self._bucket = TokenBucket(now_ns)
+        self._applied: dict[str, float] = {}
+        self._first_expiry_ns = 0
+        self._gossiped_at_ns = now_ns
         self.encoder = msgspec.msgpack.Encoder()
-        self.decoder: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
-        membership.subscribe("limits", self._heard)
-        node.broker.arriving = self._arriving
-        node.broker.adjust.append(self.adjust)
-        node.broker.more_figures.append(self.figures)
-        if "connects" in self.of_kind:
-            node.broker.pools.turn = self._connect_wait
+        self.decoder: msgspec.msgpack.Decoder[QuotaMessage] = msgspec.msgpack.Decoder(QuotaMessage)
+        self._attach()
         self.configure()
-        node.broker.wheel.at(now + LOOK, self._look)
+        host.broker.wheel.at(now_ns + TICK_NS, self._tick)
 
-    # --- what the limits are ---
+    def _attach(self) -> None:
+        self.membership.subscribe(TOPIC, self._receive)
+        dispatcher = self.host.broker
+        dispatcher.arriving = self._request_arrived
+        dispatcher.adjust.append(self.adjust)
+        dispatcher.more_figures.append(self.metrics)
+        if QuotaKind.CONNECTS in self.rates.limits_by_kind:
+            dispatcher.pools.turn = self._connect_wait_ns
 
-    def whole(self, limit: LimitTerms) -> float:
-        if limit.rate:
-            return limit.rate
-        if limit.kind == "tenant":
-            tenants = self.node.config.settings.tenants
-            return next((t.quota_per_s for t in tenants if t.name == limit.name), 0.0)
-        return 1.0  # of all that the engines can do
+    # --- settings ---
 
     def configure(self) -> None:
-        """At the start, and at SIGHUP."""
-        self.leases.fleet = self.node.config.settings.fleet_size
-        self.leases.limits = {
-            limit.name: self.whole(limit) * (1 - self.terms.guaranteed)
-            for limit in self.terms.limits
-            if limit.hard()
-        }
-
-    def ours(self, limit: LimitTerms, now: int) -> float:
-        """What we may use of it, a second, at this moment."""
-        whole = self.whole(limit)
-        if limit.hard():
-            return self.leases.floor(whole) + self.leases.amount(limit.name, now)
-        return self.counters.may(
-            now, limit.name, whole, self.node.config.settings.fleet_size, self.membership.names()
-        )[0]
+        """Take in the platform settings, at the start and after each reload."""
+        self.leases.state.fleet_size = self.host.config.settings.fleet_size
+        self.leases.state.limits = self.rates.leased_limits()
 
     def adjust(self, settings: Settings) -> Settings:
-        """Shares that are leased in place of even ones. The module divides tenants' allowances by
-        the size: what is told is our own part times it.
-        """
-        now, even = self.node.clock.now(), settings.fleet_size
-        size, me = even, settings.me
-        work = self.of_kind.get("work")
-        if work is not None and not self._cold(now):
-            most = MOST_SIZE * self.node.config.settings.fleet_size
-            size = max(1, min(most, round(1 / max(1e-6, self.ours(work, now)))))
-            me %= size
-        tenants = tuple(
-            replace(
-                t,
-                quota_per_s=size
-                * (
-                    self.ours(self.by_tenant[t.name], now)
-                    if t.name in self.by_tenant
-                    else t.quota_per_s / even
-                ),
-            )
-            for t in settings.tenants
-        )
-        return replace(settings, fleet_size=size, me=me, tenants=tenants)
-
-    def _cold(self, now: int) -> bool:
-        """Danger: what many hold a large part of at once is pushed over while it is cold."""
-        cold = self.node.config.settings.contract.cold
-        return any(
-            k.target.state is EngineState.READY and k.target.started + cold > now
-            for k in self.node.broker.engines.by_number.values()
-        )
+        """Return the platform settings with leased quotas in place of even parts."""
+        use_work_quota = not self._has_warming_endpoint()
+        return self.rates.adjust(settings, self.host.clock.now(), use_work_quota)
 
-    # --- the ordinary path ---
+    def _has_warming_endpoint(self) -> bool:
+        """Return whether an endpoint is still warming up.
 
-    def _arriving(self, ask: Ask, now: int) -> None:
-        """Danger: one that was paused reads what waits for it before it looks at any timer: a lease
-        that has ended meanwhile must not be used.
+        Such an endpoint is overloaded if several brokers use large parts of it at once.
         """
-        if self.ends and now >= self.ends:
-            self._tell(now)
-        if ask.customer in self.by_tenant:
-            self.asked[ask.customer] = self.asked.get(ask.customer, 0.0) + 1
-        if "work" in self.of_kind:
-            name = self.of_kind["work"].name
-            self.asked[name] = self.asked.get(name, 0.0) + ask.weight_ms / 1_000
-
-    def may_try(self) -> bool:
-        """A further attempt, under the soft limit of them all."""
-        limit, now = self.of_kind["further"], self.node.clock.now()
-        rate = self.ours(limit, now)
-        self.tokens = min(max(1.0, rate), self.tokens + rate * (now - self.tokens_at) / S)
-        self.tokens_at = now
-        self.asked[limit.name] = self.asked.get(limit.name, 0.0) + 1
-        if self.tokens < 1:
-            return False
-        self.tokens -= 1
-        return True
-
-    def _connect_wait(self, engine: int) -> int:
-        limit, now = self.of_kind["connects"], self.node.clock.now()
-        rate = max(1e-3, self.ours(limit, now))
-        self.asked[limit.name] = self.asked.get(limit.name, 0.0) + 1
-        self.tokens = min(max(1.0, rate), self.tokens + rate * (now - self.tokens_at) / S) - 1
-        self.tokens_at = now
-        return max(0, int(-self.tokens / rate * S))
-
-    # --- time ---
-
-    def _look(self) -> None:
-        now = self.node.clock.now()
-        self.node.broker.wheel.at(now + LOOK, self._look)
-        try:
-            self._second(now)
-            view = self.membership.views.view
-            self.leases.me = self.counters.me = self.membership.name
-            self.leases.view(self.membership.names(), view.certain)
-            self.leases.tick(now)
-            self._write_down(now)
-            if now - self.round >= self.terms.told:
-                self.round = now
-                rates = {
-                    li.name: self.let_pass(li.name) for li in self.of_kind.values() if not li.hard()
-                }
-                for to, rows in self.counters.round(now, rates, self.membership.names()):
-                    for body in packed(
-                        rows.rows, lambda part: self.encoder.encode(Rows(tuple(part)))
-                    ):
-                        self.membership.talk("limits", to, body)
-            self._send()
-            self._tell(now)
-        except Exception as error:  # a fault here must not end the wheel's turn
-            self.node.log("fault", f"limits: {type(error).__name__}: {error}")
-
-    def let_pass(self, name: str) -> float:
-        passed = self.passed[name]
-        return passed[-1] if passed else 0.0
-
-    def _second(self, now: int) -> None:
-        if now - self.second < S:
-            return
-        seconds, self.second = (now - self.second) / S, now
-        cores = self._cores()
-        for limit in self.terms.limits:
-            asked = self.asked.pop(limit.name, 0.0) / seconds
-            if limit.kind == "work":
-                asked /= max(1, cores)
-            self.forecasts[limit.name].second(asked)
-            self.passed[limit.name].append(min(asked, self.ours(limit, now)))
-            if limit.hard():
-                need = self.forecasts[limit.name].need() - self.leases.floor(self.whole(limit))
-                self.leases.want[limit.name] = max(0.0, need)
-                if need > self.leases.amount(limit.name, now):
-                    self.leases.hurry(now)
-            else:
-                total = sum(
-                    dict(k.row.rates).get(limit.name, 0.0) for k in self.counters.rows.values()
-                )
-                over = total - self.whole(limit)
-                self.worst[limit.name] = max(self.worst.get(limit.name, 0.0), over)
-                promised = overshoot(self.terms, limit, self.whole(limit), self.leases.fleet)
-                if over > promised + 1e-9:
-                    self.breaches += 1
-                    self.node.log(
-                        "limits",
-                        f"{limit.name}: {total:.1f} a second were let pass, {over:.1f} "
-                        f"over; {promised:.1f} are promised at the most",
-                    )
-
-    def _cores(self) -> int:
-        sizes, known = (
-            dict(self.node.config.settings.kind_cores),
-            self.node.broker.engines.by_number.values(),
-        )
-        return sum(
-            sizes.get(k.target.kind) or max(1, round(k.target.weight))
-            for k in known
-            if k.target.state is EngineState.READY
+        now_ns = self.host.clock.now()
+        warm_up_ns = self.host.config.settings.contract.cold
+        return any(
+            known.target.state is EngineState.READY and known.target.started + warm_up_ns > now_ns
+            for known in self.host.broker.engines.by_number.values()
         )
 
-    def _send(self) -> None:
-        out, self.leases.out = self.leases.out, []
-        for to, message in out:
-            self.membership.talk("limits", to, self.encoder.encode(message))
-        self.membership.flush()
-
-    def _tell(self, now: int) -> None:
-        """The module goes by what we hold now, if that has moved."""
-        self.ends = self.leases.ends(now)
-        ours = {limit.name: self.ours(limit, now) for limit in self.terms.limits if limit.hard()}
-        if any(abs(ours[n] - self.told.get(n, -1.0)) > CHANGED * max(ours[n], 1e-9) for n in ours):
-            self.told = ours
-            self.node.broker.readjust()
-
-    def _heard(self, now: int, sender: str, body: bytes) -> None:
-        message = self.decoder.decode(body)
-        if isinstance(message, Rows):
-            self.counters.receive(now, message, self.membership.names())
-            return
-        self.leases.receive(now, sender, message)
-        self._send()
-        if isinstance(message, LeaseGrant):
-            self._write_down(now)
-            self._tell(now)
-
-    def _write_down(self, now: int) -> None:
-        for name in self.leases.limits:
-            lease = self.leases.held.get(name)
-            amount, until = (lease.amount, lease.until) if lease is not None else (0.0, now)
-            if self.written.get(name) != (amount, until):
-                self.written[name] = amount, until
-                self.record.append((now, name, amount, until))
+    # --- requests ---
 
-    # --- operators ---
-
-    def call(self, method: str, path: str) -> Answer | None:
-        parts = path.strip("/").split("/")
-        if parts[0] != "limits":
-            return None
-        if path in ("/limits", "/limits/record"):
-            if method != "GET":
-                return no(405, "this call is a GET", "GET")
-            return yes(self.status() if path == "/limits" else list(self.record))
-        if method != "POST":
-            return no(405, "this call is a POST", "POST")
-        if parts[1] == "recall" and len(parts) == 4 and parts[2] in self.leases.limits:
-            return self._recall(parts[2], parts[3], 0.0)
-        if parts[1] == "lend" and len(parts) == 5 and parts[2] in self.leases.limits:
-            try:
-                return self._recall(parts[2], parts[3], max(0.0, float(parts[4])))
-            except ValueError:
-                return no(400, f"{parts[4][:40]!r} is no amount")
-        return no(404, "no such call, or no such limit")
-
-    def _recall(self, limit: str, address: str, most: float) -> Answer:
-        """Here alone, if we are its home: `lend` caps a holder at an amount, `recall` at none."""
-        name = next((n for n in self.membership.names() if n.startswith(f"{address}/")), "")
-        if not name:
-            return no(404, f"{address[:60]} is no member")
-        if self.leases.home(limit) != self.leases.me:
-            return no(
-                409, f"the home of {limit} is {self.leases.home(limit).split('/')[0]}: say it there"
-            )
-        self.leases.caps[limit, name] = most
-        return yes({"limit": limit, "holder": address, "at_most": most})
-
-    def status(self) -> dict[str, Any]:
-        now, leases = self.node.clock.now(), self.leases
-        told = []
-        for limit in self.terms.limits:
-            whole, lease = self.whole(limit), leases.held.get(limit.name)
-            live = lease is not None and now < lease.until
-            said: dict[str, Any] = {
-                "name": limit.name,
-                "kind": limit.kind,
-                "hard": limit.hard(),
-                "whole": whole,
-                "ours": round(self.ours(limit, now), 6),
-                "asked": round(self.forecasts[limit.name].last, 6),
-                "stale_s": stale(self.terms, limit),
-                "overshoot_promised": overshoot(self.terms, limit, whole, leases.fleet),
-            }
-            if limit.hard():
-                home = leases.home(limit.name)
-                said |= {
-                    "floor": leases.floor(whole),
-                    "held": lease.amount if live and lease else 0.0,
-                    "left_s": round((lease.until - now) / S, 2) if live and lease else 0.0,
-                    "want": round(leases.want.get(limit.name, 0.0), 6),
-                    "home": home.split("/")[0],
-                    "floor_in_force": not live,
-                }
-                if home == leases.me:
-                    said["lent"] = self._lent(limit.name, now)
-            else:
-                age = self.counters.may(
-                    now, limit.name, whole, leases.fleet, self.membership.names()
-                )[1]
-                said |= {
-                    "age_s": round(age / S, 2),
-                    "overshoot_seen": round(self.worst.get(limit.name, 0.0), 3),
-                }
-            told.append(said)
-        return {
-            "me": self.membership.detector.me.address,
-            "limits": told,
-            "breaches": self.breaches,
-            "figures": {**leases.figures, **self.counters.figures},
-        }
+    def _request_arrived(self, request: Ask, now_ns: int) -> None:
+        """Count a request before it is decided on.
 
-    def _lent(self, limit: str, now: int) -> dict[str, float]:
-        return {
-            holder.split("/")[0]: round(entry.out(now), 6)
-            for home in self.leases.homes.values()
-            for holder, entry in home.books.get(limit, {}).items()
-        }
-
-    def figures(self) -> bytes:
-        now, limits = self.node.clock.now(), self.terms.limits
-        values: dict[str, tuple[str, list[float]]] = {
-            "ours": (
-                "What this broker may use of a limit, a second.",
-                [self.ours(li, now) for li in limits],
-            ),
-            "asked": (
-                "What was asked of it in the last second.",
-                [self.forecasts[li.name].last for li in limits],
-            ),
-            "held": ("What of it is leased.", [self.leases.amount(li.name, now) for li in limits]),
-            "overshoot_promised": (
-                "By how much all may be over.",
-                [overshoot(self.terms, li, self.whole(li), self.leases.fleet) for li in limits],
-            ),
-            "overshoot_seen": (
-                "By how much all were seen to be over.",
-                [self.worst.get(li.name, 0.0) for li in limits],
-            ),
-        }
-        lines = list[str]()
-        for key, (help, told) in values.items():
-            name = f"edge_proxy_limit_{key}"
-            lines += [
-                f"# HELP {name} {help}",
-                f"# TYPE {name} gauge",
-                *(
-                    f'{name}{{limit="{li.name}"}} {v:.6g}'
-                    for li, v in zip(limits, told, strict=True)
-                ),
-            ]
-        lines += [
-            "# HELP edge_proxy_limit_events_total What became of leases.",
-            "# TYPE edge_proxy_limit_events_total counter",
-            *(
-                f'edge_proxy_limit_events_total{{event="{k}"}} {n}'
-                for k, n in {**self.leases.figures, "breaches": self.breaches}.items()
-            ),
-        ]
-        return ("\n".join(lines) + "\n").encode()
-
-
-@dataclass(slots=True)
-class HeldOut:
-    """An engine under a verdict. ``heard``: by when all others have been told what it rests on."""
-
-    heard: int
-    probe_at: int
-
-
-class Judging:
-    """One broker's part of the verdicts, and of the operators' words."""
-
-    def __init__(self, node: Host, membership: Membership, terms: VerdictTerms) -> None:
-        self.node, self.membership, self.terms = node, membership, terms
-        self.evidence = Evidence(membership.name, node.config.settings.zone, terms)
-        self.book = Wordbook(membership.detector.me.address)
-        self.held: dict[Engine, HeldOut] = {}
-        self.encoder = msgspec.msgpack.Encoder()
-        self.decoder: msgspec.msgpack.Decoder[Reports | Words] = msgspec.msgpack.Decoder(
-            Reports | Words
-        )
-        self.round = node.clock.now()
-        self.answered: dict[str, int] = {}
-        membership.subscribe("verdicts", self._heard)
-        node.broker.outcome = self._outcome
-        node.broker.witness.append(self._witness)
-        node.broker.said = self._said
-        node.broker.more_figures.append(self.figures)
-        node.broker.wheel.at(self.round + LOOK, self._look)
-
-    # --- what is seen here ---
-
-    def _engine(self, number: int) -> Engine | None:
-        known = self.node.broker.engines.by_number.get(number)
-        return None if known is None else Engine(known.target.uid, known.target.started // MS)
-
-    def _number(self, engine: Engine) -> int | None:
-        known = self.node.broker.engines.by_uid.get(engine.uid)
-        return None if known is None or known.target.started // MS != engine.boot else known.number
-
-    def _outcome(self, number: int, result: Result) -> None:
-        if (result in GOOD or result in BAD) and (engine := self._engine(number)) is not None:
-            self.evidence.outcome(self.node.clock.now(), engine, result in GOOD)
-
-    def _witness(self, number: int, result: Result) -> None:
-        """Probes tell of those that are held out alone: a report of load is no answer to a query.
-        Danger: who comes to a verdict first and takes an answer for a proof before the others have
-        heard of the failures takes from them what their verdict would rest on.
+        A process that was paused reads the requests that wait for it before any timer fires: a
+        lease that has expired meanwhile must not be used.
         """
-        engine, now = self._engine(number), self.node.clock.now()
-        if engine is not None and (held := self.held.get(engine)) is not None and now >= held.heard:
-            self.evidence.outcome(now, engine, result is Result.SERVED)
+        if self._first_expiry_ns and now_ns >= self._first_expiry_ns:
+            self._apply_quotas(now_ns)
+        if request.customer is not None and request.customer in self.rates.tenant_limits:
+            self.tracker.count(request.customer)
+        work_limit = self.rates.limits_by_kind.get(QuotaKind.WORK)
+        if work_limit is not None:
+            self.tracker.count(work_limit.name, request.weight_ms / MS_PER_S)
+
+    def admit_retry(self) -> bool:
+        """Return whether a retry is within this broker's quota of retries, and count it."""
+        limit = self.rates.limits_by_kind[QuotaKind.RETRIES]
+        now_ns = self.host.clock.now()
+        quota_per_s = self.rates.quota_per_s(limit, now_ns)
+        self.tracker.count(limit.name)
+        return self._bucket.try_take(now_ns, quota_per_s)
+
+    def _connect_wait_ns(self, endpoint: int) -> int:
+        limit = self.rates.limits_by_kind[QuotaKind.CONNECTS]
+        now_ns = self.host.clock.now()
+        quota_per_s = self.rates.quota_per_s(limit, now_ns)
+        self.tracker.count(limit.name)
+        return self._bucket.reserve_ns(now_ns, quota_per_s)
 
     # --- time ---
 
-    def _look(self) -> None:
-        now = self.node.clock.now()
-        self.node.broker.wheel.at(now + LOOK, self._look)
+    def _tick(self) -> None:
+        now_ns = self.host.clock.now()
+        self.host.broker.wheel.at(now_ns + TICK_NS, self._tick)
         try:
-            self.evidence.me = self.membership.name
-            if now - self.round >= self.terms.told:
-                self.round = now
-                self._tell(now)
-            self._judge(now)
-            self._probe(now)
+            self._update(now_ns)
         except Exception as error:  # a fault here must not end the wheel's turn
-            self.node.log("fault", f"verdicts: {type(error).__name__}: {error}")
-
-    def _tell(self, now: int) -> None:
+            self.host.log("fault", f"limits: {type(error).__name__}: {error}")
+
+    def _update(self, now_ns: int) -> None:
+        for breach in self.tracker.update(now_ns, self._available_cores):
+            self.host.log(
+                "limits",
+                f"{breach.limit}: {breach.total_per_s:.1f} a second were let pass, "
+                f"{breach.overshoot_per_s:.1f} over; {breach.promised_per_s:.1f} are promised at "
+                "the most",
+            )
+        is_certain = self.membership.views.view.certain
+        self.counters.name = self.membership.name
+        self.leases.state.name = self.membership.name
+        self.leases.set_view(self.membership.names(), is_certain)
+        self.leases.tick(now_ns)
+        self.lease_log.update(now_ns)
+        if now_ns - self._gossiped_at_ns >= self.settings.gossip_interval_ns:
+            self._gossiped_at_ns = now_ns
+            self._gossip(now_ns)
+        self._send()
+        self._apply_quotas(now_ns)
+
+    def _available_cores(self) -> int:
+        cores_by_kind = dict(self.host.config.settings.kind_cores)
+        cores = 0
+        for known in self.host.broker.engines.by_number.values():
+            target = known.target
+            if target.state is EngineState.READY:
+                cores += cores_by_kind.get(target.kind) or max(1, round(target.weight))
+        return cores
+
+    def _apply_quotas(self, now_ns: int) -> None:
+        """Let the decisions use the current quotas, if these have changed significantly."""
+        self._first_expiry_ns = self.leases.holder.first_expiry_ns(now_ns)
+        quotas = self.rates.hard_quotas(now_ns)
+        if any(self._is_significant(limit, quota) for limit, quota in quotas.items()):
+            self._applied = quotas
+            self.host.broker.readjust()
+
+    def _is_significant(self, limit: str, quota_per_s: float) -> bool:
+        change = abs(quota_per_s - self._applied.get(limit, NEVER_APPLIED))
+        return change > SIGNIFICANT_CHANGE * max(quota_per_s, SMALLEST_QUOTA)
+
+    # --- messages ---
+
+    def _gossip(self, now_ns: int) -> None:
+        rates_per_s = {
+            limit.name: self.tracker.admitted_per_s.get(limit.name, 0.0)
+            for limit in self.rates.limits_by_kind.values()
+            if not limit.is_hard
+        }
         members = self.membership.names()
-        self.evidence.report(now)
-        others = [m for m in members if m != self.membership.name]
-        draw = self.membership.detector.draw
-        rows = [r for r in self.evidence.told(now, 16) if r.seen]
-        words = Words(self.book.digest(), self.book.told(8))
-        for to in draw.sample(others, min(3, len(others))):
-            for body in packed(rows, lambda part: self.encoder.encode(Reports(tuple(part)))):
-                self.membership.talk("verdicts", to, body)
-            if self.book.words or words.words:
-                self.membership.talk("verdicts", to, self.encoder.encode(words))
-        if not self.book.words and others and draw.random() < 0.25:  # one that has just come asks
-            self.membership.talk("verdicts", draw.choice(others), self.encoder.encode(words))
+        for recipient, batch in self.counters.next_round(now_ns, rates_per_s, members):
+            for body in message_bodies(
+                batch.reports, lambda reports: self.encoder.encode(UsageReports(reports))
+            ):
+                self.membership.talk(TOPIC, recipient, body)
+
+    def _send(self) -> None:
+        for recipient, message in self.leases.outbox:
+            self.membership.talk(TOPIC, recipient, self.encoder.encode(message))
+        self.leases.outbox.clear()
         self.membership.flush()
 
-    def _judge(self, now: int) -> None:
-        engines = {
-            Engine(k.target.uid, k.target.started // MS): k.target.zone
-            for k in self.node.broker.engines.by_number.values()
-            if k.target.state is EngineState.READY and not self._pinned(k.target.uid)
-        }
-        begun, lifted = self.evidence.judge(now, self.membership.names(), engines)
-        for verdict in begun:
-            self.node.log(
-                "verdicts",
-                f"{verdict.engine.uid[:80]}: {verdict.kind.value}, by "
-                f"{len(verdict.by)} observers, held out for "
-                f"{(verdict.until - now) / S:.0f} s at least",
-            )
-            self._hold(now, verdict.engine, True)
-        for engine in lifted:
-            self.node.log("verdicts", f"{engine.uid[:80]}: let in again")
-            self._hold(now, engine, False)
-
-    def _pinned(self, uid: str) -> bool:
-        word = self.book.words.get(uid)
-        return word is not None and word.value == "pinned"
-
-    def _hold(self, now: int, engine: Engine, out: bool) -> None:
-        """As on an operator's word, which stands above it. Let in again it is no colder than it
-        was.
-        """
-        number = self._number(engine)
-        if out:
-            heard = now + rounds(len(self.membership.names())) * self.terms.told
-            self.held[engine] = HeldOut(heard, heard)
-        else:
-            self.held.pop(engine, None)
-        if number is not None and not self.node.broker.bans.out(engine.uid):
-            self.node.broker.tell(EngineBan(number, out, now if out else engine.boot * MS))
-
-    def _probe(self, now: int) -> None:
-        """What is held out is asked by as many as it takes to let it in, each once in a while."""
-        members = sorted(self.membership.names())
-        for engine, held in list(self.held.items()):
-            number = self._number(engine)
-            if number is None or now < held.probe_at:
-                continue
-            held.probe_at = now + PROBED
-            place = members.index(self.membership.name) if self.membership.name in members else 0
-            turn = (now // PROBED * self.terms.observers) % max(1, len(members))
-            if (place - turn) % max(1, len(members)) < self.terms.observers:
-                self.node.broker.probe(number)
-
-    # --- what others say ---
-
-    def _heard(self, now: int, sender: str, body: bytes) -> None:
+    def _receive(self, now_ns: int, sender: str, body: bytes) -> None:
         message = self.decoder.decode(body)
-        if isinstance(message, Reports):
-            self.evidence.receive(now, message, self.membership.names())
-            return
-        for word in self.book.hear(message.words, rounds(len(self.membership.names()))):
-            self._act(word.uid, word.value)
-        if message.digest != self.book.digest() and now - self.answered.get(sender, 0) >= S:
-            self.answered = {s: at for s, at in self.answered.items() if now - at < S}
-            self.answered[sender] = now
-            mine = list(self.book.words.values())
-            for part in packed(mine, lambda words: self.encoder.encode(Words(b"", tuple(words)))):
-                self.membership.talk("verdicts", sender, part)
-            if not message.answer:  # it may know what we don't
-                self.membership.talk(
-                    "verdicts", sender, self.encoder.encode(Words(self.book.digest(), (), True))
-                )
-
-    def _said(self, uid: str, out: bool) -> None:
-        """An operator's word, here."""
-        word = self.book.words.get(uid)
-        if word is None or word.value != ("out" if out else "back"):
-            self.book.say(uid, "out" if out else "back", rounds(len(self.membership.names())))
-
-    def _act(self, uid: str, value: str) -> None:
-        now = self.node.clock.now()
-        known = self.node.broker.bans.words.get(uid)
-        self._free(uid)
-        if known is None and value != "out" or known is not None and known.out == (value == "out"):
+        if isinstance(message, UsageReports):
+            self.counters.receive(now_ns, message, self.membership.names())
             return
-        self.node.broker.take_word(
-            uid, Ban(now if known is None else max(now, known.at + 1), value == "out")
-        )
-
-    def _free(self, uid: str) -> None:
-        """Operators have spoken: no verdict stands beside that."""
-        now = self.node.clock.now()
-        for engine in [e for e in self.held if e.uid == uid]:
-            self.evidence.verdicts.pop(engine, None)
-            self.evidence.own.pop(engine, None)
-            self._hold(now, engine, False)
+        self.leases.receive(now_ns, sender, message)
+        self._send()
+        if isinstance(message, LeaseResponse):
+            self.lease_log.update(now_ns)
+            self._apply_quotas(now_ns)
 
     # --- operators ---
 
-    def call(self, method: str, path: str) -> Answer | None:
-        parts = path.strip("/").split("/")
-        if parts[0] != "verdicts":
-            return None
-        if len(parts) == 1:
-            return yes(self.status()) if method == "GET" else no(405, "this call is a GET", "GET")
-        if method != "POST":
-            return no(405, "this call is a POST", "POST")
-        value = {"pin": "pinned", "clear": "back", "out": "out"}.get(parts[1])
-        if value is None or len(parts) != 3:
-            return no(404, "no such call")
-        uid = parts[2]
-        if uid not in self.node.broker.engines.by_uid and uid not in self.book.words:
-            return no(404, "no data engine has this id")
-        assert value in VALUES
-        word = self.book.say(uid, value, rounds(len(self.membership.names())))
-        self._act(uid, value)
-        self.node.log("operator", f"{value}: {uid[:80]!r} for all brokers, version {word.version}")
-        return yes({"uid": uid, "word": value, "version": word.version})
-
-    def status(self) -> dict[str, Any]:
-        now = self.node.clock.now()
-        return {
-            "verdicts": [
-                {
-                    "uid": v.engine.uid,
-                    "kind": v.kind.value,
-                    "zone": v.zone,
-                    "observers": len(v.by),
-                    "for": round((now - v.since) / S, 2),
-                    "at_least": round((v.until - now) / S, 2),
-                    "evidence_age": round((now - v.newest) / S, 2),
-                    "relapses": v.relapses,
-                }
-                for v in self.evidence.verdicts.values()
-            ],
-            "words": [
-                {"uid": w.uid, "word": w.value, "version": w.version, "by": w.by}
-                for w in self.book.words.values()
-            ],
-            "lost": [
-                {"uid": w.uid, "word": w.value, "version": w.version, "by": w.by}
-                for w in self.book.lost.values()
-            ],
-            "figures": self.evidence.figures,
-        }
+    def handle_admin_call(self, method: str, path: str) -> AdminResponse | None:
+        """Answer an operators' HTTP call; None if its path belongs to another part."""
+        return self.admin.handle(method, path)
 
-    def figures(self) -> bytes:
-        lines = [
-            "# HELP edge_proxy_verdicts Engines that shared verdicts hold out.",
-            "# TYPE edge_proxy_verdicts gauge",
-            f"edge_proxy_verdicts {len(self.evidence.verdicts)}",
-            "# HELP edge_proxy_verdict_events_total Verdicts begun, lifted, or over the part.",
-            "# TYPE edge_proxy_verdict_events_total counter",
-            *(
-                f'edge_proxy_verdict_events_total{{event="{k}"}} {n}'
-                for k, n in self.evidence.figures.items()
-            ),
-        ]
-        return ("\n".join(lines) + "\n").encode()
+    def metrics(self) -> bytes:
+        """Return the part of the metrics page that is about shared limits."""
+        return quota_metrics(self.rates, self.tracker, self.host.clock.now())
--- a/query_broker/quotas/settings.py
+++ b/query_broker/quotas/settings.py
@@ -1,106 +1,147 @@
-"""What the operators' file says of shared limits, and the bounds that follow. Times in nanoseconds.
+"""Settings of the shared limits, as the operators' file declares them, and the bounds they imply.
 
-Of every hard limit a part is `guaranteed`: cut evenly by the size in the file, it is each broker's
-without a word from anybody, and so safe in any cut. The rest is leased.
+A fraction of every hard limit is guaranteed: divided evenly by the configured fleet size, it
+belongs to each broker without any communication, and is therefore safe in any network partition.
+The rest is leased. All durations are in nanoseconds. Performs no I/O.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import StrEnum
 
-S = 1_000_000_000
-SHARDS = 8
-ASKS = 4  # times in the life of a lease that a holder asks
-STALE_ROUNDS = 3  # tellings of counters: what is older counts as unknown to a soft limit
-KINDS = ("tenant", "work", "further", "connects")
-HARD = ("tenant", "work")
+NS_PER_S = 1_000_000_000
+#: Every limit belongs to one of so many shards; each shard has a leader of its own.
+SHARD_COUNT = 8
+#: How often a holder renews within the duration of a lease, and a leader within that of a vote.
+RENEWALS_PER_PERIOD = 4
+#: A usage report older than so many gossip intervals counts as unknown.
+STALE_AFTER_ROUNDS = 3
+
+
+class QuotaKind(StrEnum):
+    """What a limit is about; the values are those that operators write in their file."""
+
+    TENANT = "tenant"
+    WORK = "work"
+    RETRIES = "further"
+    CONNECTS = "connects"
+
+
+QUOTA_KINDS = tuple(kind.value for kind in QuotaKind)
+HARD_KINDS = frozenset({QuotaKind.TENANT, QuotaKind.WORK})
 
 
 @dataclass(frozen=True, slots=True)
-class LimitTerms:
-    """``rate``: a second, of all brokers; 0: as the settings have it (tenants' allowance, the
-    engines' threads).
+class LimitSettings:
+    """One limit that all brokers share.
+
+    Attributes:
+        name: Unique name; of a tenant's limit the name of the tenant.
+        kind: What is limited.
+        rate_per_s: Rate of all brokers together; 0 takes it from the platform settings (the
+            tenant's quota, or the threads of the endpoints).
     """
 
     name: str
-    kind: str = "tenant"
-    rate: float = 0.0
+    kind: QuotaKind = QuotaKind.TENANT
+    rate_per_s: float = 0.0
 
-    def hard(self) -> bool:
-        return self.kind in HARD
+    @property
+    def is_hard(self) -> bool:
+        """Whether the limit is kept by leases, and so never exceeded."""
+        return self.kind in HARD_KINDS
 
 
 @dataclass(frozen=True, slots=True)
-class SharesTerms:
-    """``lease``: how long one lasts; ``promise``: how long a home may grant after others have
-    agreed to it; ``drift``: by how much the clocks' rates may differ from the true one; ``told``:
-    between two tellings of soft counters.
+class QuotaSettings:
+    """How limits are shared.
+
+    Attributes:
+        lease_ns: How long a lease lasts.
+        vote_ns: How long a vote binds the broker that cast it; a leader grants only while it holds
+            the votes of a majority.
+        clock_drift: By how much the rate of any clock may differ from the true one, as a fraction.
+        guaranteed_fraction: The part of each hard limit that is divided evenly and never leased.
+        gossip_interval_ns: Time between two rounds of gossip on the soft limits.
+        limits: The limits, in the order of the operators' file.
     """
 
-    lease: int = 4 * S
-    promise: int = 6 * S
-    drift: float = 0.01
-    guaranteed: float = 0.2
-    told: int = S
-    limits: tuple[LimitTerms, ...] = ()
+    lease_ns: int = 4 * NS_PER_S
+    vote_ns: int = 6 * NS_PER_S
+    clock_drift: float = 0.01
+    guaranteed_fraction: float = 0.2
+    gossip_interval_ns: int = NS_PER_S
+    limits: tuple[LimitSettings, ...] = ()
 
 
-def held_for(span: int, drift: float) -> int:
-    """How long one that was given something for ``span`` may count on it by its own clock: a clock
-    that is slow by the drift, and the giver's that is fast by it, still end in this order.
+def holder_duration_ns(duration_ns: int, clock_drift: float) -> int:
+    """Return how long the receiver of a lease or vote may rely on it by its own clock.
+
+    The receiver's clock may be slow by the drift and the giver's fast by it: the receiver's use
+    still ends before the giver considers the lease or vote expired.
     """
-    return int(span * (1 - drift) / (1 + drift))
+    return int(duration_ns * (1 - clock_drift) / (1 + clock_drift))
 
 
-def owed_for(span: int, drift: float) -> int:
-    """How long a giver must wait, by its own clock, until what others gave for ``span`` has surely
-    ended.
-    """
-    return int(span * (1 + drift) / (1 - drift))
+def expiry_wait_ns(duration_ns: int, clock_drift: float) -> int:
+    """Return how long to wait, by the own clock, until what another gave has surely expired."""
+    return int(duration_ns * (1 + clock_drift) / (1 - clock_drift))
 
 
-def overshoot(
-    terms: SharesTerms, limit: LimitTerms, rate: float, brokers: int, drift: float = 0.0
+def max_overshoot_per_s(
+    settings: QuotaSettings,
+    limit: LimitSettings,
+    rate_per_s: float,
+    brokers: int,
+    actual_drift: float = 0.0,
 ) -> float:
-    """By how much all brokers together can be over, a second. Hard: 0 while clocks keep the stated
-    drift; with one beyond it, what may be lent twice, for the part of a lease by which it lasts too
-    long. Soft: all may go up at once, before any has heard of the others.
+    """Return by how much all brokers together can exceed a limit, per second.
+
+    A hard limit is never exceeded while clocks keep the configured drift. Beyond it the leased part
+    can be in use twice, for the fraction of a lease by which it lasts too long. A soft limit is
+    exceeded when all brokers raise their use at once, before any has received the others' reports.
     """
-    if limit.hard():
-        return rate * (1 - terms.guaranteed) * min(1.0, 2 * max(0.0, drift - terms.drift))
-    return rate * (brokers - 1) / brokers
+    if limit.is_hard:
+        excess_drift = max(0.0, actual_drift - settings.clock_drift)
+        return rate_per_s * (1 - settings.guaranteed_fraction) * min(1.0, 2 * excess_drift)
+    return rate_per_s * (brokers - 1) / brokers
 
 
-def stale(terms: SharesTerms, limit: LimitTerms) -> float:
-    """Seconds: how old what is acted on can be."""
-    return (terms.lease if limit.hard() else STALE_ROUNDS * terms.told) / S
+def max_staleness_s(settings: QuotaSettings, limit: LimitSettings) -> float:
+    """Return how old the information behind a broker's quota can be, in seconds."""
+    if limit.is_hard:
+        return settings.lease_ns / NS_PER_S
+    return STALE_AFTER_ROUNDS * settings.gossip_interval_ns / NS_PER_S
 
 
-def lines(terms: SharesTerms, brokers: int) -> Iterable[str]:
-    """For `check-config`."""
+def describe(settings: QuotaSettings, brokers: int) -> Iterable[str]:
+    """Yield the lines that `check-config` prints on the shared limits."""
+    fraction = settings.guaranteed_fraction
+    vote_s = holder_duration_ns(settings.vote_ns, settings.clock_drift) / NS_PER_S
+    takeover_s = (settings.vote_ns + settings.lease_ns) / NS_PER_S
     yield (
-        f"limits: {len(terms.limits)}, leases of {terms.lease / S:g} s, {terms.guaranteed:.0%} "
-        "guaranteed"
-        f": each of {brokers} brokers {terms.guaranteed / brokers:.4f} of a limit without any "
-        "contact"
+        f"limits: {len(settings.limits)}, leases of {settings.lease_ns / NS_PER_S:g} s, "
+        f"{fraction:.0%} guaranteed: each of {brokers} brokers {fraction / brokers:.4f} of a limit "
+        "without any contact"
     )
     yield (
-        f"limits: a home grants for {held_for(terms.promise, terms.drift) / S:.2f} s after more "
-        "than half "
-        f"of {brokers} have agreed; another takes over within "
-        f"{(terms.promise + terms.lease) / S:g} s; "
-        "until then leases are renewed, not raised"
+        f"limits: a home grants for {vote_s:.2f} s after more than half of {brokers} have agreed; "
+        f"another takes over within {takeover_s:g} s; until then leases are renewed, not raised"
+    )
+    for limit in settings.limits:
+        yield _describe_limit(settings, limit, brokers)
+
+
+def _describe_limit(settings: QuotaSettings, limit: LimitSettings, brokers: int) -> str:
+    rate = f"{limit.rate_per_s:g} a second" if limit.rate_per_s else "as the settings have it"
+    if limit.is_hard:
+        overshoot = f"0 while clocks differ by less than {settings.clock_drift:.1%}"
+    else:
+        fraction = max_overshoot_per_s(settings, limit, 1.0, brokers)
+        overshoot = f"{fraction:.2f} of it, once, in a cut or a jump"
+    return (
+        f"limits: {limit.name} ({limit.kind}): {rate}; what is acted on is "
+        f"{max_staleness_s(settings, limit):g} s old at the most; over by {overshoot}"
     )
-    for limit in terms.limits:
-        rate = f"{limit.rate:g} a second" if limit.rate else "as the settings have it"
-        over = (
-            f"0 while clocks differ by less than {terms.drift:.1%}"
-            if limit.hard()
-            else f"{overshoot(terms, limit, 1.0, brokers):.2f} of it, once, in a cut or a jump"
-        )
-        yield (
-            f"limits: {limit.name} ({limit.kind}): {rate}; what is acted on is "
-            f"{stale(terms, limit):g} s "
-            f"old at the most; over by {over}"
-        )
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -20,12 +20,13 @@
 from query_broker.membership.failure_detector import Detector
 from query_broker.membership.messages import Claim, Envelope, Identity, Message, Status
 from query_broker.membership.settings import MembersTerms
-from query_broker.outlier_consensus import observations as evidence
-from query_broker.outlier_consensus import overrides as words
-from query_broker.outlier_consensus.settings import VerdictTerms
-from query_broker.quotas import counters, leases
-from query_broker.quotas import messages as shares_messages
-from query_broker.quotas import service as shares_joins
+from query_broker.outlier_consensus import messages as consensus_messages
+from query_broker.outlier_consensus import observations, overrides
+from query_broker.outlier_consensus import service as consensus_service
+from query_broker.outlier_consensus.settings import OutlierConsensusSettings
+from query_broker.quotas import counters, sharding
+from query_broker.quotas import messages as quota_messages
+from query_broker.quotas import service as quota_service
 
 S = 1_000_000_000
 RING = codec.read_keys("7 " + "ab" * 32)
@@ -359,36 +360,38 @@
 
 # --- limits: leases and counters ---
 
-LIMITS: dict[str, tuple[shares_messages.Body, bytes]] = {
+LIMITS: dict[str, tuple[quota_messages.QuotaMessage, bytes]] = {
     "home asks": (
-        shares_messages.HomeAsk(9, ((3, 2, True), (5, 1, False))),
+        quota_messages.VoteRequest(9, ((3, 2, True), (5, 1, False))),
         b"\x93\x01\t\x92\x93\x03\x02\xc3\x93\x05\x01\xc2",
     ),
     "promise": (
-        shares_messages.Promise(9, (3,), ((5, 4),)),
+        quota_messages.VoteResponse(9, (3,), ((5, 4),)),
         b"\x94\x02\t\x91\x03\x91\x92\x05\x04",
     ),
-    "promise, short": (shares_messages.Promise(9, ()), b"\x94\x02\t\x90\x90"),
+    "promise, short": (quota_messages.VoteResponse(9, ()), b"\x94\x02\t\x90\x90"),
     "lease asked": (
-        shares_messages.LeaseAsk(10, (shares_messages.Want("acme", 12.5, 4.0, 77, 2),)),
+        quota_messages.LeaseRequest(10, (quota_messages.LeaseDemand("acme", 12.5, 4.0, 77, 2),)),
         (
             b"\x93\x03\n\x91\x95\xa4acme\xcb@)\x00\x00\x00\x00\x00"
             b"\x00\xcb@\x10\x00\x00\x00\x00\x00\x00M\x02"
         ),
     ),
     "lease given back": (
-        shares_messages.LeaseAsk(11, (shares_messages.Want("acme", -1.0, 0.0, 0, -1),)),
+        quota_messages.LeaseRequest(11, (quota_messages.LeaseDemand("acme", -1.0, 0.0, 0, -1),)),
         (
             b"\x93\x03\x0b\x91\x95\xa4acme\xcb\xbf\xf0\x00\x00\x00\x00\x00"
             b"\x00\xcb\x00\x00\x00\x00\x00\x00\x00\x00\x00\xff"
         ),
     ),
     "lease granted": (
-        shares_messages.LeaseGrant(10, (shares_messages.Granted("acme", 8.25, 78, 2),)),
+        quota_messages.LeaseResponse(10, (quota_messages.Grant("acme", 8.25, 78, 2),)),
         (b"\x93\x04\n\x91\x94\xa4acme\xcb@ \x80\x00\x00\x00\x00" b"\x00N\x02"),
     ),
     "counters": (
-        shares_messages.Rows((shares_messages.Row("a:1/ff", 6, 250, (("further", 1.5),)),)),
+        quota_messages.UsageReports(
+            (quota_messages.UsageReport("a:1/ff", 6, 250, (("further", 1.5),)),)
+        ),
         (
             b"\x92\x05\x91\x94\xa6a:1/ff\x06\xcc\xfa\x91\x92\xa7f"
             b"urther\xcb?\xf8\x00\x00\x00\x00\x00\x00"
@@ -399,17 +402,19 @@
 
 @pytest.mark.parametrize(("message", "expected"), LIMITS.values(), ids=LIMITS)
 def test_limit_message_is_written_and_read_byte_for_byte(
-    message: shares_messages.Body, expected: bytes
+    message: quota_messages.QuotaMessage, expected: bytes
 ) -> None:
     assert msgspec.msgpack.encode(message) == expected
-    decoder: msgspec.msgpack.Decoder[shares_messages.Body] = msgspec.msgpack.Decoder(
-        shares_messages.Body
+    decoder: msgspec.msgpack.Decoder[quota_messages.QuotaMessage] = msgspec.msgpack.Decoder(
+        quota_messages.QuotaMessage
     )
     assert decoder.decode(expected) == message
 
 
 def test_every_message_type_of_the_limits_is_pinned() -> None:
-    assert {type(message) for message, _ in LIMITS.values()} == set(shares_messages.Body.__args__)
+    assert {type(message) for message, _ in LIMITS.values()} == set(
+        quota_messages.QuotaMessage.__args__
+    )
 
 
 class Recorder:
@@ -431,17 +436,19 @@
 
 
 def test_limits_are_said_under_their_topic() -> None:
-    sharing = shares_joins.Sharing.__new__(shares_joins.Sharing)
+    service = quota_service.QuotaService.__new__(quota_service.QuotaService)
     recorder = Recorder()
-    sharing.membership, sharing.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
-    sharing.leases = cast(Any, SimpleNamespace(out=[("b:1/ee", shares_messages.Promise(9, (3,)))]))
-    sharing._send()
+    service.membership, service.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
+    service.leases = cast(
+        Any, SimpleNamespace(outbox=[("b:1/ee", quota_messages.VoteResponse(9, (3,)))])
+    )
+    service._send()
     assert recorder.said == [("limits", "b:1/ee", b"\x94\x02\x09\x91\x03\x90")]
 
 
 def test_row_of_own_counters_as_a_round_says_it() -> None:
-    own = counters.Counters("a:1/ff", S, lambda: 0.0)
-    told = own.round(5 * S, {"further": 1.5, "connects": 0.25}, ["a:1/ff", "b:1/ee"])
+    own = counters.UsageCounters("a:1/ff", S, lambda: 0.0)
+    told = own.next_round(5 * S, {"further": 1.5, "connects": 0.25}, ["a:1/ff", "b:1/ee"])
     assert [(name, msgspec.msgpack.encode(rows)) for name, rows in told] == [
         (
             "b:1/ee",
@@ -459,22 +466,32 @@
     [("acme", 6), ("further", 6), ("work", 5), ("zürich", 7), ("", 1)],
 )
 def test_shard_of_a_limit(limit: str, shard: int) -> None:
-    assert leases.shard_of(limit) == shard
+    assert sharding.shard_of(limit) == shard
 
 
 def test_home_of_each_shard() -> None:
     members = ("10.0.0.1:7000/aa", "10.0.0.2:7000/bb", "10.0.0.3:7000/cc")
-    homes = [members.index(leases.home_of(shard, members)) for shard in range(8)]
+    homes = [members.index(sharding.preferred_leader(shard, members)) for shard in range(8)]
     assert homes == [0, 2, 0, 2, 0, 0, 1, 0]
-    assert leases.home_of(0, ()) == ""
+    assert sharding.preferred_leader(0, ()) == ""
 
 
 # --- verdicts: evidence and operators' words ---
 
-ENGINE = evidence.Engine("s-1", 1_700_000_000_123)
-VERDICTS: dict[str, tuple[evidence.Report | evidence.Reports | words.Words, bytes]] = {
+ENGINE = consensus_messages.Endpoint("s-1", 1_700_000_000_123)
+VERDICTS: dict[
+    str,
+    tuple[
+        consensus_messages.ObserverReport
+        | consensus_messages.ObserverReports
+        | consensus_messages.OverrideBatch,
+        bytes,
+    ],
+] = {
     "report": (
-        evidence.Report("a:1/ff", "zone-a", 4, 90, (evidence.Seen(ENGINE, 3, 1, 20, -1),)),
+        consensus_messages.ObserverReport(
+            "a:1/ff", "zone-a", 4, 90, (consensus_messages.Observation(ENGINE, 3, 1, 20, -1),)
+        ),
         (
             b"\x96\x01\xa6a:1/ff\xa6zone-a\x04Z"
             b"\x91\x95\x92\xa3s-1\xcf\x00\x00\x01\x8b\xcf\xe5h{\x03\x01"
@@ -482,16 +499,18 @@
         ),
     ),
     "reports": (
-        evidence.Reports((evidence.Report("a:1/ff", "zone-a", 4, 90, ()),)),
+        consensus_messages.ObserverReports(
+            (consensus_messages.ObserverReport("a:1/ff", "zone-a", 4, 90, ()),)
+        ),
         (b"\x92\x02\x91\x96\x01\xa6a:1/ff\xa6zone-" b"a\x04Z\x90"),
     ),
     "operators' words": (
-        words.Words(
+        consensus_messages.OverrideBatch(
             b"digest-8",
             (
-                words.Word("s-1", "out", 1, "a:1"),
-                words.Word("s-1", "back", 2, "b:1", (1, "a:1")),
-                words.Word("s-2", "pinned", 300, "a:1", (299, "b:1")),
+                consensus_messages.Override("s-1", "out", 1, "a:1"),
+                consensus_messages.Override("s-1", "back", 2, "b:1", (1, "a:1")),
+                consensus_messages.Override("s-2", "pinned", 300, "a:1", (299, "b:1")),
             ),
         ),
         (
@@ -503,7 +522,7 @@
         ),
     ),
     "operators' words, an answer": (
-        words.Words(b"digest-8", (), True),
+        consensus_messages.OverrideBatch(b"digest-8", (), True),
         b"\x94\x03\xc4\x08digest-8\x90\xc3",
     ),
 }
@@ -511,35 +530,42 @@
 
 @pytest.mark.parametrize(("message", "expected"), VERDICTS.values(), ids=VERDICTS)
 def test_verdict_message_is_written_and_read_byte_for_byte(
-    message: evidence.Report | evidence.Reports | words.Words, expected: bytes
+    message: consensus_messages.ObserverReport
+    | consensus_messages.ObserverReports
+    | consensus_messages.OverrideBatch,
+    expected: bytes,
 ) -> None:
     assert msgspec.msgpack.encode(message) == expected
     assert msgspec.msgpack.decode(expected, type=type(message)) == message
 
 
 def test_values_of_operators_words() -> None:
-    assert words.VALUES == ("out", "back", "pinned")
+    assert overrides.OVERRIDE_VALUES == ("out", "back", "pinned")
 
 
 def test_digest_of_operators_words() -> None:
-    book = words.Wordbook("a:1")
+    book = overrides.OverrideStore("a:1")
     assert book.digest().hex() == "e4a6a0577479b2b4"
-    book.say("s-2", "pinned", 3)
-    book.say("s-1", "out", 3)
-    book.say("s-1", "back", 3)
+    book.set("s-2", "pinned", 3)
+    book.set("s-1", "out", 3)
+    book.set("s-1", "back", 3)
     assert book.digest().hex() == "dadad5f89d9d21c6"
 
 
 def test_a_round_of_verdicts_says_rows_and_words_under_its_topic() -> None:
-    judging = shares_joins.Judging.__new__(shares_joins.Judging)
+    service = consensus_service.OutlierConsensusService.__new__(
+        consensus_service.OutlierConsensusService
+    )
     recorder, now = Recorder(), 100 * S
-    judging.membership, judging.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
-    judging.evidence = evidence.Evidence("a:1/ff", "zone-a", VerdictTerms())
-    judging.evidence.outcome(now - S, ENGINE, False)
-    judging.evidence.outcome(now - S // 2, ENGINE, True)
-    judging.book = words.Wordbook("a:1")
-    judging.book.say("s-1", "out", 1)
-    judging._tell(now)
+    service.membership, service.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
+    service.observations = observations.ObservationStore(
+        "a:1/ff", "zone-a", OutlierConsensusSettings()
+    )
+    service.observations.record(now - S, ENGINE, False)
+    service.observations.record(now - S // 2, ENGINE, True)
+    service.overrides = overrides.OverrideStore("a:1")
+    service.overrides.set("s-1", "out", 1)
+    service._gossip(now)
     assert recorder.said == [
         (
             "verdicts",
