--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -24,7 +24,11 @@
 from query_broker.decisions.facade import EngineBan, Result
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
-from query_broker.emulator.quota_simulation import FaultInjector, QuotaSimulation
+from query_broker.emulator.quota_simulation import (
+    FaultInjector,
+    QuotaSimulation,
+    SimulatedConditions,
+)
 from query_broker.outlier_consensus.consensus import OutlierConsensus
 from query_broker.outlier_consensus.messages import Endpoint, ObserverReports
 from query_broker.outlier_consensus.observations import ObservationStore
@@ -56,15 +60,12 @@
 def run_fault_schedule(count: int, seconds: float, seed: int) -> FaultScheduleResult:
     """Play one schedule of faults among some brokers."""
     draw = random.Random(seed)
-    simulation = QuotaSimulation(
-        count,
-        SETTINGS,
-        LIMITS,
-        seed,
+    conditions = SimulatedConditions(
         SETTINGS.clock_drift,
         draw.choice([0.0, 0.1, 0.3]),
-        view_delay_ns=draw.choice([NS_PER_S // 2, 4 * NS_PER_S, 10 * NS_PER_S]),
+        draw.choice([NS_PER_S // 2, 4 * NS_PER_S, 10 * NS_PER_S]),
     )
+    simulation = QuotaSimulation(count, SETTINGS, LIMITS, seed, conditions)
     FaultInjector(simulation, seed).schedule(seconds - 10)
     try:
         simulation.run(seconds)
@@ -84,7 +85,8 @@
 
 def run_uneven_demand(count: int, seed: int) -> UsedFractions:
     """Ask for a limit 1 : 10 : 100, in all a fifth more than the limit."""
-    simulation = QuotaSimulation(count, SETTINGS, LIMITS, seed, SETTINGS.clock_drift)
+    conditions = SimulatedConditions(SETTINGS.clock_drift)
+    simulation = QuotaSimulation(count, SETTINGS, LIMITS, seed, conditions)
     limit_per_s = LIMITS["a"]
     ratios = [1.0, 10.0, 100.0]
     scale = 3 * 120.0 / (count * sum(ratios))
--- a/query_broker/emulator/quota_simulation.py
+++ b/query_broker/emulator/quota_simulation.py
@@ -9,6 +9,7 @@
 import itertools
 import random
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from functools import partial
 from typing import NamedTuple
 
@@ -80,6 +81,24 @@
         return self.leases.amount_per_s(limit, self.clock_ns(now_ns))
 
 
+@dataclass(frozen=True, slots=True)
+class SimulatedConditions:
+    """What the brokers have to cope with.
+
+    Attributes:
+        clock_drift: By how much the clocks' rates differ at most from the true one, as a fraction.
+        loss: Fraction of messages that are lost.
+        view_delay_ns: How long until the views follow who is reachable.
+    """
+
+    clock_drift: float = 0.0
+    loss: float = 0.0
+    view_delay_ns: int = 4 * NS_PER_S
+
+
+IDEAL_CONDITIONS = SimulatedConditions()
+
+
 class QuotaSimulation:
     """Brokers, the messages between them, and the auditor.
 
@@ -98,10 +117,7 @@
         settings: QuotaSettings,
         limits: dict[str, float],
         seed: int,
-        clock_drift: float = 0.0,
-        loss: float = 0.0,
-        cut: Cut | None = None,
-        view_delay_ns: int = 4 * NS_PER_S,
+        conditions: SimulatedConditions = IDEAL_CONDITIONS,
     ) -> None:
         """Create the brokers.
 
@@ -110,18 +126,13 @@
             settings: Settings of the shared limits.
             limits: Rate of each hard limit, per second.
             seed: Seed of all random draws.
-            clock_drift: By how much the clocks' rates differ at most from the true one.
-            loss: Fraction of messages that are lost.
-            cut: Which messages are cut off.
-            view_delay_ns: How long until the views follow who is reachable.
+            conditions: Clock drift, losses and delays.
         """
         self.settings = settings
         self.limits = dict(limits)
         self.draw = random.Random(seed)
-        self.clock_drift = clock_drift
-        self.loss = loss
-        self.cut = cut
-        self.view_delay_ns = view_delay_ns
+        self.conditions = conditions
+        self.cut: Cut | None = None
         self.now_ns = BEGIN_NS
         self.order = itertools.count()
         self.events: list[tuple[int, int, Callable[[], None]]] = []
@@ -138,7 +149,7 @@
         self.at(self.now_ns, self._audit)
 
     def _create(self, number: int, generation: int) -> SimulatedBroker:
-        clock_rate = 1 + self.clock_drift * self.draw.uniform(-1, 1)
+        clock_rate = 1 + self.conditions.clock_drift * self.draw.uniform(-1, 1)
         clock_offset_ns = self.draw.randrange(MAX_CLOCK_OFFSET_NS)
         leases = LeaseManager(
             f"b{number}/{generation}",
@@ -192,7 +203,7 @@
         for recipient, message in outbox:
             self.messages += 1
             target = self.brokers_by_name.get(recipient)
-            if target is None or self.draw.random() < self.loss:
+            if target is None or self.draw.random() < self.conditions.loss:
                 continue
             if self.cut is not None and self.cut(self.now_ns, broker.number, target.number):
                 continue
@@ -228,7 +239,7 @@
         self.at(self.now_ns + VIEW_INTERVAL_NS, self._update_views)
 
     def _was_reachable(self, broker: SimulatedBroker, other: SimulatedBroker) -> bool:
-        past_ns = self.now_ns - self.view_delay_ns
+        past_ns = self.now_ns - self.conditions.view_delay_ns
         if other is broker or self.cut is None or past_ns < BEGIN_NS:
             return True
         is_cut_there = self.cut(past_ns, other.number, broker.number)
--- a/query_broker/outlier_consensus/consensus.py
+++ b/query_broker/outlier_consensus/consensus.py
@@ -68,6 +68,9 @@
     last_ns: int
 
 
+NO_RELAPSES = Relapses(0, 0)
+
+
 class ConsensusChange(NamedTuple):
     """The ejections that begin and the endpoints that are readmitted."""
 
@@ -164,25 +167,24 @@
     ) -> Ejection | None:
         """Return the ejection that the observers' views justify, if any."""
         failing = {name: view for name, view in views.items() if view.is_failing}
-        working = [view for view in views.values() if not view.is_failing]
-        if len(failing) < self.settings.observers:
-            return None
+        working_zones = [view.zone for view in views.values() if not view.is_failing]
         scope = OutlierScope.FLEET
         zone = ""
-        if len(working) * 2 > len(failing):
+        if len(working_zones) * 2 > len(failing):
             # Some reach it well. If all of those are in other zones, this zone is cut off from it.
             scope = OutlierScope.ZONE
             zone = self.observations.zone
             failing = {name: view for name, view in failing.items() if view.zone == zone}
-            if len(failing) < self.settings.observers:
+            if zone in working_zones:
                 return None
-            if any(view.zone == zone for view in working):
-                return None
-        relapses = self.relapses[endpoint].times if endpoint in self.relapses else 0
+        if len(failing) < self.settings.observers:
+            return None
+        relapses = self.relapses.get(endpoint, NO_RELAPSES).times
         newest_ns = max(view.newest_ns for view in failing.values())
         until_ns = now_ns + self._duration_ns(relapses)
-        observers = frozenset(failing)
-        return Ejection(endpoint, scope, zone, now_ns, until_ns, newest_ns, observers, relapses)
+        return Ejection(
+            endpoint, scope, zone, now_ns, until_ns, newest_ns, frozenset(failing), relapses
+        )
 
     def _duration_ns(self, relapses: int) -> int:
         doubled_ns = self.settings.min_ejection_ns << min(MAX_DOUBLINGS, relapses)
--- /dev/null
+++ b/query_broker/outlier_consensus/ejection_control.py
@@ -0,0 +1,116 @@
+"""Carries out ejections: informs the decisions and schedules health checks of ejected endpoints.
+
+Performs no I/O itself; the dispatcher sends the health checks.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from ..decisions.facade import EngineBan
+from .collaborators import ConsensusDispatcher
+from .endpoint_directory import EndpointDirectory
+from .messages import Endpoint
+from .observations import NS_PER_MS
+from .settings import NS_PER_S, OutlierConsensusSettings, gossip_rounds
+
+#: Time between two health checks of an ejected endpoint.
+HEALTH_CHECK_INTERVAL_NS = NS_PER_S
+
+
+@dataclass(slots=True)
+class EjectedEndpoint:
+    """Health checks of an endpoint that is ejected.
+
+    Attributes:
+        known_to_all_at_ns: By when all members have received the observations that the ejection
+            rests on.
+        next_check_at_ns: When a health check is due.
+    """
+
+    known_to_all_at_ns: int
+    next_check_at_ns: int
+
+
+class EjectionControl:
+    """The endpoints that this broker does not use because of an ejection.
+
+    Attributes:
+        ejected: The ejected endpoints with their health checks.
+    """
+
+    def __init__(
+        self,
+        dispatcher: ConsensusDispatcher,
+        directory: EndpointDirectory,
+        settings: OutlierConsensusSettings,
+    ) -> None:
+        """Start without ejected endpoints.
+
+        Args:
+            dispatcher: Passes ejections to the decisions and sends health checks.
+            directory: Knows the decisions' numbers of endpoints.
+            settings: Settings of the consensus.
+        """
+        self.dispatcher = dispatcher
+        self.directory = directory
+        self.settings = settings
+        self.ejected: dict[Endpoint, EjectedEndpoint] = {}
+
+    def eject(self, now_ns: int, endpoint: Endpoint, member_count: int) -> None:
+        """Stop using an endpoint; its health checks begin when all members know why."""
+        gossip_ns = gossip_rounds(member_count) * self.settings.gossip_interval_ns
+        known_to_all_at_ns = now_ns + gossip_ns
+        self.ejected[endpoint] = EjectedEndpoint(known_to_all_at_ns, known_to_all_at_ns)
+        self._inform_decisions(endpoint, is_ejected=True, at_ns=now_ns)
+
+    def readmit(self, endpoint: Endpoint) -> None:
+        """Use an endpoint again; it is as warmed up as its start says."""
+        self.ejected.pop(endpoint, None)
+        started_ns = endpoint.started_ms * NS_PER_MS
+        self._inform_decisions(endpoint, is_ejected=False, at_ns=started_ns)
+
+    def _inform_decisions(self, endpoint: Endpoint, *, is_ejected: bool, at_ns: int) -> None:
+        """Tell the decisions of a change, unless operators have disabled the endpoint."""
+        number = self.directory.number(endpoint)
+        if number is not None and not self.dispatcher.bans.out(endpoint.uid):
+            self.dispatcher.tell(EngineBan(number, is_ejected, at_ns))
+
+    def ejected_incarnations(self, uid: str) -> list[Endpoint]:
+        """Return the ejected incarnations of an endpoint."""
+        return [endpoint for endpoint in self.ejected if endpoint.uid == uid]
+
+    def counts_health_check(self, now_ns: int, endpoint: Endpoint) -> bool:
+        """Return whether the outcome of a health check counts as an observation.
+
+        Only of ejected endpoints: elsewhere a load report is no answer to a query. If the first
+        broker to eject took a success for a proof before the others had received the failures, it
+        would take from them what their own ejection would rest on.
+        """
+        ejected = self.ejected.get(endpoint)
+        return ejected is not None and now_ns >= ejected.known_to_all_at_ns
+
+    def check_health(self, now_ns: int, members: Sequence[str], own_name: str) -> None:
+        """Check ejected endpoints, each from as many brokers in turn as must observe successes.
+
+        Args:
+            now_ns: This broker's clock.
+            members: Names of the members.
+            own_name: Name of this broker.
+        """
+        is_own_turn = self._is_own_turn(now_ns, sorted(members), own_name)
+        for endpoint, ejected in list(self.ejected.items()):
+            number = self.directory.number(endpoint)
+            if number is None or now_ns < ejected.next_check_at_ns:
+                continue
+            ejected.next_check_at_ns = now_ns + HEALTH_CHECK_INTERVAL_NS
+            if is_own_turn:
+                self.dispatcher.probe(number)
+
+    def _is_own_turn(self, now_ns: int, members: Sequence[str], own_name: str) -> bool:
+        position = members.index(own_name) if own_name in members else 0
+        count = max(1, len(members))
+        observers = self.settings.observers
+        first = (now_ns // HEALTH_CHECK_INTERVAL_NS * observers) % count
+        return (position - first) % count < observers
--- a/query_broker/outlier_consensus/observations.py
+++ b/query_broker/outlier_consensus/observations.py
@@ -168,8 +168,8 @@
                 continue
             self.reports[report.observer] = ReceivedReport(report, now_ns)
             for observation in report.observations:
-                has_room = len(self.reported_failing_ns) < MAX_TRACKED_ENDPOINTS
-                if observation.failures and has_room:
+                is_full = len(self.reported_failing_ns) >= MAX_TRACKED_ENDPOINTS
+                if observation.failures and not is_full:
                     self.reported_failing_ns[observation.endpoint] = now_ns
 
     def _is_acceptable(self, report: ObserverReport, members: Collection[str]) -> bool:
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -53,7 +53,7 @@
     def names(self) -> tuple[str, ...]:
         """Return the names of all members in the view."""
 
-    def subscribe(self, topic: str, heard: Callable[[int, str, bytes], None], /) -> None:
+    def subscribe(self, topic: str, receive: Callable[[int, str, bytes], None], /) -> None:
         """Register what receives a topic's messages: time in ns, name of the sender, body."""
 
     def talk(self, topic: str, name: str, body: bytes, /) -> None:
--- a/query_broker/quotas/leadership.py
+++ b/query_broker/quotas/leadership.py
@@ -47,8 +47,8 @@
 
     def outstanding_per_s(self, now_ns: int) -> float:
         """Return the most that the holder can be using."""
-        amounts = (g.amount_per_s for g in self.grants.values() if g.expires_at_ns > now_ns)
-        return max(amounts, default=0.0)
+        live = (grant for grant in self.grants.values() if grant.expires_at_ns > now_ns)
+        return max((grant.amount_per_s for grant in live), default=0.0)
 
     def discard_except(self, grant_id: int, now_ns: int) -> None:
         """Drop all grants but the one that the holder says it uses, if that has not expired."""
--- a/query_broker/quotas/lease_grantor.py
+++ b/query_broker/quotas/lease_grantor.py
@@ -110,12 +110,12 @@
         nothing is raised.
         """
         if demand.leader_term != leadership.term:
-            return None if demand.held_per_s > 0 else 0.0
+            return None if demand.leased_per_s > 0 else 0.0
         shown = entry.outstanding_per_s(now_ns)
         if demand.grant_id:
-            shown = max(demand.held_per_s, shown)
-        kept = shown if demand.wanted_per_s >= 0 else 0.0
-        wanted = max(demand.wanted_per_s, kept)
+            shown = max(demand.leased_per_s, shown)
+        retained = shown if demand.wanted_per_s >= 0 else 0.0
+        wanted = max(demand.wanted_per_s, retained)
         return max(0.0, min(wanted, shown, available_per_s))
 
     def _fair_amount(
--- a/query_broker/quotas/leases.py
+++ b/query_broker/quotas/leases.py
@@ -22,7 +22,7 @@
 from .voting import Voter
 
 
-def _middle_draw() -> float:
+def _constant_draw() -> float:
     return 0.5
 
 
@@ -44,7 +44,7 @@
         settings: QuotaSettings,
         fleet_size: int,
         now_ns: int,
-        draw: Callable[[], float] = _middle_draw,
+        draw: Callable[[], float] = _constant_draw,
     ) -> None:
         """Start without a view, limits or leases.
 
--- a/query_broker/quotas/messages.py
+++ b/query_broker/quotas/messages.py
@@ -42,7 +42,7 @@
     Attributes:
         limit: Name of the limit.
         wanted_per_s: The amount needed beyond the guaranteed part; -1 returns the lease.
-        held_per_s: The amount of the lease in force; 0 without one.
+        leased_per_s: The amount of the lease in force; 0 without one.
         grant_id: The grant that lease rests on; 0 without one.
         leader_term: Latest term in which the sender knows the shard's leader to be elected; -1 if
             none.
@@ -50,7 +50,7 @@
 
     limit: str
     wanted_per_s: float
-    held_per_s: float
+    leased_per_s: float
     grant_id: int
     leader_term: int
 
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -553,19 +553,17 @@
 
 
 def test_a_round_of_verdicts_says_rows_and_words_under_its_topic() -> None:
-    service = consensus_service.OutlierConsensusService.__new__(
-        consensus_service.OutlierConsensusService
-    )
+    gossip = consensus_service.ConsensusGossip.__new__(consensus_service.ConsensusGossip)
     recorder, now = Recorder(), 100 * S
-    service.membership, service.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
-    service.observations = observations.ObservationStore(
+    gossip.membership, gossip.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
+    gossip.observations = observations.ObservationStore(
         "a:1/ff", "zone-a", OutlierConsensusSettings()
     )
-    service.observations.record(now - S, ENGINE, False)
-    service.observations.record(now - S // 2, ENGINE, True)
-    service.overrides = overrides.OverrideStore("a:1")
-    service.overrides.set("s-1", "out", 1)
-    service._gossip(now)
+    gossip.observations.record(now - S, ENGINE, False)
+    gossip.observations.record(now - S // 2, ENGINE, True)
+    gossip.overrides = overrides.OverrideStore("a:1")
+    gossip.overrides.set("s-1", "out", 1)
+    gossip.send_round(now)
     assert recorder.said == [
         (
             "verdicts",
--- a/tests/test_quotas_processes.py
+++ b/tests/test_quotas_processes.py
@@ -235,7 +235,7 @@
 
 
 @on_uvloop
-async def test_operators_lend_and_recall_and_a_halved_limit_is_kept(tmp_path: Path) -> None:
+async def test_operators_lend_and_recall_and_a_halved_limit_is_respected(tmp_path: Path) -> None:
     world = World()
     await world.start("s-1")
     async with sharing_fleet(3, tmp_path, world) as peers:
--- a/tests/test_quotas_pure.py
+++ b/tests/test_quotas_pure.py
@@ -14,6 +14,7 @@
     BEGIN_NS,
     FaultInjector,
     QuotaSimulation,
+    SimulatedConditions,
     max_concurrent_leases_per_s,
 )
 from query_broker.operator_config.script import OperatorFileError, run
@@ -56,7 +57,9 @@
 def test_allocation_meets_demands_up_to_a_common_level(
     demands: list[float], capacity: float
 ) -> None:
-    allocation = max_min_fair({str(i): demand for i, demand in enumerate(demands)}, capacity)
+    allocation = max_min_fair(
+        {str(position): demand for position, demand in enumerate(demands)}, capacity
+    )
     assert sum(allocation.values()) <= capacity + 1e-6
     assert sum(allocation.values()) == pytest.approx(min(capacity, sum(demands)))
     level = max(allocation.values())
@@ -78,9 +81,9 @@
 # --- leases ---
 
 
-def settled_simulation(count: int = 10, seed: int = 1, **options: Any) -> QuotaSimulation:
+def settled_simulation(count: int = 10) -> QuotaSimulation:
     """Return brokers with uneven demand for "a", after leaders were elected and have granted."""
-    simulation = QuotaSimulation(count, SETTINGS, LIMITS, seed, 0.01, **options)
+    simulation = QuotaSimulation(count, SETTINGS, LIMITS, 1, SimulatedConditions(0.01))
     for broker in simulation.brokers:
         demand = [1.0, 10.0, 100.0][broker.number % 3]
         broker.leases.holder.wanted_per_s = {"a": demand, "b": 10.0}
@@ -93,8 +96,8 @@
     return settled_simulation()
 
 
-def faulty_simulation(seed: int, loss: float, **options: Any) -> QuotaSimulation:
-    simulation = QuotaSimulation(10, SETTINGS, LIMITS, seed, 0.01, loss, **options)
+def faulty_simulation(seed: int, conditions: SimulatedConditions) -> QuotaSimulation:
+    simulation = QuotaSimulation(10, SETTINGS, LIMITS, seed, conditions)
     FaultInjector(simulation, seed).schedule(50)
     return simulation
 
@@ -107,7 +110,7 @@
     assert busy > 1.8 * LEASED_PER_S / 10
 
 
-def test_only_broker_with_demand_gets_nearly_the_whole_limit(simulation: QuotaSimulation) -> None:
+def test_only_broker_with_demand_gets_nearly_all_of_the_limit(simulation: QuotaSimulation) -> None:
     for broker in simulation.brokers:
         broker.leases.holder.wanted_per_s["a"] = 300.0 * (broker.number == 4)
     simulation.run(10)
@@ -120,11 +123,9 @@
     """Kills, restarts and pauses of holders and leaders, partitions one way and both ways, losses,
     late messages, clocks that differ by all that is allowed, views that lag by up to ten seconds.
     """
-    simulation = faulty_simulation(
-        seed,
-        random.Random(seed).choice([0.0, 0.1, 0.3]),
-        view_delay_ns=random.Random(seed).choice([NS_PER_S // 2, 4 * NS_PER_S, 10 * NS_PER_S]),
-    )
+    loss = random.Random(seed).choice([0.0, 0.1, 0.3])
+    view_delay_ns = random.Random(seed).choice([NS_PER_S // 2, 4 * NS_PER_S, 10 * NS_PER_S])
+    simulation = faulty_simulation(seed, SimulatedConditions(0.01, loss, view_delay_ns))
     simulation.run(60)
     assert max(simulation.worst_overshoot_per_s.values()) <= ROUNDING_ERROR
 
@@ -161,7 +162,7 @@
     break_protocol(monkeypatch)
     found = 0
     for seed in range(seeds):
-        simulation = faulty_simulation(seed, 0.1)
+        simulation = faulty_simulation(seed, SimulatedConditions(0.01, 0.1))
         try:
             simulation.run(60)
         except AssertionError:
@@ -171,7 +172,7 @@
     assert found
 
 
-def assert_kept_and_in_use(simulation: QuotaSimulation) -> None:
+def assert_respected_and_in_use(simulation: QuotaSimulation) -> None:
     assert max(simulation.worst_overshoot_per_s.values()) <= ROUNDING_ERROR
     assert simulation.valid_per_s("a") > 60
 
@@ -185,14 +186,14 @@
 
 
 @pytest.mark.parametrize("inject", [kill_leader, pause_leader], ids=["killed", "paused"])
-def test_limit_is_kept_and_used_after_its_leader_fails(
+def test_limit_is_respected_and_used_after_its_leader_fails(
     inject: Any, simulation: QuotaSimulation
 ) -> None:
     leader = simulation.leader("a")
     assert leader is not None
     inject(simulation, leader.number)
     simulation.run(40)
-    assert_kept_and_in_use(simulation)
+    assert_respected_and_in_use(simulation)
 
 
 @pytest.mark.parametrize(
@@ -220,14 +221,14 @@
     else:
         assert on_other_side < 1e-9
     simulation.run(40)
-    assert_kept_and_in_use(simulation)
+    assert_respected_and_in_use(simulation)
 
 
-def test_limit_is_kept_and_used_by_two_hundred_holders() -> None:
+def test_limit_is_respected_and_used_by_two_hundred_holders() -> None:
     simulation = settled_simulation(200)
     assert simulation.leader("a") is not None
     simulation.run(10)
-    assert_kept_and_in_use(simulation)
+    assert_respected_and_in_use(simulation)
 
 
 def test_holder_paused_past_its_lease_wakes_to_none(simulation: QuotaSimulation) -> None:
@@ -238,7 +239,7 @@
     assert holder.amount_per_s("a", now_ns + SETTINGS.lease_ns) == 0.0
 
 
-def test_halved_limit_is_kept_once_leases_have_expired(simulation: QuotaSimulation) -> None:
+def test_halved_limit_is_respected_once_leases_have_expired(simulation: QuotaSimulation) -> None:
     for broker in simulation.brokers:
         broker.leases.state.limits["a"] = 40.0
     simulation.run(SETTINGS.lease_ns / NS_PER_S + 2)
