--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from query_broker import decisions as api
-from query_broker.decisions.facade import EngineBan, Result
+from query_broker.decisions.facade import Ban, Result
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
 from query_broker.emulator.quota_simulation import (
@@ -193,7 +193,7 @@
                 simulation.at(arrival_ns, receive)
         for ejection in consensus.evaluate(now_ns, self.names, self.zones).ejected:
             self.ejected_at_ns.setdefault(consensus.observations.name, now_ns)
-            broker.report(EngineBan(int(ejection.endpoint.uid), True, now_ns))
+            broker.report(Ban(int(ejection.endpoint.uid), True, now_ns))
 
     def _send_request(self) -> None:
         simulation = self.simulation
--- a/query_broker/outlier_consensus/collaborators.py
+++ b/query_broker/outlier_consensus/collaborators.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..decisions.facade import EngineBan, Result
+from ..decisions.facade import Ban, Result
 from ..endpoints.administrative_state import Bans, Word
 from ..endpoints.endpoint_table import EngineTable
 from ..quotas.collaborators import ServiceHost
@@ -26,7 +26,7 @@
     bans: Bans
     wheel: Wheel
 
-    def tell(self, event: EngineBan, /) -> None:
+    def tell(self, event: Ban, /) -> None:
         """Let the decisions eject or readmit an endpoint."""
 
     def probe(self, endpoint: int, /) -> None:
--- a/query_broker/outlier_consensus/ejection_control.py
+++ b/query_broker/outlier_consensus/ejection_control.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ..decisions.facade import EngineBan
+from ..decisions.facade import Ban
 from .collaborators import ConsensusDispatcher
 from .endpoint_directory import EndpointDirectory
 from .messages import Endpoint
@@ -75,7 +75,7 @@
         """Tell the decisions of a change, unless operators have disabled the endpoint."""
         number = self.directory.number(endpoint)
         if number is not None and not self.dispatcher.bans.out(endpoint.uid):
-            self.dispatcher.tell(EngineBan(number, is_ejected, at_ns))
+            self.dispatcher.tell(Ban(number, is_ejected, at_ns))
 
     def ejected_incarnations(self, uid: str) -> list[Endpoint]:
         """Return the ejected incarnations of an endpoint."""
--- a/tests/test_quotas_service.py
+++ b/tests/test_quotas_service.py
@@ -14,7 +14,7 @@
 import pytest
 
 from query_broker import decisions as api
-from query_broker.decisions.facade import EngineBan, EngineState, Result
+from query_broker.decisions.facade import Ban, EngineState, Result
 from query_broker.endpoints.administrative_state import Bans, Word
 from query_broker.outlier_consensus.service import OutlierConsensusService
 from query_broker.outlier_consensus.settings import OutlierConsensusSettings
@@ -65,7 +65,7 @@
         self.timers: list[tuple[int, Callable[[], None]]] = []
         self.lines: list[tuple[str, str]] = []
         self.bans = Bans()
-        self.events: list[EngineBan] = []
+        self.events: list[Ban] = []
         self.clock = SimpleNamespace(now=lambda: self.now_ns)
         settings = api.Settings(
             classes=(api.RequestClass("glance", NS_PER_S, 5 * NS_PER_S, 1.0),),
