--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from query_broker import decisions as api
-from query_broker.decisions.facade import Ban, Result
+from query_broker.decisions.facade import AdministrativeChange, AttemptResult
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
 from query_broker.emulator.quota_simulation import (
@@ -40,9 +40,7 @@
 
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
-SETTINGS = QuotaSettings(
-    limits=(LimitSettings("a", rate_per_s=100.0), LimitSettings("b", rate_per_s=50.0))
-)
+SETTINGS = QuotaSettings(limits=(LimitSettings("a", rate=100.0), LimitSettings("b", rate=50.0)))
 LIMITS = {"a": 100.0, "b": 50.0}
 FAILS_AFTER_NS = 5 * NS_PER_S
 GOSSIP_DELAY_NS = 2 * NS_PER_MS
@@ -115,7 +113,7 @@
             super().take(id, cls, work, threads, done)
             return
         self.failed_queries += 1
-        self.sim.at(self.sim.now + NS_PER_MS, partial(done, Result.ERROR))
+        self.sim.at(self.sim.now + NS_PER_MS, partial(done, AttemptResult.ERROR))
 
 
 class FailingEndpointResult(NamedTuple):
@@ -160,10 +158,10 @@
         settings = api.Settings(
             classes=(api.RequestClass("glance", NS_PER_S, 5 * NS_PER_S, 1.0),),
             fleet_size=len(self.names),
-            me=position,
-            tick=25 * NS_PER_MS,
+            broker_index=position,
+            tick_ns=25 * NS_PER_MS,
             kind_cores=(("std", 8),),
-            limits=api.Limits(probes=True, max_attempts=3, max_retry_after=2 * NS_PER_S),
+            limits=api.Limits(health_checks=True, max_attempts=3, max_retry_after_ns=2 * NS_PER_S),
         )
         broker = SimBroker(self.simulation, settings, position, self.engines)
         observations = ObservationStore(self.names[position], "a", self.settings)
@@ -171,12 +169,12 @@
         broker.list_told()
         return broker, OutlierConsensus(observations)
 
-    def _record(self, observations: ObservationStore, number: int, result: Result) -> None:
+    def _record(self, observations: ObservationStore, number: int, result: AttemptResult) -> None:
         now_ns = self.simulation.now
-        if result is Result.ERROR and self.first_failure_ns is None:
+        if result is AttemptResult.ERROR and self.first_failure_ns is None:
             self.first_failure_ns = now_ns
-        if result in (Result.SERVED, Result.ERROR):
-            observations.record(now_ns, Endpoint(str(number), 0), result is Result.SERVED)
+        if result in (AttemptResult.SERVED, AttemptResult.ERROR):
+            observations.record(now_ns, Endpoint(str(number), 0), result is AttemptResult.SERVED)
 
     def _gossip(self, broker: SimBroker, consensus: OutlierConsensus) -> None:
         simulation = self.simulation
@@ -193,7 +191,7 @@
                 simulation.at(arrival_ns, receive)
         for ejection in consensus.evaluate(now_ns, self.names, self.zones).ejected:
             self.ejected_at_ns.setdefault(consensus.observations.name, now_ns)
-            broker.report(Ban(int(ejection.endpoint.uid), True, now_ns))
+            broker.report(AdministrativeChange(int(ejection.endpoint.uid), True, now_ns))
 
     def _send_request(self) -> None:
         simulation = self.simulation
--- a/query_broker/operator_config/script.py
+++ b/query_broker/operator_config/script.py
@@ -20,12 +20,12 @@
 from typing import Any
 
 from ..cells.model import BadMap, CellMap, from_plain
-from ..deadlines.retry_budget import Terms as FurtherTerms
-from ..deadlines.settings import Deadlines, Logs, MarginTerms
+from ..deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
+from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
 from ..membership.settings import MembersTerms
 from ..outlier_consensus.settings import OutlierConsensusSettings
 from ..quotas.settings import LimitSettings, QuotaSettings
-from ..startup.settings import StartTerms
+from ..startup.settings import StartupSettings
 from .directives import MOST_CALLS, WORDS, BadWord, Draft
 
 MOST_FILE = 4 << 20  # bytes of the file
@@ -40,19 +40,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evaluated:
+class OperatorConfig:
     """What the operators' file says. A part of which it says nothing is None."""
 
     map: CellMap | None = None
-    deadlines: Deadlines | None = None
+    deadlines: DeadlineSettings | None = None
     logs: Logs | None = None
-    start: StartTerms | None = None
+    start: StartupSettings | None = None
     members: MembersTerms | None = None
     shares: QuotaSettings | None = None
     verdicts: OutlierConsensusSettings | None = None
 
 
-def evaluate(path: str) -> Evaluated:
+def evaluate(path: str) -> OperatorConfig:
     """Read the file in another process; OperatorFileError says what is wrong with it, and where."""
     environ = {
         **os.environ,
@@ -87,11 +87,11 @@
         )
     try:
         said = json.loads(done.stdout)
-        return Evaluated(
+        return OperatorConfig(
             None if said["map"] is None else from_plain(said["map"]),
             None if said["deadlines"] is None else _deadlines(said["deadlines"]),
             None if said["logs"] is None else Logs(**said["logs"]),
-            None if said["start"] is None else StartTerms(**said["start"]),
+            None if said["start"] is None else StartupSettings(**said["start"]),
             None if said["members"] is None else _members(said["members"]),
             None if said["shares"] is None else _shares(said["shares"]),
             None if said["verdicts"] is None else OutlierConsensusSettings(**said["verdicts"]),
@@ -110,11 +110,11 @@
     )
 
 
-def _deadlines(raw: dict[str, Any]) -> Deadlines:
+def _deadlines(raw: dict[str, Any]) -> DeadlineSettings:
     further = raw["further"]
     if further is not None:
         further = FurtherTerms(**{**further, "classes": tuple(map(tuple, further["classes"]))})
-    return Deadlines(**{**raw, "margin": MarginTerms(**raw["margin"]), "further": further})
+    return DeadlineSettings(**{**raw, "margin": MarginTerms(**raw["margin"]), "further": further})
 
 
 def run(path: str, text: str, stop: Callable[[], bool]) -> Draft:
--- a/query_broker/outlier_consensus/collaborators.py
+++ b/query_broker/outlier_consensus/collaborators.py
@@ -8,31 +8,31 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..decisions.facade import Ban, Result
-from ..endpoints.administrative_state import Bans, Word
-from ..endpoints.endpoint_table import EngineTable
+from ..decisions.facade import AdministrativeChange, AttemptResult
+from ..endpoints.administrative_state import AdministrativeState, AdministrativeStates
+from ..endpoints.endpoint_table import EndpointTable
 from ..quotas.collaborators import ServiceHost
-from ..timer_wheel import Wheel
+from ..timer_wheel import TimerWheel
 
 
 class ConsensusDispatcher(Protocol):
     """What the consensus on outliers uses of the dispatcher."""
 
-    outcome: Callable[[int, Result], None] | None
-    witness: list[Callable[[int, Result], None]]
+    outcome: Callable[[int, AttemptResult], None] | None
+    witness: list[Callable[[int, AttemptResult], None]]
     said: Callable[[str, bool], None] | None
     more_figures: list[Callable[[], bytes]]
-    engines: EngineTable
-    bans: Bans
-    wheel: Wheel
+    endpoint_table: EndpointTable
+    administrative_states: AdministrativeStates
+    wheel: TimerWheel
 
-    def tell(self, event: Ban, /) -> None:
+    def report_event(self, event: AdministrativeChange, /) -> None:
         """Let the decisions eject or readmit an endpoint."""
 
     def probe(self, endpoint: int, /) -> None:
         """Send a health check to an endpoint."""
 
-    def take_word(self, uid: str, state: Word, /) -> None:
+    def apply_administrative_state(self, uid: str, state: AdministrativeState, /) -> None:
         """Disable or enable an endpoint administratively."""
 
 
@@ -40,5 +40,5 @@
     """The node as `OutlierConsensusService` sees it."""
 
     @property
-    def broker(self) -> ConsensusDispatcher:
+    def dispatcher(self) -> ConsensusDispatcher:
         """The dispatcher."""
--- a/query_broker/outlier_consensus/ejection_control.py
+++ b/query_broker/outlier_consensus/ejection_control.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ..decisions.facade import Ban
+from ..decisions.facade import AdministrativeChange
 from .collaborators import ConsensusDispatcher
 from .endpoint_directory import EndpointDirectory
 from .messages import Endpoint
@@ -74,8 +74,10 @@
     def _inform_decisions(self, endpoint: Endpoint, *, is_ejected: bool, at_ns: int) -> None:
         """Tell the decisions of a change, unless operators have disabled the endpoint."""
         number = self.directory.number(endpoint)
-        if number is not None and not self.dispatcher.bans.out(endpoint.uid):
-            self.dispatcher.tell(Ban(number, is_ejected, at_ns))
+        if number is not None and not self.dispatcher.administrative_states.is_disabled(
+            endpoint.uid
+        ):
+            self.dispatcher.report_event(AdministrativeChange(number, is_ejected, at_ns))
 
     def ejected_incarnations(self, uid: str) -> list[Endpoint]:
         """Return the ejected incarnations of an endpoint."""
--- a/query_broker/outlier_consensus/endpoint_directory.py
+++ b/query_broker/outlier_consensus/endpoint_directory.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from ..decisions.facade import EngineState
-from ..endpoints.endpoint_table import EngineTable, KnownEngine
+from ..decisions.facade import EndpointState
+from ..endpoints.endpoint_table import EndpointTable, KnownEndpoint
 from .messages import Endpoint
 from .observations import NS_PER_MS
 
@@ -14,7 +14,7 @@
 class EndpointDirectory:
     """Looks endpoints up in the endpoint table."""
 
-    def __init__(self, table: EngineTable) -> None:
+    def __init__(self, table: EndpointTable) -> None:
         """Take the table, which changes with the endpoint list."""
         self.table = table
 
@@ -39,9 +39,9 @@
         return {
             _incarnation(known): known.target.zone
             for known in self.table.by_number.values()
-            if known.target.state is EngineState.READY
+            if known.target.state is EndpointState.READY
         }
 
 
-def _incarnation(known: KnownEngine) -> Endpoint:
-    return Endpoint(known.target.uid, known.target.started // NS_PER_MS)
+def _incarnation(known: KnownEndpoint) -> Endpoint:
+    return Endpoint(known.target.uid, known.target.started_ns // NS_PER_MS)
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from ..decisions.facade import Result
-from ..endpoints.administrative_state import Word as AdministrativeState
+from ..decisions.facade import AttemptResult
+from ..endpoints.administrative_state import AdministrativeState
 from ..quotas.admin_responses import AdminResponse
 from ..quotas.batching import message_bodies
 from ..quotas.collaborators import GossipMembership
@@ -33,8 +33,10 @@
 
 TOPIC = "verdicts"
 TICK_NS = NS_PER_S // 4
-SUCCESSES = frozenset({Result.SERVED})
-FAILURES = frozenset({Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET})
+SUCCESSES = frozenset({AttemptResult.SERVED})
+FAILURES = frozenset(
+    {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET}
+)
 #: A broker whose overrides differ gets all of ours at most this often.
 ANSWER_INTERVAL_NS = NS_PER_S
 MAX_REPORTS_PER_ROUND = 16
@@ -145,19 +147,19 @@
         self.consensus = OutlierConsensus(self.observations)
         self.overrides = OverrideStore(membership.detector.me.address)
         self.gossip = ConsensusGossip(membership, self.observations, self.overrides)
-        self.directory = EndpointDirectory(host.broker.engines)
-        self.ejections = EjectionControl(host.broker, self.directory, settings)
+        self.directory = EndpointDirectory(host.dispatcher.endpoint_table)
+        self.ejections = EjectionControl(host.dispatcher, self.directory, settings)
         self.admin = ConsensusAdmin(self.consensus, self.overrides, self, host.clock)
         self.decoder: msgspec.msgpack.Decoder[ConsensusMessage] = msgspec.msgpack.Decoder(
             ConsensusMessage
         )
         self._gossiped_at_ns = host.clock.now()
         self._attach()
-        host.broker.wheel.at(self._gossiped_at_ns + TICK_NS, self._tick)
+        host.dispatcher.wheel.at(self._gossiped_at_ns + TICK_NS, self._tick)
 
     def _attach(self) -> None:
         self.membership.subscribe(TOPIC, self._receive)
-        dispatcher = self.host.broker
+        dispatcher = self.host.dispatcher
         dispatcher.outcome = self._attempt_ended
         dispatcher.witness.append(self._health_check_ended)
         dispatcher.said = self._operator_decided
@@ -165,7 +167,7 @@
 
     # --- own observations ---
 
-    def _attempt_ended(self, number: int, result: Result) -> None:
+    def _attempt_ended(self, number: int, result: AttemptResult) -> None:
         succeeded = result in SUCCESSES
         if not succeeded and result not in FAILURES:
             return
@@ -173,19 +175,19 @@
         if endpoint is not None:
             self.observations.record(self.host.clock.now(), endpoint, succeeded)
 
-    def _health_check_ended(self, number: int, result: Result) -> None:
+    def _health_check_ended(self, number: int, result: AttemptResult) -> None:
         endpoint = self.directory.endpoint(number)
         if endpoint is None:
             return
         now_ns = self.host.clock.now()
         if self.ejections.counts_health_check(now_ns, endpoint):
-            self.observations.record(now_ns, endpoint, result is Result.SERVED)
+            self.observations.record(now_ns, endpoint, result is AttemptResult.SERVED)
 
     # --- time ---
 
     def _tick(self) -> None:
         now_ns = self.host.clock.now()
-        self.host.broker.wheel.at(now_ns + TICK_NS, self._tick)
+        self.host.dispatcher.wheel.at(now_ns + TICK_NS, self._tick)
         try:
             self.observations.name = self.membership.name
             if now_ns - self._gossiped_at_ns >= self.settings.gossip_interval_ns:
@@ -261,13 +263,15 @@
         """Disable or enable an endpoint as operators decided, unless it is so already."""
         now_ns = self.host.clock.now()
         is_disabled = override.value == OverrideValue.DISABLED
-        known = self.host.broker.bans.words.get(override.uid)
+        known = self.host.dispatcher.administrative_states.states.get(override.uid)
         self._end_ejections(override.uid)
-        was_disabled = known is not None and known.out
+        was_disabled = known is not None and known.disabled
         if is_disabled == was_disabled:
             return
-        at_ns = now_ns if known is None else max(now_ns, known.at + 1)
-        self.host.broker.take_word(override.uid, AdministrativeState(at_ns, is_disabled))
+        at_ns = now_ns if known is None else max(now_ns, known.at_ns + 1)
+        self.host.dispatcher.apply_administrative_state(
+            override.uid, AdministrativeState(at_ns, is_disabled)
+        )
 
     def _end_ejections(self, uid: str) -> None:
         """End the ejections of an endpoint: an operator's decision stands above them."""
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -11,12 +11,12 @@
 
 from ..config.reading import Config
 from ..decisions.facade import Settings
-from ..endpoints.endpoint_table import EngineTable
-from ..timer_wheel import Clock, Wheel
+from ..endpoints.endpoint_table import EndpointTable
+from ..timer_wheel import Clock, TimerWheel
 
 if TYPE_CHECKING:
-    from ..dispatch.dispatcher import Ask
-    from ..endpoints.connection_pools import Pools
+    from ..dispatch.dispatcher import ParsedRequest
+    from ..endpoints.connection_pools import ConnectionPools
 
 
 class MemberIdentity(Protocol):
@@ -90,14 +90,14 @@
 class QuotaDispatcher(Protocol):
     """What shared limits use of the dispatcher."""
 
-    arriving: Callable[[Ask, int], None] | None
+    arriving: Callable[[ParsedRequest, int], None] | None
     adjust: list[Callable[[Settings], Settings]]
     more_figures: list[Callable[[], bytes]]
-    engines: EngineTable
-    pools: Pools
-    wheel: Wheel
+    endpoint_table: EndpointTable
+    pools: ConnectionPools
+    wheel: TimerWheel
 
-    def readjust(self) -> None:
+    def refresh_settings(self) -> None:
         """Apply the settings again, since an adjustment has changed."""
 
 
@@ -121,5 +121,5 @@
     """The node as `QuotaService` sees it."""
 
     @property
-    def broker(self) -> QuotaDispatcher:
+    def dispatcher(self) -> QuotaDispatcher:
         """The dispatcher."""
--- a/query_broker/quotas/quota_rates.py
+++ b/query_broker/quotas/quota_rates.py
@@ -78,8 +78,8 @@
 
     def limit_per_s(self, limit: LimitSettings) -> float:
         """Return the limit of all brokers together."""
-        if limit.rate_per_s:
-            return limit.rate_per_s
+        if limit.rate:
+            return limit.rate
         if limit.kind != QuotaKind.TENANT:
             return ALL_WORK
         tenants = self.environment.platform_settings().tenants
@@ -124,7 +124,7 @@
         """
         configured_size = settings.fleet_size
         fleet_size = configured_size
-        position = settings.me
+        position = settings.broker_index
         work_limit = self.limits_by_kind.get(QuotaKind.WORK)
         if work_limit is not None and use_work_quota:
             fleet_size = self._size_for(self.quota_per_s(work_limit, now_ns))
@@ -137,7 +137,9 @@
             else:
                 quota_per_s = self.quota_per_s(limit, now_ns)
             tenants.append(replace(tenant, quota_per_s=fleet_size * quota_per_s))
-        return replace(settings, fleet_size=fleet_size, me=position, tenants=tuple(tenants))
+        return replace(
+            settings, fleet_size=fleet_size, broker_index=position, tenants=tuple(tenants)
+        )
 
     def _size_for(self, work_fraction: float) -> int:
         """Return the fleet size of which one even part is the given fraction of the work."""
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..decisions.facade import EngineState, Settings
+from ..decisions.facade import EndpointState, Settings
 from .admin import QuotaAdmin
 from .admin_responses import AdminResponse
 from .batching import message_bodies
@@ -26,7 +26,7 @@
 from .token_bucket import TokenBucket
 
 if TYPE_CHECKING:
-    from ..dispatch.dispatcher import Ask
+    from ..dispatch.dispatcher import ParsedRequest
 
 TOPIC = "limits"
 TICK_NS = NS_PER_S // 4
@@ -101,11 +101,11 @@
         self.decoder: msgspec.msgpack.Decoder[QuotaMessage] = msgspec.msgpack.Decoder(QuotaMessage)
         self._attach()
         self.configure()
-        host.broker.wheel.at(now_ns + TICK_NS, self._tick)
+        host.dispatcher.wheel.at(now_ns + TICK_NS, self._tick)
 
     def _attach(self) -> None:
         self.membership.subscribe(TOPIC, self._receive)
-        dispatcher = self.host.broker
+        dispatcher = self.host.dispatcher
         dispatcher.arriving = self._request_arrived
         dispatcher.adjust.append(self.adjust)
         dispatcher.more_figures.append(self.metrics)
@@ -130,15 +130,16 @@
         Such an endpoint is overloaded if several brokers use large parts of it at once.
         """
         now_ns = self.host.clock.now()
-        warm_up_ns = self.host.config.settings.contract.cold
+        warm_up_ns = self.host.config.settings.contract.warmup_ns
         return any(
-            known.target.state is EngineState.READY and known.target.started + warm_up_ns > now_ns
-            for known in self.host.broker.engines.by_number.values()
+            known.target.state is EndpointState.READY
+            and known.target.started_ns + warm_up_ns > now_ns
+            for known in self.host.dispatcher.endpoint_table.by_number.values()
         )
 
     # --- requests ---
 
-    def _request_arrived(self, request: Ask, now_ns: int) -> None:
+    def _request_arrived(self, request: ParsedRequest, now_ns: int) -> None:
         """Count a request before it is decided on.
 
         A process that was paused reads the requests that wait for it before any timer fires: a
@@ -146,11 +147,16 @@
         """
         if self._first_expiry_ns and now_ns >= self._first_expiry_ns:
             self._apply_quotas(now_ns)
-        if request.customer is not None and request.customer in self.rates.tenant_limits:
-            self.tracker.count(request.customer)
+        if request.tenant is not None and request.tenant in self.rates.tenant_limits:
+            self.tracker.count(request.tenant)
         work_limit = self.rates.limits_by_kind.get(QuotaKind.WORK)
         if work_limit is not None:
-            self.tracker.count(work_limit.name, request.weight_ms / MS_PER_S)
+            self.tracker.count(work_limit.name, request.estimate_ms / MS_PER_S)
+
+    @property
+    def has_retry_limit(self) -> bool:
+        """Whether retries are limited, so that `admit_retry` may be called."""
+        return QuotaKind.RETRIES in self.rates.limits_by_kind
 
     def admit_retry(self) -> bool:
         """Return whether a retry is within this broker's quota of retries, and count it."""
@@ -171,7 +177,7 @@
 
     def _tick(self) -> None:
         now_ns = self.host.clock.now()
-        self.host.broker.wheel.at(now_ns + TICK_NS, self._tick)
+        self.host.dispatcher.wheel.at(now_ns + TICK_NS, self._tick)
         try:
             self._update(now_ns)
         except Exception as error:  # a fault here must not end the wheel's turn
@@ -200,9 +206,9 @@
     def _available_cores(self) -> int:
         cores_by_kind = dict(self.host.config.settings.kind_cores)
         cores = 0
-        for known in self.host.broker.engines.by_number.values():
+        for known in self.host.dispatcher.endpoint_table.by_number.values():
             target = known.target
-            if target.state is EngineState.READY:
+            if target.state is EndpointState.READY:
                 cores += cores_by_kind.get(target.kind) or max(1, round(target.weight))
         return cores
 
@@ -212,7 +218,7 @@
         quotas = self.rates.hard_quotas(now_ns)
         if any(self._is_significant(limit, quota) for limit, quota in quotas.items()):
             self._applied = quotas
-            self.host.broker.readjust()
+            self.host.dispatcher.refresh_settings()
 
     def _is_significant(self, limit: str, quota_per_s: float) -> bool:
         change = abs(quota_per_s - self._applied.get(limit, NEVER_APPLIED))
--- a/query_broker/quotas/settings.py
+++ b/query_broker/quotas/settings.py
@@ -40,13 +40,14 @@
     Attributes:
         name: Unique name; of a tenant's limit the name of the tenant.
         kind: What is limited.
-        rate_per_s: Rate of all brokers together; 0 takes it from the platform settings (the
-            tenant's quota, or the threads of the endpoints).
+        rate: Rate of all brokers together, per second; 0 takes it from the platform settings (the
+            tenant's quota, or the threads of the endpoints). The field keeps the operators' name,
+            under which the evaluated file hands it on.
     """
 
     name: str
     kind: QuotaKind = QuotaKind.TENANT
-    rate_per_s: float = 0.0
+    rate: float = 0.0
 
     @property
     def is_hard(self) -> bool:
@@ -135,7 +136,7 @@
 
 
 def _describe_limit(settings: QuotaSettings, limit: LimitSettings, brokers: int) -> str:
-    rate = f"{limit.rate_per_s:g} a second" if limit.rate_per_s else "as the settings have it"
+    rate = f"{limit.rate:g} a second" if limit.rate else "as the settings have it"
     if limit.is_hard:
         overshoot = f"0 while clocks differ by less than {settings.clock_drift:.1%}"
     else:
--- a/tests/test_quotas_processes.py
+++ b/tests/test_quotas_processes.py
@@ -16,7 +16,7 @@
 from click.testing import CliRunner, Result
 
 from query_broker.cli.main import main
-from query_broker.decisions.facade import Result as AttemptResult
+from query_broker.decisions.facade import AttemptResult
 from query_broker.emulator.clients import Book
 from query_broker.emulator.cluster import MS, World, config, settings, tenants
 from query_broker.emulator.data_engine import ScriptedEngine
@@ -410,7 +410,7 @@
         )
         membership = FakeMembership("n0", "n1", "n2")
         service = OutlierConsensusService(rig.node, membership, consensus_settings)
-        number = rig.node.broker.engines.by_uid["bad"].number
+        number = rig.node.dispatcher.endpoint_table.by_uid["bad"].number
         for _ in range(2):
             service._attempt_ended(number, AttemptResult.ERROR)
         observation = Observation(Endpoint("bad", 0), 2, 0, 0, -1)
--- a/tests/test_quotas_pure.py
+++ b/tests/test_quotas_pure.py
@@ -41,7 +41,7 @@
 
 SETTINGS = QuotaSettings(
     limits=(
-        LimitSettings("a", rate_per_s=100.0),
+        LimitSettings("a", rate=100.0),
         LimitSettings("f", QuotaKind.RETRIES, 50.0),
     )
 )
--- a/tests/test_quotas_service.py
+++ b/tests/test_quotas_service.py
@@ -14,8 +14,8 @@
 import pytest
 
 from query_broker import decisions as api
-from query_broker.decisions.facade import Ban, EngineState, Result
-from query_broker.endpoints.administrative_state import Bans, Word
+from query_broker.decisions.facade import AdministrativeChange, AttemptResult, EndpointState
+from query_broker.endpoints.administrative_state import AdministrativeState, AdministrativeStates
 from query_broker.outlier_consensus.service import OutlierConsensusService
 from query_broker.outlier_consensus.settings import OutlierConsensusSettings
 from query_broker.quotas.batching import MAX_BODY_BYTES, message_bodies
@@ -64,42 +64,47 @@
         self.now_ns = BEGIN_NS
         self.timers: list[tuple[int, Callable[[], None]]] = []
         self.lines: list[tuple[str, str]] = []
-        self.bans = Bans()
-        self.events: list[Ban] = []
+        self.administrative_states = AdministrativeStates()
+        self.events: list[AdministrativeChange] = []
         self.clock = SimpleNamespace(now=lambda: self.now_ns)
         settings = api.Settings(
             classes=(api.RequestClass("glance", NS_PER_S, 5 * NS_PER_S, 1.0),),
             fleet_size=1,
-            tick=25_000_000,
+            tick_ns=25_000_000,
             tenants=(api.Tenant("acme", 100.0),),
         )
         self.config = SimpleNamespace(settings=settings)
         target = SimpleNamespace(
-            uid="e1", started=5 * NS_PER_S, zone="a", state=EngineState.READY, kind="", weight=4.0
+            uid="e1",
+            started_ns=5 * NS_PER_S,
+            zone="a",
+            state=EndpointState.READY,
+            kind="",
+            weight=4.0,
         )
         known = SimpleNamespace(number=7, target=target)
-        self.broker = SimpleNamespace(
+        self.dispatcher = SimpleNamespace(
             arriving=None,
             adjust=[],
             more_figures=[],
             witness=[],
             outcome=None,
             said=None,
-            bans=self.bans,
-            engines=SimpleNamespace(by_number={7: known}, by_uid={"e1": known}),
+            administrative_states=self.administrative_states,
+            endpoint_table=SimpleNamespace(by_number={7: known}, by_uid={"e1": known}),
             pools=SimpleNamespace(turn=None),
             wheel=SimpleNamespace(at=self._at),
-            readjust=lambda: None,
-            tell=self.events.append,
+            refresh_settings=lambda: None,
+            report_event=self.events.append,
             probe=lambda number: None,
-            take_word=self._take_word,
+            apply_administrative_state=self._take_word,
         )
 
     def _at(self, due_ns: int, callback: Callable[[], None]) -> None:
         self.timers.append((due_ns, callback))
 
-    def _take_word(self, uid: str, state: Word) -> None:
-        self.bans.say(uid, state)
+    def _take_word(self, uid: str, state: AdministrativeState) -> None:
+        self.administrative_states.record(uid, state)
 
     def log(self, kind: str, text: str) -> None:
         self.lines.append((kind, text))
@@ -143,7 +148,7 @@
     node.run(7)
     for _ in range(8):
         for _ in range(50):
-            node.broker.arriving(SimpleNamespace(customer="acme", weight_ms=1.0), node.now_ns)
+            node.dispatcher.arriving(SimpleNamespace(tenant="acme", estimate_ms=1.0), node.now_ns)
         node.run(1)
     return service
 
@@ -321,7 +326,7 @@
         "figures": {"verdicts": 0, "lifted": 0, "over_part": 0},
     }
     assert node.lines == [("operator", f"{value}: 'e1' for all brokers, version 1")]
-    assert node.bans.out("e1") is (value == "out")
+    assert node.administrative_states.is_disabled("e1") is (value == "out")
 
 
 @pytest.mark.parametrize(
@@ -345,7 +350,7 @@
 def test_own_switch_for_an_endpoint_becomes_an_override(
     consensus: OutlierConsensusService, node: FakeNode
 ) -> None:
-    node.broker.said("e1", True)
+    node.dispatcher.said("e1", True)
     assert consensus.overrides.overrides["e1"].value == "out"
 
 
@@ -368,14 +373,14 @@
     settings = OutlierConsensusSettings(observers=1, failures=2, max_ejected_fraction=1.0)
     OutlierConsensusService(cast(Any, node), cast(Any, FakeMembership()), settings)
     for _ in range(2):
-        node.broker.outcome(7, Result.ERROR)
+        node.dispatcher.outcome(7, AttemptResult.ERROR)
     node.run(20)
     assert node.lines == [
         ("verdicts", "e1: bad for all, by 1 observers, held out for 5 s at least"),
         ("verdicts", "e1: let in again"),
     ]
-    assert [event.out for event in node.events] == [True, False]
-    assert node.events[1].at == 5 * NS_PER_S  # its start: no more warming up than it needs
+    assert [event.disabled for event in node.events] == [True, False]
+    assert node.events[1].at_ns == 5 * NS_PER_S  # its start: no more warming up than it needs
 
 
 # --- helpers ---
