--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -80,18 +80,20 @@
         self.settings = settings
         now_ns = host.clock.now()
         draw = membership.detector.draw.random
-        fleet_size = host.config.settings.fleet_size
-        self.leases = LeaseManager(membership.name, settings, fleet_size, now_ns, draw)
-        self.leases.holder.always_requested = frozenset(
-            limit.name for limit in settings.limits if limit.kind == QuotaKind.WORK
-        )
+        self.leases = self._create_leases(now_ns)
         self.counters = UsageCounters(membership.name, settings.gossip_interval_ns, draw)
-        environment = NodeEnvironment(host, membership)
-        self.rates = QuotaRates(settings, environment, self.leases, self.counters)
+        self.rates = QuotaRates(
+            settings, NodeEnvironment(host, membership), self.leases, self.counters
+        )
         self.tracker = DemandTracker(self.rates, now_ns)
+        # Looked up here once, since each request reads them.
+        self._tenant_limits = frozenset(self.rates.tenant_limits)
+        work_limit = self.rates.limits_by_kind.get(QuotaKind.WORK)
+        self._work_limit = "" if work_limit is None else work_limit.name
         self.lease_log = LeaseLog(self.leases)
-        own_address = membership.detector.me.address
-        self.admin = QuotaAdmin(self.rates, self.tracker, self.lease_log, host.clock, own_address)
+        self.admin = QuotaAdmin(
+            self.rates, self.tracker, self.lease_log, host.clock, membership.detector.me.address
+        )
         # Retries and connections draw from one bucket, each at its own rate.
         self._bucket = TokenBucket(now_ns)
         self._applied: dict[str, float] = {}
@@ -103,6 +105,17 @@
         self.configure()
         host.dispatcher.wheel.at(now_ns + TICK_NS, self._tick)
 
+    def _create_leases(self, now_ns: int) -> LeaseManager:
+        """Create the leases; unused capacity for work is requested even without demand."""
+        name = self.membership.name
+        draw = self.membership.detector.draw.random
+        fleet_size = self.host.config.settings.fleet_size
+        leases = LeaseManager(name, self.settings, fleet_size, now_ns, draw)
+        leases.holder.always_requested = frozenset(
+            limit.name for limit in self.settings.limits if limit.kind == QuotaKind.WORK
+        )
+        return leases
+
     def _attach(self) -> None:
         self.membership.subscribe(TOPIC, self._receive)
         dispatcher = self.host.dispatcher
@@ -147,11 +160,10 @@
         """
         if self._first_expiry_ns and now_ns >= self._first_expiry_ns:
             self._apply_quotas(now_ns)
-        if request.tenant is not None and request.tenant in self.rates.tenant_limits:
+        if request.tenant in self._tenant_limits:
             self.tracker.count(request.tenant)
-        work_limit = self.rates.limits_by_kind.get(QuotaKind.WORK)
-        if work_limit is not None:
-            self.tracker.count(work_limit.name, request.estimate_ms / MS_PER_S)
+        if self._work_limit:
+            self.tracker.count(self._work_limit, request.estimate_ms / MS_PER_S)
 
     @property
     def has_retry_limit(self) -> bool:
