--- a/query_broker/quotas/admin.py
+++ b/query_broker/quotas/admin.py
@@ -54,7 +54,11 @@
         self.own_address = own_address
 
     def handle(self, method: str, path: str) -> AdminResponse | None:
-        """Answer a call; None if its path belongs to another part."""
+        """Answer a call; None if its path belongs to another part.
+
+        Raises:
+            ValueError: A POST to `/limits/` names no action; the connection answers it with 400.
+        """
         parts = path.strip("/").split("/")
         if parts[0] != PATH:
             return None
@@ -65,10 +69,11 @@
             return json_response(content)
         if method != "POST":
             return wrong_method("POST")
-        match parts[1:]:
-            case ["recall", limit, address] if limit in self.leases.state.limits:
+        action, *arguments = parts[1:]
+        match (action, *arguments):
+            case ("recall", limit, address) if limit in self.leases.state.limits:
                 return self._set_cap(limit, address, 0.0)
-            case ["lend", limit, address, amount] if limit in self.leases.state.limits:
+            case ("lend", limit, address, amount) if limit in self.leases.state.limits:
                 return self._lend(limit, address, amount)
         return error_response(HTTPStatus.NOT_FOUND, "no such call, or no such limit")
 
--- a/tests/test_quotas_service.py
+++ b/tests/test_quotas_service.py
@@ -266,6 +266,11 @@
     assert content == {"error": "the home of acme is 10.0.0.9:7000: say it there"}
 
 
+def test_post_without_an_action_is_left_to_the_connection(quotas: QuotaService) -> None:
+    with pytest.raises(ValueError, match="not enough values"):
+        quotas.handle_admin_call("POST", "/limits/")
+
+
 def test_call_of_another_part_is_passed_on(
     quotas: QuotaService, consensus: OutlierConsensusService
 ) -> None:
