--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -125,11 +125,11 @@
 
         yield from membership_lines(operator_config.members, fleet_size)
     if operator_config.shares is not None:
-        from ..quotas.settings import lines as quota_lines
+        from ..quotas.settings import describe as quota_lines
 
         yield from quota_lines(operator_config.shares, fleet_size)
     if operator_config.verdicts is not None:
-        from ..outlier_consensus.settings import lines as consensus_lines
+        from ..outlier_consensus.settings import describe as consensus_lines
 
         yield from consensus_lines(operator_config.verdicts, fleet_size)
 
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -23,7 +23,8 @@
 if TYPE_CHECKING:
     from ..membership.service import Membership
     from ..membership.views import View
-    from ..quotas.service import Judging, Sharing
+    from ..outlier_consensus.service import OutlierConsensusService
+    from ..quotas.service import QuotaService
     from ..startup.service import StartupService
 
 LEARN = 1_000_000_000  # ns between two looks at the margin
@@ -59,8 +60,8 @@
         )  # what the module goes by
         self.starting: StartupService | None = None
         self.membership: Membership | None = None
-        self.sharing: Sharing | None = None
-        self.judging: Judging | None = None
+        self.sharing: QuotaService | None = None
+        self.judging: OutlierConsensusService | None = None
         self.trace_observer: _TraceObserver | None = None
         super().__init__(config, environ)
         self._set_terms(said)
@@ -115,17 +116,19 @@
     def _share(self, said: OperatorConfig, membership: Membership) -> None:
         if said.shares is None and said.verdicts is None:
             return
-        from ..quotas.service import Judging, Sharing
-
         if said.shares is not None:
-            self.sharing = Sharing(self, membership, said.shares)
-            self.admin_api.calls.append(self.sharing.call)
+            from ..quotas.service import QuotaService
+
+            self.sharing = QuotaService(self, membership, said.shares)
+            self.admin_api.calls.append(self.sharing.handle_admin_call)
             budget = self.dispatcher.deadline_controls.retry_budget
-            if budget is not None and "further" in self.sharing.of_kind:
-                budget.gate = self.sharing.may_try
+            if budget is not None and self.sharing.has_retry_limit:
+                budget.gate = self.sharing.admit_retry
         if said.verdicts is not None:
-            self.judging = Judging(self, membership, said.verdicts)
-            self.admin_api.calls.append(self.judging.call)
+            from ..outlier_consensus.service import OutlierConsensusService
+
+            self.judging = OutlierConsensusService(self, membership, said.verdicts)
+            self.admin_api.calls.append(self.judging.handle_admin_call)
 
     async def open_sockets(self) -> None:
         if self.membership is not None:
@@ -169,8 +172,8 @@
             controls.retry_budget = None
         elif controls.retry_budget is None or controls.retry_budget.terms != terms.further:
             controls.retry_budget = RetryBudget(terms.further)
-            if self.sharing is not None and "further" in self.sharing.of_kind:
-                controls.retry_budget.gate = self.sharing.may_try
+            if self.sharing is not None and self.sharing.has_retry_limit:
+                controls.retry_budget.gate = self.sharing.admit_retry
         self.log.sink = None
         if self.trace_observer is not None:
             self.dispatcher.extensions.remove_observer(self.trace_observer)
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -25,11 +25,11 @@
 from query_broker.metrics import ERROR, OVERLOAD, SUCCESS, Metrics
 from query_broker.operator_config.script import evaluate
 from query_broker.operator_config.service import ConfiguredNode
-from query_broker.outlier_consensus.observations import Engine as JudgedEngine
-from query_broker.outlier_consensus.observations import Kind, Verdict
-from query_broker.outlier_consensus.overrides import VALUES
+from query_broker.outlier_consensus.consensus import Ejection, OutlierScope
+from query_broker.outlier_consensus.messages import Endpoint
+from query_broker.outlier_consensus.overrides import OVERRIDE_VALUES
 from query_broker.protocols.operator_http import REASONS
-from query_broker.quotas.leases import Lease
+from query_broker.quotas.lease_holder import Lease
 from query_broker.server.log import Log
 from query_broker.server.structured_log import Lines, story
 from query_broker.startup.stages import Stage as StartStage
@@ -425,7 +425,7 @@
         "ramp",
         "full",
     ]
-    assert VALUES == ("out", "back", "pinned")
+    assert OVERRIDE_VALUES == ("out", "back", "pinned")
 
 
 # --- calls of the subsystems ---
@@ -1045,15 +1045,22 @@
     first = next(iter(detector.table))
     membership.views.view = replace(view, members=(detector.me, first), certain=True)
     membership.codec.dropped["forged"] = 2
-    sharing.leases.members = (membership.name,)
-    sharing.leases.held["orders"] = Lease(12.5, NOW + 2 * S, 1, 1)
-    engine = JudgedEngine("s-1", 5)
-    judging.evidence.verdicts[engine] = Verdict(
-        engine, Kind.BAD, "", NOW - S, NOW + 4 * S, NOW - 2 * S, frozenset({"x", "y", "z"}), 1
+    sharing.leases.state.members = (membership.name,)
+    sharing.leases.holder.leases["orders"] = Lease(12.5, NOW + 2 * S, 1, 1)
+    engine = Endpoint("s-1", 5)
+    judging.consensus.ejections[engine] = Ejection(
+        engine,
+        OutlierScope.FLEET,
+        "",
+        NOW - S,
+        NOW + 4 * S,
+        NOW - 2 * S,
+        frozenset({"x", "y", "z"}),
+        1,
     )
-    zoned = JudgedEngine("s-2", 6)
-    judging.evidence.verdicts[zoned] = Verdict(
-        zoned, Kind.ZONE, "east", NOW - S, NOW + 4 * S, NOW - 2 * S, frozenset({"x", "y"})
+    zoned = Endpoint("s-2", 6)
+    judging.consensus.ejections[zoned] = Ejection(
+        zoned, OutlierScope.ZONE, "east", NOW - S, NOW + 4 * S, NOW - 2 * S, frozenset({"x", "y"})
     )
     return node
 
