--- /dev/null
+++ b/benchmarks/member_simulations.py
@@ -0,0 +1,256 @@
+"""Detection, mistakes and healing of the membership on a simulated clock.
+
+Each is measured beside plain SWIM, and mistakes beside plain heartbeats, on the same seeds.
+"""
+
+from __future__ import annotations
+
+import multiprocessing
+import os
+import random
+import statistics
+from collections.abc import Callable, Iterable
+from functools import partial
+from typing import Any, NamedTuple
+
+from query_broker.emulator.clients import quantile
+from query_broker.emulator.membership_simulation import BEGIN, LinkFunction, SimulatedCluster
+from query_broker.membership.messages import Identity, Status
+from query_broker.membership.settings import NS_PER_S, MembershipSettings
+from query_broker.membership.timing import Quantiles, detection_bounds, min_suspicion_ns
+
+from .harness import Figures
+
+SETTLED_S = 5.0  # before the first fault
+PAUSE_S = 10.0
+OBSERVED_S = 30.0
+PARTITION_S = 60
+MAX_HEARTBEAT_RUNS = 50
+MAX_HEARTBEAT_MEMBERS = 100
+MODES = ((False, "ours"), (True, "swim"))
+
+
+# --- one run each, in a process of its own ---
+
+
+class Detection(NamedTuple):
+    """How a member that ended was detected, and the traffic before that."""
+
+    suspected_s: float
+    removed_s: float
+    bytes_per_s: float
+
+
+class Mistakes(NamedTuple):
+    """Removals of members that ran all the time, and of those that were paused."""
+
+    healthy: int
+    healthy_by_paused: int
+    paused: int
+
+
+class Healing(NamedTuple):
+    """How a partition healed: the time until all agree, and messages of a member in a second."""
+
+    agreed_s: float
+    messages_per_s: float
+
+
+def uniform_loss(loss: float) -> LinkFunction | None:
+    return (lambda now, sender, receiver: loss) if loss else None
+
+
+def is_held(cluster: SimulatedCluster, identity: Identity) -> bool:
+    return any(identity in member.detector.present() for member in cluster.living())
+
+
+def first_suspicion_ns(cluster: SimulatedCluster, victim: Identity, after_ns: int) -> int:
+    times = [
+        at_ns
+        for member in cluster.members
+        for at_ns, change in member.changes
+        if change.member == victim and change.status is Status.SUSPECT
+    ]
+    return min((at_ns for at_ns in times if at_ns > after_ns), default=cluster.now)
+
+
+def detection(count: int, loss: float, plain_swim: bool, seed: int) -> Detection:
+    """Measure how long it takes to detect a member that ends."""
+    membership = MembershipSettings(plain_swim=plain_swim)
+    cluster = SimulatedCluster(count, membership, seed, uniform_loss(loss))
+    cluster.run(SETTLED_S)
+    bytes_per_s = sum(cluster.sent_bytes.values()) / count / SETTLED_S
+    victim = cluster.members[count // 2].detector.me
+    cluster.kill([count // 2])
+    ended_ns = cluster.now
+    worst_s = detection_bounds(membership, count).removed.worst_s
+    cluster.run(2 * worst_s, lambda: not is_held(cluster, victim))
+    removals = cluster.removals([victim])
+    last_ns = max((removal.at_ns for removal in removals), default=cluster.now)
+    if is_held(cluster, victim):
+        last_ns = cluster.now
+    first_ns = first_suspicion_ns(cluster, victim, ended_ns)
+    suspected_s = (first_ns - ended_ns) / NS_PER_S
+    return Detection(suspected_s, (last_ns - ended_ns) / NS_PER_S, bytes_per_s)
+
+
+def draw_paused(draw: random.Random, count: int, fraction: float) -> set[int]:
+    paused = max(1, round(fraction * count)) if fraction else 0
+    return set(draw.sample(range(count), paused))
+
+
+def mistakes(
+    count: int, loss: float, paused_fraction: float, plain_swim: bool, seed: int
+) -> Mistakes:
+    """Count wrong removals while some members are paused."""
+    membership = MembershipSettings(plain_swim=plain_swim)
+    cluster = SimulatedCluster(count, membership, seed, uniform_loss(loss))
+    cluster.run(SETTLED_S)
+    paused = draw_paused(cluster.draw, count, paused_fraction)
+    cluster.pause(paused, PAUSE_S)
+    cluster.run(OBSERVED_S)
+    awake = {member.detector.me for member in cluster.members if member.number not in paused}
+    wrong = cluster.removals(awake)
+    return Mistakes(
+        len(wrong),
+        sum(removal.by in paused for removal in wrong),
+        sum(removal.member not in awake for removal in cluster.removals()),
+    )
+
+
+def heartbeat_mistakes(count: int, loss: float, paused_fraction: float, seed: int) -> int:
+    """Count wrong removals where each member sends a heartbeat to all others each interval.
+
+    A member is removed after as long as our shortest suspicion and one ping.
+    """
+    draw = random.Random(seed)
+    timeout_s = 1 + min_suspicion_ns(NS_PER_S, count) / NS_PER_S
+    paused = draw_paused(draw, count, paused_fraction)
+    last_heard_s = [[0.0] * count for _ in range(count)]
+    removed: set[tuple[int, int]] = set()
+    for second in range(int(OBSERVED_S)):
+        for receiver in range(count):
+            if receiver in paused and second < PAUSE_S:
+                continue
+            row = last_heard_s[receiver]
+            # A process that wakes looks at its timers before it reads what waits for it.
+            is_waking = receiver in paused and second <= PAUSE_S
+            for sender in range(count):
+                is_silent = is_waking or (sender in paused and second < PAUSE_S)
+                if not is_silent and draw.random() >= loss:
+                    row[sender] = second
+                if receiver != sender and second - row[sender] > timeout_s:
+                    removed.add((receiver, sender))
+    return sum(sender not in paused for _, sender in removed)
+
+
+def healing(count: int, seed: int) -> Healing:
+    """Measure how a partition into halves heals."""
+
+    def loss(now: int, sender: int, receiver: int) -> float:
+        elapsed_s = (now - BEGIN) / NS_PER_S
+        is_partitioned = SETTLED_S <= elapsed_s < SETTLED_S + PARTITION_S
+        return float(is_partitioned and (sender < count // 2) != (receiver < count // 2))
+
+    cluster = SimulatedCluster(count, MembershipSettings(), seed, loss)
+    cluster.run(SETTLED_S + PARTITION_S)
+    healed_ns = cluster.now
+    messages_before = cluster.messages
+    cluster.run(240, cluster.agree)
+    agreed_s = (cluster.now - healed_ns) / NS_PER_S
+    messages = cluster.messages - messages_before
+    return Healing(agreed_s, messages / count / max(1.0, agreed_s))
+
+
+# --- many runs ---
+
+
+def over_seeds(pool: Any, run: Callable[[int], Any], seeds: int) -> list[Any]:
+    return list(pool.imap_unordered(run, range(1, seeds + 1), max(1, seeds // 64)))
+
+
+def tell_quantiles(
+    figures: Figures, name: str, values: list[float], bound: Quantiles | None
+) -> None:
+    figures.tell(
+        f"{name}_median_s", statistics.median(values), most=bound.median_s if bound else None
+    )
+    figures.tell(f"{name}_p99_s", quantile(values, 0.99), most=bound.p99_s if bound else None)
+    figures.tell(f"{name}_worst_s", max(values), most=bound.worst_s if bound else None)
+
+
+def tell_mistakes(
+    figures: Figures, pool: Any, count: int, runs: int, loss: float, paused: float
+) -> None:
+    case = f"{count}_loss_{loss:g}_paused_{paused:g}"
+    for plain_swim, mode in MODES:
+        found = over_seeds(pool, partial(mistakes, count, loss, paused, plain_swim), runs)
+        name = f"simulated.{mode}_{case}"
+        figures.tell(
+            f"{name}.healthy_removed",
+            sum(run.healthy for run in found),
+            most=0 if not plain_swim and loss <= 0.1 else None,
+        )
+        figures.tell(
+            f"{name}.by_one_that_stood_still",
+            sum(run.healthy_by_paused for run in found),
+            most=None if plain_swim else 0,
+        )
+        figures.tell(f"{name}.removed_while_it_stood_still", sum(run.paused for run in found))
+    if count <= MAX_HEARTBEAT_MEMBERS:
+        heartbeat_runs = min(runs, MAX_HEARTBEAT_RUNS)
+        wrong = over_seeds(pool, partial(heartbeat_mistakes, count, loss, paused), heartbeat_runs)
+        figures.tell(
+            f"simulated.heartbeats_{case}.healthy_removed", sum(wrong) * runs // len(wrong)
+        )
+
+
+def tell_detection(figures: Figures, pool: Any, count: int, runs: int) -> None:
+    bounds = detection_bounds(MembershipSettings(), count)
+    for plain_swim, mode in MODES:
+        found = over_seeds(pool, partial(detection, count, 0.0, plain_swim), runs)
+        name = f"simulated.{mode}_{count}"
+        tell_quantiles(
+            figures,
+            f"{name}.suspected",
+            [run.suspected_s for run in found],
+            None if plain_swim else bounds.suspected,
+        )
+        tell_quantiles(
+            figures,
+            f"{name}.removed",
+            [run.removed_s for run in found],
+            None if plain_swim else bounds.removed,
+        )
+        figures.tell(
+            f"{name}.bytes_a_second",
+            statistics.median([run.bytes_per_s for run in found]),
+            most=None if plain_swim else 600.0,
+        )
+
+
+def tell_healing(figures: Figures, pool: Any, count: int, runs: int) -> None:
+    found = over_seeds(pool, partial(healing, count), max(1, runs // 20))
+    name = f"simulated.ours_{count}"
+    figures.tell(f"{name}.agree_after_healing_s", max(run.agreed_s for run in found), most=120.0)
+    figures.tell(
+        f"{name}.messages_a_second_while_it_heals",
+        max(run.messages_per_s for run in found),
+        most=30.0,
+    )
+
+
+def simulated(
+    figures: Figures,
+    runs_by_count: dict[int, int],
+    losses: Iterable[float],
+    paused_fractions: Iterable[float],
+) -> None:
+    workers = len(os.sched_getaffinity(0))
+    with multiprocessing.get_context("fork").Pool(workers) as pool:
+        for count, runs in runs_by_count.items():
+            tell_detection(figures, pool, count, runs)
+            for loss in losses:
+                for paused in paused_fractions:
+                    tell_mistakes(figures, pool, count, runs, loss, paused)
+            tell_healing(figures, pool, count, runs)
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -29,7 +29,7 @@
 from query_broker.quotas.settings import LimitTerms, SharesTerms
 
 from .harness import ROOT, Figures
-from .members import costs
+from .member_processes import costs
 
 S = 1_000_000_000
 MS = 1_000_000
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -121,9 +121,9 @@
 
         yield from startup_lines(operator_config.start, config.settings.broker_index, fleet_size)
     if operator_config.members is not None:
-        from ..membership.settings import lines as membership_lines
+        from ..membership.timing import describe_bounds
 
-        yield from membership_lines(operator_config.members, fleet_size)
+        yield from describe_bounds(operator_config.members, fleet_size)
     if operator_config.shares is not None:
         from ..quotas.settings import lines as quota_lines
 
--- a/query_broker/membership/__init__.py
+++ b/query_broker/membership/__init__.py
@@ -1,5 +1,8 @@
-"""Which brokers of an installation are there: what is decided, free of input and output.
+"""Group membership of the brokers of one installation.
 
-`joins.py` alone touches sockets, files and the node; without the operators' word `members` nothing
-of it is loaded.
+A SWIM failure detector with the Lifeguard extensions decides which brokers are present. The
+modules of the protocol perform no I/O: they take messages and the time, and return messages and
+changes. `service.py` connects them to sockets, files and the node; `key_files.py` and
+`table_exchange.py` do parts of that work for it. Nothing but `settings.py` is loaded unless the
+operators' file holds the directive `members`.
 """
--- /dev/null
+++ b/query_broker/membership/addresses.py
@@ -0,0 +1,15 @@
+"""Addresses of members, as text."""
+
+from __future__ import annotations
+
+MAX_LOGGED_ADDRESS = 60  # characters
+
+
+def split_address(text: str) -> tuple[str, int]:
+    """Split `host:port`.
+
+    Raises:
+        ValueError: The port is no number.
+    """
+    host, _, port = text.rpartition(":")
+    return host, int(port)
--- /dev/null
+++ b/query_broker/membership/anti_entropy.py
@@ -0,0 +1,148 @@
+"""Anti-entropy: exchanges of complete tables, and contact with members that are out of reach.
+
+Gossip alone does not join a new member to the group, nor heal a partition in which both sides have
+removed each other. Performs no I/O: the exchange itself is the caller's (`table_exchange.py`).
+"""
+
+from __future__ import annotations
+
+import random
+
+from .gossip import GossipQueue
+from .member_table import MemberTable
+from .messages import Ack, Identity, Status
+from .messenger import Messenger
+from .own_member import OwnMember
+from .pings import Pinger
+from .settings import MembershipSettings
+from .suspicion import SuspicionTracker
+
+RECONTACT_INTERVALS = 10  # mean time between two contacts with somebody out of reach
+DIFFERING_DIGESTS = 4  # acks in a row with another digest than ours
+MAX_SEED_BACKOFF = 5  # doublings
+
+
+def _jittered_ns(draw: random.Random, mean_ns: int) -> int:
+    """Draw a duration between half and one and a half times the mean."""
+    return int((0.5 + draw.random()) * mean_ns)
+
+
+class SyncScheduler:
+    """Decides when to exchange tables, and with whom."""
+
+    def __init__(
+        self,
+        settings: MembershipSettings,
+        table: MemberTable,
+        suspicions: SuspicionTracker,
+        gossip: GossipQueue,
+        messenger: Messenger,
+        draw: random.Random,
+        now_ns: int,
+    ) -> None:
+        """Draw the time of the first exchange."""
+        self._settings = settings
+        self._table = table
+        self._suspicions = suspicions
+        self._gossip = gossip
+        self._messenger = messenger
+        self._draw = draw
+        self._differing_digests = 0
+        self._sync_at_ns = now_ns + _jittered_ns(draw, settings.sync_interval_ns)
+
+    def tick(self, now_ns: int) -> None:
+        """Request an exchange with a random member once it is due."""
+        if now_ns < self._sync_at_ns:
+            return
+        self._sync_at_ns = now_ns + _jittered_ns(self._draw, self._settings.sync_interval_ns)
+        addresses = [record.identity.address for record in self._table.alive_records()]
+        if addresses:
+            self._messenger.request_sync(self._draw.choice(addresses))
+
+    def compare_digest(self, now_ns: int, ack: Ack) -> None:
+        """Bring the next exchange forward where views differ though no gossip is under way."""
+        if ack.digest and ack.digest != self._table.digest():
+            self._differing_digests += 1
+        else:
+            self._differing_digests = 0
+        is_quiet = not self._gossip.waiting and not self._suspicions.active
+        if self._differing_digests >= DIFFERING_DIGESTS and is_quiet:
+            self._differing_digests = 0
+            self._sync_at_ns = min(self._sync_at_ns, now_ns)
+
+
+class ContactScheduler:
+    """Contacts seeds until somebody has answered, and seldom members that are out of reach.
+
+    A healed partition is found by the latter; each member contacts one at a time, however many
+    were lost.
+
+    Attributes:
+        seeds: Addresses of members that are usually present.
+        joined: Some member has answered.
+    """
+
+    def __init__(
+        self,
+        settings: MembershipSettings,
+        own: OwnMember,
+        table: MemberTable,
+        pinger: Pinger,
+        messenger: Messenger,
+        draw: random.Random,
+        now_ns: int,
+    ) -> None:
+        """Draw the time of the first contact; seeds are contacted at once."""
+        self._settings = settings
+        self._own = own
+        self._table = table
+        self._pinger = pinger
+        self._messenger = messenger
+        self._draw = draw
+        self._seed_attempts = 0
+        self._last_contact_id = -1
+        self._seed_at_ns = now_ns
+        self._recontact_interval_ns = RECONTACT_INTERVALS * settings.interval_ns
+        self._recontact_at_ns = now_ns + _jittered_ns(draw, self._recontact_interval_ns)
+        self.seeds: list[str] = []
+        self.joined = False
+
+    def tick(self, now_ns: int) -> None:
+        """Contact a seed, or somebody out of reach, where it is due."""
+        if self.seeds and not self.joined and now_ns >= self._seed_at_ns:
+            self._contact_seed(now_ns)
+        if now_ns >= self._recontact_at_ns:
+            self._recontact(now_ns)
+
+    def record_answer(self, sender: Identity, ping_id: int) -> None:
+        """Record that a member has answered; the answer to a contact leads to an exchange."""
+        self.joined = True
+        if ping_id == self._last_contact_id:
+            self._messenger.request_sync(sender.address)
+
+    def _contact_seed(self, now_ns: int) -> None:
+        self._seed_attempts = min(MAX_SEED_BACKOFF, self._seed_attempts + 1)
+        backoff = 0.5 + self._draw.random() * (1 << self._seed_attempts) / 4
+        self._seed_at_ns = now_ns + int(backoff * self._settings.interval_ns)
+        self._contact(now_ns, Identity(self._draw.choice(self.seeds), b""))
+
+    def _recontact(self, now_ns: int) -> None:
+        self._recontact_at_ns = now_ns + _jittered_ns(self._draw, self._recontact_interval_ns)
+        candidates = self._unreachable()
+        if candidates and not self._own.left:
+            self._contact(now_ns, self._draw.choice(candidates))
+
+    def _unreachable(self) -> list[Identity]:
+        """Return dead members and absent seeds at whose address nobody is present."""
+        present = {identity.address for identity in self._table.present()}
+        dead = [
+            record.identity
+            for record in self._table.records.values()
+            if record.status is Status.DEAD and record.identity.address not in present
+        ]
+        absent_seeds = [Identity(seed, b"") for seed in self.seeds if seed not in present]
+        return dead + absent_seeds
+
+    def _contact(self, now_ns: int, target: Identity) -> None:
+        if target.address != self._own.identity.address:
+            self._last_contact_id = self._pinger.contact(now_ns, target)
--- a/query_broker/membership/codec.py
+++ b/query_broker/membership/codec.py
@@ -1,6 +1,7 @@
-"""Datagrams and frames of members: sealed with a keyed hash, bounded, and new each time. Pure.
+"""Codec of datagrams and frames: signed by a keyed hash, bounded in size, accepted once.
 
-A strange, torn, altered, replayed or foreign one costs one hash at the most and changes nothing.
+A foreign, torn, altered or replayed message costs one hash at the most and changes nothing.
+Performs no I/O. The layout is:
 
     "lm" | protocol | key id | keyed BLAKE2b of all else, 16 bytes | envelope, MessagePack
 """
@@ -9,172 +10,141 @@
 
 import hashlib
 import hmac
-from collections import OrderedDict
 from dataclasses import dataclass, field
 
 import msgspec
 
+from .errors import MessageRejectedError, RejectReason
+from .keys import KeyRing
 from .messages import Claim, Envelope, Identity, Message
+from .replay_window import ReplayWindows
 
 MAGIC = b"lm"
-PROTOCOL = 1
-HEAD = 4
-MAC = 16
-MOST_DATAGRAM = 1_400
-MOST_FRAME = 1 << 20  # over TCP
-WINDOW = 256  # messages of one sender that may overtake each other
-MOST_WINDOWS = 8_192
-LEAST_KEY, MOST_KEY = 16, 64  # bytes
-
-
-class BadKeys(ValueError):
-    """A line that says what is wrong."""
-
-
-class Refused(Exception):
-    """Why a datagram is not taken in: one word, for the counts."""
-
-
-@dataclass(frozen=True, slots=True)
-class KeyRing:
-    """All are good for reading, the first one signs: a new key is added last everywhere, then moved
-    to the front everywhere, and then the old one is taken away.
-    """
-
-    keys: tuple[tuple[int, bytes], ...]
-
-    def sign(self, head: bytes, body: bytes) -> bytes:
-        return seal(self.keys[0][1], head, body)
-
-    def of(self, number: int) -> bytes | None:
-        return next((key for id, key in self.keys if id == number), None)
-
-
-def seal(key: bytes, head: bytes, body: bytes) -> bytes:
+PROTOCOL_VERSION = 1
+PROTOCOL_OFFSET = 2
+KEY_ID_OFFSET = 3
+HEADER_BYTES = 4
+MAC_BYTES = 16
+BODY_OFFSET = HEADER_BYTES + MAC_BYTES
+MAX_DATAGRAM_BYTES = 1_400
+MAX_FRAME_BYTES = 1 << 20  # over TCP
+MAC_PERSON = b"larchhall-peers"
+
+
+def message_mac(secret: bytes, header: bytes, body: bytes) -> bytes:
+    """Return the keyed hash of a message."""
     return hashlib.blake2b(
-        head + body, key=key, digest_size=MAC, person=b"larchhall-peers"
+        header + body, key=secret, digest_size=MAC_BYTES, person=MAC_PERSON
     ).digest()
 
 
-def read_keys(text: str) -> KeyRing:
-    """Lines `ID HEX`; those that are empty or begin with # are passed over."""
-    keys: list[tuple[int, bytes]] = []
-    for number, line in enumerate(text.splitlines(), 1):
-        if not line.strip() or line.lstrip().startswith("#"):
-            continue
-        parts = line.split()
-        try:
-            id, key = int(parts[0]), bytes.fromhex(parts[1])
-        except (ValueError, IndexError):
-            raise BadKeys(f"line {number}: is no `ID HEX`") from None
-        if len(parts) != 2 or not 0 <= id <= 255 or not LEAST_KEY <= len(key) <= MOST_KEY:
-            raise BadKeys(
-                f"line {number}: needs an id of 0 to 255 and a key of {LEAST_KEY} to {MOST_KEY} "
-                "bytes"
-            )
-        if id in [i for i, _ in keys]:
-            raise BadKeys(f"line {number}: id {id} is used twice")
-        keys.append((id, key))
-    if not keys:
-        raise BadKeys("holds no key")
-    return KeyRing(tuple(keys))
-
-
-@dataclass(slots=True)
-class Window:
-    """Which of one sender's counts have come: a bit for each of the last ones."""
-
-    highest: int = -1
-    bits: int = 0
-
-    def new(self, count: int) -> bool:
-        if count > self.highest:
-            ahead = count - self.highest
-            self.bits = ((self.bits << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
-            self.highest = count
-            return True
-        behind = self.highest - count
-        if behind >= WINDOW or self.bits >> behind & 1:
-            return False
-        self.bits |= 1 << behind
-        return True
-
-
 @dataclass(slots=True)
 class Codec:
-    """``dropped``: by word, ``by_key``: taken in, by key id."""
+    """Writes and reads the messages of one member.
+
+    Attributes:
+        installation: Name of the installation; messages of others are rejected.
+        key_ring: Keys in force; replaced when the key file is read again.
+        protocol: Newest protocol version that is spoken.
+        sequence: Sequence number of the last message written.
+        replay_windows: Sequence numbers that have arrived.
+        dropped: Rejected messages by reason.
+        accepted_by_key: Accepted messages by key id.
+    """
 
     installation: str
-    ring: KeyRing
-    protocol: int = PROTOCOL
-    count: int = 0
-    windows: OrderedDict[Identity, Window] = field(default_factory=OrderedDict)
+    key_ring: KeyRing
+    protocol: int = PROTOCOL_VERSION
+    sequence: int = 0
+    replay_windows: ReplayWindows = field(default_factory=ReplayWindows)
     dropped: dict[str, int] = field(default_factory=dict)
-    by_key: dict[int, int] = field(default_factory=dict)
+    accepted_by_key: dict[int, int] = field(default_factory=dict)
     encoder: msgspec.msgpack.Encoder = field(default_factory=msgspec.msgpack.Encoder)
     decoder: msgspec.msgpack.Decoder[Envelope] = field(
         default_factory=lambda: msgspec.msgpack.Decoder(Envelope)
     )
 
-    def write(self, to: Identity, own: Claim, message: Message, speaks: int = PROTOCOL) -> bytes:
-        """``speaks``: the newest protocol that the receiver knows; the older of the two is
-        spoken.
+    def write(
+        self,
+        recipient: Identity,
+        sender: Claim,
+        message: Message,
+        recipient_protocol: int = PROTOCOL_VERSION,
+    ) -> bytes:
+        """Encode and sign a message.
+
+        Args:
+            recipient: The process that is meant.
+            sender: The sender's own claim.
+            message: The message.
+            recipient_protocol: Newest protocol that the recipient speaks; the older of both
+                sides' versions is written.
+        """
+        self.sequence += 1
+        envelope = Envelope(self.installation, recipient.boot, self.sequence, sender, message)
+        body = self.encoder.encode(envelope)
+        key = self.key_ring.signing_key
+        protocol = min(self.protocol, max(1, recipient_protocol))
+        header = MAGIC + bytes((protocol, key.key_id))
+        return header + message_mac(key.secret, header, body) + body
+
+    def read(self, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> Envelope:
+        """Verify and decode a message, and count it.
+
+        Raises:
+            MessageRejectedError: It is no new message of a member of this installation.
         """
-        self.count += 1
-        body = self.encoder.encode(Envelope(self.installation, to.boot, self.count, own, message))
-        head = MAGIC + bytes((min(self.protocol, max(1, speaks)), self.ring.keys[0][0]))
-        return head + self.ring.sign(head, body) + body
-
-    def read(self, data: bytes, most: int = MOST_DATAGRAM, once: bool = True) -> Envelope:
-        """`Refused` for all that is not a new message of a member of this installation."""
         try:
-            return self._read(data, most, once)
-        except Refused as why:
-            self.dropped[str(why)] = self.dropped.get(str(why), 0) + 1
+            return self._read(data, max_bytes)
+        except MessageRejectedError as error:
+            self.dropped[error.reason.value] = self.dropped.get(error.reason.value, 0) + 1
             raise
 
-    def _read(self, data: bytes, most: int, once: bool) -> Envelope:
-        if len(data) > most:
-            raise Refused("oversized")
-        if len(data) < HEAD + MAC or data[:2] != MAGIC:
-            raise Refused("foreign")
-        if not 1 <= data[2] <= self.protocol:
-            raise Refused("protocol")
-        head, mac, body = data[:HEAD], data[HEAD : HEAD + MAC], data[HEAD + MAC :]
-        key = self.ring.of(data[3])
-        if key is None:
-            raise Refused("key")
-        if not hmac.compare_digest(seal(key, head, body), mac):
-            raise Refused("forged")
-        try:
-            envelope = self.decoder.decode(body)
-        except (msgspec.MsgspecError, RecursionError):
-            # a kind of a later version, or nonsense with a good key
-            raise Refused("unknown") from None
+    def _read(self, data: bytes, max_bytes: int) -> Envelope:
+        self._check_header(data, max_bytes)
+        key_id = data[KEY_ID_OFFSET]
+        envelope = self._decode(self._verified_body(data))
         if envelope.installation != self.installation:
-            raise Refused("installation")
-        if once and not self._window(envelope.me.id).new(envelope.count):
-            raise Refused("replayed")
-        self.by_key[data[3]] = self.by_key.get(data[3], 0) + 1
+            raise MessageRejectedError(RejectReason.INSTALLATION)
+        if not self.replay_windows.accept(envelope.sender.member, envelope.sequence):
+            raise MessageRejectedError(RejectReason.REPLAYED)
+        self.accepted_by_key[key_id] = self.accepted_by_key.get(key_id, 0) + 1
         return envelope
 
-    def _window(self, id: Identity) -> Window:
-        window = self.windows.get(id)
-        if window is None:
-            window = self.windows[id] = Window()
-            if len(self.windows) > MOST_WINDOWS:
-                self.windows.popitem(last=False)
-        else:
-            self.windows.move_to_end(id)
-        return window
+    def _check_header(self, data: bytes, max_bytes: int) -> None:
+        if len(data) > max_bytes:
+            raise MessageRejectedError(RejectReason.OVERSIZED)
+        if len(data) < BODY_OFFSET or data[: len(MAGIC)] != MAGIC:
+            raise MessageRejectedError(RejectReason.FOREIGN)
+        if not 1 <= data[PROTOCOL_OFFSET] <= self.protocol:
+            raise MessageRejectedError(RejectReason.PROTOCOL)
+
+    def _verified_body(self, data: bytes) -> bytes:
+        header = data[:HEADER_BYTES]
+        mac = data[HEADER_BYTES:BODY_OFFSET]
+        body = data[BODY_OFFSET:]
+        secret = self.key_ring.find(data[KEY_ID_OFFSET])
+        if secret is None:
+            raise MessageRejectedError(RejectReason.KEY)
+        if not hmac.compare_digest(message_mac(secret, header, body), mac):
+            raise MessageRejectedError(RejectReason.FORGED)
+        return body
+
+    def _decode(self, body: bytes) -> Envelope:
+        try:
+            return self.decoder.decode(body)
+        except (msgspec.MsgspecError, RecursionError):
+            # A message kind of a later version, or nonsense signed with a good key.
+            raise MessageRejectedError(RejectReason.UNKNOWN) from None
 
 
 def peek_sender(data: bytes) -> str:
-    """The address that a message gives as its sender's, unchecked: for stand-ins of links. Empty:
-    none.
+    """Return the sender's address that a message gives, unverified; empty if there is none.
+
+    Emulated links use it to tell whose datagram they carry.
     """
     try:
-        envelope: Envelope = msgspec.msgpack.Decoder(Envelope).decode(data[HEAD + MAC :])
-        return envelope.me.id.address
+        envelope: Envelope = msgspec.msgpack.Decoder(Envelope).decode(data[BODY_OFFSET:])
     except msgspec.MsgspecError:
         return ""
+    return envelope.sender.member.address
--- /dev/null
+++ b/query_broker/membership/datagrams.py
@@ -0,0 +1,111 @@
+"""Datagrams of the membership over UDP."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Iterable
+from typing import Protocol
+
+from .addresses import MAX_LOGGED_ADDRESS, split_address
+from .codec import PROTOCOL_VERSION, Codec
+from .errors import MessageRejectedError
+from .failure_detector import FailureDetector
+from .messages import Envelope, TopicMessage, process_name
+from .messenger import OutgoingMessage
+from .rate_limit import DatagramRateLimiter
+from .service_host import ServiceHost
+from .traffic import TrafficCounters
+
+
+class TopicHandler(Protocol):
+    """Receives the messages of a topic; it may raise on nonsense."""
+
+    def __call__(self, now_ns: int, sender: str, payload: bytes, /) -> None:
+        """Process a message of the member with the given process name."""
+
+
+class DatagramEndpoint(asyncio.DatagramProtocol):
+    """Receives datagrams for the failure detector and sends its messages.
+
+    Attributes:
+        rate_limiter: Limits the datagrams that are looked at.
+    """
+
+    def __init__(
+        self,
+        detector: FailureDetector,
+        codec: Codec,
+        traffic: TrafficCounters,
+        host: ServiceHost,
+    ) -> None:
+        """Start without a socket; messages are dropped until `open`."""
+        self._detector = detector
+        self._codec = codec
+        self._traffic = traffic
+        self._host = host
+        self._topics: dict[str, TopicHandler] = {}
+        self._transport: asyncio.DatagramTransport | None = None
+        self.rate_limiter = DatagramRateLimiter(host.now_ns())
+
+    async def open(self, udp: socket.socket) -> None:
+        """Receive and send on a bound socket."""
+        loop = asyncio.get_running_loop()
+        self._transport, _ = await loop.create_datagram_endpoint(lambda: self, sock=udp)
+
+    def close(self) -> None:
+        """Close the socket."""
+        if self._transport is not None:
+            self._transport.close()
+
+    def subscribe(self, topic: str, handler: TopicHandler) -> None:
+        """Have the messages of a topic delivered to a handler."""
+        self._topics[topic] = handler
+
+    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Process a datagram, unless too many arrive."""
+        now_ns = self._host.now_ns()
+        try:
+            if not self.rate_limiter.admit(now_ns, f"{addr[0]}:{addr[1]}"):
+                self._traffic.flooded += 1
+                return
+            self._traffic.received_bytes += len(data)
+            envelope = self._codec.read(data)
+            self._deliver(now_ns, envelope)
+        except MessageRejectedError:
+            return
+        except Exception as error:  # No datagram may raise out of a callback.
+            self._host.log(f"a datagram: {type(error).__name__}: {error}")
+        self._host.carry_out(now_ns)
+
+    def error_received(self, exc: Exception) -> None:
+        """Ignore an ICMP error: it says no more than a lost datagram does."""
+
+    def send_all(self, messages: Iterable[OutgoingMessage]) -> None:
+        """Send messages; a failure is logged and does not keep back the others."""
+        for recipient, message in messages:
+            record = self._detector.table.get(recipient)
+            protocol = PROTOCOL_VERSION if record is None else record.max_protocol
+            own_claim = self._detector.own.claim()
+            data = self._codec.write(recipient, own_claim, message, protocol)
+            self._traffic.sent_bytes += len(data)
+            self._send(recipient.address, data)
+
+    def _send(self, address: str, data: bytes) -> None:
+        if self._transport is None:
+            return
+        try:
+            self._transport.sendto(data, split_address(address))
+        except (OSError, ValueError, RuntimeError) as error:
+            self._host.log(f"{address[:MAX_LOGGED_ADDRESS]}: {error}")
+
+    def _deliver(self, now_ns: int, envelope: Envelope) -> None:
+        sender = envelope.sender
+        message = envelope.message
+        self._detector.receive(now_ns, envelope.recipient_boot, envelope.sequence, sender, message)
+        is_for_us = envelope.recipient_boot == self._detector.me.boot
+        if not isinstance(message, TopicMessage) or not is_for_us:
+            return
+        handler = self._topics.get(message.topic)
+        if handler is not None and self._detector.table.get(sender.member) is not None:
+            handler(now_ns, process_name(sender.member), message.payload)
--- a/query_broker/membership/incarnations.py
+++ b/query_broker/membership/incarnations.py
@@ -1,68 +1,107 @@
-"""Incarnations that only their owner can make. Pure.
-
-All members have the same keys, so that a keyed hash tells members from strangers, not one member
-from another: one that lies could say that a dead one has come back, or that a living one has left.
-So a process draws a secret at its start and hashes it over and over; the last hash, with that of a
-second secret, is its identity. Its n-th incarnation is proven by the n-th hash from the end:
-whoever has seen one checks the next by hashing it, and nobody can go the other way (Lamport's chain
-of one-time passwords, 1981). The second secret proves a leave.
+"""Incarnation numbers that only their owner can raise, and leaves that only it can announce.
+
+All members share the signing keys, so a keyed hash tells members from strangers but not one member
+from another: a faulty one could claim that a dead member is back, or that a living one has left.
+Therefore a process draws a secret at its start and hashes it repeatedly; the last hash, together
+with the hash of a second secret, is its identity. Its n-th incarnation is proven by the n-th hash
+from the end: whoever has seen one verifies the next by hashing it, and nobody can go the other way
+(Lamport, "Password authentication with insecure communication", 1981). The second secret proves a
+leave. Performs no I/O but the draw of the secret.
 """
 
 from __future__ import annotations
 
 import hashlib
 import os
+from typing import NamedTuple
+
+CHAIN_LENGTH = 1 << 14  # incarnations of one process; after that it takes a new identity
+CHECKPOINT_INTERVAL = 128  # hashes between two that are stored
+HASH_BYTES = 12
+SECRET_BYTES = 32
+MAX_AHEAD = 256  # incarnations that a datagram may be ahead of the known one: bounds the hashing
+HASH_PERSON = b"larchhall-inc"
+IDENTITY_PERSON = b"larchhall-boot"
+
+
+class ProvenIncarnation(NamedTuple):
+    """An incarnation that was verified before, and its proof."""
 
-LENGTH = 1 << 14  # incarnations of one process; then it takes a new identity
-EVERY = 128  # hashes between two that are kept
-SIZE = 12  # bytes
-MOST_AHEAD = 256  # incarnations that a datagram may be ahead of what is known
+    number: int
+    proof: bytes
 
 
-def step(value: bytes) -> bytes:
-    return hashlib.blake2b(value, digest_size=SIZE, person=b"larchhall-inc").digest()
+def next_hash(value: bytes) -> bytes:
+    """Return the next element of a hash chain."""
+    return hashlib.blake2b(value, digest_size=HASH_BYTES, person=HASH_PERSON).digest()
 
 
-def identity(top: bytes, leave: bytes) -> bytes:
-    return hashlib.blake2b(top + leave, digest_size=SIZE, person=b"larchhall-boot").digest()
+def boot_identifier(top: bytes, leave_commitment: bytes) -> bytes:
+    """Return the identifier that commits a process to its chain and its leave secret."""
+    committed = top + leave_commitment
+    return hashlib.blake2b(committed, digest_size=HASH_BYTES, person=IDENTITY_PERSON).digest()
 
 
-class Chain:
-    """One process's own."""
+class IncarnationChain:
+    """The hash chain and the leave secret of this process.
 
-    def __init__(self, seed: bytes | None = None, length: int = LENGTH) -> None:
+    Attributes:
+        length: Number of incarnations that can be proven.
+        leave_secret: Disclosed only when the process leaves.
+        leave_commitment: Hash of the leave secret.
+        top: Last hash of the chain, the proof of incarnation 0.
+        boot: Identifier of the process.
+    """
+
+    def __init__(self, seed: bytes | None = None, length: int = CHAIN_LENGTH) -> None:
+        """Draw the secrets, or derive them from a seed, and compute the chain."""
         self.length = length
-        value = step(os.urandom(32) if seed is None else seed)
-        self.secret = step(b"leave" + value)
-        self.kept = [value]
+        value = next_hash(os.urandom(SECRET_BYTES) if seed is None else seed)
+        self.leave_secret = next_hash(b"leave" + value)
+        self._checkpoints = [value]
         for number in range(1, length + 1):
-            value = step(value)
-            if number % EVERY == 0:
-                self.kept.append(value)
-        self.top, self.leave = value, step(self.secret)
-        self.boot = identity(self.top, self.leave)
-
-    def proof(self, inc: int) -> bytes:
-        """Of this incarnation, from 0."""
-        depth = self.length - inc
-        value = self.kept[depth // EVERY]
-        for _ in range(depth % EVERY):
-            value = step(value)
+            value = next_hash(value)
+            if number % CHECKPOINT_INTERVAL == 0:
+                self._checkpoints.append(value)
+        self.top = value
+        self.leave_commitment = next_hash(self.leave_secret)
+        self.boot = boot_identifier(self.top, self.leave_commitment)
+
+    def proof(self, incarnation: int) -> bytes:
+        """Return the proof of an incarnation, counted from 0."""
+        depth = self.length - incarnation
+        value = self._checkpoints[depth // CHECKPOINT_INTERVAL]
+        for _ in range(depth % CHECKPOINT_INTERVAL):
+            value = next_hash(value)
         return value
 
 
-def proven(
+def is_proven(
     boot: bytes,
-    inc: int,
+    incarnation: int,
     proof: bytes,
-    leave: bytes,
-    known: tuple[int, bytes] | None,
-    ahead: int = MOST_AHEAD,
+    leave_commitment: bytes,
+    known: ProvenIncarnation | None,
+    max_ahead: int = MAX_AHEAD,
 ) -> bool:
-    """``known``: an incarnation of it that was proven before, and its proof."""
-    base, against = known or (0, b"")
-    if not 0 <= inc - base <= ahead or len(proof) != SIZE or len(leave) != SIZE:
+    """Return whether the proof shows that the process itself issued the incarnation.
+
+    Args:
+        boot: Identifier of the process.
+        incarnation: The claimed incarnation.
+        proof: Its claimed proof.
+        leave_commitment: Hash of the process's leave secret.
+        known: An incarnation of the same process that was verified before, or None.
+        max_ahead: Largest accepted distance to the known incarnation; bounds the hashing.
+    """
+    verified = known or ProvenIncarnation(0, b"")
+    distance = incarnation - verified.number
+    if not 0 <= distance <= max_ahead:
+        return False
+    if len(proof) != HASH_BYTES or len(leave_commitment) != HASH_BYTES:
         return False
-    for _ in range(inc - base):
-        proof = step(proof)
-    return proof == against if known else identity(proof, leave) == boot
+    for _ in range(distance):
+        proof = next_hash(proof)
+    if known:
+        return proof == verified.proof
+    return boot_identifier(proof, leave_commitment) == boot
--- a/query_broker/membership/local_health.py
+++ b/query_broker/membership/local_health.py
@@ -1,80 +1,78 @@
-"""How far we may trust our own senses, and how long each peer takes to answer. Pure.
+"""How far this process can trust its own observations.
 
-Lifeguard's local health multiplier: a process that answers late, or whose network is cut, sees
-everybody else as dead. What makes us doubt ourselves raises a score, what reassures us lowers it,
-and all our time-outs and the suspicions that we hold grow with it.
+Lifeguard's local health multiplier (section IV.A): a process that is slow or cut off sees everybody
+else as dead. Signs of trouble on our own side raise a score, answers lower it, and our timeouts and
+the suspicions that we hold are extended by it. Performs no I/O.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-S = 1_000_000_000
-MOST = 8
-RECOVER = 5  # intervals
-DOUBTFUL = 3
-GAIN, VARIANCE_GAIN = 0.125, 0.25  # of a round trip's mean and deviation, as TCP's
-SLACK = 20_000_000  # ns that our own ticks take
-MOST_TIME_OUT = 6 * S
+from .settings import NS_PER_S
+
+MAX_SCORE = 8
+RECOVERY_INTERVALS = 5
+DOUBTFUL_FROM = 3  # score, or failed pings in a row
+PAUSE_PENALTY = 2
+MIN_PAUSE_NS = NS_PER_S // 4
+ISOLATED_FROM = 3  # failed pings in a row
 
 
 @dataclass(slots=True)
-class Health:
-    interval: int
+class LocalHealth:
+    """The health score of this process.
+
+    Attributes:
+        interval_ns: Time between two pings.
+        score: 0 when healthy, up to `MAX_SCORE`.
+        failed_pings: Pings in a row without any answer, even of a helper.
+        recovers_at_ns: After a pause of this process: until then it accuses nobody, unless it
+            receives an answer.
+        pauses: How often this process has paused.
+    """
+
+    interval_ns: int
     score: int = 0
-    failed: int = 0  # probes in turn without any word back
-    recovers_at: int = 0  # we stood still; until then we accuse nobody, unless we hear an answer
+    failed_pings: int = 0
+    recovers_at_ns: int = 0
     pauses: int = 0
 
-    def doubt(self, by: int = 1) -> None:
-        self.score = min(MOST, self.score + by)
+    def penalize(self, points: int = 1) -> None:
+        """Raise the score, up to its maximum."""
+        self.score = min(MAX_SCORE, self.score + points)
 
-    def reassured(self) -> bool:
-        """An answer. True: until now we had reason to doubt ourselves, and what we hold against
-        others is of that time.
-        """
-        doubtful = self.score >= DOUBTFUL or self.failed >= DOUBTFUL or self.recovers_at > 0
-        self.score, self.failed, self.recovers_at = max(0, self.score - 1), 0, 0
-        return doubtful
+    def record_answer(self) -> bool:
+        """Lower the score after an answer; return whether our observations were doubtful before.
 
-    def stood_still(self, now: int, late: int) -> bool:
-        """Our own timer was so much late. Danger: one that was paused wakes to time-outs of
-        everybody else.
+        What is held against others then stems from a time in which our own senses were at fault.
+        """
+        was_doubtful = (
+            self.score >= DOUBTFUL_FROM
+            or self.failed_pings >= DOUBTFUL_FROM
+            or self.recovers_at_ns > 0
+        )
+        self.score = max(0, self.score - 1)
+        self.failed_pings = 0
+        self.recovers_at_ns = 0
+        return was_doubtful
+
+    def record_lateness(self, now_ns: int, late_ns: int) -> bool:
+        """Record how late our own timer fired; return whether this process has paused.
+
+        A paused process wakes to timeouts of everybody else, and must not act on them.
         """
-        if late < max(self.interval // 2, S // 4):
+        if late_ns < max(self.interval_ns // 2, MIN_PAUSE_NS):
             return False
-        self.doubt(2)
-        self.recovers_at, self.pauses = now + RECOVER * self.slowed(self.interval), self.pauses + 1
+        self.penalize(PAUSE_PENALTY)
+        self.recovers_at_ns = now_ns + RECOVERY_INTERVALS * self.extended_ns(self.interval_ns)
+        self.pauses += 1
         return True
 
-    def isolated(self, others: int) -> bool:
-        """Nobody answers at all: it is more likely us."""
-        return self.failed >= min(3, others) > 1
+    def is_isolated(self, other_members: int) -> bool:
+        """Return whether nobody answers at all, so that the fault is more likely ours."""
+        return self.failed_pings >= min(ISOLATED_FROM, other_members) > 1
 
-    def slowed(self, span: int) -> int:
-        return span * (1 + self.score)
-
-
-@dataclass(slots=True)
-class RoundTrip:
-    """Of one peer, ns; 0: not known yet."""
-
-    mean: float = 0.0
-    deviation: float = 0.0
-
-    def learn(self, took: int) -> None:
-        if not self.mean:
-            self.mean, self.deviation = float(took), took / 2
-            return
-        self.deviation += VARIANCE_GAIN * (abs(took - self.mean) - self.deviation)
-        self.mean += GAIN * (took - self.mean)
-
-    def time_out(self, interval: int, usual: RoundTrip | None = None) -> int:
-        """``usual``: that of all peers, for one that is not known yet."""
-        if not self.mean:
-            return (
-                interval * 2 // 5
-                if usual is None
-                else max(interval * 2 // 5, usual.time_out(interval))
-            )
-        return int(min(MOST_TIME_OUT, max(interval // 5, self.mean + 4 * self.deviation + SLACK)))
+    def extended_ns(self, duration_ns: int) -> int:
+        """Return a timeout extended by the score."""
+        return duration_ns * (1 + self.score)
--- a/query_broker/membership/member_table.py
+++ b/query_broker/membership/member_table.py
@@ -1,128 +1,140 @@
-"""What is known of each member, and what is passed on about it. Pure."""
+"""The table of all known members, the order in which they are pinged, and their changes.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
 import hashlib
-import heapq
-import math
-from dataclasses import dataclass, field
+import random
+from collections import deque
+from collections.abc import Iterable
+from dataclasses import dataclass
 
-from .local_health import RoundTrip
+from .member_record import MemberRecord
 from .messages import Claim, Identity, Status
-from .settings import retransmits
+from .own_member import OwnMember
 
-ROOM = 900  # bytes of claims in one datagram
-MOST_ROWS = 4  # helpers whose word on one peer is kept
+MAX_MEMBERS = 4_096
+DIGEST_BYTES = 8
 
 
-@dataclass(slots=True)
-class Peer:
-    """``heard``: when its newest message came to us; ``fresh``: when we learned, from it or from a
-    witness, that it had spoken; ``acked``, ``via``: when it answered a probe of ours, itself or
-    through a helper; ``hears_us``: when it last said, through a helper, that it hears us. 0:
-    never.
-    """
+@dataclass(frozen=True, slots=True)
+class MemberChange:
+    """A member's new status, with the reason that the log gives."""
 
-    id: Identity
-    inc: int
-    proof: bytes
-    leave: bytes
+    member: Identity
     status: Status
-    since: int
-    place: int = 0
-    zone: str = ""
-    speaks: int = 1
-    by: str = ""
-    count: int = 0
-    heard: int = 0
-    fresh: int = 0
-    acked: int = 0
-    via: int = 0
-    hears_us: int = 0
-    trip: RoundTrip = field(default_factory=RoundTrip)
-    # helper: did it reach this one, when
-    rows: dict[str, tuple[bool, int]] = field(default_factory=dict)
-    removed: int = 0  # how often
-    wrongly: float = 0.0  # how often it was suspected of late and was there after all
-    wrongly_at: int = 0
-
-    def there(self) -> bool:
-        return self.status in (Status.ALIVE, Status.SUSPECT)
-
-    def claim(self, status: Status | None = None, by: str = "") -> Claim:
-        return Claim(
-            self.id,
-            self.inc,
-            self.status if status is None else status,
-            self.proof,
-            self.leave,
-            by or self.by,
-            self.place,
-            self.zone,
-            self.speaks,
-            self.count,
-        )
-
-    def doubted(self, now: int, fading: int) -> float:
-        """``wrongly``, which falls to a third in ``fading`` ns."""
-        return self.wrongly * math.exp(-max(0, now - self.wrongly_at) / fading)
-
-    def row(self, helper: str, reached: bool, now: int) -> None:
-        self.rows.pop(helper, None)
-        self.rows[helper] = (reached, now)
-        if len(self.rows) > MOST_ROWS:
-            del self.rows[next(iter(self.rows))]
-
-
-@dataclass(slots=True)
-class Suspicion:
-    """``born``: never moved; ``begun``: moved by what is heard of it; ``by``: who has confirmed
-    it.
+    reason: str
+
+
+class MemberTable:
+    """All other members that this process knows, present or not.
+
+    Attributes:
+        records: The members by identity.
+        ping_order: Present members in the order of their pings, shuffled (SWIM, section 4.3).
+        size: Number of present members, this process among them.
+        changes: Changes that the caller has not taken yet.
     """
 
-    born: int
-    begun: int
-    by: set[str]
-
-
-class Gossip:
-    """Claims on their way, each told a bounded number of times, the least told first."""
-
-    def __init__(self) -> None:
-        # heard or not: one of each
-        self.waiting: dict[tuple[Identity, bool], tuple[Claim, int]] = {}
-
-    def put(self, claim: Claim) -> None:
-        self.waiting[claim.id, claim.status is Status.HEARD] = (claim, 0)
-
-    def take(self, size: int, first: list[Claim], room: int = ROOM) -> tuple[Claim, ...]:
-        """For one datagram; ``first``: what its receiver above all must know."""
-        most, taken = retransmits(size), []
-        for claim in first:
-            if (room := room - claim.size()) >= 0:
-                taken.append(claim)
-        if not self.waiting:
-            return tuple(taken)
-        known = {(c.id, c.status) for c in taken}
-        for key, (claim, told) in heapq.nsmallest(
-            16, self.waiting.items(), key=lambda item: item[1][1]
-        ):
-            if (claim.id, claim.status) in known:
+    def __init__(self, own: OwnMember, draw: random.Random) -> None:
+        """Start with no other member."""
+        self._own = own
+        self._draw = draw
+        self._digest: bytes | None = None
+        self.records: dict[Identity, MemberRecord] = {}
+        self.ping_order: deque[Identity] = deque()
+        self.size = 1
+        self.changes: list[MemberChange] = []
+
+    def get(self, identity: Identity) -> MemberRecord | None:
+        """Return a member's record, or None if it is unknown."""
+        return self.records.get(identity)
+
+    def is_full(self) -> bool:
+        """Return whether no further member is accepted."""
+        return len(self.records) >= MAX_MEMBERS
+
+    def present(self) -> list[Identity]:
+        """Return the other members that are alive or suspected."""
+        return [record.identity for record in self.records.values() if record.is_present()]
+
+    def alive_records(self) -> list[MemberRecord]:
+        """Return the records of members that are not suspected."""
+        return [record for record in self.records.values() if record.status is Status.ALIVE]
+
+    def digest(self) -> bytes:
+        """Return the digest of the present members, this process among them unless it has left."""
+        if self._digest is None:
+            own = [] if self._own.left else [self._own.identity]
+            self._digest = view_digest([*self.present(), *own])
+        return self._digest
+
+    def invalidate_digest(self) -> None:
+        """Have the digest computed anew, after a change of this process's own identity."""
+        self._digest = None
+
+    def insert(self, record: MemberRecord) -> None:
+        """Add a member without announcing it."""
+        self.records[record.identity] = record
+
+    def enter_ping_order(self, identity: Identity) -> None:
+        """Insert a member at a random position of the ping order."""
+        position = self._draw.randrange(len(self.ping_order) + 1)
+        self.ping_order.insert(position, identity)
+
+    def next_to_ping(self) -> Identity | None:
+        """Return the next present member in ping order, or None if there is none."""
+        for _ in range(len(self.ping_order)):
+            identity = self.ping_order.popleft()
+            record = self.records.get(identity)
+            if record is None or not record.is_present():
                 continue
-            if claim.size() > room:
-                break
-            room -= claim.size()
-            taken.append(claim)
-            if told + 1 >= most:
-                del self.waiting[key]
-            else:
-                self.waiting[key] = (claim, told + 1)
-        return tuple(taken)
-
-
-def digest(members: list[Identity]) -> bytes:
-    """Two brokers with the same one hold the same view."""
-    told = hashlib.blake2b(digest_size=8)
+            self.ping_order.append(identity)
+            return identity
+        return None
+
+    def set_status(self, now_ns: int, record: MemberRecord, status: Status, reason: str) -> None:
+        """Change a member's status and record the change."""
+        was_present = record.is_present()
+        record.status = status
+        record.status_since_ns = now_ns
+        if record.is_present() and not was_present:
+            self.enter_ping_order(record.identity)
+        self.record_change(record, reason)
+
+    def record_change(self, record: MemberRecord, reason: str) -> None:
+        """Queue a change for the caller and count the present members anew."""
+        self._digest = None
+        self.size = 1 + sum(other.is_present() for other in self.records.values())
+        self.changes.append(MemberChange(record.identity, record.status, reason))
+
+    def take_changes(self) -> list[MemberChange]:
+        """Return the changes since the last call."""
+        changes = self.changes
+        self.changes = []
+        return changes
+
+    def forget_older_than(self, now_ns: int, age_ns: int) -> None:
+        """Drop members that have been dead or have left for longer than the age."""
+        absent = [record for record in self.records.values() if not record.is_present()]
+        for record in absent:
+            if now_ns - record.status_since_ns > age_ns:
+                del self.records[record.identity]
+
+    def preload(self, claims: Iterable[Claim]) -> None:
+        """Start with members as if they had been known for long; for simulations."""
+        for claim in claims:
+            self.insert(MemberRecord.from_claim(claim, 0))
+            self.ping_order.append(claim.member)
+        self._draw.shuffle(self.ping_order)
+        self.size = 1 + len(self.records)
+
+
+def view_digest(members: list[Identity]) -> bytes:
+    """Return a digest of a set of members; two brokers with the same digest hold the same view."""
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for address, boot in sorted(members):
-        told.update(address.encode() + b"/" + boot)
-    return told.digest()
+        hasher.update(address.encode() + b"/" + boot)
+    return hasher.digest()
--- a/query_broker/membership/messages.py
+++ b/query_broker/membership/messages.py
@@ -1,5 +1,8 @@
-"""What members say to each other. Arrays on the wire: what a later version adds at the end is
-passed over by an earlier one, and a kind that it does not know is dropped and counted.
+"""Messages that members exchange, as they stand on the wire.
+
+Every message is a MessagePack array, so that field names do not travel and may change; the order
+of the fields may not. Fields that a later version adds at the end are skipped by an earlier one; a
+message kind that it does not know is dropped and counted.
 """
 
 from __future__ import annotations
@@ -9,18 +12,26 @@
 
 import msgspec
 
+CLAIM_FIXED_BYTES = 70  # upper bound of a claim's encoding without its texts
+MAX_UTF8_BYTES = 4
+
 
 class Status(IntEnum):
+    """Status of a member; the number is the wire form."""
+
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
     LEFT = 3
-    HEARD = 4  # no state: the word of one that heard a suspect speak
+    EVIDENCE = 4  # no state of a member: evidence that a suspect has spoken
 
 
 class Identity(NamedTuple):
-    """An address, and what one process there has drawn at its start: two processes are never taken
-    for one.
+    """Identity of one process: two processes at one address are two identities.
+
+    Attributes:
+        address: `host:port` that the process advertises.
+        boot: Identifier that it derives from secrets drawn at its start (`incarnations.py`).
     """
 
     address: str
@@ -28,91 +39,128 @@
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """``by``: who says it (address). ``proof``, ``leave``: see `chain`. ``count``: of its newest
-    message that is known, where the status is HEARD.
+    """A statement about one member, which gossip and tables carry.
+
+    Attributes:
+        member: The member that the claim is about.
+        incarnation: Its incarnation number (SWIM, section 4.2).
+        status: The claimed status.
+        incarnation_proof: Hash that proves the incarnation.
+        leave_proof: Commitment to the leave secret; with status LEFT, the secret itself.
+        reporter: Address of the member that reported a suspicion or removal; else empty.
+        ordinal: The member's configured index among the brokers.
+        zone: The member's zone.
+        max_protocol: Newest protocol version that the member speaks.
+        sequence: With status EVIDENCE, sequence number of its newest known message.
     """
 
-    id: Identity
-    inc: int
+    member: Identity
+    incarnation: int
     status: Status
-    proof: bytes
-    leave: bytes
-    by: str = ""
-    place: int = 0
+    incarnation_proof: bytes
+    leave_proof: bytes
+    reporter: str = ""
+    ordinal: int = 0
     zone: str = ""
-    speaks: int = 1
-    count: int = 0
+    max_protocol: int = 1
+    sequence: int = 0
 
-    def size(self) -> int:
-        """Bytes on the wire, at the most."""
-        return 70 + len(self.id.address) + len(self.by) + 4 * len(self.zone)
+    def max_encoded_bytes(self) -> int:
+        """Return an upper bound of the claim's size on the wire."""
+        texts_bytes = len(self.member.address) + len(self.reporter)
+        return CLAIM_FIXED_BYTES + texts_bytes + MAX_UTF8_BYTES * len(self.zone)
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """``behalf``: the address of the one for whom it is sent, if not the sender."""
+    """A request for an `Ack`.
+
+    Attributes:
+        ping_id: Number drawn at random that the answer repeats.
+        on_behalf_of: Address of the member that asked for an indirect ping; else empty.
+        claims: Piggybacked gossip.
+    """
 
-    seq: int
-    behalf: str = ""
+    ping_id: int
+    on_behalf_of: str = ""
     claims: tuple[Claim, ...] = ()
 
 
-class PingReq(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Reach this one for me."""
+class IndirectPing(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """A request to ping the target for the sender (SWIM's ping-req)."""
 
-    seq: int
+    ping_id: int
     target: Identity
     claims: tuple[Claim, ...] = ()
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """``who`` is there. ``heard``: ms since it heard the one on whose behalf it was asked, -1:
-    never.
+    """The answer to a `Ping`.
+
+    Attributes:
+        ping_id: That of the ping.
+        responder: The process that answered.
+        last_message_age_ms: Time since the responder received a message of the member on whose
+            behalf it was pinged; -1 for never.
+        digest: Digest of the responder's view.
+        claims: Piggybacked gossip.
     """
 
-    seq: int
-    who: Identity
-    heard: int = -1
+    ping_id: int
+    responder: Identity
+    last_message_age_ms: int = -1
     digest: bytes = b""
     claims: tuple[Claim, ...] = ()
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """I, a helper, am there; whom I was to reach has not answered."""
+    """A helper's answer that the target of an indirect ping has not answered (Lifeguard, IV.A)."""
 
-    seq: int
+    ping_id: int
 
 
 class Sync(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Over TCP. ``claims`` empty and ``ask``: tell yours if your digest differs."""
+    """One message of the table exchange over TCP.
+
+    Attributes:
+        digest: Digest of the sender's view.
+        is_request: The receiver is to answer with its table if its digest differs.
+        claims: The sender's complete table, or empty.
+    """
 
     digest: bytes
-    ask: bool
+    is_request: bool
     claims: tuple[Claim, ...] = ()
 
 
-class Talk(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Of what rests on the membership: ``topic`` says for whom ``body`` is."""
+class TopicMessage(msgspec.Struct, array_like=True, frozen=True, tag=6):
+    """A message of a subsystem that uses the membership for transport, such as quotas."""
 
     topic: str
-    body: bytes
-
+    payload: bytes
 
-Message = Ping | PingReq | Ack | Nack | Sync | Talk
 
-
-def name_of(id: Identity) -> str:
-    """One process, as others call it."""
-    return f"{id.address}/{id.boot.hex()}"
+Message = Ping | IndirectPing | Ack | Nack | Sync | TopicMessage
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """``to``: the boot of whom it is meant for, so that it says nothing to the next process there;
-    empty: whoever has the address. ``me``: the sender's own claim that it is alive. ``count`` rises
-    with each message of a process.
+    """What the codec signs and sends.
+
+    Attributes:
+        installation: Name of the sender's installation.
+        recipient_boot: Boot identifier of the process that is meant, so that the message says
+            nothing to the next process at its address; empty for whoever has the address.
+        sequence: Number that rises with each message of a process.
+        sender: The sender's own claim that it is alive, or has left.
+        message: The message itself.
     """
 
     installation: str
-    to: bytes
-    count: int
-    me: Claim
-    body: Message
+    recipient_boot: bytes
+    sequence: int
+    sender: Claim
+    message: Message
+
+
+def process_name(identity: Identity) -> str:
+    """Return the name `address/boot` of a process, which other subsystems use."""
+    return f"{identity.address}/{identity.boot.hex()}"
--- /dev/null
+++ b/query_broker/membership/replay_window.py
@@ -0,0 +1,64 @@
+"""Replay protection: which sequence numbers of a sender have arrived.
+
+A sliding window as in IPsec's anti-replay service (RFC 4303, section 3.4.3). Performs no I/O.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from dataclasses import dataclass, field
+
+from .messages import Identity
+
+WINDOW_BITS = 256  # messages of one sender that may overtake each other
+MAX_WINDOWS = 8_192
+
+
+@dataclass(slots=True)
+class ReplayWindow:
+    """The sequence numbers of one sender that have arrived, as a bit for each of the last ones."""
+
+    highest: int = -1
+    bits: int = 0
+
+    def accept(self, sequence: int) -> bool:
+        """Record a sequence number; return False if it has arrived before or is too old."""
+        if sequence > self.highest:
+            self._advance(sequence)
+            return True
+        behind = self.highest - sequence
+        if behind >= WINDOW_BITS or self.bits >> behind & 1:
+            return False
+        self.bits |= 1 << behind
+        return True
+
+    def _advance(self, sequence: int) -> None:
+        ahead = sequence - self.highest
+        if ahead < WINDOW_BITS:
+            self.bits = ((self.bits << ahead) | 1) & ((1 << WINDOW_BITS) - 1)
+        else:
+            self.bits = 1
+        self.highest = sequence
+
+
+@dataclass(slots=True)
+class ReplayWindows:
+    """The windows of all senders; the one used least recently is evicted at the bound."""
+
+    windows: OrderedDict[Identity, ReplayWindow] = field(default_factory=OrderedDict)
+
+    def __len__(self) -> int:
+        """Return the number of senders that have a window."""
+        return len(self.windows)
+
+    def accept(self, sender: Identity, sequence: int) -> bool:
+        """Record a sender's sequence number; return False if it is a replay."""
+        window = self.windows.get(sender)
+        if window is None:
+            window = ReplayWindow()
+            self.windows[sender] = window
+            if len(self.windows) > MAX_WINDOWS:
+                self.windows.popitem(last=False)
+        else:
+            self.windows.move_to_end(sender)
+        return window.accept(sequence)
--- /dev/null
+++ b/query_broker/membership/table_exchange.py
@@ -0,0 +1,143 @@
+"""Exchange of complete member tables over TCP (anti-entropy).
+
+The client sends its digest; the server answers with its own, and with its table if they differ; the
+client then sends its table. Each message is a frame: its length in four bytes, big endian, and the
+message as the codec writes it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from .addresses import MAX_LOGGED_ADDRESS, split_address
+from .codec import MAX_FRAME_BYTES, Codec
+from .errors import MessageRejectedError, RejectReason
+from .failure_detector import FailureDetector
+from .messages import Identity, Sync
+from .service_host import ServiceHost
+from .traffic import TrafficCounters
+
+LENGTH_BYTES = 4
+MAX_INCOMING_EXCHANGES = 8
+MAX_OUTGOING_EXCHANGES = 2
+EXCHANGE_TIMEOUT_S = 3.0
+ANY_PROCESS = Identity("", b"")
+
+
+class TableExchange:
+    """Both sides of the exchange.
+
+    Attributes:
+        closed: No further exchange begins.
+    """
+
+    def __init__(
+        self,
+        detector: FailureDetector,
+        codec: Codec,
+        traffic: TrafficCounters,
+        host: ServiceHost,
+    ) -> None:
+        """Start with no exchange under way."""
+        self._detector = detector
+        self._codec = codec
+        self._traffic = traffic
+        self._host = host
+        self._incoming = 0
+        self._outgoing: set[asyncio.Task[None]] = set()
+        self.closed = False
+
+    def start(self, address: str) -> None:
+        """Exchange tables with the member at the address, unless too many exchanges run."""
+        if len(self._outgoing) >= MAX_OUTGOING_EXCHANGES or self.closed:
+            return
+        task = asyncio.get_running_loop().create_task(self._sync_with(address))
+        self._outgoing.add(task)
+        task.add_done_callback(self._outgoing.discard)
+
+    def close(self) -> None:
+        """Cancel the exchanges that this process has started."""
+        self.closed = True
+        for task in list(self._outgoing):
+            task.cancel()
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a connection of another member."""
+        if self._incoming >= MAX_INCOMING_EXCHANGES or self.closed:
+            writer.transport.abort()
+            return
+        self._incoming += 1
+        try:
+            await asyncio.wait_for(self._answer(reader, writer), EXCHANGE_TIMEOUT_S)
+        except (OSError, EOFError, TimeoutError, MessageRejectedError):
+            pass
+        except Exception as error:  # No peer may end the process.
+            self._host.log(f"a table: {type(error).__name__}: {error}")
+        finally:
+            self._incoming -= 1
+            writer.close()
+
+    def table_message(self, is_request: bool, with_claims: bool) -> Sync:
+        """Return a message with our digest, and with our table where it is wanted."""
+        claims = self._detector.claims() if with_claims else ()
+        return Sync(self._detector.table.digest(), is_request, claims)
+
+    async def read_frame(self, reader: asyncio.StreamReader) -> Sync:
+        """Read a message.
+
+        Raises:
+            MessageRejectedError: It is too large, or no message of the exchange.
+            EOFError: The connection ended.
+        """
+        size = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
+        if size > MAX_FRAME_BYTES:
+            raise MessageRejectedError(RejectReason.OVERSIZED)
+        data = await reader.readexactly(size)
+        self._traffic.received_bytes += size
+        envelope = self._codec.read(data, MAX_FRAME_BYTES)
+        if not isinstance(envelope.message, Sync):
+            raise MessageRejectedError(RejectReason.UNKNOWN)
+        self._detector.merger.merge(self._host.now_ns(), envelope.sender)
+        return envelope.message
+
+    def write_frame(self, writer: asyncio.StreamWriter, message: Sync) -> None:
+        """Write a message."""
+        data = self._codec.write(ANY_PROCESS, self._detector.own.claim(), message)
+        self._traffic.sent_bytes += len(data)
+        writer.write(len(data).to_bytes(LENGTH_BYTES, "big") + data)
+
+    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        request = await self.read_frame(reader)
+        is_different = request.digest != self._detector.table.digest()
+        self.write_frame(writer, self.table_message(False, is_different))
+        await writer.drain()
+        if is_different:
+            self._merge(await self.read_frame(reader))
+
+    async def _sync_with(self, address: str) -> None:
+        shown = address[:MAX_LOGGED_ADDRESS]
+        try:
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
+                await self._request(address)
+        except (OSError, EOFError, TimeoutError, ValueError, MessageRejectedError) as error:
+            self._host.log(f"no table from {shown}: {type(error).__name__}")
+        except Exception as error:  # No peer may end the process.
+            self._host.log(f"no table from {shown}: {type(error).__name__}: {error}")
+
+    async def _request(self, address: str) -> None:
+        host, port = split_address(address)
+        reader, writer = await asyncio.open_connection(host, port, limit=MAX_FRAME_BYTES)
+        try:
+            self.write_frame(writer, self.table_message(True, False))
+            theirs = await self.read_frame(reader)
+            if theirs.claims:
+                self.write_frame(writer, self.table_message(False, True))
+                await writer.drain()
+                self._merge(theirs)
+        finally:
+            writer.close()
+
+    def _merge(self, theirs: Sync) -> None:
+        now_ns = self._host.now_ns()
+        self._detector.merge_table(now_ns, theirs.claims)
+        self._host.carry_out(now_ns)
--- /dev/null
+++ b/query_broker/membership/timing.py
@@ -0,0 +1,138 @@
+"""Timeouts, retransmit limits and detection bounds that follow from interval and group size.
+
+Performs no I/O. Durations are in nanoseconds unless the name says otherwise.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+
+from .settings import NS_PER_S, MembershipSettings
+
+SUSPICION_MULTIPLIER = 4.0  # of the interval and the logarithm of the size: the minimum suspicion
+MAX_SUSPICION_MULTIPLIER = 6.0  # minimum suspicions: the maximum, where nobody confirms it
+CONFIRMATIONS_WANTED = 3  # other reporters that reduce a suspicion to its minimum
+RETRANSMIT_MULTIPLIER = 4  # of the size's binary logarithm
+HELPER_COUNT = 3  # members that are asked to ping a silent one indirectly
+EVIDENCE_INTERVALS_PER_MEMBER = 2
+MAX_EVIDENCE_NS = 300 * NS_PER_S
+
+# All members draw whom they ping, so nobody pings one in m intervals with probability e^-m: 0.7,
+# 4.6 and 14 intervals in half of the cases, in 99 of 100 and in all but a millionth. To these come
+# one and a half intervals in which the ping fails and suspicion spreads.
+DETECTION_INTERVALS_MEDIAN = 2.2
+DETECTION_INTERVALS_P99 = 6.1
+DETECTION_INTERVALS_WORST = 15.5
+
+
+def min_suspicion_ns(interval_ns: int, size: int) -> int:
+    """Return how long a suspicion lasts that enough other members have confirmed."""
+    return int(SUSPICION_MULTIPLIER * max(1.0, math.log10(max(1, size))) * interval_ns)
+
+
+def suspicion_timeout_ns(
+    interval_ns: int, size: int, confirmations: int, false_suspicions: float = 0.0
+) -> int:
+    """Return how long a suspicion lasts with the given number of independent confirmations.
+
+    The timeout falls from the maximum to the minimum by the logarithm of the confirmations
+    (Lifeguard, section IV.B).
+
+    Args:
+        interval_ns: Time between two pings.
+        size: Number of members of the group.
+        confirmations: Members beside the first that reported the same suspicion.
+        false_suspicions: How often of late this member was suspected and refuted it. A member on
+            a bad link gets longer, but never more than the maximum.
+    """
+    minimum = min_suspicion_ns(interval_ns, size)
+    maximum = MAX_SUSPICION_MULTIPLIER * minimum
+    wanted = min(CONFIRMATIONS_WANTED, size - 3)
+    timeout = float(minimum)
+    if wanted > 0:
+        progress = math.log(confirmations + 1) / math.log(wanted + 1)
+        timeout = max(timeout, maximum - (maximum - minimum) * progress)
+    return int(min(maximum, timeout * (1 + false_suspicions)))
+
+
+def retransmit_limit(size: int) -> int:
+    """Return how often each member passes on one claim (SWIM, section 4.1)."""
+    return RETRANSMIT_MULTIPLIER * math.ceil(math.log2(size + 1))
+
+
+def evidence_limit_ns(interval_ns: int, size: int) -> int:
+    """Return how long the evidence of others alone keeps a suspect that we do not hear.
+
+    Within so many intervals each member that speaks is heard by every other one, since each pings
+    all in turn.
+    """
+    longest_suspicion_ns = int(MAX_SUSPICION_MULTIPLIER) * min_suspicion_ns(interval_ns, size)
+    all_pinged_ns = EVIDENCE_INTERVALS_PER_MEMBER * size * interval_ns
+    return min(MAX_EVIDENCE_NS, max(longest_suspicion_ns, all_pinged_ns))
+
+
+@dataclass(frozen=True, slots=True)
+class Quantiles:
+    """A duration's median, 99th percentile and worst case, in seconds."""
+
+    median_s: float
+    p99_s: float
+    worst_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class DetectionBounds:
+    """How long after a member's end it is detected.
+
+    Attributes:
+        suspected: Until the first other member suspects it.
+        removed: Until all members have removed it.
+    """
+
+    suspected: Quantiles
+    removed: Quantiles
+
+
+def detection_bounds(settings: MembershipSettings, size: int) -> DetectionBounds:
+    """Return the detection times to expect of a group of the given size."""
+    interval_s = settings.interval_ns / NS_PER_S
+    spread_s = 2 * math.ceil(math.log2(size + 1)) * settings.interval_ns / NS_PER_S
+    min_suspicion_s = min_suspicion_ns(settings.interval_ns, size) / NS_PER_S
+    max_suspicion_s = (
+        MAX_SUSPICION_MULTIPLIER * min_suspicion_ns(settings.interval_ns, size) / NS_PER_S
+    )
+    suspected = Quantiles(
+        DETECTION_INTERVALS_MEDIAN * interval_s,
+        DETECTION_INTERVALS_P99 * interval_s,
+        DETECTION_INTERVALS_WORST * interval_s,
+    )
+    removed = Quantiles(
+        suspected.median_s + min_suspicion_s + spread_s,
+        suspected.p99_s + 2 * min_suspicion_s + spread_s,
+        suspected.worst_s + max_suspicion_s + spread_s,
+    )
+    return DetectionBounds(suspected, removed)
+
+
+def describe_bounds(settings: MembershipSettings, fleet_size: int) -> list[str]:
+    """Return the lines that `check-config` prints about the membership."""
+    bounds = detection_bounds(settings, fleet_size)
+    suspected = bounds.suspected
+    removed = bounds.removed
+    evidence_limit_s = evidence_limit_ns(settings.interval_ns, fleet_size) / NS_PER_S
+    seeds_file = f" and those of {settings.seeds_file}" if settings.seeds_file else ""
+    lost = settings.max_lost_fraction
+    return [
+        f"members: {settings.published_address()}, {len(settings.seeds)} seeds{seeds_file}"
+        f", installation {settings.installation!r}",
+        f"members: of {fleet_size}, one that ends is suspected after {suspected.median_s:.1f} s "
+        f"(99 in 100: {suspected.p99_s:.1f} s, worst {suspected.worst_s:.1f} s), and removed by "
+        f"all after {removed.median_s:.1f} s ({removed.p99_s:.1f} s, worst {removed.worst_s:.1f} "
+        "s)",
+        "members: one that speaks but hears nothing stays, by others' word for "
+        f"{evidence_limit_s:.0f} s after we heard it ourselves",
+        f"members: with more than {lost:.0%} lost at once the view is uncertain and the fleet "
+        f"counts as {fleet_size}; all sides of a cut together take {1 + lost:.2f} of a limit at "
+        "the most",
+    ]
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -16,7 +16,7 @@
 from ..cells.model import KEY_FIELDS, BadMap, Cell, CellMap, Tenant, Timing
 from ..deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
 from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
-from ..membership.settings import MembersTerms
+from ..membership.settings import MembershipSettings
 from ..outlier_consensus.settings import VerdictTerms
 from ..quotas.settings import KINDS, LimitTerms, SharesTerms
 from ..startup.settings import StartupSettings
@@ -53,7 +53,7 @@
     further_classes: dict[str, tuple[str, float, float]] = field(default_factory=dict)
     logs: Logs | None = None
     start: StartupSettings | None = None
-    members: MembersTerms | None = None
+    members: MembershipSettings | None = None
     limits: dict[str, LimitTerms] = field(default_factory=dict)
     shares: SharesTerms | None = None
     verdicts: VerdictTerms | None = None
@@ -413,7 +413,7 @@
     def span(value: Any, key: str, least: float) -> int:
         return int(_number(value, f"members.{key}", least) * 1000) * MS
 
-    draft.members = MembersTerms(
+    draft.members = MembershipSettings(
         _address(address, "members.address"),
         _address(advertise, "members.advertise") if advertise else "",
         tuple(_address(s, "members.seeds") for s in _texts(seeds, "members.seeds")),
--- a/query_broker/operator_config/script.py
+++ b/query_broker/operator_config/script.py
@@ -22,7 +22,7 @@
 from ..cells.model import BadMap, CellMap, from_plain
 from ..deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
 from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
-from ..membership.settings import MembersTerms
+from ..membership.settings import MembershipSettings
 from ..outlier_consensus.settings import VerdictTerms
 from ..quotas.settings import LimitTerms, SharesTerms
 from ..startup.settings import StartupSettings
@@ -47,7 +47,7 @@
     deadlines: DeadlineSettings | None = None
     logs: Logs | None = None
     start: StartupSettings | None = None
-    members: MembersTerms | None = None
+    members: MembershipSettings | None = None
     shares: SharesTerms | None = None
     verdicts: VerdictTerms | None = None
 
@@ -100,8 +100,8 @@
         raise OperatorFileError(f"{path}: evaluation: {error}") from None
 
 
-def _members(raw: dict[str, Any]) -> MembersTerms:
-    return MembersTerms(**{**raw, "seeds": tuple(raw["seeds"])})
+def _members(raw: dict[str, Any]) -> MembershipSettings:
+    return MembershipSettings(**{**raw, "seeds": tuple(raw["seeds"])})
 
 
 def _shares(raw: dict[str, Any]) -> SharesTerms:
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -19,8 +19,8 @@
 from .script import OperatorConfig, OperatorFileError, evaluate
 
 if TYPE_CHECKING:
-    from ..membership.service import Membership
-    from ..membership.views import View
+    from ..membership.service import MembershipService
+    from ..membership.views import MembershipView
     from ..quotas.service import Judging, Sharing
     from ..startup.service import StartupService
 
@@ -46,7 +46,7 @@
             config.settings.broker_index,
         )  # what the module goes by
         self.starting: StartupService | None = None
-        self.membership: Membership | None = None
+        self.membership: MembershipService | None = None
         self.sharing: Sharing | None = None
         self.judging: Judging | None = None
         super().__init__(config, environ)
@@ -58,12 +58,12 @@
             self.admin_api.calls.append(self.starting.call)
         if said.members is not None:
             try:
-                from ..membership.service import Membership
+                from ..membership.service import MembershipService
             except ImportError as error:
                 raise ConfigError(f"members: needs the extra 'members': {error}") from None
-            self.membership = Membership(self, said.members, self._view_changed)
+            self.membership = MembershipService(self, said.members, self._view_changed)
             self.admin_api.calls.append(self.membership.call)
-            self.dispatcher.more_figures.append(self.membership.figures)
+            self.dispatcher.more_figures.append(self.membership.metrics)
             self.dispatcher.adjust.append(self.membership.adjust)
             self._share(said, self.membership)
 
@@ -99,7 +99,7 @@
 
     # --- the other brokers ---
 
-    def _share(self, said: OperatorConfig, membership: Membership) -> None:
+    def _share(self, said: OperatorConfig, membership: MembershipService) -> None:
         if said.shares is None and said.verdicts is None:
             return
         from ..quotas.service import Judging, Sharing
@@ -117,12 +117,12 @@
         if self.membership is not None:
             await self.membership.open()
 
-    def _view_changed(self, view: View) -> None:
-        if (view.told, view.place) != self.sized:
-            self.sized = view.told, view.place
+    def _view_changed(self, view: MembershipView) -> None:
+        if (view.effective_size, view.effective_index) != self.sized:
+            self.sized = view.effective_size, view.effective_index
             self.dispatcher.refresh_settings()
             if self.starting is not None:
-                self.starting.resize(view.place, view.told)
+                self.starting.resize(view.effective_index, view.effective_size)
 
     # --- what the file says ---
 
@@ -171,7 +171,7 @@
         if (
             self.closing_announced
             and self.membership is not None
-            and not self.membership.detector.left
+            and not self.membership.detector.own.left
         ):
             self.membership.leave()
         if self.dispatcher.stages is not None and now - self.learned >= LEARN:
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -16,7 +16,7 @@
 from ..decisions.facade import AdministrativeChange, AttemptResult, EndpointState, Settings
 from ..dispatch.dispatcher import ParsedRequest
 from ..endpoints.administrative_state import AdministrativeState as BanWord
-from ..membership.service import Membership
+from ..membership.service import MembershipService
 from ..outlier_consensus.observations import Engine, Evidence, Reports
 from ..outlier_consensus.overrides import VALUES, Wordbook, Words
 from ..outlier_consensus.settings import VerdictTerms, rounds
@@ -73,7 +73,7 @@
 class Sharing:
     """One broker's part of the limits."""
 
-    def __init__(self, node: Host, membership: Membership, terms: SharesTerms) -> None:
+    def __init__(self, node: Host, membership: MembershipService, terms: SharesTerms) -> None:
         self.node, self.membership, self.terms = node, membership, terms
         now, settings = node.clock.now(), node.config.settings
         draw = membership.detector.draw
@@ -223,7 +223,7 @@
                     for body in packed(
                         rows.rows, lambda part: self.encoder.encode(Rows(tuple(part)))
                     ):
-                        self.membership.talk("limits", to, body)
+                        self.membership.send("limits", to, body)
             self._send()
             self._tell(now)
         except Exception as error:  # a fault here must not end the wheel's turn
@@ -278,7 +278,7 @@
     def _send(self) -> None:
         out, self.leases.out = self.leases.out, []
         for to, message in out:
-            self.membership.talk("limits", to, self.encoder.encode(message))
+            self.membership.send("limits", to, self.encoder.encode(message))
         self.membership.flush()
 
     def _tell(self, now: int) -> None:
@@ -446,7 +446,7 @@
 class Judging:
     """One broker's part of the verdicts, and of the operators' words."""
 
-    def __init__(self, node: Host, membership: Membership, terms: VerdictTerms) -> None:
+    def __init__(self, node: Host, membership: MembershipService, terms: VerdictTerms) -> None:
         self.node, self.membership, self.terms = node, membership, terms
         self.evidence = Evidence(membership.name, node.config.settings.zone, terms)
         self.book = Wordbook(membership.detector.me.address)
@@ -513,11 +513,11 @@
         words = Words(self.book.digest(), self.book.told(8))
         for to in draw.sample(others, min(3, len(others))):
             for body in packed(rows, lambda part: self.encoder.encode(Reports(tuple(part)))):
-                self.membership.talk("verdicts", to, body)
+                self.membership.send("verdicts", to, body)
             if self.book.words or words.words:
-                self.membership.talk("verdicts", to, self.encoder.encode(words))
+                self.membership.send("verdicts", to, self.encoder.encode(words))
         if not self.book.words and others and draw.random() < 0.25:  # one that has just come asks
-            self.membership.talk("verdicts", draw.choice(others), self.encoder.encode(words))
+            self.membership.send("verdicts", draw.choice(others), self.encoder.encode(words))
         self.membership.flush()
 
     def _judge(self, now: int) -> None:
@@ -587,9 +587,9 @@
             self.answered[sender] = now
             mine = list(self.book.words.values())
             for part in packed(mine, lambda words: self.encoder.encode(Words(b"", tuple(words)))):
-                self.membership.talk("verdicts", sender, part)
+                self.membership.send("verdicts", sender, part)
             if not message.answer:  # it may know what we don't
-                self.membership.talk(
+                self.membership.send(
                     "verdicts", sender, self.encoder.encode(Words(self.book.digest(), (), True))
                 )
 
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -20,7 +20,7 @@
 from query_broker.deadlines.stage_latencies import StageLatencies
 from query_broker.discovery.event_codec import parse_event
 from query_broker.dispatch.requests import ActiveRequest, Attempt
-from query_broker.membership.member_table import Peer
+from query_broker.membership.member_record import HelperResult, MemberRecord
 from query_broker.membership.messages import Identity, Status
 from query_broker.metrics import ERROR, OVERLOAD, SUCCESS, Metrics
 from query_broker.operator_config.script import evaluate
@@ -1034,15 +1034,17 @@
     detector = membership.detector
     for number, status in enumerate(list(Status)[:4]):
         identity = Identity(f"10.0.1.{number}:7946", bytes([number]) * 12)
-        peer = Peer(identity, 3, b"", b"", status, NOW - 7 * S, number, "west", 1, "10.0.1.9:1")
-        peer.heard = NOW - S // 4
-        peer.acked = 0 if number else NOW - S // 2
-        peer.via = NOW - 2 * S
-        peer.hears_us = NOW - 3 * S
-        peer.rows = {"10.0.1.8:7946": (True, NOW - 4 * S)}
-        detector.table[identity] = peer
+        peer = MemberRecord(
+            identity, 3, b"", b"", status, NOW - 7 * S, number, "west", 1, "10.0.1.9:1"
+        )
+        peer.received_ns = NOW - S // 4
+        peer.acked_ns = 0 if number else NOW - S // 2
+        peer.acked_indirectly_ns = NOW - 2 * S
+        peer.hears_us_ns = NOW - 3 * S
+        peer.helper_results = {"10.0.1.8:7946": HelperResult(True, NOW - 4 * S)}
+        detector.table.records[identity] = peer
     view = membership.views.view
-    first = next(iter(detector.table))
+    first = next(iter(detector.table.records))
     membership.views.view = replace(view, members=(detector.me, first), certain=True)
     membership.codec.dropped["forged"] = 2
     sharing.leases.members = (membership.name,)
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -13,13 +13,15 @@
 import msgspec
 import pytest
 
-from query_broker.membership import codec, messages
+from query_broker.membership import codec, keys, messages
 from query_broker.membership import incarnations as chain
 from query_broker.membership import member_table as table
-from query_broker.membership import service as joins
-from query_broker.membership.failure_detector import Detector
+from query_broker.membership.failure_detector import FailureDetector
+from query_broker.membership.member_record import MemberRecord
 from query_broker.membership.messages import Claim, Envelope, Identity, Message, Status
-from query_broker.membership.settings import MembersTerms
+from query_broker.membership.settings import MembershipSettings
+from query_broker.membership.table_exchange import TableExchange
+from query_broker.membership.traffic import TrafficCounters
 from query_broker.outlier_consensus import observations as evidence
 from query_broker.outlier_consensus import overrides as words
 from query_broker.outlier_consensus.settings import VerdictTerms
@@ -28,7 +30,7 @@
 from query_broker.quotas import service as shares_joins
 
 S = 1_000_000_000
-RING = codec.read_keys("7 " + "ab" * 32)
+RING = keys.parse_keys("7 " + "ab" * 32)
 OWN_ID = Identity("10.0.0.1:7000", b"boot-of-one!")
 PEER_ID = Identity("10.0.0.2:7000", b"boot-of-two!")
 OWN = Claim(OWN_ID, 3, Status.ALIVE, b"proof-of-one", b"leave-of-one", "", 1, "zone-a")
@@ -84,7 +86,7 @@
         ),
     ),
     "indirect ping": (
-        messages.PingReq(7, PEER_ID, (PEER,)),
+        messages.IndirectPing(7, PEER_ID, (PEER,)),
         (
             b"lm\x01\x07\xbc\xfa\\\xce\xa1\x8f]\x88\x95O\xe9\xaej\xc5"
             b"\xe2\x84\x95\xa7atlanta\xc4\x0cboot-"
@@ -171,7 +173,7 @@
         ),
     ),
     "talk": (
-        messages.Talk("limits", b"\x92\x05\x90"),
+        messages.TopicMessage("limits", b"\x92\x05\x90"),
         (
             b"lm\x01\x07\xd9\xd9\xdb\xb3%\xd8\x02\xfcO\xa2e_\xa32"
             b"_\x1b\x95\xa7atlanta\xc4\x0cboot-"
@@ -189,7 +191,7 @@
 @pytest.mark.parametrize(("message", "expected"), DATAGRAMS.values(), ids=DATAGRAMS)
 def test_datagram_is_written_and_read_byte_for_byte(message: Message, expected: bytes) -> None:
     writer = fresh_codec()
-    writer.count = 299
+    writer.sequence = 299
     assert writer.write(PEER_ID, OWN, message) == expected
     envelope = fresh_codec().read(expected)
     assert envelope == Envelope("atlanta", b"boot-of-two!", 300, OWN, message)
@@ -215,7 +217,7 @@
         (Status.SUSPECT, 1),
         (Status.DEAD, 2),
         (Status.LEFT, 3),
-        (Status.HEARD, 4),
+        (Status.EVIDENCE, 4),
     ],
 )
 def test_status_in_a_claim(status: Status, number: int) -> None:
@@ -231,21 +233,21 @@
 
 
 def test_keyed_hash_of_a_datagram() -> None:
-    mac = codec.seal(b"k" * 32, b"head", b"body")
+    mac = codec.message_mac(b"k" * 32, b"head", b"body")
     assert mac.hex() == "71b21e06030c3bc1ea09ddce053fd75c"
 
 
 def test_hashes_of_an_incarnation_chain() -> None:
-    assert chain.step(b"value").hex() == "f6600599a22a873939fece88"
-    assert chain.identity(b"top", b"leave").hex() == "d7c1b6d8c1adf0586c9a30a8"
+    assert chain.next_hash(b"value").hex() == "f6600599a22a873939fece88"
+    assert chain.boot_identifier(b"top", b"leave").hex() == "d7c1b6d8c1adf0586c9a30a8"
 
 
 def test_chain_of_a_fixed_seed() -> None:
-    own = chain.Chain(b"a fixed seed")
+    own = chain.IncarnationChain(b"a fixed seed")
     assert own.boot.hex() == "6c09ff287564cd133fee5830"
     assert own.top.hex() == "87b1e71fd0f130fc53ce26b1"
-    assert own.secret.hex() == "57c32af884470490331b26b2"
-    assert own.leave.hex() == "5a4846142897b028f28d4ed6"
+    assert own.leave_secret.hex() == "57c32af884470490331b26b2"
+    assert own.leave_commitment.hex() == "5a4846142897b028f28d4ed6"
     proofs = [own.proof(number).hex() for number in (0, 1, 128, 16_384)]
     assert proofs == [
         "87b1e71fd0f130fc53ce26b1",
@@ -256,29 +258,29 @@
     boot = bytes.fromhex("6c09ff287564cd133fee5830")
     proof = bytes.fromhex("bfa10ae07fe9e66d5d7d8d7d")
     leave = bytes.fromhex("5a4846142897b028f28d4ed6")
-    assert chain.proven(boot, 128, proof, leave, None)
+    assert chain.is_proven(boot, 128, proof, leave, None)
 
 
 def test_digest_of_a_view_does_not_depend_on_the_order() -> None:
     expected = "f5b0718a950d5a5c"
-    assert table.digest([OWN_ID, PEER_ID]).hex() == expected
-    assert table.digest([PEER_ID, OWN_ID]).hex() == expected
-    assert table.digest([]).hex() == "e4a6a0577479b2b4"
+    assert table.view_digest([OWN_ID, PEER_ID]).hex() == expected
+    assert table.view_digest([PEER_ID, OWN_ID]).hex() == expected
+    assert table.view_digest([]).hex() == "e4a6a0577479b2b4"
 
 
 def test_name_of_a_process() -> None:
-    assert messages.name_of(OWN_ID) == "10.0.0.1:7000/626f6f742d6f662d6f6e6521"
+    assert messages.process_name(OWN_ID) == "10.0.0.1:7000/626f6f742d6f662d6f6e6521"
 
 
 # --- a complete table, over TCP ---
 
 
-def membership() -> joins.Membership:
-    """As much of a membership as the exchange of tables needs; it opens no socket."""
-    terms = MembersTerms(installation="atlanta")
-    own = chain.Chain(b"a fixed seed")
-    detector = Detector(OWN_ID.address, terms, own, random.Random(1), 0, 1, "zone-a")
-    detector.table[PEER_ID] = table.Peer(
+def exchange() -> TableExchange:
+    """The exchange of tables of one member; it opens no socket."""
+    settings = MembershipSettings(installation="atlanta")
+    own = chain.IncarnationChain(b"a fixed seed")
+    detector = FailureDetector(OWN_ID.address, settings, own, random.Random(1), 0, 1, "zone-a")
+    detector.table.records[PEER_ID] = MemberRecord(
         PEER_ID,
         258,
         b"proof-of-two",
@@ -290,10 +292,8 @@
         2,
         "10.0.0.3:7000",
     )
-    made = joins.Membership.__new__(joins.Membership)
-    made.detector, made.codec, made.bytes = detector, fresh_codec(), {"in": 0, "out": 0}
-    made.node = cast(Any, SimpleNamespace(clock=SimpleNamespace(now=lambda: 0)))
-    return made
+    host = cast(Any, SimpleNamespace(now_ns=lambda: 0))
+    return TableExchange(detector, fresh_codec(), TrafficCounters(), host)
 
 
 FRAMES: dict[str, tuple[bool, bool, bytes]] = {
@@ -339,22 +339,22 @@
 def test_table_frame_is_written_and_read_byte_for_byte(
     ask: bool, claims: bool, expected: bytes
 ) -> None:
-    sender, written = membership(), list[bytes]()
-    sender._write_frame(
-        cast(Any, SimpleNamespace(write=written.append)), sender._whole(ask, claims)
+    sender, written = exchange(), list[bytes]()
+    sender.write_frame(
+        cast(Any, SimpleNamespace(write=written.append)), sender.table_message(ask, claims)
     )
     assert written == [expected]
 
     async def read() -> messages.Sync:
         reader = asyncio.StreamReader()
         reader.feed_data(expected)
-        return await membership()._read_frame(reader)
+        return await exchange().read_frame(reader)
 
     sync = asyncio.run(read())
     assert sync.digest.hex() == "02fd620c68e08ee4"
-    assert (sync.ask, len(sync.claims)) == (ask, 2 if claims else 0)
+    assert (sync.is_request, len(sync.claims)) == (ask, 2 if claims else 0)
     if claims:
-        assert sync.claims[1] == msgspec.structs.replace(PEER, count=0)
+        assert sync.claims[1] == msgspec.structs.replace(PEER, sequence=0)
 
 
 # --- limits: leases and counters ---
@@ -420,7 +420,7 @@
         self.name = "a:1/ff"
         self.detector = SimpleNamespace(draw=random.Random(1))
 
-    def talk(self, topic: str, name: str, body: bytes) -> None:
+    def send(self, topic: str, name: str, body: bytes) -> None:
         self.said.append((topic, name, body))
 
     def flush(self) -> None:
--- a/tests/test_members_broker.py
+++ b/tests/test_members_broker.py
@@ -1,4 +1,4 @@
-"""A view that is wrong breaks no rule of the broker: a scripted liar in place of the view."""
+"""A wrong view of the group breaks no rule of the broker: scripted views in place of real ones."""
 
 from __future__ import annotations
 
@@ -13,102 +13,172 @@
 from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
 from query_broker.emulator.machine import Machine
 from query_broker.membership.messages import Identity
-from query_broker.membership.views import Views
+from query_broker.membership.views import (
+    MembershipView,
+    Observation,
+    PlacedMember,
+    ViewSettings,
+    ViewTracker,
+)
 
 from .sockets import MS, Engine, make_config, on_uvloop, running, target
 
 S = 1_000 * MS
 BROKERS = 10
+WARM_UP_NS = 12 * S
+LOOKUP = "glance"
+REPORT = "report"
 CLASSES = (
-    RequestClass("glance", S, 5 * S, 1.0),
-    RequestClass("report", 3 * S // 2, 20 * S, 10.0, threads=4),
+    RequestClass(LOOKUP, S, 5 * S, 1.0),
+    RequestClass(REPORT, 3 * S // 2, 20 * S, 10.0, threads=4),
 )
+VIEW_SETTINGS = ViewSettings(max_lost_fraction=1 / 3, settle_ns=5 * S, batch_ns=S)
 
 
-@pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize(
-    "sizes", [[1], [1, 100], [1, 2, 5, 10, 30, 100]], ids=["one", "flaps", "anything"]
-)
-def test_brokers_that_are_lied_to_push_no_cold_engine_over(sizes: list[int], seed: int) -> None:
-    """Ten brokers, four engines that have just started and two that start later, each second
-    another size.
+class IgnoringObserver:
+    """Takes no note of views: the test reads them itself."""
+
+    def view_changed(
+        self,
+        view: MembershipView,
+        joined: tuple[Identity, ...],
+        departed: tuple[Identity, ...],
+    ) -> None:
+        pass
+
+
+class WrongViews:
+    """Gives a broker a view of another size each second.
+
+    Attributes:
+        sizes: Numbers of other members that the view may have.
     """
-    sim = Simulation(seed)
-    engines = {n: SimEngine(sim, n, Machine(started=BEGIN + (n > 3) * 15 * S)) for n in range(6)}
-    brokers: list[SimBroker] = []
 
-    def lie(broker: SimBroker, views: Views, own: Identity) -> None:
-        there = [(i, Identity(f"h{i}:1", b"")) for i in range(sim.draw.choice(sizes))]
-        cold = any(
-            e.machine.started + 12 * S > sim.now
-            for e in engines.values()
-            if e.machine.started <= sim.now
-        )
-        views.look(sim.now, [*there, (views.me, own)], own, False, True, cold, False)
-        broker.report(
-            SettingsChanged(
-                replace(broker.settings, fleet_size=views.view.told, broker_index=views.view.place)
-            )
+    def __init__(
+        self,
+        sim: Simulation,
+        engines: dict[int, SimEngine],
+        broker: SimBroker,
+        index: int,
+        sizes: list[int],
+    ) -> None:
+        self._sim = sim
+        self._engines = engines
+        self._broker = broker
+        self._own = PlacedMember(index, Identity(f"own{index}:1", b""))
+        self._tracker = ViewTracker(BROKERS, index, VIEW_SETTINGS, IgnoringObserver())
+        self.sizes = sizes
+
+    def publish(self) -> None:
+        """Have the broker take a view, and the next one in a second."""
+        others = range(self._sim.draw.choice(self.sizes))
+        present = [PlacedMember(other, Identity(f"h{other}:1", b"")) for other in others]
+        observation = Observation(
+            present=[*present, self._own],
+            own=self._own.identity,
+            cut_off=False,
+            joined=True,
+            warming_up=self._is_engine_warming_up(),
+            removal_pending=False,
         )
-        sim.at(sim.now + S, lambda: lie(broker, views, own))
-
-    for me in range(BROKERS):
-        settings = Settings(
-            classes=CLASSES,
-            fleet_size=BROKERS,
-            broker_index=me,
-            tick_ns=25 * MS,
-            kind_cores=(("std", 8),),
-            limits=Limits(health_checks=True, max_attempts=3, max_retry_after_ns=2 * S),
-            contract=Contract(
-                warmup_initial_capacity=0.36,
-                warmup_ns=12 * S,
-                overload_window_ns=1_500 * MS,
-                overload_multiple=2.0,
-            ),
+        self._tracker.observe(self._sim.now, observation)
+        view = self._tracker.view
+        settings = replace(
+            self._broker.settings, fleet_size=view.effective_size, broker_index=view.effective_index
         )
-        broker = SimBroker(sim, settings, me, engines)
-        broker.list_told()
-        lie(
-            broker,
-            Views(BROKERS, me, 1 / 3, 5 * S, S, lambda *_: None),
-            Identity(f"own{me}:1", b""),
-        )
-        brokers.append(broker)
+        self._broker.report(SettingsChanged(settings))
+        self._sim.at(self._sim.now + S, self.publish)
+
+    def _is_engine_warming_up(self) -> bool:
+        started = [engine.machine.started for engine in self._engines.values()]
+        return any(at <= self._sim.now < at + WARM_UP_NS for at in started)
+
+
+def make_engines(sim: Simulation) -> dict[int, SimEngine]:
+    """Return four engines that have just started, and two that start later."""
+    return {
+        number: SimEngine(sim, number, Machine(started=BEGIN + (number > 3) * 15 * S))
+        for number in range(6)
+    }
+
+
+def make_settings(index: int) -> Settings:
+    return Settings(
+        classes=CLASSES,
+        fleet_size=BROKERS,
+        broker_index=index,
+        tick_ns=25 * MS,
+        kind_cores=(("std", 8),),
+        limits=Limits(health_checks=True, max_attempts=3, max_retry_after_ns=2 * S),
+        contract=Contract(
+            warmup_initial_capacity=0.36,
+            warmup_ns=WARM_UP_NS,
+            overload_window_ns=1_500 * MS,
+            overload_multiple=2.0,
+        ),
+    )
+
+
+def start_requests(sim: Simulation, brokers: list[SimBroker]) -> None:
+    """Have requests arrive at random brokers, one in ten of them a report."""
     count = itertools.count()
 
     def arrive() -> None:
         sim.at(sim.now + int(sim.draw.expovariate(1) * 8 * MS), arrive)
-        wide = sim.draw.random() < 0.1
-        work = sim.draw.uniform(0.5, 1.5) * (4 * S if wide else S // 5)
-        sim.draw.choice(brokers).ask(
-            str(next(count)),
-            "report" if wide else "glance",
-            work,
-            4 if wide else 1,
-            (20 if wide else 5) * S,
-        )
+        is_report = sim.draw.random() < 0.1
+        work = sim.draw.uniform(0.5, 1.5) * (4 * S if is_report else S // 5)
+        broker = sim.draw.choice(brokers)
+        request_id = str(next(count))
+        if is_report:
+            broker.ask(request_id, REPORT, work, 4, 20 * S)
+        else:
+            broker.ask(request_id, LOOKUP, work, 1, 5 * S)
 
     arrive()
+
+
+@pytest.mark.parametrize("seed", [1, 2, 3])
+@pytest.mark.parametrize(
+    "sizes", [[1], [1, 100], [1, 2, 5, 10, 30, 100]], ids=["one", "flaps", "anything"]
+)
+def test_brokers_with_wrong_views_overload_no_engine_that_warms_up(
+    sizes: list[int], seed: int
+) -> None:
+    sim = Simulation(seed)
+    engines = make_engines(sim)
+    brokers: list[SimBroker] = []
+    for index in range(BROKERS):
+        broker = SimBroker(sim, make_settings(index), index, engines)
+        broker.list_told()
+        WrongViews(sim, engines, broker, index, sizes).publish()
+        brokers.append(broker)
+    start_requests(sim, brokers)
     sim.run(40)
-    assert not [n for n, e in engines.items() if e.machine.fallen]
-    asked = [a for b in brokers for a in b.asked.values() if a[0] < sim.now - 21 * S]
-    assert len(asked) > 500 and all(a[2] for a in asked)  # each has its answer
-    assert sum(a[3] for a in asked) > 0.2 * len(asked)
+    assert not [number for number, engine in engines.items() if engine.machine.fallen]
+    requests = [request for broker in brokers for request in broker.asked.values()]
+    due = [request for request in requests if request[0] < sim.now - 21 * S]
+    assert len(due) > 500
+    assert all(answer for _, _, answer, _ in due)
+    assert sum(is_served for _, _, _, is_served in due) > 0.2 * len(due)
 
 
 @on_uvloop
-async def test_a_size_that_flaps_while_requests_run_leaves_one_answer_for_each() -> None:
-    draw, engine = random.Random(3), Engine()
-    async with running(make_config(target("s-1", await engine.start()), fleet_size=10)) as rig:
-        told = [10]
-        rig.node.dispatcher.adjust.append(lambda s: replace(s, fleet_size=told[0], broker_index=0))
+async def test_a_size_that_changes_while_requests_run_leaves_one_answer_for_each() -> None:
+    draw = random.Random(3)
+    engine = Engine()
+    config = make_config(target("s-1", await engine.start()), fleet_size=10)
+    async with running(config) as rig:
+        dispatcher = rig.node.dispatcher
+        effective_size = 10
+        dispatcher.adjust.append(
+            lambda settings: replace(settings, fleet_size=effective_size, broker_index=0)
+        )
         client = await rig.client()
         for stream in range(1, 31):
-            told[0] = draw.choice([1, 2, 100, 10])
-            rig.node.dispatcher.refresh_settings()
+            effective_size = draw.choice([1, 2, 100, 10])
+            dispatcher.refresh_settings()
             client.ask(stream, trace=f"{stream:016x}")
         answers = [await client.answer() for _ in range(30)]
-        assert sorted(a[0] for a in answers) == list(range(1, 31))
-        assert rig.node.dispatcher.facade.controller.settings.fleet_size == told[0]
-        assert rig.node.dispatcher.config.settings.fleet_size == 10  # the file's
+        assert sorted(answer[0] for answer in answers) == list(range(1, 31))
+        assert dispatcher.facade.controller.settings.fleet_size == effective_size
+        assert dispatcher.config.settings.fleet_size == 10  # As the configuration has it.
--- /dev/null
+++ b/tests/test_members_model.py
@@ -0,0 +1,80 @@
+"""Three members under every order of events, and under long random ones."""
+
+from __future__ import annotations
+
+import ast
+import random
+
+import pytest
+
+from query_broker.membership.claim_merge import ClaimMerger
+from query_broker.membership.incarnations import MAX_AHEAD
+from query_broker.membership.member_record import MemberRecord
+from query_broker.membership.messages import Claim, Status
+from query_broker.membership.suspicion import SuspicionTracker
+
+from .members_model import ModelCluster, PropertyViolation, explore, replay
+
+FAULTS = ("old gossip revives", "any incarnation is believed")
+
+
+def test_every_order_of_events_keeps_what_is_known_of_incarnations() -> None:
+    explored = explore(4, 20)
+    assert explored.states > 1_500
+    assert explored.settled > 50
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_long_random_schedules_keep_it_too(seed: int) -> None:
+    draw = random.Random(seed)
+    cluster = ModelCluster()
+    schedule: list[str] = []
+    for _ in range(60):
+        schedule.append(draw.choice(list(cluster.actions())))
+        try:
+            cluster.play(schedule[-1])
+        except PropertyViolation as violation:
+            pytest.fail(f"{violation}: replay({schedule!r})")
+    assert cluster.settle(), f"replay({schedule!r})"
+
+
+def revive_by_old_gossip(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Have a dead member return by a claim of its last incarnation."""
+    correct_merge = ClaimMerger.merge
+
+    def merge(self: ClaimMerger, now_ns: int, claim: Claim, max_ahead: int = MAX_AHEAD) -> None:
+        correct_merge(self, now_ns, claim, max_ahead)
+        record = self._table.get(claim.member)
+        if record is None or record.status is not Status.DEAD:
+            return
+        if claim.status is Status.ALIVE:
+            self._suspicions.refute(now_ns, record)
+
+    monkeypatch.setattr(ClaimMerger, "merge", merge)
+
+
+def believe_any_incarnation(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Accept any proof, and raise an incarnation that is not ours."""
+
+    def confirm(self: SuspicionTracker, record: MemberRecord, reporter: str) -> None:
+        record.incarnation += 1
+
+    monkeypatch.setattr("query_broker.membership.claim_merge.is_proven", lambda *arguments: True)
+    monkeypatch.setattr(SuspicionTracker, "confirm", confirm)
+
+
+@pytest.mark.parametrize("fault", FAULTS)
+def test_the_model_finds_a_fault_and_prints_a_schedule_that_leads_there(
+    fault: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A check that cannot fail proves nothing."""
+    if fault == "old gossip revives":
+        revive_by_old_gossip(monkeypatch)
+    else:
+        believe_any_incarnation(monkeypatch)
+    with pytest.raises(PropertyViolation, match="replay") as violation:
+        explore(5, 10**9)
+    printed = str(violation.value).split("replay(", 1)[1][:-1]
+    schedule: list[str] = ast.literal_eval(printed)
+    with pytest.raises(PropertyViolation):
+        replay(schedule)
--- a/tests/test_shares_processes.py
+++ b/tests/test_shares_processes.py
@@ -30,8 +30,8 @@
 from query_broker.protocols import resp
 from query_broker.quotas.service import Judging
 
+from .member_processes import LIMITS, OLD_KEY, MemberProcesses, members_directive
 from .sockets import HANG, make_config, on_uvloop, running, until, write_config
-from .test_members_processes import LIMITS, OLD, Peers, word
 
 LEASED = 100.0 * 0.8
 SHARED = (
@@ -44,7 +44,7 @@
 @asynccontextmanager
 async def sharing(count: int, folder: Path, world: World) -> Any:
     keys = folder / "keys"
-    keys.write_text(OLD)
+    keys.write_text(OLD_KEY)
     net = RelayNet(Script([], time.monotonic), peek_sender)
     raw = config(
         world, "", fleet_size=count, policy_limits=LIMITS, tenants=tenants("acme", quota=100.0)
@@ -52,13 +52,13 @@
     addresses = [f"127.0.0.1:{p}" for p in free_ports(count)]
 
     def script(number: int, port: int) -> str:
-        return word(number, port, addresses[number], keys, addresses[:2]) + SHARED
+        return members_directive(number, port, addresses[number], keys, addresses[:2]) + SHARED
 
     with Fleet(count, raw, script) as fleet:
         for member, address in zip(fleet.members, addresses, strict=True):
             await net.add(f"n{member.number}", member.peers, int(address.rpartition(":")[2]))
         fleet.start()
-        made = Peers(fleet, net, keys, addresses)
+        made = MemberProcesses(fleet, net, keys, addresses)
         await made.holds(range(count), range(count))
         yield made
     net.stop()
@@ -67,7 +67,7 @@
 class Auditor:
     """Reads every process's record of its leases, also of those that are to be killed."""
 
-    def __init__(self, made: Peers) -> None:
+    def __init__(self, made: MemberProcesses) -> None:
         self.made, self.records = made, dict[tuple[int, int], set[tuple[int, str, float, int]]]()
 
     async def read(self) -> None:
@@ -85,7 +85,7 @@
         return audit(self.records.values(), "acme")
 
 
-async def limit(made: Peers, number: int, name: str = "acme") -> dict[str, Any]:
+async def limit(made: MemberProcesses, number: int, name: str = "acme") -> dict[str, Any]:
     try:
         said = await asyncio.to_thread(made.fleet.members[number].status, "/limits")
     except OSError:
@@ -94,7 +94,7 @@
 
 
 async def until_limit(
-    made: Peers, number: int, true: Callable[[dict[str, Any]], bool]
+    made: MemberProcesses, number: int, true: Callable[[dict[str, Any]], bool]
 ) -> dict[str, Any]:
     end, said = time.monotonic() + HANG, dict[str, Any]()
     while not said or not true(said):
@@ -104,7 +104,7 @@
     return said
 
 
-async def asks(made: Peers, number: int, rate: float, stop: asyncio.Event) -> Book:
+async def asks(made: MemberProcesses, number: int, rate: float, stop: asyncio.Event) -> Book:
     book = Book("127.0.0.1", made.fleet.members[number].port)
     while not stop.is_set():
         await book.ask("acme", "glance", 1, 4_000 * MS)
@@ -310,7 +310,7 @@
     def subscribe(self, topic: str, heard: Any) -> None:
         self.heard = heard
 
-    def talk(self, topic: str, name: str, body: bytes) -> None:
+    def send(self, topic: str, name: str, body: bytes) -> None:
         pass
 
     def flush(self) -> None:
@@ -352,7 +352,7 @@
 def test_check_config_tells_staleness_and_overshoot(tmp_path: Path) -> None:
     env = write_config(tmp_path, settings={**settings(), "fleet_size": 24})
     script = tmp_path / "ops.star"
-    script.write_text(word(0, 7000, "127.0.0.1:7001", tmp_path / "keys", []) + SHARED)
+    script.write_text(members_directive(0, 7000, "127.0.0.1:7001", tmp_path / "keys", []) + SHARED)
     done = CliRunner().invoke(main, ["check-config", "--operator-file", str(script)], env=env)
     assert done.exit_code == 0 and "over by 0 while clocks differ" in done.output
     assert "act on it within" in done.output
