--- a/benchmarks/member_processes.py
+++ b/benchmarks/member_processes.py
@@ -37,6 +37,7 @@
 
 
 def peer_limits() -> dict[str, Any]:
+    """Return policy limits that allow messages to peers."""
     return {**settings()["policy_limits"], "peer_messages": True}
 
 
@@ -100,6 +101,7 @@
     """One run of a group of processes behind relays."""
 
     def __init__(self, figures: Figures, name: str, net: RelayNet, addresses: list[str]) -> None:
+        """Tell results under a name."""
         self._figures = figures
         self._name = name
         self._net = net
@@ -107,6 +109,7 @@
         self._living: list[Member] = []
 
     async def run(self, fleet: Fleet, kills: int, busy: bool, interval_s: float) -> None:
+        """Start the processes, lose messages, and kill some of them."""
         begun = time.monotonic()
         await asyncio.to_thread(fleet.start)
         self._living = list(fleet.members)
@@ -207,30 +210,13 @@
     world = World()
     await world.start("s-1", "s-2", "s-3")
     with tempfile.TemporaryDirectory() as folder, worktree(BASE_COMMIT) as before:
-        keys = Path(folder) / "keys"
-        keys.write_text(KEY_LINE)
-        ports = free_ports(COST_MEMBERS)
-
-        def script(number: int) -> str:
-            return (
-                f'members(address = "127.0.0.1:{ports[number]}", key_file = "{keys}", '
-                f'installation = "b", seeds = ["127.0.0.1:{ports[0]}"])' + directives
-            )
-
-        more: dict[str, Any] = {
-            "fleet_size": COST_MEMBERS,
-            "policy_limits": peer_limits(),
-            "tenants": tenants("t0", "t1", "t2", "t3"),
-        }
+        scripts = _cost_scripts(Path(folder) / "keys", directives)
         running = {
-            "before": await Daemon(before, world, **more).start(),
-            "off": await Daemon(ROOT, world, **more).start(),
-            "on": await Daemon(ROOT, world, script(0), **more).start(),
+            "before": await _start_daemon(before, world),
+            "off": await _start_daemon(ROOT, world),
+            "on": await _start_daemon(ROOT, world, scripts[0]),
         }
-        others = [
-            await Daemon(ROOT, world, script(number), **more).start()
-            for number in range(1, COST_MEMBERS)
-        ]
+        others = [await _start_daemon(ROOT, world, script) for script in scripts[1:]]
         for daemon in running.values():
             daemon.pin()
         spent = await _measure_rounds(running, rounds, count)
@@ -243,6 +229,26 @@
     world.stop()
 
 
+def _cost_scripts(keys: Path, directives: str) -> list[str]:
+    """Return the operators' file of each member."""
+    keys.write_text(KEY_LINE)
+    ports = free_ports(COST_MEMBERS)
+    return [
+        f'members(address = "127.0.0.1:{port}", key_file = "{keys}", installation = "b", '
+        f'seeds = ["127.0.0.1:{ports[0]}"]){directives}'
+        for port in ports
+    ]
+
+
+async def _start_daemon(tree: Path, world: World, script: str = "") -> Daemon:
+    more: dict[str, Any] = {
+        "fleet_size": COST_MEMBERS,
+        "policy_limits": peer_limits(),
+        "tenants": tenants("t0", "t1", "t2", "t3"),
+    }
+    return await Daemon(tree, world, script, **more).start()
+
+
 async def _measure_rounds(
     running: dict[str, Daemon], rounds: int, count: int
 ) -> dict[str, list[float]]:
--- a/benchmarks/member_simulations.py
+++ b/benchmarks/member_simulations.py
@@ -57,14 +57,17 @@
 
 
 def uniform_loss(loss: float) -> LinkFunction | None:
+    """Return the loss of all links; None for none."""
     return (lambda now, sender, receiver: loss) if loss else None
 
 
-def is_held(cluster: SimulatedCluster, identity: Identity) -> bool:
+def is_present_to_any(cluster: SimulatedCluster, identity: Identity) -> bool:
+    """Return whether any running member holds another to be present."""
     return any(identity in member.detector.present() for member in cluster.living())
 
 
 def first_suspicion_ns(cluster: SimulatedCluster, victim: Identity, after_ns: int) -> int:
+    """Return when a member was first suspected after a time, else the present."""
     times = [
         at_ns
         for member in cluster.members
@@ -84,10 +87,10 @@
     cluster.kill([count // 2])
     ended_ns = cluster.now
     worst_s = detection_bounds(membership, count).removed.worst_s
-    cluster.run(2 * worst_s, lambda: not is_held(cluster, victim))
+    cluster.run(2 * worst_s, lambda: not is_present_to_any(cluster, victim))
     removals = cluster.removals([victim])
     last_ns = max((removal.at_ns for removal in removals), default=cluster.now)
-    if is_held(cluster, victim):
+    if is_present_to_any(cluster, victim):
         last_ns = cluster.now
     first_ns = first_suspicion_ns(cluster, victim, ended_ns)
     suspected_s = (first_ns - ended_ns) / NS_PER_S
@@ -95,6 +98,7 @@
 
 
 def draw_paused(draw: random.Random, count: int, fraction: float) -> set[int]:
+    """Draw the members that pause."""
     paused = max(1, round(fraction * count)) if fraction else 0
     return set(draw.sample(range(count), paused))
 
@@ -118,30 +122,45 @@
     )
 
 
-def heartbeat_mistakes(count: int, loss: float, paused_fraction: float, seed: int) -> int:
-    """Count wrong removals where each member sends a heartbeat to all others each interval.
+class HeartbeatRun:
+    """Members that send a heartbeat to all others each interval.
 
     A member is removed after as long as our shortest suspicion and one ping.
     """
-    draw = random.Random(seed)
-    timeout_s = 1 + min_suspicion_ns(NS_PER_S, count) / NS_PER_S
-    paused = draw_paused(draw, count, paused_fraction)
-    last_heard_s = [[0.0] * count for _ in range(count)]
-    removed: set[tuple[int, int]] = set()
+
+    def __init__(self, count: int, loss: float, paused_fraction: float, seed: int) -> None:
+        """Draw the members that pause."""
+        self._draw = random.Random(seed)
+        self._loss = loss
+        self._timeout_s = 1 + min_suspicion_ns(NS_PER_S, count) / NS_PER_S
+        self._received_s = [[0.0] * count for _ in range(count)]
+        self.paused = draw_paused(self._draw, count, paused_fraction)
+        self.removed: set[tuple[int, int]] = set()
+
+    def step(self, second: int) -> None:
+        """Let all members that run receive heartbeats and look at their timers."""
+        for receiver in range(len(self._received_s)):
+            if receiver not in self.paused or second >= PAUSE_S:
+                self._receive(receiver, second)
+
+    def _receive(self, receiver: int, second: int) -> None:
+        row = self._received_s[receiver]
+        # A process that wakes looks at its timers before it reads what waits for it.
+        is_waking = receiver in self.paused and second <= PAUSE_S
+        for sender in range(len(row)):
+            is_silent = is_waking or (sender in self.paused and second < PAUSE_S)
+            if not is_silent and self._draw.random() >= self._loss:
+                row[sender] = second
+            if receiver != sender and second - row[sender] > self._timeout_s:
+                self.removed.add((receiver, sender))
+
+
+def heartbeat_mistakes(count: int, loss: float, paused_fraction: float, seed: int) -> int:
+    """Count removals of members that ran all the time, by heartbeats alone."""
+    run = HeartbeatRun(count, loss, paused_fraction, seed)
     for second in range(int(OBSERVED_S)):
-        for receiver in range(count):
-            if receiver in paused and second < PAUSE_S:
-                continue
-            row = last_heard_s[receiver]
-            # A process that wakes looks at its timers before it reads what waits for it.
-            is_waking = receiver in paused and second <= PAUSE_S
-            for sender in range(count):
-                is_silent = is_waking or (sender in paused and second < PAUSE_S)
-                if not is_silent and draw.random() >= loss:
-                    row[sender] = second
-                if receiver != sender and second - row[sender] > timeout_s:
-                    removed.add((receiver, sender))
-    return sum(sender not in paused for _, sender in removed)
+        run.step(second)
+    return sum(sender not in run.paused for _, sender in run.removed)
 
 
 def healing(count: int, seed: int) -> Healing:
@@ -166,12 +185,14 @@
 
 
 def over_seeds(pool: Any, run: Callable[[int], Any], seeds: int) -> list[Any]:
+    """Run a measurement with each seed from 1 on, over the processes of a pool."""
     return list(pool.imap_unordered(run, range(1, seeds + 1), max(1, seeds // 64)))
 
 
 def tell_quantiles(
     figures: Figures, name: str, values: list[float], bound: Quantiles | None
 ) -> None:
+    """Print median, 99th percentile and worst case."""
     figures.tell(
         f"{name}_median_s", statistics.median(values), most=bound.median_s if bound else None
     )
@@ -182,6 +203,7 @@
 def tell_mistakes(
     figures: Figures, pool: Any, count: int, runs: int, loss: float, paused: float
 ) -> None:
+    """Measure wrong removals of all modes."""
     case = f"{count}_loss_{loss:g}_paused_{paused:g}"
     for plain_swim, mode in MODES:
         found = over_seeds(pool, partial(mistakes, count, loss, paused, plain_swim), runs)
@@ -206,6 +228,7 @@
 
 
 def tell_detection(figures: Figures, pool: Any, count: int, runs: int) -> None:
+    """Measure how long a member's end takes to be detected."""
     bounds = detection_bounds(MembershipSettings(), count)
     for plain_swim, mode in MODES:
         found = over_seeds(pool, partial(detection, count, 0.0, plain_swim), runs)
@@ -230,6 +253,7 @@
 
 
 def tell_healing(figures: Figures, pool: Any, count: int, runs: int) -> None:
+    """Measure how partitions heal."""
     found = over_seeds(pool, partial(healing, count), max(1, runs // 20))
     name = f"simulated.ours_{count}"
     figures.tell(f"{name}.agree_after_healing_s", max(run.agreed_s for run in found), most=120.0)
@@ -246,6 +270,7 @@
     losses: Iterable[float],
     paused_fractions: Iterable[float],
 ) -> None:
+    """Measure all for each number of members."""
     workers = len(os.sched_getaffinity(0))
     with multiprocessing.get_context("fork").Pool(workers) as pool:
         for count, runs in runs_by_count.items():
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -25,11 +25,11 @@
 def model(figures: Figures, depth: int) -> None:
     """Explore the model of three members up to a depth."""
     sys.path.insert(0, str(ROOT))
-    from tests.members_model import Exploration, PropertyViolation, explore
+    from tests.members_model import Exploration, PropertyViolationError, explore
 
     try:
         explored = explore(depth, SETTLE_EVERY)
-    except PropertyViolation as violation:
+    except PropertyViolationError as violation:
         print(f"# {violation}")
         explored = Exploration(0, 0)
     figures.tell(f"model.states_to_depth_{depth}", explored.states, least=1)
--- a/query_broker/emulator/membership_simulation.py
+++ b/query_broker/emulator/membership_simulation.py
@@ -91,11 +91,45 @@
         return self.up and now >= self.paused_until
 
 
-class SimulatedCluster:
-    """Members, the links between them, and the clock.
+class SimulatedClock:
+    """Calls functions in the order of their times.
 
     Attributes:
         now: The time in ns.
+    """
+
+    def __init__(self) -> None:
+        """Start at `BEGIN`."""
+        self.now = BEGIN
+        self._order = itertools.count()
+        self._events: list[tuple[int, int, Callable[[], None]]] = []
+
+    def at(self, when: int, call: Callable[[], None]) -> None:
+        """Call a function at a time."""
+        heapq.heappush(self._events, (when, next(self._order), call))
+
+    def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
+        """Let time pass, and return whether the condition holds; it ends the run early."""
+        end = self.now + int(seconds * NS_PER_S)
+        next_look = self.now
+        while self._events and self._events[0][0] <= end:
+            when, _, call = heapq.heappop(self._events)
+            if until is not None and when >= next_look:
+                self.now = max(self.now, next_look)
+                next_look = when + NS_PER_S // LOOKS_PER_S
+                if until():
+                    heapq.heappush(self._events, (when, -1, call))
+                    return True
+            self.now = when
+            call()
+        self.now = end
+        return until is not None and until()
+
+
+class SimulatedCluster(SimulatedClock):
+    """Members and the links between them.
+
+    Attributes:
         members: The processes; one that was restarted stands in place of the former.
         sent_bytes: Bytes that each number has sent.
         messages: Number of datagrams sent.
@@ -120,16 +154,14 @@
             delay_ns: Additional delay of a link in one direction.
             joined: They know each other from the start.
         """
+        super().__init__()
         self.settings = settings
         self.draw = random.Random(seed)
-        self.now = BEGIN
         self.members: list[SimulatedMember] = []
         self.sent_bytes: Counter[int] = Counter()
         self.messages = 0
         self._loss = loss
         self._delay_ns = delay_ns
-        self._order = itertools.count()
-        self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._number_at: dict[str, int] = {}
         for number in range(count):
             self._start_member(number)
@@ -156,28 +188,7 @@
         self._schedule_tick(member, self.now + phase_ns)
         return member
 
-    # --- the clock ---
-
-    def at(self, when: int, call: Callable[[], None]) -> None:
-        """Call a function at a time."""
-        heapq.heappush(self._events, (when, next(self._order), call))
-
-    def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
-        """Let time pass, and return whether the condition holds; it ends the run early."""
-        end = self.now + int(seconds * NS_PER_S)
-        next_look = self.now
-        while self._events and self._events[0][0] <= end:
-            when, _, call = heapq.heappop(self._events)
-            if until is not None and when >= next_look:
-                self.now = max(self.now, next_look)
-                next_look = when + NS_PER_S // LOOKS_PER_S
-                if until():
-                    heapq.heappush(self._events, (when, -1, call))
-                    return True
-            self.now = when
-            call()
-        self.now = end
-        return until is not None and until()
+    # --- time ---
 
     def _schedule_tick(self, member: SimulatedMember, when: int) -> None:
         self.at(when, lambda: self._tick(member, when))
--- a/query_broker/membership/claim_merge.py
+++ b/query_broker/membership/claim_merge.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Iterable
 
+from .detector_statistics import DetectorStatistics, Statistic
 from .gossip import GossipQueue
 from .incarnations import HASH_BYTES, MAX_AHEAD, ProvenIncarnation, is_proven, next_hash
 from .local_health import LocalHealth
@@ -16,7 +17,6 @@
 from .messages import Claim, Status
 from .own_member import OwnMember
 from .settings import MembershipSettings
-from .statistics import DetectorStatistics, Statistic
 from .suspicion import SuspicionTracker
 
 MAX_LEAVE_SECRET_BYTES = HASH_BYTES + 4  # longer ones are not even hashed
--- a/query_broker/membership/failure_detector.py
+++ b/query_broker/membership/failure_detector.py
@@ -16,6 +16,7 @@
 from .ack_handling import AckHandler
 from .anti_entropy import ContactScheduler, SyncScheduler
 from .claim_merge import ClaimMerger
+from .detector_statistics import DetectorStatistics
 from .gossip import GossipQueue
 from .incarnations import CHAIN_LENGTH, IncarnationChain
 from .local_health import LocalHealth
@@ -28,7 +29,6 @@
 from .pings import Pinger
 from .round_trip import RoundTripEstimator
 from .settings import NS_PER_MS, MembershipSettings
-from .statistics import DetectorStatistics
 from .suspicion import SuspicionTracker
 from .timing import HELPER_COUNT
 
--- a/query_broker/membership/suspicion.py
+++ b/query_broker/membership/suspicion.py
@@ -9,6 +9,7 @@
 
 from dataclasses import dataclass
 
+from .detector_statistics import DetectorStatistics, Statistic
 from .gossip import GossipQueue
 from .local_health import LocalHealth
 from .member_record import MemberRecord
@@ -16,7 +17,6 @@
 from .messages import Claim, Identity, Status
 from .own_member import OwnMember
 from .settings import NS_PER_MS, MembershipSettings
-from .statistics import DetectorStatistics, Statistic
 from .timing import (
     CONFIRMATIONS_WANTED,
     MAX_SUSPICION_MULTIPLIER,
--- a/tests/members_model.py
+++ b/tests/members_model.py
@@ -97,7 +97,7 @@
     return FailureDetector(f"h{number}:1", SETTINGS, chain, draw, now_ns, number)
 
 
-class PropertyViolation(AssertionError):
+class PropertyViolationError(AssertionError):
     """A property does not hold; the text gives the schedule that leads there."""
 
 
@@ -214,7 +214,7 @@
         self.held[number] = {}
 
     def check(self) -> None:
-        """Raise `PropertyViolation` if a member believes what no owner has said."""
+        """Raise `PropertyViolationError` if a member believes what no owner has said."""
         for member in self.members:
             self.issued[member.me] = member.own.incarnation
         for number, member in enumerate(self.members):
@@ -226,18 +226,18 @@
     def _check_record(self, number: int, identity: Identity, found: HeldStatus) -> None:
         before = self.held[number].get(identity, NEVER_HELD)
         if found.incarnation > self.issued[identity]:
-            raise PropertyViolation(
+            raise PropertyViolationError(
                 f"{number} holds an incarnation {found.incarnation} of {identity.address} that "
                 "never was"
             )
         if found.incarnation < before.incarnation:
-            raise PropertyViolation(
+            raise PropertyViolationError(
                 f"{number} went back from incarnation {before.incarnation} of {identity.address} "
                 f"to {found.incarnation}"
             )
         is_same_incarnation = found.incarnation == before.incarnation
         if before.is_absent and is_same_incarnation and not found.is_absent:
-            raise PropertyViolation(
+            raise PropertyViolationError(
                 f"incarnation {before.incarnation} of {identity.address} came back from the dead "
                 f"at {number}"
             )
@@ -319,21 +319,21 @@
             self.states += 1
             if self.states % self.settle_every == 0:
                 self._check_settles(after.copy())
-        except PropertyViolation as violation:
-            raise PropertyViolation(f"{violation}: replay({schedule!r})") from None
+        except PropertyViolationError as violation:
+            raise PropertyViolationError(f"{violation}: replay({schedule!r})") from None
         return after
 
     def _check_settles(self, cluster: ModelCluster) -> None:
         self.settled += 1
         if not cluster.settle():
-            raise PropertyViolation("the views differ though messages flow")
+            raise PropertyViolationError("the views differ though messages flow")
 
 
 def explore(depth: int, settle_every: int) -> Exploration:
     """Play every schedule up to a depth, and let one state in `settle_every` settle.
 
     Raises:
-        PropertyViolation: A property does not hold; the text gives a schedule for `replay`.
+        PropertyViolationError: A property does not hold; the text gives a schedule for `replay`.
     """
     explorer = _Explorer(settle_every)
     level: list[tuple[ModelCluster, list[str]]] = [(ModelCluster(), [])]
--- a/tests/test_members_model.py
+++ b/tests/test_members_model.py
@@ -13,7 +13,7 @@
 from query_broker.membership.messages import Claim, Status
 from query_broker.membership.suspicion import SuspicionTracker
 
-from .members_model import ModelCluster, PropertyViolation, explore, replay
+from .members_model import ModelCluster, PropertyViolationError, explore, replay
 
 FAULTS = ("old gossip revives", "any incarnation is believed")
 
@@ -33,7 +33,7 @@
         schedule.append(draw.choice(list(cluster.actions())))
         try:
             cluster.play(schedule[-1])
-        except PropertyViolation as violation:
+        except PropertyViolationError as violation:
             pytest.fail(f"{violation}: replay({schedule!r})")
     assert cluster.settle(), f"replay({schedule!r})"
 
@@ -72,9 +72,9 @@
         revive_by_old_gossip(monkeypatch)
     else:
         believe_any_incarnation(monkeypatch)
-    with pytest.raises(PropertyViolation, match="replay") as violation:
+    with pytest.raises(PropertyViolationError, match="replay") as violation:
         explore(5, 10**9)
     printed = str(violation.value).split("replay(", 1)[1][:-1]
     schedule: list[str] = ast.literal_eval(printed)
-    with pytest.raises(PropertyViolation):
+    with pytest.raises(PropertyViolationError):
         replay(schedule)
