--- a/query_broker/membership/local_health.py
+++ b/query_broker/membership/local_health.py
@@ -45,7 +45,7 @@
     def record_answer(self) -> bool:
         """Lower the score after an answer; return whether our observations were doubtful before.
 
-        What is held against others then stems from a time in which our own senses were at fault.
+        Suspicions then stem from a time in which our own observations were unreliable.
         """
         was_doubtful = (
             self.score >= DOUBTFUL_FROM
--- a/query_broker/membership/member_record.py
+++ b/query_broker/membership/member_record.py
@@ -16,7 +16,7 @@
 
 
 class HelperResult(NamedTuple):
-    """Whether a helper reached a member with an indirect ping, and when it said so."""
+    """Whether a helper reached a member with an indirect ping, and when it reported that."""
 
     reached: bool
     at_ns: int
@@ -42,7 +42,7 @@
         evidence_ns: When we learned, from it or from another member, that it had spoken.
         acked_ns: When it last answered a ping of ours directly.
         acked_indirectly_ns: When it last answered through a helper.
-        hears_us_ns: When it last said, through a helper, that it receives our messages.
+        hears_us_ns: When it last reported, through a helper, that it receives our messages.
         round_trip: Estimate of its round-trip time.
         helper_results: Results of indirect pings, by the helper's address.
         false_suspicions: How often of late it refuted a suspicion, as of `false_suspicion_at_ns`.
@@ -111,7 +111,7 @@
         return self.false_suspicions * math.exp(-age_ns / fade_ns)
 
     def record_helper_result(self, helper: str, result: HelperResult) -> None:
-        """Record a helper's result; of the oldest helpers beyond the bound none is kept."""
+        """Record a helper's result, and drop the oldest one beyond the bound."""
         self.helper_results.pop(helper, None)
         self.helper_results[helper] = result
         if len(self.helper_results) > MAX_HELPER_RESULTS:
--- a/query_broker/membership/messages.py
+++ b/query_broker/membership/messages.py
@@ -76,7 +76,7 @@
 
     Attributes:
         ping_id: Number drawn at random that the answer repeats.
-        on_behalf_of: Address of the member that asked for an indirect ping; else empty.
+        on_behalf_of: Address of the member that requested an indirect ping; else empty.
         claims: Piggybacked gossip.
     """
 
--- a/query_broker/membership/messenger.py
+++ b/query_broker/membership/messenger.py
@@ -65,7 +65,7 @@
         self.send(recipient, Ack(ping_id, self._own.identity, last_message_age_ms, digest, claims))
 
     def forward_ack(self, recipient: Identity, ping_id: int, ack: Ack) -> None:
-        """Queue an ack that answers an indirect ping, for the member that asked for it."""
+        """Queue an ack that answers an indirect ping, for the member that requested it."""
         digest = self._table.digest()
         forwarded = Ack(ping_id, ack.responder, ack.last_message_age_ms, digest, ())
         self.send(recipient, forwarded)
@@ -75,7 +75,7 @@
         self.send(recipient, Nack(ping_id))
 
     def request_sync(self, address: str) -> None:
-        """Ask the caller to exchange tables with the member at the address."""
+        """Request that the caller exchange tables with the member at the address."""
         self.sync_requests.append(address)
 
     def take_outgoing(self) -> list[OutgoingMessage]:
@@ -93,7 +93,7 @@
     def _claims_for(self, recipient: Identity) -> tuple[Claim, ...]:
         """Return gossip for a recipient.
 
-        A suspect is told of its suspicion first, so that it can refute it (Lifeguard's buddy
+        A suspect is notified of its suspicion first, so that it can refute it (Lifeguard's buddy
         system, section IV.C).
         """
         record = self._table.get(recipient)
--- a/query_broker/membership/ping_relay.py
+++ b/query_broker/membership/ping_relay.py
@@ -22,9 +22,9 @@
     """A ping on behalf of another member.
 
     Attributes:
-        requester: The member that asked for it.
+        requester: The member that requested it.
         ping_id: The requester's ping id.
-        expires_at_ns: When the requester is told that there is no answer.
+        expires_at_ns: When the requester is notified that there is no answer.
     """
 
     requester: Identity
@@ -69,7 +69,7 @@
         return True
 
     def expire(self, now_ns: int) -> None:
-        """Tell the requesters of unanswered pings that there is no answer."""
+        """Send nacks to the requesters of unanswered pings."""
         for own_ping_id, relayed in list(self._relayed.items()):
             if now_ns >= relayed.expires_at_ns:
                 del self._relayed[own_ping_id]
--- a/query_broker/membership/pings.py
+++ b/query_broker/membership/pings.py
@@ -42,10 +42,10 @@
         target: The member that was pinged.
         sent_ns: When.
         ack_timeout_ns: How long one answer may take.
-        indirect_at_ns: When helpers are asked next.
+        indirect_at_ns: When helpers are requested next.
         fail_at_ns: When the ping has failed.
-        helpers: Addresses of the helpers that were asked.
-        helper_rounds: How often helpers were asked.
+        helpers: Addresses of the helpers that were requested.
+        helper_rounds: How often helpers were requested.
         nacks: Helpers that answered that the target did not.
     """
 
@@ -134,7 +134,7 @@
             record.record_helper_result(helper.address, HelperResult(False, now_ns))
 
     def advance(self, now_ns: int) -> None:
-        """Ask helpers for pings that are overdue, and end those that have failed."""
+        """Request indirect pings for those that are overdue, and end those that have failed."""
         for ping_id, ping in list(self.pending.items()):
             if now_ns >= ping.fail_at_ns:
                 self._fail(now_ns, ping_id, ping)
--- a/query_broker/membership/reachability.py
+++ b/query_broker/membership/reachability.py
@@ -1,4 +1,4 @@
-"""What operators are told about the way between this broker and a member.
+"""How a member is reached, as operators see it.
 
 Performs no I/O.
 """
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -104,7 +104,7 @@
         self._publisher.configure()
 
     def leave(self) -> None:
-        """Announce the leave of this process: at SIGTERM, or when an operator asks for it."""
+        """Announce the leave of this process: at SIGTERM, or when an operator requests it."""
         now_ns = self.now_ns()
         self.detector.leave()
         self.carry_out(now_ns)
--- a/query_broker/membership/timing.py
+++ b/query_broker/membership/timing.py
@@ -14,7 +14,7 @@
 MAX_SUSPICION_MULTIPLIER = 6.0  # minimum suspicions: the maximum, where nobody confirms it
 CONFIRMATIONS_WANTED = 3  # other reporters that reduce a suspicion to its minimum
 RETRANSMIT_MULTIPLIER = 4  # of the size's binary logarithm
-HELPER_COUNT = 3  # members that are asked to ping a silent one indirectly
+HELPER_COUNT = 3  # members that are requested to ping a silent one
 EVIDENCE_INTERVALS_PER_MEMBER = 2
 MAX_EVIDENCE_NS = 300 * NS_PER_S
 
@@ -62,9 +62,9 @@
 
 
 def evidence_limit_ns(interval_ns: int, size: int) -> int:
-    """Return how long the evidence of others alone keeps a suspect that we do not hear.
+    """Return how long the evidence of others alone keeps a suspect whose messages do not reach us.
 
-    Within so many intervals each member that speaks is heard by every other one, since each pings
+    Within so many intervals messages of each member reach every other one, since each pings
     all in turn.
     """
     longest_suspicion_ns = int(MAX_SUSPICION_MULTIPLIER) * min_suspicion_ns(interval_ns, size)
--- a/query_broker/membership/views.py
+++ b/query_broker/membership/views.py
@@ -6,7 +6,7 @@
 1 - `max_lost_fraction` of the members that were last present still are. With that fraction below
 one half, no two sides of a partition can both be certain, and all sides together use
 1 + `max_lost_fraction` of a limit at the most: the certain one all of it, the others, less than
-`max_lost_fraction` of all members, their share of the size as it was. Performs no I/O.
+`max_lost_fraction` of all members, their quota of the size as it was. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -102,7 +102,7 @@
 
 
 class ViewObserver(Protocol):
-    """Is told of each published view, never of each change by itself."""
+    """Is notified of each published view, never of each change by itself."""
 
     def view_changed(
         self,
@@ -249,7 +249,7 @@
     ) -> Position:
         """Return what limits are divided by.
 
-        A size that is too small makes every broker's share too large. So a smaller size takes
+        A size that is too small makes every broker's quota too large. So a smaller size takes
         effect only while the view is certain, has persisted, and no endpoint is warming up: one
         that all brokers load at once falls over.
         """
