--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -36,7 +36,7 @@
 from query_broker.quotas.settings import LimitSettings, QuotaSettings
 
 from .harness import ROOT, Figures
-from .members import costs
+from .member_processes import costs
 
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
--- a/query_broker/outlier_consensus/collaborators.py
+++ b/query_broker/outlier_consensus/collaborators.py
@@ -28,11 +28,14 @@
     """What the consensus on outliers uses of the dispatcher."""
 
     extensions: DispatchExtensions
-    health_checks: HealthChecks
     endpoint_table: EndpointTable
     administrative_states: AdministrativeStates
     wheel: TimerWheel
 
+    @property
+    def health_checks(self) -> HealthChecks:
+        """Starts health checks."""
+
     def report_event(self, event: AdministrativeChange, /) -> None:
         """Let the decisions eject or readmit an endpoint."""
 
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -100,20 +100,20 @@
                 del self._answered_at_ns[sender]
 
     def _send(self, recipient: str, batch: OverrideBatch) -> None:
-        self.membership.talk(TOPIC, recipient, self.encoder.encode(batch))
+        self.membership.send(TOPIC, recipient, self.encoder.encode(batch))
 
     def _send_reports(self, recipient: str, reports: list[ObserverReport]) -> None:
         for body in message_bodies(
             reports, lambda batch: self.encoder.encode(ObserverReports(batch))
         ):
-            self.membership.talk(TOPIC, recipient, body)
+            self.membership.send(TOPIC, recipient, body)
 
     def _send_all_overrides(self, recipient: str) -> None:
         overrides = list(self.overrides.overrides.values())
         for body in message_bodies(
             overrides, lambda batch: self.encoder.encode(OverrideBatch(b"", batch))
         ):
-            self.membership.talk(TOPIC, recipient, body)
+            self.membership.send(TOPIC, recipient, body)
 
 
 class OutlierConsensusService(DispatchObserver):
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -55,7 +55,7 @@
     def subscribe(self, topic: str, receive: Callable[[int, str, bytes], None], /) -> None:
         """Register what receives a topic's messages: time in ns, name of the sender, body."""
 
-    def talk(self, topic: str, name: str, body: bytes, /) -> None:
+    def send(self, topic: str, name: str, body: bytes, /) -> None:
         """Queue a message for a member; the body must fit into a datagram."""
 
     def flush(self) -> None:
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -250,11 +250,11 @@
             for body in message_bodies(
                 batch.reports, lambda reports: self.encoder.encode(UsageReports(reports))
             ):
-                self.membership.talk(TOPIC, recipient, body)
+                self.membership.send(TOPIC, recipient, body)
 
     def _send(self) -> None:
         for recipient, message in self.leases.outbox:
-            self.membership.talk(TOPIC, recipient, self.encoder.encode(message))
+            self.membership.send(TOPIC, recipient, self.encoder.encode(message))
         self.leases.outbox.clear()
         self.membership.flush()
 
--- a/tests/test_quotas_processes.py
+++ b/tests/test_quotas_processes.py
@@ -36,8 +36,8 @@
 from query_broker.protocols import resp
 from query_broker.quotas.lease_log import LeaseRecord
 
+from .member_processes import LIMITS, OLD_KEY, MemberProcesses, members_directive
 from .sockets import HANG, make_config, on_uvloop, running, until, write_config
-from .test_members_processes import LIMITS, OLD, Peers, word
 
 LEASED_PER_S = 100.0 * 0.8
 DIRECTIVES = (
@@ -51,10 +51,10 @@
 
 
 @asynccontextmanager
-async def sharing_fleet(count: int, folder: Path, world: World) -> AsyncIterator[Peers]:
+async def sharing_fleet(count: int, folder: Path, world: World) -> AsyncIterator[MemberProcesses]:
     """Start processes that share the limits and know each other through relays."""
     keys = folder / "keys"
-    keys.write_text(OLD)
+    keys.write_text(OLD_KEY)
     net = RelayNet(Script([], time.monotonic), peek_sender)
     raw = config(
         world, "", fleet_size=count, policy_limits=LIMITS, tenants=tenants("acme", quota=100.0)
@@ -62,13 +62,13 @@
     addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
 
     def script(number: int, port: int) -> str:
-        return word(number, port, addresses[number], keys, addresses[:2]) + DIRECTIVES
+        return members_directive(number, port, addresses[number], keys, addresses[:2]) + DIRECTIVES
 
     with Fleet(count, raw, script) as fleet:
         for member, address in zip(fleet.members, addresses, strict=True):
             await net.add(f"n{member.number}", member.peers, int(address.rpartition(":")[2]))
         fleet.start()
-        peers = Peers(fleet, net, keys, addresses)
+        peers = MemberProcesses(fleet, net, keys, addresses)
         await peers.holds(range(count), range(count))
         yield peers
     net.stop()
@@ -77,7 +77,7 @@
 class Auditor:
     """Reads every process's record of its leases, also of those that are to be killed."""
 
-    def __init__(self, peers: Peers) -> None:
+    def __init__(self, peers: MemberProcesses) -> None:
         self.peers = peers
         self.records: dict[tuple[int, int], set[LeaseRecord]] = {}
 
@@ -97,7 +97,7 @@
         return max_concurrent_leases_per_s(self.records.values(), "acme")
 
 
-async def limit_status(peers: Peers, number: int, name: str = "acme") -> Status:
+async def limit_status(peers: MemberProcesses, number: int, name: str = "acme") -> Status:
     try:
         status = await asyncio.to_thread(peers.fleet.members[number].status, "/limits")
     except OSError:
@@ -106,7 +106,9 @@
     return found
 
 
-async def until_limit(peers: Peers, number: int, condition: Callable[[Status], bool]) -> Status:
+async def until_limit(
+    peers: MemberProcesses, number: int, condition: Callable[[Status], bool]
+) -> Status:
     deadline = time.monotonic() + HANG
     status: Status = {}
     while not status or not condition(status):
@@ -124,7 +126,9 @@
     return bool(status["floor_in_force"])
 
 
-async def send_queries(peers: Peers, number: int, rate_per_s: float, stop: asyncio.Event) -> Book:
+async def send_queries(
+    peers: MemberProcesses, number: int, rate_per_s: float, stop: asyncio.Event
+) -> Book:
     book = Book("127.0.0.1", peers.fleet.members[number].port)
     while not stop.is_set():
         await book.ask("acme", "glance", 1, 4_000 * MS)
@@ -140,7 +144,7 @@
 BUSY = 0
 
 
-async def kill_and_restart_leader(peers: Peers, status: Status) -> None:
+async def kill_and_restart_leader(peers: MemberProcesses, status: Status) -> None:
     leader = peers.addresses.index(status["home"])
     # The busy broker may lead the shard itself: then another one is killed.
     if leader == BUSY:
@@ -155,7 +159,7 @@
     await peers.holds(range(5), range(5))
 
 
-async def cut_off_one_way_and_both_ways(peers: Peers) -> None:
+async def cut_off_one_way_and_both_ways(peers: MemberProcesses) -> None:
     peers.spoil(LONG_S, Fault(0, 0, f"n{BUSY}-*", Kind.STALL))  # its requests do not arrive
     status = await until_limit(peers, BUSY, has_guaranteed_part_only)
     assert status["ours"] == 100 * 0.2 / 5
@@ -168,7 +172,7 @@
     await until_limit(peers, BUSY, has_most_of_the_limit)
 
 
-async def pause_holder_past_its_lease(peers: Peers) -> None:
+async def pause_holder_past_its_lease(peers: MemberProcesses) -> None:
     holder = peers.fleet.members[BUSY]
     holder.signal(signal.SIGSTOP)
     await asyncio.sleep(3.0)  # its lease expires while requests wait for it
@@ -176,7 +180,7 @@
     await until_limit(peers, BUSY, has_most_of_the_limit)
 
 
-async def assert_operators_see_the_limits(peers: Peers) -> None:
+async def assert_operators_see_the_limits(peers: MemberProcesses) -> None:
     holder = peers.fleet.members[BUSY]
     text = (await asyncio.to_thread(holder.call, "/metrics"))[1].decode()
     assert 'edge_proxy_limit_ours{limit="acme"}' in text
@@ -224,7 +228,7 @@
     world.stop()
 
 
-def halve_quota(peers: Peers) -> None:
+def halve_quota(peers: MemberProcesses) -> None:
     """Halve the tenant's quota in the settings of all brokers, and reload them."""
     for member in peers.fleet.members:
         path = member.folder / "config.json"
@@ -277,7 +281,7 @@
         writer.write(resp.encode(parts[1], b"green", b"meter=inflight:0", b""))
 
 
-async def consensus_status(peers: Peers, number: int) -> Status:
+async def consensus_status(peers: MemberProcesses, number: int) -> Status:
     try:
         status: Status = await asyncio.to_thread(peers.fleet.members[number].status, "/verdicts")
     except OSError:
@@ -286,7 +290,7 @@
 
 
 async def until_consensus(
-    peers: Peers, condition: Callable[[Status], bool], numbers: Collection[int] = range(5)
+    peers: MemberProcesses, condition: Callable[[Status], bool], numbers: Collection[int] = range(5)
 ) -> None:
     """Wait until a condition holds for the status of each of the brokers."""
     deadline = time.monotonic() + HANG
@@ -309,7 +313,7 @@
     return lambda status: value in [override["word"] for override in status[key]]
 
 
-async def eject_on_evidence_of_two(peers: Peers, bad: ScriptedEngine) -> None:
+async def eject_on_evidence_of_two(peers: MemberProcesses, bad: ScriptedEngine) -> None:
     """Let two brokers meet failures; another one then sends nothing to the failing endpoint."""
     stop = asyncio.Event()
     loads = [asyncio.create_task(send_queries(peers, number, 30, stop)) for number in (0, 1)]
@@ -330,7 +334,7 @@
     book.close()
 
 
-async def override_on_both_sides_of_a_partition(peers: Peers) -> None:
+async def override_on_both_sides_of_a_partition(peers: MemberProcesses) -> None:
     """Let two operators override one endpoint: all come to the same, and the loser is shown."""
     peers.spoil(LONG_S, *partition(0, 0, ["n0", "n1", "n2"], ["n3", "n4"]))
     one = peers.fleet.members[0]
@@ -344,7 +348,7 @@
     await until_consensus(peers, has_value("lost", "pinned"), (0, 1, 2))
 
 
-async def clear_and_show(peers: Peers) -> None:
+async def clear_and_show(peers: MemberProcesses) -> None:
     address = f"127.0.0.1:{peers.fleet.members[0].operator}"
     cleared = await invoke("verdicts", "clear", "s-2", "--address", address)
     assert cleared.exit_code == 0
@@ -390,7 +394,7 @@
     def subscribe(self, topic: str, receive: Callable[[int, str, bytes], None]) -> None:
         self.receive = receive
 
-    def talk(self, topic: str, name: str, body: bytes) -> None:
+    def send(self, topic: str, name: str, body: bytes) -> None:
         pass
 
     def flush(self) -> None:
@@ -440,7 +444,9 @@
 def test_check_config_describes_staleness_and_overshoot(tmp_path: Path) -> None:
     env = write_config(tmp_path, settings={**settings(), "fleet_size": 24})
     script = tmp_path / "ops.star"
-    script.write_text(word(0, 7000, "127.0.0.1:7001", tmp_path / "keys", []) + DIRECTIVES)
+    script.write_text(
+        members_directive(0, 7000, "127.0.0.1:7001", tmp_path / "keys", []) + DIRECTIVES
+    )
     done = CliRunner().invoke(main, ["check-config", "--operator-file", str(script)], env=env)
     assert done.exit_code == 0
     assert "over by 0 while clocks differ" in done.output
--- a/tests/test_quotas_service.py
+++ b/tests/test_quotas_service.py
@@ -51,7 +51,7 @@
     def subscribe(self, topic: str, receive: Callable[[int, str, bytes], None]) -> None:
         pass
 
-    def talk(self, topic: str, name: str, body: bytes) -> None:
+    def send(self, topic: str, name: str, body: bytes) -> None:
         pass
 
     def flush(self) -> None:
