--- a/query_broker/clickhouse/__init__.py
+++ b/query_broker/clickhouse/__init__.py
@@ -1,6 +1,5 @@
-"""The ClickHouse HTTP interface: what its requests ask, where they go, and what their sessions
-hold.
+"""The ClickHouse HTTP interface, as far as it performs no I/O; the daemon does not load it yet.
 
-So far the part that is free of input and output: requests, statements, routing rules, sessions,
-errors. Written from the interface's public description alone; the daemon does not load it yet.
+Requests, statements, routing rules, sessions and errors, written from the interface's public
+description alone.
 """
--- a/query_broker/clickhouse/errors.py
+++ b/query_broker/clickhouse/errors.py
@@ -1,4 +1,7 @@
-"""Errors as the interface gives them: a status, a code in a header, and a line of text. Pure."""
+"""Errors as the interface gives them: a status, a code in a header, and a line of text.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -8,43 +11,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class ErrorKind:
+    """One kind of error: the interface's code and name, and the HTTP status."""
+
     code: int
     name: str
     status: int
 
 
-SYNTAX_ERROR = Kind(62, "SYNTAX_ERROR", 400)
-BAD_ARGUMENTS = Kind(36, "BAD_ARGUMENTS", 400)
-UNKNOWN_SETTING = Kind(115, "UNKNOWN_SETTING", 404)
-TIMEOUT_EXCEEDED = Kind(159, "TIMEOUT_EXCEEDED", 408)
-TOO_MANY_SIMULTANEOUS_QUERIES = Kind(202, "TOO_MANY_SIMULTANEOUS_QUERIES", 503)
-NETWORK_ERROR = Kind(210, "NETWORK_ERROR", 502)
-QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING = Kind(216, "QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING", 400)
-MEMORY_LIMIT_EXCEEDED = Kind(241, "MEMORY_LIMIT_EXCEEDED", 503)
-SESSION_NOT_FOUND = Kind(372, "SESSION_NOT_FOUND", 404)
-SESSION_IS_LOCKED = Kind(373, "SESSION_IS_LOCKED", 423)
-REQUIRED_PASSWORD = Kind(194, "REQUIRED_PASSWORD", 401)
-AUTHENTICATION_FAILED = Kind(516, "AUTHENTICATION_FAILED", 403)
-ALL_CONNECTION_TRIES_FAILED = Kind(279, "ALL_CONNECTION_TRIES_FAILED", 503)
-
-
-class Fault(Exception):
-    """A request that gets an error in place of a result. ``pause``: seconds to stay away, on a
-    refusal.
+SYNTAX_ERROR = ErrorKind(62, "SYNTAX_ERROR", 400)
+BAD_ARGUMENTS = ErrorKind(36, "BAD_ARGUMENTS", 400)
+UNKNOWN_SETTING = ErrorKind(115, "UNKNOWN_SETTING", 404)
+TIMEOUT_EXCEEDED = ErrorKind(159, "TIMEOUT_EXCEEDED", 408)
+TOO_MANY_SIMULTANEOUS_QUERIES = ErrorKind(202, "TOO_MANY_SIMULTANEOUS_QUERIES", 503)
+NETWORK_ERROR = ErrorKind(210, "NETWORK_ERROR", 502)
+QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING = ErrorKind(216, "QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING", 400)
+MEMORY_LIMIT_EXCEEDED = ErrorKind(241, "MEMORY_LIMIT_EXCEEDED", 503)
+SESSION_NOT_FOUND = ErrorKind(372, "SESSION_NOT_FOUND", 404)
+SESSION_IS_LOCKED = ErrorKind(373, "SESSION_IS_LOCKED", 423)
+REQUIRED_PASSWORD = ErrorKind(194, "REQUIRED_PASSWORD", 401)
+AUTHENTICATION_FAILED = ErrorKind(516, "AUTHENTICATION_FAILED", 403)
+ALL_CONNECTION_TRIES_FAILED = ErrorKind(279, "ALL_CONNECTION_TRIES_FAILED", 503)
+
+
+class QueryError(Exception):
+    """A request that gets an error in place of a result.
+
+    ``pause`` is the time to stay away in seconds, for a rejection; 0 states none.
     """
 
-    def __init__(self, kind: Kind, text: str, pause: float = 0.0) -> None:
+    def __init__(self, kind: ErrorKind, text: str, pause: float = 0.0) -> None:
+        """Take the kind of the error, what is wrong, and the pause in seconds."""
         super().__init__(text)
-        self.kind, self.pause = kind, pause
+        self.kind = kind
+        self.pause = pause
 
     def body(self) -> bytes:
-        """One line, as clients look for it. Danger: a line end in it would end it early."""
+        """Return the one line that clients look for; a line end in the text is made a space."""
         text = " ".join(str(self).split()) or self.kind.name.lower()
         return f"Code: {self.kind.code}. DB::Exception: {text}. ({self.kind.name})\n".encode()
 
     def headers(self) -> list[tuple[str, str]]:
-        made = [(HEADER, str(self.kind.code))]
+        """Return the headers of the answer: the code, and the pause where there is one."""
+        headers = [(HEADER, str(self.kind.code))]
         if self.pause > 0:
-            made.append(("Retry-After", str(max(1, -(-int(self.pause * 1000) // 1000)))))
-        return made
+            retry_after_s = max(1, -(-int(self.pause * 1000) // 1000))
+            headers.append(("Retry-After", str(retry_after_s)))
+        return headers
--- a/query_broker/clickhouse/rules.py
+++ b/query_broker/clickhouse/rules.py
@@ -1,5 +1,6 @@
-"""Where a request goes and under which terms: operators' rules, first match wins, each part by
-itself. Pure.
+"""Where a request goes and under which terms: operators' rules, of which the first match wins.
+
+Performs no I/O. Each part of the outcome is taken from the first rule that names it.
 
 A rule names conditions and what they lead to. What no rule says is taken from the defaults: the
 class by what the statement does, the tenant by the user, the pool and the patience of the class.
@@ -11,18 +12,19 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .statement import Does, Statement
+from .statement import StatementKind, Statement
 
 MS = 1_000_000
+LONGEST_S = 1e9  # a time beyond that is taken for none
 WHERE = ("user", "path", "database", "first", "does", "setting", "header", "quota")
 
 
-class BadRule(ValueError):
-    """``key: problem``"""
+class RuleError(ValueError):
+    """A rule that cannot be used; the text is ``key: problem``."""
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class RequestFacts:
     """A request as rules see it. Header names in small letters; times in milliseconds."""
 
     user: str
@@ -36,15 +38,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Patterns as in a shell. ``setting`` and ``header`` are (name, pattern) pairs; all must match.
-    An empty outcome says nothing of that part.
+    """One rule: patterns as in a shell, and what a match leads to.
+
+    ``setting`` and ``header`` are pairs of name and pattern; all must match. An empty outcome says
+    nothing of that part.
     """
 
     user: str = ""
     path: str = ""
     database: str = ""
     first: tuple[str, ...] = ()
-    does: tuple[Does, ...] = ()
+    does: tuple[StatementKind, ...] = ()
     setting: tuple[tuple[str, str], ...] = ()
     header: tuple[tuple[str, str], ...] = ()
     quota: str = ""
@@ -56,16 +60,18 @@
     deny: str = ""
 
     def __post_init__(self) -> None:
+        """Check the values; RuleError names the one that cannot be used."""
         if not (
             self.route or self.tenant or self.pool or self.cell or self.patience_ms or self.deny
         ):
-            raise BadRule("route: a rule must lead to something")
+            raise RuleError("route: a rule must lead to something")
         if self.patience_ms < 0:
-            raise BadRule("patience_ms: must not be negative")
-        if any(word != word.upper() for word in self.first):
-            raise BadRule("first: words are written in capitals")
+            raise RuleError("patience_ms: must not be negative")
+        if any(verb != verb.upper() for verb in self.first):
+            raise RuleError("first: words are written in capitals")
 
-    def matches(self, seen: Seen) -> bool:
+    def matches(self, seen: RequestFacts) -> bool:
+        """Return whether all conditions hold for a request."""
         return (
             _fits(self.user, seen.user)
             and _fits(self.path, seen.path)
@@ -73,24 +79,28 @@
             and _fits(self.quota, seen.quota)
             and (not self.first or seen.statement.first in self.first)
             and (not self.does or seen.statement.does in self.does)
-            and all(n in seen.settings and _fits(p, seen.settings[n]) for n, p in self.setting)
-            and all(n in seen.headers and _fits(p, seen.headers[n]) for n, p in self.header)
+            and _all_fit(self.setting, seen.settings)
+            and _all_fit(self.header, seen.headers)
         )
 
 
+def _all_fit(patterns: tuple[tuple[str, str], ...], values: Mapping[str, str]) -> bool:
+    return all(name in values and _fits(pattern, values[name]) for name, pattern in patterns)
+
+
 def _fits(pattern: str, value: str) -> bool:
     return not pattern or fnmatch.fnmatchcase(value, pattern)
 
 
 @dataclass(frozen=True, slots=True)
-class Went:
-    """Where a request goes. ``patience`` in nanoseconds."""
+class Routing:
+    """Where a request goes and under which terms. ``timeout_ns`` in nanoseconds."""
 
     route: str
     tenant: str
     pool: str
     cell: str
-    patience: int
+    timeout_ns: int
     deny: str
     keyed: bool  # a repeat is recognised by its engine
     repeatable: bool  # a repeat does no harm at all
@@ -98,12 +108,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """``classes``: the deadline of each class, in nanoseconds. ``by_does``: the class of what no
-    rule names; ``capped``: settings that tell how long the client waits.
+    """All rules, and the defaults of what no rule names.
+
+    ``classes``: the deadline of each class in nanoseconds. ``by_does``: the class by what the
+    statement does. ``limits``: settings that say how long the client waits. ``names``: the tenant
+    by user, where it is not the user's name.
     """
 
     classes: Mapping[str, int]
-    by_does: Mapping[Does, str]
+    by_does: Mapping[StatementKind, str]
     rules: tuple[Rule, ...] = ()
     default_tenant: str = ""
     tenants: frozenset[str] = frozenset()
@@ -114,53 +127,69 @@
     names: Mapping[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        for key, route in [("rules.route", r.route) for r in self.rules] + [
-            ("by_does", r) for r in self.by_does.values()
-        ]:
-            if route and route not in self.classes:
-                raise BadRule(f"{key}: {route!r} is no class of the settings")
-        for does in Does:
+        """Check the values; RuleError names the one that cannot be used."""
+        named = [("rules.route", rule.route) for rule in self.rules]
+        named += [("by_does", class_name) for class_name in self.by_does.values()]
+        for key, class_name in named:
+            if class_name and class_name not in self.classes:
+                raise RuleError(f"{key}: {class_name!r} is no class of the settings")
+        for does in StatementKind:
             if does not in self.by_does:
-                raise BadRule(f"by_does: nothing is said of {does.value!r}")
+                raise RuleError(f"by_does: nothing is said of {does.value!r}")
+
+    def route(self, seen: RequestFacts, query_id: str = "") -> Routing:
+        """Return where a request goes; ``query_id`` is the client's own id of it."""
+        outcome, rule_timeout_ms = self._outcome(seen)
+        class_name = outcome["route"] or self.by_does[seen.statement.does]
+        return Routing(
+            class_name,
+            self._tenant(outcome["tenant"], seen.user),
+            outcome["pool"],
+            outcome["cell"],
+            self._timeout_ns(class_name, rule_timeout_ms, seen),
+            outcome["deny"],
+            self._has_idempotency_key(seen, query_id),
+            seen.statement.does is StatementKind.READ,
+        )
 
-    def go(self, seen: Seen, query_id: str = "") -> Went:
-        said = {"route": "", "tenant": "", "pool": "", "cell": "", "deny": ""}
-        patience_ms = 0
+    def _outcome(self, seen: RequestFacts) -> tuple[dict[str, str], int]:
+        """Each part from the first matching rule that names it, and the timeout likewise."""
+        outcome = dict.fromkeys(("route", "tenant", "pool", "cell", "deny"), "")
+        timeout_ms = 0
         for rule in self.rules:
             if not rule.matches(seen):
                 continue
-            for key in said:
-                said[key] = said[key] or getattr(rule, key)
-            patience_ms = patience_ms or rule.patience_ms
-        route = said["route"] or self.by_does[seen.statement.does]
-        tenant = said["tenant"] or self.names.get(seen.user, seen.user)
+            for key, value in outcome.items():
+                outcome[key] = value or getattr(rule, key)
+            timeout_ms = timeout_ms or rule.patience_ms
+        return outcome, timeout_ms
+
+    def _tenant(self, named: str, user: str) -> str:
+        tenant = named or self.names.get(user, user)
         if self.tenants and tenant not in self.tenants:
-            tenant = self.default_tenant
-        keyed = seen.statement.does is Does.WRITE and (
-            any(seen.settings.get(name) for name in self.dedup)
-            or (self.keyed_by_id and bool(query_id))
-        )
-        return Went(
-            route,
-            tenant,
-            said["pool"],
-            said["cell"],
-            self._patience(route, patience_ms, seen),
-            said["deny"],
-            keyed,
-            seen.statement.does is Does.READ,
-        )
+            return self.default_tenant
+        return tenant
 
-    def _patience(self, route: str, patience_ms: int, seen: Seen) -> int:
+    def _has_idempotency_key(self, seen: RequestFacts, query_id: str) -> bool:
+        if seen.statement.does is not StatementKind.WRITE:
+            return False
+        if any(seen.settings.get(name) for name in self.dedup):
+            return True
+        return self.keyed_by_id and bool(query_id)
+
+    def _timeout_ns(self, class_name: str, rule_timeout_ms: int, seen: RequestFacts) -> int:
         """The least of the class's deadline, the rule's, and what the client says that it waits.
-        Danger: 0, and what is no number, mean no limit there; here the class's holds.
+
+        There 0, and what is no number, mean that there is no limit; here the class's holds.
         """
-        found = [self.classes[route]] + ([patience_ms * MS] if patience_ms else [])
+        found = [self.classes[class_name]]
+        if rule_timeout_ms:
+            found.append(rule_timeout_ms * MS)
         for name in self.limits:
             try:
                 seconds = float(seen.settings.get(name, "0"))
             except ValueError:
                 continue
-            if 0 < seconds < 1e9:
+            if 0 < seconds < LONGEST_S:
                 found.append(int(seconds * 1_000 * MS))
         return max(MS, min(found))
--- a/query_broker/clickhouse/statement.py
+++ b/query_broker/clickhouse/statement.py
@@ -1,8 +1,7 @@
-"""A statement's first words, read past comments, strings and brackets: what it does and whether it
-sticks.
+"""What a statement does, by its first words, read past comments, strings and brackets.
 
-No parser of the language: what cannot be told is told as such, and goes by the rules for that.
-Pure.
+Performs no I/O. It is no parser of the language: what cannot be told is reported as unknown, and
+the rules for that hold.
 """
 
 from __future__ import annotations
@@ -28,7 +27,9 @@
 STICKS = frozenset({"SET", "USE"})
 
 
-class Does(Enum):
+class StatementKind(Enum):
+    """What a statement does."""
+
     READ = "read"
     WRITE = "write"  # INSERT
     CHANGE = "change"  # everything else that changes something
@@ -38,10 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """``first`` in capitals, empty where there is none; ``table`` of an INSERT, as it stands."""
+    """What was read of a statement.
+
+    ``first`` is its first word in capitals, empty where there is none; ``table`` that of an INSERT,
+    as it stands.
+    """
 
     first: str
-    does: Does
+    does: StatementKind
     table: str = ""
     settings: tuple[tuple[str, str], ...] = ()
     format: str = ""
@@ -52,7 +57,7 @@
     return found.end() if found else at
 
 
-def _word(text: str, at: int) -> tuple[str, int]:
+def _next_token(text: str, at: int) -> tuple[str, int]:
     """The word behind space, comments and opening brackets, in capitals."""
     at = _past(text, at)
     while text.startswith("(", at):
@@ -62,48 +67,46 @@
 
 
 def read(text: str) -> Statement:
-    """Never raises: a statement that cannot be understood is UNKNOWN, and its engine says what is
-    wrong.
+    """Return what a statement does; this raises nothing.
+
+    A statement that cannot be understood is UNKNOWN, and its engine says what is wrong.
     """
     text = text[:MOST_READ]
-    first, at = _word(text, 0)
+    first, at = _next_token(text, 0)
     if not first:
-        return Statement("", Does.UNKNOWN)
+        return Statement("", StatementKind.UNKNOWN)
     if first == "INSERT":
         return _insert(text, at)
-    second, _ = _word(text, at)
-    third = _word(text, _word(text, at)[1])[0]
+    second, _ = _next_token(text, at)
+    third = _next_token(text, _next_token(text, at)[1])[0]
     settings, format = _tail(text)
-    if first in STICKS and second not in ("ROLE", "DEFAULT"):
-        does = Does.SESSION
-    elif "TEMPORARY" in (second, third) and first in ("CREATE", "DROP"):
-        does = Does.SESSION
+    changes_temporary = "TEMPORARY" in (second, third) and first in ("CREATE", "DROP")
+    if changes_temporary or (first in STICKS and second not in ("ROLE", "DEFAULT")):
+        does = StatementKind.SESSION
     elif first == "WITH":
-        does = Does.WRITE if _main_word(text) == "INSERT" else Does.READ
+        does = StatementKind.WRITE if _main_verb(text) == "INSERT" else StatementKind.READ
     elif first in READS:
-        does = Does.READ
+        does = StatementKind.READ
     else:
-        does = Does.CHANGE
+        does = StatementKind.CHANGE
     return Statement(first, does, "", settings, format)
 
 
 def _insert(text: str, at: int) -> Statement:
-    word, after = _word(text, at)
-    if word == "INTO":
+    token, after = _next_token(text, at)
+    if token == "INTO":
         at = after
-        word, after = _word(text, at)
-    if word == "TABLE":
+        token, after = _next_token(text, at)
+    if token == "TABLE":
         at = after
-        word, after = _word(text, at)
-    found = None if word == "FUNCTION" else NAME.match(text, _past(text, at))
+        token, after = _next_token(text, at)
+    found = None if token == "FUNCTION" else NAME.match(text, _past(text, at))
     settings, format = _tail(text)
-    return Statement("INSERT", Does.WRITE, found[0] if found else "", settings, format)
+    return Statement("INSERT", StatementKind.WRITE, found[0] if found else "", settings, format)
 
 
-def _main_word(text: str) -> str:
-    """Of `WITH ... SELECT` or `WITH ... INSERT`: the first of the two outside brackets and
-    strings.
-    """
+def _main_verb(text: str) -> str:
+    """Return SELECT or INSERT, whichever stands first outside brackets and strings."""
     depth = 0
     for found in MAIN.finditer(text):
         token = found[0].upper()
@@ -115,7 +118,9 @@
 
 def _tail(text: str) -> tuple[tuple[tuple[str, str], ...], str]:
     """`SETTINGS name = value, ...` and `FORMAT Name`, outside brackets and strings."""
-    depth, settings, format = 0, {}, ""
+    depth = 0
+    settings: dict[str, str] = {}
+    format = ""
     for found in TOKENS.finditer(text):
         token = found[0].upper()
         if token in "()":
--- a/tests/test_clickhouse_pure.py
+++ b/tests/test_clickhouse_pure.py
@@ -14,50 +14,50 @@
     HEADER,
     SESSION_NOT_FOUND,
     TOO_MANY_SIMULTANEOUS_QUERIES,
-    Fault,
+    QueryError,
 )
-from query_broker.clickhouse.relay import Act, Fate, Head, Relay, State
+from query_broker.clickhouse.relay import RelayAction, FaultOutcome, ResponseHead, Relay, RelayState
 from query_broker.clickhouse.request import read as read_head
 from query_broker.clickhouse.request import shown, statement
-from query_broker.clickhouse.rules import BadRule, Rule, Rules, Seen
+from query_broker.clickhouse.rules import RuleError, Rule, Rules, RequestFacts
 from query_broker.clickhouse.sessions import Sessions
-from query_broker.clickhouse.statement import Does, Statement, read
+from query_broker.clickhouse.statement import StatementKind, Statement, read
 
 S = 1_000_000_000
 
 STATEMENTS = [
-    ("SELECT 1", "SELECT", Does.READ),
-    ("  select 1 -- x", "SELECT", Does.READ),
-    ("/* INSERT */ SELECT 1", "SELECT", Does.READ),
-    ("-- INSERT\nSELECT 1", "SELECT", Does.READ),
-    ("#! x\nSELECT 1", "SELECT", Does.READ),
-    ("((SELECT 1) UNION ALL SELECT 2)", "SELECT", Does.READ),
-    ("WITH x AS (SELECT 1) SELECT * FROM x", "WITH", Does.READ),
-    ("WITH 'INSERT' AS x SELECT x", "WITH", Does.READ),
-    ("WITH x AS (SELECT 1) INSERT INTO t SELECT * FROM x", "WITH", Does.WRITE),
-    ("SHOW TABLES", "SHOW", Does.READ),
-    ("DESCRIBE t", "DESCRIBE", Does.READ),
-    ("EXPLAIN SELECT 1", "EXPLAIN", Does.READ),
-    ("INSERT INTO t VALUES (1)", "INSERT", Does.WRITE),
-    ("SET max_threads = 1", "SET", Does.SESSION),
-    ("USE tickets", "USE", Does.SESSION),
-    ("SET ROLE a", "SET", Does.CHANGE),
-    ("CREATE TEMPORARY TABLE t (a Int8)", "CREATE", Does.SESSION),
-    ("CREATE OR REPLACE TEMPORARY TABLE t (a Int8)", "CREATE", Does.CHANGE),
-    ("CREATE TABLE t (a Int8)", "CREATE", Does.CHANGE),
-    ("DROP TEMPORARY TABLE t", "DROP", Does.SESSION),
-    ("ALTER TABLE t DELETE WHERE 1", "ALTER", Does.CHANGE),
-    ("SYSTEM FLUSH LOGS", "SYSTEM", Does.CHANGE),
-    ("KILL QUERY WHERE 1", "KILL", Does.CHANGE),
-    ("", "", Does.UNKNOWN),
-    ("/* open", "", Does.UNKNOWN),
-    ("42", "", Does.UNKNOWN),
-    ("'SELECT'", "", Does.UNKNOWN),
+    ("SELECT 1", "SELECT", StatementKind.READ),
+    ("  select 1 -- x", "SELECT", StatementKind.READ),
+    ("/* INSERT */ SELECT 1", "SELECT", StatementKind.READ),
+    ("-- INSERT\nSELECT 1", "SELECT", StatementKind.READ),
+    ("#! x\nSELECT 1", "SELECT", StatementKind.READ),
+    ("((SELECT 1) UNION ALL SELECT 2)", "SELECT", StatementKind.READ),
+    ("WITH x AS (SELECT 1) SELECT * FROM x", "WITH", StatementKind.READ),
+    ("WITH 'INSERT' AS x SELECT x", "WITH", StatementKind.READ),
+    ("WITH x AS (SELECT 1) INSERT INTO t SELECT * FROM x", "WITH", StatementKind.WRITE),
+    ("SHOW TABLES", "SHOW", StatementKind.READ),
+    ("DESCRIBE t", "DESCRIBE", StatementKind.READ),
+    ("EXPLAIN SELECT 1", "EXPLAIN", StatementKind.READ),
+    ("INSERT INTO t VALUES (1)", "INSERT", StatementKind.WRITE),
+    ("SET max_threads = 1", "SET", StatementKind.SESSION),
+    ("USE tickets", "USE", StatementKind.SESSION),
+    ("SET ROLE a", "SET", StatementKind.CHANGE),
+    ("CREATE TEMPORARY TABLE t (a Int8)", "CREATE", StatementKind.SESSION),
+    ("CREATE OR REPLACE TEMPORARY TABLE t (a Int8)", "CREATE", StatementKind.CHANGE),
+    ("CREATE TABLE t (a Int8)", "CREATE", StatementKind.CHANGE),
+    ("DROP TEMPORARY TABLE t", "DROP", StatementKind.SESSION),
+    ("ALTER TABLE t DELETE WHERE 1", "ALTER", StatementKind.CHANGE),
+    ("SYSTEM FLUSH LOGS", "SYSTEM", StatementKind.CHANGE),
+    ("KILL QUERY WHERE 1", "KILL", StatementKind.CHANGE),
+    ("", "", StatementKind.UNKNOWN),
+    ("/* open", "", StatementKind.UNKNOWN),
+    ("42", "", StatementKind.UNKNOWN),
+    ("'SELECT'", "", StatementKind.UNKNOWN),
 ]
 
 
 @pytest.mark.parametrize(("text", "first", "does"), STATEMENTS)
-def test_a_statement_s_first_words(text: str, first: str, does: Does) -> None:
+def test_a_statement_s_first_words(text: str, first: str, does: StatementKind) -> None:
     found = read(text)
     assert (found.first, found.does) == (first, does)
 
@@ -86,7 +86,7 @@
 
 @given(st.text(max_size=300))
 def test_no_statement_raises(text: str) -> None:
-    assert read(text).does in Does
+    assert read(text).does in StatementKind
 
 
 # --- heads ---
@@ -125,7 +125,7 @@
 def test_a_head_that_cannot_be_is_an_error_that_tells_no_secret(
     url: bytes, headers: list[tuple[str, str]], problem: str
 ) -> None:
-    with pytest.raises(Fault, match=problem):
+    with pytest.raises(QueryError, match=problem):
         read_head(url, headers)
     assert shown("/?password=hidden&query=1") == "/?password=***&query=1"
 
@@ -136,35 +136,35 @@
     )
     assert statement(read_head(b"/", []), b"SELECT 1", "POST") == b"SELECT 1"
     for body, method in ((b"", "GET"), (b" \n", "POST")):
-        with pytest.raises(Fault):
+        with pytest.raises(QueryError):
             statement(read_head(b"/", []), body, method)
 
 
 def test_errors_keep_the_interface_s_form() -> None:
-    fault = Fault(TOO_MANY_SIMULTANEOUS_QUERIES, "come\nback later", pause=0.2)
+    fault = QueryError(TOO_MANY_SIMULTANEOUS_QUERIES, "come\nback later", pause=0.2)
     assert (
         fault.body()
         == b"Code: 202. DB::Exception: come back later. (TOO_MANY_SIMULTANEOUS_QUERIES)\n"
     )
     assert fault.headers() == [(HEADER, "202"), ("Retry-After", "1")]
-    assert dict(Fault(SESSION_NOT_FOUND, "x").headers()) == {HEADER: "372"}
+    assert dict(QueryError(SESSION_NOT_FOUND, "x").headers()) == {HEADER: "372"}
 
 
 # --- rules ---
 
 CLASSES = {"glance": 5 * S, "report": 20 * S, "load": 25 * S}
 BY_DOES = {
-    Does.READ: "glance",
-    Does.WRITE: "load",
-    Does.CHANGE: "load",
-    Does.SESSION: "glance",
-    Does.UNKNOWN: "report",
+    StatementKind.READ: "glance",
+    StatementKind.WRITE: "load",
+    StatementKind.CHANGE: "load",
+    StatementKind.SESSION: "glance",
+    StatementKind.UNKNOWN: "report",
 }
 
 
-def seen(text: str = "SELECT 1", **more: Any) -> Seen:
+def seen(text: str = "SELECT 1", **more: Any) -> RequestFacts:
     base: dict[str, Any] = dict(user="ann", path="/", database="", settings={}, headers={})
-    return Seen(statement=read(text), **{**base, **more})
+    return RequestFacts(statement=read(text), **{**base, **more})
 
 
 def test_each_part_is_what_the_first_rule_that_names_it_says() -> None:
@@ -180,37 +180,39 @@
             Rule(first=("KILL",), deny="not here"),
         ),
     )
-    went = rules.go(seen(user="finance", database="t1", settings={"priority": "10"}))
-    assert (went.route, went.pool, went.cell, went.tenant, went.patience) == (
+    went = rules.route(seen(user="finance", database="t1", settings={"priority": "10"}))
+    assert (went.route, went.pool, went.cell, went.tenant, went.timeout_ns) == (
         "report",
         "big",
         "b",
         "likoni",
         3 * S,
     )
-    assert rules.go(seen(headers={"x-desk": "lamu"})).tenant == "lamu"
-    assert rules.go(seen("KILL QUERY WHERE 1")).deny == "not here" and not rules.go(seen()).deny
+    assert rules.route(seen(headers={"x-desk": "lamu"})).tenant == "lamu"
+    assert (
+        rules.route(seen("KILL QUERY WHERE 1")).deny == "not here" and not rules.route(seen()).deny
+    )
 
 
 def test_patience_is_the_least_of_class_rule_and_client() -> None:
     rules = Rules(CLASSES, BY_DOES)
     for said, patience in (("2.5", 2.5), ("0", 5), ("60", 5), ("x", 5), ("nan", 5), ("-1", 5)):
-        assert rules.go(seen(settings={"max_execution_time": said})).patience == patience * S
+        assert rules.route(seen(settings={"max_execution_time": said})).timeout_ns == patience * S
 
 
 def test_an_insert_is_unsafe_unless_a_token_or_an_id_makes_it_keyed() -> None:
     rules = Rules(
         CLASSES, BY_DOES, keyed_by_id=True, tenants=frozenset({"acme"}), default_tenant="acme"
     )
-    went = rules.go(seen("INSERT INTO t VALUES (1)"))
+    went = rules.route(seen("INSERT INTO t VALUES (1)"))
     assert not went.keyed and not went.repeatable and went.tenant == "acme" and went.route == "load"
-    assert rules.go(
+    assert rules.route(
         seen("INSERT INTO t VALUES (1)", settings={"insert_deduplication_token": "x"})
     ).keyed
-    assert rules.go(seen("INSERT INTO t VALUES (1)"), "q1").keyed
+    assert rules.route(seen("INSERT INTO t VALUES (1)"), "q1").keyed
     # that runs twice all the same
-    assert not rules.go(seen("ALTER TABLE t DELETE WHERE 1"), "q1").keyed
-    assert rules.go(seen()).repeatable
+    assert not rules.route(seen("ALTER TABLE t DELETE WHERE 1"), "q1").keyed
+    assert rules.route(seen()).repeatable
 
 
 @pytest.mark.parametrize(
@@ -220,12 +222,12 @@
         lambda: Rule(route="x", patience_ms=-1),
         lambda: Rule(first=("kill",), deny="x"),
         lambda: Rules(CLASSES, BY_DOES, (Rule(route="nowhere"),)),
-        lambda: Rules(CLASSES, {Does.READ: "glance"}),
+        lambda: Rules(CLASSES, {StatementKind.READ: "glance"}),
         lambda: Rules({}, BY_DOES),
     ],
 )
 def test_rules_that_cannot_be_name_their_key(make: Any) -> None:
-    with pytest.raises(BadRule, match="^[a-z_.]+: "):
+    with pytest.raises(RuleError, match="^[a-z_.]+: "):
         make()
 
 
@@ -235,15 +237,15 @@
 def test_a_session_sticks_and_one_whose_engine_is_gone_is_told_so() -> None:
     held = Sessions()
     one = held.begin("ann", "s", 0)
-    with pytest.raises(Fault, match="locked"):
+    with pytest.raises(QueryError, match="locked"):
         held.begin("ann", "s", 1)
     held.begin("bob", "s", 1)  # another user's is another session
     held.bind(one, 7, state=True)
     held.end(one, S)
     assert held.begin("ann", "s", 2 * S, check=True) is one and one.engine == 7
     held.end(one, 2 * S)
-    assert held.gone(7) == [one]
-    with pytest.raises(Fault, match="has gone"):
+    assert held.engine_removed(7) == [one]
+    with pytest.raises(QueryError, match="has gone"):
         held.begin("ann", "s", 3 * S)
     again = held.begin("ann", "s", 3 * S)  # it has been told: from here on it is a new one
     assert again is not one and again.engine is None
@@ -254,55 +256,69 @@
     one = held.begin("ann", "s", 0)
     held.bind(one, 7, state=False)
     held.end(one, 0)
-    assert held.gone(7) == [] and held.begin("ann", "s", 1) is one and one.engine is None
+    assert held.engine_removed(7) == [] and held.begin("ann", "s", 1) is one and one.engine is None
 
 
 def test_sessions_expire_and_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     held = Sessions()
     one = held.begin("ann", "s", 0, timeout=2 * S)
     held.end(one, 0)
-    with pytest.raises(Fault, match="not found"):
+    with pytest.raises(QueryError, match="not found"):
         held.begin("ann", "s", 2 * S, check=True)
     for bad in (-1, 9_999 * S):
-        with pytest.raises(Fault, match="session_timeout"):
+        with pytest.raises(QueryError, match="session_timeout"):
             held.begin("ann", "t", 0, timeout=bad)
-    with pytest.raises(Fault, match="session_id"):
+    with pytest.raises(QueryError, match="session_id"):
         held.begin("ann", "x" * 201, 0)
     monkeypatch.setattr(sessions_, "MOST_SESSIONS", 5)
     for i in range(20):
         held.end(held.begin("ann", f"i{i}", 10 * S + i), 10 * S + i)
-    assert len(held.held) <= 5
-    assert held.expire(10_000 * S) == len(held.held) + 5 and not held.held and not held.by_engine
+    assert len(held.by_key) <= 5
+    assert (
+        held.expire(10_000 * S) == len(held.by_key) + 5 and not held.by_key and not held.by_engine
+    )
 
 
 def test_statements_are_read_no_further_than_they_decide() -> None:
-    assert read("SELECT 1 " + "x" * 1_000_000).does is Does.READ
-    assert Statement("SELECT", Does.READ) == read("SELECT 1")
+    assert read("SELECT 1 " + "x" * 1_000_000).does is StatementKind.READ
+    assert Statement("SELECT", StatementKind.READ) == read("SELECT 1")
 
 
 # --- results on their way ---
 
 
-def kinds(relay: Relay) -> list[Act]:
+def kinds(relay: Relay) -> list[RelayAction]:
     return [act for act, _ in relay.take()]
 
 
 def test_until_a_byte_has_gone_another_attempt_may_take_the_place() -> None:
     relay = Relay(wait_end=True)
-    relay.begin(Head(200))
+    relay.begin(ResponseHead(200))
     relay.data(b"half")
-    assert relay.fault() is Fate.AGAIN and not relay.take() and relay.state is State.WAITING
-    relay.begin(Head(200))
+    assert (
+        relay.fault() is FaultOutcome.AGAIN
+        and not relay.take()
+        and relay.state is RelayState.WAITING
+    )
+    relay.begin(ResponseHead(200))
     relay.data(b"whole")
-    assert relay.end() and relay.take() == [(Act.HEAD, b""), (Act.BODY, b"whole"), (Act.END, b"")]
-    assert relay.fault() is Fate.OVER
+    assert relay.end() and relay.take() == [
+        (RelayAction.HEAD, b""),
+        (RelayAction.BODY, b"whole"),
+        (RelayAction.END, b""),
+    ]
+    assert relay.fault() is FaultOutcome.OVER
 
 
 def test_once_it_flows_a_fault_is_shown_and_never_repeated() -> None:
     relay = Relay()
-    relay.begin(Head(200))
+    relay.begin(ResponseHead(200))
     relay.data(b"a")
-    assert relay.fault() is Fate.FAILED and kinds(relay) == [Act.HEAD, Act.BODY, Act.TEAR]
+    assert relay.fault() is FaultOutcome.FAILED and kinds(relay) == [
+        RelayAction.HEAD,
+        RelayAction.BODY,
+        RelayAction.TEAR,
+    ]
     with pytest.raises(AssertionError):
         relay.again()
     relay.data(b"b")
@@ -310,37 +326,37 @@
 
 
 def test_a_result_that_says_itself_that_it_broke_is_no_result() -> None:
-    for wait_end, fate in ((True, State.WAITING), (False, State.BROKEN)):
+    for wait_end, fate in ((True, RelayState.WAITING), (False, RelayState.BROKEN)):
         relay = Relay(wait_end=wait_end)
-        relay.begin(Head(200))
+        relay.begin(ResponseHead(200))
         relay.data(b"1\t2\n__exce")
         relay.data(b"ption__\nCode: 241\n")
         assert not relay.end() and relay.state is fate
     held = Relay()
-    held.begin(Head(200))
+    held.begin(ResponseHead(200))
     held.data(b"a row with __exception__ in it\n")
     assert held.end()
 
 
 def test_what_is_held_is_bounded_and_then_flows() -> None:
-    relay = Relay(wait_end=True, most_held=10)
-    relay.begin(Head(200))
+    relay = Relay(wait_end=True, most_buffered=10)
+    relay.begin(ResponseHead(200))
     relay.data(b"x" * 8)
     assert not relay.take()
     relay.data(b"x" * 8)
     assert (
-        kinds(relay) == [Act.HEAD, Act.BODY, Act.BODY]
+        kinds(relay) == [RelayAction.HEAD, RelayAction.BODY, RelayAction.BODY]
         and relay.overflowed
-        and relay.held_bytes == 0
+        and relay.buffered_bytes == 0
     )
 
 
 def test_an_error_of_the_engine_is_not_shown_while_another_may_do_better() -> None:
     relay = Relay()
-    relay.begin(Head(500))
+    relay.begin(ResponseHead(500))
     relay.data(b"Code: 241")
-    assert not relay.take() and relay.fault() is Fate.AGAIN
-    assert relay.give_up() is Fate.FAILED and kinds(relay) == [Act.ERROR]
+    assert not relay.take() and relay.fault() is FaultOutcome.AGAIN
+    assert relay.give_up() is FaultOutcome.FAILED and kinds(relay) == [RelayAction.ERROR]
 
 
 @given(
@@ -356,13 +372,13 @@
 def test_memory_is_bounded_and_the_client_gets_one_end(
     steps: list[tuple[str, int]], wait_end: bool
 ) -> None:
-    relay, sent, ends, gone = Relay(wait_end=wait_end, most_held=100_000), 0, 0, False
-    relay.begin(Head(200))
+    relay, sent, ends, gone = Relay(wait_end=wait_end, most_buffered=100_000), 0, 0, False
+    relay.begin(ResponseHead(200))
     for word, number in steps:
         if word == "data" and not relay.paused:
             relay.data(b"x" * number)
         elif word == "gone":
-            relay.gone(number)
+            relay.bytes_written(number)
         elif word == "fault":
             relay.fault()
         elif word == "end":
@@ -370,12 +386,12 @@
         elif word == "left":
             relay.left()
             gone = True
-        if relay.state is State.WAITING:
-            relay.begin(Head(200))
+        if relay.state is RelayState.WAITING:
+            relay.begin(ResponseHead(200))
         for act, data in relay.take():
-            assert not gone or act is Act.RESUME
-            assert not ends or act in (Act.RESUME, Act.PAUSE)
+            assert not gone or act is RelayAction.RESUME
+            assert not ends or act in (RelayAction.RESUME, RelayAction.PAUSE)
             sent += len(data)
-            ends += act in (Act.END, Act.TEAR, Act.ERROR)
-        assert relay.held_bytes <= 100_000 and relay.unread <= 262_144 + 800_000
+            ends += act in (RelayAction.END, RelayAction.TEAR, RelayAction.ERROR)
+        assert relay.buffered_bytes <= 100_000 and relay.unread <= 262_144 + 800_000
     assert ends <= 1 and sent <= relay.passed
