--- a/query_broker/clickhouse/rules.py
+++ b/query_broker/clickhouse/rules.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .statement import StatementKind, Statement
+from .statement import Statement, StatementKind
 
 MS = 1_000_000
 LONGEST_S = 1e9  # a time beyond that is taken for none
--- a/tests/test_clickhouse_pure.py
+++ b/tests/test_clickhouse_pure.py
@@ -16,12 +16,12 @@
     TOO_MANY_SIMULTANEOUS_QUERIES,
     QueryError,
 )
-from query_broker.clickhouse.relay import RelayAction, FaultOutcome, ResponseHead, Relay, RelayState
+from query_broker.clickhouse.relay import FaultOutcome, Relay, RelayAction, RelayState, ResponseHead
 from query_broker.clickhouse.request import read as read_head
 from query_broker.clickhouse.request import shown, statement
-from query_broker.clickhouse.rules import RuleError, Rule, Rules, RequestFacts
+from query_broker.clickhouse.rules import RequestFacts, Rule, RuleError, Rules
 from query_broker.clickhouse.sessions import Sessions
-from query_broker.clickhouse.statement import StatementKind, Statement, read
+from query_broker.clickhouse.statement import Statement, StatementKind, read
 
 S = 1_000_000_000
 
