--- a/query_broker/decisions/events.py
+++ b/query_broker/decisions/events.py
@@ -1,4 +1,7 @@
-"""Events that the admission controller takes. Times and durations are integer nanoseconds."""
+"""Events that the admission controller takes.
+
+Times and durations are integer nanoseconds, works thread-nanoseconds. Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,29 @@
 
 
 class EndpointState(Enum):
+    """State of an endpoint in the endpoint list.
+
+    Attributes:
+        READY: Takes requests.
+        DRAINING: Finishes what it has; nothing new may be sent (rule 3).
+        REMOVED: Is no longer there.
+    """
+
     READY = "ready"
     DRAINING = "draining"
     REMOVED = "gone"
 
 
 class ListUpdateKind(Enum):
+    """What an update of the endpoint list holds.
+
+    Attributes:
+        CHANGES: The entries that changed.
+        FULL: Every entry.
+        CACHED: Every entry of the last list that was seen, at the start.
+        FAILED: Nothing: the list could not be read.
+    """
+
     CHANGES = "changes"
     FULL = "full"
     CACHED = "cached"
@@ -24,7 +44,18 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt ended."""
+    """How an attempt, or a health check, ended.
+
+    Attributes:
+        SERVED: The endpoint answered.
+        ERROR: The endpoint answered with an error.
+        FULL: The endpoint rejected it for lack of capacity.
+        TIMEOUT: No answer came in time; it may have run, or still run.
+        CONNECT_FAILED: No connection came about.
+        RESET: The connection ended before the answer; it may have run.
+        CANCELLED: It was cancelled; it may have run.
+        NOT_SENT: It never left this broker.
+    """
 
     SERVED = "served"
     ERROR = "error"
@@ -43,6 +74,14 @@
 
 
 class ProgressKind(Enum):
+    """What an endpoint reports of an attempt that runs.
+
+    Attributes:
+        PROGRESS: How far it is.
+        SPILLING: It spills to disk for lack of memory.
+        WAITING: It waits for others.
+    """
+
     PROGRESS = 1
     SPILLING = 2
     WAITING = 3
@@ -50,7 +89,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One line of the engine list. ``started`` is 0 when that is long ago."""
+    """One entry of the endpoint list.
+
+    Attributes:
+        endpoint: Number of the endpoint.
+        state: Its state.
+        zone: Its zone.
+        kind: Its kind of machine.
+        cell: Its cell, within which idempotency keys may be shared.
+        weight: Its relative capacity, where its kind has no cores in the settings.
+        started_ns: When its process started, 0 when that is long ago.
+    """
 
     endpoint: int
     state: EndpointState
@@ -63,23 +112,52 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine tells of its load; None where it does not tell."""
+    """What an endpoint reports of its load; None where it does not report.
+
+    Attributes:
+        utilisation: Fraction of its cores that is busy.
+        queue: Requests that wait for memory.
+        memory: Fraction of its memory that is granted.
+        disk: Fraction of its disks that is busy.
+        inflight: Requests that it has accepted and not answered.
+    """
 
     utilisation: float | None = None
     queue: float | None = None
     memory: float | None = None
     disk: float | None = None
-    inflight: float | None = None  # queries in hand
+    inflight: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
+    """The endpoint list has changed, was read in full, or could not be read.
+
+    Attributes:
+        kind: What the entries are.
+        entries: The entries.
+    """
+
     kind: ListUpdateKind
     entries: tuple[EndpointEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
+    """A client's request has arrived.
+
+    Attributes:
+        request_id: Its name, unique among the open requests.
+        class_name: Its class in the settings.
+        timeout_ns: When its client gives up, from now.
+        tenant: Its tenant, if any.
+        key: Its key, which counts in classes that keep the order by key (rule 5).
+        estimate_ns: The client's estimate of its work, in thread-nanoseconds.
+        memory_mb: The client's estimate of its memory.
+        data_set: Number of the data set that it reads or loads.
+        is_retry: The client marks it as a repeat of a rejected request.
+    """
+
     request_id: str
     class_name: str
     timeout_ns: int
@@ -93,6 +171,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt has ended.
+
+    Attributes:
+        request_id: The request.
+        attempt: Number of the attempt.
+        endpoint: Its endpoint.
+        result: How it ended.
+        latency_ns: From its dispatch to its end.
+        finished: The request has its final answer by this.
+        load_report: What the endpoint reported with it, if anything.
+    """
+
     request_id: str
     attempt: int
     endpoint: int
@@ -104,6 +194,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
+    """An endpoint has reported on an attempt that runs.
+
+    Attributes:
+        request_id: The request.
+        attempt: Number of the attempt.
+        endpoint: Its endpoint.
+        kind: What is reported.
+        value: How far, or how much, by kind.
+    """
+
     request_id: str
     attempt: int
     endpoint: int
@@ -113,13 +213,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
+    """The client of a request has left; it needs no answer any more."""
+
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AdministrativeChange:
-    """Operators take an engine out, whatever the list says, or back: it has restarted and is
-    cold.
+    """Operators have disabled an endpoint, whatever the list says, or enabled it again.
+
+    One that is enabled counts as restarted: it is cold.
+
+    Attributes:
+        endpoint: Number of the endpoint.
+        disabled: It is disabled from now on, else enabled.
+        at_ns: When that was decided.
     """
 
     endpoint: int
@@ -128,19 +236,26 @@
 
 
 class OutstandingWork(NamedTuple):
-    """What one process of a gateway has out on an engine, and has sent it lately while it was
-    cold.
+    """What one process of a broker has outstanding on an endpoint.
+
+    Attributes:
+        threads: Threads of the outstanding requests.
+        backlog_ns: Their expected work, in thread-nanoseconds.
+        warmup_ns: Work dispatched lately while the endpoint was warming up, in thread-nanoseconds.
     """
 
     threads: int
-    backlog_ns: int  # thread-nanoseconds, as is ``cold``
+    backlog_ns: int
     warmup_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class CoProcessLoad:
-    """Other processes of this gateway: theirs and ours go by one share. ``taking`` of them, with
-    us, take requests.
+    """Load of the other processes of this broker, which use one quota with this one.
+
+    Attributes:
+        outstanding: What they have outstanding, by endpoint.
+        accepting_processes: How many processes, with this one, accept requests.
     """
 
     outstanding: Mapping[int, OutstandingWork]
@@ -149,25 +264,40 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings, for all requests that come from now on."""
+    """The settings have changed, for all requests that come from now on."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class CloseRequests:
-    """What is open gets its final answer now: all of it, or the requests that are named."""
+    """Open requests are to get their final answers now.
+
+    Attributes:
+        request_ids: The requests, or None for all.
+    """
 
     request_ids: frozenset[str] | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer is due; ``token`` is that of its order."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
+    """A health check has ended.
+
+    Attributes:
+        endpoint: Number of the endpoint.
+        result: How it ended.
+        latency_ns: From its start to its end.
+        load_report: What the endpoint reported, if anything.
+    """
+
     endpoint: int
     result: AttemptResult
     latency_ns: int
@@ -176,6 +306,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
+    """Another broker has sent a message; the decisions use none."""
+
     sender: int
     payload: bytes
 
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -2,7 +2,7 @@
 
 The network code sees the decisions through this module alone; it takes the types of events, orders
 and settings from here too. Performs no I/O and decides nothing: it groups the controller's orders
-and keeps its timers on the wheel.
+and keeps its timers on the caller's timer wheel.
 """
 
 from __future__ import annotations
@@ -73,9 +73,14 @@
 
 @dataclass(slots=True)
 class OrderBatch:
-    """What the network is to do, each list in its order.
-
-    Options come before the dispatches that they are for.
+    """What the network is to do, each list in its sequence.
+
+    Attributes:
+        options: Options of dispatches; carried out before these.
+        dispatches: Attempts to start.
+        answers: Final answers.
+        cancellations: Attempts to cancel.
+        health_checks: Endpoints to check.
     """
 
     options: list[DispatchOptions] = field(default_factory=list)
@@ -86,15 +91,23 @@
 
 
 class Facade:
-    """One controller, with its timers on the wheel of the caller."""
+    """One controller, with its timers on the timer wheel of the caller.
+
+    Attributes:
+        controller: The controller.
+        wheel: The caller's timer wheel.
+        due: Tokens of the controller's timers that the wheel has found due, to be handled by
+            `tick`.
+    """
 
     def __init__(self, settings: Settings, seed: int, now: int, wheel: TimerWheel) -> None:
+        """Make the controller; the parameters are its own."""
         self.controller = AdmissionController(settings, seed, now)
         self.wheel = wheel
-        self.due: deque[int] = deque()  # timers of the controller that the wheel has found due
+        self.due: deque[int] = deque()
 
     def pick(self, now: int, arrival: RequestArrived) -> OrderBatch:
-        """Decide on a request that has arrived: where it goes, or that it does not."""
+        """Decide on a request that has arrived: where it is dispatched, or that it is rejected."""
         return self._handle(now, arrival)
 
     def report(self, now: int, event: Event) -> OrderBatch:
@@ -105,49 +118,50 @@
         """Handle the first of the timers that are due.
 
         Each is taken out first and handled alone: a fault in one must not cost the others, among
-        them those that guarantee a final answer.
+        them those that guarantee a final answer (rule 1).
         """
         return self._handle(now, TimerFired(self.due.popleft()))
 
     def forget(self, request: str) -> None:
-        """Take note that the network holds nothing of this request any more."""
+        """Note that the network has nothing of this request any more; does nothing."""
 
     def avoided(self) -> int:
-        """How many listed engines the decisions leave out, by hand or by choice."""
+        """Count the listed endpoints that get nothing, by hand or by choice."""
         return self.controller.avoided()
 
     def outstanding(self, now: int) -> dict[int, OutstandingWork]:
-        """What this process has out, for others of this broker."""
+        """Return what this process has outstanding, for others of this broker."""
         return self.controller.outstanding(now)
 
     def shares(self) -> dict[int, tuple[float, float]]:
-        """Of each engine: the threads, and the bound on work outstanding, that this process goes
-        by.
+        """Return the thread quota of each endpoint and the bound on its outstanding work.
+
+        The bound is in thread-nanoseconds.
         """
         endpoints = self.controller.engines
         return {number: (known.thread_quota, known.bound) for number, known in endpoints.items()}
 
     def widest(self) -> int:
-        """Threads of the widest query."""
+        """Return the threads of the widest class."""
         return self.controller.active.widest_threads
 
-    def _fired(self, token: int) -> Callable[[], None]:
+    def _timer_callback(self, token: int) -> Callable[[], None]:
         return lambda: self.due.append(token)
 
     def _handle(self, now: int, event: Event) -> OrderBatch:
-        orders = OrderBatch()
-        for action in self.controller.handle(now, event):
-            match action:
-                case SetTimer(at, token):
-                    self.wheel.at(at, self._fired(token))
+        batch = OrderBatch()
+        for order in self.controller.handle(now, event):
+            match order:
+                case SetTimer(due_ns, token):
+                    self.wheel.at(due_ns, self._timer_callback(token))
                 case Dispatch():
-                    orders.dispatches.append(action)
+                    batch.dispatches.append(order)
                 case DispatchOptions():
-                    orders.options.append(action)
+                    batch.options.append(order)
                 case Reject() | Fail():
-                    orders.answers.append(action)
+                    batch.answers.append(order)
                 case CancelAttempt():
-                    orders.cancellations.append(action)
+                    batch.cancellations.append(order)
                 case HealthCheck():
-                    orders.health_checks.append(action)
-        return orders
+                    batch.health_checks.append(order)
+        return batch
--- a/query_broker/decisions/settings.py
+++ b/query_broker/decisions/settings.py
@@ -1,13 +1,23 @@
-"""Settings of the admission controller. Times and durations are integer nanoseconds."""
+"""Settings of the admission controller; they are checked when they are made.
+
+Times and durations are integer nanoseconds. An impossible value raises a ValueError with the
+operators' key and what is wrong. Performs no I/O.
+"""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import Enum
 
 
 class Effect(Enum):
-    """What a repeat of a request may do."""
+    """What a request does when it runs more than once (rule 2).
+
+    Attributes:
+        IDEMPOTENT: Nothing that running once would not do.
+        IDEMPOTENCY_KEY: Nothing, where the endpoint still remembers its idempotency key.
+        NON_IDEMPOTENT: Its effect happens twice; it must not be repeated once it may have run.
+    """
 
     IDEMPOTENT = "safe"
     IDEMPOTENCY_KEY = "keyed"
@@ -15,7 +25,7 @@
 
 
 class IdempotencyScope(Enum):
-    """The engines that share the memory of a keyed request's repeats."""
+    """The endpoints that share their memory of idempotency keys."""
 
     ALL = "all"
     ZONE = "zone"
@@ -23,12 +33,33 @@
 
 
 def _require(ok: bool, key: str, problem: str) -> None:
+    """Raise a ValueError with the key, as operators write it, unless a value is possible."""
     if not ok:
-        raise ValueError(f"{key}: {problem}")
+        raise ValueError(f"{key}: {problem}")  # noqa: TRY003  # operators see this text as it is
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """A class of requests: what its clients want and what the rules let happen to it.
+
+    Attributes:
+        name: Its name, unique among the classes.
+        latency_objective_ns: Latency within which an answer earns its full weight.
+        deadline_ns: When its clients give up, from the arrival.
+        priority_weight: What an answer within the objective earns.
+        effect: What running more than once does.
+        late_priority_weight: What an answer after the objective earns.
+        objective_stretch: Multiple of the request's run time that is added to the objective.
+        idempotency_scope: Endpoints that share their memory of its idempotency keys.
+        idempotency_window_ns: How long an endpoint remembers an idempotency key.
+        ordered_by_key: Requests of one key run one at a time, in the order of their arrival.
+        allowed_zones: Zones where it may run; all if empty.
+        allowed_kinds: Kinds of endpoints where it may run; all if empty.
+        threads: Threads of a request.
+        is_load: It loads a data set, and blocks the readers of it on its endpoint meanwhile.
+        blocked_by_loads: It reads a data set, and stands still while a load holds that.
+    """
+
     name: str
     latency_objective_ns: int
     deadline_ns: int
@@ -46,6 +77,7 @@
     blocked_by_loads: bool = False
 
     def __post_init__(self) -> None:
+        """Check the values."""
         _require(bool(self.name), "classes.name", "is empty")
         _require(self.latency_objective_ns > 0, "classes.aim", "must be above 0")
         _require(self.deadline_ns > 0, "classes.deadline", "must be above 0")
@@ -56,16 +88,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant and its quota.
+
+    Attributes:
+        name: Its name.
+        quota_per_s: Requests a second, over all brokers together.
+    """
+
     name: str
     quota_per_s: float
 
     def __post_init__(self) -> None:
+        """Check the values."""
         _require(self.quota_per_s >= 0, "tenants.quota_per_s", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """The figures of the rules."""
+    """The figures of the rules.
+
+    Attributes:
+        answer_slack_ns: How late a final answer may be (rule 1).
+        drain_grace_ns: How long after a drain was made known something may be sent (rule 3).
+        warmup_initial_capacity: Fraction of its capacity that an endpoint starts with (rule 4).
+        warmup_ns: Duration of the warm-up (rule 4).
+        overload_window_ns: Window over which work is counted against a warm-up; 0: no limit.
+        overload_multiple: Multiple of its capacity over a window that fells a cold endpoint.
+        key_rest_ns: Rest of a key after an attempt that may still run (rule 5).
+        retry_budget_window_ns: Window of the retry budget; 0: no limit (rule 7).
+        retry_budget_free: Retries within the window that are always allowed.
+        retry_budget_ratio: Retries within the window for each arrival within it.
+    """
 
     answer_slack_ns: int = 0
     drain_grace_ns: int = 0
@@ -79,6 +132,7 @@
     retry_budget_ratio: float = 0.0
 
     def __post_init__(self) -> None:
+        """Check the values."""
         _require(0 < self.warmup_initial_capacity <= 1, "contract.cold_from", "must lie in (0, 1]")
         _require(self.overload_multiple > 0, "contract.fall_multiple", "must be above 0")
         durations = {
@@ -95,6 +149,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """What the endpoints' protocol and the rules let a broker do.
+
+    Attributes:
+        cancellation: Attempts may be cancelled.
+        health_checks: Endpoints may be sent health checks.
+        peer_messages: Brokers may send each other messages; the decisions use none.
+        hedging: A second attempt may run beside the first, where the class is idempotent.
+        retry_after: A rejection may name a time to wait.
+        max_attempts: Attempts for a request.
+        max_retry_after_ns: The longest time to wait that a rejection may name.
+    """
+
     cancellation: bool = False
     health_checks: bool = False
     peer_messages: bool = False
@@ -104,29 +170,50 @@
     max_retry_after_ns: int = 0
 
     def __post_init__(self) -> None:
+        """Check the values."""
         _require(self.max_attempts > 0, "limits.max_attempts", "must be above 0")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """All settings of the admission controller.
+
+    Attributes:
+        classes: At least one class, each with its own name.
+        fleet_size: Number of brokers; the quotas of endpoints and tenants are divided by it.
+        tick_ns: Resolution of timers.
+        broker_index: Place of this broker among them, from 0.
+        zone: Zone of this broker.
+        contract: The figures of the rules.
+        limits: What a broker may do.
+        tenants: Tenants with a quota; others have no limit.
+        kind_cores: Cores by kind of endpoint; other kinds have their weight in the list.
+        cross_zone_price: Part of a request's weight that is lost when it crosses zones.
+        handshake_price: Part of a request's weight that a new connection to an endpoint costs.
+        over_quota_weight: Factor of the weight of what exceeds its tenant's quota.
+        memory_grants: Dispatches may grant memory.
+        priorities: Dispatches may set a priority.
+    """
+
     classes: tuple[RequestClass, ...]
     fleet_size: int
     tick_ns: int
-    broker_index: int = 0  # our place among them, from 0
+    broker_index: int = 0
     zone: str = ""
-    contract: Contract = Contract()
-    limits: Limits = Limits()
+    contract: Contract = field(default_factory=Contract)
+    limits: Limits = field(default_factory=Limits)
     tenants: tuple[Tenant, ...] = ()
     kind_cores: tuple[tuple[str, int], ...] = ()
     cross_zone_price: float = 0.0
-    handshake_price: float = 0.0  # of a request's worth, for a new connection to an engine
+    handshake_price: float = 0.0
     over_quota_weight: float = 1.0
     memory_grants: bool = False
     priorities: bool = False
 
     def __post_init__(self) -> None:
+        """Check the values."""
         _require(bool(self.classes), "classes", "at least one class is needed")
-        names = [c.name for c in self.classes]
+        names = [spec.name for spec in self.classes]
         _require(len(set(names)) == len(names), "classes.name", "is used twice")
         _require(self.fleet_size > 0, "fleet_size", "must be above 0")
         _require(self.tick_ns > 0, "tick", "must be above 0")
