--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -63,6 +63,21 @@
         self.requests: dict[str, Request] = {}
         self.keys_in_service: set[str] = set()
 
+    def apply_settings(self, now: int) -> None:
+        """Take over classes, tenants and the retry budget of the settings in force."""
+        settings = self.active.settings
+        self.classes.apply(settings.classes)
+        self.quotas.apply(now, settings)
+        self.retry_budget.apply_settings()
+
+    def share_quotas(self, accepting_processes: int) -> None:
+        """Share the tenants' quotas among so many processes of this broker."""
+        self.quotas.accepting_processes = accepting_processes
+
+    def end_period(self) -> None:
+        """Begin the next period of the rejection rate."""
+        self.rejections.end_period()
+
     def arrive(self, now: int, event: RequestArrived) -> None:
         """Decide on a request that has arrived: dispatch, queue behind its key, or reject.
 
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -69,37 +69,40 @@
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         """Wire the parts, each with what it needs, and put the settings into force."""
-        active = self.active = ActiveSettings(settings)
-        orders = self.orders = OrderBuffer()
-        clock = self.clock = PeriodClock(now)
+        active = ActiveSettings(settings)
+        orders = OrderBuffer()
+        clock = PeriodClock(now)
         draws = random.Random(seed)
         # What is known of the endpoints.
-        pool = self.pool = EndpointPool(active, now)
-        slow_start = self.slow_start = SlowStart(active, pool)
-        outliers = self.outliers = OutlierDetector(active, pool, clock, orders, draws)
-        affinity = self.affinity = DataSetAffinity(active, pool.endpoints)
+        pool = EndpointPool(active, now)
+        slow_start = SlowStart(active, pool)
+        outliers = OutlierDetector(active, pool, clock, orders, draws)
+        affinity = DataSetAffinity(active, pool.endpoints)
         # Where a request may go, and where it goes.
-        queues = KeyQueues()
-        budget = self.retry_budget = RetryBudget(active)
-        rules = self.eligibility = Eligibility(active, pool, slow_start, outliers, queues, budget)
-        capacity = self.capacity = CapacityCheck(pool, slow_start)
+        queues = KeyQueues(active)
+        budget = RetryBudget(active)
+        rules = Eligibility(active, pool, slow_start, outliers, queues, budget)
+        capacity = CapacityCheck(pool, slow_start)
         balancer = LoadBalancer(active, pool, slow_start, outliers, affinity, draws)
-        selector = self.selector = EndpointSelector(pool, balancer, rules, capacity)
+        selector = EndpointSelector(pool, balancer, rules, capacity)
         # The way of a request.
-        dispatcher = AttemptDispatcher(active, pool, affinity, orders)
-        retries = RetryPolicy(
-            active, pool, slow_start, outliers, rules, capacity, selector, dispatcher, orders
-        )
-        classes = self.classes = RequestClasses()
-        quotas = self.quotas = TenantQuotas()
-        rejections = self.rejections = RejectionRate(active)
-        admission = self.admission = Admission(
-            active, classes, quotas, queues, budget, retries, rejections, orders
-        )
+        dispatcher = AttemptDispatcher(active, pool, rules, capacity, affinity, orders)
+        retries = RetryPolicy(active, pool, slow_start, outliers, selector, dispatcher, orders)
+        classes = RequestClasses()
+        quotas = TenantQuotas()
+        rejections = RejectionRate(active)
+        admission = Admission(active, classes, quotas, queues, budget, retries, rejections, orders)
         feedback = DelayFeedback(pool, slow_start, clock)
-        self.outcomes = AttemptOutcomes(
-            active, pool, outliers, feedback, dispatcher, queues, retries, admission
-        )
+        outcomes = AttemptOutcomes(pool, outliers, feedback, dispatcher, queues, retries, admission)
+        self.active = active
+        self.orders = orders
+        self.clock = clock
+        self.pool = pool
+        self.outliers = outliers
+        self.affinity = affinity
+        self.selector = selector
+        self.admission = admission
+        self.outcomes = outcomes
         self._apply_settings(now)
         self._handlers = self._handler_table()
 
@@ -170,7 +173,7 @@
         """Timer: end a period of the control loops and begin the next."""
         self.orders.set_timer(now + PERIOD_NS, self._end_period)
         self.clock.start_period(now)
-        self.rejections.end_period()
+        self.admission.end_period()
         self.pool.refresh(now)  # endpoints may have warmed up by now
         self.outliers.end_period(now)
         for endpoint in self.pool.endpoints.values():
@@ -182,10 +185,7 @@
         self._apply_settings(now)
 
     def _apply_settings(self, now: int) -> None:
-        settings = self.active.settings
-        self.classes.apply(settings.classes)
-        self.quotas.apply(now, settings)
-        self.retry_budget.apply_settings()
+        self.admission.apply_settings(now)
         self.pool.apply_settings(now)
 
     def _update_endpoints(self, now: int, event: EndpointListUpdate) -> None:
@@ -193,7 +193,7 @@
         self.pool.update(now, event)
 
     def _take_co_process_load(self, now: int, event: CoProcessLoad) -> None:
-        self.quotas.accepting_processes = event.accepting_processes
+        self.admission.share_quotas(event.accepting_processes)
         self.pool.set_co_process_load(event)
 
     def _fire_timer(self, now: int, event: TimerFired) -> None:
--- a/query_broker/decisions/dispatching.py
+++ b/query_broker/decisions/dispatching.py
@@ -4,7 +4,9 @@
 
 from .accounting import Attempt
 from .active_settings import ActiveSettings
+from .capacity_check import CapacityCheck
 from .data_set_affinity import DataSetAffinity
+from .eligibility import Eligibility
 from .endpoint_pool import EndpointPool
 from .open_requests import Request
 from .order_buffer import OrderBuffer
@@ -28,23 +30,52 @@
 class AttemptDispatcher:
     """Starts attempts and ends them in the accounts."""
 
-    __slots__ = ("active", "affinity", "orders", "pool")
+    __slots__ = ("active", "affinity", "capacity", "eligibility", "orders", "pool")
 
     def __init__(
         self,
         active: ActiveSettings,
         pool: EndpointPool,
+        eligibility: Eligibility,
+        capacity: CapacityCheck,
         affinity: DataSetAffinity,
         orders: OrderBuffer,
     ) -> None:
         """Take the collaborators."""
         self.active = active
         self.pool = pool
+        self.eligibility = eligibility
+        self.capacity = capacity
         self.affinity = affinity
         self.orders = orders
 
-    def dispatch(self, now: int, request: Request, endpoint: TrackedEndpoint) -> Attempt:
-        """Order an attempt and enter it in the accounts of request, endpoint and pool."""
+    def dispatch(self, now: int, request: Request, endpoint: TrackedEndpoint) -> Attempt | None:
+        """Order an attempt and enter it in the accounts of request, endpoint and pool.
+
+        The rules are applied here once more, so that nothing is dispatched past them, whatever
+        chose the endpoint; the result is None where they forbid it.
+        """
+        if not self.eligibility.allows(now, request, endpoint):
+            return None
+        if request.attempts_started > 0:
+            self.eligibility.record_retry(now)
+        else:
+            self.capacity.record(request)
+        attempt = self._start(now, request, endpoint)
+        self._reserve(now, request, endpoint, attempt)
+        return attempt
+
+    def release(
+        self, now: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
+    ) -> None:
+        """Take an attempt that has ended out of the accounts of endpoint and pool."""
+        spec = request.spec
+        del endpoint.in_flight[request.id, attempt.number]
+        self.pool.add_outstanding(now, endpoint, -attempt.backlog_ns, -spec.threads)
+        if spec.is_load:
+            self.affinity.add_loads(endpoint, request.data_set, -1)
+
+    def _start(self, now: int, request: Request, endpoint: TrackedEndpoint) -> Attempt:
         number = endpoint.entry.endpoint
         attempt = Attempt(
             request.attempts_started,
@@ -63,19 +94,8 @@
         request.tried_endpoints.append(number)
         request.in_flight[attempt.number] = attempt
         request.maybe_executed.append(attempt)  # until an outcome proves that it never ran
-        self._reserve(now, request, endpoint, attempt)
         return attempt
 
-    def release(
-        self, now: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
-    ) -> None:
-        """Take an attempt that has ended out of the accounts of endpoint and pool."""
-        spec = request.spec
-        del endpoint.in_flight[request.id, attempt.number]
-        self.pool.add_outstanding(now, endpoint, -attempt.backlog_ns, -spec.threads)
-        if spec.is_load:
-            self.affinity.add_loads(endpoint, request.data_set, -1)
-
     def _reserve(
         self, now: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
     ) -> None:
--- a/query_broker/decisions/eligibility.py
+++ b/query_broker/decisions/eligibility.py
@@ -89,6 +89,10 @@
             and self.outliers.allows(now, request, endpoint)
         )
 
+    def record_retry(self, now: int) -> None:
+        """Take an attempt after the first from the retry budget (rule 7)."""
+        self.retry_budget.retries.add(now)
+
     def _effect_allows(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
         """Rule 2: whether a request may run at an endpoint after its earlier attempts."""
         is_idempotent = request.spec.effect is Effect.IDEMPOTENT
--- a/query_broker/decisions/key_ordering.py
+++ b/query_broker/decisions/key_ordering.py
@@ -4,6 +4,7 @@
 
 from collections import deque
 
+from .active_settings import ActiveSettings
 from .open_requests import Request
 
 
@@ -18,10 +19,11 @@
         rest_until_ns: When the rest of a key ends.
     """
 
-    __slots__ = ("queues", "rest_until_ns")
+    __slots__ = ("active", "queues", "rest_until_ns")
 
-    def __init__(self) -> None:
+    def __init__(self, active: ActiveSettings) -> None:
         """Begin without requests."""
+        self.active = active
         self.queues: dict[str, deque[Request]] = {}
         self.rest_until_ns: dict[str, int] = {}
 
@@ -33,9 +35,9 @@
         """Take a request out of its queue."""
         self.queues[key].remove(request)
 
-    def rest(self, key: str, until_ns: int) -> None:
-        """Dispatch no further request of a key before a time."""
-        self.rest_until_ns[key] = until_ns
+    def rest(self, now: int, key: str) -> None:
+        """Let a key rest from now on, for the time of the contract."""
+        self.rest_until_ns[key] = now + self.active.contract.key_rest_ns
 
     def rests_until(self, key: str) -> int:
         """Return when the rest of a key ends, 0 where it does not rest."""
--- a/query_broker/decisions/outcomes.py
+++ b/query_broker/decisions/outcomes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from .accounting import Attempt
-from .active_settings import ActiveSettings
 from .admission import Admission
 from .delay_feedback import DelayFeedback
 from .dispatching import AttemptDispatcher
@@ -23,7 +22,6 @@
     """Takes outcomes: accounts, health, learning, and what the request does next."""
 
     __slots__ = (
-        "active",
         "admission",
         "dispatcher",
         "feedback",
@@ -35,7 +33,6 @@
 
     def __init__(
         self,
-        active: ActiveSettings,
         pool: EndpointPool,
         outliers: OutlierDetector,
         feedback: DelayFeedback,
@@ -45,7 +42,6 @@
         admission: Admission,
     ) -> None:
         """Take the collaborators."""
-        self.active = active
         self.pool = pool
         self.outliers = outliers
         self.feedback = feedback
@@ -68,7 +64,7 @@
         if endpoint is not None:
             self._account(now, endpoint, request, attempt, event)
         if request.key is not None and event.result in MAY_STILL_RUN:
-            self.key_queues.rest(request.key, now + self.active.contract.key_rest_ns)
+            self.key_queues.rest(now, request.key)
         if event.finished:
             self.admission.end(now, request)
         if not request.finished and not request.in_flight and not self.retries.retry(now, request):
--- a/query_broker/decisions/retries.py
+++ b/query_broker/decisions/retries.py
@@ -7,9 +7,7 @@
 
 from .accounting import Attempt
 from .active_settings import ActiveSettings
-from .capacity_check import CapacityCheck
 from .dispatching import AttemptDispatcher
-from .eligibility import Eligibility
 from .endpoint_pool import EndpointPool
 from .endpoint_selection import EndpointSelector
 from .open_requests import Request
@@ -35,9 +33,7 @@
 
     __slots__ = (
         "active",
-        "capacity",
         "dispatcher",
-        "eligibility",
         "orders",
         "outliers",
         "pool",
@@ -51,8 +47,6 @@
         pool: EndpointPool,
         slow_start: SlowStart,
         outliers: OutlierDetector,
-        eligibility: Eligibility,
-        capacity: CapacityCheck,
         selector: EndpointSelector,
         dispatcher: AttemptDispatcher,
         orders: OrderBuffer,
@@ -62,8 +56,6 @@
         self.pool = pool
         self.slow_start = slow_start
         self.outliers = outliers
-        self.eligibility = eligibility
-        self.capacity = capacity
         self.selector = selector
         self.dispatcher = dispatcher
         self.orders = orders
@@ -79,15 +71,9 @@
         return endpoint is not None and self._attempt(now, request, endpoint)
 
     def _attempt(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
-        # The rules are applied here once more: whatever chose the endpoint, nothing is dispatched
-        # past them.
-        if not self.eligibility.allows(now, request, endpoint):
-            return False
-        if request.attempts_started > 0:
-            self.eligibility.retry_budget.retries.add(now)
-        else:
-            self.capacity.record(request)
         attempt = self.dispatcher.dispatch(now, request, endpoint)
+        if attempt is None:
+            return False
         self._set_timers(now, request, endpoint, attempt)
         return True
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -149,7 +149,7 @@
         e: [
             me
             for me, g in enumerate(gateways(engines))
-            if g.controller.slow_start.is_our_turn(h.now, g.controller.engines[e])
+            if g.controller.selector.balancer.slow_start.is_our_turn(h.now, g.controller.engines[e])
         ]
         for e in engines[:15]
     }
@@ -344,9 +344,15 @@
         )
     )
     gateway = h.controller
-    while not any(gateway.slow_start.is_our_turn(h.now, e) for e in gateway.pool.warming):
+    while not any(
+        gateway.selector.balancer.slow_start.is_our_turn(h.now, e) for e in gateway.pool.warming
+    ):
         h.pass_time(50 * MS)
-    engine = next(e for e in gateway.pool.warming if gateway.slow_start.is_our_turn(h.now, e))
+    engine = next(
+        e
+        for e in gateway.pool.warming
+        if gateway.selector.balancer.slow_start.is_our_turn(h.now, e)
+    )
     for i in range(60):
         h.arrive(f"r{i}", "glance", estimate_ns=200 * MS)
     assert engine.thread_quota < engine.threads_out <= 2 * CORES
@@ -461,9 +467,12 @@
     """Danger: large work that must not run twice was refused three times as often as lookups."""
     for share, goes in ((1.0, False), (0.4, True)):
         h = gateways(uids(30))[0]
-        view, pool = h.controller.classes.by_name["report"], h.controller.pool.limit
+        view, pool = h.controller.admission.classes.by_name["report"], h.controller.pool.limit
         h.arrive("out", "report", patience=20 * S, estimate_ns=2 * S)
-        h.controller.capacity.mean_work_ns, h.controller.capacity.mean_priority_weight = (
+        (
+            h.controller.selector.capacity.mean_work_ns,
+            h.controller.selector.capacity.mean_priority_weight,
+        ) = (
             2.0 * S,
             10.0,
         )  # a report is as the mean
@@ -480,7 +489,7 @@
         h.arrive(f"r{i}", "glance", estimate_ns=200 * MS, tenant="acme")
     assert (
         any(h.answers(f"r{i}") for i in range(30))
-        and h.controller.classes.by_name["glance"].admitted == 1.0
+        and h.controller.admission.classes.by_name["glance"].admitted == 1.0
     )
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -126,16 +126,16 @@
     """
     h = two_engines()
     before = (
-        h.controller.capacity.mean_work_ns,
-        h.controller.capacity.mean_priority_weight,
+        h.controller.selector.capacity.mean_work_ns,
+        h.controller.selector.capacity.mean_priority_weight,
         len(h.controller.orders.timers),
     )
     for i in range(50):
         h.arrive(f"r{i}", estimate_ns=10_000 * S)
         assert isinstance(h.answers(f"r{i}")[0], api.Reject)
     assert (
-        h.controller.capacity.mean_work_ns,
-        h.controller.capacity.mean_priority_weight,
+        h.controller.selector.capacity.mean_work_ns,
+        h.controller.selector.capacity.mean_priority_weight,
         len(h.controller.orders.timers),
     ) == before
     assert not h.controller.requests
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -171,7 +171,7 @@
     open.
     """
     h, _ = one_engine()
-    view = h.controller.classes.by_name["short"]
+    view = h.controller.admission.classes.by_name["short"]
     crowd(h, 8, estimate=100 * MS)
     for i in range(8):
         h.end(f"c{i}", api.AttemptResult.SERVED, latency=4 * S)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -191,11 +191,11 @@
     h = Harness(make_settings(tenants=(api.Tenant("a", 4.0),)), entry(1))
     h.arrive("r", estimate_ns=100 * MS, tenant="a")
     h.end("r", api.AttemptResult.SERVED, latency=300 * MS)
-    view, engine = h.controller.classes.by_name["short"], h.controller.engines[1]
+    view, engine = h.controller.admission.classes.by_name["short"], h.controller.engines[1]
     learned, bound, tokens = (
         (view.log_bias, view.slowdown),
         engine.bound,
-        h.controller.quotas.buckets["a"].tokens,
+        h.controller.admission.quotas.buckets["a"].tokens,
     )
     tenants = (api.Tenant("a", 4.0),)
     h.do(
@@ -205,8 +205,8 @@
             )
         )
     )
-    kept = h.controller.classes.by_name["short"]
-    assert (kept.log_bias, kept.slowdown) == learned and h.controller.quotas.buckets[
+    kept = h.controller.admission.classes.by_name["short"]
+    assert (kept.log_bias, kept.slowdown) == learned and h.controller.admission.quotas.buckets[
         "a"
     ].tokens == tokens
     assert engine.bound == 2 * bound  # the longest aim has doubled
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -378,6 +378,6 @@
     h.arrive("a", key="k")
     h.arrive("b", key="k")
     second, engine = h.controller.requests["b"], h.controller.engines[2]
-    assert not h.controller.eligibility.allows(h.now, second, engine)
+    assert not h.controller.selector.eligibility.allows(h.now, second, engine)
     h.end("a", api.AttemptResult.SERVED)
     assert len(h.sends("b")) == 1
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -138,6 +138,6 @@
     gateway = h.controller
     assert (
         not gateway.requests
-        and not gateway.retry_budget.arrivals.items
+        and not gateway.admission.retry_budget.arrivals.items
         and len(gateway.orders.timers) <= 1
     )
