--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -12,7 +12,8 @@
 from ..decisions.settings import Effect
 from ..dispatch.dispatcher import Dispatcher, ParsedRequest
 from ..dispatch.requests import ActiveRequest, Client
-from ..endpoints.connection_pools import OWN_PART, ConnectionPool, ConnectionPools
+from ..endpoints.connection_pool import ConnectionPool
+from ..endpoints.connection_pools import OWN_PART, ConnectionPools
 from ..metrics import STATUSES, escaped
 from ..protocols.engine_connection import EngineConnection
 from ..timer_wheel import Clock
--- /dev/null
+++ b/query_broker/endpoints/connect.py
@@ -0,0 +1,80 @@
+"""One attempt to open a connection to an endpoint."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+from collections.abc import Callable
+from typing import ClassVar, NamedTuple
+
+from ..decisions.facade import AttemptResult
+from ..protocols.engine_connection import EngineConnection
+
+NS_PER_S = 1e9
+
+
+class Address(NamedTuple):
+    """Where an endpoint listens."""
+
+    host: str
+    port: int
+
+
+class ConnectError(Exception):
+    """No connection came up.
+
+    Attributes:
+        result: What the attempts that waited for the connection end with.
+        address: Where the endpoint listens, as far as it was known.
+        reason: What was wrong, as the log has it.
+    """
+
+    result: ClassVar[AttemptResult] = AttemptResult.CONNECT_FAILED
+
+    def __init__(self, address: Address, reason: str) -> None:
+        """Keep what was wrong, and where."""
+        super().__init__(f"{address.host}:{address.port}: {reason}")
+        self.address = address
+        self.reason = reason
+
+
+class NoDescriptorError(ConnectError):
+    """The budget of descriptors is spent.
+
+    That is no fault of the endpoint: reported as a failed connect it would eject the busiest
+    endpoints.
+    """
+
+    result = AttemptResult.NOT_SENT
+
+    def __init__(self, address: Address) -> None:
+        """Give the reason in the words of the system's own error."""
+        error = OSError(errno.EMFILE, "no descriptor is left for engines")
+        super().__init__(address, str(error))
+
+
+async def connect(
+    make_connection: Callable[[], EngineConnection], address: Address, timeout_ns: int
+) -> EngineConnection:
+    """Open one connection.
+
+    Args:
+        make_connection: Makes the protocol object of the connection.
+        address: Where the endpoint listens.
+        timeout_ns: How long the connection may take to come up.
+
+    Raises:
+        ConnectError: It didn't come up, or the attempt was cancelled; a cancelled attempt is over
+            like a failed one, so that whatever waits for it is reported.
+    """
+    loop = asyncio.get_running_loop()
+    try:
+        async with asyncio.timeout(timeout_ns / NS_PER_S):
+            _, connection = await loop.create_connection(make_connection, *address)
+    except TimeoutError:
+        raise ConnectError(address, "no connection in time") from None
+    except OSError as error:
+        raise ConnectError(address, str(error)) from error
+    except asyncio.CancelledError:
+        raise ConnectError(address, "given up") from None
+    return connection
--- /dev/null
+++ b/query_broker/endpoints/connection_choice.py
@@ -0,0 +1,98 @@
+"""Which connection of an endpoint takes the next attempt.
+
+All of it is on the path of every request. Nothing is read or written; `choose_connection` asks the
+system whether the endpoint has closed the connection that it is about to return.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from ..protocols.engine_connection import EngineConnection
+
+#: Nanoseconds without a byte from an endpoint that owes answers, after which it counts as silent.
+#: One second: little is sent to an endpoint that is cut off, and a mistake costs one connect.
+SILENT = 1_000_000_000
+
+
+def usable_connections(connections: Iterable[EngineConnection], now: int) -> list[EngineConnection]:
+    """Return the connections to one endpoint that new work may go to.
+
+    An endpoint that is cut off sends nothing and keeps its connections open: where it owes answers
+    and has been silent, none is usable until a new connection has come up.
+    """
+    live = [connection for connection in connections if not connection.retired]
+    dispatched_ns = [
+        attempt.dispatched_ns for connection in live for attempt in connection.in_flight.values()
+    ]
+    if not dispatched_ns:
+        return live
+    last_received_ns = max([connection.heard for connection in live])
+    silent_since_ns = max(min(dispatched_ns), last_received_ns)
+    return [] if now - silent_since_ns > SILENT else live
+
+
+def choose_connection(
+    connections: list[EngineConnection], request_id: bytes, max_streams: int, now: int
+) -> EngineConnection | None:
+    """Return the connection that takes a request, or None if none can.
+
+    What is sent as the endpoint closes its connection may have run, for all that can be known
+    afterwards: a connection that has been closed is retired, and another one chosen.
+    """
+    while True:
+        usable = usable_connections(connections, now)
+        connection = least_loaded(usable, request_id, max_streams)
+        if connection is None or connection.jammed or not connection.ended_by_engine():
+            return connection
+        connection.retired = True
+
+
+def least_loaded(
+    connections: Iterable[EngineConnection], request_id: bytes, max_streams: int
+) -> EngineConnection | None:
+    """Return the connection with the fewest open streams, or None if none has a free one.
+
+    Answers come under the client's request id, also twice, and pages late: nothing else under this
+    id, of this request or of one that comes again, uses a connection that carried it. A connection
+    whose socket takes no more (backpressure) is chosen only where there is no other, and not once
+    its write queue is full.
+    """
+    best = None
+    jammed = None
+    fewest_streams = max_streams
+    for connection in connections:
+        streams = len(connection.in_flight)
+        if connection.cancelled:
+            streams += len(connection.cancelled)
+        if streams >= max_streams or request_id in connection.carried:
+            continue
+        if connection.jammed:
+            if not connection.write_queue.full():
+                jammed = connection
+        elif streams < fewest_streams:
+            best = connection
+            fewest_streams = streams
+            if not streams:
+                break
+    return jammed if best is None else best
+
+
+def has_full_queue(
+    connections: Iterable[EngineConnection], request_id: bytes, max_streams: int
+) -> bool:
+    """Return whether a connection would take the request but for its full write queue."""
+    for connection in connections:
+        streams = len(connection.in_flight) + len(connection.cancelled)
+        if streams >= max_streams or request_id in connection.carried:
+            continue
+        if connection.jammed and connection.write_queue.full():
+            return True
+    return False
+
+
+def retire_silent(connections: Iterable[EngineConnection], now: int) -> None:
+    """Retire the connections that owe answers and have been silent."""
+    for connection in connections:
+        if connection.in_flight and now - connection.heard > SILENT:
+            connection.retired = True
--- /dev/null
+++ b/query_broker/endpoints/connection_pool.py
@@ -0,0 +1,294 @@
+"""The connections to one endpoint: opened as needed, bounded, closed when idle."""
+
+from __future__ import annotations
+
+import asyncio
+from functools import partial
+from typing import NamedTuple, Protocol
+
+from ..deadlines.handover_checks import HandOver
+from ..decisions.facade import AttemptResult, EndpointState
+from ..discovery.event_codec import ListedEndpoint
+from ..dispatch.requests import Attempt
+from ..protocols.engine_connection import EngineConnection, Owner
+from .connect import NS_PER_S, Address, ConnectError, NoDescriptorError, connect
+from .connection_choice import (
+    choose_connection,
+    has_full_queue,
+    retire_silent,
+    usable_connections,
+)
+from .pool_interfaces import ConnectPacing, HandOverGate, LogWriter, UnsentObserver
+
+#: Nanoseconds without a byte from an endpoint that the list says has been removed, after which its
+#: connections are closed. Longer than for an endpoint that counts as silent, since this gives up
+#: the answers that are still open there.
+GONE_SILENT = 3_000_000_000
+#: Nanoseconds after an attempt's deadline in which its answer may still come. Half a minute, since
+#: to expect it no more retires the connection.
+AFTER = 30_000_000_000
+
+
+class PoolContext(Protocol):
+    """What one pool needs of the set of pools that it belongs to.
+
+    Attributes:
+        owner: Whom the connections report to.
+        log: Writes a line to the log.
+        report_unsent: Notified of attempts that end before they have left.
+        may_hand_over: Asked before an attempt that waited is given to a connection.
+        max_streams: Attempts that one connection may carry at a time.
+        connect_timeout_ns: How long a connection may take to come up.
+        idle_timeout_ns: How long a connection without work is kept.
+        own: Whether an attempt gets a connection of its own while descriptors last.
+        turn: Delays connects, or None where they needn't wait.
+    """
+
+    owner: Owner
+    log: LogWriter
+    report_unsent: UnsentObserver
+    may_hand_over: HandOverGate
+    max_streams: int
+    connect_timeout_ns: int
+    idle_timeout_ns: int
+    own: bool
+    turn: ConnectPacing | None
+
+    def share(self, pool: ConnectionPool) -> int:
+        """Return how many connections this pool may open for attempts of their own."""
+
+    def room(self, pool: ConnectionPool) -> bool:
+        """Return whether the budget has a descriptor for one more of these."""
+
+    def make_room(self, pool: ConnectionPool) -> bool:
+        """Return whether the connection that is opening has its descriptor."""
+
+
+class Waiting(NamedTuple):
+    """What waits for a connection to come up; none of it has left for the endpoint.
+
+    Attributes:
+        attempts: In the order in which they came.
+        health_checks: The tags of the health checks.
+    """
+
+    attempts: list[Attempt]
+    health_checks: list[bytes]
+
+
+class ConnectionPool:
+    """The connections to one endpoint.
+
+    At most one connection is being opened at a time. A retired connection takes no new work and is
+    closed once nothing is open on it.
+
+    Attributes:
+        number: The endpoint's number in the table.
+        target: What the endpoint list said of it last.
+        connections: All that are open, retired ones too.
+        waiting: Attempts that wait for a connection to come up; no byte of them has left.
+        opening: The task that opens a connection, if there is one.
+    """
+
+    def __init__(self, pools: PoolContext, number: int, target: ListedEndpoint) -> None:
+        """Start without a connection."""
+        self.pools = pools
+        self.number = number
+        self.target = target
+        self.connections: list[EngineConnection] = []
+        self.waiting: list[Attempt] = []
+        self.waiting_health_checks: list[bytes] = []
+        self.opening: asyncio.Task[None] | None = None
+
+    def send(self, attempt: Attempt, now: int, dial: bool = True) -> None:
+        """Give an attempt to a connection, or let it wait for a new one.
+
+        A malformed answer or a reset ends its connection with all that is open there. So each
+        attempt gets a connection of its own while this endpoint's part of the descriptors lasts,
+        where handshakes are cheap; after that attempts share connections.
+
+        Args:
+            attempt: No byte of it has left.
+            now: Unix nanoseconds.
+            dial: Whether a new connection may be opened for it. Without one, an attempt that no
+                connection takes is reported as not sent.
+        """
+        request_id = attempt.request.client_request_id
+        max_streams = self.pools.max_streams
+        connection = choose_connection(self.connections, request_id, max_streams, now)
+        if connection is None:
+            # Where the sockets of this endpoint are jammed, only one more connection would help.
+            is_jammed = has_full_queue(self._usable(now), request_id, max_streams)
+            if (is_jammed and not self._may_grow()) or not dial:
+                self.pools.report_unsent(attempt, AttemptResult.NOT_SENT)
+            else:
+                self._wait_for_connection(attempt)
+        elif dial and connection.in_flight and self.pools.own and self._may_grow():
+            self._wait_for_connection(attempt)
+        else:
+            attempt.connection = connection
+            attempt.assigned_ns = now
+            connection.carry(attempt)
+            connection.do(attempt, now)
+
+    def probe(self, tag: bytes, now: int) -> None:
+        """Send a health check on the least loaded connection, or on a new one if there is none."""
+        usable = self._usable(now)
+        if usable:
+            min(usable, key=_attempts_in_flight).probe(tag)
+        else:
+            self.waiting_health_checks.append(tag)
+            self._open()
+
+    def forget_probe(self, tag: bytes) -> None:
+        """Expect no answer to a health check any more.
+
+        One whose answer never comes would keep its connection from ever being idle.
+        """
+        for connection in self.connections:
+            connection.probes.discard(tag)
+        if tag in self.waiting_health_checks:
+            self.waiting_health_checks.remove(tag)
+
+    def take_back(self) -> None:
+        """Report the attempts that wait for a connection as not sent: they never ran."""
+        attempts = self.waiting
+        self.waiting = []
+        for attempt in attempts:
+            self.pools.report_unsent(attempt, AttemptResult.NOT_SENT)
+
+    def renew(self) -> None:
+        """Retire all connections.
+
+        Called where the endpoint may have restarted, perhaps without a word on the old ones.
+        """
+        for connection in self.connections:
+            connection.retired = True
+
+    def update_target(self, target: ListedEndpoint) -> None:
+        """Take what the endpoint list says now.
+
+        An endpoint at a new address, or one that has restarted, gets nothing more on the old
+        connections.
+        """
+        before = self.target
+        self.target = target
+        has_moved = not _listens_at(target, Address(before.host, before.port))
+        if has_moved or target.started_ns > before.started_ns:
+            self.renew()
+
+    def sweep(self, now: int) -> None:
+        """Close what is idle, and what can't bring an answer any more."""
+        for connection in list(self.connections):
+            connection.check(now)
+            idle_ns = now - max(connection.used, connection.heard)
+            is_stale = connection.retired or idle_ns > self.pools.idle_timeout_ns
+            if connection.quiet() and is_stale:
+                connection.close()
+            else:
+                _close_unanswered(connection, self.target, now)
+
+    def _usable(self, now: int) -> list[EngineConnection]:
+        return usable_connections(self.connections, now)
+
+    def _may_grow(self) -> bool:
+        return len(self.connections) < self.pools.share(self) and self.pools.room(self)
+
+    # --- connects ---
+
+    def _wait_for_connection(self, attempt: Attempt) -> None:
+        self.waiting.append(attempt)
+        self._open()
+
+    def _open(self) -> None:
+        if self.opening is None:
+            self.opening = asyncio.get_running_loop().create_task(self._connect())
+
+    async def _connect(self) -> None:
+        """Open a connection, then send what has waited for it or report why it can't be sent."""
+        pacing = self.pools.turn
+        if pacing is not None:
+            await asyncio.sleep(pacing(self.number) / NS_PER_S)
+        started_ns = self.pools.owner.now()
+        try:
+            connection = await self._dial(Address(self.target.host, self.target.port))
+        except ConnectError as error:
+            self._connect_failed(error, started_ns)
+        else:
+            self._connected(connection)
+
+    async def _dial(self, address: Address) -> EngineConnection:
+        if not self.pools.make_room(self):
+            raise NoDescriptorError(address)
+        make_connection = partial(EngineConnection, self.pools.owner, self.number)
+        connection = await connect(make_connection, address, self.pools.connect_timeout_ns)
+        if connection.closed:
+            raise ConnectError(address, "lost as it came up")
+        if not _listens_at(self.target, address):
+            # Another endpoint may listen there by now; nothing meant for this one may reach it.
+            connection.close()
+            raise ConnectError(address, "it has moved meanwhile")
+        return connection
+
+    def _connected(self, connection: EngineConnection) -> None:
+        waiting = self._end_opening()
+        now = self.pools.owner.now()
+        self.connections.append(connection)
+        for tag in waiting.health_checks:
+            connection.probe(tag)
+        self._send_all(waiting.attempts, now, dial=True)
+
+    def _connect_failed(self, error: ConnectError, started_ns: int) -> None:
+        waiting = self._end_opening()
+        now = self.pools.owner.now()
+        address = f"{self.target.host}:{self.target.port}"
+        self.pools.log("engine", f"{self.target.uid} at {address}: {error.reason}")
+        if any(connection.heard >= started_ns for connection in self._usable(now)):
+            # An endpoint that has sent something meanwhile isn't down because one connect was late.
+            for tag in waiting.health_checks:
+                self.probe(tag, now)
+            self._send_all(waiting.attempts, now, dial=False)
+            return
+        if error.result is AttemptResult.CONNECT_FAILED:
+            retire_silent(self.connections, now)
+        for tag in waiting.health_checks:
+            self.pools.owner.probed(tag, error.result, "")
+        for attempt in waiting.attempts:
+            self.pools.report_unsent(attempt, error.result)
+
+    def _end_opening(self) -> Waiting:
+        waiting = Waiting(self.waiting, self.waiting_health_checks)
+        self.opening = None
+        self.waiting = []
+        self.waiting_health_checks = []
+        return waiting
+
+    def _send_all(self, attempts: list[Attempt], now: int, dial: bool) -> None:
+        for attempt in attempts:
+            if self.pools.may_hand_over(attempt, HandOver.CONNECTION):
+                self.send(attempt, now, dial)
+
+
+def _listens_at(target: ListedEndpoint, address: Address) -> bool:
+    if target.state is EndpointState.REMOVED:
+        return False
+    return address == (target.host, target.port)
+
+
+def _close_unanswered(connection: EngineConnection, target: ListedEndpoint, now: int) -> None:
+    """Close a connection whose answers can't come any more."""
+    overdue = [now > attempt.deadline_ns + AFTER for attempt in connection.in_flight.values()]
+    if any(overdue):
+        # An answer that never comes would hold its stream for good. The connection ends once no
+        # answer on it is still expected: to close it sooner would give that one up.
+        connection.retired = True
+        if all(overdue):
+            connection.close()
+    elif target.state is EndpointState.REMOVED and now - connection.heard > GONE_SILENT:
+        # A machine that vanished resets nothing: what is open there would be held until its
+        # deadline although no answer can come any more. It may have run.
+        connection.close()
+
+
+def _attempts_in_flight(connection: EngineConnection) -> int:
+    return len(connection.in_flight)
--- a/query_broker/endpoints/endpoint_table.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -12,7 +12,8 @@
 from ..decisions.facade import EndpointEntry, EndpointState
 from ..discovery.event_codec import EndpointListEvent, ListedEndpoint
 
-#: Bytes of the hash that numbers an endpoint: 32 bits, as the decisions' draws expect.
+#: Bytes of the hash that numbers an endpoint. 32 bits hardly collide among some hundred endpoints,
+#: and a collision is resolved.
 NUMBER_BYTES = 4
 NUMBER_RANGE = 1 << (8 * NUMBER_BYTES)
 
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -58,8 +58,8 @@
             owner can wake up for it.
     """
 
-    #: Slots of the wheel. With ticks of 5 ms it turns once in 5 s, longer than most timers run, so
-    #: that few timers are looked at in vain.
+    #: Slots of the wheel. With ticks of 5 ms it turns once in 5 s; a timer that is due later is
+    #: looked at once a turn.
     SLOTS = 1_024
 
     def __init__(self, tick_ns: int, now: int) -> None:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -25,7 +25,7 @@
 from query_broker.emulator.cluster import World
 from query_broker.emulator.cluster import config as world_config
 from query_broker.emulator.data_engine import Keys, key_ran_twice
-from query_broker.endpoints.connection_pools import ConnectionPool
+from query_broker.endpoints.connection_pool import ConnectionPool
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.client_connection import read_ask
--- a/tests/test_sockets_engine.py
+++ b/tests/test_sockets_engine.py
@@ -11,7 +11,8 @@
 from query_broker.discovery.event_codec import parse_event
 from query_broker.dispatch.dispatcher import Dispatcher, ParsedRequest
 from query_broker.dispatch.requests import ActiveRequest, Attempt
-from query_broker.endpoints import connection_pools as pools
+from query_broker.endpoints import connection_choice
+from query_broker.endpoints import connection_pool as pools
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.timer_wheel import Clock
@@ -290,7 +291,7 @@
         pool = next(iter(rig.node.dispatcher.pools.by_number.values()))
         now = rig.node.clock.now()
         assert pool._usable(now) == pool.connections
-        assert pool._usable(now + 2 * pools.SILENT) == []
+        assert pool._usable(now + 2 * connection_choice.SILENT) == []
 
 
 @on_uvloop
