--- a/query_broker/discovery/event_codec.py
+++ b/query_broker/discovery/event_codec.py
@@ -1,10 +1,17 @@
-"""The event bus's lines: events of the engine list and second-beats. Knows no socket."""
+"""The line codec of the endpoint list: watch events and heartbeats, one JSON value a line.
+
+Performs no I/O. An event is an object with its ``offset``, the number of the event; where it has a
+``topology``, that names endpoints. A heartbeat is the bare offset of the latest event.
+
+The discovery service and the configuration file (under ``known``) use the same form. Their words
+stand here alone, beside the terms that the rest of the program uses for them.
+"""
 
 from __future__ import annotations
 
 import json
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple, NewType
 
 from ..decisions.facade import EndpointState
 
@@ -13,17 +20,59 @@
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-MOST_LINE = 1 << 20
-MS = 1_000_000
+#: Bytes that may come without a line end. A mebibyte: a list of thousands of endpoints fits, and a
+#: service that never ends a line doesn't fill the memory.
+MAX_LINE_BYTES = 1 << 20
+#: Bytes of an unreadable line that the log quotes.
+QUOTED_BYTES = 80
+NS_PER_MS = 1_000_000
+END_OF_PORTS = 65_536
+
+#: The offset of the latest event that there is, as a heartbeat names it.
+Heartbeat = NewType("Heartbeat", int)
+
+
+class BadLine(Exception):  # noqa: N818  # other folders use the name; it is renamed with them
+    """A line of the watch, or an entry of the configuration, that isn't in the form of an event.
+
+    Attributes:
+        problem: What is wrong with it.
+        uid: The endpoint that it is about, empty if that isn't known.
+    """
 
+    def __init__(self, problem: str, uid: str = "") -> None:
+        """Make the message: the endpoint, if it is known, and the problem."""
+        super().__init__(f"{uid}: {problem}" if uid else problem)
+        self.problem = problem
+        self.uid = uid
+
+
+class Address(NamedTuple):
+    """Where something listens: a host name or an IP address without brackets, and a TCP port."""
+
+    host: str
+    port: int
 
-class BadLine(Exception):
-    """A line, or an entry of the configuration, that tells no event."""
+
+#: Of a removed endpoint whose event names no address: nothing connects to it any more.
+NO_ADDRESS = Address("", 0)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One engine as the bus tells of it."""
+    """One endpoint as the list has it.
+
+    Attributes:
+        uid: Names it, whatever its address.
+        host: Where it listens.
+        port: Where it listens.
+        zone: The availability zone, empty if unknown.
+        kind: The model of the machine, empty if unknown.
+        cell: The number of the pod group that it belongs to.
+        state: Whether it takes new work.
+        weight: Its capacity in proportion to others.
+        started_ns: When it started, in Unix nanoseconds; 0 if that is unknown or long ago.
+    """
 
     uid: str
     host: str
@@ -33,86 +82,130 @@
     cell: int
     state: EndpointState
     weight: float
-    started_ns: int  # Unix nanoseconds; 0: long ago
+    started_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListEvent:
+    """One change of the endpoint list.
+
+    Attributes:
+        offset: Its number; the next event has the next one.
+        full: Whether ``targets`` is the complete list, so that what it lacks has been removed.
+        targets: The endpoints that it names.
+    """
+
     offset: int
     full: bool
     targets: tuple[ListedEndpoint, ...]
 
 
-def parse_address(text: Any) -> tuple[str, int]:
+def parse_address(text: Any) -> Address:
+    """Read ``host:port``; an IPv6 address may stand in brackets.
+
+    Raises:
+        BadLine: The text isn't in that form.
+    """
     host, colon, port = str(text).rpartition(":")
-    if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65_536:
-        raise BadLine(f"{text!r} is no address host:port")
-    return host.strip("[]"), int(port)
+    if not colon or not host or not port.isdecimal() or not 0 < int(port) < END_OF_PORTS:
+        raise BadLine(problem=f"{text!r} is no address host:port")
+    return Address(host.strip("[]"), int(port))
 
 
-def _target(raw: Any) -> ListedEndpoint:
-    if not isinstance(raw, dict):
-        raise BadLine("a target that is no object")
-    state, uid = raw.get("state"), raw.get("uid")
-    if not isinstance(uid, str) or not uid:
-        raise BadLine("a target without its uid")
-    if state not in STATES:
-        raise BadLine(f"{uid}: unknown state {state!r}")
-    # A terminated engine may come without the rest: there is nothing to connect to any more.
-    gone = STATES[state] is EndpointState.REMOVED
-    host, port = ("", 0) if gone and not raw.get("endpoint") else parse_address(raw.get("endpoint"))
-    try:
-        return ListedEndpoint(
-            uid,
-            host,
-            port,
-            str(raw.get("az") or ""),
-            str(raw.get("model") or ""),
-            int(raw.get("pod_group") or 0),
-            STATES[state],
-            float(raw.get("capacity_hint") or 1.0),
-            int(raw.get("boot_ms") or 0) * MS,
-        )
-    except (TypeError, ValueError, OverflowError) as error:
-        raise BadLine(f"{uid}: {error}") from None
+def parse_event(raw: Any) -> EndpointListEvent:
+    """Read one event, as it comes over the watch and stands under ``known``.
 
+    An event without a topology is about something else: only its number counts.
 
-def parse_event(raw: Any) -> EndpointListEvent:
-    """One event, as on the bus and under `known`."""
+    Raises:
+        BadLine: The value isn't in the form of an event.
+    """
     if not isinstance(raw, dict) or type(raw.get("offset")) is not int:
-        raise BadLine("an event without its offset")
+        raise BadLine(problem="an event without its offset")
+    offset = raw["offset"]
     topology = raw.get("topology")
     if not isinstance(topology, dict):
-        return EndpointListEvent(
-            raw["offset"], False, ()
-        )  # some other event: only its number counts
+        return EndpointListEvent(offset, False, ())
     targets = topology.get("targets", [])
     if not isinstance(targets, list):
-        raise BadLine("targets is no list")
-    return EndpointListEvent(
-        raw["offset"], topology.get("all") is True, tuple(_target(t) for t in targets)
-    )
+        raise BadLine(problem="targets is no list")
+    is_full = topology.get("all") is True
+    return EndpointListEvent(offset, is_full, tuple(_parse_target(target) for target in targets))
 
 
-def parse_line(line: bytes) -> EndpointListEvent | int:
-    """An event, or the last offset that a second-beat names."""
+def parse_line(line: bytes) -> EndpointListEvent | Heartbeat:
+    """Read one line of the watch.
+
+    Raises:
+        BadLine: The line is neither an event nor a heartbeat.
+    """
     try:
         raw = json.loads(line)
     except (ValueError, RecursionError):
-        raise BadLine(f"{line[:80]!r} is no JSON") from None
-    return raw if type(raw) is int else parse_event(raw)
+        raise BadLine(problem=f"{line[:QUOTED_BYTES]!r} is no JSON") from None
+    if type(raw) is int:
+        return Heartbeat(raw)
+    return parse_event(raw)
 
 
 class LineParser:
-    """Takes bytes as they come; gives whole lines without their end."""
+    """Cuts a stream of bytes into lines.
+
+    Attributes:
+        buffer: The beginning of a line whose end hasn't come yet.
+    """
 
     def __init__(self) -> None:
+        """Start at the beginning of a line."""
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
+        """Take bytes as they come, and return the complete lines without their ends.
+
+        Blank lines are left out.
+
+        Raises:
+            BadLine: A line grows beyond `MAX_LINE_BYTES`.
+        """
         self.buffer += data
         *lines, rest = self.buffer.split(b"\n")
-        if len(rest) > MOST_LINE:
-            raise BadLine("a line without end")
+        if len(rest) > MAX_LINE_BYTES:
+            raise BadLine(problem="a line without end")
         self.buffer = bytearray(rest)
         return [bytes(line) for line in lines if line.strip()]
+
+
+def _parse_target(raw: Any) -> ListedEndpoint:
+    if not isinstance(raw, dict):
+        raise BadLine(problem="a target that is no object")
+    uid = raw.get("uid")
+    if not isinstance(uid, str) or not uid:
+        raise BadLine(problem="a target without its uid")
+    state = raw.get("state")
+    if state not in STATES:
+        raise BadLine(problem=f"unknown state {state!r}", uid=uid)
+    return _listed_endpoint(uid, STATES[state], raw)
+
+
+def _listed_endpoint(uid: str, state: EndpointState, raw: dict[str, Any]) -> ListedEndpoint:
+    address = _parse_target_address(state, raw.get("endpoint"))
+    try:
+        return ListedEndpoint(
+            uid=uid,
+            host=address.host,
+            port=address.port,
+            zone=str(raw.get("az") or ""),
+            kind=str(raw.get("model") or ""),
+            cell=int(raw.get("pod_group") or 0),
+            state=state,
+            weight=float(raw.get("capacity_hint") or 1.0),
+            started_ns=int(raw.get("boot_ms") or 0) * NS_PER_MS,
+        )
+    except (TypeError, ValueError, OverflowError) as error:
+        raise BadLine(problem=str(error), uid=uid) from None
+
+
+def _parse_target_address(state: EndpointState, text: Any) -> Address:
+    if state is EndpointState.REMOVED and not text:
+        return NO_ADDRESS
+    return parse_address(text)
--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -1,5 +1,7 @@
-"""The connection to the event bus: resumes after cuts, notices that the bus has gone silent, and
-moves.
+"""The client that watches the endpoint list of the discovery service.
+
+It keeps one connection, resumes after the latest event when that is cut, notices that the service
+has fallen silent, and moves to another address.
 """
 
 from __future__ import annotations
@@ -7,196 +9,269 @@
 import asyncio
 from collections.abc import Callable
 from functools import partial
-from typing import Protocol, cast
-
-from . import event_codec as bus
+from typing import Protocol
 
-SILENT = 1_700_000_000  # ns; a beat comes every second, and after a stop news counts as told in 4 s
-# s; the first and the longest wait before the next try: after a break told in 2 s
-RETRY = (0.05, 0.4)
-CONNECT = 0.5  # s
-LOWER = 2  # beats in turn that name less than we have, after which the numbering has begun anew
+from .event_codec import BadLine, EndpointListEvent, Heartbeat, parse_line
+from .watch_connection import WatchConnection
 
+#: Nanoseconds without a byte after which a connection is given up. A heartbeat comes every second,
+#: and after a stop an event counts as notified 4 s later: a heartbeat may be late, and the next
+#: connection has time to come up.
+SILENT = 1_700_000_000
+#: Seconds before the first attempt to reconnect, and the most that the doubled wait may reach.
+#: After a break an event counts as notified 2 s later: several attempts fit.
+FIRST_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.4
+#: The part of the backoff that isn't drawn: the wait lies between it and the backoff itself.
+FIXED_BACKOFF_PART = 0.5
+#: Seconds in which a connection has to come up.
+CONNECT = 0.5
+#: Heartbeats in turn that name a lower offset than is known, after which the numbering has begun
+#: anew. One alone may be a replica's that lags.
+HEARTBEATS_OF_NEW_NUMBERING = 2
 
-class Pace(Protocol):
-    """Where a whole fleet calls on one bus: when to call, and how long to wait for it."""
+NO_OFFSET = -1
 
-    first_wait: float  # s
 
-    def wait(self) -> float:
-        """Seconds to the next call, after one that failed."""
+class EventHandler(Protocol):
+    """Takes the events of the endpoint list."""
 
-    def time_out(self) -> float:
-        """Seconds in which a connection has to come up."""
+    def __call__(self, event: EndpointListEvent, /) -> None:
+        """Apply one event; each comes once, in the order of the offsets."""
 
-    def silent(self) -> int:
-        """Nanoseconds without a word after which a connection is given up."""
 
-    def spoke(self) -> None:
-        """The bus has told, or confirmed, what it has up to now."""
+class ReconnectPacing(Protocol):
+    """When to connect, and how long to wait, where a complete fleet watches one service.
 
+    Attributes:
+        first_wait: Seconds to the first attempt to connect.
+    """
 
-class FeedConnection(asyncio.Protocol):
-    def __init__(self, feed: WatchClient, address: tuple[str, int]) -> None:
-        self.feed, self.address = feed, address
-        self.parser = bus.LineParser()
-        self.transport: asyncio.Transport | None = None
+    first_wait: float
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Danger: uvloop's transports are no subclass of asyncio's; a test by isinstance drops every
-        # write.
-        self.transport = cast(asyncio.Transport, transport)
-        self.transport.write(b"from %d\n" % self.feed.last)
-        self.feed.came_up(self)
+    def wait(self) -> float:
+        """Return the seconds to the next attempt, after one that failed."""
 
-    def data_received(self, data: bytes) -> None:
-        self.feed.heard = self.feed.now()
-        try:
-            for line in self.parser.feed(data):
-                self.feed.line(line)
-        except bus.BadLine as error:
-            self.feed.log("bus", str(error))
-            self.drop()
-        except Exception as error:  # no input may raise out of a callback
-            self.feed.log("bus", f"{type(error).__name__}: {error}")
-            self.drop()
+    def time_out(self) -> float:
+        """Return the seconds in which a connection has to come up."""
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
-        self.feed.lost(self)
+    def silent(self) -> int:
+        """Return the nanoseconds without a byte after which a connection is given up."""
 
-    def drop(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
+    def spoke(self) -> None:
+        """Take note that the service has sent, or confirmed, the latest event that it has."""
 
 
 class WatchClient:
-    """Keeps one connection to the bus and hands its events on in order, each once."""
+    """Keeps one connection to the service and hands its events on in order, each once.
+
+    Attributes:
+        address: Where the service listens.
+        last: The offset of the latest event that is known.
+        take: Takes the events.
+        pace: Paces the connects of a fleet; None where the service takes any number of clients.
+        connection: The connection in use, None while there is none.
+        wait: The present backoff in seconds.
+        last_received_ns: When the latest bytes came, in Unix nanoseconds.
+    """
 
     def __init__(
         self,
         address: tuple[str, int],
         last: int,
-        take: Callable[[bus.EndpointListEvent], None],
+        take: EventHandler,
         now: Callable[[], int],
         log: Callable[[str, str], None],
         draw: Callable[[], float],
-        pace: Pace | None = None,
+        pace: ReconnectPacing | None = None,
     ) -> None:
-        self.address, self.last, self.take, self.now, self.log = address, last, take, now, log
-        # from 0 to 1; None: the bus is ours alone, or takes any number
-        self.draw, self.pace = draw, pace
-        self.lower = 0  # beats in turn that named less than we have
-        self.heard = now()
-        self.connection: FeedConnection | None = None
-        self.task: asyncio.Task[None] | None = None
-        self.wait = RETRY[0]
-        self.bad_at = -1  # the last event we had when a line could not be read
+        """Make a client that `start` sets to work.
+
+        Args:
+            address: Host and port of the service.
+            last: The offset of the latest event that is known.
+            take: Takes the events.
+            now: Gives the time in Unix nanoseconds.
+            log: Writes a line to the log, of a kind.
+            draw: Draws a number from 0 to 1 for the jitter of the backoff.
+            pace: See the attribute; it may be set until `start` is called.
+        """
+        self.address = address
+        self.last = last
+        self.take = take
+        self.now = now
+        self.log = log
+        self.draw = draw
+        self.pace = pace
+        self.connection: WatchConnection | None = None
+        self.wait = FIRST_BACKOFF_S
+        self.last_received_ns = now()
+        self._connecting: asyncio.Task[None] | None = None
+        self._lower_heartbeats = 0  # in turn
+        self._unreadable_after = NO_OFFSET  # the latest event when a line could not be read
 
     def start(self) -> None:
+        """Connect, after the wait that the pacing asks for."""
         self._connect_after(0.0 if self.pace is None else self.pace.first_wait)
 
     def stop(self) -> None:
-        if self.task is not None:
-            self.task.cancel()
+        """End the connection, and the attempt to open one."""
+        if self._connecting is not None:
+            self._connecting.cancel()
         if self.connection is not None:
             self.connection.drop()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Connect to another address at once. Danger: the old one may still tell what the new one,
-        not yet up, can't: its connection is kept until the new one has come up; events are known by
-        their number.
+        """Connect to another address at once.
+
+        The old connection stays until the new one has come up, since it may still bring what the
+        new one, not yet there, can't. Events are known by their number, so that none counts twice.
         """
         if address != self.address:
-            self.address, self.wait = address, RETRY[0]
+            self.address = address
+            self.wait = FIRST_BACKOFF_S
             self._connect_after(0.0)
 
-    def _connect_after(self, wait: float) -> None:
-        if self.task is not None:
-            self.task.cancel()
-        self.task = asyncio.get_running_loop().create_task(self._connect(wait))
+    def check(self, now: int) -> None:
+        """Drop the connection if the service has been silent; called every tick.
 
-    async def _connect(self, wait: float) -> None:
-        await asyncio.sleep(wait)
-        address = self.address
-        try:
-            async with asyncio.timeout(CONNECT if self.pace is None else self.pace.time_out()):
-                await asyncio.get_running_loop().create_connection(
-                    partial(FeedConnection, self, address), *address
-                )
-        except (OSError, TimeoutError) as error:
-            if self.task is asyncio.current_task():
-                self.log("bus", f"no connection: {error or 'no answer in time'}")
-                self.task = None
-                self._again()
+        A service that is cut off sends nothing, and its events count as notified all the same.
+        """
+        if self.connection is None:
+            return
+        limit_ns = SILENT if self.pace is None else self.pace.silent()
+        if now - self.last_received_ns > limit_ns:
+            self.log("bus", "no beat: connecting anew")
+            self.last_received_ns = now
+            self.connection.drop()
+
+    # --- reports of the connection ---
 
-    def came_up(self, connection: FeedConnection) -> None:
-        if connection.address != self.address:  # given up while it was coming up
+    def connection_up(self, connection: WatchConnection) -> None:
+        """Use a connection that has come up in place of the old one."""
+        if connection.address != self.address:  # moved again while it was coming up
             connection.drop()
             return
-        self.task, self.heard = None, self.now()
-        before, self.connection = self.connection, connection
+        self._connecting = None
+        self.last_received_ns = self.now()
+        before = self.connection
+        self.connection = connection
         if before is not None:
             before.drop()
 
-    def _again(self) -> None:
-        """Danger: all brokers lose the bus at one moment, and would come back to it together."""
-        self._connect_after(
-            self.wait * (0.5 + self.draw() / 2) if self.pace is None else self.pace.wait()
-        )
-        self.wait = min(RETRY[1], self.wait * 2)
+    def connection_lost(self, connection: WatchConnection) -> None:
+        """Reconnect, unless another connection has taken its place or is on its way."""
+        if connection is not self.connection:
+            return
+        self.connection = None
+        self.log("bus", f"connection lost after event {self.last}")
+        if self._connecting is None:
+            self._again()
 
-    def lost(self, connection: FeedConnection) -> None:
-        if connection is self.connection:
-            self.connection = None
-            self.log("bus", f"connection lost after event {self.last}")
-            if self.task is None:  # else a connection to another address is on its way
-                self._again()
+    def bytes_received(self) -> None:
+        """Note that the service is there."""
+        self.last_received_ns = self.now()
 
-    def check(self, now: int) -> None:
-        """Danger: a bus that is cut off says nothing, and news counts as told all the same."""
-        if self.connection is not None and now - self.heard > (
-            SILENT if self.pace is None else self.pace.silent()
-        ):
-            self.log("bus", "no beat: connecting anew")
-            self.heard = now
-            self.connection.drop()
+    def line_rejected(self, reason: str) -> None:
+        """Log why a connection is dropped."""
+        self.log("bus", reason)
 
-    def line(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
+        """Take one line.
+
+        A line that can't be read may have been damaged on its way: it is asked for again on a new
+        connection. If it can't be read then either, it is passed over.
+
+        Raises:
+            BadLine: Events are missing before the line, or it can't be read for the first time.
+        """
         try:
-            event = bus.parse_line(line)
-        except bus.BadLine as error:
-            if self.bad_at != self.last:
-                self.bad_at = self.last
-                raise  # perhaps spoilt on its way: connect anew and ask for it again
+            event = parse_line(line)
+        except BadLine as error:
+            if self._unreadable_after != self.last:
+                self._unreadable_after = self.last
+                raise
             self.log("bus", f"read past a line after event {self.last}: {error}")
             return
-        offset = event if isinstance(event, int) else event.offset
-        # A beat names the last event there is: one that we do not have was missed. Past a line that
-        # can't be read a gap is to be expected.
-        if offset > self.last + (0 if isinstance(event, int) else 1) and self.bad_at != self.last:
-            raise bus.BadLine(f"events after {self.last} are missing before {offset}")
-        self.wait = RETRY[0]
-        if not isinstance(event, int) and offset > self.last:
-            self.last = offset
+        if isinstance(event, EndpointListEvent):
+            self._event_received(event)
+        else:
+            self._heartbeat_received(event)
+
+    # --- lines ---
+
+    def _event_received(self, event: EndpointListEvent) -> None:
+        self._require_no_gap(event.offset, self.last + 1)
+        self.wait = FIRST_BACKOFF_S
+        if event.offset > self.last:
+            self.last = event.offset
             self.take(event)
+        self._confirmed()
+
+    def _heartbeat_received(self, offset: Heartbeat) -> None:
+        self._require_no_gap(offset, self.last)
+        self.wait = FIRST_BACKOFF_S
+        if self.pace is not None and offset < self.last:
+            self._numbered_lower(offset)
+        else:
+            self._confirmed()
+
+    def _require_no_gap(self, offset: int, highest: int) -> None:
+        """Raise BadLine if events are missing; past an unreadable line a gap is expected."""
+        if offset > highest and self._unreadable_after != self.last:
+            raise BadLine(problem=f"events after {self.last} are missing before {offset}")
+
+    def _confirmed(self) -> None:
         if self.pace is not None:
-            if isinstance(event, int) and offset < self.last:
-                self._numbered_lower(offset)
-            else:
-                self.lower = 0
-                self.pace.spoke()
+            self._lower_heartbeats = 0
+            self.pace.spoke()
 
     def _numbered_lower(self, offset: int) -> None:
-        """Danger: a bus that begins its numbers anew, with a fleet that holds larger ones, would
-        never be heard again. One beat may be a replica's that lags; the whole list costs the
-        service more.
+        """Ask for the complete list once the service has begun its numbers anew.
+
+        A fleet that knows larger numbers would take no event of it again. One lower heartbeat isn't
+        enough, since the complete list costs the service more than an event.
         """
-        self.lower += 1
-        if self.lower >= LOWER and self.connection is not None:
-            self.log(
-                "bus",
-                f"the numbers begin anew: {offset} after {self.last}, asking for the whole list",
-            )
-            self.last = self.lower = 0
-            self.connection.drop()
+        self._lower_heartbeats += 1
+        if self._lower_heartbeats < HEARTBEATS_OF_NEW_NUMBERING or self.connection is None:
+            return
+        self.log(
+            "bus",
+            f"the numbers begin anew: {offset} after {self.last}, asking for the whole list",
+        )
+        self.last = 0
+        self._lower_heartbeats = 0
+        self.connection.drop()
+
+    # --- connects ---
+
+    def _connect_after(self, wait_s: float) -> None:
+        if self._connecting is not None:
+            self._connecting.cancel()
+        self._connecting = asyncio.get_running_loop().create_task(self._connect(wait_s))
+
+    async def _connect(self, wait_s: float) -> None:
+        await asyncio.sleep(wait_s)
+        address = self.address
+        make_connection = partial(WatchConnection, self, address)
+        timeout_s = CONNECT if self.pace is None else self.pace.time_out()
+        try:
+            async with asyncio.timeout(timeout_s):
+                await asyncio.get_running_loop().create_connection(make_connection, *address)
+        except (OSError, TimeoutError) as error:
+            if self._connecting is asyncio.current_task():
+                self.log("bus", f"no connection: {error or 'no answer in time'}")
+                self._connecting = None
+                self._again()
+
+    def _again(self) -> None:
+        """Reconnect after the backoff.
+
+        All brokers lose the service at one moment: without jitter they would come back together.
+        """
+        if self.pace is None:
+            jitter = FIXED_BACKOFF_PART + self.draw() / 2
+            self._connect_after(self.wait * jitter)
+        else:
+            self._connect_after(self.pace.wait())
+        self.wait = min(MAX_BACKOFF_S, self.wait * 2)
--- a/query_broker/endpoints/connect.py
+++ b/query_broker/endpoints/connect.py
@@ -5,21 +5,15 @@
 import asyncio
 import errno
 from collections.abc import Callable
-from typing import ClassVar, NamedTuple
+from typing import ClassVar
 
 from ..decisions.facade import AttemptResult
+from ..discovery.event_codec import Address
 from ..protocols.engine_connection import EngineConnection
 
 NS_PER_S = 1e9
 
 
-class Address(NamedTuple):
-    """Where an endpoint listens."""
-
-    host: str
-    port: int
-
-
 class ConnectError(Exception):
     """No connection came up.
 
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -8,10 +8,10 @@
 
 from ..deadlines.handover_checks import HandOver
 from ..decisions.facade import AttemptResult, EndpointState
-from ..discovery.event_codec import ListedEndpoint
+from ..discovery.event_codec import Address, ListedEndpoint
 from ..dispatch.requests import Attempt
 from ..protocols.engine_connection import EngineConnection, Owner
-from .connect import NS_PER_S, Address, ConnectError, NoDescriptorError, connect
+from .connect import NS_PER_S, ConnectError, NoDescriptorError, connect
 from .connection_choice import (
     choose_connection,
     has_full_queue,
--- a/tests/test_sockets_bus.py
+++ b/tests/test_sockets_bus.py
@@ -1,4 +1,4 @@
-"""The event bus on real sockets: one test for each rule."""
+"""The watch of the endpoint list on real sockets: one test for each rule."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 
 from query_broker.discovery.event_codec import EndpointListEvent
-from query_broker.discovery.watch_client import SILENT
+from query_broker.discovery.watch_client import SILENT, WatchClient
 
 from .sockets import (
     MS,
@@ -30,17 +30,21 @@
     write_config,
 )
 
+#: The constant of the client that the tests replace, and a limit that is never reached.
+SILENCE_LIMIT = "query_broker.discovery.watch_client.SILENT"
+NEVER_NS = 1 << 62
+
 
 @pytest.fixture(autouse=True)
 def never_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        "query_broker.discovery.watch_client.SILENT", 1 << 62
-    )  # a slow machine is no silent bus
+    """A slow machine is no silent service."""
+    monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
 
 
 @on_uvloop
-async def test_asks_for_what_it_lacks_learns_it_and_resumes_after_a_cut() -> None:
-    bus, engine = Bus(), Engine()
+async def test_requests_the_events_it_lacks_and_resumes_after_a_cut() -> None:
+    bus = Bus()
+    engine = Engine()
     port = await engine.start()
     async with running(make_config(bus=await bus.start())) as rig:
         await until(lambda: bus.asked)
@@ -77,7 +81,9 @@
 async def test_sighup_moves_to_another_bus_and_keeps_the_old_one_until_it_is_up(
     tmp_path: Path,
 ) -> None:
-    old, new, late = Bus(), Bus(), Bus()
+    old = Bus()
+    new = Bus()
+    late = Bus()
     path = tmp_path / "config.json"
     first = await old.start()
     raw = {
@@ -89,7 +95,7 @@
         "known": {"offset": 1},
     }
 
-    def ask(rig: Rig, text: str) -> None:
+    def reload(rig: Rig, text: str) -> None:
         path.write_text(text)
         os.kill(os.getpid(), signal.SIGHUP)
 
@@ -97,16 +103,16 @@
     async with running(config, {"PROXY_CONFIG": str(path)}) as rig:
         await until(lambda: old.asked)
         # wholly or not at all, and the key is named
-        ask(rig, json.dumps({**raw, "bus": "127.0.0.1:x"}))
+        reload(rig, json.dumps({**raw, "bus": "127.0.0.1:x"}))
         await until(lambda: any("bus: '127.0.0.1:x'" in line for line in rig.logged))
-        ask(rig, "{")
+        reload(rig, "{")
         await until(lambda: sum("stays as it was" in line for line in rig.logged) == 2)
         empty = free_port()
-        ask(rig, json.dumps({**raw, "bus": f"127.0.0.1:{empty}"}))
+        reload(rig, json.dumps({**raw, "bus": f"127.0.0.1:{empty}"}))
         await until(lambda: any("no connection" in line for line in rig.logged))
         old.tell(event(2, target("s-2", 9)))  # nobody listens at the new address yet
         await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
-        ask(rig, json.dumps({**raw, "bus": f"127.0.0.1:{await new.start()}"}))
+        reload(rig, json.dumps({**raw, "bus": f"127.0.0.1:{await new.start()}"}))
         await until(lambda: new.asked)
         assert new.asked == [b"from 2\n"] and len(old.asked) == 1
         new.tell(event(2, target("s-9", 9)))  # told already
@@ -114,13 +120,13 @@
         await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
         assert "s-9" not in rig.node.dispatcher.endpoint_table.by_uid
         rig.node.shutdown.begun_at = 1
-        ask(rig, json.dumps({**raw, "bus": f"127.0.0.1:{await late.start()}"}))
+        reload(rig, json.dumps({**raw, "bus": f"127.0.0.1:{await late.start()}"}))
         await until(lambda: any("not during the drain" in line for line in rig.logged))
         assert not late.asked
 
 
 @on_uvloop
-async def test_a_bus_that_stops_in_the_middle_of_an_event_is_asked_again_within_2_s(
+async def test_a_service_that_stops_within_an_event_is_connected_to_again_within_2_s(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     bus = Bus()
@@ -129,19 +135,26 @@
         bus.tell(1)
         assert bus.writer is not None and rig.node.watch_client is not None
         bus.writer.write(b'{"offset":2,"topo')
-        feed = rig.node.watch_client
-        await until(lambda: feed.connection is not None and feed.connection.parser.buffer)
-        monkeypatch.setattr("query_broker.discovery.watch_client.SILENT", SILENT)
-        feed.check(feed.heard + 1_500 * MS)  # a beat may be late
-        assert not feed.connection.transport.is_closing()  # type: ignore[union-attr]
-        feed.check(feed.heard + 2_000 * MS)
-        monkeypatch.setattr("query_broker.discovery.watch_client.SILENT", 1 << 62)
+        watch_client = rig.node.watch_client
+        await until_part_of_a_line_has_come(watch_client)
+        monkeypatch.setattr(SILENCE_LIMIT, SILENT)
+        watch_client.check(watch_client.last_received_ns + 1_500 * MS)  # a beat may be late
+        assert not watch_client.connection.transport.is_closing()  # type: ignore[union-attr]
+        watch_client.check(watch_client.last_received_ns + 2_000 * MS)
+        monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
         await until(lambda: len(bus.asked) == 2)
         assert bus.asked[1] == b"from 1\n"
         bus.tell(event(2, target("s-2", 9)))
         await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
 
 
+async def until_part_of_a_line_has_come(watch_client: WatchClient) -> None:
+    """Wait until the connection holds a line whose end has not come."""
+    await until(
+        lambda: watch_client.connection is not None and watch_client.connection.parser.buffer
+    )
+
+
 async def drained_is_left_out(
     rig: Rig, client: Client, drained: Engine, other: Engine, first: int
 ) -> None:
@@ -154,43 +167,48 @@
 
 
 @on_uvloop
-async def test_watches_that_fall_silent_and_drains_told_just_after(
+async def test_watches_that_fall_silent_and_drains_notified_just_after(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The old connection stays open and says nothing, in the middle of a line; what it still says
     once the next one is up counts for nothing, and what is told twice counts once.
     """
-    bus, leaving, other = Bus(), Engine(), Engine()
+    bus = Bus()
+    leaving = Engine()
+    other = Engine()
     targets = [target("s-1", await leaving.start()), target("s-2", await other.start())]
     async with running(make_config(*targets, bus=await bus.start())) as rig:
         await until(lambda: bus.writer)
-        old, feed, taken = bus.writer, rig.node.watch_client, list[int]()
-        assert old is not None and feed is not None
-        take = feed.take
+        old = bus.writer
+        watch_client = rig.node.watch_client
+        assert old is not None and watch_client is not None
+        offsets: list[int] = []
+        take = watch_client.take
 
         def count(event: EndpointListEvent) -> None:
-            taken.append(event.offset)
+            offsets.append(event.offset)
             take(event)
 
-        feed.take = count
+        watch_client.take = count
         drain = event(2, {**targets[0], "state": "terminating"})
         line = json.dumps(drain).encode() + b"\n"
         old.write(line[:40])
-        await until(lambda: feed.connection is not None and feed.connection.parser.buffer)
-        monkeypatch.setattr("query_broker.discovery.watch_client.SILENT", SILENT)
-        feed.check(feed.heard + 2_000 * MS)
-        monkeypatch.setattr("query_broker.discovery.watch_client.SILENT", 1 << 62)
+        await until_part_of_a_line_has_come(watch_client)
+        monkeypatch.setattr(SILENCE_LIMIT, SILENT)
+        watch_client.check(watch_client.last_received_ns + 2_000 * MS)
+        monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
         await until(lambda: len(bus.asked) == 2 and bus.writer is not old)
         assert bus.asked[1] == b"from 1\n"
         old.write(line[40:] + b'{"offset":3,"topology":{"rev":3,"all":true,"targets":[]}}\n')
         bus.tell(drain)
-        await until(lambda: feed.last == 2)
+        await until(lambda: watch_client.last == 2)
         bus.tell(drain)
         client = await rig.client()
         await drained_is_left_out(rig, client, leaving, other, 1)
         bus.tell(event(3))
-        await until(lambda: feed.last == 3)
-        assert taken == [2, 3] and set(rig.node.dispatcher.endpoint_table.by_uid) == {"s-1", "s-2"}
+        await until(lambda: watch_client.last == 3)
+        assert offsets == [2, 3]
+        assert set(rig.node.dispatcher.endpoint_table.by_uid) == {"s-1", "s-2"}
 
 
 @on_uvloop
@@ -198,7 +216,10 @@
     """It refused; its first lines are the drains that were told meanwhile, and requests are under
     way.
     """
-    bus, leaving, other, port = Bus(), Engine(), Engine(), free_port()
+    bus = Bus()
+    leaving = Engine()
+    other = Engine()
+    port = free_port()
     targets = [target("s-1", await leaving.start()), target("s-2", await other.start())]
     async with running(make_config(*targets, bus=port)) as rig:
         await until(lambda: any("no connection" in line for line in rig.logged))
@@ -217,27 +238,30 @@
 
 
 @on_uvloop
-async def test_a_new_address_while_the_old_connection_stands_in_the_middle_of_a_line(
+async def test_a_new_address_while_the_old_connection_has_part_of_a_line(
     tmp_path: Path,
 ) -> None:
-    old, new, leaving, other = Bus(), Bus(), Engine(), Engine()
+    old = Bus()
+    new = Bus()
+    leaving = Engine()
+    other = Engine()
     targets = [target("s-1", await leaving.start()), target("s-2", await other.start())]
     config = make_config(*targets, bus=await old.start())
     moved = write_config(tmp_path, bus=f"127.0.0.1:{await new.start()}", limits={"sockets": 256})
     async with running(config, moved) as rig:
         await until(lambda: old.writer)
-        feed = rig.node.watch_client
-        assert feed is not None and old.writer is not None
+        watch_client = rig.node.watch_client
+        assert watch_client is not None and old.writer is not None
         line = json.dumps(event(2, {**targets[1], "state": "terminating"})).encode() + b"\n"
         old.writer.write(line[:50])
-        await until(lambda: feed.connection is not None and feed.connection.parser.buffer)
-        before = feed.connection
+        await until_part_of_a_line_has_come(watch_client)
+        before = watch_client.connection
         assert before is not None
         rig.node.reload()
         await until(lambda: new.asked and before.transport is None)
         assert new.asked == [b"from 1\n"]
         old.writer.write(line[50:])  # late, from an address that is not in force any more
         new.tell(event(2, {**targets[0], "state": "terminating"}))
-        await until(lambda: feed.last == 2)
+        await until(lambda: watch_client.last == 2)
         await drained_is_left_out(rig, await rig.client(), leaving, other, 1)
         assert len(old.asked) == 1
