--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -118,9 +118,10 @@
                 self._fire(index)
 
     def _is_due(self, tick: int) -> bool:
-        return any(
-            timer.due <= tick and timer.call is not _nothing
-            for timer in self._slots[tick % self.SLOTS]
+        slot = self._slots[tick % self.SLOTS]
+        # Most slots are empty, and `rest` looks at fifty of them each time the broker falls idle.
+        return bool(slot) and any(
+            timer.due <= tick and timer.call is not _nothing for timer in slot
         )
 
     def _fire(self, index: int) -> None:
