--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -26,15 +26,15 @@
     """One call that is due at a tick.
 
     Attributes:
-        due: The tick of the wheel at which it fires.
+        due_tick: The tick of the wheel at which it fires.
         call: What is called then.
     """
 
-    __slots__ = ("call", "due")
+    __slots__ = ("call", "due_tick")
 
-    def __init__(self, due: int, call: Callable[[], None]) -> None:
+    def __init__(self, due_tick: int, call: Callable[[], None]) -> None:
         """Made by `TimerWheel.at` alone."""
-        self.due = due
+        self.due_tick = due_tick
         self.call = call
 
     def cancel(self) -> None:
@@ -74,11 +74,11 @@
     def at(self, when: int, call: Callable[[], None]) -> Timer:
         """Set a timer for the first tick at or after ``when``, the next one at the earliest."""
         # The double negation rounds up.
-        due = max(self._current_tick + 1, -((self._origin_ns - when) // self.tick_ns))
-        timer = Timer(due, call)
-        self._slots[due % self.SLOTS].append(timer)
-        if due < self._wake_tick:
-            self._wake_tick = due
+        due_tick = max(self._current_tick + 1, -((self._origin_ns - when) // self.tick_ns))
+        timer = Timer(due_tick, call)
+        self._slots[due_tick % self.SLOTS].append(timer)
+        if due_tick < self._wake_tick:
+            self._wake_tick = due_tick
             self.sooner()
         return timer
 
@@ -121,15 +121,17 @@
         slot = self._slots[tick % self.SLOTS]
         # Most slots are empty, and `rest` looks at fifty of them each time the broker falls idle.
         return bool(slot) and any(
-            timer.due <= tick and timer.call is not _nothing for timer in slot
+            timer.due_tick <= tick and timer.call is not _nothing for timer in slot
         )
 
     def _fire(self, index: int) -> None:
         current_tick = self._current_tick
         timers = self._slots[index]
         self._slots[index] = [
-            timer for timer in timers if timer.due > current_tick and timer.call is not _nothing
+            timer
+            for timer in timers
+            if timer.due_tick > current_tick and timer.call is not _nothing
         ]
         for timer in timers:
-            if timer.due <= current_tick:
+            if timer.due_tick <= current_tick:
                 timer.call()
--- a/tests/test_sockets_bus.py
+++ b/tests/test_sockets_bus.py
@@ -41,6 +41,30 @@
     monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
 
 
+def configuration(bus: str) -> str:
+    """Return the text of a configuration file that names this address of the service."""
+    return json.dumps(
+        {
+            "name": "n0",
+            "listen": "127.0.0.1:1",
+            "seed": "8c1f",
+            "limits": {"sockets": 256},
+            "settings": settings(),
+            "known": {"offset": 1},
+            "bus": bus,
+        }
+    )
+
+
+def check_after_silence(
+    watch_client: WatchClient, silent_ms: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Let the client check for silence, with its own limit, after so long without a byte."""
+    monkeypatch.setattr(SILENCE_LIMIT, SILENT)
+    watch_client.check(watch_client.last_received_ns + silent_ms * MS)
+    monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
+
+
 @on_uvloop
 async def test_requests_the_events_it_lacks_and_resumes_after_a_cut() -> None:
     bus = Bus()
@@ -86,14 +110,6 @@
     late = Bus()
     path = tmp_path / "config.json"
     first = await old.start()
-    raw = {
-        "name": "n0",
-        "listen": "127.0.0.1:1",
-        "seed": "8c1f",
-        "limits": {"sockets": 256},
-        "settings": settings(),
-        "known": {"offset": 1},
-    }
 
     def reload(rig: Rig, text: str) -> None:
         path.write_text(text)
@@ -103,16 +119,16 @@
     async with running(config, {"PROXY_CONFIG": str(path)}) as rig:
         await until(lambda: old.asked)
         # wholly or not at all, and the key is named
-        reload(rig, json.dumps({**raw, "bus": "127.0.0.1:x"}))
+        reload(rig, configuration("127.0.0.1:x"))
         await until(lambda: any("bus: '127.0.0.1:x'" in line for line in rig.logged))
         reload(rig, "{")
         await until(lambda: sum("stays as it was" in line for line in rig.logged) == 2)
         empty = free_port()
-        reload(rig, json.dumps({**raw, "bus": f"127.0.0.1:{empty}"}))
+        reload(rig, configuration(f"127.0.0.1:{empty}"))
         await until(lambda: any("no connection" in line for line in rig.logged))
         old.tell(event(2, target("s-2", 9)))  # nobody listens at the new address yet
         await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
-        reload(rig, json.dumps({**raw, "bus": f"127.0.0.1:{await new.start()}"}))
+        reload(rig, configuration(f"127.0.0.1:{await new.start()}"))
         await until(lambda: new.asked)
         assert new.asked == [b"from 2\n"] and len(old.asked) == 1
         new.tell(event(2, target("s-9", 9)))  # told already
@@ -120,7 +136,7 @@
         await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
         assert "s-9" not in rig.node.dispatcher.endpoint_table.by_uid
         rig.node.shutdown.begun_at = 1
-        reload(rig, json.dumps({**raw, "bus": f"127.0.0.1:{await late.start()}"}))
+        reload(rig, configuration(f"127.0.0.1:{await late.start()}"))
         await until(lambda: any("not during the drain" in line for line in rig.logged))
         assert not late.asked
 
@@ -137,11 +153,9 @@
         bus.writer.write(b'{"offset":2,"topo')
         watch_client = rig.node.watch_client
         await until_part_of_a_line_has_come(watch_client)
-        monkeypatch.setattr(SILENCE_LIMIT, SILENT)
-        watch_client.check(watch_client.last_received_ns + 1_500 * MS)  # a beat may be late
+        check_after_silence(watch_client, 1_500, monkeypatch)  # a beat may be late
         assert not watch_client.connection.transport.is_closing()  # type: ignore[union-attr]
-        watch_client.check(watch_client.last_received_ns + 2_000 * MS)
-        monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
+        check_after_silence(watch_client, 2_000, monkeypatch)
         await until(lambda: len(bus.asked) == 2)
         assert bus.asked[1] == b"from 1\n"
         bus.tell(event(2, target("s-2", 9)))
@@ -194,9 +208,7 @@
         line = json.dumps(drain).encode() + b"\n"
         old.write(line[:40])
         await until_part_of_a_line_has_come(watch_client)
-        monkeypatch.setattr(SILENCE_LIMIT, SILENT)
-        watch_client.check(watch_client.last_received_ns + 2_000 * MS)
-        monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
+        check_after_silence(watch_client, 2_000, monkeypatch)
         await until(lambda: len(bus.asked) == 2 and bus.writer is not old)
         assert bus.asked[1] == b"from 1\n"
         old.write(line[40:] + b'{"offset":3,"topology":{"rev":3,"all":true,"targets":[]}}\n')
