--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -13,7 +13,8 @@
 from ..dispatch.dispatcher import Dispatcher
 from ..dispatch.requests import ActiveRequest, Client
 from ..dispatch.validation import ParsedRequest
-from ..endpoints.connection_pools import OWN_PART, ConnectionPool, ConnectionPools
+from ..endpoints.connection_pool import ConnectionPool
+from ..endpoints.connection_pools import OWN_PART, ConnectionPools
 from ..metrics import STATUSES, escaped
 from ..protocols.engine_connection import EngineConnection
 from ..timer_wheel import Clock
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -26,15 +26,15 @@
     """One call that is due at a tick.
 
     Attributes:
-        due: The tick of the wheel at which it fires.
+        due_tick: The tick of the wheel at which it fires.
         call: What is called then.
     """
 
-    __slots__ = ("call", "due")
+    __slots__ = ("call", "due_tick")
 
-    def __init__(self, due: int, call: Callable[[], None]) -> None:
+    def __init__(self, due_tick: int, call: Callable[[], None]) -> None:
         """Made by `TimerWheel.at` alone."""
-        self.due = due
+        self.due_tick = due_tick
         self.call = call
 
     def cancel(self) -> None:
@@ -58,8 +58,8 @@
             owner can wake up for it.
     """
 
-    #: Slots of the wheel. With ticks of 5 ms it turns once in 5 s, longer than most timers run, so
-    #: that few timers are looked at in vain.
+    #: Slots of the wheel. With ticks of 5 ms it turns once in 5 s; a timer that is due later is
+    #: looked at once a turn.
     SLOTS = 1_024
 
     def __init__(self, tick_ns: int, now: int) -> None:
@@ -74,11 +74,11 @@
     def at(self, when: int, call: Callable[[], None]) -> Timer:
         """Set a timer for the first tick at or after ``when``, the next one at the earliest."""
         # The double negation rounds up.
-        due = max(self._current_tick + 1, -((self._origin_ns - when) // self.tick_ns))
-        timer = Timer(due, call)
-        self._slots[due % self.SLOTS].append(timer)
-        if due < self._wake_tick:
-            self._wake_tick = due
+        due_tick = max(self._current_tick + 1, -((self._origin_ns - when) // self.tick_ns))
+        timer = Timer(due_tick, call)
+        self._slots[due_tick % self.SLOTS].append(timer)
+        if due_tick < self._wake_tick:
+            self._wake_tick = due_tick
             self.sooner()
         return timer
 
@@ -118,17 +118,20 @@
                 self._fire(index)
 
     def _is_due(self, tick: int) -> bool:
-        return any(
-            timer.due <= tick and timer.call is not _nothing
-            for timer in self._slots[tick % self.SLOTS]
+        slot = self._slots[tick % self.SLOTS]
+        # Most slots are empty, and `rest` looks at fifty of them each time the broker falls idle.
+        return bool(slot) and any(
+            timer.due_tick <= tick and timer.call is not _nothing for timer in slot
         )
 
     def _fire(self, index: int) -> None:
         current_tick = self._current_tick
         timers = self._slots[index]
         self._slots[index] = [
-            timer for timer in timers if timer.due > current_tick and timer.call is not _nothing
+            timer
+            for timer in timers
+            if timer.due_tick > current_tick and timer.call is not _nothing
         ]
         for timer in timers:
-            if timer.due <= current_tick:
+            if timer.due_tick <= current_tick:
                 timer.call()
