--- a/query_broker/server/peer_process.py
+++ b/query_broker/server/peer_process.py
@@ -75,7 +75,9 @@
 
     def poll_periodically(self) -> None:
         """Poll now and again after each period; publish while another process is alive."""
-        self.node.dispatcher.wheel.at(self.node.clock.now() + POLL_PERIOD_NS, self.poll_periodically)
+        self.node.dispatcher.wheel.at(
+            self.node.clock.now() + POLL_PERIOD_NS, self.poll_periodically
+        )
         self.poll()
         if self.statuses:
             self.tell()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -99,14 +99,14 @@
         drain._announce_leaving()
         assert await client.frame() == (frames.NO_MORE, 0, b"")
         client.send(frames.ASK_READY, 0, b"\0")
-        client.ask(stream=2, trace="2" * 16)  # it crossed the word to leave off
+        client.ask(stream=2, trace="2" * 16)  # it crossed the message to leave
         assert await client.frame() == (frames.READY, 0, b"\x01\0")
         assert (await client.answer())[:2] == (2, frames.SERVED)
         with pytest.raises(ConnectionRefusedError):
             await rig.client()
 
 
-def test_an_address_that_cannot_be_had_is_told_as_a_faulty_key(tmp_path: Path) -> None:
+def test_an_address_that_cannot_be_bound_is_a_faulty_key(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as other:
         env = write_config(tmp_path, listen=f"127.0.0.1:{other.getsockname()[1]}")
         done = subprocess.run(
@@ -121,7 +121,7 @@
 
 
 @on_uvloop
-async def test_what_is_open_at_the_end_of_the_drain_is_closed_out_by_the_rules() -> None:
+async def test_requests_open_at_the_end_of_the_drain_are_closed_out_by_the_rules() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -167,17 +167,18 @@
 
 @on_uvloop
 async def test_after_a_kill_it_starts_from_nothing_at_the_same_address(tmp_path: Path) -> None:
-    engine, port = Engine(), free_port()
+    engine = Engine()
+    port = free_port()
     known = make_known(target("s-1", await engine.start()))
-    for life in range(2):
+    for start in range(2):
         async with process(tmp_path, port, known=known):
             client = await connect(port)  # left open: its end lingers at the address
             client.ask()
-            assert (await client.answer())[1] == frames.SERVED, life
+            assert (await client.answer())[1] == frames.SERVED, start
 
 
 @on_uvloop
-async def test_a_client_that_has_gone_leaves_no_trace() -> None:
+async def test_nothing_is_kept_of_a_client_that_has_disconnected() -> None:
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -191,8 +192,8 @@
 
 
 def test_the_command_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    told = CliRunner().invoke(main, ["version"])
-    assert told.exit_code == 0 and told.output.startswith(f"larchhall {__version__}\nuvloop ")
+    version = CliRunner().invoke(main, ["version"])
+    assert version.exit_code == 0 and version.output.startswith(f"larchhall {__version__}\nuvloop ")
     for key, value in write_config(tmp_path).items():
         monkeypatch.setenv(key, value)
     checked = CliRunner().invoke(main, ["check-config"])
@@ -202,48 +203,50 @@
 
 
 @on_uvloop
-async def test_beyond_the_clients_part_the_idle_make_room_and_the_busy_keep_their_place() -> None:
+async def test_past_the_connection_limit_idle_clients_are_evicted_and_busy_ones_stay() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         assert rig.node.admission.max_connections >= rig.node.config.sockets // 3
         rig.node.admission.max_connections = 2
-        asked, silent = await rig.client(), await rig.client()
-        asked.ask()
+        busy = await rig.client()
+        silent = await rig.client()
+        busy.ask()
         await until(lambda: engine.words(b"do"))
         newcomer = await rig.client()  # takes the place of the one that has said nothing
         assert await silent.ended()
         newcomer.ask(trace="2" * 16)
         await until(lambda: len(engine.words(b"do")) == 2)
-        assert await (await rig.client()).ended()  # all are owed an answer: this one is refused
-        for do, client in zip(engine.words(b"do"), (asked, newcomer), strict=True):
+        assert await (await rig.client()).ended()  # all are owed an answer: this one is rejected
+        for do, client in zip(engine.words(b"do"), (busy, newcomer), strict=True):
             engine.serve(do, engine.writer_of(do))
             assert (await client.answer())[1] == frames.SERVED
 
 
-def test_the_system_s_own_limit_is_planned_with(monkeypatch: pytest.MonkeyPatch) -> None:
-    limits, told = (30, 100), []
+def test_the_descriptor_limit_of_the_system_is_planned_with(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    limits = (30, 100)
+    limits_set: list[tuple[int, int]] = []
     monkeypatch.setattr(resource, "getrlimit", lambda which: limits)
-    monkeypatch.setattr(resource, "setrlimit", lambda which, to: told.append(to))
-    assert raise_descriptor_limit(1_024) == 100 and told == [(100, 100)]
+    monkeypatch.setattr(resource, "setrlimit", lambda which, to: limits_set.append(to))
+    assert raise_descriptor_limit(1_024) == 100 and limits_set == [(100, 100)]
     limits = (50, resource.RLIM_INFINITY)
-    assert raise_descriptor_limit(40) == 40 and len(told) == 1
+    assert raise_descriptor_limit(40) == 40 and len(limits_set) == 1
 
 
-@pytest.mark.parametrize("held", [True, False])
-def test_a_start_rests_where_another_process_may_be_beside_it(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, held: bool
+@pytest.mark.parametrize("inherited", [True, False], ids=["inherited", "own"])
+def test_a_start_pauses_where_another_process_of_the_broker_may_be_serving(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, inherited: bool
 ) -> None:
-    """Danger: a start at full speed takes the core from the process beside it, whose loop stands
-    still.
-    """
+    """A start at full speed takes the core from the other process, whose loop stands still."""
     done: list[Any] = []
     monkeypatch.setattr("query_broker.cli.main.time.sleep", done.append)
     monkeypatch.setattr(
         "query_broker.server.node.serve", lambda make: done.append(make.args[0].accept_fd)
     )
-    env = write_config(tmp_path) | ({"PROXY_ACCEPT_FD": "3"} if held else {"PROXY_ACCEPT_FD": ""})
+    env = write_config(tmp_path) | {"PROXY_ACCEPT_FD": "3" if inherited else ""}
     assert CliRunner().invoke(main, ["serve"], env=env).exit_code == 0
-    expected: list[Any] = [BREATH, 3] if held else [None]
+    expected: list[Any] = [BREATH, 3] if inherited else [None]
     assert done == expected
 
 
@@ -253,13 +256,14 @@
     speed.
     """
     async with running(make_config()) as rig:
-        node, ticks = rig.node, 0
-        turn = node.dispatcher.tick
+        node = rig.node
+        ticks = 0
+        tick = node.dispatcher.tick
 
         def counted() -> None:
             nonlocal ticks
             ticks += 1
-            turn()
+            tick()
 
         node.dispatcher.tick = counted  # type: ignore[method-assign]
         begun = node.clock.now()
