--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,6 +1,4 @@
-"""Replacing the process, with real processes on one listening socket: nobody's request ends at the
-door.
-"""
+"""Replacing the process, with real processes on one listening socket: no request is lost."""
 
 from __future__ import annotations
 
@@ -22,34 +20,56 @@
 from .deployments import ALL
 from .sockets import HANG, ROOT, Client, free_port, on_uvloop, until, within
 
-ROUNDS = 2
-
-
-async def start(
-    folder: Path, world: World, held: socket.socket, facts: dict[str, Any], number: int
-) -> Any:
-    """A process on the platform's socket; once it says yes."""
-    port = free_port()
-    raw = config(world, "127.0.0.1:1", **facts)
-    raw["operator"] = f"127.0.0.1:{port}"
-    path = folder / f"config-{number}.json"
-    path.write_text(json.dumps(raw))
-    env = {
-        **os.environ,
-        "PROXY_CONFIG": str(path),
-        "TMPDIR": str(folder),
-        "PROXY_ACCEPT_FD": str(held.fileno()),
-    }
-    process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "query_broker", "serve", cwd=ROOT, env=env, pass_fds=(held.fileno(),)
-    )
-    async with asyncio.timeout(HANG):
-        while not await says_yes(port):
-            await asyncio.sleep(0.02)
-    return process
-
-
-async def says_yes(port: int) -> bool:
+HANDOVERS = 2  # so that a process that has taken over is itself replaced
+REQUESTS_BEFORE_HANDOVER = 40
+PIPELINED = 8  # requests that a usual client sends at once
+PAUSE_S = 0.02
+HALF_FRAME_LENGTH = 20  # bytes: past the head, within the payload
+
+
+class Broker:
+    """Processes of one broker on the platform's socket, started one after the other."""
+
+    def __init__(
+        self, folder: Path, world: World, listener: socket.socket, facts: dict[str, Any]
+    ) -> None:
+        self.folder = folder
+        self.world = world
+        self.listener = listener
+        self.facts = facts
+        self.processes: list[asyncio.subprocess.Process] = []
+
+    async def start_process(self) -> None:
+        """Start one more process, and return once it is ready."""
+        port = free_port()
+        raw = config(self.world, "127.0.0.1:1", **self.facts)
+        raw["operator"] = f"127.0.0.1:{port}"
+        path = self.folder / f"config-{len(self.processes)}.json"
+        path.write_text(json.dumps(raw))
+        descriptor = self.listener.fileno()
+        env = {
+            **os.environ,
+            "PROXY_CONFIG": str(path),
+            "TMPDIR": str(self.folder),
+            "PROXY_ACCEPT_FD": str(descriptor),
+        }
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "query_broker", "serve", cwd=ROOT, env=env, pass_fds=(descriptor,)
+        )
+        self.processes.append(process)
+        async with asyncio.timeout(HANG):
+            while not await is_ready(port):
+                await asyncio.sleep(PAUSE_S)
+
+    async def kill(self) -> None:
+        """End what is still running."""
+        for process in self.processes:
+            if process.returncode is None:
+                process.kill()
+            await process.wait()
+
+
+async def is_ready(port: int) -> bool:
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -60,86 +80,127 @@
     return b" 200 " in line
 
 
-def frame_of(client: Client, stream: int, tenant: str | None) -> bytes:
-    fields = {"route": "glance", "trace": os.urandom(8).hex(), "patience": "4000", "weight": "1.0"}
-    payload = frames.write_fields({**fields, **({"customer": tenant} if tenant else {})})
-    return frames.frame(frames.REQUEST, stream, payload + b"SELECT 1 FROM sales_1.orders")
+class Traffic:
+    """Clients of three kinds, which send requests while a process takes over."""
+
+    def __init__(self, port: int, tenant: str | None) -> None:
+        self.port = port
+        self.tenant = tenant
+        self.book = Book("127.0.0.1", port)
+        self.stopped = asyncio.Event()
+        self.handover_begins = asyncio.Event()
+        self.tasks: list[asyncio.Task[None]] = []
+
+    def start(self) -> None:
+        """Begin a round of traffic, which goes on until ``stop``."""
+        self.stopped = asyncio.Event()
+        self.handover_begins = asyncio.Event()
+        kinds = (self._pipeline, self._connect_anew, self._send_half_frames)
+        self.tasks = [asyncio.create_task(kind()) for kind in kinds]
+
+    async def stop(self) -> None:
+        """End the round; an assert that failed in a client is raised here."""
+        self.stopped.set()
+        await within(asyncio.gather(*self.tasks))
+
+    def cancel(self) -> None:
+        for task in self.tasks:
+            task.cancel()
+
+    async def _pipeline(self) -> None:
+        """Many requests at a time on lasting connections."""
+        while not self.stopped.is_set():
+            for _ in range(PIPELINED):
+                await self.book.ask(self.tenant or "", "glance", 2, 4_000 * MS)
+            await asyncio.sleep(PAUSE_S)
+
+    async def _connect_anew(self) -> None:
+        """A connection for each request."""
+        while not self.stopped.is_set():
+            client = await self._connect()
+            client.writer.write(self._request(1))
+            while (frame := await client.frame())[0] == frames.NO_MORE:
+                continue  # the older process took it in, and leaves
+            assert frame[0] == frames.ANSWER and frame[2][0] in (frames.SERVED, frames.REFUSED)
+            client.writer.close()
+
+    async def _send_half_frames(self) -> None:
+        """Half a frame before the message to leave, the rest after it; and one more request that
+        crossed it.
+        """
+        client = await self._connect()
+        client.writer.write(self._request(1))
+        assert (await client.answer())[1] == frames.SERVED
+        await within(self.handover_begins.wait())
+        frame = self._request(2)
+        client.writer.write(frame[:HALF_FRAME_LENGTH])
+        assert (await client.frame())[0] == frames.NO_MORE
+        client.writer.write(frame[HALF_FRAME_LENGTH:] + self._request(3))
+        assert {(await client.answer())[:2] for _ in range(2)} == {
+            (2, frames.SERVED),
+            (3, frames.SERVED),
+        }
+
+    async def _connect(self) -> Client:
+        return Client(*await asyncio.open_connection("127.0.0.1", self.port))
+
+    def _request(self, stream: int) -> bytes:
+        fields = {
+            "route": "glance",
+            "trace": os.urandom(8).hex(),
+            "patience": "4000",
+            "weight": "1.0",
+        }
+        if self.tenant:
+            fields["customer"] = self.tenant
+        payload = frames.write_fields(fields)
+        return frames.frame(frames.REQUEST, stream, payload + b"SELECT 1 FROM sales_1.orders")
+
+
+async def hand_over(broker: Broker, traffic: Traffic) -> None:
+    """Start a process beside the present one, then end that with SIGTERM."""
+    old = broker.processes[-1]
+    await broker.start_process()
+    traffic.handover_begins.set()
+    await asyncio.sleep(0)  # half a frame is on its way
+    old.send_signal(signal.SIGTERM)
+    assert await within(old.wait()) == 0
+
+
+def check_answers(book: Book) -> None:
+    """Each request got exactly one answer, served or rejected, and nearly all were served."""
+    assert book.strays == 0
+    ended = [(request.code, request.answers) for request in book.asked]
+    assert not [
+        end for end in ended if end[0] not in (frames.SERVED, frames.REFUSED) or end[1] != 1
+    ]
+    assert sum(code == frames.SERVED for code, _ in ended) > 0.9 * len(ended)
 
 
 @pytest.mark.parametrize("name", ["counters", "warehouse"])
 @on_uvloop
-async def test_each_request_gets_one_whole_answer_while_a_process_takes_over(
+async def test_each_request_gets_one_complete_answer_while_a_process_takes_over(
     name: str, tmp_path: Path
 ) -> None:
     facts = ALL[name]
     tenant = facts["tenants"][0]["name"] if facts["tenants"] else None
     world = World()
     await world.start("s-1", "s-2", "s-3")
-    processes: list[Any] = []
-    with socket.create_server(("127.0.0.1", 0), backlog=256) as held:
-        port = int(held.getsockname()[1])
-        book, tasks, about = Book("127.0.0.1", port), list[asyncio.Task[None]](), asyncio.Event()
-
-        async def pipeline(stopped: asyncio.Event) -> None:
-            while not stopped.is_set():
-                for _ in range(8):
-                    await book.ask(tenant or "", "glance", 2, 4_000 * MS)
-                await asyncio.sleep(0.02)
-
-        async def come_late(stopped: asyncio.Event) -> None:
-            while not stopped.is_set():
-                client = Client(*await asyncio.open_connection("127.0.0.1", port))
-                client.writer.write(frame_of(client, 1, tenant))
-                while (frame := await client.frame())[0] == frames.NO_MORE:
-                    continue  # the older process took it in, and leaves
-                assert frame[0] == frames.ANSWER and frame[2][0] in (frames.SERVED, frames.REFUSED)
-                client.writer.close()
-
-        async def hold_half(stopped: asyncio.Event) -> None:
-            """Half a frame before the word to leave off, the rest after it; and one more that
-            crossed it.
-            """
-            client = Client(*await asyncio.open_connection("127.0.0.1", port))
-            client.writer.write(frame_of(client, 1, tenant))
-            assert (await client.answer())[1] == frames.SERVED
-            await within(about.wait())
-            whole = frame_of(client, 2, tenant)
-            client.writer.write(whole[:20])
-            assert (await client.frame())[0] == frames.NO_MORE
-            client.writer.write(whole[20:] + frame_of(client, 3, tenant))
-            assert {(await client.answer())[:2] for _ in "23"} == {
-                (2, frames.SERVED),
-                (3, frames.SERVED),
-            }
-
+    with socket.create_server(("127.0.0.1", 0), backlog=256) as listener:
+        broker = Broker(tmp_path, world, listener, facts)
+        traffic = Traffic(int(listener.getsockname()[1]), tenant)
         try:
-            processes.append(await start(tmp_path, world, held, facts, 0))
-            for number in range(1, ROUNDS + 1):
-                stopped, about, old = asyncio.Event(), asyncio.Event(), processes[-1]
-                tasks = [
-                    asyncio.create_task(what(stopped)) for what in (pipeline, come_late, hold_half)
-                ]
-                await until(lambda most=40 * number: len(book.asked) >= most)  # type: ignore[misc]
-                processes.append(await start(tmp_path, world, held, facts, number))
-                about.set()
-                await asyncio.sleep(0)  # half a frame is on its way
-                old.send_signal(signal.SIGTERM)
-                assert await within(old.wait()) == 0
-                stopped.set()
-                await within(asyncio.gather(*tasks))
-            await book.settle(HANG)
-            assert book.strays == 0
-            ended = [(a.code, a.answers) for a in book.asked]
-            assert not [
-                e for e in ended if e[0] not in (frames.SERVED, frames.REFUSED) or e[1] != 1
-            ]
-            assert sum(code == frames.SERVED for code, _ in ended) > 0.9 * len(ended)
+            await broker.start_process()
+            for number in range(1, HANDOVERS + 1):
+                traffic.start()
+                wanted = REQUESTS_BEFORE_HANDOVER * number
+                await until(lambda wanted=wanted: len(traffic.book.asked) >= wanted)  # type: ignore[misc]
+                await hand_over(broker, traffic)
+                await traffic.stop()
+            await traffic.book.settle(HANG)
+            check_answers(traffic.book)
         finally:
-            for task in tasks:
-                task.cancel()
-            for process in processes:
-                if process.returncode is None:
-                    process.kill()
-                await process.wait()
-            book.close()
+            traffic.cancel()
+            await broker.kill()
+            traffic.book.close()
             world.stop()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The second address: calls, figures, and engines taken out by hand."""
+"""The operators' address: calls, metrics, and endpoints that are disabled by hand."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     first, *lines = head.split("\r\n")
     return (
         int(first.split()[1]),
-        {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)},
+        {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)},
         body,
     )
 
@@ -65,12 +65,14 @@
     }
 
 
-async def set_engine(rig: Rig, word: str, uid: str = "s-1") -> int:
-    return (await call(rig, f"POST /data-engines/{word}/{uid} HTTP/1.1\r\n\r\n".encode()))[0]
+async def set_engine(rig: Rig, action: str, uid: str = "s-1") -> int:
+    raw = f"POST /data-engines/{action}/{uid} HTTP/1.1\r\n\r\n".encode()
+    status, _, _ = await call(rig, raw)
+    return status
 
 
 @on_uvloop
-async def test_each_call_gets_its_one_answer() -> None:
+async def test_each_call_gets_exactly_one_answer() -> None:
     async with running(make_config(target("s-1", 9), operator=True)) as rig:
         for raw, status in CALLS:
             got, headers, body = await call(rig, raw)
@@ -92,7 +94,7 @@
 
 
 @on_uvloop
-async def test_silent_and_half_callers_keep_nobody_out_and_are_ended_by_the_wheel() -> None:
+async def test_silent_and_incomplete_calls_keep_no_other_out_and_are_ended_by_a_timer() -> None:
     async with running(make_config(target("s-1", 9), operator=True)) as rig:
         idle = [await asyncio.open_connection("127.0.0.1", rig.operator_port) for _ in range(40)]
         idle[-1][1].write(b"GET /rea")
@@ -116,16 +118,16 @@
 
 
 @on_uvloop
-async def test_the_figures_are_those_of_the_traffic() -> None:
+async def test_the_metrics_are_those_of_the_traffic() -> None:
     engine = Engine()
     async with running(
         make_config(
             target("s-1", await engine.start()), target("s-2", 9, "terminating"), operator=True
         )
     ) as rig:
-        told = await figures(rig)
-        assert told['replies_total{type="stock-add",status="overload"}'] == 0
-        assert (told["dispatches_total"], told["concurrent"], told["targets"]) == (0, 0, 2)
+        metrics = await figures(rig)
+        assert metrics['replies_total{type="stock-add",status="overload"}'] == 0
+        assert (metrics["dispatches_total"], metrics["concurrent"], metrics["targets"]) == (0, 0, 2)
         client = await rig.client()
         client.ask(stream=1)
         assert (await client.answer())[1] == frames.SERVED
@@ -134,10 +136,14 @@
         engine.script = lambda *_: None
         client.ask(stream=3, trace="3" * 16, route="stock-add")
         await until(lambda: len(engine.words(b"do")) == 2)
-        told = await figures(rig)
-        assert told['replies_total{type="glance",status="success"}'] == 1
-        assert told['replies_total{type="glance",status="error"}'] == 1
-        assert (told["dispatches_total"], told["concurrent"], told["targets_disabled"]) == (2, 1, 0)
+        metrics = await figures(rig)
+        assert metrics['replies_total{type="glance",status="success"}'] == 1
+        assert metrics['replies_total{type="glance",status="error"}'] == 1
+        assert (
+            metrics["dispatches_total"],
+            metrics["concurrent"],
+            metrics["targets_disabled"],
+        ) == (2, 1, 0)
         client.send(frames.ABANDON, 3)  # ended, with its attempt still out
         client.ask(stream=4, trace="4" * 16, route="stock-add")
         await until(lambda: len(engine.words(b"do")) == 3)
@@ -146,19 +152,19 @@
         client.ask(stream=5, trace="5" * 16)
         stream, code, fields, _ = await client.answer()
         assert (stream, code) == (5, frames.REFUSED) and int(fields["pause"]) > 0
-        told = await figures(rig)
+        metrics = await figures(rig)
         assert (
-            told["targets_disabled"],
-            told['replies_total{type="glance",status="overload"}'],
+            metrics["targets_disabled"],
+            metrics['replies_total{type="glance",status="overload"}'],
         ) == (1, 1)
 
 
 def test_the_text_has_help_and_type_and_its_labels_are_escaped() -> None:
-    figures = Metrics(['a"b'])
-    figures.answered('a"b', SUCCESS)
-    figures.answered("unheard of", ERROR)  # no series for whatever a client names
-    figures.learn(["c"])
-    text = figures.text(1, 2, 3).decode()
+    metrics = Metrics(['a"b'])
+    metrics.answered('a"b', SUCCESS)
+    metrics.answered("unheard of", ERROR)  # no series for whatever a client names
+    metrics.learn(["c"])
+    text = metrics.text(1, 2, 3).decode()
     assert (
         'edge_proxy_replies_total{type="a\\"b",status="success"} 1\n' in text
         and "unheard" not in text
@@ -176,7 +182,9 @@
         client.ask()
         await until(lambda: engine.words(b"do"))
         (connection,) = (
-            c for p in rig.node.dispatcher.pools.by_number.values() for c in p.connections
+            connection
+            for pool in rig.node.dispatcher.pools.by_number.values()
+            for connection in pool.connections
         )
         await until(lambda: rig.node.dispatcher.metrics_counts.dispatches == 1)
         slow = connection.write_queue
@@ -186,11 +194,12 @@
 
 
 @on_uvloop
-async def test_an_engine_taken_out_gets_nothing_whatever_the_list_says_until_one_call_back() -> (
+async def test_a_disabled_endpoint_gets_nothing_whatever_the_list_says_until_it_is_enabled() -> (
     None
 ):
     engines = [Engine(), Engine()]
-    first, second = [target(f"s-{n}", await e.start()) for n, e in enumerate(engines, 1)]
+    first = target("s-1", await engines[0].start())
+    second = target("s-2", await engines[1].start())
     async with running(make_config(first, second, operator=True)) as rig:
         client = await rig.client()
         # it may come twice
@@ -215,8 +224,8 @@
 
 
 @on_uvloop
-async def test_what_waits_for_a_connection_is_taken_back_before_the_yes() -> None:
-    """Danger: it would leave for the engine after the yes. It never ran: it may go to another."""
+async def test_an_attempt_that_waits_for_a_connection_is_taken_back_before_the_answer() -> None:
+    """It would be written after the answer. It never ran, so another endpoint may serve it."""
     other = Engine()
     port = await other.start()
     async with running(
@@ -224,7 +233,9 @@
     ) as rig:
         client = await rig.client()
         pool = next(
-            p for p in rig.node.dispatcher.pools.by_number.values() if p.target.uid == "s-1"
+            pool
+            for pool in rig.node.dispatcher.pools.by_number.values()
+            if pool.target.uid == "s-1"
         )
         pool._open = lambda: None  # type: ignore[method-assign]  # its connection never comes up
         client.ask(route="stock-add")
@@ -235,7 +246,7 @@
 
 
 @on_uvloop
-async def test_called_back_it_is_cold_and_its_old_connections_take_nothing_more() -> None:
+async def test_an_enabled_endpoint_warms_up_and_its_old_connections_take_nothing_more() -> None:
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()), operator=True)) as rig:
         client = await rig.client()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: taken in one step or turned down whole."""
+"""New settings at SIGHUP: applied in one step or rejected completely."""
 
 from __future__ import annotations
 
@@ -68,8 +68,8 @@
         "limits.sockets",
     ],
 )
-def test_a_file_that_lacks_a_key_is_turned_down(tmp_path: Path, path: str) -> None:
-    """Danger: the key would fall back to its default, in service and without a word."""
+def test_a_file_that_lacks_a_key_is_rejected(tmp_path: Path, path: str) -> None:
+    """The key would fall back to its default, in service and without a log line."""
     key = ".".join(part for part in path.split(".") if not part.isdigit())
     with pytest.raises(ConfigError, match=f"^{key}: "):
         read_again(tmp_path, json.dumps(changed(path)))
@@ -92,35 +92,34 @@
         read_again(tmp_path, json.dumps(changed(path, value)))
 
 
-def test_a_file_that_is_empty_or_cut_anywhere_is_turned_down(tmp_path: Path) -> None:
-    whole = json.dumps(FILE)
-    for end in range(0, len(whole), 97):
+def test_a_file_that_is_empty_or_cut_anywhere_is_rejected(tmp_path: Path) -> None:
+    complete = json.dumps(FILE)
+    for end in range(0, len(complete), 97):
         with pytest.raises(ConfigError, match="^PROXY_CONFIG: "):
-            read_again(tmp_path, whole[:end])
-    assert read_again(tmp_path, whole).settings.classes
+            read_again(tmp_path, complete[:end])
+    assert read_again(tmp_path, complete).settings.classes
 
 
-def test_classes_may_come_and_go_and_a_known_list_is_the_start_s_alone(tmp_path: Path) -> None:
+def test_classes_may_come_and_go_and_a_known_list_is_read_at_the_start_only(tmp_path: Path) -> None:
     raw = copy.deepcopy(FILE)
     del raw["known"]
     raw["settings"]["classes"] = [{**raw["settings"]["classes"][1], "name": "stock-add_b"}]
-    assert [c.name for c in read_again(tmp_path, json.dumps(raw)).settings.classes] == [
-        "stock-add_b"
-    ]
+    read = read_again(tmp_path, json.dumps(raw))
+    assert [request_class.name for request_class in read.settings.classes] == ["stock-add_b"]
 
 
 @on_uvloop
-async def test_sighup_takes_new_settings_in_one_step_and_counts_what_it_turns_down(
+async def test_sighup_applies_new_settings_in_one_step_and_counts_what_it_rejects(
     tmp_path: Path,
 ) -> None:
     engine = Engine(lambda *_: None)
     path = tmp_path / "config.json"
 
-    async def ask(rig: Rig, raw: dict[str, Any], word: str) -> None:
-        before = sum(word in line for line in rig.logged)
+    async def reload_with(rig: Rig, raw: dict[str, Any], expected: str) -> None:
+        before = sum(expected in line for line in rig.logged)
         path.write_text(json.dumps(raw))
         os.kill(os.getpid(), signal.SIGHUP)
-        await until(lambda: sum(word in line for line in rig.logged) > before)
+        await until(lambda: sum(expected in line for line in rig.logged) > before)
 
     config = make_config(target("s-1", await engine.start()), operator=True)
     async with running(config, {"PROXY_CONFIG": str(path)}) as rig:
@@ -129,82 +128,80 @@
         await until(lambda: engine.words(b"do"))
         strict = changed("settings.classes.0.effect", "non_idempotent")
         strict["settings"]["classes"].append({**strict["settings"]["classes"][1], "name": "night"})
-        await ask(rig, {**strict, "seed": "77"}, "reload: done")
+        await reload_with(rig, {**strict, "seed": "77"}, "reload: done")
         assert "reload: done; with the next start only: listen, operator, seed" in rig.logged
-        for number in (0, -5):  # whole: nothing of it is taken, neither its classes nor its bus
+        for number in (0, -5):  # nothing of it is applied, neither its classes nor its bus
             bad = changed("settings.classes.1.deadline", number)
             bad["settings"]["classes"][0]["name"] = "glance-x"
-            await ask(
+            await reload_with(
                 rig, {**bad, "bus": "127.0.0.1:9"}, "settings.classes.deadline: must be above 0"
             )
         client.ask(stream=2, trace="2" * 16, route="night")
         client.ask(stream=3, trace="3" * 16)
         await until(lambda: len(engine.words(b"do")) == 3)
-        told = await figures(rig)
-        assert (told["reload_success_total"], told["reload_failure_total"]) == (1, 2)
-        assert told['replies_total{type="night",status="success"}'] == 0
+        metrics = await figures(rig)
+        assert (metrics["reload_success_total"], metrics["reload_failure_total"]) == (1, 2)
+        assert metrics['replies_total{type="night",status="success"}'] == 0
         for writer in engine.writers:  # the engine ends: all three may have run
             writer.close()
         answers = {(await client.answer())[:2] for _ in range(3)}
         assert answers == {(1, frames.REFUSED), (2, frames.FAILED), (3, frames.FAILED)}
-        await ask(rig, changed("settings.classes.0.name", "other"), "reload: done")
+        await reload_with(rig, changed("settings.classes.0.name", "other"), "reload: done")
         client.ask(stream=4, trace="4" * 16)
-        assert (await client.answer())[1] == frames.FAILED  # its class has gone
+        assert (await client.answer())[1] == frames.FAILED  # its class has been removed
         assert (await figures(rig))['replies_total{type="glance",status="overload"}'] == 1
 
 
-# --- the module ---
+# --- the decisions ---
 
 
-def test_a_request_under_way_keeps_its_class_and_a_new_one_follows_the_new_effect() -> None:
-    """Danger: a request that came as safe is failed, or one that must not run twice is sent
-    again.
-    """
-    safe, unsafe = query_class(), query_class(effect=api.Effect.NON_IDEMPOTENT)
+def test_a_request_in_flight_keeps_its_class_and_a_new_one_follows_the_new_effect() -> None:
+    """Else an idempotent request is failed, or one that must not run twice is retried."""
+    safe = query_class()
+    unsafe = query_class(effect=api.Effect.NON_IDEMPOTENT)
     for before, after in ((safe, unsafe), (unsafe, safe)):
-        h = Harness(make_settings(before), entry(1))
-        h.arrive("old", estimate_ns=MS)
-        h.do(api.SettingsChanged(make_settings(after)))
-        h.arrive("new", estimate_ns=MS)
+        harness = Harness(make_settings(before), entry(1))
+        harness.arrive("old", estimate_ns=MS)
+        harness.do(api.SettingsChanged(make_settings(after)))
+        harness.arrive("new", estimate_ns=MS)
         for request, spec in (("old", before), ("new", after)):
-            h.end(request, api.AttemptResult.RESET, finished=False)
-            assert (api.Fail(request) in h.answers(request)) is (spec is unsafe)
-            assert spec is safe or len(h.sends(request)) == 1
+            harness.end(request, api.AttemptResult.RESET, finished=False)
+            assert (api.Fail(request) in harness.answers(request)) is (spec is unsafe)
+            assert spec is safe or len(harness.sends(request)) == 1
 
 
-def test_fewer_attempts_stop_further_ones_only_and_a_class_that_goes_ends_its_requests_well() -> (
-    None
-):
-    h = Harness(make_settings(), entry(1), entry(2))
-    h.arrive("r", estimate_ns=MS)
+def test_fewer_attempts_stop_retries_only_and_a_removed_class_ends_its_requests_well() -> None:
+    harness = Harness(make_settings(), entry(1), entry(2))
+    harness.arrive("r", estimate_ns=MS)
     limits = api.Limits(max_attempts=1, max_retry_after_ns=S)
-    h.do(api.SettingsChanged(make_settings(query_class("other"), limits=limits)))
-    h.end("r", api.AttemptResult.FULL)
-    assert len(h.sends("r")) == 1 and isinstance(h.answers("r")[0], api.Reject)
+    harness.do(api.SettingsChanged(make_settings(query_class("other"), limits=limits)))
+    harness.end("r", api.AttemptResult.FULL)
+    assert len(harness.sends("r")) == 1 and isinstance(harness.answers("r")[0], api.Reject)
     with pytest.raises(ValueError, match="class_name"):
-        h.arrive("s")
-    h.arrive("t", "other", estimate_ns=MS)
-    assert h.sends("t")
-
-
-def test_a_class_that_stays_keeps_what_was_learned_and_bounds_keep_their_place() -> None:
-    h = Harness(make_settings(tenants=(api.Tenant("a", 4.0),)), entry(1))
-    h.arrive("r", estimate_ns=100 * MS, tenant="a")
-    h.end("r", api.AttemptResult.SERVED, latency=300 * MS)
-    view, engine = h.controller.views["short"], h.controller.engines[1]
-    learned, bound, tokens = (
-        (view.log_bias, view.pace),
-        engine.bound,
-        h.controller.shares["a"].tokens,
-    )
+        harness.arrive("s")
+    harness.arrive("t", "other", estimate_ns=MS)
+    assert harness.sends("t")
+
+
+def test_a_class_that_stays_keeps_its_estimates_and_bounds_keep_their_ratio() -> None:
+    harness = Harness(make_settings(tenants=(api.Tenant("a", 4.0),)), entry(1))
+    harness.arrive("r", estimate_ns=100 * MS, tenant="a")
+    harness.end("r", api.AttemptResult.SERVED, latency=300 * MS)
+    view = harness.controller.views["short"]
+    engine = harness.controller.engines[1]
+    learned = (view.log_bias, view.pace)
+    bound = engine.bound
+    tokens = harness.controller.shares["a"].tokens
     tenants = (api.Tenant("a", 4.0),)
-    h.do(
+    harness.do(
         api.SettingsChanged(
             make_settings(
                 query_class(), query_class("more", latency_objective_ns=S), tenants=tenants
             )
         )
     )
-    kept = h.controller.views["short"]
-    assert (kept.log_bias, kept.pace) == learned and h.controller.shares["a"].tokens == tokens
-    assert engine.bound == 2 * bound  # the longest aim has doubled
+    view_after = harness.controller.views["short"]
+    assert (view_after.log_bias, view_after.pace) == learned and harness.controller.shares[
+        "a"
+    ].tokens == tokens
+    assert engine.bound == 2 * bound  # the longest latency objective has doubled
