--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -45,6 +45,14 @@
     return raw
 
 
+def with_another_class(name: str) -> dict[str, Any]:
+    """The file with one class more, and a first class whose requests must not run twice."""
+    raw = changed("settings.classes.0.effect", "non_idempotent")
+    classes = raw["settings"]["classes"]
+    classes.append({**classes[1], "name": name})
+    return raw
+
+
 def read_again(tmp_path: Path, text: str) -> Any:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(FILE))
@@ -126,9 +134,7 @@
         client = await rig.client()
         client.ask(stream=1)
         await until(lambda: engine.words(b"do"))
-        strict = changed("settings.classes.0.effect", "non_idempotent")
-        strict["settings"]["classes"].append({**strict["settings"]["classes"][1], "name": "night"})
-        await reload_with(rig, {**strict, "seed": "77"}, "reload: done")
+        await reload_with(rig, {**with_another_class("night"), "seed": "77"}, "reload: done")
         assert "reload: done; with the next start only: listen, operator, seed" in rig.logged
         for number in (0, -5):  # nothing of it is applied, neither its classes nor its bus
             bad = changed("settings.classes.1.deadline", number)
