--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -121,7 +121,8 @@
             client.writer.write(self._request(1))
             while (frame := await client.frame())[0] == frames.NO_MORE:
                 continue  # the older process took it in, and leaves
-            assert frame[0] == frames.ANSWER and frame[2][0] in (frames.SERVED, frames.REFUSED)
+            assert frame[0] == frames.ANSWER
+            assert frame[2][0] in (frames.SERVED, frames.REFUSED)
             client.writer.close()
 
     async def _send_half_frames(self) -> None:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -61,7 +61,8 @@
         check=False,
     )
     assert done.returncode == 2
-    assert done.stderr.startswith(f"larchhall: {key}: ") and done.stderr.count("\n") == 1
+    assert done.stderr.startswith(f"larchhall: {key}: ")
+    assert done.stderr.count("\n") == 1
 
 
 @on_uvloop
@@ -117,7 +118,8 @@
             text=True,
             check=False,
         )
-    assert done.returncode == 2 and done.stderr.startswith("larchhall: listen: 127.0.0.1:")
+    assert done.returncode == 2
+    assert done.stderr.startswith("larchhall: listen: 127.0.0.1:")
 
 
 @on_uvloop
@@ -186,18 +188,19 @@
         await client.answer()
         client.writer.close()
         await until(lambda: not rig.node.clients)
-        assert (
-            not rig.node.dispatcher.requests and not rig.node.dispatcher.facade.controller.requests
-        )
+        assert not rig.node.dispatcher.requests
+        assert not rig.node.dispatcher.facade.controller.requests
 
 
 def test_the_command_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     version = CliRunner().invoke(main, ["version"])
-    assert version.exit_code == 0 and version.output.startswith(f"larchhall {__version__}\nuvloop ")
+    assert version.exit_code == 0
+    assert version.output.startswith(f"larchhall {__version__}\nuvloop ")
     for key, value in write_config(tmp_path).items():
         monkeypatch.setenv(key, value)
     checked = CliRunner().invoke(main, ["check-config"])
-    assert checked.exit_code == 0 and checked.output.startswith("n0: ok, 2 classes")
+    assert checked.exit_code == 0
+    assert checked.output.startswith("n0: ok, 2 classes")
     write_config(tmp_path, listen="x")
     assert CliRunner().invoke(main, ["check-config"]).exit_code == 2
 
@@ -229,9 +232,11 @@
     limits_set: list[tuple[int, int]] = []
     monkeypatch.setattr(resource, "getrlimit", lambda which: limits)
     monkeypatch.setattr(resource, "setrlimit", lambda which, to: limits_set.append(to))
-    assert raise_descriptor_limit(1_024) == 100 and limits_set == [(100, 100)]
+    assert raise_descriptor_limit(1_024) == 100
+    assert limits_set == [(100, 100)]
     limits = (50, resource.RLIM_INFINITY)
-    assert raise_descriptor_limit(40) == 40 and len(limits_set) == 1
+    assert raise_descriptor_limit(40) == 40
+    assert len(limits_set) == 1
 
 
 @pytest.mark.parametrize("inherited", [True, False], ids=["inherited", "own"])
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -151,7 +151,8 @@
         assert await set_engine(rig, "disable") == 200
         client.ask(stream=5, trace="5" * 16)
         stream, code, fields, _ = await client.answer()
-        assert (stream, code) == (5, frames.REFUSED) and int(fields["pause"]) > 0
+        assert (stream, code) == (5, frames.REFUSED)
+        assert int(fields["pause"]) > 0
         metrics = await figures(rig)
         assert (
             metrics["targets_disabled"],
@@ -165,12 +166,11 @@
     metrics.answered("unheard of", ERROR)  # no series for whatever a client names
     metrics.learn(["c"])
     text = metrics.text(1, 2, 3).decode()
-    assert (
-        'edge_proxy_replies_total{type="a\\"b",status="success"} 1\n' in text
-        and "unheard" not in text
-    )
+    assert 'edge_proxy_replies_total{type="a\\"b",status="success"} 1\n' in text
+    assert "unheard" not in text
     assert 'edge_proxy_replies_total{type="c",status="error"} 0\n' in text
-    assert text.count("# HELP ") == text.count("# TYPE ") == 7 and text.endswith("\n")
+    assert text.count("# HELP ") == text.count("# TYPE ") == 7
+    assert text.endswith("\n")
     assert escaped('\\ " \n') == '\\\\ \\" \\n'
 
 
@@ -189,8 +189,10 @@
         await until(lambda: rig.node.dispatcher.metrics_counts.dispatches == 1)
         slow = connection.write_queue
         slow.current = Frame((b"x" * 100,), None, 1, 100, next(iter(connection.in_flight.values())))
-        assert not slow.wrote(99) and rig.node.dispatcher.metrics_counts.dispatches == 1
-        assert slow.wrote(1) and rig.node.dispatcher.metrics_counts.dispatches == 2
+        assert not slow.wrote(99)
+        assert rig.node.dispatcher.metrics_counts.dispatches == 1
+        assert slow.wrote(1)
+        assert rig.node.dispatcher.metrics_counts.dispatches == 2
 
 
 @on_uvloop
@@ -210,7 +212,8 @@
         for stream in range(1, 31):
             client.ask(stream=stream, trace=f"{stream:016x}")
             assert (await client.answer())[1] == frames.SERVED
-        assert not engines[0].words(b"do") and len(engines[1].words(b"do")) == 30
+        assert not engines[0].words(b"do")
+        assert len(engines[1].words(b"do")) == 30
         assert await set_engine(rig, "enable") == 200
         for stream in range(31, 61):
             client.ask(stream=stream, trace=f"{stream:016x}")
@@ -242,7 +245,8 @@
         await until(lambda: pool.waiting)
         assert await set_engine(rig, "disable") == 200
         assert (await client.answer())[1] == frames.REFUSED
-        assert not pool.waiting and not other.words(b"do")
+        assert not pool.waiting
+        assert not other.words(b"do")
 
 
 @on_uvloop
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -182,7 +182,8 @@
     limits = api.Limits(max_attempts=1, max_retry_after_ns=S)
     harness.do(api.SettingsChanged(make_settings(query_class("other"), limits=limits)))
     harness.end("r", api.AttemptResult.FULL)
-    assert len(harness.sends("r")) == 1 and isinstance(harness.answers("r")[0], api.Reject)
+    assert len(harness.sends("r")) == 1
+    assert isinstance(harness.answers("r")[0], api.Reject)
     with pytest.raises(ValueError, match="class_name"):
         harness.arrive("s")
     harness.arrive("t", "other", estimate_ns=MS)
@@ -207,7 +208,6 @@
         )
     )
     view_after = harness.controller.views["short"]
-    assert (view_after.log_bias, view_after.pace) == learned and harness.controller.shares[
-        "a"
-    ].tokens == tokens
+    assert (view_after.log_bias, view_after.pace) == learned
+    assert harness.controller.shares["a"].tokens == tokens
     assert engine.bound == 2 * bound  # the longest latency objective has doubled
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -104,11 +104,9 @@
                 await until(lambda: len(engine.words(b"do")) == 2)
                 newcomers = [await new.client() for _ in range(5)]
                 await until(lambda: len(new.node.clients) == 5)
-                assert (
-                    not old.node.ready()
-                    and not peer_processes(old).accepting
-                    and len(old.node.clients) == 1
-                )
+                assert not old.node.ready()
+                assert not peer_processes(old).accepting
+                assert len(old.node.clients) == 1
                 for do in engine.words(b"do"):
                     engine.serve(do, engine.writer_of(do))
                 assert {(await client.answer())[:2] for _ in "12"} == {
@@ -130,7 +128,9 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with beside(make_config(target("s-1", 9)), listener, tmp_path) as rig:
             rig.node.shutdown.begin()
-            assert rig.node.ready() and rig.node.server is not None and rig.node.server.is_serving()
+            assert rig.node.ready()
+            assert rig.node.server is not None
+            assert rig.node.server.is_serving()
 
 
 @on_uvloop
@@ -161,10 +161,8 @@
             async with beside(config, listener, tmp_path) as new:
                 await meet(old, new)
                 for rig in (old, new):
-                    assert (
-                        rig.node.dispatcher.pools.most <= undivided[1] // 2
-                        and rig.node.dispatcher.room < undivided[2]
-                    )
+                    assert rig.node.dispatcher.pools.most <= undivided[1] // 2
+                    assert rig.node.dispatcher.room < undivided[2]
             await until(lambda: not peer_processes(old).others)
             assert (
                 old.node.admission.max_connections,
@@ -177,7 +175,8 @@
             assert broker.most_clients + 42 + 2 * broker.pools.most <= config.sockets - 90
             broker.config = replace(broker.config, sockets=64)
             broker.divide(3, 60)  # the least limit, divided, must leave a part for clients
-            assert broker.most_clients >= 7 and broker.pools.most >= 4
+            assert broker.most_clients >= 7
+            assert broker.pools.most >= 4
 
 
 @on_uvloop
@@ -215,9 +214,8 @@
                     '{"words": {"s-1": ['
                 )
                 await until(lambda: peer_processes(rig).others)
-                assert not (
-                    tmp_path / f"{name}.json"
-                ).exists() and not rig.node.dispatcher.administrative_states.is_disabled("s-1")
+                assert not (tmp_path / f"{name}.json").exists()
+                assert not rig.node.dispatcher.administrative_states.is_disabled("s-1")
                 assert not peer_processes(
                     rig
                 ).has_successor()  # an incomplete file: nothing is known of it
@@ -237,13 +235,15 @@
             assert rig.node.admin_api.set_engine("s-1", out=True)
             long = file.read_bytes()
             status = ours.files.read(name)
-            assert status is not None and "s-1" in status.administrative_states
+            assert status is not None
+            assert "s-1" in status.administrative_states
             rig.node.dispatcher.administrative_states.states.clear()
             ours.tell()
             short = file.read_bytes()
             status = ours.files.read(name)
             assert file.stat().st_ino == inode
-            assert status is not None and status.administrative_states == {}
+            assert status is not None
+            assert status.administrative_states == {}
             torn = 0
             for at in range(len(long)):
                 file.write_bytes(short[:at] + long[at:])
@@ -282,7 +282,8 @@
         text=True,
         check=False,
     )
-    assert done.returncode == 2 and done.stderr.startswith("larchhall: PROXY_ACCEPT_FD: ")
+    assert done.returncode == 2
+    assert done.stderr.startswith("larchhall: PROXY_ACCEPT_FD: ")
 
 
 # --- the decisions: two processes divide one quota ---
@@ -298,7 +299,8 @@
         )
     )
     harness.arrive("r", estimate_ns=100 * MS)
-    assert not harness.sends("r") and isinstance(harness.answers("r")[0], api.Reject)
+    assert not harness.sends("r")
+    assert isinstance(harness.answers("r")[0], api.Reject)
     # the work of the others is not reported as that of this process
     assert harness.controller.outstanding(harness.now)[1] == api.OutstandingWork(0, 0, 0)
     harness.do(api.CoProcessLoad({}, 1))
@@ -346,4 +348,5 @@
     harness.now += S
     harness.do(api.AdministrativeChange(engine, False, harness.now))
     harness.end("r", api.AttemptResult.CONNECT_FAILED)
-    assert not harness.controller.engines[engine].suspect and harness.controller.avoided() == 0
+    assert not harness.controller.engines[engine].suspect
+    assert harness.controller.avoided() == 0
