--- a/query_broker/startup/__init__.py
+++ b/query_broker/startup/__init__.py
@@ -1,5 +1,6 @@
-"""How a broker starts when hundreds start at once: what it decides, free of input and output.
+"""How a broker starts when hundreds start at once.
 
-`joins.py` alone touches the node, the bus and the disk; without the operators' word `start` it is
-not loaded.
+``stages``, ``pacing``, ``admission_ramp``, ``endpoint_snapshot``, ``bounds`` and ``status_report``
+decide and compute; they perform no I/O. ``service.StartupService`` connects them to the node, and
+is loaded only where the operators' file holds the directive ``start``.
 """
--- a/query_broker/startup/bounds.py
+++ b/query_broker/startup/bounds.py
@@ -1,44 +1,70 @@
-"""What follows from the operators' word for this fleet, in lines for `check-config`. Pure."""
+"""What the directive ``start`` means for a fleet, in lines for ``check-config``.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
-from .pacing import MOST_SKIPPED, window
-from .settings import StartupSettings
-
-S = 1_000_000_000
-
-
-def lines(terms: StartupSettings, me: int, fleet: int) -> list[str]:
-    whole = window(fleet, terms.list_connects) / S
-    contact = window(fleet, terms.engine_probes) / S
-    told = [
-        f"start: place {me} of {fleet}: one call on the list service in {whole:.2f} s at the "
-        "most, at "
-        f"{me % max(1, fleet) / terms.list_connects:.2f} s of each; all together "
-        f"{terms.list_connects:g} "
-        f"a second, each again after {(MOST_SKIPPED + 1) * whole:.2f} s at the latest",
-        f"start: {terms.engine_probes:g} brokers a second ask each engine, all in {contact:.2f} "
-        "s; ready "
-        f"once {terms.contact_part:g} of the engines are heard of, or after "
-        f"{terms.contact_wait / S:g} s",
-        f"start: until the whole share is open {terms.engine_connects:g} new connections a "
-        "second at each "
-        f"engine, this broker one in {window(fleet, terms.engine_connects) / S:.2f} s, and "
-        f"{terms.accepts:g} "
-        f"new clients a second",
-        f"start: admission from {terms.floor:g} of the share to the whole within "
-        f"{terms.ramp / S:g} s, "
-        f"{4 * terms.ramp / S:g} s with bad news",
+from .admission_ramp import MAX_RAMPS
+from .pacing import MAX_SKIPPED_WINDOWS, window
+from .settings import NS_PER_SECOND, StartupSettings
+
+
+def lines(settings: StartupSettings, place: int, fleet_size: int) -> list[str]:
+    """Return the lines; ``place`` is this broker's in the fleet."""
+    contact_s = window(fleet_size, settings.engine_probes) / NS_PER_SECOND
+    text = [
+        _discovery_line(settings, place, fleet_size),
+        _contact_line(settings, contact_s),
+        _connections_line(settings, fleet_size),
+        _ramp_line(settings),
     ]
-    if contact * terms.contact_part > terms.contact_wait / S:
-        told.append(
-            f"start: contact_wait ends before {terms.contact_part:g} of the engines can be heard "
-            "of "
-            f"({contact * terms.contact_part:.2f} s): the time-out ends this stage"
+    enough_contacts_s = contact_s * settings.contact_fraction
+    if enough_contacts_s > settings.contact_wait / NS_PER_SECOND:
+        text.append(
+            f"start: contact_wait ends before {settings.contact_fraction:g} of the engines can be "
+            f"heard of ({enough_contacts_s:.2f} s): the time-out ends this stage"
         )
-    if terms.last_list:
-        told.append(
-            f"start: the last list in {terms.last_list} is used after {terms.list_wait / S:g} s "
-            f"without the bus, if it is not older than {terms.last_list_age / S:g} s"
+    if settings.snapshot_path:
+        text.append(
+            f"start: the last list in {settings.snapshot_path} is used after "
+            f"{settings.list_wait_ns / NS_PER_SECOND:g} s without the bus, if it is not older than "
+            f"{settings.snapshot_max_age_ns / NS_PER_SECOND:g} s"
         )
-    return told
+    return text
+
+
+def _discovery_line(settings: StartupSettings, place: int, fleet_size: int) -> str:
+    window_s = window(fleet_size, settings.list_connects) / NS_PER_SECOND
+    slot_s = place % max(1, fleet_size) / settings.list_connects
+    latest_s = (MAX_SKIPPED_WINDOWS + 1) * window_s
+    return (
+        f"start: place {place} of {fleet_size}: one call on the list service in {window_s:.2f} s "
+        f"at the most, at {slot_s:.2f} s of each; all together {settings.list_connects:g} a "
+        f"second, each again after {latest_s:.2f} s at the latest"
+    )
+
+
+def _contact_line(settings: StartupSettings, contact_s: float) -> str:
+    return (
+        f"start: {settings.engine_probes:g} brokers a second ask each engine, all in "
+        f"{contact_s:.2f} s; ready once {settings.contact_fraction:g} of the engines are heard of, "
+        f"or after {settings.contact_wait / NS_PER_SECOND:g} s"
+    )
+
+
+def _connections_line(settings: StartupSettings, fleet_size: int) -> str:
+    window_s = window(fleet_size, settings.endpoint_connects_per_s) / NS_PER_SECOND
+    return (
+        f"start: until the whole share is open {settings.endpoint_connects_per_s:g} new "
+        f"connections a second at each engine, this broker one in {window_s:.2f} s, and "
+        f"{settings.accepts_per_s:g} new clients a second"
+    )
+
+
+def _ramp_line(settings: StartupSettings) -> str:
+    return (
+        f"start: admission from {settings.initial_fraction:g} of the share to the whole within "
+        f"{settings.ramp_ns / NS_PER_SECOND:g} s, "
+        f"{MAX_RAMPS * settings.ramp_ns / NS_PER_SECOND:g} s with bad news"
+    )
--- /dev/null
+++ b/query_broker/startup/discovery_pace.py
@@ -0,0 +1,62 @@
+"""The pace at which this broker calls on the discovery service."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from ..discovery.watch_client import CONNECT, SILENT
+from .pacing import Calls, backoff_timeout_ns
+from .settings import NS_PER_SECOND
+
+#: Longest time in which a connection has to come up, after many failures.
+MAX_CONNECT_TIMEOUT_NS = 8 * NS_PER_SECOND
+
+#: Longest silence after which a connection is given up, after many failures.
+MAX_SILENCE_NS = 16 * NS_PER_SECOND
+
+
+class ConfirmationListener(Protocol):
+    """Is notified when the discovery service has nothing newer than this broker."""
+
+    def confirmed(self) -> None:
+        """The endpoint list is the service's."""
+
+
+class DiscoveryPace:
+    """Implements ``watch_client.Pace``: by the place in the fleet, then by full jitter."""
+
+    def __init__(
+        self, calls: Calls, now: Callable[[], int], listener: ConfirmationListener
+    ) -> None:
+        """Draw the slot of the first call."""
+        self._calls = calls
+        self._now = now
+        self._listener = listener
+        begun = now()
+        self.first_wait = (calls.first(begun) - begun) / NS_PER_SECOND
+
+    def resize(self, place: int, fleet_size: int) -> None:
+        """Go by another place in a fleet of another size."""
+        self._calls.place = place
+        self._calls.fleet_size = fleet_size
+
+    def wait(self) -> float:
+        """Return the seconds to the next call, after one that failed."""
+        now = self._now()
+        return (self._calls.again(now) - now) / NS_PER_SECOND
+
+    def time_out(self) -> float:
+        """Return the seconds in which a connection has to come up."""
+        least_ns = int(CONNECT * NS_PER_SECOND)
+        timeout_ns = backoff_timeout_ns(self._calls.failed, least_ns, MAX_CONNECT_TIMEOUT_NS)
+        return timeout_ns / NS_PER_SECOND
+
+    def silent(self) -> int:
+        """Return the nanoseconds of silence after which a connection is given up."""
+        return backoff_timeout_ns(self._calls.failed, SILENT, MAX_SILENCE_NS)
+
+    def spoke(self) -> None:
+        """The service has sent, or confirmed, what it has up to now."""
+        self._calls.succeeded()
+        self._listener.confirmed()
--- /dev/null
+++ b/query_broker/startup/dispatcher_hooks.py
@@ -0,0 +1,75 @@
+"""All that a start changes in the dispatcher, in one place, so that its end undoes it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from ..decisions.facade import AttemptResult, CoProcessLoad, OutstandingWork, Settings
+from ..dispatch.dispatcher import Dispatcher
+from .admission_ramp import assumed
+
+
+class StartupObserver(Protocol):
+    """What the dispatcher asks of a start, and notifies it of."""
+
+    def health_check_ended(self, endpoint: int, result: AttemptResult) -> None:
+        """A health check of this endpoint has ended."""
+
+    def metrics(self) -> bytes:
+        """Lines for the metrics."""
+
+    def connect_delay_ns(self, endpoint: int) -> int:
+        """How long a new connection to this endpoint has to wait, in nanoseconds."""
+
+
+class DispatcherHooks:
+    """Registers a start with the dispatcher, and ends its influence when all is open."""
+
+    def __init__(self, dispatcher: Dispatcher) -> None:
+        """Remember how connections are shared in service."""
+        self._dispatcher = dispatcher
+        self._own_connections_in_service = dispatcher.pools.own
+
+    def register(self, observer: StartupObserver) -> None:
+        """Register the observer of a start."""
+        self._dispatcher.witness.append(observer.health_check_ended)
+        self._dispatcher.more_figures.append(observer.metrics)
+        self._dispatcher.pools.turn = observer.connect_delay_ns
+
+    def register_adjustment(self, adjustment: Callable[[Settings], Settings]) -> None:
+        """Let the decisions go by settings that this function changes, from now on."""
+        self._dispatcher.adjust.append(adjustment)
+        self._dispatcher.refresh_settings()
+
+    def begin_ramp(self, retry_after_ns: Callable[[int], int]) -> None:
+        """Let this function widen the pause that rejections advise, in nanoseconds."""
+        self._dispatcher.stay_away = retry_after_ns
+
+    def reuse_connections(self) -> None:
+        """Let attempts share connections to endpoints, until the ramp has ended.
+
+        A connection for each attempt, from every broker at once, is more handshakes than requests.
+        """
+        self._dispatcher.pools.own = False
+
+    def end_ramp(self) -> None:
+        """Serve as if there had been no start."""
+        self._dispatcher.pools.own = self._own_connections_in_service
+        self._dispatcher.pools.turn = None
+        self._dispatcher.stay_away = None
+
+    def health_check(self, now: int, endpoint: int) -> None:
+        """Begin a health check of an endpoint."""
+        self._dispatcher._probe(now, endpoint)
+
+    def book_assumed_work(self, open_fraction: float) -> None:
+        """Book what is not open as the work of another process of this broker."""
+        outstanding: dict[int, OutstandingWork] = {}
+        if open_fraction < 1:
+            facade = self._dispatcher.facade
+            widest = facade.widest()
+            for endpoint, (threads, bound) in facade.shares().items():
+                work = assumed(open_fraction, threads, bound, widest)
+                outstanding[endpoint] = OutstandingWork(work.threads, work.backlog, 0)
+        self._dispatcher.beside(CoProcessLoad(outstanding, 1))
--- a/query_broker/startup/endpoint_snapshot.py
+++ b/query_broker/startup/endpoint_snapshot.py
@@ -1,7 +1,7 @@
-"""The last list of engines as a file's text: known by its sum, refused where it is not ours. Pure.
+"""The endpoint snapshot, the last endpoint list as the text of a file. Performs no I/O.
 
-One head line, `larchhall-list FORMAT SUM`, and one of JSON. The sum is keyed by nothing: it finds
-torn and altered files, not forged ones; the file lies where only the broker writes.
+The file has one head line, ``larchhall-list FORMAT SUM``, and one line of JSON. The sum has no key:
+it finds torn and altered files, not forged ones; the file lies where only the broker writes.
 """
 
 from __future__ import annotations
@@ -11,74 +11,136 @@
 from dataclasses import dataclass
 from typing import Any
 
-FORMAT = 1
+from .settings import NS_PER_SECOND
+
+FORMAT_VERSION = 1
 MAGIC = "larchhall-list"
-MOST = 16 << 20  # bytes
-S = 1_000_000_000
-AHEAD = 5 * S  # a list from so far in the future: the clock has been set back
+
+#: Bytes that are read of a file: far more than the largest list takes.
+MAX_BYTES = 16 << 20
+
+#: Size of the sum, in bytes.
+SUM_BYTES = 16
+
+#: A snapshot from further in the future shows that the clock has been set back.
+MAX_AHEAD_NS = 5 * NS_PER_SECOND
+
+#: Characters of a foreign installation's name that an error quotes.
+MAX_QUOTED_CHARACTERS = 60
+
+
+class EndpointSnapshotError(Exception):
+    """Why a file is not used, as the end of a sentence that begins with its path."""
+
+
+class MalformedSnapshotError(EndpointSnapshotError):
+    """The text is no snapshot, or was torn or altered."""
+
+
+class SnapshotVersionError(EndpointSnapshotError):
+    """The snapshot has the format of another version of this program."""
+
+    def __init__(self, version: str) -> None:
+        """Name the version that was found."""
+        super().__init__(f"has format {version}, this program reads {FORMAT_VERSION}")
 
 
-class BadList(Exception):
-    """Why a file is not acted on."""
+class UnusableSnapshotError(EndpointSnapshotError):
+    """The snapshot is of another installation, or of another time."""
 
 
 @dataclass(frozen=True, slots=True)
 class LastList:
+    """The endpoint list at one moment.
+
+    Attributes:
+        installation: Name of the installation that it belongs to.
+        offset: Number of the last watch event that it includes.
+        saved_at_ns: When it was saved, in Unix nanoseconds.
+        targets: The endpoints, as the discovery service writes them.
+    """
+
     installation: str
     offset: int
-    saved_at: int  # Unix nanoseconds
+    saved_at_ns: int
     targets: tuple[dict[str, Any], ...]
 
     def event(self) -> dict[str, Any]:
-        """As the bus would tell it."""
+        """Return the list as the discovery service would send it."""
         return {
             "offset": self.offset,
             "topology": {"rev": self.offset, "all": True, "targets": list(self.targets)},
         }
 
 
-def _sum(body: str) -> str:
-    return hashlib.blake2b(body.encode(), digest_size=16).hexdigest()
+def encode(snapshot: LastList) -> str:
+    """Return the text of the file."""
+    fields = {
+        "installation": snapshot.installation,
+        "offset": snapshot.offset,
+        "saved_at": snapshot.saved_at_ns,
+        "targets": snapshot.targets,
+    }
+    body = json.dumps(fields, separators=(",", ":"))
+    return f"{MAGIC} {FORMAT_VERSION} {_sum(body)}\n{body}\n"
 
 
-def encode(kept: LastList) -> str:
-    body = json.dumps(
-        {
-            "installation": kept.installation,
-            "offset": kept.offset,
-            "saved_at": kept.saved_at,
-            "targets": kept.targets,
-        },
-        separators=(",", ":"),
-    )
-    return f"{MAGIC} {FORMAT} {_sum(body)}\n{body}\n"
+def decode(text: str, installation: str, now: int, most_age: int) -> LastList:
+    """Read the text of a file.
 
+    Args:
+        text: The content of the file.
+        installation: Name of this installation.
+        now: Unix time in nanoseconds.
+        most_age: Age up to which a snapshot is used, in nanoseconds.
 
-def decode(text: str, installation: str, now: int, most_age: int) -> LastList:
-    """BadList says in a few words why it is not acted on."""
+    Raises:
+        EndpointSnapshotError: The file is not to be used; says why in a few words.
+    """
+    snapshot = _snapshot(_body(text))
+    if snapshot.installation != installation:
+        found = repr(snapshot.installation[:MAX_QUOTED_CHARACTERS])
+        raise UnusableSnapshotError("is of installation " + found)
+    if snapshot.saved_at_ns > now + MAX_AHEAD_NS:
+        problem = "is from the future: the clock has been set back, its age is not known"
+        raise UnusableSnapshotError(problem)
+    age_ns = now - snapshot.saved_at_ns
+    if age_ns > most_age:
+        problem = f"is {age_ns / NS_PER_SECOND:.0f} s old"
+        raise UnusableSnapshotError(problem)
+    return snapshot
+
+
+def _sum(body: str) -> str:
+    return hashlib.blake2b(body.encode(), digest_size=SUM_BYTES).hexdigest()
+
+
+def _body(text: str) -> str:
+    """The JSON line of a file, once its head line and its sum have been checked."""
     head, newline, rest = text.partition("\n")
     parts = head.split(" ")
     if len(parts) != 3 or parts[0] != MAGIC or not parts[1].isdecimal():
-        raise BadList("is no list of ours")
-    if int(parts[1]) != FORMAT:
-        raise BadList(f"has format {parts[1]}, this program reads {FORMAT}")
+        problem = "is no list of ours"
+        raise MalformedSnapshotError(problem)
+    _, version, written_sum = parts
+    if int(version) != FORMAT_VERSION:
+        raise SnapshotVersionError(version)
     body = rest.removesuffix("\n")
-    if not newline or body == rest or _sum(body) != parts[2]:
-        raise BadList("is torn or altered")
+    if not newline or body == rest or _sum(body) != written_sum:
+        problem = "is torn or altered"
+        raise MalformedSnapshotError(problem)
+    return body
+
+
+def _snapshot(body: str) -> LastList:
     try:
         raw = json.loads(body)
-        kept = LastList(
+        return LastList(
             str(raw["installation"]),
             int(raw["offset"]),
             int(raw["saved_at"]),
-            tuple(dict(t) for t in raw["targets"]),
+            tuple(dict(target) for target in raw["targets"]),
         )
     except (ValueError, KeyError, TypeError, RecursionError) as error:
-        raise BadList(f"holds no list: {type(error).__name__}") from None
-    if kept.installation != installation:
-        raise BadList(f"is of installation {kept.installation[:60]!r}")
-    if kept.saved_at > now + AHEAD:
-        raise BadList("is from the future: the clock has been set back, its age is not known")
-    if now - kept.saved_at > most_age:
-        raise BadList(f"is {(now - kept.saved_at) / S:.0f} s old")
-    return kept
+        problem = f"holds no list: {type(error).__name__}"
+        raise MalformedSnapshotError(problem) from None
--- /dev/null
+++ b/query_broker/startup/initial_list.py
@@ -0,0 +1,116 @@
+"""The endpoint list of a start: from the configuration, the snapshot or the discovery service."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from ..decisions import Effect, RequestClass, Settings
+from ..decisions.facade import EndpointState
+from ..discovery.event_codec import parse_event
+from ..discovery.watch_client import WatchClient
+from ..server.host import Host
+from .dispatcher_hooks import DispatcherHooks
+from .endpoint_snapshot import LastList
+from .stages import ListSource, StartupStages
+
+#: No endpoint is of this kind: classes bound to it are rejected by the rule on placement.
+NO_ENDPOINT_KIND = ("\0unconfirmed",)
+
+
+class InitialList:
+    """Gives the node its first endpoint list, and tells the stages where it is from.
+
+    An address in a snapshot may be another endpoint's by now. Until the discovery service has
+    confirmed the list, requests that may not run twice are not sent to it: their classes are bound
+    to a kind that no endpoint has, and the decisions reject them at once.
+    """
+
+    def __init__(
+        self,
+        node: Host,
+        hooks: DispatcherHooks,
+        stages: StartupStages,
+        snapshot: LastList | None,
+    ) -> None:
+        """Hold the snapshot, None if there is none that may be used."""
+        self._node = node
+        self._hooks = hooks
+        self._stages = stages
+        self._snapshot = snapshot
+        self._unconfirmed = False
+
+    def begin(self, now: int) -> None:
+        """End the stage of the settings, and use what list there is."""
+        snapshot = self._snapshot
+        if snapshot is None:
+            self._stages.settings_read(now, None)
+        else:
+            age_ns = max(0, self._node.clock.now() - snapshot.saved_at_ns)
+            self._stages.settings_read(now, age_ns)
+            self._connect_to(snapshot)
+        if self._node.config.known:
+            self._stages.list_received(now, ListSource.KNOWN, 0)
+
+    def resume(self, client: WatchClient) -> None:
+        """Let the discovery client ask for what the snapshot lacks, not for all."""
+        if self._snapshot is not None:
+            client.last = self._snapshot.offset
+
+    def tick(self, now: int) -> None:
+        """Go by the snapshot if the discovery service is away; log it if there is no list."""
+        if self._stages.snapshot_due(now):
+            self._node.endpoint_list_known = True
+            if self._snapshot is not None:
+                self._stages.snapshot_age_ns = max(0, now - self._snapshot.saved_at_ns)
+            self._stages.list_received(now, ListSource.DISK, self._ready_count())
+        if self._stages.list_overdue(now):
+            self._stages.delay_logged = True
+            self._node.log(
+                "start", "no list from the bus and none on disk: still asking, not ready"
+            )
+
+    def event_received(self) -> None:
+        """A watch event of the discovery service has been applied."""
+        self._stages.list_received(self._node.clock.now(), ListSource.BUS, self._ready_count())
+
+    def confirmed(self) -> None:
+        """The discovery service has nothing newer than this broker."""
+        if self._unconfirmed:
+            self._unconfirmed = False
+            self._node.dispatcher.refresh_settings()
+            self._node.log("start", "the bus has confirmed the last list")
+        source = self._stages.source
+        if source is ListSource.BUS:
+            return
+        if source is not ListSource.NONE or self._ready_count():
+            self._node.endpoint_list_known = True
+            self.event_received()
+
+    def ready_endpoints(self) -> list[int]:
+        """Return the numbers of the listed endpoints that are ready."""
+        endpoints = self._node.dispatcher.endpoint_table.by_number
+        return [
+            number
+            for number, known in endpoints.items()
+            if known.target.state is EndpointState.READY
+        ]
+
+    def _ready_count(self) -> int:
+        return len(self.ready_endpoints())
+
+    def _connect_to(self, snapshot: LastList) -> None:
+        self._node.dispatcher.endpoint_list_changed(parse_event(snapshot.event()))
+        self._unconfirmed = True
+        self._hooks.register_adjustment(self._restricted)
+
+    def _restricted(self, settings: Settings) -> Settings:
+        """The settings that the decisions go by."""
+        if not self._unconfirmed:
+            return settings
+        return replace(settings, classes=tuple(map(_only_idempotent, settings.classes)))
+
+
+def _only_idempotent(request_class: RequestClass) -> RequestClass:
+    if request_class.effect is Effect.IDEMPOTENT:
+        return request_class
+    return replace(request_class, allowed_kinds=NO_ENDPOINT_KIND)
--- a/query_broker/startup/settings.py
+++ b/query_broker/startup/settings.py
@@ -1,32 +1,49 @@
-"""What the operators' file says of a start. Times in nanoseconds."""
+"""What the operators' directive ``start`` sets."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-S = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class StartupSettings:
-    """``list_connects``, ``engine_probes``: what the list service, and one engine, take a second of
-    the whole fleet; a broker's part follows from `fleet_size`. ``contact_part`` of the listed
-    engines must have been heard of, or ``contact_wait`` be over, before the broker is ready. The
-    admission begins with ``floor`` of the full share and is whole after ``ramp`` without news,
-    sooner with good, later with bad. Until then one engine gets ``engine_connects`` new connections
-    a second of the whole fleet, and this broker begins to read ``accepts`` new clients a second.
-    ``last_list``: a file that keeps the list; empty: none.
+    """The arguments of the directive ``start``, in its order; durations in nanoseconds.
+
+    Rates are per second and of the whole fleet, unless said otherwise: the part of one broker
+    follows from the fleet's size.
+
+    Attributes:
+        list_connects: Calls that the discovery service takes (``list_connects``).
+        list_wait_ns: Time without the discovery service after which the endpoint snapshot will do
+            (``list_wait``).
+        engine_probes: Brokers that probe one endpoint (``engine_probes``).
+        endpoint_connects_per_s: New connections that one endpoint takes until the ramp has ended
+            (``engine_connects``).
+        accepts_per_s: New clients that this broker alone begins to read until the ramp has ended
+            (``accepts``).
+        contact_fraction: Part of the listed endpoints that must have answered before the broker
+            is ready (``contact_part``).
+        contact_wait: Time after which the broker is ready all the same (``contact_wait``).
+        initial_fraction: Part of its admission with which the broker begins (``floor``).
+        ramp_ns: Time to the full admission without any answers; less with successes, more with
+            failures (``ramp``).
+        snapshot_path: File of the endpoint snapshot; empty for none (``last_list``).
+        snapshot_max_age_ns: Age from which a snapshot is not used (``last_list_age``).
+        installation: Name of the installation; a snapshot of another one is not used
+            (``installation``).
     """
 
     list_connects: float = 50.0
-    list_wait: int = 10 * S
+    list_wait_ns: int = 10 * NS_PER_SECOND
     engine_probes: float = 20.0
-    engine_connects: float = 100.0
-    accepts: float = 200.0
-    contact_part: float = 0.5
-    contact_wait: int = 2 * S
-    floor: float = 0.1
-    ramp: int = 8 * S
-    last_list: str = ""
-    last_list_age: int = 3_600 * S
+    endpoint_connects_per_s: float = 100.0
+    accepts_per_s: float = 200.0
+    contact_fraction: float = 0.5
+    contact_wait: int = 2 * NS_PER_SECOND
+    initial_fraction: float = 0.1
+    ramp_ns: int = 8 * NS_PER_SECOND
+    snapshot_path: str = ""
+    snapshot_max_age_ns: int = 3_600 * NS_PER_SECOND
     installation: str = ""
--- /dev/null
+++ b/query_broker/startup/status_report.py
@@ -0,0 +1,46 @@
+"""What operators read of a start: the answer to ``GET /start`` and the metrics.
+
+Performs no I/O.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from typing import Any
+
+from .settings import NS_PER_SECOND
+from .stages import StartupStages
+
+PATH = "/start"
+JSON_TYPE = "application/json"
+WRONG_METHOD = b'{"error": "this call is a GET"}\n'
+
+#: An answer of the operators' address: status, body, content type, allowed methods.
+AdminAnswer = tuple[int, bytes, str, str]
+
+
+def admin_answer(method: str, status: Mapping[str, Any]) -> AdminAnswer:
+    """Return the answer to a call on ``PATH``."""
+    if method != "GET":
+        return 405, WRONG_METHOD, JSON_TYPE, "GET"
+    return 200, json.dumps(status).encode() + b"\n", JSON_TYPE, ""
+
+
+def metrics_text(stages: StartupStages, now: int) -> bytes:
+    """Return the metrics: seconds in each stage so far, and the open part of the admission."""
+    durations_ns = {completed.stage: completed.took_ns for completed in stages.completed}
+    durations_ns[stages.stage] = now - stages.since_ns
+    lines = [
+        "# HELP edge_proxy_start_seconds Time in each stage of the start.",
+        "# TYPE edge_proxy_start_seconds gauge",
+    ]
+    for stage, duration_ns in durations_ns.items():
+        seconds = duration_ns / NS_PER_SECOND
+        lines.append(f'edge_proxy_start_seconds{{stage="{stage.value}"}} {seconds:.3f}')
+    lines += [
+        "# HELP edge_proxy_start_share Share of the admission that is open.",
+        "# TYPE edge_proxy_start_share gauge",
+        f"edge_proxy_start_share {stages.open_fraction:.4f}",
+    ]
+    return ("\n".join(lines) + "\n").encode()
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -29,7 +29,7 @@
 from query_broker.server import structured_log as structured
 from query_broker.startup import endpoint_snapshot as lastlist
 from query_broker.startup import pacing as paces
-from query_broker.startup import service as start_joins
+from query_broker.startup import snapshot_store as start_joins
 
 S = 1_000_000_000
 
--- a/tests/test_start_pure.py
+++ b/tests/test_start_pure.py
@@ -1,5 +1,5 @@
-"""What a start decides: stages, paces, the ramp, the last list. No sockets, no clock but the
-test's.
+"""What a start decides: stages, call pacing, the ramp, the snapshot. No sockets, and no clock but
+the test's.
 """
 
 from __future__ import annotations
@@ -11,18 +11,17 @@
 import pytest
 
 from query_broker.operator_config.script import OperatorFileError, run
-from query_broker.startup import endpoint_snapshot as lastlist
-from query_broker.startup import pacing as paces
-from query_broker.startup.admission_ramp import MOST, Ramp, assumed, pause
+from query_broker.startup import endpoint_snapshot, pacing
+from query_broker.startup.admission_ramp import MAX_RAMPS, Ramp, assumed, retry_after_ns
 from query_broker.startup.bounds import lines
-from query_broker.startup.endpoint_snapshot import BadList, LastList, decode, encode
+from query_broker.startup.endpoint_snapshot import EndpointSnapshotError, LastList, decode, encode
 from query_broker.startup.settings import StartupSettings
-from query_broker.startup.stages import Source, Stage, Start
+from query_broker.startup.stages import ListSource, Stage, StartupStages
 
 from .sockets import target
 
 S = 1_000_000_000
-TERMS = StartupSettings()
+SETTINGS = StartupSettings()
 
 
 # --- paces ---
@@ -47,12 +46,12 @@
     started = [me for me in range(fleet) if me == 0 or draw.random() < part]
     begun = [1_796_000_000 * S + int(draw.random() * within) for _ in started]
     calls = [
-        paces.Calls(me, fleet, 50.0, draw.random).first(now)
+        pacing.Calls(me, fleet, 50.0, draw.random).first(now)
         for me, now in zip(started, begun, strict=True)
     ]
     assert calls_in_any_window(calls, S) <= 52
     assert all(
-        0 <= at - now <= paces.window(fleet, 50.0) for at, now in zip(calls, begun, strict=True)
+        0 <= at - now <= pacing.window(fleet, 50.0) for at, now in zip(calls, begun, strict=True)
     )
 
 
@@ -60,7 +59,7 @@
 @pytest.mark.parametrize("told", [100, 300, 900])
 def test_a_fleet_size_that_is_wrong_by_three_costs_three_times_at_the_most(told: int) -> None:
     draw = random.Random(told)
-    calls = [paces.Calls(me, told, 50.0, draw.random).first(0) for me in range(300)]
+    calls = [pacing.Calls(me, told, 50.0, draw.random).first(0) for me in range(300)]
     assert calls_in_any_window(calls, S) <= 52 * max(1, 300 // told)
 
 
@@ -68,7 +67,7 @@
     draw = random.Random(5)
     times: list[int] = []
     for me in range(300):
-        calls = paces.Calls(me, 300, 50.0, draw.random)
+        calls = pacing.Calls(me, 300, 50.0, draw.random)
         now = calls.first(int(draw.random() * S))
         while now < 120 * S:
             times.append(now)
@@ -76,28 +75,28 @@
     assert calls_in_any_window(times, S) <= 52
     late = [t for t in times if t > 60 * S]
     assert len(late) / 60 < 30
-    alone, now, waits = paces.Calls(0, 1, 50.0, draw.random), 0, []
+    alone, now, waits = pacing.Calls(0, 1, 50.0, draw.random), 0, []
     for _ in range(60):
         waits.append(alone.again(now) - now)
         now += waits[-1]
-    assert max(waits) <= 6 * paces.LEAST_WINDOW  # one broker alone is back at once
+    assert max(waits) <= 6 * pacing.MIN_WINDOW_NS  # one broker alone is back at once
     alone.succeeded()
     assert alone.failed == 0
 
 
 def test_probes_of_one_engine_and_of_one_broker_are_both_spread() -> None:
     engines = [random.Random(7).randrange(1 << 32) + i for i in range(40)]
-    of_engine = [paces.probe_at(me, engines[0], me, 300, 20.0) for me in range(300)]
-    of_broker = [paces.probe_at(0, e, 3, 300, 20.0) for e in engines]
+    of_engine = [pacing.probe_at(me, engines[0], me, 300, 20.0) for me in range(300)]
+    of_broker = [pacing.probe_at(0, e, 3, 300, 20.0) for e in engines]
     assert calls_in_any_window(of_engine, S) <= 22 and len(set(of_broker)) == len(engines)
 
 
 @pytest.mark.parametrize("rate", [1.0, 20.0, 5_000.0])
 def test_a_gate_lets_through_its_rate_and_saves_up_a_second_at_the_most(rate: float) -> None:
-    gate, passed, now = paces.Gate(rate, 0), list[int](), 0
+    limiter, passed, now = pacing.RateLimiter(rate, 0), list[int](), 0
     for now in range(0, 20 * S, S // 1_000):
         if not 5 * S < now < 15 * S:  # nobody comes in between
-            passed += [now] * gate.free(now)
+            passed += [now] * limiter.try_acquire(now)
     assert calls_in_any_window(passed, S) <= 2 * rate + 1
     assert len([t for t in passed if t < 5 * S]) >= min(0.9 * 5 * rate, 4_000)
 
@@ -106,17 +105,17 @@
 
 
 @pytest.mark.parametrize(
-    ("good", "bad", "within"), [(0, 0, 8), (50, 0, 4), (50, 3, 4), (0, 9, 8 * MOST)]
+    ("good", "bad", "within"), [(0, 0, 8), (50, 0, 4), (50, 3, 4), (0, 9, 8 * MAX_RAMPS)]
 )
 def test_a_ramp_ends_sooner_with_good_news_and_never_later_than_stated(
     good: int, bad: int, within: int
 ) -> None:
-    ramp, now, shares = Ramp(TERMS, 0), 0, [TERMS.floor]
+    ramp, now, shares = Ramp(SETTINGS, 0), 0, [SETTINGS.initial_fraction]
     while not ramp.over():
         now += S
         shares.append(ramp.period(now, good, bad))
     assert now <= within * S and shares == sorted(shares)
-    assert shares[1] <= max(2.0, ramp.step) * shares[0] + 1e-9  # never whole at once
+    assert shares[1] <= max(2.0, ramp.growth) * shares[0] + 1e-9  # never whole at once
     if good == bad == 0:
         assert now == within * S
 
@@ -134,7 +133,7 @@
 def test_a_refusal_in_the_ramp_spreads_returns_over_it(
     told: int, left: int, most: int, draw: float, then: int
 ) -> None:
-    assert pause(told, left, most, draw) == then
+    assert retry_after_ns(told, left, most, draw) == then
 
 
 def test_what_is_assumed_leaves_room_for_one_query_and_ends_with_the_ramp() -> None:
@@ -148,18 +147,18 @@
 
 
 def test_a_start_with_everything_at_hand() -> None:
-    start = Start(TERMS, 0)
-    start.settings_read(1, None)
-    assert not start.ready()
-    start.list_told(S, Source.BUS, 8)
-    start.heard_of(S + 5, 3, 8)
-    assert not start.ready()
-    start.heard_of(S + 9, 4, 8)
-    assert start.ready() and start.confirmed()
-    start.ramped(9 * S, 0.5)
-    start.ramped(10 * S, 1.0)
-    assert start.told(11 * S)["stage"] == "full"
-    assert [p.stage for p in start.passed] == [
+    stages = StartupStages(SETTINGS, 0)
+    stages.settings_read(1, None)
+    assert not stages.ready()
+    stages.list_received(S, ListSource.BUS, 8)
+    stages.endpoints_contacted(S + 5, 3, 8)
+    assert not stages.ready()
+    stages.endpoints_contacted(S + 9, 4, 8)
+    assert stages.ready() and stages.confirmed()
+    stages.ramp_advanced(9 * S, 0.5)
+    stages.ramp_advanced(10 * S, 1.0)
+    assert stages.status(11 * S)["stage"] == "full"
+    assert [completed.stage for completed in stages.completed] == [
         Stage.SETTINGS,
         Stage.LIST,
         Stage.CONTACT,
@@ -169,83 +168,85 @@
 
 def test_engines_that_never_answer_and_a_list_without_engines_hold_nobody_up() -> None:
     for listed in (8, 0):
-        start = Start(TERMS, 0)
-        start.settings_read(0, None)
-        start.list_told(0, Source.KNOWN, listed)
-        start.heard_of(TERMS.contact_wait - 1, 0, listed)
-        assert not start.ready()
-        start.heard_of(TERMS.contact_wait, 0, listed)
-        assert start.ready() and "time-out" in start.passed[-1].why
+        stages = StartupStages(SETTINGS, 0)
+        stages.settings_read(0, None)
+        stages.list_received(0, ListSource.KNOWN, listed)
+        stages.endpoints_contacted(SETTINGS.contact_wait - 1, 0, listed)
+        assert not stages.ready()
+        stages.endpoints_contacted(SETTINGS.contact_wait, 0, listed)
+        assert stages.ready() and "time-out" in stages.completed[-1].reason
 
 
 def test_without_the_bus_the_last_list_serves_and_without_both_nothing_does() -> None:
-    start = Start(TERMS, 0)
-    start.settings_read(0, 60 * S)
-    assert not start.wants_disk(TERMS.list_wait - 1) and start.wants_disk(TERMS.list_wait)
-    start.list_told(TERMS.list_wait, Source.DISK, 3)
-    start.heard_of(TERMS.list_wait, 3, 3)
-    assert start.ready() and not start.confirmed()
-    start.list_told(40 * S, Source.BUS, 3)
-    assert start.confirmed()
-    bare = Start(TERMS, 0)
+    stages = StartupStages(SETTINGS, 0)
+    stages.settings_read(0, 60 * S)
+    assert not stages.snapshot_due(SETTINGS.list_wait_ns - 1) and stages.snapshot_due(
+        SETTINGS.list_wait_ns
+    )
+    stages.list_received(SETTINGS.list_wait_ns, ListSource.DISK, 3)
+    stages.endpoints_contacted(SETTINGS.list_wait_ns, 3, 3)
+    assert stages.ready() and not stages.confirmed()
+    stages.list_received(40 * S, ListSource.BUS, 3)
+    assert stages.confirmed()
+    bare = StartupStages(SETTINGS, 0)
     bare.settings_read(0, None)
     for now in range(0, 4_000 * S, 50 * S):
         bare.tick(now)
-        assert not bare.ready() and not bare.wants_disk(now) and bare.waits_for() == "the bus"
+        assert not bare.ready() and not bare.snapshot_due(now) and bare.waits_for() == "the bus"
 
 
 def test_no_order_of_events_leads_back_or_is_ready_without_a_list() -> None:
     """All orders of six events of a start, with a second or a time-out between them."""
     order = list(Stage)
 
-    def happen(start: Start, what: str, now: int) -> None:
+    def happen(stages: StartupStages, what: str, now: int) -> None:
         match what:
             case "known":
-                start.list_told(now, Source.KNOWN, 4)
+                stages.list_received(now, ListSource.KNOWN, 4)
             case "bus":
-                start.list_told(now, Source.BUS, 4)
+                stages.list_received(now, ListSource.BUS, 4)
             case "disk":
-                if start.wants_disk(now):
-                    start.list_told(now, Source.DISK, 4)
+                if stages.snapshot_due(now):
+                    stages.list_received(now, ListSource.DISK, 4)
             case "heard":
-                start.heard_of(now, 4, 4)
+                stages.endpoints_contacted(now, 4, 4)
             case "full":
-                start.ramped(now, 1.0)
+                stages.ramp_advanced(now, 1.0)
             case "skip":
-                start.skip(now, "beside")
+                stages.skip(now, "beside")
 
     for events in itertools.permutations(["known", "bus", "disk", "heard", "full", "skip"]):
         for step in (S, 11 * S):
-            start, now = Start(TERMS, 0), 0
-            start.settings_read(0, S)
+            stages, now = StartupStages(SETTINGS, 0), 0
+            stages.settings_read(0, S)
             for what in events:
                 now += step
-                before, surer = order.index(start.stage), start.source.value
-                happen(start, what, now)
-                assert order.index(start.stage) >= before and start.source.value >= surer
-                assert not start.ready() or start.source is not Source.NONE
-                start.told(now)
-            assert sum(p.took for p in start.passed) <= now
+                before, surer = order.index(stages.stage), stages.source.value
+                happen(stages, what, now)
+                assert order.index(stages.stage) >= before and stages.source.value >= surer
+                assert not stages.ready() or stages.source is not ListSource.NONE
+                stages.status(now)
+            assert sum(completed.took_ns for completed in stages.completed) <= now
 
 
 # --- the last list ---
 
-KEPT = LastList("atlanta", 41, 1_000 * S, (target("s-1", 9090), target("s-2", 9091)))
+SNAPSHOT = LastList("atlanta", 41, 1_000 * S, (target("s-1", 9090), target("s-2", 9091)))
 
 
 def test_a_last_list_is_read_as_it_was_written_and_tells_the_bus_s_words() -> None:
-    kept = decode(encode(KEPT), "atlanta", 1_060 * S, 3_600 * S)
-    assert kept == KEPT and kept.event()["topology"]["all"] is True
+    read = decode(encode(SNAPSHOT), "atlanta", 1_060 * S, 3_600 * S)
+    assert read == SNAPSHOT and read.event()["topology"]["all"] is True
 
 
 def test_one_cut_at_any_byte_or_altered_at_any_byte_is_never_acted_on() -> None:
-    text = encode(KEPT)
+    text = encode(SNAPSHOT)
     for at in range(len(text) - 1):
-        with pytest.raises(BadList):
+        with pytest.raises(EndpointSnapshotError):
             decode(text[:at], "atlanta", 1_060 * S, 3_600 * S)
     for at in range(len(text) - 1):
         altered = text[:at] + chr(ord(text[at]) ^ 1) + text[at + 1 :]
-        with pytest.raises(BadList):
+        with pytest.raises(EndpointSnapshotError):
             decode(altered, "atlanta", 1_060 * S, 3_600 * S)
 
 
@@ -264,15 +265,15 @@
         "most_age": 3_600 * S,
         **change,
     }
-    with pytest.raises(BadList, match=why):
-        decode(encode(KEPT), **given)
+    with pytest.raises(EndpointSnapshotError, match=why):
+        decode(encode(SNAPSHOT), **given)
 
 
 def test_a_newer_format_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lastlist, "FORMAT", 2)
-    text = encode(KEPT)
+    monkeypatch.setattr(endpoint_snapshot, "FORMAT_VERSION", 2)
+    text = encode(SNAPSHOT)
     monkeypatch.undo()
-    with pytest.raises(BadList, match="format 2"):
+    with pytest.raises(EndpointSnapshotError, match="format 2"):
         decode(text, "atlanta", 1_060 * S, 3_600 * S)
 
 
@@ -300,6 +301,6 @@
 
 
 def test_what_follows_for_this_fleet_is_told() -> None:
-    told = lines(StartupSettings(last_list="/x"), 7, 300)
+    told = lines(StartupSettings(snapshot_path="/x"), 7, 300)
     assert "place 7 of 300" in told[0] and "at 0.14 s of each" in told[0] and "6.00 s" in told[0]
     assert any("time-out ends this stage" in line for line in told) and "/x" in told[-1]
