--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -361,18 +361,18 @@
         return int(_number(value, f"start.{key}") * 1000) * MS
 
     draft.start = StartupSettings(
-        _number(list_connects, "start.list_connects", above=True),
-        span(list_wait, "list_wait"),
-        _number(engine_probes, "start.engine_probes", above=True),
-        _number(engine_connects, "start.engine_connects", above=True),
-        _number(accepts, "start.accepts", above=True),
-        _share(contact_part, "start.contact_part"),
-        span(contact_wait, "contact_wait"),
-        floor,
-        span(ramp, "ramp"),
-        _text(last_list, "start.last_list") if last_list else "",
-        span(last_list_age, "last_list_age"),
-        _text(installation, "start.installation") if installation else "",
+        list_connects=_number(list_connects, "start.list_connects", above=True),
+        list_wait_ns=span(list_wait, "list_wait"),
+        engine_probes=_number(engine_probes, "start.engine_probes", above=True),
+        endpoint_connects_per_s=_number(engine_connects, "start.engine_connects", above=True),
+        accepts_per_s=_number(accepts, "start.accepts", above=True),
+        contact_fraction=_share(contact_part, "start.contact_part"),
+        contact_wait=span(contact_wait, "contact_wait"),
+        initial_fraction=floor,
+        ramp_ns=span(ramp, "ramp"),
+        snapshot_path=_text(last_list, "start.last_list") if last_list else "",
+        snapshot_max_age_ns=span(last_list_age, "last_list_age"),
+        installation=_text(installation, "start.installation") if installation else "",
     )
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -27,6 +27,7 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
+    """A copy of RAW with another value under a dotted key."""
     raw = copy.deepcopy(RAW)
     *folders, name = path.split(".")
     inner: Any = raw
@@ -36,7 +37,7 @@
     return raw
 
 
-def test_all_that_a_broker_is_told() -> None:
+def test_every_part_of_the_file_is_read() -> None:
     config = parse(RAW, {})
     assert (config.name, config.host, config.port) == ("n3", "10.0.0.4", 9090)
     assert config.seed == 0x8C1F30D27A5BE964
@@ -47,8 +48,8 @@
     assert config.settings.classes[1].threads == 2
 
 
-def test_defaults_and_the_environment_above_the_file() -> None:
-    least = {
+def test_defaults_apply_and_the_environment_takes_precedence_over_the_file() -> None:
+    smallest = {
         "listen": "10.0.0.4:9090",
         "settings": {
             "classes": [{"name": "a", "aim": 1, "deadline": 1, "worth": 1, "effect": "read_like"}],
@@ -56,7 +57,7 @@
             "tick": 5 * MS,
         },
     }
-    config = parse(least, {"PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.1:80"})
+    config = parse(smallest, {"PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.1:80"})
     assert (config.name, config.host, config.port) == ("n9", "127.0.0.1", 80)
     assert (config.sockets, config.bus, config.known) == (DEFAULT_SOCKETS, None, ())
 
@@ -110,7 +111,7 @@
     ("me", "fleet", "taken"), [(0, 1, 0), (199, 200, 199), (200, 200, 0), (-1, 9, 8)]
 )
 def test_a_place_outside_the_fleet_is_taken_within_it(me: int, fleet: int, taken: int) -> None:
-    """A fleet that grows or shrinks may tell its size and the places in it at different times."""
+    """A fleet that grows or shrinks may give its size and the places in it at different times."""
     raw = changed("settings.fleet_size", fleet)
     raw["settings"]["me"] = me
     config = parse(raw, {})
@@ -120,14 +121,14 @@
     )
 
 
-def test_a_price_that_is_absent_counts_as_nothing() -> None:
+def test_an_absent_price_is_zero() -> None:
     assert parse(RAW, {}).settings.handshake_price == 0.0
     assert (
         parse(changed("settings.charges", {"handshake": 0.08}), {}).settings.handshake_price == 0.08
     )
 
 
-def test_the_file_itself(tmp_path: Path) -> None:
+def test_the_file_is_read_and_an_unusable_one_is_named(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
     for text in (None, "{", "[]", "\ud800"):
         if text is not None:
@@ -141,25 +142,29 @@
 
 
 class Watched(dict[str, Any]):
-    """Notes which of its keys are read."""
+    """An object that records which of its keys are read."""
 
-    def __init__(self, held: dict[str, Any], part: str, seen: dict[str, set[str]]) -> None:
-        super().__init__({key: watched(value, part or key, seen) for key, value in held.items()})
-        self.part, self.seen = part, seen
+    def __init__(self, content: dict[str, Any], part: str, read: dict[str, set[str]]) -> None:
+        super().__init__({key: watched(value, part or key, read) for key, value in content.items()})
+        self.part = part
+        self.read = read
 
     def get(self, key: str, default: Any = None) -> Any:
-        self.seen.setdefault(self.part, set()).add(key)
+        self.read.setdefault(self.part, set()).add(key)
         return super().get(key, default)
 
 
-def watched(value: Any, part: str, seen: dict[str, set[str]]) -> Any:
+def watched(value: Any, part: str, read: dict[str, set[str]]) -> Any:
+    """A JSON value all of whose objects record what is read of them."""
     if isinstance(value, dict):
-        return Watched(value, part, seen)
-    return [watched(inner, part, seen) for inner in value] if isinstance(value, list) else value
+        return Watched(value, part, read)
+    if isinstance(value, list):
+        return [watched(entry, part, read) for entry in value]
+    return value
 
 
 # What a deployment's settings may hold, by the platform's pages.
-TOLD = {
+DOCUMENTED = {
     "": """fleet_size classes callers membership_mode kind_of_service specifics score_parts kinds
         policy_limits me over_share_worth charges report contract tenants tick tier layers weights
         worth_by zone zones""",
@@ -179,16 +184,14 @@
 }
 
 
-def test_every_key_that_a_deployment_tells_is_read_or_named_as_not_needed() -> None:
-    """Danger: a key of the second deployment that nobody read was found by the day that it
-    voided.
-    """
-    seen: dict[str, set[str]] = {}
-    for facts in deployments.ALL.values():
-        told = {**facts, "charges": {"cross_zone": 0.1, "handshake": 0.0}}
-        parse({"listen": "127.0.0.1:1", "settings": watched(told, "", seen)}, {})
-    assert seen == READ
-    for part, names in TOLD.items():
+def test_every_documented_key_is_read_or_named_as_not_needed() -> None:
+    """A key of the second deployment that nothing read was found only by the day that it spoilt."""
+    read: dict[str, set[str]] = {}
+    for deployment in deployments.ALL.values():
+        complete = {**deployment, "charges": {"cross_zone": 0.1, "handshake": 0.0}}
+        parse({"listen": "127.0.0.1:1", "settings": watched(complete, "", read)}, {})
+    assert read == READ
+    for part, names in DOCUMENTED.items():
         assert set(names.split()) == READ[part] | NOT_NEEDED.get(part, set()), part
         assert not READ[part] & NOT_NEEDED.get(part, set())
 
@@ -202,7 +205,7 @@
         ("settings.report.fields", ["q", "warmth"], "'warmth'"),
     ],
 )
-def test_what_is_not_known_is_one_warning_that_names_it(path: str, value: Any, named: str) -> None:
+def test_an_unknown_key_is_named_in_one_remark(path: str, value: Any, named: str) -> None:
     (line,) = parse(changed(path, value), {}).remarks()
     assert named in line and "has no effect" in line
     assert parse(RAW, {}).remarks() == []
@@ -218,8 +221,6 @@
         ("settings.specifics.lanes_count", "yes"),
     ],
 )
-def test_an_effect_a_scope_or_a_kind_that_is_not_known_is_a_faulty_key(
-    path: str, value: Any
-) -> None:
+def test_an_unknown_effect_scope_or_kind_is_a_faulty_key(path: str, value: Any) -> None:
     with pytest.raises(ConfigError, match=path.replace(".0.", ".").split(".")[-1]):
         parse(changed(path, value), {})
--- a/tests/test_start_pure.py
+++ b/tests/test_start_pure.py
@@ -20,62 +20,71 @@
 
 from .sockets import target
 
-S = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
 SETTINGS = StartupSettings()
 
 
-# --- paces ---
+# --- call pacing ---
 
 
-def calls_in_any_window(times: list[int], span: int) -> int:
-    ordered, first, most = sorted(times), 0, 0
-    for i, at in enumerate(ordered):
-        while ordered[first] <= at - span:
+def most_calls_in_a_second(times: list[int]) -> int:
+    """The calls of the busiest second, wherever it begins."""
+    ordered = sorted(times)
+    first = 0
+    most = 0
+    for last, at in enumerate(ordered):
+        while ordered[first] <= at - NS_PER_SECOND:
             first += 1
-        most = max(most, i - first + 1)
+        most = max(most, last - first + 1)
     return most
 
 
 @pytest.mark.parametrize("fleet", [1, 10, 300, 1_000])
-@pytest.mark.parametrize(("part", "within"), [(1.0, 0), (0.5, S), (0.1, 30 * S)])
+@pytest.mark.parametrize(
+    ("part", "within"), [(1.0, 0), (0.5, NS_PER_SECOND), (0.1, 30 * NS_PER_SECOND)]
+)
 def test_first_calls_stay_under_the_rate_whoever_starts_and_when(
     fleet: int, part: float, within: int
 ) -> None:
-    """Danger: 300 brokers that start at one moment call at one moment."""
+    """Without pacing, 300 brokers that start at one moment call at one moment."""
     draw = random.Random(fleet)
     started = [me for me in range(fleet) if me == 0 or draw.random() < part]
-    begun = [1_796_000_000 * S + int(draw.random() * within) for _ in started]
+    begun = [1_796_000_000 * NS_PER_SECOND + int(draw.random() * within) for _ in started]
     calls = [
         pacing.Calls(me, fleet, 50.0, draw.random).first(now)
         for me, now in zip(started, begun, strict=True)
     ]
-    assert calls_in_any_window(calls, S) <= 52
+    assert most_calls_in_a_second(calls) <= 52
     assert all(
         0 <= at - now <= pacing.window(fleet, 50.0) for at, now in zip(calls, begun, strict=True)
     )
 
 
 # the fleet is 300: a third, right, and three times
-@pytest.mark.parametrize("told", [100, 300, 900])
-def test_a_fleet_size_that_is_wrong_by_three_costs_three_times_at_the_most(told: int) -> None:
-    draw = random.Random(told)
-    calls = [pacing.Calls(me, told, 50.0, draw.random).first(0) for me in range(300)]
-    assert calls_in_any_window(calls, S) <= 52 * max(1, 300 // told)
+@pytest.mark.parametrize("configured", [100, 300, 900])
+def test_a_fleet_size_that_is_wrong_by_three_costs_three_times_at_the_most(
+    configured: int,
+) -> None:
+    draw = random.Random(configured)
+    calls = [pacing.Calls(me, configured, 50.0, draw.random).first(0) for me in range(300)]
+    assert most_calls_in_a_second(calls) <= 52 * max(1, 300 // configured)
 
 
-def test_a_fleet_that_fails_together_stays_under_the_rate_and_asks_less_and_less() -> None:
+def test_a_fleet_that_fails_together_stays_under_the_rate_and_calls_less_and_less() -> None:
     draw = random.Random(5)
     times: list[int] = []
     for me in range(300):
         calls = pacing.Calls(me, 300, 50.0, draw.random)
-        now = calls.first(int(draw.random() * S))
-        while now < 120 * S:
+        now = calls.first(int(draw.random() * NS_PER_SECOND))
+        while now < 120 * NS_PER_SECOND:
             times.append(now)
             now = calls.again(now)
-    assert calls_in_any_window(times, S) <= 52
-    late = [t for t in times if t > 60 * S]
+    assert most_calls_in_a_second(times) <= 52
+    late = [at for at in times if at > 60 * NS_PER_SECOND]
     assert len(late) / 60 < 30
-    alone, now, waits = pacing.Calls(0, 1, 50.0, draw.random), 0, []
+    alone = pacing.Calls(0, 1, 50.0, draw.random)
+    now = 0
+    waits = []
     for _ in range(60):
         waits.append(alone.again(now) - now)
         now += waits[-1]
@@ -84,21 +93,23 @@
     assert alone.failed == 0
 
 
-def test_probes_of_one_engine_and_of_one_broker_are_both_spread() -> None:
-    engines = [random.Random(7).randrange(1 << 32) + i for i in range(40)]
-    of_engine = [pacing.probe_at(me, engines[0], me, 300, 20.0) for me in range(300)]
-    of_broker = [pacing.probe_at(0, e, 3, 300, 20.0) for e in engines]
-    assert calls_in_any_window(of_engine, S) <= 22 and len(set(of_broker)) == len(engines)
+def test_probes_of_one_endpoint_and_of_one_broker_are_both_spread() -> None:
+    first = random.Random(7).randrange(1 << 32)
+    endpoints = range(first, first + 40)
+    of_endpoint = [pacing.probe_at(place, first, place, 300, 20.0) for place in range(300)]
+    of_broker = [pacing.probe_at(0, endpoint, 3, 300, 20.0) for endpoint in endpoints]
+    assert most_calls_in_a_second(of_endpoint) <= 22 and len(set(of_broker)) == len(endpoints)
 
 
 @pytest.mark.parametrize("rate", [1.0, 20.0, 5_000.0])
-def test_a_gate_lets_through_its_rate_and_saves_up_a_second_at_the_most(rate: float) -> None:
-    limiter, passed, now = pacing.RateLimiter(rate, 0), list[int](), 0
-    for now in range(0, 20 * S, S // 1_000):
-        if not 5 * S < now < 15 * S:  # nobody comes in between
+def test_a_rate_limiter_admits_its_rate_and_saves_up_a_second_at_the_most(rate: float) -> None:
+    limiter = pacing.RateLimiter(rate, 0)
+    passed: list[int] = []
+    for now in range(0, 20 * NS_PER_SECOND, NS_PER_SECOND // 1_000):
+        if not 5 * NS_PER_SECOND < now < 15 * NS_PER_SECOND:  # none comes in between
             passed += [now] * limiter.try_acquire(now)
-    assert calls_in_any_window(passed, S) <= 2 * rate + 1
-    assert len([t for t in passed if t < 5 * S]) >= min(0.9 * 5 * rate, 4_000)
+    assert most_calls_in_a_second(passed) <= 2 * rate + 1
+    assert len([at for at in passed if at < 5 * NS_PER_SECOND]) >= min(0.9 * 5 * rate, 4_000)
 
 
 # --- the ramp ---
@@ -107,37 +118,40 @@
 @pytest.mark.parametrize(
     ("good", "bad", "within"), [(0, 0, 8), (50, 0, 4), (50, 3, 4), (0, 9, 8 * MAX_RAMPS)]
 )
-def test_a_ramp_ends_sooner_with_good_news_and_never_later_than_stated(
+def test_a_ramp_ends_sooner_with_successes_and_never_later_than_stated(
     good: int, bad: int, within: int
 ) -> None:
-    ramp, now, shares = Ramp(SETTINGS, 0), 0, [SETTINGS.initial_fraction]
+    ramp = Ramp(SETTINGS, 0)
+    now = 0
+    fractions = [SETTINGS.initial_fraction]
     while not ramp.over():
-        now += S
-        shares.append(ramp.period(now, good, bad))
-    assert now <= within * S and shares == sorted(shares)
-    assert shares[1] <= max(2.0, ramp.growth) * shares[0] + 1e-9  # never whole at once
+        now += NS_PER_SECOND
+        fractions.append(ramp.period(now, good, bad))
+    assert now <= within * NS_PER_SECOND and fractions == sorted(fractions)
+    # never complete at once
+    assert fractions[1] <= max(2.0, ramp.growth) * fractions[0] + 1e-9
     if good == bad == 0:
-        assert now == within * S
+        assert now == within * NS_PER_SECOND
 
 
 @pytest.mark.parametrize(
-    ("told", "left", "most", "draw", "then"),
+    ("proposed", "left", "most", "draw", "expected"),
     [
-        (S, 0, 2 * S, 0.9, S),
-        (S, 8 * S, 2 * S, 0.1, S),
-        (S, 8 * S, 5 * S, 0.5, 4 * S),
-        (S, 8 * S, 2 * S, 0.9, 2 * S),
-        (0, 8 * S, 0, 0.9, 0),
+        (NS_PER_SECOND, 0, 2 * NS_PER_SECOND, 0.9, NS_PER_SECOND),
+        (NS_PER_SECOND, 8 * NS_PER_SECOND, 2 * NS_PER_SECOND, 0.1, NS_PER_SECOND),
+        (NS_PER_SECOND, 8 * NS_PER_SECOND, 5 * NS_PER_SECOND, 0.5, 4 * NS_PER_SECOND),
+        (NS_PER_SECOND, 8 * NS_PER_SECOND, 2 * NS_PER_SECOND, 0.9, 2 * NS_PER_SECOND),
+        (0, 8 * NS_PER_SECOND, 0, 0.9, 0),
     ],
 )  # the last: no advice is allowed
-def test_a_refusal_in_the_ramp_spreads_returns_over_it(
-    told: int, left: int, most: int, draw: float, then: int
+def test_rejections_in_the_ramp_spread_the_returns_over_it(
+    proposed: int, left: int, most: int, draw: float, expected: int
 ) -> None:
-    assert retry_after_ns(told, left, most, draw) == then
+    assert retry_after_ns(proposed, left, most, draw) == expected
 
 
-def test_what_is_assumed_leaves_room_for_one_query_and_ends_with_the_ramp() -> None:
-    """Danger: where nothing may be sent no news can come, and the ramp waits for it."""
+def test_assumed_work_leaves_capacity_for_one_request_and_ends_with_the_ramp() -> None:
+    """Where nothing may be sent no answer can come, and the ramp waits for answers."""
     assert assumed(0.01, 16.0, 4e9, 4) == (12, int(0.99 * 4e9))
     assert assumed(0.1, 0.4, 1e9, 4)[0] == 0
     assert assumed(1.0, 16.0, 4e9, 4) == (0, 0)
@@ -150,14 +164,14 @@
     stages = StartupStages(SETTINGS, 0)
     stages.settings_read(1, None)
     assert not stages.ready()
-    stages.list_received(S, ListSource.BUS, 8)
-    stages.endpoints_contacted(S + 5, 3, 8)
+    stages.list_received(NS_PER_SECOND, ListSource.BUS, 8)
+    stages.endpoints_contacted(NS_PER_SECOND + 5, 3, 8)
     assert not stages.ready()
-    stages.endpoints_contacted(S + 9, 4, 8)
+    stages.endpoints_contacted(NS_PER_SECOND + 9, 4, 8)
     assert stages.ready() and stages.confirmed()
-    stages.ramp_advanced(9 * S, 0.5)
-    stages.ramp_advanced(10 * S, 1.0)
-    assert stages.status(11 * S)["stage"] == "full"
+    stages.ramp_advanced(9 * NS_PER_SECOND, 0.5)
+    stages.ramp_advanced(10 * NS_PER_SECOND, 1.0)
+    assert stages.status(11 * NS_PER_SECOND)["stage"] == "full"
     assert [completed.stage for completed in stages.completed] == [
         Stage.SETTINGS,
         Stage.LIST,
@@ -166,7 +180,7 @@
     ]
 
 
-def test_engines_that_never_answer_and_a_list_without_engines_hold_nobody_up() -> None:
+def test_silent_endpoints_and_a_list_without_endpoints_delay_no_start() -> None:
     for listed in (8, 0):
         stages = StartupStages(SETTINGS, 0)
         stages.settings_read(0, None)
@@ -177,20 +191,20 @@
         assert stages.ready() and "time-out" in stages.completed[-1].reason
 
 
-def test_without_the_bus_the_last_list_serves_and_without_both_nothing_does() -> None:
+def test_without_the_discovery_service_the_snapshot_serves_and_without_both_nothing_does() -> None:
     stages = StartupStages(SETTINGS, 0)
-    stages.settings_read(0, 60 * S)
+    stages.settings_read(0, 60 * NS_PER_SECOND)
     assert not stages.snapshot_due(SETTINGS.list_wait_ns - 1) and stages.snapshot_due(
         SETTINGS.list_wait_ns
     )
     stages.list_received(SETTINGS.list_wait_ns, ListSource.DISK, 3)
     stages.endpoints_contacted(SETTINGS.list_wait_ns, 3, 3)
     assert stages.ready() and not stages.confirmed()
-    stages.list_received(40 * S, ListSource.BUS, 3)
+    stages.list_received(40 * NS_PER_SECOND, ListSource.BUS, 3)
     assert stages.confirmed()
     bare = StartupStages(SETTINGS, 0)
     bare.settings_read(0, None)
-    for now in range(0, 4_000 * S, 50 * S):
+    for now in range(0, 4_000 * NS_PER_SECOND, 50 * NS_PER_SECOND):
         bare.tick(now)
         assert not bare.ready() and not bare.snapshot_due(now) and bare.waits_for() == "the bus"
 
@@ -208,34 +222,39 @@
             case "disk":
                 if stages.snapshot_due(now):
                     stages.list_received(now, ListSource.DISK, 4)
-            case "heard":
+            case "contact":
                 stages.endpoints_contacted(now, 4, 4)
             case "full":
                 stages.ramp_advanced(now, 1.0)
             case "skip":
                 stages.skip(now, "beside")
 
-    for events in itertools.permutations(["known", "bus", "disk", "heard", "full", "skip"]):
-        for step in (S, 11 * S):
-            stages, now = StartupStages(SETTINGS, 0), 0
-            stages.settings_read(0, S)
+    for events in itertools.permutations(["known", "bus", "disk", "contact", "full", "skip"]):
+        for step in (NS_PER_SECOND, 11 * NS_PER_SECOND):
+            stages = StartupStages(SETTINGS, 0)
+            now = 0
+            stages.settings_read(0, NS_PER_SECOND)
             for what in events:
                 now += step
-                before, surer = order.index(stages.stage), stages.source.value
+                stage_before = order.index(stages.stage)
+                source_before = stages.source.value
                 happen(stages, what, now)
-                assert order.index(stages.stage) >= before and stages.source.value >= surer
+                assert order.index(stages.stage) >= stage_before
+                assert stages.source.value >= source_before
                 assert not stages.ready() or stages.source is not ListSource.NONE
                 stages.status(now)
             assert sum(completed.took_ns for completed in stages.completed) <= now
 
 
-# --- the last list ---
+# --- the endpoint snapshot ---
 
-SNAPSHOT = LastList("atlanta", 41, 1_000 * S, (target("s-1", 9090), target("s-2", 9091)))
+SNAPSHOT = LastList(
+    "atlanta", 41, 1_000 * NS_PER_SECOND, (target("s-1", 9090), target("s-2", 9091))
+)
 
 
-def test_a_last_list_is_read_as_it_was_written_and_tells_the_bus_s_words() -> None:
-    read = decode(encode(SNAPSHOT), "atlanta", 1_060 * S, 3_600 * S)
+def test_a_snapshot_is_read_as_it_was_written_and_is_a_watch_event() -> None:
+    read = decode(encode(SNAPSHOT), "atlanta", 1_060 * NS_PER_SECOND, 3_600 * NS_PER_SECOND)
     assert read == SNAPSHOT and read.event()["topology"]["all"] is True
 
 
@@ -243,26 +262,26 @@
     text = encode(SNAPSHOT)
     for at in range(len(text) - 1):
         with pytest.raises(EndpointSnapshotError):
-            decode(text[:at], "atlanta", 1_060 * S, 3_600 * S)
+            decode(text[:at], "atlanta", 1_060 * NS_PER_SECOND, 3_600 * NS_PER_SECOND)
     for at in range(len(text) - 1):
         altered = text[:at] + chr(ord(text[at]) ^ 1) + text[at + 1 :]
         with pytest.raises(EndpointSnapshotError):
-            decode(altered, "atlanta", 1_060 * S, 3_600 * S)
+            decode(altered, "atlanta", 1_060 * NS_PER_SECOND, 3_600 * NS_PER_SECOND)
 
 
 @pytest.mark.parametrize(
     ("change", "why"),
     [
         (dict(installation="mombasa"), "installation"),
-        (dict(now=5_000 * S), "old"),
-        (dict(now=900 * S), "clock"),
+        (dict(now=5_000 * NS_PER_SECOND), "old"),
+        (dict(now=900 * NS_PER_SECOND), "clock"),
     ],
 )
-def test_a_foreign_an_old_and_a_future_list_are_named(change: dict[str, Any], why: str) -> None:
+def test_a_foreign_an_old_and_a_future_snapshot_are_named(change: dict[str, Any], why: str) -> None:
     given: dict[str, Any] = {
         "installation": "atlanta",
-        "now": 1_060 * S,
-        "most_age": 3_600 * S,
+        "now": 1_060 * NS_PER_SECOND,
+        "most_age": 3_600 * NS_PER_SECOND,
         **change,
     }
     with pytest.raises(EndpointSnapshotError, match=why):
@@ -274,10 +293,10 @@
     text = encode(SNAPSHOT)
     monkeypatch.undo()
     with pytest.raises(EndpointSnapshotError, match="format 2"):
-        decode(text, "atlanta", 1_060 * S, 3_600 * S)
+        decode(text, "atlanta", 1_060 * NS_PER_SECOND, 3_600 * NS_PER_SECOND)
 
 
-# --- the operators' word ---
+# --- the operators' directive ---
 
 
 @pytest.mark.parametrize(
@@ -294,13 +313,13 @@
         ("start(engine_connects = True)", "start.engine_connects"),
     ],
 )
-def test_a_bad_word_names_its_key(text: str, key: str) -> None:
+def test_a_bad_argument_names_its_key(text: str, key: str) -> None:
     with pytest.raises(OperatorFileError) as fault:
         run("ops.star", text, lambda: False)
     assert f": {key}: " in str(fault.value)
 
 
-def test_what_follows_for_this_fleet_is_told() -> None:
-    told = lines(StartupSettings(snapshot_path="/x"), 7, 300)
-    assert "place 7 of 300" in told[0] and "at 0.14 s of each" in told[0] and "6.00 s" in told[0]
-    assert any("time-out ends this stage" in line for line in told) and "/x" in told[-1]
+def test_the_lines_of_check_config_name_the_windows_of_this_fleet() -> None:
+    text = lines(StartupSettings(snapshot_path="/x"), 7, 300)
+    assert "place 7 of 300" in text[0] and "at 0.14 s of each" in text[0] and "6.00 s" in text[0]
+    assert any("time-out ends this stage" in line for line in text) and "/x" in text[-1]
