--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -51,20 +51,21 @@
 
 
 async def status(member: Member, true: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-    """Once its operators' address tells this."""
-    end, said = time.monotonic() + HANG, {}
+    """The answer of its operators' address, once this holds of it."""
+    end = time.monotonic() + HANG
+    answer: dict[str, Any] = {}
     while time.monotonic() < end:
         try:
-            said = await asyncio.to_thread(member.status)
+            answer = await asyncio.to_thread(member.status)
         except OSError:
-            said = {}
-        if said and true(said):
-            return said
+            answer = {}
+        if answer and true(answer):
+            return answer
         await asyncio.sleep(0.05)
-    raise AssertionError(f"n{member.number}: {said}\n{member.log()}")
+    raise AssertionError(f"n{member.number}: {answer}\n{member.log()}")
 
 
-async def leave_a_list(raw: dict[str, Any], more: str) -> None:
+async def save_a_snapshot(raw: dict[str, Any], more: str) -> None:
     """One broker starts, has the list, and ends."""
     with fleet(1, raw, more) as brokers:
         brokers.start()
@@ -74,28 +75,32 @@
 
 
 def at(stage: str) -> Callable[[dict[str, Any]], bool]:
-    return lambda said: said["stage"] == stage
+    return lambda answer: answer["stage"] == stage
 
 
-def ready(said: dict[str, Any]) -> bool:
-    return bool(said["ready"])
+def ready(answer: dict[str, Any]) -> bool:
+    return bool(answer["ready"])
 
 
 @on_uvloop
-async def test_all_start_while_the_list_service_is_down_and_serve_once_it_is_back() -> None:
+async def test_all_start_while_the_discovery_service_is_down_and_serve_once_it_is_back() -> None:
     world, raw = await world_of("s-1", "s-2")
     script = Script([Fault(0.0, 3_600.0, "bus", Kind.REFUSE)], time.monotonic)
     link = Link("bus", "127.0.0.1", world.bus_port, script)
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
         for member in brokers.members:
-            said = await status(member, at("list"))
-            assert not said["ready"] and said["list"] == "none" and said["waits_for"] == "the bus"
+            answer = await status(member, at("list"))
+            assert (
+                not answer["ready"]
+                and answer["list"] == "none"
+                and answer["waits_for"] == "the bus"
+            )
             await until(lambda member=member: "still asking, not ready" in member.log())  # type: ignore[misc]
         script.faults.clear()  # it is back
         for member in brokers.members:
-            said = await status(member, at("full"))
-            assert said["list"] == "bus" and said["confirmed"] and said["listed"] == 2
+            answer = await status(member, at("full"))
+            assert answer["list"] == "bus" and answer["confirmed"] and answer["listed"] == 2
         book = Book("127.0.0.1", brokers.members[0].port)
         for _ in range(20):
             await book.ask("", "glance", 2, 4_000 * MS)
@@ -107,7 +112,7 @@
 
 
 @on_uvloop
-async def test_a_service_that_accepts_and_says_nothing_is_given_up_and_asked_again() -> None:
+async def test_a_discovery_service_that_accepts_and_stays_silent_is_called_again() -> None:
     world, raw = await world_of("s-1")
     script = Script([Fault(0.0, 4.0, "bus", Kind.STALL, Way.BACK)], time.monotonic)
     link = Link("bus", "127.0.0.1", world.bus_port, script)
@@ -121,8 +126,9 @@
 
 
 @on_uvloop
-async def test_a_bus_that_begins_its_numbers_anew_is_heard_again() -> None:
-    bus, engine = ScriptedBus(), Engine()
+async def test_a_discovery_service_that_restarts_its_offsets_is_followed_again() -> None:
+    bus = ScriptedBus()
+    engine = Engine()
     port = await engine.start()
     raw = {
         "listen": "",
@@ -149,34 +155,34 @@
                 full=True,
             )
         )
-        await status(brokers.members[0], lambda said: said["listed"] == 2)
+        await status(brokers.members[0], lambda answer: answer["listed"] == 2)
 
 
 @on_uvloop
-async def test_the_last_list_serves_safe_work_alone_until_the_bus_confirms_it(
+async def test_the_snapshot_serves_idempotent_requests_alone_until_it_is_confirmed(
     tmp_path: Path,
 ) -> None:
-    """Danger: an address may be another engine's by now."""
+    """An address in the snapshot may be another endpoint's by now."""
     world, raw = await world_of("s-1", "s-2")
-    kept = tmp_path / "list"
-    more = f', last_list = "{kept}", installation = "here"'
+    snapshot = tmp_path / "list"
+    more = f', last_list = "{snapshot}", installation = "here"'
     raw["settings"] = {**raw["settings"], "classes": deployments.COUNTERS["classes"]}
-    await leave_a_list(raw, more)
+    await save_a_snapshot(raw, more)
     script = Script([Fault(0.0, 5.0, "bus", Kind.REFUSE)], time.monotonic)
     link = Link("bus", "127.0.0.1", world.bus_port, script)
     with fleet(1, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, more) as brokers:
         member = brokers.members[0]
         brokers.start()
-        said = await status(member, ready)
-        assert said["list"] == "disk" and not said["confirmed"] and said["listed"] == 2
-        # danger: the settings as they are in the file would let unsafe work go
+        answer = await status(member, ready)
+        assert answer["list"] == "disk" and not answer["confirmed"] and answer["listed"] == 2
+        # the settings as they are in the file would let non-idempotent requests go
         member.signal(signal.SIGHUP)
         await until(lambda: "reload: done" in member.log())
         book = Book("127.0.0.1", member.port)
         safe, unsafe = [await book.ask("", route, 2, 4_000 * MS) for route in ("glance", "load")]
         await book.settle(HANG)
         assert (safe.code, unsafe.code) == (frames.SERVED, frames.REFUSED) and unsafe.pause >= 0
-        await status(member, lambda said: said["confirmed"])
+        await status(member, lambda answer: answer["confirmed"])
         later = await book.ask("", "load", 2, 4_000 * MS)
         await book.settle(HANG)
         assert later.code == frames.SERVED
@@ -191,28 +197,28 @@
 
 
 @pytest.mark.parametrize(
-    "kept",
+    "content",
     ["", "larchhall-list 1 00\n{}\n", "nonsense", from_tomorrow()],
     ids=["empty", "wrong sum", "no list", "saved tomorrow"],
 )
 @on_uvloop
-async def test_a_bad_last_list_is_set_aside_and_the_bus_waited_for(
-    tmp_path: Path, kept: str
+async def test_a_bad_snapshot_is_set_aside_and_the_discovery_service_waited_for(
+    tmp_path: Path, content: str
 ) -> None:
     world, raw = await world_of("s-1")
     path = tmp_path / "list"
-    path.write_text(kept)
+    path.write_text(content)
     with fleet(1, raw, f', last_list = "{path}"') as brokers:
         brokers.start()
-        said = await status(brokers.members[0], ready)
-        assert said["list"] == "bus" and "set aside" in brokers.members[0].log()
-        assert (tmp_path / "list.bad").read_text() == kept
+        answer = await status(brokers.members[0], ready)
+        assert answer["list"] == "bus" and "set aside" in brokers.members[0].log()
+        assert (tmp_path / "list.bad").read_text() == content
     assert not path.exists() or path.read_text().startswith("larchhall-list 1 ")
     world.stop()
 
 
 @on_uvloop
-async def test_a_folder_that_cannot_be_written_is_told_and_harms_nothing(tmp_path: Path) -> None:
+async def test_a_folder_that_cannot_be_written_is_logged_and_harms_nothing(tmp_path: Path) -> None:
     world, raw = await world_of("s-1")
     with fleet(1, raw, f', last_list = "{tmp_path}/none/list"') as brokers:
         brokers.start()
@@ -223,12 +229,12 @@
 
 
 @on_uvloop
-async def test_a_disk_that_is_full_costs_the_last_list_alone(tmp_path: Path) -> None:
+async def test_a_full_disk_costs_the_snapshot_alone(tmp_path: Path) -> None:
     """The limit on a file's size stands for the disk: each write past it fails, half of it done."""
     world, raw = await world_of("s-1")
     world.bus.tell(*(target(f"s-{i}", 9, "terminating") for i in range(2, 300)))
-    kept = tmp_path / "list"
-    with fleet(2, raw, f', last_list = "{kept}"') as brokers:
+    snapshot = tmp_path / "list"
+    with fleet(2, raw, f', last_list = "{snapshot}"') as brokers:
         brokers.start()
         for member in brokers.members:
             assert member.process is not None
@@ -244,7 +250,7 @@
 
 
 @on_uvloop
-async def test_engines_that_accept_and_never_answer_hold_up_no_start() -> None:
+async def test_endpoints_that_accept_and_never_answer_delay_no_start() -> None:
     world, raw = await world_of("s-1")
     silent = Engine(lambda *_: None)
     port = await silent.start()
@@ -252,25 +258,27 @@
     with fleet(3, raw) as brokers:
         brokers.start()
         for member in brokers.members:
-            said = await status(member, ready)
-            assert "time-out: heard of 1 of 3 only" in str(said["passed"])
+            answer = await status(member, ready)
+            assert "time-out: heard of 1 of 3 only" in str(answer["passed"])
             await status(member, at("full"))
     world.stop()
 
 
-@pytest.mark.parametrize("told", [2, 18])  # they are 6
+@pytest.mark.parametrize("configured", [2, 18])  # they are 6
 @on_uvloop
-async def test_a_fleet_size_wrong_by_three_is_a_rate_or_a_wait_wrong_by_three(told: int) -> None:
+async def test_a_fleet_size_wrong_by_three_is_a_rate_or_a_wait_wrong_by_three(
+    configured: int,
+) -> None:
     world, raw = await world_of("s-1")
     link = Link("bus", "127.0.0.1", world.bus_port, Script([], time.monotonic))
-    raw["settings"] = {**raw["settings"], "fleet_size": told}
+    raw["settings"] = {**raw["settings"], "fleet_size": configured}
     slow = "start(list_connects = 4, engine_probes = 200, ramp = 1, floor = 0.25)"
     with Fleet(6, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, slow) as brokers:
         brokers.start()
         for member in brokers.members:
             await status(member, at("full"))
         most = max(sum(0 <= other - one < 1.0 for other in link.came) for one in link.came)
-        assert len(link.came) == 6 and most <= (4 + 2) * max(1, 6 // told)
+        assert len(link.came) == 6 and most <= (4 + 2) * max(1, 6 // configured)
     link.stop()
     world.stop()
 
@@ -286,21 +294,23 @@
             member.kill()
             member.start()
         paused = brokers.members[3]
-        held = Book("127.0.0.1", paused.port)
-        in_hand = [await held.ask("", "glance", work, 1_500 * MS) for work in (500, 1_000, 60_000)]
+        client = Book("127.0.0.1", paused.port)
+        in_hand = [
+            await client.ask("", "glance", work, 1_500 * MS) for work in (500, 1_000, 60_000)
+        ]
         await until(lambda: sum(len(e.machine.running) for e in world.engines.values()) >= 1)
         paused.signal(signal.SIGSTOP)
         world.drain("s-3")  # it sleeps over this
         await asyncio.sleep(2.0)
         paused.signal(signal.SIGCONT)
-        await held.settle(HANG)
+        await client.settle(HANG)
         assert [a.answers for a in in_hand] == [1, 1, 1]
-        held.close()
+        client.close()
         for member in brokers.members:
-            said = await status(
-                member, lambda said: said["stage"] == "full" and said["listed"] == 2
+            answer = await status(
+                member, lambda answer: answer["stage"] == "full" and answer["listed"] == 2
             )
-            assert said["share"] == 1.0
+            assert answer["share"] == 1.0
         book = Book("127.0.0.1", paused.port)
         for _ in range(30):
             await book.ask("", "glance", 2, 4_000 * MS)
@@ -313,7 +323,7 @@
 
 @pytest.mark.parametrize("stage", ["list", "contact", "ramp"])
 @on_uvloop
-async def test_signals_at_every_stage_end_or_retune_and_hang_nothing(stage: str) -> None:
+async def test_signals_at_every_stage_stop_or_reload_and_hang_nothing(stage: str) -> None:
     world, raw = await world_of("s-1")
     silent = Engine(lambda *_: None)
     port = await silent.start()
@@ -340,7 +350,7 @@
 
 
 @on_uvloop
-async def test_a_bus_that_flaps_costs_no_more_than_its_rate_and_loses_no_news() -> None:
+async def test_a_flapping_discovery_service_is_called_within_the_rate_and_loses_no_event() -> None:
     world, raw = await world_of("s-1")
     flaps = [Fault(at_, at_ + 1.0, "bus", Kind.REFUSE) for at_ in (0.0, 2.0, 4.0)]
     resets = [Fault(at_, at_, "bus", Kind.RESET) for at_ in (2.0, 4.0)]
@@ -352,14 +362,14 @@
             target("s-2", world.engines["s-1"].port + 1, "terminating"), target("s-3", 9)
         )
         for member in brokers.members:
-            await status(member, lambda said: said["stage"] == "full" and said["listed"] == 2)
+            await status(member, lambda answer: answer["stage"] == "full" and answer["listed"] == 2)
         assert len(link.came) < 100 * link.script.now() + 4
     link.stop()
     world.stop()
 
 
 @on_uvloop
-async def test_a_service_that_is_slow_to_all_is_waited_for_and_not_asked_more_often() -> None:
+async def test_a_discovery_service_slow_to_all_is_waited_for_and_not_called_more_often() -> None:
     world, raw = await world_of("s-1")
     for i in range(60):
         world.bus.tell(*(target(f"gone-{i}-{j}", 9, "terminated") for j in range(6)))
@@ -371,7 +381,7 @@
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
         for member in brokers.members:
-            await status(member, lambda said: said["stage"] == "full" and said["listed"] == 1)
+            await status(member, lambda answer: answer["stage"] == "full" and answer["listed"] == 1)
         await until(lambda: link.counts["back"] >= 4 * size)
         assert len(link.came) <= 8
     link.stop()
@@ -379,10 +389,8 @@
 
 
 @on_uvloop
-async def test_new_clients_and_new_connections_to_engines_are_let_through_one_after_the_other() -> (
-    None
-):
-    """Danger: a front that finds a broker again hands it everything at once."""
+async def test_new_clients_and_new_connections_to_endpoints_are_admitted_one_by_one() -> None:
+    """A front end that finds a broker again hands it everything at once."""
     world, raw = await world_of("s-1")
     came: list[float] = []
     world.engines["s-1"].connected = came.append
@@ -391,27 +399,27 @@
         brokers.start()
         member = brokers.members[0]
         await status(member, ready)
-        books = [Book("127.0.0.1", member.port) for _ in range(30)]
+        clients = [Book("127.0.0.1", member.port) for _ in range(30)]
         begun = time.monotonic()
-        for book in books:
+        for book in clients:
             await book.ask("", "glance", 1, 8_000 * MS)
-        for book in books:
+        for book in clients:
             await book.settle(HANG)
-        assert all(a.answers == 1 for book in books for a in book.asked)
-        answered = sorted(a.answered for book in books for a in book.asked)
+        assert all(a.answers == 1 for book in clients for a in book.asked)
+        answered = sorted(a.answered for book in clients for a in book.asked)
         assert answered[-1] - answered[0] > 0.1e9 and time.monotonic() - begun < HANG
         text = (await asyncio.to_thread(member.call, "/metrics"))[1].decode()
         assert (
             'edge_proxy_start_seconds{stage="contact"}' in text and "edge_proxy_start_share" in text
         )
-        for book in books:
+        for book in clients:
             book.close()
     assert len([t for t in came if t < begun + 0.2]) <= 12
     world.stop()
 
 
 @on_uvloop
-async def test_with_cells_each_room_ramps_and_serves() -> None:
+async def test_with_cells_each_cell_ramps_and_serves() -> None:
     world, raw = await world_of("s-1", "s-2")
     raw["settings"] = {
         **raw["settings"],
@@ -426,8 +434,8 @@
     with Fleet(1, raw, FAST.format("") + cells) as brokers:
         brokers.start()
         member = brokers.members[0]
-        said = await status(member, at("ramp"))
-        assert said["listed"] == 2 and (await asyncio.to_thread(member.call, "/cells"))[0] == 200
+        answer = await status(member, at("ramp"))
+        assert answer["listed"] == 2 and (await asyncio.to_thread(member.call, "/cells"))[0] == 200
         book = Book("127.0.0.1", member.port)
         for part in range(2):
             for i in range(20):
@@ -443,14 +451,14 @@
 
 
 @on_uvloop
-async def test_an_address_that_was_given_to_another_while_all_were_down_gets_nothing_unsafe(
+async def test_an_address_reassigned_while_all_were_down_gets_idempotent_requests_alone(
     tmp_path: Path,
 ) -> None:
     world, raw = await world_of("s-1")
-    kept = tmp_path / "list"
-    more = f', last_list = "{kept}"'
+    snapshot = tmp_path / "list"
+    more = f', last_list = "{snapshot}"'
     raw["settings"] = {**raw["settings"], "classes": deployments.COUNTERS["classes"]}
-    await leave_a_list(raw, more)
+    await save_a_snapshot(raw, more)
     port = world.engines["s-1"].port  # listens still, and is another engine now
     script = Script([Fault(0.0, 2.0, "bus", Kind.REFUSE)], time.monotonic)
     link = Link("bus", "127.0.0.1", world.bus_port, script)
@@ -460,11 +468,11 @@
         brokers.start()
         await status(member, ready)
         book = Book("127.0.0.1", member.port)
-        asked = [await book.ask("", "load", 2, 4_000 * MS) for _ in range(5)]
+        requests = [await book.ask("", "load", 2, 4_000 * MS) for _ in range(5)]
         await book.settle(HANG)
-        assert [a.code for a in asked] == [frames.REFUSED] * 5
+        assert [request.code for request in requests] == [frames.REFUSED] * 5
         assert not [run for run in world.engines["s-1"].machine.ledger if run.cls == b"load"]
-        await status(member, lambda said: said["confirmed"] and said["listed"] == 1)
+        await status(member, lambda answer: answer["confirmed"] and answer["listed"] == 1)
         later = await book.ask("", "load", 2, 4_000 * MS)
         await book.settle(HANG)
         assert later.code == frames.SERVED
@@ -474,7 +482,7 @@
 
 
 @on_uvloop
-async def test_all_engines_and_all_brokers_cold_at_once_push_nothing_over() -> None:
+async def test_all_endpoints_and_all_brokers_starting_at_once_overload_nothing() -> None:
     world = World()
     await world.start("s-0")
     await world.add("s-1", "s-2", "s-3", cold=True)
@@ -483,43 +491,43 @@
     del raw["known"]
     with fleet(4, raw) as brokers:
         brokers.start()
-        books = []
+        clients = []
         for member in brokers.members:
             await status(member, ready)
-            books.append(Book("127.0.0.1", member.port))
+            clients.append(Book("127.0.0.1", member.port))
         for _ in range(40):
-            for book in books:
+            for book in clients:
                 await book.ask("", "glance", 200, 4_000 * MS)
             await asyncio.sleep(0.05)
-        for book in books:
+        for book in clients:
             await book.settle(HANG)
-        asked = [a for book in books for a in book.asked]
-        assert not [a for a in asked if a.answers != 1] and not any(
+        requests = [request for book in clients for request in book.asked]
+        assert not [request for request in requests if request.answers != 1] and not any(
             e.machine.fallen for e in world.engines.values()
         )
-        assert sum(a.code == frames.SERVED for a in asked) > 20
-        for book in books:
+        assert sum(request.code == frames.SERVED for request in requests) > 20
+        for book in clients:
             book.close()
     world.stop()
 
 
 @on_uvloop
 async def test_a_cut_in_one_way_stalls_that_way_alone_and_partitions_name_their_links() -> None:
-    """The link stand-in itself."""
+    """The emulated link itself."""
 
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(100):
-            heard.append(data)
+            received.append(data)
             writer.write(data)
 
-    heard: list[bytes] = []
+    received: list[bytes] = []
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     now = 0.0
     script = Script([Fault(0.0, 1.0, "a-b", Kind.STALL, Way.BACK)], lambda: now)
     link = Link("a-b", "127.0.0.1", server.sockets[0].getsockname()[1], script)
     reader, writer = await asyncio.open_connection("127.0.0.1", await link.start())
     writer.write(b"x")
-    await until(lambda: heard)
+    await until(lambda: received)
     assert link.counts["back"] == 0
     now = 2.0
     assert await asyncio.wait_for(reader.read(1), HANG) == b"x"
@@ -528,7 +536,7 @@
     server.close()
 
 
-def test_check_config_tells_the_rates_of_this_fleet(tmp_path: Path) -> None:
+def test_check_config_prints_the_rates_of_this_fleet(tmp_path: Path) -> None:
     env = write_config(tmp_path, settings={**deployments.WAREHOUSE, "fleet_size": 300, "me": 7})
     script = tmp_path / "ops.star"
     script.write_text("start(list_connects = 100)")
@@ -541,18 +549,18 @@
 
 
 @on_uvloop
-async def test_start_show_tells_stage_by_stage() -> None:
+async def test_start_show_prints_stage_by_stage() -> None:
     world, raw = await world_of("s-1")
     with fleet(1, raw) as brokers:
         brokers.start()
         member = brokers.members[0]
         await status(member, at("full"))
         address = f"127.0.0.1:{member.operator}"
-        words = ["start", "show", "--address", address]
-        shown = await asyncio.to_thread(CliRunner().invoke, main, words)
+        arguments = ["start", "show", "--address", address]
+        shown = await asyncio.to_thread(CliRunner().invoke, main, arguments)
         assert shown.exit_code == 0 and "contact" in shown.output and "full *" in shown.output
-        told = await asyncio.to_thread(CliRunner().invoke, main, [*words, "--json"])
-        passed = [p["stage"] for p in json.loads(told.output)["passed"]]
+        printed = await asyncio.to_thread(CliRunner().invoke, main, [*arguments, "--json"])
+        passed = [p["stage"] for p in json.loads(printed.output)["passed"]]
         assert passed == ["settings", "list", "contact", "ramp"]
     assert all(m.process.poll() is not None for m in brokers.members) and not os.path.exists(
         member.folder
