--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -89,7 +89,7 @@
         self.metrics_counts = Metrics(self.validator.class_deadlines_ns)
         self.extensions = DispatchExtensions()
         self.deadline_controls = DeadlineControls()
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         parts = DispatchParts(
             self,
             clock,
@@ -100,7 +100,7 @@
             self.extensions,
             self.deadline_controls,
             self.metrics_counts,
-            self._numbers,
+            self._request_numbers,
         )
         self.stage_timer = parts.stage_timer
         self.outcomes = parts.outcomes
@@ -156,7 +156,7 @@
         for observer in self.extensions.observers:
             observer.request_arrived(parsed, now_ns)
         request = ActiveRequest(
-            str(next(self._numbers)),
+            str(next(self._request_numbers)),
             parsed.client_request_id.encode(),
             parsed.class_name.encode(),
             parsed.statement,
