--- a/query_broker/config/reloading.py
+++ b/query_broker/config/reloading.py
@@ -2,13 +2,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping
+from collections.abc import Callable, Iterator, Mapping
 from typing import Any
 
 from .broker_config import Config
 from .errors import LostKeyError
 from .loading import load
-from .schema import FIXED
+
+#: What is read at the start only, by the key that an operator writes. ``bus`` and ``settings`` take
+#: effect at SIGHUP, except for the tick: the timer wheel is built for the tick of the start.
+FIXED_UNTIL_RESTART: Mapping[str, Callable[[Config], object]] = {
+    "limits.memory_mb": lambda config: config.memory_mb,
+    "limits.sockets": lambda config: config.sockets,
+    "listen": lambda config: (config.host, config.port),
+    "name": lambda config: config.name,
+    "operator": lambda config: config.operator,
+    "seed": lambda config: config.seed,
+    "settings.tick": lambda config: config.tick,
+}
 
 
 def reload(running: Config, environ: Mapping[str, str]) -> Config:
@@ -27,9 +38,9 @@
 
 
 def waiting_for_restart(running: Config, read: Config) -> list[str]:
-    """Return the keys that differ in a configuration read anew and need a restart."""
+    """Return the keys that differ in a configuration read anew and need a restart, sorted."""
     return sorted(
-        {key for name, key in FIXED.items() if getattr(running, name) != getattr(read, name)}
+        key for key, value_of in FIXED_UNTIL_RESTART.items() if value_of(running) != value_of(read)
     )
 
 
--- a/query_broker/config/schema.py
+++ b/query_broker/config/schema.py
@@ -142,20 +142,6 @@
     "eps",
 }
 
-#: The attributes of ``Config`` that are read at the start only, with the key that an operator
-#: writes for each. ``bus`` and ``settings`` take effect at SIGHUP, except for the tick: the timer
-#: wheel is built for the tick of the start.
-FIXED = {
-    "name": "name",
-    "host": "listen",
-    "port": "listen",
-    "seed": "seed",
-    "sockets": "limits.sockets",
-    "memory_mb": "limits.memory_mb",
-    "operator": "operator",
-    "tick": "settings.tick",
-}
-
 #: What the values of ``classes.effect`` mean.
 EFFECTS: Mapping[str, Effect] = {
     "read_like": Effect.IDEMPOTENT,
