--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -10,7 +10,7 @@
 from typing import Any
 from urllib.parse import unquote_to_bytes
 
-from ..config.reading import Config
+from ..config import Config
 from ..dispatch.dispatcher import Dispatcher
 from ..operator_config.script import OperatorConfig, OperatorFileError
 from ..operator_config.service import ConfiguredNode
@@ -75,7 +75,7 @@
         strangers = [
             t
             for t in self.map.tenants
-            if self.dispatcher.customers and t not in self.dispatcher.customers
+            if self.dispatcher.validator.tenants and t not in self.dispatcher.validator.tenants
         ]
         if strangers:
             self.log(
@@ -161,7 +161,10 @@
         readers: dict[str, list[CelledConnection]] = {}
         for client in self.clients:
             assert isinstance(client, CelledConnection)
-            if client.paused_at and now - client.paused_at > self.dispatcher.terms.slow_reader:
+            if (
+                client.paused_at
+                and now - client.paused_at > self.dispatcher.deadline_controls.settings.slow_reader
+            ):
                 self.admission.drop_slow_reader(client)
             elif unread := client.unread():
                 used[client.cell] = used.get(client.cell, 0) + unread
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -13,7 +13,7 @@
 import click
 
 from .. import __version__
-from ..config.reading import Config, ConfigError, load
+from ..config import Config, ConfigError, load
 from ..server.signals import hold_hangup
 from .lazy_group import LazyGroup
 
@@ -121,15 +121,15 @@
 
         yield from startup_lines(operator_config.start, config.settings.broker_index, fleet_size)
     if operator_config.members is not None:
-        from ..membership.settings import lines as membership_lines
+        from ..membership.timing import describe_bounds
 
-        yield from membership_lines(operator_config.members, fleet_size)
+        yield from describe_bounds(operator_config.members, fleet_size)
     if operator_config.shares is not None:
-        from ..quotas.settings import lines as quota_lines
+        from ..quotas.settings import describe as quota_lines
 
         yield from quota_lines(operator_config.shares, fleet_size)
     if operator_config.verdicts is not None:
-        from ..outlier_consensus.settings import lines as consensus_lines
+        from ..outlier_consensus.settings import describe as consensus_lines
 
         yield from consensus_lines(operator_config.verdicts, fleet_size)
 
--- a/query_broker/operator_config/script.py
+++ b/query_broker/operator_config/script.py
@@ -22,9 +22,9 @@
 from ..cells.model import BadMap, CellMap, from_plain
 from ..deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
 from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
-from ..membership.settings import MembersTerms
-from ..outlier_consensus.settings import VerdictTerms
-from ..quotas.settings import LimitTerms, SharesTerms
+from ..membership.settings import MembershipSettings
+from ..outlier_consensus.settings import OutlierConsensusSettings
+from ..quotas.settings import LimitSettings, QuotaSettings
 from ..startup.settings import StartupSettings
 from .directives import MOST_CALLS, WORDS, BadWord, Draft
 
@@ -47,9 +47,9 @@
     deadlines: DeadlineSettings | None = None
     logs: Logs | None = None
     start: StartupSettings | None = None
-    members: MembersTerms | None = None
-    shares: SharesTerms | None = None
-    verdicts: VerdictTerms | None = None
+    members: MembershipSettings | None = None
+    shares: QuotaSettings | None = None
+    verdicts: OutlierConsensusSettings | None = None
 
 
 def evaluate(path: str) -> OperatorConfig:
@@ -94,18 +94,20 @@
             None if said["start"] is None else StartupSettings(**said["start"]),
             None if said["members"] is None else _members(said["members"]),
             None if said["shares"] is None else _shares(said["shares"]),
-            None if said["verdicts"] is None else VerdictTerms(**said["verdicts"]),
+            None if said["verdicts"] is None else OutlierConsensusSettings(**said["verdicts"]),
         )
     except (ValueError, KeyError, TypeError, BadMap) as error:
         raise OperatorFileError(f"{path}: evaluation: {error}") from None
 
 
-def _members(raw: dict[str, Any]) -> MembersTerms:
-    return MembersTerms(**{**raw, "seeds": tuple(raw["seeds"])})
+def _members(raw: dict[str, Any]) -> MembershipSettings:
+    return MembershipSettings(**{**raw, "seeds": tuple(raw["seeds"])})
 
 
-def _shares(raw: dict[str, Any]) -> SharesTerms:
-    return SharesTerms(**{**raw, "limits": tuple(LimitTerms(**limit) for limit in raw["limits"])})
+def _shares(raw: dict[str, Any]) -> QuotaSettings:
+    return QuotaSettings(
+        **{**raw, "limits": tuple(LimitSettings(**limit) for limit in raw["limits"])}
+    )
 
 
 def _deadlines(raw: dict[str, Any]) -> DeadlineSettings:
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..dispatch.dispatcher import MOST_CALLERS
+from ..dispatch.capacity import MOST_CALLERS
 from ..protocols.operator_http import OperatorConnection
 from .host import Host
 
--- a/query_broker/server/client_admission.py
+++ b/query_broker/server/client_admission.py
@@ -73,11 +73,12 @@
         answers, those with the most of them go.
         """
         dispatcher = self.node.dispatcher
+        timeout_ns = dispatcher.deadline_controls.settings.slow_reader
         unread = 0  # bytes
         for client in sorted(self.connections, key=ClientConnection.unread):
             unread += client.unread()
-            paused = client.paused_at and now_ns - client.paused_at > dispatcher.terms.slow_reader
-            if unread > dispatcher.room or paused:
+            is_stuck = client.paused_at and now_ns - client.paused_at > timeout_ns
+            if unread > dispatcher.room or is_stuck:
                 self.drop_slow_reader(client)
 
     def drop_slow_reader(self, client: ClientConnection) -> None:
--- a/query_broker/server/listener.py
+++ b/query_broker/server/listener.py
@@ -5,7 +5,7 @@
 import resource
 import socket
 
-from ..config.reading import Config, ConfigError
+from ..config import Config, ConfigError
 
 # Connections that the system queues until the loop accepts them: enough for all clients of a broker
 # that come at once. The system cuts it to its own limit (somaxconn).
--- a/query_broker/server/reload.py
+++ b/query_broker/server/reload.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from ..config.reading import Config, ConfigError, waiting_for_restart
-from ..config.reading import reload as read_again
+from ..config import Config, ConfigError, waiting_for_restart
+from ..config import reload as read_again
 from .graceful_shutdown import GracefulShutdown
 from .host import Host
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,7 +12,7 @@
 import pytest
 
 from query_broker import decisions as api
-from query_broker.config.reading import ConfigError, load, reload
+from query_broker.config import ConfigError, load, reload
 from query_broker.protocols import client_frames as frames
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
@@ -194,11 +194,11 @@
     harness = Harness(make_settings(tenants=(api.Tenant("a", 4.0),)), entry(1))
     harness.arrive("r", estimate_ns=100 * MS, tenant="a")
     harness.end("r", api.AttemptResult.SERVED, latency=300 * MS)
-    view = harness.controller.views["short"]
+    view = harness.controller.classes.by_name["short"]
     engine = harness.controller.engines[1]
-    learned = (view.log_bias, view.pace)
+    learned = (view.log_bias, view.slowdown)
     bound = engine.bound
-    tokens = harness.controller.shares["a"].tokens
+    tokens = harness.controller.quotas.buckets["a"].tokens
     tenants = (api.Tenant("a", 4.0),)
     harness.do(
         api.SettingsChanged(
@@ -207,7 +207,7 @@
             )
         )
     )
-    view_after = harness.controller.views["short"]
-    assert (view_after.log_bias, view_after.pace) == learned
-    assert harness.controller.shares["a"].tokens == tokens
+    view_after = harness.controller.classes.by_name["short"]
+    assert (view_after.log_bias, view_after.slowdown) == learned
+    assert harness.controller.quotas.buckets["a"].tokens == tokens
     assert engine.bound == 2 * bound  # the longest latency objective has doubled
