--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -70,8 +70,8 @@
         self.quotas.apply(now, settings)
         self.retry_budget.apply_settings()
 
-    def share_quotas(self, accepting_processes: int) -> None:
-        """Share the tenants' quotas among so many processes of this broker."""
+    def set_accepting_processes(self, accepting_processes: int) -> None:
+        """Divide the tenants' quotas by the processes of this broker that accept requests."""
         self.quotas.accepting_processes = accepting_processes
 
     def end_period(self) -> None:
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -193,7 +193,7 @@
         self.pool.update(now, event)
 
     def _take_co_process_load(self, now: int, event: CoProcessLoad) -> None:
-        self.admission.share_quotas(event.accepting_processes)
+        self.admission.set_accepting_processes(event.accepting_processes)
         self.pool.set_co_process_load(event)
 
     def _fire_timer(self, now: int, event: TimerFired) -> None:
