--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,8 @@
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
 
-FLEET, CORES = 40, 8
+FLEET = 40
+CORES = 8
 CONTRACT = api.Contract(
     drain_grace_ns=S,
     warmup_initial_capacity=0.36,
@@ -50,7 +51,7 @@
                 contract=CONTRACT,
                 **more,
             ),
-            *(entry(e, zone="ab"[i % 2]) for i, e in enumerate(engines)),
+            *(entry(e, zone="ab"[index % 2]) for index, e in enumerate(engines)),
             seed=me,
         )
         for me in (range(fleet) if only is None else [only])
@@ -81,37 +82,39 @@
 def test_the_sum_of_all_gateways_keeps_the_cold_budget(
     listed: int, fresh: int, brokers: int
 ) -> None:
-    """Danger: each judges its own part of a budget that holds for the sum; equal parts are under
-    one query and leave the engine idle, parts drawn by each for itself may all be large at once.
+    """Prevents: each judges its own part of a budget that holds for the sum; equal parts are
+    under one query and leave the engine idle, parts drawn by each for itself may all be large
+    at once.
     """
-    engines, draw = uids(listed), random.Random(3)
+    engines = uids(listed)
+    draw = random.Random(3)
     cold = set(engines[:fresh])
     fleet = gateways(engines, brokers)
     began = fleet[0].now
-    news = api.EndpointListUpdate(
+    update = api.EndpointListUpdate(
         api.ListUpdateKind.CHANGES, tuple(entry(e, started_ns=began) for e in sorted(cold))
     )
-    told = [began + draw.randrange(2 * S) for _ in fleet]
+    notified_at = [began + draw.randrange(2 * S) for _ in fleet]
     sent: dict[int, list[tuple[int, int]]] = {e: [] for e in cold}
     absent = set(draw.sample(range(brokers), brokers // 10)) if brokers > FLEET else set()
     for step in range(120):
-        for me, h in enumerate(fleet):
+        for me, harness in enumerate(fleet):
             # some are down, requests are fewer
             if me in absent or brokers > FLEET and draw.random() > 0.4:
                 continue
-            h.pass_time(began + step * 100 * MS - h.now)
-            if h.now < told[me]:
+            harness.pass_time(began + step * 100 * MS - harness.now)
+            if harness.now < notified_at[me]:
                 continue
-            if told[me]:
-                h.do(news)
-                told[me] = 0
+            if notified_at[me]:
+                harness.do(update)
+                notified_at[me] = 0
             name, work = ("report", 2 * S) if draw.random() < 0.2 else ("glance", 200 * MS)
             work = int(work * draw.uniform(0.5, 1.5))
-            h.arrive(f"r{step}", name, estimate_ns=work)
-            for send in h.sends(f"r{step}"):
+            harness.arrive(f"r{step}", name, estimate_ns=work)
+            for send in harness.sends(f"r{step}"):
                 if send.endpoint in cold:
-                    sent[send.endpoint].append((h.now, work))
-                h.end(f"r{step}", api.AttemptResult.SERVED, latency=work // 4)
+                    sent[send.endpoint].append((harness.now, work))
+                harness.end(f"r{step}", api.AttemptResult.SERVED, latency=work // 4)
     for engine in cold:
         for at, _ in sent[engine]:
             part = CONTRACT.warmup_initial_capacity + (1 - CONTRACT.warmup_initial_capacity) * min(
@@ -128,12 +131,15 @@
 
 
 def test_turns_on_different_engines_are_not_in_step() -> None:
-    """Danger: all fresh engines idle at the same moments, and the warm ones get everything then."""
+    """Prevents: all fresh engines idle at the same moments, and the warm ones get everything
+    then.
+    """
     engines = uids(30)
-    h = gateways(engines)[0]
-    h.do(
+    harness = gateways(engines)[0]
+    harness.do(
         api.EndpointListUpdate(
-            api.ListUpdateKind.CHANGES, tuple(entry(e, started_ns=h.now) for e in engines[:15])
+            api.ListUpdateKind.CHANGES,
+            tuple(entry(e, started_ns=harness.now) for e in engines[:15]),
         )
     )
 
@@ -143,13 +149,15 @@
             for e in engines[:15]
         )
 
-    shares = [open_now(h.now + i * 100 * MS) for i in range(30)]
-    assert min(shares) >= 3 and max(shares) <= 12
+    open_counts = [open_now(harness.now + index * 100 * MS) for index in range(30)]
+    assert min(open_counts) >= 3 and max(open_counts) <= 12
     owners = {
         e: [
             me
             for me, g in enumerate(gateways(engines))
-            if g.controller.selector.balancer.slow_start.is_our_turn(h.now, g.controller.engines[e])
+            if g.controller.selector.balancer.slow_start.is_our_turn(
+                harness.now, g.controller.engines[e]
+            )
         ]
         for e in engines[:15]
     }
@@ -160,12 +168,12 @@
 def test_each_gateway_uses_a_part_and_each_engine_is_used_by_as_many(
     listed: int, brokers: int
 ) -> None:
-    """Danger: 40 gateways that each meet an engine seldom each lose a query on a bad one to learn
-    of it.
+    """Prevents: 40 gateways that each meet an engine seldom each lose a query on a bad one to
+    learn of it.
     """
     fleet = gateways(uids(listed), brokers)
-    used = Counter(e.entry.endpoint for h in fleet for e in h.controller.pool.subset)
-    each = {len(h.controller.pool.subset) for h in fleet}
+    used = Counter(e.entry.endpoint for harness in fleet for e in harness.controller.pool.subset)
+    each = {len(harness.controller.pool.subset) for harness in fleet}
     mean = sum(used.values()) / listed
     assert each == {10} and len(used) == listed  # not more where there are more engines
     assert 0.7 * mean <= min(used.values()) and max(used.values()) <= 1.3 * mean
@@ -173,14 +181,14 @@
 
 def test_an_engine_held_to_be_out_brings_one_more_into_use_and_few_others_change() -> None:
     engines = uids(30)
-    h = gateways(engines)[7]
-    gateway = h.controller
+    harness = gateways(engines)[7]
+    gateway = harness.controller
     before = [e.entry.endpoint for e in gateway.pool.subset]
-    gateway.outliers.set_ejected(h.now, gateway.pool.subset[2], True)
+    gateway.outliers.set_ejected(harness.now, gateway.pool.subset[2], True)
     assert [e.entry.endpoint for e in gateway.pool.subset][:10] == before and len(
         gateway.pool.subset
     ) == 11
-    h.do(
+    harness.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES, (entry(engines[0], state=api.EndpointState.REMOVED),)
         )
@@ -189,40 +197,41 @@
 
 
 def test_few_gateways_use_all_engines() -> None:
-    h = gateways(uids(8), fleet=3)[1]
-    assert not h.controller.pool.large_fleet and len(h.controller.pool.subset) == 8
+    harness = gateways(uids(8), fleet=3)[1]
+    assert not harness.controller.pool.large_fleet and len(harness.controller.pool.subset) == 8
 
 
 def test_what_vanished_with_a_zone_leaves_room_for_the_rest() -> None:
-    """Danger: attempts on engines that died in silence are out until their time is up; in the
+    """Prevents: attempts on engines that died in silence are out until their time is up; in the
     pool's books they shut new work out of engines that idle.
     """
-    h = gateways(uids(30))[0]
-    gateway = h.controller
-    for i in range(40):
-        h.arrive(f"r{i}", "report", patience=20 * S, estimate_ns=S)
-    pool, before = gateway.pool.limit, gateway.pool.limit.threads_out
+    harness = gateways(uids(30))[0]
+    gateway = harness.controller
+    for index in range(40):
+        harness.arrive(f"r{index}", "report", patience=20 * S, estimate_ns=S)
+    pool = gateway.pool.limit
+    before = gateway.pool.limit.threads_out
     lost = [e for e in gateway.pool.subset if e.in_flight][:5]
-    held = sum(e.threads_out for e in lost)
+    lost_threads = sum(e.threads_out for e in lost)
     for engine in lost:
-        gateway.outliers.set_ejected(h.now, engine, True)
-    assert held > 0 and pool.threads_out == before - held
+        gateway.outliers.set_ejected(harness.now, engine, True)
+    assert lost_threads > 0 and pool.threads_out == before - lost_threads
     assert pool.thread_quota == pytest.approx(1.5 * CORES * 25 / FLEET)
     number = next(a for a in lost[0].in_flight)
-    h.end(
+    harness.end(
         number[0], api.AttemptResult.TIMEOUT, attempt=number[1]
-    )  # told at last: not booked out twice
+    )  # removed at last: not subtracted twice
     assert pool.threads_out == sum(e.threads_out for e in gateway.engines.values() if e.in_pool)
 
 
 def test_what_drains_takes_no_room_in_the_pool() -> None:
-    h = gateways(uids(30))[0]
-    for i in range(10):
-        h.arrive(f"r{i}", "report", patience=20 * S, estimate_ns=S)
-    gateway = h.controller
+    harness = gateways(uids(30))[0]
+    for index in range(10):
+        harness.arrive(f"r{index}", "report", patience=20 * S, estimate_ns=S)
+    gateway = harness.controller
     engine = next(e for e in gateway.pool.subset if e.in_flight)
     before = gateway.pool.limit.threads_out
-    h.do(
+    harness.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES,
             (entry(engine.entry.endpoint, state=api.EndpointState.DRAINING),),
@@ -234,18 +243,18 @@
 def test_work_of_an_arrival_does_not_grow_with_the_engines() -> None:
     """A count of engines examined, not a time."""
     for listed in (30, 60, 240):
-        h = gateways(uids(listed))[3]
-        assert len(h.controller.selector.balancer.candidates(h.now)) <= 10
+        harness = gateways(uids(listed))[3]
+        assert len(harness.controller.selector.balancer.candidates(harness.now)) <= 10
 
 
 PROBES = api.Limits(health_checks=True, hedging=True, max_attempts=5, max_retry_after_ns=2 * S)
 
 
-def fail(h: Harness, engine: int, times: int) -> None:
+def fail(harness: Harness, engine: int, times: int) -> None:
     """Queries that this engine answers with an error and another one serves."""
-    for i in range(times):
-        name = f"{engine}-{i}-{h.now}"
-        request = h.controller
+    for index in range(times):
+        name = f"{engine}-{index}-{harness.now}"
+        request = harness.controller
         for other in request.engines.values():
             other.entry = entry(
                 other.entry.endpoint,
@@ -253,56 +262,58 @@
                 if other.entry.endpoint == engine
                 else api.EndpointState.DRAINING,
             )
-        h.arrive(name, "glance", estimate_ns=MS)
+        harness.arrive(name, "glance", estimate_ns=MS)
         for other in request.engines.values():
             other.entry = entry(other.entry.endpoint)
-        assert h.sends(name)[0].endpoint == engine
-        h.end(name, api.AttemptResult.ERROR)
-        h.end(name, api.AttemptResult.SERVED, latency=MS)
+        assert harness.sends(name)[0].endpoint == engine
+        harness.end(name, api.AttemptResult.ERROR)
+        harness.end(name, api.AttemptResult.SERVED, latency=MS)
 
 
 def test_an_engine_that_fails_what_others_serve_is_held_out() -> None:
-    """Danger: it fails fast, looks idle, and draws three times as much as the others."""
-    h = gateways(uids(30), limits=PROBES)[0]
-    engine = h.controller.pool.subset[0]
-    fail(h, engine.entry.endpoint, 1)
+    """Prevents: it fails fast, looks idle, and draws three times as much as the others."""
+    harness = gateways(uids(30), limits=PROBES)[0]
+    engine = harness.controller.pool.subset[0]
+    fail(harness, engine.entry.endpoint, 1)
     assert not engine.suspect
-    fail(h, engine.entry.endpoint, 2)
+    fail(harness, engine.entry.endpoint, 2)
     assert engine.suspect
 
 
 def test_what_no_engine_can_read_holds_none_out() -> None:
-    """Danger: one client's statements would take out every engine."""
-    h = gateways(uids(30), limits=PROBES)[0]
-    for i in range(40):
-        h.arrive(f"bad{i}", "glance", estimate_ns=MS)
-        while not h.answers(f"bad{i}"):
-            h.end(f"bad{i}", api.AttemptResult.ERROR)
-    assert not any(e.suspect for e in h.controller.engines.values())
+    """Prevents: one client's statements would take out every engine."""
+    harness = gateways(uids(30), limits=PROBES)[0]
+    for index in range(40):
+        harness.arrive(f"bad{index}", "glance", estimate_ns=MS)
+        while not harness.answers(f"bad{index}"):
+            harness.end(f"bad{index}", api.AttemptResult.ERROR)
+    assert not any(e.suspect for e in harness.controller.engines.values())
 
 
-def probes_of(h: Harness) -> list[tuple[int, int]]:
-    return [(at, a.endpoint) for at, a in h.log if isinstance(a, api.HealthCheck)]
+def probes_of(harness: Harness) -> list[tuple[int, int]]:
+    return [(at, a.endpoint) for at, a in harness.log if isinstance(a, api.HealthCheck)]
 
 
 def test_trials_of_many_gateways_are_probes_with_rests() -> None:
-    """Danger: queries sent for a trial keep a jammed engine jammed, and each is late for its
+    """Prevents: queries sent for a trial keep a jammed engine jammed, and each is late for its
     client.
     """
-    h = gateways(uids(30), limits=PROBES)[0]
-    engine = h.controller.pool.subset[0]
-    h.controller.outliers.set_ejected(h.now, engine, True)
+    harness = gateways(uids(30), limits=PROBES)[0]
+    engine = harness.controller.pool.subset[0]
+    harness.controller.outliers.set_ejected(harness.now, engine, True)
     for step in range(300):
-        h.arrive(f"r{step}", "glance", estimate_ns=MS)
-        assert all(s.endpoint != engine.entry.endpoint for s in h.sends(f"r{step}"))
-        h.end(f"r{step}", api.AttemptResult.SERVED, latency=MS)
-        before = len(probes_of(h))
-        h.pass_time(100 * MS)
-        for _ in range(len(probes_of(h)) - before):
-            h.do(api.HealthCheckResult(engine.entry.endpoint, api.AttemptResult.TIMEOUT, 250 * MS))
-    times = [at for at, e in probes_of(h) if e == engine.entry.endpoint]
+        harness.arrive(f"r{step}", "glance", estimate_ns=MS)
+        assert all(s.endpoint != engine.entry.endpoint for s in harness.sends(f"r{step}"))
+        harness.end(f"r{step}", api.AttemptResult.SERVED, latency=MS)
+        before = len(probes_of(harness))
+        harness.pass_time(100 * MS)
+        for _ in range(len(probes_of(harness)) - before):
+            harness.do(
+                api.HealthCheckResult(engine.entry.endpoint, api.AttemptResult.TIMEOUT, 250 * MS)
+            )
+    times = [at for at, e in probes_of(harness) if e == engine.entry.endpoint]
     assert 5 <= len(times) <= 20  # in 30 s: seldom, and ever more so
-    h.do(
+    harness.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(memory=0.1)
         )
@@ -313,62 +324,64 @@
 def test_rests_of_many_gateways_are_not_in_step() -> None:
     fleet = gateways(uids(30), limits=PROBES)
     due = set()
-    for h in fleet:
-        engine = h.controller.pool.subset[0]
+    for harness in fleet:
+        engine = harness.controller.pool.subset[0]
         engine.failures = 0.6
-        h.controller.outliers.set_ejected(h.now, engine, True)
-        due.add(engine.next_trial - h.now)
+        harness.controller.outliers.set_ejected(harness.now, engine, True)
+        due.add(engine.next_trial - harness.now)
     assert len(due) == len(fleet) and max(due) - min(due) > 3 * S
 
 
 def test_few_gateways_try_by_query_and_send_no_probe() -> None:
-    h = gateways(uids(4), fleet=2, limits=PROBES)[0]
-    engine = h.controller.pool.subset[0]
-    h.controller.outliers.set_ejected(h.now, engine, True)
-    h.pass_time(9 * S)
-    for i in range(60):
-        h.arrive(f"r{i}", "glance", estimate_ns=MS)
-        h.end(f"r{i}", api.AttemptResult.SERVED, latency=MS)
-    assert not probes_of(h) and not engine.suspect
+    harness = gateways(uids(4), fleet=2, limits=PROBES)[0]
+    engine = harness.controller.pool.subset[0]
+    harness.controller.outliers.set_ejected(harness.now, engine, True)
+    harness.pass_time(9 * S)
+    for index in range(60):
+        harness.arrive(f"r{index}", "glance", estimate_ns=MS)
+        harness.end(f"r{index}", api.AttemptResult.SERVED, latency=MS)
+    assert not probes_of(harness) and not engine.suspect
 
 
 def test_a_turn_is_not_cut_short_by_the_usual_share() -> None:
-    """Danger: a broker's share of a warm engine is a query or two; a turn is all of what the engine
-    has, and no more: who sent all that the contract allows would jam it.
+    """Prevents: a broker's share of a warm engine is a query or two; a turn is all of what the
+    engine has, and no more: who sent all that the contract allows would jam it.
     """
     engines = uids(30)
-    h = gateways(engines)[0]
-    h.do(
+    harness = gateways(engines)[0]
+    harness.do(
         api.EndpointListUpdate(
-            api.ListUpdateKind.CHANGES, tuple(entry(e, started_ns=h.now) for e in engines)
+            api.ListUpdateKind.CHANGES, tuple(entry(e, started_ns=harness.now) for e in engines)
         )
     )
-    gateway = h.controller
+    gateway = harness.controller
     while not any(
-        gateway.selector.balancer.slow_start.is_our_turn(h.now, e) for e in gateway.pool.warming
+        gateway.selector.balancer.slow_start.is_our_turn(harness.now, e)
+        for e in gateway.pool.warming
     ):
-        h.pass_time(50 * MS)
+        harness.pass_time(50 * MS)
     engine = next(
         e
         for e in gateway.pool.warming
-        if gateway.selector.balancer.slow_start.is_our_turn(h.now, e)
+        if gateway.selector.balancer.slow_start.is_our_turn(harness.now, e)
     )
-    for i in range(60):
-        h.arrive(f"r{i}", "glance", estimate_ns=200 * MS)
+    for index in range(60):
+        harness.arrive(f"r{index}", "glance", estimate_ns=200 * MS)
     assert engine.thread_quota < engine.threads_out <= 2 * CORES
 
 
 def test_the_pool_wants_less_delay_than_the_whole_aim() -> None:
-    """Danger: lookups worth nothing after their aim; with the aim as their mean delay, half come
-    late.
+    """Prevents: lookups worth nothing after their aim; with the aim as their mean delay, half
+    come late.
     """
-    h = gateways(uids(30))[0]
-    pool = h.controller.pool.limit
+    harness = gateways(uids(30))[0]
+    pool = harness.controller.pool.limit
     before = pool.bound
-    pool.bound_used, pool.delays = True, [0.8]
+    pool.bound_used = True
+    pool.delays = [0.8]
     pool.end_period()
     assert pool.bound < before
-    assert all(e.delay_objective == 1.0 for e in h.controller.engines.values())
+    assert all(e.delay_objective == 1.0 for e in harness.controller.engines.values())
 
 
 def test_a_zone_goes_silent_and_comes_back_cold() -> None:
@@ -386,7 +399,7 @@
         ),
     )
     engines = uids(30)
-    h = Harness(
+    harness = Harness(
         make_settings(
             *classes,
             fleet_size=FLEET,
@@ -395,16 +408,19 @@
             contract=CONTRACT,
             limits=PROBES,
         ),
-        *(entry(e, zone="ab"[i % 2]) for i, e in enumerate(engines)),
+        *(entry(e, zone="ab"[index % 2]) for index, e in enumerate(engines)),
     )
-    draw, kinds, served, zone = random.Random(9), dict[str, str](), set[str](), set(engines[1::2])
+    draw = random.Random(9)
+    kinds = dict[str, str]()
+    served = set[str]()
+    zone = set(engines[1::2])
     ends: dict[tuple[str, int], tuple[int, api.AttemptResult]] = {}
     for step in range(420):
         if step < 380:
             kinds[f"r{step}"] = draw.choice(["glance", "glance", "report", "load"])
-            h.arrive(f"r{step}", kinds[f"r{step}"], patience=5 * S, estimate_ns=300 * MS)
+            harness.arrive(f"r{step}", kinds[f"r{step}"], patience=5 * S, estimate_ns=300 * MS)
         for name in kinds:
-            for number, send in enumerate(h.sends(name)):
+            for number, send in enumerate(harness.sends(name)):
                 silent = send.endpoint in zone and step < 200
                 ends.setdefault(
                     (name, number),
@@ -414,114 +430,120 @@
                 )
         for (name, number), (due, result) in list(ends.items()):
             if due == step:
-                if result is api.AttemptResult.SERVED and not h.answers(name):
+                if result is api.AttemptResult.SERVED and not harness.answers(name):
                     served.add(name)
-                h.end(
+                harness.end(
                     name,
                     result,
                     attempt=number,
                     latency=300 * MS,
-                    finished=name in served or bool(h.answers(name)),
+                    finished=name in served or bool(harness.answers(name)),
                 )
-        h.pass_time(100 * MS)
+        harness.pass_time(100 * MS)
         if step == 199:
-            out = [e for e in h.controller.pool.subset if e.entry.endpoint in zone]
+            out = [e for e in harness.controller.pool.subset if e.entry.endpoint in zone]
             assert out and all(e.suspect for e in out)
-            h.do(
+            harness.do(
                 api.EndpointListUpdate(
                     api.ListUpdateKind.CHANGES,
-                    tuple(entry(e, zone="b", started_ns=h.now) for e in sorted(zone)),
+                    tuple(entry(e, zone="b", started_ns=harness.now) for e in sorted(zone)),
                 )
             )
-            assert not any(h.controller.engines[e].suspect for e in zone)
+            assert not any(harness.controller.engines[e].suspect for e in zone)
     assert sum(result is api.AttemptResult.TIMEOUT for _, result in ends.values()) >= 3
-    assert not h.controller.requests
+    assert not harness.controller.requests
     for name, kind in kinds.items():
-        assert len(h.answers(name)) + (name in served) == 1
-        assert kind != "load" or len(h.sends(name)) <= 1
+        assert len(harness.answers(name)) + (name in served) == 1
+        assert kind != "load" or len(harness.sends(name)) <= 1
     assert any(
-        a.endpoint in zone for at, a in h.log if isinstance(a, api.Dispatch) and at > 122 * S
+        a.endpoint in zone for at, a in harness.log if isinstance(a, api.Dispatch) and at > 122 * S
     )
 
 
 @pytest.mark.parametrize("count", [0, 1, 500])
 def test_a_whole_list_of_any_length_in_mid_service(count: int) -> None:
-    h = gateways(uids(30))[0]
-    h.arrive("open", "report", patience=20 * S, estimate_ns=S)
-    h.do(
+    harness = gateways(uids(30))[0]
+    harness.arrive("open", "report", patience=20 * S, estimate_ns=S)
+    harness.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.FULL, tuple(entry(e) for e in uids(count, seed=8))
         )
     )
-    h.pass_time(2 * S)
-    went = h.sends("open")[0].endpoint
-    for i in range(50):
-        h.arrive(f"r{i}", "glance", estimate_ns=MS)
-        assert all(s.endpoint != went or went in uids(count, seed=8) for s in h.sends(f"r{i}"))
-        assert h.sends(f"r{i}") or isinstance(h.answers(f"r{i}")[0], api.Reject)
-    h.end("open", api.AttemptResult.SERVED)
-    assert not h.answers("open")
+    harness.pass_time(2 * S)
+    went = harness.sends("open")[0].endpoint
+    for index in range(50):
+        harness.arrive(f"r{index}", "glance", estimate_ns=MS)
+        assert all(
+            s.endpoint != went or went in uids(count, seed=8) for s in harness.sends(f"r{index}")
+        )
+        assert harness.sends(f"r{index}") or isinstance(harness.answers(f"r{index}")[0], api.Reject)
+    harness.end("open", api.AttemptResult.SERVED)
+    assert not harness.answers("open")
 
 
 def test_a_class_that_is_refused_more_often_sees_more_of_the_pool() -> None:
-    """Danger: large work that must not run twice was refused three times as often as lookups."""
+    """Prevents: large work that must not run twice was refused three times as often as lookups."""
     for share, goes in ((1.0, False), (0.4, True)):
-        h = gateways(uids(30))[0]
-        view, pool = h.controller.admission.classes.by_name["report"], h.controller.pool.limit
-        h.arrive("out", "report", patience=20 * S, estimate_ns=2 * S)
-        (
-            h.controller.selector.capacity.mean_work_ns,
-            h.controller.selector.capacity.mean_priority_weight,
-        ) = (
-            2.0 * S,
-            10.0,
-        )  # a report is as the mean
-        pool.full_until, pool.bound, view.admitted = h.now + 99 * S, pool.backlog * 1.5, share
-        h.arrive("r", "report", patience=20 * S, estimate_ns=2 * S)
-        assert bool(h.sends("r")) is goes and (view.admitted > share) is goes
+        harness = gateways(uids(30))[0]
+        view = harness.controller.admission.classes.by_name["report"]
+        pool = harness.controller.pool.limit
+        harness.arrive("out", "report", patience=20 * S, estimate_ns=2 * S)
+        # a report is as the mean
+        harness.controller.selector.capacity.mean_work_ns = 2.0 * S
+        harness.controller.selector.capacity.mean_priority_weight = 10.0
+        pool.full_until = harness.now + 99 * S
+        pool.bound = pool.backlog * 1.5
+        view.admitted = share
+        harness.arrive("r", "report", patience=20 * S, estimate_ns=2 * S)
+        assert bool(harness.sends("r")) is goes and (view.admitted > share) is goes
 
 
 def test_what_is_beyond_a_tenants_share_moves_no_class_s_share() -> None:
-    """Danger: a flood that is refused would win room for its class."""
-    h = gateways(uids(30), tenants=(api.Tenant("acme", 0.0),))[0]
-    h.controller.pool.limit.full_until, h.controller.pool.limit.bound = h.now + 99 * S, 0.0
-    for i in range(30):
-        h.arrive(f"r{i}", "glance", estimate_ns=200 * MS, tenant="acme")
+    """Prevents: a flood that is refused would win room for its class."""
+    harness = gateways(uids(30), tenants=(api.Tenant("acme", 0.0),))[0]
+    harness.controller.pool.limit.full_until = harness.now + 99 * S
+    harness.controller.pool.limit.bound = 0.0
+    for index in range(30):
+        harness.arrive(f"r{index}", "glance", estimate_ns=200 * MS, tenant="acme")
     assert (
-        any(h.answers(f"r{i}") for i in range(30))
-        and h.controller.admission.classes.by_name["glance"].admitted == 1.0
+        any(harness.answers(f"r{index}") for index in range(30))
+        and harness.controller.admission.classes.by_name["glance"].admitted == 1.0
     )
 
 
 def test_engines_with_full_tables_are_asked_seldom_while_others_have_places() -> None:
-    """Danger: a refused connect of each of 40 brokers for each request keeps the tables full."""
+    """Prevents: a refused connect of each of 40 brokers for each request keeps the tables full."""
     engines = uids(30)
-    h, full, asked = gateways(engines, limits=PROBES)[0], set(engines[::2]), 0
-    for i in range(100):
-        name = f"r{i}"
-        h.arrive(name, "glance", estimate_ns=MS)
-        while h.sends(name)[-1].endpoint in full:
+    harness = gateways(engines, limits=PROBES)[0]
+    full = set(engines[::2])
+    asked = 0
+    for index in range(100):
+        name = f"r{index}"
+        harness.arrive(name, "glance", estimate_ns=MS)
+        while harness.sends(name)[-1].endpoint in full:
             asked += 1
-            h.end(name, api.AttemptResult.CONNECT_FAILED)
-        h.end(name, api.AttemptResult.SERVED, latency=MS)
-        h.pass_time(100 * MS)
+            harness.end(name, api.AttemptResult.CONNECT_FAILED)
+        harness.end(name, api.AttemptResult.SERVED, latency=MS)
+        harness.pass_time(100 * MS)
     assert 0 < asked <= len(full)  # once each: from then on they are tried by probes
 
 
 def test_a_full_engine_is_held_out_and_asked_before_it_gets_more() -> None:
-    """Danger: 50 brokers that each have nothing out there send one query each, again and again."""
-    h = gateways(uids(80), 200, limits=PROBES)[0]
-    h.arrive("r0", "glance", estimate_ns=MS)
-    engine = h.controller.engines[h.sends("r0")[0].endpoint]
-    h.end("r0", api.AttemptResult.FULL)
-    assert engine.suspect and h.sends("r0")[-1].endpoint != engine.entry.endpoint
-    h.do(
+    """Prevents: 50 brokers that each have nothing out there send one query each, again and
+    again.
+    """
+    harness = gateways(uids(80), 200, limits=PROBES)[0]
+    harness.arrive("r0", "glance", estimate_ns=MS)
+    engine = harness.controller.engines[harness.sends("r0")[0].endpoint]
+    harness.end("r0", api.AttemptResult.FULL)
+    assert engine.suspect and harness.sends("r0")[-1].endpoint != engine.entry.endpoint
+    harness.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=30.0)
         )
     )
     assert engine.suspect  # it lives, and is jammed
-    h.do(
+    harness.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=3.0)
         )
@@ -530,8 +552,8 @@
 
 
 def test_an_engine_whose_answer_is_overdue_is_asked_for_its_load() -> None:
-    """Danger: an unsafe query that a jammed engine took is never answered, and the next ones follow
-    it.
+    """Prevents: an unsafe query that a jammed engine took is never answered, and the next ones
+    follow it.
     """
     classes = (
         *CLASSES,
@@ -543,100 +565,109 @@
             effect=api.Effect.NON_IDEMPOTENT,
         ),
     )
-    h = Harness(
+    harness = Harness(
         make_settings(
             *classes, fleet_size=200, kind_cores=(("box", CORES),), contract=CONTRACT, limits=PROBES
         ),
         *(entry(e, zone="ab"[e % 2]) for e in uids(80)),
     )
-    h.arrive("r0", "load", patience=25 * S, estimate_ns=200 * MS)
-    engine = h.controller.engines[h.sends("r0")[0].endpoint]
-    h.pass_time(3 * S)
-    assert [e for _, e in probes_of(h)] == [engine.entry.endpoint]
-    h.do(
+    harness.arrive("r0", "load", patience=25 * S, estimate_ns=200 * MS)
+    engine = harness.controller.engines[harness.sends("r0")[0].endpoint]
+    harness.pass_time(3 * S)
+    assert [e for _, e in probes_of(harness)] == [engine.entry.endpoint]
+    harness.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=30.0)
         )
     )
-    assert engine.suspect and len(h.sends("r0")) == 1
+    assert engine.suspect and len(harness.sends("r0")) == 1
 
 
 def test_an_answer_that_was_late_does_not_clear_a_jammed_engine() -> None:
-    h = gateways(uids(80), 200, limits=PROBES)[0]
-    h.arrive("r0", "glance", patience=20 * S, estimate_ns=100 * MS)
-    engine = h.controller.engines[h.sends("r0")[0].endpoint]
-    h.do(
+    harness = gateways(uids(80), 200, limits=PROBES)[0]
+    harness.arrive("r0", "glance", patience=20 * S, estimate_ns=100 * MS)
+    engine = harness.controller.engines[harness.sends("r0")[0].endpoint]
+    harness.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=30.0)
         )
     )
-    h.pass_time(250 * MS)
-    h.end("r0", api.AttemptResult.SERVED, latency=5 * S)
+    harness.pass_time(250 * MS)
+    harness.end("r0", api.AttemptResult.SERVED, latency=5 * S)
     assert engine.suspect
 
 
 def test_what_is_held_out_and_used_no_more_is_not_held_out_for_good() -> None:
-    """Danger: while most engines are cold all brokers use all warm ones; those that were held out
-    then stayed so, never asked, and out of the pool's share: 20 of 72 engines idled for the rest of
-    a day.
+    """Prevents: while most engines are cold all brokers use all warm ones; those that were held
+    out then stayed so, never asked, and out of the pool's share: 20 of 72 engines idled for the
+    rest of a day.
     """
-    h = gateways(uids(80), 200, limits=PROBES)[0]
-    gateway = h.controller
+    harness = gateways(uids(80), 200, limits=PROBES)[0]
+    gateway = harness.controller
     far = next(e for e in gateway.engines.values() if e not in gateway.pool.subset)
     share = gateway.pool.limit.thread_quota
-    gateway.outliers.set_ejected(h.now, far, True)
+    gateway.outliers.set_ejected(harness.now, far, True)
     assert gateway.pool.limit.thread_quota < share
-    h.pass_time(12 * S)
+    harness.pass_time(12 * S)
     assert not far.suspect and gateway.pool.limit.thread_quota == pytest.approx(share)
-    assert far.entry.endpoint not in {e for _, e in probes_of(h)}
+    assert far.entry.endpoint not in {e for _, e in probes_of(harness)}
 
 
 def test_reports_are_not_kept_while_sends_add_up_on_them() -> None:
-    h = gateways(uids(80), 200, limits=PROBES)[0]
-    engine = h.controller.pool.subset[0]
-    h.do(
+    harness = gateways(uids(80), 200, limits=PROBES)[0]
+    engine = harness.controller.pool.subset[0]
+    harness.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(memory=0.9)
         )
     )
     assert engine.load() > 0.8
-    h.pass_time(2 * S)
+    harness.pass_time(2 * S)
     assert engine.load() == 0.0
 
 
 def test_seven_in_ten_brokers_return_with_empty_books_and_engines_stay_in_hand() -> None:
-    """Danger: they know nothing of what the dead have running, all start at the same bound and at
-    one moment. Engines share their cores among all threads; what a dead broker sent runs on.
+    """Prevents: they know nothing of what the dead have running, all start at the same bound
+    and at one moment. Engines share their cores among all threads; what a dead broker sent runs
+    on.
     """
-    engines, draw = uids(80), random.Random(4)
-    fleet, read = gateways(engines, 200, limits=PROBES), [0] * 200
-    held: Counter[int] = Counter()
+    engines = uids(80)
+    draw = random.Random(4)
+    fleet = gateways(engines, 200, limits=PROBES)
+    read = [0] * 200
+    threads_by_endpoint: Counter[int] = Counter()
     ends: list[tuple[int, int, int, Harness, api.Dispatch, int, int]] = []
-    sums, peaks = list[int](), list[int]()
-    began, count, kill = fleet[0].now, 0, 80
+    sums = list[int]()
+    peaks = list[int]()
+    began = fleet[0].now
+    count = 0
+    kill = 80
     for step in range(150):
         if step == kill:
             for me in draw.sample(range(200), 140):
-                fleet[me], read[me] = gateways(engines, 200, only=me, limits=PROBES)[0], 0
+                fleet[me] = gateways(engines, 200, only=me, limits=PROBES)[0]
+                read[me] = 0
         now = began + step * 100 * MS
         while ends and ends[0][0] <= now:
-            _, _, threads, h, send, number, sent = heapq.heappop(ends)
-            held[send.endpoint] -= threads
-            if h in fleet:
-                h.end(send.request_id, api.AttemptResult.SERVED, attempt=number, latency=now - sent)
-        for me, h in enumerate(fleet):
-            h.pass_time(now - h.now)
+            _, _, threads, harness, send, number, sent = heapq.heappop(ends)
+            threads_by_endpoint[send.endpoint] -= threads
+            if harness in fleet:
+                harness.end(
+                    send.request_id, api.AttemptResult.SERVED, attempt=number, latency=now - sent
+                )
+        for me, harness in enumerate(fleet):
+            harness.pass_time(now - harness.now)
             if draw.random() < 0.25:
                 name, work = ("report", 2 * S) if draw.random() < 0.15 else ("glance", 200 * MS)
-                h.arrive(
+                harness.arrive(
                     f"{step}", name, patience=20 * S, estimate_ns=int(work * draw.uniform(0.5, 1.5))
                 )
-            for _, action in h.log[read[me] :]:
+            for _, action in harness.log[read[me] :]:
                 if isinstance(action, api.Dispatch):
-                    request = h.controller.requests[action.request_id]
+                    request = harness.controller.requests[action.request_id]
                     threads = request.spec.threads
-                    held[action.endpoint] += threads
-                    crowd = max(1.0, held[action.endpoint] / CORES)
+                    threads_by_endpoint[action.endpoint] += threads
+                    crowd = max(1.0, threads_by_endpoint[action.endpoint] / CORES)
                     count += 1
                     heapq.heappush(
                         ends,
@@ -644,15 +675,15 @@
                             now + int(request.run_time() * crowd),
                             count,
                             threads,
-                            h,
+                            harness,
                             action,
-                            h.sends(action.request_id).index(action),
+                            harness.sends(action.request_id).index(action),
                             now,
                         ),
                     )
-            read[me] = len(h.log)
-        sums.append(sum(held.values()))
-        peaks.append(max(held.values()))
+            read[me] = len(harness.log)
+        sums.append(sum(threads_by_endpoint.values()))
+        peaks.append(max(threads_by_endpoint.values()))
     usual = sum(sums[60:kill]) / (kill - 60)
     assert 0.2 * 80 * CORES < usual < 80 * CORES  # there is load, and no overload
     assert max(sums[kill:]) < 1.5 * usual  # nor any when they return
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -55,161 +55,168 @@
 
 
 def test_bound_is_clamped_and_steps_as_designed() -> None:
-    h, settings = one_engine()
-    engine = h.controller.engines[1]
+    harness, settings = one_engine()
+    engine = harness.controller.engines[1]
     start = 2 * 4 * settings.classes[0].latency_objective_ns
     assert engine.bound == start
-    engine.bound_used, engine.delays = True, [0.1]
-    h.pass_time(S)
+    engine.bound_used = True
+    engine.delays = [0.1]
+    harness.pass_time(S)
     # PVL with ZE gives PL
     assert engine.bound - start == pytest.approx(
         start * CEILING_MULTIPLE * LARGEST_STEP_FRACTION * 3 / 4
     )
     for _ in range(20):
-        engine.bound_used, engine.delays = True, [0.1]
-        h.pass_time(S)
+        engine.bound_used = True
+        engine.delays = [0.1]
+        harness.pass_time(S)
     assert engine.bound == CEILING_MULTIPLE * start
     for _ in range(40):
-        engine.bound_used, engine.delays = True, [9.0]
-        h.pass_time(S)
+        engine.bound_used = True
+        engine.delays = [9.0]
+        harness.pass_time(S)
     assert engine.bound == 0.0
 
 
 @pytest.mark.parametrize("factor", [0.0, 4.0])
 def test_empty_period_steps_toward_the_start(factor: float) -> None:
-    h, _ = one_engine()
-    engine = h.controller.engines[1]
+    harness, _ = one_engine()
+    engine = harness.controller.engines[1]
     start = engine.bound
     engine.bound = factor * start
-    h.pass_time(S)
+    harness.pass_time(S)
     assert abs(engine.bound - start) < abs(factor * start - start)
 
 
 def test_quiet_periods_do_not_wind_the_bound_up() -> None:
-    """Danger: good delays without pressure would raise the bound to its ceiling before a traffic
-    jump.
+    """Prevents: good delays without pressure would raise the bound to its ceiling before a
+    traffic jump.
     """
-    h, _ = one_engine()
-    engine = h.controller.engines[1]
+    harness, _ = one_engine()
+    engine = harness.controller.engines[1]
     start = engine.bound
     for _ in range(5):
         engine.delays = [0.1]
-        h.pass_time(S)
+        harness.pass_time(S)
     assert engine.bound == start
 
 
 @pytest.mark.parametrize("result", list(api.AttemptResult))
 def test_backlog_enters_once_and_leaves_once(result: api.AttemptResult) -> None:
-    h, _ = one_engine()
-    h.arrive("r", estimate_ns=80 * MS)
-    assert h.backlog() == 80 * MS
-    h.end("r", result)
-    while not h.answers("r") and result is not api.AttemptResult.SERVED and len(h.sends("r")) < 4:
-        h.end("r", result)
-    if h.controller.engines[1].in_flight:
-        h.end("r", api.AttemptResult.SERVED)
-    assert h.backlog() == 0
+    harness, _ = one_engine()
+    harness.arrive("r", estimate_ns=80 * MS)
+    assert harness.backlog() == 80 * MS
+    harness.end("r", result)
+    while (
+        not harness.answers("r")
+        and result is not api.AttemptResult.SERVED
+        and len(harness.sends("r")) < 4
+    ):
+        harness.end("r", result)
+    if harness.controller.engines[1].in_flight:
+        harness.end("r", api.AttemptResult.SERVED)
+    assert harness.backlog() == 0
 
 
 def test_backlog_after_departure_and_repeated_outcome() -> None:
-    h, _ = one_engine()
-    h.arrive("r", estimate_ns=80 * MS)
-    actions = h.do(api.RequestAbandoned("r"))
+    harness, _ = one_engine()
+    harness.arrive("r", estimate_ns=80 * MS)
+    actions = harness.do(api.RequestAbandoned("r"))
     assert api.CancelAttempt("r", 0) in actions
-    h.end("r", api.AttemptResult.CANCELLED)
-    h.end("r", api.AttemptResult.CANCELLED)
-    assert h.backlog() == 0
-    assert not h.answers("r")
+    harness.end("r", api.AttemptResult.CANCELLED)
+    harness.end("r", api.AttemptResult.CANCELLED)
+    assert harness.backlog() == 0
+    assert not harness.answers("r")
 
 
-def crowd(h: Harness, count: int, estimate: int) -> None:
-    for i in range(count):
-        h.arrive(f"c{i}", estimate_ns=estimate)
+def crowd(harness: Harness, count: int, estimate: int) -> None:
+    for index in range(count):
+        harness.arrive(f"c{index}", estimate_ns=estimate)
 
 
 def test_fits_and_misfits() -> None:
-    h, _ = one_engine()
-    crowd(h, 6, estimate=100 * MS)
-    engine = h.controller.engines[1]
-    engine.full_until = h.now + S
-    h.arrive("fits", estimate_ns=100 * MS)
-    assert h.sends("fits")
-    h.arrive("misfit", estimate_ns=60 * S, patience=99 * S)
-    (answer,) = h.answers("misfit")
+    harness, _ = one_engine()
+    crowd(harness, 6, estimate=100 * MS)
+    engine = harness.controller.engines[1]
+    engine.full_until = harness.now + S
+    harness.arrive("fits", estimate_ns=100 * MS)
+    assert harness.sends("fits")
+    harness.arrive("misfit", estimate_ns=60 * S, patience=99 * S)
+    (answer,) = harness.answers("misfit")
     # one of eight arrivals refused
     assert isinstance(answer, api.Reject) and answer.retry_after_ns == S // 8
     engine.full_until = 0
-    h.arrive("no pressure", estimate_ns=60 * S, patience=99 * S)
-    assert h.sends("no pressure")
+    harness.arrive("no pressure", estimate_ns=60 * S, patience=99 * S)
+    assert harness.sends("no pressure")
 
 
 def test_own_threads_past_two_a_core_are_pressure() -> None:
-    """Danger: a jam shows in delays only after it; the thread count shows it before."""
-    h, _ = one_engine()
-    crowd(h, 40, estimate=300 * MS)
-    taken = sum(1 for i in range(40) if h.sends(f"c{i}"))
+    """Prevents: a jam shows in delays only after it; the thread count shows it before."""
+    harness, _ = one_engine()
+    crowd(harness, 40, estimate=300 * MS)
+    taken = sum(1 for index in range(40) if harness.sends(f"c{index}"))
     assert 8 <= taken < 16
 
 
 def test_nothing_outstanding_admits_whatever_the_bound() -> None:
-    h, _ = one_engine()
-    h.controller.engines[1].bound = 0.0
-    h.controller.engines[1].full_until = h.now + S
-    h.arrive("r", estimate_ns=60 * S, patience=99 * S)
-    assert h.sends("r")
+    harness, _ = one_engine()
+    harness.controller.engines[1].bound = 0.0
+    harness.controller.engines[1].full_until = harness.now + S
+    harness.arrive("r", estimate_ns=60 * S, patience=99 * S)
+    assert harness.sends("r")
 
 
 @pytest.mark.parametrize("entries", [(), (entry(1, state=api.EndpointState.DRAINING),)])
 def test_no_engine_is_refused_at_once(entries: tuple[api.EndpointEntry, ...]) -> None:
-    h = Harness(make_settings(), *entries)
-    h.arrive("r")
-    assert isinstance(h.answers("r")[0], api.Reject)
+    harness = Harness(make_settings(), *entries)
+    harness.arrive("r")
+    assert isinstance(harness.answers("r")[0], api.Reject)
 
 
 def test_estimates_learn_from_calm_sends_only() -> None:
-    """Danger: a jam's latencies make every query look large, its aim too, and the bound stays
+    """Prevents: a jam's latencies make every query look large, its aim too, and the bound stays
     open.
     """
-    h, _ = one_engine()
-    view = h.controller.admission.classes.by_name["short"]
-    crowd(h, 8, estimate=100 * MS)
-    for i in range(8):
-        h.end(f"c{i}", api.AttemptResult.SERVED, latency=4 * S)
+    harness, _ = one_engine()
+    view = harness.controller.admission.classes.by_name["short"]
+    crowd(harness, 8, estimate=100 * MS)
+    for index in range(8):
+        harness.end(f"c{index}", api.AttemptResult.SERVED, latency=4 * S)
     calm = view.answers
     assert 0 < calm < 8
 
 
 def test_over_share_traffic_is_refused_first_under_pressure() -> None:
-    h, _ = one_engine(tenants=(api.Tenant("x", 2.0), api.Tenant("y", 2.0)))
-    engine = h.controller.engines[1]
-    for i in range(8):
-        h.arrive(f"x{i}", tenant="x", estimate_ns=200 * MS)
-    engine.full_until = h.now + S
-    h.arrive("more x", tenant="x", estimate_ns=200 * MS)
-    h.arrive("first y", tenant="y", estimate_ns=200 * MS)
-    assert not h.sends("more x") and h.sends("first y")
+    harness, _ = one_engine(tenants=(api.Tenant("x", 2.0), api.Tenant("y", 2.0)))
+    engine = harness.controller.engines[1]
+    for index in range(8):
+        harness.arrive(f"x{index}", tenant="x", estimate_ns=200 * MS)
+    engine.full_until = harness.now + S
+    harness.arrive("more x", tenant="x", estimate_ns=200 * MS)
+    harness.arrive("first y", tenant="y", estimate_ns=200 * MS)
+    assert not harness.sends("more x") and harness.sends("first y")
 
 
 def test_slow_and_failing_engines_draw_less() -> None:
-    h = Harness(make_settings(), entry(1), entry(2))
-    h.controller.engines[1].failures = 0.9
-    for i in range(40):
-        h.arrive(f"r{i}", estimate_ns=10 * MS)
-        h.end(f"r{i}", api.AttemptResult.SERVED, latency=10 * MS)
-    assert sum(h.sends(f"r{i}")[0].endpoint == 2 for i in range(40)) > 35
+    harness = Harness(make_settings(), entry(1), entry(2))
+    harness.controller.engines[1].failures = 0.9
+    for index in range(40):
+        harness.arrive(f"r{index}", estimate_ns=10 * MS)
+        harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
+    assert sum(harness.sends(f"r{index}")[0].endpoint == 2 for index in range(40)) > 35
 
 
 def test_loads_keep_apart_from_readers() -> None:
-    """Danger: a load stops the readers of its data set on its engine."""
+    """Prevents: a load stops the readers of its data set on its engine."""
     load = query_class("load", is_load=True)
     reader = query_class("short", blocked_by_loads=True)
-    h = Harness(make_settings(reader, load), *(entry(i) for i in range(6)))
+    harness = Harness(make_settings(reader, load), *(entry(index) for index in range(6)))
     where: dict[str, list[int]] = {"load": [], "short": []}
-    for i in range(160):
-        name = "load" if i % 2 else "short"
-        h.arrive(f"r{i}", name, data_set=3, estimate_ns=10 * MS)
-        where[name].append(h.sends(f"r{i}")[0].endpoint)
-        h.end(f"r{i}", api.AttemptResult.SERVED, latency=10 * MS)
+    for index in range(160):
+        name = "load" if index % 2 else "short"
+        harness.arrive(f"r{index}", name, data_set=3, estimate_ns=10 * MS)
+        where[name].append(harness.sends(f"r{index}")[0].endpoint)
+        harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
     homes = sorted(set(where["load"]), key=where["load"].count)[-2:]
     assert sum(e in homes for e in where["load"]) > 56
     assert sum(e in homes for e in where["short"]) < 18
@@ -218,35 +225,41 @@
 def test_readers_avoid_an_engine_where_our_load_runs() -> None:
     load = query_class("load", is_load=True)
     reader = query_class("short", blocked_by_loads=True)
-    h = Harness(make_settings(reader, load), entry(1), entry(2))
-    h.arrive("load", "load", data_set=3, estimate_ns=10 * MS)
-    for i in range(20):
-        h.arrive(f"r{i}", data_set=3, estimate_ns=10 * MS)
-        h.end(f"r{i}", api.AttemptResult.SERVED, latency=10 * MS)
-    assert sum(h.sends(f"r{i}")[0].endpoint == h.sends("load")[0].endpoint for i in range(20)) < 6
+    harness = Harness(make_settings(reader, load), entry(1), entry(2))
+    harness.arrive("load", "load", data_set=3, estimate_ns=10 * MS)
+    for index in range(20):
+        harness.arrive(f"r{index}", data_set=3, estimate_ns=10 * MS)
+        harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
+    assert (
+        sum(
+            harness.sends(f"r{index}")[0].endpoint == harness.sends("load")[0].endpoint
+            for index in range(20)
+        )
+        < 6
+    )
 
 
 def test_classes_need_a_known_name() -> None:
-    h = Harness(make_settings(query_class("short")), entry(1))
+    harness = Harness(make_settings(query_class("short")), entry(1))
     with pytest.raises(ValueError, match="class_name"):
-        h.arrive("r", "unheard")
+        harness.arrive("r", "unheard")
 
 
 def test_marked_retries_take_no_tokens_of_the_share() -> None:
-    """Danger: refused excess comes back and takes the tokens of new requests within the share."""
-    h, _ = one_engine(tenants=(api.Tenant("x", 4.0),))
-    for i in range(30):
-        h.arrive(f"again{i}", tenant="x", estimate_ns=MS, is_retry=True)
-    h.arrive("new", tenant="x", estimate_ns=MS)
-    assert h.controller.requests["again0"].over_share
-    assert not h.controller.requests["new"].over_share
+    """Prevents: refused excess comes back and takes the tokens of new requests within the share."""
+    harness, _ = one_engine(tenants=(api.Tenant("x", 4.0),))
+    for index in range(30):
+        harness.arrive(f"again{index}", tenant="x", estimate_ns=MS, is_retry=True)
+    harness.arrive("new", tenant="x", estimate_ns=MS)
+    assert harness.controller.requests["again0"].over_share
+    assert not harness.controller.requests["new"].over_share
 
 
 def test_grants_of_queries_that_fit_by_estimate_leave_room_for_each_other() -> None:
-    """Danger: a pool of engines whose memory is granted twice over makes every second query
+    """Prevents: a pool of engines whose memory is granted twice over makes every second query
     spill.
     """
-    h = Harness(make_settings(memory_grants=True), entry(1))
-    h.arrive("r", estimate_ns=MS, memory_mb=100.0)
-    granted = [a.memory_mb for _, a in h.log if isinstance(a, api.DispatchOptions)]
+    harness = Harness(make_settings(memory_grants=True), entry(1))
+    harness.arrive("r", estimate_ns=MS, memory_mb=100.0)
+    granted = [a.memory_mb for _, a in harness.log if isinstance(a, api.DispatchOptions)]
     assert len(granted) == 1 and 100.0 < granted[0] <= 130.0
--- a/tests/test_middle.py
+++ b/tests/test_middle.py
@@ -23,7 +23,9 @@
 
 @pytest.mark.parametrize("after", [0, 1, 5 * MS, 5 * MS + 1, 12 * S])
 def test_a_timer_fires_once_never_early_and_at_most_a_tick_late(after: int) -> None:
-    wheel, fired, now = TimerWheel(5 * MS, 100), [], 100
+    wheel = TimerWheel(5 * MS, 100)
+    fired = []
+    now = 100
     wheel.at(100 + after, lambda: fired.append(now))
     while now < 100 + after + 20 * MS:
         now += MS
@@ -33,7 +35,8 @@
 
 
 def test_a_wheel_that_stood_still_fires_all_in_order_and_no_cancelled_one() -> None:
-    wheel, fired = TimerWheel(5 * MS, 0), []
+    wheel = TimerWheel(5 * MS, 0)
+    fired = []
     for at in (7 * S, 30 * MS, 10 * MS):
         wheel.at(at, lambda at=at: fired.append(at))  # type: ignore[misc]
     wheel.at(20 * MS, lambda: fired.append(-1)).cancel()
@@ -48,7 +51,8 @@
 
 
 def test_uids_keep_their_numbers_whatever_their_addresses() -> None:
-    table, other = EndpointTable(), EndpointTable()
+    table = EndpointTable()
+    other = EndpointTable()
     first = table.learn(parse_event(event(1, target("a", 1), target("b", 2), full=True)))
     other.learn(parse_event(event(1, target("b", 2), full=True)))
     assert other.number("b") == first[1].endpoint  # all brokers rank engines alike
@@ -67,17 +71,17 @@
 def test_engines_that_come_and_go_all_day_leave_nothing_behind() -> None:
     broker = Dispatcher(make_config(), Clock(), lambda kind, text: None)
     for life in range(2, 400):
-        news = [target(f"s-{life}", 1 + life % 2), target(f"s-{life - 1}", 1, "terminated")]
+        targets = [target(f"s-{life}", 1 + life % 2), target(f"s-{life - 1}", 1, "terminated")]
         # half are never said to have gone
-        broker.endpoint_list_changed(parse_event(event(life, *news[: 1 + life % 2])))
+        broker.endpoint_list_changed(parse_event(event(life, *targets[: 1 + life % 2])))
         broker.pools.sweep(broker.now())
-    for held in (
+    for table in (
         broker.endpoint_table.by_uid,
         broker.endpoint_table.by_number,
         broker.pools.by_number,
         broker.facade.controller.engines,
     ):
-        assert 1 <= len(held) <= 2
+        assert 1 <= len(table) <= 2
     number = broker.endpoint_table.number("s-399")
     broker.endpoint_list_changed(parse_event(event(400, target("s-399", 1, "terminated"))))
     assert "s-399" not in broker.endpoint_table.by_uid
@@ -144,8 +148,9 @@
 
 
 def test_a_wheel_rests_until_something_falls_due_and_is_woken_for_what_comes_sooner() -> None:
-    """Danger: a wheel that turns at every tick wakes 200 idle brokers 200 times a second each."""
-    wheel, woken = TimerWheel(5 * MS, 0), []
+    """Prevents: a wheel that turns at every tick wakes 200 idle brokers 200 times a second each."""
+    wheel = TimerWheel(5 * MS, 0)
+    woken = []
     wheel.sooner = lambda: woken.append(wheel.until(0))
     assert wheel.rest(0, 250 * MS) == 250 * MS
     wheel.at(400 * MS, lambda: None)
@@ -168,7 +173,9 @@
     plan: list[tuple[int, int]],
 ) -> None:
     """Timers set at any moment of a rest; times in milliseconds."""
-    wheel, due, late = TimerWheel(5 * MS, 0), list[int](), list[int]()
+    wheel = TimerWheel(5 * MS, 0)
+    due = list[int]()
+    late = list[int]()
     coming = sorted(plan)
     wheel.rest(0, 250 * MS)
     for now in range(1_200):
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -70,7 +70,7 @@
         self.settings = settings
         self.kinds = {1: "big", 2: "box", 3: "box"}
         self.zones = {1: "east", 2: "east", 3: "north"}
-        self.h = Harness(self.settings, *(self.entry(e) for e in ENGINES))
+        self.harness = Harness(self.settings, *(self.entry(e) for e in ENGINES))
         self.first_at: dict[str, int] = {}
         self.listed = dict.fromkeys(ENGINES, api.EndpointState.READY)
         self.cls: dict[str, api.RequestClass] = {}
@@ -81,7 +81,7 @@
         self.ran_from: dict[str, int] = {}
         self.rest_until: dict[str, int] = {}
         self.taken: list[int] = []
-        self.further: list[int] = []
+        self.retries: list[int] = []
         self.counts: dict[str, int] = {}
         self.arrived: dict[str, int] = {}
         self.clean: dict[str, bool] = {}
@@ -92,15 +92,16 @@
         return entry(engine, kind=self.kinds[engine], zone=self.zones[engine], **more)
 
     def check(self) -> None:
-        for now, action in self.h.log[self.seen :]:
+        for now, action in self.harness.log[self.seen :]:
             if isinstance(action, api.Dispatch):
                 self.check_send(now, action)
             elif isinstance(action, api.Reject | api.Fail):
                 self.check_answer(now, action)
-        self.seen = len(self.h.log)
+        self.seen = len(self.harness.log)
 
     def check_send(self, now: int, send: api.Dispatch) -> None:
-        name, spec = send.request_id, self.cls[send.request_id]
+        name = send.request_id
+        spec = self.cls[send.request_id]
         number = self.counts.get(name, 0)
         assert name not in self.over, "sent after its end"
         assert self.listed[send.endpoint] is api.EndpointState.READY, "sent to a draining engine"
@@ -123,14 +124,15 @@
                     ), "out of turn"
             assert number > 0 or now >= self.rest_until.get(self.key[name], 0), "the key rests"
         if number > 0 and (window := (rules := self.settings.contract).retry_budget_window_ns):
-            self.further.append(now)
+            self.retries.append(now)
             recent = sum(t > now - window for t in self.taken)
             most = rules.retry_budget_free + rules.retry_budget_ratio * recent
-            assert sum(t > now - window for t in self.further) <= most
+            assert sum(t > now - window for t in self.retries) <= most
         self.out[(name, number)] = now
         self.counts[name] = number + 1
         if name not in self.ran_from:
-            self.ran_from[name], self.first_at[name] = now, send.endpoint
+            self.ran_from[name] = now
+            self.first_at[name] = send.endpoint
 
     def check_answer(self, now: int, action: api.Reject | api.Fail) -> None:
         name = action.request_id
@@ -150,12 +152,13 @@
     def arrive(self, spec: api.RequestClass, key: str, patience: int) -> None:
         name = f"r{len(self.order)}"
         self.order.append(name)
-        self.cls[name], self.key[name] = spec, key
-        self.arrived[name] = self.h.now
-        self.deadline[name] = self.h.now + patience * MS
-        self.taken.append(self.h.now)
+        self.cls[name] = spec
+        self.key[name] = key
+        self.arrived[name] = self.harness.now
+        self.deadline[name] = self.harness.now + patience * MS
+        self.taken.append(self.harness.now)
         tenant = self.settings.tenants[0].name if self.settings.tenants else None
-        self.h.arrive(
+        self.harness.arrive(
             name, spec.name, patience * MS, key=key, estimate_ns=50 * MS, data_set=1, tenant=tenant
         )
 
@@ -174,10 +177,10 @@
             in (api.AttemptResult.TIMEOUT, api.AttemptResult.RESET, api.AttemptResult.CANCELLED)
             and self.cls[name].ordered_by_key
         ):
-            self.rest_until[self.key[name]] = self.h.now + self.settings.contract.key_rest_ns
+            self.rest_until[self.key[name]] = self.harness.now + self.settings.contract.key_rest_ns
         if result is api.AttemptResult.SERVED:
-            self.over.setdefault(name, self.h.now)
-        self.h.end(name, result, number, latency * MS, finished=name in self.over)
+            self.over.setdefault(name, self.harness.now)
+        self.harness.end(name, result, number, latency * MS, finished=name in self.over)
 
 
 @pytest.mark.parametrize("name", SETTINGS)
@@ -196,20 +199,22 @@
                 open_ones = [n for n in ledger.order if n not in ledger.over]
                 if open_ones:
                     leaving = open_ones[index % len(open_ones)]
-                    ledger.over[leaving] = ledger.h.now
-                    ledger.h.do(api.RequestAbandoned(leaving))
+                    ledger.over[leaving] = ledger.harness.now
+                    ledger.harness.do(api.RequestAbandoned(leaving))
             case ("list", int(engine), api.EndpointState() as state, bool(fresh)):
                 ledger.listed[engine] = state
-                news = ledger.entry(engine, state=state, started_ns=ledger.h.now if fresh else 0)
-                ledger.h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (news,)))
+                update = ledger.entry(
+                    engine, state=state, started_ns=ledger.harness.now if fresh else 0
+                )
+                ledger.harness.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (update,)))
             case ("wait", int(span)):
-                ledger.h.pass_time(span * MS)
+                ledger.harness.pass_time(span * MS)
         ledger.check()
-    ledger.h.pass_time(6 * S)
+    ledger.harness.pass_time(6 * S)
     ledger.check()
     assert set(ledger.order) == set(ledger.over), "a request without a final answer"
     for request, number in sorted(ledger.out):
-        ledger.h.end(request, api.AttemptResult.CANCELLED, number, finished=True)
-    ledger.h.pass_time(S)
+        ledger.harness.end(request, api.AttemptResult.CANCELLED, number, finished=True)
+    ledger.harness.pass_time(S)
     ledger.check()
-    assert ledger.h.backlog() == 0
+    assert ledger.harness.backlog() == 0
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -69,7 +69,7 @@
     ],
 )
 def test_a_file_that_lacks_a_key_is_turned_down(tmp_path: Path, path: str) -> None:
-    """Danger: the key would fall back to its default, in service and without a word."""
+    """Prevents: the key would fall back to its default, in service and without a word."""
     key = ".".join(part for part in path.split(".") if not part.isdigit())
     with pytest.raises(ConfigError, match=f"^{key}: "):
         read_again(tmp_path, json.dumps(changed(path)))
@@ -93,11 +93,11 @@
 
 
 def test_a_file_that_is_empty_or_cut_anywhere_is_turned_down(tmp_path: Path) -> None:
-    whole = json.dumps(FILE)
-    for end in range(0, len(whole), 97):
+    complete = json.dumps(FILE)
+    for end in range(0, len(complete), 97):
         with pytest.raises(ConfigError, match="^PROXY_CONFIG: "):
-            read_again(tmp_path, whole[:end])
-    assert read_again(tmp_path, whole).settings.classes
+            read_again(tmp_path, complete[:end])
+    assert read_again(tmp_path, complete).settings.classes
 
 
 def test_classes_may_come_and_go_and_a_known_list_is_the_start_s_alone(tmp_path: Path) -> None:
@@ -131,7 +131,7 @@
         strict["settings"]["classes"].append({**strict["settings"]["classes"][1], "name": "night"})
         await ask(rig, {**strict, "seed": "77"}, "reload: done")
         assert "reload: done; with the next start only: listen, operator, seed" in rig.logged
-        for number in (0, -5):  # whole: nothing of it is taken, neither its classes nor its bus
+        for number in (0, -5):  # complete: nothing of it is taken, neither its classes nor its bus
             bad = changed("settings.classes.1.deadline", number)
             bad["settings"]["classes"][0]["name"] = "glance-x"
             await ask(
@@ -140,9 +140,9 @@
         client.ask(stream=2, trace="2" * 16, route="night")
         client.ask(stream=3, trace="3" * 16)
         await until(lambda: len(engine.words(b"do")) == 3)
-        told = await figures(rig)
-        assert (told["reload_success_total"], told["reload_failure_total"]) == (1, 2)
-        assert told['replies_total{type="night",status="success"}'] == 0
+        statistics = await figures(rig)
+        assert (statistics["reload_success_total"], statistics["reload_failure_total"]) == (1, 2)
+        assert statistics['replies_total{type="night",status="success"}'] == 0
         for writer in engine.writers:  # the engine ends: all three may have run
             writer.close()
         answers = {(await client.answer())[:2] for _ in range(3)}
@@ -157,56 +157,57 @@
 
 
 def test_a_request_under_way_keeps_its_class_and_a_new_one_follows_the_new_effect() -> None:
-    """Danger: a request that came as safe is failed, or one that must not run twice is sent
+    """Prevents: a request that came as safe is failed, or one that must not run twice is sent
     again.
     """
-    safe, unsafe = query_class(), query_class(effect=api.Effect.NON_IDEMPOTENT)
+    safe = query_class()
+    unsafe = query_class(effect=api.Effect.NON_IDEMPOTENT)
     for before, after in ((safe, unsafe), (unsafe, safe)):
-        h = Harness(make_settings(before), entry(1))
-        h.arrive("old", estimate_ns=MS)
-        h.do(api.SettingsChanged(make_settings(after)))
-        h.arrive("new", estimate_ns=MS)
+        harness = Harness(make_settings(before), entry(1))
+        harness.arrive("old", estimate_ns=MS)
+        harness.do(api.SettingsChanged(make_settings(after)))
+        harness.arrive("new", estimate_ns=MS)
         for request, spec in (("old", before), ("new", after)):
-            h.end(request, api.AttemptResult.RESET, finished=False)
-            assert (api.Fail(request) in h.answers(request)) is (spec is unsafe)
-            assert spec is safe or len(h.sends(request)) == 1
+            harness.end(request, api.AttemptResult.RESET, finished=False)
+            assert (api.Fail(request) in harness.answers(request)) is (spec is unsafe)
+            assert spec is safe or len(harness.sends(request)) == 1
 
 
 def test_fewer_attempts_stop_further_ones_only_and_a_class_that_goes_ends_its_requests_well() -> (
     None
 ):
-    h = Harness(make_settings(), entry(1), entry(2))
-    h.arrive("r", estimate_ns=MS)
+    harness = Harness(make_settings(), entry(1), entry(2))
+    harness.arrive("r", estimate_ns=MS)
     limits = api.Limits(max_attempts=1, max_retry_after_ns=S)
-    h.do(api.SettingsChanged(make_settings(query_class("other"), limits=limits)))
-    h.end("r", api.AttemptResult.FULL)
-    assert len(h.sends("r")) == 1 and isinstance(h.answers("r")[0], api.Reject)
+    harness.do(api.SettingsChanged(make_settings(query_class("other"), limits=limits)))
+    harness.end("r", api.AttemptResult.FULL)
+    assert len(harness.sends("r")) == 1 and isinstance(harness.answers("r")[0], api.Reject)
     with pytest.raises(ValueError, match="class_name"):
-        h.arrive("s")
-    h.arrive("t", "other", estimate_ns=MS)
-    assert h.sends("t")
+        harness.arrive("s")
+    harness.arrive("t", "other", estimate_ns=MS)
+    assert harness.sends("t")
 
 
 def test_a_class_that_stays_keeps_what_was_learned_and_bounds_keep_their_place() -> None:
-    h = Harness(make_settings(tenants=(api.Tenant("a", 4.0),)), entry(1))
-    h.arrive("r", estimate_ns=100 * MS, tenant="a")
-    h.end("r", api.AttemptResult.SERVED, latency=300 * MS)
-    view, engine = h.controller.admission.classes.by_name["short"], h.controller.engines[1]
-    learned, bound, tokens = (
-        (view.log_bias, view.slowdown),
-        engine.bound,
-        h.controller.admission.quotas.buckets["a"].tokens,
-    )
+    harness = Harness(make_settings(tenants=(api.Tenant("a", 4.0),)), entry(1))
+    harness.arrive("r", estimate_ns=100 * MS, tenant="a")
+    harness.end("r", api.AttemptResult.SERVED, latency=300 * MS)
+    view = harness.controller.admission.classes.by_name["short"]
+    engine = harness.controller.engines[1]
+    learned = (view.log_bias, view.slowdown)
+    bound = engine.bound
+    tokens = harness.controller.admission.quotas.buckets["a"].tokens
     tenants = (api.Tenant("a", 4.0),)
-    h.do(
+    harness.do(
         api.SettingsChanged(
             make_settings(
                 query_class(), query_class("more", latency_objective_ns=S), tenants=tenants
             )
         )
     )
-    kept = h.controller.admission.classes.by_name["short"]
-    assert (kept.log_bias, kept.slowdown) == learned and h.controller.admission.quotas.buckets[
-        "a"
-    ].tokens == tokens
+    after_change = harness.controller.admission.classes.by_name["short"]
+    assert (
+        after_change.log_bias,
+        after_change.slowdown,
+    ) == learned and harness.controller.admission.quotas.buckets["a"].tokens == tokens
     assert engine.bound == 2 * bound  # the longest aim has doubled
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,50 +18,50 @@
 
 
 def test_hanging_attempt_is_answered_before_patience_ends() -> None:
-    h = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1))
-    h.arrive("r", patience=2 * S)
-    start = h.now
-    h.pass_time(3 * S)
-    times = [t for t, a in h.log if isinstance(a, api.Fail)]
+    harness = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1))
+    harness.arrive("r", patience=2 * S)
+    start = harness.now
+    harness.pass_time(3 * S)
+    times = [t for t, a in harness.log if isinstance(a, api.Fail)]
     assert len(times) == 1 and start + S < times[0] <= start + 2 * S
 
 
 def test_request_held_behind_a_key_is_answered() -> None:
-    h = Harness(
+    harness = Harness(
         make_settings(query_class(ordered_by_key=True, effect=api.Effect.NON_IDEMPOTENT)), entry(1)
     )
-    h.arrive("first", key="k", patience=5 * S)
-    h.arrive("held", key="k", patience=2 * S)
-    h.pass_time(2 * S)
-    assert not h.sends("held") and len(h.answers("held")) == 1
-    h.pass_time(4 * S)
-    assert len(h.answers("held")) == 1
+    harness.arrive("first", key="k", patience=5 * S)
+    harness.arrive("held", key="k", patience=2 * S)
+    harness.pass_time(2 * S)
+    assert not harness.sends("held") and len(harness.answers("held")) == 1
+    harness.pass_time(4 * S)
+    assert len(harness.answers("held")) == 1
 
 
 def test_used_up_patience_is_answered_at_once() -> None:
-    h = Harness(make_settings(query_class(ordered_by_key=True)), entry(1))
-    for i, patience in enumerate((0, -5, TICK)):
-        h.arrive(f"r{i}", patience=patience, key="k")
-        assert len(h.answers(f"r{i}")) == 1 and not h.sends(f"r{i}")
+    harness = Harness(make_settings(query_class(ordered_by_key=True)), entry(1))
+    for index, patience in enumerate((0, -5, TICK)):
+        harness.arrive(f"r{index}", patience=patience, key="k")
+        assert len(harness.answers(f"r{index}")) == 1 and not harness.sends(f"r{index}")
 
 
 def test_nothing_is_sent_after_the_final_answer() -> None:
-    h = Harness(make_settings(), entry(1), entry(2))
-    h.arrive("r", patience=S)
-    h.pass_time(2 * S)
-    assert len(h.answers("r")) == 1
-    sends = len(h.sends("r"))
-    h.end("r", api.AttemptResult.CONNECT_FAILED, finished=True)
-    h.do(api.RequestAbandoned("r"))
-    assert len(h.sends("r")) == sends and len(h.answers("r")) == 1
+    harness = Harness(make_settings(), entry(1), entry(2))
+    harness.arrive("r", patience=S)
+    harness.pass_time(2 * S)
+    assert len(harness.answers("r")) == 1
+    sends = len(harness.sends("r"))
+    harness.end("r", api.AttemptResult.CONNECT_FAILED, finished=True)
+    harness.do(api.RequestAbandoned("r"))
+    assert len(harness.sends("r")) == sends and len(harness.answers("r")) == 1
 
 
 def test_unknown_events_are_ignored() -> None:
-    h = Harness(make_settings(), entry(1))
-    assert h.do(api.RequestAbandoned("nobody")) == []
-    assert h.do(api.TimerFired(999)) == []
-    assert h.do(api.AttemptEnded("nobody", 0, 1, api.AttemptResult.SERVED, 1, True)) == []
-    assert h.do(api.AttemptProgress("nobody", 0, 1, api.ProgressKind.PROGRESS, 0.5)) == []
+    harness = Harness(make_settings(), entry(1))
+    assert harness.do(api.RequestAbandoned("nobody")) == []
+    assert harness.do(api.TimerFired(999)) == []
+    assert harness.do(api.AttemptEnded("nobody", 0, 1, api.AttemptResult.SERVED, 1, True)) == []
+    assert harness.do(api.AttemptProgress("nobody", 0, 1, api.ProgressKind.PROGRESS, 0.5)) == []
 
 
 # 2. No effect happens twice.
@@ -77,66 +77,70 @@
     ],
 )
 def test_unsafe_work_that_may_have_run_is_failed(result: api.AttemptResult) -> None:
-    h = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1), entry(2))
-    h.arrive("r")
-    h.end("r", result)
-    assert len(h.sends("r")) == 1
-    assert isinstance(h.answers("r")[0], api.Fail)
+    harness = Harness(
+        make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1), entry(2)
+    )
+    harness.arrive("r")
+    harness.end("r", result)
+    assert len(harness.sends("r")) == 1
+    assert isinstance(harness.answers("r")[0], api.Fail)
 
 
 @pytest.mark.parametrize(
     "result", [api.AttemptResult.FULL, api.AttemptResult.CONNECT_FAILED, api.AttemptResult.NOT_SENT]
 )
 def test_unsafe_work_that_never_ran_goes_on(result: api.AttemptResult) -> None:
-    h = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1), entry(2))
-    h.arrive("r")
-    h.end("r", result)
-    assert len(h.sends("r")) == 2
+    harness = Harness(
+        make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1), entry(2)
+    )
+    harness.arrive("r")
+    harness.end("r", result)
+    assert len(harness.sends("r")) == 2
 
 
 def test_unsafe_refusal_only_when_nothing_ran() -> None:
-    h = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)))
-    h.arrive("r")
-    assert isinstance(h.answers("r")[0], api.Reject)
+    harness = Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)))
+    harness.arrive("r")
+    assert isinstance(harness.answers("r")[0], api.Reject)
 
 
 def test_keyed_repeat_only_within_the_window_of_the_first_send() -> None:
-    h = Harness(make_settings(query_class(**KEYED)), entry(1), entry(2))
-    h.arrive("early")
-    h.now += S
-    h.end("early", api.AttemptResult.ERROR)
-    assert len(h.sends("early")) == 2
-    h.now += 2 * S + 500 * MS  # counted from the first send, not the last
-    h.end("early", api.AttemptResult.ERROR)
-    assert len(h.sends("early")) == 2 and isinstance(h.answers("early")[0], api.Reject)
+    harness = Harness(make_settings(query_class(**KEYED)), entry(1), entry(2))
+    harness.arrive("early")
+    harness.now += S
+    harness.end("early", api.AttemptResult.ERROR)
+    assert len(harness.sends("early")) == 2
+    harness.now += 2 * S + 500 * MS  # counted from the first send, not the last
+    harness.end("early", api.AttemptResult.ERROR)
+    assert len(harness.sends("early")) == 2 and isinstance(harness.answers("early")[0], api.Reject)
 
 
 @pytest.mark.parametrize("scope", [api.IdempotencyScope.ZONE, api.IdempotencyScope.CELL])
 def test_keyed_repeat_stays_in_its_group(scope: api.IdempotencyScope) -> None:
-    h = Harness(
+    harness = Harness(
         make_settings(query_class(idempotency_scope=scope, **KEYED)), entry(1, zone="a", cell=1)
     )
-    h.arrive("r")
-    h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(2, zone="b", cell=2),)))
-    h.do(
+    harness.arrive("r")
+    harness.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(2, zone="b", cell=2),)))
+    harness.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES, (entry(1, cell=1, state=api.EndpointState.DRAINING),)
         )
     )
-    h.end("r", api.AttemptResult.ERROR)
-    assert len(h.sends("r")) == 1
+    harness.end("r", api.AttemptResult.ERROR)
+    assert len(harness.sends("r")) == 1
     # a refusal is only allowed where the group is all
-    assert isinstance(h.answers("r")[0], api.Fail)
+    assert isinstance(harness.answers("r")[0], api.Fail)
 
 
 def test_never_two_attempts_at_once_without_leave() -> None:
-    h = Harness(make_settings(), entry(1), entry(2))
-    h.arrive("r", estimate_ns=10 * MS)
-    h.pass_time(4 * S)
-    assert len(h.sends("r")) == 1
-    assert api.CancelAttempt("r", 0) in [a for _, a in h.log]
-    h.end("r", api.AttemptResult.CANCELLED)
-    assert len(h.sends("r")) == 2
+    harness = Harness(make_settings(), entry(1), entry(2))
+    harness.arrive("r", estimate_ns=10 * MS)
+    harness.pass_time(4 * S)
+    assert len(harness.sends("r")) == 1
+    assert api.CancelAttempt("r", 0) in [a for _, a in harness.log]
+    harness.end("r", api.AttemptResult.CANCELLED)
+    assert len(harness.sends("r")) == 2
 
 
 # 3. Drains are kept.
@@ -144,27 +148,29 @@
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
 def test_no_send_once_told(state: api.EndpointState) -> None:
-    h = Harness(make_settings(query_class(ordered_by_key=True)), entry(1))
-    h.arrive("first", key="k")
-    h.arrive("held", key="k")
-    h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(1, state=state),)))
-    h.now += 2 * S
-    h.end("first", api.AttemptResult.CONNECT_FAILED)
-    h.arrive("new")
-    assert len(h.sends("first")) == 1 and not h.sends("held") and not h.sends("new")
-    assert len(h.answers("held")) == 1
+    harness = Harness(make_settings(query_class(ordered_by_key=True)), entry(1))
+    harness.arrive("first", key="k")
+    harness.arrive("held", key="k")
+    harness.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(1, state=state),)))
+    harness.now += 2 * S
+    harness.end("first", api.AttemptResult.CONNECT_FAILED)
+    harness.arrive("new")
+    assert (
+        len(harness.sends("first")) == 1 and not harness.sends("held") and not harness.sends("new")
+    )
+    assert len(harness.answers("held")) == 1
 
 
 def test_engine_missing_from_a_full_list_is_gone() -> None:
-    h = Harness(make_settings(), entry(1), entry(2))
-    h.arrive("busy")
-    h.do(api.EndpointListUpdate(api.ListUpdateKind.FULL, ()))
-    h.arrive("new")
-    assert not h.sends("new")
-    h.do(api.EndpointListUpdate(api.ListUpdateKind.FAILED))
-    h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(1), entry(1))))
-    h.arrive("again")
-    assert h.sends("again")[0].endpoint == 1
+    harness = Harness(make_settings(), entry(1), entry(2))
+    harness.arrive("busy")
+    harness.do(api.EndpointListUpdate(api.ListUpdateKind.FULL, ()))
+    harness.arrive("new")
+    assert not harness.sends("new")
+    harness.do(api.EndpointListUpdate(api.ListUpdateKind.FAILED))
+    harness.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(1), entry(1))))
+    harness.arrive("again")
+    assert harness.sends("again")[0].endpoint == 1
 
 
 # 4. A cold engine is not pushed over.
@@ -173,16 +179,16 @@
 @pytest.mark.parametrize("fleet_size", [1, 3])
 def test_cold_budget_over_any_window(fleet_size: int) -> None:
     settings = make_settings(fleet_size=fleet_size)
-    h = Harness(settings, entry(1, started_ns=99 * S))
+    harness = Harness(settings, entry(1, started_ns=99 * S))
     rules = settings.contract
     budget = rules.overload_multiple * 4 * rules.overload_window_ns / fleet_size
     sent: list[tuple[int, int]] = []
-    for i in range(400):
-        h.arrive(f"r{i}", estimate_ns=50 * MS)
-        if h.sends(f"r{i}"):
-            sent.append((h.now, 50 * MS))
-            h.end(f"r{i}", api.AttemptResult.SERVED, latency=50 * MS)
-        h.now += 10 * MS
+    for index in range(400):
+        harness.arrive(f"r{index}", estimate_ns=50 * MS)
+        if harness.sends(f"r{index}"):
+            sent.append((harness.now, 50 * MS))
+            harness.end(f"r{index}", api.AttemptResult.SERVED, latency=50 * MS)
+        harness.now += 10 * MS
     assert len(sent) > 5
     for t, _ in sent:
         within = sum(w for s, w in sent if t - rules.overload_window_ns < s <= t)
@@ -198,13 +204,15 @@
 
 
 def test_a_restart_is_seen_by_its_start_time() -> None:
-    h = Harness(make_settings(), entry(1))
-    h.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(1, started_ns=h.now - S),)))
-    h.arrive("large", estimate_ns=20 * S, patience=99 * S)
-    assert not h.sends("large")
-    h.now += 10 * S
-    h.arrive("later", estimate_ns=20 * S, patience=99 * S)
-    assert h.sends("later")
+    harness = Harness(make_settings(), entry(1))
+    harness.do(
+        api.EndpointListUpdate(api.ListUpdateKind.CHANGES, (entry(1, started_ns=harness.now - S),))
+    )
+    harness.arrive("large", estimate_ns=20 * S, patience=99 * S)
+    assert not harness.sends("large")
+    harness.now += 10 * S
+    harness.arrive("later", estimate_ns=20 * S, patience=99 * S)
+    assert harness.sends("later")
 
 
 # 5. Order is kept.
@@ -223,41 +231,46 @@
 
 
 def test_one_at_a_time_in_the_order_taken() -> None:
-    h = ordered()
+    harness = ordered()
     for name in ("a", "b", "c"):
-        h.arrive(name, key="k")
-    h.arrive("other", key="k2")
-    assert h.sends("a") and h.sends("other") and not h.sends("b") and not h.sends("c")
-    h.end("a", api.AttemptResult.SERVED)
-    assert h.sends("b") and not h.sends("c")
+        harness.arrive(name, key="k")
+    harness.arrive("other", key="k2")
+    assert (
+        harness.sends("a")
+        and harness.sends("other")
+        and not harness.sends("b")
+        and not harness.sends("c")
+    )
+    harness.end("a", api.AttemptResult.SERVED)
+    assert harness.sends("b") and not harness.sends("c")
 
 
 @pytest.mark.parametrize(
     "result", [api.AttemptResult.TIMEOUT, api.AttemptResult.RESET, api.AttemptResult.CANCELLED]
 )
 def test_departed_request_holds_its_key_until_outcome_and_rest(result: api.AttemptResult) -> None:
-    h = ordered()
-    h.arrive("a", key="k")
-    h.arrive("b", key="k")
-    h.do(api.RequestAbandoned("a"))
-    assert not h.sends("b")
-    h.end("a", result, finished=True)
-    assert not h.sends("b")
-    h.pass_time(299 * MS)
-    assert not h.sends("b")
-    h.pass_time(2 * MS)
-    assert h.sends("b")
+    harness = ordered()
+    harness.arrive("a", key="k")
+    harness.arrive("b", key="k")
+    harness.do(api.RequestAbandoned("a"))
+    assert not harness.sends("b")
+    harness.end("a", result, finished=True)
+    assert not harness.sends("b")
+    harness.pass_time(299 * MS)
+    assert not harness.sends("b")
+    harness.pass_time(2 * MS)
+    assert harness.sends("b")
 
 
 def test_a_key_left_empty_still_rests() -> None:
-    h = ordered()
-    h.arrive("a", key="k")
-    h.do(api.RequestAbandoned("a"))
-    h.end("a", api.AttemptResult.CANCELLED, finished=True)
-    h.arrive("b", key="k")
-    assert not h.sends("b")
-    h.pass_time(300 * MS)
-    assert h.sends("b")
+    harness = ordered()
+    harness.arrive("a", key="k")
+    harness.do(api.RequestAbandoned("a"))
+    harness.end("a", api.AttemptResult.CANCELLED, finished=True)
+    harness.arrive("b", key="k")
+    assert not harness.sends("b")
+    harness.pass_time(300 * MS)
+    assert harness.sends("b")
 
 
 # 6. Placement is kept.
@@ -265,33 +278,35 @@
 
 def test_placement_at_every_attempt() -> None:
     bound = query_class("bound", allowed_kinds=("big",))
-    h = Harness(make_settings(query_class(), bound), entry(1, kind="big"), entry(2))
-    h.arrive("r", "bound")
-    assert [s.endpoint for s in h.sends("r")] == [1]
-    h.end("r", api.AttemptResult.CONNECT_FAILED)
-    assert all(s.endpoint == 1 for s in h.sends("r"))
-    h.do(
+    harness = Harness(make_settings(query_class(), bound), entry(1, kind="big"), entry(2))
+    harness.arrive("r", "bound")
+    assert [s.endpoint for s in harness.sends("r")] == [1]
+    harness.end("r", api.AttemptResult.CONNECT_FAILED)
+    assert all(s.endpoint == 1 for s in harness.sends("r"))
+    harness.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES, (entry(1, kind="big", state=api.EndpointState.REMOVED),)
         )
     )
-    h.arrive("homeless", "bound")
-    assert not h.sends("homeless") and h.answers("homeless")
+    harness.arrive("homeless", "bound")
+    assert not harness.sends("homeless") and harness.answers("homeless")
 
 
 def test_the_budget_of_a_cold_engine_follows_its_warming() -> None:
-    """Danger: a release leaves engines half warm and idle while every request is refused; but no
-    window may hold more than a third of the contract of what it can do, however late the ramp
-    is.
+    """Prevents: a release leaves engines half warm and idle while every request is refused; but
+    no window may hold more than a third of the contract of what it can do, however late the
+    ramp is.
     """
     taken = []
     for age in (0, 5 * S, 9 * S):
-        h = Harness(make_settings(fleet_size=2), entry(1, started_ns=100 * S - age))
-        engine, rules = h.controller.engines[1], h.controller.active.contract
-        for i in range(2_000):
-            h.arrive(f"r{i}", estimate_ns=10 * MS)
-            h.end(f"r{i}", api.AttemptResult.SERVED, latency=10 * MS) if h.sends(f"r{i}") else None
-        taken.append(engine.warmup_work.at(h.now))
+        harness = Harness(make_settings(fleet_size=2), entry(1, started_ns=100 * S - age))
+        engine = harness.controller.engines[1]
+        rules = harness.controller.active.contract
+        for index in range(2_000):
+            harness.arrive(f"r{index}", estimate_ns=10 * MS)
+            if harness.sends(f"r{index}"):
+                harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
+        taken.append(engine.warmup_work.at(harness.now))
         assert (
             2 * taken[-1] <= rules.overload_multiple * engine.cores * rules.overload_window_ns / 3
         )
@@ -309,16 +324,18 @@
         retry_budget_free=1.0,
         retry_budget_ratio=0.25,
     )
-    h = Harness(dataclasses.replace(settings, contract=contract), *(entry(i) for i in range(12)))
-    for i in range(8):
-        h.arrive(f"r{i}", estimate_ns=10 * MS)
-        h.end(f"r{i}", api.AttemptResult.ERROR)
-    further = sum(len(h.sends(f"r{i}")) - 1 for i in range(8))
-    assert 0 < further <= 3
-    h.now += 3 * S
-    h.arrive("late", estimate_ns=10 * MS)
-    h.end("late", api.AttemptResult.ERROR)
-    assert len(h.sends("late")) == 2
+    harness = Harness(
+        dataclasses.replace(settings, contract=contract), *(entry(index) for index in range(12))
+    )
+    for index in range(8):
+        harness.arrive(f"r{index}", estimate_ns=10 * MS)
+        harness.end(f"r{index}", api.AttemptResult.ERROR)
+    retries = sum(len(harness.sends(f"r{index}")) - 1 for index in range(8))
+    assert 0 < retries <= 3
+    harness.now += 3 * S
+    harness.arrive("late", estimate_ns=10 * MS)
+    harness.end("late", api.AttemptResult.ERROR)
+    assert len(harness.sends("late")) == 2
 
 
 # Settings
@@ -345,39 +362,45 @@
 
 @pytest.mark.parametrize("estimate", [None, 0, -7])
 def test_no_estimate_is_the_class_mean(estimate: int | None) -> None:
-    h = Harness(make_settings(kind_cores=()), entry(1))
-    h.arrive("r", estimate_ns=estimate)
-    assert h.sends("r") and h.backlog() > 0
+    harness = Harness(make_settings(kind_cores=()), entry(1))
+    harness.arrive("r", estimate_ns=estimate)
+    assert harness.sends("r") and harness.backlog() > 0
 
 
 def test_a_long_key_queue_is_refused_without_deep_recursion() -> None:
-    """Danger: hundreds held behind one key, then no engine left: each refusal asks for the next."""
-    h = Harness(
+    """Prevents: hundreds held behind one key, then no engine left: each refusal asks for the
+    next.
+    """
+    harness = Harness(
         make_settings(
             query_class(ordered_by_key=True, latency_objective_ns=60 * S, deadline_ns=90 * S)
         ),
         entry(1),
     )
-    for i in range(600):
-        h.arrive(f"r{i}", key="k", estimate_ns=MS, patience=80 * S)
-    h.do(
+    for index in range(600):
+        harness.arrive(f"r{index}", key="k", estimate_ns=MS, patience=80 * S)
+    harness.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES, (entry(1, state=api.EndpointState.DRAINING),)
         )
     )
-    h.end("r0", api.AttemptResult.SERVED)
-    assert len(h.sends("r0")) == 1
-    assert all(len(h.answers(f"r{i}")) == 1 and not h.sends(f"r{i}") for i in range(1, 600))
+    harness.end("r0", api.AttemptResult.SERVED)
+    assert len(harness.sends("r0")) == 1
+    assert all(
+        len(harness.answers(f"r{index}")) == 1 and not harness.sends(f"r{index}")
+        for index in range(1, 600)
+    )
 
 
 def test_the_send_path_itself_keeps_the_order() -> None:
     """The queue serves its head only; the gate must refuse the others even if something else
     asks.
     """
-    h = ordered()
-    h.arrive("a", key="k")
-    h.arrive("b", key="k")
-    second, engine = h.controller.requests["b"], h.controller.engines[2]
-    assert not h.controller.selector.eligibility.allows(h.now, second, engine)
-    h.end("a", api.AttemptResult.SERVED)
-    assert len(h.sends("b")) == 1
+    harness = ordered()
+    harness.arrive("a", key="k")
+    harness.arrive("b", key="k")
+    second = harness.controller.requests["b"]
+    engine = harness.controller.engines[2]
+    assert not harness.controller.selector.eligibility.allows(harness.now, second, engine)
+    harness.end("a", api.AttemptResult.SERVED)
+    assert len(harness.sends("b")) == 1
