--- a/query_broker/dispatch/capacity.py
+++ b/query_broker/dispatch/capacity.py
@@ -6,7 +6,7 @@
 
 from ..config.reading import Config
 
-# Connections to endpoints that are kept whatever the limit: below that no retry finds another.
+# Connections to endpoints that are kept whatever the limit, so that a misconfigured process serves.
 MIN_ENDPOINT_CONNECTIONS = 4
 # Operators' calls at once. Their descriptors are reserved, so that a flood of clients does not keep
 # the operators out.
@@ -15,9 +15,9 @@
 # limit, within these bounds.
 MIN_RESERVED_DESCRIPTORS = 24
 MAX_RESERVED_DESCRIPTORS = 96
-# What the process takes with nothing in flight (measured), and some to spare.
+# What the process takes with nothing in flight, and some to spare.
 BASE_MEMORY_MB = 24
-# Memory for statements that is kept whatever the limit: two of the largest frames.
+# Memory for statements that is kept whatever the limit, so that a small process serves at all.
 MIN_STATEMENT_BYTES = 2 << 20
 BYTES_PER_MB_SHIFT = 20
 
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -37,12 +37,12 @@
 from .requests import ActiveRequest, Client
 from .validation import InvalidRequestError, ParsedRequest, RequestValidator
 
-# The pause for a client whose statement finds no memory.
+# The pause for a client whose statement finds no memory: time for open requests to end.
 NO_MEMORY_PAUSE_MS = 1_000
 # Attempts get connections of their own where a handshake costs at most this part of a request:
 # about one connection in a hundred ends together with what else is on it.
 MAX_HANDSHAKE_PRICE = 0.01
-# After this time nobody needs to know any more that an endpoint was re-enabled.
+# Ten minutes, after which it is of no use any more that an endpoint was re-enabled.
 REENABLED_KEPT_NS = 600_000 * NS_PER_MS
 # The endings by the statuses of `metrics`: success, overload, error.
 ENDING_OF_STATUS = (RequestEnding.SUCCESS, RequestEnding.OVERLOAD, RequestEnding.ERROR)
--- a/query_broker/dispatch/validation.py
+++ b/query_broker/dispatch/validation.py
@@ -12,10 +12,10 @@
 from ..decisions.facade import Effect, Settings
 from .request_table import RequestTable
 
-# The longest wait that a client may state: one hour, well above the deadline of any class.
+# The longest wait that a client may state: one hour. The deadline of its class bounds it further.
 MAX_TIMEOUT_MS = 3_600_000.0
-# The largest estimate of work (milliseconds) or memory (megabytes). Beyond it, sums in the
-# decisions would lose precision.
+# The largest estimate of work (milliseconds, nearly three hours) or memory (megabytes, ten
+# terabytes): a bound against nonsense, far above what one request may be given.
 MAX_ESTIMATE = 1e7
 # The protocol's names of the two estimates, which share one bound.
 ESTIMATE_FIELDS = "weight or ram"
