--- a/benchmarks/deadlines.py
+++ b/benchmarks/deadlines.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from query_broker.config.reading import parse
+from query_broker.config import parse
 from query_broker.emulator.clients import Asked, Book, Counter, quantile
 from query_broker.emulator.cluster import World, config, settings, tenants
 from query_broker.emulator.discovery_service import target
@@ -30,7 +30,7 @@
 from query_broker.server.node import Node
 
 from .cells import _ask_many
-from .harness import ROOT, Daemon, Figures, worktree
+from .harness import ROOT, Daemon, Figures, package_of, worktree
 
 MS = 1_000_000
 S = 1_000 * MS
@@ -38,7 +38,7 @@
 SEEDS = (101, 202, 303, 404)
 COPIES = """
 import sys, tracemalloc
-from larchhall.wire import resp
+from {module} import resp
 statement = b'x' * 200_000
 tracemalloc.start()
 made = getattr(resp, 'pieces', resp.encode)(b'do', b'1', b'limit=1', statement)
@@ -46,6 +46,10 @@
 """
 
 
+#: Where the encoder of engine lines stands, by the import package of a tree.
+RESP_MODULE = {"query_broker": "query_broker.protocols", "larchhall": "larchhall.wire"}
+
+
 class Erratic(asyncio.Protocol):
     """A connection to an engine that answers late, not at all, with errors, or stops reading for a
     while.
@@ -256,7 +260,7 @@
         node.log = node.dispatcher.log = node.dispatcher.pools.log = lambda kind, text: None  # type: ignore[assignment]
         known: dict[bytes, int] = {}
         late: list[bytes] = []
-        leave, begun = node.dispatcher.abandon, EngineConnection._begun
+        leave, begun = node.dispatcher.cancellations.abandon, EngineConnection._begun
 
         def leaves(request: Any, leave: Any = leave, known: Any = known) -> None:
             known[request.trace] = time.monotonic_ns()
@@ -273,7 +277,7 @@
                 late.append(about.request.trace)
             begun(self, about)
 
-        node.dispatcher.abandon = leaves  # type: ignore[method-assign]
+        node.dispatcher.cancellations.abandon = leaves  # type: ignore[method-assign]
         EngineConnection._begun = begins  # type: ignore[method-assign]
         running = asyncio.create_task(node.run())
         while node.server is None:
@@ -285,11 +289,11 @@
         for name in ("asked", "unanswered", "twice", "unsafe_twice", "departures"):
             setattr(total, name, getattr(total, name) + getattr(day, name))
         total.known_after += len(late)
-        taken = sum(node.dispatcher.tally.stopped.values())
+        taken = sum(node.dispatcher.deadline_controls.statistics.stopped.values())
         figures.tell(f"inside.seed_{seed}.taken_back_unsent", taken)
         figures.tell(
             f"inside.seed_{seed}.half_written_at_departure",
-            sum(node.dispatcher.tally.begun_after.values()),
+            sum(node.dispatcher.deadline_controls.statistics.begun_after.values()),
         )
         for _ in range(400):  # engines that never answer hold a request to its end
             if not node.dispatcher.requests:
@@ -327,7 +331,11 @@
         handed: dict[Any, int] = {}
         starts: dict[tuple[Any, bytes], int] = {}
         unsent: set[bytes] = set()
-        leave, write, do = node.dispatcher.abandon, EngineConnection._write, EngineConnection.do
+        leave, write, do = (
+            node.dispatcher.cancellations.abandon,
+            EngineConnection._write,
+            EngineConnection.do,
+        )
 
         def writes(
             self: Any, now: int, *parts: bytes, write: Any = write, handed: Any = handed
@@ -362,7 +370,7 @@
                     unsent.add(request.trace)
             leave(request)
 
-        node.dispatcher.abandon = leaves  # type: ignore[method-assign]
+        node.dispatcher.cancellations.abandon = leaves  # type: ignore[method-assign]
         EngineConnection._write = writes  # type: ignore[method-assign]
         EngineConnection.do = does  # type: ignore[method-assign]
         running = asyncio.create_task(node.run())
@@ -392,8 +400,14 @@
 
 
 async def before(figures: Figures, base: str, count: int) -> None:
-    """The same seeds with the program before."""
+    """The same seeds with the program before.
+
+    The harness and the program share one interpreter there, so that both need the same names.
+    """
     with worktree(base) as tree:
+        if package_of(tree) != "query_broker":
+            print(f"before: not measured, {base} is older than the package query_broker")
+            return
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
@@ -490,7 +504,7 @@
         copies = {
             name: int(
                 subprocess.run(
-                    [sys.executable, "-c", COPIES],
+                    [sys.executable, "-c", COPIES.format(module=RESP_MODULE[package_of(tree)])],
                     cwd=tree,
                     capture_output=True,
                     text=True,
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -13,22 +13,25 @@
 import msgspec
 import pytest
 
-from query_broker.membership import codec, messages
+from query_broker.membership import codec, keys, messages
 from query_broker.membership import incarnations as chain
 from query_broker.membership import member_table as table
-from query_broker.membership import service as joins
-from query_broker.membership.failure_detector import Detector
+from query_broker.membership.failure_detector import FailureDetector
+from query_broker.membership.member_record import MemberRecord
 from query_broker.membership.messages import Claim, Envelope, Identity, Message, Status
-from query_broker.membership.settings import MembersTerms
-from query_broker.outlier_consensus import observations as evidence
-from query_broker.outlier_consensus import overrides as words
-from query_broker.outlier_consensus.settings import VerdictTerms
-from query_broker.quotas import counters, leases
-from query_broker.quotas import messages as shares_messages
-from query_broker.quotas import service as shares_joins
+from query_broker.membership.settings import MembershipSettings
+from query_broker.membership.table_exchange import TableExchange
+from query_broker.membership.traffic import TrafficCounters
+from query_broker.outlier_consensus import messages as consensus_messages
+from query_broker.outlier_consensus import observations, overrides
+from query_broker.outlier_consensus import service as consensus_service
+from query_broker.outlier_consensus.settings import OutlierConsensusSettings
+from query_broker.quotas import counters, sharding
+from query_broker.quotas import messages as quota_messages
+from query_broker.quotas import service as quota_service
 
 S = 1_000_000_000
-RING = codec.read_keys("7 " + "ab" * 32)
+RING = keys.parse_keys("7 " + "ab" * 32)
 OWN_ID = Identity("10.0.0.1:7000", b"boot-of-one!")
 PEER_ID = Identity("10.0.0.2:7000", b"boot-of-two!")
 OWN = Claim(OWN_ID, 3, Status.ALIVE, b"proof-of-one", b"leave-of-one", "", 1, "zone-a")
@@ -84,7 +87,7 @@
         ),
     ),
     "indirect ping": (
-        messages.PingReq(7, PEER_ID, (PEER,)),
+        messages.IndirectPing(7, PEER_ID, (PEER,)),
         (
             b"lm\x01\x07\xbc\xfa\\\xce\xa1\x8f]\x88\x95O\xe9\xaej\xc5"
             b"\xe2\x84\x95\xa7atlanta\xc4\x0cboot-"
@@ -171,7 +174,7 @@
         ),
     ),
     "talk": (
-        messages.Talk("limits", b"\x92\x05\x90"),
+        messages.TopicMessage("limits", b"\x92\x05\x90"),
         (
             b"lm\x01\x07\xd9\xd9\xdb\xb3%\xd8\x02\xfcO\xa2e_\xa32"
             b"_\x1b\x95\xa7atlanta\xc4\x0cboot-"
@@ -189,7 +192,7 @@
 @pytest.mark.parametrize(("message", "expected"), DATAGRAMS.values(), ids=DATAGRAMS)
 def test_datagram_is_written_and_read_byte_for_byte(message: Message, expected: bytes) -> None:
     writer = fresh_codec()
-    writer.count = 299
+    writer.sequence = 299
     assert writer.write(PEER_ID, OWN, message) == expected
     envelope = fresh_codec().read(expected)
     assert envelope == Envelope("atlanta", b"boot-of-two!", 300, OWN, message)
@@ -215,7 +218,7 @@
         (Status.SUSPECT, 1),
         (Status.DEAD, 2),
         (Status.LEFT, 3),
-        (Status.HEARD, 4),
+        (Status.EVIDENCE, 4),
     ],
 )
 def test_status_in_a_claim(status: Status, number: int) -> None:
@@ -231,21 +234,21 @@
 
 
 def test_keyed_hash_of_a_datagram() -> None:
-    mac = codec.seal(b"k" * 32, b"head", b"body")
+    mac = codec.message_mac(b"k" * 32, b"head", b"body")
     assert mac.hex() == "71b21e06030c3bc1ea09ddce053fd75c"
 
 
 def test_hashes_of_an_incarnation_chain() -> None:
-    assert chain.step(b"value").hex() == "f6600599a22a873939fece88"
-    assert chain.identity(b"top", b"leave").hex() == "d7c1b6d8c1adf0586c9a30a8"
+    assert chain.next_hash(b"value").hex() == "f6600599a22a873939fece88"
+    assert chain.boot_identifier(b"top", b"leave").hex() == "d7c1b6d8c1adf0586c9a30a8"
 
 
 def test_chain_of_a_fixed_seed() -> None:
-    own = chain.Chain(b"a fixed seed")
+    own = chain.IncarnationChain(b"a fixed seed")
     assert own.boot.hex() == "6c09ff287564cd133fee5830"
     assert own.top.hex() == "87b1e71fd0f130fc53ce26b1"
-    assert own.secret.hex() == "57c32af884470490331b26b2"
-    assert own.leave.hex() == "5a4846142897b028f28d4ed6"
+    assert own.leave_secret.hex() == "57c32af884470490331b26b2"
+    assert own.leave_commitment.hex() == "5a4846142897b028f28d4ed6"
     proofs = [own.proof(number).hex() for number in (0, 1, 128, 16_384)]
     assert proofs == [
         "87b1e71fd0f130fc53ce26b1",
@@ -256,29 +259,29 @@
     boot = bytes.fromhex("6c09ff287564cd133fee5830")
     proof = bytes.fromhex("bfa10ae07fe9e66d5d7d8d7d")
     leave = bytes.fromhex("5a4846142897b028f28d4ed6")
-    assert chain.proven(boot, 128, proof, leave, None)
+    assert chain.is_proven(boot, 128, proof, leave, None)
 
 
 def test_digest_of_a_view_does_not_depend_on_the_order() -> None:
     expected = "f5b0718a950d5a5c"
-    assert table.digest([OWN_ID, PEER_ID]).hex() == expected
-    assert table.digest([PEER_ID, OWN_ID]).hex() == expected
-    assert table.digest([]).hex() == "e4a6a0577479b2b4"
+    assert table.view_digest([OWN_ID, PEER_ID]).hex() == expected
+    assert table.view_digest([PEER_ID, OWN_ID]).hex() == expected
+    assert table.view_digest([]).hex() == "e4a6a0577479b2b4"
 
 
 def test_name_of_a_process() -> None:
-    assert messages.name_of(OWN_ID) == "10.0.0.1:7000/626f6f742d6f662d6f6e6521"
+    assert messages.process_name(OWN_ID) == "10.0.0.1:7000/626f6f742d6f662d6f6e6521"
 
 
 # --- a complete table, over TCP ---
 
 
-def membership() -> joins.Membership:
-    """As much of a membership as the exchange of tables needs; it opens no socket."""
-    terms = MembersTerms(installation="atlanta")
-    own = chain.Chain(b"a fixed seed")
-    detector = Detector(OWN_ID.address, terms, own, random.Random(1), 0, 1, "zone-a")
-    detector.table[PEER_ID] = table.Peer(
+def exchange() -> TableExchange:
+    """The exchange of tables of one member; it opens no socket."""
+    settings = MembershipSettings(installation="atlanta")
+    own = chain.IncarnationChain(b"a fixed seed")
+    detector = FailureDetector(OWN_ID.address, settings, own, random.Random(1), 0, 1, "zone-a")
+    detector.table.records[PEER_ID] = MemberRecord(
         PEER_ID,
         258,
         b"proof-of-two",
@@ -290,10 +293,8 @@
         2,
         "10.0.0.3:7000",
     )
-    made = joins.Membership.__new__(joins.Membership)
-    made.detector, made.codec, made.bytes = detector, fresh_codec(), {"in": 0, "out": 0}
-    made.node = cast(Any, SimpleNamespace(clock=SimpleNamespace(now=lambda: 0)))
-    return made
+    host = cast(Any, SimpleNamespace(now_ns=lambda: 0))
+    return TableExchange(detector, fresh_codec(), TrafficCounters(), host)
 
 
 FRAMES: dict[str, tuple[bool, bool, bytes]] = {
@@ -339,56 +340,58 @@
 def test_table_frame_is_written_and_read_byte_for_byte(
     ask: bool, claims: bool, expected: bytes
 ) -> None:
-    sender, written = membership(), list[bytes]()
-    sender._write_frame(
-        cast(Any, SimpleNamespace(write=written.append)), sender._whole(ask, claims)
+    sender, written = exchange(), list[bytes]()
+    sender.write_frame(
+        cast(Any, SimpleNamespace(write=written.append)), sender.table_message(ask, claims)
     )
     assert written == [expected]
 
     async def read() -> messages.Sync:
         reader = asyncio.StreamReader()
         reader.feed_data(expected)
-        return await membership()._read_frame(reader)
+        return await exchange().read_frame(reader)
 
     sync = asyncio.run(read())
     assert sync.digest.hex() == "02fd620c68e08ee4"
-    assert (sync.ask, len(sync.claims)) == (ask, 2 if claims else 0)
+    assert (sync.is_request, len(sync.claims)) == (ask, 2 if claims else 0)
     if claims:
-        assert sync.claims[1] == msgspec.structs.replace(PEER, count=0)
+        assert sync.claims[1] == msgspec.structs.replace(PEER, sequence=0)
 
 
 # --- limits: leases and counters ---
 
-LIMITS: dict[str, tuple[shares_messages.Body, bytes]] = {
+LIMITS: dict[str, tuple[quota_messages.QuotaMessage, bytes]] = {
     "home asks": (
-        shares_messages.HomeAsk(9, ((3, 2, True), (5, 1, False))),
+        quota_messages.VoteRequest(9, ((3, 2, True), (5, 1, False))),
         b"\x93\x01\t\x92\x93\x03\x02\xc3\x93\x05\x01\xc2",
     ),
     "promise": (
-        shares_messages.Promise(9, (3,), ((5, 4),)),
+        quota_messages.VoteResponse(9, (3,), ((5, 4),)),
         b"\x94\x02\t\x91\x03\x91\x92\x05\x04",
     ),
-    "promise, short": (shares_messages.Promise(9, ()), b"\x94\x02\t\x90\x90"),
+    "promise, short": (quota_messages.VoteResponse(9, ()), b"\x94\x02\t\x90\x90"),
     "lease asked": (
-        shares_messages.LeaseAsk(10, (shares_messages.Want("acme", 12.5, 4.0, 77, 2),)),
+        quota_messages.LeaseRequest(10, (quota_messages.LeaseDemand("acme", 12.5, 4.0, 77, 2),)),
         (
             b"\x93\x03\n\x91\x95\xa4acme\xcb@)\x00\x00\x00\x00\x00"
             b"\x00\xcb@\x10\x00\x00\x00\x00\x00\x00M\x02"
         ),
     ),
     "lease given back": (
-        shares_messages.LeaseAsk(11, (shares_messages.Want("acme", -1.0, 0.0, 0, -1),)),
+        quota_messages.LeaseRequest(11, (quota_messages.LeaseDemand("acme", -1.0, 0.0, 0, -1),)),
         (
             b"\x93\x03\x0b\x91\x95\xa4acme\xcb\xbf\xf0\x00\x00\x00\x00\x00"
             b"\x00\xcb\x00\x00\x00\x00\x00\x00\x00\x00\x00\xff"
         ),
     ),
     "lease granted": (
-        shares_messages.LeaseGrant(10, (shares_messages.Granted("acme", 8.25, 78, 2),)),
+        quota_messages.LeaseResponse(10, (quota_messages.Grant("acme", 8.25, 78, 2),)),
         (b"\x93\x04\n\x91\x94\xa4acme\xcb@ \x80\x00\x00\x00\x00" b"\x00N\x02"),
     ),
     "counters": (
-        shares_messages.Rows((shares_messages.Row("a:1/ff", 6, 250, (("further", 1.5),)),)),
+        quota_messages.UsageReports(
+            (quota_messages.UsageReport("a:1/ff", 6, 250, (("further", 1.5),)),)
+        ),
         (
             b"\x92\x05\x91\x94\xa6a:1/ff\x06\xcc\xfa\x91\x92\xa7f"
             b"urther\xcb?\xf8\x00\x00\x00\x00\x00\x00"
@@ -399,17 +402,19 @@
 
 @pytest.mark.parametrize(("message", "expected"), LIMITS.values(), ids=LIMITS)
 def test_limit_message_is_written_and_read_byte_for_byte(
-    message: shares_messages.Body, expected: bytes
+    message: quota_messages.QuotaMessage, expected: bytes
 ) -> None:
     assert msgspec.msgpack.encode(message) == expected
-    decoder: msgspec.msgpack.Decoder[shares_messages.Body] = msgspec.msgpack.Decoder(
-        shares_messages.Body
+    decoder: msgspec.msgpack.Decoder[quota_messages.QuotaMessage] = msgspec.msgpack.Decoder(
+        quota_messages.QuotaMessage
     )
     assert decoder.decode(expected) == message
 
 
 def test_every_message_type_of_the_limits_is_pinned() -> None:
-    assert {type(message) for message, _ in LIMITS.values()} == set(shares_messages.Body.__args__)
+    assert {type(message) for message, _ in LIMITS.values()} == set(
+        quota_messages.QuotaMessage.__args__
+    )
 
 
 class Recorder:
@@ -420,7 +425,7 @@
         self.name = "a:1/ff"
         self.detector = SimpleNamespace(draw=random.Random(1))
 
-    def talk(self, topic: str, name: str, body: bytes) -> None:
+    def send(self, topic: str, name: str, body: bytes) -> None:
         self.said.append((topic, name, body))
 
     def flush(self) -> None:
@@ -431,17 +436,19 @@
 
 
 def test_limits_are_said_under_their_topic() -> None:
-    sharing = shares_joins.Sharing.__new__(shares_joins.Sharing)
+    service = quota_service.QuotaService.__new__(quota_service.QuotaService)
     recorder = Recorder()
-    sharing.membership, sharing.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
-    sharing.leases = cast(Any, SimpleNamespace(out=[("b:1/ee", shares_messages.Promise(9, (3,)))]))
-    sharing._send()
+    service.membership, service.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
+    service.leases = cast(
+        Any, SimpleNamespace(outbox=[("b:1/ee", quota_messages.VoteResponse(9, (3,)))])
+    )
+    service._send()
     assert recorder.said == [("limits", "b:1/ee", b"\x94\x02\x09\x91\x03\x90")]
 
 
 def test_row_of_own_counters_as_a_round_says_it() -> None:
-    own = counters.Counters("a:1/ff", S, lambda: 0.0)
-    told = own.round(5 * S, {"further": 1.5, "connects": 0.25}, ["a:1/ff", "b:1/ee"])
+    own = counters.UsageCounters("a:1/ff", S, lambda: 0.0)
+    told = own.next_round(5 * S, {"further": 1.5, "connects": 0.25}, ["a:1/ff", "b:1/ee"])
     assert [(name, msgspec.msgpack.encode(rows)) for name, rows in told] == [
         (
             "b:1/ee",
@@ -459,22 +466,32 @@
     [("acme", 6), ("further", 6), ("work", 5), ("zürich", 7), ("", 1)],
 )
 def test_shard_of_a_limit(limit: str, shard: int) -> None:
-    assert leases.shard_of(limit) == shard
+    assert sharding.shard_of(limit) == shard
 
 
 def test_home_of_each_shard() -> None:
     members = ("10.0.0.1:7000/aa", "10.0.0.2:7000/bb", "10.0.0.3:7000/cc")
-    homes = [members.index(leases.home_of(shard, members)) for shard in range(8)]
+    homes = [members.index(sharding.preferred_leader(shard, members)) for shard in range(8)]
     assert homes == [0, 2, 0, 2, 0, 0, 1, 0]
-    assert leases.home_of(0, ()) == ""
+    assert sharding.preferred_leader(0, ()) == ""
 
 
 # --- verdicts: evidence and operators' words ---
 
-ENGINE = evidence.Engine("s-1", 1_700_000_000_123)
-VERDICTS: dict[str, tuple[evidence.Report | evidence.Reports | words.Words, bytes]] = {
+ENGINE = consensus_messages.Endpoint("s-1", 1_700_000_000_123)
+VERDICTS: dict[
+    str,
+    tuple[
+        consensus_messages.ObserverReport
+        | consensus_messages.ObserverReports
+        | consensus_messages.OverrideBatch,
+        bytes,
+    ],
+] = {
     "report": (
-        evidence.Report("a:1/ff", "zone-a", 4, 90, (evidence.Seen(ENGINE, 3, 1, 20, -1),)),
+        consensus_messages.ObserverReport(
+            "a:1/ff", "zone-a", 4, 90, (consensus_messages.Observation(ENGINE, 3, 1, 20, -1),)
+        ),
         (
             b"\x96\x01\xa6a:1/ff\xa6zone-a\x04Z"
             b"\x91\x95\x92\xa3s-1\xcf\x00\x00\x01\x8b\xcf\xe5h{\x03\x01"
@@ -482,16 +499,18 @@
         ),
     ),
     "reports": (
-        evidence.Reports((evidence.Report("a:1/ff", "zone-a", 4, 90, ()),)),
+        consensus_messages.ObserverReports(
+            (consensus_messages.ObserverReport("a:1/ff", "zone-a", 4, 90, ()),)
+        ),
         (b"\x92\x02\x91\x96\x01\xa6a:1/ff\xa6zone-" b"a\x04Z\x90"),
     ),
     "operators' words": (
-        words.Words(
+        consensus_messages.OverrideBatch(
             b"digest-8",
             (
-                words.Word("s-1", "out", 1, "a:1"),
-                words.Word("s-1", "back", 2, "b:1", (1, "a:1")),
-                words.Word("s-2", "pinned", 300, "a:1", (299, "b:1")),
+                consensus_messages.Override("s-1", "out", 1, "a:1"),
+                consensus_messages.Override("s-1", "back", 2, "b:1", (1, "a:1")),
+                consensus_messages.Override("s-2", "pinned", 300, "a:1", (299, "b:1")),
             ),
         ),
         (
@@ -503,7 +522,7 @@
         ),
     ),
     "operators' words, an answer": (
-        words.Words(b"digest-8", (), True),
+        consensus_messages.OverrideBatch(b"digest-8", (), True),
         b"\x94\x03\xc4\x08digest-8\x90\xc3",
     ),
 }
@@ -511,35 +530,40 @@
 
 @pytest.mark.parametrize(("message", "expected"), VERDICTS.values(), ids=VERDICTS)
 def test_verdict_message_is_written_and_read_byte_for_byte(
-    message: evidence.Report | evidence.Reports | words.Words, expected: bytes
+    message: consensus_messages.ObserverReport
+    | consensus_messages.ObserverReports
+    | consensus_messages.OverrideBatch,
+    expected: bytes,
 ) -> None:
     assert msgspec.msgpack.encode(message) == expected
     assert msgspec.msgpack.decode(expected, type=type(message)) == message
 
 
 def test_values_of_operators_words() -> None:
-    assert words.VALUES == ("out", "back", "pinned")
+    assert overrides.OVERRIDE_VALUES == ("out", "back", "pinned")
 
 
 def test_digest_of_operators_words() -> None:
-    book = words.Wordbook("a:1")
+    book = overrides.OverrideStore("a:1")
     assert book.digest().hex() == "e4a6a0577479b2b4"
-    book.say("s-2", "pinned", 3)
-    book.say("s-1", "out", 3)
-    book.say("s-1", "back", 3)
+    book.set("s-2", "pinned", 3)
+    book.set("s-1", "out", 3)
+    book.set("s-1", "back", 3)
     assert book.digest().hex() == "dadad5f89d9d21c6"
 
 
 def test_a_round_of_verdicts_says_rows_and_words_under_its_topic() -> None:
-    judging = shares_joins.Judging.__new__(shares_joins.Judging)
+    gossip = consensus_service.ConsensusGossip.__new__(consensus_service.ConsensusGossip)
     recorder, now = Recorder(), 100 * S
-    judging.membership, judging.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
-    judging.evidence = evidence.Evidence("a:1/ff", "zone-a", VerdictTerms())
-    judging.evidence.outcome(now - S, ENGINE, False)
-    judging.evidence.outcome(now - S // 2, ENGINE, True)
-    judging.book = words.Wordbook("a:1")
-    judging.book.say("s-1", "out", 1)
-    judging._tell(now)
+    gossip.membership, gossip.encoder = cast(Any, recorder), msgspec.msgpack.Encoder()
+    gossip.observations = observations.ObservationStore(
+        "a:1/ff", "zone-a", OutlierConsensusSettings()
+    )
+    gossip.observations.record(now - S, ENGINE, False)
+    gossip.observations.record(now - S // 2, ENGINE, True)
+    gossip.overrides = overrides.OverrideStore("a:1")
+    gossip.overrides.set("s-1", "out", 1)
+    gossip.send_round(now)
     assert recorder.said == [
         (
             "verdicts",
--- a/tests/test_sockets_engine.py
+++ b/tests/test_sockets_engine.py
@@ -9,8 +9,9 @@
 import pytest
 
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.dispatcher import Dispatcher, ParsedRequest
+from query_broker.dispatch.dispatcher import Dispatcher
 from query_broker.dispatch.requests import ActiveRequest, Attempt
+from query_broker.dispatch.validation import ParsedRequest
 from query_broker.endpoints import connection_choice
 from query_broker.endpoints import connection_pool as pools
 from query_broker.protocols import client_frames as frames
@@ -369,11 +370,11 @@
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         broker = rig.node.dispatcher
         known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
-        broker._probe(broker.now(), broker.endpoint_table.number("s-1"))
+        broker.health_checks.start(broker.now(), broker.endpoint_table.number("s-1"))
         await until(lambda: known.report)
         assert known.report is not None
         assert (known.report.queue, known.report.memory, known.report.disk) == (2.0, 0.25, 0.5)
-        assert not broker.probing
+        assert not broker.health_checks.pending
         client = await rig.client()
         client.ask(patience="150", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
@@ -434,7 +435,7 @@
         def fault(now: int) -> None:
             raise ZeroDivisionError
 
-        facade.controller.timers[-1] = (fault, ())
+        facade.controller.orders.timers[-1] = (fault, ())
         client.ask(patience="300")
         await until(lambda: engine.words(b"do"))
         facade.due.append(-1)
@@ -457,6 +458,9 @@
     def failed(self, stream: int, reason: str) -> None:
         self.answers.append("failed")
 
+    def unread(self) -> int:
+        return 0
+
 
 @on_uvloop
 async def test_a_connect_that_news_overtook_takes_nothing_to_whoever_listens_there_now() -> None:
@@ -554,7 +558,7 @@
     async with running(config) as rig:
         broker = rig.node.dispatcher
         known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
-        broker.facade.controller._suspect(broker.now(), known, True)
+        broker.facade.controller.outliers.set_ejected(broker.now(), known, True)
         await until(lambda: engine.words(b"top") and not known.suspect)
 
 
