--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -71,7 +71,7 @@
         self.retry_budget.apply_settings()
 
     def set_accepting_processes(self, accepting_processes: int) -> None:
-        """Divide the tenants' quotas by the processes of this broker that accept requests."""
+        """Divide the tenants' quotas among the processes of this broker that accept requests."""
         self.quotas.accepting_processes = accepting_processes
 
     def end_period(self) -> None:
--- a/query_broker/decisions/endpoint_pool.py
+++ b/query_broker/decisions/endpoint_pool.py
@@ -23,7 +23,7 @@
 from .tracked_endpoint import NO_OUTSTANDING_WORK, TrackedEndpoint
 
 # Wanted mean delay of the pool, in latency objectives: an overrun by all brokers together shows
-# itself late, so the pool aims lower than an endpoint does.
+# itself late, so the pool's objective is below that of an endpoint.
 POOL_DELAY_OBJECTIVE = 0.5
 # Threads a core of the pool's quota; below an endpoint's, since the pool does not see what runs on
 # after its time is up.
--- a/query_broker/decisions/outlier_detection.py
+++ b/query_broker/decisions/outlier_detection.py
@@ -15,7 +15,6 @@
     AttemptEnded,
     AttemptProgress,
     AttemptResult,
-    EndpointEntry,
     HealthCheckResult,
 )
 from .open_requests import Request
@@ -27,7 +26,7 @@
 
 # Weight of one outcome in the fading fractions of failures and errors.
 FAILURE_LEARNING_RATE = 0.2
-# More failures than one reset adds: a second one soon after it shows a dead process.
+# Failure fraction above what one reset adds; a second one soon after shows a dead process.
 SINGLE_RESET = 0.3
 # An endpoint that owes answers and gives none for this multiple of the shortest objective is out.
 SILENCE_MULTIPLE = 1.0
@@ -103,7 +102,7 @@
         if not self.pool.large_fleet:
             return own
         groups = self.group_failures
-        entry: EndpointEntry = endpoint.entry
+        entry = endpoint.entry
         return max(own, groups.get(entry.zone, 0.0), groups.get(entry.kind, 0.0))
 
     def set_ejected(self, now: int, endpoint: TrackedEndpoint, ejected: bool) -> None:
