--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -5,17 +5,16 @@
 import asyncio
 from typing import Protocol, cast
 
-from ..dispatch.dispatcher import Dispatcher, InvalidRequestError, ParsedRequest, read_number
+from ..dispatch.dispatcher import Dispatcher, InvalidRequestError
 from ..dispatch.requests import ActiveRequest
 from ..timer_wheel import Timer
 from . import client_frames as frames
+from .client_request import parse_request
 from .socket_state import has_ended, has_input
-from .statement import table_group
 
 MOST_OPEN = 32
 # bytes waiting for a slow reader; past this its requests are not read any more
 HIGH_WATER = 256 * 1024
-MOST_TRACE = 16
 S = 1_000_000_000
 FIRST = 2 * S  # ns from connecting in which a whole frame must be here
 WHOLE = 2 * S  # ns from a frame's first byte to its last, where nothing else is open
@@ -26,7 +25,6 @@
 AHEAD = 64 * 1024  # bytes that are read on for departures where what came before waits for its turn
 SKIMMED = 2_048  # frames looked at for departures in a turn
 MOST_AHEAD = 4 * MOST_OPEN  # requests of which a departure is heard before they are taken
-HEX = frozenset("0123456789abcdefABCDEF")
 
 
 class Front(Protocol):
@@ -42,37 +40,6 @@
     def went(self, connection: ClientConnection) -> None: ...
 
 
-def read_ask(payload: bytes) -> ParsedRequest:
-    """A request's fields and statement; Unusable says which field cannot be used."""
-    fields, statement = frames.read_fields(payload)
-    for name in ("route", "trace", "patience"):
-        if not fields.get(name):
-            raise InvalidRequestError(f"{name}: is missing")
-    trace = fields["trace"]
-    if len(trace) != MOST_TRACE or not HEX.issuperset(trace):
-        raise InvalidRequestError("trace: is not 16 hex digits")
-    try:
-        statement.decode()
-    except UnicodeDecodeError:
-        raise InvalidRequestError("the statement is no text") from None
-    if not statement.strip() or b"\0" in statement:
-        raise InvalidRequestError("the statement is empty or no text")
-    if fields.get("redo", "1") not in ("0", "1"):
-        raise InvalidRequestError("redo: is neither 1 nor absent")
-    return ParsedRequest(
-        class_name=fields["route"],
-        client_request_id=trace,
-        tenant=fields.get("customer"),
-        timeout_ms=read_number(fields["patience"], "patience"),
-        estimate_ms=read_number(fields.get("weight", "0"), "weight"),
-        memory_mb=read_number(fields.get("ram", "0"), "ram"),
-        is_retry=fields.get("redo") == "1",
-        data_set=table_group(statement),
-        statement=statement,
-        idempotency_key=fields.get("nonce"),
-    )
-
-
 class ClientConnection(asyncio.Protocol):
     def __init__(self, front: Front) -> None:
         self.front = front
@@ -117,7 +84,7 @@
                 self.transport.pause_reading()
             return
         self.used = self.front.dispatcher.now()
-        if not self.parser.held():
+        if not self.parser.buffered():
             self.begun = self.used
         self.parser.feed(data)
         self._hear_departures() if self.reading_on else self._read_on()
@@ -126,7 +93,7 @@
             self._break("no room for more frames that are not whole")
 
     def _count_partial(self) -> None:
-        held = self.parser.held()
+        held = self.parser.buffered()
         self.front.partial += held - self.partial
         self.partial = held
 
@@ -222,7 +189,10 @@
         full = (
             not self.broken
             and bool(self.reading_on or self.paused_at)
-            and (self.parser.held() > AHEAD or self.front.partial > self.front.dispatcher.room // 2)
+            and (
+                self.parser.buffered() > AHEAD
+                or self.front.partial > self.front.dispatcher.room // 2
+            )
         )
         if full:
             self.transport.pause_reading()
@@ -242,7 +212,7 @@
         if (
             self.front.dispatcher.terms.half_close != "answer"
             or self.broken
-            or self.parser.held()
+            or self.parser.buffered()
             and not waits
         ):
             # Danger: where answers are still unread the loss of the connection is told only after
@@ -255,7 +225,7 @@
         return True
 
     def _end_if_answered(self) -> None:
-        if self.half_closed and not self.open and not self.parser.held():
+        if self.half_closed and not self.open and not self.parser.buffered():
             self.let_go()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -279,13 +249,13 @@
         # before.
         if self.open or self.unread() or self.reading_on or self.fd >= 0 and has_input(self.fd):
             due = now + WHOLE
-        elif self.parser.held():
+        elif self.parser.buffered():
             due = self.begun + WHOLE
         else:
             due = self.used + IDLE if self.spoken else self.begun + FIRST
         if due > now:
             self.timer = self.front.dispatcher.wheel.at(due, self._look)
-        elif self.spoken and not self.parser.held():
+        elif self.spoken and not self.parser.buffered():
             self.let_go()
         else:
             self._break("no whole frame in time")
@@ -320,7 +290,7 @@
         if stream in self.dropped:
             return
         try:
-            ask = read_ask(payload)
+            ask = parse_request(payload)
             if ask.client_request_id in self.recent:
                 # Danger: the same frame hundreds of times over would take a tenant's share from its
                 # others.
--- /dev/null
+++ b/query_broker/protocols/client_request.py
@@ -0,0 +1,73 @@
+"""A client's request: its fields and statement, read into a `ParsedRequest`. Performs no I/O.
+
+The names of the fields are the wire's, and stand here alone; error texts repeat them, since they
+are what the client knows.
+"""
+
+from __future__ import annotations
+
+from ..dispatch.dispatcher import InvalidRequestError, ParsedRequest, read_number
+from .client_frames import read_fields
+from .statement import table_group
+
+# Fields of the wire, by the terms of this program.
+FIELD_CLASS_NAME = "route"
+FIELD_CLIENT_REQUEST_ID = "trace"
+FIELD_TENANT = "customer"
+FIELD_TIMEOUT_MS = "patience"
+FIELD_ESTIMATE_MS = "weight"
+FIELD_MEMORY_MB = "ram"
+FIELD_IS_RETRY = "redo"
+FIELD_IDEMPOTENCY_KEY = "nonce"
+
+REQUIRED_FIELDS = (FIELD_CLASS_NAME, FIELD_CLIENT_REQUEST_ID, FIELD_TIMEOUT_MS)
+# Digits of a request id: 64 bits in hexadecimal.
+REQUEST_ID_DIGITS = 16
+HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
+
+
+def parse_request(payload: bytes) -> ParsedRequest:
+    """Read the payload of a request frame.
+
+    Raises:
+        BadFrame: the fields cannot be read at all.
+        InvalidRequestError: a field, or the statement, cannot be used; the text says which.
+    """
+    fields, statement = read_fields(payload)
+    for name in REQUIRED_FIELDS:
+        if not fields.get(name):
+            raise _unusable_field(name, "is missing")
+    request_id = fields[FIELD_CLIENT_REQUEST_ID]
+    if len(request_id) != REQUEST_ID_DIGITS or not HEX_DIGITS.issuperset(request_id):
+        raise _unusable_field(FIELD_CLIENT_REQUEST_ID, "is not 16 hex digits")
+    _check_statement(statement)
+    if fields.get(FIELD_IS_RETRY, "1") not in ("0", "1"):
+        raise _unusable_field(FIELD_IS_RETRY, "is neither 1 nor absent")
+    return ParsedRequest(
+        class_name=fields[FIELD_CLASS_NAME],
+        client_request_id=request_id,
+        tenant=fields.get(FIELD_TENANT),
+        timeout_ms=read_number(fields[FIELD_TIMEOUT_MS], FIELD_TIMEOUT_MS),
+        estimate_ms=read_number(fields.get(FIELD_ESTIMATE_MS, "0"), FIELD_ESTIMATE_MS),
+        memory_mb=read_number(fields.get(FIELD_MEMORY_MB, "0"), FIELD_MEMORY_MB),
+        is_retry=fields.get(FIELD_IS_RETRY) == "1",
+        data_set=table_group(statement),
+        statement=statement,
+        idempotency_key=fields.get(FIELD_IDEMPOTENCY_KEY),
+    )
+
+
+def _unusable_field(name: str, problem: str) -> InvalidRequestError:
+    return InvalidRequestError(f"{name}: {problem}")
+
+
+def _check_statement(statement: bytes) -> None:
+    """An engine would take a NUL for the statement's end."""
+    try:
+        statement.decode()
+    except UnicodeDecodeError:
+        reason = "the statement is no text"
+        raise InvalidRequestError(reason) from None
+    if not statement.strip() or b"\0" in statement:
+        reason = "the statement is empty or no text"
+        raise InvalidRequestError(reason)
--- /dev/null
+++ b/query_broker/protocols/errors.py
@@ -0,0 +1,7 @@
+"""The base of all errors that are raised for bytes no protocol allows."""
+
+from __future__ import annotations
+
+
+class ProtocolError(Exception):
+    """Bytes that a peer may not send; the text says what is wrong with them."""
--- /dev/null
+++ b/query_broker/protocols/operator_answers.py
@@ -0,0 +1,65 @@
+"""The answers to the operators' HTTP calls, and how they are encoded. Performs no I/O."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from .errors import ProtocolError
+
+TEXT = "text/plain; charset=utf-8"
+# The content type of Prometheus' text format.
+METRICS = "text/plain; version=0.0.4; charset=utf-8"
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
+
+
+class HttpAnswer(NamedTuple):
+    """One answer. ``allow`` is the method that the path allows; empty: no such header."""
+
+    status: int
+    body: bytes
+    content_type: str = TEXT
+    allow: str = ""
+
+
+class OperatorCallError(ProtocolError):
+    """The call cannot be done: the status says why."""
+
+    def __init__(self, status: int, text: str, allow: str = "") -> None:
+        """Take the text of the answer, and the method that the path would allow."""
+        super().__init__(text)
+        self.status = status
+        self.allow = allow
+
+    def answer(self) -> HttpAnswer:
+        """Return the answer that says so."""
+        return text_answer(self.status, str(self), self.allow)
+
+
+def text_answer(status: int, text: str, allow: str = "") -> HttpAnswer:
+    """Return an answer of one line of text."""
+    return HttpAnswer(status, f"{text}\n".encode(), TEXT, allow)
+
+
+def encode_answer(answer: HttpAnswer) -> bytes:
+    """Encode one complete answer, after which the connection ends."""
+    lines = [
+        f"HTTP/1.1 {answer.status} {REASONS[answer.status]}",
+        f"Content-Type: {answer.content_type}",
+        f"Content-Length: {len(answer.body)}",
+        "Connection: close",
+    ]
+    if answer.allow:
+        lines.append(f"Allow: {answer.allow}")
+    head = "\r\n".join([*lines, "", ""])
+    return head.encode() + answer.body
--- /dev/null
+++ b/query_broker/protocols/operator_calls.py
@@ -0,0 +1,74 @@
+"""Which operators' calls there are, and how each is answered. Performs no I/O."""
+
+from __future__ import annotations
+
+from typing import Protocol
+from urllib.parse import unquote_to_bytes
+
+from .operator_answers import METRICS, HttpAnswer, OperatorCallError, text_answer
+
+READY_PATH = "/ready"
+METRICS_PATH = "/metrics"
+# An endpoint's id follows these.
+DISABLE = "/data-engines/disable/"
+ENABLE = "/data-engines/enable/"
+
+
+class OperatorActions(Protocol):
+    """What the calls do."""
+
+    def ready(self) -> bool:
+        """Return whether clients are served."""
+
+    def metrics(self) -> bytes:
+        """Return all metrics in Prometheus' text format."""
+
+    def set_engine(self, uid: str, out: bool) -> bool:
+        """Disable (``out``) or re-enable an endpoint by hand; return whether it is known."""
+
+    def other(self, method: str, path: str) -> tuple[int, bytes, str, str] | None:
+        """Answer a call of another subsystem, or return None if there is no such call.
+
+        The answer is a status, a body, its content type and the allowed method.
+        """
+
+
+def answer_call(actions: OperatorActions, method: str, path: str) -> HttpAnswer:
+    """Carry out a call, and return its answer.
+
+    Raises:
+        OperatorCallError: there is no such call, or it cannot be done.
+    """
+    other = actions.other(method, path)
+    if other is not None:
+        return HttpAnswer(*other)
+    is_endpoint_call = path.startswith((DISABLE, ENABLE))
+    if not is_endpoint_call and path not in (READY_PATH, METRICS_PATH):
+        text = "no such call"
+        raise OperatorCallError(404, text)
+    allowed = "POST" if is_endpoint_call else "GET"
+    if method != allowed:
+        text = f"this call is a {allowed}"
+        raise OperatorCallError(405, text, allowed)
+    if path == METRICS_PATH:
+        return HttpAnswer(200, actions.metrics(), METRICS)
+    if is_endpoint_call:
+        return _set_endpoint(actions, path)
+    if not actions.ready():
+        text = "not ready"
+        raise OperatorCallError(503, text)
+    return text_answer(200, "ready")
+
+
+def _set_endpoint(actions: OperatorActions, path: str) -> HttpAnswer:
+    disable = path.startswith(DISABLE)
+    prefix = DISABLE if disable else ENABLE
+    try:
+        uid = unquote_to_bytes(path.removeprefix(prefix)).decode()
+    except UnicodeDecodeError:
+        text = "the id is no text"
+        raise OperatorCallError(400, text) from None
+    if not actions.set_engine(uid, out=disable):
+        text = "no data engine has this id"
+        raise OperatorCallError(404, text)
+    return text_answer(200, "done")
--- a/query_broker/protocols/resp.py
+++ b/query_broker/protocols/resp.py
@@ -1,106 +1,167 @@
-"""The engines' RESP: arrays of bulk strings, and the `name=value` fields within. Knows no
-socket.
+"""The data engines' RESP: arrays of bulk strings, and the ``name=value`` fields within them.
+
+Performs no I/O.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from typing import NamedTuple
+
+from .errors import ProtocolError
 
-MOST_BULK = 48_000  # the largest result, were it one page
+# Bytes of one bulk string: the largest result, were it one page.
+MOST_BULK = 48_000
+# Elements of an array: id, kind, fields and body.
 MOST_PARTS = 4
+# Bytes of a line that holds a length; what is longer has no end.
 MOST_LINE = 32
-SMALL = 4_096  # bytes up to which a copy costs less than a piece of its own
+# Bytes up to which copying a part costs less than a piece of its own in a vectored write.
+SMALL = 4_096
+# Stands in place of fields where there are none.
+NO_FIELDS = "-"
+# Characters of a peer's text that an error text repeats.
+QUOTED_LENGTH = 80
+
+
+class BadAnswer(ProtocolError):  # noqa: N818  # other folders catch it by this name
+    """Bytes that hold no RESP array; nothing after them on this connection can be trusted."""
+
+
+class LengthLine(NamedTuple):
+    """A line such as ``*4`` or ``$17``: its number, and where the next line begins."""
+
+    value: int
+    end: int
 
 
-class BadAnswer(Exception):
-    """Bytes that keep no RESP array; nothing after them on this connection can be trusted."""
+class ParsedArray(NamedTuple):
+    """One complete array, and where in the buffer the next one begins."""
+
+    parts: list[bytes]
+    end: int
+
+
+def _bulk_string(part: bytes) -> bytes:
+    return b"$%d\r\n%b\r\n" % (len(part), part)
 
 
 def encode(*parts: bytes) -> bytes:
-    return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)
+    """Encode one array of bulk strings."""
+    return b"*%d\r\n" % len(parts) + b"".join(map(_bulk_string, parts))
 
 
 def pieces(*parts: bytes) -> tuple[bytes, ...]:
-    """The same bytes with the last part in a piece of its own: a large statement is not copied."""
+    """Encode one array, with a large last part in a piece of its own.
+
+    Joined, the pieces are what `encode` returns; a large statement is not copied.
+    """
     *most, last = parts
-    head = b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in most)
+    head = b"".join(map(_bulk_string, most))
     if len(last) < SMALL:
         return (b"*%d\r\n%b$%d\r\n%b\r\n" % (len(parts), head, len(last), last),)
     return b"*%d\r\n%b$%d\r\n" % (len(parts), head, len(last)), last, b"\r\n"
 
 
 class RespParser:
-    """Takes bytes as they come; gives whole arrays, also those before a malformed one."""
+    """Takes bytes as they come; returns complete arrays, also those before a malformed one."""
 
     def __init__(self) -> None:
+        """Begin at the start of a connection."""
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
+        """Add bytes, and yield the arrays that are complete with them.
+
+        Raises:
+            BadAnswer: what comes next is no array of bulk strings within the bounds.
+        """
         self.buffer += data
         at = 0
-        while (read := self._array(at)) is not None:
-            parts, at = read
-            yield parts
+        while (array := self._array(at)) is not None:
+            at = array.end
+            yield array.parts
         del self.buffer[:at]
 
-    def _number(self, at: int, sign: bytes, most: int) -> tuple[int, int] | None:
-        """The number of a line such as `*4` or `$17`, and where the next line begins."""
+    def _length_line(self, at: int, sign: bytes, most: int) -> LengthLine | None:
+        """Read a line such as ``*4`` or ``$17``; None until it is complete."""
         buffer = self.buffer
         if at >= len(buffer):
             return None
         if buffer[at] != sign[0]:
-            raise BadAnswer(f"{bytes(buffer[at:at + 1])!r} stands where {sign!r} must")
+            reason = f"{bytes(buffer[at : at + 1])!r} stands where {sign!r} must"
+            raise BadAnswer(reason)
         end = buffer.find(b"\r\n", at, at + MOST_LINE)
         if end < 0:
             if len(buffer) - at >= MOST_LINE:
-                raise BadAnswer("a length without its end")
+                reason = "a length without its end"
+                raise BadAnswer(reason)
             return None
         digits = bytes(buffer[at + 1 : end])
         if not digits.isdigit() or int(digits) > most:
-            raise BadAnswer(f"{digits!r} is no length up to {most}")
-        return int(digits), end + 2
+            reason = f"{digits!r} is no length up to {most}"
+            raise BadAnswer(reason)
+        return LengthLine(int(digits), end + 2)
 
-    def _array(self, at: int) -> tuple[list[bytes], int] | None:
-        head = self._number(at, b"*", MOST_PARTS)
+    def _array(self, at: int) -> ParsedArray | None:
+        """Read the array that begins here; None until it is complete."""
+        head = self._length_line(at, b"*", MOST_PARTS)
         if head is None:
             return None
-        count, at = head
+        at = head.end
         parts: list[bytes] = []
-        for _ in range(count):
-            size = self._number(at, b"$", MOST_BULK)
+        for _ in range(head.value):
+            size = self._length_line(at, b"$", MOST_BULK)
             if size is None:
                 return None
-            length, at = size
-            if len(self.buffer) < at + length + 2:
+            end = size.end + size.value
+            if len(self.buffer) < end + 2:
                 return None
-            if self.buffer[at + length : at + length + 2] != b"\r\n":
-                raise BadAnswer("a bulk string runs past its length")
-            parts.append(bytes(self.buffer[at : at + length]))
-            at += length + 2
-        return parts, at
+            if self.buffer[end : end + 2] != b"\r\n":
+                reason = "a bulk string runs past its length"
+                raise BadAnswer(reason)
+            parts.append(bytes(self.buffer[size.end : end]))
+            at = end + 2
+        return ParsedArray(parts, at)
 
 
 def read_pairs(raw: bytes, between: str = ",", equals: str = "=") -> dict[str, str]:
-    """`name=value,name=value`, or `-` for none."""
+    """Read fields such as ``name=value,name=value``, or ``-`` for none.
+
+    Raises:
+        BadAnswer: no UTF-8, or a part without a name or without the sign between.
+    """
     try:
         text = raw.decode()
     except UnicodeDecodeError:
-        raise BadAnswer("fields that are no text") from None
-    if text in ("-", ""):
+        reason = "fields that are no text"
+        raise BadAnswer(reason) from None
+    if text in (NO_FIELDS, ""):
         return {}
-    pairs = [part.partition(equals) for part in text.split(between)]
-    if any(not name or sign != equals for name, sign, _ in pairs):
-        raise BadAnswer(f"{text[:80]!r} is no list of name{equals}value")
-    return {name: value for name, _, value in pairs}
+    fields: dict[str, str] = {}
+    for part in text.split(between):
+        name, sign, value = part.partition(equals)
+        if not name or sign != equals:
+            reason = f"{text[:QUOTED_LENGTH]!r} is no list of name{equals}value"
+            raise BadAnswer(reason)
+        fields[name] = value
+    return fields
 
 
 def write_pairs(pairs: dict[str, object]) -> bytes:
-    return ",".join(f"{name}={value}" for name, value in pairs.items()).encode() or b"-"
+    """Encode fields; the counterpart of `read_pairs` with its default signs."""
+    text = ",".join(f"{name}={value}" for name, value in pairs.items())
+    return text.encode() or NO_FIELDS.encode()
 
 
 def read_meter(raw: str) -> dict[str, float]:
-    """A load report, `inflight:7;util:0.61`."""
+    """Read a load report, such as ``inflight:7;util:0.61``.
+
+    Raises:
+        BadAnswer: it is no list of ``name:value``, or a value is no number.
+    """
     try:
         return {name: float(value) for name, value in read_pairs(raw.encode(), ";", ":").items()}
     except ValueError:
-        raise BadAnswer(f"meter {raw[:80]!r} holds no numbers") from None
+        reason = f"meter {raw[:QUOTED_LENGTH]!r} holds no numbers"
+        raise BadAnswer(reason) from None
--- a/query_broker/protocols/statement.py
+++ b/query_broker/protocols/statement.py
@@ -1,4 +1,4 @@
-"""Which group of tables a statement reads or writes."""
+"""Which group of tables a statement reads or writes. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -13,18 +13,30 @@
     re.X | re.S,
 )
 _GROUP = re.compile(rb"[A-Za-z]\w*_(\d{1,9})\Z")
+# A schema that loads write through; the group is that of another name in the statement.
+_STAGING = b"staging"
+# What stands for a statement that names no group.
+NO_GROUP = -1
 
 
 def table_group(statement: bytes) -> int:
-    """The number behind the underscore of the schema's name; -1 where there is none."""
+    """Return the number behind the underscore of the schema's name, or `NO_GROUP`."""
     for match in _TOKEN.finditer(statement):
-        schema = (
-            match["bare"]
-            or (match["dot"] and match["quoted"])
-            or (match["tick_dot"] and match["ticked"])
-        )
-        if not schema or schema.lower() == b"staging":
+        schema = _schema_of(match)
+        if not schema or schema.lower() == _STAGING:
             continue
-        if (group := _GROUP.match(schema)) is not None:
+        group = _GROUP.match(schema)
+        if group is not None:
             return int(group[1])
-    return -1
+    return NO_GROUP
+
+
+def _schema_of(match: re.Match[bytes]) -> bytes | None:
+    """Return the schema's name that a token holds, if it is one."""
+    if match["bare"]:
+        return match["bare"]
+    if match["dot"] and match["quoted"]:
+        return match["quoted"]
+    if match["tick_dot"]:
+        return match["ticked"]
+    return None
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -28,7 +28,7 @@
 from query_broker.endpoints.connection_pools import ConnectionPool
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
-from query_broker.protocols.client_connection import read_ask
+from query_broker.protocols.client_request import parse_request
 from query_broker.protocols.engine_connection import EngineConnection
 from query_broker.timer_wheel import Clock
 
@@ -110,7 +110,7 @@
 @given(TEXT)
 def test_any_key_is_told_byte_for_byte(key: str) -> None:
     fields = {"route": "load", "trace": "9" * 16, "patience": "9", "nonce": key}
-    ask = read_ask(frames.write_fields(fields) + STATEMENT)
+    ask = parse_request(frames.write_fields(fields) + STATEMENT)
     told = resp.write_pairs({"cls": "load", "limit": 5, "nonce": ask.idempotency_key, "level": 1})
     assert resp.read_pairs(told) == {"cls": "load", "limit": "5", "nonce": key, "level": "1"}
 
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -28,7 +28,7 @@
 from query_broker.outlier_consensus.observations import Engine as JudgedEngine
 from query_broker.outlier_consensus.observations import Kind, Verdict
 from query_broker.outlier_consensus.overrides import VALUES
-from query_broker.protocols.operator_http import REASONS
+from query_broker.protocols.operator_answers import REASONS
 from query_broker.quotas.leases import Lease
 from query_broker.server.log import Log
 from query_broker.server.structured_log import Lines, story
--- a/tests/test_wire_tables.py
+++ b/tests/test_wire_tables.py
@@ -13,7 +13,7 @@
 from query_broker.discovery import event_codec as bus
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
-from query_broker.protocols.client_connection import read_ask
+from query_broker.protocols.client_request import parse_request
 from query_broker.protocols.statement import table_group
 
 from .sockets import TRACE, event, target
@@ -163,7 +163,7 @@
         **changes,
     }
     with pytest.raises(Exception) as caught:
-        read_ask(
+        parse_request(
             frames.write_fields({k: v for k, v in base.items() if v is not None}) + b"SELECT 1"
         )
     assert type(caught.value).__name__ == "InvalidRequestError" and next(iter(changes)) in str(
