--- a/query_broker/protocols/resp.py
+++ b/query_broker/protocols/resp.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import NamedTuple
 
 from .errors import ProtocolError
 
@@ -28,20 +27,6 @@
     """Bytes that hold no RESP array; nothing after them on this connection can be trusted."""
 
 
-class LengthLine(NamedTuple):
-    """A line such as ``*4`` or ``$17``: its number, and where the next line begins."""
-
-    value: int
-    end: int
-
-
-class ParsedArray(NamedTuple):
-    """One complete array, and where in the buffer the next one begins."""
-
-    parts: list[bytes]
-    end: int
-
-
 def _bulk_string(part: bytes) -> bytes:
     return b"$%d\r\n%b\r\n" % (len(part), part)
 
@@ -64,11 +49,16 @@
 
 
 class RespParser:
-    """Takes bytes as they come; returns complete arrays, also those before a malformed one."""
+    """Takes bytes as they come; returns complete arrays, also those before a malformed one.
+
+    ``at`` is where the next line begins while arrays are read; ``buffer`` begins with the first
+    array that is not complete yet.
+    """
 
     def __init__(self) -> None:
         """Begin at the start of a connection."""
         self.buffer = bytearray()
+        self.at = 0
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
         """Add bytes, and yield the arrays that are complete with them.
@@ -77,15 +67,17 @@
             BadAnswer: what comes next is no array of bulk strings within the bounds.
         """
         self.buffer += data
-        at = 0
-        while (array := self._array(at)) is not None:
-            at = array.end
-            yield array.parts
-        del self.buffer[:at]
-
-    def _length_line(self, at: int, sign: bytes, most: int) -> LengthLine | None:
+        self.at = 0
+        end = 0
+        while (parts := self._array()) is not None:
+            end = self.at
+            yield parts
+        del self.buffer[:end]
+
+    def _length(self, sign: bytes, most: int) -> int | None:
         """Read a line such as ``*4`` or ``$17``; None until it is complete."""
         buffer = self.buffer
+        at = self.at
         if at >= len(buffer):
             return None
         if buffer[at] != sign[0]:
@@ -101,28 +93,30 @@
         if not digits.isdigit() or int(digits) > most:
             reason = f"{digits!r} is no length up to {most}"
             raise BadAnswer(reason)
-        return LengthLine(int(digits), end + 2)
+        self.at = end + 2
+        return int(digits)
 
-    def _array(self, at: int) -> ParsedArray | None:
-        """Read the array that begins here; None until it is complete."""
-        head = self._length_line(at, b"*", MOST_PARTS)
-        if head is None:
+    def _array(self) -> list[bytes] | None:
+        """Read the array that begins at the cursor; None until it is complete."""
+        count = self._length(b"*", MOST_PARTS)
+        if count is None:
             return None
-        at = head.end
+        buffer = self.buffer
         parts: list[bytes] = []
-        for _ in range(head.value):
-            size = self._length_line(at, b"$", MOST_BULK)
+        for _ in range(count):
+            size = self._length(b"$", MOST_BULK)
             if size is None:
                 return None
-            end = size.end + size.value
-            if len(self.buffer) < end + 2:
+            begin = self.at
+            end = begin + size
+            if len(buffer) < end + 2:
                 return None
-            if self.buffer[end : end + 2] != b"\r\n":
+            if buffer[end : end + 2] != b"\r\n":
                 reason = "a bulk string runs past its length"
                 raise BadAnswer(reason)
-            parts.append(bytes(self.buffer[size.end : end]))
-            at = end + 2
-        return ParsedArray(parts, at)
+            parts.append(bytes(buffer[begin:end]))
+            self.at = end + 2
+        return parts
 
 
 def read_pairs(raw: bytes, between: str = ",", equals: str = "=") -> dict[str, str]:
