--- a/benchmarks/deadlines.py
+++ b/benchmarks/deadlines.py
@@ -27,6 +27,7 @@
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.engine_connection import EngineConnection
+from query_broker.protocols.engine_writer import EngineWriter
 from query_broker.server.node import Node
 
 from .cells import _ask_many
@@ -260,14 +261,14 @@
         node.log = node.dispatcher.log = node.dispatcher.pools.log = lambda kind, text: None  # type: ignore[assignment]
         known: dict[bytes, int] = {}
         late: list[bytes] = []
-        leave, begun = node.dispatcher.abandon, EngineConnection._begun
+        leave, begun = node.dispatcher.abandon, EngineWriter._write_started
 
         def leaves(request: Any, leave: Any = leave, known: Any = known) -> None:
             known[request.trace] = time.monotonic_ns()
             leave(request)
 
         def begins(
-            self: EngineConnection,
+            self: EngineWriter,
             about: Any,
             known: Any = known,
             late: Any = late,
@@ -278,14 +279,14 @@
             begun(self, about)
 
         node.dispatcher.abandon = leaves  # type: ignore[method-assign]
-        EngineConnection._begun = begins  # type: ignore[method-assign]
+        EngineWriter._write_started = begins  # type: ignore[method-assign]
         running = asyncio.create_task(node.run())
         while node.server is None:
             await asyncio.sleep(0.01)
         day = await _play(
             int(node.server.sockets[0].getsockname()[1]), engines, seed, count // len(SEEDS)
         )
-        EngineConnection._begun = begun  # type: ignore[method-assign]
+        EngineWriter._write_started = begun  # type: ignore[method-assign]
         for name in ("asked", "unanswered", "twice", "unsafe_twice", "departures"):
             setattr(total, name, getattr(total, name) + getattr(day, name))
         total.known_after += len(late)
@@ -331,7 +332,10 @@
         handed: dict[Any, int] = {}
         starts: dict[tuple[Any, bytes], int] = {}
         unsent: set[bytes] = set()
-        leave, write, do = node.dispatcher.abandon, EngineConnection._write, EngineConnection.do
+        connection_class: Any = EngineConnection  # the earlier program's, with its names
+        leave = node.dispatcher.abandon
+        write = connection_class._write
+        do = connection_class.do
 
         def writes(
             self: Any, now: int, *parts: bytes, write: Any = write, handed: Any = handed
@@ -367,15 +371,16 @@
             leave(request)
 
         node.dispatcher.abandon = leaves  # type: ignore[method-assign]
-        EngineConnection._write = writes  # type: ignore[method-assign]
-        EngineConnection.do = does  # type: ignore[method-assign]
+        connection_class._write = writes
+        connection_class.do = does
         running = asyncio.create_task(node.run())
         while node.server is None:
             await asyncio.sleep(0.01)
         day = await _play(
             int(node.server.sockets[0].getsockname()[1]), engines, seed, count // len(SEEDS)
         )
-        EngineConnection._write, EngineConnection.do = write, do  # type: ignore[method-assign]
+        connection_class._write = write
+        connection_class.do = do
         found["departures"] += day.departures
         found["unsent_at_departure"] += len(unsent)
         found["begun_after_departure"] += len(unsent & {id for e in engines for _, id in e.begun})
--- /dev/null
+++ b/query_broker/protocols/engine_answers.py
@@ -0,0 +1,208 @@
+"""What a data engine answers on one connection: pages are put together, the rest is passed on."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from typing import Protocol
+
+from ..decisions.facade import AttemptResult, ProgressKind
+from ..dispatch.requests import Attempt
+from . import engine_messages as messages
+from . import resp
+from .engine_cancellations import EngineCancellations
+from .engine_writer import EngineWriter
+
+
+class AnswerObserver(Protocol):
+    """Who is notified of answers. ``meter`` is the answer's load report, empty if it has none."""
+
+    def whole(self, attempt: Attempt, meter: str) -> None:
+        """Take an attempt's complete result: every page is in ``attempt.pages``."""
+
+    def ended(self, attempt: Attempt, result: AttemptResult, meter: str) -> None:
+        """Take note that an attempt has ended without a result."""
+
+    def noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
+        """Take note of the progress of an attempt that goes on."""
+
+    def probed(self, tag: bytes, result: AttemptResult, meter: str) -> None:
+        """Take note of the answer to a health check."""
+
+    def late(self, attempt: Attempt, meter: str) -> None:
+        """Take note of the answer to an attempt that had been reported before."""
+
+
+class OpenOnConnection(Protocol):
+    """What is open on a connection: attempts by request id, health checks by tag."""
+
+    in_flight: dict[bytes, Attempt]
+    probes: set[bytes]
+
+
+class EngineAnswers:
+    """Assigns each answer to what it answers, and assembles results of several pages.
+
+    An attempt leaves ``in_flight`` with its last answer, also where nobody waits for it any more.
+    """
+
+    def __init__(
+        self,
+        connection: OpenOnConnection,
+        observer: AnswerObserver,
+        writer: EngineWriter,
+        cancellations: EngineCancellations,
+        used_elsewhere: Callable[[bytes], bool],
+    ) -> None:
+        """Take the connection's other parts.
+
+        ``used_elsewhere`` says whether the same request id has lately gone to the same engine on
+        another connection too.
+        """
+        self.connection = connection
+        self.observer = observer
+        self.writer = writer
+        self.cancellations = cancellations
+        self.used_elsewhere = used_elsewhere
+
+    def take(self, parts: list[bytes], now: int) -> None:
+        """Take one answer, which has come at ``now``.
+
+        Raises:
+            BadAnswer: no answer of the protocol, or not one to what was sent.
+        """
+        answer = messages.read_answer(parts)
+        tag = answer.tag
+        kind = answer.kind
+        if kind == messages.PROGRESS:
+            self._take_progress(answer)
+            return
+        fields = resp.read_pairs(answer.raw_fields)
+        meter = fields.get(messages.FIELD_LOAD_REPORT, "")
+        if kind in messages.HEALTH:
+            self._take_health(tag, messages.HEALTH[kind], meter)
+            return
+        if kind not in messages.ANSWERS_TO_ATTEMPTS:
+            reason = f"unknown word {kind[: messages.QUOTED_KIND_LENGTH]!r}"
+            raise resp.BadAnswer(reason)
+        attempt = self.connection.in_flight.get(tag)
+        if attempt is None:
+            # The same answer once more, or more than was requested: it belongs to nothing that is
+            # open here. Or it crossed the cancellation.
+            self.cancellations.answered(tag)
+        elif kind == messages.SERVED:
+            self._take_first_page(attempt, tag, fields, answer.body, now)
+        elif kind == messages.PAGE:
+            self._take_page(attempt, tag, fields, answer.body, now)
+        else:
+            # A page that its engine lost also ends here: it may have run, and is no short result.
+            result = AttemptResult.ERROR if attempt.pages else messages.FAILURES[kind]
+            self._conclude(tag, attempt, result, meter)
+
+    def _take_health(self, tag: bytes, result: AttemptResult, meter: str) -> None:
+        if tag in self.connection.probes:
+            self.connection.probes.discard(tag)
+            self.observer.probed(tag, result, meter)
+
+    def _take_progress(self, answer: messages.EngineAnswer) -> None:
+        """The frame is complete, so that nothing behind it is lost.
+
+        A note that can't be read, or of an attempt that is over or cancelled, therefore ends
+        nothing.
+        """
+        attempt = self.connection.in_flight.get(answer.tag)
+        if attempt is None or attempt.reported:
+            return
+        try:
+            fields = resp.read_pairs(answer.raw_fields)
+            amount = float(fields.get(messages.FIELD_PROGRESS_AMOUNT, "0"))
+        except (resp.BadAnswer, ValueError):
+            return
+        kind = messages.PROGRESS_KINDS.get(fields.get(messages.FIELD_PROGRESS_KIND, ""))
+        if kind is not None and math.isfinite(amount):
+            self.observer.noted(attempt, kind, amount)
+
+    def _take_first_page(
+        self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now: int
+    ) -> None:
+        """Page 0 says how many there are; the others are fetched."""
+        if attempt.pages:
+            return  # the same answer once more
+        meter = fields.get(messages.FIELD_LOAD_REPORT, "")
+        page_count = messages.read_count(
+            fields.get(messages.FIELD_PAGE_COUNT, "1"), messages.FIELD_PAGE_COUNT
+        )
+        messages.check_rows(body)
+        if not attempt.wanted():
+            # Answered elsewhere, timed out, or the client left: the pages behind this one are not
+            # wanted.
+            if page_count > 1:
+                self.writer.send_command(now, messages.FORGET, tag)
+            self._conclude(tag, attempt, AttemptResult.SERVED, meter)
+            return
+        attempt.answered_ns = now
+        attempt.pages = [body, *([None] * (page_count - 1))]
+        attempt.missing = max(0, page_count - 1)
+        if attempt.missing == 0:
+            del self.connection.in_flight[tag]
+            self.observer.whole(attempt, meter)
+        elif self.used_elsewhere(tag):
+            self._give_up_mixed_pages(tag, attempt, meter, now)
+        else:
+            for number in range(1, page_count):
+                self.writer.send_command(now, messages.FETCH_PAGE, tag, b"%d" % number)
+
+    def _take_page(
+        self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now: int
+    ) -> None:
+        meter = fields.get(messages.FIELD_LOAD_REPORT, "")
+        number = messages.read_count(
+            fields.get(messages.FIELD_PAGE_NUMBER, ""), messages.FIELD_PAGE_NUMBER
+        )
+        if not attempt.pages or not 0 < number < len(attempt.pages):
+            if not attempt.reported:
+                reason = f"page {number} was not asked for"
+                raise resp.BadAnswer(reason)
+            return
+        messages.check_rows(body)
+        if not attempt.wanted():
+            self.writer.send_command(now, messages.FORGET, tag)
+            self._conclude(tag, attempt, AttemptResult.SERVED, meter)
+            return
+        _add_page(attempt, number, body)
+        if attempt.missing:
+            return
+        if self.used_elsewhere(tag):
+            self._give_up_mixed_pages(tag, attempt, meter, now)
+            return
+        del self.connection.in_flight[tag]
+        self.writer.send_command(now, messages.FORGET, tag)
+        self.observer.whole(attempt, meter)
+
+    def _give_up_mixed_pages(self, tag: bytes, attempt: Attempt, meter: str, now: int) -> None:
+        """End an attempt whose pages may be another query's.
+
+        The engine runs, or has run, another query under this id, and knows pages by the id alone:
+        those that it sends may be of either, also when the other one has just been answered.
+        """
+        self.writer.send_command(now, messages.FORGET, tag)
+        attempt.pages = []
+        self._conclude(tag, attempt, AttemptResult.ERROR, meter)
+
+    def _conclude(self, tag: bytes, attempt: Attempt, result: AttemptResult, meter: str) -> None:
+        del self.connection.in_flight[tag]
+        if attempt.reported:
+            self.observer.late(attempt, meter)
+        else:
+            self.observer.ended(attempt, result, meter)
+
+
+def _add_page(attempt: Attempt, number: int, body: bytes) -> None:
+    """Add a page to a result; a page that is there already is kept as it is."""
+    if attempt.pages[number] is None:
+        attempt.pages[number] = body
+        attempt.missing -= 1
+    size = sum(len(page) for page in attempt.pages if page is not None)
+    if size > messages.MOST_RESULT:
+        reason = "a result larger than an answer can hold"
+        raise resp.BadAnswer(reason)
--- /dev/null
+++ b/query_broker/protocols/engine_writer.py
@@ -0,0 +1,212 @@
+"""Writing to a data engine: what is small leaves at once, the rest waits in a write queue."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import os
+import socket
+from collections.abc import Callable
+from typing import Protocol
+
+from ..deadlines.write_queue import CONTROL, Frame, WriteQueue
+from ..dispatch.requests import Attempt
+from . import resp
+from .engine_messages import CANCEL, encode_attempt
+from .socket_state import has_ended, has_input
+
+# Of Linux, in case that Python's own list lacks it.
+NOTSENT_LOWAT = getattr(socket, "TCP_NOTSENT_LOWAT", 25)
+# Bytes that may lie unsent in the system's buffer: what lies there cannot be withdrawn.
+UNSENT = 16_384
+# Of requests to which the decisions give none, within 0 to 3.
+DEFAULT_PRIORITY = 1
+# In place of a descriptor: none, or one that must not be used any more.
+NO_DESCRIPTOR = -1
+
+
+class WriteObserver(Protocol):
+    """Who is notified of what leaves."""
+
+    def now(self) -> int:
+        """Return the time in ns."""
+
+    def written(self, attempt: Attempt) -> None:
+        """Take note that the last byte of a queued attempt has left."""
+
+    def written_at_once(self) -> None:
+        """Take note that an attempt has left complete, without being queued."""
+
+    def may_go(self, attempt: Attempt) -> bool:
+        """Return whether an attempt may still begin; called before its first byte leaves.
+
+        False: it is withdrawn, and never ran.
+        """
+
+
+class EngineWriter:
+    """The sending side of one connection.
+
+    It writes to the descriptor itself and gives the transport nothing: what the transport's own
+    buffer holds cannot be withdrawn. How much has left is known to the byte.
+
+    ``jammed``: the socket took no more, and frames wait. ``cancels_in_transit``: ids of cancelled
+    attempts whose cancellation has not left yet, so that the engine cannot have read it.
+    """
+
+    def __init__(
+        self,
+        observer: WriteObserver,
+        blocked: Callable[[], None],
+        failed: Callable[[str], None],
+    ) -> None:
+        """Take whom to notify.
+
+        ``blocked`` is called when the socket takes no more, so that `flush` is called again at the
+        next tick; ``failed`` when a write fails, with the system's text.
+        """
+        self.observer = observer
+        self.blocked = blocked
+        self.failed = failed
+        self.transport: asyncio.Transport | None = None
+        self.fd = NO_DESCRIPTOR
+        self.write_queue = WriteQueue(self._pieces_of, self._write_started, self._written)
+        self.jammed = False
+        self.last_used_ns = observer.now()
+        self.cancels_in_transit: set[bytes] = set()
+
+    def attach(self, transport: asyncio.Transport, now: int) -> None:
+        """Begin to write to the socket of this transport."""
+        self.transport = transport
+        self.last_used_ns = now
+        engine_socket = transport.get_extra_info("socket")
+        self.fd = engine_socket.fileno()
+        # A system that knows no such option has a somewhat larger buffer, and all else is alike.
+        with contextlib.suppress(OSError):
+            engine_socket.setsockopt(socket.IPPROTO_TCP, NOTSENT_LOWAT, UNSENT)
+
+    def has_ended(self) -> bool:
+        """Return whether the engine has ended the connection, perhaps unread as yet."""
+        return self.fd >= 0 and has_ended(self.fd)
+
+    def has_input(self) -> bool:
+        """Return whether bytes of the engine lie unread in the system's buffer."""
+        return self.fd >= 0 and has_input(self.fd)
+
+    def close(self) -> None:
+        """End the connection at once.
+
+        The number of a descriptor that has been closed is soon another connection's: it is given up
+        first.
+        """
+        self.fd = NO_DESCRIPTOR
+        if self.transport is not None:
+            self.transport.abort()
+
+    def abandon(self) -> None:
+        """Drop all that waits: the connection has ended, and with it all that was open there."""
+        self.fd = NO_DESCRIPTOR
+        self.write_queue.abandon()
+        self.cancels_in_transit.clear()
+
+    # --- sending ---
+
+    def send(self, attempt: Attempt, now: int) -> None:
+        """Send an attempt that has just been decided on: at once if the socket takes it."""
+        pieces = encode_attempt(attempt, now)
+        if (
+            len(pieces) == 1
+            and self.fd >= 0
+            and not self.jammed
+            and self.transport is not None
+            and not self.transport.is_closing()
+        ):
+            try:
+                written = os.write(self.fd, pieces[0])
+            except OSError:
+                written = 0  # reported, or attempted again, by the flush below
+            if written:
+                self._write_started(attempt)
+            if written == len(pieces[0]):
+                self.last_used_ns = now
+                attempt.written_ns = now
+                self.observer.written_at_once()
+                return
+            pieces = (pieces[0][written:],)
+        request = attempt.request
+        priority = DEFAULT_PRIORITY if request.priority is None else request.priority
+        size = sum(map(len, pieces))
+        frame = Frame(pieces, request.client_request_id, priority, size, attempt)
+        frame.begun = attempt.write_started
+        self._put(now, frame)
+
+    def send_command(self, now: int, *parts: bytes) -> None:
+        """Send a command; it goes before attempts that wait."""
+        self._put(now, _control_frame(parts))
+
+    def send_cancel(self, now: int, request_id: bytes) -> None:
+        """Send a cancellation, and remember its id until its last byte has left."""
+        if self._is_open():
+            self.cancels_in_transit.add(request_id)
+            self._put(now, _control_frame((CANCEL, request_id), request_id))
+
+    def withdraw(self, request_id: bytes) -> bool:
+        """Return whether a queued attempt was withdrawn: no byte of it has left, and none will."""
+        return self.write_queue.take_back(request_id)
+
+    def raise_priority(self, request_id: bytes, priority: int) -> bool:
+        """Give an attempt that is still queued a priority; return False if it is not."""
+        return self.write_queue.raise_level(request_id, priority)
+
+    def flush(self) -> None:
+        """Write what waits, until the socket takes no more."""
+        while self.fd >= 0 and self._is_open():
+            pieces = self.write_queue.next()
+            if not pieces:
+                break
+            try:
+                written = os.writev(self.fd, pieces)
+            except BlockingIOError:
+                written = 0
+            except OSError as error:
+                self.failed(str(error))
+                return
+            if not self.write_queue.wrote(written):
+                self.jammed = True
+                self.blocked()
+                return
+        self.jammed = False
+
+    def _is_open(self) -> bool:
+        return self.transport is not None and not self.transport.is_closing()
+
+    def _put(self, now: int, frame: Frame) -> None:
+        self.last_used_ns = now
+        if self._is_open() and self.write_queue.put(frame):
+            self.flush()
+
+    # --- from the write queue ---
+
+    def _pieces_of(self, frame: Frame) -> tuple[bytes, ...] | None:
+        """Return what to write of a frame that has waited; None if it may not go any more."""
+        attempt = frame.about
+        if not isinstance(attempt, Attempt):
+            return frame.pieces
+        if not self.observer.may_go(attempt):
+            return None
+        return encode_attempt(attempt, self.observer.now())
+
+    def _write_started(self, about: object) -> None:
+        if isinstance(about, Attempt):
+            about.write_started = True
+
+    def _written(self, about: object) -> None:
+        if isinstance(about, Attempt):
+            self.observer.written(about)
+        elif isinstance(about, bytes):
+            self.cancels_in_transit.discard(about)
+
+
+def _control_frame(parts: tuple[bytes, ...], about: object = None) -> Frame:
+    pieces = resp.pieces(*parts)
+    return Frame(pieces, None, CONTROL, sum(map(len, pieces)), about)
--- a/query_broker/protocols/operator_http.py
+++ b/query_broker/protocols/operator_http.py
@@ -11,12 +11,12 @@
 from .operator_answers import HttpAnswer, OperatorCallError, encode_answer, text_answer
 from .operator_calls import OperatorActions, answer_call
 
-# Bytes of the request line and the headers: more than any client of these calls sends.
+# Bytes of the request line and the headers, so that one without end is not read for good.
 MOST_HEAD = 8_192
 # Bytes of a body; no call needs any.
 MOST_BODY = 16_384
-# From connecting to the end of the connection, answered or not: within the second after which
-# operators' tools call again.
+# From connecting to the end of the connection, answered or not: few descriptors are kept for
+# operators' calls, and none may be held for longer.
 CALL_TIMEOUT_NS = 800_000_000
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,7 +25,7 @@
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.client_connection import IDLE, TURN, ClientConnection
-from query_broker.protocols.engine_connection import PART
+from query_broker.protocols.engine_connection import ANSWER_TIMEOUT_NS
 from query_broker.server.graceful_shutdown import GracefulShutdown
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
@@ -474,7 +474,7 @@
         await until(lambda: connection.parser.buffer)
         number = engine.writers[0].transport.get_extra_info("socket").fileno()
         os.write(number, answer[20:])
-        rig.node.clock.anchor += 2 * PART
+        rig.node.clock.anchor += 2 * ANSWER_TIMEOUT_NS
         connection.check(rig.node.clock.now())  # the loop has had no turn since
         assert (await client.answer())[:2] == (1, frames.SERVED)
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -249,7 +249,7 @@
 
     def __init__(self, facts: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(
-            "query_broker.protocols.engine_connection.os",
+            "query_broker.protocols.engine_writer.os",
             SimpleNamespace(
                 write=self.write,
                 writev=lambda fd, pieces: self.write(fd, b"".join(map(bytes, pieces))),
