--- a/query_broker/cells/client_connection.py
+++ b/query_broker/cells/client_connection.py
@@ -4,11 +4,11 @@
 
 from typing import Protocol
 
-from ..protocols.client_connection import ClientConnection, Front
+from ..protocols.client_connection import ClientConnection, ClientHost
 from .dispatcher import ANTEROOM
 
 
-class CelledFront(Front, Protocol):
+class CelledFront(ClientHost, Protocol):
     def settle(self, connection: CelledConnection, cell: str) -> bool: ...
 
     def may_go_on(self, connection: CelledConnection) -> bool: ...
@@ -18,30 +18,46 @@
     def held_of_frames(self, connection: CelledConnection, change: int) -> bool: ...
 
 
+class CellLimits:
+    """The limits of the cell on whose part a connection is, for its reading.
+
+    A tenant that sends a hundred times its share would have the loop to itself.
+    """
+
+    def __init__(self, host: CelledFront, connection: CelledConnection) -> None:
+        """Take who knows the cells, and whose reading is limited."""
+        self.host = host
+        self.connection = connection
+        self.cell = connection.cell
+        self.turn_began_ns = 0
+
+    def begin_turn(self) -> bool:
+        """Return whether the cell has processor time left; if not, the connection is queued."""
+        if not self.host.may_go_on(self.connection):
+            return False
+        self.cell = self.connection.cell  # the turn may take it to another cell
+        self.turn_began_ns = self.host.dispatcher.now()
+        return True
+
+    def end_turn(self) -> None:
+        """Account the turn's processor time to the cell in which it began."""
+        self.host.spent(self.cell, self.host.dispatcher.now() - self.turn_began_ns)
+
+    def may_buffer(self, size: int) -> bool:
+        """Account bytes of incomplete frames to the cell; return whether it has them left."""
+        change = size - self.connection.booked
+        self.connection.booked = size
+        return self.host.held_of_frames(self.connection, change)
+
+
 class CelledConnection(ClientConnection):
     """It sits in the anteroom until its first request, then in the cell of the last one."""
 
     def __init__(self, front: CelledFront) -> None:
-        super().__init__(front)
         self.house = front
         self.cell = ANTEROOM
         self.booked = 0  # bytes of frames that are not whole, on its cell's part
-
-    def _read_on(self) -> None:
-        """Danger: a tenant that sends a hundred times its share would have the loop to itself."""
-        if not self.house.may_go_on(self):
-            self.reading_on = True
-            self._read_if_wanted()
-            return
-        cell, began = self.cell, self.front.dispatcher.now()
-        super()._read_on()
-        self.house.spent(cell, self.front.dispatcher.now() - began)
-
-    def _count_partial(self) -> None:
-        super()._count_partial()
-        change, self.booked = self.partial - self.booked, self.partial
-        if not self.house.held_of_frames(self, change) and not self.broken:
-            self._break("no room for more frames that are not whole")
+        super().__init__(front, CellLimits(front, self))
 
     def settle(self, cell: str) -> bool:
         """Take a place on this cell's part; False if it has none."""
--- /dev/null
+++ b/query_broker/protocols/client_reader.py
@@ -0,0 +1,257 @@
+"""Reading one client connection: turns, back-pressure, and the bound of incomplete frames."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from . import client_frames as frames
+from .client_lookahead import CancellationLookahead
+from .client_requests import DispatcherHost, OpenRequests
+from .client_socket import ClientSocket
+
+# Frames of one connection before everybody else's turn.
+FRAMES_PER_TURN = 32
+# Bytes that are read on for cancellations where what came before them waits.
+MOST_AHEAD_BYTES = 64 * 1024
+# Of the memory for incomplete frames: the part past which no connection reads ahead.
+AHEAD_DIVISOR = 2
+NO_CAPACITY = "no room for more frames that are not whole"
+
+
+class ReadingHost(DispatcherHost, Protocol):
+    """What reading needs of the side that admits clients.
+
+    ``partial``: bytes of incomplete frames on all connections.
+    """
+
+    partial: int
+
+    def ready(self) -> bool:
+        """Return whether requests are served; a client's health check asks for it."""
+
+
+class ReadingConnection(Protocol):
+    """The state of the connection that reading goes by, and sets."""
+
+    broken: bool
+    spoken: bool
+    used: int
+    paused_at: int
+
+    def break_off(self, why: str) -> None:
+        """End the connection with an error that belongs to no request."""
+
+    def drop(self) -> None:
+        """End the connection at once."""
+
+
+class ReadingLimits(Protocol):
+    """Limits beyond those of the connection itself, such as a cell's."""
+
+    def begin_turn(self) -> bool:
+        """Return whether a turn may begin now; if not, the connection is resumed later."""
+
+    def end_turn(self) -> None:
+        """Take note that the turn is over."""
+
+    def may_buffer(self, size: int) -> bool:
+        """Return whether the connection may hold so many bytes of incomplete frames."""
+
+
+class NoLimits:
+    """No limits beyond those of the connection itself."""
+
+    def begin_turn(self) -> bool:
+        """Let each turn begin."""
+        return True
+
+    def end_turn(self) -> None:
+        """Take no note."""
+
+    def may_buffer(self, size: int) -> bool:
+        """Let the connection hold what it has."""
+        return True
+
+
+class ClientReader:
+    """Takes frames in turns, and reads no more than it can use.
+
+    ``waiting``: complete frames wait for this connection's next turn. ``unreadable``: so much waits
+    that what the client says from now on is not read. ``frame_begun_ns``: when the first byte of
+    the frame that is incomplete now came; ``received_ns``: the same of the frame that was taken
+    last. ``partial``: bytes held of frames that have not been taken.
+    """
+
+    def __init__(
+        self,
+        host: ReadingHost,
+        connection: ReadingConnection,
+        requests: OpenRequests,
+        client_socket: ClientSocket,
+        limits: ReadingLimits,
+    ) -> None:
+        """Take the connection's other parts, and the limits that hold for it."""
+        self.host = host
+        self.connection = connection
+        self.requests = requests
+        self.socket = client_socket
+        self.limits = limits
+        self.parser = frames.FrameParser()
+        self.lookahead = CancellationLookahead(self.parser, requests)
+        self.frame_begun_ns = connection.used
+        self.received_ns = connection.used
+        self.partial = 0
+        self.waiting = False
+        self.unreadable = False
+
+    def receive(self, data: bytes) -> None:
+        """Take bytes, which have come now."""
+        if not self.parser.buffered():
+            self.frame_begun_ns = self.connection.used
+        self.parser.feed(data)
+        if self.waiting:
+            self.look_ahead()
+        else:
+            self.read_turn()
+        self.count_partial()
+        if self.host.partial > self.host.dispatcher.room and not self.connection.broken:
+            self.connection.break_off(NO_CAPACITY)
+
+    def count_partial(self) -> None:
+        """Account for the bytes that are held now, and end the connection if they are too many."""
+        buffered = self.parser.buffered()
+        self.host.partial += buffered - self.partial
+        self.partial = buffered
+        if not self.limits.may_buffer(buffered) and not self.connection.broken:
+            self.connection.break_off(NO_CAPACITY)
+
+    def clear(self) -> None:
+        """Drop what is held."""
+        self.parser.clear()
+        self.count_partial()
+
+    def has_work(self) -> bool:
+        """Return whether an answer is owed, or bytes wait to be taken."""
+        return bool(self.requests.open) or self.parser.buffered() > 0
+
+    # --- turns ---
+
+    def read_turn(self) -> None:
+        """Take the frames of one turn.
+
+        A chunk can hold 25,000 frames; all other connections would stand still until the last is
+        answered.
+        """
+        if not self.limits.begin_turn():
+            self.waiting = True
+            self.read_if_wanted()
+            return
+        self._take_turn()
+        self.limits.end_turn()
+
+    def resume(self) -> None:
+        """Go on with the next turn."""
+        self.read_turn()
+        self.read_if_wanted()
+
+    def resume_writing(self) -> None:
+        """Go on after the client has read its answers."""
+        if not self.waiting:
+            self.read_turn()
+        self.read_if_wanted()
+        self.count_partial()
+
+    def _take_turn(self) -> None:
+        self.waiting = False
+        try:
+            more_may_wait = self._take_frames()
+        except frames.BadFrame as error:
+            self.connection.break_off(str(error))
+        except Exception as error:  # no input may raise out of a callback
+            self._break_off_after_fault(error)
+        else:
+            if more_may_wait:
+                self.waiting = True
+                self.look_ahead()
+                asyncio.get_running_loop().call_soon(self.resume)
+
+    def _take_frames(self) -> bool:
+        """Take frames; return whether the turn ended before they did."""
+        checked_peer = False
+        for _ in range(FRAMES_PER_TURN):
+            if self.connection.paused_at:
+                self.look_ahead()
+                return False
+            frame = None if self.connection.broken else self.parser.next()
+            if frame is None:
+                self.lookahead.clear()
+                return False
+            if frame.type == frames.REQUEST and not checked_peer:
+                checked_peer = True
+                if self._end_if_peer_left():
+                    return False
+            self.received_ns = self.frame_begun_ns
+            self.connection.spoken = True
+            self.frame_begun_ns = self.connection.used
+            self._take_frame(frame)
+        return True
+
+    def _take_frame(self, frame: frames.Frame) -> None:
+        if frame.type == frames.REQUEST:
+            self.requests.check_stream(frame.stream)
+            if frame.stream not in self.lookahead.cancelled:
+                self.requests.submit(frame.stream, frame.payload, self.received_ns)
+        elif frame.type == frames.ABANDON:
+            self.requests.cancel(frame.stream)
+        else:
+            frames.read_fields(frame.payload)
+            self.socket.write(frames.ready(frame.stream, self.host.ready()))
+
+    def _end_if_peer_left(self) -> bool:
+        """Return whether the client has left.
+
+        Who sends much and leaves has left before the last of it is read, and nothing of it may
+        begin then.
+        """
+        if self.host.dispatcher.terms.half_close == "answer" or not self.socket.has_ended():
+            return False
+        self.connection.drop()
+        self.requests.cancel_all()
+        self.connection.broken = True
+        return True
+
+    def _break_off_after_fault(self, error: Exception) -> None:
+        self.host.dispatcher.log("client", f"{type(error).__name__}: {error}")
+        self.connection.break_off("internal error")
+
+    # --- back-pressure ---
+
+    def look_ahead(self) -> None:
+        """Search what waits for cancellations."""
+        try:
+            self.lookahead.scan()
+        except Exception as error:  # no input may raise out of a callback
+            self._break_off_after_fault(error)
+        self.read_if_wanted()
+
+    def read_if_wanted(self) -> None:
+        """Read on, unless enough waits for its turn, or for answers to be read.
+
+        Behind more than that no cancellation can be known: no further attempt begins for the open
+        requests until then.
+        """
+        if not self.socket.is_open():
+            return
+        unreadable = not self.connection.broken and self._holds_enough()
+        self.socket.set_reading(not unreadable)
+        if self.unreadable != unreadable:
+            self.unreadable = unreadable
+            self.requests.set_unreadable(unreadable)
+
+    def _holds_enough(self) -> bool:
+        if not self.waiting and not self.connection.paused_at:
+            return False
+        if self.parser.buffered() > MOST_AHEAD_BYTES:
+            return True
+        return self.host.partial > self.host.dispatcher.room // AHEAD_DIVISOR
--- /dev/null
+++ b/query_broker/protocols/client_requests.py
@@ -0,0 +1,109 @@
+"""The open requests of one client connection."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from ..dispatch.dispatcher import Dispatcher, InvalidRequestError
+from ..dispatch.requests import ActiveRequest, Client
+from .client_frames import BadFrame
+from .client_request import parse_request
+
+# Requests that may be open on one connection at once.
+MOST_OPEN = 32
+
+
+class DispatcherHost(Protocol):
+    """Who knows the dispatcher that takes requests."""
+
+    dispatcher: Dispatcher
+
+
+class OpenRequests:
+    """Submits requests and cancels them.
+
+    ``open`` has the requests that are owed an answer, by stream. A request is None there while it
+    is being submitted.
+    """
+
+    def __init__(self, host: DispatcherHost, client: Client) -> None:
+        """Take whose requests these are: ``client`` gets their answers."""
+        self.host = host
+        self.client = client
+        self.open: dict[int, ActiveRequest | None] = {}
+        self.last_stream = 0
+        self.recent_ids: dict[str, None] = {}  # the oldest first
+
+    def check_stream(self, stream: int) -> None:
+        """Take note of a request's stream: each is greater than all before it.
+
+        Raises:
+            BadFrame: it is not.
+        """
+        if stream <= self.last_stream:
+            reason = f"stream {stream} is not new on this connection"
+            raise BadFrame(reason)
+        self.last_stream = stream
+
+    def submit(self, stream: int, payload: bytes, received_ns: int) -> None:
+        """Submit a request whose first byte came at ``received_ns``; one that is unusable fails.
+
+        Raises:
+            BadFrame: its fields cannot be read at all.
+        """
+        try:
+            parsed = parse_request(payload)
+            self._check_is_new(parsed.client_request_id)
+            self._check_open_count()
+            self.open[stream] = None
+            request = self.host.dispatcher.submit(self.client, stream, parsed, received_ns)
+        except InvalidRequestError as error:
+            self.host.dispatcher.log("client", f"unusable request: {error}")
+            self.client.failed(stream, str(error))
+            return
+        if stream in self.open:  # it may have been answered at once
+            self.open[stream] = request
+
+    def _check_is_new(self, request_id: str) -> None:
+        """The same frame hundreds of times over would take a tenant's quota from its others."""
+        if request_id in self.recent_ids:
+            reason = "trace: is not new on this connection"
+            raise InvalidRequestError(reason)
+        self.recent_ids[request_id] = None
+        if len(self.recent_ids) > MOST_OPEN:
+            del self.recent_ids[next(iter(self.recent_ids))]
+
+    def _check_open_count(self) -> None:
+        if len(self.open) >= MOST_OPEN:
+            reason = f"more than {MOST_OPEN} open requests on one connection"
+            raise InvalidRequestError(reason)
+
+    def answered(self, stream: int) -> None:
+        """Take note that a request is owed nothing more."""
+        self.open.pop(stream, None)
+
+    def cancel(self, stream: int) -> None:
+        """Cancel a request on behalf of its client, if it is open."""
+        request = self.open.pop(stream, None)
+        if request is not None:
+            self.host.dispatcher.abandon(request)
+
+    def cancel_all(self) -> None:
+        """Cancel all requests, since their client has left."""
+        requests = self.submitted()
+        self.open.clear()
+        for request in requests:
+            self.host.dispatcher.abandon(request)
+
+    def submitted(self) -> list[ActiveRequest]:
+        """Return the open requests that the dispatcher has taken."""
+        return [request for request in self.open.values() if request is not None]
+
+    def being_submitted(self) -> list[int]:
+        """Return the streams of requests that the dispatcher has not taken yet."""
+        return [stream for stream, request in self.open.items() if request is None]
+
+    def set_unreadable(self, unreadable: bool) -> None:
+        """Say whether it can be known at all that their client cancels them."""
+        for request in self.submitted():
+            request.client_unreadable = unreadable
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,9 @@
 from query_broker.dispatch.dispatcher import UNDO_WAY, ParsedRequest
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
-from query_broker.protocols.client_connection import IDLE, TURN, ClientConnection
+from query_broker.protocols.client_connection import ClientConnection
+from query_broker.protocols.client_reader import FRAMES_PER_TURN
+from query_broker.protocols.client_timeouts import IDLE_TIMEOUT_NS
 from query_broker.protocols.engine_connection import ANSWER_TIMEOUT_NS
 from query_broker.server.graceful_shutdown import GracefulShutdown
 
@@ -323,13 +325,13 @@
             client.ask(
                 number, trace=f"{number:016x}", body=STATEMENT + b" /* " + b"x" * 20_000 + b" */"
             )
-        await until(lambda: connection.deaf)
+        await until(lambda: connection.reader.unreadable)
         first.writers[0].write(resp.encode(b"1" * 16, b"crashed", b"-", b""))
         assert (await client.answer())[:2] == (1, frames.REFUSED)
         assert not other.words(b"do") and len(first.words(b"do")) == 1
         connection.resume_writing()  # what it had sent is taken now
         await until(lambda: len(first.words(b"do") + other.words(b"do")) == 5)
-        assert not connection.deaf
+        assert not connection.reader.unreadable
 
 
 @on_uvloop
@@ -360,9 +362,9 @@
         client = await rig.client()
         client.ask(1)  # a connection to the engine is up from now on: what begins has left at once
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        ready = frames.frame(frames.ASK_READY, 0, b"\0") * (TURN + 1)
+        ready = frames.frame(frames.ASK_READY, 0, b"\0") * (FRAMES_PER_TURN + 1)
         client.writer.write(ready + asked(2) + asked(3) + frames.frame(frames.ABANDON, 2))
-        for _ in range(TURN + 1):
+        for _ in range(FRAMES_PER_TURN + 1):
             assert (await client.frame())[0] == frames.READY
         assert (await client.answer())[:2] == (3, frames.SERVED)
         assert [do[1] for do in engine.words(b"do")] == [TRACE.encode(), f"{3:016x}".encode()]
@@ -378,11 +380,11 @@
         client = await rig.client()
         await until(lambda: rig.node.clients)
         connection = next(iter(rig.node.clients))
-        ready = frames.frame(frames.ASK_READY, 0, b"\0") * TURN
+        ready = frames.frame(frames.ASK_READY, 0, b"\0") * FRAMES_PER_TURN
         connection.data_received(ready + asked(1) + ready)
-        assert connection.reading_on and not connection.open
-        connection._read_on()
-        assert connection.reading_on and (request := connection.open[1]) is not None
+        assert connection.reader.waiting and not connection.open
+        connection.reader.read_turn()
+        assert connection.reader.waiting and (request := connection.open[1]) is not None
         connection.data_received(frames.frame(frames.ABANDON, 1))
         assert request.abandoned and not connection.open
         client.writer.close()
@@ -449,8 +451,8 @@
             await until(lambda: any(c.spoken for c in rig.node.clients))
             connection = next(iter(rig.node.clients))
             raw.sendall(asked(1))
-            rig.node.clock.anchor += 2 * IDLE
-            connection._look()  # the loop has had no turn since
+            rig.node.clock.anchor += 2 * IDLE_TIMEOUT_NS
+            connection.timeouts.check()  # the loop has had no turn since
             raw.setblocking(False)
             read = b""
             while not read.endswith(b"a\tb\tc\n"):
--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -320,8 +320,8 @@
 async def test_who_is_silent_half_sent_or_idle_is_let_go_by_a_timer(
     asked: bytes, half: bytes, told: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for name in ("FIRST", "WHOLE", "IDLE"):
-        monkeypatch.setattr(f"query_broker.protocols.client_connection.{name}", 50 * MS)
+    for name in ("FIRST_FRAME_TIMEOUT_NS", "FRAME_TIMEOUT_NS", "IDLE_TIMEOUT_NS"):
+        monkeypatch.setattr(f"query_broker.protocols.client_timeouts.{name}", 50 * MS)
     async with running(make_config()) as rig:
         client = await rig.client()
         client.writer.write(asked + half)
