--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -10,15 +10,13 @@
 from typing import Protocol, cast
 
 from . import client_frames as frames
-from .client_reader import ClientReader, NoLimits, ReadingHost, ReadingLimits
+from .client_reader import HALF_CLOSE_ANSWERS, ClientReader, NoLimits, ReadingHost, ReadingLimits
 from .client_requests import OpenRequests
 from .client_socket import ClientSocket
 from .client_timeouts import ClientTimeouts
 
 # The stream of answers that belong to no request.
 NO_STREAM = 0
-# The setting of `terms.half_close` by which a client that ends its side still gets its answers.
-HALF_CLOSE_ANSWERS = "answer"
 
 
 class ClientHost(ReadingHost, Protocol):
@@ -126,7 +124,7 @@
 
     def rejected(self, stream: int, pause_ms: int) -> None:
         """Reject a request, which may come again after the pause."""
-        self._answer(stream, frames.answer(stream, frames.REFUSED, {"pause": str(pause_ms)}))
+        self._answer(stream, frames.rejection(stream, pause_ms))
 
     def failed(self, stream: int, reason: str) -> None:
         """Answer a request that has failed."""
--- a/query_broker/protocols/client_frames.py
+++ b/query_broker/protocols/client_frames.py
@@ -55,6 +55,8 @@
 FROM_CLIENT = frozenset({REQUEST, ABANDON, ASK_READY})
 # Characters of a field's name that an error text repeats.
 QUOTED_NAME_LENGTH = 40
+# The field of a rejection that says, in ms, after which time the request may come again.
+FIELD_RETRY_AFTER_MS = "pause"
 # In the payload of READY.
 READY_YES = 0
 READY_NO = 1
@@ -216,6 +218,11 @@
     return frame(ANSWER, stream, bytes((code,)) + write_fields(fields) + body)
 
 
+def rejection(stream: int, retry_after_ms: int) -> bytes:
+    """Encode the answer to a request that is rejected."""
+    return answer(stream, REFUSED, {FIELD_RETRY_AFTER_MS: str(retry_after_ms)})
+
+
 def ready(stream: int, yes: bool) -> bytes:
     """Encode the answer to a health check; its payload has no fields."""
     state = READY_YES if yes else READY_NO
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -16,6 +16,8 @@
 MOST_AHEAD_BYTES = 64 * 1024
 # Of the memory for incomplete frames: the part past which no connection reads ahead.
 AHEAD_DIVISOR = 2
+# The setting of `terms.half_close` by which a client that ends its side still gets its answers.
+HALF_CLOSE_ANSWERS = "answer"
 NO_CAPACITY = "no room for more frames that are not whole"
 
 
@@ -214,7 +216,9 @@
         Who sends much and leaves has left before the last of it is read, and nothing of it may
         begin then.
         """
-        if self.host.dispatcher.terms.half_close == "answer" or not self.socket.has_ended():
+        if self.host.dispatcher.terms.half_close == HALF_CLOSE_ANSWERS:
+            return False
+        if not self.socket.has_ended():
             return False
         self.connection.drop()
         self.requests.cancel_all()
--- a/query_broker/protocols/client_requests.py
+++ b/query_broker/protocols/client_requests.py
@@ -7,7 +7,7 @@
 from ..dispatch.dispatcher import Dispatcher, InvalidRequestError
 from ..dispatch.requests import ActiveRequest, Client
 from .client_frames import BadFrame
-from .client_request import parse_request
+from .client_request import FIELD_CLIENT_REQUEST_ID, parse_request
 
 # Requests that may be open on one connection at once.
 MOST_OPEN = 32
@@ -67,7 +67,7 @@
     def _check_is_new(self, request_id: str) -> None:
         """The same frame hundreds of times over would take a tenant's quota from its others."""
         if request_id in self.recent_ids:
-            reason = "trace: is not new on this connection"
+            reason = f"{FIELD_CLIENT_REQUEST_ID}: is not new on this connection"
             raise InvalidRequestError(reason)
         self.recent_ids[request_id] = None
         if len(self.recent_ids) > MOST_OPEN:
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -152,10 +152,10 @@
         if self.in_flight.pop(request_id, None) is not None:
             self.writer.send_command(self.owner.now(), messages.FORGET, request_id)
 
-    def probe(self, tag: bytes, word: bytes = messages.HEALTH_CHECK) -> None:
+    def probe(self, tag: bytes, command: bytes = messages.HEALTH_CHECK) -> None:
         """Send a health check; its answer comes under the same tag."""
         self.probes.add(tag)
-        self.writer.send_command(self.owner.now(), word, tag)
+        self.writer.send_command(self.owner.now(), command, tag)
 
     def flush(self) -> None:
         """Write what waits, until the socket takes no more."""
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -138,17 +138,17 @@
         size = sum(map(len, pieces))
         frame = Frame(pieces, request.client_request_id, priority, size, attempt)
         frame.begun = attempt.write_started
-        self._put(now, frame)
+        self._enqueue(now, frame)
 
     def send_command(self, now: int, *parts: bytes) -> None:
         """Send a command; it goes before attempts that wait."""
-        self._put(now, _control_frame(parts))
+        self._enqueue(now, _control_frame(parts))
 
     def send_cancel(self, now: int, request_id: bytes) -> None:
         """Send a cancellation, and remember its id until its last byte has left."""
         if self._is_open():
             self.cancels_in_transit.add(request_id)
-            self._put(now, _control_frame((CANCEL, request_id), request_id))
+            self._enqueue(now, _control_frame((CANCEL, request_id), request_id))
 
     def withdraw(self, request_id: bytes) -> bool:
         """Return whether a queued attempt was withdrawn: no byte of it has left, and none will."""
@@ -180,7 +180,7 @@
     def _is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    def _put(self, now: int, frame: Frame) -> None:
+    def _enqueue(self, now: int, frame: Frame) -> None:
         self.last_used_ns = now
         if self._is_open() and self.write_queue.put(frame):
             self.flush()
