--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -41,7 +41,7 @@
 
 
 @on_uvloop
-async def test_a_result_in_pages_is_one_whole_answer_in_order() -> None:
+async def test_a_result_in_pages_is_one_complete_answer_in_order() -> None:
     engine = pages(b"1\ta\tb\n", b"2\ta\tb\n", b"3\ta\tb\n")
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -56,7 +56,7 @@
 
 
 @on_uvloop
-async def test_a_lost_page_is_no_short_result_and_a_load_with_it_has_failed() -> None:
+async def test_a_lost_page_is_no_short_result_and_its_request_fails() -> None:
     engine = pages(b"1\ta\tb\n", say=2)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -77,7 +77,7 @@
     ],
 )
 @on_uvloop
-async def test_a_broken_frame_gets_an_error_on_stream_0_and_the_connection_closes(
+async def test_a_malformed_frame_gets_an_error_on_stream_0_and_the_connection_closes(
     data: bytes,
 ) -> None:
     engine = Engine(lambda *_: None)
@@ -138,7 +138,8 @@
 async def test_an_id_that_is_not_new_reaches_no_engine_with_another_statement() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        client, other = await rig.client(), await rig.client()
+        client = await rig.client()
+        other = await rig.client()
         client.ask(stream=1, weight="900.0")
         await until(lambda: engine.words(b"do"))
         for stream in (2, 3):  # the same frame again, as a flood sends it
@@ -156,7 +157,7 @@
 
 
 @on_uvloop
-async def test_a_patience_beyond_that_of_its_class_is_cut_to_it() -> None:
+async def test_a_timeout_beyond_that_of_its_class_is_cut_to_it() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -169,12 +170,18 @@
 @on_uvloop
 async def test_thousands_of_frames_at_once_leave_others_their_turn() -> None:
     async with running(make_config()) as rig:
-        flood, other = await rig.client(), await rig.client()
+        flood = await rig.client()
+        other = await rig.client()
         flood.writer.write(frames.frame(frames.ASK_READY, 1, b"\0") * 20_000)
         other.send(frames.ASK_READY, 1, b"\0")
         served: list[int] = []
-        front = rig.node
-        ready, front.ready = front.ready, lambda: bool(served.append(len(served))) or ready()  # type: ignore
+        ready = rig.node.ready
+
+        def counted_ready() -> bool:
+            served.append(len(served))
+            return ready()
+
+        rig.node.ready = counted_ready  # type: ignore[method-assign]
         assert await other.frame() == (frames.READY, 1, b"\0\0")
         assert len(served) < 10_000
         for _ in range(20_000):
@@ -182,14 +189,17 @@
 
 
 @on_uvloop
-async def test_frames_that_are_half_here_are_bounded_in_all() -> None:
+async def test_incomplete_frames_are_bounded_in_all() -> None:
     async with running(make_config()) as rig:
         rig.node.dispatcher.room = 310_000
         clients = [await rig.client() for _ in range(3)]
         for client in clients:
             client.writer.write((200_000).to_bytes(4, "big") + b"\x02" + bytes(150_000))
-        await until(lambda: any(c.broken for c in rig.node.clients))
-        assert rig.node.partial <= 310_000 and sum(c.broken for c in rig.node.clients) == 1
+        await until(lambda: any(connection.broken for connection in rig.node.clients))
+        assert (
+            rig.node.partial <= 310_000
+            and sum(connection.broken for connection in rig.node.clients) == 1
+        )
         for client in clients:
             client.writer.close()
         await until(lambda: not rig.node.clients)
@@ -197,7 +207,7 @@
 
 
 @on_uvloop
-async def test_with_no_engine_the_refusal_comes_at_once_and_carries_a_pause() -> None:
+async def test_with_no_engine_the_rejection_comes_at_once_and_carries_a_pause() -> None:
     async with running(make_config()) as rig:
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
@@ -206,16 +216,19 @@
 
 
 @on_uvloop
-async def test_what_nobody_waits_for_is_not_answered_and_its_pages_are_not_fetched() -> None:
+async def test_an_abandoned_request_is_not_answered_and_its_pages_are_not_fetched() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        client, other = await rig.client(), await rig.client()
+        client = await rig.client()
+        other = await rig.client()
         client.ask(stream=1, weight="900.0")
         other.ask(stream=1, weight="900.0", trace="0" * 16)
         await until(lambda: len(engine.words(b"do")) == 2)
         client.send(frames.ABANDON, 1)
         other.writer.close()
-        await until(lambda: not any(r.client for r in rig.node.dispatcher.requests.values()))
+        await until(
+            lambda: not any(request.client for request in rig.node.dispatcher.requests.values())
+        )
         for do in engine.words(b"do"):
             engine.writer_of(do).write(resp.encode(do[1], b"served", b"chunks=3", b"1\ta\tb\n"))
         await until(lambda: len(engine.words(b"forget")) == 2)
@@ -230,7 +243,7 @@
 
 
 @on_uvloop
-async def test_the_final_answer_comes_before_the_patience_ends() -> None:
+async def test_the_final_answer_comes_before_the_timeout() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -245,15 +258,16 @@
 
 
 @on_uvloop
-async def test_a_slow_reader_is_not_read_from_and_holds_up_nobody_else() -> None:
+async def test_a_slow_reader_is_not_read_from_and_delays_no_other_client() -> None:
     row = b"x" * 5_900 + b"\tb\tc\n"
     engine = pages(*[row] * 8)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        slow, quick = await rig.client(), await rig.client()
+        slow = await rig.client()
+        quick = await rig.client()
         transport = slow.writer.transport
         transport.pause_reading()  # type: ignore[attr-defined]
         stream = 0
-        while not any(c.paused_at for c in rig.node.clients):
+        while not any(connection.paused_at for connection in rig.node.clients):
             stream += 1
             slow.ask(stream=stream, trace=f"{stream:016x}")
             await until(lambda: len(engine.words(b"forget")) == stream)  # noqa: B023
@@ -262,7 +276,7 @@
         transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(stream):
             assert (await slow.answer())[3] == row * 8
-        assert not any(c.paused_at for c in rig.node.clients)
+        assert not any(connection.paused_at for connection in rig.node.clients)
 
 
 @on_uvloop
@@ -278,7 +292,7 @@
 
 
 @on_uvloop
-async def test_held_statements_are_bounded_and_given_back() -> None:
+async def test_statements_in_memory_are_bounded_and_released() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         rig.node.dispatcher.room = 100
@@ -296,18 +310,20 @@
 async def test_a_fault_in_the_decisions_costs_one_request_and_its_answer_is_failed() -> None:
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
-        client, facade = await rig.client(), rig.node.dispatcher.facade
-        whole, facade.pick = facade.pick, None  # type: ignore[method-assign, assignment]
+        client = await rig.client()
+        facade = rig.node.dispatcher.facade
+        pick = facade.pick
+        facade.pick = None  # type: ignore[method-assign, assignment]
         client.ask(1)
         assert (await client.answer())[:2] == (1, frames.FAILED)
-        facade.pick = whole  # type: ignore[method-assign]
+        facade.pick = pick  # type: ignore[method-assign]
         client.ask(2, trace="2" * 16)
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert not rig.node.dispatcher.requests and not facade.controller.requests
 
 
 @pytest.mark.parametrize(
-    ("asked", "half", "told"),
+    ("complete", "incomplete", "gets_error"),
     [
         (b"", b"", True),
         (b"", frames.frame(frames.REQUEST, 1, b"\0")[:9], True),
@@ -317,17 +333,17 @@
     ids=["silent", "half a request", "asked once and stays", "half a second one"],
 )
 @on_uvloop
-async def test_who_is_silent_half_sent_or_idle_is_let_go_by_a_timer(
-    asked: bytes, half: bytes, told: bool, monkeypatch: pytest.MonkeyPatch
+async def test_a_silent_incomplete_or_idle_client_is_disconnected_by_a_timer(
+    complete: bytes, incomplete: bytes, gets_error: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in ("FIRST_FRAME_TIMEOUT_NS", "FRAME_TIMEOUT_NS", "IDLE_TIMEOUT_NS"):
         monkeypatch.setattr(f"query_broker.protocols.client_timeouts.{name}", 50 * MS)
     async with running(make_config()) as rig:
         client = await rig.client()
-        client.writer.write(asked + half)
-        if asked:
+        client.writer.write(complete + incomplete)
+        if complete:
             assert (await client.frame())[0] == frames.READY
-        if told:
+        if gets_error:
             assert (await client.answer())[:2] == (0, frames.FAILED)
         assert await client.ended()
         client.writer.close()
--- a/tests/test_wire_tables.py
+++ b/tests/test_wire_tables.py
@@ -1,4 +1,4 @@
-"""The parsers on tables of cases, each fed whole and byte by byte."""
+"""The parsers on tables of cases, each given in one piece and byte by byte."""
 
 from __future__ import annotations
 
@@ -21,22 +21,23 @@
 FIELDS = frames.write_fields({"route": "glance", "trace": "9b"})
 
 
-def feed(parser: Any, data: bytes, into: list[Any]) -> None:
-    """Into a list, since what comes before a refusal counts."""
+def parse_piece(parser: Any, data: bytes, parsed: list[Any]) -> None:
+    """Into a list, since what comes before an error counts."""
     if isinstance(parser, frames.FrameParser):
         parser.feed(data)
         while (frame := parser.next()) is not None:
-            into.append(frame)
+            parsed.append(frame)
     else:
         for item in parser.feed(data):
-            into.append(item)
+            parsed.append(item)
 
 
-def fed(parser: Any, data: bytes, step: int) -> list[Any]:
-    got: list[Any] = []
+def parse_in_steps(parser: Any, data: bytes, step: int) -> list[Any]:
+    """All that the parser returns, where each piece has so many bytes."""
+    parsed: list[Any] = []
     for at in range(0, len(data), step):
-        feed(parser, data[at : at + step], got)
-    return got
+        parse_piece(parser, data[at : at + step], parsed)
+    return parsed
 
 
 @pytest.mark.parametrize("step", [1, 3, 1_000])
@@ -47,9 +48,11 @@
         [(frames.ABANDON, 7, b""), (frames.ASK_READY, 9, b"\0"), (frames.REQUEST, 2**32 - 1, b"")],
     ],
 )
-def test_frames(sent: list[tuple[int, int, bytes]], step: int) -> None:
-    data = b"".join(frames.frame(*one) for one in sent)
-    assert fed(frames.FrameParser(), data, step) == sent
+def test_frames_are_parsed_however_they_are_cut(
+    sent: list[tuple[int, int, bytes]], step: int
+) -> None:
+    data = b"".join(frames.frame(*sent_frame) for sent_frame in sent)
+    assert parse_in_steps(frames.FrameParser(), data, step) == sent
 
 
 @given(
@@ -65,28 +68,30 @@
     st.lists(st.integers(0, 5), min_size=1, max_size=12),
     st.binary(max_size=3),
 )
-def test_what_is_skimmed_are_the_frames_that_still_wait_each_once(
+def test_skimming_yields_the_frames_that_still_wait_each_once(
     sent: list[tuple[int, int, bytes]], step: int, turns: list[int], rest: bytes
 ) -> None:
     """However they are cut, and however many of them are given out between two looks."""
-    data = b"".join(frames.frame(*one) for one in sent) + rest
-    parser, out, seen = frames.FrameParser(), 0, 0
+    data = b"".join(frames.frame(*sent_frame) for sent_frame in sent) + rest
+    parser = frames.FrameParser()
+    returned = 0
+    seen = 0
 
     def skim(most: int) -> None:
         nonlocal seen
-        for told in parser.skim(most):
-            place = max(out, seen)
-            assert told == sent[place][:2]
+        for head in parser.skim(most):
+            place = max(returned, seen)
+            assert head == sent[place][:2]
             seen = place + 1
 
     for number, at in enumerate(range(0, len(data), step)):
         parser.feed(data[at : at + step])
         for _ in range(turns[number % len(turns)]):
-            out += parser.next() is not None
+            returned += parser.next() is not None
         skim(turns[-1 - number % len(turns)])
     skim(len(sent))
-    assert max(out, seen) == len(sent)
-    assert out + sum(1 for _ in iter(parser.next, None)) == len(sent)
+    assert max(returned, seen) == len(sent)
+    assert returned + sum(1 for _ in iter(parser.next, None)) == len(sent)
 
 
 @pytest.mark.parametrize(
@@ -100,9 +105,9 @@
         b"\0\0\0\x05\x20",
     ],
 )
-def test_broken_frames_are_told_before_the_rest_is_there(data: bytes) -> None:
+def test_a_malformed_frame_is_an_error_before_the_rest_of_it_is_there(data: bytes) -> None:
     with pytest.raises(frames.BadFrame):
-        fed(frames.FrameParser(), data, len(data))
+        parse_in_steps(frames.FrameParser(), data, len(data))
 
 
 @pytest.mark.parametrize(
@@ -113,7 +118,7 @@
         (FIELDS + b"x", {"route": "glance", "trace": "9b"}, b"x"),
     ],
 )
-def test_fields(payload: bytes, fields: dict[str, str], body: bytes) -> None:
+def test_fields_and_body_of_a_payload(payload: bytes, fields: dict[str, str], body: bytes) -> None:
     assert frames.read_fields(payload) == (fields, body)
 
 
@@ -130,7 +135,7 @@
         b"\x02\x01a\0\x01b\x01a\0\x01c",
     ],
 )
-def test_unreadable_fields(payload: bytes) -> None:
+def test_unreadable_fields_are_an_error(payload: bytes) -> None:
     with pytest.raises(frames.BadFrame):
         frames.read_fields(payload)
 
@@ -153,7 +158,7 @@
         {"redo": "yes"},
     ],
 )
-def test_unusable_requests(changes: dict[str, str | None]) -> None:
+def test_an_unusable_request_names_the_field(changes: dict[str, str | None]) -> None:
     base = {
         "route": "glance",
         "trace": TRACE,
@@ -164,7 +169,8 @@
     }
     with pytest.raises(Exception) as caught:
         parse_request(
-            frames.write_fields({k: v for k, v in base.items() if v is not None}) + b"SELECT 1"
+            frames.write_fields({name: value for name, value in base.items() if value is not None})
+            + b"SELECT 1"
         )
     assert type(caught.value).__name__ == "InvalidRequestError" and next(iter(changes)) in str(
         caught.value
@@ -179,8 +185,11 @@
         [[b"t", b"green", b"-", b""], [b""], []],
     ],
 )
-def test_resp(arrays: list[list[bytes]], step: int) -> None:
-    assert fed(resp.RespParser(), b"".join(resp.encode(*a) for a in arrays), step) == arrays
+def test_resp_arrays_are_parsed_however_they_are_cut(arrays: list[list[bytes]], step: int) -> None:
+    assert (
+        parse_in_steps(resp.RespParser(), b"".join(resp.encode(*array) for array in arrays), step)
+        == arrays
+    )
 
 
 @pytest.mark.parametrize(
@@ -197,20 +206,20 @@
         b"*" + b"1" * 40,
     ],
 )
-def test_malformed_resp(data: bytes) -> None:
+def test_malformed_resp_is_an_error(data: bytes) -> None:
     with pytest.raises(resp.BadAnswer):
-        fed(resp.RespParser(), data, 1_000)
+        parse_in_steps(resp.RespParser(), data, 1_000)
 
 
 @pytest.mark.parametrize(
     ("raw", "pairs"),
     [(b"-", {}), (b"", {}), (b"chunks=2", {"chunks": "2"}), (b"a=1,b=x=y", {"a": "1", "b": "x=y"})],
 )
-def test_pairs(raw: bytes, pairs: dict[str, str]) -> None:
+def test_fields_of_an_engine(raw: bytes, pairs: dict[str, str]) -> None:
     assert resp.read_pairs(raw) == pairs
 
 
-def test_pairs_and_meters_that_are_none() -> None:
+def test_malformed_fields_and_load_reports_are_an_error() -> None:
     for raw in (b"chunks", b"=2", b"a=1,,b=2", b"\xff=1"):
         with pytest.raises(resp.BadAnswer):
             resp.read_pairs(raw)
@@ -236,16 +245,16 @@
         (b"\xff\0", -1),
     ],
 )
-def test_table_group(statement: bytes, group: int) -> None:
+def test_the_group_of_tables_of_a_statement(statement: bytes, group: int) -> None:
     assert table_group(statement) == group
 
 
 def test_bus_lines() -> None:
     line = json.dumps(event(41, target("s-1", 9090, boot_ms=1_700_000_000_123), full=True)).encode()
-    told = bus.parse_line(line)
-    assert isinstance(told, bus.EndpointListEvent) and told.offset == 41 and told.full
-    one = told.targets[0]
-    assert one == bus.ListedEndpoint(
+    parsed = bus.parse_line(line)
+    assert isinstance(parsed, bus.EndpointListEvent) and parsed.offset == 41 and parsed.full
+    endpoint = parsed.targets[0]
+    assert endpoint == bus.ListedEndpoint(
         "s-1",
         "127.0.0.1",
         9090,
@@ -257,7 +266,7 @@
         1_700_000_000_123_000_000,
     )
     assert bus.parse_line(b"17") == 17
-    assert fed(bus.LineParser(), b"17\n" + line + b"\n18", 5) == [b"17", line]
+    assert parse_in_steps(bus.LineParser(), b"17\n" + line + b"\n18", 5) == [b"17", line]
 
 
 @pytest.mark.parametrize(
@@ -302,21 +311,21 @@
     ).map(b"".join),
     st.integers(1, 9),
 )
-def test_any_bytes_are_read_or_refused_alike_however_they_are_cut(data: bytes, step: int) -> None:
-    """Danger: no input may raise anything but the parser's own refusal."""
-    for parser, refusal in (
+def test_any_bytes_are_read_or_an_error_alike_however_they_are_cut(data: bytes, step: int) -> None:
+    """No input may raise anything but the parser's own error."""
+    for parser_class, error_class in (
         (frames.FrameParser, frames.BadFrame),
         (resp.RespParser, resp.BadAnswer),
         (bus.LineParser, bus.BadLine),
     ):
         results = []
         for size in (step, 1_000):
-            got: list[Any] = []
+            parsed: list[Any] = []
             try:
-                one = parser()
+                parser = parser_class()
                 for at in range(0, len(data), size):
-                    feed(one, data[at : at + size], got)
-                results.append((got, False))
-            except refusal:
-                results.append((got, True))
+                    parse_piece(parser, data[at : at + size], parsed)
+                results.append((parsed, False))
+            except error_class:
+                results.append((parsed, True))
         assert results[0] == results[1]
