--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -4,29 +4,42 @@
 
 import asyncio
 import os
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ..config.reading import Config, ConfigError
+from ..config import Config, ConfigError
 from ..deadlines.retry_budget import RetryBudget
 from ..deadlines.settings import DeadlineSettings
 from ..discovery.event_codec import EndpointListEvent
 from ..discovery.watch_client import WatchClient
-from ..dispatch.dispatcher import WAY_BACK
+from ..dispatch.deadline_controls import DEFAULT_ANSWER_MARGIN_NS
+from ..dispatch.observers import DispatchObserver, RequestEnding
+from ..dispatch.requests import ActiveRequest
 from ..protocols.client_connection import ClientConnection
 from ..server.node import Node
 from .script import OperatorConfig, OperatorFileError, evaluate
 
 if TYPE_CHECKING:
-    from ..membership.service import Membership
-    from ..membership.views import View
-    from ..quotas.service import Judging, Sharing
+    from ..membership.service import MembershipService
+    from ..membership.views import MembershipView
+    from ..outlier_consensus.service import OutlierConsensusService
+    from ..quotas.service import QuotaService
     from ..startup.service import StartupService
 
 LEARN = 1_000_000_000  # ns between two looks at the margin
 
 
+class _TraceObserver(DispatchObserver):
+    """Gives the log of requests' traces the end of each request."""
+
+    def __init__(self, write: Callable[[ActiveRequest, str], None]) -> None:
+        self._write = write
+
+    def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
+        self._write(request, ending.value)
+
+
 class ConfiguredNode(Node):
     """``said``: what the file says now; ``path``: where SIGHUP reads it again."""
 
@@ -46,9 +59,10 @@
             config.settings.broker_index,
         )  # what the module goes by
         self.starting: StartupService | None = None
-        self.membership: Membership | None = None
-        self.sharing: Sharing | None = None
-        self.judging: Judging | None = None
+        self.membership: MembershipService | None = None
+        self.sharing: QuotaService | None = None
+        self.judging: OutlierConsensusService | None = None
+        self.trace_observer: _TraceObserver | None = None
         super().__init__(config, environ)
         self._set_terms(said)
         if said.start is not None:
@@ -58,13 +72,13 @@
             self.admin_api.calls.append(self.starting.call)
         if said.members is not None:
             try:
-                from ..membership.service import Membership
+                from ..membership.service import MembershipService
             except ImportError as error:
                 raise ConfigError(f"members: needs the extra 'members': {error}") from None
-            self.membership = Membership(self, said.members, self._view_changed)
+            self.membership = MembershipService(self, said.members, self._view_changed)
             self.admin_api.calls.append(self.membership.call)
-            self.dispatcher.more_figures.append(self.membership.figures)
-            self.dispatcher.adjust.append(self.membership.adjust)
+            self.dispatcher.extensions.metrics_sources.append(self.membership.metrics)
+            self.dispatcher.extensions.settings_adjusters.append(self.membership.adjust)
             self._share(said, self.membership)
 
     # --- the start ---
@@ -79,14 +93,14 @@
             self.starting.came(connection)
         return True
 
-    def _feed(self, bus: tuple[str, int]) -> WatchClient:
-        feed = super()._feed(bus)
+    def make_watch_client(self, address: tuple[str, int]) -> WatchClient:
+        watch_client = super().make_watch_client(address)
         if self.starting is not None:
-            self.starting.pace(feed)
-        return feed
+            self.starting.pace(watch_client)
+        return watch_client
 
-    def _news(self, event: EndpointListEvent) -> None:
-        super()._news(event)
+    def endpoint_list_changed(self, event: EndpointListEvent) -> None:
+        super().endpoint_list_changed(event)
         if self.starting is not None:
             self.starting.told()
 
@@ -99,30 +113,33 @@
 
     # --- the other brokers ---
 
-    def _share(self, said: OperatorConfig, membership: Membership) -> None:
+    def _share(self, said: OperatorConfig, membership: MembershipService) -> None:
         if said.shares is None and said.verdicts is None:
             return
-        from ..quotas.service import Judging, Sharing
-
         if said.shares is not None:
-            self.sharing = Sharing(self, membership, said.shares)
-            self.admin_api.calls.append(self.sharing.call)
-            if self.dispatcher.budget is not None and "further" in self.sharing.of_kind:
-                self.dispatcher.budget.gate = self.sharing.may_try
+            from ..quotas.service import QuotaService
+
+            self.sharing = QuotaService(self, membership, said.shares)
+            self.admin_api.calls.append(self.sharing.handle_admin_call)
+            budget = self.dispatcher.deadline_controls.retry_budget
+            if budget is not None and self.sharing.has_retry_limit:
+                budget.gate = self.sharing.admit_retry
         if said.verdicts is not None:
-            self.judging = Judging(self, membership, said.verdicts)
-            self.admin_api.calls.append(self.judging.call)
+            from ..outlier_consensus.service import OutlierConsensusService
+
+            self.judging = OutlierConsensusService(self, membership, said.verdicts)
+            self.admin_api.calls.append(self.judging.handle_admin_call)
 
-    async def _open(self) -> None:
+    async def open_sockets(self) -> None:
         if self.membership is not None:
             await self.membership.open()
 
-    def _view_changed(self, view: View) -> None:
-        if (view.told, view.place) != self.sized:
-            self.sized = view.told, view.place
+    def _view_changed(self, view: MembershipView) -> None:
+        if (view.effective_size, view.effective_index) != self.sized:
+            self.sized = view.effective_size, view.effective_index
             self.dispatcher.refresh_settings()
             if self.starting is not None:
-                self.starting.resize(view.place, view.told)
+                self.starting.resize(view.effective_index, view.effective_size)
 
     # --- what the file says ---
 
@@ -139,44 +156,51 @@
         self._set_terms(said)
 
     def _set_terms(self, said: OperatorConfig) -> None:
-        broker, terms = self.dispatcher, said.deadlines or DeadlineSettings()
-        broker.terms = terms
+        controls = self.dispatcher.deadline_controls
+        terms = said.deadlines or DeadlineSettings()
+        controls.settings = terms
         if terms.learn:
             from ..deadlines.stage_latencies import StageLatencies
 
-            if broker.stages is None or broker.stages.terms != terms.margin:
-                broker.stages = StageLatencies(terms.margin)
-            broker.margin = broker.stages.margin
+            if controls.stages is None or controls.stages.terms != terms.margin:
+                controls.stages = StageLatencies(terms.margin)
+            controls.margin_ns = controls.stages.margin
         else:
-            broker.stages, broker.margin = None, WAY_BACK
+            controls.stages = None
+            controls.margin_ns = DEFAULT_ANSWER_MARGIN_NS
         if terms.further is None:
-            broker.budget = None
-        elif broker.budget is None or broker.budget.terms != terms.further:
-            broker.budget = RetryBudget(terms.further)
-            if self.sharing is not None and "further" in self.sharing.of_kind:
-                broker.budget.gate = self.sharing.may_try
-        self.log.sink, broker.story = None, None
+            controls.retry_budget = None
+        elif controls.retry_budget is None or controls.retry_budget.terms != terms.further:
+            controls.retry_budget = RetryBudget(terms.further)
+            if self.sharing is not None and self.sharing.has_retry_limit:
+                controls.retry_budget.gate = self.sharing.admit_retry
+        self.log.sink = None
+        if self.trace_observer is not None:
+            self.dispatcher.extensions.remove_observer(self.trace_observer)
+            self.trace_observer = None
         if said.logs is not None and said.logs.format != "plain":
             from ..server.structured_log import Lines, stories
 
             lines = Lines(self.config.name, said.logs)
             self.log.sink = lines
-            broker.story = stories(self.log, lines, self.clock.now)
+            self.trace_observer = _TraceObserver(stories(self.log, lines, self.clock.now))
+            self.dispatcher.add_observer(self.trace_observer)
 
-    def _tick(self, loop: asyncio.AbstractEventLoop) -> None:
-        super()._tick(loop)
+    def after_tick(self) -> None:
+        super().after_tick()
         now = self.clock.now()
         if self.starting is not None:
             self.starting.tick(now)
         if (
             self.closing_announced
             and self.membership is not None
-            and not self.membership.detector.left
+            and not self.membership.detector.own.left
         ):
             self.membership.leave()
-        if self.dispatcher.stages is not None and now - self.learned >= LEARN:
+        controls = self.dispatcher.deadline_controls
+        if controls.stages is not None and now - self.learned >= LEARN:
             self.learned = now
-            self.dispatcher.margin = self.dispatcher.stages.learn(now)
+            controls.margin_ns = controls.stages.learn(now)
 
     # --- SIGHUP ---
 
@@ -184,7 +208,7 @@
         """The operators' file is evaluated beside the loop, then both files are taken or
         neither.
         """
-        if self.shutdown.begun_at:
+        if self.shutdown.begun:
             return super().reload()
         if self.reading is not None:
             return
@@ -199,10 +223,10 @@
         try:
             self.pending = self._check(future.result())
         except OperatorFileError as error:
-            self._turned_down(str(error))
+            self.reloader.reject(str(error))
             return
         except Exception as error:  # danger: no file, however odd, may end a process that serves
-            self._turned_down(f"{self.path}: {type(error).__name__}: {error}")
+            self.reloader.reject(f"{self.path}: {type(error).__name__}: {error}")
             return
         super().reload()
         self.pending = None
@@ -211,7 +235,7 @@
         if self.sharing is not None:
             self.sharing.configure()
 
-    def _take(self, read: Config) -> None:
-        super()._take(read)
+    def apply_config(self, config: Config) -> None:
+        super().apply_config(config)
         if self.pending is not None:
             self._apply(self.pending)
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -83,7 +83,11 @@
         """
         frames_wait = self.reader.waiting or self.paused_at
         incomplete = self.reader.parser.buffered() and not frames_wait
-        if self.host.dispatcher.terms.half_close != HALF_CLOSE_ANSWERS or self.broken or incomplete:
+        if (
+            self.host.dispatcher.deadline_controls.settings.half_close != HALF_CLOSE_ANSWERS
+            or self.broken
+            or incomplete
+        ):
             # Where answers are still unread, the transport reports the loss only after them.
             self.broken = True
             self.requests.cancel_all()
@@ -185,7 +189,7 @@
         self.broken = True
         for stream in self.requests.being_submitted():  # a fault while it was being submitted
             self.failed(stream, why)
-        dispatcher.give_up(self.requests.submitted())
+        dispatcher.cancellations.close_out(self.requests.submitted())
         self.socket.write(frames.answer(NO_STREAM, frames.FAILED, {}, why.encode()))
         self.shut()
 
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -216,7 +216,7 @@
         Who sends much and leaves has left before the last of it is read, and nothing of it may
         begin then.
         """
-        if self.host.dispatcher.terms.half_close == HALF_CLOSE_ANSWERS:
+        if self.host.dispatcher.deadline_controls.settings.half_close == HALF_CLOSE_ANSWERS:
             return False
         if not self.socket.has_ended():
             return False
--- a/query_broker/protocols/client_request.py
+++ b/query_broker/protocols/client_request.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ..dispatch.dispatcher import InvalidRequestError, ParsedRequest, read_number
+from ..dispatch.validation import InvalidRequestError, ParsedRequest, read_number
 from .client_frames import read_fields
 from .statement import table_group
 
--- a/query_broker/protocols/client_requests.py
+++ b/query_broker/protocols/client_requests.py
@@ -4,8 +4,9 @@
 
 from typing import Protocol
 
-from ..dispatch.dispatcher import Dispatcher, InvalidRequestError
+from ..dispatch.dispatcher import Dispatcher
 from ..dispatch.requests import ActiveRequest, Client
+from ..dispatch.validation import InvalidRequestError
 from .client_frames import BadFrame
 from .client_request import FIELD_CLIENT_REQUEST_ID, parse_request
 
@@ -86,14 +87,14 @@
         """Cancel a request on behalf of its client, if it is open."""
         request = self.open.pop(stream, None)
         if request is not None:
-            self.host.dispatcher.abandon(request)
+            self.host.dispatcher.cancellations.abandon(request)
 
     def cancel_all(self) -> None:
         """Cancel all requests, since their client has left."""
         requests = self.submitted()
         self.open.clear()
         for request in requests:
-            self.host.dispatcher.abandon(request)
+            self.host.dispatcher.cancellations.abandon(request)
 
     def submitted(self) -> list[ActiveRequest]:
         """Return the open requests that the dispatcher has taken."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,8 @@
 from query_broker import decisions as api
 from query_broker.decisions.facade import CancelAttempt
 from query_broker.discovery.event_codec import parse_event
-from query_broker.dispatch.dispatcher import UNDO_WAY, ParsedRequest
+from query_broker.dispatch.attempt_outcomes import CANCEL_TRANSIT_NS
+from query_broker.dispatch.validation import ParsedRequest
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.client_connection import ClientConnection
@@ -90,10 +91,10 @@
             raw.sendall(asked(1))
             await until(lambda: engine.words(b"do"))
             drain = GracefulShutdown(rig.node)
-            drain.loop, drain.begun_at = loop, rig.node.clock.now()
+            drain.begun_at_ns = rig.node.clock.now()
             # in the system's buffer between the last look and the end
             raw.sendall(asked(2) + asked(3)[:20])
-            drain._shut()
+            drain._end_connections()
             raw.setblocking(False)
             read = b""
             while part := await within(loop.sock_recv(raw, 65_536)):  # raises where it is reset
@@ -140,10 +141,9 @@
         client.ask(patience="700")
         await until(lambda: engine.words(b"do"))
         drain = GracefulShutdown(rig.node)
-        drain.loop = asyncio.get_running_loop()
-        drain.begun_at = rig.node.clock.now() - int(drain.last * 1e9)
-        assert drain.last < 0.7 + 0.7
-        drain._look()
+        drain.begun_at_ns = rig.node.clock.now() - int(drain.close_out_after_s * 1e9)
+        assert drain.close_out_after_s < 0.7 + 0.7
+        drain._await_requests()
         assert (await client.answer())[:2] == (1, frames.REFUSED)
         assert await within(client.reader.read()) == b""
         client.writer.close()
@@ -261,7 +261,7 @@
     spare = await engine.start()
     config = make_config(listed=False, bus=port)
     async with running(config) as rig:
-        most = rig.node.most_clients
+        most = rig.node.admission.max_connections
         idle = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(most + 20)]
         await until(lambda: len(rig.node.clients) == most)
         assert not rig.node.ready()
@@ -404,12 +404,12 @@
         await until(lambda: any(e.words(b"do") for e in engines))
         still = clock.now()
         monkeypatch.setattr(clock, "now", lambda: still)
-        broker._cancel(CancelAttempt(request.id, 0))
+        broker.cancellations.cancel_attempt(CancelAttempt(request.id, 0))
         await until(lambda: any(e.words(b"undo") for e in engines))
-        broker._end_later()
+        broker.outcomes.report_deferred()
         assert list(request.attempts) == [0] and request.attempts[0].concluded
-        still += UNDO_WAY
-        broker._end_later()
+        still += CANCEL_TRANSIT_NS
+        broker.outcomes.report_deferred()
         assert list(request.attempts) == [1]
         await until(lambda: all(e.words(b"do") for e in engines))
 
@@ -420,11 +420,11 @@
     engine = Engine()
     async with running(make_config(target("s-1", await engine.start()))) as rig:
         drain = GracefulShutdown(rig.node)
-        drain.loop, drain.begun_at = asyncio.get_running_loop(), rig.node.clock.now()
+        drain.begun_at_ns = rig.node.clock.now()
         waiting = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(20)]
         for number, raw in enumerate(waiting):
             raw.sendall(asked(1, trace=f"{number:016x}"))
-        drain._leave()  # the loop has had no turn since
+        drain._announce_leaving()  # the loop has had no turn since
         for raw in waiting:
             raw.setblocking(False)
             read = b""
@@ -499,6 +499,9 @@
     def failed(self, stream: int, reason: str) -> None:
         self.told.put_nowait("failed")
 
+    def unread(self) -> int:
+        return 0
+
 
 def ask_of(
     route: str = "stock-add", trace: str = "a" * 16, nonce: str | None = None
@@ -674,13 +677,14 @@
         request = broker.submit(caller, 1, ask_of("glance"))
         pool = next(iter(broker.pools.by_number.values()))
         assert pool.waiting
-        report = broker._end_later
-        monkeypatch.setattr(broker, "_end_later", lambda: None)  # the next tick is still to come
-        broker._cancel(CancelAttempt(request.id, 0))
+        report = broker.outcomes.report_deferred
+        # The next tick is still to come.
+        monkeypatch.setattr(broker.outcomes, "report_deferred", lambda: None)
+        broker.cancellations.cancel_attempt(CancelAttempt(request.id, 0))
         gate.set()
         await until(lambda: pool.connections and not pool.waiting)
         assert not engine.words(b"do")
-        monkeypatch.setattr(broker, "_end_later", report)
+        monkeypatch.setattr(broker.outcomes, "report_deferred", report)
         broker.wheel.soon()
         assert await within(caller.told.get()) == "served"
         assert len(engine.words(b"do")) == 1
@@ -700,7 +704,7 @@
         )
     )
     for number in (1, 2):
-        h.controller._suspect(h.now, h.controller.engines[number], True)
+        h.controller.outliers.set_ejected(h.now, h.controller.engines[number], True)
         h.controller.engines[number].next_trial = h.now + 9 * S
     h.arrive("r", estimate_ns=40 * MS)
     assert h.sends("r")[0].endpoint in (1, 2)
