--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -31,7 +31,7 @@
 from query_broker.server.process_status import ProcessStatus
 from query_broker.startup import endpoint_snapshot as lastlist
 from query_broker.startup import pacing as paces
-from query_broker.startup import service as start_joins
+from query_broker.startup import snapshot_store as start_joins
 
 S = 1_000_000_000
 
