--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -28,7 +28,7 @@
 from query_broker.outlier_consensus.consensus import Ejection, OutlierScope
 from query_broker.outlier_consensus.messages import Endpoint
 from query_broker.outlier_consensus.overrides import OVERRIDE_VALUES
-from query_broker.protocols.operator_http import REASONS
+from query_broker.protocols.operator_answers import REASONS
 from query_broker.quotas.lease_holder import Lease
 from query_broker.server.log import Log
 from query_broker.server.structured_log import Lines, story
