--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -18,7 +18,7 @@
 
 import uvloop
 
-from query_broker.cells.migrations import Refused, Stage
+from query_broker.cells.migrations import MigrationRejectedError, Stage
 from query_broker.cells.model import Cell, CellMap, Tenant, Timing
 from query_broker.cells.node import CellNode
 from query_broker.cells.placement import Placement, Seen
@@ -165,7 +165,7 @@
         while len(seen) < count and time.monotonic() - begun < 240:
             now = node.clock.now()
             for move in record.records.values():
-                if move.over() and move.version not in seen:
+                if move.has_ended() and move.version not in seen:
                     seen.add(move.version)
                     ended[move.stage] = ended.get(move.stage, 0) + 1
                     moving.append((move.subject, move.begun, move.at))
@@ -173,13 +173,13 @@
                 try:
                     record.propose(draw.choice(names), draw.choice(cells), now)
                     proposed += 1
-                except Refused:
+                except MigrationRejectedError:
                     pass
             if draw.random() < 0.02:
                 try:
                     record.take_back(draw.choice(names), now)
                     backs += 1
-                except Refused:
+                except MigrationRejectedError:
                     pass
             await asyncio.sleep(0.02)
         over.set()
--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -1,138 +1,211 @@
-"""What each cell may hold of one thing that all share: its own part, and what others do not use.
-
-The owner's part is a promise: a quarter of it is never lent, and once the owner digs into the rest
-(it
-*asks*), nothing more of it is lent and what is lent comes back within `RETURN`. Only what can be
-given back
-may be borrowed: *firm* use (what may not be cut short, such as unsafe work) stays within the own
-part.
+"""Borrowing between cells: what each may hold of one resource that all of them share.
+
+A cell owns a part of the resource and may borrow what the others do not use. The owner's part is a
+guarantee: `RESERVED_FRACTION` of it is never lent, and once the owner uses more than that (it
+*reclaims* its part), nothing more of the part is lent and what is lent is called in within
+`CALL_IN_DELAY_NS`. Only what can be given back may be borrowed: *firm* use, which must not be cut
+short (such as work that is not idempotent), stays within the cell's own part.
+
+Amounts are descriptors, bytes or requests; times are integer nanoseconds. Performs no I/O.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-S = 1_000_000_000
-KEPT = 0.25  # of a part is never lent
-RETURN = S * 3 // 5  # ns from the owner's asking to the last of it being called in
-HOLD = 5 * S  # ns that an owner who has asked keeps its whole part
+NS_PER_S = 1_000_000_000
+#: The fraction of a part that is never lent, so that an owner can always start at once.
+RESERVED_FRACTION = 0.25
+#: From the owner's reclaim until the last of what it lent is called in: within a second, less the
+#: time that borrowers take to end.
+CALL_IN_DELAY_NS = NS_PER_S * 3 // 5
+#: How long an owner that has reclaimed its part keeps all of it.
+RECLAIM_HOLD_NS = 5 * NS_PER_S
 
 
 @dataclass(slots=True)
 class Account:
-    """One cell's use of one thing."""
+    """One cell's use of one resource.
+
+    Attributes:
+        part: What the cell owns.
+        used: What it uses, borrowed amounts included.
+        firm: What of it must not be cut short.
+        reclaim_since: Since when the owner wants its complete part; None if it does not.
+        last_reclaim: When it last wanted it.
+        reserved: What of the part is never lent.
+    """
 
     part: int = 0
     used: int = 0
     firm: int = 0
-    asked: int | None = None  # since when its owner wants the whole part
-    last_asked: int = 0
-    kept: int = 0  # of the part, never lent
+    reclaim_since: int | None = None
+    last_reclaim: int = 0
+    reserved: int = 0
 
     def set_part(self, part: int) -> None:
-        self.part, self.kept = part, int(KEPT * part)
+        """Set what the cell owns."""
+        self.part = part
+        self.reserved = int(RESERVED_FRACTION * part)
 
     def reserve(self) -> int:
-        """What must stay free for it."""
-        wanted = self.part if self.asked is not None else self.kept
+        """Return what must stay free for the cell now."""
+        wanted = self.part if self.reclaim_since is not None else self.reserved
         return max(0, wanted - self.used)
 
+    def borrowed(self) -> int:
+        """Return what the cell uses beyond its part."""
+        return max(0, self.used - self.part)
+
+    def note_reclaim(self, now_ns: int) -> None:
+        """Record that the owner wants its complete part."""
+        if self.reclaim_since is None:
+            self.reclaim_since = now_ns
+        self.last_reclaim = now_ns
+
+    def expire_reclaim(self, now_ns: int) -> None:
+        """End a reclaim that has not been repeated for `RECLAIM_HOLD_NS`."""
+        if self.reclaim_since is not None and now_ns - self.last_reclaim > RECLAIM_HOLD_NS:
+            self.reclaim_since = None
+
+    def call_in_is_due(self, now_ns: int) -> bool:
+        """Return whether the owner has waited for its part for `CALL_IN_DELAY_NS`."""
+        return self.reclaim_since is not None and now_ns - self.reclaim_since >= CALL_IN_DELAY_NS
+
 
 @dataclass(slots=True)
 class Ledger:
-    """One thing: descriptors, bytes or requests. Parts add up to no more than the total."""
+    """The use of one resource by all cells.
+
+    Invariant: the parts add up to no more than the total, and `take` never lets the use exceed it.
+
+    Attributes:
+        total: How much there is.
+        in_use: The use of all cells together.
+        accounts: The account of each cell.
+    """
 
     total: int = 0
     in_use: int = 0
     accounts: dict[str, Account] = field(default_factory=dict)
 
-    def divide(self, total: int, shares: Mapping[str, float]) -> None:
-        """Set the parts anew; what is in use stays booked, also by cells that have no part any
-        more.
+    def divide(self, total: int, weights: Mapping[str, float]) -> None:
+        """Set the total and the parts anew.
+
+        What is in use stays accounted, also for cells that have no part any more.
         """
         self.total = max(0, total)
-        whole = sum(shares.values()) or 1.0
+        total_weight = sum(weights.values()) or 1.0
         for name, account in list(self.accounts.items()):
-            if name not in shares:
-                account.asked = None
+            if name not in weights:
+                account.reclaim_since = None
                 account.set_part(0)
-                if not account.used:
-                    del self.accounts[name]
-        for name, share in shares.items():
-            self.accounts.setdefault(name, Account()).set_part(int(self.total * share / whole))
+                self._drop_if_unused(name, account)
+        for name, weight in weights.items():
+            part = int(self.total * weight / total_weight)
+            self.accounts.setdefault(name, Account()).set_part(part)
+
+    def _drop_if_unused(self, name: str, account: Account) -> None:
+        if not account.part and not account.used:
+            del self.accounts[name]
 
     def free(self) -> int:
+        """Return what is left of the total; negative after a cut of the total."""
         return self.total - self.in_use
 
-    def allows(self, name: str, amount: int, now: int, firm: bool = False) -> bool:
-        """Whether the cell may take so much more. Asking is noted: that is what calls loans in."""
-        if (account := self.accounts.get(name)) is None:
+    def allows(self, name: str, amount: int, now_ns: int, firm: bool = False) -> bool:
+        """Return whether the cell may take this amount more.
+
+        A cell that reaches into the part of its own that may be lent reclaims it by this call:
+        borrowed amounts are called in then.
+        """
+        account = self.accounts.get(name)
+        if account is None:
             return False
-        if account.used + amount <= account.kept:  # the ordinary case, on every request's path
+        if account.used + amount <= account.reserved:  # the ordinary case, on every request's path
             return self.in_use + amount <= self.total
         if account.used < account.part:
-            account.asked = now if account.asked is None else account.asked
-            account.last_asked = now
+            account.note_reclaim(now_ns)
         if firm and account.firm + amount > account.part:
             return False
         free = self.free() - amount
         if account.used + amount <= account.part:
             return free >= 0
-        return free >= sum(a.reserve() for n, a in self.accounts.items() if n != name)
+        return free >= self.reserved_for_others(name)
 
-    def take(self, name: str, amount: int, now: int, firm: bool = False) -> bool:
-        if not self.allows(name, amount, now, firm):
+    def reserved_for_others(self, name: str) -> int:
+        """Return what must stay free for the cells other than this one."""
+        return sum(account.reserve() for owner, account in self.accounts.items() if owner != name)
+
+    def take(self, name: str, amount: int, now_ns: int, firm: bool = False) -> bool:
+        """Account the amount to the cell if it may take it; return whether it did."""
+        if not self.allows(name, amount, now_ns, firm):
             return False
         self.force(name, amount, firm)
         return True
 
     def force(self, name: str, amount: int, firm: bool = False) -> None:
-        """Book what is there already, whatever the part."""
-        if (account := self.accounts.get(name)) is not None:
-            account.used += amount
-            account.firm += amount * firm
-            self.in_use += amount
+        """Account an amount that is in use already, whatever the cell's part."""
+        account = self.accounts.get(name)
+        if account is None:
+            return
+        account.used += amount
+        self.in_use += amount
+        if firm:
+            account.firm += amount
 
     def give(self, name: str, amount: int, firm: bool = False) -> None:
-        if (account := self.accounts.get(name)) is None:
+        """Give an amount back; ``firm`` as it was taken."""
+        account = self.accounts.get(name)
+        if account is None:
             return
         amount = min(amount, account.used)
         account.used -= amount
         self.in_use -= amount
         if firm:
             account.firm = max(0, account.firm - amount)
-        if not account.part and not account.used:
-            del self.accounts[name]
+        self._drop_if_unused(name, account)
 
     def book(self, name: str, used: int, firm: int = 0) -> None:
-        """Use that is counted elsewhere."""
-        if (account := self.accounts.get(name)) is not None:
-            self.in_use += used - account.used
-            account.used, account.firm = used, firm
+        """Set the use of a cell that is counted elsewhere."""
+        account = self.accounts.get(name)
+        if account is None:
+            return
+        self.in_use += used - account.used
+        account.used = used
+        account.firm = firm
 
     def lent(self, name: str) -> int:
-        """What the cell holds beyond its part."""
-        account = self.accounts[name]
-        return max(0, account.used - account.part)
+        """Return what the cell uses beyond its part."""
+        return self.accounts[name].borrowed()
 
-    def due(self, now: int) -> dict[str, int]:
-        """What borrowers have to give back now: those with the largest loans first, and no more
-        than is missing for the owners that asked long enough ago.
+    def due(self, now_ns: int) -> dict[str, int]:
+        """Return what each borrower has to give back now.
+
+        The largest borrowers come first, and no more is called in than is missing for the owners
+        that reclaimed their part long enough ago.
         """
         for account in self.accounts.values():
-            if account.asked is not None and now - account.last_asked > HOLD:
-                account.asked = None
-        waited = [
-            a for a in self.accounts.values() if a.asked is not None and now - a.asked >= RETURN
-        ]
-        if not waited:
+            account.expire_reclaim(now_ns)
+        waiting = [account for account in self.accounts.values() if account.call_in_is_due(now_ns)]
+        if not waiting:
             return {}
-        missing = sum(max(0, a.part - a.used) for a in waited) - max(0, self.free())
+        wanted = sum(max(0, account.part - account.used) for account in waiting)
+        largest_first = sorted(self.accounts, key=lambda name: (-self.lent(name), name))
+        return self._owed(largest_first, wanted - max(0, self.free()))
+
+    def over_total(self) -> dict[str, int]:
+        """Return what each borrower has to give back where more than the total is in use."""
+        largest_first = sorted(self.accounts, key=lambda name: -self.lent(name))
+        return self._owed(largest_first, -self.free())
+
+    def _owed(self, largest_first: Iterable[str], missing: int) -> dict[str, int]:
         owed: dict[str, int] = {}
-        for name in sorted(self.accounts, key=lambda n: (-self.lent(n), n)):
-            if missing <= 0 or not (back := min(self.lent(name), missing)):
+        for name in largest_first:
+            amount = min(self.lent(name), missing)
+            if amount <= 0:
                 break
-            owed[name] = back
-            missing -= back
+            owed[name] = amount
+            missing -= amount
         return owed
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -17,8 +17,8 @@
 from ..metrics import STATUSES, escaped
 from ..protocols.engine_connection import EngineConnection
 from ..timer_wheel import Clock
-from .borrowing import KEPT, Ledger
-from .migrations import Moves
+from .borrowing import RESERVED_FRACTION, Ledger
+from .migration_log import MigrationLog
 from .model import CellMap
 from .router import CellRouter
 from .work_rates import Rates
@@ -36,7 +36,7 @@
         self, config: Config, clock: Clock, log: Callable[[str, str], None], map: CellMap, me: str
     ) -> None:
         self.map = map
-        self.moves = Moves(map, me)
+        self.moves = MigrationLog(map, me)
         self.requests_lent, self.statements = Ledger(), Ledger()
         self.frames, self.answers, self.connections = Ledger(), Ledger(), Ledger()
         self.charged: dict[str, tuple[str, int, bool]] = {}
@@ -50,7 +50,7 @@
         self._learn_routes()
 
     @property
-    def hall(self) -> CellRouter:
+    def router(self) -> CellRouter:
         return cast(CellRouter, self.facade)
 
     def make_facade(self, now_ns: int) -> Facade:
@@ -112,17 +112,17 @@
         """Another map is in force. The caller has seen to it that it is no older one."""
         now = self.now()
         self.map = map
-        self.moves.take(map, now)
-        self.carry_out(now, self.hall.take(map, now))
+        self.moves.apply_map(map, now)
+        self.carry_out(now, self.router.apply_map(map, now))
         self._divide_among_cells()
 
     def adopt_seats(self, seats: dict[str, str | None]) -> None:
         now = self.now()
-        self.carry_out(now, self.hall.adopt(seats, now))
+        self.carry_out(now, self.router.adopt(seats, now))
 
     def close_out(self, subject: str, cell: str) -> None:
         """What is open of the subject there gets the final answer that the rules allow."""
-        self.report_event(CloseRequests(self.hall.requests_of(subject, cell)))
+        self.report_event(CloseRequests(self.router.requests_of(subject, cell)))
 
     # --- requests ---
 
@@ -135,9 +135,9 @@
         same_id = self.request_table.by_client_id.get(parsed.client_request_id.encode(), ())
         for other in same_id:
             # Danger: an engine of another cell knows nothing of the one that is open under this id.
-            if (place := self.hall.where.get(other.id)) is not None:
+            if (place := self.router.requests.get(other.id)) is not None:
                 cell, subject = place[0].cell, place[1]
-        self.hall.next = subject, cell
+        self.router.assigned = subject, cell
         self.rates.add(subject, int(parsed.estimate_ms * MS))
         return super().admit(client, stream, parsed, received_ns)
 
@@ -145,8 +145,8 @@
         """Danger: one tenant's flood takes the memory and the descriptors of all: each cell has its
         part. What may have run cannot be called in again, so it is never taken on loan.
         """
-        assert self.hall.next is not None
-        now, cell, size = self.now(), self.hall.next[1], len(request.statement)
+        assert self.router.assigned is not None
+        now, cell, size = self.now(), self.router.assigned[1], len(request.statement)
         firm = request.class_name.decode() in self.firm_routes
         # of a client that holds a descriptor on some part
         settle = getattr(request.client, "settle", None)
@@ -171,10 +171,10 @@
             self.statements.give(cell, size, firm)
 
     def begin_answer(self, request: ActiveRequest, status: int) -> Client:
-        if (place := self.hall.where.get(request.id)) is not None:
+        if (place := self.router.requests.get(request.id)) is not None:
             cell = place[0].cell
         else:
-            cell = self.hall.next[1] if self.hall.next is not None else ""
+            cell = self.router.assigned[1] if self.router.assigned is not None else ""
         key = cell, request.class_name.decode(), status
         self.replies[key] = self.replies.get(key, 0) + 1
         return super().begin_answer(request, status)
@@ -194,7 +194,7 @@
             self.rates.fold(now)
             self._call_in(now)
             cast(CelledPools, self.pools).call_in(now)
-            self.carry_out(now, self.hall.fade(now))
+            self.carry_out(now, self.router.fade(now))
 
     def _call_in(self, now: int) -> None:
         """An owner has asked: borrowers' safe requests, the youngest first, get their final answer,
@@ -270,13 +270,13 @@
                 "engines_ready",
                 "gauge",
                 "Engines that take new work.",
-                {c.name: self.hall.fleet(c.name, now).ready for c in self.map.cells},
+                {c.name: self.router.fleet(c.name, now).ready for c in self.map.cells},
             ),
             (
                 "engines_cold",
                 "gauge",
                 "Those of them that are cold.",
-                {c.name: self.hall.fleet(c.name, now).cold for c in self.map.cells},
+                {c.name: self.router.fleet(c.name, now).cold for c in self.map.cells},
             ),
             (
                 "refused_for_room_total",
@@ -337,7 +337,7 @@
         self.ledger = Ledger()
 
     def cell(self, pool: ConnectionPool) -> str:
-        return self.broker.hall.cell_of(pool.number) or ""
+        return self.broker.router.cell_of(pool.number) or ""
 
     def count_use(self) -> None:
         """Danger: an engine that has gone, or sits in no cell, holds connections too: all are
@@ -372,7 +372,7 @@
         return max(1, int(self._most(cell) * OWN_PART) // max(1, live))
 
     def _engines(self, cell: str) -> set[int]:
-        room = self.broker.hall.rooms.get(cell)
+        room = self.broker.router.facades.get(cell)
         return room.engines if room is not None else set()
 
     def room(self, pool: ConnectionPool) -> bool:
@@ -392,14 +392,14 @@
         if account is None:
             return super().make_room(pool)
         if account.used <= most and self.ledger.free() >= 0:
-            if account.used > KEPT * account.part:
+            if account.used > RESERVED_FRACTION * account.part:
                 # it digs into what may be lent: nothing more of it is
                 self.ledger.allows(cell, 0, now)
             return True
         # Its own idle ones first; then of those who hold more than their part.
         idle = self._idle()
         for connection in idle:
-            whose = self.broker.hall.cell_of(connection.endpoint) or ""
+            whose = self.broker.router.cell_of(connection.endpoint) or ""
             if whose == cell or (
                 account.used <= account.part
                 and whose in self.ledger.accounts
@@ -414,7 +414,7 @@
         """An owner has asked: borrowers' connections go, idle ones first, then those on which
         nothing is open that may not be cut short.
         """
-        if not any(a.asked is not None for a in self.ledger.accounts.values()):
+        if not any(a.reclaim_since is not None for a in self.ledger.accounts.values()):
             return
         self.count_use()
         for cell, amount in self.ledger.due(now).items():
--- a/query_broker/cells/fair_turns.py
+++ b/query_broker/cells/fair_turns.py
@@ -1,52 +1,69 @@
-"""Whose turn it is on the one loop: deficit round robin over the cells, in time that was taken.
+"""Turns on the event loop: deficit round robin over the cells, in the time that each has taken.
 
-M. Shreedhar and G. Varghese, "Efficient Fair Queueing using Deficit Round Robin", 1995. A cell
-alone may use the whole of a round; one that is crowded by others gets its share of it, and its debt
-is carried on.
+After M. Shreedhar and G. Varghese, "Efficient Fair Queueing using Deficit Round Robin", 1995. A
+cell that is alone may use the complete round. One that competes with others gets its part of it,
+and what it took beyond that is carried on as debt. Performs no I/O.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-MOST_DEBT = 4.0  # quanta; a single large read must not silence a cell for long
+#: Quanta of debt that are carried on: a single large read must not silence a cell for long.
+MAX_DEBT_QUANTA = 4.0
 
 
 class Turns:
-    """``whole``: what one round holds for all cells together, in the unit in which they spend."""
+    """The balances of all cells in the present round.
 
-    def __init__(self, shares: Mapping[str, float], whole: float) -> None:
-        self.whole = whole
+    Attributes:
+        round_cost: What one round holds for all cells together, in the unit in which they spend.
+        quanta: What each cell is credited with for a round.
+        balance: What each cell may still spend; negative is debt.
+        busy: The cells that have spent something in this round.
+    """
+
+    def __init__(self, weights: Mapping[str, float], round_cost: float) -> None:
+        """Start a round with these cells and their weights."""
+        self.round_cost = round_cost
         self.quanta: dict[str, float] = {}
-        self.left: dict[str, float] = {}
-        self.busy: set[str] = set()  # cells that spent something in this round
-        self.take(shares)
+        self.balance: dict[str, float] = {}
+        self.busy: set[str] = set()
+        self.set_weights(weights)
 
-    def take(self, shares: Mapping[str, float]) -> None:
-        every = sum(shares.values()) or 1.0
-        self.quanta = {name: self.whole * share / every for name, share in shares.items()}
-        self.left = {name: self.left.get(name, quantum) for name, quantum in self.quanta.items()}
+    def set_weights(self, weights: Mapping[str, float]) -> None:
+        """Replace the cells and their weights; a cell that stays keeps its balance."""
+        total = sum(weights.values()) or 1.0
+        self.quanta = {name: self.round_cost * weight / total for name, weight in weights.items()}
+        self.balance = {
+            name: self.balance.get(name, quantum) for name, quantum in self.quanta.items()
+        }
 
     def allowed(self, name: str) -> bool:
-        """Whether the cell may go on in this round. Danger: with nobody else about, waiting helps
-        nobody: a cell alone goes on to the end of the round's whole cost.
+        """Return whether the cell may go on in this round.
+
+        While no other cell is busy, waiting would help none of them, so a cell that is alone goes
+        on until it has used the cost of the complete round.
         """
-        left = self.left.get(name, 0.0)
-        if left > 0:
+        balance = self.balance.get(name, 0.0)
+        if balance > 0:
             return True
-        return self.busy <= {name} and left > self.quanta.get(name, 0.0) - self.whole
+        alone = self.busy <= {name}
+        return alone and balance > self.quanta.get(name, 0.0) - self.round_cost
 
-    def spent(self, name: str, cost: float) -> None:
-        if name in self.left:
-            self.left[name] -= cost
+    def charge(self, name: str, cost: float) -> None:
+        """Charge a cell for what it has taken; a cell that is not known is not charged."""
+        if name in self.balance:
+            self.balance[name] -= cost
             self.busy.add(name)
 
     def round(self) -> None:
-        """A new round begins."""
-        crowded = len(self.busy) > 1
+        """Begin a new round: each cell is credited with its quantum."""
+        contended = len(self.busy) > 1
         for name, quantum in self.quanta.items():
-            left = self.left[name]
-            # Debt made alone is nobody's loss; debt made beside others is paid back.
-            base = max(left, -MOST_DEBT * quantum) if crowded else max(left, 0.0)
-            self.left[name] = min(quantum, base + quantum)
+            # Debt that was made alone has cost no other cell anything and is forgiven; debt that
+            # was made while others were busy is paid back.
+            floor = -MAX_DEBT_QUANTA * quantum if contended else 0.0
+            carried = max(self.balance[name], floor)
+            self.balance[name] = min(quantum, carried + quantum)
         self.busy.clear()
--- /dev/null
+++ b/query_broker/cells/migration_log.py
@@ -0,0 +1,208 @@
+"""The log of migrations of one process: what operators propose, and what other processes know.
+
+`migration_steps` advances the records. Performs no I/O.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import replace
+
+from .migrations import (
+    CLOSED_OUT,
+    SWITCHED_STAGES,
+    CloseOut,
+    Migration,
+    MigrationRejectedError,
+    RecordRank,
+    Stage,
+)
+from .model import CellMap
+
+#: How many migrations may be under way at once.
+MAX_MIGRATIONS = 1_000
+#: How many subjects have their home cached; where no tenants are configured, clients name any.
+MAX_CACHED_HOMES = 20_000
+MAX_SUBJECT_LENGTH = 256
+BY_OPERATORS = "by the operators"
+
+
+class MigrationLog:
+    """The records of one process, and the state machine that advances them.
+
+    Attributes:
+        map: The cell map in force.
+        me: The name of this process.
+        version: The highest version seen.
+        records: The latest record of each subject.
+        homes: A cache of what the map says of subjects.
+        closing: Orders that the owner of the log has still to carry out.
+        changed: Whether something is to be published to the other processes.
+    """
+
+    def __init__(self, map: CellMap, me: str) -> None:
+        """Start without records."""
+        self.map = map
+        self.me = me
+        self.version = 0
+        self.records: dict[str, Migration] = {}
+        self.homes: dict[str, str] = {}
+        self.closing: list[CloseOut] = []
+        self.changed = False
+
+    # --- routing ---
+
+    def cell(self, subject: str, now_ns: int) -> str:
+        """Return where a new request of the subject goes: one cell, at every moment."""
+        move = self.records.get(subject)
+        if move is not None:
+            cell = move.cell(now_ns)
+            if self.map.cell(cell) is not None:
+                return cell
+        home = self.homes.get(subject)
+        if home is None:
+            if len(self.homes) >= MAX_CACHED_HOMES:
+                self.homes.clear()
+            home = self.map.home(subject)
+            self.homes[subject] = home
+        return home
+
+    # --- the operators ---
+
+    def propose(self, subject: str, target: str, now_ns: int) -> Migration:
+        """Start a migration and return its record.
+
+        Raises:
+            MigrationRejectedError: It is not possible; the text names the key.
+        """
+        self._check_subject(subject)
+        if self.map.cell(target) is None:
+            raise MigrationRejectedError("cell", f"{target!r} is no cell")
+        known = self.records.get(subject)
+        if known is not None and not known.has_ended():
+            raise MigrationRejectedError(
+                "tenant", f"{subject!r} is on the move to {known.target!r} ({known.stage.value})"
+            )
+        source = self.cell(subject, now_ns)
+        if source == target:
+            raise MigrationRejectedError("cell", f"{subject!r} is in {target!r} already")
+        if sum(not move.has_ended() for move in self.records.values()) >= MAX_MIGRATIONS:
+            raise MigrationRejectedError("moves", f"{MAX_MIGRATIONS} are under way")
+        proposed = Migration(
+            subject, source, target, Stage.PROPOSED, 0, now_ns, now_ns, driver=self.me
+        )
+        return self.record(proposed)
+
+    def _check_subject(self, subject: str) -> None:
+        if not subject or len(subject) > MAX_SUBJECT_LENGTH or not subject.isprintable():
+            raise MigrationRejectedError("tenant", "is no name")
+        if not self.map.known(subject):
+            raise MigrationRejectedError(
+                "tenant",
+                f"{subject!r} is spread by a field; name one of its parts, as in "
+                f"{subject.partition('#')[0]}#0",
+            )
+
+    def take_back(self, subject: str, now_ns: int, why: str = BY_OPERATORS) -> Migration:
+        """Abort a migration that is under way and return its record.
+
+        Raises:
+            MigrationRejectedError: None is under way, or it is being aborted already.
+        """
+        move = self.records.get(subject)
+        if move is None or move.has_ended():
+            raise MigrationRejectedError("tenant", f"{subject!r} is not on the move")
+        if move.stage is Stage.RETURNING:
+            raise MigrationRejectedError("tenant", f"{subject!r} is being taken back already")
+        return self.abort(move, now_ns, why)
+
+    # --- maps and other processes ---
+
+    def apply_map(self, map: CellMap, now_ns: int) -> None:
+        """Put a new map in force.
+
+        What it names anew goes where it says; a migration that names a dropped cell ends.
+        """
+        before = self.map
+        self.map = map
+        self.homes = {}
+        for move in list(self.records.values()):
+            if move.has_ended():
+                renamed = map.home(move.subject) != before.home(move.subject)
+                if renamed or self._drops(move.source) or self._drops(move.target):
+                    self._overrule(move, now_ns)
+            elif self._drops(move.target):
+                self._abort_without_target(move, now_ns)
+            elif self._drops(move.source):
+                self._end_without_source(move, now_ns)
+
+    def _drops(self, cell: str) -> bool:
+        return self.map.cell(cell) is None
+
+    def _overrule(self, move: Migration, now_ns: int) -> None:
+        # The record stays and is published: forgotten here alone, the old one would come back from
+        # another process.
+        overruled = replace(
+            move,
+            stage=Stage.TAKEN_BACK,
+            source=self.map.home(move.subject),
+            at=now_ns,
+            why="the map says otherwise",
+        )
+        self.record(overruled)
+
+    def _abort_without_target(self, move: Migration, now_ns: int) -> None:
+        if self._drops(move.source):
+            move = replace(move, source=self.map.home(move.subject))
+        self.abort(move, now_ns, f"the map has no cell {move.target!r} any more")
+
+    def _end_without_source(self, move: Migration, now_ns: int) -> None:
+        # The tenant's open requests end in the dropped cell, however long that takes; for new ones
+        # only the target is left.
+        ended = replace(
+            move,
+            stage=Stage.DONE,
+            at=now_ns,
+            switch_at=now_ns,
+            why=f"the map has no cell {move.source!r} any more",
+        )
+        self.record(ended)
+
+    def merge(self, moves: Iterable[Migration]) -> bool:
+        """Take in the records of another process; return whether one of them was newer."""
+        newer = False
+        for move in moves:
+            self.version = max(self.version, move.version)
+            known = self.records.get(move.subject)
+            if known is not None and RecordRank.of(move) <= RecordRank.of(known):
+                continue
+            self.records[move.subject] = move
+            newer = True
+            was_under_way = known is None or not known.has_ended()
+            if move.why == CLOSED_OUT and was_under_way:
+                self.order_close_out(move)  # each process answers its own requests
+        return newer
+
+    def order_close_out(self, move: Migration) -> None:
+        """Order the end of what is still open in the cell that the subject has left."""
+        cell = move.source if move.stage is Stage.DONE else move.target
+        self.closing.append(CloseOut(move.subject, cell))
+
+    # --- the record ---
+
+    def record(self, move: Migration) -> Migration:
+        """Store a record under the next version and return it so."""
+        self.version += 1
+        versioned = replace(move, version=self.version)
+        self.records[move.subject] = versioned
+        self.changed = True
+        return versioned
+
+    def enter(self, move: Migration, stage: Stage, now_ns: int) -> Migration:
+        """Record that the migration comes into a stage now."""
+        return self.record(replace(move, stage=stage, at=now_ns))
+
+    def abort(self, move: Migration, now_ns: int, why: str) -> Migration:
+        """Take a migration back: at once before the switch, else after the target has drained."""
+        stage = Stage.RETURNING if move.stage in SWITCHED_STAGES else Stage.TAKEN_BACK
+        return self.record(replace(move, stage=stage, at=now_ns, switch_at=0, why=why))
--- /dev/null
+++ b/query_broker/cells/migration_steps.py
@@ -0,0 +1,171 @@
+"""The state machine of migrations: what a step does with a record in each stage.
+
+One process drives a migration; the others follow, and one takes over when the driver has ended.
+Times are integer nanoseconds. Performs no I/O.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import replace
+
+from .migration_log import MigrationLog
+from .migrations import CLOSED_OUT, ClusterView, Migration, Stage
+
+NS_PER_S = 1_000_000_000
+#: From the decision to switch to the switch itself: the other processes learn of it in between.
+SWITCH_LEAD_NS = 300_000_000
+#: How long a migration that has ended is shown.
+RETENTION_NS = 600 * NS_PER_S
+
+
+def step_migrations(
+    log: MigrationLog, now_ns: int, cluster: ClusterView, alive: Iterable[str] = ()
+) -> None:
+    """Advance what this process drives.
+
+    Args:
+        log: The records.
+        now_ns: The time.
+        cluster: What the step looks at.
+        alive: The other processes that take requests. The least name of them and this one
+            takes over the migrations of a process that has ended.
+    """
+    processes = set(alive)
+    for move in list(log.records.values()):
+        if move.has_ended():
+            _forget_if_settled(log, move, now_ns)
+            continue
+        driven = _take_over(log, move, processes)
+        if driven.driver == log.me:
+            STEPS[driven.stage](log, driven, now_ns, cluster)
+
+
+def _take_over(log: MigrationLog, move: Migration, processes: set[str]) -> Migration:
+    if move.driver == log.me or move.driver in processes:
+        return move
+    if log.me != min({log.me, *processes}):
+        return move
+    return log.record(replace(move, driver=log.me))
+
+
+def _forget_if_settled(log: MigrationLog, move: Migration, now_ns: int) -> None:
+    """Forget an ended migration that changes nothing any more.
+
+    Where a migration has led is kept for good, unless the map says the same or has no such
+    cell.
+    """
+    if now_ns - move.at <= RETENTION_NS:
+        return
+    cell = move.cell(now_ns)
+    if cell == log.map.home(move.subject) or log.map.cell(cell) is None:
+        del log.records[move.subject]
+
+
+def _step_proposed(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
+    if cluster.fleet(move.target).ready:
+        log.enter(move, Stage.WARMING, now_ns)
+    elif now_ns - move.at >= log.map.timing.propose:
+        log.abort(move, now_ns, "the target has no ready engine")
+
+
+def _step_warming(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
+    able = cluster.fleet(move.target).is_able()
+    if move.switch_at:
+        _await_switch(log, move, now_ns, able, cluster)
+    else:
+        _await_able(log, move, now_ns, able)
+    latest = log.records[move.subject]
+    if now_ns - move.at >= log.map.timing.warm and latest.stage is Stage.WARMING:
+        log.abort(latest, now_ns, "the target did not get warm in time")
+
+
+def _await_able(log: MigrationLog, move: Migration, now_ns: int, able: bool) -> None:
+    """Decide on the time of the switch once the target has been able for long enough."""
+    if not able:
+        if move.able_since:
+            log.record(replace(move, able_since=0))
+    elif not move.able_since:
+        log.record(replace(move, able_since=now_ns))
+    elif now_ns - move.able_since >= log.map.timing.settle:
+        log.record(replace(move, switch_at=now_ns + SWITCH_LEAD_NS))
+
+
+def _await_switch(
+    log: MigrationLog, move: Migration, now_ns: int, able: bool, cluster: ClusterView
+) -> None:
+    """Switch once all processes know the time of it; put it off while one does not."""
+    if not able:
+        # A target that is lost while the other processes learn of the switch must not get the
+        # tenant.
+        log.record(replace(move, switch_at=0, able_since=0))
+    elif cluster.is_replicated(move):
+        switch_at = max(now_ns, move.switch_at)
+        log.record(replace(move, stage=Stage.SWITCHED, at=switch_at, switch_at=switch_at))
+    elif now_ns >= move.switch_at:
+        log.record(replace(move, switch_at=now_ns + SWITCH_LEAD_NS))
+
+
+def _watch_target(
+    log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView
+) -> Migration | None:
+    """Follow the target once it has the tenant; return the record, or None if it was aborted.
+
+    A target that loses its last endpoint gives the tenant back, if the source can take it.
+    """
+    if cluster.fleet(move.target).ready:
+        if move.lost_since:
+            return log.record(replace(move, lost_since=0))
+        return move
+    if not move.lost_since:
+        return log.record(replace(move, lost_since=now_ns))
+    is_lost = now_ns - move.lost_since >= log.map.timing.lost
+    if is_lost and cluster.fleet(move.source).ready:
+        log.abort(move, now_ns, "the target has lost its last engine")
+        return None
+    return move
+
+
+def _step_switched(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
+    if now_ns < move.switch_at:
+        return
+    watched = _watch_target(log, move, now_ns, cluster)
+    if watched is None:
+        return
+    elapsed_ns = now_ns - move.at
+    if not watched.lost_since and elapsed_ns >= log.map.timing.watch:
+        log.enter(watched, Stage.DRAINING, now_ns)
+    elif elapsed_ns >= log.map.timing.switched:
+        log.abort(watched, now_ns, "the target was not able for long enough")
+
+
+def _step_draining(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
+    watched = _watch_target(log, move, now_ns, cluster)
+    if watched is None:
+        return
+    if not cluster.open(move.subject, move.source):
+        log.enter(watched, Stage.DONE, now_ns)
+    elif now_ns - move.at >= log.map.timing.drain:
+        _end_by_close_out(log, watched, Stage.DONE, now_ns)
+
+
+def _step_returning(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
+    if not cluster.open(move.subject, move.target):
+        log.enter(move, Stage.TAKEN_BACK, now_ns)
+    elif now_ns - move.at >= log.map.timing.drain:
+        _end_by_close_out(log, move, Stage.TAKEN_BACK, now_ns)
+
+
+def _end_by_close_out(log: MigrationLog, move: Migration, stage: Stage, now_ns: int) -> None:
+    ended = log.record(replace(move, stage=stage, at=now_ns, why=CLOSED_OUT))
+    log.order_close_out(ended)
+
+
+#: What a step does in each stage that is not an end.
+STEPS: dict[Stage, Callable[[MigrationLog, Migration, int, ClusterView], None]] = {
+    Stage.PROPOSED: _step_proposed,
+    Stage.WARMING: _step_warming,
+    Stage.SWITCHED: _step_switched,
+    Stage.DRAINING: _step_draining,
+    Stage.RETURNING: _step_returning,
+}
--- a/query_broker/cells/model.py
+++ b/query_broker/cells/model.py
@@ -1,7 +1,7 @@
-"""The cell map: cells, the tenants in them, and the figures that operators set.
+"""The cell map: the cells, the tenants in them and the values that operators set for both.
 
-Made by the operators' file, told from process to process as plain objects, and never changed in
-place.
+It is built from the operators' file, passed between processes as plain JSON objects, and never
+changed in place. Its field names are the keys of the stored form. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -9,27 +9,52 @@
 import hashlib
 import json
 import math
-from collections.abc import Mapping
+from collections.abc import Collection, Mapping
 from dataclasses import asdict, dataclass, field, fields
 from typing import Any, Literal
 
 import xxhash
 
-S = 1_000_000_000
-BUCKETS = 64  # parts of a tenant that is spread by a field
+NS_PER_S = 1_000_000_000
+#: Parts of a tenant that is spread by a field. Subjects name parts by number and are stored, so a
+#: change of this value would place every spread tenant anew.
+BUCKETS = 64
+#: The name of a cell appears in paths and metric labels.
+MAX_CELL_NAME_LENGTH = 64
+#: How much of a rejected name an error quotes.
+QUOTED_NAME_LENGTH = 70
+HASH_RANGE = 2.0**64
+DIGEST_BYTES = 8
+#: Fields of `Cell` that pin endpoints to it.
+PIN_FIELDS = ("engines", "zones", "models")
 KEY_FIELDS = ("", "route", "data_set")
 Key = Literal["", "route", "data_set"]
 
 
-class BadMap(ValueError):
-    """``key: problem``, in the operators' words."""
+class BadMap(ValueError):  # noqa: N818  # the operators' configuration imports it by this name
+    """A cell map that cannot be used; its text is ``key: problem``, in the operators' terms."""
+
+    def __init__(self, key: str, problem: str) -> None:
+        """Name the key of the operators' file and what is wrong with it."""
+        super().__init__(f"{key}: {problem}")
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """A part of the fleet. What ``engines``, ``zones`` and ``models`` name is pinned to it; all
-    others are placed by hash, weighted. ``least`` and ``most`` bound its ready engines; 0 as
-    ``most`` is no bound.
+    """A part of the fleet.
+
+    Endpoints that ``engines``, ``zones`` or ``models`` name are pinned to the cell; all others are
+    placed by weighted hashing.
+
+    Attributes:
+        name: Unique in the map.
+        weight: The cell's part of the endpoints that are placed by hashing; above 0.
+        engines: Uids of endpoints that are pinned to the cell.
+        zones: Zones whose endpoints are pinned to the cell.
+        models: Hardware models whose endpoints are pinned to the cell.
+        least: How many ready endpoints the cell should have.
+        most: How many ready endpoints it may have; 0 sets no bound.
+        share: Its part of the broker's capacity; 0 takes the weight in its place.
     """
 
     name: str
@@ -39,16 +64,21 @@
     models: tuple[str, ...] = ()
     least: int = 1
     most: int = 0
-    share: float = 0.0  # of the broker's room; 0: by weight
+    share: float = 0.0
 
     def part(self) -> float:
+        """Return the cell's part of the broker's capacity, against the parts of the others."""
         return self.share or self.weight
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Where a tenant is at home. With ``key`` it is spread over ``cells`` by a digest of that
-    field.
+    """The home of a tenant.
+
+    Attributes:
+        name: The tenant, as clients name it.
+        cells: The cells it lives in; more than one needs a ``key``.
+        key: The field of a request by whose digest the tenant is spread over ``cells``.
     """
 
     name: str
@@ -58,78 +88,77 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """How long a move may stay in each stage, in nanoseconds."""
+    """How long a migration may stay in each stage, in nanoseconds.
 
-    propose: int = 10 * S  # the target has no ready engine: taken back
-    warm: int = 30 * S  # its engines do not get warm: taken back
-    settle: int = 1 * S  # it has to be able for so long before the switch
-    watch: int = 2 * S  # it has to stay able for so long after the switch
-    switched: int = 10 * S  # else, by then: taken back
-    drain: int = 60 * S  # what is still open then is closed out
-    lost: int = S // 2  # a target without engines for so long gives the tenant back
+    Attributes:
+        propose: After this long without a ready endpoint in the target it is aborted.
+        warm: After this long without enough warm endpoints in the target it is aborted.
+        settle: How long the target must have been able before the switch.
+        watch: How long the target must stay able after the switch.
+        switched: After this long since the switch without that, it is aborted.
+        drain: What is still open in the source after this long is closed out.
+        lost: A target without endpoints for this long gives the tenant back.
+    """
+
+    propose: int = 10 * NS_PER_S
+    warm: int = 30 * NS_PER_S
+    settle: int = 1 * NS_PER_S
+    watch: int = 2 * NS_PER_S
+    switched: int = 10 * NS_PER_S
+    drain: int = 60 * NS_PER_S
+    lost: int = NS_PER_S // 2
+
+
+DEFAULT_TIMING = Timing()
 
 
 @dataclass(frozen=True, slots=True)
 class CellMap:
-    """``epoch`` orders maps: an older one never takes the place of a newer one."""
+    """The cells and the tenants' homes; every instance has been checked.
+
+    Attributes:
+        epoch: Orders maps: an older one never replaces a newer one.
+        cells: The cells, in the operators' order.
+        default: The cell of tenants that the map does not name.
+        tenants: The homes by the tenant's name.
+        timing: The limits of migrations.
+
+    Raises:
+        BadMap: The map contradicts itself; the text names the key.
+    """
 
     epoch: int
     cells: tuple[Cell, ...]
     default: str
     tenants: Mapping[str, Tenant] = field(default_factory=dict)
-    timing: Timing = Timing()
+    timing: Timing = DEFAULT_TIMING
 
     def __post_init__(self) -> None:
+        """Check the map, in the order of the operators' file."""
         if not self.cells:
-            raise BadMap("cell: none is named")
+            raise BadMap("cell", "none is named")
         if self.epoch < 0:
-            raise BadMap("epoch: must not be negative")
-        names = [c.name for c in self.cells]
+            raise BadMap("epoch", "must not be negative")
+        names = [cell.name for cell in self.cells]
         for cell in self.cells:
-            if (
-                not cell.name
-                or len(cell.name) > 64
-                or not cell.name.isprintable()
-                or "/" in cell.name
-            ):
-                raise BadMap(
-                    f"cell.name: {cell.name[:70]!r} is no name (1 to 64 printable characters, no /)"
-                )
-            if names.count(cell.name) > 1:
-                raise BadMap(f"cell.name: {cell.name!r} is used twice")
-            if not (math.isfinite(cell.weight) and cell.weight > 0):
-                raise BadMap(f"cell.weight: of {cell.name!r} must be above 0")
-            if not (math.isfinite(cell.share) and cell.share >= 0):
-                raise BadMap(f"cell.share: of {cell.name!r} must not be negative")
-            if cell.least < 0 or cell.most < 0 or (cell.most and cell.most < cell.least):
-                raise BadMap(f"cell.most: of {cell.name!r} must be 0 or at least {cell.least}")
-        for key in ("engines", "zones", "models"):
-            named = [value for cell in self.cells for value in getattr(cell, key)]
-            for value in named:
-                if named.count(value) > 1:
-                    raise BadMap(f"cell.{key}: {value!r} is named twice")
+            _check_cell_name(cell.name, names.count(cell.name))
+            _check_cell_values(cell)
+        for pin_field in PIN_FIELDS:
+            _check_pinned_once(self.cells, pin_field)
         if self.default not in names:
-            raise BadMap(f"default_cell: {self.default!r} is no cell")
+            raise BadMap("default_cell", f"{self.default!r} is no cell")
         for tenant in self.tenants.values():
-            if not tenant.cells or tenant.key not in KEY_FIELDS:
-                raise BadMap(f"tenant.cells: of {tenant.name!r} must name a cell")
-            if len(tenant.cells) > 1 and not tenant.key:
-                raise BadMap(
-                    f"tenant.key: of {tenant.name!r} is needed, since it names several cells"
-                )
-            for cell_name in tenant.cells:
-                if cell_name not in names:
-                    raise BadMap(f"tenant.cell: {cell_name!r} of {tenant.name!r} is no cell")
-        for entry in fields(self.timing):
-            if getattr(self.timing, entry.name) < 0:
-                raise BadMap(f"moves.{entry.name}: must not be negative")
+            _check_tenant(tenant, names)
+        _check_timing(self.timing)
 
     def cell(self, name: str) -> Cell | None:
-        return next((c for c in self.cells if c.name == name), None)
+        """Return the cell of this name, or None."""
+        return next((cell for cell in self.cells if cell.name == name), None)
 
     def subject(self, tenant: str, route: str, data_set: int) -> str:
-        """What belongs to one cell: the tenant, or one of the parts it is spread into
-        (``tenant#part``).
+        """Return what belongs to one cell: the tenant, or the part of it that a request falls into.
+
+        A part is written ``tenant#part``.
         """
         rule = self.tenants.get(tenant)
         if rule is None or not rule.key:
@@ -139,61 +168,119 @@
         return f"{tenant}#{part}"
 
     def known(self, subject: str) -> bool:
-        """Whether a move may name it: a tenant whole, or a part of one that is spread."""
+        """Return whether a migration may name the subject.
+
+        It may name a tenant that is not spread, or one part of a tenant that is.
+        """
         tenant, mark, part = subject.rpartition("#")
         rule = self.tenants.get(tenant) if mark else None
         if rule is not None and rule.key:
-            return (
-                part.isascii()
-                and part.isdecimal()
-                and int(part) < BUCKETS
-                and part == str(int(part))
-            )
+            return _is_part_number(part)
         rule = self.tenants.get(subject)
         return rule is None or not rule.key
 
     def home(self, subject: str) -> str:
-        """The cell that the map alone gives it."""
+        """Return the cell that the map alone gives the subject, without migrations."""
         rule = self.tenants.get(subject) or self.tenants.get(subject.rpartition("#")[0])
         if rule is None:
             return self.default
         if len(rule.cells) == 1:
             return rule.cells[0]
-        weights = {c.name: c.weight for c in self.cells}
+        weights = {cell.name: cell.weight for cell in self.cells}
         return min(rule.cells, key=lambda name: (rendezvous(name, subject, weights[name]), name))
 
     def plain(self) -> dict[str, Any]:
-        """As plain objects, for JSON."""
-        return {**asdict(self), "tenants": [asdict(t) for t in self.tenants.values()]}
+        """Return the map as plain objects for JSON, the form that `from_plain` reads."""
+        tenants = [asdict(tenant) for tenant in self.tenants.values()]
+        return {**asdict(self), "tenants": tenants}
 
     def digest(self) -> str:
-        """Two maps of one epoch with other contents are told apart by it."""
+        """Return a digest that distinguishes maps of one epoch with different contents."""
         text = json.dumps(self.plain(), sort_keys=True, default=str)
-        return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
+        return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
+
+
+def _check_cell_name(name: str, uses: int) -> None:
+    wrong_length = not name or len(name) > MAX_CELL_NAME_LENGTH
+    if wrong_length or not name.isprintable() or "/" in name:
+        raise BadMap(
+            "cell.name",
+            f"{name[:QUOTED_NAME_LENGTH]!r} is no name " "(1 to 64 printable characters, no /)",
+        )
+    if uses > 1:
+        raise BadMap("cell.name", f"{name!r} is used twice")
+
+
+def _check_cell_values(cell: Cell) -> None:
+    if not (math.isfinite(cell.weight) and cell.weight > 0):
+        raise BadMap("cell.weight", f"of {cell.name!r} must be above 0")
+    if not (math.isfinite(cell.share) and cell.share >= 0):
+        raise BadMap("cell.share", f"of {cell.name!r} must not be negative")
+    if cell.least < 0 or cell.most < 0 or (cell.most and cell.most < cell.least):
+        raise BadMap("cell.most", f"of {cell.name!r} must be 0 or at least {cell.least}")
+
+
+def _check_pinned_once(cells: Collection[Cell], pin_field: str) -> None:
+    pinned = [value for cell in cells for value in getattr(cell, pin_field)]
+    for value in pinned:
+        if pinned.count(value) > 1:
+            raise BadMap(f"cell.{pin_field}", f"{value!r} is named twice")
+
+
+def _check_tenant(tenant: Tenant, cell_names: Collection[str]) -> None:
+    if not tenant.cells or tenant.key not in KEY_FIELDS:
+        raise BadMap("tenant.cells", f"of {tenant.name!r} must name a cell")
+    if len(tenant.cells) > 1 and not tenant.key:
+        raise BadMap("tenant.key", f"of {tenant.name!r} is needed, since it names several cells")
+    for cell_name in tenant.cells:
+        if cell_name not in cell_names:
+            raise BadMap("tenant.cell", f"{cell_name!r} of {tenant.name!r} is no cell")
+
+
+def _check_timing(timing: Timing) -> None:
+    for entry in fields(timing):
+        if getattr(timing, entry.name) < 0:
+            raise BadMap(f"moves.{entry.name}", "must not be negative")
+
+
+def _is_part_number(text: str) -> bool:
+    """Return whether the text is the number of a part in the one spelling that subjects use."""
+    if not (text.isascii() and text.isdecimal()):
+        return False
+    return int(text) < BUCKETS and text == str(int(text))
 
 
 def rendezvous(cell: str, key: str, weight: float) -> float:
-    """The cost of putting the key into the cell; the least cost of all cells wins. Weighted
-    rendezvous hashing: a cell's share of the keys is its share of the weights, whatever the other
-    cells are.
+    """Return the cost of putting the key into the cell; the cell with the least cost gets the key.
+
+    This is weighted rendezvous hashing: a cell's part of the keys is its part of the weights,
+    whatever the other cells are.
     """
-    drawn = (xxhash.xxh3_64_intdigest(f"{cell}\0{key}".encode()) + 0.5) / 2.0**64
+    drawn = (xxhash.xxh3_64_intdigest(f"{cell}\0{key}".encode()) + 0.5) / HASH_RANGE
     return -math.log(drawn) / weight
 
 
 def from_plain(raw: Mapping[str, Any]) -> CellMap:
-    """A map from plain objects; BadMap where they hold none."""
+    """Read a map from plain objects, the form that `CellMap.plain` gives.
+
+    Raises:
+        BadMap: They hold no map, or one that contradicts itself.
+    """
     try:
-        cells = tuple(
-            Cell(**{**c, **{k: tuple(c.get(k, ())) for k in ("engines", "zones", "models")}})
-            for c in raw["cells"]
-        )
-        tenants = {
-            t["name"]: Tenant(t["name"], tuple(t["cells"]), t.get("key", ""))
-            for t in raw["tenants"]
-        }
-        return CellMap(int(raw["epoch"]), cells, raw["default"], tenants, Timing(**raw["timing"]))
+        cells = tuple(_read_cell(entry) for entry in raw["cells"])
+        tenants = {entry["name"]: _read_tenant(entry) for entry in raw["tenants"]}
+        epoch = int(raw["epoch"])
+        return CellMap(epoch, cells, raw["default"], tenants, Timing(**raw["timing"]))
     except BadMap:
         raise
     except (TypeError, KeyError, ValueError, AttributeError) as error:
-        raise BadMap(f"map: {type(error).__name__}: {error}") from None
+        raise BadMap("map", f"{type(error).__name__}: {error}") from None
+
+
+def _read_cell(raw: Mapping[str, Any]) -> Cell:
+    pins = {pin_field: tuple(raw.get(pin_field, ())) for pin_field in PIN_FIELDS}
+    return Cell(**{**raw, **pins})
+
+
+def _read_tenant(raw: Mapping[str, Any]) -> Tenant:
+    return Tenant(raw["name"], tuple(raw["cells"]), raw.get("key", ""))
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -21,7 +21,8 @@
 from .client_connection import CelledConnection
 from .dispatcher import ANTEROOM, CellDispatcher
 from .fair_turns import Turns
-from .migrations import Fleet, Move, Refused, read_move
+from .migration_steps import step_migrations
+from .migrations import Fleet, Migration, MigrationRejectedError, read_migration
 from .model import BadMap, CellMap, from_plain
 
 STEP = 50_000_000  # ns between steps of the moves
@@ -46,7 +47,7 @@
         # connections whose turn has not come, in their order
         self.queue: dict[CelledConnection, None] = {}
         # what other processes told of cells, by their name
-        self.theirs: dict[str, dict[str, Any]] = {}
+        self.peers: dict[str, dict[str, Any]] = {}
         self.stepped = 0
         super().__init__(config, said, path, environ)
         # The rest of each tick is for the engines' answers.
@@ -143,7 +144,7 @@
         return False
 
     def spent(self, cell: str, time: float) -> None:
-        self.turns.spent(cell, time)
+        self.turns.charge(cell, time)
 
     def _next_round(self) -> None:
         """Those whose turn did not come go on, as far as their cells' shares reach. Danger: one
@@ -212,9 +213,9 @@
         moves = self.celled.moves
         before = {s: m.stage for s, m in moves.records.items()}
         # Danger: one that leaves must not drive what it will not see the end of.
-        taking = [name for name, said in self.theirs.items() if said["accepting"]]
+        taking = [name for name, said in self.peers.items() if said["accepting"]]
         if not self.closing_announced or not taking:
-            moves.step(now, self, taking)
+            step_migrations(moves, now, self, taking)
         for subject, move in moves.records.items():
             if before.get(subject) is not move.stage:
                 self.log(
@@ -233,18 +234,18 @@
     # --- what a step of a move looks at ---
 
     def fleet(self, cell: str) -> Fleet:
-        return self.celled.hall.fleet(cell, self.clock.now())
+        return self.celled.router.fleet(cell, self.clock.now())
 
     def open(self, subject: str, cell: str) -> int:
-        count = self.celled.hall.open.get((subject, cell), 0)
-        for said in self.theirs.values():
+        count = self.celled.router.open.get((subject, cell), 0)
+        for said in self.peers.values():
             count += int(said["open"].get(subject, {}).get(cell, 0))
         return count
 
-    def heard(self, move: Move) -> bool:
+    def is_replicated(self, move: Migration) -> bool:
         return all(
             any(m.subject == move.subject and m.version >= move.version for m in said["moves"])
-            for said in self.theirs.values()
+            for said in self.peers.values()
         )
 
     # --- other processes ---
@@ -252,7 +253,7 @@
     def status_extension(self) -> dict[str, Any]:
         broker, moves = self.celled, self.celled.moves
         open_now: dict[str, dict[str, int]] = {}
-        for (subject, cell), count in broker.hall.open.items():
+        for (subject, cell), count in broker.router.open.items():
             if subject in moves.records:
                 open_now.setdefault(subject, {})[cell] = count
         told: dict[str, Any] = {
@@ -261,7 +262,7 @@
             "digest": self.digest,
             "moves": [m.plain() for m in moves.records.values()],
             "open": open_now,
-            "seats": broker.hall.placement.seats,
+            "seats": broker.router.placement.seats,
         }
         if self.plain is not None:
             told["map"] = self.plain
@@ -272,28 +273,28 @@
         left.
         """
         super().apply_peer_statuses(others)
-        first = not self.theirs
-        self.theirs = {}
+        first = not self.peers
+        self.peers = {}
         for other in others:
             fields = {KEY_ACCEPTING: other.accepting, KEY_CELLS: other.cells}
-            if (said := self._hear(fields)) is not None:
-                self.theirs[said["me"]] = said
-        for said in self.theirs.values():
+            if (said := self.read_peer_status(fields)) is not None:
+                self.peers[said["me"]] = said
+        for said in self.peers.values():
             if said["map"] is not None and said["epoch"] > self.map.epoch:
                 self.log(
                     "cells",
                     f"another process has the map of epoch {said['epoch']}: taken from there",
                 )
-                self._take_map(said["map"])
+                self.apply_map(said["map"])
             elif said["epoch"] == self.map.epoch and said["digest"] != self.digest:
                 self.log(
                     "cells", f"another process has another map of the same epoch {self.map.epoch}"
                 )
         if first and not self.listed_before:
-            for said in self.theirs.values():
+            for said in self.peers.values():
                 if said["epoch"] <= self.map.epoch:
                     self.celled.adopt_seats(said["seats"])
-        for said in self.theirs.values():
+        for said in self.peers.values():
             self.celled.moves.merge(said["moves"])
 
     @property
@@ -301,7 +302,7 @@
         """It has served already, so that its own seats hold."""
         return self.server is not None
 
-    def _hear(self, other: dict[str, Any]) -> dict[str, Any] | None:
+    def read_peer_status(self, other: dict[str, Any]) -> dict[str, Any] | None:
         raw = other.get("cells")
         if raw is None:
             return None
@@ -311,7 +312,7 @@
                 "accepting": bool(other["accepting"]),
                 "epoch": int(raw["epoch"]),
                 "digest": str(raw["digest"]),
-                "moves": [read_move(m) for m in raw["moves"]],
+                "moves": [read_migration(m) for m in raw["moves"]],
                 "open": {
                     str(s): {str(c): int(n) for c, n in cells.items()}
                     for s, cells in raw["open"].items()
@@ -337,10 +338,10 @@
         self.map, self.digest = map, map.digest()
         self.plain = map.plain() if len(map.tenants) <= MOST_TENANTS_TOLD else None
 
-    def _take_map(self, map: CellMap) -> None:
+    def apply_map(self, map: CellMap) -> None:
         self._hold(map)
         self.celled.take_map(map)
-        self.turns.take(self.celled.shares_with_anteroom())
+        self.turns.set_weights(self.celled.shares_with_anteroom())
         for connection in self.clients:  # a cell that is gone has no part for its connections
             if (
                 isinstance(connection, CelledConnection)
@@ -377,7 +378,7 @@
     def _apply(self, said: OperatorConfig) -> None:
         super()._apply(said)
         if said.map is not None:
-            self._take_map(said.map)
+            self.apply_map(said.map)
 
     # --- operators' calls ---
 
@@ -402,7 +403,7 @@
                     move = moves.take_back(subject, now)
                 case _:
                     return _said(404, {"error": "no such call"})
-        except Refused as error:
+        except MigrationRejectedError as error:
             return _said(409, {"error": str(error)})
         if self.peer_processes is not None:
             # danger: after the yes it holds, also where this process ends now
@@ -417,12 +418,12 @@
     def shown(self) -> dict[str, Any]:
         """Cells, their engines, tenants and loads, and the moves."""
         now, broker = self.clock.now(), self.celled
-        hall = broker.hall
+        hall = broker.router
         cells = []
         for cell in self.map.cells:
             fleet = hall.fleet(cell.name, now)
-            engines = {n: hall.entries[n] for n in hall.rooms[cell.name].engines}
-            known = hall.rooms[cell.name].controller.engines
+            engines = {n: hall.entries[n] for n in hall.facades[cell.name].engines}
+            known = hall.facades[cell.name].controller.engines
             cells.append(
                 {
                     "cell": cell.name,
@@ -432,13 +433,13 @@
                     "cold": fleet.cold,
                     "short": fleet.ready < cell.least,
                     "cores": sum(known[n].cores for n in engines if n in known),
-                    "open": hall.rooms[cell.name].open,
+                    "open": hall.facades[cell.name].open,
                     "lent": broker.requests_lent.lent(cell.name),
                     "refused_for_room": broker.refused_for_room.get(cell.name, 0),
                     "engines": sorted(hall.uid_of(n) for n in engines),
                 }
             )
-        subjects = {*self.map.tenants, *broker.rates.held, *broker.moves.records}
+        subjects = {*self.map.tenants, *broker.rates.means, *broker.moves.records}
         spread = {t.name for t in self.map.tenants.values() if t.key}
         tenants = [
             {
--- a/query_broker/cells/placement.py
+++ b/query_broker/cells/placement.py
@@ -1,10 +1,9 @@
-"""Which cell each engine belongs to: pinned, or by weighted rendezvous hashing within the cells'
-bounds.
+"""Which cell each endpoint belongs to: pinned, or by weighted rendezvous hashing within bounds.
 
-Engines keep their seat for as long as the list names them and the map does not move them: one that
-joins or leaves moves no other. Bounds count ready engines alone. Danger: were draining ones
-counted, every rolling deploy would push the successors into other cells while their forerunners
-still hold the seats.
+An endpoint keeps its seat in a cell for as long as the endpoint list names it and the map does not
+move it: one that joins or leaves moves no other. Bounds count ready endpoints alone. Were draining
+ones counted, every rolling deploy would push the successors into other cells while their
+predecessors still occupy the seats. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,17 +16,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """An engine as the list tells of it."""
+    """An endpoint as the endpoint list describes it.
+
+    Attributes:
+        uid: Its stable name.
+        zone: The zone it runs in.
+        model: Its hardware model.
+        ready: Whether it takes new work; a draining one does not.
+    """
 
     uid: str
     zone: str
     model: str
-    ready: bool  # it is no draining one
+    ready: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An engine's seat has changed; None: it has, or had, none."""
+    """An endpoint has changed its seat.
+
+    Attributes:
+        uid: The endpoint.
+        before: Its former cell; None if it had none.
+        after: Its cell now; None if it has none.
+    """
 
     uid: str
     before: str | None
@@ -35,66 +47,64 @@
 
 
 class Placement:
-    """``seats`` by uid; None is an engine for which no cell has room."""
+    """The seats of all listed endpoints.
+
+    Attributes:
+        map: The cell map in force.
+        seen: The listed endpoints by uid.
+        seats: The cell of each listed endpoint; None where no cell has capacity for it.
+    """
 
     def __init__(self, map: CellMap) -> None:
+        """Start without endpoints."""
         self.map = map
         self.seen: dict[str, Seen] = {}
         self.seats: dict[str, str | None] = {}
 
-    def of(self, uid: str) -> str | None:
+    def seat_of(self, uid: str) -> str | None:
+        """Return the endpoint's cell; None if it has none or is not listed."""
         return self.seats.get(uid)
 
     def size(self, cell: str) -> int:
-        """Its ready engines."""
+        """Return how many ready endpoints the cell has."""
         return sum(seat == cell and self.seen[uid].ready for uid, seat in self.seats.items())
 
-    def learn(self, engines: Iterable[Seen], gone: Iterable[str] = ()) -> list[Change]:
-        """News of the list. Newcomers are seated in the order in which they are told, since the
-        same news must give the same seats at every broker; the unseated get what has become
-        free.
+    def learn(self, engines: Iterable[Seen], removed: Iterable[str] = ()) -> list[Change]:
+        """Apply an update of the endpoint list and return the changed seats.
+
+        Newcomers are seated in the order in which they are listed, since the same update must give
+        the same seats at every broker. Those without a seat come before them and get what has
+        become free.
         """
         changes = []
-        for uid in gone:
+        for uid in removed:
             if uid in self.seats:
                 changes.append(Change(uid, self.seats.pop(uid), None))
                 del self.seen[uid]
-        fresh = []
+        newcomers = []
         for engine in engines:
             self.seen[engine.uid] = engine
             if engine.uid not in self.seats:
-                fresh.append(engine.uid)
+                newcomers.append(engine.uid)
         waiting = [uid for uid, seat in self.seats.items() if seat is None]
-        for uid in [*waiting, *fresh]:
+        for uid in [*waiting, *newcomers]:
             before = self.seats.get(uid)
-            self.seats[uid] = seat = self._choose(self.seen[uid])
+            seat = self._choose(self.seen[uid])
+            self.seats[uid] = seat
             if seat != before:
                 changes.append(Change(uid, before, seat))
         return changes
 
-    def take(self, map: CellMap) -> list[Change]:
-        """A new map: engines stay where it lets them; others are seated anew, in the list's
-        order.
+    def apply_map(self, map: CellMap) -> list[Change]:
+        """Put a new map in force and return the changed seats.
+
+        Endpoints stay where the map allows it; the others are seated anew, in the list's order.
         """
-        before, self.map = dict(self.seats), map
-        names = {c.name for c in map.cells}
-        for uid, seat in before.items():
-            pinned = self._pinned(self.seen[uid])
-            if seat not in names or (pinned is not None and pinned != seat):
-                self.seats[uid] = None
-        for cell in map.cells:  # a bound that has come down: those that it suits least go first
-            held = [
-                uid
-                for uid, seat in self.seats.items()
-                if seat == cell.name
-                and self.seen[uid].ready
-                and self._pinned(self.seen[uid]) is None
-            ]
-            excess = self.size(cell.name) - cell.most if cell.most else 0
-            for uid in sorted(held, key=lambda u: -rendezvous(cell.name, u, cell.weight))[
-                : max(0, excess)
-            ]:
-                self.seats[uid] = None
+        before = dict(self.seats)
+        self.map = map
+        self._unseat_forbidden()
+        for cell in map.cells:
+            self._unseat_excess(cell)
         self._fill_short()
         for uid in before:
             if self.seats[uid] is None:
@@ -105,11 +115,39 @@
             if seat != self.seats[uid]
         ]
 
+    def _unseat_forbidden(self) -> None:
+        """Free the seats in cells that the map does not have, or that it pins elsewhere."""
+        names = {cell.name for cell in self.map.cells}
+        for uid, seat in self.seats.items():
+            pinned = self._pinned(self.seen[uid])
+            if seat not in names or (pinned is not None and pinned != seat):
+                self.seats[uid] = None
+
+    def _unseat_excess(self, cell: Cell) -> None:
+        """Bring a cell down to its upper bound; those that suit it least go first."""
+        excess = self.size(cell.name) - cell.most if cell.most else 0
+        if excess <= 0:
+            return
+        removable = [
+            uid
+            for uid, seat in self.seats.items()
+            if seat == cell.name and self._is_free_to_move(uid)
+        ]
+        removable.sort(key=lambda uid: -rendezvous(cell.name, uid, cell.weight))
+        for uid in removable[:excess]:
+            self.seats[uid] = None
+
+    def _is_free_to_move(self, uid: str) -> bool:
+        engine = self.seen[uid]
+        return engine.ready and self._pinned(engine) is None
+
     def adopt(self, seats: dict[str, str | None]) -> list[Change]:
-        """The seats that another process of this broker holds: after an upgrade no engine changes
-        cells.
+        """Take over the seats of another process of this broker and return the changed ones.
+
+        After an upgrade no endpoint changes cells for it. Seats that the map does not allow are
+        left out.
         """
-        names = {c.name for c in self.map.cells}
+        names = {cell.name for cell in self.map.cells}
         changes = [
             Change(uid, self.seats[uid], seat)
             for uid, seat in seats.items()
@@ -123,48 +161,76 @@
         return changes
 
     def _fill_short(self) -> None:
-        """A new map alone may take engines from cells that have more than their least."""
+        """Bring cells up to their lower bound from cells that have more than theirs.
+
+        Only a new map may do so; an update of the endpoint list moves no endpoint.
+        """
         for cell in self.map.cells:
             while (size := self.size(cell.name)) < cell.least:
-                sizes = {c.name: self.size(c.name) for c in self.map.cells}
-                spare = {c.name for c in self.map.cells if sizes[c.name] > max(c.least, size + 1)}
-                able = [
-                    u
-                    for u, s in self.seats.items()
-                    if self.seen[u].ready
-                    and (s is None or s in spare)
-                    and self._pinned(self.seen[u]) is None
-                ]
-                if not able:
+                uid = self._best_for_short(cell, size)
+                if uid is None:
                     break
-                self.seats[min(able, key=lambda u: (rendezvous(cell.name, u, 1.0), u))] = cell.name
+                self.seats[uid] = cell.name
+
+    def _best_for_short(self, short: Cell, size: int) -> str | None:
+        """Return the endpoint to seat in a cell that is short; None where none may be moved."""
+        spare = {
+            cell.name for cell in self.map.cells if self.size(cell.name) > max(cell.least, size + 1)
+        }
+        candidates = [
+            uid
+            for uid, seat in self.seats.items()
+            if (seat is None or seat in spare) and self._is_free_to_move(uid)
+        ]
+        if not candidates:
+            return None
+        return min(candidates, key=lambda uid: (rendezvous(short.name, uid, 1.0), uid))
 
     def _pinned(self, engine: Seen) -> str | None:
-        for key, value in (
-            ("engines", engine.uid),
-            ("zones", engine.zone),
-            ("models", engine.model),
-        ):
-            for cell in self.map.cells:
-                if value in getattr(cell, key):
-                    return cell.name
+        """Return the cell that the map pins the endpoint to; its uid counts before its zone."""
+        for cell in self.map.cells:
+            if engine.uid in cell.engines:
+                return cell.name
+        for cell in self.map.cells:
+            if engine.zone in cell.zones:
+                return cell.name
+        for cell in self.map.cells:
+            if engine.model in cell.models:
+                return cell.name
         return None
 
     def _choose(self, engine: Seen) -> str | None:
-        """Pinned; else the cell that lacks most of its least; else by hash where there is room."""
+        """Return the cell for an endpoint without a seat; None where every cell is full.
+
+        It is the cell that it is pinned to; else the one that lacks the largest part of its lower
+        bound; else the choice of the hash.
+        """
         if (pinned := self._pinned(engine)) is not None:
             return pinned
-        sizes = {c.name: 0 for c in self.map.cells}
+        sizes = self._sizes()
+        candidates = [
+            cell for cell in self.map.cells if not cell.most or sizes[cell.name] < cell.most
+        ]
+        if not candidates:
+            return None
+
+        def rank(cell: Cell) -> tuple[float, float, str]:
+            cost = rendezvous(cell.name, engine.uid, cell.weight)
+            return -_lack(cell, sizes[cell.name]), cost, cell.name
+
+        return min(candidates, key=rank).name
+
+    def _sizes(self) -> dict[str, int]:
+        """Return the number of ready endpoints of every cell, in one pass."""
+        sizes = dict.fromkeys((cell.name for cell in self.map.cells), 0)
         for uid, seat in self.seats.items():
             if seat is not None and self.seen[uid].ready and seat in sizes:
                 sizes[seat] += 1
+        return sizes
 
-        def lack(cell: Cell) -> float:
-            return max(0.0, 1 - sizes[cell.name] / cell.least) if cell.least else 0.0
 
-        able = [c for c in self.map.cells if not c.most or sizes[c.name] < c.most]
-        if not able:
-            return None
-        return min(
-            able, key=lambda c: (-lack(c), rendezvous(c.name, engine.uid, c.weight), c.name)
-        ).name
+def _lack(cell: Cell, size: int) -> float:
+    """Return which part of its lower bound the cell lacks."""
+    if not cell.least:
+        return 0.0
+    return max(0.0, 1 - size / cell.least)
--- a/query_broker/cells/planner.py
+++ b/query_broker/cells/planner.py
@@ -1,27 +1,58 @@
-"""Which tenants to move where: the problem, plain hashing to compare with, and what a plan does.
+"""Planning which tenants to migrate where: the problem, a greedy plan, and what a plan does.
 
-The solver is behind `solve` in `query_broker.cells.solver`; here is what it is asked and how its
-answer is told.
+The solver is in `query_broker.cells.solver`; this module holds what it is given, checks its answer
+and says how much a plan gains. Plain hashing is there to compare with. Performs no I/O.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from .model import rendezvous
 
+#: Loads and capacities from here on are no sensible numbers, and would spoil the solver's scaling.
+VALUE_LIMIT = 1e12
+#: How far a cell may exceed ``most_load`` by rounding alone.
+LOAD_TOLERANCE = 1e-6
+#: A move has to lower the fullest cell by more than rounding may.
+MIN_GAIN = 1e-9
+SHOWN_DIGITS = 6
 
-class BadProblem(ValueError):
-    """``key: problem``"""
+
+class BadProblem(ValueError):  # noqa: N818  # the command line imports it by this name
+    """A planning problem that cannot be used; its text is ``key: problem``."""
+
+    def __init__(self, key: str, problem: str) -> None:
+        """Name the key and what is wrong with it."""
+        super().__init__(f"{key}: {problem}")
+
+
+class UnreadableProblemError(BadProblem):
+    """A text that is not of the form of a planning problem at all."""
+
+    def __init__(self, *, expected: str) -> None:
+        """Name what the file should hold."""
+        ValueError.__init__(self, f"the file holds no {expected}")
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Loads in thread-seconds a second; capacities in cores. ``now`` is where each tenant is
-    today.
+    """A planning problem; every instance has been checked.
+
+    Attributes:
+        loads: The load of each tenant in thread-seconds a second.
+        capacities: The capacity of each cell in cores.
+        now: The cell of each tenant today.
+        apart: Pairs of tenants that must not be in one cell.
+        fixed: Tenants that must be in a given cell.
+        most_moves: How many tenants may change cells; None sets no bound.
+        most_load: The largest load of any cell, against its capacity; None sets no bound.
+
+    Raises:
+        BadProblem: The problem contradicts itself; the text names the key.
     """
 
     loads: Mapping[str, float]
@@ -30,83 +61,128 @@
     apart: tuple[tuple[str, str], ...] = ()
     fixed: Mapping[str, str] | None = None
     most_moves: int | None = None
-    most_load: float | None = None  # of any cell, against its capacity
+    most_load: float | None = None
 
     def __post_init__(self) -> None:
+        """Check the problem, in the order of the keys of the file."""
+        self._check_loads()
+        self._check_capacities()
+        self._check_homes()
+        self._check_names("apart", [name for pair in self.apart for name in pair])
+        self._check_names("fixed", self.fixed or {})
+        for cell in (self.fixed or {}).values():
+            if cell not in self.capacities:
+                raise BadProblem("fixed", f"{cell!r} is no cell")
+
+    def _check_loads(self) -> None:
         if not self.loads:
-            raise BadProblem("tenants: none is named")
+            raise BadProblem("tenants", "none is named")
         if not self.capacities:
-            raise BadProblem("cells: none is named")
+            raise BadProblem("cells", "none is named")
         for name, value in self.loads.items():
-            if not 0 <= value < 1e12:
-                raise BadProblem(f"tenants.load: of {name!r} must not be negative")
+            if not 0 <= value < VALUE_LIMIT:
+                raise BadProblem("tenants.load", f"of {name!r} must not be negative")
+
+    def _check_capacities(self) -> None:
         for name, value in self.capacities.items():
-            if not 0 < value < 1e12:
-                raise BadProblem(f"cells.capacity: of {name!r} must be above 0")
+            if not 0 < value < VALUE_LIMIT:
+                raise BadProblem("cells.capacity", f"of {name!r} must be above 0")
+
+    def _check_homes(self) -> None:
         for name in self.loads:
             if self.now.get(name) not in self.capacities:
-                raise BadProblem(f"tenants.cell: {self.now.get(name)!r} of {name!r} is no cell")
-        for key, names in (
-            ("apart", [n for pair in self.apart for n in pair]),
-            ("fixed", list(self.fixed or {})),
-        ):
-            for name in names:
-                if name not in self.loads:
-                    raise BadProblem(f"{key}: {name!r} is no tenant")
-        for cell in (self.fixed or {}).values():
-            if cell not in self.capacities:
-                raise BadProblem(f"fixed: {cell!r} is no cell")
+                raise BadProblem("tenants.cell", f"{self.now.get(name)!r} of {name!r} is no cell")
 
+    def _check_names(self, key: str, names: Iterable[str]) -> None:
+        for name in names:
+            if name not in self.loads:
+                raise BadProblem(f"{key}", f"{name!r} is no tenant")
 
-def _pairs(raw: Iterable[Any], key: str) -> tuple[tuple[str, str], ...]:
-    pairs = []
-    for group in raw:
-        if not isinstance(group, list) or not all(isinstance(n, str) for n in group):
-            raise BadProblem(f"{key}: must be a list of lists of tenants")
-        pairs += [(a, b) for i, a in enumerate(group) for b in group[i + 1 :]]
-    return tuple(pairs)
+
+# --- reading a problem ---
 
 
 def read_problem(text: str) -> Problem:
-    """From JSON: ``{"tenants": {NAME: {"cell": C, "load": L}}, "cells": {C: CAPACITY}, "apart":
-    [[A, B]], "fixed": {NAME: C}, "most_moves": N, "most_load": SHARE}``; the last four may be
+    """Read a problem from JSON.
+
+    The form is ``{"tenants": {NAME: {"cell": C, "load": L}}, "cells": {C: CAPACITY}, "apart":
+    [[A, B]], "fixed": {NAME: C}, "most_moves": N, "most_load": FRACTION}``; the last four may be
     absent.
+
+    Raises:
+        BadProblem: The text is not of this form, or the problem contradicts itself.
     """
+    raw = _read_object(text)
+    _check_kinds(raw)
+    tenants = raw.get("tenants", {})
+    cells = raw.get("cells", {})
+    _check_tenant_loads(tenants)
+    _check_cell_capacities(cells)
+    for key in ("most_moves", "most_load"):
+        _check_bound(key, raw.get(key))
+    most_moves = raw.get("most_moves")
+    return Problem(
+        loads={name: float(tenant["load"]) for name, tenant in tenants.items()},
+        capacities={name: float(capacity) for name, capacity in cells.items()},
+        now={name: tenant.get("cell") for name, tenant in tenants.items()},
+        apart=_read_pairs(raw.get("apart", [])),
+        fixed=raw.get("fixed"),
+        most_moves=None if most_moves is None else int(most_moves),
+        most_load=raw.get("most_load"),
+    )
+
+
+def _read_object(text: str) -> dict[str, Any]:
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise BadProblem(f"the file holds no JSON ({error})") from None
+        raise UnreadableProblemError(expected=f"JSON ({error})") from None
     if not isinstance(raw, dict):
-        raise BadProblem("the file holds no JSON object")
+        raise UnreadableProblemError(expected="JSON object")
+    return raw
+
+
+def _check_kinds(raw: Mapping[str, Any]) -> None:
     for key, kind in (("tenants", dict), ("cells", dict), ("apart", list), ("fixed", dict)):
         if not isinstance(raw.get(key, kind()), kind):
-            raise BadProblem(f"{key}: is no {'object' if kind is dict else 'list'}")
-    for name, tenant in raw.get("tenants", {}).items():
+            raise BadProblem(f"{key}", f"is no {'object' if kind is dict else 'list'}")
+
+
+def _check_tenant_loads(tenants: Mapping[str, Any]) -> None:
+    for name, tenant in tenants.items():
         if not isinstance(tenant, dict) or not isinstance(tenant.get("load"), int | float):
-            raise BadProblem(f"tenants.load: of {name!r} is no number")
-    for name, value in raw.get("cells", {}).items():
+            raise BadProblem("tenants.load", f"of {name!r} is no number")
+
+
+def _check_cell_capacities(cells: Mapping[str, Any]) -> None:
+    for name, value in cells.items():
         if not isinstance(value, int | float):
-            raise BadProblem(f"cells.capacity: of {name!r} is no number")
-    for key in ("most_moves", "most_load"):
-        value = raw.get(key)
-        if value is not None and (
-            not isinstance(value, int | float) or isinstance(value, bool) or value < 0
-        ):
-            raise BadProblem(f"{key}: is no number from 0 up")
-    most_moves = raw.get("most_moves")
-    return Problem(
-        {n: float(t["load"]) for n, t in raw.get("tenants", {}).items()},
-        {n: float(c) for n, c in raw.get("cells", {}).items()},
-        {n: t.get("cell") for n, t in raw.get("tenants", {}).items()},
-        _pairs(raw.get("apart", []), "apart"),
-        raw.get("fixed"),
-        None if most_moves is None else int(most_moves),
-        raw.get("most_load"),
-    )
+            raise BadProblem("cells.capacity", f"of {name!r} is no number")
+
+
+def _check_bound(key: str, value: Any) -> None:
+    if value is None:
+        return
+    if not isinstance(value, int | float) or isinstance(value, bool) or value < 0:
+        raise BadProblem(f"{key}", "is no number from 0 up")
+
+
+def _read_pairs(groups: Iterable[Any]) -> tuple[tuple[str, str], ...]:
+    """Return every pair of each group of tenants that are to be apart."""
+    pairs: list[tuple[str, str]] = []
+    for group in groups:
+        if not isinstance(group, list) or not all(isinstance(name, str) for name in group):
+            raise BadProblem("apart", "must be a list of lists of tenants")
+        for index, first in enumerate(group):
+            pairs += [(first, second) for second in group[index + 1 :]]
+    return tuple(pairs)
+
+
+# --- measures of a placement ---
 
 
 def hashed(tenants: Iterable[str], capacities: Mapping[str, float]) -> dict[str, str]:
-    """Plain weighted rendezvous hashing: what a plan is measured against."""
+    """Return the placement by weighted rendezvous hashing, which a plan is measured against."""
     return {
         tenant: min(capacities, key=lambda cell: rendezvous(cell, tenant, capacities[cell]))
         for tenant in tenants
@@ -114,140 +190,208 @@
 
 
 def load_of(problem: Problem, placed: Mapping[str, str]) -> dict[str, float]:
-    """Each cell's load against its capacity."""
+    """Return each cell's load against its capacity."""
+    loads = _absolute_loads(problem, placed)
+    return {cell: load / problem.capacities[cell] for cell, load in loads.items()}
+
+
+def _absolute_loads(problem: Problem, placed: Mapping[str, str]) -> dict[str, float]:
     loads = dict.fromkeys(problem.capacities, 0.0)
     for tenant, cell in placed.items():
         loads[cell] += problem.loads[tenant]
-    return {cell: load / problem.capacities[cell] for cell, load in loads.items()}
+    return loads
 
 
 def faults(problem: Problem, placed: Mapping[str, str]) -> list[str]:
-    """The terms that a placement breaks, in words. Danger: a solver's answer is believed only after
-    this.
+    """Return the terms of the problem that a placement breaks, as texts.
+
+    A solver's answer is used only after this check.
     """
     broken = [
-        f"{a} and {b} are both in {placed[a]}" for a, b in problem.apart if placed[a] == placed[b]
+        f"{first} and {second} are both in {placed[first]}"
+        for first, second in problem.apart
+        if placed[first] == placed[second]
     ]
     broken += [
         f"{tenant} is in {placed[tenant]}, not in {cell}"
         for tenant, cell in (problem.fixed or {}).items()
         if placed[tenant] != cell
     ]
-    moved = sum(placed[t] != problem.now[t] for t in problem.loads)
+    moved = sum(placed[tenant] != problem.now[tenant] for tenant in problem.loads)
     if problem.most_moves is not None and moved > problem.most_moves:
         broken.append(f"{moved} tenants move, more than {problem.most_moves}")
     if problem.most_load is not None:
         broken += [
             f"{cell} has {load:.2f} of its capacity"
             for cell, load in load_of(problem, placed).items()
-            if load > problem.most_load + 1e-6
+            if load > problem.most_load + LOAD_TOLERANCE
         ]
     return broken
 
 
-def greedy(problem: Problem) -> dict[str, str]:
-    """A start for the solver, and its answer where time runs out: repair what the terms forbid,
-    then take the move that lowers the fullest cell most, as long as there is one.
-    """
-    placed = {**problem.now, **(problem.fixed or {})}
-    foes: dict[str, set[str]] = {}
-    for a, b in problem.apart:
-        foes.setdefault(a, set()).add(b)
-        foes.setdefault(b, set()).add(a)
-    loads = dict.fromkeys(problem.capacities, 0.0)
-    for tenant, cell in placed.items():
-        loads[cell] += problem.loads[tenant]
-    fixed = set(problem.fixed or {})
-    left = (len(placed) if problem.most_moves is None else problem.most_moves) - sum(
-        placed[t] != problem.now[t] for t in placed
-    )
+# --- the greedy plan ---
 
-    def free(tenant: str, cell: str) -> bool:
-        return all(placed[f] != cell for f in foes.get(tenant, ()))
 
-    def put(tenant: str, cell: str) -> None:
-        loads[placed[tenant]] -= problem.loads[tenant]
-        loads[cell] += problem.loads[tenant]
-        placed[tenant] = cell
-
-    def after(tenant: str, cell: str) -> float:
-        return (loads[cell] + problem.loads[tenant]) / problem.capacities[cell]
-
-    for a, b in problem.apart:
-        tenant = a if a not in fixed and (b in fixed or problem.loads[a] <= problem.loads[b]) else b
-        able = [c for c in problem.capacities if free(tenant, c)]
-        if placed[a] == placed[b] and tenant not in fixed and able and left > 0:
-            put(tenant, min(able, key=lambda c: after(tenant, c)))
-            left -= 1
-    while left > 0:
-        fullest = max(loads, key=lambda c: loads[c] / problem.capacities[c])
-        top = loads[fullest] / problem.capacities[fullest]
-        best = min(
-            (
-                (after(t, c), t, c)
-                for t, home in placed.items()
-                if home == fullest
-                and t not in fixed
-                and t in problem.loads
-                and problem.now[t] == home
-                for c in problem.capacities
-                if c != fullest and free(t, c) and after(t, c) < top - 1e-9
-            ),
-            default=None,
-        )
+def greedy(problem: Problem) -> dict[str, str]:
+    """Return a placement by greedy steps, which may break terms that it cannot repair.
+
+    It is a start for the solver, and the answer where the solver's time runs out: pairs that must
+    be apart are separated, then the move that lowers the fullest cell most is made for as long as
+    there is one.
+    """
+    search = _GreedySearch(problem)
+    search.separate_pairs()
+    while search.make_best_move():
+        pass
+    return search.placed
+
+
+class _Candidate(NamedTuple):
+    """A move that lowers the fullest cell; the least candidate is the best."""
+
+    load_after: float
+    tenant: str
+    cell: str
+
+
+class _GreedySearch:
+    """The placement of `greedy` under way."""
+
+    def __init__(self, problem: Problem) -> None:
+        self.problem = problem
+        self.fixed: Mapping[str, str] = problem.fixed or {}
+        self.placed: dict[str, str] = {**problem.now, **self.fixed}
+        self.loads = _absolute_loads(problem, self.placed)
+        self.conflicts: dict[str, set[str]] = {}
+        for first, second in problem.apart:
+            self.conflicts.setdefault(first, set()).add(second)
+            self.conflicts.setdefault(second, set()).add(first)
+        allowed = len(self.placed) if problem.most_moves is None else problem.most_moves
+        moved = sum(cell != problem.now[tenant] for tenant, cell in self.placed.items())
+        self.moves_left = allowed - moved
+
+    def separate_pairs(self) -> None:
+        """Move one tenant of each pair that must be apart and is not, where there is a cell."""
+        for first, second in self.problem.apart:
+            tenant = self._to_move_of_pair(first, second)
+            cells = [
+                cell for cell in self.problem.capacities if self._has_no_conflict(tenant, cell)
+            ]
+            together = self.placed[first] == self.placed[second]
+            if together and tenant not in self.fixed and cells and self.moves_left > 0:
+                self._move(tenant, min(cells, key=lambda cell: self._load_after(tenant, cell)))
+
+    def _to_move_of_pair(self, first: str, second: str) -> str:
+        """Return the tenant that is not fixed; of two such the one with the smaller load."""
+        if first in self.fixed:
+            return second
+        loads = self.problem.loads
+        if second in self.fixed or loads[first] <= loads[second]:
+            return first
+        return second
+
+    def make_best_move(self) -> bool:
+        """Make the move that lowers the fullest cell most; return whether there was one."""
+        if self.moves_left <= 0:
+            return False
+        best = min(self._candidates(), default=None)
         if best is None:
-            break
-        put(best[1], best[2])
-        left -= 1
-    return placed
+            return False
+        self._move(best.tenant, best.cell)
+        return True
+
+    def _candidates(self) -> Iterable[_Candidate]:
+        fullest = max(self.loads, key=self._relative_load)
+        highest = self._relative_load(fullest)
+        for tenant, home in self.placed.items():
+            if home != fullest or not self._may_move(tenant):
+                continue
+            for cell in self.problem.capacities:
+                if cell == fullest or not self._has_no_conflict(tenant, cell):
+                    continue
+                load_after = self._load_after(tenant, cell)
+                if load_after < highest - MIN_GAIN:
+                    yield _Candidate(load_after, tenant, cell)
+
+    def _may_move(self, tenant: str) -> bool:
+        """Return whether the tenant is where it is today and its terms allow it to move."""
+        if tenant in self.fixed or tenant not in self.problem.loads:
+            return False
+        return self.problem.now[tenant] == self.placed[tenant]
+
+    def _has_no_conflict(self, tenant: str, cell: str) -> bool:
+        return all(self.placed[other] != cell for other in self.conflicts.get(tenant, ()))
+
+    def _relative_load(self, cell: str) -> float:
+        return self.loads[cell] / self.problem.capacities[cell]
+
+    def _load_after(self, tenant: str, cell: str) -> float:
+        load = self.loads[cell] + self.problem.loads[tenant]
+        return load / self.problem.capacities[cell]
+
+    def _move(self, tenant: str, cell: str) -> None:
+        self.loads[self.placed[tenant]] -= self.problem.loads[tenant]
+        self.loads[cell] += self.problem.loads[tenant]
+        self.placed[tenant] = cell
+        self.moves_left -= 1
+
+
+# --- the plan ---
+
+
+class PlannedMove(NamedTuple):
+    """One tenant that changes cells.
+
+    Attributes:
+        tenant: The tenant.
+        source: Its cell today.
+        target: Its cell by the plan.
+        load: Its load in thread-seconds a second.
+    """
+
+    tenant: str
+    source: str
+    target: str
+    load: float
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """``moves`` in order of their load: tenant, from, to, load."""
+    """The answer to a problem.
+
+    Attributes:
+        moves: The tenants that change cells, the largest load first.
+        before: Each cell's load against its capacity today.
+        after: The same by the plan.
+        proven: Whether it is proven that nothing better satisfies the terms.
+    """
 
-    moves: tuple[tuple[str, str, str, float], ...]
+    moves: tuple[PlannedMove, ...]
     before: Mapping[str, float]
     after: Mapping[str, float]
-    proven: bool  # nothing better satisfies the terms
+    proven: bool
 
     def plain(self) -> dict[str, Any]:
-        return {
-            "moves": [
-                {"tenant": t, "from": a, "to": b, "load": load} for t, a, b, load in self.moves
-            ],
-            "cells": {
-                c: {"before": round(self.before[c], 6), "after": round(self.after[c], 6)}
-                for c in self.before
-            },
-            "proven": self.proven,
-        }
+        """Return the plan as plain objects for JSON."""
+        moves = [
+            {"tenant": move.tenant, "from": move.source, "to": move.target, "load": move.load}
+            for move in self.moves
+        ]
+        cells = {}
+        for cell in self.before:
+            cells[cell] = {
+                "before": round(self.before[cell], SHOWN_DIGITS),
+                "after": round(self.after[cell], SHOWN_DIGITS),
+            }
+        return {"moves": moves, "cells": cells, "proven": self.proven}
 
 
 def plan_of(problem: Problem, placed: Mapping[str, str], proven: bool) -> Plan:
-    moves = sorted(
-        (
-            (t, problem.now[t], placed[t], problem.loads[t])
-            for t in problem.loads
-            if placed[t] != problem.now[t]
-        ),
-        key=lambda m: (-m[3], m[0]),
-    )
+    """Return the plan that leads from today's placement to this one."""
+    moves = [
+        PlannedMove(tenant, problem.now[tenant], placed[tenant], load)
+        for tenant, load in problem.loads.items()
+        if placed[tenant] != problem.now[tenant]
+    ]
+    moves.sort(key=lambda move: (-move.load, move.tenant))
     return Plan(tuple(moves), load_of(problem, problem.now), load_of(problem, placed), proven)
-
-
-def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Columns as wide as they need to be; numbers to the right."""
-    lines = [list(head), *map(list, rows)]
-    widths = [max(len(line[i]) for line in lines) for i in range(len(head))]
-
-    def number(text: str) -> bool:
-        return text.replace(".", "", 1).replace("%", "").isdigit()
-
-    return "\n".join(
-        "  ".join(
-            text.rjust(w) if number(text) else text.ljust(w)
-            for text, w in zip(line, widths, strict=True)
-        ).rstrip()
-        for line in lines
-    )
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -89,9 +89,9 @@
             uid_of,
         )
         self.due: deque[CellFacade] = deque()
-        self.rooms: dict[str, CellFacade] = {}
+        self.facades: dict[str, CellFacade] = {}
         # of each open request: its room and its subject
-        self.where: dict[str, tuple[CellFacade, str]] = {}
+        self.requests: dict[str, tuple[CellFacade, str]] = {}
         self.open: Counter[tuple[str, str]] = Counter()  # open requests by subject and cell
         self.placement = Placement(map)
         self.entries: dict[int, EndpointEntry] = {}
@@ -103,13 +103,13 @@
         self.left_over: set[int] = set()  # engines on which a former room has something out
         self.cold_until: dict[int, int] = {}
         # subject and cell of the request that is being taken
-        self.next: tuple[str, str] | None = None
+        self.assigned: tuple[str, str] | None = None
         for cell in map.cells:
             self._furnish(cell.name, now)
 
     def _furnish(self, cell: str, now: int) -> CellFacade:
         seed = int.from_bytes(f"{self.seed:x}/{cell}".encode(), "big")
-        room = self.rooms[cell] = CellFacade(self, cell, seed, now)
+        room = self.facades[cell] = CellFacade(self, cell, seed, now)
         for ban in self.bans.values():
             room.report(now, ban)
         room.report(now, CoProcessLoad({}, self.beside.accepting_processes))
@@ -121,16 +121,16 @@
         """Danger: the cell was chosen when the request was given its part of the room; to choose
         again here could give it another one.
         """
-        assert self.next is not None, "a request without a cell"
-        (subject, cell), self.next = self.next, None
-        room = self.rooms[cell]
-        self.where[query.request_id] = room, subject
+        assert self.assigned is not None, "a request without a cell"
+        (subject, cell), self.assigned = self.assigned, None
+        room = self.facades[cell]
+        self.requests[query.request_id] = room, subject
         room.open += 1
         self.open[subject, cell] += 1
         return room.pick(now, query)
 
     def forget(self, request: str) -> None:
-        if (place := self.where.pop(request, None)) is None:
+        if (place := self.requests.pop(request, None)) is None:
             return
         room, subject = place
         room.forget(request)
@@ -142,13 +142,19 @@
 
     def _dissolve(self, room: CellFacade) -> None:
         """A cell that the map has dropped ends with its last request."""
-        if not room.open and self.map.cell(room.cell) is None and self.rooms.get(room.cell) is room:
+        if (
+            not room.open
+            and self.map.cell(room.cell) is None
+            and self.facades.get(room.cell) is room
+        ):
             room.dissolved = True
-            del self.rooms[room.cell]
+            del self.facades[room.cell]
 
     def requests_of(self, subject: str, cell: str) -> frozenset[str]:
         return frozenset(
-            id for id, (room, whose) in self.where.items() if room.cell == cell and whose == subject
+            id
+            for id, (room, whose) in self.requests.items()
+            if room.cell == cell and whose == subject
         )
 
     def tick(self, now: int) -> OrderBatch:
@@ -159,7 +165,7 @@
     def report(self, now: int, news: News) -> OrderBatch:
         match news:
             case AttemptEnded() | RequestAbandoned():
-                if (place := self.where.get(news.request_id)) is None:
+                if (place := self.requests.get(news.request_id)) is None:
                     return OrderBatch()
                 orders = place[0].report(now, news)
                 if isinstance(news, AttemptEnded) and news.endpoint in self.left_over:
@@ -188,25 +194,25 @@
             case CloseRequests(only):
                 if only is None:
                     return self._all(now, news)
-                rooms = {self.where[id][0].cell for id in only if id in self.where}
+                rooms = {self.requests[id][0].cell for id in only if id in self.requests}
                 return self._all(now, news, sorted(rooms))
 
     def _all(self, now: int, news: News, cells: Iterable[str] | None = None) -> OrderBatch:
         orders = OrderBatch()
-        for cell in list(self.rooms) if cells is None else cells:
-            _add(orders, self.rooms[cell].report(now, news))
+        for cell in list(self.facades) if cells is None else cells:
+            _add(orders, self.facades[cell].report(now, news))
         return orders
 
     # --- engines ---
 
     def _room_of(self, engine: int) -> CellFacade | None:
-        return next((room for room in self.rooms.values() if engine in room.engines), None)
+        return next((room for room in self.facades.values() if engine in room.engines), None)
 
     def cell_of(self, engine: int) -> str | None:
         """The cell of an engine; of one that has gone, the last that had something out there."""
         if (entry := self.entries.get(engine)) is not None:
-            return self.placement.of(self.uid_of(entry.endpoint))
-        return next((r.cell for r in self.rooms.values() if engine in r.controller.engines), None)
+            return self.placement.seat_of(self.uid_of(entry.endpoint))
+        return next((r.cell for r in self.facades.values() if engine in r.controller.engines), None)
 
     def _engine_news(self, now: int, full: bool, entries: tuple[EndpointEntry, ...]) -> OrderBatch:
         """Seats first, then each room hears of its own engines alone."""
@@ -243,7 +249,7 @@
                 _add(orders, room.report(now, EndpointListUpdate(ListUpdateKind.CHANGES, (entry,))))
         self._reseat(now, changes, orders)
         moved = {self.numbers[c.uid] for c in changes if c.uid in self.numbers}
-        for room in list(self.rooms.values()):
+        for room in list(self.facades.values()):
             mine = tuple(
                 e for e in present if e.endpoint in room.engines and e.endpoint not in moved
             )
@@ -260,7 +266,7 @@
             if (number := self.numbers.get(change.uid)) is None:
                 continue
             entry = self.entries[number]
-            before = self.rooms.get(change.before or "")
+            before = self.facades.get(change.before or "")
             if before is not None and number in before.engines:
                 out = before.outstanding(now).get(number, NOTHING)
                 before.engines.discard(number)
@@ -280,7 +286,7 @@
                         OutstandingWork(0, 0, earlier + out.warmup_ns),
                         now + self.settings.contract.overload_window_ns,
                     )
-            after = self.rooms.get(change.after or "")
+            after = self.facades.get(change.after or "")
             if after is not None:
                 after.engines.add(number)
                 started = max(entry.started_ns, self.cold_until.get(number, 0))
@@ -302,7 +308,7 @@
         for number in list(self.left_over):
             owner = self._room_of(number)
             total = NOTHING
-            for room in self.rooms.values():
+            for room in self.facades.values():
                 if room is not owner and number in room.controller.engines:
                     total = _sum(total, room.outstanding(now).get(number, NOTHING))
             carried, until = self.carried.get(number, (NOTHING, 0))
@@ -317,7 +323,7 @@
                 self.left_over.discard(number)
             else:
                 theirs[number] = total
-        for room in self.rooms.values():
+        for room in self.facades.values():
             out = {n: o for n, o in self.beside.outstanding.items() if n in room.engines}
             for number in theirs.keys() & room.engines:
                 out[number] = _sum(out.get(number, NOTHING), theirs[number])
@@ -332,18 +338,18 @@
 
     # --- maps ---
 
-    def take(self, map: CellMap, now: int) -> OrderBatch:
+    def apply_map(self, map: CellMap, now: int) -> OrderBatch:
         """Another map: rooms for new cells, engines to their new seats; dropped cells end their
         requests.
         """
         self.map = map
         for cell in map.cells:
-            if cell.name not in self.rooms:
+            if cell.name not in self.facades:
                 self._furnish(cell.name, now)
         orders = OrderBatch()
-        self._reseat(now, self.placement.take(map), orders)
+        self._reseat(now, self.placement.apply_map(map), orders)
         self._tell_beside(now, orders)
-        for room in list(self.rooms.values()):
+        for room in list(self.facades.values()):
             self._dissolve(room)
         return orders
 
@@ -359,7 +365,7 @@
 
     def fleet(self, cell: str, now: int) -> Fleet:
         """Engines of the cell that take new work, and those of them that are cold."""
-        room = self.rooms.get(cell)
+        room = self.facades.get(cell)
         if room is None:
             return Fleet(0, 0)
         ready = [
@@ -377,23 +383,23 @@
         )
 
     def avoided(self) -> int:
-        return sum(room.avoided() for room in self.rooms.values())
+        return sum(room.avoided() for room in self.facades.values())
 
     def shares(self) -> dict[int, tuple[float, float]]:
         """Threads and bound that the cell of each engine goes by there."""
         return {
             n: share
-            for room in self.rooms.values()
+            for room in self.facades.values()
             for n, share in room.shares().items()
             if n in room.engines
         }
 
     def widest(self) -> int:
-        return max((room.widest() for room in self.rooms.values()), default=1)
+        return max((room.widest() for room in self.facades.values()), default=1)
 
     def outstanding(self, now: int) -> dict[int, OutstandingWork]:
         out: dict[int, OutstandingWork] = {}
-        for room in self.rooms.values():
+        for room in self.facades.values():
             for number, theirs in room.outstanding(now).items():
                 out[number] = _sum(out.get(number, NOTHING), theirs)
         return out
--- a/query_broker/cells/solver.py
+++ b/query_broker/cells/solver.py
@@ -1,138 +1,273 @@
-"""The planner's solver: a mixed-integer programme for HiGHS (highspy, an extra; the daemon never
-loads it).
+"""The planner's solver: a mixed-integer programme for HiGHS.
 
-Least first: the fullest cell's share of its capacity, then how little is moved. Tenants are binary
-by cell; `apart` is a row for each pair and cell; a solution is checked against the terms before it
-is believed.
+It needs the extra with `highspy`, which the daemon never loads. Minimised are, in this order, the
+load of the fullest cell against its capacity and how many tenants move. The programme has a binary
+column for each tenant and cell and one column for the load of the fullest cell; a pair that must be
+apart is a row for each cell. A solution is checked against the terms before it is used.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 from .planner import Plan, Problem, faults, greedy, plan_of
 
-MOVE_PRICE = 1e-4  # of the fullest cell's share, for all tenants moved
-GAP = 0.01  # a plan so near to the best that can be is taken
+#: The cost of moving all tenants, against the load of the fullest cell: it only decides between
+#: placements that are otherwise equally good.
+MOVE_PRICE = 1e-4
+#: A plan that is proven to be this near to the best possible one is taken.
+OPTIMALITY_GAP = 0.01
+#: From here up a binary column is read as 1.
+BINARY_THRESHOLD = 0.5
+#: A placement has to be better by more than rounding to replace another.
+MIN_GAIN = 1e-9
+DEFAULT_SEARCH_S = 20.0
 
 
-class NoPlan(Exception):
+class NoPlan(Exception):  # noqa: N818  # the command line imports it by this name
     """No placement satisfies the terms, or none was found in time; the text says which."""
 
 
-def solve(problem: Problem, seconds: float = 20.0) -> Plan:
-    """The plan; NoPlan says why there is none. ``seconds`` bounds the search."""
+class InvalidSolutionError(NoPlan):
+    """The solver's placement does not satisfy the terms."""
+
+    def __init__(self, fault: str) -> None:
+        """Name the first term that it breaks."""
+        super().__init__(f"the solver's placement breaks the terms: {fault}")
+
+
+class SearchResult(NamedTuple):
+    """What the search has found.
+
+    Attributes:
+        placed: The placement; None if there is none.
+        proven: Whether it is proven to be the best, or that there is none.
+    """
+
+    placed: dict[str, str] | None
+    proven: bool
+
+
+class MatrixEntry(NamedTuple):
+    """A coefficient in a row of the programme."""
+
+    column: int
+    value: float
+
+
+def solve(problem: Problem, seconds: float = DEFAULT_SEARCH_S) -> Plan:
+    """Return the plan for a problem.
+
+    Args:
+        problem: What to solve.
+        seconds: How long the search may take.
+
+    Raises:
+        NoPlan: There is none, or none was found in time.
+    """
     start = greedy(problem)
+    start_is_valid = not faults(problem, start)
     placed, proven = _search(problem, start, seconds)
     if placed is None:
-        if faults(problem, start):
+        if not start_is_valid:
             raise NoPlan(
                 "no placement satisfies the terms" if proven else "no placement was found in time"
             )
         placed = start
     if broken := faults(problem, placed):
-        raise NoPlan(f"the solver's placement breaks the terms: {broken[0]}")
-    if not faults(problem, start) and _worst(problem, start) < _worst(problem, placed) - 1e-9:
-        placed, proven = start, False
+        raise InvalidSolutionError(broken[0])
+    if start_is_valid and _highest_load(problem, start) < _highest_load(problem, placed) - MIN_GAIN:
+        return plan_of(problem, start, proven=False)
     return plan_of(problem, placed, proven)
 
 
-def _worst(problem: Problem, placed: dict[str, str]) -> float:
-    return max(plan_of(problem, placed, False).after.values())
+def _highest_load(problem: Problem, placed: dict[str, str]) -> float:
+    return max(plan_of(problem, placed, proven=False).after.values())
 
 
-def _search(
-    problem: Problem, start: dict[str, str], seconds: float
-) -> tuple[dict[str, str] | None, bool]:
+def _search(problem: Problem, start: dict[str, str], seconds: float) -> SearchResult:
+    """Solve the programme, beginning with a placement that is used where it is valid."""
     import highspy
-    import numpy
 
-    tenants, cells = sorted(problem.loads), sorted(problem.capacities)
-    count, wide = len(tenants), len(cells)
-    top = count * wide  # the column of the fullest cell's share
-    h = highspy.Highs()  # type: ignore[no-untyped-call]
+    programme = _Programme(problem)
+    solver = highspy.Highs()  # type: ignore[no-untyped-call]
     for name, value in (
         ("output_flag", False),
         ("time_limit", float(seconds)),
-        ("mip_rel_gap", GAP),
+        ("mip_rel_gap", OPTIMALITY_GAP),
         ("threads", 1),
         ("random_seed", 1),
     ):
-        h.setOptionValue(name, value)
-    price = MOVE_PRICE / max(1, count)
-    row_start: list[int] = []
-    indices: list[int] = []
-    values: list[float] = []
-    low: list[float] = []
-    high: list[float] = []
-
-    def row(least: float, most: float, entries: list[tuple[int, float]]) -> None:
-        row_start.append(len(indices))
-        indices.extend(i for i, _ in entries)
-        values.extend(v for _, v in entries)
-        low.append(least)
-        high.append(most)
-
-    at = {tenant: i * wide for i, tenant in enumerate(tenants)}
-    for tenant in tenants:
-        row(1.0, 1.0, [(at[tenant] + c, 1.0) for c in range(wide)])
-    for c, cell in enumerate(cells):
-        row(
-            -highspy.kHighsInf,
-            0.0,
-            [
-                (at[t] + c, problem.loads[t] / problem.capacities[cell])
-                for t in tenants
-                if problem.loads[t]
-            ]
-            + [(top, -1.0)],
-        )
-    for a, b in problem.apart:
-        for c in range(wide):
-            row(-highspy.kHighsInf, 1.0, [(at[a] + c, 1.0), (at[b] + c, 1.0)])
-    stays = [(at[t] + cells.index(problem.now[t]), 1.0) for t in tenants]
-    if problem.most_moves is not None:
-        row(float(count - problem.most_moves), highspy.kHighsInf, stays)
-    fixed = problem.fixed or {}
-    lower = numpy.zeros(top + 1)
-    upper = numpy.ones(top + 1)
-    upper[top] = highspy.kHighsInf if problem.most_load is None else problem.most_load
-    for tenant, cell in fixed.items():
-        lower[at[tenant] + cells.index(cell)] = 1.0
-    costs = numpy.full(top + 1, price)
-    costs[top] = 1.0
-    for index, _ in stays:
-        costs[index] = 0.0
-    lp: Any = highspy.HighsLp()
-    lp.num_col_, lp.num_row_ = top + 1, len(low)
-    lp.col_cost_, lp.col_lower_, lp.col_upper_ = costs, lower, upper
-    lp.row_lower_, lp.row_upper_ = numpy.array(low), numpy.array(high)
-    lp.a_matrix_.format_ = highspy.MatrixFormat.kRowwise
-    lp.a_matrix_.start_ = numpy.array([*row_start, len(indices)], dtype=numpy.int32)
-    lp.a_matrix_.index_ = numpy.array(indices, dtype=numpy.int32)
-    lp.a_matrix_.value_ = numpy.array(values)
-    lp.integrality_ = [highspy.HighsVarType.kInteger] * top + [highspy.HighsVarType.kContinuous]
-    h.passModel(lp)
+        solver.setOptionValue(name, value)
+    solver.passModel(programme.model())
     if not faults(problem, start):
-        begin: Any = highspy.HighsSolution()
-        filled = numpy.zeros(top + 1)
-        for tenant in tenants:
-            filled[at[tenant] + cells.index(start[tenant])] = 1.0
-        filled[top] = _worst(problem, start)
-        begin.col_value = list(filled)
-        h.setSolution(begin)
-    h.run()
-    status = h.getModelStatus()
+        solver.setSolution(programme.solution_of(start))
+    solver.run()
+    status = solver.getModelStatus()
     if status in (
         highspy.HighsModelStatus.kInfeasible,
         highspy.HighsModelStatus.kUnboundedOrInfeasible,
     ):
-        return None, True
-    solution = list(h.getSolution().col_value)
-    if len(solution) != top + 1 or not any(value > 0.5 for value in solution[:top]):
-        return None, False
-    placed = {
-        t: cells[max(range(wide), key=lambda c, t=t: solution[at[t] + c])]  # type: ignore[misc]
-        for t in tenants
-    }
-    return placed, bool(status == highspy.HighsModelStatus.kOptimal)
+        return SearchResult(None, proven=True)
+    placed = programme.placement_of(list(solver.getSolution().col_value))
+    is_optimal = placed is not None and status == highspy.HighsModelStatus.kOptimal
+    return SearchResult(placed, proven=bool(is_optimal))
+
+
+class _Programme:
+    """The mixed-integer programme of a problem, in the row-wise form that HiGHS takes.
+
+    Attributes:
+        tenants: The tenants in the order of their columns.
+        cells: The cells, in the order of the columns of each tenant.
+        load_column: The column of the load of the fullest cell; the binary columns precede it.
+    """
+
+    def __init__(self, problem: Problem) -> None:
+        import highspy
+
+        self.problem = problem
+        self.infinity = highspy.kHighsInf
+        self.tenants = sorted(problem.loads)
+        self.cells = sorted(problem.capacities)
+        self.load_column = len(self.tenants) * len(self.cells)
+        self.first_columns = {
+            tenant: index * len(self.cells) for index, tenant in enumerate(self.tenants)
+        }
+        self.row_starts: list[int] = []
+        self.row_lower: list[float] = []
+        self.row_upper: list[float] = []
+        self.indices: list[int] = []
+        self.values: list[float] = []
+        self.columns_today = [self._column(tenant, problem.now[tenant]) for tenant in self.tenants]
+        self._add_one_cell_rows()
+        self._add_load_rows()
+        self._add_apart_rows()
+        self._add_most_moves_row()
+
+    def _column(self, tenant: str, cell: str) -> int:
+        return self.first_columns[tenant] + self.cells.index(cell)
+
+    # --- rows ---
+
+    def _add_row(self, lower: float, upper: float, entries: list[MatrixEntry]) -> None:
+        self.row_starts.append(len(self.indices))
+        self.indices.extend(entry.column for entry in entries)
+        self.values.extend(entry.value for entry in entries)
+        self.row_lower.append(lower)
+        self.row_upper.append(upper)
+
+    def _add_one_cell_rows(self) -> None:
+        """Each tenant is in exactly one cell."""
+        for tenant in self.tenants:
+            first = self.first_columns[tenant]
+            columns = range(first, first + len(self.cells))
+            self._add_row(1.0, 1.0, [MatrixEntry(column, 1.0) for column in columns])
+
+    def _add_load_rows(self) -> None:
+        """The load of each cell is at most the load of the fullest."""
+        for cell in self.cells:
+            capacity = self.problem.capacities[cell]
+            entries = [
+                MatrixEntry(self._column(tenant, cell), self.problem.loads[tenant] / capacity)
+                for tenant in self.tenants
+                if self.problem.loads[tenant]
+            ]
+            entries.append(MatrixEntry(self.load_column, -1.0))
+            self._add_row(-self.infinity, 0.0, entries)
+
+    def _add_apart_rows(self) -> None:
+        """Of two tenants that must be apart, each cell has at most one."""
+        for first, second in self.problem.apart:
+            for cell in self.cells:
+                entries = [
+                    MatrixEntry(self._column(first, cell), 1.0),
+                    MatrixEntry(self._column(second, cell), 1.0),
+                ]
+                self._add_row(-self.infinity, 1.0, entries)
+
+    def _add_most_moves_row(self) -> None:
+        """Enough tenants stay where they are."""
+        if self.problem.most_moves is None:
+            return
+        must_stay = float(len(self.tenants) - self.problem.most_moves)
+        entries = [MatrixEntry(column, 1.0) for column in self.columns_today]
+        self._add_row(must_stay, self.infinity, entries)
+
+    # --- columns ---
+
+    def _column_costs(self) -> Any:
+        """Return the cost of each column: a price for each move, and the load of the fullest."""
+        import numpy
+
+        costs = numpy.full(self.load_column + 1, MOVE_PRICE / max(1, len(self.tenants)))
+        costs[self.load_column] = 1.0
+        for column in self.columns_today:
+            costs[column] = 0.0
+        return costs
+
+    def _column_lower(self) -> Any:
+        import numpy
+
+        lower = numpy.zeros(self.load_column + 1)
+        for tenant, cell in (self.problem.fixed or {}).items():
+            lower[self._column(tenant, cell)] = 1.0
+        return lower
+
+    def _column_upper(self) -> Any:
+        import numpy
+
+        most_load = self.problem.most_load
+        upper = numpy.ones(self.load_column + 1)
+        upper[self.load_column] = self.infinity if most_load is None else most_load
+        return upper
+
+    def model(self) -> Any:
+        """Return the programme as HiGHS takes it."""
+        import highspy
+        import numpy
+
+        model: Any = highspy.HighsLp()
+        model.num_col_ = self.load_column + 1
+        model.num_row_ = len(self.row_lower)
+        model.col_cost_ = self._column_costs()
+        model.col_lower_ = self._column_lower()
+        model.col_upper_ = self._column_upper()
+        model.row_lower_ = numpy.array(self.row_lower)
+        model.row_upper_ = numpy.array(self.row_upper)
+        starts = [*self.row_starts, len(self.indices)]
+        model.a_matrix_.format_ = highspy.MatrixFormat.kRowwise
+        model.a_matrix_.start_ = numpy.array(starts, dtype=numpy.int32)
+        model.a_matrix_.index_ = numpy.array(self.indices, dtype=numpy.int32)
+        model.a_matrix_.value_ = numpy.array(self.values)
+        binary = [highspy.HighsVarType.kInteger] * self.load_column
+        model.integrality_ = [*binary, highspy.HighsVarType.kContinuous]
+        return model
+
+    # --- placements ---
+
+    def solution_of(self, placed: dict[str, str]) -> Any:
+        """Return a placement as a solution that HiGHS can begin with."""
+        import highspy
+        import numpy
+
+        columns = numpy.zeros(self.load_column + 1)
+        for tenant in self.tenants:
+            columns[self._column(tenant, placed[tenant])] = 1.0
+        columns[self.load_column] = _highest_load(self.problem, placed)
+        solution: Any = highspy.HighsSolution()
+        solution.col_value = list(columns)
+        return solution
+
+    def placement_of(self, solution: list[float]) -> dict[str, str] | None:
+        """Return the placement that a solution stands for; None if it stands for none."""
+        binary = solution[: self.load_column]
+        is_complete = len(solution) == self.load_column + 1
+        if not is_complete or not any(value > BINARY_THRESHOLD for value in binary):
+            return None
+        placed = {}
+        for tenant in self.tenants:
+            first = self.first_columns[tenant]
+            values = binary[first : first + len(self.cells)]
+            placed[tenant] = self.cells[values.index(max(values))]
+        return placed
--- a/query_broker/cells/work_rates.py
+++ b/query_broker/cells/work_rates.py
@@ -1,36 +1,66 @@
-"""How much work each tenant brings: a mean that fades, in thread-seconds a second. Pure."""
+"""The rate at which each tenant brings work: an exponentially decaying mean.
+
+Rates are in thread-seconds a second, times in integer nanoseconds. Performs no I/O.
+"""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+#: Work that came this long ago counts 1/e.
+DECAY_SPAN_NS = 60_000_000_000
+#: How many tenants have a rate; where no tenants are configured, clients name any they like.
+MAX_TENANTS = 4_096
+
+
+class DecayingMean(NamedTuple):
+    """A mean as it stood at one time.
+
+    Attributes:
+        rate: Thread-seconds a second.
+        at_ns: The time at which it had this value.
+    """
+
+    rate: float
+    at_ns: int
 
-SPAN = 60_000_000_000  # ns; what came so long ago counts 1/e
-MOST = 4_096  # tenants whose rate is kept
+    def value_at(self, now_ns: int) -> float:
+        """Return the rate that is left of it now."""
+        return self.rate * math.exp((self.at_ns - now_ns) / DECAY_SPAN_NS)
 
 
 @dataclass(slots=True)
 class Rates:
-    held: dict[str, tuple[float, int]] = field(default_factory=dict)
-    new: dict[str, int] = field(default_factory=dict)  # work that came since the last `fold`
-
-    def add(self, name: str, work: int) -> None:
-        """``work`` in thread-nanoseconds. On every request's path: only booked."""
-        self.new[name] = self.new.get(name, 0) + work
-
-    def fold(self, now: int) -> None:
-        """Now and then: what has come goes into the means."""
-        new, self.new = self.new, {}
-        for name, work in new.items():
-            self._fold(name, work, now)
-
-    def _fold(self, name: str, work: int, now: int) -> None:
-        rate, at = self.held.get(name, (0.0, now))
-        self.held[name] = rate * math.exp((at - now) / SPAN) + work / SPAN, now
-        if len(self.held) > MOST:  # danger: where no tenants are set, clients name any they like
-            kept = sorted(self.held, key=lambda n: -self.at(n, now))[: MOST // 2]
-            self.held = {n: self.held[n] for n in kept}
-
-    def at(self, name: str, now: int) -> float:
-        rate, at = self.held.get(name, (0.0, now))
-        return rate * math.exp((at - now) / SPAN)
+    """The rates of all tenants.
+
+    Attributes:
+        means: The mean of each tenant that has brought work.
+        new: Work that came since the last `fold`, in thread-nanoseconds.
+    """
+
+    means: dict[str, DecayingMean] = field(default_factory=dict)
+    new: dict[str, int] = field(default_factory=dict)
+
+    def add(self, name: str, work_ns: int) -> None:
+        """Account work in thread-nanoseconds; this is on every request's path and no more."""
+        self.new[name] = self.new.get(name, 0) + work_ns
+
+    def fold(self, now_ns: int) -> None:
+        """Take the work that came since the last call into the means."""
+        new = self.new
+        self.new = {}
+        for name, work_ns in new.items():
+            self.means[name] = DecayingMean(self.at(name, now_ns) + work_ns / DECAY_SPAN_NS, now_ns)
+            if len(self.means) > MAX_TENANTS:
+                self._drop_smallest(now_ns)
+
+    def _drop_smallest(self, now_ns: int) -> None:
+        by_rate = sorted(self.means, key=lambda name: -self.at(name, now_ns))
+        self.means = {name: self.means[name] for name in by_rate[: MAX_TENANTS // 2]}
+
+    def at(self, name: str, now_ns: int) -> float:
+        """Return a tenant's rate in thread-seconds a second; 0 for one that is not known."""
+        mean = self.means.get(name)
+        return 0.0 if mean is None else mean.value_at(now_ns)
--- a/query_broker/cli/cells.py
+++ b/query_broker/cli/cells.py
@@ -9,8 +9,9 @@
 
 import click
 
-from ..cells.planner import BadProblem, Plan, Problem, read_problem, table
+from ..cells.planner import BadProblem, Plan, Problem, read_problem
 from ..cells.solver import NoPlan, solve
+from ..text_table import table
 from .admin_client import (
     EXIT_NO_PLAN,
     EXIT_USAGE,
--- a/query_broker/cli/limits.py
+++ b/query_broker/cli/limits.py
@@ -9,7 +9,7 @@
 
 import click
 
-from ..cells.planner import table
+from ..text_table import table
 from .admin_client import address_option, call, json_option, print_json
 
 LIMIT_COLUMNS = [
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -15,10 +15,10 @@
 
 from ..cells.model import Cell, CellMap, Tenant
 from ..cells.node import CellNode
-from ..cells.planner import table
 from ..config import parse
 from ..operator_config.script import OperatorConfig
 from ..protocols import client_frames as frames
+from ..text_table import table
 from .clients import Asked, Book, quantile
 from .cluster import World, config, patiently, tenants
 
--- a/tests/test_cells_pure.py
+++ b/tests/test_cells_pure.py
@@ -14,11 +14,20 @@
 from query_broker.cells import planner as plan
 from query_broker.cells.borrowing import Ledger
 from query_broker.cells.fair_turns import Turns
-from query_broker.cells.migrations import CloseOut, Fleet, Move, Moves, Refused, Stage, read_move
+from query_broker.cells.migration_log import MigrationLog
+from query_broker.cells.migration_steps import step_migrations
+from query_broker.cells.migrations import (
+    CloseOut,
+    Fleet,
+    Migration,
+    MigrationRejectedError,
+    Stage,
+    read_migration,
+)
 from query_broker.cells.model import BadMap, Cell, CellMap, Tenant, Timing, from_plain
 from query_broker.cells.placement import Placement, Seen
 from query_broker.cells.solver import NoPlan, solve
-from query_broker.cells.work_rates import SPAN, Rates
+from query_broker.cells.work_rates import DECAY_SPAN_NS, Rates
 
 S = 1_000_000_000
 
@@ -130,25 +139,27 @@
     placement = Placement(CellMap(1, tuple(Cell(n, least=3, most=3) for n in "ab"), "a"))
     placement.learn(seen(*(f"s-{i}" for i in range(6))))
     for i in range(6):
-        old, home = f"s-{i}", placement.of(f"s-{i}")
+        old, home = f"s-{i}", placement.seat_of(f"s-{i}")
         placement.learn(seen(old, ready=False))
         placement.learn(seen(f"n-{i}"))
         placement.learn([], [old])
-        assert placement.of(f"n-{i}") == home and placement.size("a") == placement.size("b") == 3
+        assert (
+            placement.seat_of(f"n-{i}") == home and placement.size("a") == placement.size("b") == 3
+        )
     placement.learn(seen("extra"))
-    assert placement.of("extra") is None  # every cell is full
+    assert placement.seat_of("extra") is None  # every cell is full
     placement.learn([], ["n-0"])
-    assert placement.of("extra") is not None
+    assert placement.seat_of("extra") is not None
 
 
 def test_a_new_map_moves_what_it_must_and_no_more() -> None:
     placement = Placement(cell_map("a", "b", "c"))
     placement.learn(seen(*(f"s-{i}" for i in range(30))))
     before = dict(placement.seats)
-    changes = placement.take(cell_map("a", "b", epoch=2))
+    changes = placement.apply_map(cell_map("a", "b", epoch=2))
     assert {c.uid for c in changes} == {u for u, c in before.items() if c == "c"}
     assert all(c.after in ("a", "b") for c in changes)
-    placement.take(CellMap(3, (Cell("a"), Cell("b", most=4), Cell("d", least=5)), "a"))
+    placement.apply_map(CellMap(3, (Cell("a"), Cell("b", most=4), Cell("d", least=5)), "a"))
     assert (
         placement.size("b") <= 4
         and placement.size("d") >= 5
@@ -172,7 +183,7 @@
 def test_a_cell_borrows_what_others_leave_but_never_their_last_quarter() -> None:
     books = ledger()
     taken = sum(books.take("a", 1, 0) for _ in range(200))
-    assert taken == 100 - int(loans.KEPT * 50) and books.lent("a") == taken - 50
+    assert taken == 100 - int(loans.RESERVED_FRACTION * 50) and books.lent("a") == taken - 50
     assert all(books.take("b", 1, 0) for _ in range(12)) and not books.take("b", 1, 0)
 
 
@@ -182,14 +193,14 @@
         pass
     while books.take("b", 1, S):  # digs into what was lent
         pass
-    assert books.due(S + loans.RETURN - 1) == {} and loans.RETURN < S
-    owed = books.due(S + loans.RETURN)
+    assert books.due(S + loans.CALL_IN_DELAY_NS - 1) == {} and loans.CALL_IN_DELAY_NS < S
+    owed = books.due(S + loans.CALL_IN_DELAY_NS)
     assert owed == {"a": books.lent("a")}
     books.give("a", owed["a"])
     assert sum(books.take("b", 1, 2 * S) for _ in range(100)) == 50 - 12
     assert not books.take("a", 1, 2 * S)  # the owner has its whole part
     books.give("b", 50)
-    assert books.due(2 * S + loans.HOLD + 1) == {} and books.take("a", 1, 8 * S)
+    assert books.due(2 * S + loans.RECLAIM_HOLD_NS + 1) == {} and books.take("a", 1, 8 * S)
 
 
 def test_what_cannot_be_called_in_is_never_borrowed() -> None:
@@ -238,34 +249,34 @@
     for _ in range(100):
         for name in "ab":
             while turns.allowed(name) and spent[name] - spent["b" if name == "a" else "a"] < 1_000:
-                turns.spent(name, 7.0)
+                turns.charge(name, 7.0)
                 spent[name] += 7
         turns.round()
     assert abs(spent["a"] - spent["b"]) < 0.05 * spent["a"]
     alone = 0.0
     turns = Turns({"a": 1.0, "b": 9.0}, 100.0)
     while turns.allowed("a"):
-        turns.spent("a", 7.0)
+        turns.charge("a", 7.0)
         alone += 7.0
     assert alone >= 100.0  # the whole round, not a tenth
-    turns.spent("b", 1.0)
+    turns.charge("b", 1.0)
     assert not turns.allowed("a") and turns.allowed("b")
 
 
 def test_debt_is_bounded_and_cells_come_and_go() -> None:
     turns = Turns({"a": 1.0, "b": 1.0}, 100.0)
-    turns.spent("a", 1e9)
-    turns.spent("b", 1.0)
+    turns.charge("a", 1e9)
+    turns.charge("b", 1.0)
     rounds = 0
     while not turns.allowed("a"):
-        turns.spent("b", 1.0)
-        turns.spent("a", 0.0)
+        turns.charge("b", 1.0)
+        turns.charge("a", 0.0)
         turns.round()
         rounds += 1
     assert rounds <= 6
-    turns.take({"b": 1.0, "c": 1.0})
-    assert turns.allowed("c") and set(turns.left) == {"b", "c"}
-    turns.spent("a", 1.0)  # a connection of a cell that is gone
+    turns.set_weights({"b": 1.0, "c": 1.0})
+    assert turns.allowed("c") and set(turns.balance) == {"b", "c"}
+    turns.charge("a", 1.0)  # a connection of a cell that is gone
 
 
 # --- moves ---
@@ -285,23 +296,23 @@
     def open(self, subject: str, cell: str) -> int:
         return self.count[subject, cell]
 
-    def heard(self, move: Move) -> bool:
+    def is_replicated(self, move: Migration) -> bool:
         return self.told
 
 
-def at(made: Moves) -> Stage:
+def at(made: MigrationLog) -> Stage:
     return made.records["x"].stage
 
 
-def play(made: Moves, world: World, now: int, seconds: float, step: int = S // 20) -> int:
+def play(made: MigrationLog, world: World, now: int, seconds: float, step: int = S // 20) -> int:
     for _ in range(int(seconds * S / step)):
         now += step
-        made.step(now, world)
+        step_migrations(made, now, world)
     return now
 
 
 def test_a_move_goes_through_its_stages_and_leaves_the_tenant_there() -> None:
-    made, world = Moves(cell_map(), "p1"), World()
+    made, world = MigrationLog(cell_map(), "p1"), World()
     world.count["x", "a"] = 3
     made.propose("x", "b", 0)
     stages = [Stage.PROPOSED]
@@ -312,7 +323,7 @@
         if stage is not stages[-1]:
             stages.append(stage)
         assert made.cell("x", now) == (
-            "b" if stage in moves.MOVED and now >= made.records["x"].switch_at else "a"
+            "b" if stage in moves.SWITCHED_STAGES and now >= made.records["x"].switch_at else "a"
         )
     assert stages == [Stage.PROPOSED, Stage.WARMING, Stage.SWITCHED, Stage.DRAINING]
     world.count.clear()
@@ -326,7 +337,7 @@
     ("fleet", "why"), [(Fleet(0, 0), "no ready engine"), (Fleet(4, 3), "get warm")]
 )
 def test_a_target_that_is_not_able_in_time_takes_the_move_back(fleet: Fleet, why: str) -> None:
-    made, world = Moves(cell_map(), "p1"), World()
+    made, world = MigrationLog(cell_map(), "p1"), World()
     world.fleets["b"] = fleet
     made.propose("x", "b", 0)
     now = play(made, world, 0, 45)
@@ -336,7 +347,7 @@
 
 
 def test_a_target_that_loses_its_last_engine_gives_the_tenant_back() -> None:
-    made, world = Moves(cell_map(), "p1"), World()
+    made, world = MigrationLog(cell_map(), "p1"), World()
     world.count["x", "a"] = 1
     made.propose("x", "b", 0)
     now = play(made, world, 0, 5)
@@ -366,29 +377,29 @@
         (2.0, Stage.SWITCHED),
         (5.0, Stage.DRAINING),
     ):
-        made, world = Moves(cell_map("a", "b", "c"), "p1"), World()
+        made, world = MigrationLog(cell_map("a", "b", "c"), "p1"), World()
         world.count["x", "a"] = world.count["x", "b"] = 1
         made.propose("x", "b", 0)
         now = play(made, world, 0, seconds)
         assert at(made) is stage
-        with pytest.raises(Refused, match="on the move"):
+        with pytest.raises(MigrationRejectedError, match="on the move"):
             made.propose("x", "c", now)
         made.propose("y", "c", now)  # another tenant may move at once
         made.take_back("x", now)
         assert made.cell("x", now) == "a"
-        if stage in moves.MOVED:
-            with pytest.raises(Refused, match="already"):
+        if stage in moves.SWITCHED_STAGES:
+            with pytest.raises(MigrationRejectedError, match="already"):
                 made.take_back("x", now)
             world.count.clear()
             now = play(made, world, now, 0.1)
         assert at(made) is Stage.TAKEN_BACK
-        with pytest.raises(Refused, match="not on the move"):
+        with pytest.raises(MigrationRejectedError, match="not on the move"):
             made.take_back("x", now)
 
 
 def test_what_cannot_be_moved_is_refused() -> None:
     spread = CellMap(1, (Cell("a"), Cell("b")), "a", {"x": Tenant("x", ("a", "b"), "route")})
-    made = Moves(spread, "p1")
+    made = MigrationLog(spread, "p1")
     for subject, target in (
         ("", "b"),
         ("x", "b"),
@@ -397,7 +408,7 @@
         ("x#64", "b"),
         ("y\n", "b"),
     ):
-        with pytest.raises(Refused):
+        with pytest.raises(MigrationRejectedError):
             made.propose(subject, target, 0)
     assert not made.records and not made.changed
     part = next(f"x#{i}" for i in range(64) if spread.home(f"x#{i}") == "a")
@@ -406,7 +417,7 @@
 
 def test_what_is_open_past_the_time_for_it_is_closed_out_by_every_process() -> None:
     said = cell_map(timing=Timing(drain=2 * S))
-    made, other, world = Moves(said, "p1"), Moves(said, "p2"), World()
+    made, other, world = MigrationLog(said, "p1"), MigrationLog(said, "p2"), World()
     world.count["x", "a"] = 1
     made.propose("x", "b", 0)
     now = play(made, world, 0, 5)
@@ -418,7 +429,7 @@
 
 
 def test_a_switch_waits_until_the_other_process_has_heard_of_it() -> None:
-    made, world = Moves(cell_map(), "p1"), World()
+    made, world = MigrationLog(cell_map(), "p1"), World()
     world.told = False
     made.propose("x", "b", 0)
     now = play(made, world, 0, 5)
@@ -429,26 +440,28 @@
 
 
 def test_one_process_drives_and_another_takes_over_when_it_has_gone() -> None:
-    first, second, world = Moves(cell_map(), "p2"), Moves(cell_map(), "p1"), World()
+    first, second, world = MigrationLog(cell_map(), "p2"), MigrationLog(cell_map(), "p1"), World()
     first.propose("x", "b", 0)
     second.merge(first.records.values())
-    second.step(S, world, ["p2"])
+    step_migrations(second, S, world, ["p2"])
     assert second.records == first.records  # p2 lives: p1 leaves it alone
     now = S
     for _ in range(200):
         now += S // 20
-        second.step(now, world, ["p3"])  # p2 has gone; of p1 and p3 the lower takes over
+        step_migrations(
+            second, now, world, ["p3"]
+        )  # p2 has gone; of p1 and p3 the lower takes over
     assert second.records["x"].stage is Stage.DONE and second.records["x"].driver == "p1"
     assert first.merge(second.records.values()) and first.cell("x", now) == "b"
     # an older word changes nothing
-    assert not first.merge([Move("x", "a", "c", Stage.DONE, 1, 0, 0, "p9")])
+    assert not first.merge([Migration("x", "a", "c", Stage.DONE, 1, 0, 0, "p9")])
     assert first.cell("x", now) == "b"
 
 
 def test_records_survive_being_told_and_spoilt_ones_are_turned_down() -> None:
-    made = Moves(cell_map(), "p1")
+    made = MigrationLog(cell_map(), "p1")
     move = made.propose("x", "b", 5)
-    assert read_move(move.plain()) == move
+    assert read_migration(move.plain()) == move
     for spoilt in (
         {},
         {**move.plain(), "stage": "?"},
@@ -456,7 +469,7 @@
         {**move.plain(), "z": 1},
     ):
         with pytest.raises((ValueError, TypeError, KeyError)):
-            read_move(spoilt)
+            read_migration(spoilt)
 
 
 @pytest.mark.parametrize(
@@ -472,22 +485,22 @@
 def test_a_map_that_drops_a_cell_ends_its_moves(
     seconds: float, left: str, stage: Stage, home: str
 ) -> None:
-    made, world = Moves(cell_map("a", "b", "c"), "p1"), World()
+    made, world = MigrationLog(cell_map("a", "b", "c"), "p1"), World()
     made.propose("x", "b", 0)
     world.count["x", "a"] = world.count["x", "b"] = 1
     now = play(made, world, 0, seconds)
     tenants = {"x": left[0]}
-    made.take(cell_map(*left, epoch=2, tenants=tenants), now)
+    made.apply_map(cell_map(*left, epoch=2, tenants=tenants), now)
     assert at(made) is stage and made.cell("x", now) == home
 
 
 def test_a_map_that_names_a_moved_tenant_anew_has_the_last_word() -> None:
-    made, world = Moves(cell_map("a", "b", "c"), "p1"), World()
+    made, world = MigrationLog(cell_map("a", "b", "c"), "p1"), World()
     made.propose("x", "b", 0)
     now = play(made, world, 0, 6)
-    made.take(cell_map("a", "b", "c", epoch=2), now)
+    made.apply_map(cell_map("a", "b", "c", epoch=2), now)
     assert made.cell("x", now) == "b"  # the file says nothing new of it
-    made.take(cell_map("a", "b", "c", epoch=3, tenants={"x": "c"}), now)
+    made.apply_map(cell_map("a", "b", "c", epoch=3, tenants={"x": "c"}), now)
     assert made.cell("x", now) == "c"
 
 
@@ -504,7 +517,7 @@
 def test_whatever_happens_a_subject_has_one_cell_and_versions_rise(
     steps: list[tuple[str, int]],
 ) -> None:
-    made, world = Moves(cell_map("a", "b", "c"), "p1"), World()
+    made, world = MigrationLog(cell_map("a", "b", "c"), "p1"), World()
     now, version = 0, 0
     for word, number in steps:
         now += number * S // 2
@@ -514,7 +527,7 @@
                 made.propose("x", word, now)
             elif word == "back":
                 made.take_back("x", now)
-        except Refused:
+        except MigrationRejectedError:
             pass
         if word == "lose":
             world.fleets[cell] = Fleet(0, 0)
@@ -524,10 +537,10 @@
             world.count["x", made.cell("x", now)] += 1
         elif word == "end":
             world.count.clear()
-        made.step(now, world)
+        step_migrations(made, now, world)
         assert made.cell("x", now) in "abc" and made.version >= version
         move = made.records.get("x")
-        if move is not None and not move.over():
+        if move is not None and not move.has_ended():
             assert made.cell("x", now) in (move.source, move.target)
         version = made.version
 
@@ -541,11 +554,11 @@
         rates.add("x", S // 2)
         rates.fold(second * S)
     assert 0.45 < rates.at("x", 600 * S) < 0.55
-    assert rates.at("x", 600 * S + 5 * SPAN) < 0.01 and rates.at("y", 0) == 0.0
+    assert rates.at("x", 600 * S + 5 * DECAY_SPAN_NS) < 0.01 and rates.at("y", 0) == 0.0
     for i in range(10_000):
         rates.add(f"t{i}", 1)
         rates.fold(600 * S)
-    assert len(rates.held) <= 4_097 and "x" in rates.held
+    assert len(rates.means) <= 4_097 and "x" in rates.means
 
 
 LOADS = {f"t{i}": 1.0 + i % 5 for i in range(30)}
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -17,7 +17,7 @@
 import pytest
 from click.testing import CliRunner
 
-from query_broker.cells.borrowing import KEPT
+from query_broker.cells.borrowing import RESERVED_FRACTION
 from query_broker.cells.client_connection import CelledConnection
 from query_broker.cells.dispatcher import ANTEROOM
 from query_broker.cells.migrations import Stage
@@ -83,7 +83,7 @@
 
 
 def hall(rig: Rig) -> CellRouter:
-    return node(rig).celled.hall
+    return node(rig).celled.router
 
 
 def stage(rig: Rig, subject: str = "acme") -> Stage | None:
@@ -119,7 +119,7 @@
             assert (await client.answer())[1] == frames.SERVED
         assert len(one.words(b"do")) == len(two_.words(b"do")) == 10
         assert all(d[1].startswith(b"acme".hex().encode()) for d in one.words(b"do"))
-        assert not hall(rig).where and not hall(rig).open and not node(rig).celled.charged
+        assert not hall(rig).requests and not hall(rig).open and not node(rig).celled.charged
         text = (await call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
         assert 'larchhall_cell_replies_total{cell="a",type="glance",status="success"} 10' in text
 
@@ -141,8 +141,8 @@
         # The one under way comes again under its id: it joins the first, in the first's cell.
         other = await rig.client()
         ask(other, 1, "acme", route="stock-add")
-        await until(lambda: len(hall(rig).where) == 2)
-        assert all(room.cell == "a" for room, _ in hall(rig).where.values())
+        await until(lambda: len(hall(rig).requests) == 2)
+        assert all(room.cell == "a" for room, _ in hall(rig).requests.values())
         one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
         other.send(frames.ABANDON, 1)
@@ -227,7 +227,7 @@
     async with pair(two(), one, two_) as rig:
         assert rig.node.dispatcher.set_endpoint_disabled("s-2", True)
         assert hall(rig).fleet("b", rig.node.clock.now()).ready == 0
-        node(rig)._take_map(two(2, a=("s-1", "s-2"), b=()))
+        node(rig).apply_map(two(2, a=("s-1", "s-2"), b=()))
         client = await rig.client()
         for stream in range(1, 11):
             ask(client, stream, "acme")
@@ -235,8 +235,8 @@
         assert not two_.words(b"do")
         assert rig.node.dispatcher.set_endpoint_disabled("s-2", False)  # back, and cold
         assert hall(rig).fleet("a", rig.node.clock.now()).cold == 1
-        node(rig)._take_map(two(3))
-        room = hall(rig).rooms["b"]
+        node(rig).apply_map(two(3))
+        room = hall(rig).facades["b"]
         assert all(e.cold_until > rig.node.clock.now() for e in room.controller.engines.values())
 
 
@@ -248,17 +248,17 @@
         client = await rig.client()
         ask(client, 1, "acme", route="stock-add", weight="500")
         await until(lambda: one.words(b"do"))
-        node(rig)._take_map(two(2, a=("s-3",), b=("s-1", "s-2")))
+        node(rig).apply_map(two(2, a=("s-3",), b=("s-1", "s-2")))
         number = rig.node.dispatcher.endpoint_table.number("s-1")
         assert hall(rig).cell_of(number) == "b" and number in hall(rig).left_over
-        beside = hall(rig).rooms["b"].controller.engines[number].beside
+        beside = hall(rig).facades["b"].controller.engines[number].beside
         # what is out there counts in its new cell
         assert beside.threads == 2 and beside.backlog_ns > 0
         assert hall(rig).outstanding(0)[number].threads == 2  # and once for other processes
         one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert hall(rig).rooms["b"].controller.engines[number].beside.threads == 0
-        assert not hall(rig).left_over and not hall(rig).where
+        assert hall(rig).facades["b"].controller.engines[number].beside.threads == 0
+        assert not hall(rig).left_over and not hall(rig).requests
         # Its old cell's tenant does not meet it any more.
         ask(client, 2, "acme")
         assert (await client.answer())[1] == frames.REFUSED and len(one.words(b"do")) == 1
@@ -282,23 +282,23 @@
     moved.report(now, EndpointListUpdate(ListUpdateKind.FULL, (cold,)))
     sent = 0
     for i in range(200):
-        moved.next = ("acme", "a")
+        moved.assigned = ("acme", "a")
         sent += len(
             moved.pick(
                 now, RequestArrived(f"{i}", "glance", 5 * S, "acme", None, 200 * MS, 1.0, -1, False)
             ).dispatches
         )
     assert sent == 14  # 0.36 x 8 cores x 1.5 s x 2, with a margin of 3
-    moved.take(two(2, a=(), b=("s-1",)), now + 10 * MS)
+    moved.apply_map(two(2, a=(), b=("s-1",)), now + 10 * MS)
     for i in range(200, 400):
-        moved.next = ("beta", "b")
+        moved.assigned = ("beta", "b")
         orders = moved.pick(
             now + 10 * MS,
             RequestArrived(f"{i}", "glance", 5 * S, "beta", None, 200 * MS, 1.0, -1, False),
         )
         assert not orders.dispatches and isinstance(orders.answers[0], Reject)
     moved.fade(now + 3 * S)  # the window has passed
-    moved.next = ("beta", "b")
+    moved.assigned = ("beta", "b")
     assert moved.pick(
         now + 3 * S, RequestArrived("z", "glance", 5 * S, "beta", None, 100 * MS, 1.0, -1, False)
     ).dispatches
@@ -311,15 +311,15 @@
         client = await rig.client()
         ask(client, 1, "beta", route="stock-add")
         await until(lambda: two_.words(b"do"))
-        dropped = hall(rig).rooms["b"]
-        node(rig)._take_map(CellMap(2, (Cell("a", engines=("s-1", "s-2")),), "a", {}, FAST))
-        assert hall(rig).rooms["b"] is dropped  # until its last request is over
+        dropped = hall(rig).facades["b"]
+        node(rig).apply_map(CellMap(2, (Cell("a", engines=("s-1", "s-2")),), "a", {}, FAST))
+        assert hall(rig).facades["b"] is dropped  # until its last request is over
         ask(client, 2, "beta")
         await until(lambda: len(one.words(b"do")) + len(two_.words(b"do")) == 2)
         two_.serve(two_.words(b"do")[0], two_.writer_of(two_.words(b"do")[0]))
         while (await client.answer())[0] != 1:
             pass
-        await until(lambda: "b" not in hall(rig).rooms)
+        await until(lambda: "b" not in hall(rig).facades)
         assert dropped.dissolved and "b" not in node(rig).celled.requests_lent.accounts
 
 
@@ -332,10 +332,10 @@
         client, other = await rig.client(), await rig.client()
         for stream in range(1, 31):
             ask(other, stream, "acme")  # nobody answers: they stay
-        for _ in range(30 - 16 + int(KEPT * 8)):
+        for _ in range(30 - 16 + int(RESERVED_FRACTION * 8)):
             stream, code, fields, _ = await other.answer()
             assert code == frames.REFUSED and "pause" in fields
-        assert broker.requests_lent.lent("a") == 16 - int(KEPT * 8) - 8
+        assert broker.requests_lent.lent("a") == 16 - int(RESERVED_FRACTION * 8) - 8
         # The owner asks: what is lent comes back, each of them with one answer.
         two_.script = lambda *_: None
         ask(client, 31, "beta")
@@ -594,7 +594,7 @@
             # The successor was given an older file: it takes the newer map, and the move, from the
             # old one.
             async with beside(made, held, tmp_path, two(1, acme="a", beta="a")) as new:
-                await until(lambda: node(new).theirs and node(old).theirs)
+                await until(lambda: node(new).peers and node(old).peers)
                 assert node(new).map.epoch == 2 and stage(new) is Stage.DRAINING
                 old.node.shutdown.begin()
                 await until(lambda: old.node.closing_announced)
@@ -621,8 +621,8 @@
                 assert node(old).map.digest() == node(new).map.digest()
                 assert node(old).celled.moves.cell("beta", 0) == "a"
                 # Told by somebody else, or spoilt on its way: it changes nothing.
-                assert node(old)._hear({"cells": {"me": 3}, "accepting": True}) is None
-                assert node(old)._hear({"cells": "x", "accepting": True}) is None
+                assert node(old).read_peer_status({"cells": {"me": 3}, "accepting": True}) is None
+                assert node(old).read_peer_status({"cells": "x", "accepting": True}) is None
 
 
 def write_files(
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -19,6 +19,7 @@
 
 from query_broker.cells import migrations as moves
 from query_broker.cells import model, placement
+from query_broker.cells.migration_log import MigrationLog
 from query_broker.cells.node import CellNode
 from query_broker.decisions.data_set_affinity import DataSetAffinity
 from query_broker.decisions.facade import EndpointState, OutstandingWork
@@ -37,7 +38,7 @@
 
 # --- moves and the cell map, as they stand in the status file ---
 
-MOVE = moves.Move(
+MOVE = moves.Migration(
     "acme#7",
     "a",
     "b",
@@ -88,7 +89,7 @@
 
 def test_move_is_told_and_read_as_its_text() -> None:
     assert json.dumps(MOVE.plain()) == MOVE_TEXT
-    assert moves.read_move(json.loads(MOVE_TEXT)) == MOVE
+    assert moves.read_migration(json.loads(MOVE_TEXT)) == MOVE
 
 
 @pytest.mark.parametrize(
@@ -108,7 +109,7 @@
 
 
 def test_order_of_stages_and_the_reason_that_another_process_acts_on() -> None:
-    values = [stage.value for stage in moves.ORDER]
+    values = [stage.value for stage in moves.STAGE_ORDER]
     assert values == [
         "proposed",
         "warming",
@@ -149,11 +150,11 @@
 
 def celled_node() -> CellNode:
     """As much of a node with cells as its part of the status file needs."""
-    record = moves.Moves(CELL_MAP, "41-00ff00ff")
+    record = MigrationLog(CELL_MAP, "41-00ff00ff")
     record.records["acme#7"] = MOVE
     told = SimpleNamespace(
         moves=record,
-        hall=SimpleNamespace(
+        router=SimpleNamespace(
             open={("acme#7", "a"): 3, ("acme#7", "b"): 1, ("bolt", "b"): 9},
             placement=SimpleNamespace(seats={"s-1": "a", "s-2": None}),
         ),
@@ -175,7 +176,7 @@
 def test_what_another_process_tells_of_cells_is_read() -> None:
     raw = json.loads(CELLS_TOLD)
     raw["cells"]["epoch"] = raw["cells"]["map"]["epoch"] = 4  # a map is read where it is newer
-    read = celled_node()._hear({"accepting": True, **raw})
+    read = celled_node().read_peer_status({"accepting": True, **raw})
     assert read is not None
     newer = read.pop("map")
     assert (newer.epoch, newer.cells, newer.tenants) == (4, CELL_MAP.cells, CELL_MAP.tenants)
