--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -20,7 +20,7 @@
 from .borrowing import RESERVED_FRACTION, Ledger
 from .migration_log import MigrationLog
 from .model import CellMap
-from .router import CellRouter
+from .router import Assignment, CellRouter
 from .work_rates import Rates
 
 MS = 1_000_000
@@ -137,7 +137,7 @@
             # Danger: an engine of another cell knows nothing of the one that is open under this id.
             if (place := self.router.requests.get(other.id)) is not None:
                 cell, subject = place[0].cell, place[1]
-        self.router.assigned = subject, cell
+        self.router.assigned = Assignment(subject, cell)
         self.rates.add(subject, int(parsed.estimate_ms * MS))
         return super().admit(client, stream, parsed, received_ns)
 
@@ -270,13 +270,13 @@
                 "engines_ready",
                 "gauge",
                 "Engines that take new work.",
-                {c.name: self.router.fleet(c.name, now).ready for c in self.map.cells},
+                {c.name: self.router.seats.fleet(c.name, now).ready for c in self.map.cells},
             ),
             (
                 "engines_cold",
                 "gauge",
                 "Those of them that are cold.",
-                {c.name: self.router.fleet(c.name, now).cold for c in self.map.cells},
+                {c.name: self.router.seats.fleet(c.name, now).cold for c in self.map.cells},
             ),
             (
                 "refused_for_room_total",
@@ -337,7 +337,7 @@
         self.ledger = Ledger()
 
     def cell(self, pool: ConnectionPool) -> str:
-        return self.broker.router.cell_of(pool.number) or ""
+        return self.broker.router.seats.cell_of(pool.number) or ""
 
     def count_use(self) -> None:
         """Danger: an engine that has gone, or sits in no cell, holds connections too: all are
@@ -373,7 +373,7 @@
 
     def _engines(self, cell: str) -> set[int]:
         room = self.broker.router.facades.get(cell)
-        return room.engines if room is not None else set()
+        return room.endpoints if room is not None else set()
 
     def room(self, pool: ConnectionPool) -> bool:
         cell = self.cell(pool)
@@ -399,7 +399,7 @@
         # Its own idle ones first; then of those who hold more than their part.
         idle = self._idle()
         for connection in idle:
-            whose = self.broker.router.cell_of(connection.endpoint) or ""
+            whose = self.broker.router.seats.cell_of(connection.endpoint) or ""
             if whose == cell or (
                 account.used <= account.part
                 and whose in self.ledger.accounts
--- /dev/null
+++ b/query_broker/cells/endpoint_seats.py
@@ -0,0 +1,209 @@
+"""The seats of listed endpoints: which cell's decisions know of each, and what they learn of it.
+
+An endpoint belongs to one cell at a time. Performs no I/O.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import replace
+
+from ..decisions.facade import (
+    AdministrativeChange,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointState,
+    ListUpdateKind,
+    OrderBatch,
+    Settings,
+)
+from .cell_facade import CellFacade, extend_orders
+from .migrations import Fleet
+from .model import CellMap
+from .outstanding_work import NO_WORK, OutstandingWorkTracker
+from .placement import Change, Placement, Seen
+
+
+class EndpointSeats:
+    """Applies updates of the endpoint list and new maps to the decisions of all cells.
+
+    Attributes:
+        settings: The platform settings in force; the router sets them.
+        placement: The cell of each endpoint, by uid.
+        entries: The listed endpoints by number.
+        numbers: The number of each listed endpoint, by uid.
+        disabled: The administrative change that disabled each disabled endpoint.
+        uid_of: Returns the uid of an endpoint's number.
+        cold_until: When endpoints that were enabled again began to warm up.
+    """
+
+    def __init__(
+        self,
+        map: CellMap,
+        settings: Settings,
+        facades: Mapping[str, CellFacade],
+        outstanding: OutstandingWorkTracker,
+        uid_of: Callable[[int], str],
+    ) -> None:
+        """Start without endpoints.
+
+        Args:
+            map: The cell map in force.
+            settings: The platform settings in force.
+            facades: The decisions of each cell, by its name.
+            outstanding: What cells have outstanding on endpoints that leave them.
+            uid_of: Returns the uid of an endpoint's number.
+        """
+        self.settings = settings
+        self.placement = Placement(map)
+        self.entries: dict[int, EndpointEntry] = {}
+        self.numbers: dict[str, int] = {}
+        self.disabled: dict[int, AdministrativeChange] = {}
+        self.cold_until: dict[int, int] = {}
+        self._facades = facades
+        self._outstanding = outstanding
+        self.uid_of = uid_of
+
+    # --- queries ---
+
+    def facade_of(self, number: int) -> CellFacade | None:
+        """Return the decisions of the cell that the endpoint has its seat in."""
+        return next(
+            (facade for facade in self._facades.values() if number in facade.endpoints), None
+        )
+
+    def cell_of(self, number: int) -> str | None:
+        """Return the cell of an endpoint.
+
+        For one that is not listed any more it is a cell that still has something outstanding there.
+        """
+        entry = self.entries.get(number)
+        if entry is not None:
+            return self.placement.seat_of(self.uid_of(entry.endpoint))
+        for facade in self._facades.values():
+            if number in facade.controller.engines:
+                return facade.cell
+        return None
+
+    def fleet(self, cell: str, now_ns: int) -> Fleet:
+        """Return the endpoints of the cell that take new work, and how many are warming up."""
+        facade = self._facades.get(cell)
+        if facade is None:
+            return Fleet(0, 0)
+        ready = [
+            number
+            for number in facade.endpoints
+            if self.entries[number].state is EndpointState.READY and number not in self.disabled
+        ]
+        cold = sum(now_ns < self._warm_at(number) for number in ready)
+        return Fleet(len(ready), cold)
+
+    def _started_ns(self, entry: EndpointEntry) -> int:
+        """Return when the endpoint began to warm up: at its start, or when it was enabled again."""
+        return max(entry.started_ns, self.cold_until.get(entry.endpoint, 0))
+
+    def _warm_at(self, number: int) -> int:
+        return self._started_ns(self.entries[number]) + self.settings.contract.warmup_ns
+
+    # --- changes ---
+
+    def apply_administrative_change(self, change: AdministrativeChange) -> None:
+        """Note that an endpoint was disabled or enabled, for cells that get it later."""
+        if change.disabled:
+            self.disabled[change.endpoint] = change
+        else:
+            self.disabled.pop(change.endpoint, None)
+            self.cold_until[change.endpoint] = change.at_ns
+
+    def apply_update(self, now_ns: int, update: EndpointListUpdate, orders: OrderBatch) -> None:
+        """Apply an update of the endpoint list.
+
+        Seats are settled first; then each cell learns of its own endpoints alone.
+        """
+        removed = self._removed_entries(update)
+        present = [entry for entry in update.entries if entry.state is not EndpointState.REMOVED]
+        uids = {number: uid for uid, number in self.numbers.items()}
+        for entry in present:
+            self.numbers[self.uid_of(entry.endpoint)] = entry.endpoint
+            self.entries[entry.endpoint] = entry
+        removed_uids = [uids[entry.endpoint] for entry in removed if entry.endpoint in uids]
+        changes = self.placement.learn([self._seen(entry) for entry in present], removed_uids)
+        for entry in removed:
+            self._remove(now_ns, entry, uids.get(entry.endpoint), orders)
+        self.reseat(now_ns, changes, orders)
+        reseated = {self.numbers[change.uid] for change in changes if change.uid in self.numbers}
+        unmoved = [entry for entry in present if entry.endpoint not in reseated]
+        self._report_present(now_ns, unmoved, orders)
+
+    def _removed_entries(self, update: EndpointListUpdate) -> list[EndpointEntry]:
+        """Return the endpoints that the update removes: by name, or by a full list without them."""
+        removed = [entry for entry in update.entries if entry.state is EndpointState.REMOVED]
+        if update.kind is ListUpdateKind.FULL:
+            listed = {entry.endpoint for entry in update.entries}
+            removed += [
+                replace(entry, state=EndpointState.REMOVED)
+                for number, entry in self.entries.items()
+                if number not in listed
+            ]
+        return removed
+
+    def _seen(self, entry: EndpointEntry) -> Seen:
+        ready = entry.state is EndpointState.READY
+        return Seen(self.uid_of(entry.endpoint), entry.zone, entry.kind, ready)
+
+    def _remove(
+        self, now_ns: int, entry: EndpointEntry, uid: str | None, orders: OrderBatch
+    ) -> None:
+        self.entries.pop(entry.endpoint, None)
+        self.cold_until.pop(entry.endpoint, None)
+        if uid is not None:
+            del self.numbers[uid]
+        facade = self.facade_of(entry.endpoint)
+        if facade is not None:
+            facade.endpoints.discard(entry.endpoint)
+            _report_entries(facade, now_ns, (entry,), orders)
+
+    def _report_present(
+        self, now_ns: int, entries: Iterable[EndpointEntry], orders: OrderBatch
+    ) -> None:
+        for facade in list(self._facades.values()):
+            own = tuple(entry for entry in entries if entry.endpoint in facade.endpoints)
+            if own:
+                _report_entries(facade, now_ns, own, orders)
+
+    def reseat(self, now_ns: int, changes: Iterable[Change], orders: OrderBatch) -> None:
+        """Move endpoints between the decisions of cells.
+
+        An endpoint leaves its former cell first: in two cells it would get the work of two limits.
+        """
+        for change in changes:
+            number = self.numbers.get(change.uid)
+            if number is None:
+                continue
+            entry = self.entries[number]
+            former = self._facades.get(change.before or "")
+            if former is not None and number in former.endpoints:
+                self._leave(former, now_ns, entry, orders)
+            present = self._facades.get(change.after or "")
+            if present is not None:
+                present.endpoints.add(number)
+                joined = replace(entry, started_ns=self._started_ns(entry))
+                _report_entries(present, now_ns, (joined,), orders)
+
+    def _leave(
+        self, facade: CellFacade, now_ns: int, entry: EndpointEntry, orders: OrderBatch
+    ) -> None:
+        number = entry.endpoint
+        outstanding = facade.outstanding(now_ns).get(number, NO_WORK)
+        facade.endpoints.discard(number)
+        left = replace(entry, state=EndpointState.REMOVED)
+        _report_entries(facade, now_ns, (left,), orders)
+        until_ns = now_ns + self.settings.contract.overload_window_ns
+        self._outstanding.endpoint_left(number, outstanding, until_ns)
+
+
+def _report_entries(
+    facade: CellFacade, now_ns: int, entries: tuple[EndpointEntry, ...], orders: OrderBatch
+) -> None:
+    update = EndpointListUpdate(ListUpdateKind.CHANGES, entries)
+    extend_orders(orders, facade.report(now_ns, update))
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -234,7 +234,7 @@
     # --- what a step of a move looks at ---
 
     def fleet(self, cell: str) -> Fleet:
-        return self.celled.router.fleet(cell, self.clock.now())
+        return self.celled.router.seats.fleet(cell, self.clock.now())
 
     def open(self, subject: str, cell: str) -> int:
         count = self.celled.router.open.get((subject, cell), 0)
@@ -262,7 +262,7 @@
             "digest": self.digest,
             "moves": [m.plain() for m in moves.records.values()],
             "open": open_now,
-            "seats": broker.router.placement.seats,
+            "seats": broker.router.seats.placement.seats,
         }
         if self.plain is not None:
             told["map"] = self.plain
@@ -421,8 +421,8 @@
         hall = broker.router
         cells = []
         for cell in self.map.cells:
-            fleet = hall.fleet(cell.name, now)
-            engines = {n: hall.entries[n] for n in hall.facades[cell.name].engines}
+            fleet = hall.seats.fleet(cell.name, now)
+            engines = hall.facades[cell.name].endpoints
             known = hall.facades[cell.name].controller.engines
             cells.append(
                 {
@@ -436,7 +436,7 @@
                     "open": hall.facades[cell.name].open,
                     "lent": broker.requests_lent.lent(cell.name),
                     "refused_for_room": broker.refused_for_room.get(cell.name, 0),
-                    "engines": sorted(hall.uid_of(n) for n in engines),
+                    "engines": sorted(hall.seats.uid_of(n) for n in engines),
                 }
             )
         subjects = {*self.map.tenants, *broker.rates.means, *broker.moves.records}
@@ -454,7 +454,7 @@
             "digest": self.digest,
             "cells": cells,
             "tenants": tenants,
-            "unplaced": sorted(u for u, c in hall.placement.seats.items() if c is None),
+            "unplaced": sorted(u for u, c in hall.seats.placement.seats.items() if c is None),
             "moves": [
                 m.plain() for m in sorted(broker.moves.records.values(), key=lambda m: -m.begun)
             ],
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -23,7 +23,7 @@
 from query_broker.cells.migrations import Stage
 from query_broker.cells.model import Cell, CellMap, Tenant, Timing
 from query_broker.cells.node import CellNode
-from query_broker.cells.router import CellRouter
+from query_broker.cells.router import Assignment, CellRouter
 from query_broker.cli.main import main
 from query_broker.config import Config
 from query_broker.discovery.event_codec import parse_event
@@ -226,7 +226,7 @@
     one, two_ = Engine(), Engine()
     async with pair(two(), one, two_) as rig:
         assert rig.node.dispatcher.set_endpoint_disabled("s-2", True)
-        assert hall(rig).fleet("b", rig.node.clock.now()).ready == 0
+        assert hall(rig).seats.fleet("b", rig.node.clock.now()).ready == 0
         node(rig).apply_map(two(2, a=("s-1", "s-2"), b=()))
         client = await rig.client()
         for stream in range(1, 11):
@@ -234,7 +234,7 @@
             assert (await client.answer())[1] == frames.SERVED
         assert not two_.words(b"do")
         assert rig.node.dispatcher.set_endpoint_disabled("s-2", False)  # back, and cold
-        assert hall(rig).fleet("a", rig.node.clock.now()).cold == 1
+        assert hall(rig).seats.fleet("a", rig.node.clock.now()).cold == 1
         node(rig).apply_map(two(3))
         room = hall(rig).facades["b"]
         assert all(e.cold_until > rig.node.clock.now() for e in room.controller.engines.values())
@@ -250,7 +250,10 @@
         await until(lambda: one.words(b"do"))
         node(rig).apply_map(two(2, a=("s-3",), b=("s-1", "s-2")))
         number = rig.node.dispatcher.endpoint_table.number("s-1")
-        assert hall(rig).cell_of(number) == "b" and number in hall(rig).left_over
+        assert (
+            hall(rig).seats.cell_of(number) == "b"
+            and number in hall(rig).outstanding_work.left_over
+        )
         beside = hall(rig).facades["b"].controller.engines[number].beside
         # what is out there counts in its new cell
         assert beside.threads == 2 and beside.backlog_ns > 0
@@ -258,7 +261,7 @@
         one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
         assert hall(rig).facades["b"].controller.engines[number].beside.threads == 0
-        assert not hall(rig).left_over and not hall(rig).requests
+        assert not hall(rig).outstanding_work.left_over and not hall(rig).requests
         # Its old cell's tenant does not meet it any more.
         ask(client, 2, "acme")
         assert (await client.answer())[1] == frames.REFUSED and len(one.words(b"do")) == 1
@@ -282,7 +285,7 @@
     moved.report(now, EndpointListUpdate(ListUpdateKind.FULL, (cold,)))
     sent = 0
     for i in range(200):
-        moved.assigned = ("acme", "a")
+        moved.assigned = Assignment("acme", "a")
         sent += len(
             moved.pick(
                 now, RequestArrived(f"{i}", "glance", 5 * S, "acme", None, 200 * MS, 1.0, -1, False)
@@ -291,14 +294,14 @@
     assert sent == 14  # 0.36 x 8 cores x 1.5 s x 2, with a margin of 3
     moved.apply_map(two(2, a=(), b=("s-1",)), now + 10 * MS)
     for i in range(200, 400):
-        moved.assigned = ("beta", "b")
+        moved.assigned = Assignment("beta", "b")
         orders = moved.pick(
             now + 10 * MS,
             RequestArrived(f"{i}", "glance", 5 * S, "beta", None, 200 * MS, 1.0, -1, False),
         )
         assert not orders.dispatches and isinstance(orders.answers[0], Reject)
     moved.fade(now + 3 * S)  # the window has passed
-    moved.assigned = ("beta", "b")
+    moved.assigned = Assignment("beta", "b")
     assert moved.pick(
         now + 3 * S, RequestArrived("z", "glance", 5 * S, "beta", None, 100 * MS, 1.0, -1, False)
     ).dispatches
@@ -558,7 +561,7 @@
         assert world.sent_after_drain(S) == 0
         assert stage(rig) in (Stage.DONE, Stage.DRAINING)
         # Successors took the seats of those that they replaced.
-        assert hall(rig).placement.size("a") == hall(rig).placement.size("b") == 2
+        assert hall(rig).seats.placement.size("a") == hall(rig).seats.placement.size("b") == 2
         book.close()
     world.stop()
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -156,7 +156,7 @@
         moves=record,
         router=SimpleNamespace(
             open={("acme#7", "a"): 3, ("acme#7", "b"): 1, ("bolt", "b"): 9},
-            placement=SimpleNamespace(seats={"s-1": "a", "s-2": None}),
+            seats=SimpleNamespace(placement=SimpleNamespace(seats={"s-1": "a", "s-2": None})),
         ),
     )
 
