--- /dev/null
+++ b/query_broker/cells/cell_pools.py
@@ -0,0 +1,198 @@
+"""Connections to endpoints, each cell with its part of the descriptors."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from ..endpoints.connection_pools import OWN_PART, ConnectionPool, ConnectionPools
+from ..protocols.engine_connection import EngineConnection, Owner
+from .borrowing import RESERVED_FRACTION, Account, Ledger
+from .request_accounting import RequestAccounting
+from .router import CellRouter
+
+#: What a cell without a part may hold, such as one that the map has dropped.
+CONNECTIONS_WITHOUT_PART = 1
+
+
+class PoolHost(Protocol):
+    """The dispatcher, as far as the pools need it."""
+
+    accounting: RequestAccounting
+
+    @property
+    def connection_events(self) -> Owner:
+        """The owner of the connections."""
+
+    @property
+    def log(self) -> Callable[[str, str], None]:
+        """Writes a line: its kind and its text."""
+
+    @property
+    def router(self) -> CellRouter:
+        """The decisions of all cells."""
+
+    def now(self) -> int:
+        """Return the time in Unix nanoseconds."""
+
+
+class CelledPools(ConnectionPools):
+    """The pools of all endpoints, with the descriptors accounted to cells.
+
+    Attributes:
+        ledger: The descriptors; `count_use` sets what each cell uses.
+    """
+
+    def __init__(
+        self,
+        host: PoolHost,
+        *,
+        streams: int,
+        connect_timeout: int,
+        conn_idle: int,
+        unsent: Callable[..., None],
+        may_go: Callable[..., bool],
+    ) -> None:
+        """Start without connections; see `ConnectionPools` for the arguments besides ``host``."""
+        super().__init__(
+            host.connection_events,
+            host.log,
+            streams=streams,
+            connect_timeout=connect_timeout,
+            conn_idle=conn_idle,
+            unsent=unsent,
+            may_go=may_go,
+        )
+        self._host = host
+        self.ledger = Ledger()
+
+    def cell(self, pool: ConnectionPool) -> str:
+        """Return the cell of an endpoint; empty if it has none."""
+        return self._host.router.seats.cell_of(pool.number) or ""
+
+    def count_use(self) -> None:
+        """Account the connections to cells.
+
+        An endpoint that is not listed any more, or sits in no cell, has connections too: they
+        reduce what there is to divide.
+        """
+        used = dict.fromkeys(self.ledger.accounts, 0)
+        without_cell = 0
+        for pool in self.by_number.values():
+            cell = self.cell(pool)
+            count = _connection_count(pool)
+            if cell in used:
+                used[cell] += count
+            else:
+                without_cell += count
+        for cell, count in used.items():
+            self.ledger.book(cell, count)
+        self.ledger.total = max(0, self.most - without_cell)
+
+    def _allowance(self, cell: str, account: Account) -> int:
+        """Return what the cell may hold now: its part, and what it may borrow."""
+        available = self.ledger.free() - self.ledger.reserved_for_others(cell)
+        return max(account.part, account.used + max(0, available))
+
+    def share(self, pool: ConnectionPool) -> int:
+        """Return how many of the cell's connections each of its endpoints may have."""
+        cell = self.cell(pool)
+        facade = self._host.router.facades.get(cell)
+        endpoints = facade.endpoints if facade is not None else set()
+        live = sum(number in self.by_number for number in endpoints)
+        self.count_use()
+        account = self.ledger.accounts.get(cell)
+        allowance = CONNECTIONS_WITHOUT_PART if account is None else self._allowance(cell, account)
+        return max(1, int(allowance * OWN_PART) // max(1, live))
+
+    def room(self, pool: ConnectionPool) -> bool:
+        """Return whether an attempt may get a connection of its own.
+
+        What is lent is not available yet: until it is back, attempts share connections.
+        """
+        cell = self.cell(pool)
+        self.count_use()
+        account = self.ledger.accounts.get(cell)
+        if account is None:
+            return False
+        if account.used >= self._allowance(cell, account) * OWN_PART:
+            return False
+        return self.ledger.free() > 0 or bool(self._idle())
+
+    def make_room(self, pool: ConnectionPool) -> bool:
+        """Return whether the connection that is opening may stay, after closing an idle one.
+
+        The opening one is counted already.
+        """
+        cell = self.cell(pool)
+        now_ns = self._host.now()
+        self.count_use()
+        account = self.ledger.accounts.get(cell)
+        if account is None:
+            return super().make_room(pool)
+        if account.used <= self._allowance(cell, account) and self.ledger.free() >= 0:
+            if account.used > RESERVED_FRACTION * account.part:
+                # It uses what may be lent of its part: nothing more of it is lent from now on.
+                self.ledger.allows(cell, 0, now_ns)
+            return True
+        if self._close_idle_for(cell, account):
+            return True
+        self.ledger.allows(cell, 1, now_ns)
+        return False
+
+    def _close_idle_for(self, cell: str, account: Account) -> bool:
+        """Close an idle connection of the cell, or of a borrower if the cell is within its part."""
+        within_part = account.used <= account.part
+        for connection in self._idle():
+            owner = self._host.router.seats.cell_of(connection.endpoint) or ""
+            if owner == cell or (within_part and self._borrows(owner)):
+                connection.close()
+                return True
+        return False
+
+    def _borrows(self, cell: str) -> bool:
+        return cell in self.ledger.accounts and self.ledger.lent(cell) > 0
+
+    def call_in(self, now_ns: int) -> None:
+        """Take back what owners reclaim from borrowers.
+
+        Idle connections go first, then those without a request whose work must not be cut short.
+        """
+        if all(account.reclaim_since is None for account in self.ledger.accounts.values()):
+            return
+        self.count_use()
+        for cell, amount in self.ledger.due(now_ns).items():
+            connections = [
+                connection
+                for connection in self._connections_of(cell)
+                if not self._carries_firm_work(connection)
+            ]
+            for connection in sorted(connections, key=_call_in_order)[:amount]:
+                connection.give_up("called in by the cell that owns the descriptor")
+
+    def _connections_of(self, cell: str) -> list[EngineConnection]:
+        connections: list[EngineConnection] = []
+        for pool in self.by_number.values():
+            if self.cell(pool) == cell:
+                connections += [
+                    connection for connection in pool.connections if not connection.ending
+                ]
+        return connections
+
+    def _carries_firm_work(self, connection: EngineConnection) -> bool:
+        return any(
+            self._host.accounting.is_firm(attempt.request)
+            for attempt in connection.in_flight.values()
+            if attempt.wanted()
+        )
+
+
+def _connection_count(pool: ConnectionPool) -> int:
+    open_count = sum(not connection.ending for connection in pool.connections)
+    return open_count + (pool.opening is not None)
+
+
+def _call_in_order(connection: EngineConnection) -> tuple[int, int]:
+    """Rank connections by their attempts that are still wanted, then by their last use."""
+    wanted = sum(attempt.wanted() for attempt in connection.in_flight.values())
+    return wanted, connection.used
--- a/query_broker/cells/client_connection.py
+++ b/query_broker/cells/client_connection.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ..protocols.client_connection import ClientConnection, Front
-from .dispatcher import ANTEROOM
+from .client_seat import ANTEROOM, SeatedClient
 
 
 class CelledFront(Front, Protocol):
@@ -18,7 +18,7 @@
     def held_of_frames(self, connection: CelledConnection, change: int) -> bool: ...
 
 
-class CelledConnection(ClientConnection):
+class CelledConnection(ClientConnection, SeatedClient):
     """It sits in the anteroom until its first request, then in the cell of the last one."""
 
     def __init__(self, front: CelledFront) -> None:
--- /dev/null
+++ b/query_broker/cells/client_seat.py
@@ -0,0 +1,16 @@
+"""The seat of a client connection: the cell whose part of the descriptors it takes."""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+
+#: The cell of connections that have not sent a request yet; no cell of a map has this name.
+ANTEROOM = ""
+
+
+class SeatedClient(ABC):
+    """A client whose connection is accounted to a cell."""
+
+    @abstractmethod
+    def settle(self, cell: str) -> bool:
+        """Account the connection to this cell; False where the cell has no capacity for it."""
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -19,7 +19,8 @@
 from ..server.process_status import KEY_ACCEPTING, KEY_CELLS, ProcessStatus
 from .borrowing import Ledger
 from .client_connection import CelledConnection
-from .dispatcher import ANTEROOM, CellDispatcher
+from .client_seat import ANTEROOM
+from .dispatcher import CellDispatcher
 from .fair_turns import Turns
 from .migration_steps import step_migrations
 from .migrations import Fleet, Migration, MigrationRejectedError, read_migration
@@ -340,7 +341,7 @@
 
     def apply_map(self, map: CellMap) -> None:
         self._hold(map)
-        self.celled.take_map(map)
+        self.celled.apply_map(map)
         self.turns.set_weights(self.celled.shares_with_anteroom())
         for connection in self.clients:  # a cell that is gone has no part for its connections
             if (
@@ -435,7 +436,7 @@
                     "cores": sum(known[n].cores for n in engines if n in known),
                     "open": hall.facades[cell.name].open,
                     "lent": broker.requests_lent.lent(cell.name),
-                    "refused_for_room": broker.refused_for_room.get(cell.name, 0),
+                    "refused_for_room": broker.accounting.rejected.get(cell.name, 0),
                     "engines": sorted(hall.seats.uid_of(n) for n in engines),
                 }
             )
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -19,7 +19,7 @@
 
 from query_broker.cells.borrowing import RESERVED_FRACTION
 from query_broker.cells.client_connection import CelledConnection
-from query_broker.cells.dispatcher import ANTEROOM
+from query_broker.cells.client_seat import ANTEROOM
 from query_broker.cells.migrations import Stage
 from query_broker.cells.model import Cell, CellMap, Tenant, Timing
 from query_broker.cells.node import CellNode
@@ -119,7 +119,11 @@
             assert (await client.answer())[1] == frames.SERVED
         assert len(one.words(b"do")) == len(two_.words(b"do")) == 10
         assert all(d[1].startswith(b"acme".hex().encode()) for d in one.words(b"do"))
-        assert not hall(rig).requests and not hall(rig).open and not node(rig).celled.charged
+        assert (
+            not hall(rig).requests
+            and not hall(rig).open
+            and not node(rig).celled.accounting.charges
+        )
         text = (await call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
         assert 'larchhall_cell_replies_total{cell="a",type="glance",status="success"} 10' in text
 
@@ -374,7 +378,7 @@
             lambda: pools.count_use()
             or not pools.ledger.due(rig.node.clock.now() + S)
             or all(
-                any(pools._firm(a.request) for a in c.in_flight.values())
+                any(broker.accounting.is_firm(a.request) for a in c.in_flight.values())
                 for p in pools.by_number.values()
                 if pools.cell(p) == "a"
                 for c in p.connections
