--- /dev/null
+++ b/query_broker/cells/admin.py
@@ -0,0 +1,136 @@
+"""The operators' calls on cells: ``/cells``, ``/cells/move/...`` and ``/cells/abort/...``.
+
+The keys and texts of the answers are fixed by the command line and by operators' scripts.
+"""
+
+from __future__ import annotations
+
+import json
+from http import HTTPStatus
+from typing import Any
+from urllib.parse import unquote_to_bytes
+
+from ..server.admin_api import AdminResponse
+from .host import CellHost
+from .migrations import Migration, MigrationRejectedError
+from .model import Cell
+
+CONTENT_TYPE_JSON = "application/json"
+ROOT = "/cells"
+LOAD_DIGITS = 6
+
+
+class CellAdmin:
+    """Answers the operators' calls on cells."""
+
+    def __init__(self, node: CellHost) -> None:
+        """Answer for this node."""
+        self._node = node
+
+    def call(self, method: str, path: str) -> AdminResponse | None:
+        """Return the answer to a call; None where the path is none of cells."""
+        if path != ROOT and not path.startswith(f"{ROOT}/"):
+            return None
+        try:
+            parts = [unquote_to_bytes(part).decode() for part in path.split("/")[2:]]
+        except UnicodeDecodeError:
+            return _error(HTTPStatus.BAD_REQUEST, "a name that is no text")
+        allowed_method = "POST" if parts else "GET"
+        if method != allowed_method:
+            reason = f"this call is a {allowed_method}"
+            return _error(HTTPStatus.METHOD_NOT_ALLOWED, reason, allowed_method)
+        if not parts:
+            return _answer(HTTPStatus.OK, self.overview())
+        try:
+            move = self._change(parts)
+        except MigrationRejectedError as error:
+            return _error(HTTPStatus.CONFLICT, str(error))
+        if move is None:
+            return _error(HTTPStatus.NOT_FOUND, "no such call")
+        return self._confirm(move)
+
+    def _change(self, parts: list[str]) -> Migration | None:
+        """Start or abort a migration; None where the path names no call."""
+        log = self._node.celled.moves
+        now_ns = self._node.clock.now()
+        match parts:
+            case ["move", subject, cell]:
+                return log.propose(subject, cell, now_ns)
+            case ["abort", subject]:
+                return log.take_back(subject, now_ns)
+            case _:
+                return None
+
+    def _confirm(self, move: Migration) -> AdminResponse:
+        """Publish and log a change; once the caller has its answer, it holds at all processes."""
+        if self._node.peer_processes is not None:
+            self._node.peer_processes.tell()
+        self._node.log(
+            "cells",
+            f"{move.subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}, "
+            "by call",
+        )
+        return _answer(HTTPStatus.OK, move.plain())
+
+    # --- the overview ---
+
+    def overview(self) -> dict[str, Any]:
+        """Return the cells, their endpoints, the tenants with their loads, and the migrations."""
+        dispatcher = self._node.celled
+        seats = dispatcher.router.seats.placement.seats
+        moves = sorted(dispatcher.moves.records.values(), key=lambda move: -move.begun)
+        return {
+            "epoch": self._node.map.epoch,
+            "digest": self._node.digest,
+            "cells": [self._cell(cell) for cell in self._node.map.cells],
+            "tenants": self._tenants(),
+            "unplaced": sorted(uid for uid, cell in seats.items() if cell is None),
+            "moves": [move.plain() for move in moves],
+        }
+
+    def _cell(self, cell: Cell) -> dict[str, Any]:
+        dispatcher = self._node.celled
+        seats = dispatcher.router.seats
+        facade = dispatcher.router.facades[cell.name]
+        fleet = seats.fleet(cell.name, self._node.clock.now())
+        known = facade.controller.engines
+        return {
+            "cell": cell.name,
+            "weight": cell.weight,
+            "default": cell.name == self._node.map.default,
+            "ready": fleet.ready,
+            "cold": fleet.cold,
+            "short": fleet.ready < cell.least,
+            "cores": sum(known[number].cores for number in facade.endpoints if number in known),
+            "open": facade.open,
+            "lent": dispatcher.requests_lent.lent(cell.name),
+            "refused_for_room": dispatcher.accounting.rejected.get(cell.name, 0),
+            "engines": sorted(seats.uid_of(number) for number in facade.endpoints),
+        }
+
+    def _tenants(self) -> list[dict[str, Any]]:
+        """Return the subjects: of a spread tenant its parts, and not the tenant itself."""
+        dispatcher = self._node.celled
+        tenants = self._node.map.tenants
+        subjects = {*tenants, *dispatcher.rates.means, *dispatcher.moves.records}
+        spread = {tenant.name for tenant in tenants.values() if tenant.key}
+        return [self._tenant(subject) for subject in sorted(subjects - spread)]
+
+    def _tenant(self, subject: str) -> dict[str, Any]:
+        dispatcher = self._node.celled
+        now_ns = self._node.clock.now()
+        load = dispatcher.rates.at(subject, now_ns)
+        return {
+            "tenant": subject,
+            "cell": dispatcher.moves.cell(subject, now_ns),
+            "load": round(load, LOAD_DIGITS),
+        }
+
+
+def _answer(status: HTTPStatus, content: dict[str, Any], allowed_method: str = "") -> AdminResponse:
+    body = json.dumps(content, ensure_ascii=False).encode() + b"\n"
+    return AdminResponse(int(status), body, CONTENT_TYPE_JSON, allowed_method)
+
+
+def _error(status: HTTPStatus, reason: str, allowed_method: str = "") -> AdminResponse:
+    return _answer(status, {"error": reason}, allowed_method)
--- /dev/null
+++ b/query_broker/cells/client_admission.py
@@ -0,0 +1,164 @@
+"""Admission of client connections to cells: their places, their frames and their unread answers."""
+
+from __future__ import annotations
+
+from ..protocols.client_connection import ClientConnection
+from ..server.client_admission import ClientAdmission
+from ..server.host import Host
+from .client_connection import CelledConnection
+from .client_seat import ANTEROOM
+from .dispatcher import CellDispatcher
+from .model import CellMap
+from .read_turns import ReadTurns
+
+
+class CellAdmission(ClientAdmission):
+    """Accounts each client connection to a cell."""
+
+    def __init__(self, node: Host, dispatcher: CellDispatcher, read_turns: ReadTurns) -> None:
+        """Admit connections to the dispatcher's cells; ``read_turns`` forgets those that end."""
+        super().__init__(node)
+        self._dispatcher = dispatcher
+        self._read_turns = read_turns
+
+    # --- extension points of the admission ---
+
+    def has_place(self) -> bool:
+        """A new connection is accounted to the anteroom, until its first request names a tenant."""
+        return self._take_place(ANTEROOM)
+
+    def discard(self, connection: ClientConnection) -> None:
+        """Release the place of a connection in its cell, and its turn."""
+        assert isinstance(connection, CelledConnection)
+        self._read_turns.discard(connection)
+        if connection in self.connections:
+            self.connections.discard(connection)
+            self._dispatcher.connections.give(connection.cell, 1)
+
+    def close_slow_readers(self, now_ns: int) -> None:
+        """Close slow readers by the cells' ledgers, and call in borrowed places."""
+        ledger = self._dispatcher.answers
+        readers = self._readers(now_ns)
+        used = dict.fromkeys(ledger.accounts, 0)
+        for cell, clients in readers.items():
+            used[cell] = sum(client.unread() for client in clients)
+        for cell, unread_bytes in used.items():
+            ledger.book(cell, unread_bytes)
+            # An owner that uses much of its own part reclaims it by this call.
+            ledger.allows(cell, 0, now_ns)
+        owed = ledger.over_total()
+        for cell, amount in ledger.due(now_ns).items():
+            owed[cell] = max(owed.get(cell, 0), amount)
+        for cell, amount in owed.items():
+            self._drop_slowest(readers.get(cell, []), amount)
+        self._call_in_places(now_ns)
+
+    # --- places ---
+
+    def _take_place(self, cell: str) -> bool:
+        """Account one more connection to the cell, after an eviction if needed."""
+        ledger = self._dispatcher.connections
+        now_ns = self.node.clock.now()
+        if ledger.take(cell, 1, now_ns):
+            return True
+        return self._evict_for(cell) and ledger.take(cell, 1, now_ns)
+
+    def _evict_for(self, cell: str) -> bool:
+        """End an idle connection of the cell, or of a borrower if the cell is within its part."""
+        owner = self._dispatcher.connections.accounts.get(cell)
+        within_part = owner is not None and owner.used < owner.part
+        return self.evict(
+            client
+            for client in self.connections
+            if isinstance(client, CelledConnection)
+            and client.idle()
+            and (client.cell == cell or (within_part and self._borrows(client.cell)))
+        )
+
+    def _borrows(self, cell: str) -> bool:
+        ledger = self._dispatcher.connections
+        return cell in ledger.accounts and ledger.lent(cell) > 0
+
+    def settle(self, connection: CelledConnection, cell: str) -> bool:
+        """Account a connection to the cell of its request; False where it has no capacity.
+
+        A connection that is not admitted any more has lost its place to another; it ends soon.
+        """
+        if connection not in self.connections:
+            return True
+        places = self._dispatcher.connections
+        places.give(connection.cell, 1)
+        if not self._take_place(cell):
+            places.force(connection.cell, 1)  # it keeps the place that it had
+            return False
+        self._dispatcher.frames.give(connection.cell, connection.accounted_bytes)
+        self._dispatcher.frames.force(cell, connection.accounted_bytes)
+        connection.cell = cell
+        return True
+
+    def leave_dropped_cells(self, map: CellMap) -> None:
+        """Account the connections of cells that the map does not have to the anteroom."""
+        for connection in self.connections:
+            if not isinstance(connection, CelledConnection) or connection.cell == ANTEROOM:
+                continue
+            if map.cell(connection.cell) is not None:
+                continue
+            self._dispatcher.connections.give(connection.cell, 1)
+            self._dispatcher.frames.give(connection.cell, connection.accounted_bytes)
+            connection.cell = ANTEROOM
+            self._dispatcher.connections.force(ANTEROOM, 1)
+            self._dispatcher.frames.force(ANTEROOM, connection.accounted_bytes)
+
+    def _call_in_places(self, now_ns: int) -> None:
+        """Call in borrowed places: idle connections end, the others are asked to leave."""
+        for cell, amount in self._dispatcher.connections.due(now_ns).items():
+            clients = [
+                client
+                for client in self.connections
+                if isinstance(client, CelledConnection) and client.cell == cell
+            ]
+            clients.sort(key=lambda client: (not client.idle(), client.used))
+            for client in clients[:amount]:
+                if client.idle():
+                    self.discard(client)
+                    client.let_go()
+                else:
+                    client.leave_off()
+
+    # --- frames ---
+
+    def account_partial_frames(self, connection: CelledConnection, change_bytes: int) -> bool:
+        """Account a change of incomplete frames; False where the cell has no capacity for it."""
+        ledger = self._dispatcher.frames
+        if not change_bytes:
+            return True
+        if change_bytes < 0:
+            ledger.give(connection.cell, -change_bytes)
+            return True
+        if not ledger.allows(connection.cell, change_bytes, self.node.clock.now()):
+            connection.accounted_bytes -= change_bytes
+            return False
+        ledger.force(connection.cell, change_bytes)
+        return True
+
+    # --- answers ---
+
+    def _readers(self, now_ns: int) -> dict[str, list[CelledConnection]]:
+        """Return the clients with unread answers by cell; those that are overdue are dropped."""
+        max_pause_ns = self.node.dispatcher.deadline_controls.settings.slow_reader
+        readers: dict[str, list[CelledConnection]] = {}
+        for client in self.connections:
+            assert isinstance(client, CelledConnection)
+            if client.paused_at and now_ns - client.paused_at > max_pause_ns:
+                self.drop_slow_reader(client)
+            elif client.unread():
+                readers.setdefault(client.cell, []).append(client)
+        return readers
+
+    def _drop_slowest(self, clients: list[CelledConnection], amount: int) -> None:
+        """Drop the clients with the most unread answers until these bytes are free."""
+        for client in sorted(clients, key=ClientConnection.unread, reverse=True):
+            if amount <= 0:
+                break
+            amount -= client.unread()
+            self.drop_slow_reader(client)
--- /dev/null
+++ b/query_broker/cells/host.py
@@ -0,0 +1,49 @@
+"""What the parts of a node with cells know of it.
+
+The parts depend on this protocol and not on the node, which is composed of them.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from typing import Protocol
+
+from ..server.host import PeerProcessRegistry
+from ..timer_wheel import Clock
+from .cell_status import PeerCellStatus
+from .dispatcher import CellDispatcher
+from .model import CellMap
+
+
+class CellHost(Protocol):
+    """The node, as far as its migrations and its operators' calls need it."""
+
+    closing_announced: bool  # clients have been told to leave: this process ends soon
+
+    @property
+    def map(self) -> CellMap:
+        """The cell map in force."""
+
+    @property
+    def digest(self) -> str:
+        """The digest of the cell map in force."""
+
+    @property
+    def peers(self) -> Mapping[str, PeerCellStatus]:
+        """The status of the other processes of this broker, by their names."""
+
+    @property
+    def peer_processes(self) -> PeerProcessRegistry | None:
+        """The other processes of this broker, where the clients' socket is inherited."""
+
+    @property
+    def celled(self) -> CellDispatcher:
+        """The dispatcher."""
+
+    @property
+    def clock(self) -> Clock:
+        """The clock of all parts, in Unix nanoseconds."""
+
+    @property
+    def log(self) -> Callable[[str, str], None]:
+        """Writes a line: its kind and its text."""
--- /dev/null
+++ b/query_broker/cells/migration_service.py
@@ -0,0 +1,76 @@
+"""The service that advances migrations: it shows them the cluster and carries their orders out."""
+
+from __future__ import annotations
+
+from .host import CellHost
+from .migration_steps import step_migrations
+from .migrations import Fleet, Migration, Stage
+
+#: How often migrations are advanced: several steps within the lead of a switch.
+STEP_PERIOD_NS = 50_000_000
+
+
+class MigrationService:
+    """Advances the migrations of a node; it is the `ClusterView` of their steps."""
+
+    def __init__(self, node: CellHost) -> None:
+        """Start without a step."""
+        self._node = node
+        self._stepped_at_ns = 0
+
+    def step_if_due(self, now_ns: int) -> None:
+        """Advance the migrations if the last step is long enough ago."""
+        if now_ns - self._stepped_at_ns >= STEP_PERIOD_NS:
+            self._stepped_at_ns = now_ns
+            self._step(now_ns)
+
+    def _step(self, now_ns: int) -> None:
+        dispatcher = self._node.celled
+        log = dispatcher.moves
+        stages_before = {subject: move.stage for subject, move in log.records.items()}
+        accepting = [name for name, peer in self._node.peers.items() if peer["accepting"]]
+        # A process that leaves must not drive what it will not see the end of.
+        if not self._node.closing_announced or not accepting:
+            step_migrations(log, now_ns, self, accepting)
+        self._log_changes(stages_before)
+        closing = log.closing
+        log.closing = []
+        for order in closing:
+            dispatcher.close_out(order.subject, order.cell)
+        if log.changed:
+            log.changed = False
+            if self._node.peer_processes is not None:
+                self._node.peer_processes.tell()
+
+    def _log_changes(self, stages_before: dict[str, Stage]) -> None:
+        for subject, move in self._node.celled.moves.records.items():
+            if stages_before.get(subject) is move.stage:
+                continue
+            why = f" ({move.why})" if move.why else ""
+            self._node.log(
+                "cells",
+                f"{subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}{why}",
+            )
+
+    # --- what a step looks at ---
+
+    def fleet(self, cell: str) -> Fleet:
+        """Return the cell's endpoints."""
+        return self._node.celled.router.seats.fleet(cell, self._node.clock.now())
+
+    def open(self, subject: str, cell: str) -> int:
+        """Return the subject's open requests in the cell, in all processes of the broker."""
+        count = self._node.celled.router.open.get((subject, cell), 0)
+        for peer in self._node.peers.values():
+            count += peer["open"].get(subject, {}).get(cell, 0)
+        return count
+
+    def is_replicated(self, move: Migration) -> bool:
+        """Return whether all other processes of the broker have this record or a later one."""
+        for peer in self._node.peers.values():
+            versions = [
+                record.version for record in peer["moves"] if record.subject == move.subject
+            ]
+            if not any(version >= move.version for version in versions):
+                return False
+        return True
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -1,14 +1,10 @@
-"""A node with cells: its clients' places and turns, its moves, its maps, and the operators' calls
-on them.
-"""
+"""A node with cells: it composes their parts and keeps the map in step with other processes."""
 
 from __future__ import annotations
 
-import json
 import os
 from collections.abc import Collection, Mapping
 from typing import Any
-from urllib.parse import unquote_to_bytes
 
 from ..config import Config
 from ..dispatch.dispatcher import Dispatcher
@@ -17,23 +13,36 @@
 from ..protocols.client_connection import ClientConnection
 from ..server.client_admission import ClientAdmission
 from ..server.process_status import KEY_ACCEPTING, KEY_CELLS, ProcessStatus
-from .borrowing import Ledger
+from .admin import CellAdmin
+from .cell_status import PeerCellStatus, PublishedMap, encode_cell_status, read_cell_status
+from .client_admission import CellAdmission
 from .client_connection import CelledConnection
-from .client_seat import ANTEROOM
 from .dispatcher import CellDispatcher
-from .fair_turns import Turns
-from .migration_steps import step_migrations
-from .migrations import Fleet, Migration, MigrationRejectedError, read_migration
-from .model import BadMap, CellMap, from_plain
+from .migration_service import MigrationService
+from .model import BadMap, CellMap
+from .read_turns import ReadTurns
 
-STEP = 50_000_000  # ns between steps of the moves
-TURNS_PART = 0.6  # of the loop's time goes by turns: reading requests and deciding on them
-MOST_TENANTS_TOLD = 5_000  # a larger map is not told to another process, only its epoch
-JSON = "application/json"
+#: The part of the loop's time that goes by turns: reading requests and deciding on them. The rest
+#: of each tick is for the endpoints' answers.
+READ_TURNS_PART = 0.6
 
 
 class CellNode(ConfiguredNode):
-    longest_rest_ns = 0  # rounds go on with every tick
+    """A node whose operators' file names cells.
+
+    Attributes:
+        map: The cell map in force.
+        digest: Its digest.
+        published_map: The map as it is published to the other processes.
+        me: The name of this process, unique among those of the broker.
+        peers: The status of the other processes' cells, by their names.
+        read_turns: The turns of client connections.
+        client_seats: The admission of client connections, which accounts them to cells.
+    """
+
+    longest_rest_ns = 0  # rounds of turns begin with every tick
+    read_turns: ReadTurns
+    client_seats: CellAdmission
 
     def __init__(
         self,
@@ -42,287 +51,95 @@
         path: str,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
+        """Build the parts; nothing listens before ``run``.
+
+        Args:
+            config: The configuration as it was read.
+            said: The operators' file as it was read; it names cells.
+            path: Where SIGHUP reads the operators' file again.
+            environ: Where a reload finds the configuration again.
+        """
         assert said.map is not None, "no cells"
-        self._hold(said.map)
+        self.set_map(said.map)
         self.me = f"{os.getpid()}-{os.urandom(4).hex()}"
-        # connections whose turn has not come, in their order
-        self.queue: dict[CelledConnection, None] = {}
-        # what other processes told of cells, by their name
-        self.peers: dict[str, dict[str, Any]] = {}
-        self.stepped = 0
+        self.peers: dict[str, PeerCellStatus] = {}
         super().__init__(config, said, path, environ)
-        # The rest of each tick is for the engines' answers.
-        self.turns = Turns(
-            self.celled.shares_with_anteroom(), TURNS_PART * self.config.settings.tick_ns
-        )
-        self.admin_api.calls.append(self._call)
-        self._warn_of_strangers()
+        self._migrations = MigrationService(self)
+        self.admin_api.calls.append(CellAdmin(self).call)
+        self._log_unknown_tenants()
 
     @property
     def celled(self) -> CellDispatcher:
+        """The dispatcher, by its type."""
         assert isinstance(self.dispatcher, CellDispatcher)
         return self.dispatcher
 
+    # --- extension points of the node ---
+
     def make_dispatcher(self) -> Dispatcher:
+        """Build the dispatcher with the cells of the map."""
         return CellDispatcher(self.config, self.clock, self.log, self.map, self.me)
 
     def make_admission(self) -> ClientAdmission:
-        return CellAdmission(self)
+        """Build the admission of client connections to cells, and their turns to read."""
+        weights = self.celled.shares_with_anteroom()
+        self.read_turns = ReadTurns(weights, READ_TURNS_PART * self.config.settings.tick_ns)
+        self.client_seats = CellAdmission(self, self.celled, self.read_turns)
+        return self.client_seats
 
     def make_connection(self) -> ClientConnection:
+        """Build the protocol of a connection that has just been accepted."""
         return CelledConnection(self)
 
-    def _warn_of_strangers(self) -> None:
-        """Not a fault: the two files may change one after the other."""
-        strangers = [
-            t
-            for t in self.map.tenants
-            if self.dispatcher.validator.tenants and t not in self.dispatcher.validator.tenants
-        ]
-        if strangers:
-            self.log(
-                "cells",
-                f"{len(strangers)} tenants of the file are none of the settings, among them "
-                f"{strangers[0]!r}",
-            )
-
-    # --- clients ---
-
-    def take_place(self, cell: str) -> bool:
-        """Account one more connection to this cell; False where its quota is used up."""
-        ledger, now = self.celled.connections, self.clock.now()
-        return ledger.take(cell, 1, now) or (self._make_room_in(cell) and ledger.take(cell, 1, now))
-
-    def settle(self, connection: CelledConnection, cell: str) -> bool:
-        """A connection asks for a cell's tenant: it goes on that cell's part."""
-        ledger = self.celled.connections
-        if connection not in self.clients:
-            return True  # its place has been given to another; it ends soon
-        ledger.give(connection.cell, 1)
-        if not self.take_place(cell):
-            ledger.force(connection.cell, 1)  # it keeps the place that it had
-            return False
-        self._rebook(connection, cell)
-        connection.cell = cell
-        return True
-
-    def _rebook(self, connection: CelledConnection, cell: str) -> None:
-        self.celled.frames.give(connection.cell, connection.booked)
-        self.celled.frames.force(cell, connection.booked)
-
-    def held_of_frames(self, connection: CelledConnection, change: int) -> bool:
-        ledger = self.celled.frames
-        if not change:
-            return True
-        if change < 0:
-            ledger.give(connection.cell, -change)
-            return True
-        if not ledger.allows(connection.cell, change, self.clock.now()):
-            connection.booked -= change
-            return False
-        ledger.force(connection.cell, change)
-        return True
-
-    def _make_room_in(self, cell: str) -> bool:
-        """The place of one of the cell's own idle connections, or of an idle one that is on
-        loan.
-        """
-        ledger = self.celled.connections
-        owner = ledger.accounts.get(cell)
-        entitled = owner is not None and owner.used < owner.part
-        return self.admission.evict(
-            c
-            for c in self.clients
-            if isinstance(c, CelledConnection)
-            and c.idle()
-            and (c.cell == cell or (entitled and c.cell in ledger.accounts and ledger.lent(c.cell)))
-        )
-
-    def may_go_on(self, connection: CelledConnection) -> bool:
-        if self.turns.allowed(connection.cell):
-            return True
-        self.queue[connection] = None
-        return False
-
-    def spent(self, cell: str, time: float) -> None:
-        self.turns.charge(cell, time)
-
-    def _next_round(self) -> None:
-        """Those whose turn did not come go on, as far as their cells' shares reach. Danger: one
-        that fails its turn again queues anew, behind the others.
-        """
-        self.turns.round()
-        if self.queue:
-            waiting, self.queue = list(self.queue), {}
-            for connection in waiting:
-                connection.go_on()
-
-    def _sweep(self, now: int) -> None:
-        ledger = self.celled.answers
-        used = dict.fromkeys(ledger.accounts, 0)
-        readers: dict[str, list[CelledConnection]] = {}
-        for client in self.clients:
-            assert isinstance(client, CelledConnection)
-            if (
-                client.paused_at
-                and now - client.paused_at > self.dispatcher.deadline_controls.settings.slow_reader
-            ):
-                self.admission.drop_slow_reader(client)
-            elif unread := client.unread():
-                used[client.cell] = used.get(client.cell, 0) + unread
-                readers.setdefault(client.cell, []).append(client)
-        for cell, amount in used.items():
-            ledger.book(cell, amount)
-            # an owner with much of its own part in use is asking for it
-            ledger.allows(cell, 0, now)
-        owed = _over(ledger)
-        for cell, amount in ledger.due(now).items():
-            owed[cell] = max(owed.get(cell, 0), amount)
-        for cell, amount in owed.items():
-            for client in sorted(readers.get(cell, ()), key=ClientConnection.unread, reverse=True):
-                if amount <= 0:
-                    break
-                amount -= client.unread()
-                self.admission.drop_slow_reader(client)
-        self._call_clients_in(now)
-
-    def _call_clients_in(self, now: int) -> None:
-        """Connections on loan: idle ones end, the others are told to leave."""
-        for cell, amount in self.celled.connections.due(now).items():
-            held = [c for c in self.clients if isinstance(c, CelledConnection) and c.cell == cell]
-            for connection in sorted(held, key=lambda c: (not c.idle(), c.used))[:amount]:
-                if connection.idle():
-                    self.admission.discard(connection)
-                    connection.let_go()
-                else:
-                    connection.leave_off()
-
-    # --- time ---
-
     def after_tick(self) -> None:
+        """Begin a round of turns and advance the migrations."""
         super().after_tick()
         try:
-            self._next_round()
-            now = self.clock.now()
-            if now - self.stepped >= STEP:
-                self.stepped = now
-                self._step(now)
-        except Exception as error:  # danger: a fault here must not end the tick of everything else
+            self.read_turns.next_round()
+            self._migrations.step_if_due(self.clock.now())
+        except Exception as error:  # a fault here must not end the tick of everything else
             self.log("fault", f"cells: {type(error).__name__}: {error}")
 
-    def _step(self, now: int) -> None:
-        moves = self.celled.moves
-        before = {s: m.stage for s, m in moves.records.items()}
-        # Danger: one that leaves must not drive what it will not see the end of.
-        taking = [name for name, said in self.peers.items() if said["accepting"]]
-        if not self.closing_announced or not taking:
-            step_migrations(moves, now, self, taking)
-        for subject, move in moves.records.items():
-            if before.get(subject) is not move.stage:
-                self.log(
-                    "cells",
-                    f"{subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}"
-                    + (f" ({move.why})" if move.why else ""),
-                )
-        closing, moves.closing = moves.closing, []
-        for out in closing:
-            self.celled.close_out(out.subject, out.cell)
-        if moves.changed:
-            moves.changed = False
-            if self.peer_processes is not None:
-                self.peer_processes.tell()
-
-    # --- what a step of a move looks at ---
-
-    def fleet(self, cell: str) -> Fleet:
-        return self.celled.router.seats.fleet(cell, self.clock.now())
-
-    def open(self, subject: str, cell: str) -> int:
-        count = self.celled.router.open.get((subject, cell), 0)
-        for said in self.peers.values():
-            count += int(said["open"].get(subject, {}).get(cell, 0))
-        return count
-
-    def is_replicated(self, move: Migration) -> bool:
-        return all(
-            any(m.subject == move.subject and m.version >= move.version for m in said["moves"])
-            for said in self.peers.values()
-        )
-
-    # --- other processes ---
+    # --- other processes of this broker ---
 
     def status_extension(self) -> dict[str, Any]:
-        broker, moves = self.celled, self.celled.moves
-        open_now: dict[str, dict[str, int]] = {}
-        for (subject, cell), count in broker.router.open.items():
-            if subject in moves.records:
-                open_now.setdefault(subject, {})[cell] = count
-        told: dict[str, Any] = {
-            "me": self.me,
-            "epoch": self.map.epoch,
-            "digest": self.digest,
-            "moves": [m.plain() for m in moves.records.values()],
-            "open": open_now,
-            "seats": broker.router.seats.placement.seats,
-        }
-        if self.plain is not None:
-            told["map"] = self.plain
-        return {"cells": told}
+        """Return the status of the cells, for the other processes."""
+        router = self.celled.router
+        return encode_cell_status(
+            self.me,
+            self.published_map,
+            self.celled.moves,
+            router.open,
+            router.seats.placement.seats,
+        )
 
     def apply_peer_statuses(self, others: Collection[ProcessStatus]) -> None:
-        """Danger: what another process tells may be of another version: what cannot be read is
-        left.
-        """
+        """Take in what the other processes have published: maps, seats and migrations."""
         super().apply_peer_statuses(others)
-        first = not self.peers
+        is_first = not self.peers
         self.peers = {}
         for other in others:
             fields = {KEY_ACCEPTING: other.accepting, KEY_CELLS: other.cells}
-            if (said := self.read_peer_status(fields)) is not None:
-                self.peers[said["me"]] = said
-        for said in self.peers.values():
-            if said["map"] is not None and said["epoch"] > self.map.epoch:
-                self.log(
-                    "cells",
-                    f"another process has the map of epoch {said['epoch']}: taken from there",
-                )
-                self.apply_map(said["map"])
-            elif said["epoch"] == self.map.epoch and said["digest"] != self.digest:
-                self.log(
-                    "cells", f"another process has another map of the same epoch {self.map.epoch}"
-                )
-        if first and not self.listed_before:
-            for said in self.peers.values():
-                if said["epoch"] <= self.map.epoch:
-                    self.celled.adopt_seats(said["seats"])
-        for said in self.peers.values():
-            self.celled.moves.merge(said["moves"])
-
-    @property
-    def listed_before(self) -> bool:
-        """It has served already, so that its own seats hold."""
-        return self.server is not None
-
-    def read_peer_status(self, other: dict[str, Any]) -> dict[str, Any] | None:
-        raw = other.get("cells")
-        if raw is None:
-            return None
+            peer = self.read_peer_status(fields)
+            if peer is not None:
+                self.peers[peer["me"]] = peer
+        for peer in self.peers.values():
+            self._compare_maps(peer)
+        # A process that serves already keeps the seats that it has.
+        if is_first and self.server is None:
+            for peer in self.peers.values():
+                if peer["epoch"] <= self.map.epoch:
+                    self.celled.adopt_seats(peer["seats"])
+        for peer in self.peers.values():
+            self.celled.moves.merge(peer["moves"])
+
+    def read_peer_status(self, fields: Mapping[str, Any]) -> PeerCellStatus | None:
+        """Read the status of another process's cells; None if it has none.
+
+        It may be of another version: one that cannot be read is logged and left out.
+        """
         try:
-            return {
-                "me": str(raw["me"]),
-                "accepting": bool(other["accepting"]),
-                "epoch": int(raw["epoch"]),
-                "digest": str(raw["digest"]),
-                "moves": [read_migration(m) for m in raw["moves"]],
-                "open": {
-                    str(s): {str(c): int(n) for c, n in cells.items()}
-                    for s, cells in raw["open"].items()
-                },
-                "seats": {str(u): None if c is None else str(c) for u, c in raw["seats"].items()},
-                "map": from_plain(raw["map"])
-                if "map" in raw and raw["epoch"] > self.map.epoch
-                else None,
-            }
+            return read_cell_status(fields, self.map.epoch)
         except (BadMap, ValueError, TypeError, KeyError, AttributeError) as error:
             self.log(
                 "cells",
@@ -330,171 +147,73 @@
             )
             return None
 
+    def _compare_maps(self, peer: PeerCellStatus) -> None:
+        """Take a newer map over; log another one of the same epoch."""
+        if peer["map"] is not None and peer["epoch"] > self.map.epoch:
+            self.log(
+                "cells",
+                f"another process has the map of epoch {peer['epoch']}: taken from there",
+            )
+            self.apply_map(peer["map"])
+        elif peer["epoch"] == self.map.epoch and peer["digest"] != self.digest:
+            self.log("cells", f"another process has another map of the same epoch {self.map.epoch}")
+
     # --- maps ---
 
-    def _hold(self, map: CellMap) -> None:
-        """Danger: told ten times a second during an upgrade, a map of 1,000 tenants made plain each
-        time takes a tenth of the core.
-        """
-        self.map, self.digest = map, map.digest()
-        self.plain = map.plain() if len(map.tenants) <= MOST_TENANTS_TOLD else None
+    def set_map(self, map: CellMap) -> None:
+        """Note the map in force, in the form in which it is published as well."""
+        self.map = map
+        self.published_map = PublishedMap.of(map)
+        self.digest = self.published_map.digest
 
     def apply_map(self, map: CellMap) -> None:
-        self._hold(map)
+        """Put another map in force."""
+        self.set_map(map)
         self.celled.apply_map(map)
-        self.turns.set_weights(self.celled.shares_with_anteroom())
-        for connection in self.clients:  # a cell that is gone has no part for its connections
-            if (
-                isinstance(connection, CelledConnection)
-                and connection.cell != ANTEROOM
-                and map.cell(connection.cell) is None
-            ):
-                self.celled.connections.give(connection.cell, 1)
-                self.celled.frames.give(connection.cell, connection.booked)
-                connection.cell = ANTEROOM
-                self.celled.connections.force(ANTEROOM, 1)
-                self.celled.frames.force(ANTEROOM, connection.booked)
-        self._warn_of_strangers()
+        self.read_turns.turns.set_weights(self.celled.shares_with_anteroom())
+        self.client_seats.leave_dropped_cells(map)
+        self._log_unknown_tenants()
 
-    def _check(self, said: OperatorConfig) -> OperatorConfig:
-        """Danger: an old file put back by mistake would undo moves at this process and not at the
-        others.
+    def _log_unknown_tenants(self) -> None:
+        """Log tenants of the map that the settings do not have.
+
+        That is no fault: the two files may change one after the other.
         """
-        if said.map is None:
-            raise OperatorFileError(
-                f"{self.path}: cell: none is named, and the program was started with " "some"
-            )
-        if said.map.epoch < self.map.epoch:
-            raise OperatorFileError(
-                f"{self.path}: epoch: {said.map.epoch} is older than {self.map.epoch}, "
-                "which is in force"
-            )
-        if said.map.epoch == self.map.epoch and said.map.digest() != self.digest:
-            raise OperatorFileError(
-                f"{self.path}: epoch: {said.map.epoch} is in force with another map; "
-                "a changed map needs a higher one"
+        configured = self.dispatcher.validator.tenants
+        if not configured:
+            return
+        unknown = [tenant for tenant in self.map.tenants if tenant not in configured]
+        if unknown:
+            self.log(
+                "cells",
+                f"{len(unknown)} tenants of the file are none of the settings, among them "
+                f"{unknown[0]!r}",
             )
+
+    def _check(self, said: OperatorConfig) -> OperatorConfig:
+        """Reject a file that cannot take the place of the one in force.
+
+        An old file put back by mistake would undo migrations at this process and not at the others.
+        """
+        reason = self._reason_to_reject(said.map)
+        if reason:
+            message = f"{self.path}: {reason}"
+            raise OperatorFileError(message)
         return said
 
+    def _reason_to_reject(self, map: CellMap | None) -> str:
+        """Return the key and the problem of a file's map; empty if it may be put in force."""
+        if map is None:
+            return "cell: none is named, and the program was started with some"
+        if map.epoch < self.map.epoch:
+            return f"epoch: {map.epoch} is older than {self.map.epoch}, which is in force"
+        if map.epoch == self.map.epoch and map.digest() != self.digest:
+            return (
+                f"epoch: {map.epoch} is in force with another map; a changed map needs a higher one"
+            )
+        return ""
+
     def _apply(self, said: OperatorConfig) -> None:
         super()._apply(said)
         if said.map is not None:
             self.apply_map(said.map)
-
-    # --- operators' calls ---
-
-    def _call(self, method: str, path: str) -> tuple[int, bytes, str, str] | None:
-        if path != "/cells" and not path.startswith("/cells/"):
-            return None
-        try:
-            parts = [unquote_to_bytes(part).decode() for part in path.split("/")[2:]]
-        except UnicodeDecodeError:
-            return _said(400, {"error": "a name that is no text"})
-        wanted = "POST" if parts else "GET"
-        if method != wanted:
-            return _said(405, {"error": f"this call is a {wanted}"}, wanted)
-        moves, now = self.celled.moves, self.clock.now()
-        try:
-            match parts:
-                case []:
-                    return _said(200, self.shown())
-                case ["move", subject, cell]:
-                    move = moves.propose(subject, cell, now)
-                case ["abort", subject]:
-                    move = moves.take_back(subject, now)
-                case _:
-                    return _said(404, {"error": "no such call"})
-        except MigrationRejectedError as error:
-            return _said(409, {"error": str(error)})
-        if self.peer_processes is not None:
-            # danger: after the yes it holds, also where this process ends now
-            self.peer_processes.tell()
-        self.log(
-            "cells",
-            f"{move.subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}, "
-            "by call",
-        )
-        return _said(200, move.plain())
-
-    def shown(self) -> dict[str, Any]:
-        """Cells, their engines, tenants and loads, and the moves."""
-        now, broker = self.clock.now(), self.celled
-        hall = broker.router
-        cells = []
-        for cell in self.map.cells:
-            fleet = hall.seats.fleet(cell.name, now)
-            engines = hall.facades[cell.name].endpoints
-            known = hall.facades[cell.name].controller.engines
-            cells.append(
-                {
-                    "cell": cell.name,
-                    "weight": cell.weight,
-                    "default": cell.name == self.map.default,
-                    "ready": fleet.ready,
-                    "cold": fleet.cold,
-                    "short": fleet.ready < cell.least,
-                    "cores": sum(known[n].cores for n in engines if n in known),
-                    "open": hall.facades[cell.name].open,
-                    "lent": broker.requests_lent.lent(cell.name),
-                    "refused_for_room": broker.accounting.rejected.get(cell.name, 0),
-                    "engines": sorted(hall.seats.uid_of(n) for n in engines),
-                }
-            )
-        subjects = {*self.map.tenants, *broker.rates.means, *broker.moves.records}
-        spread = {t.name for t in self.map.tenants.values() if t.key}
-        tenants = [
-            {
-                "tenant": s,
-                "cell": broker.moves.cell(s, now),
-                "load": round(broker.rates.at(s, now), 6),
-            }
-            for s in sorted(subjects - spread)
-        ]
-        return {
-            "epoch": self.map.epoch,
-            "digest": self.digest,
-            "cells": cells,
-            "tenants": tenants,
-            "unplaced": sorted(u for u, c in hall.seats.placement.seats.items() if c is None),
-            "moves": [
-                m.plain() for m in sorted(broker.moves.records.values(), key=lambda m: -m.begun)
-            ],
-        }
-
-
-class CellAdmission(ClientAdmission):
-    """Accounts each client connection to a cell, in the ledger of connections."""
-
-    def __init__(self, node: CellNode) -> None:
-        super().__init__(node)
-        self.cell_node = node
-
-    def has_place(self) -> bool:
-        """A new connection is accounted to the anteroom, until its first request names a tenant."""
-        return self.cell_node.take_place(ANTEROOM)
-
-    def discard(self, connection: ClientConnection) -> None:
-        """Release the place of a connection in its cell, and its turn."""
-        assert isinstance(connection, CelledConnection)
-        self.cell_node.queue.pop(connection, None)
-        if connection in self.connections:
-            self.connections.discard(connection)
-            self.cell_node.celled.connections.give(connection.cell, 1)
-
-    def close_slow_readers(self, now_ns: int) -> None:
-        """Close slow readers by the ledgers of the cells, and call lent places in."""
-        self.cell_node._sweep(now_ns)
-
-
-def _over(ledger: Ledger) -> dict[str, int]:
-    """Past the total: those beyond their part give back, the largest loans first."""
-    missing, owed = -ledger.free(), {}
-    for cell in sorted(ledger.accounts, key=lambda c: -ledger.lent(c)):
-        if missing > 0 and (back := min(missing, ledger.lent(cell))):
-            owed[cell] = back
-            missing -= back
-    return owed
-
-
-def _said(status: int, body: dict[str, Any], allow: str = "") -> tuple[int, bytes, str, str]:
-    return status, json.dumps(body, ensure_ascii=False).encode() + b"\n", JSON, allow
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -443,7 +443,7 @@
             max(1, unread["b"] // 2), node(rig).celled.shares_with_anteroom()
         )
         assert unread["b"] > 0
-        node(rig)._sweep(rig.node.clock.now())
+        rig.node.admission.close_slow_readers(rig.node.clock.now())
         await until(lambda: by_cell["b"] not in rig.node.clients)
         assert by_cell["a"] in rig.node.clients
         for _ in range(2):
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -165,7 +165,7 @@
 
     made = Node.__new__(Node)
     made.me = "41-00ff00ff"
-    made._hold(CELL_MAP)
+    made.set_map(CELL_MAP)
     return made
 
 
@@ -176,7 +176,7 @@
 def test_what_another_process_tells_of_cells_is_read() -> None:
     raw = json.loads(CELLS_TOLD)
     raw["cells"]["epoch"] = raw["cells"]["map"]["epoch"] = 4  # a map is read where it is newer
-    read = celled_node().read_peer_status({"accepting": True, **raw})
+    read: Any = celled_node().read_peer_status({"accepting": True, **raw})
     assert read is not None
     newer = read.pop("map")
     assert (newer.epoch, newer.cells, newer.tenants) == (4, CELL_MAP.cells, CELL_MAP.tenants)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -79,7 +79,7 @@
     "query_broker/config/schema.py": {"report"},
     "query_broker/simulator_adapter.py": {"report"},
     "query_broker/cli/cells.py": {"load"},
-    "query_broker/cells/node.py": {"load"},
+    "query_broker/cells/admin.py": {"load"},
     "query_broker/cells/planner.py": {"load"},
 }
 
