--- a/query_broker/cells/cell_facade.py
+++ b/query_broker/cells/cell_facade.py
@@ -25,7 +25,7 @@
         seed: int,
         now_ns: int,
         settings: Settings,
-        wheel: TimerWheel,
+        timer_wheel: TimerWheel,
         due_facades: deque[CellFacade],
     ) -> None:
         """Start the cell's decisions.
@@ -35,7 +35,7 @@
             seed: The seed of its random draws.
             now_ns: The time.
             settings: The platform settings in force.
-            wheel: The timer wheel of all cells.
+            timer_wheel: The timer wheel of all cells.
             due_facades: Gets this facade for each timer that falls due, so that the timers of all
                 cells are handled in the order of the wheel.
         """
@@ -44,7 +44,7 @@
         self.open = 0
         self.dissolved = False
         self._due_facades = due_facades
-        super().__init__(settings, seed, now_ns, wheel)
+        super().__init__(settings, seed, now_ns, timer_wheel)
 
     def _fired(self, token: int) -> Callable[[], None]:
         return lambda: self._timer_due(token)
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -87,7 +87,7 @@
         settings: Settings,
         seed: int,
         now_ns: int,
-        wheel: TimerWheel,
+        timer_wheel: TimerWheel,
         map: CellMap,
         uid_of: Callable[[int], str],
     ) -> None:
@@ -97,7 +97,7 @@
             settings: The platform settings in force.
             seed: The seed of the random draws; each cell gets one of its own from it.
             now_ns: The time.
-            wheel: The timer wheel of all cells.
+            timer_wheel: The timer wheel of all cells.
             map: The cell map in force.
             uid_of: Returns the uid of an endpoint's number.
         """
@@ -111,7 +111,7 @@
         self.outstanding_work = OutstandingWorkTracker(self.facades)
         self.seats = EndpointSeats(map, settings, self.facades, self.outstanding_work, uid_of)
         self._seed = seed
-        self._wheel = wheel
+        self._timer_wheel = timer_wheel
         self._add_missing_cells(now_ns)
 
     # --- cells ---
@@ -123,7 +123,7 @@
 
     def _add_cell(self, cell: str, now_ns: int) -> None:
         seed = int.from_bytes(f"{self._seed:x}/{cell}".encode(), "big")
-        facade = CellFacade(cell, seed, now_ns, self.settings, self._wheel, self.due)
+        facade = CellFacade(cell, seed, now_ns, self.settings, self._timer_wheel, self.due)
         self.facades[cell] = facade
         for change in self.seats.disabled.values():
             facade.report(now_ns, change)
--- a/tests/test_cells_pure.py
+++ b/tests/test_cells_pure.py
@@ -1,4 +1,4 @@
-"""Cells without input or output: the map, the seats, the loans, the turns, the moves, the plans."""
+"""The pure core of cells: map, seats, borrowing, turns, migrations and plans."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from query_broker.cells import borrowing as loans
+from query_broker.cells import borrowing
 from query_broker.cells import migrations as moves
 from query_broker.cells import planner as plan
 from query_broker.cells.borrowing import Ledger
@@ -171,7 +171,7 @@
     assert other.seats == placement.seats
 
 
-# --- loans ---
+# --- borrowing ---
 
 
 def ledger(total: int = 100, **shares: float) -> Ledger:
@@ -183,7 +183,7 @@
 def test_a_cell_borrows_what_others_leave_but_never_their_last_quarter() -> None:
     books = ledger()
     taken = sum(books.take("a", 1, 0) for _ in range(200))
-    assert taken == 100 - int(loans.RESERVED_FRACTION * 50) and books.lent("a") == taken - 50
+    assert taken == 100 - int(borrowing.RESERVED_FRACTION * 50) and books.lent("a") == taken - 50
     assert all(books.take("b", 1, 0) for _ in range(12)) and not books.take("b", 1, 0)
 
 
@@ -193,14 +193,14 @@
         pass
     while books.take("b", 1, S):  # digs into what was lent
         pass
-    assert books.due(S + loans.CALL_IN_DELAY_NS - 1) == {} and loans.CALL_IN_DELAY_NS < S
-    owed = books.due(S + loans.CALL_IN_DELAY_NS)
+    assert books.due(S + borrowing.CALL_IN_DELAY_NS - 1) == {} and borrowing.CALL_IN_DELAY_NS < S
+    owed = books.due(S + borrowing.CALL_IN_DELAY_NS)
     assert owed == {"a": books.lent("a")}
     books.give("a", owed["a"])
     assert sum(books.take("b", 1, 2 * S) for _ in range(100)) == 50 - 12
     assert not books.take("a", 1, 2 * S)  # the owner has its whole part
     books.give("b", 50)
-    assert books.due(2 * S + loans.RECLAIM_HOLD_NS + 1) == {} and books.take("a", 1, 8 * S)
+    assert books.due(2 * S + borrowing.RECLAIM_HOLD_NS + 1) == {} and books.take("a", 1, 8 * S)
 
 
 def test_what_cannot_be_called_in_is_never_borrowed() -> None:
@@ -282,13 +282,13 @@
 # --- moves ---
 
 
-class World:
+class SimulatedCluster:
     """What a step looks at."""
 
     def __init__(self) -> None:
         self.fleets = {"a": Fleet(2, 0), "b": Fleet(2, 0), "c": Fleet(2, 0)}
         self.count: Counter[tuple[str, str]] = Counter()
-        self.told = True
+        self.replicated = True
 
     def fleet(self, cell: str) -> Fleet:
         return self.fleets.get(cell, Fleet(0, 0))
@@ -297,28 +297,30 @@
         return self.count[subject, cell]
 
     def is_replicated(self, move: Migration) -> bool:
-        return self.told
+        return self.replicated
 
 
 def at(made: MigrationLog) -> Stage:
     return made.records["x"].stage
 
 
-def play(made: MigrationLog, world: World, now: int, seconds: float, step: int = S // 20) -> int:
+def play(
+    made: MigrationLog, cluster: SimulatedCluster, now: int, seconds: float, step: int = S // 20
+) -> int:
     for _ in range(int(seconds * S / step)):
         now += step
-        step_migrations(made, now, world)
+        step_migrations(made, now, cluster)
     return now
 
 
 def test_a_move_goes_through_its_stages_and_leaves_the_tenant_there() -> None:
-    made, world = MigrationLog(cell_map(), "p1"), World()
-    world.count["x", "a"] = 3
+    made, cluster = MigrationLog(cell_map(), "p1"), SimulatedCluster()
+    cluster.count["x", "a"] = 3
     made.propose("x", "b", 0)
     stages = [Stage.PROPOSED]
     now = 0
     for _ in range(200):
-        now = play(made, world, now, 0.05)
+        now = play(made, cluster, now, 0.05)
         stage = at(made)
         if stage is not stages[-1]:
             stages.append(stage)
@@ -326,10 +328,10 @@
             "b" if stage in moves.SWITCHED_STAGES and now >= made.records["x"].switch_at else "a"
         )
     assert stages == [Stage.PROPOSED, Stage.WARMING, Stage.SWITCHED, Stage.DRAINING]
-    world.count.clear()
-    now = play(made, world, now, 0.1)
+    cluster.count.clear()
+    now = play(made, cluster, now, 0.1)
     assert at(made) is Stage.DONE and made.cell("x", now) == "b"
-    now = play(made, world, now, 700)
+    now = play(made, cluster, now, 700)
     assert made.cell("x", now) == "b"  # for good, since the map says otherwise
 
 
@@ -337,37 +339,37 @@
     ("fleet", "why"), [(Fleet(0, 0), "no ready engine"), (Fleet(4, 3), "get warm")]
 )
 def test_a_target_that_is_not_able_in_time_takes_the_move_back(fleet: Fleet, why: str) -> None:
-    made, world = MigrationLog(cell_map(), "p1"), World()
-    world.fleets["b"] = fleet
+    made, cluster = MigrationLog(cell_map(), "p1"), SimulatedCluster()
+    cluster.fleets["b"] = fleet
     made.propose("x", "b", 0)
-    now = play(made, world, 0, 45)
+    now = play(made, cluster, 0, 45)
     assert at(made) is Stage.TAKEN_BACK and why in made.records["x"].why
     assert made.cell("x", now) == "a"
     made.propose("x", "b", now)  # it may be tried again
 
 
 def test_a_target_that_loses_its_last_engine_gives_the_tenant_back() -> None:
-    made, world = MigrationLog(cell_map(), "p1"), World()
-    world.count["x", "a"] = 1
+    made, cluster = MigrationLog(cell_map(), "p1"), SimulatedCluster()
+    cluster.count["x", "a"] = 1
     made.propose("x", "b", 0)
-    now = play(made, world, 0, 5)
+    now = play(made, cluster, 0, 5)
     assert at(made) is Stage.DRAINING
-    world.fleets["b"] = Fleet(0, 0)
-    world.count["x", "b"] = 1
-    now = play(made, world, now, 0.3)
+    cluster.fleets["b"] = Fleet(0, 0)
+    cluster.count["x", "b"] = 1
+    now = play(made, cluster, now, 0.3)
     assert made.cell("x", now) == "b"  # a blip moves nothing
-    now = play(made, world, now, 0.5)
+    now = play(made, cluster, now, 0.5)
     assert at(made) is Stage.RETURNING and made.cell("x", now) == "a"
-    world.count.clear()
-    now = play(made, world, now, 0.1)
+    cluster.count.clear()
+    now = play(made, cluster, now, 0.1)
     assert at(made) is Stage.TAKEN_BACK
     # Where the source has none either, there is nowhere better.
-    world.fleets = {"a": Fleet(0, 0), "b": Fleet(2, 0)}
+    cluster.fleets = {"a": Fleet(0, 0), "b": Fleet(2, 0)}
     made.propose("x", "b", now)
-    world.count["x", "a"] = 1
-    now = play(made, world, now, 5)
-    world.fleets["b"] = Fleet(0, 0)
-    assert made.cell("x", play(made, world, now, 5)) == "b"
+    cluster.count["x", "a"] = 1
+    now = play(made, cluster, now, 5)
+    cluster.fleets["b"] = Fleet(0, 0)
+    assert made.cell("x", play(made, cluster, now, 5)) == "b"
 
 
 def test_a_move_is_taken_back_at_every_stage_and_a_second_one_is_refused() -> None:
@@ -377,10 +379,10 @@
         (2.0, Stage.SWITCHED),
         (5.0, Stage.DRAINING),
     ):
-        made, world = MigrationLog(cell_map("a", "b", "c"), "p1"), World()
-        world.count["x", "a"] = world.count["x", "b"] = 1
+        made, cluster = MigrationLog(cell_map("a", "b", "c"), "p1"), SimulatedCluster()
+        cluster.count["x", "a"] = cluster.count["x", "b"] = 1
         made.propose("x", "b", 0)
-        now = play(made, world, 0, seconds)
+        now = play(made, cluster, 0, seconds)
         assert at(made) is stage
         with pytest.raises(MigrationRejectedError, match="on the move"):
             made.propose("x", "c", now)
@@ -390,8 +392,8 @@
         if stage in moves.SWITCHED_STAGES:
             with pytest.raises(MigrationRejectedError, match="already"):
                 made.take_back("x", now)
-            world.count.clear()
-            now = play(made, world, now, 0.1)
+            cluster.count.clear()
+            now = play(made, cluster, now, 0.1)
         assert at(made) is Stage.TAKEN_BACK
         with pytest.raises(MigrationRejectedError, match="not on the move"):
             made.take_back("x", now)
@@ -417,39 +419,43 @@
 
 def test_what_is_open_past_the_time_for_it_is_closed_out_by_every_process() -> None:
     said = cell_map(timing=Timing(drain=2 * S))
-    made, other, world = MigrationLog(said, "p1"), MigrationLog(said, "p2"), World()
-    world.count["x", "a"] = 1
+    made, other, cluster = MigrationLog(said, "p1"), MigrationLog(said, "p2"), SimulatedCluster()
+    cluster.count["x", "a"] = 1
     made.propose("x", "b", 0)
-    now = play(made, world, 0, 5)
+    now = play(made, cluster, 0, 5)
     other.merge(made.records.values())
-    now = play(made, world, now, 3)
+    now = play(made, cluster, now, 3)
     assert made.closing == [CloseOut("x", "a")] and at(made) is Stage.DONE
     other.merge(made.records.values())
     assert other.closing == [CloseOut("x", "a")] and other.cell("x", now) == "b"
 
 
 def test_a_switch_waits_until_the_other_process_has_heard_of_it() -> None:
-    made, world = MigrationLog(cell_map(), "p1"), World()
-    world.told = False
+    made, cluster = MigrationLog(cell_map(), "p1"), SimulatedCluster()
+    cluster.replicated = False
     made.propose("x", "b", 0)
-    now = play(made, world, 0, 5)
+    now = play(made, cluster, 0, 5)
     assert at(made) is Stage.WARMING and made.cell("x", now) == "a"
-    world.told = True
-    now = play(made, world, now, 0.5)
+    cluster.replicated = True
+    now = play(made, cluster, now, 0.5)
     assert at(made) is Stage.SWITCHED and made.cell("x", now) == "b"
 
 
 def test_one_process_drives_and_another_takes_over_when_it_has_gone() -> None:
-    first, second, world = MigrationLog(cell_map(), "p2"), MigrationLog(cell_map(), "p1"), World()
+    first, second, cluster = (
+        MigrationLog(cell_map(), "p2"),
+        MigrationLog(cell_map(), "p1"),
+        SimulatedCluster(),
+    )
     first.propose("x", "b", 0)
     second.merge(first.records.values())
-    step_migrations(second, S, world, ["p2"])
+    step_migrations(second, S, cluster, ["p2"])
     assert second.records == first.records  # p2 lives: p1 leaves it alone
     now = S
     for _ in range(200):
         now += S // 20
         step_migrations(
-            second, now, world, ["p3"]
+            second, now, cluster, ["p3"]
         )  # p2 has gone; of p1 and p3 the lower takes over
     assert second.records["x"].stage is Stage.DONE and second.records["x"].driver == "p1"
     assert first.merge(second.records.values()) and first.cell("x", now) == "b"
@@ -485,19 +491,19 @@
 def test_a_map_that_drops_a_cell_ends_its_moves(
     seconds: float, left: str, stage: Stage, home: str
 ) -> None:
-    made, world = MigrationLog(cell_map("a", "b", "c"), "p1"), World()
+    made, cluster = MigrationLog(cell_map("a", "b", "c"), "p1"), SimulatedCluster()
     made.propose("x", "b", 0)
-    world.count["x", "a"] = world.count["x", "b"] = 1
-    now = play(made, world, 0, seconds)
+    cluster.count["x", "a"] = cluster.count["x", "b"] = 1
+    now = play(made, cluster, 0, seconds)
     tenants = {"x": left[0]}
     made.apply_map(cell_map(*left, epoch=2, tenants=tenants), now)
     assert at(made) is stage and made.cell("x", now) == home
 
 
 def test_a_map_that_names_a_moved_tenant_anew_has_the_last_word() -> None:
-    made, world = MigrationLog(cell_map("a", "b", "c"), "p1"), World()
+    made, cluster = MigrationLog(cell_map("a", "b", "c"), "p1"), SimulatedCluster()
     made.propose("x", "b", 0)
-    now = play(made, world, 0, 6)
+    now = play(made, cluster, 0, 6)
     made.apply_map(cell_map("a", "b", "c", epoch=2), now)
     assert made.cell("x", now) == "b"  # the file says nothing new of it
     made.apply_map(cell_map("a", "b", "c", epoch=3, tenants={"x": "c"}), now)
@@ -517,7 +523,7 @@
 def test_whatever_happens_a_subject_has_one_cell_and_versions_rise(
     steps: list[tuple[str, int]],
 ) -> None:
-    made, world = MigrationLog(cell_map("a", "b", "c"), "p1"), World()
+    made, cluster = MigrationLog(cell_map("a", "b", "c"), "p1"), SimulatedCluster()
     now, version = 0, 0
     for word, number in steps:
         now += number * S // 2
@@ -530,14 +536,14 @@
         except MigrationRejectedError:
             pass
         if word == "lose":
-            world.fleets[cell] = Fleet(0, 0)
+            cluster.fleets[cell] = Fleet(0, 0)
         elif word == "find":
-            world.fleets[cell] = Fleet(2, 0)
+            cluster.fleets[cell] = Fleet(2, 0)
         elif word == "open":
-            world.count["x", made.cell("x", now)] += 1
+            cluster.count["x", made.cell("x", now)] += 1
         elif word == "end":
-            world.count.clear()
-        step_migrations(made, now, world)
+            cluster.count.clear()
+        step_migrations(made, now, cluster)
         assert made.cell("x", now) in "abc" and made.version >= version
         move = made.records.get("x")
         if move is not None and not move.has_ended():
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -82,7 +82,7 @@
     return rig.node
 
 
-def hall(rig: Rig) -> CellRouter:
+def router(rig: Rig) -> CellRouter:
     return node(rig).celled.router
 
 
@@ -120,8 +120,8 @@
         assert len(one.words(b"do")) == len(two_.words(b"do")) == 10
         assert all(d[1].startswith(b"acme".hex().encode()) for d in one.words(b"do"))
         assert (
-            not hall(rig).requests
-            and not hall(rig).open
+            not router(rig).requests
+            and not router(rig).open
             and not node(rig).celled.accounting.charges
         )
         text = (await call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
@@ -145,8 +145,8 @@
         # The one under way comes again under its id: it joins the first, in the first's cell.
         other = await rig.client()
         ask(other, 1, "acme", route="stock-add")
-        await until(lambda: len(hall(rig).requests) == 2)
-        assert all(room.cell == "a" for room, _ in hall(rig).requests.values())
+        await until(lambda: len(router(rig).requests) == 2)
+        assert all(facade.cell == "a" for facade, _ in router(rig).requests.values())
         one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
         other.send(frames.ABANDON, 1)
@@ -230,7 +230,7 @@
     one, two_ = Engine(), Engine()
     async with pair(two(), one, two_) as rig:
         assert rig.node.dispatcher.set_endpoint_disabled("s-2", True)
-        assert hall(rig).seats.fleet("b", rig.node.clock.now()).ready == 0
+        assert router(rig).seats.fleet("b", rig.node.clock.now()).ready == 0
         node(rig).apply_map(two(2, a=("s-1", "s-2"), b=()))
         client = await rig.client()
         for stream in range(1, 11):
@@ -238,10 +238,10 @@
             assert (await client.answer())[1] == frames.SERVED
         assert not two_.words(b"do")
         assert rig.node.dispatcher.set_endpoint_disabled("s-2", False)  # back, and cold
-        assert hall(rig).seats.fleet("a", rig.node.clock.now()).cold == 1
+        assert router(rig).seats.fleet("a", rig.node.clock.now()).cold == 1
         node(rig).apply_map(two(3))
-        room = hall(rig).facades["b"]
-        assert all(e.cold_until > rig.node.clock.now() for e in room.controller.engines.values())
+        facade = router(rig).facades["b"]
+        assert all(e.cold_until > rig.node.clock.now() for e in facade.controller.engines.values())
 
 
 @on_uvloop
@@ -255,17 +255,17 @@
         node(rig).apply_map(two(2, a=("s-3",), b=("s-1", "s-2")))
         number = rig.node.dispatcher.endpoint_table.number("s-1")
         assert (
-            hall(rig).seats.cell_of(number) == "b"
-            and number in hall(rig).outstanding_work.left_over
+            router(rig).seats.cell_of(number) == "b"
+            and number in router(rig).outstanding_work.left_over
         )
-        beside = hall(rig).facades["b"].controller.engines[number].beside
+        beside = router(rig).facades["b"].controller.engines[number].beside
         # what is out there counts in its new cell
         assert beside.threads == 2 and beside.backlog_ns > 0
-        assert hall(rig).outstanding(0)[number].threads == 2  # and once for other processes
+        assert router(rig).outstanding(0)[number].threads == 2  # and once for other processes
         one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert hall(rig).facades["b"].controller.engines[number].beside.threads == 0
-        assert not hall(rig).outstanding_work.left_over and not hall(rig).requests
+        assert router(rig).facades["b"].controller.engines[number].beside.threads == 0
+        assert not router(rig).outstanding_work.left_over and not router(rig).requests
         # Its old cell's tenant does not meet it any more.
         ask(client, 2, "acme")
         assert (await client.answer())[1] == frames.REFUSED and len(one.words(b"do")) == 1
@@ -318,15 +318,15 @@
         client = await rig.client()
         ask(client, 1, "beta", route="stock-add")
         await until(lambda: two_.words(b"do"))
-        dropped = hall(rig).facades["b"]
+        dropped = router(rig).facades["b"]
         node(rig).apply_map(CellMap(2, (Cell("a", engines=("s-1", "s-2")),), "a", {}, FAST))
-        assert hall(rig).facades["b"] is dropped  # until its last request is over
+        assert router(rig).facades["b"] is dropped  # until its last request is over
         ask(client, 2, "beta")
         await until(lambda: len(one.words(b"do")) + len(two_.words(b"do")) == 2)
         two_.serve(two_.words(b"do")[0], two_.writer_of(two_.words(b"do")[0]))
         while (await client.answer())[0] != 1:
             pass
-        await until(lambda: "b" not in hall(rig).facades)
+        await until(lambda: "b" not in router(rig).facades)
         assert dropped.dissolved and "b" not in node(rig).celled.requests_lent.accounts
 
 
@@ -565,7 +565,7 @@
         assert world.sent_after_drain(S) == 0
         assert stage(rig) in (Stage.DONE, Stage.DRAINING)
         # Successors took the seats of those that they replaced.
-        assert hall(rig).seats.placement.size("a") == hall(rig).seats.placement.size("b") == 2
+        assert router(rig).seats.placement.size("a") == router(rig).seats.placement.size("b") == 2
         book.close()
     world.stop()
 
