--- a/query_broker/cells/client_connection.py
+++ b/query_broker/cells/client_connection.py
@@ -5,60 +5,80 @@
 from typing import Protocol
 
 from ..protocols.client_connection import ClientConnection, ClientHost
-from .dispatcher import ANTEROOM
+from .client_seat import ANTEROOM, SeatedClient
+from .read_turns import ReadTurns
 
 
-class CelledFront(ClientHost, Protocol):
-    def settle(self, connection: CelledConnection, cell: str) -> bool: ...
+class ClientSeats(Protocol):
+    """Accounts connections and their incomplete frames to cells."""
 
-    def may_go_on(self, connection: CelledConnection) -> bool: ...
+    def settle(self, connection: CelledConnection, cell: str) -> bool:
+        """Account the connection to this cell; False where the cell has no capacity for it."""
 
-    def spent(self, cell: str, time: float) -> None: ...
+    def account_partial_frames(self, connection: CelledConnection, change_bytes: int) -> bool:
+        """Account a change of its incomplete frames; False where the cell has no capacity."""
 
-    def held_of_frames(self, connection: CelledConnection, change: int) -> bool: ...
+
+class CellFront(ClientHost, Protocol):
+    """The node, as far as its connections need it."""
+
+    @property
+    def client_seats(self) -> ClientSeats:
+        """The accounting of connections to cells."""
+
+    @property
+    def read_turns(self) -> ReadTurns:
+        """The turns to read."""
 
 
 class CellLimits:
-    """The limits of the cell on whose part a connection is, for its reading.
+    """The limits of the cell that a connection is accounted to, for its reading.
 
-    A tenant that sends a hundred times its share would have the loop to itself.
+    A tenant that sends a hundred times its share would take the loop from the others.
     """
 
-    def __init__(self, host: CelledFront, connection: CelledConnection) -> None:
+    def __init__(self, host: CellFront, connection: CelledConnection) -> None:
         """Take who knows the cells, and whose reading is limited."""
-        self.host = host
-        self.connection = connection
-        self.cell = connection.cell
-        self.turn_began_ns = 0
+        self._host = host
+        self._connection = connection
+        self._cell = connection.cell
+        self._turn_began_ns = 0
 
     def begin_turn(self) -> bool:
         """Return whether the cell has processor time left; if not, the connection is queued."""
-        if not self.host.may_go_on(self.connection):
+        if not self._host.read_turns.may_read(self._connection):
             return False
-        self.cell = self.connection.cell  # the turn may take it to another cell
-        self.turn_began_ns = self.host.dispatcher.now()
+        self._cell = self._connection.cell  # the turn may settle the connection elsewhere
+        self._turn_began_ns = self._host.dispatcher.now()
         return True
 
     def end_turn(self) -> None:
-        """Account the turn's processor time to the cell in which it began."""
-        self.host.spent(self.cell, self.host.dispatcher.now() - self.turn_began_ns)
+        """Charge the turn's processor time to the cell in which it began."""
+        elapsed_ns = self._host.dispatcher.now() - self._turn_began_ns
+        self._host.read_turns.charge(self._cell, elapsed_ns)
 
     def may_buffer(self, size: int) -> bool:
         """Account bytes of incomplete frames to the cell; return whether it has them left."""
-        change = size - self.connection.booked
-        self.connection.booked = size
-        return self.host.held_of_frames(self.connection, change)
+        change_bytes = size - self._connection.accounted_bytes
+        self._connection.accounted_bytes = size
+        return self._host.client_seats.account_partial_frames(self._connection, change_bytes)
 
 
-class CelledConnection(ClientConnection):
-    """It sits in the anteroom until its first request, then in the cell of the last one."""
+class CelledConnection(ClientConnection, SeatedClient):
+    """A connection that sits in the anteroom until its first request, then in the last one's cell.
+
+    Attributes:
+        cell: The cell that it is accounted to.
+        accounted_bytes: Its incomplete frames, as they are accounted to the cell.
+    """
 
-    def __init__(self, front: CelledFront) -> None:
-        self.house = front
+    def __init__(self, front: CellFront) -> None:
+        """Start in the anteroom."""
+        self._seats = front.client_seats
         self.cell = ANTEROOM
-        self.booked = 0  # bytes of frames that are not whole, on its cell's part
+        self.accounted_bytes = 0
         super().__init__(front, CellLimits(front, self))
 
     def settle(self, cell: str) -> bool:
-        """Take a place on this cell's part; False if it has none."""
-        return cell == self.cell or self.house.settle(self, cell)
+        """Account the connection to this cell; False where the cell has no capacity for it."""
+        return cell == self.cell or self._seats.settle(self, cell)
