--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -28,7 +28,8 @@
 from query_broker.emulator.clients import Asked, Book, quantile
 from query_broker.emulator.cluster import World, config, tenants
 from query_broker.emulator.data_engine import ran_twice
-from query_broker.operator_config.script import OperatorConfig, evaluate
+from query_broker.operator_config.script import evaluate
+from query_broker.operator_config.settings import OperatorConfig
 from query_broker.protocols import client_frames as frames
 
 from .harness import ROOT, Daemon, Figures, worktree
@@ -335,7 +336,7 @@
             'default_cell("c0")\n'
         )
         begun = time.perf_counter()
-        said = evaluate(str(path)).map
+        said = evaluate(str(path)).cell_map
         figures.tell("map.file_ms", (time.perf_counter() - begun) * 1e3, most=2_000.0)
     assert said is not None
     engines = [Seen(f"s-{i:04x}", "east", "std", True) for i in range(60)]
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -12,8 +12,9 @@
 
 from ..config import Config
 from ..dispatch.dispatcher import Dispatcher
-from ..operator_config.script import OperatorConfig, OperatorFileError
+from ..operator_config.script import OperatorFileError
 from ..operator_config.service import ConfiguredNode
+from ..operator_config.settings import OperatorConfig
 from ..protocols.client_connection import ClientConnection
 from ..server.client_admission import ClientAdmission
 from ..server.process_status import KEY_ACCEPTING, KEY_CELLS, ProcessStatus
@@ -40,8 +41,8 @@
         path: str,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
-        assert said.map is not None, "no cells"
-        self._hold(said.map)
+        assert said.cell_map is not None, "no cells"
+        self._hold(said.cell_map)
         self.me = f"{os.getpid()}-{os.urandom(4).hex()}"
         # connections whose turn has not come, in their order
         self.queue: dict[CelledConnection, None] = {}
@@ -354,30 +355,31 @@
                 self.celled.frames.force(ANTEROOM, connection.booked)
         self._warn_of_strangers()
 
-    def _check(self, said: OperatorConfig) -> OperatorConfig:
+    def check_operator_config(self, said: OperatorConfig) -> OperatorConfig:
         """Danger: an old file put back by mistake would undo moves at this process and not at the
         others.
         """
-        if said.map is None:
+        if said.cell_map is None:
             raise OperatorFileError(
-                f"{self.path}: cell: none is named, and the program was started with " "some"
+                f"{self.operator_file}: cell: none is named, and the program was started with "
+                "some"
             )
-        if said.map.epoch < self.map.epoch:
+        if said.cell_map.epoch < self.map.epoch:
             raise OperatorFileError(
-                f"{self.path}: epoch: {said.map.epoch} is older than {self.map.epoch}, "
-                "which is in force"
+                f"{self.operator_file}: epoch: {said.cell_map.epoch} is older than "
+                f"{self.map.epoch}, which is in force"
             )
-        if said.map.epoch == self.map.epoch and said.map.digest() != self.digest:
+        if said.cell_map.epoch == self.map.epoch and said.cell_map.digest() != self.digest:
             raise OperatorFileError(
-                f"{self.path}: epoch: {said.map.epoch} is in force with another map; "
+                f"{self.operator_file}: epoch: {said.cell_map.epoch} is in force with another map; "
                 "a changed map needs a higher one"
             )
         return said
 
-    def _apply(self, said: OperatorConfig) -> None:
-        super()._apply(said)
-        if said.map is not None:
-            self._take_map(said.map)
+    def apply_operator_config(self, said: OperatorConfig) -> None:
+        super().apply_operator_config(said)
+        if said.cell_map is not None:
+            self._take_map(said.cell_map)
 
     # --- operators' calls ---
 
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -18,7 +18,7 @@
 from .lazy_group import LazyGroup
 
 if TYPE_CHECKING:
-    from ..operator_config.script import OperatorConfig
+    from ..operator_config.settings import OperatorConfig
     from ..server.node import Node
 
 # Seconds that a start beside another process of this broker rests half way through its imports: at
@@ -81,7 +81,7 @@
 
 def _node_with_operator_file(config: Config, path: str) -> Callable[[], Node]:
     operator_config = _read_operator_file(path)
-    if operator_config.map is None:
+    if operator_config.cell_map is None:
         from ..operator_config.service import ConfiguredNode
 
         return partial(ConfiguredNode, config, operator_config, path)
@@ -116,22 +116,22 @@
 def _bounds(config: Config, operator_config: OperatorConfig) -> Iterator[str]:
     """Yield what follows from the operators' file for this installation, a line each."""
     fleet_size = config.settings.fleet_size
-    if operator_config.start is not None:
+    if operator_config.startup is not None:
         from ..startup.bounds import lines as startup_lines
 
-        yield from startup_lines(operator_config.start, config.settings.broker_index, fleet_size)
-    if operator_config.members is not None:
+        yield from startup_lines(operator_config.startup, config.settings.broker_index, fleet_size)
+    if operator_config.membership is not None:
         from ..membership.timing import describe_bounds
 
-        yield from describe_bounds(operator_config.members, fleet_size)
-    if operator_config.shares is not None:
+        yield from describe_bounds(operator_config.membership, fleet_size)
+    if operator_config.quotas is not None:
         from ..quotas.settings import describe as quota_lines
 
-        yield from quota_lines(operator_config.shares, fleet_size)
-    if operator_config.verdicts is not None:
+        yield from quota_lines(operator_config.quotas, fleet_size)
+    if operator_config.outlier_consensus is not None:
         from ..outlier_consensus.settings import describe as consensus_lines
 
-        yield from consensus_lines(operator_config.verdicts, fleet_size)
+        yield from consensus_lines(operator_config.outlier_consensus, fleet_size)
 
 
 @main.command()
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -17,7 +17,7 @@
 from ..cells.node import CellNode
 from ..cells.planner import table
 from ..config import parse
-from ..operator_config.script import OperatorConfig
+from ..operator_config.settings import OperatorConfig
 from ..protocols import client_frames as frames
 from .clients import Asked, Book, quantile
 from .cluster import World, config, patiently, tenants
--- /dev/null
+++ b/query_broker/operator_config/apply.py
@@ -0,0 +1,97 @@
+"""Applies the parts of an operators' file that concern deadlines, retries and the log."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from ..deadlines.retry_budget import RetryBudget, RetryBudgetSettings
+from ..deadlines.settings import DeadlineSettings, Logs
+from ..dispatch.deadline_controls import DEFAULT_ANSWER_MARGIN_NS, DeadlineControls
+from ..dispatch.observers import DispatchObserver, RequestEnding
+from ..dispatch.requests import ActiveRequest
+
+if TYPE_CHECKING:
+    from ..quotas.service import QuotaService
+    from ..server.node import Node
+
+PLAIN_LOG_FORMAT = "plain"
+
+
+def apply_deadlines(controls: DeadlineControls, settings: DeadlineSettings) -> None:
+    """Set how deadlines are counted; the latencies learned so far stay if the margin's do."""
+    controls.settings = settings
+    if not settings.learn:
+        controls.stages = None
+        controls.margin_ns = DEFAULT_ANSWER_MARGIN_NS
+        return
+    # Loaded only where operators ask for a learned margin.
+    from ..deadlines.stage_latencies import StageLatencies
+
+    if controls.stages is None or controls.stages.terms != settings.margin:
+        controls.stages = StageLatencies(settings.margin)
+    controls.margin_ns = controls.stages.margin
+
+
+def apply_retry_budget(
+    controls: DeadlineControls,
+    settings: RetryBudgetSettings | None,
+    quota_service: QuotaService | None,
+) -> None:
+    """Set the retry budget; its tokens stay if the settings do.
+
+    Args:
+        controls: Where the dispatcher looks the budget up.
+        settings: None removes the budget.
+        quota_service: Bounds retries besides, if operators declare such a limit.
+    """
+    if settings is None:
+        controls.retry_budget = None
+    elif controls.retry_budget is None or controls.retry_budget.terms != settings:
+        controls.retry_budget = RetryBudget(settings)
+        gate_retries(controls, quota_service)
+
+
+def gate_retries(controls: DeadlineControls, quota_service: QuotaService | None) -> None:
+    """Let the limit on retries that all brokers share bound the retry budget, if there are both."""
+    budget = controls.retry_budget
+    if budget is not None and quota_service is not None and quota_service.has_retry_limit:
+        budget.gate = quota_service.admit_retry
+
+
+class TraceObserver(DispatchObserver):
+    """Passes the end of each request on to the log of traces."""
+
+    def __init__(self, write: Callable[[ActiveRequest, str], None]) -> None:
+        """Create an observer; ``write`` takes a request and how it ended."""
+        self._write = write
+
+    def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
+        """Log the trace of a request that has ended."""
+        self._write(request, ending.value)
+
+
+class LogFormat:
+    """Switches a node between the plain log and structured lines with traces."""
+
+    def __init__(self, node: Node) -> None:
+        """Create the switch of one node; its log is plain until ``apply``."""
+        self._node = node
+        self._observer: TraceObserver | None = None
+
+    def apply(self, logs: Logs | None) -> None:
+        """Set the format of the log; None is the plain one."""
+        node = self._node
+        node.log.sink = None
+        if self._observer is not None:
+            node.dispatcher.extensions.remove_observer(self._observer)
+            self._observer = None
+        if logs is None or logs.format == PLAIN_LOG_FORMAT:
+            return
+        # Loaded only where operators ask for structured lines.
+        from ..server.structured_log import Lines, stories
+
+        lines = Lines(node.config.name, logs)
+        node.log.sink = lines
+        self._observer = TraceObserver(stories(node.log, lines, node.clock.now))
+        node.dispatcher.add_observer(self._observer)
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -1,185 +1,86 @@
-"""The words of the operators' file, and what they make. Free of input and output; knows no
-Starlark.
-
-Each subsystem adds its words to `WORDS`: a function that takes the arguments as they come, checks
-them, and puts what they say into the `Draft`. A fault is a `BadWord` of the form ``key: problem``;
-the evaluator adds the file and the line. What can only be checked at the end (`Draft.finish`) names
-the call that it is about.
+"""The directives of the operators' file. Performs no I/O, and knows nothing of Starlark.
+
+Each directive is a function that takes its arguments as the script passes them, checks them, and
+adds what they declare to the ``ConfigDraft``. An invalid argument raises ``DirectiveError`` with
+``key: problem``; the evaluator adds file and line.
+
+The names of these functions and of their parameters are part of the form of the file, and of error
+texts such as ``further_class() missing 1 required positional argument``. They keep the operators'
+spelling, which differs from the terms of the code as follows:
+
+- ``further_attempts``, ``further_class``: the retry budget, and that of a request class;
+  ``share``: tokens that a first attempt earns.
+- ``cell.share``: the cell's part of the load. ``least`` and ``most``: minimum and maximum.
+- ``moves``: time limits of migrations between cells.
+- ``deadlines.margin_share``: the quantile of latencies that the learned margin covers.
+- ``logs.stories``: the fraction of requests whose trace is logged.
+- ``start``: start-up; ``last_list``: the endpoint snapshot; ``engine_probes``: health checks;
+  ``contact_part``: the fraction of endpoints to contact; ``ramp``: slow start.
+- ``members``: membership; ``part``: the fraction that may be lost; ``settle``, ``forget``: how long
+  a view must be stable, and how long a departed broker is remembered.
+- ``limit``, ``limits``: quotas; ``promise``: a vote; ``told``: the gossip interval.
+- ``verdicts``: consensus on outliers; ``hold``, ``most_hold``: first and longest ejection.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field, fields, replace
+from collections.abc import Callable
+from dataclasses import fields
 from typing import Any
 
-from ..cells.model import KEY_FIELDS, BadMap, Cell, CellMap, Tenant, Timing
-from ..deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
+from ..cells.model import KEY_FIELDS, Cell, Tenant, Timing
+from ..deadlines.retry_budget import RetryBudgetSettings
 from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
 from ..membership.settings import MembershipSettings
 from ..outlier_consensus.settings import OutlierConsensusSettings
 from ..quotas.settings import QUOTA_KINDS, LimitSettings, QuotaSettings
 from ..startup.settings import StartupSettings
-
-MOST_CALLS = 200_000
-MS = 1_000_000
-
-
-class BadWord(ValueError):
-    """``key: problem``; ``call`` is the number of the word that it is about, if not the present
-    one.
-    """
-
-    def __init__(self, text: str, call: int | None = None) -> None:
-        super().__init__(text)
-        self.call = call
-
-
-@dataclass(slots=True)
-class Draft:
-    """What the file has said so far. ``calls`` counts its words."""
-
-    calls: int = 0
-    epoch: int = 0
-    default: str = ""
-    timing: Timing = Timing()
-    cells: dict[str, Cell] = field(default_factory=dict)
-    tenants: dict[str, Tenant] = field(default_factory=dict)
-    # the call of a word on a name
-    said_at: dict[tuple[str, str], int] = field(default_factory=dict)
-    once: set[str] = field(default_factory=set)
-    deadlines: DeadlineSettings | None = None
-    further: FurtherTerms | None = None
-    further_classes: dict[str, tuple[str, float, float]] = field(default_factory=dict)
-    logs: Logs | None = None
-    start: StartupSettings | None = None
-    members: MembershipSettings | None = None
-    limits: dict[str, LimitSettings] = field(default_factory=dict)
-    shares: QuotaSettings | None = None
-    verdicts: OutlierConsensusSettings | None = None
-
-    def shared(self) -> QuotaSettings | None:
-        """The limits that are shared, and how; None: none. They rest on `members`, as verdicts
-        do.
-        """
-        for word, said in (("limit", self.limits), ("verdicts", self.verdicts)):
-            if said and self.members is None:
-                raise BadWord(
-                    f"{word}: needs members(...): brokers that don't know each other share nothing"
-                )
-        if not self.limits:
-            return None
-        return replace(self.shares or QuotaSettings(), limits=tuple(self.limits.values()))
-
-    def deadline_terms(self) -> DeadlineSettings | None:
-        """What is said of deadlines and of further attempts; None: nothing."""
-        if self.deadlines is None and self.further is None:
-            return None
-        further = self.further and replace(
-            self.further, classes=tuple(self.further_classes.values())
-        )
-        return replace(self.deadlines or DeadlineSettings(), further=further)
-
-    def finish(self) -> CellMap | None:
-        """The cell map, if the file names cells; BadWord where its words do not fit together."""
-        if self.further_classes and self.further is None:
-            name = next(iter(self.further_classes))
-            raise BadWord(
-                "further_class: needs further_attempts", self.said_at["further_class", name]
-            )
-        if not self.cells:
-            if self.tenants:
-                name = next(iter(self.tenants))
-                raise BadWord("tenant.cell: the file names no cell", self.said_at["tenant", name])
-            return None
-        for tenant in self.tenants.values():
-            for cell in tenant.cells:
-                if cell not in self.cells:
-                    raise BadWord(
-                        f"tenant.cell: {cell!r} of {tenant.name!r} is no cell",
-                        self.said_at["tenant", tenant.name],
-                    )
-        default = self.default or (next(iter(self.cells)) if len(self.cells) == 1 else "")
-        if not default:
-            raise BadWord("default_cell: is missing", self.calls)
-        if default not in self.cells:
-            raise BadWord(f"default_cell: {default!r} is no cell", self.said_at["default_cell", ""])
-        taken: dict[tuple[str, str], str] = {}
-        for cell_ in self.cells.values():
-            for key in ("engines", "zones", "models"):
-                for value in getattr(cell_, key):
-                    if (other := taken.setdefault((key, value), cell_.name)) != cell_.name:
-                        raise BadWord(
-                            f"cell.{key}: {value!r} is in {other!r} already",
-                            self.said_at["cell", cell_.name],
-                        )
-        try:
-            return CellMap(
-                self.epoch, tuple(self.cells.values()), default, self.tenants, self.timing
-            )
-        except BadMap as error:
-            raise BadWord(str(error), self.calls) from None
-
-
-# --- what arguments may be ---
-
-
-def _text(value: Any, key: str) -> str:
-    if not isinstance(value, str) or not value or len(value) > 256 or not value.isprintable():
-        raise BadWord(f"{key}: {value!r:.60} is no text of 1 to 256 printable characters")
-    return value
-
-
-def _number(value: Any, key: str, least: float = 0.0, above: bool = False) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not -1e15 < value < 1e15:
-        raise BadWord(f"{key}: {value!r:.60} is no number")
-    if value < least or (above and value <= least):
-        raise BadWord(f"{key}: must be {'above' if above else 'at least'} {least:g}")
-    return float(value)
-
-
-def _whole(value: Any, key: str, least: int = 0) -> int:
-    if value != int(_number(value, key, least)):
-        raise BadWord(f"{key}: {value!r} is no whole number")
-    return int(value)
-
-
-def _texts(value: Any, key: str) -> tuple[str, ...]:
-    if not isinstance(value, list | tuple):
-        raise BadWord(f"{key}: {value!r:.60} is no list")
-    return tuple(_text(v, key) for v in value)
-
-
-def _choice(value: Any, key: str, among: tuple[str, ...]) -> Any:
-    if value not in among:
-        raise BadWord(f"{key}: {value!r:.60} is none of {', '.join(repr(a) for a in among if a)}")
-    return value
-
-
-def _new(draft: Draft, word: str, name: str, known: Mapping[str, Any]) -> None:
-    if name in known:
-        raise BadWord(f"{word}.name: {name!r} is used twice")
-    draft.said_at[word, name] = draft.calls
-
-
-def _single(draft: Draft, word: str) -> None:
-    if word in draft.once:
-        raise BadWord(f"{word}: is said twice")
-    draft.once.add(word)
-    draft.said_at[word, ""] = draft.calls
-
-
-# --- the words ---
-
-
-def epoch(draft: Draft, number: Any) -> None:
-    """Every changed map needs a higher one."""
-    _single(draft, "epoch")
-    draft.epoch = _whole(number, "epoch")
+from .arguments import (
+    DirectiveError,
+    check_address,
+    check_choice,
+    check_flag,
+    check_fraction,
+    check_integer,
+    check_number,
+    check_text,
+    check_texts,
+    milliseconds_to_ns,
+    seconds_to_ns,
+)
+from .draft import ConfigDraft
+
+#: A script of a large fleet has some thousands; more are a loop that was not meant.
+MAX_DIRECTIVE_CALLS = 200_000
+#: Names of cells and limits are labels of metrics and parts of paths.
+MAX_NAME_LENGTH = 64
+#: With half of the brokers lost neither side of a partition knows that it is the larger.
+LOSS_FRACTION_LIMIT = 0.5
+#: A clock that runs at half the speed would double each lease.
+CLOCK_DRIFT_LIMIT = 0.5
+MIN_OBSERVERS = 2
+MIN_GOSSIP_INTERVAL_S = 0.05
+MIN_SYNC_INTERVAL_S = 0.5
+MIN_FORGET_S = 10
+MIN_QUOTA_DURATION_S = 0.2
+
+
+def _check_name(name: str, key: str) -> None:
+    if "/" in name or len(name) > MAX_NAME_LENGTH:
+        raise DirectiveError(key, f"{name!r:.70} must have 64 characters at the most, and no /")
+
+
+# --- cells ---
+
+
+def epoch(draft: ConfigDraft, number: Any) -> None:
+    """Set the epoch of the cell map; every changed map needs a higher one."""
+    draft.declare_once("epoch")
+    draft.epoch = check_integer(number, "epoch")
 
 
 def cell(
-    draft: Draft,
+    draft: ConfigDraft,
     name: Any,
     weight: Any = 1.0,
     engines: Any = (),
@@ -189,77 +90,73 @@
     most: Any = 0,
     share: Any = 0.0,
 ) -> str:
-    """A part of the fleet; gives its name back."""
-    name = _text(name, "cell.name")
-    if "/" in name or len(name) > 64:
-        raise BadWord(f"cell.name: {name!r:.70} must have 64 characters at the most, and no /")
-    _new(draft, "cell", name, draft.cells)
-    least, most = _whole(least, "cell.least"), _whole(most, "cell.most")
-    if most and most < least:
-        raise BadWord(f"cell.most: must be 0 or at least {least}")
+    """Declare a cell, a part of the fleet, and return its name."""
+    name = check_text(name, "cell.name")
+    _check_name(name, "cell.name")
+    draft.declare("cell", name, draft.cells)
+    min_endpoints = check_integer(least, "cell.least")
+    max_endpoints = check_integer(most, "cell.most")
+    if max_endpoints and max_endpoints < min_endpoints:
+        raise DirectiveError("cell.most", f"must be 0 or at least {min_endpoints}")
     draft.cells[name] = Cell(
         name,
-        _number(weight, "cell.weight", above=True),
-        _texts(engines, "cell.engines"),
-        _texts(zones, "cell.zones"),
-        _texts(models, "cell.models"),
-        least,
-        most,
-        _number(share, "cell.share"),
+        check_number(weight, "cell.weight", above=True),
+        check_texts(engines, "cell.engines"),
+        check_texts(zones, "cell.zones"),
+        check_texts(models, "cell.models"),
+        min_endpoints,
+        max_endpoints,
+        check_number(share, "cell.share"),
     )
     return str(name)
 
 
-def tenant(draft: Draft, name: Any, cell: Any = None, cells: Any = None, key: Any = "") -> str:
-    """A tenant's home: one cell, or several among which it is spread by a field."""
-    name = _text(name, "tenant.name")
+def tenant(
+    draft: ConfigDraft, name: Any, cell: Any = None, cells: Any = None, key: Any = ""
+) -> str:
+    """Declare the cell of a tenant, or several among which a field of the request spreads it."""
+    name = check_text(name, "tenant.name")
     if "#" in name:
-        raise BadWord("tenant.name: may hold no #")
-    _new(draft, "tenant", name, draft.tenants)
+        raise DirectiveError("tenant.name", "may hold no #")
+    draft.declare("tenant", name, draft.tenants)
     if (cell is None) == (cells is None):
-        raise BadWord("tenant.cell: name one cell, or several as cells")
-    homes = (_text(cell, "tenant.cell"),) if cells is None else _texts(cells, "tenant.cells")
-    key = _choice(key, "tenant.key", KEY_FIELDS)
+        raise DirectiveError("tenant.cell", "name one cell, or several as cells")
+    if cells is None:
+        homes: tuple[str, ...] = (check_text(cell, "tenant.cell"),)
+    else:
+        homes = check_texts(cells, "tenant.cells")
+    key = check_choice(key, "tenant.key", KEY_FIELDS)
     if not homes or len(set(homes)) < len(homes):
-        raise BadWord("tenant.cells: must name each cell once")
+        raise DirectiveError("tenant.cells", "must name each cell once")
     if len(homes) > 1 and not key:
-        raise BadWord("tenant.key: is missing, since the tenant is in several cells")
+        raise DirectiveError("tenant.key", "is missing, since the tenant is in several cells")
     draft.tenants[name] = Tenant(name, homes, key)
     return str(name)
 
 
-def default_cell(draft: Draft, name: Any) -> None:
-    """Where tenants go that nobody names."""
-    _single(draft, "default_cell")
-    draft.default = _text(name, "default_cell")
+def default_cell(draft: ConfigDraft, name: Any) -> None:
+    """Set the cell of the tenants that the file does not name."""
+    draft.declare_once("default_cell")
+    draft.default_cell = check_text(name, "default_cell")
 
 
-def moves(draft: Draft, **seconds: Any) -> None:
-    """How long a move may stay in each stage, in seconds."""
-    _single(draft, "moves")
-    known = {f.name for f in fields(Timing)}
+def moves(draft: ConfigDraft, **seconds: Any) -> None:
+    """Set how many seconds a migration may stay in each stage."""
+    draft.declare_once("moves")
+    stages = {stage.name for stage in fields(Timing)}
     for key in seconds:
-        if key not in known:
-            raise BadWord(f"moves.{key}: is none of {', '.join(sorted(known))}")
+        if key not in stages:
+            raise DirectiveError(f"moves.{key}", f"is none of {', '.join(sorted(stages))}")
     draft.timing = Timing(
-        **{key: int(_number(value, f"moves.{key}") * 1000) * MS for key, value in seconds.items()}
+        **{key: seconds_to_ns(value, f"moves.{key}") for key, value in seconds.items()}
     )
 
 
-def _flag(value: Any, key: str) -> bool:
-    if not isinstance(value, bool):
-        raise BadWord(f"{key}: {value!r:.60} is neither True nor False")
-    return value
-
-
-def _share(value: Any, key: str) -> float:
-    if (value := _number(value, key)) > 1:
-        raise BadWord(f"{key}: must lie in 0 to 1")
-    return float(value)
+# --- deadlines, retries and logs ---
 
 
 def deadlines(
-    draft: Draft,
+    draft: ConfigDraft,
     learn: Any = False,
     margin_ms: Any = 10,
     least_margin_ms: Any = 2,
@@ -269,72 +166,72 @@
     half_close: Any = "left",
     slow_reader: Any = 30,
 ) -> None:
-    """How a request's time is counted, and when its client has left."""
-    _single(draft, "deadlines")
-    start, least, most = (
-        int(_number(v, f"deadlines.{k}", above=True) * MS)
-        for k, v in (
-            ("margin_ms", margin_ms),
-            ("least_margin_ms", least_margin_ms),
-            ("most_margin_ms", most_margin_ms),
-        )
-    )
-    if not least <= start <= most:
-        raise BadWord("deadlines.margin_ms: must lie in least_margin_ms to most_margin_ms")
+    """Set how a request's time is counted, and when its client counts as departed."""
+    draft.declare_once("deadlines")
+    start_ns = milliseconds_to_ns(margin_ms, "deadlines.margin_ms")
+    least_ns = milliseconds_to_ns(least_margin_ms, "deadlines.least_margin_ms")
+    most_ns = milliseconds_to_ns(most_margin_ms, "deadlines.most_margin_ms")
+    if not least_ns <= start_ns <= most_ns:
+        raise DirectiveError("deadlines.margin_ms", "must lie in least_margin_ms to most_margin_ms")
     draft.deadlines = DeadlineSettings(
-        _flag(learn, "deadlines.learn"),
-        MarginTerms(start, least, most, _share(margin_share, "deadlines.margin_share")),
-        _choice(count_from, "deadlines.count_from", ("first", "last")),
-        _choice(half_close, "deadlines.half_close", ("left", "answer")),
-        int(_number(slow_reader, "deadlines.slow_reader", above=True) * 1000) * MS,
+        check_flag(learn, "deadlines.learn"),
+        MarginTerms(
+            start_ns, least_ns, most_ns, check_fraction(margin_share, "deadlines.margin_share")
+        ),
+        check_choice(count_from, "deadlines.count_from", ("first", "last")),
+        check_choice(half_close, "deadlines.half_close", ("left", "answer")),
+        seconds_to_ns(slow_reader, "deadlines.slow_reader", above=True),
     )
 
 
 def further_attempts(
-    draft: Draft,
+    draft: ConfigDraft,
     share: Any = 0.2,
     burst: Any = 10,
     by_tenant: Any = True,
     first: Any = 1.0,
     least_ms: Any = 100,
 ) -> None:
-    """A budget for further attempts: a share of a token for each first one, and how many may be
-    saved up.
-    """
-    _single(draft, "further_attempts")
-    if not (first := _share(first, "further_attempts.first")):
-        raise BadWord("further_attempts.first: must be above 0")
-    draft.further = FurtherTerms(
-        _number(share, "further_attempts.share"),
-        _number(burst, "further_attempts.burst", 1),
+    """Set the retry budget: what a first attempt earns, and how much may be saved up."""
+    draft.declare_once("further_attempts")
+    first = check_fraction(first, "further_attempts.first")
+    if not first:
+        raise DirectiveError("further_attempts.first", "must be above 0")
+    draft.retry_budget = RetryBudgetSettings(
+        check_number(share, "further_attempts.share"),
+        check_number(burst, "further_attempts.burst", 1),
         (),
-        _flag(by_tenant, "further_attempts.by_tenant"),
+        check_flag(by_tenant, "further_attempts.by_tenant"),
         first,
-        int(_number(least_ms, "further_attempts.least_ms", above=True) * MS),
+        milliseconds_to_ns(least_ms, "further_attempts.least_ms"),
     )
 
 
-def further_class(draft: Draft, name: Any, share: Any, burst: Any) -> None:
-    """Another budget for one class."""
-    name = _text(name, "further_class.name")
-    _new(draft, "further_class", name, draft.further_classes)
-    draft.further_classes[name] = (
+def further_class(draft: ConfigDraft, name: Any, share: Any, burst: Any) -> None:
+    """Give one request class a retry budget of its own."""
+    name = check_text(name, "further_class.name")
+    draft.declare("further_class", name, draft.retry_budget_classes)
+    draft.retry_budget_classes[name] = (
         name,
-        _number(share, "further_class.share"),
-        _number(burst, "further_class.burst", 1),
+        check_number(share, "further_class.share"),
+        check_number(burst, "further_class.burst", 1),
     )
 
 
-def logs(draft: Draft, format: Any = "text", stories: Any = 0.0) -> None:
-    """Structured lines, and the share of requests that get a line of their own."""
-    _single(draft, "logs")
+def logs(draft: ConfigDraft, format: Any = "text", stories: Any = 0.0) -> None:
+    """Set the format of the log, and the fraction of requests whose trace is logged."""
+    draft.declare_once("logs")
     draft.logs = Logs(
-        _choice(format, "logs.format", ("plain", "text", "json")), _share(stories, "logs.stories")
+        check_choice(format, "logs.format", ("plain", "text", "json")),
+        check_fraction(stories, "logs.stories"),
     )
 
 
+# --- start-up ---
+
+
 def start(
-    draft: Draft,
+    draft: ConfigDraft,
     list_connects: Any = 50,
     list_wait: Any = 10,
     engine_probes: Any = 20,
@@ -348,49 +245,34 @@
     last_list_age: Any = 3_600,
     installation: Any = "",
 ) -> None:
-    """How a broker starts where hundreds may start at once; rates are the whole fleet's, times in
-    seconds.
-    """
-    _single(draft, "start")
-    if not 0 < (floor := _share(floor, "start.floor")):
-        raise BadWord("start.floor: must be above 0")
+    """Set how a broker starts where hundreds start at once; rates are those of the whole fleet."""
+    draft.declare_once("start")
+    floor = check_fraction(floor, "start.floor")
+    if not floor > 0:
+        raise DirectiveError("start.floor", "must be above 0")
     if last_list and not str(last_list).startswith("/"):
-        raise BadWord(f"start.last_list: {last_list!r:.60} is no path from the root")
-
-    def span(value: Any, key: str) -> int:
-        return int(_number(value, f"start.{key}") * 1000) * MS
-
-    draft.start = StartupSettings(
-        _number(list_connects, "start.list_connects", above=True),
-        span(list_wait, "list_wait"),
-        _number(engine_probes, "start.engine_probes", above=True),
-        _number(engine_connects, "start.engine_connects", above=True),
-        _number(accepts, "start.accepts", above=True),
-        _share(contact_part, "start.contact_part"),
-        span(contact_wait, "contact_wait"),
+        raise DirectiveError("start.last_list", f"{last_list!r:.60} is no path from the root")
+    draft.startup = StartupSettings(
+        check_number(list_connects, "start.list_connects", above=True),
+        seconds_to_ns(list_wait, "start.list_wait"),
+        check_number(engine_probes, "start.engine_probes", above=True),
+        check_number(engine_connects, "start.engine_connects", above=True),
+        check_number(accepts, "start.accepts", above=True),
+        check_fraction(contact_part, "start.contact_part"),
+        seconds_to_ns(contact_wait, "start.contact_wait"),
         floor,
-        span(ramp, "ramp"),
-        _text(last_list, "start.last_list") if last_list else "",
-        span(last_list_age, "last_list_age"),
-        _text(installation, "start.installation") if installation else "",
+        seconds_to_ns(ramp, "start.ramp"),
+        check_text(last_list, "start.last_list") if last_list else "",
+        seconds_to_ns(last_list_age, "start.last_list_age"),
+        check_text(installation, "start.installation") if installation else "",
     )
 
 
-def _address(value: Any, key: str) -> str:
-    text = str(_text(value, key))
-    host, _, port = text.rpartition(":")
-    parts = host.split(".")
-    if (
-        len(parts) != 4
-        or not all(p.isdecimal() and int(p) < 256 for p in parts)
-        or not (port.isdecimal() and int(port) < 65_536)
-    ):
-        raise BadWord(f"{key}: {text!r:.60} is no IPv4 address host:port")
-    return text
+# --- what brokers share ---
 
 
 def members(
-    draft: Draft,
+    draft: ConfigDraft,
     address: Any,
     key_file: Any,
     installation: Any,
@@ -403,73 +285,70 @@
     settle: Any = 5,
     forget: Any = 600,
 ) -> None:
-    """The brokers find out which of them are there; times in seconds."""
-    _single(draft, "members")
-    if not 0 < (part := _share(part, "members.part")) < 0.5:
-        raise BadWord(
-            "members.part: must lie between 0 and 0.5: with half lost neither side may be sure"
+    """Set how the brokers find out which of them are alive; durations in seconds."""
+    draft.declare_once("members")
+    loss_fraction = check_fraction(part, "members.part")
+    if not 0 < loss_fraction < LOSS_FRACTION_LIMIT:
+        raise DirectiveError(
+            "members.part", "must lie between 0 and 0.5: with half lost neither side may be sure"
         )
-
-    def span(value: Any, key: str, least: float) -> int:
-        return int(_number(value, f"members.{key}", least) * 1000) * MS
-
-    draft.members = MembershipSettings(
-        _address(address, "members.address"),
-        _address(advertise, "members.advertise") if advertise else "",
-        tuple(_address(s, "members.seeds") for s in _texts(seeds, "members.seeds")),
-        _text(seeds_file, "members.seeds_file") if seeds_file else "",
-        _text(key_file, "members.key_file"),
-        _text(installation, "members.installation"),
-        span(interval, "interval", 0.05),
-        span(sync, "sync", 0.5),
-        part,
-        span(settle, "settle", 0),
-        span(forget, "forget", 10),
+    draft.membership = MembershipSettings(
+        check_address(address, "members.address"),
+        check_address(advertise, "members.advertise") if advertise else "",
+        tuple(check_address(seed, "members.seeds") for seed in check_texts(seeds, "members.seeds")),
+        check_text(seeds_file, "members.seeds_file") if seeds_file else "",
+        check_text(key_file, "members.key_file"),
+        check_text(installation, "members.installation"),
+        seconds_to_ns(interval, "members.interval", MIN_GOSSIP_INTERVAL_S),
+        seconds_to_ns(sync, "members.sync", MIN_SYNC_INTERVAL_S),
+        loss_fraction,
+        seconds_to_ns(settle, "members.settle"),
+        seconds_to_ns(forget, "members.forget", MIN_FORGET_S),
     )
 
 
-def limit(draft: Draft, name: Any, kind: Any = "tenant", rate: Any = 0) -> None:
-    """A limit that all brokers share; without a rate it is as the settings have it."""
-    name = _text(name, "limit.name")
-    _new(draft, "limit", name, draft.limits)
-    kind = _choice(kind, "limit.kind", QUOTA_KINDS)
-    if "/" in name or len(name) > 64:
-        raise BadWord(f"limit.name: {name!r:.70} must have 64 characters at the most, and no /")
-    if kind != "tenant" and any(li.kind == kind for li in draft.limits.values()):
-        raise BadWord(f"limit.kind: there is a limit of kind {kind} already")
-    rate = _number(rate, "limit.rate")
+def limit(draft: ConfigDraft, name: Any, kind: Any = "tenant", rate: Any = 0) -> None:
+    """Declare a limit that all brokers share; without a rate the platform settings give it."""
+    name = check_text(name, "limit.name")
+    draft.declare("limit", name, draft.limits)
+    kind = check_choice(kind, "limit.kind", QUOTA_KINDS)
+    _check_name(name, "limit.name")
+    if kind != "tenant" and any(known.kind == kind for known in draft.limits.values()):
+        raise DirectiveError("limit.kind", f"there is a limit of kind {kind} already")
+    rate = check_number(rate, "limit.rate")
     if kind in ("further", "connects") and not rate:
-        raise BadWord(f"limit.rate: is missing, the settings have none for {kind}")
+        raise DirectiveError("limit.rate", f"is missing, the settings have none for {kind}")
     if kind == "work" and rate:
-        raise BadWord("limit.rate: the engines say how much work there can be")
+        raise DirectiveError("limit.rate", "the engines say how much work there can be")
     draft.limits[name] = LimitSettings(name, kind, rate)
 
 
 def limits(
-    draft: Draft,
+    draft: ConfigDraft,
     lease: Any = 4,
     promise: Any = 6,
     drift: Any = 0.01,
     guaranteed: Any = 0.2,
     told: Any = 1,
 ) -> None:
-    """How limits are shared; times in seconds."""
-    _single(draft, "limits")
-    if not 0 < (drift := _share(drift, "limits.drift")) < 0.5:
-        raise BadWord("limits.drift: must lie between 0 and 0.5")
-    if not 0 < (guaranteed := _share(guaranteed, "limits.guaranteed")):
-        raise BadWord(
-            "limits.guaranteed: must be above 0: without contact a broker has nothing else"
+    """Set how limits are shared; durations in seconds."""
+    draft.declare_once("limits")
+    drift = check_fraction(drift, "limits.drift")
+    if not 0 < drift < CLOCK_DRIFT_LIMIT:
+        raise DirectiveError("limits.drift", "must lie between 0 and 0.5")
+    guaranteed = check_fraction(guaranteed, "limits.guaranteed")
+    if not guaranteed > 0:
+        raise DirectiveError(
+            "limits.guaranteed", "must be above 0: without contact a broker has nothing else"
         )
-    span = {
-        k: int(_number(v, f"limits.{k}", 0.2) * 1000) * MS
-        for k, v in (("lease", lease), ("promise", promise), ("told", told))
-    }
-    draft.shares = QuotaSettings(span["lease"], span["promise"], drift, guaranteed, span["told"])
+    lease_ns = seconds_to_ns(lease, "limits.lease", MIN_QUOTA_DURATION_S)
+    vote_ns = seconds_to_ns(promise, "limits.promise", MIN_QUOTA_DURATION_S)
+    gossip_interval_ns = seconds_to_ns(told, "limits.told", MIN_QUOTA_DURATION_S)
+    draft.quotas = QuotaSettings(lease_ns, vote_ns, drift, guaranteed, gossip_interval_ns)
 
 
 def verdicts(
-    draft: Draft,
+    draft: ConfigDraft,
     observers: Any = 3,
     failures: Any = 2,
     age: Any = 10,
@@ -478,40 +357,45 @@
     most_hold: Any = 60,
     told: Any = 0.5,
 ) -> None:
-    """What brokers see of engines, and operators say of them, is shared; times in seconds."""
-    _single(draft, "verdicts")
-    if (observers := _whole(observers, "verdicts.observers", 1)) < 2:
-        raise BadWord(
-            "verdicts.observers: must be at least 2: one that lies would hold out what it likes"
+    """Set how brokers agree on outliers and on operators' orders; durations in seconds."""
+    draft.declare_once("verdicts")
+    observers = check_integer(observers, "verdicts.observers", 1)
+    if observers < MIN_OBSERVERS:
+        raise DirectiveError(
+            "verdicts.observers", "must be at least 2: one that lies would hold out what it likes"
         )
-    span = {
-        k: int(_number(v, f"verdicts.{k}", above=True) * 1000) * MS
-        for k, v in (("age", age), ("hold", hold), ("most_hold", most_hold), ("told", told))
-    }
-    draft.verdicts = OutlierConsensusSettings(
+    age_ns = seconds_to_ns(age, "verdicts.age", above=True)
+    ejection_ns = seconds_to_ns(hold, "verdicts.hold", above=True)
+    max_ejection_ns = seconds_to_ns(most_hold, "verdicts.most_hold", above=True)
+    gossip_interval_ns = seconds_to_ns(told, "verdicts.told", above=True)
+    draft.outlier_consensus = OutlierConsensusSettings(
         observers,
-        _whole(failures, "verdicts.failures", 1),
-        span["age"],
-        _share(part, "verdicts.part"),
-        span["hold"],
-        span["most_hold"],
-        span["told"],
+        check_integer(failures, "verdicts.failures", 1),
+        age_ns,
+        check_fraction(part, "verdicts.part"),
+        ejection_ns,
+        max_ejection_ns,
+        gossip_interval_ns,
     )
 
 
-WORDS: dict[str, Callable[..., Any]] = {
-    "epoch": epoch,
-    "cell": cell,
-    "tenant": tenant,
-    "default_cell": default_cell,
-    "moves": moves,
-    "deadlines": deadlines,
-    "further_attempts": further_attempts,
-    "further_class": further_class,
-    "logs": logs,
-    "start": start,
-    "members": members,
-    "limit": limit,
-    "limits": limits,
-    "verdicts": verdicts,
+#: What a script may call, by the name that it calls it by.
+DIRECTIVES_BY_NAME: dict[str, Callable[..., Any]] = {
+    directive.__name__: directive
+    for directive in (
+        epoch,
+        cell,
+        tenant,
+        default_cell,
+        moves,
+        deadlines,
+        further_attempts,
+        further_class,
+        logs,
+        start,
+        members,
+        limit,
+        limits,
+        verdicts,
+    )
 }
--- /dev/null
+++ b/query_broker/operator_config/draft.py
@@ -0,0 +1,183 @@
+"""What the directives of one script have declared so far, and the checks of the whole.
+
+Performs no I/O, and knows nothing of Starlark.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field, replace
+from typing import Any
+
+from ..cells.model import BadMap, Cell, CellMap, Tenant, Timing
+from ..deadlines.retry_budget import RetryBudgetSettings
+from ..deadlines.settings import DeadlineSettings, Logs
+from ..membership.settings import MembershipSettings
+from ..outlier_consensus.settings import OutlierConsensusSettings
+from ..quotas.settings import LimitSettings, QuotaSettings
+from ..startup.settings import StartupSettings
+from .arguments import DirectiveError
+
+#: Attributes of a cell whose values each belong to one cell only.
+EXCLUSIVE_CELL_FIELDS = ("engines", "zones", "models")
+
+
+@dataclass(slots=True)
+class ConfigDraft:
+    """The declarations of a script that is being evaluated.
+
+    Attributes:
+        calls: Number of directives that were called.
+        epoch: Epoch of the cell map.
+        default_cell: Cell of the tenants that the file does not name; empty if not declared.
+        timing: Time limits of the stages of a migration.
+        cells: Cells by name, in the order of the file.
+        tenants: Tenants by name, in the order of the file.
+        declared_at: Number of the call that declared something, by directive and name; the name is
+            empty for a directive that may be called once only.
+        single_directives: The directives of that kind which were called.
+        deadlines: Deadlines, without the retry budget.
+        retry_budget: The retry budget, without the classes that have their own.
+        retry_budget_classes: Name, tokens earned by a first attempt and burst of each such class.
+        logs: Format of the log, and sampling of traces.
+        startup: How a broker starts in a fleet that starts.
+        membership: How brokers find each other.
+        limits: Limits that brokers share, by name.
+        quotas: How these limits are shared.
+        outlier_consensus: How brokers agree on outliers.
+    """
+
+    calls: int = 0
+    epoch: int = 0
+    default_cell: str = ""
+    timing: Timing = field(default_factory=Timing)
+    cells: dict[str, Cell] = field(default_factory=dict)
+    tenants: dict[str, Tenant] = field(default_factory=dict)
+    declared_at: dict[tuple[str, str], int] = field(default_factory=dict)
+    single_directives: set[str] = field(default_factory=set)
+    deadlines: DeadlineSettings | None = None
+    retry_budget: RetryBudgetSettings | None = None
+    retry_budget_classes: dict[str, tuple[str, float, float]] = field(default_factory=dict)
+    logs: Logs | None = None
+    startup: StartupSettings | None = None
+    membership: MembershipSettings | None = None
+    limits: dict[str, LimitSettings] = field(default_factory=dict)
+    quotas: QuotaSettings | None = None
+    outlier_consensus: OutlierConsensusSettings | None = None
+
+    def declare(self, directive: str, name: str, declared: Mapping[str, Any]) -> None:
+        """Note the call that declares a name.
+
+        Raises:
+            DirectiveError: The name is among those ``declared`` already.
+        """
+        if name in declared:
+            raise DirectiveError(f"{directive}.name", f"{name!r} is used twice")
+        self.declared_at[directive, name] = self.calls
+
+    def declare_once(self, directive: str) -> None:
+        """Note the call of a directive that a file may hold once.
+
+        Raises:
+            DirectiveError: It was called before.
+        """
+        if directive in self.single_directives:
+            raise DirectiveError(directive, "is said twice")
+        self.single_directives.add(directive)
+        self.declared_at[directive, ""] = self.calls
+
+    def build_quotas(self) -> QuotaSettings | None:
+        """Return the shared limits and how they are shared; None if there are none.
+
+        Raises:
+            DirectiveError: Something is shared, but the file declares no ``members``.
+        """
+        needing_members = {"limit": self.limits, "verdicts": self.outlier_consensus}
+        for directive, declared in needing_members.items():
+            if declared and self.membership is None:
+                raise DirectiveError(
+                    directive,
+                    "needs members(...): brokers that don't know each other share nothing",
+                )
+        if not self.limits:
+            return None
+        return replace(self.quotas or QuotaSettings(), limits=tuple(self.limits.values()))
+
+    def build_deadlines(self) -> DeadlineSettings | None:
+        """Return the deadlines with the retry budget; None if the file declares neither."""
+        if self.deadlines is None and self.retry_budget is None:
+            return None
+        retry_budget = self.retry_budget
+        if retry_budget is not None:
+            classes = tuple(self.retry_budget_classes.values())
+            retry_budget = replace(retry_budget, classes=classes)
+        return replace(self.deadlines or DeadlineSettings(), further=retry_budget)
+
+    def build_cell_map(self) -> CellMap | None:
+        """Return the cell map; None if the file declares no cells.
+
+        Raises:
+            DirectiveError: The directives do not fit together.
+        """
+        self._check_retry_budget_classes()
+        if not self.cells:
+            self._check_no_tenants()
+            return None
+        self._check_tenant_cells()
+        default_cell = self._find_default_cell()
+        self._check_exclusive_cell_fields()
+        cells = tuple(self.cells.values())
+        try:
+            return CellMap(self.epoch, cells, default_cell, self.tenants, self.timing)
+        except BadMap as error:
+            key, _, problem = str(error).partition(": ")  # the form of all its texts
+            raise DirectiveError(key, problem, self.calls) from None
+
+    def _check_retry_budget_classes(self) -> None:
+        if self.retry_budget_classes and self.retry_budget is None:
+            first = next(iter(self.retry_budget_classes))
+            raise DirectiveError(
+                "further_class", "needs further_attempts", self.declared_at["further_class", first]
+            )
+
+    def _check_no_tenants(self) -> None:
+        if self.tenants:
+            first = next(iter(self.tenants))
+            raise DirectiveError(
+                "tenant.cell", "the file names no cell", self.declared_at["tenant", first]
+            )
+
+    def _check_tenant_cells(self) -> None:
+        for tenant in self.tenants.values():
+            for cell in tenant.cells:
+                if cell not in self.cells:
+                    raise DirectiveError(
+                        "tenant.cell",
+                        f"{cell!r} of {tenant.name!r} is no cell",
+                        self.declared_at["tenant", tenant.name],
+                    )
+
+    def _find_default_cell(self) -> str:
+        default_cell = self.default_cell
+        if not default_cell and len(self.cells) == 1:
+            default_cell = next(iter(self.cells))
+        if not default_cell:
+            raise DirectiveError("default_cell", "is missing", self.calls)
+        if default_cell not in self.cells:
+            raise DirectiveError(
+                "default_cell", f"{default_cell!r} is no cell", self.declared_at["default_cell", ""]
+            )
+        return default_cell
+
+    def _check_exclusive_cell_fields(self) -> None:
+        owners: dict[tuple[str, str], str] = {}
+        for cell in self.cells.values():
+            for key in EXCLUSIVE_CELL_FIELDS:
+                for value in getattr(cell, key):
+                    owner = owners.setdefault((key, value), cell.name)
+                    if owner != cell.name:
+                        raise DirectiveError(
+                            f"cell.{key}",
+                            f"{value!r} is in {owner!r} already",
+                            self.declared_at["cell", cell.name],
+                        )
--- a/query_broker/operator_config/script.py
+++ b/query_broker/operator_config/script.py
@@ -1,13 +1,15 @@
-"""Evaluates the operators' file: in a process of its own, bounded in time, memory, steps and words.
+"""Evaluates the operators' file in a process of its own, within bounds.
 
-Danger: a script can build a list of any length in one step, which no count of steps sees: the
-daemon would be killed for memory with all that it had taken. So another process reads it, under a
-limit of its own, and tells what it says as JSON. The daemon never loads the interpreter.
+A script can build a list of any length in a single step, which no count of steps would notice: the
+broker itself would be killed for lack of memory, with all requests in flight. So another process
+evaluates the file under limits of its own and prints the result as JSON (see ``codec``). The broker
+never loads the Starlark interpreter.
+
+The process exits with 0 and prints the JSON, or with 2 and prints the error in one line.
 """
 
 from __future__ import annotations
 
-import json
 import os
 import re
 import resource
@@ -15,205 +17,215 @@
 import sys
 import time
 from collections.abc import Callable
-from dataclasses import asdict, dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
+
+from ..cells.model import BadMap
+from .arguments import DirectiveError
+from .codec import build_config, decode_config, encode_config
+from .directives import DIRECTIVES_BY_NAME, MAX_DIRECTIVE_CALLS
+from .draft import ConfigDraft
+from .settings import OperatorConfig
+
+#: Characters of the file; the map of a fleet with thousands of tenants has less than one million.
+MAX_FILE_LENGTH = 4 << 20
+#: Address space of the evaluating process, in bytes: small beside that of a broker's machine.
+MAX_MEMORY_BYTES = 512 << 20
+#: Processor time of the evaluating process; the broker waits twice as long for it.
+MAX_PROCESSOR_TIME_S = 5.0
+#: The interpreter gives up this long before the limit on processor time kills it.
+CANCEL_BEFORE_S = 1
+#: Calls within calls; Starlark has no recursion, so that more are an error in any case.
+MAX_CALL_DEPTH = 100
+EXIT_INVALID = 2
+#: Where the interpreter's error names line and column.
+ERROR_LOCATION = re.compile(r" --> .*?:(\d+):\d+\n")
+#: A text of the form ``key: problem`` or ``directive.key: problem``.
+KEYED_PROBLEM = re.compile(r"[a-z_]+(\.[a-z_]+)?: ")
+#: Counts of arguments in the texts of Python's ``TypeError``.
+ARGUMENT_COUNT = re.compile(r"(takes|from|to|but) (\d+)")
+
 
-from ..cells.model import BadMap, CellMap, from_plain
-from ..deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
-from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
-from ..membership.settings import MembershipSettings
-from ..outlier_consensus.settings import OutlierConsensusSettings
-from ..quotas.settings import LimitSettings, QuotaSettings
-from ..startup.settings import StartupSettings
-from .directives import MOST_CALLS, WORDS, BadWord, Draft
+class OperatorFileError(Exception):
+    """A file that cannot be accepted; the text is one line, ``FILE:LINE: key: problem``."""
 
-MOST_FILE = 4 << 20  # bytes of the file
-MOST_MEMORY = 512 << 20  # bytes of address space of the process that reads it
-MOST_SECONDS = 5.0  # of processor time there, and of waiting here
-MOST_DEPTH = 100  # calls within calls
-AT = re.compile(r" --> .*?:(\d+):\d+\n")
+    @classmethod
+    def of(cls, path: str, key: str, problem: object) -> OperatorFileError:
+        """Return the error of a file as a whole, where no line is at fault."""
+        return cls(f"{path}: {key}: {problem}")
 
 
-class OperatorFileError(Exception):
-    """One line: ``FILE:LINE: key: problem``."""
+class LateError(NamedTuple):
+    """An error that shows only at the end of a script, and the call that it is about."""
 
+    call: int
+    error: DirectiveError
 
-@dataclass(frozen=True, slots=True)
-class OperatorConfig:
-    """What the operators' file says. A part of which it says nothing is None."""
 
-    map: CellMap | None = None
-    deadlines: DeadlineSettings | None = None
-    logs: Logs | None = None
-    start: StartupSettings | None = None
-    members: MembershipSettings | None = None
-    shares: QuotaSettings | None = None
-    verdicts: OutlierConsensusSettings | None = None
+# --- in the broker ---
 
 
 def evaluate(path: str) -> OperatorConfig:
-    """Read the file in another process; OperatorFileError says what is wrong with it, and where."""
-    environ = {
-        **os.environ,
-        "PYTHONPATH": os.pathsep.join(
-            [str(Path(__file__).parents[2]), *filter(None, [os.environ.get("PYTHONPATH")])]
-        ),
-    }
+    """Evaluate the file in another process; waits for it, and so must not run on the event loop.
+
+    Raises:
+        OperatorFileError: The file cannot be read, evaluated or accepted.
+    """
+    finished = _run_evaluator(path)
+    if finished.returncode == EXIT_INVALID:
+        message = finished.stdout.strip().replace("\n", " ")
+        raise OperatorFileError(message or f"{path}: evaluation: failed")
+    if finished.returncode != 0:
+        raise OperatorFileError.of(path, "evaluation", _describe_crash(finished))
+    try:
+        return decode_config(finished.stdout)
+    except (ValueError, KeyError, TypeError, BadMap) as error:
+        raise OperatorFileError.of(path, "evaluation", error) from None
+
+
+def _run_evaluator(path: str) -> subprocess.CompletedProcess[str]:
+    search_path = [str(Path(__file__).parents[2])]
+    if inherited := os.environ.get("PYTHONPATH"):
+        search_path.append(inherited)
+    timeout_s = 2 * MAX_PROCESSOR_TIME_S
     try:
-        done = subprocess.run(
+        return subprocess.run(
             [sys.executable, "-m", "query_broker.operator_config.script", path],
-            env=environ,
+            env={**os.environ, "PYTHONPATH": os.pathsep.join(search_path)},
             capture_output=True,
             text=True,
-            timeout=2 * MOST_SECONDS,
+            timeout=timeout_s,
             check=False,
             stdin=subprocess.DEVNULL,
         )
     except subprocess.TimeoutExpired:
-        raise OperatorFileError(
-            f"{path}: evaluation: took longer than {2 * MOST_SECONDS:.0f} s"
+        raise OperatorFileError.of(
+            path, "evaluation", f"took longer than {timeout_s:.0f} s"
         ) from None
     except OSError as error:
-        raise OperatorFileError(f"{path}: evaluation: {error}") from None
-    if done.returncode == 2:
-        raise OperatorFileError(
-            done.stdout.strip().replace("\n", " ") or f"{path}: evaluation: failed"
-        )
-    if done.returncode != 0:
-        last = (done.stderr.strip().splitlines() or [f"ended with {done.returncode}"])[-1]
-        raise OperatorFileError(
-            f"{path}: evaluation: {'out of its bounds' if done.returncode < 0 else last}"
-        )
-    try:
-        said = json.loads(done.stdout)
-        return OperatorConfig(
-            None if said["map"] is None else from_plain(said["map"]),
-            None if said["deadlines"] is None else _deadlines(said["deadlines"]),
-            None if said["logs"] is None else Logs(**said["logs"]),
-            None if said["start"] is None else StartupSettings(**said["start"]),
-            None if said["members"] is None else _members(said["members"]),
-            None if said["shares"] is None else _shares(said["shares"]),
-            None if said["verdicts"] is None else OutlierConsensusSettings(**said["verdicts"]),
-        )
-    except (ValueError, KeyError, TypeError, BadMap) as error:
-        raise OperatorFileError(f"{path}: evaluation: {error}") from None
+        raise OperatorFileError.of(path, "evaluation", error) from None
 
 
-def _members(raw: dict[str, Any]) -> MembershipSettings:
-    return MembershipSettings(**{**raw, "seeds": tuple(raw["seeds"])})
+def _describe_crash(finished: subprocess.CompletedProcess[str]) -> str:
+    if finished.returncode < 0:  # ended by a signal, as the limits of the process do
+        return "out of its bounds"
+    lines = finished.stderr.strip().splitlines()
+    return lines[-1] if lines else f"ended with {finished.returncode}"
 
 
-def _shares(raw: dict[str, Any]) -> QuotaSettings:
-    return QuotaSettings(
-        **{**raw, "limits": tuple(LimitSettings(**limit) for limit in raw["limits"])}
-    )
+# --- in the evaluating process ---
 
 
-def _deadlines(raw: dict[str, Any]) -> DeadlineSettings:
-    further = raw["further"]
-    if further is not None:
-        further = FurtherTerms(**{**further, "classes": tuple(map(tuple, further["classes"]))})
-    return DeadlineSettings(**{**raw, "margin": MarginTerms(**raw["margin"]), "further": further})
+def run_script(path: str, text: str, is_cancelled: Callable[[], bool]) -> ConfigDraft:
+    """Evaluate the text of a file, and check its directives as a whole.
 
+    An error that shows only at the end is about an earlier directive, whose line the interpreter
+    knows only while it runs. The text does the same each time, so it is run again up to that
+    directive, which then fails.
 
-def run(path: str, text: str, stop: Callable[[], bool]) -> Draft:
-    """All words of the text, in their order; OperatorFileError with file, line and key.
+    Args:
+        path: Name of the file, for error texts.
+        text: The script.
+        is_cancelled: Called between steps; the evaluation ends once it returns True.
 
-    A fault that shows only at the end is about an earlier word, whose place the interpreter tells
-    only while it runs: the text, which does the same each time, is run again up to that word, which
-    then fails.
+    Raises:
+        OperatorFileError: With file, line and key.
     """
-    draft = _run(path, text, stop, None)
+    draft = _run_directives(path, text, is_cancelled, None)
     try:
-        draft.finish()
-        draft.shared()
-    except BadWord as error:
-        _run(path, text, stop, (error.call or draft.calls, str(error)))
-        raise OperatorFileError(f"{path}: {error}") from None
+        draft.build_cell_map()
+        draft.build_quotas()
+    except DirectiveError as error:
+        late_error = LateError(error.call or draft.calls, error)
+        _run_directives(path, text, is_cancelled, late_error)
+        without_line = f"{path}: {error}"
+        raise OperatorFileError(without_line) from None
     return draft
 
 
-def _run(path: str, text: str, stop: Callable[[], bool], fail_at: tuple[int, str] | None) -> Draft:
+def _run_directives(
+    path: str, text: str, is_cancelled: Callable[[], bool], late_error: LateError | None
+) -> ConfigDraft:
+    # The interpreter is an optional dependency, which only the evaluating process needs.
     import starlark
 
-    draft, module = Draft(), starlark.Module()
-
-    def word(name: str, does: Callable[..., Any]) -> Callable[..., Any]:
-        def call(*args: Any, **named: Any) -> Any:
-            draft.calls += 1
-            if draft.calls > MOST_CALLS:
-                raise BadWord(f"{name}: more than {MOST_CALLS} words")
-            if fail_at is not None and draft.calls == fail_at[0]:
-                raise BadWord(fail_at[1])
-            try:
-                return does(draft, *args, **named)
-            except TypeError as error:
-                raise BadWord(f"{name}: {_without_draft(str(error))}") from None
-
-        return call
-
-    for name, does in WORDS.items():
-        module.add_callable(name, word(name, does))
+    draft = ConfigDraft()
+    module = starlark.Module()
+    for name, directive in DIRECTIVES_BY_NAME.items():
+        module.add_callable(name, _make_callable(draft, name, directive, late_error))
     dialect = starlark.Dialect.extended()
     dialect.enable_load = False
     try:
         tree = starlark.parse(path, text, dialect)
         starlark.eval_with(
-            starlark.EvalOptions(check_cancelled=stop, max_callstack_size=MOST_DEPTH),
+            starlark.EvalOptions(check_cancelled=is_cancelled, max_callstack_size=MAX_CALL_DEPTH),
             module,
             tree,
             starlark.Globals.standard(),
         )
     except starlark.StarlarkError as error:
-        raise OperatorFileError(_told(path, str(error))) from None
+        raise OperatorFileError(_format_error(path, str(error))) from None
     return draft
 
 
-def _without_draft(text: str) -> str:
-    """Python's own words on arguments, which count the draft as well."""
-    return re.sub(r"(takes|from|to|but) (\d+)", lambda m: f"{m[1]} {max(0, int(m[2]) - 1)}", text)
+def _make_callable(
+    draft: ConfigDraft, name: str, directive: Callable[..., Any], late_error: LateError | None
+) -> Callable[..., Any]:
+    def call(*arguments: Any, **named: Any) -> Any:
+        draft.calls += 1
+        if draft.calls > MAX_DIRECTIVE_CALLS:
+            raise DirectiveError(name, f"more than {MAX_DIRECTIVE_CALLS} words")
+        if late_error is not None and draft.calls == late_error.call:
+            raise late_error.error
+        try:
+            return directive(draft, *arguments, **named)
+        except TypeError as error:
+            raise DirectiveError(name, f"{_discount_draft(str(error))}") from None
+
+    return call
+
 
+def _discount_draft(text: str) -> str:
+    """Lower the counts in Python's text on arguments, which include the draft."""
 
-def _told(path: str, text: str) -> str:
-    """One line of the interpreter's several."""
-    error = next(
-        (line for line in text.splitlines() if line.startswith("error: ")), text.splitlines()[0]
-    )
-    problem = error.removeprefix("error: ").removeprefix("BadWord: ")
-    place = AT.search(text)
-    where = f"{path}:{place[1]}" if place else path
-    if re.match(r"[a-z_]+(\.[a-z_]+)?: ", problem):
+    def lower(count: re.Match[str]) -> str:
+        return f"{count[1]} {max(0, int(count[2]) - 1)}"
+
+    return ARGUMENT_COUNT.sub(lower, text)
+
+
+def _format_error(path: str, text: str) -> str:
+    """Make one line of the several lines of the interpreter."""
+    lines = text.splitlines()
+    error = next((line for line in lines if line.startswith("error: ")), lines[0])
+    problem = error.removeprefix("error: ").removeprefix(f"{DirectiveError.__name__}: ")
+    location = ERROR_LOCATION.search(text)
+    where = f"{path}:{location[1]}" if location else path
+    if KEYED_PROBLEM.match(problem):
         return f"{where}: {problem}"
     return f"{where}: script: {problem}"
 
 
-def _main(path: str) -> int:
-    resource.setrlimit(resource.RLIMIT_AS, (MOST_MEMORY, MOST_MEMORY))
-    seconds = int(MOST_SECONDS)
+def _read_text(path: str) -> str:
+    with open(path, encoding="utf-8") as file:
+        text = file.read(MAX_FILE_LENGTH + 1)
+    if len(text) > MAX_FILE_LENGTH:
+        raise OperatorFileError.of(path, "file", f"is longer than {MAX_FILE_LENGTH} characters")
+    return text
+
+
+def _limit_process() -> None:
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY_BYTES, MAX_MEMORY_BYTES))
+    seconds = int(MAX_PROCESSOR_TIME_S)
     resource.setrlimit(resource.RLIMIT_CPU, (seconds, seconds + 1))
-    end = time.monotonic() + MOST_SECONDS - 1
+
+
+def _main(path: str) -> int:
+    _limit_process()
+    end = time.monotonic() + MAX_PROCESSOR_TIME_S - CANCEL_BEFORE_S
     try:
-        with open(path, encoding="utf-8") as file:
-            text = file.read(MOST_FILE + 1)
-        if len(text) > MOST_FILE:
-            raise OperatorFileError(f"{path}: file: is longer than {MOST_FILE} characters")
-        draft = run(path, text, lambda: time.monotonic() > end)
-        map, deadlines, shares = draft.finish(), draft.deadline_terms(), draft.shared()
-        print(
-            json.dumps(
-                {
-                    "map": None if map is None else map.plain(),
-                    "deadlines": None if deadlines is None else asdict(deadlines),
-                    "logs": None if draft.logs is None else asdict(draft.logs),
-                    "start": None if draft.start is None else asdict(draft.start),
-                    "members": None if draft.members is None else asdict(draft.members),
-                    "shares": None if shares is None else asdict(shares),
-                    "verdicts": None if draft.verdicts is None else asdict(draft.verdicts),
-                }
-            )
-        )
-        return 0
+        draft = run_script(path, _read_text(path), lambda: time.monotonic() > end)
+        print(encode_config(build_config(draft)))
     except OperatorFileError as error:
         print(error)
     except (OSError, UnicodeDecodeError) as error:
@@ -222,7 +234,9 @@
         print(f"{path}: file: needs the extra 'operators' (starlark-pyo3), which is not installed")
     except MemoryError:
         print(f"{path}: evaluation: takes more memory than it may")
-    return 2
+    else:
+        return 0
+    return EXIT_INVALID
 
 
 if __name__ == "__main__":
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -1,24 +1,31 @@
-"""A node with an operators' file: what the file sets is put in force at the start and at SIGHUP."""
+"""A node with an operators' file, which it applies at the start and again at SIGHUP.
+
+``services`` creates what the file may ask for: start-up, membership, quotas, and consensus on
+outliers.
+"""
 
 from __future__ import annotations
 
-import asyncio
 import os
-from collections.abc import Callable, Mapping
-from functools import partial
-from typing import TYPE_CHECKING
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, NamedTuple
 
-from ..config import Config, ConfigError
-from ..deadlines.retry_budget import RetryBudget
+from ..config import Config
 from ..deadlines.settings import DeadlineSettings
 from ..discovery.event_codec import EndpointListEvent
 from ..discovery.watch_client import WatchClient
-from ..dispatch.deadline_controls import DEFAULT_ANSWER_MARGIN_NS
-from ..dispatch.observers import DispatchObserver, RequestEnding
-from ..dispatch.requests import ActiveRequest
 from ..protocols.client_connection import ClientConnection
 from ..server.node import Node
-from .script import OperatorConfig, OperatorFileError, evaluate
+from .apply import LogFormat, apply_deadlines, apply_retry_budget
+from .reload import OperatorFileReload
+from .script import OperatorFileError
+from .services import (
+    create_membership_service,
+    create_outlier_consensus_service,
+    create_quota_service,
+    create_startup_service,
+)
+from .settings import OperatorConfig
 
 if TYPE_CHECKING:
     from ..membership.service import MembershipService
@@ -27,215 +34,201 @@
     from ..quotas.service import QuotaService
     from ..startup.service import StartupService
 
-LEARN = 1_000_000_000  # ns between two looks at the margin
-
+#: Often enough to follow a change of load, seldom enough to cost nothing beside requests.
+MARGIN_LEARNING_INTERVAL_NS = 1_000_000_000
 
-class _TraceObserver(DispatchObserver):
-    """Gives the log of requests' traces the end of each request."""
 
-    def __init__(self, write: Callable[[ActiveRequest, str], None]) -> None:
-        self._write = write
+class FleetPosition(NamedTuple):
+    """The size of the fleet and this broker's place in it, by which the decisions go."""
 
-    def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
-        self._write(request, ending.value)
+    fleet_size: int
+    broker_index: int
 
 
 class ConfiguredNode(Node):
-    """``said``: what the file says now; ``path``: where SIGHUP reads it again."""
+    """A node that an operators' file configures besides the platform settings.
+
+    Attributes:
+        operator_config: What the file declares, as it is in force.
+        operator_file: Path of the file, read again at SIGHUP.
+        startup_service: Paces the start; None unless the file has ``start``.
+        membership_service: Finds the other brokers; None unless the file has ``members``.
+        quota_service: Shares limits; None unless the file has a ``limit``.
+        outlier_consensus_service: Shares observations of endpoints; None unless the file has
+            ``verdicts``.
+    """
 
     def __init__(
         self,
         config: Config,
-        said: OperatorConfig,
-        path: str,
+        operator_config: OperatorConfig,
+        operator_file: str,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
-        self.said, self.path = said, path
-        self.pending: OperatorConfig | None = None
-        self.reading: asyncio.Future[OperatorConfig] | None = None
-        self.learned = 0
-        self.sized = (
-            config.settings.fleet_size,
-            config.settings.broker_index,
-        )  # what the module goes by
-        self.starting: StartupService | None = None
-        self.membership: MembershipService | None = None
-        self.sharing: QuotaService | None = None
-        self.judging: OutlierConsensusService | None = None
-        self.trace_observer: _TraceObserver | None = None
+        """Create the node with the services that the file asks for.
+
+        Args:
+            config: The platform settings.
+            operator_config: The evaluated operators' file.
+            operator_file: Where it was read, and is read again at SIGHUP.
+            environ: Environment of the process.
+
+        Raises:
+            ConfigError: A service needs an optional dependency that is not installed.
+        """
+        self.operator_config = operator_config
+        self.operator_file = operator_file
+        self.startup_service: StartupService | None = None
+        self.membership_service: MembershipService | None = None
+        self.quota_service: QuotaService | None = None
+        self.outlier_consensus_service: OutlierConsensusService | None = None
+        self._margin_learned_at_ns = 0
+        self._fleet_position = FleetPosition(
+            config.settings.fleet_size, config.settings.broker_index
+        )
         super().__init__(config, environ)
-        self._set_terms(said)
-        if said.start is not None:
-            from ..startup.service import StartupService
-
-            self.starting = StartupService(self, said.start)
-            self.admin_api.calls.append(self.starting.call)
-        if said.members is not None:
-            try:
-                from ..membership.service import MembershipService
-            except ImportError as error:
-                raise ConfigError(f"members: needs the extra 'members': {error}") from None
-            self.membership = MembershipService(self, said.members, self._view_changed)
-            self.admin_api.calls.append(self.membership.call)
-            self.dispatcher.extensions.metrics_sources.append(self.membership.metrics)
-            self.dispatcher.extensions.settings_adjusters.append(self.membership.adjust)
-            self._share(said, self.membership)
-
-    # --- the start ---
+        self._log_format = LogFormat(self)
+        self._operator_file_reload = OperatorFileReload(self, self.reloader.reject)
+        self._apply_controls(operator_config)
+        self._create_services(operator_config)
+
+    def _create_services(self, operator_config: OperatorConfig) -> None:
+        if operator_config.startup is not None:
+            self.startup_service = create_startup_service(self, operator_config.startup)
+        if operator_config.membership is None:
+            # Quotas and the consensus on outliers rest on it; a file that has them without it has
+            # been rejected.
+            return
+        membership_service = create_membership_service(
+            self, operator_config.membership, self._membership_changed
+        )
+        self.membership_service = membership_service
+        if operator_config.quotas is not None:
+            self.quota_service = create_quota_service(
+                self, membership_service, operator_config.quotas
+            )
+        if operator_config.outlier_consensus is not None:
+            self.outlier_consensus_service = create_outlier_consensus_service(
+                self, membership_service, operator_config.outlier_consensus
+            )
+
+    # --- events of the node that services follow ---
 
     def ready(self) -> bool:
-        return super().ready() and (self.starting is None or self.starting.ready())
+        """Return whether the node and its start-up are ready for requests."""
+        return super().ready() and (self.startup_service is None or self.startup_service.ready())
 
     def came(self, connection: ClientConnection) -> bool:
+        """Admit a client connection, if there is a place for it; start-up counts it."""
         if not super().came(connection):
             return False
-        if self.starting is not None:
-            self.starting.came(connection)
+        if self.startup_service is not None:
+            self.startup_service.came(connection)
         return True
 
     def make_watch_client(self, address: tuple[str, int]) -> WatchClient:
+        """Create the client that watches the endpoint list, paced while the fleet starts."""
         watch_client = super().make_watch_client(address)
-        if self.starting is not None:
-            self.starting.pace(watch_client)
+        if self.startup_service is not None:
+            self.startup_service.pace(watch_client)
         return watch_client
 
     def endpoint_list_changed(self, event: EndpointListEvent) -> None:
+        """Apply a change of the endpoint list."""
         super().endpoint_list_changed(event)
-        if self.starting is not None:
-            self.starting.told()
+        if self.startup_service is not None:
+            self.startup_service.told()
+
+    async def open_sockets(self) -> None:
+        """Open the sockets on which brokers find each other."""
+        if self.membership_service is not None:
+            await self.membership_service.open()
 
     def stop(self) -> None:
-        if self.starting is not None:
-            self.starting.stop()
-        if self.membership is not None:
-            self.membership.stop()
+        """Stop the services, then the node."""
+        if self.startup_service is not None:
+            self.startup_service.stop()
+        if self.membership_service is not None:
+            self.membership_service.stop()
         super().stop()
 
-    # --- the other brokers ---
-
-    def _share(self, said: OperatorConfig, membership: MembershipService) -> None:
-        if said.shares is None and said.verdicts is None:
+    def after_tick(self) -> None:
+        """Let the services do what is due."""
+        super().after_tick()
+        now_ns = self.clock.now()
+        if self.startup_service is not None:
+            self.startup_service.tick(now_ns)
+        self._leave_when_closing()
+        self._learn_margin(now_ns)
+
+    def _leave_when_closing(self) -> None:
+        service = self.membership_service
+        if self.closing_announced and service is not None and not service.detector.own.left:
+            service.leave()
+
+    def _learn_margin(self, now_ns: int) -> None:
+        controls = self.dispatcher.deadline_controls
+        is_due = now_ns - self._margin_learned_at_ns >= MARGIN_LEARNING_INTERVAL_NS
+        if controls.stages is not None and is_due:
+            self._margin_learned_at_ns = now_ns
+            controls.margin_ns = controls.stages.learn(now_ns)
+
+    def _membership_changed(self, view: MembershipView) -> None:
+        position = FleetPosition(view.effective_size, view.effective_index)
+        if position == self._fleet_position:
             return
-        if said.shares is not None:
-            from ..quotas.service import QuotaService
+        self._fleet_position = position
+        self.dispatcher.refresh_settings()
+        if self.startup_service is not None:
+            self.startup_service.resize(position.broker_index, position.fleet_size)
 
-            self.sharing = QuotaService(self, membership, said.shares)
-            self.admin_api.calls.append(self.sharing.handle_admin_call)
-            budget = self.dispatcher.deadline_controls.retry_budget
-            if budget is not None and self.sharing.has_retry_limit:
-                budget.gate = self.sharing.admit_retry
-        if said.verdicts is not None:
-            from ..outlier_consensus.service import OutlierConsensusService
+    # --- the operators' file ---
 
-            self.judging = OutlierConsensusService(self, membership, said.verdicts)
-            self.admin_api.calls.append(self.judging.handle_admin_call)
+    def check_operator_config(self, operator_config: OperatorConfig) -> OperatorConfig:
+        """Return a changed file that can be applied, before anything has changed.
 
-    async def open_sockets(self) -> None:
-        if self.membership is not None:
-            await self.membership.open()
-
-    def _view_changed(self, view: MembershipView) -> None:
-        if (view.effective_size, view.effective_index) != self.sized:
-            self.sized = view.effective_size, view.effective_index
-            self.dispatcher.refresh_settings()
-            if self.starting is not None:
-                self.starting.resize(view.effective_index, view.effective_size)
-
-    # --- what the file says ---
-
-    def _check(self, said: OperatorConfig) -> OperatorConfig:
-        """Turn it down here, before anything is changed."""
-        if said.map is not None:
-            raise OperatorFileError(
-                f"{self.path}: cell: cells need a start anew, since there were none"
+        Raises:
+            OperatorFileError: It has cells, which need a restart since there were none.
+        """
+        if operator_config.cell_map is not None:
+            raise OperatorFileError.of(
+                self.operator_file, "cell", "cells need a start anew, since there were none"
             )
-        return said
+        return operator_config
 
-    def _apply(self, said: OperatorConfig) -> None:
-        self.said = said
-        self._set_terms(said)
+    def apply_operator_config(self, operator_config: OperatorConfig) -> None:
+        """Apply a changed file that has been checked."""
+        self.operator_config = operator_config
+        self._apply_controls(operator_config)
 
-    def _set_terms(self, said: OperatorConfig) -> None:
-        controls = self.dispatcher.deadline_controls
-        terms = said.deadlines or DeadlineSettings()
-        controls.settings = terms
-        if terms.learn:
-            from ..deadlines.stage_latencies import StageLatencies
-
-            if controls.stages is None or controls.stages.terms != terms.margin:
-                controls.stages = StageLatencies(terms.margin)
-            controls.margin_ns = controls.stages.margin
-        else:
-            controls.stages = None
-            controls.margin_ns = DEFAULT_ANSWER_MARGIN_NS
-        if terms.further is None:
-            controls.retry_budget = None
-        elif controls.retry_budget is None or controls.retry_budget.terms != terms.further:
-            controls.retry_budget = RetryBudget(terms.further)
-            if self.sharing is not None and self.sharing.has_retry_limit:
-                controls.retry_budget.gate = self.sharing.admit_retry
-        self.log.sink = None
-        if self.trace_observer is not None:
-            self.dispatcher.extensions.remove_observer(self.trace_observer)
-            self.trace_observer = None
-        if said.logs is not None and said.logs.format != "plain":
-            from ..server.structured_log import Lines, stories
-
-            lines = Lines(self.config.name, said.logs)
-            self.log.sink = lines
-            self.trace_observer = _TraceObserver(stories(self.log, lines, self.clock.now))
-            self.dispatcher.add_observer(self.trace_observer)
-
-    def after_tick(self) -> None:
-        super().after_tick()
-        now = self.clock.now()
-        if self.starting is not None:
-            self.starting.tick(now)
-        if (
-            self.closing_announced
-            and self.membership is not None
-            and not self.membership.detector.own.left
-        ):
-            self.membership.leave()
+    def _apply_controls(self, operator_config: OperatorConfig) -> None:
         controls = self.dispatcher.deadline_controls
-        if controls.stages is not None and now - self.learned >= LEARN:
-            self.learned = now
-            controls.margin_ns = controls.stages.learn(now)
+        settings = operator_config.deadlines or DeadlineSettings()
+        apply_deadlines(controls, settings)
+        apply_retry_budget(controls, settings.further, self.quota_service)
+        self._log_format.apply(operator_config.logs)
 
     # --- SIGHUP ---
 
     def reload(self) -> None:
-        """The operators' file is evaluated beside the loop, then both files are taken or
-        neither.
-        """
+        """Reload both files; neither is applied if one of them is rejected."""
         if self.shutdown.begun:
-            return super().reload()
-        if self.reading is not None:
-            return
-        loop = asyncio.get_running_loop()
-        self.reading = loop.run_in_executor(None, partial(evaluate, self.path))
-        self.reading.add_done_callback(self._evaluated)
+            super().reload()
+        else:
+            self._operator_file_reload.begin()
 
-    def _evaluated(self, future: asyncio.Future[OperatorConfig]) -> None:
-        self.reading = None
-        if future.cancelled():
-            return
-        try:
-            self.pending = self._check(future.result())
-        except OperatorFileError as error:
-            self.reloader.reject(str(error))
-            return
-        except Exception as error:  # danger: no file, however odd, may end a process that serves
-            self.reloader.reject(f"{self.path}: {type(error).__name__}: {error}")
-            return
+    def reload_config(self) -> None:
+        """Reload the platform settings together with the evaluated operators' file."""
         super().reload()
-        self.pending = None
-        if self.membership is not None:
-            self.membership.reload()
-        if self.sharing is not None:
-            self.sharing.configure()
+        self._operator_file_reload.pending = None
+        if self.membership_service is not None:
+            self.membership_service.reload()
+        if self.quota_service is not None:
+            self.quota_service.configure()
 
     def apply_config(self, config: Config) -> None:
+        """Apply platform settings, and with them the operators' file of this reload."""
         super().apply_config(config)
-        if self.pending is not None:
-            self._apply(self.pending)
+        pending = self._operator_file_reload.pending
+        if pending is not None:
+            self.apply_operator_config(pending)
--- /dev/null
+++ b/query_broker/operator_config/services.py
@@ -0,0 +1,84 @@
+"""Creates the services that an operators' file asks for, and connects them to their node.
+
+They are imported only where the file asks for them: some need optional dependencies, and none may
+cost anything where it is not used.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from ..config import ConfigError
+from ..membership.settings import MembershipSettings
+from ..outlier_consensus.settings import OutlierConsensusSettings
+from ..quotas.settings import QuotaSettings
+from ..startup.settings import StartupSettings
+from .apply import gate_retries
+
+if TYPE_CHECKING:
+    from ..membership.service import MembershipService
+    from ..membership.views import MembershipView
+    from ..outlier_consensus.service import OutlierConsensusService
+    from ..quotas.service import QuotaService
+    from ..server.node import Node
+    from ..startup.service import StartupService
+
+
+def create_startup_service(node: Node, settings: StartupSettings) -> StartupService:
+    """Create the service that paces the start of a broker in a fleet that starts."""
+    from ..startup.service import StartupService
+
+    service = StartupService(node, settings)
+    node.admin_api.calls.append(service.call)
+    return service
+
+
+def create_membership_service(
+    node: Node, settings: MembershipSettings, view_changed: Callable[[MembershipView], None]
+) -> MembershipService:
+    """Create the service that finds the other brokers.
+
+    Args:
+        node: Its metrics, calls and settings are extended.
+        settings: From the operators' file.
+        view_changed: Called with each new view of the fleet.
+
+    Raises:
+        ConfigError: An optional dependency is not installed.
+    """
+    try:
+        from ..membership.service import MembershipService
+    except ImportError as error:
+        problem = f"members: needs the extra 'members': {error}"
+        raise ConfigError(problem) from None
+    service = MembershipService(node, settings, view_changed)
+    node.admin_api.calls.append(service.call)
+    node.dispatcher.extensions.metrics_sources.append(service.metrics)
+    node.dispatcher.extensions.settings_adjusters.append(service.adjust)
+    return service
+
+
+def create_quota_service(
+    node: Node, membership_service: MembershipService, settings: QuotaSettings
+) -> QuotaService:
+    """Create the service that shares limits; one on retries bounds the retry budget at once."""
+    from ..quotas.service import QuotaService
+
+    service = QuotaService(node, membership_service, settings)
+    node.admin_api.calls.append(service.handle_admin_call)
+    gate_retries(node.dispatcher.deadline_controls, service)
+    return service
+
+
+def create_outlier_consensus_service(
+    node: Node,
+    membership_service: MembershipService,
+    settings: OutlierConsensusSettings,
+) -> OutlierConsensusService:
+    """Create the service that shares observations of endpoints, and orders about them."""
+    from ..outlier_consensus.service import OutlierConsensusService
+
+    service = OutlierConsensusService(node, membership_service, settings)
+    node.admin_api.calls.append(service.handle_admin_call)
+    return service
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -28,7 +28,7 @@
 from query_broker.emulator.discovery_service import event, target
 from query_broker.emulator.processes import free_ports
 from query_broker.endpoints.connection_pools import ConnectionPool
-from query_broker.operator_config.script import OperatorConfig
+from query_broker.operator_config.settings import OperatorConfig
 from query_broker.protocols import client_frames as frames
 from query_broker.server.node import Node
 
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -721,7 +721,7 @@
     from query_broker.config import load
     from query_broker.operator_config.script import evaluate
 
-    first = evaluate(str(path)).map
+    first = evaluate(str(path)).cell_map
     assert first is not None
     async with running(load(env), env, make=celled(first, str(path))) as rig:
         figures = rig.node.dispatcher.metrics_counts
--- a/tests/test_deadlines_pure.py
+++ b/tests/test_deadlines_pure.py
@@ -26,7 +26,7 @@
 from query_broker.deadlines.stage_latencies import GENERATION, Quantiles, StageLatencies
 from query_broker.deadlines.write_queue import CONTROL, Frame, WriteQueue, rest
 from query_broker.dispatch.requests import ActiveRequest, Attempt
-from query_broker.operator_config.script import OperatorFileError, evaluate, run
+from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
 from query_broker.protocols import resp
 from query_broker.server.log import Log
 from query_broker.server.structured_log import Lines, sampled, stories
@@ -366,7 +366,7 @@
 )
 def test_a_fault_in_the_words_on_deadlines_names_its_key(text: str, key: str) -> None:
     with pytest.raises(OperatorFileError, match=rf"^ops.star:\d+: {key}: "):
-        run("ops.star", text, lambda: False)
+        run_script("ops.star", text, lambda: False)
 
 
 def test_the_example_says_what_is_read() -> None:
--- a/tests/test_deadlines_sockets.py
+++ b/tests/test_deadlines_sockets.py
@@ -18,8 +18,8 @@
 from query_broker.deadlines.settings import DeadlineSettings, Logs
 from query_broker.discovery.event_codec import parse_event
 from query_broker.dispatch.deadline_controls import DeadlineControls
-from query_broker.operator_config.script import OperatorConfig
 from query_broker.operator_config.service import ConfiguredNode
+from query_broker.operator_config.settings import OperatorConfig
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.server.node import Node
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -1029,7 +1029,9 @@
 
 def make_busy_node(folder: Path) -> ConfiguredNode:
     node = make_node(folder, cells=False)
-    membership, sharing, judging = node.membership, node.sharing, node.judging
+    membership = node.membership_service
+    sharing = node.quota_service
+    judging = node.outlier_consensus_service
     assert membership is not None and sharing is not None and judging is not None
     detector = membership.detector
     for number, status in enumerate(list(Status)[:4]):
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -29,8 +29,8 @@
     parse,
     waiting_for_restart,
 )
-from query_broker.operator_config.directives import WORDS
-from query_broker.operator_config.script import OperatorFileError, evaluate, run
+from query_broker.operator_config.directives import DIRECTIVES_BY_NAME
+from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
 
 # --- directives of the operators' file ---
 
@@ -569,7 +569,7 @@
 
 
 def signature_of(directive: str) -> str:
-    parameters = list(inspect.signature(WORDS[directive]).parameters.values())[1:]
+    parameters = list(inspect.signature(DIRECTIVES_BY_NAME[directive]).parameters.values())[1:]
     return ", ".join(
         f"**{p.name}"
         if p.kind is p.VAR_KEYWORD
@@ -581,7 +581,7 @@
 
 
 def test_names_and_arguments_of_all_directives() -> None:
-    assert {name: signature_of(name) for name in WORDS} == DIRECTIVES
+    assert {name: signature_of(name) for name in DIRECTIVES_BY_NAME} == DIRECTIVES
 
 
 def evaluated(folder: Path, script: str) -> dict[str, Any]:
@@ -589,18 +589,18 @@
     path = folder / "ops.star"
     path.write_text(script)
     read = evaluate(str(path))
-    assert read.map is not None
+    assert read.cell_map is not None
     parts = {
         "deadlines": read.deadlines,
         "logs": read.logs,
-        "start": read.start,
-        "members": read.members,
-        "shares": read.shares,
-        "verdicts": read.verdicts,
+        "start": read.startup,
+        "members": read.membership,
+        "shares": read.quotas,
+        "verdicts": read.outlier_consensus,
     }
     return {
-        "map": read.map.plain(),
-        "digest": read.map.digest(),
+        "map": read.cell_map.plain(),
+        "digest": read.cell_map.digest(),
         **{name: list(asdict(part).values()) for name, part in parts.items() if part is not None},
     }
 
@@ -618,7 +618,7 @@
 
 def script_error(script: str) -> str:
     with pytest.raises(OperatorFileError) as caught:
-        run("ops.star", script, lambda: False)
+        run_script("ops.star", script, lambda: False)
     return str(caught.value)
 
 
--- a/tests/test_members_settings.py
+++ b/tests/test_members_settings.py
@@ -13,7 +13,7 @@
     min_suspicion_ns,
     suspicion_timeout_ns,
 )
-from query_broker.operator_config.script import OperatorFileError, run
+from query_broker.operator_config.script import OperatorFileError, run_script
 
 from .members_support import SETTINGS
 
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(("text", "key"), BAD_DIRECTIVES.values(), ids=BAD_DIRECTIVES)
 def test_a_bad_directive_is_rejected_by_its_key(text: str, key: str) -> None:
     with pytest.raises(OperatorFileError) as rejected:
-        run("ops.star", text, lambda: False)
+        run_script("ops.star", text, lambda: False)
     assert f": {key}: " in str(rejected.value)
 
 
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -13,8 +13,10 @@
 
 from query_broker.cells.model import Timing
 from query_broker.cli.main import main
-from query_broker.operator_config.directives import BadWord, Draft, moves
-from query_broker.operator_config.script import OperatorFileError, evaluate, run
+from query_broker.operator_config.arguments import DirectiveError
+from query_broker.operator_config.directives import moves
+from query_broker.operator_config.draft import ConfigDraft
+from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
 
 from .sockets import ROOT, write_config
 
@@ -60,12 +62,12 @@
 @pytest.mark.parametrize(("text", "line", "key"), FAULTS)
 def test_a_fault_names_file_line_and_key(text: str, line: int, key: str) -> None:
     with pytest.raises(OperatorFileError) as fault:
-        run("ops.star", text, lambda: False)
+        run_script("ops.star", text, lambda: False)
     assert str(fault.value).startswith(f"ops.star:{line}: {key}: ") and "\n" not in str(fault.value)
 
 
 def test_the_example_under_deploy_is_read_as_it_says() -> None:
-    said = evaluate(str(ROOT / "deploy" / "operators.star")).map
+    said = evaluate(str(ROOT / "deploy" / "operators.star")).cell_map
     assert said is not None and [c.name for c in said.cells] == [
         "counters",
         "finance",
@@ -101,10 +103,10 @@
         'cells = [cell("c%d" % i) for i in range(12)]\n'
         '[tenant("t%d" % i, cell = cells[i % 12]) for i in range(1000)]\ndefault_cell("c0")'
     )
-    said = evaluate(str(path)).map
+    said = evaluate(str(path)).cell_map
     assert said is not None and len(said.tenants) == 1_000 and said.home("t13") == "c1"
     path.write_text("epoch(3)")
-    assert evaluate(str(path)).map is None  # nothing is said of cells
+    assert evaluate(str(path)).cell_map is None  # nothing is said of cells
 
 
 @pytest.mark.parametrize("path", ["/nowhere/ops.star", "."])
@@ -155,10 +157,10 @@
 
 
 def test_words_do_not_need_the_interpreter() -> None:
-    draft = Draft()
+    draft = ConfigDraft()
     moves(draft, warm=1.5)
-    assert draft.timing.warm == 1_500_000_000 and draft.finish() is None
-    with pytest.raises(BadWord, match="said twice"):
+    assert draft.timing.warm == 1_500_000_000 and draft.build_cell_map() is None
+    with pytest.raises(DirectiveError, match="said twice"):
         moves(draft)
 
 
--- a/tests/test_quotas_pure.py
+++ b/tests/test_quotas_pure.py
@@ -17,7 +17,7 @@
     SimulatedConditions,
     max_concurrent_leases_per_s,
 )
-from query_broker.operator_config.script import OperatorFileError, run
+from query_broker.operator_config.script import OperatorFileError, run_script
 from query_broker.quotas import leadership, voting
 from query_broker.quotas.counters import UsageCounters
 from query_broker.quotas.fair_allocation import DemandForecast, max_min_fair
@@ -404,7 +404,7 @@
 )
 def test_invalid_directive_names_its_key(text: str, key: str) -> None:
     with pytest.raises(OperatorFileError) as error:
-        run("ops.star", text, lambda: False)
+        run_script("ops.star", text, lambda: False)
     assert f": {key}: " in str(error.value)
 
 
--- a/tests/test_start_pure.py
+++ b/tests/test_start_pure.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from query_broker.operator_config.script import OperatorFileError, run
+from query_broker.operator_config.script import OperatorFileError, run_script
 from query_broker.startup import endpoint_snapshot as lastlist
 from query_broker.startup import pacing as paces
 from query_broker.startup.admission_ramp import MOST, Ramp, assumed, pause
@@ -295,7 +295,7 @@
 )
 def test_a_bad_word_names_its_key(text: str, key: str) -> None:
     with pytest.raises(OperatorFileError) as fault:
-        run("ops.star", text, lambda: False)
+        run_script("ops.star", text, lambda: False)
     assert f": {key}: " in str(fault.value)
 
 
