--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -16,7 +16,7 @@
 from ..cells.model import Cell, CellMap, Tenant
 from ..cells.node import CellNode
 from ..config import parse
-from ..operator_config.script import OperatorConfig
+from ..operator_config.settings import OperatorConfig
 from ..protocols import client_frames as frames
 from ..text_table import table
 from .clients import Asked, Book, quantile
