--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -10,7 +10,7 @@
 from typing import Protocol, cast
 
 from . import client_frames as frames
-from .client_reader import HALF_CLOSE_ANSWERS, ClientReader, NoLimits, ReadingHost, ReadingLimits
+from .client_reader import HALF_CLOSE_ANSWERS, ClientReader, ReadingHost, ReadingLimits
 from .client_requests import OpenRequests
 from .client_socket import ClientSocket
 from .client_timeouts import ClientTimeouts
@@ -52,7 +52,7 @@
         self.socket = ClientSocket()
         self.requests = OpenRequests(host, self)
         self.open = self.requests.open
-        self.reader = ClientReader(host, self, self.requests, self.socket, limits or NoLimits())
+        self.reader = ClientReader(host, self, self.requests, self.socket, limits)
         self.timeouts = ClientTimeouts(host, self, self.reader, self.socket)
 
     # --- from the socket ---
@@ -140,7 +140,7 @@
         Idle time counted from the request would end the connection right under a late answer: it
         counts from here.
         """
-        self.requests.answered(stream)
+        self.open.pop(stream, None)
         self.used = self.host.dispatcher.now()
         self.socket.write(data)
         if self.half_closed and not self.reader.has_work():
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -61,21 +61,6 @@
         """Return whether the connection may hold so many bytes of incomplete frames."""
 
 
-class NoLimits:
-    """No limits beyond those of the connection itself."""
-
-    def begin_turn(self) -> bool:
-        """Let each turn begin."""
-        return True
-
-    def end_turn(self) -> None:
-        """Take no note."""
-
-    def may_buffer(self, size: int) -> bool:
-        """Let the connection hold what it has."""
-        return True
-
-
 class ClientReader:
     """Takes frames in turns, and reads no more than it can use.
 
@@ -91,9 +76,9 @@
         connection: ReadingConnection,
         requests: OpenRequests,
         client_socket: ClientSocket,
-        limits: ReadingLimits,
+        limits: ReadingLimits | None,
     ) -> None:
-        """Take the connection's other parts, and the limits that hold for it."""
+        """Take the connection's other parts, and the limits beyond its own, if any."""
         self.host = host
         self.connection = connection
         self.requests = requests
@@ -125,6 +110,8 @@
         buffered = self.parser.buffered()
         self.host.partial += buffered - self.partial
         self.partial = buffered
+        if self.limits is None:
+            return
         if not self.limits.may_buffer(buffered) and not self.connection.broken:
             self.connection.break_off(NO_CAPACITY)
 
@@ -145,12 +132,14 @@
         A chunk can hold 25,000 frames; all other connections would stand still until the last is
         answered.
         """
-        if not self.limits.begin_turn():
+        if self.limits is None:
+            self._take_turn()
+        elif self.limits.begin_turn():
+            self._take_turn()
+            self.limits.end_turn()
+        else:
             self.waiting = True
             self.read_if_wanted()
-            return
-        self._take_turn()
-        self.limits.end_turn()
 
     def resume(self) -> None:
         """Go on with the next turn."""
--- a/query_broker/protocols/client_requests.py
+++ b/query_broker/protocols/client_requests.py
@@ -54,8 +54,7 @@
         """
         try:
             parsed = parse_request(payload)
-            self._check_is_new(parsed.client_request_id)
-            self._check_open_count()
+            self._check_may_open(parsed.client_request_id)
             self.open[stream] = None
             request = self.host.dispatcher.submit(self.client, stream, parsed, received_ns)
         except InvalidRequestError as error:
@@ -65,24 +64,21 @@
         if stream in self.open:  # it may have been answered at once
             self.open[stream] = request
 
-    def _check_is_new(self, request_id: str) -> None:
-        """The same frame hundreds of times over would take a tenant's quota from its others."""
+    def _check_may_open(self, request_id: str) -> None:
+        """Check that the id is new, and that there is a place for one more request.
+
+        The same frame hundreds of times over would take a tenant's quota from its others.
+        """
         if request_id in self.recent_ids:
             reason = f"{FIELD_CLIENT_REQUEST_ID}: is not new on this connection"
             raise InvalidRequestError(reason)
         self.recent_ids[request_id] = None
         if len(self.recent_ids) > MOST_OPEN:
             del self.recent_ids[next(iter(self.recent_ids))]
-
-    def _check_open_count(self) -> None:
         if len(self.open) >= MOST_OPEN:
             reason = f"more than {MOST_OPEN} open requests on one connection"
             raise InvalidRequestError(reason)
 
-    def answered(self, stream: int) -> None:
-        """Take note that a request is owed nothing more."""
-        self.open.pop(stream, None)
-
     def cancel(self, stream: int) -> None:
         """Cancel a request on behalf of its client, if it is open."""
         request = self.open.pop(stream, None)
