--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import Protocol
 
-from ..endpoints.connection_pools import OWN_PART, ConnectionPool, ConnectionPools
+from ..endpoints.connection_pool import ConnectionPool
+from ..endpoints.connection_pools import OWN_PART, ConnectionPools
+from ..endpoints.pool_interfaces import HandOverGate, LogWriter, UnsentObserver
 from ..protocols.engine_connection import EngineConnection, Owner
 from .borrowing import RESERVED_FRACTION, Account, Ledger
 from .request_accounting import RequestAccounting
@@ -25,7 +26,7 @@
         """The owner of the connections."""
 
     @property
-    def log(self) -> Callable[[str, str], None]:
+    def log(self) -> LogWriter:
         """Writes a line: its kind and its text."""
 
     @property
@@ -50,8 +51,8 @@
         streams: int,
         connect_timeout: int,
         conn_idle: int,
-        unsent: Callable[..., None],
-        may_go: Callable[..., bool],
+        unsent: UnsentObserver,
+        may_go: HandOverGate,
     ) -> None:
         """Start without connections; see `ConnectionPools` for the arguments besides ``host``."""
         super().__init__(
