--- a/tests/test_cells_pure.py
+++ b/tests/test_cells_pure.py
@@ -26,6 +26,7 @@
 )
 from query_broker.cells.model import BadMap, Cell, CellMap, Tenant, Timing, from_plain
 from query_broker.cells.placement import Placement, Seen
+from query_broker.cells.read_turns import ReadTurns
 from query_broker.cells.solver import NoPlan, solve
 from query_broker.cells.work_rates import DECAY_SPAN_NS, Rates
 
@@ -634,3 +635,72 @@
 def test_a_problem_that_cannot_be_names_its_key(text: str, key: str) -> None:
     with pytest.raises(plan.BadProblem, match=f"^{key}"):
         plan.read_problem(text)
+
+
+def test_unreadable_problem_is_a_bad_problem_without_a_key() -> None:
+    with pytest.raises(plan.UnreadableProblemError, match="^the file holds no JSON object$"):
+        plan.read_problem("[]")
+
+
+@pytest.mark.parametrize(
+    ("used", "owed"),
+    [
+        pytest.param({"a": 50, "b": 50}, {}, id="within the total"),
+        pytest.param({"a": 80, "b": 50}, {"a": 30}, id="one borrower"),
+        pytest.param({"a": 70, "b": 90}, {"b": 40, "a": 20}, id="the largest borrower first"),
+        pytest.param({"a": 60, "b": 60}, {"a": 10, "b": 10}, id="alike, in the cells' order"),
+    ],
+)
+def test_use_beyond_the_total_is_owed_by_borrowers(
+    used: dict[str, int], owed: dict[str, int]
+) -> None:
+    books = ledger()
+    for name, amount in used.items():
+        books.book(name, amount)
+    assert list(books.over_total().items()) == list(owed.items())
+
+
+class Connection:
+    """A connection that reads with its turn and spends the complete round each time."""
+
+    def __init__(self, turns: ReadTurns, cell: str) -> None:
+        self.turns = turns
+        self.cell = cell
+        self.reads = 0
+
+    def go_on(self) -> None:
+        if self.turns.may_read(self):
+            self.reads += 1
+            self.turns.charge(self.cell, 100)
+
+
+def test_a_connection_whose_turn_has_not_come_reads_in_the_next_round() -> None:
+    turns = ReadTurns({"a": 1.0, "b": 1.0}, 100.0)
+    greedy, modest = Connection(turns, "a"), Connection(turns, "b")
+    greedy.go_on()
+    modest.go_on()
+    greedy.go_on()  # its cell is in debt and not alone: it waits
+    assert (greedy.reads, modest.reads) == (1, 1) and list(turns.queue) == [greedy]
+    turns.next_round()  # nobody else is busy in this one
+    assert greedy.reads == 2 and not turns.queue
+
+
+def test_a_connection_that_ends_gives_up_its_turn() -> None:
+    turns = ReadTurns({"a": 1.0, "b": 1.0}, 100.0)
+    ending, other = Connection(turns, "a"), Connection(turns, "b")
+    ending.go_on()
+    other.go_on()
+    ending.go_on()
+    turns.discard(ending)
+    for _ in range(5):
+        turns.next_round()
+    assert ending.reads == 1
+
+
+def test_a_spread_tenants_part_number_has_one_spelling() -> None:
+    cells = (Cell("a"), Cell("b"))
+    spread = CellMap(1, cells, "a", {"x": Tenant("x", ("a", "b"), "route")})
+    known = [
+        part for part in ("0", "63", "64", "07", "-1", "٣", "", "x") if spread.known(f"x#{part}")
+    ]
+    assert known == ["0", "63"]
