--- a/query_broker/emulator/clients.py
+++ b/query_broker/emulator/clients.py
@@ -12,73 +12,77 @@
 
 from ..protocols import client_frames as frames
 
-MOST_ASKED = 32  # open requests on one connection, the protocol's limit
+MAX_OPEN_REQUESTS = 32  # open requests on one connection, the protocol's limit
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestRecord:
     """One request and what became of it. Times in Unix nanoseconds; ``code`` -1: no answer came."""
 
-    trace: str
+    request_id: str
     tenant: str
-    route: str
-    sent: int
-    patience: int
+    request_class: str
+    sent_ns: int
+    timeout_ns: int
     code: int = -1
-    answered: int = 0
-    answers: int = 0
-    pause: int = 0
-    nonce: str = ""
+    answered_ns: int = 0
+    answer_count: int = 0
+    retry_after_ms: int = 0
+    idempotency_key: str = ""
 
-    def in_time(self, aim: int) -> bool:
-        return self.code == frames.SERVED and self.answered - self.sent <= aim
+    def met_objective(self, aim: int) -> bool:
+        return self.code == frames.SERVED and self.answered_ns - self.sent_ns <= aim
 
 
-class Counter(asyncio.Protocol):
+class EmulatedClient(asyncio.Protocol):
     """One connection that asks without waiting, and books what is answered."""
 
-    def __init__(self, book: Book) -> None:
-        self.book = book
+    def __init__(self, book: RequestLog) -> None:
+        self.log = book
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.open: dict[int, Asked] = {}
-        self.stream = 0
-        self.ready: asyncio.Future[bool] | None = None
-        self.leaving = False  # the broker has said: no new request here
+        self.open_requests: dict[int, RequestRecord] = {}
+        self.last_stream = 0
+        self.readiness: asyncio.Future[bool] | None = None
+        self.broker_draining = False  # the broker has said: no new request here
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.open.clear()
+        self.open_requests.clear()
 
-    def usable(self) -> bool:
-        return self.transport is not None and not self.leaving and len(self.open) < MOST_ASKED
+    def has_capacity(self) -> bool:
+        return (
+            self.transport is not None
+            and not self.broker_draining
+            and len(self.open_requests) < MAX_OPEN_REQUESTS
+        )
 
-    def ask(self, asked: Asked, statement: bytes, weight: float) -> None:
+    def send_request(self, asked: RequestRecord, statement: bytes, weight: float) -> None:
         assert self.transport is not None
-        self.stream += 1
-        self.open[self.stream] = asked
+        self.last_stream += 1
+        self.open_requests[self.last_stream] = asked
         fields = {
-            "route": asked.route,
-            "trace": asked.trace,
-            "patience": str(asked.patience // 1_000_000),
+            "route": asked.request_class,
+            "trace": asked.request_id,
+            "patience": str(asked.timeout_ns // 1_000_000),
             "weight": f"{weight:.1f}",
             "ram": "16",
         }
-        for name, value in (("customer", asked.tenant), ("nonce", asked.nonce)):
+        for name, value in (("customer", asked.tenant), ("nonce", asked.idempotency_key)):
             if value:
                 fields[name] = value
         self.transport.write(
-            frames.frame(frames.REQUEST, self.stream, frames.write_fields(fields) + statement)
+            frames.frame(frames.REQUEST, self.last_stream, frames.write_fields(fields) + statement)
         )
 
-    def ask_ready(self) -> asyncio.Future[bool]:
+    def check_readiness(self) -> asyncio.Future[bool]:
         assert self.transport is not None
-        self.ready = asyncio.get_running_loop().create_future()
+        self.readiness = asyncio.get_running_loop().create_future()
         self.transport.write(frames.frame(frames.ASK_READY, 0, b"\0"))
-        return self.ready
+        return self.readiness
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
@@ -91,40 +95,40 @@
             del self.buffer[: 4 + length]
             if kind == frames.ANSWER:
                 self._answer(stream, payload)
-            elif kind == frames.READY and self.ready is not None and not self.ready.done():
-                self.ready.set_result(payload[:1] == b"\0")
+            elif kind == frames.READY and self.readiness is not None and not self.readiness.done():
+                self.readiness.set_result(payload[:1] == b"\0")
             elif kind == frames.NO_MORE:
-                self.leaving = True
+                self.broker_draining = True
 
     def _answer(self, stream: int, payload: bytes) -> None:
-        asked = self.open.pop(stream, None)
+        asked = self.open_requests.pop(stream, None)
         if asked is None:
-            self.book.strays += 1  # an answer to nothing that is open: a second one
+            self.log.unmatched_answers += 1  # an answer to nothing that is open: a second one
             return
-        asked.answers += 1
-        asked.code, asked.answered = payload[0], time.time_ns()
+        asked.answer_count += 1
+        asked.code, asked.answered_ns = payload[0], time.time_ns()
         fields, _ = frames.read_fields(payload[1:])
-        asked.pause = int(fields.get("pause", 0))
+        asked.retry_after_ms = int(fields.get("pause", 0))
 
 
-class Book:
+class RequestLog:
     """Every request that was asked of one address, over as many connections as it takes."""
 
     def __init__(self, host: str, port: int) -> None:
         self.host, self.port = host, port
-        self.asked: list[Asked] = []
-        self.counters: list[Counter] = []
-        self.strays = 0
+        self.records: list[RequestRecord] = []
+        self.clients: list[EmulatedClient] = []
+        self.unmatched_answers = 0
         self.ids = itertools.count(1)
 
-    async def counter(self) -> Counter:
+    async def connect(self) -> EmulatedClient:
         _, counter = await asyncio.get_running_loop().create_connection(
-            lambda: Counter(self), self.host, self.port
+            lambda: EmulatedClient(self), self.host, self.port
         )
-        self.counters.append(counter)
+        self.clients.append(counter)
         return counter
 
-    async def ask(
+    async def send_request(
         self,
         tenant: str,
         route: str,
@@ -136,42 +140,44 @@
         rows: int = 1,
         group: int = 1,
         nonce: str = "",
-    ) -> Asked:
+    ) -> RequestRecord:
         """``weight``: the estimate that is told, where it is not the true work; ``nonce``: the
         key.
         """
         number = next(self.ids)
-        asked = Asked(f"{number:016x}", tenant, route, time.time_ns(), patience, nonce=nonce)
+        asked = RequestRecord(
+            f"{number:016x}", tenant, route, time.time_ns(), patience, idempotency_key=nonce
+        )
         statement = (
             f"SELECT * FROM sales_{group}.orders /* id={number} work={work_ms:.0f} "
             f"threads={threads} rows={rows} */"
         ).encode()
-        counter = next((c for c in self.counters if c.usable()), None)
+        counter = next((c for c in self.clients if c.has_capacity()), None)
         if counter is None:
-            self.counters = [c for c in self.counters if c.transport is not None]
+            self.clients = [c for c in self.clients if c.transport is not None]
             try:
-                counter = await self.counter()
+                counter = await self.connect()
             except OSError:
-                self.asked.append(asked)
+                self.records.append(asked)
                 return asked
-        asked.sent = time.time_ns()
-        self.asked.append(asked)
-        counter.ask(asked, statement, work_ms if weight is None else weight)
+        asked.sent_ns = time.time_ns()
+        self.records.append(asked)
+        counter.send_request(asked, statement, work_ms if weight is None else weight)
         return asked
 
-    async def settle(self, seconds: float) -> None:
+    async def wait_until_idle(self, seconds: float) -> None:
         """Wait until nothing is open, or for so long."""
         end = time.monotonic() + seconds
-        while any(c.open for c in self.counters) and time.monotonic() < end:
+        while any(c.open_requests for c in self.clients) and time.monotonic() < end:
             await asyncio.sleep(0.01)
 
     def close(self) -> None:
-        for counter in self.counters:
+        for counter in self.clients:
             if counter.transport is not None:
                 counter.transport.close()
 
-    def of(self, tenant: str) -> list[Asked]:
-        return [a for a in self.asked if a.tenant == tenant]
+    def of_tenant(self, tenant: str) -> list[RequestRecord]:
+        return [a for a in self.records if a.tenant == tenant]
 
 
 def quantile(values: list[float], share: float) -> float:
--- a/query_broker/emulator/cluster.py
+++ b/query_broker/emulator/cluster.py
@@ -6,14 +6,14 @@
 import time
 from typing import Any
 
-from .data_engine import MachineEngine
-from .discovery_service import ListBus, target
+from .data_engine import EmulatedEngine
+from .discovery_service import EmulatedDiscoveryService, target_entry
 from .machine import Machine
 
 MS = 1_000_000
 
 
-def settings(**changes: Any) -> dict[str, Any]:
+def platform_settings(**changes: Any) -> dict[str, Any]:
     """The simulator's start settings, small."""
     classes = [
         dict(name="glance", aim=1_000 * MS, deadline=5_000 * MS, worth=1.0, effect="read_like"),
@@ -56,72 +56,84 @@
     return {**base, **changes}
 
 
-def tenants(*names: str, quota: float = 0.0) -> list[dict[str, Any]]:
+def tenant_settings(*names: str, quota: float = 0.0) -> list[dict[str, Any]]:
     return [{"name": name, **({"allowance_per_s": quota} if quota else {})} for name in names]
 
 
-class World:
+class EmulatedCluster:
     """Engines and their bus. All engines that there ever were stay in ``engines``, for their
     ledgers.
     """
 
     def __init__(self, **engines: Any) -> None:
         """``engines``: what each engine is made with."""
-        self.made_with = engines
-        self.bus = ListBus()
-        self.engines: dict[str, MachineEngine] = {}
-        self.bus_port = 0
+        self.engine_options = engines
+        self.discovery = EmulatedDiscoveryService()
+        self.engines: dict[str, EmulatedEngine] = {}
+        self.discovery_port = 0
 
     async def start(self, *uids: str, **more: Any) -> None:
-        self.bus_port = await self.bus.start()
+        self.discovery_port = await self.discovery.start()
         await self.add(*uids, **more)
 
     async def add(self, *uids: str, cores: int = 8, cold: bool = False, **more: Any) -> None:
         """Engines join; ``cold``: they have started just now."""
         now = time.time_ns() if cold else 0
         made = [
-            MachineEngine(uid, Machine(cores=cores, started=now), **self.made_with) for uid in uids
+            EmulatedEngine(uid, Machine(cores=cores, started_ns=now), **self.engine_options)
+            for uid in uids
         ]
         for engine in made:
             self.engines[engine.uid] = engine
             await engine.start()
-        self.bus.tell(*(target(e.uid, e.port, **{"boot_ms": now // MS, **more}) for e in made))
+        self.discovery.publish(
+            *(target_entry(e.uid, e.port, **{"boot_ms": now // MS, **more}) for e in made)
+        )
 
     def drain(self, *uids: str) -> None:
-        self.bus.tell(*({**self.bus.targets[u], "state": "terminating"} for u in uids))
-
-    def end(self, *uids: str) -> None:
-        self.bus.tell(*({**self.bus.targets[u], "state": "terminated"} for u in uids))
+        self.discovery.publish(
+            *({**self.discovery.targets[u], "state": "terminating"} for u in uids)
+        )
+
+    def terminate(self, *uids: str) -> None:
+        self.discovery.publish(
+            *({**self.discovery.targets[u], "state": "terminated"} for u in uids)
+        )
         for uid in uids:
             self.engines[uid].stop()
 
     def stop(self) -> None:
         for engine in self.engines.values():
             engine.stop()
-        self.bus.stop()
+        self.discovery.stop()
 
-    def sent_after_drain(self, grace: int) -> int:
+    def queries_after_drain(self, grace: int) -> int:
         """Queries that came to an engine later than ``grace`` ns after its drain or end was
         told.
         """
         late = 0
         for uid, engine in self.engines.items():
             since = next(
-                (at for at, u, state in self.bus.told if u == uid and state != "in_service"), None
+                (
+                    at
+                    for at, u, state in self.discovery.announcements
+                    if u == uid and state != "in_service"
+                ),
+                None,
             )
             if since is not None:
-                late += sum(at > since + grace for at, _, _ in engine.sent)
+                late += sum(at > since + grace for at, _, _ in engine.received)
         return late
 
-    def ran(self, tenant_statements: set[bytes]) -> dict[str, int]:
+    def count_queries(self, tenant_statements: set[bytes]) -> dict[str, int]:
         """How many of these statements each engine was sent."""
         return {
-            uid: sum(s in tenant_statements for _, _, s in e.sent)
+            uid: sum(s in tenant_statements for _, _, s in e.received)
             for uid, e in self.engines.items()
         }
 
 
-def config(world: World, listen: str, **changes: Any) -> dict[str, Any]:
+def broker_config(world: EmulatedCluster, listen: str, **changes: Any) -> dict[str, Any]:
     """A broker's configuration before this world; ``changes`` go over the settings."""
     limits = changes.pop("limits", {"sockets": 512, "memory_mb": 96})
     return {
@@ -129,13 +141,13 @@
         "listen": listen,
         "seed": "8c1f30d27a5be964",
         "limits": limits,
-        "bus": f"127.0.0.1:{world.bus_port}",
-        "known": world.bus.known(),
-        "settings": settings(**changes),
+        "bus": f"127.0.0.1:{world.discovery_port}",
+        "known": world.discovery.snapshot(),
+        "settings": platform_settings(**changes),
     }
 
 
-async def patiently(awaited: asyncio.Future[bool], seconds: float) -> bool:
+async def wait_for_result(awaited: asyncio.Future[bool], seconds: float) -> bool:
     try:
         return await asyncio.wait_for(awaited, seconds)
     except TimeoutError:
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -19,8 +19,8 @@
 from ..operator_config.settings import OperatorConfig
 from ..protocols import client_frames as frames
 from ..text_table import table
-from .clients import Asked, Book, quantile
-from .cluster import World, config, patiently, tenants
+from .clients import RequestLog, RequestRecord, quantile
+from .cluster import EmulatedCluster, broker_config, tenant_settings, wait_for_result
 
 MS = 1_000_000
 AIMS = {"glance": 1_000 * MS, "stock-add": 3_000 * MS}
@@ -32,9 +32,9 @@
 )
 
 
-def served_ms(asked: list[Asked]) -> list[float]:
+def served_ms(asked: list[RequestRecord]) -> list[float]:
     """Milliseconds from request to answer, of those that were served."""
-    return [(a.answered - a.sent) / MS for a in asked if a.code == frames.SERVED]
+    return [(a.answered_ns - a.sent_ns) / MS for a in asked if a.code == frames.SERVED]
 
 
 def play(seconds: float, say: Callable[[str], None]) -> int:
@@ -43,14 +43,14 @@
 
 
 async def _play(seconds: float, say: Callable[[str], None]) -> int:
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-1", "s-2", "s-3", cores=2)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        raw = config(
+        raw = broker_config(
             world,
             "127.0.0.1:1",
-            tenants=tenants("harbour", "inland"),
+            tenants=tenant_settings("harbour", "inland"),
             kinds=["std"],
             specifics={"size_cores": [2], "parallelism": [1, 2]},
         )
@@ -69,15 +69,15 @@
             await running
         assert node.server is not None
         port = int(node.server.sockets[0].getsockname()[1])
-        book = Book("127.0.0.1", port)
-        ready = await patiently((await book.counter()).ask_ready(), 5.0)
+        book = RequestLog("127.0.0.1", port)
+        ready = await wait_for_result((await book.connect()).check_readiness(), 5.0)
         say(
             f"three engines, their bus and a broker with two cells on 127.0.0.1:{port}; "
             f"{'ready' if ready else 'not ready'}"
         )
         say(f"for {seconds:.0f} s: harbour asks what its cell can do, inland four times that\n")
         await _load(book, seconds)
-        await book.settle(6.0)
+        await book.wait_until_idle(6.0)
         say(
             table(
                 ["tenant", "cell", "asked", "served", "in time", "refused", "failed", "median ms"],
@@ -87,13 +87,13 @@
                         CELLS.home(name),
                         str(len(asked)),
                         str(sum(a.code == frames.SERVED for a in asked)),
-                        f"{sum(a.in_time(AIMS[a.route]) for a in asked) / max(1, len(asked)):.0%}",
+                        f"{sum(a.met_objective(AIMS[a.request_class]) for a in asked) / max(1, len(asked)):.0%}",
                         str(sum(a.code == frames.REFUSED for a in asked)),
                         str(sum(a.code == frames.FAILED for a in asked)),
                         f"{quantile(served_ms(asked), 0.5):.0f}",
                     ]
                     for name in ("harbour", "inland")
-                    for asked in [book.of(name)]
+                    for asked in [book.of_tenant(name)]
                 ],
             )
         )
@@ -111,7 +111,7 @@
                 ],
             )
         )
-        once = all(a.answers == 1 for a in book.asked) and not book.strays
+        once = all(a.answer_count == 1 for a in book.records) and not book.unmatched_answers
         say(f"\nevery request got exactly one answer: {'yes' if once else 'no'}")
         book.close()
         node.stop()
@@ -120,7 +120,7 @@
     return 0 if once and ready else 1
 
 
-async def _load(book: Book, seconds: float) -> None:
+async def _load(book: RequestLog, seconds: float) -> None:
     """Poisson arrivals from a fixed seed."""
     draw, loop = random.Random(7), asyncio.get_running_loop()
     begun = loop.time()
@@ -133,8 +133,10 @@
         await asyncio.sleep(max(0.0, begun + due[name] - loop.time()))
         due[name] += draw.expovariate(rates[name])
         if draw.random() < 0.9:
-            await book.ask(
+            await book.send_request(
                 name, "glance", draw.uniform(10, 60), 5_000 * MS, group=draw.randint(1, 20)
             )
         else:
-            await book.ask(name, "stock-add", draw.uniform(100, 200), 20_000 * MS, threads=2)
+            await book.send_request(
+                name, "stock-add", draw.uniform(100, 200), 20_000 * MS, threads=2
+            )
--- a/query_broker/emulator/discovery_service.py
+++ b/query_broker/emulator/discovery_service.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 
-def target(uid: str, port: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
+def target_entry(uid: str, port: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
     """An engine as the bus tells of it."""
     return {
         "uid": uid,
@@ -25,13 +25,13 @@
     }
 
 
-def event(offset: int, *targets: dict[str, Any], full: bool = False) -> dict[str, Any]:
+def topology_event(offset: int, *targets: dict[str, Any], full: bool = False) -> dict[str, Any]:
     return {"offset": offset, "topology": {"rev": offset, "all": full, "targets": list(targets)}}
 
 
-class ScriptedBus:
+class ScriptedDiscoveryService:
     def __init__(self) -> None:
-        self.asked: list[bytes] = []
+        self.subscriptions: list[bytes] = []
         self.writer: asyncio.StreamWriter | None = None
 
     async def start(self) -> int:
@@ -40,34 +40,34 @@
 
     async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writer = writer
-        self.asked.append(await reader.readline())
+        self.subscriptions.append(await reader.readline())
 
-    def tell(self, line: object) -> None:
+    def publish(self, line: object) -> None:
         assert self.writer is not None
         self.writer.write((line if isinstance(line, str) else json.dumps(line)).encode() + b"\n")
 
 
-class ListBus:
+class EmulatedDiscoveryService:
     """Numbers events, tells each caller what comes after the one it names, and beats once a second.
     ``told``: when each state of each engine was told."""
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
         self.targets: dict[str, dict[str, Any]] = {}
-        self.told: list[tuple[int, str, str]] = []
-        self.writers: set[asyncio.StreamWriter] = set()
-        self.beat: asyncio.Task[None] | None = None
+        self.announcements: list[tuple[int, str, str]] = []
+        self.subscribers: set[asyncio.StreamWriter] = set()
+        self.heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self) -> int:
         self.server = await asyncio.start_server(self._client, "127.0.0.1", 0)
-        self.beat = asyncio.create_task(self._beat())
+        self.heartbeat_task = asyncio.create_task(self._beat())
         return int(self.server.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
         self.server.close()
-        if self.beat is not None:
-            self.beat.cancel()
-        for writer in self.writers:
+        if self.heartbeat_task is not None:
+            self.heartbeat_task.cancel()
+        for writer in self.subscribers:
             writer.close()
 
     async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -76,12 +76,12 @@
             last = int(line.split()[1]) if line.startswith(b"from ") else 0
             for said in self.events[last:]:
                 writer.write(json.dumps(said).encode() + b"\n")
-            self.writers.add(writer)
+            self.subscribers.add(writer)
             await reader.read()
         except (ConnectionError, RuntimeError):
             pass  # uvloop's word on a transport that has gone
         finally:
-            self.writers.discard(writer)
+            self.subscribers.discard(writer)
             writer.close()
 
     async def _beat(self) -> None:
@@ -91,24 +91,24 @@
 
     def _tell_all(self, line: bytes) -> None:
         """Danger: one caller that has gone would end the beat, or the news, for all others."""
-        for writer in list(self.writers):
+        for writer in list(self.subscribers):
             if writer.is_closing():
-                self.writers.discard(writer)
+                self.subscribers.discard(writer)
             else:
                 writer.write(line)
 
-    def tell(self, *targets: dict[str, Any]) -> None:
+    def publish(self, *targets: dict[str, Any]) -> None:
         now = time.time_ns()
         for changed in targets:
-            self.told.append((now, changed["uid"], changed["state"]))
+            self.announcements.append((now, changed["uid"], changed["state"]))
             if changed["state"] == "terminated":
                 self.targets.pop(changed["uid"], None)
             else:
                 self.targets[changed["uid"]] = changed
-        said = event(len(self.events) + 1, *targets, full=not self.events)
+        said = topology_event(len(self.events) + 1, *targets, full=not self.events)
         self.events.append(said)
         self._tell_all(json.dumps(said).encode() + b"\n")
 
-    def known(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """What a broker is told at its start."""
         return {"offset": len(self.events), "batch": list(self.events)}
--- a/query_broker/emulator/faulty_links.py
+++ b/query_broker/emulator/faulty_links.py
@@ -25,19 +25,19 @@
 from enum import Enum
 
 
-class Kind(Enum):
+class FaultKind(Enum):
     DELAY = "delay"
     STALL = "stall"
     RESET = "reset"
-    REFUSE = "refuse"
+    REJECT = "refuse"
     DROP = "drop"  # a share of chunks never arrive: the connection is reset with the first of them
-    TWICE = "twice"  # a share of datagrams comes once more, later than those that follow
+    DUPLICATE = "twice"  # a share of datagrams comes once more, later than those that follow
     RATE = "rate"
 
 
-class Way(Enum):
-    THERE = "there"  # from the one that connects
-    BACK = "back"
+class Direction(Enum):
+    FORWARD = "there"  # from the one that connects
+    BACKWARD = "back"
     BOTH = "both"
 
 
@@ -45,27 +45,27 @@
 class Fault:
     """``begin`` and ``end`` in seconds of the script's clock."""
 
-    begin: float
-    end: float
-    links: str
-    kind: Kind
-    way: Way = Way.BOTH
-    seconds: float = 0.0
-    share: float = 1.0
-    rate: float = 0.0
+    begin_s: float
+    end_s: float
+    link_pattern: str
+    kind: FaultKind
+    direction: Direction = Direction.BOTH
+    delay_s: float = 0.0
+    probability: float = 1.0
+    bytes_per_s: float = 0.0
 
-    def holds(self, now: float, link: str, way: Way) -> bool:
+    def is_active(self, now: float, link: str, way: Direction) -> bool:
         return (
-            self.begin <= now <= self.end
-            and fnmatch.fnmatchcase(link, self.links)
-            and (way is Way.BOTH or self.way in (Way.BOTH, way))
+            self.begin_s <= now <= self.end_s
+            and fnmatch.fnmatchcase(link, self.link_pattern)
+            and (way is Direction.BOTH or self.direction in (Direction.BOTH, way))
         )
 
 
-def partition(begin: float, end: float, *groups: Iterable[str]) -> list[Fault]:
+def partition_faults(begin: float, end: float, *groups: Iterable[str]) -> list[Fault]:
     """Links are named `from-to`: nothing passes between parties of two groups."""
     return [
-        Fault(begin, end, f"{a}-{b}", Kind.STALL)
+        Fault(begin, end, f"{a}-{b}", FaultKind.STALL)
         for i, one in enumerate(groups)
         for j, other in enumerate(groups)
         if i != j
@@ -74,52 +74,56 @@
     ]
 
 
-class Script:
+class FaultSchedule:
     """The faults, their clock, and a draw from a seed."""
 
     def __init__(self, faults: Iterable[Fault], clock: Callable[[], float], seed: int = 1) -> None:
         self.faults, self.clock, self.random = list(faults), clock, random.Random(seed)
-        self.begun = clock()
-        self.free_at: dict[Fault, float] = {}  # when a limited rate has room again
+        self.started_s = clock()
+        self.capacity_free_at_s: dict[Fault, float] = {}  # when a limited rate has room again
 
-    def now(self) -> float:
-        return self.clock() - self.begun
+    def now_s(self) -> float:
+        return self.clock() - self.started_s
 
-    def holding(self, kind: Kind, link: str, way: Way = Way.BOTH) -> Fault | None:
-        now = self.now()
-        return next((f for f in self.faults if f.kind is kind and f.holds(now, link, way)), None)
+    def active_fault(
+        self, kind: FaultKind, link: str, way: Direction = Direction.BOTH
+    ) -> Fault | None:
+        now = self.now_s()
+        return next(
+            (f for f in self.faults if f.kind is kind and f.is_active(now, link, way)), None
+        )
 
-    def wait_for(self, link: str, way: Way, size: int) -> float:
+    def delay_s(self, link: str, way: Direction, size: int) -> float:
         """Seconds until a chunk may go on."""
-        fault = self.holding(Kind.DELAY, link, way)
-        wait = 0.0 if fault is None else fault.seconds
-        if (limited := self.holding(Kind.RATE, link, way)) is not None:
-            now = self.now()
-            start = max(now, self.free_at.get(limited, now))
-            self.free_at[limited] = start + size / limited.rate
-            wait += self.free_at[limited] - now
+        fault = self.active_fault(FaultKind.DELAY, link, way)
+        wait = 0.0 if fault is None else fault.delay_s
+        if (limited := self.active_fault(FaultKind.RATE, link, way)) is not None:
+            now = self.now_s()
+            start = max(now, self.capacity_free_at_s.get(limited, now))
+            self.capacity_free_at_s[limited] = start + size / limited.bytes_per_s
+            wait += self.capacity_free_at_s[limited] - now
         return wait
 
 
-class Link:
+class FaultyLink:
     """One proxy. ``counts``: connections let in and refused, bytes each way; ``came``: when each
     came.
     """
 
-    def __init__(self, name: str, host: str, port: int, script: Script) -> None:
-        self.name, self.target, self.script = name, (host, port), script
+    def __init__(self, name: str, host: str, port: int, script: FaultSchedule) -> None:
+        self.name, self.target, self.schedule = name, (host, port), script
         self.counts: Counter[str] = Counter()
-        self.came: list[float] = []
-        self.open: set[asyncio.StreamWriter] = set()
+        self.connected_at_s: list[float] = []
+        self.open_writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
         self.port = 0
 
     async def start(self) -> int:
         self.server = await asyncio.start_server(self._client, "127.0.0.1", 0, backlog=1_024)
         self.port = int(self.server.sockets[0].getsockname()[1])
-        for fault in self.script.faults:
-            if fault.kind is Kind.RESET and fnmatch.fnmatchcase(self.name, fault.links):
-                self._keep(asyncio.create_task(self._reset_at(fault.begin)))
+        for fault in self.schedule.faults:
+            if fault.kind is FaultKind.RESET and fnmatch.fnmatchcase(self.name, fault.link_pattern):
+                self._keep(asyncio.create_task(self._reset_at(fault.begin_s)))
         return self.port
 
     def _keep(self, task: asyncio.Task[None]) -> None:
@@ -127,13 +131,13 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _reset_at(self, at: float) -> None:
-        await asyncio.sleep(max(0.0, at - self.script.now()))
-        for writer in list(self.open):
+        await asyncio.sleep(max(0.0, at - self.schedule.now_s()))
+        for writer in list(self.open_writers):
             writer.transport.abort()
 
     async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.came.append(self.script.now())
-        if self.script.holding(Kind.REFUSE, self.name):
+        self.connected_at_s.append(self.schedule.now_s())
+        if self.schedule.active_fault(FaultKind.REJECT, self.name):
             self.counts["refused"] += 1
             writer.transport.abort()
             return
@@ -144,28 +148,29 @@
             writer.transport.abort()
             return
         self.counts["connections"] += 1
-        self.open |= {writer, other}
+        self.open_writers |= {writer, other}
         try:
             await asyncio.gather(
-                self._pass(reader, other, Way.THERE), self._pass(other_reader, writer, Way.BACK)
+                self._pass(reader, other, Direction.FORWARD),
+                self._pass(other_reader, writer, Direction.BACKWARD),
             )
         except (ConnectionError, asyncio.CancelledError, RuntimeError):
             pass  # uvloop's word on a transport that has gone
         finally:
-            self.open -= {writer, other}
+            self.open_writers -= {writer, other}
             for end in (writer, other):
                 end.transport.abort()
 
     async def _pass(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Direction
     ) -> None:
         while data := await reader.read(16_384):
-            while self.script.holding(Kind.STALL, self.name, way):
+            while self.schedule.active_fault(FaultKind.STALL, self.name, way):
                 await asyncio.sleep(0.01)
-            fault = self.script.holding(Kind.DROP, self.name, way)
-            if fault is not None and self.script.random.random() < fault.share:
+            fault = self.schedule.active_fault(FaultKind.DROP, self.name, way)
+            if fault is not None and self.schedule.random.random() < fault.probability:
                 raise ConnectionResetError
-            if (wait := self.script.wait_for(self.name, way, len(data))) > 0:
+            if (wait := self.schedule.delay_s(self.name, way, len(data))) > 0:
                 await asyncio.sleep(wait)
             self.counts[way.value] += len(data)
             writer.write(data)
@@ -177,18 +182,18 @@
         self.server.close()
         for task in list(self.tasks):
             task.cancel()
-        for writer in list(self.open):
+        for writer in list(self.open_writers):
             writer.transport.abort()
 
 
-class Relay(asyncio.DatagramProtocol):
+class DatagramRelay(asyncio.DatagramProtocol):
     """Datagrams among parties, each known to the others by a relay's address: what is sent there by
     party a goes on to party b as from a's relay, if the script lets link `a-b` pass it. Over TCP
     the same address leads to b's port; who connects shows in its first frame, by ``sender``.
     """
 
-    def __init__(self, net: RelayNet, name: str, host: str, port: int) -> None:
-        self.net, self.name, self.target = net, name, (host, port)
+    def __init__(self, net: RelayNetwork, name: str, host: str, port: int) -> None:
+        self.network, self.name, self.target = net, name, (host, port)
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -203,21 +208,21 @@
         return self.port
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        sender = self.net.by_real.get(addr)
+        sender = self.network.by_listening_address.get(addr)
         if sender is None:
             if self.transport is not None:  # a stranger: passed on as it is
                 self.transport.sendto(data, self.target)
             return
-        self.net.carry(sender, self, data)
+        self.network.forward(sender, self, data)
 
     async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Whole chunks: where the link is cut in one way, what goes that way waits until it is
         not.
         """
-        script, other = self.net.script, None
+        script, other = self.network.schedule, None
         try:
             first = await reader.read(65_536)
-            sender = self.net.sender(first) if first else None
+            sender = self.network.sender_name(first) if first else None
             there, back = f"{sender}-{self.name}", f"{self.name}-{sender}"
             other_reader, other = await asyncio.open_connection(*self.target)
 
@@ -225,10 +230,12 @@
                 link: str, data: bytes, source: asyncio.StreamReader, sink: asyncio.StreamWriter
             ) -> None:
                 while data:
-                    while script.holding(Kind.STALL, link) or script.holding(Kind.REFUSE, link):
+                    while script.active_fault(FaultKind.STALL, link) or script.active_fault(
+                        FaultKind.REJECT, link
+                    ):
                         await asyncio.sleep(0.05)
-                    if (delay := script.holding(Kind.DELAY, link)) is not None:
-                        await asyncio.sleep(delay.seconds)
+                    if (delay := script.active_fault(FaultKind.DELAY, link)) is not None:
+                        await asyncio.sleep(delay.delay_s)
                     sink.write(data)
                     await sink.drain()
                     data = await source.read(65_536)
@@ -252,46 +259,46 @@
             self.server.close()
 
 
-class RelayNet:
+class RelayNetwork:
     """A relay for each party. ``counts``: datagrams passed and lost."""
 
-    def __init__(self, script: Script, sender_address: Callable[[bytes], str]) -> None:
-        self.script, self.sender_address = script, sender_address
-        self.relays: dict[str, Relay] = {}
-        self.by_real: dict[tuple[str, int], Relay] = {}
+    def __init__(self, script: FaultSchedule, sender_address: Callable[[bytes], str]) -> None:
+        self.schedule, self.sender_address = script, sender_address
+        self.relays: dict[str, DatagramRelay] = {}
+        self.by_listening_address: dict[tuple[str, int], DatagramRelay] = {}
         self.counts: Counter[str] = Counter()
 
     async def add(self, name: str, port: int, at: int = 0) -> str:
         """The address by which the party that listens on this port is known; ``at``: one that it
         had before.
         """
-        relay = Relay(self, name, "127.0.0.1", port)
+        relay = DatagramRelay(self, name, "127.0.0.1", port)
         await relay.start(at)
-        self.relays[name], self.by_real["127.0.0.1", port] = relay, relay
+        self.relays[name], self.by_listening_address["127.0.0.1", port] = relay, relay
         return f"127.0.0.1:{relay.port}"
 
-    def sender(self, frame: bytes) -> str:
+    def sender_name(self, frame: bytes) -> str:
         """Whose frame it is, by the address that it names."""
         address = self.sender_address(frame[4:])
         return next(
             (n for n, r in self.relays.items() if address == f"127.0.0.1:{r.port}"), "stranger"
         )
 
-    def carry(self, sender: Relay, receiver: Relay, data: bytes) -> None:
-        link, script = f"{sender.name}-{receiver.name}", self.script
-        lost = script.holding(Kind.DROP, link)
+    def forward(self, sender: DatagramRelay, receiver: DatagramRelay, data: bytes) -> None:
+        link, script = f"{sender.name}-{receiver.name}", self.schedule
+        lost = script.active_fault(FaultKind.DROP, link)
         if (
-            script.holding(Kind.STALL, link)
-            or script.holding(Kind.REFUSE, link)
-            or (lost is not None and script.random.random() < lost.share)
+            script.active_fault(FaultKind.STALL, link)
+            or script.active_fault(FaultKind.REJECT, link)
+            or (lost is not None and script.random.random() < lost.probability)
         ):
             self.counts["lost"] += 1
             return
-        twice = script.holding(Kind.TWICE, link)
-        delay = script.holding(Kind.DELAY, link)
-        wait = 0.0 if delay is None else delay.seconds
+        twice = script.active_fault(FaultKind.DUPLICATE, link)
+        delay = script.active_fault(FaultKind.DELAY, link)
+        wait = 0.0 if delay is None else delay.delay_s
         times = [wait]
-        if twice is not None and script.random.random() < twice.share:
+        if twice is not None and script.random.random() < twice.probability:
             times.append(wait + 0.3 * script.random.random())
         for later in times:
             if later:
@@ -299,7 +306,7 @@
             else:
                 self._pass(sender, receiver, data)
 
-    def _pass(self, sender: Relay, receiver: Relay, data: bytes) -> None:
+    def _pass(self, sender: DatagramRelay, receiver: DatagramRelay, data: bytes) -> None:
         if sender.transport is not None and not sender.transport.is_closing():
             self.counts["passed"] += 1
             sender.transport.sendto(data, receiver.target)
--- a/query_broker/emulator/machine.py
+++ b/query_broker/emulator/machine.py
@@ -12,47 +12,50 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-S = 1_000_000_000
+NS_PER_S = 1_000_000_000
 
 
 @dataclass(slots=True)
-class Run:
+class QueryRun:
     """One line of the ledger; ``ended`` 0: it had not ended. Work in thread-nanoseconds."""
 
-    id: bytes
-    cls: bytes
+    query_id: bytes
+    request_class: bytes
     statement: bytes
-    begun: int
-    work: float
+    begun_ns: int
+    work_ns: float
     threads: int
-    ended: int = 0
-    left: float = 0.0
-    nonce: str = ""
+    ended_ns: int = 0
+    remaining_ns: float = 0.0
+    idempotency_key: str = ""
 
 
 @dataclass(slots=True)
 class Machine:
     cores: int = 8
-    started: int = 0  # 0: long ago
-    cold_from: float = 0.36
-    cold: int = 12 * S
-    fall: int = 3 * S // 2
-    fall_multiple: float = 2.0
-    sessions: int = 64
-    slow: float = 1.0  # every query takes so many times its work
-    ledger: list[Run] = field(default_factory=list)
-    running: dict[bytes, Run] = field(default_factory=dict)
-    fallen: bool = False
-    arrived: deque[tuple[int, float]] = field(default_factory=deque)
-    now: int = 0
-
-    def pace(self, now: int) -> float:
+    started_ns: int = 0  # 0: long ago
+    initial_fraction: float = 0.36
+    warm_up_ns: int = 12 * NS_PER_S
+    overload_window_ns: int = 3 * NS_PER_S // 2
+    overload_multiple: float = 2.0
+    max_sessions: int = 64
+    slowdown: float = 1.0  # every query takes so many times its work
+    ledger: list[QueryRun] = field(default_factory=list)
+    running: dict[bytes, QueryRun] = field(default_factory=dict)
+    crashed: bool = False
+    recent_arrivals: deque[tuple[int, float]] = field(default_factory=deque)
+    now_ns: int = 0
+
+    def capacity_fraction(self, now: int) -> float:
         """Share of its capacity."""
-        if not self.started or now >= self.started + self.cold:
+        if not self.started_ns or now >= self.started_ns + self.warm_up_ns:
             return 1.0
-        return self.cold_from + (1 - self.cold_from) * max(0, now - self.started) / self.cold
+        return (
+            self.initial_fraction
+            + (1 - self.initial_fraction) * max(0, now - self.started_ns) / self.warm_up_ns
+        )
 
-    def arrive(
+    def start_query(
         self,
         now: int,
         id: bytes,
@@ -63,52 +66,70 @@
         nonce: str = "",
     ) -> bool:
         """Take a query; False: the engine is full, and it never ran."""
-        self.pass_time(now)
-        if self.started and now < self.started + self.cold:
-            self.arrived.append((now, work))
-            while self.arrived[0][0] <= now - self.fall:
-                self.arrived.popleft()
-            budget = self.fall_multiple * self.pace(now) * self.cores * self.fall
-            if sum(w for _, w in self.arrived) > budget:
-                self.fallen = True
-        if len(self.running) >= self.sessions or id in self.running:
+        self.advance(now)
+        if self.started_ns and now < self.started_ns + self.warm_up_ns:
+            self.recent_arrivals.append((now, work))
+            while self.recent_arrivals[0][0] <= now - self.overload_window_ns:
+                self.recent_arrivals.popleft()
+            budget = (
+                self.overload_multiple
+                * self.capacity_fraction(now)
+                * self.cores
+                * self.overload_window_ns
+            )
+            if sum(w for _, w in self.recent_arrivals) > budget:
+                self.crashed = True
+        if len(self.running) >= self.max_sessions or id in self.running:
             return False
-        run = Run(id, cls, statement, now, work, threads, left=work * self.slow, nonce=nonce)
+        run = QueryRun(
+            id,
+            cls,
+            statement,
+            now,
+            work,
+            threads,
+            remaining_ns=work * self.slowdown,
+            idempotency_key=nonce,
+        )
         self.ledger.append(run)
         self.running[id] = run
         return True
 
-    def rates(self, now: int) -> Iterator[tuple[Run, float]]:
+    def execution_rates(self, now: int) -> Iterator[tuple[QueryRun, float]]:
         """Thread-nanoseconds a nanosecond that each query gets."""
         wanted = sum(r.threads for r in self.running.values())
-        part = min(1.0, self.cores / wanted) * self.pace(now) if wanted else 0.0
+        part = min(1.0, self.cores / wanted) * self.capacity_fraction(now) if wanted else 0.0
         for run in self.running.values():
             yield run, run.threads * part
 
-    def pass_time(self, now: int) -> list[Run]:
+    def advance(self, now: int) -> list[QueryRun]:
         """What has ended by now. Between two calls the pace is that of the first."""
         ended = []
-        for run, rate in list(self.rates(self.now)):
-            run.left -= rate * (now - self.now)
-            if run.left <= 1.0:
-                run.ended = now
-                del self.running[run.id]
+        for run, rate in list(self.execution_rates(self.now_ns)):
+            run.remaining_ns -= rate * (now - self.now_ns)
+            if run.remaining_ns <= 1.0:
+                run.ended_ns = now
+                del self.running[run.query_id]
                 ended.append(run)
-        self.now = now
+        self.now_ns = now
         return ended
 
-    def next_end(self, now: int) -> int | None:
+    def next_completion(self, now: int) -> int | None:
         """When the first of them ends, at the present pace."""
-        ends = [now + int(run.left / rate) + 1 for run, rate in self.rates(now) if rate > 0]
+        ends = [
+            now + int(run.remaining_ns / rate) + 1
+            for run, rate in self.execution_rates(now)
+            if rate > 0
+        ]
         return min(ends, default=None)
 
-    def drop(self, now: int, id: bytes) -> list[Run]:
+    def cancel(self, now: int, id: bytes) -> list[QueryRun]:
         """An `undo` that is honoured; gives what had ended before it."""
-        ended = self.pass_time(now)
+        ended = self.advance(now)
         if (run := self.running.pop(id, None)) is not None:
-            run.ended = now
+            run.ended_ns = now
         return ended
 
-    def report(self) -> str:
+    def load_meter(self) -> str:
         threads = sum(r.threads for r in self.running.values())
         return f"inflight:{len(self.running)};util:{min(1.0, threads / self.cores):.3f}"
--- a/query_broker/emulator/processes.py
+++ b/query_broker/emulator/processes.py
@@ -22,12 +22,12 @@
 from types import TracebackType
 from typing import Any
 
-from .clients import Counter
+from .clients import EmulatedClient
 
 ROOT = Path(__file__).parents[2]
 
 
-class Ports:
+class PortAllocator:
     """Ports to listen on. Danger: one that the system gives to whoever asks for any is soon some
     connection's own end, and one that two processes draw is had by one of them: these lie below the
     system's, in blocks of which each is a single process's, as long as that holds its first
@@ -37,10 +37,10 @@
     RANGE, BLOCK = range(10_000, 32_000), 100
 
     def __init__(self) -> None:
-        self.held: list[socket.socket] = []
+        self.reservations: list[socket.socket] = []
         self.ports: deque[int] = deque()
 
-    def claim(self) -> None:
+    def reserve_block(self) -> None:
         starts = list(self.RANGE[:: self.BLOCK])
         random.SystemRandom().shuffle(starts)
         for start in starts:
@@ -50,7 +50,7 @@
             except OSError:
                 mine.close()
                 continue
-            self.held.append(mine)
+            self.reservations.append(mine)
             self.ports.extend(range(start + 1, start + self.BLOCK))
             return
         raise OSError("no block of ports is left")
@@ -60,7 +60,7 @@
         on.
         """
         while len(self.ports) < 4 * count:
-            self.claim()
+            self.reserve_block()
         found: list[int] = []
         for port in list(self.ports):
             self.ports.rotate(-1)
@@ -72,14 +72,14 @@
         raise OSError("too many ports are in use")
 
 
-PORTS = Ports()
+PORT_ALLOCATOR = PortAllocator()
 
 
 def free_ports(count: int) -> list[int]:
-    return PORTS.take(count)
+    return PORT_ALLOCATOR.take(count)
 
 
-class Member:
+class BrokerProcess:
     """One process, with a folder, ports, settings and a log of its own."""
 
     def __init__(
@@ -92,13 +92,13 @@
         tree: Path,
     ) -> None:
         self.number, self.folder, self.tree = number, folder, tree
-        self.port, self.operator, self.peers = ports
+        self.port, self.admin_port, self.peer_port = ports
         folder.mkdir()
         raw = {
             **raw,
             "name": f"n{number}",
             "listen": f"127.0.0.1:{self.port}",
-            "operator": f"127.0.0.1:{self.operator}",
+            "operator": f"127.0.0.1:{self.admin_port}",
             "seed": f"{number + 1:x}",
             "settings": {**raw["settings"], "me": number},
         }
@@ -112,16 +112,16 @@
         for name in ("OPERATOR_FILE", "OPERATOR", "LISTEN", "ACCEPT_FD", "NAME"):
             self.env.pop(f"PROXY_{name}", None)
         if script:
-            self.write_script(script)
+            self.write_operator_file(script)
             self.env["PROXY_OPERATOR_FILE"] = str(folder / "operators.star")
         self.process: subprocess.Popen[bytes] | None = None
-        self.started = 0.0
+        self.started_s = 0.0
 
-    def write_script(self, script: str) -> None:
+    def write_operator_file(self, script: str) -> None:
         (self.folder / "operators.star").write_text(script)
 
     def start(self) -> None:
-        self.started = time.monotonic()
+        self.started_s = time.monotonic()
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "query_broker", "serve"],
@@ -150,8 +150,8 @@
     def log(self) -> str:
         return (self.folder / "log").read_text(errors="replace")
 
-    def call(self, path: str, method: str = "GET") -> tuple[int, bytes]:
-        line = http.client.HTTPConnection("127.0.0.1", self.operator, timeout=2.0)
+    def call_admin_api(self, path: str, method: str = "GET") -> tuple[int, bytes]:
+        line = http.client.HTTPConnection("127.0.0.1", self.admin_port, timeout=2.0)
         try:
             line.request(method, path)
             answer = line.getresponse()
@@ -160,20 +160,20 @@
             line.close()
 
     def status(self, path: str = "/start") -> Any:
-        return json.loads(self.call(path)[1])
+        return json.loads(self.call_admin_api(path)[1])
 
-    async def ready(self) -> bool:
+    async def is_ready(self) -> bool:
         """As the front asks: type 16 on the clients' address."""
-        from .clients import Book
+        from .clients import RequestLog
 
         try:
             _, counter = await asyncio.get_running_loop().create_connection(
-                lambda: Counter(Book("127.0.0.1", self.port)), "127.0.0.1", self.port
+                lambda: EmulatedClient(RequestLog("127.0.0.1", self.port)), "127.0.0.1", self.port
             )
         except OSError:
             return False
         try:
-            return await asyncio.wait_for(counter.ask_ready(), 2.0)
+            return await asyncio.wait_for(counter.check_readiness(), 2.0)
         except (TimeoutError, OSError):
             return False
         finally:
@@ -181,7 +181,7 @@
                 counter.transport.close()
 
 
-class Fleet:
+class BrokerFleet:
     """`with Fleet(...)`: whatever becomes of a test, no process of it is left behind. ``script``:
     the same for all, or by number and port for its peers; each process has one.
     """
@@ -193,20 +193,20 @@
         script: str | Callable[[int, int], str] = "",
         tree: Path = ROOT,
     ) -> None:
-        self.held = tempfile.TemporaryDirectory()
-        folder = Path(self.held.name)
+        self.temporary_folder = tempfile.TemporaryDirectory()
+        folder = Path(self.temporary_folder.name)
         ports = free_ports(3 * count)
         raw = {
             **raw,
             "settings": {**raw["settings"], "fleet_size": raw["settings"].get("fleet_size", count)},
         }
-        self.members = []
+        self.processes = []
         for i in range(count):
             mine = (ports[3 * i], ports[3 * i + 1], ports[3 * i + 2])
             said = script if isinstance(script, str) else script(i, mine[2])
-            self.members.append(Member(i, folder / f"n{i}", mine, raw, said, tree))
+            self.processes.append(BrokerProcess(i, folder / f"n{i}", mine, raw, said, tree))
 
-    def __enter__(self) -> Fleet:
+    def __enter__(self) -> BrokerFleet:
         return self
 
     def __exit__(
@@ -215,23 +215,23 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        for member in self.members:
+        for member in self.processes:
             member.kill()
-        self.held.cleanup()
+        self.temporary_folder.cleanup()
 
     def start(self) -> None:
-        for member in self.members:
+        for member in self.processes:
             member.start()
 
-    async def all_ready(self, seconds: float, part: float = 1.0) -> list[float]:
+    async def wait_until_ready(self, seconds: float, part: float = 1.0) -> list[float]:
         """Seconds from each one's start until it was ready, as they came; ends when all are, or in
         time.
         """
-        end, waiting, took = time.monotonic() + seconds, list(self.members), list[float]()
-        while waiting and time.monotonic() < end and len(took) < part * len(self.members):
-            said = await asyncio.gather(*(m.ready() for m in waiting))
+        end, waiting, took = time.monotonic() + seconds, list(self.processes), list[float]()
+        while waiting and time.monotonic() < end and len(took) < part * len(self.processes):
+            said = await asyncio.gather(*(m.is_ready() for m in waiting))
             now = time.monotonic()
-            took += [now - m.started for m, yes in zip(waiting, said, strict=True) if yes]
+            took += [now - m.started_s for m, yes in zip(waiting, said, strict=True) if yes]
             waiting = [m for m, yes in zip(waiting, said, strict=True) if not yes]
             await asyncio.sleep(0.05)
         return took
--- a/tests/test_dispatch_parts.py
+++ b/tests/test_dispatch_parts.py
@@ -33,7 +33,7 @@
 )
 from query_broker.timer_wheel import Clock
 
-from .sockets import MS, STATEMENT, event, make_config, on_uvloop, target
+from .sockets import MS, STATEMENT, make_config, on_uvloop, target_entry, topology_event
 
 S = 1_000 * MS
 VALID = ParsedRequest("glance", "a" * 16, "acme", 4_000.0, 10.0, 16.0, False, 3, STATEMENT)
@@ -101,7 +101,9 @@
     calls: list[tuple[object, ...]] = []
     for name in ("first", "second"):
         dispatcher.add_observer(Recorder(name, calls))
-    dispatcher.endpoint_list_changed(parse_event(event(1, target("s-1", 1), full=True)))
+    dispatcher.endpoint_list_changed(
+        parse_event(topology_event(1, target_entry("s-1", 1), full=True))
+    )
     assert dispatcher.set_endpoint_disabled("s-1", True)
     assert calls == [
         ("first", "administered", "s-1", True),
@@ -115,7 +117,9 @@
 ) -> None:
     dispatcher = make_dispatcher()
     calls: list[tuple[object, ...]] = []
-    dispatcher.endpoint_list_changed(parse_event(event(1, target("s-1", 1), full=True)))
+    dispatcher.endpoint_list_changed(
+        parse_event(topology_event(1, target_entry("s-1", 1), full=True))
+    )
     dispatcher.add_observer(Recorder("", calls))
     report = dispatcher.facade.report
 
@@ -157,7 +161,9 @@
 def test_the_base_observer_does_nothing() -> None:
     dispatcher = make_dispatcher()
     dispatcher.add_observer(DispatchObserver())
-    dispatcher.endpoint_list_changed(parse_event(event(1, target("s-1", 1), full=True)))
+    dispatcher.endpoint_list_changed(
+        parse_event(topology_event(1, target_entry("s-1", 1), full=True))
+    )
     assert dispatcher.set_endpoint_disabled("s-1", True)
     assert not dispatcher.set_endpoint_disabled("s-2", True)
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from query_broker.emulator.clients import Book
-from query_broker.emulator.cluster import MS, World, config
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import MS, EmulatedCluster, broker_config
 from query_broker.protocols import client_frames as frames
 
 from .deployments import ALL
@@ -31,7 +31,7 @@
     """Processes of one broker on the platform's socket, started one after the other."""
 
     def __init__(
-        self, folder: Path, world: World, listener: socket.socket, facts: dict[str, Any]
+        self, folder: Path, world: EmulatedCluster, listener: socket.socket, facts: dict[str, Any]
     ) -> None:
         self.folder = folder
         self.world = world
@@ -42,7 +42,7 @@
     async def start_process(self) -> None:
         """Start one more process, and return once it is ready."""
         port = free_port()
-        raw = config(self.world, "127.0.0.1:1", **self.facts)
+        raw = broker_config(self.world, "127.0.0.1:1", **self.facts)
         raw["operator"] = f"127.0.0.1:{port}"
         path = self.folder / f"config-{len(self.processes)}.json"
         path.write_text(json.dumps(raw))
@@ -86,7 +86,7 @@
     def __init__(self, port: int, tenant: str | None) -> None:
         self.port = port
         self.tenant = tenant
-        self.book = Book("127.0.0.1", port)
+        self.book = RequestLog("127.0.0.1", port)
         self.stopped = asyncio.Event()
         self.handover_begins = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
@@ -111,7 +111,7 @@
         """Many requests at a time on lasting connections."""
         while not self.stopped.is_set():
             for _ in range(PIPELINED):
-                await self.book.ask(self.tenant or "", "glance", 2, 4_000 * MS)
+                await self.book.send_request(self.tenant or "", "glance", 2, 4_000 * MS)
             await asyncio.sleep(PAUSE_S)
 
     async def _connect_anew(self) -> None:
@@ -168,10 +168,10 @@
     assert await within(old.wait()) == 0
 
 
-def check_answers(book: Book) -> None:
+def check_answers(book: RequestLog) -> None:
     """Each request got exactly one answer, served or rejected, and nearly all were served."""
-    assert book.strays == 0
-    ended = [(request.code, request.answers) for request in book.asked]
+    assert book.unmatched_answers == 0
+    ended = [(request.code, request.answer_count) for request in book.records]
     assert not [
         end for end in ended if end[0] not in (frames.SERVED, frames.REFUSED) or end[1] != 1
     ]
@@ -185,7 +185,7 @@
 ) -> None:
     facts = ALL[name]
     tenant = facts["tenants"][0]["name"] if facts["tenants"] else None
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-1", "s-2", "s-3")
     with socket.create_server(("127.0.0.1", 0), backlog=256) as listener:
         broker = Broker(tmp_path, world, listener, facts)
@@ -195,10 +195,10 @@
             for number in range(1, HANDOVERS + 1):
                 traffic.start()
                 wanted = REQUESTS_BEFORE_HANDOVER * number
-                await until(lambda wanted=wanted: len(traffic.book.asked) >= wanted)  # type: ignore[misc]
+                await until(lambda wanted=wanted: len(traffic.book.records) >= wanted)  # type: ignore[misc]
                 await hand_over(broker, traffic)
                 await traffic.stop()
-            await traffic.book.settle(HANG)
+            await traffic.book.wait_until_idle(HANG)
             check_answers(traffic.book)
         finally:
             traffic.cancel()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -12,7 +12,17 @@
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols.operator_http import MOST_BODY, MOST_HEAD
 
-from .sockets import Engine, Rig, event, make_config, on_uvloop, running, target, until, within
+from .sockets import (
+    Engine,
+    Rig,
+    make_config,
+    on_uvloop,
+    running,
+    target_entry,
+    topology_event,
+    until,
+    within,
+)
 
 CALLS = [
     (b"GET /ready HTTP/1.1\r\n\r\n", 200),
@@ -73,7 +83,7 @@
 
 @on_uvloop
 async def test_each_call_gets_exactly_one_answer() -> None:
-    async with running(make_config(target("s-1", 9), operator=True)) as rig:
+    async with running(make_config(target_entry("s-1", 9), operator=True)) as rig:
         for raw, status in CALLS:
             got, headers, body = await call(rig, raw)
             assert (got, headers["content-length"], headers["connection"]) == (
@@ -95,7 +105,7 @@
 
 @on_uvloop
 async def test_silent_and_incomplete_calls_keep_no_other_out_and_are_ended_by_a_timer() -> None:
-    async with running(make_config(target("s-1", 9), operator=True)) as rig:
+    async with running(make_config(target_entry("s-1", 9), operator=True)) as rig:
         idle = [await asyncio.open_connection("127.0.0.1", rig.operator_port) for _ in range(40)]
         idle[-1][1].write(b"GET /rea")
         assert (await call(rig, CALLS[0][0]))[0] == 200
@@ -122,7 +132,9 @@
     engine = Engine()
     async with running(
         make_config(
-            target("s-1", await engine.start()), target("s-2", 9, "terminating"), operator=True
+            target_entry("s-1", await engine.start()),
+            target_entry("s-2", 9, "terminating"),
+            operator=True,
         )
     ) as rig:
         metrics = await figures(rig)
@@ -135,7 +147,7 @@
         assert (await client.answer())[1] == frames.FAILED
         engine.script = lambda *_: None
         client.ask(stream=3, trace="3" * 16, route="stock-add")
-        await until(lambda: len(engine.words(b"do")) == 2)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
         metrics = await figures(rig)
         assert metrics['replies_total{type="glance",status="success"}'] == 1
         assert metrics['replies_total{type="glance",status="error"}'] == 1
@@ -146,7 +158,7 @@
         ) == (2, 1, 0)
         client.send(frames.ABANDON, 3)  # ended, with its attempt still out
         client.ask(stream=4, trace="4" * 16, route="stock-add")
-        await until(lambda: len(engine.words(b"do")) == 3)
+        await until(lambda: len(engine.commands_named(b"do")) == 3)
         assert (await figures(rig))["concurrent"] == 1
         assert await set_engine(rig, "disable") == 200
         client.ask(stream=5, trace="5" * 16)
@@ -177,10 +189,12 @@
 @on_uvloop
 async def test_an_attempt_counts_only_once_its_last_byte_has_left() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()), operator=True)) as rig:
+    async with running(
+        make_config(target_entry("s-1", await engine.start()), operator=True)
+    ) as rig:
         client = await rig.client()
         client.ask()
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         (connection,) = (
             connection
             for pool in rig.node.dispatcher.pools.by_number.values()
@@ -200,8 +214,8 @@
     None
 ):
     engines = [Engine(), Engine()]
-    first = target("s-1", await engines[0].start())
-    second = target("s-2", await engines[1].start())
+    first = target_entry("s-1", await engines[0].start())
+    second = target_entry("s-2", await engines[1].start())
     async with running(make_config(first, second, operator=True)) as rig:
         client = await rig.client()
         # it may come twice
@@ -212,18 +226,18 @@
         for stream in range(1, 31):
             client.ask(stream=stream, trace=f"{stream:016x}")
             assert (await client.answer())[1] == frames.SERVED
-        assert not engines[0].words(b"do")
-        assert len(engines[1].words(b"do")) == 30
+        assert not engines[0].commands_named(b"do")
+        assert len(engines[1].commands_named(b"do")) == 30
         assert await set_engine(rig, "enable") == 200
         for stream in range(31, 61):
             client.ask(stream=stream, trace=f"{stream:016x}")
             await client.answer()
-        assert engines[0].words(b"do")
+        assert engines[0].commands_named(b"do")
         assert await set_engine(rig, "enable", "nobody") == 404
 
 
 async def tell(rig: Rig, offset: int, *targets: dict[str, Any]) -> None:
-    rig.node.dispatcher.endpoint_list_changed(parse_event(event(offset, *targets)))
+    rig.node.dispatcher.endpoint_list_changed(parse_event(topology_event(offset, *targets)))
 
 
 @on_uvloop
@@ -232,7 +246,9 @@
     other = Engine()
     port = await other.start()
     async with running(
-        make_config(target("s-1", port), target("s-2", port, "terminating"), operator=True)
+        make_config(
+            target_entry("s-1", port), target_entry("s-2", port, "terminating"), operator=True
+        )
     ) as rig:
         client = await rig.client()
         pool = next(
@@ -246,13 +262,15 @@
         assert await set_engine(rig, "disable") == 200
         assert (await client.answer())[1] == frames.REFUSED
         assert not pool.waiting
-        assert not other.words(b"do")
+        assert not other.commands_named(b"do")
 
 
 @on_uvloop
 async def test_an_enabled_endpoint_warms_up_and_its_old_connections_take_nothing_more() -> None:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()), operator=True)) as rig:
+    async with running(
+        make_config(target_entry("s-1", await engine.start()), operator=True)
+    ) as rig:
         client = await rig.client()
         client.ask()
         await client.answer()
@@ -262,5 +280,5 @@
         assert known.cold_until > rig.node.clock.now()
         client.ask(stream=2, trace="2" * 16)
         assert (await client.answer())[1] == frames.SERVED
-        first, again = engine.words(b"do")
+        first, again = engine.commands_named(b"do")
         assert engine.writer_of(first) is not engine.writer_of(again)
--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -17,11 +17,22 @@
 from click.testing import CliRunner
 
 from query_broker.cli.main import main
-from query_broker.emulator.clients import Book
-from query_broker.emulator.cluster import MS, World, config
-from query_broker.emulator.discovery_service import ScriptedBus, event, target
-from query_broker.emulator.faulty_links import Fault, Kind, Link, Script, Way, partition
-from query_broker.emulator.processes import Fleet, Member
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import MS, EmulatedCluster, broker_config
+from query_broker.emulator.discovery_service import (
+    ScriptedDiscoveryService,
+    target_entry,
+    topology_event,
+)
+from query_broker.emulator.faulty_links import (
+    Direction,
+    Fault,
+    FaultKind,
+    FaultSchedule,
+    FaultyLink,
+    partition_faults,
+)
+from query_broker.emulator.processes import BrokerFleet, BrokerProcess
 from query_broker.protocols import client_frames as frames
 from query_broker.startup.endpoint_snapshot import LastList, encode
 
@@ -38,19 +49,19 @@
 @contextmanager
 def fleet(count: int, raw: dict[str, Any], more: str = "", **changes: Any) -> Any:
     raw = {**raw, "settings": {**raw["settings"], **changes}}
-    with Fleet(count, raw, FAST.format(more)) as started:
+    with BrokerFleet(count, raw, FAST.format(more)) as started:
         yield started
 
 
-async def world_of(*uids: str) -> tuple[World, dict[str, Any]]:
-    world = World()
+async def world_of(*uids: str) -> tuple[EmulatedCluster, dict[str, Any]]:
+    world = EmulatedCluster()
     await world.start(*uids)
-    raw = config(world, "127.0.0.1:1", **{**deployments.WAREHOUSE, "fleet_size": 4})
+    raw = broker_config(world, "127.0.0.1:1", **{**deployments.WAREHOUSE, "fleet_size": 4})
     del raw["known"]  # from the bus alone
     return world, raw
 
 
-async def status(member: Member, true: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+async def status(member: BrokerProcess, true: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
     """The answer of its operators' address, once this holds of it."""
     end = time.monotonic() + HANG
     answer: dict[str, Any] = {}
@@ -85,8 +96,8 @@
 @on_uvloop
 async def test_all_start_while_the_discovery_service_is_down_and_serve_once_it_is_back() -> None:
     world, raw = await world_of("s-1", "s-2")
-    script = Script([Fault(0.0, 3_600.0, "bus", Kind.REFUSE)], time.monotonic)
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
+    script = FaultSchedule([Fault(0.0, 3_600.0, "bus", FaultKind.REJECT)], time.monotonic)
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
         for member in brokers.members:
@@ -101,11 +112,11 @@
         for member in brokers.members:
             answer = await status(member, at("full"))
             assert answer["list"] == "bus" and answer["confirmed"] and answer["listed"] == 2
-        book = Book("127.0.0.1", brokers.members[0].port)
+        book = RequestLog("127.0.0.1", brokers.members[0].port)
         for _ in range(20):
-            await book.ask("", "glance", 2, 4_000 * MS)
-        await book.settle(HANG)
-        assert [a.code for a in book.asked] == [frames.SERVED] * 20
+            await book.send_request("", "glance", 2, 4_000 * MS)
+        await book.wait_until_idle(HANG)
+        assert [a.code for a in book.records] == [frames.SERVED] * 20
         book.close()
     link.stop()
     world.stop()
@@ -114,20 +125,22 @@
 @on_uvloop
 async def test_a_discovery_service_that_accepts_and_stays_silent_is_called_again() -> None:
     world, raw = await world_of("s-1")
-    script = Script([Fault(0.0, 4.0, "bus", Kind.STALL, Way.BACK)], time.monotonic)
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
+    script = FaultSchedule(
+        [Fault(0.0, 4.0, "bus", FaultKind.STALL, Direction.BACKWARD)], time.monotonic
+    )
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(2, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
         for member in brokers.members:
             await status(member, at("full"))
-        assert len(link.came) <= 2 * 8  # not retried as if it were dead
+        assert len(link.connected_at_s) <= 2 * 8  # not retried as if it were dead
     link.stop()
     world.stop()
 
 
 @on_uvloop
 async def test_a_discovery_service_that_restarts_its_offsets_is_followed_again() -> None:
-    bus = ScriptedBus()
+    bus = ScriptedDiscoveryService()
     engine = Engine()
     port = await engine.start()
     raw = {
@@ -137,21 +150,21 @@
     }
     with fleet(1, raw) as brokers:
         brokers.start()
-        await until(lambda: bus.asked)
-        bus.tell(event(1, target("s-1", port), full=True))
+        await until(lambda: bus.subscriptions)
+        bus.publish(topology_event(1, target_entry("s-1", port), full=True))
         for number in range(2, 6):
-            bus.tell(event(number))
+            bus.publish(topology_event(number))
         await status(brokers.members[0], ready)
         for beat in (3, 5, 3, 3):  # one beat may be a replica's that lags
-            bus.tell(beat)
-        await until(lambda: len(bus.asked) == 2)
-        assert bus.asked[1] == b"from 0\n"
-        bus.tell(
-            event(
+            bus.publish(beat)
+        await until(lambda: len(bus.subscriptions) == 2)
+        assert bus.subscriptions[1] == b"from 0\n"
+        bus.publish(
+            topology_event(
                 1,
-                target("s-1", port),
-                target("s-2", port + 1, "terminating"),
-                target("s-3", 9),
+                target_entry("s-1", port),
+                target_entry("s-2", port + 1, "terminating"),
+                target_entry("s-3", 9),
                 full=True,
             )
         )
@@ -168,8 +181,8 @@
     more = f', last_list = "{snapshot}", installation = "here"'
     raw["settings"] = {**raw["settings"], "classes": deployments.COUNTERS["classes"]}
     await save_a_snapshot(raw, more)
-    script = Script([Fault(0.0, 5.0, "bus", Kind.REFUSE)], time.monotonic)
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
+    script = FaultSchedule([Fault(0.0, 5.0, "bus", FaultKind.REJECT)], time.monotonic)
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(1, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, more) as brokers:
         member = brokers.members[0]
         brokers.start()
@@ -178,13 +191,18 @@
         # the settings as they are in the file would let non-idempotent requests go
         member.signal(signal.SIGHUP)
         await until(lambda: "reload: done" in member.log())
-        book = Book("127.0.0.1", member.port)
-        safe, unsafe = [await book.ask("", route, 2, 4_000 * MS) for route in ("glance", "load")]
-        await book.settle(HANG)
-        assert (safe.code, unsafe.code) == (frames.SERVED, frames.REFUSED) and unsafe.pause >= 0
+        book = RequestLog("127.0.0.1", member.port)
+        safe, unsafe = [
+            await book.send_request("", route, 2, 4_000 * MS) for route in ("glance", "load")
+        ]
+        await book.wait_until_idle(HANG)
+        assert (safe.code, unsafe.code) == (
+            frames.SERVED,
+            frames.REFUSED,
+        ) and unsafe.retry_after_ms >= 0
         await status(member, lambda answer: answer["confirmed"])
-        later = await book.ask("", "load", 2, 4_000 * MS)
-        await book.settle(HANG)
+        later = await book.send_request("", "load", 2, 4_000 * MS)
+        await book.wait_until_idle(HANG)
         assert later.code == frames.SERVED
         book.close()
     link.stop()
@@ -193,7 +211,7 @@
 
 def from_tomorrow() -> str:
     """The clock has been set back between the runs."""
-    return encode(LastList("", 9, time.time_ns() + 86_400 * 10**9, (target("s-9", 9),)))
+    return encode(LastList("", 9, time.time_ns() + 86_400 * 10**9, (target_entry("s-9", 9),)))
 
 
 @pytest.mark.parametrize(
@@ -232,7 +250,7 @@
 async def test_a_full_disk_costs_the_snapshot_alone(tmp_path: Path) -> None:
     """The limit on a file's size stands for the disk: each write past it fails, half of it done."""
     world, raw = await world_of("s-1")
-    world.bus.tell(*(target(f"s-{i}", 9, "terminating") for i in range(2, 300)))
+    world.discovery.publish(*(target_entry(f"s-{i}", 9, "terminating") for i in range(2, 300)))
     snapshot = tmp_path / "list"
     with fleet(2, raw, f', last_list = "{snapshot}"') as brokers:
         brokers.start()
@@ -254,7 +272,7 @@
     world, raw = await world_of("s-1")
     silent = Engine(lambda *_: None)
     port = await silent.start()
-    world.bus.tell(target("s-2", port), target("s-3", port))
+    world.discovery.publish(target_entry("s-2", port), target_entry("s-3", port))
     with fleet(3, raw) as brokers:
         brokers.start()
         for member in brokers.members:
@@ -270,15 +288,18 @@
     configured: int,
 ) -> None:
     world, raw = await world_of("s-1")
-    link = Link("bus", "127.0.0.1", world.bus_port, Script([], time.monotonic))
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, FaultSchedule([], time.monotonic))
     raw["settings"] = {**raw["settings"], "fleet_size": configured}
     slow = "start(list_connects = 4, engine_probes = 200, ramp = 1, floor = 0.25)"
-    with Fleet(6, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, slow) as brokers:
+    with BrokerFleet(6, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, slow) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, at("full"))
-        most = max(sum(0 <= other - one < 1.0 for other in link.came) for one in link.came)
-        assert len(link.came) == 6 and most <= (4 + 2) * max(1, 6 // configured)
+        most = max(
+            sum(0 <= other - one < 1.0 for other in link.connected_at_s)
+            for one in link.connected_at_s
+        )
+        assert len(link.connected_at_s) == 6 and most <= (4 + 2) * max(1, 6 // configured)
     link.stop()
     world.stop()
 
@@ -294,29 +315,30 @@
             member.kill()
             member.start()
         paused = brokers.members[3]
-        client = Book("127.0.0.1", paused.port)
+        client = RequestLog("127.0.0.1", paused.port)
         in_hand = [
-            await client.ask("", "glance", work, 1_500 * MS) for work in (500, 1_000, 60_000)
+            await client.send_request("", "glance", work, 1_500 * MS)
+            for work in (500, 1_000, 60_000)
         ]
         await until(lambda: sum(len(e.machine.running) for e in world.engines.values()) >= 1)
         paused.signal(signal.SIGSTOP)
         world.drain("s-3")  # it sleeps over this
         await asyncio.sleep(2.0)
         paused.signal(signal.SIGCONT)
-        await client.settle(HANG)
-        assert [a.answers for a in in_hand] == [1, 1, 1]
+        await client.wait_until_idle(HANG)
+        assert [a.answer_count for a in in_hand] == [1, 1, 1]
         client.close()
         for member in brokers.members:
             answer = await status(
                 member, lambda answer: answer["stage"] == "full" and answer["listed"] == 2
             )
             assert answer["share"] == 1.0
-        book = Book("127.0.0.1", paused.port)
+        book = RequestLog("127.0.0.1", paused.port)
         for _ in range(30):
-            await book.ask("", "glance", 2, 4_000 * MS)
-        await book.settle(HANG)
-        assert [a.code for a in book.asked] == [frames.SERVED] * 30
-        assert world.sent_after_drain(550 * MS) == 0
+            await book.send_request("", "glance", 2, 4_000 * MS)
+        await book.wait_until_idle(HANG)
+        assert [a.code for a in book.records] == [frames.SERVED] * 30
+        assert world.queries_after_drain(550 * MS) == 0
         book.close()
     world.stop()
 
@@ -330,14 +352,14 @@
     if stage == "list":
         raw["bus"] = "127.0.0.1:9"
     if stage == "contact":
-        world.bus.tell(target("s-2", port), target("s-3", port + 1))
+        world.discovery.publish(target_entry("s-2", port), target_entry("s-3", port + 1))
     long = (
         FAST.replace("contact_wait = 0.5", "contact_wait = 30")
         .replace("ramp = 1", "ramp = 60")
         .replace("floor = 0.25{}", "floor = 0.01, contact_part = 0.9")
     )
-    with Fleet(1, {**raw, "settings": {**raw["settings"], "fleet_size": 1}}, long) as brokers:
-        member = brokers.members[0]
+    with BrokerFleet(1, {**raw, "settings": {**raw["settings"], "fleet_size": 1}}, long) as brokers:
+        member = brokers.processes[0]
         brokers.start()
         await status(member, at(stage))
         member.signal(signal.SIGHUP)
@@ -352,18 +374,21 @@
 @on_uvloop
 async def test_a_flapping_discovery_service_is_called_within_the_rate_and_loses_no_event() -> None:
     world, raw = await world_of("s-1")
-    flaps = [Fault(at_, at_ + 1.0, "bus", Kind.REFUSE) for at_ in (0.0, 2.0, 4.0)]
-    resets = [Fault(at_, at_, "bus", Kind.RESET) for at_ in (2.0, 4.0)]
-    link = Link("bus", "127.0.0.1", world.bus_port, Script([*flaps, *resets], time.monotonic))
+    flaps = [Fault(at_, at_ + 1.0, "bus", FaultKind.REJECT) for at_ in (0.0, 2.0, 4.0)]
+    resets = [Fault(at_, at_, "bus", FaultKind.RESET) for at_ in (2.0, 4.0)]
+    link = FaultyLink(
+        "bus", "127.0.0.1", world.discovery_port, FaultSchedule([*flaps, *resets], time.monotonic)
+    )
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
         await asyncio.sleep(3.0)
-        world.bus.tell(
-            target("s-2", world.engines["s-1"].port + 1, "terminating"), target("s-3", 9)
+        world.discovery.publish(
+            target_entry("s-2", world.engines["s-1"].port + 1, "terminating"),
+            target_entry("s-3", 9),
         )
         for member in brokers.members:
             await status(member, lambda answer: answer["stage"] == "full" and answer["listed"] == 2)
-        assert len(link.came) < 100 * link.script.now() + 4
+        assert len(link.connected_at_s) < 100 * link.schedule.now_s() + 4
     link.stop()
     world.stop()
 
@@ -372,18 +397,19 @@
 async def test_a_discovery_service_slow_to_all_is_waited_for_and_not_called_more_often() -> None:
     world, raw = await world_of("s-1")
     for i in range(60):
-        world.bus.tell(*(target(f"gone-{i}-{j}", 9, "terminated") for j in range(6)))
-    size = sum(len(json.dumps(e)) for e in world.bus.events)
-    script = Script(
-        [Fault(0.0, 60.0, "bus", Kind.RATE, Way.BACK, rate=4 * size / 3.0)], time.monotonic
+        world.discovery.publish(*(target_entry(f"gone-{i}-{j}", 9, "terminated") for j in range(6)))
+    size = sum(len(json.dumps(e)) for e in world.discovery.events)
+    script = FaultSchedule(
+        [Fault(0.0, 60.0, "bus", FaultKind.RATE, Direction.BACKWARD, bytes_per_s=4 * size / 3.0)],
+        time.monotonic,
     )
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
         for member in brokers.members:
             await status(member, lambda answer: answer["stage"] == "full" and answer["listed"] == 1)
         await until(lambda: link.counts["back"] >= 4 * size)
-        assert len(link.came) <= 8
+        assert len(link.connected_at_s) <= 8
     link.stop()
     world.stop()
 
@@ -393,22 +419,24 @@
     """A front end that finds a broker again hands it everything at once."""
     world, raw = await world_of("s-1")
     came: list[float] = []
-    world.engines["s-1"].connected = came.append
+    world.engines["s-1"].connection_observer = came.append
     script = FAST.replace("ramp = 1", "ramp = 60").format(", accepts = 20, engine_connects = 4")
-    with Fleet(2, {**raw, "settings": {**raw["settings"], "fleet_size": 2}}, script) as brokers:
+    with BrokerFleet(
+        2, {**raw, "settings": {**raw["settings"], "fleet_size": 2}}, script
+    ) as brokers:
         brokers.start()
-        member = brokers.members[0]
+        member = brokers.processes[0]
         await status(member, ready)
-        clients = [Book("127.0.0.1", member.port) for _ in range(30)]
+        clients = [RequestLog("127.0.0.1", member.port) for _ in range(30)]
         begun = time.monotonic()
         for book in clients:
-            await book.ask("", "glance", 1, 8_000 * MS)
+            await book.send_request("", "glance", 1, 8_000 * MS)
         for book in clients:
-            await book.settle(HANG)
-        assert all(a.answers == 1 for book in clients for a in book.asked)
-        answered = sorted(a.answered for book in clients for a in book.asked)
+            await book.wait_until_idle(HANG)
+        assert all(a.answer_count == 1 for book in clients for a in book.records)
+        answered = sorted(a.answered_ns for book in clients for a in book.records)
         assert answered[-1] - answered[0] > 0.1e9 and time.monotonic() - begun < HANG
-        text = (await asyncio.to_thread(member.call, "/metrics"))[1].decode()
+        text = (await asyncio.to_thread(member.call_admin_api, "/metrics"))[1].decode()
         assert (
             'edge_proxy_start_seconds{stage="contact"}' in text and "edge_proxy_start_share" in text
         )
@@ -431,22 +459,25 @@
         'default_cell("a")\n'
         'tenant("other", cell = "b")'
     )
-    with Fleet(1, raw, FAST.format("") + cells) as brokers:
+    with BrokerFleet(1, raw, FAST.format("") + cells) as brokers:
         brokers.start()
-        member = brokers.members[0]
+        member = brokers.processes[0]
         answer = await status(member, at("ramp"))
-        assert answer["listed"] == 2 and (await asyncio.to_thread(member.call, "/cells"))[0] == 200
-        book = Book("127.0.0.1", member.port)
+        assert (
+            answer["listed"] == 2
+            and (await asyncio.to_thread(member.call_admin_api, "/cells"))[0] == 200
+        )
+        book = RequestLog("127.0.0.1", member.port)
         for part in range(2):
             for i in range(20):
-                await book.ask(("acme", "other")[i % 2], "glance", 2, 4_000 * MS)
-            await book.settle(HANG)
+                await book.send_request(("acme", "other")[i % 2], "glance", 2, 4_000 * MS)
+            await book.wait_until_idle(HANG)
             if part == 0:  # what does not fit while it ramps is refused at once
-                assert {a.code for a in book.asked} <= {frames.SERVED, frames.REFUSED}
+                assert {a.code for a in book.records} <= {frames.SERVED, frames.REFUSED}
                 await status(member, at("full"))
-        assert {a.code for a in book.asked[20:]} == {frames.SERVED}
+        assert {a.code for a in book.records[20:]} == {frames.SERVED}
         book.close()
-    assert all(e.sent for e in world.engines.values())
+    assert all(e.received for e in world.engines.values())
     world.stop()
 
 
@@ -460,21 +491,25 @@
     raw["settings"] = {**raw["settings"], "classes": deployments.COUNTERS["classes"]}
     await save_a_snapshot(raw, more)
     port = world.engines["s-1"].port  # listens still, and is another engine now
-    script = Script([Fault(0.0, 2.0, "bus", Kind.REFUSE)], time.monotonic)
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
-    world.bus.tell({**world.bus.targets["s-1"], "state": "terminated"}, target("s-9", port))
+    script = FaultSchedule([Fault(0.0, 2.0, "bus", FaultKind.REJECT)], time.monotonic)
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
+    world.discovery.publish(
+        {**world.discovery.targets["s-1"], "state": "terminated"}, target_entry("s-9", port)
+    )
     with fleet(1, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, more) as brokers:
         member = brokers.members[0]
         brokers.start()
         await status(member, ready)
-        book = Book("127.0.0.1", member.port)
-        requests = [await book.ask("", "load", 2, 4_000 * MS) for _ in range(5)]
-        await book.settle(HANG)
+        book = RequestLog("127.0.0.1", member.port)
+        requests = [await book.send_request("", "load", 2, 4_000 * MS) for _ in range(5)]
+        await book.wait_until_idle(HANG)
         assert [request.code for request in requests] == [frames.REFUSED] * 5
-        assert not [run for run in world.engines["s-1"].machine.ledger if run.cls == b"load"]
+        assert not [
+            run for run in world.engines["s-1"].machine.ledger if run.request_class == b"load"
+        ]
         await status(member, lambda answer: answer["confirmed"] and answer["listed"] == 1)
-        later = await book.ask("", "load", 2, 4_000 * MS)
-        await book.settle(HANG)
+        later = await book.send_request("", "load", 2, 4_000 * MS)
+        await book.wait_until_idle(HANG)
         assert later.code == frames.SERVED
         book.close()
     link.stop()
@@ -483,27 +518,27 @@
 
 @on_uvloop
 async def test_all_endpoints_and_all_brokers_starting_at_once_overload_nothing() -> None:
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-0")
     await world.add("s-1", "s-2", "s-3", cold=True)
-    world.end("s-0")
-    raw = config(world, "127.0.0.1:1", **{**deployments.WAREHOUSE, "fleet_size": 4})
+    world.terminate("s-0")
+    raw = broker_config(world, "127.0.0.1:1", **{**deployments.WAREHOUSE, "fleet_size": 4})
     del raw["known"]
     with fleet(4, raw) as brokers:
         brokers.start()
         clients = []
         for member in brokers.members:
             await status(member, ready)
-            clients.append(Book("127.0.0.1", member.port))
+            clients.append(RequestLog("127.0.0.1", member.port))
         for _ in range(40):
             for book in clients:
-                await book.ask("", "glance", 200, 4_000 * MS)
+                await book.send_request("", "glance", 200, 4_000 * MS)
             await asyncio.sleep(0.05)
         for book in clients:
-            await book.settle(HANG)
-        requests = [request for book in clients for request in book.asked]
-        assert not [request for request in requests if request.answers != 1] and not any(
-            e.machine.fallen for e in world.engines.values()
+            await book.wait_until_idle(HANG)
+        requests = [request for book in clients for request in book.records]
+        assert not [request for request in requests if request.answer_count != 1] and not any(
+            e.machine.crashed for e in world.engines.values()
         )
         assert sum(request.code == frames.SERVED for request in requests) > 20
         for book in clients:
@@ -523,15 +558,22 @@
     received: list[bytes] = []
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     now = 0.0
-    script = Script([Fault(0.0, 1.0, "a-b", Kind.STALL, Way.BACK)], lambda: now)
-    link = Link("a-b", "127.0.0.1", server.sockets[0].getsockname()[1], script)
+    script = FaultSchedule(
+        [Fault(0.0, 1.0, "a-b", FaultKind.STALL, Direction.BACKWARD)], lambda: now
+    )
+    link = FaultyLink("a-b", "127.0.0.1", server.sockets[0].getsockname()[1], script)
     reader, writer = await asyncio.open_connection("127.0.0.1", await link.start())
     writer.write(b"x")
     await until(lambda: received)
     assert link.counts["back"] == 0
     now = 2.0
     assert await asyncio.wait_for(reader.read(1), HANG) == b"x"
-    assert {f.links for f in partition(0, 1, ["a"], ["b", "c"])} == {"a-b", "a-c", "b-a", "c-a"}
+    assert {f.link_pattern for f in partition_faults(0, 1, ["a"], ["b", "c"])} == {
+        "a-b",
+        "a-c",
+        "b-a",
+        "c-a",
+    }
     link.stop()
     server.close()
 
--- a/tests/test_start_pure.py
+++ b/tests/test_start_pure.py
@@ -18,7 +18,7 @@
 from query_broker.startup.settings import StartupSettings
 from query_broker.startup.stages import ListSource, Stage, StartupStages
 
-from .sockets import target
+from .sockets import target_entry
 
 NS_PER_SECOND = 1_000_000_000
 SETTINGS = StartupSettings()
@@ -249,7 +249,7 @@
 # --- the endpoint snapshot ---
 
 SNAPSHOT = LastList(
-    "atlanta", 41, 1_000 * NS_PER_SECOND, (target("s-1", 9090), target("s-2", 9091))
+    "atlanta", 41, 1_000 * NS_PER_SECOND, (target_entry("s-1", 9090), target_entry("s-2", 9091))
 )
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,11 +30,11 @@
     ROOT,
     Engine,
     Rig,
-    event,
     make_config,
     on_uvloop,
     running,
-    target,
+    target_entry,
+    topology_event,
     until,
     within,
     write_config,
@@ -64,7 +64,7 @@
     tmp_path: Path,
 ) -> None:
     engine = Engine()
-    config = make_config(target("s-1", await engine.start()), operator=True)
+    config = make_config(target_entry("s-1", await engine.start()), operator=True)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with beside(config, listener, tmp_path) as old:
             assert old.node.admin_api.set_engine("s-1", out=True)
@@ -90,32 +90,32 @@
 ) -> None:
     """A shutdown of the shared socket would end it for the new process and the platform."""
     engine = Engine(lambda *_: None)
-    config = make_config(target("s-1", await engine.start()))
+    config = make_config(target_entry("s-1", await engine.start()))
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with beside(config, listener, tmp_path) as old:
             client = await old.client()
             client.ask(stream=1)
-            await until(lambda: engine.words(b"do"))
+            await until(lambda: engine.commands_named(b"do"))
             async with beside(config, listener, tmp_path) as new:
                 await meet(old, new)
                 old.node.shutdown.begin()
                 assert await client.frame() == (frames.NO_MORE, 0, b"")
                 client.ask(stream=2, trace="2" * 16)  # it crossed the message to leave
-                await until(lambda: len(engine.words(b"do")) == 2)
+                await until(lambda: len(engine.commands_named(b"do")) == 2)
                 newcomers = [await new.client() for _ in range(5)]
                 await until(lambda: len(new.node.clients) == 5)
                 assert not old.node.ready()
                 assert not peer_processes(old).accepting
                 assert len(old.node.clients) == 1
-                for do in engine.words(b"do"):
-                    engine.serve(do, engine.writer_of(do))
+                for do in engine.commands_named(b"do"):
+                    engine.answer_served(do, engine.writer_of(do))
                 assert {(await client.answer())[:2] for _ in "12"} == {
                     (1, frames.SERVED),
                     (2, frames.SERVED),
                 }
                 await within(old.node.stopped.wait())
                 newcomers[0].ask(trace="3" * 16)
-                await until(lambda: len(engine.words(b"do")) == 3)
+                await until(lambda: len(engine.commands_named(b"do")) == 3)
                 await until(lambda: not peer_processes(new).others)
         assert not os.listdir(tmp_path)
         (await asyncio.open_connection(*listener.getsockname()))[1].close()  # it listens still
@@ -126,7 +126,7 @@
     tmp_path: Path,
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(make_config(target("s-1", 9)), listener, tmp_path) as rig:
+        async with beside(make_config(target_entry("s-1", 9)), listener, tmp_path) as rig:
             rig.node.shutdown.begin()
             assert rig.node.ready()
             assert rig.node.server is not None
@@ -137,11 +137,13 @@
 async def test_a_process_without_an_endpoint_list_is_no_successor(tmp_path: Path) -> None:
     """The old one would leave the queue to a process that can serve none of it."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(make_config(target("s-1", 9)), listener, tmp_path) as old:
+        async with beside(make_config(target_entry("s-1", 9)), listener, tmp_path) as old:
             async with beside(make_config(listed=False), listener, tmp_path) as new:
                 await meet(old, new)
                 assert not peer_processes(old).has_successor()
-                new.node.endpoint_list_changed(parse_event(event(2, target("s-1", 9))))
+                new.node.endpoint_list_changed(
+                    parse_event(topology_event(2, target_entry("s-1", 9)))
+                )
                 peer_processes(old).poll()
                 assert peer_processes(old).has_successor()
 
@@ -150,7 +152,7 @@
 async def test_limits_are_divided_while_two_processes_are_alive_and_restored_after_that(
     tmp_path: Path,
 ) -> None:
-    config = make_config(target("s-1", 9), operator=True)
+    config = make_config(target_entry("s-1", 9), operator=True)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with beside(config, listener, tmp_path) as old:
             undivided = (
@@ -183,14 +185,14 @@
 async def test_idle_engine_connections_past_the_divided_limit_end(tmp_path: Path) -> None:
     """They count until their loss is reported; a loop that waits for that stands still for good."""
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         pools = rig.node.dispatcher.pools
         for stream in range(1, 13):
             client.ask(stream=stream, trace=f"{stream:016x}")
-        await until(lambda: len(engine.words(b"do")) == 12)
-        for do in engine.words(b"do"):
-            engine.serve(do, engine.writer_of(do))
+        await until(lambda: len(engine.commands_named(b"do")) == 12)
+        for do in engine.commands_named(b"do"):
+            engine.answer_served(do, engine.writer_of(do))
             await client.answer()
         open_connections = pools._held()
         assert open_connections > 4
@@ -202,7 +204,7 @@
 @on_uvloop
 async def test_files_of_a_killed_process_are_removed_unread(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(make_config(target("s-1", 9)), listener, tmp_path) as rig:
+        async with beside(make_config(target_entry("s-1", 9)), listener, tmp_path) as rig:
             name = peer_processes(rig).files.prefix + "9-dead"
             (tmp_path / f"{name}.json").write_text(
                 '{"accepting": true, "words": {"s-1": [9, true]}}'
@@ -227,7 +229,9 @@
 ) -> None:
     """To replace the file flushes it to the disk, and the loop stands still meanwhile."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(make_config(target("s-1", 9), operator=True), listener, tmp_path) as rig:
+        async with beside(
+            make_config(target_entry("s-1", 9), operator=True), listener, tmp_path
+        ) as rig:
             ours = peer_processes(rig)
             (file,) = tmp_path.glob("*.json")
             inode = file.stat().st_ino
--- a/tests/test_wire_tables.py
+++ b/tests/test_wire_tables.py
@@ -16,7 +16,7 @@
 from query_broker.protocols.client_request import parse_request
 from query_broker.protocols.statement import table_group
 
-from .sockets import TRACE, event, target
+from .sockets import TRACE, target_entry, topology_event
 
 FIELDS = frames.write_fields({"route": "glance", "trace": "9b"})
 
@@ -250,7 +250,9 @@
 
 
 def test_bus_lines() -> None:
-    line = json.dumps(event(41, target("s-1", 9090, boot_ms=1_700_000_000_123), full=True)).encode()
+    line = json.dumps(
+        topology_event(41, target_entry("s-1", 9090, boot_ms=1_700_000_000_123), full=True)
+    ).encode()
     parsed = bus.parse_line(line)
     assert isinstance(parsed, bus.EndpointListEvent) and parsed.offset == 41 and parsed.full
     endpoint = parsed.targets[0]
@@ -279,11 +281,11 @@
         b"{}",
         b'{"offset":"1"}',
         b'{"offset":1,"topology":{"targets":{}}}',
-        json.dumps(event(1, target("", 1))).encode(),
-        json.dumps(event(1, target("s", 1, "asleep"))).encode(),
-        json.dumps(event(1, target("s", 99_999))).encode(),
+        json.dumps(topology_event(1, target_entry("", 1))).encode(),
+        json.dumps(topology_event(1, target_entry("s", 1, "asleep"))).encode(),
+        json.dumps(topology_event(1, target_entry("s", 99_999))).encode(),
         b"[" * 100_000,
-        json.dumps(event(1, target("s", 1, boot_ms="late"))).encode(),
+        json.dumps(topology_event(1, target_entry("s", 1, boot_ms="late"))).encode(),
     ],
 )
 def test_bad_bus_lines(line: bytes) -> None:
