--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -25,9 +25,9 @@
 from query_broker.cells.planner import Problem, hashed, load_of
 from query_broker.cells.solver import solve
 from query_broker.config import parse
-from query_broker.emulator.clients import Asked, Book, quantile
-from query_broker.emulator.cluster import World, config, tenants
-from query_broker.emulator.data_engine import ran_twice
+from query_broker.emulator.clients import RequestLog, RequestRecord, quantile
+from query_broker.emulator.cluster import EmulatedCluster, broker_config, tenant_settings
+from query_broker.emulator.data_engine import statements_run_twice
 from query_broker.operator_config.script import evaluate
 from query_broker.operator_config.settings import OperatorConfig
 from query_broker.protocols import client_frames as frames
@@ -44,7 +44,7 @@
 # --- one faulty tenant ---
 
 
-async def _offer(book: Book, seed: int, seconds: float, faulty: bool) -> None:
+async def _offer(book: RequestLog, seed: int, seconds: float, faulty: bool) -> None:
     """good, better and best at a third of their cell's work; bad at a hundred times what it
     claims.
     """
@@ -58,16 +58,18 @@
         load = draw.random() < 0.1
         route, threads = ("stock-add", 2) if load else ("glance", 1)
         if name == "bad":
-            await book.ask(name, route, 1_000, 5 * S, threads=threads, weight=10, rows=1_500)
+            await book.send_request(
+                name, route, 1_000, 5 * S, threads=threads, weight=10, rows=1_500
+            )
         else:
-            await book.ask(
+            await book.send_request(
                 name, route, draw.uniform(20, 60), 5 * S, threads=threads, group=draw.randint(1, 9)
             )
 
 
-async def _one_day(seconds: float, faulty: bool, celled: bool) -> tuple[list[Asked], int]:
+async def _one_day(seconds: float, faulty: bool, celled: bool) -> tuple[list[RequestRecord], int]:
     """What the others got, and attempts of the faulty tenant at engines that are not its cell's."""
-    world = World()
+    world = EmulatedCluster()
     await world.start("a-1", "a-2", "a-3", "b-1", cores=4)
     script = (
         "\n".join(
@@ -83,27 +85,33 @@
         else ""
     )
     daemon = await Daemon(
-        ROOT, world, script, specifics=SPECIFICS, tenants=tenants("good", "better", "best", "bad")
+        ROOT,
+        world,
+        script,
+        specifics=SPECIFICS,
+        tenants=tenant_settings("good", "better", "best", "bad"),
     ).start()
     await _offer(daemon.book, 5, seconds, faulty)
-    await daemon.book.settle(7.0)
-    asked = [a for a in daemon.book.asked if a.tenant != "bad"]
+    await daemon.book.wait_until_idle(7.0)
+    asked = [a for a in daemon.book.records if a.tenant != "bad"]
     strays = sum(
         b"work=1000 " in statement
         for uid in ("a-1", "a-2", "a-3")
-        for _, _, statement in world.engines[uid].sent
+        for _, _, statement in world.engines[uid].received
     )
     daemon.stop()
     world.stop()
     return asked, strays
 
 
-def _served(asked: list[Asked]) -> float:
-    return sum(a.in_time(AIM[a.route]) for a in asked) / max(1, len(asked))
+def _served(asked: list[RequestRecord]) -> float:
+    return sum(a.met_objective(AIM[a.request_class]) for a in asked) / max(1, len(asked))
 
 
-def _p99(asked: list[Asked]) -> float:
-    return quantile([(a.answered - a.sent) / MS for a in asked if a.code == frames.SERVED], 0.99)
+def _p99(asked: list[RequestRecord]) -> float:
+    return quantile(
+        [(a.answered_ns - a.sent_ns) / MS for a in asked if a.code == frames.SERVED], 0.99
+    )
 
 
 async def isolation(figures: Figures, seconds: float) -> None:
@@ -126,7 +134,7 @@
 
 
 async def moves(figures: Figures, count: int) -> None:
-    draw, world = random.Random(11), World()
+    draw, world = random.Random(11), EmulatedCluster()
     cells = ("a", "b", "c", "d")
     names = [f"t{i}" for i in range(20)]
     await world.start(*(f"{c}-{i}" for c in cells for i in range(3)), cores=4)
@@ -137,11 +145,11 @@
         {n: Tenant(n, (cells[i % 4],)) for i, n in enumerate(names)},
         Timing(propose=1 * S, warm=2 * S, settle=S // 10, watch=S // 5, lost=S // 5),
     )
-    raw = config(
+    raw = broker_config(
         world,
         "127.0.0.1:1",
         specifics=SPECIFICS,
-        tenants=tenants(*names),
+        tenants=tenant_settings(*names),
         limits={"sockets": 1_024, "memory_mb": 128},
     )
     with tempfile.TemporaryDirectory() as folder:
@@ -155,7 +163,7 @@
         running = asyncio.create_task(node.run())
         while node.server is None:
             await asyncio.sleep(0.01)
-        book = Book("127.0.0.1", int(node.server.sockets[0].getsockname()[1]))
+        book = RequestLog("127.0.0.1", int(node.server.sockets[0].getsockname()[1]))
         record, over = node.celled.moves, asyncio.Event()
         loading = asyncio.create_task(_steady(book, names, draw, over))
         breaking = asyncio.create_task(_faults(world, node, draw, over))
@@ -185,31 +193,35 @@
             await asyncio.sleep(0.02)
         over.set()
         await asyncio.gather(loading, breaking)
-        await book.settle(8.0)
+        await book.wait_until_idle(8.0)
         engines = list(world.engines.values())
         spans: dict[str, list[tuple[int, int]]] = {}
         for subject, since, until in moving:
             spans.setdefault(subject, []).append((since, until))
         during = [
-            a for a in book.asked if any(s <= a.sent <= u for s, u in spans.get(a.tenant, ()))
+            a for a in book.records if any(s <= a.sent_ns <= u for s, u in spans.get(a.tenant, ()))
         ]
         apart = [
-            a for a in book.asked if not any(s <= a.sent <= u for s, u in spans.get(a.tenant, ()))
+            a
+            for a in book.records
+            if not any(s <= a.sent_ns <= u for s, u in spans.get(a.tenant, ()))
         ]
         figures.tell("moves.ended", len(seen), least=count)
         figures.tell("moves.done", ended.get(Stage.DONE, 0))
         figures.tell("moves.taken_back", ended.get(Stage.TAKEN_BACK, 0))
         figures.tell("moves.taken_back_by_call", backs)
         figures.tell("moves.seconds", time.monotonic() - begun)
-        figures.tell("moves.requests", len(book.asked))
+        figures.tell("moves.requests", len(book.records))
         figures.tell(
             "moves.requests_without_one_answer",
-            sum(a.answers != 1 for a in book.asked) + book.strays,
+            sum(a.answer_count != 1 for a in book.records) + book.unmatched_answers,
             most=0,
         )
-        figures.tell("moves.unsafe_run_twice", len(ran_twice(engines, b"stock-add")), most=0)
-        figures.tell("moves.sent_after_drain", world.sent_after_drain(S), most=0)
-        figures.tell("moves.engines_fallen", sum(e.machine.fallen for e in engines), most=0)
+        figures.tell(
+            "moves.unsafe_run_twice", len(statements_run_twice(engines, b"stock-add")), most=0
+        )
+        figures.tell("moves.sent_after_drain", world.queries_after_drain(S), most=0)
+        figures.tell("moves.engines_fallen", sum(e.machine.crashed for e in engines), most=0)
         for name, asked in (("during", during), ("apart", apart)):
             figures.tell(
                 f"moves.refused_share_{name}",
@@ -225,10 +237,12 @@
     world.stop()
 
 
-async def _steady(book: Book, names: list[str], draw: random.Random, over: asyncio.Event) -> None:
+async def _steady(
+    book: RequestLog, names: list[str], draw: random.Random, over: asyncio.Event
+) -> None:
     while not over.is_set():
         load = draw.random() < 0.15
-        await book.ask(
+        await book.send_request(
             draw.choice(names),
             "stock-add" if load else "glance",
             draw.uniform(5, 40),
@@ -238,30 +252,32 @@
         await asyncio.sleep(draw.expovariate(150.0))
 
 
-async def _faults(world: World, node: CellNode, draw: random.Random, over: asyncio.Event) -> None:
+async def _faults(
+    world: EmulatedCluster, node: CellNode, draw: random.Random, over: asyncio.Event
+) -> None:
     """Drains with successors, crashes without a word, silence, bans; never all of a cell at
     once.
     """
     number = 0
     while not over.is_set():
         await asyncio.sleep(draw.uniform(0.4, 0.9))
-        ready = [u for u, t in world.bus.targets.items() if t["state"] == "in_service"]
+        ready = [u for u, t in world.discovery.targets.items() if t["state"] == "in_service"]
         uid, fault = draw.choice(ready), draw.choice(["drain", "crash", "silent", "ban"])
         number += 1
         if fault == "drain":
             await world.add(f"n-{number}", cores=4, cold=draw.random() < 0.5)
             world.drain(uid)
             await asyncio.sleep(1.2)
-            world.end(uid)
+            world.terminate(uid)
         elif fault == "crash":
             world.engines[uid].stop()
             await world.add(f"n-{number}", cores=4)
             await asyncio.sleep(0.3)
-            world.bus.tell({**world.bus.targets[uid], "state": "terminated"})
+            world.discovery.publish({**world.discovery.targets[uid], "state": "terminated"})
         elif fault == "silent":
-            world.engines[uid].silent = True
+            world.engines[uid].unresponsive = True
             await asyncio.sleep(0.4)
-            world.engines[uid].silent = False
+            world.engines[uid].unresponsive = False
         else:
             node.dispatcher.set_endpoint_disabled(uid, True)
             await asyncio.sleep(0.5)
@@ -273,18 +289,21 @@
 
 async def loans(figures: Figures) -> None:
     """One cell floods until nothing more is lent to it; then the other asks for its whole part."""
-    world = World()
+    world = EmulatedCluster()
     await world.start("a-1", "b-1")
     for engine in world.engines.values():
-        engine.machine.sessions, engine.machine.slow = 10_000, 1e6  # nothing ends by itself
+        engine.machine.max_sessions, engine.machine.slowdown = 10_000, 1e6  # nothing ends by itself
     told = CellMap(
         1,
         (Cell("a", engines=("a-1",)), Cell("b", engines=("b-1",))),
         "a",
         {"y": Tenant("y", ("b",))},
     )
-    raw = config(
-        world, "127.0.0.1:1", tenants=tenants("x", "y"), limits={"sockets": 256, "memory_mb": 32}
+    raw = broker_config(
+        world,
+        "127.0.0.1:1",
+        tenants=tenant_settings("x", "y"),
+        limits={"sockets": 256, "memory_mb": 32},
     )
     node = CellNode(
         replace(parse(json.loads(json.dumps(raw)), {}), port=0), OperatorConfig(told), ""
@@ -294,27 +313,27 @@
     while node.server is None:
         await asyncio.sleep(0.01)
     book, ledger = (
-        Book("127.0.0.1", int(node.server.sockets[0].getsockname()[1])),
+        RequestLog("127.0.0.1", int(node.server.sockets[0].getsockname()[1])),
         node.celled.requests_lent,
     )
     ledger.divide(40, node.celled.shares())
     for _ in range(60):
-        await book.ask("x", "glance", 1, 5 * S, weight=1)
+        await book.send_request("x", "glance", 1, 5 * S, weight=1)
     await asyncio.sleep(0.1)
     figures.tell("loans.lent", ledger.lent("a"), least=1)
     begun, held = time.monotonic(), 0
     while held < ledger.accounts["b"].part and time.monotonic() - begun < 5:
-        await book.ask("y", "glance", 1, 5 * S, weight=1)
+        await book.send_request("y", "glance", 1, 5 * S, weight=1)
         await asyncio.sleep(0.01)
         held = ledger.accounts["b"].used
     figures.tell(
         "loans.owner_has_its_part_after_ms", (time.monotonic() - begun) * 1e3, most=1_000.0
     )
     figures.tell("loans.called_in", node.celled.called_in)
-    await book.settle(6.0)
+    await book.wait_until_idle(6.0)
     figures.tell(
         "loans.requests_without_one_answer",
-        sum(a.answers != 1 for a in book.asked) + book.strays,
+        sum(a.answer_count != 1 for a in book.records) + book.unmatched_answers,
         most=0,
     )
     book.close()
@@ -384,9 +403,9 @@
     """Microseconds of the daemon's processor for each request, at 40 open at once."""
     begun = daemon.used()
     left = count
-    while left or any(c.open for c in daemon.book.counters):
-        while left and sum(len(c.open) for c in daemon.book.counters) < 40:
-            await daemon.book.ask(f"t{left % 4}", "glance", 0, 5 * S, weight=5)
+    while left or any(c.open_requests for c in daemon.book.clients):
+        while left and sum(len(c.open_requests) for c in daemon.book.clients) < 40:
+            await daemon.book.send_request(f"t{left % 4}", "glance", 0, 5 * S, weight=5)
             left -= 1
         await asyncio.sleep(0.001)
     return (daemon.used() - begun) / count / 1e3
@@ -401,13 +420,13 @@
             *(f'tenant("t{i}", cell = "c{i}")' for i in range(4)),
         ]
     )
-    world = World()
+    world = EmulatedCluster()
     await world.start(*(f"s-{i}" for i in range(4)))
     for engine in world.engines.values():
-        engine.machine.sessions = 1_000
+        engine.machine.max_sessions = 1_000
     with worktree(base) as before:
         changes: dict[str, Any] = {
-            "tenants": tenants("t0", "t1", "t2", "t3"),
+            "tenants": tenant_settings("t0", "t1", "t2", "t3"),
             "limits": {"sockets": 1_024, "memory_mb": 128},
         }
         daemons = {
@@ -426,7 +445,7 @@
                 if turn:  # the first round warms all three up
                     costs[name].append(cost)
         for name, daemon in daemons.items():
-            answered = [a for a in daemon.book.asked]
+            answered = [a for a in daemon.book.records]
             figures.tell(f"path.{name}_us", statistics.median(costs[name]))
             figures.tell(
                 f"path.{name}_served",
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -23,7 +23,13 @@
     EndpointState,
     ListUpdateKind,
 )
-from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
+from query_broker.emulator.decision_simulation import (
+    BEGIN_NS,
+    Completion,
+    SimulatedBroker,
+    SimulatedEngine,
+    Simulation,
+)
 from query_broker.emulator.machine import Machine
 
 from .harness import Figures
@@ -43,7 +49,7 @@
 class Cold:
     """A cold engine, what came to it: when, of which work, from a broker that had been told."""
 
-    engine: SimEngine
+    engine: SimulatedEngine
     came: list[tuple[int, float, bool]]
 
 
@@ -54,16 +60,22 @@
     machine, against, chance, whoever = cold.engine.machine, 0.0, 0.0, 0.0
     first, within, told = 0, 0.0, 0.0
     for at, work, known in cold.came:
-        if at >= machine.started + machine.cold:
+        if at >= machine.started_ns + machine.warm_up_ns:
             break
         within, told = within + work, told + work * known
-        while cold.came[first][0] <= at - machine.fall:
+        while cold.came[first][0] <= at - machine.overload_window_ns:
             within, told = (
                 within - cold.came[first][1],
                 told - cold.came[first][1] * cold.came[first][2],
             )
             first += 1
-        n = machine.fall_multiple * machine.pace(at) * machine.cores * machine.fall / MEAN
+        n = (
+            machine.overload_multiple
+            * machine.capacity_fraction(at)
+            * machine.cores
+            * machine.overload_window_ns
+            / MEAN
+        )
         calls = within / MEAN
         whoever = max(whoever, calls / n)
         if told * 3 > within * 2:
@@ -75,16 +87,16 @@
 def world(brokers: int, seed: int) -> dict[str, float]:
     sim = Simulation(seed)
     count = max(4, min(80, 2 * brokers // 5))
-    names = sim.draw.sample(range(1 << 32), count + max(1, count // 5))
+    names = sim.random.sample(range(1 << 32), count + max(1, count // 5))
     old, new = names[:count], names[count:]
-    engines = {n: SimEngine(sim, n, Machine()) for n in old}
+    engines = {n: SimulatedEngine(sim, n, Machine()) for n in old}
     watched: list[Cold] = []
-    members: list[SimBroker] = []
+    members: list[SimulatedBroker] = []
     # broker, engine: when it heard of the engine's last start
     heard: dict[tuple[int, int], int] = {}
 
-    def tell(broker: SimBroker, number: int) -> None:
-        heard[broker.settings.broker_index, number] = sim.now
+    def tell(broker: SimulatedBroker, number: int) -> None:
+        heard[broker.settings.broker_index, number] = sim.now_ns
         broker.report(
             EndpointListUpdate(
                 ListUpdateKind.CHANGES,
@@ -94,7 +106,7 @@
                         EndpointState.READY,
                         "a",
                         "std",
-                        started_ns=engines[number].machine.started,
+                        started_ns=engines[number].machine.started_ns,
                     ),
                 ),
             )
@@ -102,45 +114,49 @@
 
     def starts(number: int) -> None:
         if (was := engines.get(number)) is not None:
-            askers, was.askers = was.askers, {}
+            askers, was.completions = was.completions, {}
             for done in askers.values():
                 done(AttemptResult.RESET)
             was.machine.running.clear()
-            was.machine = Machine(started=sim.now)
+            was.machine = Machine(started_ns=sim.now_ns)
             engine = was
         else:
-            engine = engines[number] = SimEngine(sim, number, Machine(started=sim.now))
+            engine = engines[number] = SimulatedEngine(sim, number, Machine(started_ns=sim.now_ns))
         cold = Cold(engine, [])
         watched.append(cold)
-        take, born = engine.take, engine.machine
+        take, born = engine.execute, engine.machine
 
-        def taken(id: bytes, cls: str, work: float, threads: int, done: object) -> None:
+        def taken(
+            query_id: bytes, request_class: str, work: float, threads: int, done: Completion
+        ) -> None:
             if engine.machine is born:
-                me = int(id.split(b"/")[0])
-                cold.came.append((sim.now, work, heard.get((me, number), -1) >= born.started))
-            take(id, cls, work, threads, done)  # type: ignore[arg-type]
+                me = int(query_id.split(b"/")[0])
+                cold.came.append((sim.now_ns, work, heard.get((me, number), -1) >= born.started_ns))
+            take(query_id, request_class, work, threads, done)
 
-        engine.take = taken  # type: ignore[method-assign]
+        engine.execute = taken  # type: ignore[method-assign]
         for broker in members:
-            sim.at(sim.now + int(sim.draw.random() * HEARD * S), partial(tell, broker, number))
+            sim.call_at(
+                sim.now_ns + int(sim.random.random() * HEARD * S), partial(tell, broker, number)
+            )
 
     for me in range(brokers):
-        broker = SimBroker(sim, sim_settings(me, brokers), me, engines)
-        broker.list_told()
+        broker = SimulatedBroker(sim, sim_settings(me, brokers), me, engines)
+        broker.announce_endpoints()
         members.append(broker)
     for number in new:
-        sim.at(BEGIN + int((JOINS + sim.draw.random()) * S), partial(starts, number))
+        sim.call_at(BEGIN_NS + int((JOINS + sim.random.random()) * S), partial(starts, number))
     for number in old[: max(1, count // 5)]:
-        sim.at(BEGIN + int((REBORN + sim.draw.random()) * S), partial(starts, number))
+        sim.call_at(BEGIN_NS + int((REBORN + sim.random.random()) * S), partial(starts, number))
     favoured, asked = max(1, int(FAVOURED[0] * brokers)), itertools.count()
     parts = [FAVOURED[1]] * favoured + [1.0] * (brokers - favoured)
 
     def arrive() -> None:
-        load = LOAD * (BURST if sim.now > BEGIN + JOINS * S else 1.0) * 8 * count
-        sim.at(sim.now + int(sim.draw.expovariate(1) * MEAN / load), arrive)
-        wide = sim.draw.random() < WIDE
-        work = sim.draw.uniform(0.5, 1.5) * (4 * S if wide else S // 5)
-        sim.draw.choices(members, parts)[0].ask(
+        load = LOAD * (BURST if sim.now_ns > BEGIN_NS + JOINS * S else 1.0) * 8 * count
+        sim.call_at(sim.now_ns + int(sim.random.expovariate(1) * MEAN / load), arrive)
+        wide = sim.random.random() < WIDE
+        work = sim.random.uniform(0.5, 1.5) * (4 * S if wide else S // 5)
+        sim.random.choices(members, parts)[0].send_request(
             str(next(asked)),
             "report" if wide else "glance",
             work,
@@ -151,14 +167,14 @@
     arrive()
     sim.run(SECONDS)
     found = [worst(cold) for cold in watched]
-    done = [a for b in members for a in b.asked.values()]
+    done = [a for b in members for a in b.requests.values()]
     return {
         "against_n": max(f[0] for f in found),
         "against_chance": max(f[1] for f in found),
         "against_n_whoever_sent": max(f[2] for f in found),
         "starts": len(found),
         "past_n": sum(f[0] > 1 for f in found),
-        "fallen": sum(e.machine.fallen for e in engines.values()),
+        "fallen": sum(e.machine.crashed for e in engines.values()),
         "served": sum(a[3] for a in done) / len(done),
         "calls": sum(len(c.came) for c in watched) / len(watched),
     }
--- a/benchmarks/deadlines.py
+++ b/benchmarks/deadlines.py
@@ -21,9 +21,14 @@
 import uvloop
 
 from query_broker.config import parse
-from query_broker.emulator.clients import Asked, Book, Counter, quantile
-from query_broker.emulator.cluster import World, config, settings, tenants
-from query_broker.emulator.discovery_service import target
+from query_broker.emulator.clients import EmulatedClient, RequestLog, RequestRecord, quantile
+from query_broker.emulator.cluster import (
+    EmulatedCluster,
+    broker_config,
+    platform_settings,
+    tenant_settings,
+)
+from query_broker.emulator.discovery_service import target_entry
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.engine_connection import EngineConnection
@@ -165,31 +170,31 @@
 
 async def _play(port: int, engines: list[ErraticEngine], seed: int, count: int) -> Day:
     """Randomised lifecycles against one address, the same for the same seed."""
-    draw, day, book = random.Random(seed), Day(), Book("127.0.0.1", port)
+    draw, day, book = random.Random(seed), Day(), RequestLog("127.0.0.1", port)
     loop = asyncio.get_running_loop()
     unsafe: set[bytes] = set()
-    lived: list[tuple[Asked, Counter]] = []
+    lived: list[tuple[RequestRecord, EmulatedClient]] = []
 
-    def leave(counter: Counter, asked: Asked) -> None:
+    def leave(counter: EmulatedClient, asked: RequestRecord) -> None:
         """Type 8, unless it has its answer."""
-        stream = next((s for s, a in counter.open.items() if a is asked), None)
+        stream = next((s for s, a in counter.open_requests.items() if a is asked), None)
         if stream is not None and counter.transport is not None:
             counter.transport.write(frames.frame(frames.ABANDON, stream))
-            del counter.open[stream]
-            day.left[asked.trace.encode()] = time.time_ns()
+            del counter.open_requests[stream]
+            day.left[asked.request_id.encode()] = time.time_ns()
 
-    def drop(counter: Counter) -> None:
-        now, counter.leaving = time.time_ns(), True
-        for asked in counter.open.values():
-            day.left[asked.trace.encode()] = now
+    def drop(counter: EmulatedClient) -> None:
+        now, counter.broker_draining = time.time_ns(), True
+        for asked in counter.open_requests.values():
+            day.left[asked.request_id.encode()] = now
         if counter.transport is not None:
             counter.transport.abort()
 
     for number in range(count):
-        usable = [c for c in book.counters if c.usable()]
-        counter = draw.choice(usable) if len(usable) >= MOST_CLIENTS else await book.counter()
+        usable = [c for c in book.clients if c.has_capacity()]
+        counter = draw.choice(usable) if len(usable) >= MOST_CLIENTS else await book.connect()
         load = draw.random() < 0.2
-        asked = Asked(
+        asked = RequestRecord(
             f"{seed:04x}{number:012x}",
             "acme",
             "stock-add" if load else "glance",
@@ -198,9 +203,9 @@
         )
         size = draw.choice([0, 0, 0, 0, 40_000, 150_000])
         if load:
-            unsafe.add(asked.trace.encode())
-        book.asked.append(asked)
-        counter.ask(asked, b"SELECT 1 FROM sales_17.orders /* %b */" % (b"x" * size), 1.0)
+            unsafe.add(asked.request_id.encode())
+        book.records.append(asked)
+        counter.send_request(asked, b"SELECT 1 FROM sales_17.orders /* %b */" % (b"x" * size), 1.0)
         lived.append((asked, counter))
         chance = draw.random()
         if chance < 0.35:
@@ -215,14 +220,18 @@
             await asyncio.sleep(draw.expovariate(250.0))
     for engine in engines:
         engine.pause(False)
-    await book.settle(4.0)
+    await book.wait_until_idle(4.0)
     await asyncio.sleep(0.3)
-    day.asked, day.departures = len(book.asked), len(day.left)
-    day.twice = sum(a.answers > 1 for a in book.asked) + sum(
-        a.answers and a.trace.encode() in day.left and a.answered > day.left[a.trace.encode()] + S
-        for a in book.asked
+    day.asked, day.departures = len(book.records), len(day.left)
+    day.twice = sum(a.answer_count > 1 for a in book.records) + sum(
+        a.answer_count
+        and a.request_id.encode() in day.left
+        and a.answered_ns > day.left[a.request_id.encode()] + S
+        for a in book.records
+    )
+    day.unanswered = sum(
+        not a.answer_count and a.request_id.encode() not in day.left for a in book.records
     )
-    day.unanswered = sum(not a.answers and a.trace.encode() not in day.left for a in book.asked)
     runs = [run for engine in engines for run in engine.begun]
     seen: dict[bytes, int] = {}
     for _, id in runs:
@@ -233,12 +242,15 @@
 
 
 def _raw(ports: list[int]) -> dict[str, Any]:
-    world = World()
-    world.bus_port = 1
-    raw = config(
-        world, "127.0.0.1:1", tenants=tenants("acme"), limits={"sockets": 96, "memory_mb": 256}
+    world = EmulatedCluster()
+    world.discovery_port = 1
+    raw = broker_config(
+        world,
+        "127.0.0.1:1",
+        tenants=tenant_settings("acme"),
+        limits={"sockets": 96, "memory_mb": 256},
     )
-    listed = [target(f"s-{i}", port) for i, port in enumerate(ports)]
+    listed = [target_entry(f"s-{i}", port) for i, port in enumerate(ports)]
     raw["known"] = {
         "offset": 1,
         "batch": [{"offset": 1, "topology": {"rev": 1, "all": True, "targets": listed}}],
@@ -428,46 +440,48 @@
     """Engine time spent after the client left, where a cancel is honoured and where it is not."""
     medians = {}
     for name, honoured in (("without", False), ("with", True)):
-        draw, world = random.Random(9), World()
+        draw, world = random.Random(9), EmulatedCluster()
         await world.start("a-1", "a-2", "a-3", cores=4)
         for engine in world.engines.values():
             engine.honours_cancel = honoured
-        limits = {**settings()["policy_limits"], "cancel": honoured}
+        limits = {**platform_settings()["policy_limits"], "cancel": honoured}
         daemon = await Daemon(
             ROOT,
             world,
-            tenants=tenants("acme"),
+            tenants=tenant_settings("acme"),
             policy_limits=limits,
             specifics={"size_cores": [4], "parallelism": [1, 2]},
         ).start()
         left: dict[bytes, int] = {}
 
-        def leave(asked: Asked, daemon: Daemon = daemon, left: dict[bytes, int] = left) -> None:
-            for counter in daemon.book.counters:
-                for stream, open_ in list(counter.open.items()):
+        def leave(
+            asked: RequestRecord, daemon: Daemon = daemon, left: dict[bytes, int] = left
+        ) -> None:
+            for counter in daemon.book.clients:
+                for stream, open_ in list(counter.open_requests.items()):
                     if open_ is asked and counter.transport is not None:
                         counter.transport.write(frames.frame(frames.ABANDON, stream))
-                        del counter.open[stream]
-                        left[asked.trace.encode()] = time.time_ns()
+                        del counter.open_requests[stream]
+                        left[asked.request_id.encode()] = time.time_ns()
 
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            asked = await daemon.book.ask("acme", "glance", draw.uniform(200, 800), 5 * S)
+            asked = await daemon.book.send_request("acme", "glance", draw.uniform(200, 800), 5 * S)
             if draw.random() < 0.5:
                 asyncio.get_running_loop().call_later(draw.uniform(0.0, 0.2), leave, asked)
             await asyncio.sleep(draw.expovariate(18.0))
-        await daemon.book.settle(6.0)
+        await daemon.book.wait_until_idle(6.0)
         spent = [
-            max(0, (run.ended or time.time_ns()) - left[run.id]) / MS
+            max(0, (run.ended_ns or time.time_ns()) - left[run.query_id]) / MS
             for e in world.engines.values()
             for run in e.machine.ledger
-            if run.id in left
+            if run.query_id in left
         ]
         medians[name] = quantile(spent, 0.5)
         figures.tell(f"cancels.{name}.departures", len(left))
         figures.tell(f"cancels.{name}.engine_ms_after_departure_median", quantile(spent, 0.5))
         figures.tell(f"cancels.{name}.engine_ms_after_departure_p99", quantile(spent, 0.99))
-        figures.tell(f"cancels.{name}.served", sum(a.code == 0 for a in daemon.book.asked))
+        figures.tell(f"cancels.{name}.served", sum(a.code == 0 for a in daemon.book.records))
         daemon.stop()
         world.stop()
     figures.tell(
@@ -476,13 +490,13 @@
 
 
 async def path(figures: Figures, base: str, rounds: int, count: int) -> None:
-    world = World()
+    world = EmulatedCluster()
     await world.start(*(f"s-{i}" for i in range(4)))
     for engine in world.engines.values():
-        engine.machine.sessions = 1_000
+        engine.machine.max_sessions = 1_000
     with worktree(base) as before:
         changes: dict[str, Any] = {
-            "tenants": tenants("t0", "t1", "t2", "t3"),
+            "tenants": tenant_settings("t0", "t1", "t2", "t3"),
             "limits": {"sockets": 1_024, "memory_mb": 128},
         }
         daemons = {
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -16,7 +16,7 @@
 
 from query_broker import decisions as api
 from query_broker.decisions.controller import AdmissionController
-from query_broker.emulator.cluster import World, tenants
+from query_broker.emulator.cluster import EmulatedCluster, tenant_settings
 
 from .cells import _ask_many
 from .harness import ROOT, Daemon, Figures, package_of, worktree
@@ -195,10 +195,10 @@
 
 async def daemons(figures: Figures, before: Path, rounds: int, count: int) -> None:
     """The whole daemon before 60 engines of a fleet of 40 brokers."""
-    world = World()
+    world = EmulatedCluster()
     await world.start(*(f"s-{i}" for i in range(60)))
     changes: dict[str, Any] = {
-        "tenants": tenants("t0", "t1", "t2", "t3"),
+        "tenants": tenant_settings("t0", "t1", "t2", "t3"),
         "fleet_size": 40,
         "limits": {"sockets": 384, "memory_mb": 80},
         "charges": {"handshake": 0.08},
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from query_broker.emulator.clients import Book
-from query_broker.emulator.cluster import World, config, patiently
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import EmulatedCluster, broker_config, wait_for_result
 from query_broker.emulator.processes import free_ports
 
 ROOT = Path(__file__).parents[1]
@@ -53,7 +53,7 @@
     def __init__(
         self,
         tree: Path,
-        world: World,
+        world: EmulatedCluster,
         script: str = "",
         raw: dict[str, Any] | None = None,
         **changes: Any,
@@ -61,7 +61,7 @@
         self.folder = tempfile.TemporaryDirectory()
         self.port, self.operator = free_ports(2)
         folder = Path(self.folder.name)
-        raw = config(world, "", **changes) if raw is None else raw
+        raw = broker_config(world, "", **changes) if raw is None else raw
         raw["listen"] = f"127.0.0.1:{self.port}"
         (folder / "config.json").write_text(json.dumps(raw))
         self.env = {
@@ -77,7 +77,7 @@
             (folder / "operators.star").write_text(script)
             self.env["PROXY_OPERATOR_FILE"] = str(folder / "operators.star")
         self.tree = tree
-        self.book = Book("127.0.0.1", self.port)
+        self.book = RequestLog("127.0.0.1", self.port)
 
     async def start(self) -> Daemon:
         self.process = subprocess.Popen(
@@ -88,11 +88,11 @@
         )
         for _ in range(500):
             try:
-                counter = await self.book.counter()
+                counter = await self.book.connect()
             except OSError:
                 await asyncio.sleep(0.02)
                 continue
-            if await patiently(counter.ask_ready(), 2.0):
+            if await wait_for_result(counter.check_readiness(), 2.0):
                 return self
         raise RuntimeError(f"the daemon of {self.tree.name} does not get ready")
 
--- a/benchmarks/member_processes.py
+++ b/benchmarks/member_processes.py
@@ -14,9 +14,14 @@
 from pathlib import Path
 from typing import Any
 
-from query_broker.emulator.cluster import World, config, settings, tenants
-from query_broker.emulator.faulty_links import Fault, Kind, RelayNet, Script
-from query_broker.emulator.processes import Fleet, Member, free_ports
+from query_broker.emulator.cluster import (
+    EmulatedCluster,
+    broker_config,
+    platform_settings,
+    tenant_settings,
+)
+from query_broker.emulator.faulty_links import Fault, FaultKind, FaultSchedule, RelayNetwork
+from query_broker.emulator.processes import BrokerFleet, BrokerProcess, free_ports
 from query_broker.membership.codec import peek_sender
 from query_broker.membership.settings import NS_PER_S, MembershipSettings
 from query_broker.membership.timing import detection_bounds
@@ -38,7 +43,7 @@
 
 def peer_limits() -> dict[str, Any]:
     """Return policy limits that allow messages to peers."""
-    return {**settings()["policy_limits"], "peer_messages": True}
+    return {**platform_settings()["policy_limits"], "peer_messages": True}
 
 
 # --- detection ---
@@ -70,7 +75,7 @@
             burner.join()
 
 
-def present_addresses(member: Member) -> set[str]:
+def present_addresses(member: BrokerProcess) -> set[str]:
     """Return the addresses that a process holds to be present; empty if it does not answer."""
     try:
         status = member.status("/members")
@@ -83,7 +88,7 @@
 
 
 async def seconds_until_all_hold(
-    members: list[Member], wanted: set[str], timeout_s: float
+    members: list[BrokerProcess], wanted: set[str], timeout_s: float
 ) -> float:
     """Wait until the views of all processes are as wanted; infinite if they do not become so."""
     start = time.monotonic()
@@ -100,19 +105,21 @@
 class GroupRun:
     """One run of a group of processes behind relays."""
 
-    def __init__(self, figures: Figures, name: str, net: RelayNet, addresses: list[str]) -> None:
+    def __init__(
+        self, figures: Figures, name: str, net: RelayNetwork, addresses: list[str]
+    ) -> None:
         """Tell results under a name."""
         self._figures = figures
         self._name = name
         self._net = net
         self._addresses = addresses
-        self._living: list[Member] = []
+        self._living: list[BrokerProcess] = []
 
-    async def run(self, fleet: Fleet, kills: int, busy: bool, interval_s: float) -> None:
+    async def run(self, fleet: BrokerFleet, kills: int, busy: bool, interval_s: float) -> None:
         """Start the processes, lose messages, and kill some of them."""
         begun = time.monotonic()
         await asyncio.to_thread(fleet.start)
-        self._living = list(fleet.members)
+        self._living = list(fleet.processes)
         await seconds_until_all_hold(self._living, set(self._addresses), 30)
         self._tell("all_agree_after_start_s", time.monotonic() - begun, most=20.0)
         with occupied_cores(busy):
@@ -122,11 +129,11 @@
         self._tell("bytes_out_a_second", statistics_now["bytes_out"] / (time.monotonic() - begun))
 
     async def _lose_messages(self) -> None:
-        now = self._net.script.now()
-        fault = Fault(now, now + SPOILED_S, "*", Kind.DROP, share=HIGH_LOSS)
-        self._net.script.faults.append(fault)
+        now = self._net.schedule.now_s()
+        fault = Fault(now, now + SPOILED_S, "*", FaultKind.DROP, probability=HIGH_LOSS)
+        self._net.schedule.faults.append(fault)
         await asyncio.sleep(SPOILED_S)
-        self._net.script.faults.clear()
+        self._net.schedule.faults.clear()
         removals = [
             member.status("/members")["figures"].get("removals", 0) for member in self._living
         ]
@@ -152,9 +159,9 @@
     figures: Figures, count: int, kills: int, busy: bool, interval_s: float
 ) -> None:
     """Lose a third of all messages for ten seconds, then kill processes one after the other."""
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-1")
-    net = RelayNet(Script([], time.monotonic), peek_sender)
+    net = RelayNetwork(FaultSchedule([], time.monotonic), peek_sender)
     addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
     with tempfile.TemporaryDirectory() as folder:
         keys = Path(folder) / "keys"
@@ -173,11 +180,11 @@
             written = [f"{key} = {json.dumps(value)}" for key, value in arguments.items()]
             return f"members({', '.join(written)})"
 
-        raw = config(world, "", fleet_size=count, policy_limits=peer_limits())
-        with Fleet(count, raw, script) as fleet:
-            for member, address in zip(fleet.members, addresses, strict=True):
+        raw = broker_config(world, "", fleet_size=count, policy_limits=peer_limits())
+        with BrokerFleet(count, raw, script) as fleet:
+            for member, address in zip(fleet.processes, addresses, strict=True):
                 relay_port = int(address.rpartition(":")[2])
-                await net.add(f"n{member.number}", member.peers, relay_port)
+                await net.add(f"n{member.number}", member.peer_port, relay_port)
             name = f"processes.{count}_{'busy' if busy else 'quiet'}"
             await GroupRun(figures, name, net, addresses).run(fleet, kills, busy, interval_s)
     net.stop()
@@ -207,7 +214,7 @@
         directives: Directives of the operators' file beside `members`.
         max_ratio_on: Bound of the ratio with the directives.
     """
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-1", "s-2", "s-3")
     with tempfile.TemporaryDirectory() as folder, worktree(BASE_COMMIT) as before:
         scripts = _cost_scripts(Path(folder) / "keys", directives)
@@ -240,11 +247,11 @@
     ]
 
 
-async def _start_daemon(tree: Path, world: World, script: str = "") -> Daemon:
+async def _start_daemon(tree: Path, world: EmulatedCluster, script: str = "") -> Daemon:
     more: dict[str, Any] = {
         "fleet_size": COST_MEMBERS,
         "policy_limits": peer_limits(),
-        "tenants": tenants("t0", "t1", "t2", "t3"),
+        "tenants": tenant_settings("t0", "t1", "t2", "t3"),
     }
     return await Daemon(tree, world, script, **more).start()
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,9 +21,9 @@
 
 import uvloop
 
-from query_broker.emulator.cluster import World, config
-from query_broker.emulator.discovery_service import event, target
-from query_broker.emulator.processes import ROOT, Fleet, Member, free_ports
+from query_broker.emulator.cluster import EmulatedCluster, broker_config
+from query_broker.emulator.discovery_service import target_entry, topology_event
+from query_broker.emulator.processes import ROOT, BrokerFleet, BrokerProcess, free_ports
 
 from .harness import Figures
 
@@ -31,19 +31,19 @@
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
-def processor_time(member: Member) -> float:
+def processor_time(member: BrokerProcess) -> float:
     assert member.process is not None
     with open(f"/proc/{member.process.pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
-async def restarted(member: Member) -> dict[str, float]:
+async def restarted(member: BrokerProcess) -> dict[str, float]:
     """Started from nothing, and asked until it says yes."""
     path = member.folder / "log"
     logged, began = len(member.log()) if path.exists() else 0, time.time()
     await asyncio.to_thread(member.start)
-    while not await member.ready():
+    while not await member.is_ready():
         if time.time() - began > LONGEST + 5.0:
             return {"ready": float("inf"), "processor": 0.0, "listens": 0.0}
         await asyncio.sleep(0.02)
@@ -52,7 +52,7 @@
     return {"ready": ready, "processor": used, "listens": float(line.split()[0]) - began}
 
 
-async def all_restarted(members: Sequence[Member]) -> list[dict[str, float]]:
+async def all_restarted(members: Sequence[BrokerProcess]) -> list[dict[str, float]]:
     return await asyncio.gather(*(restarted(member) for member in members))
 
 
@@ -73,29 +73,29 @@
     parser.add_argument("--quick", action="store_true")
     count = 20 if parser.parse_args().quick else 200
     compileall.compile_dir(ROOT / "query_broker", quiet=1)  # as `build` does
-    figures, world = Figures(), World()
+    figures, world = Figures(), EmulatedCluster()
     await world.start(*(f"s-{i}" for i in range(4)))
-    raw: dict[str, Any] = config(world, "", fleet_size=count, tenants=[])
-    known = [target(e.uid, e.port) for e in world.engines.values()]
-    raw["known"] = {"offset": 1, "batch": [event(1, *known, full=True)]}
+    raw: dict[str, Any] = broker_config(world, "", fleet_size=count, tenants=[])
+    known = [target_entry(e.uid, e.port) for e in world.engines.values()]
+    raw["known"] = {"offset": 1, "batch": [topology_event(1, *known, full=True)]}
     raw["bus"] = f"127.0.0.1:{free_ports(1)[0]}"  # nobody is there: each call is refused
     raw["limits"] = {"sockets": 128, "memory_mb": 64}
-    with Fleet(count, raw) as fleet:
-        tell(figures, "all_at_once", await all_restarted(fleet.members))
+    with BrokerFleet(count, raw) as fleet:
+        tell(figures, "all_at_once", await all_restarted(fleet.processes))
         tenth, found = max(1, count // 10), list[dict[str, float]]()
         for first in range(0, count, tenth):
-            part = fleet.members[first : first + tenth]
+            part = fleet.processes[first : first + tenth]
             for member in part:
                 member.signal(signal.SIGTERM)
             for member in part:
                 assert await asyncio.to_thread(member.wait, 10.0) == 0
             found += await all_restarted(part)
         tell(figures, "a_tenth_at_a_time", found)
-        many = fleet.members[: 7 * count // 10]
+        many = fleet.processes[: 7 * count // 10]
         for member in many:
             member.kill()
         tell(figures, "seven_in_ten_killed", await all_restarted(many))
-        cold = [member.log() for member in fleet.members]
+        cold = [member.log() for member in fleet.processes]
         figures.tell("faults", sum(" fault: " in log for log in cold), most=0)
     world.stop()
     return figures.exit()
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -22,7 +22,12 @@
 
 from query_broker import decisions as api
 from query_broker.decisions.facade import AdministrativeChange, AttemptResult
-from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
+from query_broker.emulator.decision_simulation import (
+    BEGIN_NS,
+    SimulatedBroker,
+    SimulatedEngine,
+    Simulation,
+)
 from query_broker.emulator.machine import Machine
 from query_broker.emulator.quota_simulation import (
     FaultInjector,
@@ -102,18 +107,20 @@
     return UsedFractions(leased / limit_per_s, divided / limit_per_s, central / limit_per_s)
 
 
-class FailingEngine(SimEngine):
+class FailingEngine(SimulatedEngine):
     """Fails every query from a moment on, at once."""
 
     failed_queries = 0
 
-    def take(self, id: bytes, cls: str, work: float, threads: int, done: Any) -> None:
+    def execute(self, id: bytes, cls: str, work: float, threads: int, done: Any) -> None:
         """Fail the query, or run it as long as the endpoint works."""
-        if self.sim.now < BEGIN + FAILS_AFTER_NS:
-            super().take(id, cls, work, threads, done)
+        if self.simulation.now_ns < BEGIN_NS + FAILS_AFTER_NS:
+            super().execute(id, cls, work, threads, done)
             return
         self.failed_queries += 1
-        self.sim.at(self.sim.now + NS_PER_MS, partial(done, AttemptResult.ERROR))
+        self.simulation.call_at(
+            self.simulation.now_ns + NS_PER_MS, partial(done, AttemptResult.ERROR)
+        )
 
 
 class FailingEndpointResult(NamedTuple):
@@ -139,11 +146,11 @@
         self.simulation = Simulation(seed)
         self.use_gossip = use_gossip
         self.settings = OutlierConsensusSettings()
-        draw = self.simulation.draw
+        draw = self.simulation.random
         numbers = [draw.randrange(1 << 32) for _ in range(max(5, count // 4))]
         self.failing = FailingEngine(self.simulation, numbers[0], Machine())
-        self.engines: dict[int, SimEngine] = {
-            number: SimEngine(self.simulation, number, Machine()) for number in numbers[1:]
+        self.engines: dict[int, SimulatedEngine] = {
+            number: SimulatedEngine(self.simulation, number, Machine()) for number in numbers[1:]
         }
         self.engines[numbers[0]] = self.failing
         self.names = [f"b{number}" for number in range(count)]
@@ -154,7 +161,7 @@
         self.request_ids = itertools.count()
         self.request_gap_ns = int(NS_PER_S / (4 * count))
 
-    def _create(self, position: int) -> tuple[SimBroker, OutlierConsensus]:
+    def _create(self, position: int) -> tuple[SimulatedBroker, OutlierConsensus]:
         settings = api.Settings(
             classes=(api.RequestClass("glance", NS_PER_S, 5 * NS_PER_S, 1.0),),
             fleet_size=len(self.names),
@@ -163,56 +170,56 @@
             kind_cores=(("std", 8),),
             limits=api.Limits(health_checks=True, max_attempts=3, max_retry_after_ns=2 * NS_PER_S),
         )
-        broker = SimBroker(self.simulation, settings, position, self.engines)
+        broker = SimulatedBroker(self.simulation, settings, position, self.engines)
         observations = ObservationStore(self.names[position], "a", self.settings)
-        broker.outcome = partial(self._record, observations)
-        broker.list_told()
+        broker.attempt_observer = partial(self._record, observations)
+        broker.announce_endpoints()
         return broker, OutlierConsensus(observations)
 
     def _record(self, observations: ObservationStore, number: int, result: AttemptResult) -> None:
-        now_ns = self.simulation.now
+        now_ns = self.simulation.now_ns
         if result is AttemptResult.ERROR and self.first_failure_ns is None:
             self.first_failure_ns = now_ns
         if result in (AttemptResult.SERVED, AttemptResult.ERROR):
             observations.record(now_ns, Endpoint(str(number), 0), result is AttemptResult.SERVED)
 
-    def _gossip(self, broker: SimBroker, consensus: OutlierConsensus) -> None:
+    def _gossip(self, broker: SimulatedBroker, consensus: OutlierConsensus) -> None:
         simulation = self.simulation
-        now_ns = simulation.now
+        now_ns = simulation.now_ns
         due_ns = now_ns + self.settings.gossip_interval_ns
-        simulation.at(due_ns, partial(self._gossip, broker, consensus))
+        simulation.call_at(due_ns, partial(self._gossip, broker, consensus))
         consensus.observations.write_report(now_ns)
         newest = consensus.observations.newest_reports(now_ns, 16)
         batch = ObserverReports(tuple(report for report in newest if report.observations))
         if self.use_gossip:
             arrival_ns = now_ns + GOSSIP_DELAY_NS
-            for _, other in simulation.draw.sample(self.brokers, 3):
+            for _, other in simulation.random.sample(self.brokers, 3):
                 receive = partial(other.observations.receive, arrival_ns, batch, self.names)
-                simulation.at(arrival_ns, receive)
+                simulation.call_at(arrival_ns, receive)
         for ejection in consensus.evaluate(now_ns, self.names, self.zones).ejected:
             self.ejected_at_ns.setdefault(consensus.observations.name, now_ns)
             broker.report(AdministrativeChange(int(ejection.endpoint.uid), True, now_ns))
 
     def _send_request(self) -> None:
         simulation = self.simulation
-        gap_ns = int(simulation.draw.expovariate(1) * self.request_gap_ns)
-        simulation.at(simulation.now + gap_ns, self._send_request)
-        broker, _ = simulation.draw.choice(self.brokers)
+        gap_ns = int(simulation.random.expovariate(1) * self.request_gap_ns)
+        simulation.call_at(simulation.now_ns + gap_ns, self._send_request)
+        broker, _ = simulation.random.choice(self.brokers)
         request_id = str(next(self.request_ids))
-        broker.ask(request_id, "glance", NS_PER_S // 5, 1, 5 * NS_PER_S)
+        broker.send_request(request_id, "glance", NS_PER_S // 5, 1, 5 * NS_PER_S)
 
     def run(self) -> FailingEndpointResult:
         """Play 25 seconds."""
         simulation = self.simulation
         for broker, consensus in self.brokers:
-            offset_ns = simulation.draw.randrange(self.settings.gossip_interval_ns)
-            simulation.at(BEGIN + offset_ns, partial(self._gossip, broker, consensus))
+            offset_ns = simulation.random.randrange(self.settings.gossip_interval_ns)
+            simulation.call_at(BEGIN_NS + offset_ns, partial(self._gossip, broker, consensus))
         self._send_request()
         simulation.run(25)
-        last_ns = simulation.now
+        last_ns = simulation.now_ns
         if len(self.ejected_at_ns) == len(self.names):
             last_ns = max(self.ejected_at_ns.values())
-        first_ns = simulation.now if self.first_failure_ns is None else self.first_failure_ns
+        first_ns = simulation.now_ns if self.first_failure_ns is None else self.first_failure_ns
         return FailingEndpointResult(
             (last_ns - first_ns) / NS_PER_S, self.failing.failed_queries, len(self.ejected_at_ns)
         )
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -24,14 +24,25 @@
 
 from query_broker import decisions as api
 from query_broker.decisions.facade import CoProcessLoad, OutstandingWork
-from query_broker.emulator.clients import Book
-from query_broker.emulator.cluster import World, config
-from query_broker.emulator.data_engine import ran_twice
-from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
-from query_broker.emulator.discovery_service import target
-from query_broker.emulator.faulty_links import Fault, Kind, Link, Script, Way
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import EmulatedCluster, broker_config
+from query_broker.emulator.data_engine import statements_run_twice
+from query_broker.emulator.decision_simulation import (
+    BEGIN_NS,
+    SimulatedBroker,
+    SimulatedEngine,
+    Simulation,
+)
+from query_broker.emulator.discovery_service import target_entry
+from query_broker.emulator.faulty_links import (
+    Direction,
+    Fault,
+    FaultKind,
+    FaultSchedule,
+    FaultyLink,
+)
 from query_broker.emulator.machine import Machine
-from query_broker.emulator.processes import ROOT, Fleet
+from query_broker.emulator.processes import ROOT, BrokerFleet
 from query_broker.startup.admission_ramp import Ramp, assumed
 from query_broker.startup.pacing import Calls, probe_at, window
 from query_broker.startup.settings import StartupSettings
@@ -47,12 +58,14 @@
 # One schedule of faults, seconds from the start; played to the processes and on the simulated
 # clock.
 FAULTS = (
-    Fault(0.0, 5.0, "bus", Kind.REFUSE),
-    Fault(9.0, 9.0, "bus", Kind.RESET),
-    Fault(9.0, 10.5, "bus", Kind.REFUSE),
+    Fault(0.0, 5.0, "bus", FaultKind.REJECT),
+    Fault(9.0, 9.0, "bus", FaultKind.RESET),
+    Fault(9.0, 10.5, "bus", FaultKind.REJECT),
 )
 ASKS = 4  # requests a second to each broker
-SLOW = (Fault(0.0, 600.0, "bus", Kind.RATE, Way.BACK, rate=1e6),)  # bytes a second, to all together
+SLOW = (
+    Fault(0.0, 600.0, "bus", FaultKind.RATE, Direction.BACKWARD, bytes_per_s=1e6),
+)  # bytes a second, to all together
 GONE, BYTES = 300, 210  # engines in the slow service's list that are no more; of each, some bytes
 SCRIPT = (
     f"start(list_connects = {RATE:g}, engine_probes = {PROBES}, engine_connects = {CONNECTS}, "
@@ -86,30 +99,32 @@
     """All at once, from the bus alone; then clients at each as soon as it is ready, until so many
     seconds after the start. ``gone``: engines that are no more, which make the list long.
     """
-    world = World()
+    world = EmulatedCluster()
     await world.start(*(f"s-{i}" for i in range(engines)))
     for i in range(gone):
-        world.bus.tell(target(f"gone-{i}", 9, "terminated"))
-    link = Link("bus", "127.0.0.1", world.bus_port, Script(faults, time.monotonic))
-    raw = config(world, "", fleet_size=count, tenants=[])
+        world.discovery.publish(target_entry(f"gone-{i}", 9, "terminated"))
+    link = FaultyLink(
+        "bus", "127.0.0.1", world.discovery_port, FaultSchedule(faults, time.monotonic)
+    )
+    raw = broker_config(world, "", fleet_size=count, tenants=[])
     raw["bus"] = f"127.0.0.1:{await link.start()}"
     del raw["known"]
     raw["limits"] = {"sockets": 128, "memory_mb": 64}
     connects: dict[str, list[float]] = {uid: [] for uid in world.engines}
     for engine in world.engines.values():
-        engine.connected = connects[engine.uid].append
-    with Fleet(count, raw, script, tree) as fleet:
-        link.script.begun = begun = time.monotonic()
+        engine.connection_observer = connects[engine.uid].append
+    with BrokerFleet(count, raw, script, tree) as fleet:
+        link.schedule.started_s = begun = time.monotonic()
         await asyncio.to_thread(fleet.start)
         spread = time.monotonic() - begun
-        books: list[Book] = []
+        books: list[RequestLog] = []
 
         async def client(member: Any) -> float:
             end = time.monotonic() + seconds
             while time.monotonic() < end:
-                if await member.ready():
+                if await member.is_ready():
                     took = time.monotonic() - begun
-                    book = Book("127.0.0.1", member.port)
+                    book = RequestLog("127.0.0.1", member.port)
                     # the ledgers go by statements
                     book.ids = itertools.count(1 + 1_000_000 * member.number)
                     books.append(book)
@@ -117,16 +132,16 @@
                         if time.monotonic() > begun + until:
                             break
                         route = "stock-add" if i % 6 == 5 else "glance"
-                        await book.ask("", route, 40, 4_000 * MS)
+                        await book.send_request("", route, 40, 4_000 * MS)
                         await asyncio.sleep(1 / ASKS)
-                    await book.settle(5.0)
+                    await book.wait_until_idle(5.0)
                     return took
                 await asyncio.sleep(0.1)
             return float("inf")
 
-        took = sorted(await asyncio.gather(*(client(m) for m in fleet.members)))
-        memory = [_memory(m.process.pid) for m in fleet.members[:20] if m.process is not None]
-        asked = [a for book in books for a in book.asked]
+        took = sorted(await asyncio.gather(*(client(m) for m in fleet.processes)))
+        memory = [_memory(m.process.pid) for m in fleet.processes[:20] if m.process is not None]
+        asked = [a for book in books for a in book.records]
         for book in books:
             book.close()
     link.stop()
@@ -137,30 +152,30 @@
     def of_demand(span: float) -> float:
         """Served of what clients that knew of no start would have asked in its first seconds."""
         wanted = count * ASKS * min(span, until)
-        return sum(a.code == 0 and a.sent - first < span * S for a in asked) / wanted
+        return sum(a.code == 0 and a.sent_ns - first < span * S for a in asked) / wanted
 
     return {
         "of_demand": {span: of_demand(span) for span in (10.0, 30.0) if span <= until},
         "in_hand": max(in_hand(e.machine) for e in world.engines.values()),
         "spread": spread,
-        "bus": link.came,
+        "bus": link.connected_at_s,
         "bytes": link.counts["back"],
         "ready": took,
         "engine_connects": max((busiest(t) for t in connects.values()), default=0),
-        "fallen": sum(e.machine.fallen for e in world.engines.values()),
+        "fallen": sum(e.machine.crashed for e in world.engines.values()),
         "memory": sum(memory) / len(memory),
         "served": seen[0] / max(1, len(asked)),
-        "unanswered": sum(a.answers != 1 for a in asked),
-        "strays": sum(b.strays for b in books),
-        "twice": len(ran_twice(list(world.engines.values()), b"stock-add")),
+        "unanswered": sum(a.answer_count != 1 for a in asked),
+        "strays": sum(b.unmatched_answers for b in books),
+        "twice": len(statements_run_twice(list(world.engines.values()), b"stock-add")),
     }
 
 
 def in_hand(machine: Machine) -> float:
     """The most threads that a machine had in hand at once, a core."""
     steps = sorted(
-        [(r.begun, r.threads) for r in machine.ledger]
-        + [(r.ended or machine.now, -r.threads) for r in machine.ledger]
+        [(r.begun_ns, r.threads) for r in machine.ledger]
+        + [(r.ended_ns or machine.now_ns, -r.threads) for r in machine.ledger]
     )
     return max(itertools.accumulate((threads for _, threads in steps), initial=0)) / machine.cores
 
@@ -212,8 +227,8 @@
     time to full: the same decisions as a broker's, without the broker.
     """
     draw, now = random.Random(seed), 0.0
-    script = Script(faults, lambda: now)
-    resets = sorted(f.begin for f in faults if f.kind is Kind.RESET)
+    script = FaultSchedule(faults, lambda: now)
+    resets = sorted(f.begin_s for f in faults if f.kind is FaultKind.RESET)
     terms = StartupSettings(list_connects=RATE, engine_probes=40.0)
     calls: list[float] = []
     probes: list[float] = []
@@ -228,7 +243,7 @@
         now, me, mine = heapq.heappop(heap)
         calls.append(now)
         # as it was: 0.05 to 0.4 s, doubled, half to the whole
-        if script.holding(Kind.REFUSE, "bus"):
+        if script.active_fault(FaultKind.REJECT, "bus"):
             was = min(0.4, 0.05 * 2**mine.failed) * (0.5 + draw.random() / 2)
             again = mine.again(int(now * S)) / S
             heapq.heappush(heap, (again if paced else now + was, me, mine))
@@ -283,16 +298,16 @@
     """
     sim = Simulation(seed)
     engines = {
-        n: SimEngine(sim, n, Machine(started=BEGIN - sim.draw.randrange(S // 2)))
-        for n in (sim.draw.randrange(1 << 32) for _ in range(max(3, min(80, 2 * brokers // 5))))
+        n: SimulatedEngine(sim, n, Machine(started_ns=BEGIN_NS - sim.random.randrange(S // 2)))
+        for n in (sim.random.randrange(1 << 32) for _ in range(max(3, min(80, 2 * brokers // 5))))
     }
     terms = StartupSettings(list_connects=RATE, engine_probes=PROBES)
     full: list[float] = []
-    members: list[SimBroker] = []
+    members: list[SimulatedBroker] = []
 
-    def ramps(broker: SimBroker, ramp: Ramp, seen: list[int]) -> None:
-        served = sum(a[3] for a in broker.asked.values())
-        share = ramp.period(sim.now, served - seen[0], 0)
+    def ramps(broker: SimulatedBroker, ramp: Ramp, seen: list[int]) -> None:
+        served = sum(a[3] for a in broker.requests.values())
+        share = ramp.period(sim.now_ns, served - seen[0], 0)
         seen[0] = served
         widest = broker.facade.widest()
         left = (
@@ -305,41 +320,41 @@
         )
         broker.report(CoProcessLoad(left, 1))
         if ramp.over():
-            full.append((sim.now - BEGIN) / S)
+            full.append((sim.now_ns - BEGIN_NS) / S)
         else:
-            sim.at(sim.now + S, lambda: ramps(broker, ramp, seen))
+            sim.call_at(sim.now_ns + S, lambda: ramps(broker, ramp, seen))
 
-    def listed(broker: SimBroker) -> None:
-        broker.list_told()
+    def listed(broker: SimulatedBroker) -> None:
+        broker.announce_endpoints()
         if not paced:
             return opens(broker)
         for n in engines:
-            sim.at(
-                probe_at(sim.now, n, broker.settings.broker_index, brokers, PROBES),
-                partial(broker.probe, n),
+            sim.call_at(
+                probe_at(sim.now_ns, n, broker.settings.broker_index, brokers, PROBES),
+                partial(broker.check_health, n),
             )
-        sim.at(sim.now + terms.contact_wait, lambda: opens(broker))
+        sim.call_at(sim.now_ns + terms.contact_wait, lambda: opens(broker))
 
-    def opens(broker: SimBroker) -> None:
+    def opens(broker: SimulatedBroker) -> None:
         if paced:
-            ramps(broker, Ramp(terms, sim.now), [0])
+            ramps(broker, Ramp(terms, sim.now_ns), [0])
         members.append(broker)
 
     for me in range(brokers):
-        broker = SimBroker(sim, sim_settings(me, brokers), me, engines)
-        begun = sim.now + sim.draw.randrange(S)
-        first_call = Calls(me, brokers, RATE, sim.draw.random).first(begun)
-        sim.at(first_call if paced else begun, partial(listed, broker))
+        broker = SimulatedBroker(sim, sim_settings(me, brokers), me, engines)
+        begun = sim.now_ns + sim.random.randrange(S)
+        first_call = Calls(me, brokers, RATE, sim.random.random).first(begun)
+        sim.call_at(first_call if paced else begun, partial(listed, broker))
     mean = 0.9 * 0.2 * S + 0.1 * 4 * S
     gap = int(mean / (LOAD * 8 * len(engines)))
     asked = itertools.count()
 
     def arrive() -> None:
-        sim.at(sim.now + int(sim.draw.expovariate(1) * gap), arrive)
+        sim.call_at(sim.now_ns + int(sim.random.expovariate(1) * gap), arrive)
         if members:  # a front hands them to who is ready
-            number, wide = next(asked), sim.draw.random() < 0.1
-            work = sim.draw.uniform(0.5, 1.5) * (4 * S if wide else S // 5)
-            sim.draw.choice(members).ask(
+            number, wide = next(asked), sim.random.random() < 0.1
+            work = sim.random.uniform(0.5, 1.5) * (4 * S if wide else S // 5)
+            sim.random.choice(members).send_request(
                 str(number),
                 "report" if wide else "glance",
                 work,
@@ -349,21 +364,21 @@
 
     arrive()
     sim.run(seconds)
-    done = [a for b in members for a in b.asked.values()]
+    done = [a for b in members for a in b.requests.values()]
 
     def served(until: float) -> float:
-        came = [a for a in done if a[0] - BEGIN < until * S]
+        came = [a for a in done if a[0] - BEGIN_NS < until * S]
         return sum(a[3] and a[2] - a[0] <= 5 * S for a in came) / max(1, until * S / gap)
 
     budget = 2.0 * 8 * 1.5 * S  # what an engine that is warm may be sent within 1.5 s
-    probes = [[t / S for t in e.probes] for e in engines.values()]
+    probes = [[t / S for t in e.health_checks_ns] for e in engines.values()]
     return {
-        "fallen": sum(e.machine.fallen for e in engines.values()),
+        "fallen": sum(e.machine.crashed for e in engines.values()),
         "served_10": served(10.0),
         "served_30": served(30.0),
         "full": max(full, default=0.0),
         "opened": len(full),
-        "most": max(e.most for e in engines.values()) / budget,
+        "most": max(e.peak_work_ns for e in engines.values()) / budget,
         "probes": max(map(busiest, probes)),
         "pushed": max(pushed(e.machine) for e in engines.values()),
     }
@@ -373,16 +388,26 @@
     """The most that an engine was sent within its time to fall while it was cold, against its
     contract.
     """
-    came = [(r.begun, r.work) for r in machine.ledger if r.begun < machine.started + machine.cold]
+    came = [
+        (r.begun_ns, r.work_ns)
+        for r in machine.ledger
+        if r.begun_ns < machine.started_ns + machine.warm_up_ns
+    ]
     worst, first_, within = 0.0, 0, 0.0
     for at, work in came:
         within += work
-        while came[first_][0] <= at - machine.fall:
+        while came[first_][0] <= at - machine.overload_window_ns:
             within -= came[first_][1]
             first_ += 1
         worst = max(
             worst,
-            within / (machine.fall_multiple * machine.pace(at) * machine.cores * machine.fall),
+            within
+            / (
+                machine.overload_multiple
+                * machine.capacity_fraction(at)
+                * machine.cores
+                * machine.overload_window_ns
+            ),
         )
     return worst
 
@@ -419,7 +444,7 @@
 
 def curves(figures: Figures, seeds: int, sizes: tuple[int, ...]) -> dict[str, list[float]]:
     kept: dict[str, list[float]] = {}
-    away = {0.0: (), 30.0: (Fault(0.0, 30.0, "bus", Kind.REFUSE),), 10.5: FAULTS}
+    away = {0.0: (), 30.0: (Fault(0.0, 30.0, "bus", FaultKind.REJECT),), 10.5: FAULTS}
     for last, faults in away.items():
         for size in sizes:
             for paced, name in ((False, "before"), (True, "paced")):
--- a/query_broker/emulator/__init__.py
+++ b/query_broker/emulator/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins for what the broker talks to: data engines, the event bus and clients, on loopback
-addresses.
+"""Emulators of what the broker talks to, for tests, benchmarks and `larchhall demo`.
 
-Written from the protocol alone, for tests, benchmarks and `larchhall demo`. The daemon never loads
-them.
+Data engines, the discovery service and clients on loopback addresses, written from the protocols
+alone; a fleet of real processes with faulty links between them; and simulations of decisions,
+membership and quotas on a simulated clock. A serving broker never loads them.
 """
--- a/query_broker/emulator/decision_simulation.py
+++ b/query_broker/emulator/decision_simulation.py
@@ -1,5 +1,6 @@
-"""Many brokers' decisions and their engines on one simulated clock, in one process. Pure: no
-socket, no thread, no clock of the machine's; a run of a seed is the same each time.
+"""Simulates the decisions of many brokers, and their engines, on one clock in one process.
+
+Performs no I/O, and reads no clock of the machine: a run with the same seed is the same each time.
 """
 
 from __future__ import annotations
@@ -9,6 +10,7 @@
 import random
 from collections.abc import Callable
 from functools import partial
+from typing import NamedTuple
 
 from ..decisions.facade import (
     AttemptEnded,
@@ -28,200 +30,321 @@
     Settings,
 )
 from ..timer_wheel import TimerWheel
-from .machine import Machine, Run
+from .machine import Machine, QueryRun
+
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000 * NS_PER_MS
+#: One way over a link between a broker and an engine.
+LINK_LATENCY_NS = NS_PER_MS // 2
+#: Where the clock begins; a machine takes 0 for "long ago".
+BEGIN_NS = 100 * NS_PER_S
+#: The capacity of a machine that warms up changes, so its completions are computed anew this often.
+MAX_TIMER_NS = NS_PER_S // 4
+#: What the estimate of every request says of its memory, in megabytes.
+ESTIMATED_MEMORY_MB = 10.0
 
-MS = 1_000_000
-S = 1_000 * MS
-WAY = MS // 2  # one way over a link
-BEGIN = 100 * S  # the clock's first moment: 0 means "long ago" to a machine
+Completion = Callable[[AttemptResult], None]
 
 
 class Simulation:
-    """What is to happen, by its time; ``at`` takes the calls in the order in which they fall
-    due.
+    """A simulated clock with its scheduled calls.
+
+    Attributes:
+        now_ns: The present time.
+        random: The one source of random numbers.
     """
 
     def __init__(self, seed: int = 1) -> None:
-        self.now, self.draw = BEGIN, random.Random(seed)
+        """Create a clock at ``BEGIN_NS`` with nothing scheduled."""
+        self.now_ns = BEGIN_NS
+        self.random = random.Random(seed)
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.count = itertools.count()
 
-    def at(self, when: int, call: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (max(when, self.now), next(self.count), call))
+    def call_at(self, when_ns: int, call: Callable[[], None]) -> None:
+        """Schedule a call; those of one time are made in the order in which they were scheduled."""
+        heapq.heappush(self.heap, (max(when_ns, self.now_ns), next(self.count), call))
+
+    def call_after_link(self, call: Callable[[], None]) -> None:
+        """Schedule a call for when a message that is sent now has arrived."""
+        self.call_at(self.now_ns + LINK_LATENCY_NS, call)
 
     def run(self, seconds: float) -> None:
-        """To so many seconds after the beginning."""
-        end = BEGIN + int(seconds * S)
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.heap)
+        """Make all calls due within so many seconds of the beginning."""
+        end_ns = BEGIN_NS + int(seconds * NS_PER_S)
+        while self.heap and self.heap[0][0] <= end_ns:
+            self.now_ns, _, call = heapq.heappop(self.heap)
             call()
-        self.now = end
+        self.now_ns = end_ns
 
 
-class SimEngine:
-    """A machine; ``most``: the most work that it had in hand, thread-nanoseconds."""
+class SimulatedEngine:
+    """A machine that answers over a simulated link.
 
-    def __init__(self, sim: Simulation, number: int, machine: Machine) -> None:
-        self.sim, self.number, self.machine = sim, number, machine
-        self.askers: dict[bytes, Callable[[AttemptResult], None]] = {}
-        self.turn, self.most, self.probes = 0, 0.0, list[int]()
+    Attributes:
+        number: Its number in the endpoint list.
+        machine: What its queries run on.
+        completions: Called with the result of each running query.
+        timer_generation: Number of the timer in force; earlier ones do nothing.
+        peak_work_ns: The most work that it had in hand, in thread-nanoseconds.
+        health_checks_ns: When it answered each health check.
+    """
 
-    def load(self) -> LoadReport:
-        threads = sum(r.threads for r in self.machine.running.values())
+    def __init__(self, simulation: Simulation, number: int, machine: Machine) -> None:
+        """Create an engine without queries."""
+        self.simulation = simulation
+        self.number = number
+        self.machine = machine
+        self.completions: dict[bytes, Completion] = {}
+        self.timer_generation = 0
+        self.peak_work_ns = 0.0
+        self.health_checks_ns: list[int] = []
+
+    def load_report(self) -> LoadReport:
+        """Return the load as the engine reports it."""
+        threads = sum(run.threads for run in self.machine.running.values())
         return LoadReport(
             utilisation=min(1.0, threads / self.machine.cores),
             inflight=float(len(self.machine.running)),
         )
 
-    def take(
-        self, id: bytes, cls: str, work: float, threads: int, done: Callable[[AttemptResult], None]
+    def execute(
+        self,
+        query_id: bytes,
+        request_class: str,
+        work_ns: float,
+        threads: int,
+        completion: Completion,
     ) -> None:
-        now = self.sim.now
-        self._end(self.machine.pass_time(now))
-        if self.machine.fallen:
-            return  # it says nothing any more
-        if not self.machine.arrive(now, id, cls.encode(), id, work, threads):
-            self.sim.at(now + WAY, lambda: done(AttemptResult.FULL))
+        """Run a query; a crashed machine never calls ``completion``."""
+        now_ns = self.simulation.now_ns
+        self._report_completed(self.machine.advance(now_ns))
+        if self.machine.crashed:
+            return
+        is_started = self.machine.start_query(
+            now_ns, query_id, request_class.encode(), query_id, work_ns, threads
+        )
+        if not is_started:
+            self.simulation.call_after_link(partial(completion, AttemptResult.FULL))
             return
-        self.askers[id] = done
-        self.most = max(self.most, sum(r.left for r in self.machine.running.values()))
-        self._look()
+        self.completions[query_id] = completion
+        work_in_hand_ns = sum(run.remaining_ns for run in self.machine.running.values())
+        self.peak_work_ns = max(self.peak_work_ns, work_in_hand_ns)
+        self._set_timer()
 
-    def _end(self, runs: list[Run]) -> None:
+    def _report_completed(self, runs: list[QueryRun]) -> None:
         for run in runs:
-            done = self.askers.pop(run.id, None)
-            if done is not None and not self.machine.fallen:
-                self.sim.at(self.sim.now + WAY, partial(done, AttemptResult.SERVED))
+            completion = self.completions.pop(run.query_id, None)
+            if completion is not None and not self.machine.crashed:
+                self.simulation.call_after_link(partial(completion, AttemptResult.SERVED))
+
+    def _set_timer(self) -> None:
+        self.timer_generation += 1
+        generation = self.timer_generation
+        now_ns = self.simulation.now_ns
+        end_ns = self.machine.next_completion(now_ns)
+        if end_ns is not None:
+            due_ns = min(end_ns, now_ns + MAX_TIMER_NS)
+            self.simulation.call_at(due_ns, lambda: self._timer_due(generation))
+
+    def _timer_due(self, generation: int) -> None:
+        if generation == self.timer_generation:
+            self._report_completed(self.machine.advance(self.simulation.now_ns))
+            self._set_timer()
+
+
+class SimulatedRequest(NamedTuple):
+    """A request and its outcome.
+
+    Attributes:
+        arrived_ns: When it arrived.
+        request_class: Its class.
+        answered_ns: When it was answered; 0: not yet.
+        is_served: Whether an engine served it before any other answer.
+    """
+
+    arrived_ns: int
+    request_class: str
+    answered_ns: int = 0
+    is_served: bool = False
+
+
+class QueryWork(NamedTuple):
+    """The true work of a request, in thread-nanoseconds, and its threads."""
+
+    work_ns: float
+    threads: int
+
+
+class RetryAfter(NamedTuple):
+    """When a request was rejected, and the backoff that the client was told."""
 
-    def _look(self) -> None:
-        self.turn += 1
-        turn, end = self.turn, self.machine.next_end(self.sim.now)
-        if end is not None:  # while it warms up its pace changes: looked at again
-            self.sim.at(min(end, self.sim.now + S // 4), lambda: self._due(turn))
+    rejected_ns: int
+    retry_after_ns: int
 
-    def _due(self, turn: int) -> None:
-        if turn == self.turn:
-            self._end(self.machine.pass_time(self.sim.now))
-            self._look()
 
+class SimulatedBroker:
+    """The decisions of one broker behind their facade, with orders carried out at once.
 
-class SimBroker:
-    """One broker's decisions behind their facade. ``asked``: of each request when it came, its
-    class, when it was answered (0: not yet), and whether an engine served it.
+    Attributes:
+        settings: Its settings.
+        engines: The engines by number.
+        facade: Its decisions.
+        requests: Its requests by id.
+        work: The true work of each request.
+        retry_afters: Its rejections.
+        is_running: False once it was killed.
+        attempt_observer: Called with engine and result of each attempt that ends.
     """
 
     def __init__(
-        self, sim: Simulation, settings: Settings, seed: int, engines: dict[int, SimEngine]
+        self,
+        simulation: Simulation,
+        settings: Settings,
+        seed: int,
+        engines: dict[int, SimulatedEngine],
     ) -> None:
-        self.sim, self.settings, self.engines = sim, settings, engines
-        self.wheel = TimerWheel(settings.tick_ns, sim.now)
-        self.facade = Facade(settings, seed, sim.now, self.wheel)
-        self.asked: dict[str, tuple[int, str, int, bool]] = {}
-        self.work: dict[str, tuple[float, int]] = {}
-        self.pauses: list[tuple[int, int]] = []
-        self.up = True
-        self.outcome: Callable[[int, AttemptResult], None] | None = (
-            None  # hears what becomes of attempts
-        )
+        """Create a broker, and schedule its ticks."""
+        self.simulation = simulation
+        self.settings = settings
+        self.engines = engines
+        self.timer_wheel = TimerWheel(settings.tick_ns, simulation.now_ns)
+        self.facade = Facade(settings, seed, simulation.now_ns, self.timer_wheel)
+        self.requests: dict[str, SimulatedRequest] = {}
+        self.work: dict[str, QueryWork] = {}
+        self.retry_afters: list[RetryAfter] = []
+        self.is_running = True
+        self.attempt_observer: Callable[[int, AttemptResult], None] | None = None
         self._tick()
 
     def _tick(self) -> None:
-        if not self.up:
+        if not self.is_running:
             return
-        self.wheel.advance(self.sim.now)
+        self.timer_wheel.advance(self.simulation.now_ns)
         while self.facade.due:
-            self._carry_out(self.facade.tick(self.sim.now))
-        self.sim.at(self.sim.now + self.settings.tick_ns, self._tick)
+            self._carry_out(self.facade.tick(self.simulation.now_ns))
+        self.simulation.call_at(self.simulation.now_ns + self.settings.tick_ns, self._tick)
 
     def kill(self) -> None:
-        self.up = False
-
-    def list_told(self) -> None:
-        self.report(
-            EndpointListUpdate(
-                ListUpdateKind.FULL,
-                tuple(
-                    EndpointEntry(
-                        e.number, EndpointState.READY, "a", "std", started_ns=e.machine.started
-                    )
-                    for e in self.engines.values()
-                ),
+        """Stop deciding; attempts in flight go on at their engines."""
+        self.is_running = False
+
+    def announce_endpoints(self) -> None:
+        """Pass all engines to the decisions, as a complete endpoint list."""
+        entries = tuple(
+            EndpointEntry(
+                engine.number,
+                EndpointState.READY,
+                "a",
+                "std",
+                started_ns=engine.machine.started_ns,
             )
+            for engine in self.engines.values()
         )
+        self.report(EndpointListUpdate(ListUpdateKind.FULL, entries))
 
-    def report(self, news: Event) -> None:
-        if self.up:
-            self._carry_out(self.facade.report(self.sim.now, news))
+    def report(self, event: Event) -> None:
+        """Pass an event to the decisions, and carry out their orders."""
+        if self.is_running:
+            self._carry_out(self.facade.report(self.simulation.now_ns, event))
 
-    def ask(self, id: str, cls: str, work: float, threads: int, patience: int) -> None:
-        self.asked[id] = (self.sim.now, cls, 0, False)
-        if not self.up:
+    def send_request(
+        self, request_id: str, request_class: str, work_ns: float, threads: int, timeout_ns: int
+    ) -> None:
+        """Send a request to this broker."""
+        now_ns = self.simulation.now_ns
+        self.requests[request_id] = SimulatedRequest(now_ns, request_class)
+        if not self.is_running:
             return
-        self.work[id] = (work, threads)
-        self._carry_out(
-            self.facade.pick(
-                self.sim.now,
-                RequestArrived(id, cls, patience, None, None, int(work), 10.0, 0, False),
-            )
+        self.work[request_id] = QueryWork(work_ns, threads)
+        arrival = RequestArrived(
+            request_id,
+            request_class,
+            timeout_ns,
+            None,
+            None,
+            int(work_ns),
+            ESTIMATED_MEMORY_MB,
+            0,
+            False,
         )
+        self._carry_out(self.facade.pick(now_ns, arrival))
 
-    def probe(self, engine: int) -> None:
-        target = self.engines[engine]
+    def check_health(self, engine_number: int) -> None:
+        """Send a health check to an engine; a crashed one does not answer."""
+        engine = self.engines[engine_number]
 
         def answer() -> None:
-            if not target.machine.fallen:
-                target.machine.pass_time(self.sim.now)
-                target.probes.append(self.sim.now)
-                load = target.load()
-                self.sim.at(
-                    self.sim.now + WAY,
-                    lambda: self.report(
-                        HealthCheckResult(engine, AttemptResult.SERVED, 2 * WAY, load)
-                    ),
-                )
-
-        self.sim.at(self.sim.now + WAY, answer)
+            if engine.machine.crashed:
+                return
+            engine.machine.advance(self.simulation.now_ns)
+            engine.health_checks_ns.append(self.simulation.now_ns)
+            result = HealthCheckResult(
+                engine_number, AttemptResult.SERVED, 2 * LINK_LATENCY_NS, engine.load_report()
+            )
+            self.simulation.call_after_link(lambda: self.report(result))
+
+        self.simulation.call_after_link(answer)
 
     def _carry_out(self, orders: OrderBatch) -> None:
-        for send in orders.dispatches:
-            self._send(send)
+        for dispatch in orders.dispatches:
+            self._dispatch(dispatch)
         for answer in orders.answers:
-            came, cls, answered, served = self.asked[answer.request_id]
-            self.asked[answer.request_id] = (came, cls, answered or self.sim.now, served)
+            self._note_answer(answer.request_id)
             if isinstance(answer, Reject):
-                self.pauses.append((self.sim.now, answer.retry_after_ns))
+                rejection = RetryAfter(self.simulation.now_ns, answer.retry_after_ns)
+                self.retry_afters.append(rejection)
         for check in orders.health_checks:
-            self.probe(check.endpoint)
-
-    def _send(self, send: Dispatch) -> None:
-        sent, engine = self.sim.now, self.engines[send.endpoint]
-        work, threads = self.work[send.request_id]
-        ended: list[AttemptResult] = []
+            self.check_health(check.endpoint)
+
+    def _note_answer(self, request_id: str) -> None:
+        request = self.requests[request_id]
+        answered_ns = request.answered_ns or self.simulation.now_ns
+        self.requests[request_id] = request._replace(answered_ns=answered_ns)
+
+    def _note_served(self, request_id: str) -> None:
+        request = self.requests[request_id]
+        self.requests[request_id] = request._replace(
+            answered_ns=request.answered_ns or self.simulation.now_ns,
+            is_served=not request.answered_ns,
+        )
 
-        def done(result: AttemptResult) -> None:
-            if ended:
-                return
-            ended.append(result)
-            served = result is AttemptResult.SERVED
-            if served:
-                came, cls, answered, _ = self.asked[send.request_id]
-                self.asked[send.request_id] = (came, cls, answered or self.sim.now, not answered)
-            if self.outcome is not None:
-                self.outcome(send.endpoint, result)
-            load = engine.load() if result in (AttemptResult.SERVED, AttemptResult.FULL) else None
-            self.report(
-                AttemptEnded(
-                    send.request_id,
-                    send.attempt,
-                    send.endpoint,
-                    result,
-                    self.sim.now - sent,
-                    served,
-                    load,
-                )
-            )
+    def _dispatch(self, dispatch: Dispatch) -> None:
+        sent_ns = self.simulation.now_ns
+        engine = self.engines[dispatch.endpoint]
+        work = self.work[dispatch.request_id]
+        request_class = self.requests[dispatch.request_id].request_class
+        results: list[AttemptResult] = []
+
+        def complete(result: AttemptResult) -> None:
+            if not results:  # the answer and the timeout may both come
+                results.append(result)
+                self._attempt_ended(dispatch, sent_ns, result)
+
+        attempt = f"{self.settings.broker_index}/{dispatch.request_id}/{dispatch.attempt}".encode()
+        self.simulation.call_at(
+            sent_ns + LINK_LATENCY_NS,
+            lambda: engine.execute(attempt, request_class, work.work_ns, work.threads, complete),
+        )
+        self.simulation.call_at(
+            sent_ns + dispatch.timeout_ns, lambda: complete(AttemptResult.TIMEOUT)
+        )
 
-        id = f"{self.settings.broker_index}/{send.request_id}/{send.attempt}".encode()
-        cls = self.asked[send.request_id][1]
-        self.sim.at(sent + WAY, lambda: engine.take(id, cls, work, threads, done))
-        self.sim.at(sent + send.timeout_ns, lambda: done(AttemptResult.TIMEOUT))
+    def _attempt_ended(self, dispatch: Dispatch, sent_ns: int, result: AttemptResult) -> None:
+        is_served = result is AttemptResult.SERVED
+        if is_served:
+            self._note_served(dispatch.request_id)
+        if self.attempt_observer is not None:
+            self.attempt_observer(dispatch.endpoint, result)
+        has_load = result in (AttemptResult.SERVED, AttemptResult.FULL)
+        load = self.engines[dispatch.endpoint].load_report() if has_load else None
+        ended = AttemptEnded(
+            dispatch.request_id,
+            dispatch.attempt,
+            dispatch.endpoint,
+            result,
+            self.simulation.now_ns - sent_ns,
+            is_served,
+            load,
+        )
+        self.report(ended)
--- a/query_broker/emulator/discovery_service.py
+++ b/query_broker/emulator/discovery_service.py
@@ -1,20 +1,22 @@
-"""The event bus on loopback: one whose every line is scripted, and one that keeps a list of
-engines.
-"""
+"""The discovery service on loopback: one whose every line is scripted, and one with a list."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import time
-from typing import Any
+from typing import Any, NamedTuple
 
+HOST = "127.0.0.1"
+#: The beat of the real service, by which a watch client tells a silent connection from a dead one.
+HEARTBEAT_INTERVAL_S = 1.0
 
-def target(uid: str, port: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
-    """An engine as the bus tells of it."""
+
+def target_entry(uid: str, port: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
+    """Return an endpoint as the service describes it; ``more`` replaces or adds keys."""
     return {
         "uid": uid,
-        "endpoint": f"127.0.0.1:{port}",
+        "endpoint": f"{HOST}:{port}",
         "az": "east",
         "model": "std",
         "pod_group": 2,
@@ -25,90 +27,130 @@
     }
 
 
-def event(offset: int, *targets: dict[str, Any], full: bool = False) -> dict[str, Any]:
+def topology_event(offset: int, *targets: dict[str, Any], full: bool = False) -> dict[str, Any]:
+    """Return a watch event; ``full`` marks one that replaces the list."""
     return {"offset": offset, "topology": {"rev": offset, "all": full, "targets": list(targets)}}
 
 
-class ScriptedBus:
+class ScriptedDiscoveryService:
+    """A service that sends what a test tells it to, to the client that connected last.
+
+    Attributes:
+        subscriptions: The first line of each connection.
+        writer: The connection that came last.
+    """
+
     def __init__(self) -> None:
-        self.asked: list[bytes] = []
+        """Create a service that does not listen yet."""
+        self.subscriptions: list[bytes] = []
         self.writer: asyncio.StreamWriter | None = None
 
     async def start(self) -> int:
-        self.server = await asyncio.start_server(self._client, "127.0.0.1", 0)
+        """Listen, and return the port."""
+        self.server = await asyncio.start_server(self._serve_client, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_client(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.writer = writer
-        self.asked.append(await reader.readline())
+        self.subscriptions.append(await reader.readline())
 
-    def tell(self, line: object) -> None:
+    def publish(self, line: object) -> None:
+        """Send a line: a text as it is, anything else as JSON."""
         assert self.writer is not None
-        self.writer.write((line if isinstance(line, str) else json.dumps(line)).encode() + b"\n")
+        text = line if isinstance(line, str) else json.dumps(line)
+        self.writer.write(text.encode() + b"\n")
+
+
+class Announcement(NamedTuple):
+    """One state of an endpoint, and when it was announced."""
 
+    announced_ns: int
+    uid: str
+    state: str
 
-class ListBus:
-    """Numbers events, tells each caller what comes after the one it names, and beats once a second.
-    ``told``: when each state of each engine was told."""
+
+class EmulatedDiscoveryService:
+    """Numbers its events, and sends each client those after the one that it names.
+
+    Attributes:
+        events: All events, in their order.
+        targets: The endpoints that are listed, by uid.
+        announcements: When each state of each endpoint was announced.
+        subscribers: The connections.
+        heartbeat_task: Sends the number of the last event once a second.
+    """
 
     def __init__(self) -> None:
+        """Create a service that does not listen yet, with an empty list."""
         self.events: list[dict[str, Any]] = []
         self.targets: dict[str, dict[str, Any]] = {}
-        self.told: list[tuple[int, str, str]] = []
-        self.writers: set[asyncio.StreamWriter] = set()
-        self.beat: asyncio.Task[None] | None = None
+        self.announcements: list[Announcement] = []
+        self.subscribers: set[asyncio.StreamWriter] = set()
+        self.heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self) -> int:
-        self.server = await asyncio.start_server(self._client, "127.0.0.1", 0)
-        self.beat = asyncio.create_task(self._beat())
+        """Listen, and return the port."""
+        self.server = await asyncio.start_server(self._serve_client, HOST, 0)
+        self.heartbeat_task = asyncio.create_task(self._send_heartbeats())
         return int(self.server.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
+        """Close the socket and all connections."""
         self.server.close()
-        if self.beat is not None:
-            self.beat.cancel()
-        for writer in self.writers:
+        if self.heartbeat_task is not None:
+            self.heartbeat_task.cancel()
+        for writer in self.subscribers:
             writer.close()
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_client(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         try:
             line = await reader.readline()
-            last = int(line.split()[1]) if line.startswith(b"from ") else 0
-            for said in self.events[last:]:
-                writer.write(json.dumps(said).encode() + b"\n")
-            self.writers.add(writer)
+            last_offset = int(line.split()[1]) if line.startswith(b"from ") else 0
+            for event in self.events[last_offset:]:
+                writer.write(_encode(event))
+            self.subscribers.add(writer)
             await reader.read()
         except (ConnectionError, RuntimeError):
-            pass  # uvloop's word on a transport that has gone
+            pass  # RuntimeError is what uvloop raises on a transport that is closed
         finally:
-            self.writers.discard(writer)
+            self.subscribers.discard(writer)
             writer.close()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(1.0)
-            self._tell_all(b"%d\n" % len(self.events))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            self._broadcast(b"%d\n" % len(self.events))
 
-    def _tell_all(self, line: bytes) -> None:
-        """Danger: one caller that has gone would end the beat, or the news, for all others."""
-        for writer in list(self.writers):
+    def _broadcast(self, line: bytes) -> None:
+        # Writing to a closed connection raises, which would end the heartbeat, or an event, for
+        # all the others.
+        for writer in list(self.subscribers):
             if writer.is_closing():
-                self.writers.discard(writer)
+                self.subscribers.discard(writer)
             else:
                 writer.write(line)
 
-    def tell(self, *targets: dict[str, Any]) -> None:
-        now = time.time_ns()
+    def publish(self, *targets: dict[str, Any]) -> None:
+        """Announce changed endpoints in one event; a terminated one leaves the list."""
+        now_ns = time.time_ns()
         for changed in targets:
-            self.told.append((now, changed["uid"], changed["state"]))
+            self.announcements.append(Announcement(now_ns, changed["uid"], changed["state"]))
             if changed["state"] == "terminated":
                 self.targets.pop(changed["uid"], None)
             else:
                 self.targets[changed["uid"]] = changed
-        said = event(len(self.events) + 1, *targets, full=not self.events)
-        self.events.append(said)
-        self._tell_all(json.dumps(said).encode() + b"\n")
+        event = topology_event(len(self.events) + 1, *targets, full=not self.events)
+        self.events.append(event)
+        self._broadcast(_encode(event))
 
-    def known(self) -> dict[str, Any]:
-        """What a broker is told at its start."""
+    def snapshot(self) -> dict[str, Any]:
+        """Return what a broker's settings hold of the list at its start."""
         return {"offset": len(self.events), "batch": list(self.events)}
+
+
+def _encode(event: dict[str, Any]) -> bytes:
+    return json.dumps(event).encode() + b"\n"
--- a/query_broker/emulator/machine.py
+++ b/query_broker/emulator/machine.py
@@ -1,9 +1,8 @@
-"""A data engine's machine: cores that its queries share, a warm-up, and a ledger of what ran when.
-Pure.
+"""The machine of an emulated data engine: cores that its queries share, a warm-up and a ledger.
 
-Processor sharing: a query gets its threads' worth of cores while there are enough, else its part of
-them. A machine that starts is at `cold_from` of its pace and warm after `cold`; one that is sent
-more than `fall_multiple` times what it can do within `fall` falls over and stays down.
+Performs no I/O. Cores are shared as in processor sharing: a query gets as many as it has threads
+while there are enough, else its part of them. A machine that has just started warms up over a
+while; one that gets far more work than it can do meanwhile crashes and stays down.
 """
 
 from __future__ import annotations
@@ -12,103 +11,171 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-S = 1_000_000_000
+NS_PER_S = 1_000_000_000
+#: Work below this counts as done: rates are floats, so that a run may end a fraction short.
+DONE_WITHIN_NS = 1.0
 
 
 @dataclass(slots=True)
-class Run:
-    """One line of the ledger; ``ended`` 0: it had not ended. Work in thread-nanoseconds."""
-
-    id: bytes
-    cls: bytes
+class QueryRun:
+    """One line of a machine's ledger.
+
+    Attributes:
+        query_id: Id of the attempt.
+        request_class: Name of the request class.
+        statement: The statement.
+        begun_ns: When it began.
+        work_ns: Work as the statement says, in thread-nanoseconds.
+        threads: Threads that it uses at the most.
+        ended_ns: When it ended; 0 if it had not.
+        remaining_ns: Work left, in thread-nanoseconds.
+        idempotency_key: The key of an idempotent write; empty without one.
+    """
+
+    query_id: bytes
+    request_class: bytes
     statement: bytes
-    begun: int
-    work: float
+    begun_ns: int
+    work_ns: float
     threads: int
-    ended: int = 0
-    left: float = 0.0
-    nonce: str = ""
+    ended_ns: int = 0
+    remaining_ns: float = 0.0
+    idempotency_key: str = ""
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether all its work was done; False of a run that was cancelled or lost."""
+        return self.remaining_ns <= DONE_WITHIN_NS
 
 
 @dataclass(slots=True)
 class Machine:
+    """Cores, and the queries that run on them.
+
+    Attributes:
+        cores: Number of cores.
+        started_ns: When it started; 0 means long ago, so that it is warm.
+        initial_fraction: The fraction of its capacity that it has when it starts.
+        warm_up_ns: Time until it has all of it.
+        overload_window_ns: Time over which the work that arrives is added up while it warms up.
+        overload_multiple: It crashes when more arrives than this many times what it can do.
+        max_sessions: Queries that may run at once.
+        slowdown: Every query takes this many times its work.
+        ledger: Every query that began.
+        running: The queries that run, by id.
+        crashed: Whether it is down.
+        recent_arrivals: Time and work of arrivals within the window.
+        now_ns: Time up to which work has been done.
+    """
+
     cores: int = 8
-    started: int = 0  # 0: long ago
-    cold_from: float = 0.36
-    cold: int = 12 * S
-    fall: int = 3 * S // 2
-    fall_multiple: float = 2.0
-    sessions: int = 64
-    slow: float = 1.0  # every query takes so many times its work
-    ledger: list[Run] = field(default_factory=list)
-    running: dict[bytes, Run] = field(default_factory=dict)
-    fallen: bool = False
-    arrived: deque[tuple[int, float]] = field(default_factory=deque)
-    now: int = 0
-
-    def pace(self, now: int) -> float:
-        """Share of its capacity."""
-        if not self.started or now >= self.started + self.cold:
+    started_ns: int = 0
+    initial_fraction: float = 0.36
+    warm_up_ns: int = 12 * NS_PER_S
+    overload_window_ns: int = 3 * NS_PER_S // 2
+    overload_multiple: float = 2.0
+    max_sessions: int = 64
+    slowdown: float = 1.0
+    ledger: list[QueryRun] = field(default_factory=list)
+    running: dict[bytes, QueryRun] = field(default_factory=dict)
+    crashed: bool = False
+    recent_arrivals: deque[tuple[int, float]] = field(default_factory=deque)
+    now_ns: int = 0
+
+    def capacity_fraction(self, now_ns: int) -> float:
+        """Return the fraction of its capacity that the machine has."""
+        if not self._is_warming_up(now_ns):
             return 1.0
-        return self.cold_from + (1 - self.cold_from) * max(0, now - self.started) / self.cold
+        age_ns = max(0, now_ns - self.started_ns)
+        return self.initial_fraction + (1 - self.initial_fraction) * age_ns / self.warm_up_ns
 
-    def arrive(
+    def start_query(
         self,
-        now: int,
-        id: bytes,
-        cls: bytes,
+        now_ns: int,
+        query_id: bytes,
+        request_class: bytes,
         statement: bytes,
-        work: float,
+        work_ns: float,
         threads: int,
-        nonce: str = "",
+        idempotency_key: str = "",
     ) -> bool:
-        """Take a query; False: the engine is full, and it never ran."""
-        self.pass_time(now)
-        if self.started and now < self.started + self.cold:
-            self.arrived.append((now, work))
-            while self.arrived[0][0] <= now - self.fall:
-                self.arrived.popleft()
-            budget = self.fall_multiple * self.pace(now) * self.cores * self.fall
-            if sum(w for _, w in self.arrived) > budget:
-                self.fallen = True
-        if len(self.running) >= self.sessions or id in self.running:
+        """Begin a query; returns False, and nothing runs, if there are too many already."""
+        self.advance(now_ns)
+        if self._is_warming_up(now_ns):
+            self._note_arrival(now_ns, work_ns)
+        if len(self.running) >= self.max_sessions or query_id in self.running:
             return False
-        run = Run(id, cls, statement, now, work, threads, left=work * self.slow, nonce=nonce)
+        run = QueryRun(
+            query_id,
+            request_class,
+            statement,
+            now_ns,
+            work_ns,
+            threads,
+            remaining_ns=work_ns * self.slowdown,
+            idempotency_key=idempotency_key,
+        )
         self.ledger.append(run)
-        self.running[id] = run
+        self.running[query_id] = run
         return True
 
-    def rates(self, now: int) -> Iterator[tuple[Run, float]]:
-        """Thread-nanoseconds a nanosecond that each query gets."""
-        wanted = sum(r.threads for r in self.running.values())
-        part = min(1.0, self.cores / wanted) * self.pace(now) if wanted else 0.0
+    def _is_warming_up(self, now_ns: int) -> bool:
+        return self.started_ns != 0 and now_ns < self.started_ns + self.warm_up_ns
+
+    def _note_arrival(self, now_ns: int, work_ns: float) -> None:
+        self.recent_arrivals.append((now_ns, work_ns))
+        while self.recent_arrivals[0][0] <= now_ns - self.overload_window_ns:
+            self.recent_arrivals.popleft()
+        capacity = self.overload_multiple * self.capacity_fraction(now_ns) * self.cores
+        budget_ns = capacity * self.overload_window_ns
+        if sum(work for _, work in self.recent_arrivals) > budget_ns:
+            self.crashed = True
+
+    def execution_rates(self, now_ns: int) -> Iterator[tuple[QueryRun, float]]:
+        """Yield each running query with the thread-nanoseconds that it gets in a nanosecond."""
+        demanded = self._threads_in_use()
+        fraction = 0.0
+        if demanded:
+            fraction = min(1.0, self.cores / demanded) * self.capacity_fraction(now_ns)
         for run in self.running.values():
-            yield run, run.threads * part
+            yield run, run.threads * fraction
 
-    def pass_time(self, now: int) -> list[Run]:
-        """What has ended by now. Between two calls the pace is that of the first."""
+    def advance(self, now_ns: int) -> list[QueryRun]:
+        """Do the work up to now and return what has ended.
+
+        Between two calls the capacity is taken to be that at the time of the first.
+        """
         ended = []
-        for run, rate in list(self.rates(self.now)):
-            run.left -= rate * (now - self.now)
-            if run.left <= 1.0:
-                run.ended = now
-                del self.running[run.id]
+        for run, rate in list(self.execution_rates(self.now_ns)):
+            run.remaining_ns -= rate * (now_ns - self.now_ns)
+            if run.is_complete:
+                run.ended_ns = now_ns
+                del self.running[run.query_id]
                 ended.append(run)
-        self.now = now
+        self.now_ns = now_ns
         return ended
 
-    def next_end(self, now: int) -> int | None:
-        """When the first of them ends, at the present pace."""
-        ends = [now + int(run.left / rate) + 1 for run, rate in self.rates(now) if rate > 0]
+    def next_completion(self, now_ns: int) -> int | None:
+        """Return when the first query ends at the present rates, in ns; None if none runs."""
+        ends = [
+            now_ns + int(run.remaining_ns / rate) + 1
+            for run, rate in self.execution_rates(now_ns)
+            if rate > 0
+        ]
         return min(ends, default=None)
 
-    def drop(self, now: int, id: bytes) -> list[Run]:
-        """An `undo` that is honoured; gives what had ended before it."""
-        ended = self.pass_time(now)
-        if (run := self.running.pop(id, None)) is not None:
-            run.ended = now
+    def cancel(self, now_ns: int, query_id: bytes) -> list[QueryRun]:
+        """Cancel a query and return what had ended before."""
+        ended = self.advance(now_ns)
+        run = self.running.pop(query_id, None)
+        if run is not None:
+            run.ended_ns = now_ns
         return ended
 
-    def report(self) -> str:
-        threads = sum(r.threads for r in self.running.values())
-        return f"inflight:{len(self.running)};util:{min(1.0, threads / self.cores):.3f}"
+    def load_meter(self) -> str:
+        """Return the load as the engine reports it on the wire."""
+        utilisation = min(1.0, self._threads_in_use() / self.cores)
+        return f"inflight:{len(self.running)};util:{utilisation:.3f}"
+
+    def _threads_in_use(self) -> int:
+        return sum(run.threads for run in self.running.values())
--- a/query_broker/emulator/processes.py
+++ b/query_broker/emulator/processes.py
@@ -1,6 +1,4 @@
-"""Many real processes of this program on loopback: started, stopped, paused and killed by their own
-ids.
-"""
+"""Real processes of this program on loopback, started, signalled and killed by their own ids."""
 
 from __future__ import annotations
 
@@ -20,67 +18,117 @@
 from collections.abc import Callable
 from pathlib import Path
 from types import TracebackType
-from typing import Any
+from typing import Any, NamedTuple
 
-from .clients import Counter
+from .clients import RequestLog
 
 ROOT = Path(__file__).parents[2]
+HOST = "127.0.0.1"
+ADMIN_TIMEOUT_S = 2.0
+READY_TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 0.05
+#: Settings of the caller's environment that would reach through to the processes.
+HIDDEN_VARIABLES = ("OPERATOR_FILE", "OPERATOR", "LISTEN", "ACCEPT_FD", "NAME")
 
 
-class Ports:
-    """Ports to listen on. Danger: one that the system gives to whoever asks for any is soon some
-    connection's own end, and one that two processes draw is had by one of them: these lie below the
-    system's, in blocks of which each is a single process's, as long as that holds its first
-    port.
+class PortAllocator:
+    """Gives out ports to listen on that no other process takes.
+
+    A port that the system chooses may become some connection's own end before it is listened on,
+    and one that two processes draw is had by one of them. So these lie below the system's range, in
+    blocks of which each belongs to one process for as long as that holds the block's first port.
+
+    Attributes:
+        reservations: The sockets that hold the first ports of this process's blocks.
+        ports: The ports of these blocks, that which is given out next first.
     """
 
-    RANGE, BLOCK = range(10_000, 32_000), 100
+    #: Below the ports that the system gives to connections (from 32,768 on Linux).
+    RANGE = range(10_000, 32_000)
+    #: A test takes some tens of ports at the most.
+    BLOCK = 100
+    #: So many times the ports asked for are kept, as some may be in use.
+    SPARE_FACTOR = 4
 
     def __init__(self) -> None:
-        self.held: list[socket.socket] = []
+        """Create an allocator that has reserved nothing yet."""
+        self.reservations: list[socket.socket] = []
         self.ports: deque[int] = deque()
 
-    def claim(self) -> None:
+    def reserve_block(self) -> None:
+        """Reserve another block, drawn at random.
+
+        Raises:
+            OSError: All blocks are taken.
+        """
         starts = list(self.RANGE[:: self.BLOCK])
         random.SystemRandom().shuffle(starts)
         for start in starts:
-            mine = socket.socket()
+            reservation = socket.socket()
             try:
-                mine.bind(("127.0.0.1", start))
+                reservation.bind((HOST, start))
             except OSError:
-                mine.close()
+                reservation.close()
                 continue
-            self.held.append(mine)
+            self.reservations.append(reservation)
             self.ports.extend(range(start + 1, start + self.BLOCK))
             return
-        raise OSError("no block of ports is left")
+        problem = "no block of ports is left"
+        raise OSError(problem)
 
     def take(self, count: int) -> list[int]:
-        """In turn, so that one that has just been given is not given again before it is listened
-        on.
+        """Return free ports.
+
+        They are given out in turn, so that one is not given out again before it is listened on.
+        That fails where many of the ports cannot be bound and the turn comes round (known fault).
+
+        Raises:
+            OSError: Too many ports are in use.
         """
-        while len(self.ports) < 4 * count:
-            self.claim()
+        while len(self.ports) < self.SPARE_FACTOR * count:
+            self.reserve_block()
         found: list[int] = []
         for port in list(self.ports):
             self.ports.rotate(-1)
             with socket.socket() as probe, contextlib.suppress(OSError):  # in use
-                probe.bind(("127.0.0.1", port))
+                probe.bind((HOST, port))
                 found.append(port)
             if len(found) == count:
                 return found
-        raise OSError("too many ports are in use")
+        problem = "too many ports are in use"
+        raise OSError(problem)
 
 
-PORTS = Ports()
+PORT_ALLOCATOR = PortAllocator()
 
 
 def free_ports(count: int) -> list[int]:
-    return PORTS.take(count)
+    """Return free ports of this process's own blocks."""
+    return PORT_ALLOCATOR.take(count)
+
+
+class ProcessPorts(NamedTuple):
+    """Where a process listens: for clients, for operators, and for other brokers."""
 
+    client_port: int
+    admin_port: int
+    peer_port: int
 
-class Member:
-    """One process, with a folder, ports, settings and a log of its own."""
+
+class BrokerProcess:
+    """One process, with a folder, ports, settings and a log of its own.
+
+    Attributes:
+        number: Its number in the fleet.
+        folder: Its files.
+        tree: The source tree that it runs.
+        port: Where it listens for clients.
+        admin_port: Where it listens for operators.
+        peer_port: Where it listens for other brokers.
+        env: Its environment.
+        process: The process, once it was started.
+        started_s: When it was started, in monotonic seconds.
+    """
 
     def __init__(
         self,
@@ -88,40 +136,61 @@
         folder: Path,
         ports: tuple[int, int, int],
         raw: dict[str, Any],
-        script: str,
+        operator_file: str,
         tree: Path,
     ) -> None:
-        self.number, self.folder, self.tree = number, folder, tree
-        self.port, self.operator, self.peers = ports
+        """Write the files of a process that is not started yet.
+
+        Args:
+            number: Its number in the fleet.
+            folder: Created for its files.
+            ports: For clients, operators and other brokers.
+            raw: The configuration; names, addresses and seed are replaced.
+            operator_file: Text of the operators' file; empty: it has none.
+            tree: The source tree that it runs.
+        """
+        self.number = number
+        self.folder = folder
+        self.tree = tree
+        self.port, self.admin_port, self.peer_port = ProcessPorts(*ports)
         folder.mkdir()
-        raw = {
+        self._write_config(raw)
+        self.env = self._make_environment()
+        if operator_file:
+            self.write_operator_file(operator_file)
+            self.env["PROXY_OPERATOR_FILE"] = str(folder / "operators.star")
+        self.process: subprocess.Popen[bytes] | None = None
+        self.started_s = 0.0
+
+    def _write_config(self, raw: dict[str, Any]) -> None:
+        config = {
             **raw,
-            "name": f"n{number}",
-            "listen": f"127.0.0.1:{self.port}",
-            "operator": f"127.0.0.1:{self.operator}",
-            "seed": f"{number + 1:x}",
-            "settings": {**raw["settings"], "me": number},
+            "name": f"n{self.number}",
+            "listen": f"{HOST}:{self.port}",
+            "operator": f"{HOST}:{self.admin_port}",
+            "seed": f"{self.number + 1:x}",
+            "settings": {**raw["settings"], "me": self.number},
         }
-        (folder / "config.json").write_text(json.dumps(raw))
-        self.env = {
+        (self.folder / "config.json").write_text(json.dumps(config))
+
+    def _make_environment(self) -> dict[str, str]:
+        environment = {
             **os.environ,
-            "PROXY_CONFIG": str(folder / "config.json"),
-            "TMPDIR": str(folder),
-            "PYTHONPATH": str(tree),
+            "PROXY_CONFIG": str(self.folder / "config.json"),
+            "TMPDIR": str(self.folder),
+            "PYTHONPATH": str(self.tree),
         }
-        for name in ("OPERATOR_FILE", "OPERATOR", "LISTEN", "ACCEPT_FD", "NAME"):
-            self.env.pop(f"PROXY_{name}", None)
-        if script:
-            self.write_script(script)
-            self.env["PROXY_OPERATOR_FILE"] = str(folder / "operators.star")
-        self.process: subprocess.Popen[bytes] | None = None
-        self.started = 0.0
+        for name in HIDDEN_VARIABLES:
+            environment.pop(f"PROXY_{name}", None)
+        return environment
 
-    def write_script(self, script: str) -> None:
-        (self.folder / "operators.star").write_text(script)
+    def write_operator_file(self, text: str) -> None:
+        """Replace the operators' file."""
+        (self.folder / "operators.star").write_text(text)
 
     def start(self) -> None:
-        self.started = time.monotonic()
+        """Start the process; its log is appended to that of an earlier one."""
+        self.started_s = time.monotonic()
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "query_broker", "serve"],
@@ -133,80 +202,107 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal."""
         assert self.process is not None
         self.process.send_signal(number)
 
     def wait(self, seconds: float) -> int:
+        """Wait for the end of the process, and return its exit code.
+
+        Raises:
+            subprocess.TimeoutExpired: It has not ended in time.
+        """
         assert self.process is not None
         return self.process.wait(seconds)
 
     def kill(self) -> None:
+        """Kill the process, also one that is paused; without effect if it has ended."""
         if self.process is not None and self.process.poll() is None:
-            # one that is paused can't be waited for otherwise
+            # One that is paused could not be waited for otherwise.
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
             self.process.wait()
 
     def log(self) -> str:
+        """Return the log so far."""
         return (self.folder / "log").read_text(errors="replace")
 
-    def call(self, path: str, method: str = "GET") -> tuple[int, bytes]:
-        line = http.client.HTTPConnection("127.0.0.1", self.operator, timeout=2.0)
+    def call_admin_api(self, path: str, method: str = "GET") -> tuple[int, bytes]:
+        """Make an operators' call, and return status and body.
+
+        Raises:
+            OSError: The process does not answer.
+        """
+        connection = http.client.HTTPConnection(HOST, self.admin_port, timeout=ADMIN_TIMEOUT_S)
         try:
-            line.request(method, path)
-            answer = line.getresponse()
-            return answer.status, answer.read()
+            connection.request(method, path)
+            response = connection.getresponse()
+            return response.status, response.read()
         finally:
-            line.close()
+            connection.close()
 
     def status(self, path: str = "/start") -> Any:
-        return json.loads(self.call(path)[1])
-
-    async def ready(self) -> bool:
-        """As the front asks: type 16 on the clients' address."""
-        from .clients import Book
+        """Return the JSON answer to an operators' call."""
+        _, body = self.call_admin_api(path)
+        return json.loads(body)
 
+    async def is_ready(self) -> bool:
+        """Return whether it is ready, as the front end checks it."""
         try:
-            _, counter = await asyncio.get_running_loop().create_connection(
-                lambda: Counter(Book("127.0.0.1", self.port)), "127.0.0.1", self.port
-            )
+            client = await RequestLog(HOST, self.port).connect()
         except OSError:
             return False
         try:
-            return await asyncio.wait_for(counter.ask_ready(), 2.0)
+            return await asyncio.wait_for(client.check_readiness(), READY_TIMEOUT_S)
         except (TimeoutError, OSError):
             return False
         finally:
-            if counter.transport is not None:
-                counter.transport.close()
+            if client.transport is not None:
+                client.transport.close()
+
 
+class BrokerFleet:
+    """Several processes, as a context manager that leaves none of them behind.
 
-class Fleet:
-    """`with Fleet(...)`: whatever becomes of a test, no process of it is left behind. ``script``:
-    the same for all, or by number and port for its peers; each process has one.
+    Attributes:
+        temporary_folder: Holds the folder of each process.
+        processes: The processes, by number.
     """
 
     def __init__(
         self,
         count: int,
         raw: dict[str, Any],
-        script: str | Callable[[int, int], str] = "",
+        operator_file: str | Callable[[int, int], str] = "",
         tree: Path = ROOT,
     ) -> None:
-        self.held = tempfile.TemporaryDirectory()
-        folder = Path(self.held.name)
-        ports = free_ports(3 * count)
-        raw = {
-            **raw,
-            "settings": {**raw["settings"], "fleet_size": raw["settings"].get("fleet_size", count)},
-        }
-        self.members = []
-        for i in range(count):
-            mine = (ports[3 * i], ports[3 * i + 1], ports[3 * i + 2])
-            said = script if isinstance(script, str) else script(i, mine[2])
-            self.members.append(Member(i, folder / f"n{i}", mine, raw, said, tree))
+        """Write the files of processes that are not started yet.
+
+        Args:
+            count: Number of processes.
+            raw: Their configuration; its fleet size is the count unless it says another.
+            operator_file: Text of the operators' file, the same for all, or made from the number of
+                a process and its port for other brokers.
+            tree: The source tree that they run.
+        """
+        self.temporary_folder = tempfile.TemporaryDirectory()
+        folder = Path(self.temporary_folder.name)
+        settings = {"fleet_size": count, **raw["settings"]}
+        ports_left = iter(free_ports(len(ProcessPorts._fields) * count))
+        self.processes: list[BrokerProcess] = []
+        for number in range(count):
+            ports = ProcessPorts(next(ports_left), next(ports_left), next(ports_left))
+            if isinstance(operator_file, str):
+                text = operator_file
+            else:
+                text = operator_file(number, ports.peer_port)
+            process = BrokerProcess(
+                number, folder / f"n{number}", ports, {**raw, "settings": settings}, text, tree
+            )
+            self.processes.append(process)
 
-    def __enter__(self) -> Fleet:
+    def __enter__(self) -> BrokerFleet:
+        """Return the fleet."""
         return self
 
     def __exit__(
@@ -215,23 +311,36 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        for member in self.members:
-            member.kill()
-        self.held.cleanup()
+        """Kill all processes and remove their files."""
+        for process in self.processes:
+            process.kill()
+        self.temporary_folder.cleanup()
 
     def start(self) -> None:
-        for member in self.members:
-            member.start()
+        """Start all processes."""
+        for process in self.processes:
+            process.start()
+
+    async def wait_until_ready(self, seconds: float, fraction: float = 1.0) -> list[float]:
+        """Wait until this fraction of the processes is ready, or for so long.
 
-    async def all_ready(self, seconds: float, part: float = 1.0) -> list[float]:
-        """Seconds from each one's start until it was ready, as they came; ends when all are, or in
-        time.
+        Returns:
+            Seconds from the start of each process that became ready, in the order in which they
+            did.
         """
-        end, waiting, took = time.monotonic() + seconds, list(self.members), list[float]()
-        while waiting and time.monotonic() < end and len(took) < part * len(self.members):
-            said = await asyncio.gather(*(m.ready() for m in waiting))
-            now = time.monotonic()
-            took += [now - m.started for m, yes in zip(waiting, said, strict=True) if yes]
-            waiting = [m for m, yes in zip(waiting, said, strict=True) if not yes]
-            await asyncio.sleep(0.05)
-        return took
+        end_s = time.monotonic() + seconds
+        waiting = list(self.processes)
+        durations_s: list[float] = []
+        enough = fraction * len(self.processes)
+        while waiting and time.monotonic() < end_s and len(durations_s) < enough:
+            answers = await asyncio.gather(*(process.is_ready() for process in waiting))
+            now_s = time.monotonic()
+            still_waiting = []
+            for process, is_ready in zip(waiting, answers, strict=True):
+                if is_ready:
+                    durations_s.append(now_s - process.started_s)
+                else:
+                    still_waiting.append(process)
+            waiting = still_waiting
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return durations_s
--- a/tests/deployments.py
+++ b/tests/deployments.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from query_broker.emulator.cluster import settings, tenants
+from query_broker.emulator.cluster import platform_settings, tenant_settings
 
 MS = 1_000_000
 S = 1_000 * MS
@@ -15,20 +15,20 @@
 
 
 def _rules(**changes: Any) -> dict[str, Any]:
-    base = settings()
+    base = platform_settings()
     return {**base["policy_limits"], **changes}
 
 
 #: Nothing can be stopped, copies may run beside each other, loads must never run twice.
-COUNTERS = settings(
+COUNTERS = platform_settings(
     classes=[_class("glance", 5, "read_like"), _class("load", 25, "non_idempotent")],
     fleet_size=2,
-    tenants=tenants("acme", quota=50.0),
+    tenants=tenant_settings("acme", quota=50.0),
     policy_limits=_rules(second_copies=True),
 )
 
 #: Engines heed an `undo` and drop a repeat under its key; one room, one broker, no tenants; notes.
-WAREHOUSE = settings(
+WAREHOUSE = platform_settings(
     classes=[
         _class("glance", 4, "read_like"),
         _class("load", 20, "idempotency_key", group="all", window=20 * S),
@@ -52,13 +52,13 @@
 
 #: What neither has: classes bound to rooms, a budget for further attempts, keys by room, tenants
 #: without quotas.
-BOUND = settings(
+BOUND = platform_settings(
     classes=[
         _class("glance", 5, "read_like", zones_only=["east", "west"]),
         _class("load", 10, "idempotency_key", group="zone", window=3 * S),
     ],
     fleet_size=3,
-    tenants=tenants("acme", "other"),
+    tenants=tenant_settings("acme", "other"),
     zones=["east", "west", "north"],
     contract=dict(
         drain_grace=2_000 * MS,
--- a/tests/member_processes.py
+++ b/tests/member_processes.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from query_broker.emulator.cluster import World, config
-from query_broker.emulator.cluster import settings as cluster_settings
-from query_broker.emulator.faulty_links import Fault, RelayNet, Script
-from query_broker.emulator.processes import Fleet, free_ports
+from query_broker.emulator.cluster import EmulatedCluster, broker_config
+from query_broker.emulator.cluster import platform_settings as cluster_settings
+from query_broker.emulator.faulty_links import Fault, FaultSchedule, RelayNetwork
+from query_broker.emulator.processes import BrokerFleet, free_ports
 from query_broker.membership.codec import peek_sender
 
 from .sockets import HANG
@@ -45,26 +45,28 @@
         addresses: The advertised address of each process.
     """
 
-    def __init__(self, fleet: Fleet, net: RelayNet, keys: Path, addresses: list[str]) -> None:
+    def __init__(
+        self, fleet: BrokerFleet, net: RelayNetwork, keys: Path, addresses: list[str]
+    ) -> None:
         self.fleet = fleet
         self.net = net
         self.keys = keys
         self.addresses = addresses
-        self.script = net.script
+        self.script = net.schedule
 
     def spoil(self, seconds: float, *faults: Fault) -> None:
         """Let faults act from now on for some time."""
-        now = self.script.now()
+        now = self.script.now_s()
         self.script.faults += [
             Fault(
                 now,
                 now + seconds,
-                fault.links,
+                fault.link_pattern,
                 fault.kind,
-                fault.way,
-                fault.seconds,
-                fault.share,
-                fault.rate,
+                fault.direction,
+                fault.delay_s,
+                fault.probability,
+                fault.bytes_per_s,
             )
             for fault in faults
         ]
@@ -76,7 +78,7 @@
     async def status(self, number: int) -> Status:
         """Return the answer to `GET /members`; empty if the process does not answer."""
         try:
-            return await asyncio.to_thread(self.fleet.members[number].status, "/members")
+            return await asyncio.to_thread(self.fleet.processes[number].status, "/members")
         except OSError:
             return {}
 
@@ -97,7 +99,7 @@
                 if self._is_view_of(status, wanted):
                     waiting.discard(number)
             await asyncio.sleep(0.05)
-        log = "".join(self.fleet.members[number].log() for number in waiting)
+        log = "".join(self.fleet.processes[number].log() for number in waiting)
         assert not waiting, f"n{waiting}: {status.get('members')}\n{log}"
 
     async def until_all(self, numbers: Iterable[int], holds: Callable[[Status], bool]) -> None:
@@ -140,20 +142,20 @@
 @asynccontextmanager
 async def member_processes(count: int, folder: Path, **more: Any) -> AsyncIterator[MemberProcesses]:
     """Start processes that know each other; end them with the context."""
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-1")
     keys = folder / "keys"
     keys.write_text(OLD_KEY)
-    net = RelayNet(Script([], time.monotonic), peek_sender)
-    raw = config(world, "", fleet_size=count, policy_limits=LIMITS)
+    net = RelayNetwork(FaultSchedule([], time.monotonic), peek_sender)
+    raw = broker_config(world, "", fleet_size=count, policy_limits=LIMITS)
     addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
 
     def script(number: int, port: int) -> str:
         return members_directive(number, port, addresses[number], keys, addresses[:2], **more)
 
-    with Fleet(count, raw, script) as fleet:
-        for member, address in zip(fleet.members, addresses, strict=True):
-            await net.add(f"n{member.number}", member.peers, int(address.rpartition(":")[2]))
+    with BrokerFleet(count, raw, script) as fleet:
+        for member, address in zip(fleet.processes, addresses, strict=True):
+            await net.add(f"n{member.number}", member.peer_port, int(address.rpartition(":")[2]))
         fleet.start()
         processes = MemberProcesses(fleet, net, keys, addresses)
         await processes.holds(range(count), range(count))
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -22,10 +22,13 @@
 from query_broker.cells.model import CellMap
 from query_broker.cells.node import CellNode
 from query_broker.config import Config, parse
-from query_broker.emulator.cluster import settings
+from query_broker.emulator.cluster import platform_settings
 from query_broker.emulator.data_engine import ScriptedEngine as Engine
-from query_broker.emulator.discovery_service import ScriptedBus as Bus
-from query_broker.emulator.discovery_service import event, target
+from query_broker.emulator.discovery_service import (
+    ScriptedDiscoveryService,
+    target_entry,
+    topology_event,
+)
 from query_broker.emulator.processes import free_ports
 from query_broker.endpoints.connection_pools import ConnectionPool
 from query_broker.operator_config.settings import OperatorConfig
@@ -37,13 +40,13 @@
     "ROOT",
     "STATEMENT",
     "TRACE",
-    "Bus",
+    "ScriptedDiscoveryService",
     "Client",
     "Engine",
     "Rig",
     "celled",
     "connect",
-    "event",
+    "topology_event",
     "free_port",
     "gated",
     "make_config",
@@ -51,8 +54,8 @@
     "on_uvloop",
     "process",
     "running",
-    "settings",
-    "target",
+    "platform_settings",
+    "target_entry",
     "until",
     "within",
     "write_config",
@@ -78,8 +81,8 @@
         "listen": "127.0.0.1:1",
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 256},
-        "known": {"offset": 1, "batch": [event(1, *targets, full=True)]},
-        "settings": settings(**changes),
+        "known": {"offset": 1, "batch": [topology_event(1, *targets, full=True)]},
+        "settings": platform_settings(**changes),
     }
     if not listed:
         del raw["known"]
@@ -95,7 +98,7 @@
 
 
 def make_known(*targets: dict[str, Any]) -> dict[str, Any]:
-    return {"offset": 1, "batch": [event(1, *targets, full=True)]}
+    return {"offset": 1, "batch": [topology_event(1, *targets, full=True)]}
 
 
 def write_config(folder: Path, **changes: Any) -> dict[str, str]:
@@ -105,7 +108,7 @@
         "listen": "127.0.0.1:1",
         "seed": "8c1f",
         "known": {"offset": 0, "batch": []},
-        "settings": settings(),
+        "settings": platform_settings(),
         **changes,
     }
     path = folder / "config.json"
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -27,9 +27,9 @@
 from query_broker.cli.main import main
 from query_broker.config import Config
 from query_broker.discovery.event_codec import parse_event
-from query_broker.emulator.clients import Book
-from query_broker.emulator.cluster import World, config, tenants
-from query_broker.emulator.data_engine import ran_twice
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import EmulatedCluster, broker_config, tenant_settings
+from query_broker.emulator.data_engine import statements_run_twice
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.timer_wheel import TimerWheel
@@ -42,12 +42,12 @@
     Rig,
     celled,
     connect,
-    event,
     free_port,
     make_config,
     on_uvloop,
     running,
-    target,
+    target_entry,
+    topology_event,
     until,
     within,
 )
@@ -103,7 +103,7 @@
 @asynccontextmanager
 async def pair(map: CellMap, *engines: Engine, **more: Any) -> AsyncIterator[Rig]:
     """A broker with cells before engines s-1, s-2, ..."""
-    targets = [target(f"s-{i}", await e.start()) for i, e in enumerate(engines, 1)]
+    targets = [target_entry(f"s-{i}", await e.start()) for i, e in enumerate(engines, 1)]
     made = make_config(*targets, tenants=TWO, operator=True, **more)
     async with running(made, make=celled(map)) as rig:
         yield rig
@@ -117,8 +117,8 @@
         for stream in range(1, 21):
             ask(client, stream, "acme" if stream % 2 else "beta")
             assert (await client.answer())[1] == frames.SERVED
-        assert len(one.words(b"do")) == len(two_.words(b"do")) == 10
-        assert all(d[1].startswith(b"acme".hex().encode()) for d in one.words(b"do"))
+        assert len(one.commands_named(b"do")) == len(two_.commands_named(b"do")) == 10
+        assert all(d[1].startswith(b"acme".hex().encode()) for d in one.commands_named(b"do"))
         assert not hall(rig).where and not hall(rig).open and not node(rig).celled.charged
         text = (await call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
         assert 'larchhall_cell_replies_total{cell="a",type="glance",status="success"} 10' in text
@@ -130,26 +130,26 @@
     async with pair(two(), one, two_) as rig:
         client = await rig.client()
         ask(client, 1, "acme", route="stock-add")
-        await until(lambda: one.words(b"do"))
+        await until(lambda: one.commands_named(b"do"))
         status, _, body = await call(rig, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n")
         assert status == 200 and json.loads(body)["stage"] == "proposed"
         assert (await call(rig, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n"))[0] == 409
         await until(lambda: stage(rig) is Stage.DRAINING)
         ask(client, 2, "acme")
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        assert len(two_.words(b"do")) == 1 and stage(rig) is Stage.DRAINING
+        assert len(two_.commands_named(b"do")) == 1 and stage(rig) is Stage.DRAINING
         # The one under way comes again under its id: it joins the first, in the first's cell.
         other = await rig.client()
         ask(other, 1, "acme", route="stock-add")
         await until(lambda: len(hall(rig).where) == 2)
         assert all(room.cell == "a" for room, _ in hall(rig).where.values())
-        one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
+        one.answer_served(one.commands_named(b"do")[0], one.writer_of(one.commands_named(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
         other.send(frames.ABANDON, 1)
-        for do in one.words(b"do")[1:]:
-            one.serve(do, one.writer_of(do))
+        for do in one.commands_named(b"do")[1:]:
+            one.answer_served(do, one.writer_of(do))
         await until(lambda: stage(rig) is Stage.DONE)
-        assert len(two_.words(b"do")) == 1
+        assert len(two_.commands_named(b"do")) == 1
         shown = json.loads((await call(rig, b"GET /cells HTTP/1.1\r\n\r\n"))[2])
         assert {t["tenant"]: t["cell"] for t in shown["tenants"]} == {"acme": "b", "beta": "b"}
 
@@ -205,19 +205,19 @@
     async with pair(two(), one, two_) as rig:
         client = await rig.client()
         ask(client, 1, "acme", route="stock-add")
-        await until(lambda: one.words(b"do"))
+        await until(lambda: one.commands_named(b"do"))
         node(rig).celled.moves.propose("acme", "b", rig.node.clock.now())
         await until(lambda: stage(rig) is Stage.DRAINING)
         port = rig.node.dispatcher.endpoint_table.by_uid["s-2"].target.port
         rig.node.dispatcher.endpoint_list_changed(
-            parse_event(event(2, target("s-2", port, "terminating")))
+            parse_event(topology_event(2, target_entry("s-2", port, "terminating")))
         )
         await until(lambda: stage(rig) is Stage.TAKEN_BACK)
         ask(client, 2, "acme")
-        await until(lambda: len(one.words(b"do")) == 2)
-        assert not two_.words(b"do")
-        for do in one.words(b"do"):
-            one.serve(do, one.writer_of(do))
+        await until(lambda: len(one.commands_named(b"do")) == 2)
+        assert not two_.commands_named(b"do")
+        for do in one.commands_named(b"do"):
+            one.answer_served(do, one.writer_of(do))
         assert {(await client.answer())[1] for _ in range(2)} == {frames.SERVED}
 
 
@@ -232,7 +232,7 @@
         for stream in range(1, 11):
             ask(client, stream, "acme")
             assert (await client.answer())[1] == frames.SERVED
-        assert not two_.words(b"do")
+        assert not two_.commands_named(b"do")
         assert rig.node.dispatcher.set_endpoint_disabled("s-2", False)  # back, and cold
         assert hall(rig).fleet("a", rig.node.clock.now()).cold == 1
         node(rig)._take_map(two(3))
@@ -247,7 +247,7 @@
         rig.node.dispatcher.set_endpoint_disabled("s-3", True)
         client = await rig.client()
         ask(client, 1, "acme", route="stock-add", weight="500")
-        await until(lambda: one.words(b"do"))
+        await until(lambda: one.commands_named(b"do"))
         node(rig)._take_map(two(2, a=("s-3",), b=("s-1", "s-2")))
         number = rig.node.dispatcher.endpoint_table.number("s-1")
         assert hall(rig).cell_of(number) == "b" and number in hall(rig).left_over
@@ -255,13 +255,13 @@
         # what is out there counts in its new cell
         assert beside.threads == 2 and beside.backlog_ns > 0
         assert hall(rig).outstanding(0)[number].threads == 2  # and once for other processes
-        one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
+        one.answer_served(one.commands_named(b"do")[0], one.writer_of(one.commands_named(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
         assert hall(rig).rooms["b"].controller.engines[number].beside.threads == 0
         assert not hall(rig).left_over and not hall(rig).where
         # Its old cell's tenant does not meet it any more.
         ask(client, 2, "acme")
-        assert (await client.answer())[1] == frames.REFUSED and len(one.words(b"do")) == 1
+        assert (await client.answer())[1] == frames.REFUSED and len(one.commands_named(b"do")) == 1
 
 
 def test_what_one_cell_sent_a_cold_engine_counts_in_the_next_cell() -> None:
@@ -310,13 +310,15 @@
     async with pair(two(), one, two_) as rig:
         client = await rig.client()
         ask(client, 1, "beta", route="stock-add")
-        await until(lambda: two_.words(b"do"))
+        await until(lambda: two_.commands_named(b"do"))
         dropped = hall(rig).rooms["b"]
         node(rig)._take_map(CellMap(2, (Cell("a", engines=("s-1", "s-2")),), "a", {}, FAST))
         assert hall(rig).rooms["b"] is dropped  # until its last request is over
         ask(client, 2, "beta")
-        await until(lambda: len(one.words(b"do")) + len(two_.words(b"do")) == 2)
-        two_.serve(two_.words(b"do")[0], two_.writer_of(two_.words(b"do")[0]))
+        await until(lambda: len(one.commands_named(b"do")) + len(two_.commands_named(b"do")) == 2)
+        two_.answer_served(
+            two_.commands_named(b"do")[0], two_.writer_of(two_.commands_named(b"do")[0])
+        )
         while (await client.answer())[0] != 1:
             pass
         await until(lambda: "b" not in hall(rig).rooms)
@@ -360,13 +362,13 @@
         client, other = await rig.client(), await rig.client()
         for stream in range(1, 17):
             ask(client, stream, "acme", route="stock-add" if stream % 2 else "glance")
-        await until(lambda: len(one.words(b"do")) == 16)
+        await until(lambda: len(one.commands_named(b"do")) == 16)
         pools.count_use()
         assert pools.ledger.accounts["a"].used > 4 and pools.ledger.lent("a")
         two_.script = lambda *_: None
         for stream in range(1, 13):
             ask(other, stream, "beta")
-        await until(lambda: len(two_.words(b"do")) >= 12)
+        await until(lambda: len(two_.commands_named(b"do")) >= 12)
         await until(
             lambda: pools.count_use()
             or not pools.ledger.due(rig.node.clock.now() + S)
@@ -377,7 +379,7 @@
                 for c in p.connections
             )
         )
-        loads = [d for d in one.words(b"do") if b"stock-add" in d[2]]
+        loads = [d for d in one.commands_named(b"do") if b"stock-add" in d[2]]
         assert len(loads) == len({d[1] for d in loads})  # none ran twice
 
 
@@ -405,7 +407,7 @@
         for hog in hogs[4:]:
             # the error, on stream 0
             assert b"is not within 5 to 262144" in await within(hog.reader.read())
-        assert len(one.words(b"do")) == 40
+        assert len(one.commands_named(b"do")) == 40
         assert all(
             c.cell in (ANTEROOM, "a", "b")
             for c in rig.node.clients
@@ -476,7 +478,7 @@
 
 @on_uvloop
 async def test_a_cell_that_starts_cold_refuses_with_a_pause_and_drowns_nobody() -> None:
-    world = World()
+    world = EmulatedCluster()
     await world.start("a-1", "a-2", cores=2)
     await world.add("b-1", "b-2", "b-3", cores=2, cold=True)
     map = two(a=("a-1", "a-2"), b=("b-1", "b-2", "b-3"))
@@ -485,27 +487,27 @@
     )
     from query_broker.config import parse
 
-    raw = config(
+    raw = broker_config(
         world,
         "127.0.0.1:1",
-        tenants=tenants("acme", "beta"),
+        tenants=tenant_settings("acme", "beta"),
         specifics={"size_cores": [2], "parallelism": [1, 2]},
     )
     async with running(parse(json.loads(json.dumps(raw)), {}), make=celled(map)) as rig:
         assert told.settings.kind_cores == rig.node.config.settings.kind_cores
-        book = Book("127.0.0.1", rig.port)
+        book = RequestLog("127.0.0.1", rig.port)
         for i in range(120):
-            await book.ask("beta", "glance", 100, 5_000 * MS)
+            await book.send_request("beta", "glance", 100, 5_000 * MS)
             if i % 3 == 0:
-                await book.ask("acme", "glance", 5, 5_000 * MS)
+                await book.send_request("acme", "glance", 5, 5_000 * MS)
             await asyncio.sleep(0.005)
-        await book.settle(10)
-        assert all(a.code == frames.SERVED for a in book.of("acme"))
-        refused = [a for a in book.of("beta") if a.code == frames.REFUSED]
-        assert refused and all(a.pause > 0 for a in refused[5:])
-        assert not any(e.machine.fallen for e in world.engines.values())
-        assert all(a.answers == 1 for a in book.asked)
-        acme = {d[2] for uid in ("b-1", "b-2", "b-3") for d in world.engines[uid].sent}
+        await book.wait_until_idle(10)
+        assert all(a.code == frames.SERVED for a in book.of_tenant("acme"))
+        refused = [a for a in book.of_tenant("beta") if a.code == frames.REFUSED]
+        assert refused and all(a.retry_after_ms > 0 for a in refused[5:])
+        assert not any(e.machine.crashed for e in world.engines.values())
+        assert all(a.answer_count == 1 for a in book.records)
+        acme = {d[2] for uid in ("b-1", "b-2", "b-3") for d in world.engines[uid].received}
         assert not any(b"work=5 " in statement for statement in acme)
         book.close()
     world.stop()
@@ -513,7 +515,7 @@
 
 @on_uvloop
 async def test_a_move_during_a_rolling_deploy_breaks_no_rule() -> None:
-    world = World()
+    world = EmulatedCluster()
     await world.start("a-1", "a-2", "b-1", "b-2", cores=4)
     map = CellMap(
         1,
@@ -524,20 +526,22 @@
     )
     from query_broker.config import parse
 
-    raw = config(
+    raw = broker_config(
         world,
         "127.0.0.1:1",
-        tenants=tenants("acme", "beta"),
+        tenants=tenant_settings("acme", "beta"),
         specifics={"size_cores": [4], "parallelism": [1, 2]},
     )
     async with running(parse(json.loads(json.dumps(raw)), {}), make=celled(map)) as rig:
-        book = Book("127.0.0.1", rig.port)
+        book = RequestLog("127.0.0.1", rig.port)
 
         async def load() -> None:
             for i in range(260):
                 for name in ("acme", "beta"):
                     route = "stock-add" if i % 8 == 0 else "glance"
-                    await book.ask(name, route, 20, 4_000 * MS, threads=2 if i % 8 == 0 else 1)
+                    await book.send_request(
+                        name, route, 20, 4_000 * MS, threads=2 if i % 8 == 0 else 1
+                    )
                 await asyncio.sleep(0.01)
 
         playing = asyncio.create_task(load())
@@ -550,12 +554,12 @@
             if step == 1:
                 node(rig).celled.moves.propose("acme", "b", rig.node.clock.now())
             await asyncio.sleep(0.3)
-            world.end(old)
+            world.terminate(old)
         await playing
-        await book.settle(10)
-        assert all(a.answers == 1 for a in book.asked) and not book.strays
-        assert not ran_twice(list(world.engines.values()), b"stock-add")
-        assert world.sent_after_drain(S) == 0
+        await book.wait_until_idle(10)
+        assert all(a.answer_count == 1 for a in book.records) and not book.unmatched_answers
+        assert not statements_run_twice(list(world.engines.values()), b"stock-add")
+        assert world.queries_after_drain(S) == 0
         assert stage(rig) in (Stage.DONE, Stage.DRAINING)
         # Successors took the seats of those that they replaced.
         assert hall(rig).placement.size("a") == hall(rig).placement.size("b") == 2
@@ -571,7 +575,8 @@
     config: Config, held: socket.socket, folder: Path, map: CellMap
 ) -> AsyncIterator[Rig]:
     async with running(
-        replace(config, accept_fd=os.dup(held.fileno()), folder=str(folder)), make=celled(map)
+        replace(config, accept_fd=os.dup(held.fileno()), folder=str(folder)),
+        make=celled(map),
     ) as rig:
         yield rig
 
@@ -582,13 +587,13 @@
 ) -> None:
     one, two_ = Engine(lambda *_: None), Engine()
     made = make_config(
-        target("s-1", await one.start()), target("s-2", await two_.start()), tenants=TWO
+        target_entry("s-1", await one.start()), target_entry("s-2", await two_.start()), tenants=TWO
     )
     with socket.create_server(("127.0.0.1", 0)) as held:
         async with beside(made, held, tmp_path, two(2)) as old:
             client = await old.client()
             ask(client, 1, "acme", route="stock-add")
-            await until(lambda: one.words(b"do"))
+            await until(lambda: one.commands_named(b"do"))
             node(old).celled.moves.propose("acme", "b", old.node.clock.now())
             await until(lambda: stage(old) is Stage.DRAINING)
             # The successor was given an older file: it takes the newer map, and the move, from the
@@ -599,7 +604,9 @@
                 old.node.shutdown.begin()
                 await until(lambda: old.node.closing_announced)
                 assert stage(new) is Stage.DRAINING  # open at the other process counts
-                one.serve(one.words(b"do")[0], one.writer_of(one.words(b"do")[0]))
+                one.answer_served(
+                    one.commands_named(b"do")[0], one.writer_of(one.commands_named(b"do")[0])
+                )
                 assert (await client.frame())[0] == frames.NO_MORE
                 assert (await client.answer())[1] == frames.SERVED
                 await until(lambda: stage(new) is Stage.DONE)
@@ -612,7 +619,7 @@
 async def test_a_newer_map_is_taken_from_the_other_process(tmp_path: Path) -> None:
     one, two_ = Engine(), Engine()
     made = make_config(
-        target("s-1", await one.start()), target("s-2", await two_.start()), tenants=TWO
+        target_entry("s-1", await one.start()), target_entry("s-2", await two_.start()), tenants=TWO
     )
     with socket.create_server(("127.0.0.1", 0)) as held:
         async with beside(made, held, tmp_path, two(1)) as old:
@@ -633,8 +640,8 @@
         "listen": f"127.0.0.1:{port}",
         "seed": "8c1f",
         "limits": {"sockets": 256},
-        "known": {"offset": 1, "batch": [event(1, *engines, full=True)]},
-        "settings": config(World(), "", tenants=TWO)["settings"],
+        "known": {"offset": 1, "batch": [topology_event(1, *engines, full=True)]},
+        "settings": broker_config(EmulatedCluster(), "", tenants=TWO)["settings"],
     }
     (folder / "config.json").write_text(json.dumps(raw))
     script = "\n".join(
@@ -665,7 +672,9 @@
     one, two_ = Engine(lambda *_: None), Engine()
     port, second = free_port(), free_port()
     env = write_files(
-        tmp_path, port, [target("s-1", await one.start()), target("s-2", await two_.start())]
+        tmp_path,
+        port,
+        [target_entry("s-1", await one.start()), target_entry("s-2", await two_.start())],
     )
     env["PROXY_OPERATOR"] = f"127.0.0.1:{second}"
 
@@ -688,14 +697,14 @@
     try:
         client = await connect(port)
         ask(client, 1, "acme", route="stock-add")
-        await until(lambda: one.words(b"do"))
+        await until(lambda: one.commands_named(b"do"))
         assert (await http("POST /cells/move/acme/b"))["stage"] == "proposed"
         while (await http("GET /cells"))["moves"][0]["stage"] != "draining":
             await asyncio.sleep(0.02)
         process.send_signal(end)
         if end == signal.SIGTERM:
             assert (await client.frame())[0] == frames.NO_MORE
-            one.serve(one.words(b"do")[0], one.writers[0])
+            one.answer_served(one.commands_named(b"do")[0], one.writers[0])
             assert (await client.answer())[1] == frames.SERVED
         assert await within(process.wait()) == (0 if end == signal.SIGTERM else -signal.SIGKILL)
         process = await start()
@@ -704,7 +713,16 @@
         assert shown["moves"] == [] and {t["tenant"]: t["cell"] for t in shown["tenants"]} == {
             "beta": "b"
         }
-        assert len([d for d in one.words(b"do") + two_.words(b"do") if b"stock-add" in d[2]]) == 1
+        assert (
+            len(
+                [
+                    d
+                    for d in one.commands_named(b"do") + two_.commands_named(b"do")
+                    if b"stock-add" in d[2]
+                ]
+            )
+            == 1
+        )
     finally:
         if process.returncode is None:
             process.kill()
@@ -716,7 +734,7 @@
 
 @on_uvloop
 async def test_sighup_takes_the_operators_file_whole_or_not_at_all(tmp_path: Path) -> None:
-    env = write_files(tmp_path, 1, [target("s-1", 9), target("s-2", 9)])
+    env = write_files(tmp_path, 1, [target_entry("s-1", 9), target_entry("s-2", 9)])
     path = Path(env["PROXY_OPERATOR_FILE"])
     from query_broker.config import load
     from query_broker.operator_config.script import evaluate
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 from query_broker.decisions.settings import Effect
 
 from . import deployments
-from .sockets import MS, event, settings, target
+from .sockets import MS, platform_settings, target_entry, topology_event
 
 RAW: dict[str, Any] = {
     "name": "n3",
@@ -21,8 +21,8 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"sockets": 4096},
     "bus": "10.2.0.1:7070",
-    "known": {"offset": 3, "batch": [event(3, target("s-1", 9090), full=True)]},
-    "settings": settings(),
+    "known": {"offset": 3, "batch": [topology_event(3, target_entry("s-1", 9090), full=True)]},
+    "settings": platform_settings(),
 }
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -34,21 +34,21 @@
     ROOT,
     STATEMENT,
     TRACE,
-    Bus,
     Client,
     Engine,
     Rig,
+    ScriptedDiscoveryService,
     connect,
-    event,
     free_port,
     gated,
     make_config,
     make_known,
     on_uvloop,
+    platform_settings,
     process,
     running,
-    settings,
-    target,
+    target_entry,
+    topology_event,
     until,
     within,
     write_config,
@@ -83,11 +83,11 @@
     with it.
     """
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         loop = asyncio.get_running_loop()
         with socket.create_connection(("127.0.0.1", rig.port)) as raw:
             raw.sendall(asked(1))
-            await until(lambda: engine.words(b"do"))
+            await until(lambda: engine.commands_named(b"do"))
             drain = GracefulShutdown(rig.node)
             drain.begun_at_ns = rig.node.clock.now()
             # in the system's buffer between the last look and the end
@@ -98,7 +98,7 @@
             while part := await within(loop.sock_recv(raw, 65_536)):  # raises where it is reset
                 read += part
         await within(rig.node.stopped.wait())
-        assert len(engine.words(b"do")) == 1
+        assert len(engine.commands_named(b"do")) == 1
         assert read == frames.answer(1, frames.SERVED, {}, b"a\tb\tc\n")
 
 
@@ -107,19 +107,19 @@
     tmp_path: Path,
 ) -> None:
     engine = Engine(lambda *_: None)
-    known = make_known(target("s-1", await engine.start()))
+    known = make_known(target_entry("s-1", await engine.start()))
     async with process(tmp_path, known=known) as (broker, port):
         client, resting = await within(connect(port)), await within(connect(port))
         client.ask()
         resting.send(frames.ASK_READY, 0, b"\0")
         assert (await resting.frame())[0] == frames.READY
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         broker.send_signal(signal.SIGTERM)
         assert await resting.frame() == (frames.NO_MORE, 0, b"")
         assert await client.frame() == (frames.NO_MORE, 0, b"")
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             broker.send_signal(number)
-        engine.serve(engine.words(b"do")[0], engine.writers[0])
+        engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         assert (await client.answer())[1] == frames.SERVED
         assert (
             await within(resting.reader.read()) == b"" and await within(client.reader.read()) == b""
@@ -134,10 +134,12 @@
     """The shortest deadline there is still leaves the last answers before the SIGKILL."""
     engine = Engine(lambda *_: None)
     classes = [dict(name="glance", aim=300 * MS, deadline=700 * MS, worth=1.0, effect="read_like")]
-    async with running(make_config(target("s-1", await engine.start()), classes=classes)) as rig:
+    async with running(
+        make_config(target_entry("s-1", await engine.start()), classes=classes)
+    ) as rig:
         client = await rig.client()
         client.ask(patience="700")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         drain = GracefulShutdown(rig.node)
         drain.begun_at_ns = rig.node.clock.now() - int(drain.close_out_after_s * 1e9)
         assert drain.close_out_after_s < 0.7 + 0.7
@@ -173,11 +175,11 @@
 @on_uvloop
 async def test_what_was_read_before_a_broken_frame_gets_its_answers() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(1, trace="1" * 16)
         client.ask(2, trace="2" * 16, route="stock-add")
-        await until(lambda: len(engine.words(b"do")) == 2)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
         client.send(77, 3)
         answers = {(await client.answer())[:2] for _ in range(3)}
         assert answers == {(1, frames.REFUSED), (2, frames.FAILED), (0, frames.FAILED)}
@@ -194,7 +196,9 @@
 ) -> None:
     """Held by the file: it is a pipe, so that the start stands in the middle of reading it."""
     port, path = free_port(), tmp_path / "config.json"
-    env = write_config(tmp_path, listen=f"127.0.0.1:{port}", known=make_known(target("s-1", 9)))
+    env = write_config(
+        tmp_path, listen=f"127.0.0.1:{port}", known=make_known(target_entry("s-1", 9))
+    )
     text = path.read_text()
     path.unlink()
     os.mkfifo(path)
@@ -239,14 +243,14 @@
 async def test_of_a_client_that_sends_much_and_goes_nothing_begins() -> None:
     """Its end lies behind all that it sent, unread, when the first of it is read."""
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         for _ in range(3):
             with socket.create_connection(("127.0.0.1", rig.port)) as raw:
                 raw.sendall(b"".join(asked(n) for n in range(1, 100)))
         client = await rig.client()
         client.ask(trace="f" * 16)
         assert (await client.answer())[1] == frames.SERVED
-        assert [do[1] for do in engine.words(b"do")] == [b"f" * 16]
+        assert [do[1] for do in engine.commands_named(b"do")] == [b"f" * 16]
         await until(lambda: len(rig.node.clients) == 1)
         assert not rig.node.dispatcher.requests
 
@@ -255,7 +259,7 @@
 async def test_idle_clients_that_fill_the_descriptors_keep_out_neither_the_list_nor_engines() -> (
     None
 ):
-    engine, bus, port = Engine(), Bus(), free_port()
+    engine, bus, port = Engine(), ScriptedDiscoveryService(), free_port()
     spare = await engine.start()
     config = make_config(listed=False, bus=port)
     async with running(config) as rig:
@@ -263,9 +267,11 @@
         idle = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(most + 20)]
         await until(lambda: len(rig.node.clients) == most)
         assert not rig.node.ready()
-        bus.server = await asyncio.start_server(bus._client, "127.0.0.1", port)  # discovery is back
+        bus.server = await asyncio.start_server(
+            bus._serve_client, "127.0.0.1", port
+        )  # discovery is back
         await until(lambda: bus.writer)
-        bus.tell(event(1, target("s-1", spare), full=True))
+        bus.publish(topology_event(1, target_entry("s-1", spare), full=True))
         client = await rig.client()
         await until(rig.node.ready)
         client.ask()
@@ -283,12 +289,12 @@
 async def begun_at_one_of_two() -> AsyncIterator[tuple[Rig, Client, Engine, Engine]]:
     """A request that waits for its answer, and the engine that has it, before the other."""
     engines = [Engine(lambda *_: None), Engine(lambda *_: None)]
-    targets = [target(f"s-{n}", await e.start()) for n, e in enumerate(engines)]
+    targets = [target_entry(f"s-{n}", await e.start()) for n, e in enumerate(engines)]
     async with running(make_config(*targets)) as rig:
         client = await rig.client()
         client.ask(1, trace="1" * 16)
-        await until(lambda: any(e.words(b"do") for e in engines))
-        first, other = sorted(engines, key=lambda e: not e.words(b"do"))
+        await until(lambda: any(e.commands_named(b"do") for e in engines))
+        first, other = sorted(engines, key=lambda e: not e.commands_named(b"do"))
         yield rig, client, first, other
 
 
@@ -311,7 +317,7 @@
         assert request.abandoned
         first.writers[0].write(resp.encode(b"1" * 16, b"crashed", b"-", b""))
         await until(lambda: not rig.node.dispatcher.requests)
-        assert not other.words(b"do") and len(first.words(b"do")) == 1
+        assert not other.commands_named(b"do") and len(first.commands_named(b"do")) == 1
 
 
 @on_uvloop
@@ -326,9 +332,9 @@
         await until(lambda: connection.deaf)
         first.writers[0].write(resp.encode(b"1" * 16, b"crashed", b"-", b""))
         assert (await client.answer())[:2] == (1, frames.REFUSED)
-        assert not other.words(b"do") and len(first.words(b"do")) == 1
+        assert not other.commands_named(b"do") and len(first.commands_named(b"do")) == 1
         connection.resume_writing()  # what it had sent is taken now
-        await until(lambda: len(first.words(b"do") + other.words(b"do")) == 5)
+        await until(lambda: len(first.commands_named(b"do") + other.commands_named(b"do")) == 5)
         assert not connection.deaf
 
 
@@ -336,10 +342,10 @@
 async def test_a_client_that_ends_its_side_behind_unread_answers_has_left() -> None:
     """The loss of its connection is told only once they have been read."""
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(1, trace="1" * 16)
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         connection = next(iter(rig.node.clients))
         assert connection.transport is not None
         client.reader._transport.pause_reading()  # type: ignore[attr-defined]
@@ -356,7 +362,7 @@
 async def test_a_request_cancelled_while_it_waits_for_its_turn_never_begins() -> None:
     """Both lie in one chunk, behind more frames than are given out in one turn."""
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(1)  # a connection to the engine is up from now on: what begins has left at once
         assert (await client.answer())[:2] == (1, frames.SERVED)
@@ -365,7 +371,10 @@
         for _ in range(TURN + 1):
             assert (await client.frame())[0] == frames.READY
         assert (await client.answer())[:2] == (3, frames.SERVED)
-        assert [do[1] for do in engine.words(b"do")] == [TRACE.encode(), f"{3:016x}".encode()]
+        assert [do[1] for do in engine.commands_named(b"do")] == [
+            TRACE.encode(),
+            f"{3:016x}".encode(),
+        ]
 
 
 @on_uvloop
@@ -374,7 +383,7 @@
     turn.
     """
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         await until(lambda: rig.node.clients)
         connection = next(iter(rig.node.clients))
@@ -394,29 +403,29 @@
 ) -> None:
     """They go to two engines: nothing orders them, and two attempts would be out at once."""
     engines = [Engine(lambda *_: None), Engine(lambda *_: None)]
-    targets = [target(f"s-{n}", await e.start()) for n, e in enumerate(engines)]
-    limits = {**settings()["policy_limits"], "cancel": True}
+    targets = [target_entry(f"s-{n}", await e.start()) for n, e in enumerate(engines)]
+    limits = {**platform_settings()["policy_limits"], "cancel": True}
     async with running(make_config(*targets, policy_limits=limits)) as rig:
         broker, clock = rig.node.dispatcher, rig.node.clock
         request = broker.submit(Caller(), 1, ask_of("glance"))
-        await until(lambda: any(e.words(b"do") for e in engines))
+        await until(lambda: any(e.commands_named(b"do") for e in engines))
         still = clock.now()
         monkeypatch.setattr(clock, "now", lambda: still)
         broker.cancellations.cancel_attempt(CancelAttempt(request.id, 0))
-        await until(lambda: any(e.words(b"undo") for e in engines))
+        await until(lambda: any(e.commands_named(b"undo") for e in engines))
         broker.outcomes.report_deferred()
         assert list(request.attempts) == [0] and request.attempts[0].concluded
         still += CANCEL_TRANSIT_NS
         broker.outcomes.report_deferred()
         assert list(request.attempts) == [1]
-        await until(lambda: all(e.words(b"do") for e in engines))
+        await until(lambda: all(e.commands_named(b"do") for e in engines))
 
 
 @on_uvloop
 async def test_connections_that_wait_in_the_queue_at_the_word_to_leave_are_served() -> None:
     """The system has accepted them, and with the listener they would be reset."""
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         drain = GracefulShutdown(rig.node)
         drain.begun_at_ns = rig.node.clock.now()
         waiting = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(20)]
@@ -443,7 +452,7 @@
     then.
     """
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         with socket.create_connection(("127.0.0.1", rig.port)) as raw:
             raw.sendall(frames.frame(frames.ASK_READY, 0, b"\0"))
             await until(lambda: any(c.spoken for c in rig.node.clients))
@@ -464,10 +473,10 @@
     None
 ):
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         answer = resp.encode(TRACE.encode(), b"served", b"chunks=1", b"a\tb\tc\n")
         engine.writers[0].write(answer[:20])
         (connection,) = next(iter(rig.node.dispatcher.pools.by_number.values())).connections
@@ -515,7 +524,7 @@
     order. ``busy``: another attempt is out on the connection.
     """
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         rig.node.dispatcher.pools.own = not busy
         client = await rig.client()
         client.ask()
@@ -523,8 +532,8 @@
         if busy:
             engine.script = lambda *_: None
             client.ask(2, trace="2" * 16)
-            await until(lambda: len(engine.words(b"do")) == 2)
-            engine.script = lambda e, parts, w: e.serve(parts, w)
+            await until(lambda: len(engine.commands_named(b"do")) == 2)
+            engine.script = lambda e, parts, w: e.answer_served(parts, w)
         number = engine.writers[0].transport.get_extra_info("socket").fileno()
         with socket.socket(fileno=os.dup(number)) as its:
             if reset:
@@ -535,17 +544,19 @@
         caller = Caller()
         rig.node.dispatcher.submit(caller, 1, ask_of())
         assert await within(caller.told.get()) == "served"
-        assert [do[1] for do in engine.words(b"do")].count(b"a" * 16) == 1 and len(
+        assert [do[1] for do in engine.commands_named(b"do")].count(b"a" * 16) == 1 and len(
             engine.writers
         ) == 2
         assert (
-            engine.carried[engine.seen.index(next(p for p in engine.seen if p[1] == b"a" * 16))]
+            engine.command_writers[
+                engine.commands.index(next(p for p in engine.commands if p[1] == b"a" * 16))
+            ]
             is engine.writers[1]
         )
 
 
 # a busy machine is no late connect
-PATIENT = {**settings()["policy_limits"], "connect_timeout": 800 * MS}
+PATIENT = {**platform_settings()["policy_limits"], "connect_timeout": 800 * MS}
 
 
 class Held:
@@ -573,7 +584,7 @@
 async def test_a_connect_that_comes_up_late_is_no_engine_that_is_out() -> None:
     """It has spoken meanwhile on the connection that it has: what waited goes there."""
     held = Held()
-    async with running(make_config(target("s-1", held.port), policy_limits=PATIENT)) as rig:
+    async with running(make_config(target_entry("s-1", held.port), policy_limits=PATIENT)) as rig:
         client = await rig.client()
         client.ask(1, trace="1" * 16)
         engine = await within(held.take())
@@ -597,7 +608,7 @@
 @on_uvloop
 async def test_a_connect_that_fails_at_a_silent_engine_still_counts_against_it() -> None:
     held = Held()
-    async with running(make_config(target("s-1", held.port), policy_limits=PATIENT)) as rig:
+    async with running(make_config(target_entry("s-1", held.port), policy_limits=PATIENT)) as rig:
         client = await rig.client()
         client.ask(1, trace="1" * 16)
         engine = await within(held.take())
@@ -613,17 +624,17 @@
 async def test_an_engine_in_a_new_life_at_its_old_address_gets_new_connections() -> None:
     engine = Engine()
     port = await engine.start()
-    async with running(make_config(target("s-1", port))) as rig:
+    async with running(make_config(target_entry("s-1", port))) as rig:
         client = await rig.client()
         client.ask(1, trace="1" * 16)
         assert (await client.answer())[1] == frames.SERVED
         born = rig.node.dispatcher.now() // MS - 60_000
         rig.node.dispatcher.endpoint_list_changed(
-            parse_event(event(2, target("s-1", port, boot_ms=born)))
+            parse_event(topology_event(2, target_entry("s-1", port, boot_ms=born)))
         )
         client.ask(2, trace="2" * 16)
         assert (await client.answer())[1] == frames.SERVED
-        assert engine.carried[-1] is engine.writers[1] and len(engine.writers) == 2
+        assert engine.command_writers[-1] is engine.writers[1] and len(engine.writers) == 2
 
 
 # --- windows ---
@@ -646,17 +657,17 @@
         Engine(lambda e, parts, w: w.write(resp.encode(parts[1], b"crashed", b"-", b"")))
         for _ in range(2)
     ]
-    targets = [target(f"s-{n}", await e.start()) for n, e in enumerate(engines)]
+    targets = [target_entry(f"s-{n}", await e.start()) for n, e in enumerate(engines)]
     async with running(make_config(*targets, classes=classes)) as rig:
         caller = Caller()
         rig.node.dispatcher.submit(caller, 1, ask_of("claim", nonce="k1"))
         await until(lambda: len(dialled) == 2 and dialled[1].waiting)
-        assert sum(len(e.words(b"do")) for e in engines) == 1
+        assert sum(len(e.commands_named(b"do")) for e in engines) == 1
         if late:
             rig.node.clock.anchor += window
         gate.set()
         assert await within(caller.told.get()) == "refused"  # its engines all know the key
-        assert sum(len(e.words(b"do")) for e in engines) == 1 + (not late)
+        assert sum(len(e.commands_named(b"do")) for e in engines) == 1 + (not late)
 
 
 @on_uvloop
@@ -667,9 +678,9 @@
     follows.
     """
     engine, (gate, _) = Engine(), gated(monkeypatch)
-    limits = {**settings()["policy_limits"], "cancel": True}
+    limits = {**platform_settings()["policy_limits"], "cancel": True}
     async with running(
-        make_config(target("s-1", await engine.start()), policy_limits=limits)
+        make_config(target_entry("s-1", await engine.start()), policy_limits=limits)
     ) as rig:
         broker, caller = rig.node.dispatcher, Caller()
         request = broker.submit(caller, 1, ask_of("glance"))
@@ -681,11 +692,11 @@
         broker.cancellations.cancel_attempt(CancelAttempt(request.id, 0))
         gate.set()
         await until(lambda: pool.connections and not pool.waiting)
-        assert not engine.words(b"do")
+        assert not engine.commands_named(b"do")
         monkeypatch.setattr(broker.outcomes, "report_deferred", report)
         broker.wheel.soon()
         assert await within(caller.told.get()) == "served"
-        assert len(engine.words(b"do")) == 1
+        assert len(engine.commands_named(b"do")) == 1
 
 
 # --- health beside a drain ---
@@ -729,7 +740,9 @@
 async def test_settings_that_leave_a_repeat_to_a_guess_end_the_start_and_change_nothing_later(
     tmp_path: Path, change: dict[str, Any], line: str
 ) -> None:
-    bad = settings(classes=[{k: v for k, v in {**KEYED, **change}.items() if v is not None}])
+    bad = platform_settings(
+        classes=[{k: v for k, v in {**KEYED, **change}.items() if v is not None}]
+    )
     env = write_config(tmp_path, settings=bad)
     whole = f"{line}, in {tmp_path / 'config.json'}"
     made = await asyncio.create_subprocess_exec(
--- a/tests/test_deadlines_sockets.py
+++ b/tests/test_deadlines_sockets.py
@@ -30,13 +30,13 @@
     Client,
     Engine,
     Rig,
-    event,
     gated,
     make_config,
     on_uvloop,
+    platform_settings,
     running,
-    settings,
-    target,
+    target_entry,
+    topology_event,
     until,
     within,
 )
@@ -44,8 +44,8 @@
 from .test_upgrade import beside, meet
 
 LARGE = b"SELECT 1 FROM sales_17.orders /* " + b"x" * 200_000 + b" */"
-CANCEL = {**settings()["policy_limits"], "cancel": True}
-COPIES = {**settings()["policy_limits"], "cancel": True, "second_copies": True}
+CANCEL = {**platform_settings()["policy_limits"], "cancel": True}
+COPIES = {**platform_settings()["policy_limits"], "cancel": True, "second_copies": True}
 
 
 class Slow:
@@ -140,7 +140,7 @@
 @on_uvloop
 async def test_a_client_that_leaves_takes_its_unsent_request_back_whole() -> None:
     slow = Slow()
-    async with running(make_config(target("s-1", slow.port))) as rig:
+    async with running(make_config(target_entry("s-1", slow.port))) as rig:
         client = await jammed(rig)
         for number in (2, 3):
             client.ask(number, trace=trace(number), weight="1.0")
@@ -163,7 +163,7 @@
 @on_uvloop
 async def test_a_deadline_that_passes_while_the_frame_is_half_written() -> None:
     slow = Slow()
-    async with running(make_config(target("s-1", slow.port))) as rig:
+    async with running(make_config(target_entry("s-1", slow.port))) as rig:
         rig.node.dispatcher.pools.most = 1
         client = await rig.client()
         client.ask(1, body=LARGE, trace=trace(1), patience="300", route="stock-add", weight="1.0")
@@ -186,7 +186,7 @@
 async def test_what_has_waited_tells_the_time_that_is_left_and_none_goes_without_any() -> None:
     """A deadline that passes in transit: the engine would get less than nothing to work with."""
     slow = Slow()
-    async with running(make_config(target("s-1", slow.port))) as rig:
+    async with running(make_config(target_entry("s-1", slow.port))) as rig:
         client = await jammed(rig)
         client.ask(2, trace=trace(2), patience="4000", weight="1.0")
         await until(lambda: held(rig)[0].write_queue.keyed)
@@ -213,7 +213,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     engine, (gate, _) = Engine(), gated(monkeypatch)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(1, trace=trace(1), weight="1.0")
         client.ask(2, trace=trace(2), weight="1.0")
@@ -225,7 +225,7 @@
         )
         gate.set()
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        assert [d[1] for d in engine.words(b"do")] == [trace(2).encode()]
+        assert [d[1] for d in engine.commands_named(b"do")] == [trace(2).encode()]
 
 
 @pytest.mark.parametrize("how", ["out", "drained"])
@@ -233,21 +233,23 @@
 async def test_an_engine_taken_out_or_drained_meanwhile_gets_nothing_that_waited(how: str) -> None:
     slow, other = Slow(), Engine()
     spare = await other.start()
-    async with running(make_config(target("s-1", slow.port))) as rig:
+    async with running(make_config(target_entry("s-1", slow.port))) as rig:
         client = await jammed(rig)
         client.ask(2, trace=trace(2), route="stock-add", weight="1.0")
         await until(lambda: held(rig)[0].write_queue.keyed)
         rig.node.dispatcher.pools.most = 8
-        rig.node.dispatcher.endpoint_list_changed(parse_event(event(2, target("s-2", spare))))
+        rig.node.dispatcher.endpoint_list_changed(
+            parse_event(topology_event(2, target_entry("s-2", spare)))
+        )
         if how == "out":
             rig.node.dispatcher.set_endpoint_disabled("s-1", True)
         else:
             rig.node.dispatcher.endpoint_list_changed(
-                parse_event(event(3, target("s-1", slow.port, "terminating")))
+                parse_event(topology_event(3, target_entry("s-1", slow.port, "terminating")))
             )
         for _ in range(400):
             await slow.read()
-            if other.words(b"do"):
+            if other.commands_named(b"do"):
                 break
             await asyncio.sleep(0.005)
         # Unsafe, and sent elsewhere all the same: it never left for the first engine.
@@ -262,10 +264,10 @@
 @on_uvloop
 async def test_an_engine_that_reads_a_byte_at_a_time_holds_up_nobody_else() -> None:
     slow, other = Slow(), Engine()
-    async with running(make_config(target("s-1", slow.port))) as rig:
+    async with running(make_config(target_entry("s-1", slow.port))) as rig:
         client = await jammed(rig, 2)
         rig.node.dispatcher.endpoint_list_changed(
-            parse_event(event(2, target("s-2", await other.start())))
+            parse_event(topology_event(2, target_entry("s-2", await other.start())))
         )
         rig.node.dispatcher.pools.most = 16
         for number in range(2, 32):
@@ -284,7 +286,7 @@
 ) -> None:
     engine, (gate, _) = Engine(), gated(monkeypatch)
     wide = {"size_cores": [4_000], "parallelism": [1, 2]}  # so that all of them are admitted
-    made = make_config(target("s-1", await engine.start()), tenants=[], specifics=wide)
+    made = make_config(target_entry("s-1", await engine.start()), tenants=[], specifics=wide)
     async with running(replace(made, sockets=2_048, memory_mb=256)) as rig:
         clients = [await rig.client() for _ in range(500)]
         for number, client in enumerate(clients, 100):
@@ -301,7 +303,7 @@
         last = await rig.client()
         last.ask(1, trace=trace(1), weight="0.1", customer=None)
         assert (await last.answer())[1] == frames.SERVED
-        assert [d[1] for d in engine.words(b"do")] == [trace(1).encode()]
+        assert [d[1] for d in engine.commands_named(b"do")] == [trace(1).encode()]
         assert (
             not rig.node.dispatcher.outcomes.deferred
             and not rig.node.dispatcher.request_table.statement_bytes
@@ -314,16 +316,16 @@
 @on_uvloop
 async def test_no_undo_leaves_where_engines_do_not_honour_it() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         for number in range(1, 6):
             client.ask(number, trace=trace(number), patience="300", weight="1.0")
-        await until(lambda: len(engine.words(b"do")) == 5)
+        await until(lambda: len(engine.commands_named(b"do")) == 5)
         client.send(frames.ABANDON, 1)
         for _ in range(4):
             await client.answer()
         await until(lambda: not rig.node.dispatcher.requests)
-        assert not engine.words(b"undo") and statistics(rig).undone == 0
+        assert not engine.commands_named(b"undo") and statistics(rig).undone == 0
 
 
 @pytest.mark.parametrize("end", ["left", "closed", "deadline"])
@@ -331,23 +333,23 @@
 async def test_running_work_is_undone_when_nobody_waits_for_it(end: str) -> None:
     engine = Engine(lambda *_: None)
     async with running(
-        make_config(target("s-1", await engine.start()), policy_limits=CANCEL)
+        make_config(target_entry("s-1", await engine.start()), policy_limits=CANCEL)
     ) as rig:
         client = await rig.client()
         client.ask(
             1, patience="300" if end == "deadline" else "4000", route="stock-add", weight="1.0"
         )
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         if end == "left":
             client.send(frames.ABANDON, 1)
         elif end == "closed":
             client.writer.transport.abort()
         else:
             assert (await client.answer())[1] == frames.FAILED
-        await until(lambda: engine.words(b"undo"))
-        assert {d[1] for d in engine.words(b"undo")} == {TRACE.encode()}
+        await until(lambda: engine.commands_named(b"undo"))
+        assert {d[1] for d in engine.commands_named(b"undo")} == {TRACE.encode()}
         await until(lambda: statistics(rig).cancelled == 1)  # by silence
-        assert statistics(rig).undone == 1 and len(engine.words(b"undo")) <= 3
+        assert statistics(rig).undone == 1 and len(engine.commands_named(b"undo")) <= 3
         assert held(rig)[0].quiet() and not rig.node.dispatcher.requests
 
 
@@ -355,18 +357,18 @@
 async def test_an_answer_that_crosses_the_undo_is_dropped_and_counted() -> None:
     engine = Engine(lambda *_: None)
     async with running(
-        make_config(target("s-1", await engine.start()), policy_limits=CANCEL)
+        make_config(target_entry("s-1", await engine.start()), policy_limits=CANCEL)
     ) as rig:
         client = await rig.client()
         client.ask(1, weight="1.0")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         client.send(frames.ABANDON, 1)
-        await until(lambda: engine.words(b"undo"))
-        engine.serve(engine.words(b"do")[0], engine.writers[0])
+        await until(lambda: engine.commands_named(b"undo"))
+        engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         await until(lambda: statistics(rig).went_on == 1)
         client.ask(2, trace=trace(2), weight="1.0")
-        await until(lambda: len(engine.words(b"do")) == 2)
-        engine.serve(engine.words(b"do")[1], engine.writers[-1])
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
+        engine.answer_served(engine.commands_named(b"do")[1], engine.writers[-1])
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert statistics(rig).cancelled == 0
 
@@ -374,27 +376,27 @@
 @on_uvloop
 async def test_the_copy_that_lost_is_undone() -> None:
     engines = [Engine(lambda *_: None), Engine(lambda *_: None)]
-    targets = [target(f"s-{i}", await e.start()) for i, e in enumerate(engines)]
+    targets = [target_entry(f"s-{i}", await e.start()) for i, e in enumerate(engines)]
     async with running(make_config(*targets, policy_limits=COPIES)) as rig:
         client = await rig.client()
         client.ask(1, weight="20.0")
-        await until(lambda: sum(len(e.words(b"do")) for e in engines) == 2)
-        one = next(e for e in engines if e.words(b"do"))
-        one.serve(one.words(b"do")[0], one.writers[0])
+        await until(lambda: sum(len(e.commands_named(b"do")) for e in engines) == 2)
+        one = next(e for e in engines if e.commands_named(b"do"))
+        one.answer_served(one.commands_named(b"do")[0], one.writers[0])
         assert (await client.answer())[1] == frames.SERVED
-        await until(lambda: sum(len(e.words(b"undo")) for e in engines) >= 1)
+        await until(lambda: sum(len(e.commands_named(b"undo")) for e in engines) >= 1)
         assert statistics(rig).undone == 1
 
 
 @on_uvloop
 async def test_a_late_answer_that_crosses_a_time_out_is_dropped() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(1, patience="300", route="stock-add", weight="1.0")
         assert (await client.answer())[:2] == (1, frames.FAILED)
         await until(lambda: not rig.node.dispatcher.requests)
-        engine.serve(engine.words(b"do")[0], engine.writers[0])
+        engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         await until(lambda: statistics(rig).late == 1)
         client.send(frames.ASK_READY, 0, b"\0")
         assert (await client.frame())[0] == frames.READY  # and no second answer before it
@@ -407,12 +409,12 @@
             writer.write(resp.encode(parts[1], b"served", b"chunks=3", b"a\tb\tc\n"))
 
     engine = Engine(script)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(1, weight="1.0")
-        await until(lambda: len(engine.words(b"page")) == 2)
+        await until(lambda: len(engine.commands_named(b"page")) == 2)
         client.send(frames.ABANDON, 1)
-        await until(lambda: engine.words(b"forget"))
+        await until(lambda: engine.commands_named(b"forget"))
         await until(lambda: not rig.node.dispatcher.requests and held(rig)[0].quiet())
 
 
@@ -423,19 +425,21 @@
     """
     slow, other = Slow(), Engine()
     spare = await other.start()
-    async with running(make_config(target("s-1", slow.port))) as rig:
+    async with running(make_config(target_entry("s-1", slow.port))) as rig:
         client = await jammed(rig)
         client.ask(2, trace=trace(2), route="stock-add", weight="1.0")
         await until(lambda: held(rig)[0].write_queue.keyed)
         rig.node.dispatcher.pools.most = 8
-        rig.node.dispatcher.endpoint_list_changed(parse_event(event(2, target("s-2", spare))))
+        rig.node.dispatcher.endpoint_list_changed(
+            parse_event(topology_event(2, target_entry("s-2", spare)))
+        )
         held(rig)[0].transport.abort()  # as if the engine had reset it
         answers = {}
         for _ in range(2):
             stream, code, _, _ = await client.answer()
             answers[stream] = code
         assert answers == {1: frames.FAILED, 2: frames.SERVED}
-        assert [d[1] for d in other.words(b"do")] == [trace(2).encode()]
+        assert [d[1] for d in other.commands_named(b"do")] == [trace(2).encode()]
     slow.close()
 
 
@@ -443,24 +447,26 @@
 async def test_what_has_not_left_when_all_is_closed_out_is_refused() -> None:
     slow, other = Slow(), Engine()
     spare = await other.start()
-    async with running(make_config(target("s-1", slow.port))) as rig:
+    async with running(make_config(target_entry("s-1", slow.port))) as rig:
         client = await jammed(rig)
         client.ask(2, trace=trace(2), route="stock-add", weight="1.0")
         await until(lambda: held(rig)[0].write_queue.keyed)
-        rig.node.dispatcher.endpoint_list_changed(parse_event(event(2, target("s-2", spare))))
+        rig.node.dispatcher.endpoint_list_changed(
+            parse_event(topology_event(2, target_entry("s-2", spare)))
+        )
         rig.node.dispatcher.cancellations.close_out_all()
         answers = {}
         for _ in range(2):
             stream, code, _, _ = await client.answer()
             answers[stream] = code
-        assert answers == {1: frames.FAILED, 2: frames.REFUSED} and not other.words(b"do")
+        assert answers == {1: frames.FAILED, 2: frames.REFUSED} and not other.commands_named(b"do")
     slow.close()
 
 
 @on_uvloop
 async def test_a_successor_takes_over_while_frames_wait_in_the_outbox(tmp_path: Path) -> None:
     slow = Slow()
-    made = make_config(target("s-1", slow.port))
+    made = make_config(target_entry("s-1", slow.port))
     with socket.create_server(("127.0.0.1", 0)) as listening:
         async with beside(made, listening, tmp_path) as old:
             client = await jammed(old)
@@ -491,15 +497,15 @@
 async def test_a_half_closed_client_gets_its_answers_where_that_is_said() -> None:
     for said, answered in ((DeadlineSettings(half_close="answer"), True), (None, False)):
         engine = Engine(lambda *_: None)
-        made = make_config(target("s-1", await engine.start()))
+        made = make_config(target_entry("s-1", await engine.start()))
         async with running(made, make=filed(deadlines=said)) as rig:
             client = await rig.client()
             client.ask(1, weight="1.0")
-            await until(lambda: engine.words(b"do"))  # noqa: B023
+            await until(lambda: engine.commands_named(b"do"))  # noqa: B023
             client.writer.write_eof()
             if answered:
                 await asyncio.sleep(0.05)
-                engine.serve(engine.words(b"do")[0], engine.writers[0])
+                engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
                 assert (await client.answer())[:2] == (1, frames.SERVED)
                 assert await client.ended()
             else:
@@ -515,7 +521,7 @@
             resp.encode(parts[1], b"served", b"chunks=1", big) if parts[0] == b"do" else b""
         )
     )
-    made = make_config(target("s-1", await engine.start()))
+    made = make_config(target_entry("s-1", await engine.start()))
     async with running(made, make=filed(deadlines=DeadlineSettings(slow_reader=200 * MS))) as rig:
         client = await rig.client()
         await until(lambda: rig.node.clients)
@@ -537,14 +543,14 @@
             writer.write(resp.encode(parts[1], b"crashed", b"-", b""))
 
     engines = [Engine(reset) for _ in range(3)]
-    targets = [target(f"s-{i}", await e.start()) for i, e in enumerate(engines)]
+    targets = [target_entry(f"s-{i}", await e.start()) for i, e in enumerate(engines)]
     terms = DeadlineSettings(further=RetryBudgetSettings(share=0.0, burst=2.0))
     async with running(make_config(*targets), make=filed(deadlines=terms)) as rig:
         client = await rig.client()
         for number in range(1, 11):
             client.ask(number, trace=trace(number), weight="1.0")
             assert (await client.answer())[1] == frames.REFUSED
-        assert sum(len(e.words(b"do")) for e in engines) == 12
+        assert sum(len(e.commands_named(b"do")) for e in engines) == 12
         assert (
             tally(rig, HandOver.POOL, StopReason.BUDGET) and controls(rig).retry_budget is not None
         )
@@ -553,7 +559,7 @@
 @on_uvloop
 async def test_a_learned_margin_stages_and_what_was_taken_back_are_told() -> None:
     engine = Engine()
-    made = make_config(target("s-1", await engine.start()), operator=True)
+    made = make_config(target_entry("s-1", await engine.start()), operator=True)
     async with running(
         made, make=filed(deadlines=DeadlineSettings(learn=True), logs=Logs("json", 1.0))
     ) as rig:
@@ -577,7 +583,7 @@
 @on_uvloop
 async def test_time_may_count_from_the_first_byte() -> None:
     engine = Engine(lambda *_: None)
-    made = make_config(target("s-1", await engine.start()))
+    made = make_config(target_entry("s-1", await engine.start()))
     for terms in (DeadlineSettings(count_from="first"), DeadlineSettings(count_from="last")):
         async with running(made, make=filed(deadlines=terms)) as rig:
             client = await rig.client()
