--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -22,10 +22,10 @@
 from query_broker.dispatch.requests import ActiveRequest
 from query_broker.dispatch.requests import Client as Asker
 from query_broker.dispatch.validation import InvalidRequestError, ParsedRequest
-from query_broker.emulator.clients import Book
-from query_broker.emulator.cluster import World
-from query_broker.emulator.cluster import config as world_config
-from query_broker.emulator.data_engine import Keys, key_ran_twice
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import EmulatedCluster
+from query_broker.emulator.cluster import broker_config as world_config
+from query_broker.emulator.data_engine import IdempotencyKeyStore, SlowRuns, keys_run_twice
 from query_broker.endpoints.connection_pools import ConnectionPool
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
@@ -40,11 +40,11 @@
     STATEMENT,
     Client,
     Engine,
-    event,
     make_config,
     on_uvloop,
     running,
-    target,
+    target_entry,
+    topology_event,
     until,
 )
 
@@ -70,25 +70,25 @@
 async def test_a_key_reaches_the_engine_with_every_try_and_is_absent_where_none_came() -> None:
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
         if parts[0] == b"do":
-            word = b"crashed" if len(engine.words(b"do")) == 1 else b"served"
+            word = b"crashed" if len(engine.commands_named(b"do")) == 1 else b"served"
             writer.write(resp.encode(parts[1], word, b"-", b"a\tb\tc\n" * (word == b"served")))
 
     one, other = Engine(script), Engine()
-    both = [target("s-1", await one.start()), target("s-2", await other.start())]
+    both = [target_entry("s-1", await one.start()), target_entry("s-2", await other.start())]
     async with running(make_config(*both, **deployments.WAREHOUSE)) as rig:
         client, tries = await rig.client(), 0
         for stream in range(1, 20):
             load(client, stream)
             assert (await client.answer())[1] == frames.SERVED
-            if one.words(b"do"):
+            if one.commands_named(b"do"):
                 break
-        for do in one.words(b"do") + other.words(b"do"):
+        for do in one.commands_named(b"do") + other.commands_named(b"do"):
             tries += 1
             assert resp.read_pairs(do[2])["nonce"] == KEY
         assert tries == stream + 1  # one of them was tried again, under its key
         client.ask(stream=50, customer=None, trace="a" * 16)
         assert (await client.answer())[1] == frames.SERVED
-        last = one.seen + other.seen
+        last = one.commands + other.commands
         assert [resp.read_pairs(p[2]).get("nonce") for p in last if p[1] == b"a" * 16] == [None]
 
 
@@ -97,7 +97,7 @@
     None
 ):
     engine = Engine()
-    config = make_config(target("s-1", await engine.start()), **deployments.WAREHOUSE)
+    config = make_config(target_entry("s-1", await engine.start()), **deployments.WAREHOUSE)
     async with running(config) as rig:
         client = await rig.client()
         for stream, nonce in enumerate((None, "", "a,level=3", ","), 1):
@@ -105,7 +105,9 @@
             assert (await client.answer())[:2] == (stream, frames.FAILED)
         load(client, 9, nonce="a=b;c:d -")
         assert (await client.answer())[:2] == (9, frames.SERVED)
-        assert [resp.read_pairs(do[2])["nonce"] for do in engine.words(b"do")] == ["a=b;c:d -"]
+        assert [resp.read_pairs(do[2])["nonce"] for do in engine.commands_named(b"do")] == [
+            "a=b;c:d -"
+        ]
 
 
 @given(TEXT)
@@ -146,12 +148,12 @@
 async def test_notes_of_every_kind_end_nothing_and_cost_little() -> None:
     engine = Engine(lambda *_: None)
     async with running(
-        make_config(target("s-1", await engine.start()), **deployments.WAREHOUSE)
+        make_config(target_entry("s-1", await engine.start()), **deployments.WAREHOUSE)
     ) as rig:
         client = await rig.client()
         load(client)
-        await until(lambda: engine.words(b"do"))
-        (do,) = engine.words(b"do")
+        await until(lambda: engine.commands_named(b"do"))
+        (do,) = engine.commands_named(b"do")
         heard: Counter[str] = Counter()
         controller = rig.node.dispatcher.facade.controller
         handle = controller.handle
@@ -178,7 +180,7 @@
             writer.write(resp.encode(do[1], b"update", b"tell=pct,amount=0.5", b""))
         # of one that is over
         writer.write(resp.encode(b"f" * 16, b"update", b"tell=pct,amount=0.5", b""))
-        engine.serve(do, writer)
+        engine.answer_served(do, writer)
         assert (await client.answer())[1] == frames.SERVED
         assert 3 <= heard["AttemptProgress"] <= 30
         assert not [line for line in rig.logged if line.startswith("engine")]
@@ -187,33 +189,44 @@
 @on_uvloop
 async def test_keyed_loads_run_once_to_their_end_while_engines_fail_drain_and_plan_badly() -> None:
     """All that the second deployment's engines do, together; the ledgers are the judge."""
-    world = World(
-        honours_cancel=True, keys=Keys(20 * S), tells_every=50 * MS, bad_plans=(0.1, 15.0)
+    world = EmulatedCluster(
+        honours_cancel=True,
+        key_store=IdempotencyKeyStore(20 * S),
+        progress_interval_ns=50 * MS,
+        slow_runs=SlowRuns(0.1, 15.0),
     )
     await world.start("s-1", "s-2", "s-3", "s-4")
     raw = world_config(world, "127.0.0.1:1", **deployments.WAREHOUSE)
     async with running(parse(raw, {})) as rig:
-        book = Book("127.0.0.1", rig.port)
+        book = RequestLog("127.0.0.1", rig.port)
         for i in range(200):
             route, rows = ("load", 1) if i % 4 == 0 else ("glance", 900)
-            await book.ask(
-                "", route, 20, 4_000 * MS, rows=rows, nonce=f"{i:032x}" if route == "load" else ""
+            await book.send_request(
+                "",
+                route,
+                20,
+                4_000 * MS,
+                rows=rows,
+                idempotency_key=f"{i:032x}" if route == "load" else "",
             )
             if i == 60:
-                world.end("s-1")
+                world.terminate("s-1")
             if i == 120:
                 world.drain("s-2")
             await asyncio.sleep(0.003)
-        await book.settle(10)
+        await book.wait_until_idle(10)
         book.close()
     world.stop()
     engines = list(world.engines.values())
-    assert not [a for a in book.asked if a.answers != 1] and not book.strays
-    assert sum(a.code == frames.SERVED for a in book.asked) > 180
-    assert not key_ran_twice(engines) and world.sent_after_drain(550 * MS) == 0
-    assert {run.nonce for e in engines for run in e.machine.ledger if run.cls == b"load"} <= {
-        a.nonce for a in book.asked
-    }
+    assert not [a for a in book.records if a.answer_count != 1] and not book.unmatched_answers
+    assert sum(a.code == frames.SERVED for a in book.records) > 180
+    assert not keys_run_twice(engines) and world.queries_after_drain(550 * MS) == 0
+    assert {
+        run.idempotency_key
+        for e in engines
+        for run in e.machine.ledger
+        if run.request_class == b"load"
+    } <= {a.idempotency_key for a in book.records}
 
 
 # --- orders of events ---
@@ -257,7 +270,7 @@
             ),
         )
         self.clock = StoppedClock()
-        targets = [target(f"s-{i}", i, az="east") for i in (1, 2, 3)]
+        targets = [target_entry(f"s-{i}", i, az="east") for i in (1, 2, 3)]
         raw = {"listen": "127.0.0.1:1", "settings": facts, "seed": "7"}
         self.broker = Dispatcher(
             parse(raw, {}),
@@ -265,7 +278,7 @@
             lambda kind, text: self.faults.append(text) if kind == "fault" else None,
         )
         self.faults: list[str] = []
-        self.broker.endpoint_list_changed(parse_event(event(1, *targets, full=True)))
+        self.broker.endpoint_list_changed(parse_event(topology_event(1, *targets, full=True)))
         self.broker.pools.limit(100)
         self.out: dict[int, set[bytes]] = {}
         self.jammed: set[int] = set()
@@ -376,7 +389,9 @@
             broker.cancellations.abandon(self.request)
         elif what == "drain":
             for known in list(broker.endpoint_table.by_uid)[:2]:
-                broker.endpoint_list_changed(parse_event(event(2, target(known, 1, "terminating"))))
+                broker.endpoint_list_changed(
+                    parse_event(topology_event(2, target_entry(known, 1, "terminating")))
+                )
         elif what == "free":
             self.jammed.clear()
             self.turn()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from query_broker.emulator.clients import Book
-from query_broker.emulator.cluster import MS, World, config
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import MS, EmulatedCluster, broker_config
 from query_broker.protocols import client_frames as frames
 
 from .deployments import ALL
@@ -26,11 +26,11 @@
 
 
 async def start(
-    folder: Path, world: World, held: socket.socket, facts: dict[str, Any], number: int
+    folder: Path, world: EmulatedCluster, held: socket.socket, facts: dict[str, Any], number: int
 ) -> Any:
     """A process on the platform's socket; once it says yes."""
     port = free_port()
-    raw = config(world, "127.0.0.1:1", **facts)
+    raw = broker_config(world, "127.0.0.1:1", **facts)
     raw["operator"] = f"127.0.0.1:{port}"
     path = folder / f"config-{number}.json"
     path.write_text(json.dumps(raw))
@@ -73,17 +73,21 @@
 ) -> None:
     facts = ALL[name]
     tenant = facts["tenants"][0]["name"] if facts["tenants"] else None
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-1", "s-2", "s-3")
     processes: list[Any] = []
     with socket.create_server(("127.0.0.1", 0), backlog=256) as held:
         port = int(held.getsockname()[1])
-        book, tasks, about = Book("127.0.0.1", port), list[asyncio.Task[None]](), asyncio.Event()
+        book, tasks, about = (
+            RequestLog("127.0.0.1", port),
+            list[asyncio.Task[None]](),
+            asyncio.Event(),
+        )
 
         async def pipeline(stopped: asyncio.Event) -> None:
             while not stopped.is_set():
                 for _ in range(8):
-                    await book.ask(tenant or "", "glance", 2, 4_000 * MS)
+                    await book.send_request(tenant or "", "glance", 2, 4_000 * MS)
                 await asyncio.sleep(0.02)
 
         async def come_late(stopped: asyncio.Event) -> None:
@@ -119,7 +123,7 @@
                 tasks = [
                     asyncio.create_task(what(stopped)) for what in (pipeline, come_late, hold_half)
                 ]
-                await until(lambda most=40 * number: len(book.asked) >= most)  # type: ignore[misc]
+                await until(lambda most=40 * number: len(book.records) >= most)  # type: ignore[misc]
                 processes.append(await start(tmp_path, world, held, facts, number))
                 about.set()
                 await asyncio.sleep(0)  # half a frame is on its way
@@ -127,9 +131,9 @@
                 assert await within(old.wait()) == 0
                 stopped.set()
                 await within(asyncio.gather(*tasks))
-            await book.settle(HANG)
-            assert book.strays == 0
-            ended = [(a.code, a.answers) for a in book.asked]
+            await book.wait_until_idle(HANG)
+            assert book.unmatched_answers == 0
+            ended = [(a.code, a.answer_count) for a in book.records]
             assert not [
                 e for e in ended if e[0] not in (frames.SERVED, frames.REFUSED) or e[1] != 1
             ]
--- a/tests/test_golden_client_wire.py
+++ b/tests/test_golden_client_wire.py
@@ -20,7 +20,7 @@
 from query_broker.protocols.engine_connection import EngineConnection, Owner
 from query_broker.simulator_adapter import Adapter, _render
 
-from .sockets import Engine, make_config, on_uvloop, running, target, until, within
+from .sockets import Engine, make_config, on_uvloop, running, target_entry, until, within
 
 MS = 1_000_000
 NOW = 1_700_000_000_000 * MS
@@ -283,7 +283,7 @@
 
 async def exchange(sent: bytes, size: int) -> bytes:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         writer.write(sent)
         answer = b""
@@ -591,12 +591,12 @@
     @on_uvloop
     async def check() -> None:
         engine = Engine(lambda engine, parts, writer: None)
-        async with running(make_config(target("s-1", await engine.start()))) as rig:
+        async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
             writer.write(request())
-            await until(lambda: engine.words(b"do"))
+            await until(lambda: engine.commands_named(b"do"))
             writer.close()
-        (query,) = engine.words(b"do")
+        (query,) = engine.commands_named(b"do")
         assert [query[0], query[1], query[3]] == [b"do", ID, b"SELECT 1"]
         names = [pair.partition(b"=")[0] for pair in query[2].split(b",")]
         assert names == [
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -35,7 +35,7 @@
 from query_broker.startup.stages import Stage as StartStage
 from query_broker.timer_wheel import Clock
 
-from .sockets import event, make_config, on_uvloop, running, target, within
+from .sockets import make_config, on_uvloop, running, target_entry, topology_event, within
 
 S = 1_000_000_000
 NOW = 1_700_000_000 * S  # the clock of all nodes in this module stands still here
@@ -318,7 +318,7 @@
 
 async def answer_to(call: bytes, listed: bool) -> bytes:
     """All bytes that come back on a connection of its own."""
-    config = make_config(target("s-1", 9), operator=True, listed=listed)
+    config = make_config(target_entry("s-1", 9), operator=True, listed=listed)
     async with running(config) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.operator_port)
         writer.write(call)
@@ -379,7 +379,7 @@
 def test_http_answer_bytes_to_half_a_call_whose_caller_ends_its_side() -> None:
     @on_uvloop
     async def check() -> None:
-        async with running(make_config(target("s-1", 9), operator=True)) as rig:
+        async with running(make_config(target_entry("s-1", 9), operator=True)) as rig:
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.operator_port)
             writer.write(b"GET /rea")
             writer.write_eof()
@@ -760,11 +760,11 @@
         "send_cap": 3,
         "max_retry_after": 2 * S,
     }
-    config = make_config(target("s-1", 9), operator=True, policy_limits=limits)
+    config = make_config(target_entry("s-1", 9), operator=True, policy_limits=limits)
     kind = CellNode if cells else ConfiguredNode
     node = kind(config, evaluate(path), path, {})
     node.dispatcher.endpoint_list_changed(
-        parse_event(event(1, target("s-1", 9), target("s-2", 9), full=True))
+        parse_event(topology_event(1, target_entry("s-1", 9), target_entry("s-2", 9), full=True))
     )
     return node
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -28,10 +28,10 @@
     make_config,
     make_known,
     on_uvloop,
+    platform_settings,
     process,
     running,
-    settings,
-    target,
+    target_entry,
     until,
     within,
     write_config,
@@ -44,7 +44,7 @@
         ({"listen": "nowhere"}, "listen"),
         ({"seed": "xyz"}, "seed"),
         ({"settings": {}}, "settings.classes"),
-        ({"settings": settings(tick=0)}, "settings.tick"),
+        ({"settings": platform_settings(tick=0)}, "settings.tick"),
         ({"bus": "b"}, "bus"),
         ({"limits": {"sockets": "many"}}, "limits.sockets"),
     ],
@@ -69,14 +69,14 @@
     tmp_path: Path,
 ) -> None:
     engine = Engine(lambda *_: None)
-    known = make_known(target("s-1", await engine.start()))
+    known = make_known(target_entry("s-1", await engine.start()))
     async with process(tmp_path, known=known) as (broker, port):
         first = await connect(port)
         first.ask(stream=1, trace="1" * 16)
-        await until(lambda: len(engine.words(b"do")) == 1)
+        await until(lambda: len(engine.commands_named(b"do")) == 1)
         broker.send_signal(signal.SIGTERM)
         assert await first.frame() == (frames.NO_MORE, 0, b"")
-        engine.serve(engine.words(b"do")[0], engine.writers[0])
+        engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         assert (await first.answer())[1] == frames.SERVED
         assert await within(broker.wait()) == 0
 
@@ -88,7 +88,7 @@
     for name in ("GRACE_PERIOD_S", "LINGER_S"):  # the steps are taken by hand
         monkeypatch.setattr(f"query_broker.server.graceful_shutdown.{name}", 3_600.0)
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         drain = GracefulShutdown(rig.node)
         drain.begin()
         client = await rig.client()
@@ -123,11 +123,11 @@
 @on_uvloop
 async def test_what_is_open_at_the_end_of_the_drain_is_closed_out_by_the_rules() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(stream=1, route="stock-add", patience="20000", trace="1" * 16)
         client.ask(stream=2, trace="2" * 16)
-        await until(lambda: len(engine.words(b"do")) == 2)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
         drain = GracefulShutdown(rig.node)
         drain.begun_at_ns = rig.node.clock.now() - int(drain.close_out_after_s * 1e9)
         drain._await_requests()
@@ -142,7 +142,7 @@
 ) -> None:
     monkeypatch.setattr("query_broker.server.graceful_shutdown.LINGER_S", 0.0)
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         frame = frames.frame(
             frames.REQUEST,
@@ -168,7 +168,7 @@
 @on_uvloop
 async def test_after_a_kill_it_starts_from_nothing_at_the_same_address(tmp_path: Path) -> None:
     engine, port = Engine(), free_port()
-    known = make_known(target("s-1", await engine.start()))
+    known = make_known(target_entry("s-1", await engine.start()))
     for life in range(2):
         async with process(tmp_path, port, known=known):
             client = await connect(port)  # left open: its end lingers at the address
@@ -179,7 +179,7 @@
 @on_uvloop
 async def test_a_client_that_has_gone_leaves_no_trace() -> None:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask()
         await client.answer()
@@ -204,19 +204,19 @@
 @on_uvloop
 async def test_beyond_the_clients_part_the_idle_make_room_and_the_busy_keep_their_place() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         assert rig.node.admission.max_connections >= rig.node.config.sockets // 3
         rig.node.admission.max_connections = 2
         asked, silent = await rig.client(), await rig.client()
         asked.ask()
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         newcomer = await rig.client()  # takes the place of the one that has said nothing
         assert await silent.ended()
         newcomer.ask(trace="2" * 16)
-        await until(lambda: len(engine.words(b"do")) == 2)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
         assert await (await rig.client()).ended()  # all are owed an answer: this one is refused
-        for do, client in zip(engine.words(b"do"), (asked, newcomer), strict=True):
-            engine.serve(do, engine.writer_of(do))
+        for do, client in zip(engine.commands_named(b"do"), (asked, newcomer), strict=True):
+            engine.answer_served(do, engine.writer_of(do))
             assert (await client.answer())[1] == frames.SERVED
 
 
--- a/tests/test_members_broker.py
+++ b/tests/test_members_broker.py
@@ -10,7 +10,12 @@
 
 from query_broker.decisions.facade import SettingsChanged
 from query_broker.decisions.settings import Contract, Limits, RequestClass, Settings
-from query_broker.emulator.decision_simulation import BEGIN, SimBroker, SimEngine, Simulation
+from query_broker.emulator.decision_simulation import (
+    BEGIN_NS,
+    SimulatedBroker,
+    SimulatedEngine,
+    Simulation,
+)
 from query_broker.emulator.machine import Machine
 from query_broker.membership.messages import Identity
 from query_broker.membership.views import (
@@ -21,7 +26,7 @@
     ViewTracker,
 )
 
-from .sockets import MS, Engine, make_config, on_uvloop, running, target
+from .sockets import MS, Engine, make_config, on_uvloop, running, target_entry
 
 S = 1_000 * MS
 BROKERS = 10
@@ -57,8 +62,8 @@
     def __init__(
         self,
         sim: Simulation,
-        engines: dict[int, SimEngine],
-        broker: SimBroker,
+        engines: dict[int, SimulatedEngine],
+        broker: SimulatedBroker,
         index: int,
         sizes: list[int],
     ) -> None:
@@ -71,7 +76,7 @@
 
     def publish(self) -> None:
         """Have the broker take a view, and the next one in a second."""
-        others = range(self._sim.draw.choice(self.sizes))
+        others = range(self._sim.random.choice(self.sizes))
         present = [PlacedMember(other, Identity(f"h{other}:1", b"")) for other in others]
         observation = Observation(
             present=[*present, self._own],
@@ -81,23 +86,23 @@
             warming_up=self._is_engine_warming_up(),
             removal_pending=False,
         )
-        self._tracker.observe(self._sim.now, observation)
+        self._tracker.observe(self._sim.now_ns, observation)
         view = self._tracker.view
         settings = replace(
             self._broker.settings, fleet_size=view.effective_size, broker_index=view.effective_index
         )
         self._broker.report(SettingsChanged(settings))
-        self._sim.at(self._sim.now + S, self.publish)
+        self._sim.call_at(self._sim.now_ns + S, self.publish)
 
     def _is_engine_warming_up(self) -> bool:
-        started = [engine.machine.started for engine in self._engines.values()]
-        return any(at <= self._sim.now < at + WARM_UP_NS for at in started)
+        started = [engine.machine.started_ns for engine in self._engines.values()]
+        return any(at <= self._sim.now_ns < at + WARM_UP_NS for at in started)
 
 
-def make_engines(sim: Simulation) -> dict[int, SimEngine]:
+def make_engines(sim: Simulation) -> dict[int, SimulatedEngine]:
     """Return four engines that have just started, and two that start later."""
     return {
-        number: SimEngine(sim, number, Machine(started=BEGIN + (number > 3) * 15 * S))
+        number: SimulatedEngine(sim, number, Machine(started_ns=BEGIN_NS + (number > 3) * 15 * S))
         for number in range(6)
     }
 
@@ -119,20 +124,20 @@
     )
 
 
-def start_requests(sim: Simulation, brokers: list[SimBroker]) -> None:
+def start_requests(sim: Simulation, brokers: list[SimulatedBroker]) -> None:
     """Have requests arrive at random brokers, one in ten of them a report."""
     count = itertools.count()
 
     def arrive() -> None:
-        sim.at(sim.now + int(sim.draw.expovariate(1) * 8 * MS), arrive)
-        is_report = sim.draw.random() < 0.1
-        work = sim.draw.uniform(0.5, 1.5) * (4 * S if is_report else S // 5)
-        broker = sim.draw.choice(brokers)
+        sim.call_at(sim.now_ns + int(sim.random.expovariate(1) * 8 * MS), arrive)
+        is_report = sim.random.random() < 0.1
+        work = sim.random.uniform(0.5, 1.5) * (4 * S if is_report else S // 5)
+        broker = sim.random.choice(brokers)
         request_id = str(next(count))
         if is_report:
-            broker.ask(request_id, REPORT, work, 4, 20 * S)
+            broker.send_request(request_id, REPORT, work, 4, 20 * S)
         else:
-            broker.ask(request_id, LOOKUP, work, 1, 5 * S)
+            broker.send_request(request_id, LOOKUP, work, 1, 5 * S)
 
     arrive()
 
@@ -146,17 +151,17 @@
 ) -> None:
     sim = Simulation(seed)
     engines = make_engines(sim)
-    brokers: list[SimBroker] = []
+    brokers: list[SimulatedBroker] = []
     for index in range(BROKERS):
-        broker = SimBroker(sim, make_settings(index), index, engines)
-        broker.list_told()
+        broker = SimulatedBroker(sim, make_settings(index), index, engines)
+        broker.announce_endpoints()
         WrongViews(sim, engines, broker, index, sizes).publish()
         brokers.append(broker)
     start_requests(sim, brokers)
     sim.run(40)
-    assert not [number for number, engine in engines.items() if engine.machine.fallen]
-    requests = [request for broker in brokers for request in broker.asked.values()]
-    due = [request for request in requests if request[0] < sim.now - 21 * S]
+    assert not [number for number, engine in engines.items() if engine.machine.crashed]
+    requests = [request for broker in brokers for request in broker.requests.values()]
+    due = [request for request in requests if request[0] < sim.now_ns - 21 * S]
     assert len(due) > 500
     assert all(answer for _, _, answer, _ in due)
     assert sum(is_served for _, _, _, is_served in due) > 0.2 * len(due)
@@ -166,7 +171,7 @@
 async def test_a_size_that_changes_while_requests_run_leaves_one_answer_for_each() -> None:
     draw = random.Random(3)
     engine = Engine()
-    config = make_config(target("s-1", await engine.start()), fleet_size=10)
+    config = make_config(target_entry("s-1", await engine.start()), fleet_size=10)
     async with running(config) as rig:
         dispatcher = rig.node.dispatcher
         effective_size = 10
--- a/tests/test_members_processes.py
+++ b/tests/test_members_processes.py
@@ -20,9 +20,9 @@
 
 from query_broker.cli.main import main
 from query_broker.emulator.cluster import MS
-from query_broker.emulator.cluster import settings as cluster_settings
-from query_broker.emulator.faulty_links import Fault, Kind, partition
-from query_broker.emulator.processes import Fleet, Member, free_ports
+from query_broker.emulator.cluster import platform_settings as cluster_settings
+from query_broker.emulator.faulty_links import Fault, FaultKind, partition_faults
+from query_broker.emulator.processes import BrokerFleet, BrokerProcess, free_ports
 from query_broker.membership.codec import Codec
 from query_broker.membership.incarnations import CHECKPOINT_INTERVAL, IncarnationChain
 from query_broker.membership.keys import parse_keys
@@ -63,19 +63,23 @@
 
 FAULT_PERIODS = (
     # A third of all messages lost.
-    FaultPeriod(4.0, [Fault(0, 0, "*", Kind.DROP, share=0.33)]),
+    FaultPeriod(4.0, [Fault(0, 0, "*", FaultKind.DROP, probability=0.33)]),
     # Nine in ten of one process's messages lost.
-    FaultPeriod(4.0, [Fault(0, 0, links, Kind.DROP, share=0.9) for links in ("n3-*", "*-n3")]),
+    FaultPeriod(
+        4.0, [Fault(0, 0, links, FaultKind.DROP, probability=0.9) for links in ("n3-*", "*-n3")]
+    ),
     # One direction of a link cut.
-    FaultPeriod(3.0, [Fault(0, 0, "n1-n2", Kind.STALL)]),
+    FaultPeriod(3.0, [Fault(0, 0, "n1-n2", FaultKind.STALL)]),
     # All that is sent to one process lost.
-    FaultPeriod(4.0, [Fault(0, 0, "*-n4", Kind.STALL)]),
+    FaultPeriod(4.0, [Fault(0, 0, "*-n4", FaultKind.STALL)]),
     # Two of three groups cut from each other.
-    FaultPeriod(4.0, partition(0, 0, ["n0", "n1"], ["n4", "n5"])),
+    FaultPeriod(4.0, partition_faults(0, 0, ["n0", "n1"], ["n4", "n5"])),
     # One process behind slow links.
-    FaultPeriod(4.0, [Fault(0, 0, links, Kind.DELAY, seconds=0.5) for links in ("n2-*", "*-n2")]),
+    FaultPeriod(
+        4.0, [Fault(0, 0, links, FaultKind.DELAY, delay_s=0.5) for links in ("n2-*", "*-n2")]
+    ),
     # Datagrams that arrive twice and overtake each other.
-    FaultPeriod(3.0, [Fault(0, 0, "*", Kind.TWICE, share=0.5)]),
+    FaultPeriod(3.0, [Fault(0, 0, "*", FaultKind.DUPLICATE, probability=0.5)]),
 )
 
 
@@ -85,9 +89,9 @@
         for seconds, faults in FAULT_PERIODS:
             group.spoil(seconds, *faults)
             await asyncio.sleep(seconds)
-            spoiled_links = [fault.links for fault in faults]
+            spoiled_links = [fault.link_pattern for fault in faults]
             others = [number for number in range(6) if f"*-n{number}" not in spoiled_links]
-            logs = "".join(member.log() for member in group.fleet.members)
+            logs = "".join(member.log() for member in group.fleet.processes)
             assert await group.statistic("removals", others) == 0, f"{faults}\n{logs}"
             group.heal()
         await group.holds(range(6), range(6))
@@ -114,13 +118,13 @@
 @on_uvloop
 async def test_links_cut_in_one_direction_are_reported_by_their_ends(tmp_path: Path) -> None:
     async with member_processes(5, tmp_path) as group:
-        group.spoil(60, Fault(0, 0, "n1-n2", Kind.STALL))
+        group.spoil(60, Fault(0, 0, "n1-n2", FaultKind.STALL))
         await wait_for_verdict(group, 1, 2, "we can't reach it")
         await wait_for_verdict(group, 2, 1, "its answers don't reach us")
 
         group.heal()
         # A broker that nobody hears is removed, and is not certain of its own view.
-        group.spoil(60, Fault(0, 0, "n3-*", Kind.STALL))
+        group.spoil(60, Fault(0, 0, "n3-*", FaultKind.STALL))
         await group.holds([0, 1, 2, 4], [0, 1, 2, 4])
         view = (await group.status(3))["view"]
         assert not view["certain"]
@@ -133,13 +137,13 @@
     """Replace the old key by the new one in all processes, step by step."""
     for step in (f"{OLD_KEY}\n{NEW_KEY}", f"{NEW_KEY}\n{OLD_KEY}", NEW_KEY):
         group.keys.write_text(step)
-        for member in group.fleet.members:
+        for member in group.fleet.processes:
             reloads = member.log().count("reload: done")
             member.signal(signal.SIGHUP)
             await until(partial(has_reloaded, member, reloads))
 
 
-def has_reloaded(member: Member, reloads_before: int) -> bool:
+def has_reloaded(member: BrokerProcess, reloads_before: int) -> bool:
     return member.log().count("reload: done") > reloads_before
 
 
@@ -149,7 +153,7 @@
 ) -> None:
     async with member_processes(6, tmp_path) as group:
         majority = [0, 1, 2, 3, 4]
-        group.spoil(60, *partition(0, 0, ["n0", "n1", "n2", "n3", "n4"], ["n5"]))
+        group.spoil(60, *partition_faults(0, 0, ["n0", "n1", "n2", "n3", "n4"], ["n5"]))
         await group.holds(majority, majority)
         await group.until_all(majority, partial(is_certain_with_limits_by, size=5))
         assert (await group.status(5))["view"]["limits_by"] == 6
@@ -157,14 +161,14 @@
         group.heal()
         await group.holds(range(6), range(6))
         keys = json.loads(
-            (await asyncio.to_thread(group.fleet.members[0].call, "/members/keys"))[1]
+            (await asyncio.to_thread(group.fleet.processes[0].call_admin_api, "/members/keys"))[1]
         )
         assert keys["signs"] == 2
         assert keys["reads"] == [2]
         assert keys["taken_in"]["2"] > 0
 
         # Neither half of a partition is certain.
-        group.spoil(60, *partition(0, 0, ["n0", "n1", "n2"], ["n3", "n4", "n5"]))
+        group.spoil(60, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4", "n5"]))
         await group.holds([0, 1, 2], [0, 1, 2])
         await group.holds([3, 4, 5], [3, 4, 5])
         for number in range(6):
@@ -180,7 +184,7 @@
 
 async def check_pause(group: MemberProcesses, paused: list[int]) -> None:
     """Pause processes; check that they accuse nobody when they wake."""
-    members = group.fleet.members
+    members = group.fleet.processes
     awake = [number for number in range(7) if number not in paused]
     log_lengths = {number: len(members[number].log()) for number in paused}
     for number in paused:
@@ -222,7 +226,7 @@
 async def test_pauses_restarts_leaves_and_kills_are_told_apart(tmp_path: Path) -> None:
     """Some are paused and accuse nobody; two restart; one leaves; four are killed."""
     async with member_processes(7, tmp_path) as group:
-        members = group.fleet.members
+        members = group.fleet.processes
         for paused in ([2], [0, 1]):
             await check_pause(group, paused)
         for number in (2, 3):
@@ -247,7 +251,7 @@
     """End a process as planned; check that it was never suspected."""
     boot = (await group.status(leaving))["boot"]
     await group.until_all(others, has_no_suspect)
-    group.fleet.members[leaving].signal(signal.SIGTERM)
+    group.fleet.processes[leaving].signal(signal.SIGTERM)
     await group.holds(others, others)
     for number in others:
         status = await group.status(number)
@@ -257,7 +261,7 @@
             if member["boot"] == boot
         ]
         assert found == [("left", "")]
-    assert await asyncio.to_thread(group.fleet.members[leaving].wait, HANG) == 0
+    assert await asyncio.to_thread(group.fleet.processes[leaving].wait, HANG) == 0
 
 
 # --- strangers and faulty members ---
@@ -273,7 +277,7 @@
         self._claim = Claim(identity, 0, Status.ALIVE, chain.proof(0), chain.leave_commitment)
         self._victim = Identity(group.addresses[0], bytes.fromhex(status["boot"]))
         self._liar = Codec("here", parse_keys(OLD_KEY))
-        self._target = ("127.0.0.1", group.fleet.members[0].peers)
+        self._target = ("127.0.0.1", group.fleet.processes[0].peer_port)
 
     def send_invalid(self) -> None:
         """Send what is forged, foreign, torn and oversized."""
@@ -331,11 +335,11 @@
         assert await group.statistic("removals", range(3)) <= 3
 
         # An oversized frame closes the connection.
-        target = ("127.0.0.1", group.fleet.members[0].peers)
+        target = ("127.0.0.1", group.fleet.processes[0].peer_port)
         with socket.create_connection(target, timeout=5) as tcp:
             tcp.sendall((1 << 30).to_bytes(4, "big") + b"x" * 100)
             assert tcp.recv(10) == b""
-        assert await group.fleet.members[0].ready()
+        assert await group.fleet.processes[0].is_ready()
 
 
 # --- operators ---
@@ -344,10 +348,10 @@
 @on_uvloop
 async def test_operators_see_the_group_and_a_bad_key_file_changes_nothing(tmp_path: Path) -> None:
     async with member_processes(3, tmp_path) as group:
-        member = group.fleet.members[1]
+        member = group.fleet.processes[1]
 
         async def command(*arguments: str) -> str:
-            address = f"127.0.0.1:{member.operator}"
+            address = f"127.0.0.1:{member.admin_port}"
             result = await asyncio.to_thread(
                 CliRunner().invoke, main, ["members", *arguments, "--address", address]
             )
@@ -361,21 +365,21 @@
         assert status["bounds_s"]["removed_worst"] > 0
         assert "signs" in await command("keys")
         assert json.loads(await command("keys", "--json"))["signs"] == 1
-        metrics = (await asyncio.to_thread(member.call, "/metrics"))[1].decode()
+        metrics = (await asyncio.to_thread(member.call_admin_api, "/metrics"))[1].decode()
         assert 'edge_proxy_members{status="alive"} 2' in metrics
         assert "edge_proxy_members_view_certain 1" in metrics
         group.keys.write_text("nonsense")
         member.signal(signal.SIGHUP)
         await until(lambda: "the keys stay as they were" in member.log())
         assert json.loads(await command("keys", "--json"))["signs"] == 1
-        assert (await asyncio.to_thread(member.call, "/members/leave"))[0] == 405
+        assert (await asyncio.to_thread(member.call_admin_api, "/members/leave"))[0] == 405
         assert group.addresses[1] in await command("leave")
         await group.holds([0, 2], [0, 2])
         status = await group.status(1)
         assert status["left"]
         assert not status["view"]["certain"]
         assert status["view"]["limits_by"] == 3
-        assert await member.ready()
+        assert await member.is_ready()
 
 
 SETUP_FAULTS = {
@@ -444,8 +448,8 @@
 
 
 def test_each_emulated_process_has_a_script_and_a_port_of_its_own(tmp_path: Path) -> None:
-    with Fleet(2, {"settings": {}}, lambda number, port: f"# {number} {port}") as fleet:
-        scripts = [(member.folder / "operators.star").read_text() for member in fleet.members]
-        assert scripts == [f"# {member.number} {member.peers}" for member in fleet.members]
-        assert isinstance(fleet.members[0], Member)
+    with BrokerFleet(2, {"settings": {}}, lambda number, port: f"# {number} {port}") as fleet:
+        scripts = [(member.folder / "operators.star").read_text() for member in fleet.processes]
+        assert scripts == [f"# {member.number} {member.peer_port}" for member in fleet.processes]
+        assert isinstance(fleet.processes[0], BrokerProcess)
         assert MS == 1_000_000
--- a/tests/test_middle.py
+++ b/tests/test_middle.py
@@ -18,7 +18,7 @@
 from query_broker.timer_wheel import Clock, TimerWheel
 
 from .helpers import MS, S, make_settings, query_class
-from .sockets import event, make_config, target
+from .sockets import make_config, target_entry, topology_event
 
 
 @pytest.mark.parametrize("after", [0, 1, 5 * MS, 5 * MS + 1, 12 * S])
@@ -49,17 +49,21 @@
 
 def test_uids_keep_their_numbers_whatever_their_addresses() -> None:
     table, other = EndpointTable(), EndpointTable()
-    first = table.learn(parse_event(event(1, target("a", 1), target("b", 2), full=True)))
-    other.learn(parse_event(event(1, target("b", 2), full=True)))
+    first = table.learn(
+        parse_event(topology_event(1, target_entry("a", 1), target_entry("b", 2), full=True))
+    )
+    other.learn(parse_event(topology_event(1, target_entry("b", 2), full=True)))
     assert other.number("b") == first[1].endpoint  # all brokers rank engines alike
-    moved = table.learn(parse_event(event(2, target("c", 1, boot_ms=9), target("b", 3))))
+    moved = table.learn(
+        parse_event(topology_event(2, target_entry("c", 1, boot_ms=9), target_entry("b", 3)))
+    )
     assert [(e.endpoint, e.state) for e in moved] == [
         (first[0].endpoint, EndpointState.REMOVED),
         (table.number("c"), EndpointState.READY),
         (first[1].endpoint, EndpointState.READY),
     ]
     assert moved[1].started_ns == 9 * MS
-    again = table.learn(parse_event(event(3, target("a", 4), full=True)))
+    again = table.learn(parse_event(topology_event(3, target_entry("a", 4), full=True)))
     assert [e.endpoint for e in again] == [first[0].endpoint]
     assert table.by_uid["b"].target.state is EndpointState.REMOVED
 
@@ -67,9 +71,12 @@
 def test_engines_that_come_and_go_all_day_leave_nothing_behind() -> None:
     broker = Dispatcher(make_config(), Clock(), lambda kind, text: None)
     for life in range(2, 400):
-        news = [target(f"s-{life}", 1 + life % 2), target(f"s-{life - 1}", 1, "terminated")]
+        news = [
+            target_entry(f"s-{life}", 1 + life % 2),
+            target_entry(f"s-{life - 1}", 1, "terminated"),
+        ]
         # half are never said to have gone
-        broker.endpoint_list_changed(parse_event(event(life, *news[: 1 + life % 2])))
+        broker.endpoint_list_changed(parse_event(topology_event(life, *news[: 1 + life % 2])))
         broker.pools.sweep(broker.now())
     for held in (
         broker.endpoint_table.by_uid,
@@ -79,9 +86,11 @@
     ):
         assert 1 <= len(held) <= 2
     number = broker.endpoint_table.number("s-399")
-    broker.endpoint_list_changed(parse_event(event(400, target("s-399", 1, "terminated"))))
+    broker.endpoint_list_changed(
+        parse_event(topology_event(400, target_entry("s-399", 1, "terminated")))
+    )
     assert "s-399" not in broker.endpoint_table.by_uid
-    broker.endpoint_list_changed(parse_event(event(401, target("s-399", 1))))
+    broker.endpoint_list_changed(parse_event(topology_event(401, target_entry("s-399", 1))))
     # the same as every other broker gives it
     assert broker.endpoint_table.by_uid["s-399"].number == number
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -12,7 +12,17 @@
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols.operator_http import MOST_BODY, MOST_HEAD
 
-from .sockets import Engine, Rig, event, make_config, on_uvloop, running, target, until, within
+from .sockets import (
+    Engine,
+    Rig,
+    make_config,
+    on_uvloop,
+    running,
+    target_entry,
+    topology_event,
+    until,
+    within,
+)
 
 CALLS = [
     (b"GET /ready HTTP/1.1\r\n\r\n", 200),
@@ -71,7 +81,7 @@
 
 @on_uvloop
 async def test_each_call_gets_its_one_answer() -> None:
-    async with running(make_config(target("s-1", 9), operator=True)) as rig:
+    async with running(make_config(target_entry("s-1", 9), operator=True)) as rig:
         for raw, status in CALLS:
             got, headers, body = await call(rig, raw)
             assert (got, headers["content-length"], headers["connection"]) == (
@@ -93,7 +103,7 @@
 
 @on_uvloop
 async def test_silent_and_half_callers_keep_nobody_out_and_are_ended_by_the_wheel() -> None:
-    async with running(make_config(target("s-1", 9), operator=True)) as rig:
+    async with running(make_config(target_entry("s-1", 9), operator=True)) as rig:
         idle = [await asyncio.open_connection("127.0.0.1", rig.operator_port) for _ in range(40)]
         idle[-1][1].write(b"GET /rea")
         assert (await call(rig, CALLS[0][0]))[0] == 200
@@ -120,7 +130,9 @@
     engine = Engine()
     async with running(
         make_config(
-            target("s-1", await engine.start()), target("s-2", 9, "terminating"), operator=True
+            target_entry("s-1", await engine.start()),
+            target_entry("s-2", 9, "terminating"),
+            operator=True,
         )
     ) as rig:
         told = await figures(rig)
@@ -133,14 +145,14 @@
         assert (await client.answer())[1] == frames.FAILED
         engine.script = lambda *_: None
         client.ask(stream=3, trace="3" * 16, route="stock-add")
-        await until(lambda: len(engine.words(b"do")) == 2)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
         told = await figures(rig)
         assert told['replies_total{type="glance",status="success"}'] == 1
         assert told['replies_total{type="glance",status="error"}'] == 1
         assert (told["dispatches_total"], told["concurrent"], told["targets_disabled"]) == (2, 1, 0)
         client.send(frames.ABANDON, 3)  # ended, with its attempt still out
         client.ask(stream=4, trace="4" * 16, route="stock-add")
-        await until(lambda: len(engine.words(b"do")) == 3)
+        await until(lambda: len(engine.commands_named(b"do")) == 3)
         assert (await figures(rig))["concurrent"] == 1
         assert await set_engine(rig, "disable") == 200
         client.ask(stream=5, trace="5" * 16)
@@ -171,10 +183,12 @@
 @on_uvloop
 async def test_an_attempt_counts_only_once_its_last_byte_has_left() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()), operator=True)) as rig:
+    async with running(
+        make_config(target_entry("s-1", await engine.start()), operator=True)
+    ) as rig:
         client = await rig.client()
         client.ask()
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         (connection,) = (
             c for p in rig.node.dispatcher.pools.by_number.values() for c in p.connections
         )
@@ -190,7 +204,7 @@
     None
 ):
     engines = [Engine(), Engine()]
-    first, second = [target(f"s-{n}", await e.start()) for n, e in enumerate(engines, 1)]
+    first, second = [target_entry(f"s-{n}", await e.start()) for n, e in enumerate(engines, 1)]
     async with running(make_config(first, second, operator=True)) as rig:
         client = await rig.client()
         # it may come twice
@@ -201,17 +215,17 @@
         for stream in range(1, 31):
             client.ask(stream=stream, trace=f"{stream:016x}")
             assert (await client.answer())[1] == frames.SERVED
-        assert not engines[0].words(b"do") and len(engines[1].words(b"do")) == 30
+        assert not engines[0].commands_named(b"do") and len(engines[1].commands_named(b"do")) == 30
         assert await set_engine(rig, "enable") == 200
         for stream in range(31, 61):
             client.ask(stream=stream, trace=f"{stream:016x}")
             await client.answer()
-        assert engines[0].words(b"do")
+        assert engines[0].commands_named(b"do")
         assert await set_engine(rig, "enable", "nobody") == 404
 
 
 async def tell(rig: Rig, offset: int, *targets: dict[str, Any]) -> None:
-    rig.node.dispatcher.endpoint_list_changed(parse_event(event(offset, *targets)))
+    rig.node.dispatcher.endpoint_list_changed(parse_event(topology_event(offset, *targets)))
 
 
 @on_uvloop
@@ -220,7 +234,9 @@
     other = Engine()
     port = await other.start()
     async with running(
-        make_config(target("s-1", port), target("s-2", port, "terminating"), operator=True)
+        make_config(
+            target_entry("s-1", port), target_entry("s-2", port, "terminating"), operator=True
+        )
     ) as rig:
         client = await rig.client()
         pool = next(
@@ -231,13 +247,15 @@
         await until(lambda: pool.waiting)
         assert await set_engine(rig, "disable") == 200
         assert (await client.answer())[1] == frames.REFUSED
-        assert not pool.waiting and not other.words(b"do")
+        assert not pool.waiting and not other.commands_named(b"do")
 
 
 @on_uvloop
 async def test_called_back_it_is_cold_and_its_old_connections_take_nothing_more() -> None:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()), operator=True)) as rig:
+    async with running(
+        make_config(target_entry("s-1", await engine.start()), operator=True)
+    ) as rig:
         client = await rig.client()
         client.ask()
         await client.answer()
@@ -247,5 +265,5 @@
         assert known.cold_until > rig.node.clock.now()
         client.ask(stream=2, trace="2" * 16)
         assert (await client.answer())[1] == frames.SERVED
-        first, again = engine.words(b"do")
+        first, again = engine.commands_named(b"do")
         assert engine.writer_of(first) is not engine.writer_of(again)
--- a/tests/test_quotas_processes.py
+++ b/tests/test_quotas_processes.py
@@ -17,12 +17,24 @@
 
 from query_broker.cli.main import main
 from query_broker.decisions.facade import AttemptResult
-from query_broker.emulator.clients import Book
-from query_broker.emulator.cluster import MS, World, config, settings, tenants
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import (
+    MS,
+    EmulatedCluster,
+    broker_config,
+    platform_settings,
+    tenant_settings,
+)
 from query_broker.emulator.data_engine import ScriptedEngine
-from query_broker.emulator.discovery_service import target
-from query_broker.emulator.faulty_links import Fault, Kind, RelayNet, Script, partition
-from query_broker.emulator.processes import Fleet, free_ports
+from query_broker.emulator.discovery_service import target_entry
+from query_broker.emulator.faulty_links import (
+    Fault,
+    FaultKind,
+    FaultSchedule,
+    RelayNetwork,
+    partition_faults,
+)
+from query_broker.emulator.processes import BrokerFleet, free_ports
 from query_broker.emulator.quota_simulation import max_concurrent_leases_per_s
 from query_broker.membership.codec import peek_sender
 from query_broker.outlier_consensus.messages import (
@@ -51,22 +63,28 @@
 
 
 @asynccontextmanager
-async def sharing_fleet(count: int, folder: Path, world: World) -> AsyncIterator[MemberProcesses]:
+async def sharing_fleet(
+    count: int, folder: Path, world: EmulatedCluster
+) -> AsyncIterator[MemberProcesses]:
     """Start processes that share the limits and know each other through relays."""
     keys = folder / "keys"
     keys.write_text(OLD_KEY)
-    net = RelayNet(Script([], time.monotonic), peek_sender)
-    raw = config(
-        world, "", fleet_size=count, policy_limits=LIMITS, tenants=tenants("acme", quota=100.0)
+    net = RelayNetwork(FaultSchedule([], time.monotonic), peek_sender)
+    raw = broker_config(
+        world,
+        "",
+        fleet_size=count,
+        policy_limits=LIMITS,
+        tenants=tenant_settings("acme", quota=100.0),
     )
     addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
 
     def script(number: int, port: int) -> str:
         return members_directive(number, port, addresses[number], keys, addresses[:2]) + DIRECTIVES
 
-    with Fleet(count, raw, script) as fleet:
-        for member, address in zip(fleet.members, addresses, strict=True):
-            await net.add(f"n{member.number}", member.peers, int(address.rpartition(":")[2]))
+    with BrokerFleet(count, raw, script) as fleet:
+        for member, address in zip(fleet.processes, addresses, strict=True):
+            await net.add(f"n{member.number}", member.peer_port, int(address.rpartition(":")[2]))
         fleet.start()
         peers = MemberProcesses(fleet, net, keys, addresses)
         await peers.holds(range(count), range(count))
@@ -82,7 +100,7 @@
         self.records: dict[tuple[int, int], set[LeaseRecord]] = {}
 
     async def read(self) -> None:
-        for member in self.peers.fleet.members:
+        for member in self.peers.fleet.processes:
             if member.process is None or member.process.poll() is not None:
                 continue
             try:
@@ -99,7 +117,7 @@
 
 async def limit_status(peers: MemberProcesses, number: int, name: str = "acme") -> Status:
     try:
-        status = await asyncio.to_thread(peers.fleet.members[number].status, "/limits")
+        status = await asyncio.to_thread(peers.fleet.processes[number].status, "/limits")
     except OSError:
         return {}
     found: Status = next(limit for limit in status["limits"] if limit["name"] == name)
@@ -112,7 +130,7 @@
     deadline = time.monotonic() + HANG
     status: Status = {}
     while not status or not condition(status):
-        assert time.monotonic() < deadline, f"{status}\n{peers.fleet.members[number].log()}"
+        assert time.monotonic() < deadline, f"{status}\n{peers.fleet.processes[number].log()}"
         status = await limit_status(peers, number)
         await asyncio.sleep(POLL_INTERVAL_S)
     return status
@@ -128,12 +146,12 @@
 
 async def send_queries(
     peers: MemberProcesses, number: int, rate_per_s: float, stop: asyncio.Event
-) -> Book:
-    book = Book("127.0.0.1", peers.fleet.members[number].port)
+) -> RequestLog:
+    book = RequestLog("127.0.0.1", peers.fleet.processes[number].port)
     while not stop.is_set():
-        await book.ask("acme", "glance", 1, 4_000 * MS)
+        await book.send_request("acme", "glance", 1, 4_000 * MS)
         await asyncio.sleep(1 / rate_per_s)
-    await book.settle(HANG)
+    await book.wait_until_idle(HANG)
     return book
 
 
@@ -149,31 +167,31 @@
     # The busy broker may lead the shard itself: then another one is killed.
     if leader == BUSY:
         leader = (BUSY + 1) % 5
-    peers.fleet.members[leader].kill()
+    peers.fleet.processes[leader].kill()
     await until_limit(
         peers,
         BUSY,
         lambda status: has_most_of_the_limit(status) and status["home"] != peers.addresses[leader],
     )
-    peers.fleet.members[leader].start()
+    peers.fleet.processes[leader].start()
     await peers.holds(range(5), range(5))
 
 
 async def cut_off_one_way_and_both_ways(peers: MemberProcesses) -> None:
-    peers.spoil(LONG_S, Fault(0, 0, f"n{BUSY}-*", Kind.STALL))  # its requests do not arrive
+    peers.spoil(LONG_S, Fault(0, 0, f"n{BUSY}-*", FaultKind.STALL))  # its requests do not arrive
     status = await until_limit(peers, BUSY, has_guaranteed_part_only)
     assert status["ours"] == 100 * 0.2 / 5
     peers.heal()
     await until_limit(peers, BUSY, has_most_of_the_limit)
     others = [f"n{number}" for number in range(5) if number != BUSY]
-    peers.spoil(LONG_S, *partition(0, 0, [f"n{BUSY}"], others))
+    peers.spoil(LONG_S, *partition_faults(0, 0, [f"n{BUSY}"], others))
     await until_limit(peers, BUSY, has_guaranteed_part_only)
     peers.heal()
     await until_limit(peers, BUSY, has_most_of_the_limit)
 
 
 async def pause_holder_past_its_lease(peers: MemberProcesses) -> None:
-    holder = peers.fleet.members[BUSY]
+    holder = peers.fleet.processes[BUSY]
     holder.signal(signal.SIGSTOP)
     await asyncio.sleep(3.0)  # its lease expires while requests wait for it
     holder.signal(signal.SIGCONT)
@@ -181,14 +199,14 @@
 
 
 async def assert_operators_see_the_limits(peers: MemberProcesses) -> None:
-    holder = peers.fleet.members[BUSY]
-    text = (await asyncio.to_thread(holder.call, "/metrics"))[1].decode()
+    holder = peers.fleet.processes[BUSY]
+    text = (await asyncio.to_thread(holder.call_admin_api, "/metrics"))[1].decode()
     assert 'edge_proxy_limit_ours{limit="acme"}' in text
     assert "fault" not in holder.log()
     connections = await limit_status(peers, BUSY, "conns")
     assert connections["overshoot_promised"] == 40.0
     assert connections["overshoot_seen"] <= 40.0
-    shown = await invoke("limits", "show", "--address", f"127.0.0.1:{holder.operator}")
+    shown = await invoke("limits", "show", "--address", f"127.0.0.1:{holder.admin_port}")
     assert shown.exit_code == 0
     assert "acme" in shown.output
     assert "promised" in shown.output
@@ -201,7 +219,7 @@
     """The leader is killed in the middle of grants, the holder is stopped past its lease with
     requests in flight, and both are cut off from each other one way and both ways.
     """
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-1", "s-2")
     async with sharing_fleet(5, tmp_path, world) as peers:
         auditor = Auditor(peers)
@@ -221,8 +239,8 @@
         await auditor.read()
         assert auditor.most_per_s() <= LEASED_PER_S + 1e-6
         assert auditor.most_per_s() > 50
-        assert all(request.answers == 1 for request in book.asked)
-        assert book.strays == 0
+        assert all(request.answer_count == 1 for request in book.records)
+        assert book.unmatched_answers == 0
         await assert_operators_see_the_limits(peers)
         book.close()
     world.stop()
@@ -230,27 +248,27 @@
 
 def halve_quota(peers: MemberProcesses) -> None:
     """Halve the tenant's quota in the settings of all brokers, and reload them."""
-    for member in peers.fleet.members:
+    for member in peers.fleet.processes:
         path = member.folder / "config.json"
         raw = json.loads(path.read_text())
-        raw["settings"]["tenants"] = tenants("acme", quota=50.0)
+        raw["settings"]["tenants"] = tenant_settings("acme", quota=50.0)
         path.write_text(json.dumps(raw))
         member.signal(signal.SIGHUP)
 
 
 @on_uvloop
 async def test_operators_lend_and_recall_and_a_halved_limit_is_respected(tmp_path: Path) -> None:
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-1")
     async with sharing_fleet(3, tmp_path, world) as peers:
         stop = asyncio.Event()
         load = asyncio.create_task(send_queries(peers, BUSY, 120, stop))
         status = await until_limit(peers, BUSY, has_most_of_the_limit)
-        leader = peers.fleet.members[peers.addresses.index(status["home"])]
+        leader = peers.fleet.processes[peers.addresses.index(status["home"])]
         holder = peers.addresses[BUSY]
 
         async def call(*arguments: str) -> int:
-            address = f"127.0.0.1:{leader.operator}"
+            address = f"127.0.0.1:{leader.admin_port}"
             return (await invoke("limits", *arguments, "--address", address)).exit_code
 
         assert await call("recall", "acme", holder) == 0
@@ -283,7 +301,7 @@
 
 async def consensus_status(peers: MemberProcesses, number: int) -> Status:
     try:
-        status: Status = await asyncio.to_thread(peers.fleet.members[number].status, "/verdicts")
+        status: Status = await asyncio.to_thread(peers.fleet.processes[number].status, "/verdicts")
     except OSError:
         return {"verdicts": [], "words": [], "lost": []}
     return status
@@ -296,7 +314,7 @@
     deadline = time.monotonic() + HANG
     for number in numbers:
         while not condition(status := await consensus_status(peers, number)):
-            log = peers.fleet.members[number].log()
+            log = peers.fleet.processes[number].log()
             assert time.monotonic() < deadline, f"n{number}: {status}\n{log}"
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -320,14 +338,14 @@
     await until_consensus(
         peers, lambda status: [ejection["uid"] for ejection in status["verdicts"]] == ["bad"]
     )
-    queries_before = len(bad.words(b"do"))
-    book = Book("127.0.0.1", peers.fleet.members[3].port)
+    queries_before = len(bad.commands_named(b"do"))
+    book = RequestLog("127.0.0.1", peers.fleet.processes[3].port)
     for _ in range(30):
-        await book.ask("acme", "glance", 1, 4_000 * MS)
+        await book.send_request("acme", "glance", 1, 4_000 * MS)
         await asyncio.sleep(0.02)
-    await book.settle(HANG)
-    assert {request.code for request in book.asked} == {0}
-    assert len(bad.words(b"do")) == queries_before
+    await book.wait_until_idle(HANG)
+    assert {request.code for request in book.records} == {0}
+    assert len(bad.commands_named(b"do")) == queries_before
     stop.set()
     for load in loads:
         (await load).close()
@@ -336,12 +354,12 @@
 
 async def override_on_both_sides_of_a_partition(peers: MemberProcesses) -> None:
     """Let two operators override one endpoint: all come to the same, and the loser is shown."""
-    peers.spoil(LONG_S, *partition(0, 0, ["n0", "n1", "n2"], ["n3", "n4"]))
-    one = peers.fleet.members[0]
-    other = peers.fleet.members[4]
-    assert (await asyncio.to_thread(one.call, "/verdicts/pin/s-2", "POST"))[0] == 200
-    assert (await asyncio.to_thread(other.call, "/verdicts/out/s-2", "POST"))[0] == 200
-    assert (await asyncio.to_thread(other.call, "/verdicts/out/none", "POST"))[0] == 404
+    peers.spoil(LONG_S, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4"]))
+    one = peers.fleet.processes[0]
+    other = peers.fleet.processes[4]
+    assert (await asyncio.to_thread(one.call_admin_api, "/verdicts/pin/s-2", "POST"))[0] == 200
+    assert (await asyncio.to_thread(other.call_admin_api, "/verdicts/out/s-2", "POST"))[0] == 200
+    assert (await asyncio.to_thread(other.call_admin_api, "/verdicts/out/none", "POST"))[0] == 404
     await until_consensus(peers, has_value("words", "pinned"), (1, 2))
     peers.heal()
     await until_consensus(peers, override_is("s-2", "out"))
@@ -349,7 +367,7 @@
 
 
 async def clear_and_show(peers: MemberProcesses) -> None:
-    address = f"127.0.0.1:{peers.fleet.members[0].operator}"
+    address = f"127.0.0.1:{peers.fleet.processes[0].admin_port}"
     cleared = await invoke("verdicts", "clear", "s-2", "--address", address)
     assert cleared.exit_code == 0
     await until_consensus(peers, override_is("s-2", "back"))
@@ -362,19 +380,19 @@
 @on_uvloop
 async def test_all_act_on_what_two_observed_and_overrides_stand_above_it(tmp_path: Path) -> None:
     """Three brokers have no traffic at all, and eject what two others have found to fail."""
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-1", "s-2", "s-3")
     bad = ScriptedEngine(fail_queries)
     port = await bad.start()
-    world.bus.tell(target("bad", port))
+    world.discovery.publish(target_entry("bad", port))
     async with sharing_fleet(5, tmp_path, world) as peers:
         await eject_on_evidence_of_two(peers, bad)
         await override_on_both_sides_of_a_partition(peers)
-        peers.fleet.members[2].kill()
-        peers.fleet.members[2].start()
+        peers.fleet.processes[2].kill()
+        peers.fleet.processes[2].start()
         await until_consensus(peers, has_value("words", "out"), [2])  # one that joins later
         await clear_and_show(peers)
-        assert not [member for member in peers.fleet.members if " fault: " in member.log()]
+        assert not [member for member in peers.fleet.processes if " fault: " in member.log()]
     bad.server.close()
     world.stop()
 
@@ -407,7 +425,7 @@
     received them: no ejection of theirs would ever rest on two observers.
     """
     bad = ScriptedEngine(fail_queries)
-    async with running(make_config(target("bad", await bad.start()))) as rig:
+    async with running(make_config(target_entry("bad", await bad.start()))) as rig:
         clock = rig.node.clock
         consensus_settings = OutlierConsensusSettings(
             observers=2, failures=2, max_ejected_fraction=1.0
@@ -430,19 +448,19 @@
         service._tick()
         own = service.observations.write_report(clock.now()).observations[0]
         assert (own.failures, own.successes) == (2, 0)
-        assert not bad.words(b"top")
+        assert not bad.commands_named(b"top")
         clock.anchor += gossip_rounds(3) * consensus_settings.gossip_interval_ns
         service._tick()
         await until(
             lambda: service.observations.write_report(clock.now()).observations[0].successes
         )
-        assert bad.words(b"top")
+        assert bad.commands_named(b"top")
         assert service.consensus.ejections  # for as long as it was to last
     bad.server.close()
 
 
 def test_check_config_describes_staleness_and_overshoot(tmp_path: Path) -> None:
-    env = write_config(tmp_path, settings={**settings(), "fleet_size": 24})
+    env = write_config(tmp_path, settings={**platform_settings(), "fleet_size": 24})
     script = tmp_path / "ops.star"
     script.write_text(
         members_directive(0, 7000, "127.0.0.1:7001", tmp_path / "keys", []) + DIRECTIVES
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -16,7 +16,16 @@
 from query_broker.protocols import client_frames as frames
 
 from .helpers import MS, Harness, S, entry, make_settings, query_class
-from .sockets import Engine, Rig, make_config, on_uvloop, running, settings, target, until
+from .sockets import (
+    Engine,
+    Rig,
+    make_config,
+    on_uvloop,
+    platform_settings,
+    running,
+    target_entry,
+    until,
+)
 from .test_operator import figures
 
 FILE: dict[str, Any] = {
@@ -27,7 +36,7 @@
     "bus": "127.0.0.1:7",
     "operator": "127.0.0.1:1",
     "known": {"offset": 1, "batch": []},
-    "settings": settings(),
+    "settings": platform_settings(),
 }
 
 
@@ -122,11 +131,11 @@
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: sum(word in line for line in rig.logged) > before)
 
-    config = make_config(target("s-1", await engine.start()), operator=True)
+    config = make_config(target_entry("s-1", await engine.start()), operator=True)
     async with running(config, {"PROXY_CONFIG": str(path)}) as rig:
         client = await rig.client()
         client.ask(stream=1)
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         strict = changed("settings.classes.0.effect", "non_idempotent")
         strict["settings"]["classes"].append({**strict["settings"]["classes"][1], "name": "night"})
         await ask(rig, {**strict, "seed": "77"}, "reload: done")
@@ -139,7 +148,7 @@
             )
         client.ask(stream=2, trace="2" * 16, route="night")
         client.ask(stream=3, trace="3" * 16)
-        await until(lambda: len(engine.words(b"do")) == 3)
+        await until(lambda: len(engine.commands_named(b"do")) == 3)
         told = await figures(rig)
         assert (told["reload_success_total"], told["reload_failure_total"]) == (1, 2)
         assert told['replies_total{type="night",status="success"}'] == 0
--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -17,9 +17,9 @@
     Engine,
     make_config,
     on_uvloop,
+    platform_settings,
     running,
-    settings,
-    target,
+    target_entry,
     until,
 )
 
@@ -43,12 +43,12 @@
 @on_uvloop
 async def test_a_result_in_pages_is_one_whole_answer_in_order() -> None:
     engine = pages(b"1\ta\tb\n", b"2\ta\tb\n", b"3\ta\tb\n")
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(stream=5)
         assert await client.answer() == (5, frames.SERVED, {}, b"1\ta\tb\n2\ta\tb\n3\ta\tb\n")
-        await until(lambda: engine.words(b"forget"))
-        do = engine.words(b"do")[0]
+        await until(lambda: engine.commands_named(b"forget"))
+        do = engine.commands_named(b"do")[0]
         fields = resp.read_pairs(do[2])
         assert (do[1], do[3]) == (TRACE.encode(), b"SELECT 1 FROM sales_17.orders")
         assert fields["cls"] == "glance" and 3_000 < int(fields["limit"]) <= 4_000
@@ -58,11 +58,11 @@
 @on_uvloop
 async def test_a_lost_page_is_no_short_result_and_a_load_with_it_has_failed() -> None:
     engine = pages(b"1\ta\tb\n", say=2)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(route="stock-add")
         assert (await client.answer())[1] == frames.FAILED
-        assert len(engine.words(b"do")) == 1
+        assert len(engine.commands_named(b"do")) == 1
 
 
 @pytest.mark.parametrize(
@@ -81,13 +81,13 @@
     data: bytes,
 ) -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.writer.write(data)
         stream, code, _, _ = await client.answer()
         assert (stream, code) == (0, frames.FAILED)
         assert await client.ended()
-        assert not engine.seen and not rig.node.dispatcher.requests
+        assert not engine.commands and not rig.node.dispatcher.requests
 
 
 @on_uvloop
@@ -104,7 +104,7 @@
 @on_uvloop
 async def test_an_unusable_request_gets_one_failed_answer_and_the_connection_goes_on() -> None:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         bad: list[dict[str, str | None]] = [
             {"route": "upload"},
@@ -129,7 +129,7 @@
         for stream, statement in enumerate((b"", b" \n", b"SELECT \xff", b"SELECT \0"), 100):
             client.ask(stream, statement, trace=f"{stream:016x}")
             assert (await client.answer())[:2] == (stream, frames.FAILED)
-        assert not engine.seen and not rig.node.dispatcher.requests
+        assert not engine.commands and not rig.node.dispatcher.requests
         client.ask(stream=200)
         assert (await client.answer())[:2] == (200, frames.SERVED)
 
@@ -137,10 +137,10 @@
 @on_uvloop
 async def test_an_id_that_is_not_new_reaches_no_engine_with_another_statement() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, other = await rig.client(), await rig.client()
         client.ask(stream=1, weight="900.0")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         for stream in (2, 3):  # the same frame again, as a flood sends it
             client.ask(stream=stream, weight="900.0")
             assert (await client.answer())[:2] == (stream, frames.FAILED)
@@ -149,8 +149,8 @@
         ):
             other.ask(stream=stream, **changes)  # type: ignore[arg-type]
             assert (await other.answer())[:2] == (stream, frames.FAILED)
-        assert len(engine.words(b"do")) == 1
-        engine.serve(engine.words(b"do")[0], engine.writers[0])
+        assert len(engine.commands_named(b"do")) == 1
+        engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
         assert not rig.node.dispatcher.request_table.by_client_id
 
@@ -158,10 +158,10 @@
 @on_uvloop
 async def test_a_patience_beyond_that_of_its_class_is_cut_to_it() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(patience="3600000")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         [request] = rig.node.dispatcher.requests.values()
         assert request.deadline_ns < rig.node.clock.now() + 5_000 * MS
 
@@ -208,20 +208,20 @@
 @on_uvloop
 async def test_what_nobody_waits_for_is_not_answered_and_its_pages_are_not_fetched() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, other = await rig.client(), await rig.client()
         client.ask(stream=1, weight="900.0")
         other.ask(stream=1, weight="900.0", trace="0" * 16)
-        await until(lambda: len(engine.words(b"do")) == 2)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
         client.send(frames.ABANDON, 1)
         other.writer.close()
         await until(lambda: not any(r.client for r in rig.node.dispatcher.requests.values()))
-        for do in engine.words(b"do"):
+        for do in engine.commands_named(b"do"):
             engine.writer_of(do).write(resp.encode(do[1], b"served", b"chunks=3", b"1\ta\tb\n"))
-        await until(lambda: len(engine.words(b"forget")) == 2)
+        await until(lambda: len(engine.commands_named(b"forget")) == 2)
         assert (
-            not engine.words(b"page")
-            and not engine.words(b"undo")
+            not engine.commands_named(b"page")
+            and not engine.commands_named(b"undo")
             and not rig.node.dispatcher.requests
         )
         client.send(frames.ASK_READY, 0, b"\0")
@@ -232,12 +232,12 @@
 @on_uvloop
 async def test_the_final_answer_comes_before_the_patience_ends() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         loop = asyncio.get_running_loop()
         sent = loop.time()
         client.ask(patience="300")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         request = next(iter(rig.node.dispatcher.requests.values()))
         assert request.deadline_ns <= rig.node.clock.now() + 300 * MS - DEFAULT_ANSWER_MARGIN_NS
         assert (await client.answer())[1] == frames.REFUSED
@@ -248,7 +248,7 @@
 async def test_a_slow_reader_is_not_read_from_and_holds_up_nobody_else() -> None:
     row = b"x" * 5_900 + b"\tb\tc\n"
     engine = pages(*[row] * 8)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         slow, quick = await rig.client(), await rig.client()
         transport = slow.writer.transport
         transport.pause_reading()  # type: ignore[attr-defined]
@@ -256,7 +256,7 @@
         while not any(c.paused_at for c in rig.node.clients):
             stream += 1
             slow.ask(stream=stream, trace=f"{stream:016x}")
-            await until(lambda: len(engine.words(b"forget")) == stream)  # noqa: B023
+            await until(lambda: len(engine.commands_named(b"forget")) == stream)  # noqa: B023
         quick.ask()
         assert (await quick.answer())[3] == row * 8
         transport.resume_reading()  # type: ignore[attr-defined]
@@ -268,7 +268,9 @@
 @on_uvloop
 async def test_more_than_32_open_requests_fail_alone() -> None:
     engine = Engine(lambda *_: None)
-    config = make_config(target("s-1", await engine.start()), **settings(fleet_size=1))
+    config = make_config(
+        target_entry("s-1", await engine.start()), **platform_settings(fleet_size=1)
+    )
     async with running(config) as rig:
         client = await rig.client()
         for stream in range(1, 34):
@@ -280,14 +282,14 @@
 @on_uvloop
 async def test_held_statements_are_bounded_and_given_back() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         rig.node.dispatcher.room = 100
         client = await rig.client()
         client.ask(1, b"x" * 90, weight="900.0")
         client.ask(2, b"x" * 20, trace="2" * 16)
         assert (await client.answer())[:2] == (2, frames.REFUSED)
-        await until(lambda: engine.words(b"do"))
-        engine.serve(engine.words(b"do")[0], engine.writers[0])
+        await until(lambda: engine.commands_named(b"do"))
+        engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
         assert rig.node.dispatcher.request_table.statement_bytes == 0
 
@@ -295,7 +297,7 @@
 @on_uvloop
 async def test_a_fault_in_the_decisions_costs_one_request_and_its_answer_is_failed() -> None:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, facade = await rig.client(), rig.node.dispatcher.facade
         whole, facade.pick = facade.pick, None  # type: ignore[method-assign, assignment]
         client.ask(1)
--- a/tests/test_sockets_engine.py
+++ b/tests/test_sockets_engine.py
@@ -22,13 +22,13 @@
     STATEMENT,
     TRACE,
     Engine,
-    event,
     free_port,
     make_config,
     on_uvloop,
+    platform_settings,
     running,
-    settings,
-    target,
+    target_entry,
+    topology_event,
     until,
 )
 
@@ -64,7 +64,7 @@
 
 @on_uvloop
 async def test_a_refused_connect_never_ran_so_even_a_load_is_refused() -> None:
-    async with running(make_config(target("s-1", closed_port()))) as rig:
+    async with running(make_config(target_entry("s-1", closed_port()))) as rig:
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
@@ -73,7 +73,9 @@
 @on_uvloop
 async def test_a_refused_connect_goes_on_to_another_engine() -> None:
     good = Engine()
-    config = make_config(target("s-1", await good.start()), target("s-2", closed_port()))
+    config = make_config(
+        target_entry("s-1", await good.start()), target_entry("s-2", closed_port())
+    )
     async with running(config) as rig:
         client = await rig.client()
         for stream in range(1, 9):
@@ -85,7 +87,7 @@
 async def test_overload_and_nobody_never_ran() -> None:
     for word in (b"overload", b"nobody"):
         engine = always(word)
-        async with running(make_config(target("s-1", await engine.start()))) as rig:
+        async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
             client = await rig.client()
             client.ask(route="stock-add", patience="20000")
             assert (await client.answer())[1] == frames.REFUSED, word
@@ -116,17 +118,19 @@
     ]
     for engine in cases:
         other = Engine()
-        async with running(make_config(target("s-1", await engine.start()))) as rig:
+        async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
             client = await rig.client()
             client.ask(route="stock-add", patience="20000")
             assert (await client.answer())[1] == frames.FAILED
-            assert len(engine.words(b"do")) == 1 and not other.seen
+            assert len(engine.commands_named(b"do")) == 1 and not other.commands
 
 
 @on_uvloop
 async def test_a_lookup_that_met_a_reset_is_served_by_another_engine() -> None:
     bad, good = rude(b""), Engine()
-    config = make_config(target("s-1", await bad.start()), target("s-2", await good.start()))
+    config = make_config(
+        target_entry("s-1", await bad.start()), target_entry("s-2", await good.start())
+    )
     async with running(config) as rig:
         client = await rig.client()
         for stream in range(1, 9):
@@ -158,7 +162,7 @@
             writer.write(data.replace(TRACE.encode(), parts[1]))
 
     engine = Engine(script)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         for stream in (1, 2):
             client.ask(stream=stream, trace=f"{stream:016x}")
@@ -169,7 +173,7 @@
 @on_uvloop
 async def test_no_second_attempt_goes_where_a_second_answer_of_the_first_may_still_come() -> None:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, broker = await rig.client(), rig.node.dispatcher
         client.ask()
         await client.answer()
@@ -204,14 +208,15 @@
         if len(asked) == 2:
             writer.write(data)
         elif len(asked) > 2:
-            engine.serve(parts, writer)
+            engine.answer_served(parts, writer)
 
     engines = [Engine(script), Engine(script)]
     # The first attempt is silent all the while: with a shorter aim that by itself makes its engine
     # suspect.
-    slow = [{**c, "aim": 5_000 * MS} for c in settings()["classes"]]
+    slow = [{**c, "aim": 5_000 * MS} for c in platform_settings()["classes"]]
     config = make_config(
-        *[target(f"s-{n}", await engine.start()) for n, engine in enumerate(engines)], classes=slow
+        *[target_entry(f"s-{n}", await engine.start()) for n, engine in enumerate(engines)],
+        classes=slow,
     )
     async with running(config) as rig:
         client = await rig.client()
@@ -223,8 +228,14 @@
         assert asked == [b"1" * 16, TRACE.encode(), TRACE.encode()]
         known = rig.node.dispatcher.facade.controller.engines.values()
         assert not any(e.suspect or e.failures for e in known)  # a spoilt answer is no dead process
-        first = next(e for e in engines if e.words(b"do") and e.words(b"do")[0][1] == asked[0])
-        first.serve(first.words(b"do")[0], first.writer_of(first.words(b"do")[0]))
+        first = next(
+            e
+            for e in engines
+            if e.commands_named(b"do") and e.commands_named(b"do")[0][1] == asked[0]
+        )
+        first.answer_served(
+            first.commands_named(b"do")[0], first.writer_of(first.commands_named(b"do")[0])
+        )
         assert (await client.answer())[:2] == (1, frames.SERVED)  # it had a connection of its own
 
 
@@ -237,13 +248,15 @@
     paid.
     """
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()), charges=charges)) as rig:
+    async with running(
+        make_config(target_entry("s-1", await engine.start()), charges=charges)
+    ) as rig:
         client = await rig.client()
         for stream in (1, 2, 3):
             client.ask(
                 stream, route="stock-add", trace=f"{stream}" * 16, patience="20000", weight="1.0"
             )
-            await until(lambda: len(engine.words(b"do")) == stream)  # noqa: B023
+            await until(lambda: len(engine.commands_named(b"do")) == stream)  # noqa: B023
         pool = next(iter(rig.node.dispatcher.pools.by_number.values()))
         assert len(pool.connections) == connections
 
@@ -251,11 +264,11 @@
 @on_uvloop
 async def test_a_connection_takes_no_more_streams_than_the_settings_allow() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         clients = [await rig.client(), await rig.client()]
         for number in range(60):
             clients[number % 2].ask(stream=number // 2 + 1, trace=f"{number:016x}", weight="1.0")
-        await until(lambda: len(engine.words(b"do")) == 60)
+        await until(lambda: len(engine.commands_named(b"do")) == 60)
         open_ = [
             len(c.in_flight)
             for p in rig.node.dispatcher.pools.by_number.values()
@@ -267,15 +280,15 @@
 @on_uvloop
 async def test_one_id_is_never_open_twice_on_a_connection() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, again = await rig.client(), await rig.client()
         client.ask(stream=1)
-        await until(lambda: len(engine.words(b"do")) == 1)
+        await until(lambda: len(engine.commands_named(b"do")) == 1)
         # the same request, as it comes again when its connection crossed a close
         again.ask(stream=2)
-        await until(lambda: len(engine.words(b"do")) == 2)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
         assert len(engine.writers) == 2
-        engine.writer_of(engine.words(b"do")[1]).write(
+        engine.writer_of(engine.commands_named(b"do")[1]).write(
             resp.encode(TRACE.encode(), b"served", b"chunks=1", b"2\ta\tb\n")
         )
         assert await again.answer() == (2, frames.SERVED, {}, b"2\ta\tb\n")
@@ -284,10 +297,10 @@
 @on_uvloop
 async def test_a_silent_engine_gets_nothing_more_until_a_new_connection_has_come_up() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(stream=1)
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         pool = next(iter(rig.node.dispatcher.pools.by_number.values()))
         now = rig.node.clock.now()
         assert pool._usable(now) == pool.connections
@@ -297,7 +310,7 @@
 @on_uvloop
 async def test_idle_connections_are_closed_well_before_the_engine_would() -> None:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask()
         await client.answer()
@@ -313,10 +326,12 @@
 async def test_an_engine_at_the_address_of_another_is_known_by_its_uid() -> None:
     engine = Engine()
     port = await engine.start()
-    async with running(make_config(target("s-1", port))) as rig:
+    async with running(make_config(target_entry("s-1", port))) as rig:
         broker = rig.node.dispatcher
         first = broker.endpoint_table.number("s-1")
-        broker.endpoint_list_changed(parse_event(event(2, target("s-2", port, boot_ms=1))))
+        broker.endpoint_list_changed(
+            parse_event(topology_event(2, target_entry("s-2", port, boot_ms=1)))
+        )
         assert broker.endpoint_table.number("s-2") != first == broker.endpoint_table.number("s-1")
         client = await rig.client()
         client.ask(weight="1.0")
@@ -327,34 +342,36 @@
 @on_uvloop
 async def test_draining_engines_get_nothing_new() -> None:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start(), "terminating"))) as rig:
+    async with running(
+        make_config(target_entry("s-1", await engine.start(), "terminating"))
+    ) as rig:
         client = await rig.client()
         client.ask()
         assert (await client.answer())[1] == frames.REFUSED
-        assert not engine.seen
+        assert not engine.commands
 
 
 @on_uvloop
 async def test_with_no_descriptor_left_a_send_counts_as_never_run() -> None:
     engine = Engine()
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         rig.node.dispatcher.pools.most = -1
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
-        assert not engine.seen
+        assert not engine.commands
         assert not any(e.suspect for e in rig.node.dispatcher.facade.controller.engines.values())
 
 
 @on_uvloop
 async def test_attempts_share_connections_once_their_part_is_taken_and_leave_some_in_hand() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, pools_ = await rig.client(), rig.node.dispatcher.pools
         pools_.most = 8
         for stream in range(1, 21):
             client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
-        await until(lambda: len(engine.words(b"do")) == 20)
+        await until(lambda: len(engine.commands_named(b"do")) == 20)
         (pool,) = pools_.by_number.values()
         assert len(engine.writers) == 6 and pools_.make_room(pool)
 
@@ -366,7 +383,7 @@
             writer.write(resp.encode(parts[1], b"green", b"meter=q:2;rif:7;x1:0.5;x0:0.25", b""))
 
     engine = Engine(script)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         broker = rig.node.dispatcher
         known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
         broker.health_checks.start(broker.now(), broker.endpoint_table.number("s-1"))
@@ -378,7 +395,7 @@
         client.ask(patience="150", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
         await until(lambda: not broker.requests)
-        engine.writer_of(engine.words(b"do")[0]).write(
+        engine.writer_of(engine.commands_named(b"do")[0]).write(
             resp.encode(TRACE.encode(), b"served", b"chunks=1,meter=q:0;x0:0.75", b"1\ta\tb\n")
         )
         await until(lambda: known.report and known.report.memory == 0.75)
@@ -388,14 +405,16 @@
 async def test_what_a_vanished_engine_holds_is_over_once_the_list_says_that_it_has_ended() -> None:
     engine = Engine(lambda *_: None)
     port = await engine.start()
-    async with running(make_config(target("s-1", port))) as rig:
+    async with running(make_config(target_entry("s-1", port))) as rig:
         client, broker = await rig.client(), rig.node.dispatcher
         client.ask(route="stock-add", patience="20000")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         pool = next(iter(broker.pools.by_number.values()))
         pool.sweep(broker.now() + 2 * pools.GONE_SILENT)
         assert not pool.connections[0].closed  # silent, but nobody says that it has ended
-        broker.endpoint_list_changed(parse_event(event(2, target("s-1", port, "terminated"))))
+        broker.endpoint_list_changed(
+            parse_event(topology_event(2, target_entry("s-1", port, "terminated")))
+        )
         pool.sweep(broker.now())
         assert not pool.connections[0].closed
         pool.sweep(broker.now() + 2 * pools.GONE_SILENT)
@@ -416,7 +435,7 @@
         writer.write(resp.encode(parts[1], b"served", b"chunks=1", b"1\ta\tb\n") + b"-ERR\r\n")
 
     engine = Engine(script)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
         assert await client.answer() == (1, frames.SERVED, {}, b"1\ta\tb\n")
@@ -428,7 +447,7 @@
 @on_uvloop
 async def test_a_fault_in_one_timer_costs_no_other_its_answer() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, facade = await rig.client(), rig.node.dispatcher.facade
 
         def fault(now: int) -> None:
@@ -436,7 +455,7 @@
 
         facade.controller.orders.timers[-1] = (fault, ())
         client.ask(patience="300")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         facade.due.append(-1)
         assert (await client.answer())[1] == frames.REFUSED
         assert any("ZeroDivisionError" in line for line in rig.logged)
@@ -465,34 +484,36 @@
 async def test_a_connect_that_news_overtook_takes_nothing_to_whoever_listens_there_now() -> None:
     engine = Engine()
     port = await engine.start()
-    async with running(make_config(target("s-1", port))) as rig:
+    async with running(make_config(target_entry("s-1", port))) as rig:
         client = Waiter()
         rig.node.dispatcher.submit(
             client, 1, ParsedRequest("stock-add", TRACE, "acme", 20_000, 10, 16, False, 17, b"x")
         )
         # In the same turn of the loop, so that its connect is under way.
         rig.node.dispatcher.endpoint_list_changed(
-            parse_event(event(2, target("s-2", port, "terminating")))
+            parse_event(topology_event(2, target_entry("s-2", port, "terminating")))
         )
         await until(lambda: client.answers)
-        assert client.answers == ["refused"] and not engine.seen
+        assert client.answers == ["refused"] and not engine.commands
 
 
 @on_uvloop
 async def test_an_answer_that_never_comes_does_not_hold_its_stream_for_good() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, broker = await rig.client(), rig.node.dispatcher
         broker.pools.most = 1  # so that both share a connection
         client.ask(stream=1, patience="200", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
         client.ask(stream=2, patience="20000", route="stock-add", trace="2" * 16)
-        await until(lambda: len(engine.words(b"do")) == 2)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
         pool = next(iter(broker.pools.by_number.values()))
         old = pool.connections[0]
         pool.sweep(broker.now() + pools.AFTER + 1_000 * MS)
         assert old.retired and not old.closed  # the load on it is still expected
-        engine.serve(engine.words(b"do")[1], engine.writer_of(engine.words(b"do")[1]))
+        engine.answer_served(
+            engine.commands_named(b"do")[1], engine.writer_of(engine.commands_named(b"do")[1])
+        )
         assert (await client.answer())[:2] == (2, frames.SERVED)
         pool.sweep(broker.now() + pools.AFTER + 1_000 * MS)
         await until(lambda: old.closed)
@@ -505,14 +526,16 @@
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
         asked.append((parts[1], writer))
         if len(asked) > 1:  # whichever engine is asked first stays silent
-            engine.serve(parts, writer)
+            engine.answer_served(parts, writer)
 
     one, two = Engine(script), Engine(script)
     limits = dict(
         cancel=False, second_copies=True, send_cap=5, retry_after=True, max_retry_after=2_000 * MS
     )
     config = make_config(
-        target("s-1", await one.start()), target("s-2", await two.start()), policy_limits=limits
+        target_entry("s-1", await one.start()),
+        target_entry("s-2", await two.start()),
+        policy_limits=limits,
     )
     async with running(config) as rig:
         client = await rig.client()
@@ -520,7 +543,7 @@
         assert (await client.answer())[:2] == (1, frames.SERVED)
         asked[0][1].write(resp.encode(asked[0][0], b"served", b"chunks=2", b"late\ta\tb\n"))
         silent = one if one.writers and one.writers[0] is asked[0][1] else two
-        await until(lambda: silent.words(b"forget"))
+        await until(lambda: silent.commands_named(b"forget"))
         client.send(frames.ASK_READY, 0, b"\0")
         assert (await client.frame())[0] == frames.READY  # no second answer went before it
         assert len(asked) == 3 and not rig.node.dispatcher.requests
@@ -529,7 +552,7 @@
 @on_uvloop
 async def test_what_no_engine_has_a_place_for_is_refused_at_once_with_a_pause() -> None:
     config = make_config(
-        *[target(f"s-{n}", closed_port()) for n in range(30)],
+        *[target_entry(f"s-{n}", closed_port()) for n in range(30)],
         fleet_size=40,
         charges={"handshake": 0.08},
     )
@@ -552,13 +575,15 @@
     engine = Engine(script)
     port = await engine.start()
     config = make_config(
-        target("s-1", port), *[target(f"s-{n}", closed_port()) for n in range(2, 5)], fleet_size=40
+        target_entry("s-1", port),
+        *[target_entry(f"s-{n}", closed_port()) for n in range(2, 5)],
+        fleet_size=40,
     )
     async with running(config) as rig:
         broker = rig.node.dispatcher
         known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
         broker.facade.controller.outliers.set_ejected(broker.now(), known, True)
-        await until(lambda: engine.words(b"top") and not known.suspect)
+        await until(lambda: engine.commands_named(b"top") and not known.suspect)
 
 
 @on_uvloop
@@ -581,7 +606,7 @@
     """
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
-        runs = engine.words(b"do")
+        runs = engine.commands_named(b"do")
         if parts[0] == b"do":
             writer.write(
                 resp.encode(parts[1], b"served", b"chunks=2", b"%d\trun\tpage 0\n" % len(runs))
@@ -592,7 +617,7 @@
             writer.write(resp.encode(parts[1], b"rows", b"at=1", b"2\trun\tpage 1\n"))
 
     engine = Engine(script)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, again = await rig.client(), await rig.client()
         client.ask(1, patience="300")
         assert (await client.answer())[1] != frames.SERVED
@@ -606,7 +631,7 @@
     """The engine knows pages by id alone: the run that ends later puts its own in their place."""
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
-        runs = engine.words(b"do")
+        runs = engine.commands_named(b"do")
         if parts[0] == b"do" and len(runs) >= 2:
             writer.write(
                 resp.encode(parts[1], b"served", b"chunks=2", b"%d\trun\tpage 0\n" % len(runs))
@@ -615,10 +640,10 @@
             writer.write(resp.encode(parts[1], b"rows", b"at=1", b"1\trun\tpage 1\n"))
 
     engine = Engine(script)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, again = await rig.client(), await rig.client()
         client.ask(1, patience="1500")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         again.ask(2, patience="1000")
         _, code, _, body = await again.answer()
         assert code != frames.SERVED or len(set(body.split(b"\n"))) == 1
@@ -629,7 +654,7 @@
     """As seen: both are answered within a millisecond, with results of different lengths."""
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
-        runs = engine.words(b"do")
+        runs = engine.commands_named(b"do")
         if parts[0] == b"do" and len(runs) == 2:
             for run, chunks in ((2, 3), (1, 2)):
                 engine.writer_of(runs[run - 1]).write(
@@ -641,10 +666,10 @@
             writer.write(resp.encode(parts[1], b"rows", b"at=" + parts[2], b"2\trun\tpage\n"))
 
     engine = Engine(script)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, again = await rig.client(), await rig.client()
         client.ask(1, patience="1500")
-        await until(lambda: engine.words(b"do"))
+        await until(lambda: engine.commands_named(b"do"))
         again.ask(2, patience="1500")
         for asker in (client, again):
             _, code, _, body = await asker.answer()
--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -17,11 +17,22 @@
 from click.testing import CliRunner
 
 from query_broker.cli.main import main
-from query_broker.emulator.clients import Book
-from query_broker.emulator.cluster import MS, World, config
-from query_broker.emulator.discovery_service import ScriptedBus, event, target
-from query_broker.emulator.faulty_links import Fault, Kind, Link, Script, Way, partition
-from query_broker.emulator.processes import Fleet, Member
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import MS, EmulatedCluster, broker_config
+from query_broker.emulator.discovery_service import (
+    ScriptedDiscoveryService,
+    target_entry,
+    topology_event,
+)
+from query_broker.emulator.faulty_links import (
+    Direction,
+    Fault,
+    FaultKind,
+    FaultSchedule,
+    FaultyLink,
+    partition_faults,
+)
+from query_broker.emulator.processes import BrokerFleet, BrokerProcess
 from query_broker.protocols import client_frames as frames
 from query_broker.startup.endpoint_snapshot import LastList, encode
 
@@ -38,19 +49,19 @@
 @contextmanager
 def fleet(count: int, raw: dict[str, Any], more: str = "", **changes: Any) -> Any:
     raw = {**raw, "settings": {**raw["settings"], **changes}}
-    with Fleet(count, raw, FAST.format(more)) as started:
+    with BrokerFleet(count, raw, FAST.format(more)) as started:
         yield started
 
 
-async def world_of(*uids: str) -> tuple[World, dict[str, Any]]:
-    world = World()
+async def world_of(*uids: str) -> tuple[EmulatedCluster, dict[str, Any]]:
+    world = EmulatedCluster()
     await world.start(*uids)
-    raw = config(world, "127.0.0.1:1", **{**deployments.WAREHOUSE, "fleet_size": 4})
+    raw = broker_config(world, "127.0.0.1:1", **{**deployments.WAREHOUSE, "fleet_size": 4})
     del raw["known"]  # from the bus alone
     return world, raw
 
 
-async def status(member: Member, true: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
+async def status(member: BrokerProcess, true: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
     """Once its operators' address tells this."""
     end, said = time.monotonic() + HANG, {}
     while time.monotonic() < end:
@@ -68,9 +79,9 @@
     """One broker starts, has the list, and ends."""
     with fleet(1, raw, more) as brokers:
         brokers.start()
-        await status(brokers.members[0], ready)
-        brokers.members[0].signal(signal.SIGTERM)
-        await asyncio.to_thread(brokers.members[0].wait, HANG)
+        await status(brokers.processes[0], ready)
+        brokers.processes[0].signal(signal.SIGTERM)
+        await asyncio.to_thread(brokers.processes[0].wait, HANG)
 
 
 def at(stage: str) -> Callable[[dict[str, Any]], bool]:
@@ -84,23 +95,23 @@
 @on_uvloop
 async def test_all_start_while_the_list_service_is_down_and_serve_once_it_is_back() -> None:
     world, raw = await world_of("s-1", "s-2")
-    script = Script([Fault(0.0, 3_600.0, "bus", Kind.REFUSE)], time.monotonic)
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
+    script = FaultSchedule([Fault(0.0, 3_600.0, "bus", FaultKind.REJECT)], time.monotonic)
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             said = await status(member, at("list"))
             assert not said["ready"] and said["list"] == "none" and said["waits_for"] == "the bus"
             await until(lambda member=member: "still asking, not ready" in member.log())  # type: ignore[misc]
         script.faults.clear()  # it is back
-        for member in brokers.members:
+        for member in brokers.processes:
             said = await status(member, at("full"))
             assert said["list"] == "bus" and said["confirmed"] and said["listed"] == 2
-        book = Book("127.0.0.1", brokers.members[0].port)
+        book = RequestLog("127.0.0.1", brokers.processes[0].port)
         for _ in range(20):
-            await book.ask("", "glance", 2, 4_000 * MS)
-        await book.settle(HANG)
-        assert [a.code for a in book.asked] == [frames.SERVED] * 20
+            await book.send_request("", "glance", 2, 4_000 * MS)
+        await book.wait_until_idle(HANG)
+        assert [a.code for a in book.records] == [frames.SERVED] * 20
         book.close()
     link.stop()
     world.stop()
@@ -109,20 +120,22 @@
 @on_uvloop
 async def test_a_service_that_accepts_and_says_nothing_is_given_up_and_asked_again() -> None:
     world, raw = await world_of("s-1")
-    script = Script([Fault(0.0, 4.0, "bus", Kind.STALL, Way.BACK)], time.monotonic)
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
+    script = FaultSchedule(
+        [Fault(0.0, 4.0, "bus", FaultKind.STALL, Direction.BACKWARD)], time.monotonic
+    )
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(2, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, at("full"))
-        assert len(link.came) <= 2 * 8  # not retried as if it were dead
+        assert len(link.connected_at_s) <= 2 * 8  # not retried as if it were dead
     link.stop()
     world.stop()
 
 
 @on_uvloop
 async def test_a_bus_that_begins_its_numbers_anew_is_heard_again() -> None:
-    bus, engine = ScriptedBus(), Engine()
+    bus, engine = ScriptedDiscoveryService(), Engine()
     port = await engine.start()
     raw = {
         "listen": "",
@@ -131,25 +144,25 @@
     }
     with fleet(1, raw) as brokers:
         brokers.start()
-        await until(lambda: bus.asked)
-        bus.tell(event(1, target("s-1", port), full=True))
+        await until(lambda: bus.subscriptions)
+        bus.publish(topology_event(1, target_entry("s-1", port), full=True))
         for number in range(2, 6):
-            bus.tell(event(number))
-        await status(brokers.members[0], ready)
+            bus.publish(topology_event(number))
+        await status(brokers.processes[0], ready)
         for beat in (3, 5, 3, 3):  # one beat may be a replica's that lags
-            bus.tell(beat)
-        await until(lambda: len(bus.asked) == 2)
-        assert bus.asked[1] == b"from 0\n"
-        bus.tell(
-            event(
+            bus.publish(beat)
+        await until(lambda: len(bus.subscriptions) == 2)
+        assert bus.subscriptions[1] == b"from 0\n"
+        bus.publish(
+            topology_event(
                 1,
-                target("s-1", port),
-                target("s-2", port + 1, "terminating"),
-                target("s-3", 9),
+                target_entry("s-1", port),
+                target_entry("s-2", port + 1, "terminating"),
+                target_entry("s-3", 9),
                 full=True,
             )
         )
-        await status(brokers.members[0], lambda said: said["listed"] == 2)
+        await status(brokers.processes[0], lambda said: said["listed"] == 2)
 
 
 @on_uvloop
@@ -162,23 +175,28 @@
     more = f', last_list = "{kept}", installation = "here"'
     raw["settings"] = {**raw["settings"], "classes": deployments.COUNTERS["classes"]}
     await leave_a_list(raw, more)
-    script = Script([Fault(0.0, 5.0, "bus", Kind.REFUSE)], time.monotonic)
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
+    script = FaultSchedule([Fault(0.0, 5.0, "bus", FaultKind.REJECT)], time.monotonic)
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(1, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, more) as brokers:
-        member = brokers.members[0]
+        member = brokers.processes[0]
         brokers.start()
         said = await status(member, ready)
         assert said["list"] == "disk" and not said["confirmed"] and said["listed"] == 2
         # danger: the settings as they are in the file would let unsafe work go
         member.signal(signal.SIGHUP)
         await until(lambda: "reload: done" in member.log())
-        book = Book("127.0.0.1", member.port)
-        safe, unsafe = [await book.ask("", route, 2, 4_000 * MS) for route in ("glance", "load")]
-        await book.settle(HANG)
-        assert (safe.code, unsafe.code) == (frames.SERVED, frames.REFUSED) and unsafe.pause >= 0
+        book = RequestLog("127.0.0.1", member.port)
+        safe, unsafe = [
+            await book.send_request("", route, 2, 4_000 * MS) for route in ("glance", "load")
+        ]
+        await book.wait_until_idle(HANG)
+        assert (safe.code, unsafe.code) == (
+            frames.SERVED,
+            frames.REFUSED,
+        ) and unsafe.retry_after_ms >= 0
         await status(member, lambda said: said["confirmed"])
-        later = await book.ask("", "load", 2, 4_000 * MS)
-        await book.settle(HANG)
+        later = await book.send_request("", "load", 2, 4_000 * MS)
+        await book.wait_until_idle(HANG)
         assert later.code == frames.SERVED
         book.close()
     link.stop()
@@ -187,7 +205,7 @@
 
 def from_tomorrow() -> str:
     """The clock has been set back between the runs."""
-    return encode(LastList("", 9, time.time_ns() + 86_400 * 10**9, (target("s-9", 9),)))
+    return encode(LastList("", 9, time.time_ns() + 86_400 * 10**9, (target_entry("s-9", 9),)))
 
 
 @pytest.mark.parametrize(
@@ -204,8 +222,8 @@
     path.write_text(kept)
     with fleet(1, raw, f', last_list = "{path}"') as brokers:
         brokers.start()
-        said = await status(brokers.members[0], ready)
-        assert said["list"] == "bus" and "set aside" in brokers.members[0].log()
+        said = await status(brokers.processes[0], ready)
+        assert said["list"] == "bus" and "set aside" in brokers.processes[0].log()
         assert (tmp_path / "list.bad").read_text() == kept
     assert not path.exists() or path.read_text().startswith("larchhall-list 1 ")
     world.stop()
@@ -216,9 +234,9 @@
     world, raw = await world_of("s-1")
     with fleet(1, raw, f', last_list = "{tmp_path}/none/list"') as brokers:
         brokers.start()
-        await status(brokers.members[0], at("full"))
-        await until(lambda: "last list: not kept" in brokers.members[0].log())
-        assert await brokers.members[0].ready()
+        await status(brokers.processes[0], at("full"))
+        await until(lambda: "last list: not kept" in brokers.processes[0].log())
+        assert await brokers.processes[0].is_ready()
     world.stop()
 
 
@@ -226,20 +244,20 @@
 async def test_a_disk_that_is_full_costs_the_last_list_alone(tmp_path: Path) -> None:
     """The limit on a file's size stands for the disk: each write past it fails, half of it done."""
     world, raw = await world_of("s-1")
-    world.bus.tell(*(target(f"s-{i}", 9, "terminating") for i in range(2, 300)))
+    world.discovery.publish(*(target_entry(f"s-{i}", 9, "terminating") for i in range(2, 300)))
     kept = tmp_path / "list"
     with fleet(2, raw, f', last_list = "{kept}"') as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             assert member.process is not None
             resource.prlimit(member.process.pid, resource.RLIMIT_FSIZE, (8_192, 8_192))
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, at("full"))
             await until(lambda member=member: "last list: not kept" in member.log())  # type: ignore[misc]
-            assert await member.ready()
+            assert await member.is_ready()
         assert not list(tmp_path.iterdir())  # no half of one is left behind
-        brokers.members[0].signal(signal.SIGTERM)
-        assert await asyncio.to_thread(brokers.members[0].wait, HANG) == 0
+        brokers.processes[0].signal(signal.SIGTERM)
+        assert await asyncio.to_thread(brokers.processes[0].wait, HANG) == 0
     world.stop()
 
 
@@ -248,10 +266,10 @@
     world, raw = await world_of("s-1")
     silent = Engine(lambda *_: None)
     port = await silent.start()
-    world.bus.tell(target("s-2", port), target("s-3", port))
+    world.discovery.publish(target_entry("s-2", port), target_entry("s-3", port))
     with fleet(3, raw) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             said = await status(member, ready)
             assert "time-out: heard of 1 of 3 only" in str(said["passed"])
             await status(member, at("full"))
@@ -262,15 +280,18 @@
 @on_uvloop
 async def test_a_fleet_size_wrong_by_three_is_a_rate_or_a_wait_wrong_by_three(told: int) -> None:
     world, raw = await world_of("s-1")
-    link = Link("bus", "127.0.0.1", world.bus_port, Script([], time.monotonic))
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, FaultSchedule([], time.monotonic))
     raw["settings"] = {**raw["settings"], "fleet_size": told}
     slow = "start(list_connects = 4, engine_probes = 200, ramp = 1, floor = 0.25)"
-    with Fleet(6, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, slow) as brokers:
+    with BrokerFleet(6, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, slow) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, at("full"))
-        most = max(sum(0 <= other - one < 1.0 for other in link.came) for one in link.came)
-        assert len(link.came) == 6 and most <= (4 + 2) * max(1, 6 // told)
+        most = max(
+            sum(0 <= other - one < 1.0 for other in link.connected_at_s)
+            for one in link.connected_at_s
+        )
+        assert len(link.connected_at_s) == 6 and most <= (4 + 2) * max(1, 6 // told)
     link.stop()
     world.stop()
 
@@ -280,33 +301,35 @@
     world, raw = await world_of("s-1", "s-2", "s-3")
     with fleet(4, raw) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, ready)
-        for member in brokers.members[:2]:
+        for member in brokers.processes[:2]:
             member.kill()
             member.start()
-        paused = brokers.members[3]
-        held = Book("127.0.0.1", paused.port)
-        in_hand = [await held.ask("", "glance", work, 1_500 * MS) for work in (500, 1_000, 60_000)]
+        paused = brokers.processes[3]
+        held = RequestLog("127.0.0.1", paused.port)
+        in_hand = [
+            await held.send_request("", "glance", work, 1_500 * MS) for work in (500, 1_000, 60_000)
+        ]
         await until(lambda: sum(len(e.machine.running) for e in world.engines.values()) >= 1)
         paused.signal(signal.SIGSTOP)
         world.drain("s-3")  # it sleeps over this
         await asyncio.sleep(2.0)
         paused.signal(signal.SIGCONT)
-        await held.settle(HANG)
-        assert [a.answers for a in in_hand] == [1, 1, 1]
+        await held.wait_until_idle(HANG)
+        assert [a.answer_count for a in in_hand] == [1, 1, 1]
         held.close()
-        for member in brokers.members:
+        for member in brokers.processes:
             said = await status(
                 member, lambda said: said["stage"] == "full" and said["listed"] == 2
             )
             assert said["share"] == 1.0
-        book = Book("127.0.0.1", paused.port)
+        book = RequestLog("127.0.0.1", paused.port)
         for _ in range(30):
-            await book.ask("", "glance", 2, 4_000 * MS)
-        await book.settle(HANG)
-        assert [a.code for a in book.asked] == [frames.SERVED] * 30
-        assert world.sent_after_drain(550 * MS) == 0
+            await book.send_request("", "glance", 2, 4_000 * MS)
+        await book.wait_until_idle(HANG)
+        assert [a.code for a in book.records] == [frames.SERVED] * 30
+        assert world.queries_after_drain(550 * MS) == 0
         book.close()
     world.stop()
 
@@ -320,14 +343,14 @@
     if stage == "list":
         raw["bus"] = "127.0.0.1:9"
     if stage == "contact":
-        world.bus.tell(target("s-2", port), target("s-3", port + 1))
+        world.discovery.publish(target_entry("s-2", port), target_entry("s-3", port + 1))
     long = (
         FAST.replace("contact_wait = 0.5", "contact_wait = 30")
         .replace("ramp = 1", "ramp = 60")
         .replace("floor = 0.25{}", "floor = 0.01, contact_part = 0.9")
     )
-    with Fleet(1, {**raw, "settings": {**raw["settings"], "fleet_size": 1}}, long) as brokers:
-        member = brokers.members[0]
+    with BrokerFleet(1, {**raw, "settings": {**raw["settings"], "fleet_size": 1}}, long) as brokers:
+        member = brokers.processes[0]
         brokers.start()
         await status(member, at(stage))
         member.signal(signal.SIGHUP)
@@ -342,18 +365,21 @@
 @on_uvloop
 async def test_a_bus_that_flaps_costs_no_more_than_its_rate_and_loses_no_news() -> None:
     world, raw = await world_of("s-1")
-    flaps = [Fault(at_, at_ + 1.0, "bus", Kind.REFUSE) for at_ in (0.0, 2.0, 4.0)]
-    resets = [Fault(at_, at_, "bus", Kind.RESET) for at_ in (2.0, 4.0)]
-    link = Link("bus", "127.0.0.1", world.bus_port, Script([*flaps, *resets], time.monotonic))
+    flaps = [Fault(at_, at_ + 1.0, "bus", FaultKind.REJECT) for at_ in (0.0, 2.0, 4.0)]
+    resets = [Fault(at_, at_, "bus", FaultKind.RESET) for at_ in (2.0, 4.0)]
+    link = FaultyLink(
+        "bus", "127.0.0.1", world.discovery_port, FaultSchedule([*flaps, *resets], time.monotonic)
+    )
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
         await asyncio.sleep(3.0)
-        world.bus.tell(
-            target("s-2", world.engines["s-1"].port + 1, "terminating"), target("s-3", 9)
+        world.discovery.publish(
+            target_entry("s-2", world.engines["s-1"].port + 1, "terminating"),
+            target_entry("s-3", 9),
         )
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, lambda said: said["stage"] == "full" and said["listed"] == 2)
-        assert len(link.came) < 100 * link.script.now() + 4
+        assert len(link.connected_at_s) < 100 * link.schedule.now_s() + 4
     link.stop()
     world.stop()
 
@@ -362,18 +388,19 @@
 async def test_a_service_that_is_slow_to_all_is_waited_for_and_not_asked_more_often() -> None:
     world, raw = await world_of("s-1")
     for i in range(60):
-        world.bus.tell(*(target(f"gone-{i}-{j}", 9, "terminated") for j in range(6)))
-    size = sum(len(json.dumps(e)) for e in world.bus.events)
-    script = Script(
-        [Fault(0.0, 60.0, "bus", Kind.RATE, Way.BACK, rate=4 * size / 3.0)], time.monotonic
+        world.discovery.publish(*(target_entry(f"gone-{i}-{j}", 9, "terminated") for j in range(6)))
+    size = sum(len(json.dumps(e)) for e in world.discovery.events)
+    script = FaultSchedule(
+        [Fault(0.0, 60.0, "bus", FaultKind.RATE, Direction.BACKWARD, bytes_per_s=4 * size / 3.0)],
+        time.monotonic,
     )
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, lambda said: said["stage"] == "full" and said["listed"] == 1)
         await until(lambda: link.counts["back"] >= 4 * size)
-        assert len(link.came) <= 8
+        assert len(link.connected_at_s) <= 8
     link.stop()
     world.stop()
 
@@ -385,22 +412,24 @@
     """Danger: a front that finds a broker again hands it everything at once."""
     world, raw = await world_of("s-1")
     came: list[float] = []
-    world.engines["s-1"].connected = came.append
+    world.engines["s-1"].connection_observer = came.append
     script = FAST.replace("ramp = 1", "ramp = 60").format(", accepts = 20, engine_connects = 4")
-    with Fleet(2, {**raw, "settings": {**raw["settings"], "fleet_size": 2}}, script) as brokers:
+    with BrokerFleet(
+        2, {**raw, "settings": {**raw["settings"], "fleet_size": 2}}, script
+    ) as brokers:
         brokers.start()
-        member = brokers.members[0]
+        member = brokers.processes[0]
         await status(member, ready)
-        books = [Book("127.0.0.1", member.port) for _ in range(30)]
+        books = [RequestLog("127.0.0.1", member.port) for _ in range(30)]
         begun = time.monotonic()
         for book in books:
-            await book.ask("", "glance", 1, 8_000 * MS)
+            await book.send_request("", "glance", 1, 8_000 * MS)
         for book in books:
-            await book.settle(HANG)
-        assert all(a.answers == 1 for book in books for a in book.asked)
-        answered = sorted(a.answered for book in books for a in book.asked)
+            await book.wait_until_idle(HANG)
+        assert all(a.answer_count == 1 for book in books for a in book.records)
+        answered = sorted(a.answered_ns for book in books for a in book.records)
         assert answered[-1] - answered[0] > 0.1e9 and time.monotonic() - begun < HANG
-        text = (await asyncio.to_thread(member.call, "/metrics"))[1].decode()
+        text = (await asyncio.to_thread(member.call_admin_api, "/metrics"))[1].decode()
         assert (
             'edge_proxy_start_seconds{stage="contact"}' in text and "edge_proxy_start_share" in text
         )
@@ -423,22 +452,25 @@
         'default_cell("a")\n'
         'tenant("other", cell = "b")'
     )
-    with Fleet(1, raw, FAST.format("") + cells) as brokers:
+    with BrokerFleet(1, raw, FAST.format("") + cells) as brokers:
         brokers.start()
-        member = brokers.members[0]
+        member = brokers.processes[0]
         said = await status(member, at("ramp"))
-        assert said["listed"] == 2 and (await asyncio.to_thread(member.call, "/cells"))[0] == 200
-        book = Book("127.0.0.1", member.port)
+        assert (
+            said["listed"] == 2
+            and (await asyncio.to_thread(member.call_admin_api, "/cells"))[0] == 200
+        )
+        book = RequestLog("127.0.0.1", member.port)
         for part in range(2):
             for i in range(20):
-                await book.ask(("acme", "other")[i % 2], "glance", 2, 4_000 * MS)
-            await book.settle(HANG)
+                await book.send_request(("acme", "other")[i % 2], "glance", 2, 4_000 * MS)
+            await book.wait_until_idle(HANG)
             if part == 0:  # what does not fit while it ramps is refused at once
-                assert {a.code for a in book.asked} <= {frames.SERVED, frames.REFUSED}
+                assert {a.code for a in book.records} <= {frames.SERVED, frames.REFUSED}
                 await status(member, at("full"))
-        assert {a.code for a in book.asked[20:]} == {frames.SERVED}
+        assert {a.code for a in book.records[20:]} == {frames.SERVED}
         book.close()
-    assert all(e.sent for e in world.engines.values())
+    assert all(e.received for e in world.engines.values())
     world.stop()
 
 
@@ -452,21 +484,25 @@
     raw["settings"] = {**raw["settings"], "classes": deployments.COUNTERS["classes"]}
     await leave_a_list(raw, more)
     port = world.engines["s-1"].port  # listens still, and is another engine now
-    script = Script([Fault(0.0, 2.0, "bus", Kind.REFUSE)], time.monotonic)
-    link = Link("bus", "127.0.0.1", world.bus_port, script)
-    world.bus.tell({**world.bus.targets["s-1"], "state": "terminated"}, target("s-9", port))
+    script = FaultSchedule([Fault(0.0, 2.0, "bus", FaultKind.REJECT)], time.monotonic)
+    link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
+    world.discovery.publish(
+        {**world.discovery.targets["s-1"], "state": "terminated"}, target_entry("s-9", port)
+    )
     with fleet(1, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, more) as brokers:
-        member = brokers.members[0]
+        member = brokers.processes[0]
         brokers.start()
         await status(member, ready)
-        book = Book("127.0.0.1", member.port)
-        asked = [await book.ask("", "load", 2, 4_000 * MS) for _ in range(5)]
-        await book.settle(HANG)
+        book = RequestLog("127.0.0.1", member.port)
+        asked = [await book.send_request("", "load", 2, 4_000 * MS) for _ in range(5)]
+        await book.wait_until_idle(HANG)
         assert [a.code for a in asked] == [frames.REFUSED] * 5
-        assert not [run for run in world.engines["s-1"].machine.ledger if run.cls == b"load"]
+        assert not [
+            run for run in world.engines["s-1"].machine.ledger if run.request_class == b"load"
+        ]
         await status(member, lambda said: said["confirmed"] and said["listed"] == 1)
-        later = await book.ask("", "load", 2, 4_000 * MS)
-        await book.settle(HANG)
+        later = await book.send_request("", "load", 2, 4_000 * MS)
+        await book.wait_until_idle(HANG)
         assert later.code == frames.SERVED
         book.close()
     link.stop()
@@ -475,27 +511,27 @@
 
 @on_uvloop
 async def test_all_engines_and_all_brokers_cold_at_once_push_nothing_over() -> None:
-    world = World()
+    world = EmulatedCluster()
     await world.start("s-0")
     await world.add("s-1", "s-2", "s-3", cold=True)
-    world.end("s-0")
-    raw = config(world, "127.0.0.1:1", **{**deployments.WAREHOUSE, "fleet_size": 4})
+    world.terminate("s-0")
+    raw = broker_config(world, "127.0.0.1:1", **{**deployments.WAREHOUSE, "fleet_size": 4})
     del raw["known"]
     with fleet(4, raw) as brokers:
         brokers.start()
         books = []
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, ready)
-            books.append(Book("127.0.0.1", member.port))
+            books.append(RequestLog("127.0.0.1", member.port))
         for _ in range(40):
             for book in books:
-                await book.ask("", "glance", 200, 4_000 * MS)
+                await book.send_request("", "glance", 200, 4_000 * MS)
             await asyncio.sleep(0.05)
         for book in books:
-            await book.settle(HANG)
-        asked = [a for book in books for a in book.asked]
-        assert not [a for a in asked if a.answers != 1] and not any(
-            e.machine.fallen for e in world.engines.values()
+            await book.wait_until_idle(HANG)
+        asked = [a for book in books for a in book.records]
+        assert not [a for a in asked if a.answer_count != 1] and not any(
+            e.machine.crashed for e in world.engines.values()
         )
         assert sum(a.code == frames.SERVED for a in asked) > 20
         for book in books:
@@ -515,15 +551,22 @@
     heard: list[bytes] = []
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     now = 0.0
-    script = Script([Fault(0.0, 1.0, "a-b", Kind.STALL, Way.BACK)], lambda: now)
-    link = Link("a-b", "127.0.0.1", server.sockets[0].getsockname()[1], script)
+    script = FaultSchedule(
+        [Fault(0.0, 1.0, "a-b", FaultKind.STALL, Direction.BACKWARD)], lambda: now
+    )
+    link = FaultyLink("a-b", "127.0.0.1", server.sockets[0].getsockname()[1], script)
     reader, writer = await asyncio.open_connection("127.0.0.1", await link.start())
     writer.write(b"x")
     await until(lambda: heard)
     assert link.counts["back"] == 0
     now = 2.0
     assert await asyncio.wait_for(reader.read(1), HANG) == b"x"
-    assert {f.links for f in partition(0, 1, ["a"], ["b", "c"])} == {"a-b", "a-c", "b-a", "c-a"}
+    assert {f.link_pattern for f in partition_faults(0, 1, ["a"], ["b", "c"])} == {
+        "a-b",
+        "a-c",
+        "b-a",
+        "c-a",
+    }
     link.stop()
     server.close()
 
@@ -545,16 +588,16 @@
     world, raw = await world_of("s-1")
     with fleet(1, raw) as brokers:
         brokers.start()
-        member = brokers.members[0]
+        member = brokers.processes[0]
         await status(member, at("full"))
-        address = f"127.0.0.1:{member.operator}"
+        address = f"127.0.0.1:{member.admin_port}"
         words = ["start", "show", "--address", address]
         shown = await asyncio.to_thread(CliRunner().invoke, main, words)
         assert shown.exit_code == 0 and "contact" in shown.output and "full *" in shown.output
         told = await asyncio.to_thread(CliRunner().invoke, main, [*words, "--json"])
         passed = [p["stage"] for p in json.loads(told.output)["passed"]]
         assert passed == ["settings", "list", "contact", "ramp"]
-    assert all(m.process.poll() is not None for m in brokers.members) and not os.path.exists(
+    assert all(m.process.poll() is not None for m in brokers.processes) and not os.path.exists(
         member.folder
     )
     world.stop()
--- a/tests/test_start_pure.py
+++ b/tests/test_start_pure.py
@@ -19,7 +19,7 @@
 from query_broker.startup.settings import StartupSettings
 from query_broker.startup.stages import Source, Stage, Start
 
-from .sockets import target
+from .sockets import target_entry
 
 S = 1_000_000_000
 TERMS = StartupSettings()
@@ -230,7 +230,7 @@
 
 # --- the last list ---
 
-KEPT = LastList("atlanta", 41, 1_000 * S, (target("s-1", 9090), target("s-2", 9091)))
+KEPT = LastList("atlanta", 41, 1_000 * S, (target_entry("s-1", 9090), target_entry("s-2", 9091)))
 
 
 def test_a_last_list_is_read_as_it_was_written_and_tells_the_bus_s_words() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,11 +30,11 @@
     ROOT,
     Engine,
     Rig,
-    event,
     make_config,
     on_uvloop,
     running,
-    target,
+    target_entry,
+    topology_event,
     until,
     within,
     write_config,
@@ -62,7 +62,7 @@
     tmp_path: Path,
 ) -> None:
     engine = Engine()
-    config = make_config(target("s-1", await engine.start()), operator=True)
+    config = make_config(target_entry("s-1", await engine.start()), operator=True)
     with socket.create_server(("127.0.0.1", 0)) as held:
         async with beside(config, held, tmp_path) as old:
             assert old.node.admin_api.set_engine("s-1", out=True)
@@ -88,18 +88,18 @@
 ) -> None:
     """Danger: a shutdown of the shared socket would end it for the new process and the platform."""
     engine = Engine(lambda *_: None)
-    config = make_config(target("s-1", await engine.start()))
+    config = make_config(target_entry("s-1", await engine.start()))
     with socket.create_server(("127.0.0.1", 0)) as held:
         async with beside(config, held, tmp_path) as old:
             client = await old.client()
             client.ask(stream=1)
-            await until(lambda: engine.words(b"do"))
+            await until(lambda: engine.commands_named(b"do"))
             async with beside(config, held, tmp_path) as new:
                 await meet(old, new)
                 old.node.shutdown.begin()
                 assert await client.frame() == (frames.NO_MORE, 0, b"")
                 client.ask(stream=2, trace="2" * 16)  # it crossed the word to leave off
-                await until(lambda: len(engine.words(b"do")) == 2)
+                await until(lambda: len(engine.commands_named(b"do")) == 2)
                 newcomers = [await new.client() for _ in range(5)]
                 await until(lambda: len(new.node.clients) == 5)
                 assert (
@@ -107,15 +107,15 @@
                     and not siblings(old).accepting
                     and len(old.node.clients) == 1
                 )
-                for do in engine.words(b"do"):
-                    engine.serve(do, engine.writer_of(do))
+                for do in engine.commands_named(b"do"):
+                    engine.answer_served(do, engine.writer_of(do))
                 assert {(await client.answer())[:2] for _ in "12"} == {
                     (1, frames.SERVED),
                     (2, frames.SERVED),
                 }
                 await within(old.node.stopped.wait())
                 newcomers[0].ask(trace="3" * 16)
-                await until(lambda: len(engine.words(b"do")) == 3)
+                await until(lambda: len(engine.commands_named(b"do")) == 3)
                 await until(lambda: not siblings(new).others)
         assert not os.listdir(tmp_path)
         (await asyncio.open_connection(*held.getsockname()))[1].close()  # it listens still
@@ -124,7 +124,7 @@
 @on_uvloop
 async def test_alone_on_an_inherited_socket_it_goes_on_taking_after_sigterm(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as held:
-        async with beside(make_config(target("s-1", 9)), held, tmp_path) as rig:
+        async with beside(make_config(target_entry("s-1", 9)), held, tmp_path) as rig:
             rig.node.shutdown.begin()
             assert rig.node.ready() and rig.node.server is not None and rig.node.server.is_serving()
 
@@ -133,18 +133,20 @@
 async def test_one_without_an_engine_list_is_no_successor(tmp_path: Path) -> None:
     """Danger: the old one would leave the queue to a process that can serve none of it."""
     with socket.create_server(("127.0.0.1", 0)) as held:
-        async with beside(make_config(target("s-1", 9)), held, tmp_path) as old:
+        async with beside(make_config(target_entry("s-1", 9)), held, tmp_path) as old:
             async with beside(make_config(listed=False), held, tmp_path) as new:
                 await meet(old, new)
                 assert not siblings(old).has_successor()
-                new.node.endpoint_list_changed(parse_event(event(2, target("s-1", 9))))
+                new.node.endpoint_list_changed(
+                    parse_event(topology_event(2, target_entry("s-1", 9)))
+                )
                 siblings(old).poll()
                 assert siblings(old).has_successor()
 
 
 @on_uvloop
 async def test_limits_are_divided_while_two_live_and_given_back(tmp_path: Path) -> None:
-    config = make_config(target("s-1", 9), operator=True)
+    config = make_config(target_entry("s-1", 9), operator=True)
     with socket.create_server(("127.0.0.1", 0)) as held:
         async with beside(config, held, tmp_path) as old:
             whole = (
@@ -180,13 +182,13 @@
     good.
     """
     engine = Engine(lambda *_: None)
-    async with running(make_config(target("s-1", await engine.start()))) as rig:
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, pools = await rig.client(), rig.node.dispatcher.pools
         for stream in range(1, 13):
             client.ask(stream=stream, trace=f"{stream:016x}")
-        await until(lambda: len(engine.words(b"do")) == 12)
-        for do in engine.words(b"do"):
-            engine.serve(do, engine.writer_of(do))
+        await until(lambda: len(engine.commands_named(b"do")) == 12)
+        for do in engine.commands_named(b"do"):
+            engine.answer_served(do, engine.writer_of(do))
             await client.answer()
         held = pools._held()
         assert held > 4
@@ -198,7 +200,7 @@
 @on_uvloop
 async def test_what_a_killed_process_left_counts_for_nothing(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as held:
-        async with beside(make_config(target("s-1", 9)), held, tmp_path) as rig:
+        async with beside(make_config(target_entry("s-1", 9)), held, tmp_path) as rig:
             name = siblings(rig).files.prefix + "9-dead"
             (tmp_path / f"{name}.json").write_text(
                 '{"accepting": true, "words": {"s-1": [9, true]}}'
@@ -222,7 +224,9 @@
 ) -> None:
     """Danger: to replace the file flushes it to the disk, and the loop stands still meanwhile."""
     with socket.create_server(("127.0.0.1", 0)) as held:
-        async with beside(make_config(target("s-1", 9), operator=True), held, tmp_path) as rig:
+        async with beside(
+            make_config(target_entry("s-1", 9), operator=True), held, tmp_path
+        ) as rig:
             ours = siblings(rig)
             (file,) = tmp_path.glob("*.json")
             inode, name = file.stat().st_ino, file.name.removesuffix(".json")
--- a/tests/test_wire_tables.py
+++ b/tests/test_wire_tables.py
@@ -16,7 +16,7 @@
 from query_broker.protocols.client_connection import read_ask
 from query_broker.protocols.statement import table_group
 
-from .sockets import TRACE, event, target
+from .sockets import TRACE, target_entry, topology_event
 
 FIELDS = frames.write_fields({"route": "glance", "trace": "9b"})
 
@@ -241,7 +241,9 @@
 
 
 def test_bus_lines() -> None:
-    line = json.dumps(event(41, target("s-1", 9090, boot_ms=1_700_000_000_123), full=True)).encode()
+    line = json.dumps(
+        topology_event(41, target_entry("s-1", 9090, boot_ms=1_700_000_000_123), full=True)
+    ).encode()
     told = bus.parse_line(line)
     assert isinstance(told, bus.EndpointListEvent) and told.offset == 41 and told.full
     one = told.targets[0]
@@ -270,11 +272,11 @@
         b"{}",
         b'{"offset":"1"}',
         b'{"offset":1,"topology":{"targets":{}}}',
-        json.dumps(event(1, target("", 1))).encode(),
-        json.dumps(event(1, target("s", 1, "asleep"))).encode(),
-        json.dumps(event(1, target("s", 99_999))).encode(),
+        json.dumps(topology_event(1, target_entry("", 1))).encode(),
+        json.dumps(topology_event(1, target_entry("s", 1, "asleep"))).encode(),
+        json.dumps(topology_event(1, target_entry("s", 99_999))).encode(),
         b"[" * 100_000,
-        json.dumps(event(1, target("s", 1, boot_ms="late"))).encode(),
+        json.dumps(topology_event(1, target_entry("s", 1, boot_ms="late"))).encode(),
     ],
 )
 def test_bad_bus_lines(line: bytes) -> None:
