--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -127,12 +127,18 @@
         take, born = engine.execute, engine.machine
 
         def taken(
-            query_id: bytes, request_class: str, work: float, threads: int, done: Completion
+            query_id: bytes,
+            request_class: str,
+            work_ns: float,
+            threads: int,
+            completion: Completion,
         ) -> None:
             if engine.machine is born:
                 me = int(query_id.split(b"/")[0])
-                cold.came.append((sim.now_ns, work, heard.get((me, number), -1) >= born.started_ns))
-            take(query_id, request_class, work, threads, done)
+                cold.came.append(
+                    (sim.now_ns, work_ns, heard.get((me, number), -1) >= born.started_ns)
+                )
+            take(query_id, request_class, work_ns, threads, completion)
 
         engine.execute = taken  # type: ignore[method-assign]
         for broker in members:
--- a/query_broker/emulator/cluster.py
+++ b/query_broker/emulator/cluster.py
@@ -60,18 +60,18 @@
 
 def platform_settings(**changes: Any) -> dict[str, Any]:
     """Return the platform settings of a broker; ``changes`` replace or add keys."""
-    settings: dict[str, Any] = {
-        "classes": deepcopy(REQUEST_CLASSES),
-        "fleet_size": 1,
-        "tick": 5 * MS,
-        "zone": "east",
-        "kinds": ["std"],
-        "tenants": [{"name": "acme"}],
-        "contract": deepcopy(CONTRACT),
-        "policy_limits": deepcopy(POLICY_LIMITS),
-        "report": {"fields": ["q", "rif", "x1", "x0"], "via": "pull"},
-        "specifics": deepcopy(SPECIFICS),
-    }
+    settings: dict[str, Any] = dict(  # noqa: C408  # a key is also the name of a class somewhere
+        classes=deepcopy(REQUEST_CLASSES),
+        fleet_size=1,
+        tick=5 * MS,
+        zone="east",
+        kinds=["std"],
+        tenants=[{"name": "acme"}],
+        contract=deepcopy(CONTRACT),
+        policy_limits=deepcopy(POLICY_LIMITS),
+        report={"fields": ["q", "rif", "x1", "x0"], "via": "pull"},
+        specifics=deepcopy(SPECIFICS),
+    )
     return {**settings, **changes}
 
 
