--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -125,7 +125,13 @@
         watched.append(cold)
         take, born = engine.execute, engine.machine
 
-        def taken(id: bytes, cls: str, work: float, threads: int, done: object) -> None:
+        def taken(
+            query_id: bytes,
+            request_class: str,
+            work_ns: float,
+            threads: int,
+            completion: Completion,
+        ) -> None:
             if engine.machine is born:
                 me = int(id.split(b"/")[0])
                 cold.came.append((sim.now_ns, work, heard.get((me, number), -1) >= born.started_ns))
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -122,7 +122,7 @@
         async def client(member: Any) -> float:
             end = time.monotonic() + seconds
             while time.monotonic() < end:
-                if await member.ready():
+                if await member.is_ready():
                     took = time.monotonic() - begun
                     book = RequestLog("127.0.0.1", member.port)
                     # the ledgers go by statements
--- a/query_broker/emulator/clients.py
+++ b/query_broker/emulator/clients.py
@@ -1,6 +1,4 @@
-"""Clients on loopback: one that asks what a test says, and one that keeps the account of many
-requests.
-"""
+"""Clients on loopback, and the log of every request that they sent."""
 
 from __future__ import annotations
 
@@ -47,9 +45,11 @@
         self.broker_draining = False  # the broker has said: no new request here
 
     def connection_made(self, transport: Any) -> None:
+        """Keep the transport."""
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Give the open requests up; their records say that no answer came."""
         self.transport = None
         self.open_requests.clear()
 
@@ -69,7 +69,7 @@
             "trace": asked.request_id,
             "patience": str(asked.timeout_ns // 1_000_000),
             "weight": f"{weight:.1f}",
-            "ram": "16",
+            "ram": str(MEMORY_MB),
         }
         for name, value in (("customer", asked.tenant), ("nonce", asked.idempotency_key)):
             if value:
@@ -85,10 +85,11 @@
         return self.readiness
 
     def data_received(self, data: bytes) -> None:
+        """Handle the complete frames."""
         self.buffer += data
-        while len(self.buffer) >= 9:
-            length = int.from_bytes(self.buffer[:4], "big")
-            if len(self.buffer) < 4 + length:
+        while len(self.buffer) >= frames.HEAD.size:
+            end = LENGTH_BYTES + int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
+            if len(self.buffer) < end:
                 return
             _, kind, stream = frames.HEAD.unpack_from(self.buffer)
             payload = bytes(self.buffer[frames.HEAD.size : 4 + length])
@@ -131,9 +132,9 @@
     async def send_request(
         self,
         tenant: str,
-        route: str,
+        request_class: str,
         work_ms: float,
-        patience: int,
+        timeout_ns: int,
         *,
         threads: int = 1,
         weight: float | None = None,
@@ -180,6 +181,9 @@
         return [a for a in self.records if a.tenant == tenant]
 
 
-def quantile(values: list[float], share: float) -> float:
+def quantile(values: list[float], fraction: float) -> float:
+    """Return the value below which this fraction of the values lies; 0 of no values."""
+    if not values:
+        return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/query_broker/emulator/cluster.py
+++ b/query_broker/emulator/cluster.py
@@ -1,9 +1,10 @@
-"""A small world on loopback: engines, their bus, and the settings of a broker before them."""
+"""A small cluster on loopback: engines, their discovery service, and settings for a broker."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from copy import deepcopy
 from typing import Any
 
 from .data_engine import EmulatedEngine
@@ -12,6 +13,49 @@
 
 MS = 1_000_000
 
+# The start settings of the platform's simulator, at a small scale. Durations in nanoseconds.
+REQUEST_CLASSES: list[dict[str, Any]] = [
+    {
+        "name": "glance",
+        "aim": 1_000 * MS,
+        "deadline": 5_000 * MS,
+        "worth": 1.0,
+        "effect": "read_like",
+    },
+    {
+        "name": "stock-add",
+        "aim": 3_000 * MS,
+        "deadline": 25_000 * MS,
+        "worth": 7.5,
+        "effect": "non_idempotent",
+    },
+]
+CONTRACT: dict[str, Any] = {
+    "drain_grace": 1_000 * MS,
+    "start_capacity": 0.36,
+    "cold": 12_000 * MS,
+    "fall": 1_500 * MS,
+    "fall_multiple": 2.0,
+}
+POLICY_LIMITS: dict[str, Any] = {
+    "cancel": False,
+    "probing": True,
+    "second_copies": False,
+    "send_cap": 5,
+    "retry_after": True,
+    "max_retry_after": 2_000 * MS,
+    "connect_timeout": 250 * MS,
+    "conn_idle": 30_000 * MS,
+    "streams_per_conn": 32,
+}
+SPECIFICS: dict[str, Any] = {
+    "size_cores": [8],
+    "parallelism": [1, 2],
+    "memory_heeded": True,
+    "lanes_count": True,
+}
+#: Enough for the tests' connections, and little enough that a leak shows.
+BROKER_LIMITS = {"sockets": 512, "memory_mb": 96}
 
 def platform_settings(**changes: Any) -> dict[str, Any]:
     """The simulator's start settings, small."""
@@ -32,28 +76,12 @@
         zone="east",
         kinds=["std"],
         tenants=[{"name": "acme"}],
-        contract=dict(
-            drain_grace=1_000 * MS,
-            start_capacity=0.36,
-            cold=12_000 * MS,
-            fall=1_500 * MS,
-            fall_multiple=2.0,
-        ),
-        policy_limits=dict(
-            cancel=False,
-            probing=True,
-            second_copies=False,
-            send_cap=5,
-            retry_after=True,
-            max_retry_after=2_000 * MS,
-            connect_timeout=250 * MS,
-            conn_idle=30_000 * MS,
-            streams_per_conn=32,
-        ),
-        report=dict(fields=["q", "rif", "x1", "x0"], via="pull"),
-        specifics=dict(size_cores=[8], parallelism=[1, 2], memory_heeded=True, lanes_count=True),
+        contract=deepcopy(CONTRACT),
+        policy_limits=deepcopy(POLICY_LIMITS),
+        report={"fields": ["q", "rif", "x1", "x0"], "via": "pull"},
+        specifics=deepcopy(SPECIFICS),
     )
-    return {**base, **changes}
+    return {**settings, **changes}
 
 
 def tenant_settings(*names: str, quota: float = 0.0) -> list[dict[str, Any]]:
@@ -83,7 +111,7 @@
             EmulatedEngine(uid, Machine(cores=cores, started_ns=now), **self.engine_options)
             for uid in uids
         ]
-        for engine in made:
+        for engine in added:
             self.engines[engine.uid] = engine
             await engine.start()
         self.discovery.publish(
@@ -102,7 +130,12 @@
         for uid in uids:
             self.engines[uid].stop()
 
+    def _announce_state(self, uids: tuple[str, ...], state: str) -> None:
+        targets = self.discovery.targets
+        self.discovery.publish(*({**targets[uid], "state": state} for uid in uids))
+
     def stop(self) -> None:
+        """Stop everything."""
         for engine in self.engines.values():
             engine.stop()
         self.discovery.stop()
--- a/query_broker/emulator/data_engine.py
+++ b/query_broker/emulator/data_engine.py
@@ -1,6 +1,4 @@
-"""Data engines on loopback: one whose every answer is scripted, and one with a machine behind
-it.
-"""
+"""Data engines on loopback: one whose answers are scripted, and one with a machine behind it."""
 
 from __future__ import annotations
 
@@ -10,24 +8,36 @@
 import time
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from ..protocols import resp
 from .machine import Machine, QueryRun
 
-MS = 1_000_000
-# milliseconds, in the statement: `/* work=120 threads=2 rows=3 */`
-WORK = re.compile(rb"work=(\d+)")
+HOST = "127.0.0.1"
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
+READ_SIZE_BYTES = 65_536
+# What a statement says of itself in a comment: `/* work=120 threads=2 rows=3 mem=40 */`, with work
+# in milliseconds and memory in megabytes.
+WORK_MS = re.compile(rb"work=(\d+)")
 THREADS = re.compile(rb"threads=(\d+)")
 ROWS = re.compile(rb"rows=(\d+)")
-MEMORY = re.compile(rb"mem=(\d+)")  # megabytes
-PAGE = 6_000  # bytes of a page at the most
+MEMORY_MB = re.compile(rb"mem=(\d+)")
+#: Small, so that a result of some hundred rows has several pages.
+MAX_PAGE_BYTES = 6_000
+ROW_BYTES = 24
+
 Script = Callable[["ScriptedEngine", list[bytes], asyncio.StreamWriter], Any]
 
 
 class ScriptedEngine:
-    """A data engine whose every answer a test writes: `script` is called with each command's
-    parts.
+    """A data engine whose answers a test writes.
+
+    Attributes:
+        script: Called with the engine, the parts of each command, and its connection.
+        commands: All commands, in their order.
+        writers: All connections, in their order.
+        command_writers: The connection of each command.
     """
 
     def __init__(self, script: Script | None = None) -> None:
@@ -39,14 +49,17 @@
         ] = []  # of the connection of each command seen
 
     async def start(self) -> int:
-        self.server = await asyncio.start_server(self._client, "127.0.0.1", 0)
+        """Listen, and return the port."""
+        self.server = await asyncio.start_server(self._serve_client, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_client(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         parser = resp.RespParser()
         self.writers.append(writer)
         try:
-            while data := await reader.read(65_536):
+            while data := await reader.read(READ_SIZE_BYTES):
                 for parts in parser.feed(data):
                     self.commands.append(parts)
                     self.command_writers.append(writer)
@@ -89,20 +102,24 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: Any) -> None:
+        """Register with the engine."""
         self.transport = transport
         self.engine.connections.add(self)
         if self.engine.connection_observer is not None:
             self.engine.connection_observer(time.monotonic())
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Leave the engine; what runs for this connection goes on."""
         self.transport = None
         self.engine.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
+        """Pass complete commands to the engine."""
         for parts in self.parser.feed(data):
             self.engine.handle_command(self, parts)
 
     def write(self, *parts: bytes) -> None:
+        """Send an answer, unless the connection is closed."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(resp.encode(*parts))
 
@@ -137,6 +154,7 @@
         self.port = 0
 
     async def start(self) -> int:
+        """Listen, and return the port."""
         self.server = await asyncio.get_running_loop().create_server(
             lambda: EngineConnection(self), "127.0.0.1", 0
         )
@@ -144,7 +162,7 @@
         return self.port
 
     def stop(self) -> None:
-        """The process dies: its connections are reset, its pages are lost."""
+        """End as a killed process does: connections are reset, pages are lost."""
         if self.server is not None:
             self.server.close()
         for timer in (self.completion_timer, self.progress_timer):
@@ -184,13 +202,32 @@
             self.requesters.pop(parts[1], None)
             self._look()
 
-    def _do(
+    def _meter(self) -> bytes:
+        return b"meter=" + self.machine.load_meter().encode()
+
+    def _send_page(self, connection: EngineConnection, query_id: bytes, rest: list[bytes]) -> None:
+        pages = self.pages.get(query_id)
+        if pages is None or not rest[0].isdigit():
+            connection.write(query_id, b"crashed", b"-", b"")
+            return
+        number = int(rest[0])
+        if number < len(pages):
+            connection.write(query_id, b"rows", b"at=%d" % number, pages[number])
+
+    def _cancel(self, query_id: bytes) -> None:
+        run = self.machine.running.get(query_id)
+        if run is not None:
+            self._forget_key(run.idempotency_key)
+        self._answer_completed(self.machine.cancel(time.time_ns(), query_id))
+        self.requesters.pop(query_id, None)
+        self._schedule_completion()
+
+    def _run_query(
         self,
         connection: EngineConnection,
         id: bytes,
         fields: dict[str, str],
         statement: bytes,
-        now: int,
     ) -> None:
         self.received.append((now, id, statement))
 
@@ -237,7 +274,7 @@
                 )
                 self.requesters[id].write(id, b"update", b"tell=pct,amount=%.3f" % done, b"")
         if self.machine.running:
-            self._note_later()
+            self._schedule_progress()
 
     def _look(self) -> None:
         """One timer, for the query that ends first."""
@@ -277,10 +314,10 @@
             )
 
 
-def _pages(rows: int) -> list[bytes]:
-    each = PAGE // 24
-    lines = [b"%08d\trow\tvalue\n" % i for i in range(rows)]
-    return [b"".join(lines[i : i + each]) for i in range(0, max(1, len(lines)), each)]
+def _read_number(pattern: re.Pattern[bytes], statement: bytes) -> int:
+    """Return a number that the statement says of itself; 1 where it says none."""
+    found = pattern.search(statement)
+    return int(found[1]) if found else 1
 
 
 def keys_run_twice(engines: list[EmulatedEngine]) -> list[str]:
--- a/query_broker/emulator/decision_simulation.py
+++ b/query_broker/emulator/decision_simulation.py
@@ -1,5 +1,6 @@
-"""Many brokers' decisions and their engines on one simulated clock, in one process. Pure: no
-socket, no thread, no clock of the machine's; a run of a seed is the same each time.
+"""Simulates the decisions of many brokers, and their engines, on one clock in one process.
+
+Performs no I/O, and reads no clock of the machine: a run with the same seed is the same each time.
 """
 
 from __future__ import annotations
@@ -9,6 +10,7 @@
 import random
 from collections.abc import Callable
 from functools import partial
+from typing import NamedTuple
 
 from ..decisions.facade import (
     AttemptEnded,
@@ -37,8 +39,11 @@
 
 
 class Simulation:
-    """What is to happen, by its time; ``at`` takes the calls in the order in which they fall
-    due.
+    """A simulated clock with its scheduled calls.
+
+    Attributes:
+        now_ns: The present time.
+        random: The one source of random numbers.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -153,7 +158,9 @@
                     for e in self.engines.values()
                 ),
             )
+            for engine in self.engines.values()
         )
+        self.report(EndpointListUpdate(ListUpdateKind.FULL, entries))
 
     def report(self, news: Event) -> None:
         if self.is_running:
@@ -170,6 +177,7 @@
                 RequestArrived(id, cls, patience, None, None, int(work), 10.0, 0, False),
             )
         )
+        self._carry_out(self.facade.pick(now_ns, arrival))
 
     def check_health(self, engine: int) -> None:
         target = self.engines[engine]
@@ -189,8 +197,8 @@
         self.simulation.call_at(self.simulation.now_ns + LINK_LATENCY_NS, answer)
 
     def _carry_out(self, orders: OrderBatch) -> None:
-        for send in orders.dispatches:
-            self._send(send)
+        for dispatch in orders.dispatches:
+            self._dispatch(dispatch)
         for answer in orders.answers:
             came, cls, answered, served = self.requests[answer.request_id]
             self.requests[answer.request_id] = (
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -1,4 +1,4 @@
-"""`larchhall demo`: a small world on loopback, to see the broker at work before setting it up."""
+"""`larchhall demo`: a small cluster on loopback, to see the broker at work before setting it up."""
 
 from __future__ import annotations
 
@@ -22,23 +22,36 @@
 from .clients import RequestLog, RequestRecord, quantile
 from .cluster import EmulatedCluster, broker_config, tenant_settings, wait_for_result
 
-MS = 1_000_000
-AIMS = {"glance": 1_000 * MS, "stock-add": 3_000 * MS}
+NS_PER_MS = 1_000_000
+OBJECTIVES_NS = {"glance": 1_000 * NS_PER_MS, "stock-add": 3_000 * NS_PER_MS}
 CELLS = CellMap(
     1,
     (Cell("counters", engines=("s-1", "s-2")), Cell("finance", engines=("s-3",))),
     "counters",
     {"harbour": Tenant("harbour", ("counters",)), "inland": Tenant("inland", ("finance",))},
 )
+TENANTS = ("harbour", "inland")
+#: What the cell of the first tenant can do, and four times what that of the second can.
+ARRIVALS_PER_S = {"harbour": 40.0, "inland": 160.0}
+GLANCE_FRACTION = 0.9
+#: Any seed will do; a fixed one makes the demo the same each time.
+SEED = 7
+READY_TIMEOUT_S = 5.0
+#: Longer than the deadline of a glance.
+IDLE_TIMEOUT_S = 6.0
+POLL_INTERVAL_S = 0.01
+
+Printer = Callable[[str], None]
 
 
 def served_ms(asked: list[RequestRecord]) -> list[float]:
     """Milliseconds from request to answer, of those that were served."""
     return [(a.answered_ns - a.sent_ns) / MS for a in asked if a.code == frames.SERVED]
 
-
-def play(seconds: float, say: Callable[[str], None]) -> int:
-    """0 if every request got its one answer."""
+    Args:
+        seconds: How long requests arrive.
+        say: Prints a text.
+    """
     return uvloop.run(_play(seconds, say))
 
 
@@ -73,7 +86,7 @@
         ready = await wait_for_result((await book.connect()).check_readiness(), 5.0)
         say(
             f"three engines, their bus and a broker with two cells on 127.0.0.1:{port}; "
-            f"{'ready' if ready else 'not ready'}"
+            f"{'ready' if is_ready else 'not ready'}"
         )
         say(f"for {seconds:.0f} s: harbour asks what its cell can do, inland four times that\n")
         await _load(book, seconds)
@@ -116,8 +129,8 @@
         book.close()
         node.stop()
         await running
-    world.stop()
-    return 0 if once and ready else 1
+    cluster.stop()
+    return 0 if is_exact and is_ready else 1
 
 
 async def _load(book: RequestLog, seconds: float) -> None:
@@ -127,8 +140,8 @@
     due = {"harbour": 0.0, "inland": 0.0}
     rates = {"harbour": 40.0, "inland": 160.0}
     while True:
-        name = min(due, key=lambda n: due[n])
-        if due[name] > seconds:
+        tenant = min(due_s, key=due_s.__getitem__)
+        if due_s[tenant] > seconds:
             return
         await asyncio.sleep(max(0.0, begun + due[name] - loop.time()))
         due[name] += draw.expovariate(rates[name])
--- a/query_broker/emulator/discovery_service.py
+++ b/query_broker/emulator/discovery_service.py
@@ -1,20 +1,22 @@
-"""The event bus on loopback: one whose every line is scripted, and one that keeps a list of
-engines.
-"""
+"""The discovery service on loopback: one whose every line is scripted, and one with a list."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import time
-from typing import Any
+from typing import Any, NamedTuple
+
+HOST = "127.0.0.1"
+#: The beat of the real service, by which a watch client tells a silent connection from a dead one.
+HEARTBEAT_INTERVAL_S = 1.0
 
 
 def target_entry(uid: str, port: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
     """An engine as the bus tells of it."""
     return {
         "uid": uid,
-        "endpoint": f"127.0.0.1:{port}",
+        "endpoint": f"{HOST}:{port}",
         "az": "east",
         "model": "std",
         "pod_group": 2,
@@ -35,16 +37,20 @@
         self.writer: asyncio.StreamWriter | None = None
 
     async def start(self) -> int:
-        self.server = await asyncio.start_server(self._client, "127.0.0.1", 0)
+        """Listen, and return the port."""
+        self.server = await asyncio.start_server(self._serve_client, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_client(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.writer = writer
         self.subscriptions.append(await reader.readline())
 
     def publish(self, line: object) -> None:
         assert self.writer is not None
-        self.writer.write((line if isinstance(line, str) else json.dumps(line)).encode() + b"\n")
+        text = line if isinstance(line, str) else json.dumps(line)
+        self.writer.write(text.encode() + b"\n")
 
 
 class EmulatedDiscoveryService:
@@ -52,6 +58,7 @@
     ``told``: when each state of each engine was told."""
 
     def __init__(self) -> None:
+        """Create a service that does not listen yet, with an empty list."""
         self.events: list[dict[str, Any]] = []
         self.targets: dict[str, dict[str, Any]] = {}
         self.announcements: list[tuple[int, str, str]] = []
@@ -64,13 +71,16 @@
         return int(self.server.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
+        """Close the socket and all connections."""
         self.server.close()
         if self.heartbeat_task is not None:
             self.heartbeat_task.cancel()
         for writer in self.subscribers:
             writer.close()
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_client(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         try:
             line = await reader.readline()
             last = int(line.split()[1]) if line.startswith(b"from ") else 0
@@ -79,15 +89,15 @@
             self.subscribers.add(writer)
             await reader.read()
         except (ConnectionError, RuntimeError):
-            pass  # uvloop's word on a transport that has gone
+            pass  # RuntimeError is what uvloop raises on a transport that is closed
         finally:
             self.subscribers.discard(writer)
             writer.close()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(1.0)
-            self._tell_all(b"%d\n" % len(self.events))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            self._broadcast(b"%d\n" % len(self.events))
 
     def _tell_all(self, line: bytes) -> None:
         """Danger: one caller that has gone would end the beat, or the news, for all others."""
@@ -112,3 +122,7 @@
     def snapshot(self) -> dict[str, Any]:
         """What a broker is told at its start."""
         return {"offset": len(self.events), "batch": list(self.events)}
+
+
+def _encode(event: dict[str, Any]) -> bytes:
+    return json.dumps(event).encode() + b"\n"
--- a/query_broker/emulator/faulty_links.py
+++ b/query_broker/emulator/faulty_links.py
@@ -1,17 +1,14 @@
-"""A link on loopback between two parties, which a script spoils: a TCP proxy that drops, delays,
-stalls,
-resets, cuts one way only and limits the rate; and a relay of datagrams among many.
-
-A fault holds from one time to another, for links whose name a pattern matches, in one direction or
-both:
-
-    Fault(2.0, 5.0, "bus-*", Kind.STALL)                     nothing passes, connections stay open
-    Fault(0.0, 9.0, "*", Kind.DELAY, seconds=0.2)            each chunk comes so much later
-    Fault(1.0, 1.0, "n3-bus", Kind.RESET)                    what is open is reset
-    Fault(0.0, 30.0, "bus-*", Kind.REFUSE)                   new connections are closed at once
-    Fault(0.0, 30.0, "*", Kind.RATE, rate=20_000)            bytes a second, of all these links
-    together
-    Fault(3.0, 6.0, "a-b", Kind.STALL, way=Way.THERE)        one way only
+"""Links on loopback that a fault schedule disturbs: TCP proxies, and a relay of datagrams.
+
+A fault is active from one time to another, on the links whose name a pattern matches, in one
+direction or both:
+
+    Fault(2.0, 5.0, "bus-*", FaultKind.STALL)               nothing passes, connections stay open
+    Fault(0.0, 9.0, "*", FaultKind.DELAY, delay_s=0.2)      each chunk comes so much later
+    Fault(1.0, 1.0, "n3-bus", FaultKind.RESET)              open connections are reset
+    Fault(0.0, 30.0, "bus-*", FaultKind.REJECT)             new connections are closed at once
+    Fault(0.0, 30.0, "*", FaultKind.RATE, bytes_per_s=20_000)  of all these links together
+    Fault(3.0, 6.0, "a-b", FaultKind.STALL, Direction.FORWARD)  one direction only
 """
 
 from __future__ import annotations
@@ -24,6 +21,22 @@
 from dataclasses import dataclass
 from enum import Enum
 
+HOST = "127.0.0.1"
+#: More clients than any test connects at once.
+ACCEPT_BACKLOG = 1_024
+#: Small, so that a limited rate is smooth.
+CHUNK_BYTES = 16_384
+RELAY_CHUNK_BYTES = 65_536
+STALL_POLL_S = 0.01
+RELAY_POLL_S = 0.05
+#: A duplicate comes up to this much later than the datagram itself.
+MAX_DUPLICATE_DELAY_S = 0.3
+#: The length of a frame between brokers, before its content.
+FRAME_LENGTH_BYTES = 4
+
+
+class FaultKind(Enum):
+    """What a fault does to its links."""
 
 class FaultKind(Enum):
     DELAY = "delay"
@@ -43,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """``begin`` and ``end`` in seconds of the script's clock."""
+    """One entry of a fault schedule.
 
     begin_s: float
     end_s: float
@@ -119,7 +132,10 @@
         self.port = 0
 
     async def start(self) -> int:
-        self.server = await asyncio.start_server(self._client, "127.0.0.1", 0, backlog=1_024)
+        """Listen, schedule the resets, and return the port."""
+        self.server = await asyncio.start_server(
+            self._serve_client, HOST, 0, backlog=ACCEPT_BACKLOG
+        )
         self.port = int(self.server.sockets[0].getsockname()[1])
         for fault in self.schedule.faults:
             if fault.kind is FaultKind.RESET and fnmatch.fnmatchcase(self.name, fault.link_pattern):
@@ -142,10 +158,9 @@
             writer.transport.abort()
             return
         try:
-            other_reader, other = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
-            self.counts["refused"] += 1
-            writer.transport.abort()
+            self._reject(writer)
             return
         self.counts["connections"] += 1
         self.open_writers |= {writer, other}
@@ -155,7 +170,7 @@
                 self._pass(other_reader, writer, Direction.BACKWARD),
             )
         except (ConnectionError, asyncio.CancelledError, RuntimeError):
-            pass  # uvloop's word on a transport that has gone
+            pass  # RuntimeError is what uvloop raises on a transport that is closed
         finally:
             self.open_writers -= {writer, other}
             for end in (writer, other):
@@ -179,6 +194,7 @@
             writer.write_eof()
 
     def stop(self) -> None:
+        """Stop listening, and reset what is open."""
         self.server.close()
         for task in list(self.tasks):
             task.cancel()
@@ -199,12 +215,11 @@
         self.port = 0
 
     async def start(self, port: int = 0) -> int:
+        """Listen for datagrams and connections on one port, and return it."""
         loop = asyncio.get_running_loop()
-        self.server = await asyncio.start_server(self._client, "127.0.0.1", port)
+        self.server = await asyncio.start_server(self._serve_client, HOST, port)
         self.port = int(self.server.sockets[0].getsockname()[1])
-        self.transport, _ = await loop.create_datagram_endpoint(
-            lambda: self, ("127.0.0.1", self.port)
-        )
+        self.transport, _ = await loop.create_datagram_endpoint(lambda: self, (HOST, self.port))
         return self.port
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
@@ -246,13 +261,39 @@
 
             await asyncio.gather(carry(there, first, reader, other), answers(writer))
         except (OSError, RuntimeError, asyncio.CancelledError):
-            pass  # an end has gone
+            pass  # one of the ends is closed
         finally:
-            for end in (writer, other):
+            for end in (writer, target_writer):
                 if end is not None:
                     end.transport.abort()
 
+    async def _pass_answers(
+        self, link: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        await self._pass_data(link, await reader.read(RELAY_CHUNK_BYTES), reader, writer)
+
+    async def _pass_data(
+        self,
+        link: str,
+        data: bytes,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
+        """Pass data on, the first chunk first; it waits while the link is cut."""
+        schedule = self.network.schedule
+        while data:
+            while self.network.is_cut(link):
+                await asyncio.sleep(RELAY_POLL_S)
+            delay = schedule.active_fault(FaultKind.DELAY, link)
+            if delay is not None:
+                await asyncio.sleep(delay.delay_s)
+            writer.write(data)
+            await writer.drain()
+            data = await reader.read(RELAY_CHUNK_BYTES)
+        writer.close()
+
     def stop(self) -> None:
+        """Stop listening."""
         if self.transport is not None:
             self.transport.close()
         if self.server is not None:
@@ -304,7 +345,7 @@
             if later:
                 asyncio.get_running_loop().call_later(later, self._pass, sender, receiver, data)
             else:
-                self._pass(sender, receiver, data)
+                self._deliver(sender, receiver, data)
 
     def _pass(self, sender: DatagramRelay, receiver: DatagramRelay, data: bytes) -> None:
         if sender.transport is not None and not sender.transport.is_closing():
@@ -312,5 +353,6 @@
             sender.transport.sendto(data, receiver.target)
 
     def stop(self) -> None:
+        """Stop all relays."""
         for relay in self.relays.values():
             relay.stop()
--- a/query_broker/emulator/machine.py
+++ b/query_broker/emulator/machine.py
@@ -1,9 +1,8 @@
-"""A data engine's machine: cores that its queries share, a warm-up, and a ledger of what ran when.
-Pure.
+"""The machine of an emulated data engine: cores that its queries share, a warm-up and a ledger.
 
-Processor sharing: a query gets its threads' worth of cores while there are enough, else its part of
-them. A machine that starts is at `cold_from` of its pace and warm after `cold`; one that is sent
-more than `fall_multiple` times what it can do within `fall` falls over and stays down.
+Performs no I/O. Cores are shared as in processor sharing: a query gets as many as it has threads
+while there are enough, else its part of them. A machine that has just started warms up over a
+while; one that gets far more work than it can do meanwhile crashes and stays down.
 """
 
 from __future__ import annotations
@@ -32,6 +31,24 @@
 
 @dataclass(slots=True)
 class Machine:
+    """Cores, and the queries that run on them.
+
+    Attributes:
+        cores: Number of cores.
+        started_ns: When it started; 0 means long ago, so that it is warm.
+        initial_fraction: The fraction of its capacity that it has when it starts.
+        warm_up_ns: Time until it has all of it.
+        overload_window_ns: Time over which the work that arrives is added up while it warms up.
+        overload_multiple: It crashes when more arrives than this many times what it can do.
+        max_sessions: Queries that may run at once.
+        slowdown: Every query takes this many times its work.
+        ledger: Every query that began.
+        running: The queries that run, by id.
+        crashed: Whether it is down.
+        recent_arrivals: Time and work of arrivals within the window.
+        now_ns: Time up to which work has been done.
+    """
+
     cores: int = 8
     started_ns: int = 0  # 0: long ago
     initial_fraction: float = 0.36
@@ -57,13 +74,13 @@
 
     def start_query(
         self,
-        now: int,
-        id: bytes,
-        cls: bytes,
+        now_ns: int,
+        query_id: bytes,
+        request_class: bytes,
         statement: bytes,
-        work: float,
+        work_ns: float,
         threads: int,
-        nonce: str = "",
+        idempotency_key: str = "",
     ) -> bool:
         """Take a query; False: the engine is full, and it never ran."""
         self.advance(now)
@@ -92,7 +109,7 @@
             idempotency_key=nonce,
         )
         self.ledger.append(run)
-        self.running[id] = run
+        self.running[query_id] = run
         return True
 
     def execution_rates(self, now: int) -> Iterator[tuple[QueryRun, float]]:
--- a/query_broker/emulator/processes.py
+++ b/query_broker/emulator/processes.py
@@ -1,6 +1,4 @@
-"""Many real processes of this program on loopback: started, stopped, paused and killed by their own
-ids.
-"""
+"""Real processes of this program on loopback, started, signalled and killed by their own ids."""
 
 from __future__ import annotations
 
@@ -20,11 +18,17 @@
 from collections.abc import Callable
 from pathlib import Path
 from types import TracebackType
-from typing import Any
+from typing import Any, NamedTuple
 
 from .clients import EmulatedClient
 
 ROOT = Path(__file__).parents[2]
+HOST = "127.0.0.1"
+ADMIN_TIMEOUT_S = 2.0
+READY_TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 0.05
+#: Settings of the caller's environment that would reach through to the processes.
+HIDDEN_VARIABLES = ("OPERATOR_FILE", "OPERATOR", "LISTEN", "ACCEPT_FD", "NAME")
 
 
 class PortAllocator:
@@ -34,7 +38,12 @@
     port.
     """
 
-    RANGE, BLOCK = range(10_000, 32_000), 100
+    #: Below the ports that the system gives to connections (from 32,768 on Linux).
+    RANGE = range(10_000, 32_000)
+    #: A test takes some tens of ports at the most.
+    BLOCK = 100
+    #: So many times the ports asked for are kept, as some may be in use.
+    SPARE_FACTOR = 4
 
     def __init__(self) -> None:
         self.reservations: list[socket.socket] = []
@@ -44,20 +53,26 @@
         starts = list(self.RANGE[:: self.BLOCK])
         random.SystemRandom().shuffle(starts)
         for start in starts:
-            mine = socket.socket()
+            reservation = socket.socket()
             try:
-                mine.bind(("127.0.0.1", start))
+                reservation.bind((HOST, start))
             except OSError:
-                mine.close()
+                reservation.close()
                 continue
             self.reservations.append(mine)
             self.ports.extend(range(start + 1, start + self.BLOCK))
             return
-        raise OSError("no block of ports is left")
+        problem = "no block of ports is left"
+        raise OSError(problem)
 
     def take(self, count: int) -> list[int]:
-        """In turn, so that one that has just been given is not given again before it is listened
-        on.
+        """Return free ports.
+
+        They are given out in turn, so that one is not given out again before it is listened on.
+        That fails where many of the ports cannot be bound and the turn comes round (known fault).
+
+        Raises:
+            OSError: Too many ports are in use.
         """
         while len(self.ports) < 4 * count:
             self.reserve_block()
@@ -65,11 +80,12 @@
         for port in list(self.ports):
             self.ports.rotate(-1)
             with socket.socket() as probe, contextlib.suppress(OSError):  # in use
-                probe.bind(("127.0.0.1", port))
+                probe.bind((HOST, port))
                 found.append(port)
             if len(found) == count:
                 return found
-        raise OSError("too many ports are in use")
+        problem = "too many ports are in use"
+        raise OSError(problem)
 
 
 PORT_ALLOCATOR = PortAllocator()
@@ -88,7 +104,7 @@
         folder: Path,
         ports: tuple[int, int, int],
         raw: dict[str, Any],
-        script: str,
+        operator_file: str,
         tree: Path,
     ) -> None:
         self.number, self.folder, self.tree = number, folder, tree
@@ -133,31 +149,39 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal."""
         assert self.process is not None
         self.process.send_signal(number)
 
     def wait(self, seconds: float) -> int:
+        """Wait for the end of the process, and return its exit code.
+
+        Raises:
+            subprocess.TimeoutExpired: It has not ended in time.
+        """
         assert self.process is not None
         return self.process.wait(seconds)
 
     def kill(self) -> None:
+        """Kill the process, also one that is paused; without effect if it has ended."""
         if self.process is not None and self.process.poll() is None:
-            # one that is paused can't be waited for otherwise
+            # One that is paused could not be waited for otherwise.
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
             self.process.wait()
 
     def log(self) -> str:
+        """Return the log so far."""
         return (self.folder / "log").read_text(errors="replace")
 
     def call_admin_api(self, path: str, method: str = "GET") -> tuple[int, bytes]:
         line = http.client.HTTPConnection("127.0.0.1", self.admin_port, timeout=2.0)
         try:
-            line.request(method, path)
-            answer = line.getresponse()
-            return answer.status, answer.read()
+            connection.request(method, path)
+            response = connection.getresponse()
+            return response.status, response.read()
         finally:
-            line.close()
+            connection.close()
 
     def status(self, path: str = "/start") -> Any:
         return json.loads(self.call_admin_api(path)[1])
@@ -166,6 +190,8 @@
         """As the front asks: type 16 on the clients' address."""
         from .clients import RequestLog
 
+    async def is_ready(self) -> bool:
+        """Return whether it is ready, as the front end checks it."""
         try:
             _, counter = await asyncio.get_running_loop().create_connection(
                 lambda: EmulatedClient(RequestLog("127.0.0.1", self.port)), "127.0.0.1", self.port
@@ -177,8 +203,8 @@
         except (TimeoutError, OSError):
             return False
         finally:
-            if counter.transport is not None:
-                counter.transport.close()
+            if client.transport is not None:
+                client.transport.close()
 
 
 class BrokerFleet:
@@ -190,7 +216,7 @@
         self,
         count: int,
         raw: dict[str, Any],
-        script: str | Callable[[int, int], str] = "",
+        operator_file: str | Callable[[int, int], str] = "",
         tree: Path = ROOT,
     ) -> None:
         self.temporary_folder = tempfile.TemporaryDirectory()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -39,6 +39,7 @@
     Client,
     Engine,
     Rig,
+    ScriptedDiscoveryService,
     connect,
     free_port,
     gated,
@@ -260,7 +261,7 @@
 async def test_idle_clients_that_fill_the_descriptors_keep_out_neither_the_list_nor_engines() -> (
     None
 ):
-    engine, bus, port = Engine(), Bus(), free_port()
+    engine, bus, port = Engine(), ScriptedDiscoveryService(), free_port()
     spare = await engine.start()
     config = make_config(listed=False, bus=port)
     async with running(config) as rig:
@@ -268,7 +269,9 @@
         idle = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(most + 20)]
         await until(lambda: len(rig.node.clients) == most)
         assert not rig.node.ready()
-        bus.server = await asyncio.start_server(bus._client, "127.0.0.1", port)  # discovery is back
+        bus.server = await asyncio.start_server(
+            bus._serve_client, "127.0.0.1", port
+        )  # discovery is back
         await until(lambda: bus.writer)
         bus.publish(topology_event(1, target_entry("s-1", spare), full=True))
         client = await rig.client()
--- a/tests/test_sockets_bus.py
+++ b/tests/test_sockets_bus.py
@@ -85,7 +85,7 @@
 
 @on_uvloop
 async def test_a_beat_beyond_what_came_and_a_bad_line_make_it_connect_anew() -> None:
-    bus = Bus()
+    bus = ScriptedDiscoveryService()
     async with running(make_config(bus=await bus.start())) as rig:
         await until(lambda: bus.subscriptions)
         bus.publish(5)
@@ -146,7 +146,7 @@
 async def test_a_service_that_stops_within_an_event_is_connected_to_again_within_2_s(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    bus = Bus()
+    bus = ScriptedDiscoveryService()
     async with running(make_config(bus=await bus.start())) as rig:
         await until(lambda: bus.subscriptions)
         bus.publish(1)
--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -80,9 +80,9 @@
     """One broker starts, has the list, and ends."""
     with fleet(1, raw, more) as brokers:
         brokers.start()
-        await status(brokers.members[0], ready)
-        brokers.members[0].signal(signal.SIGTERM)
-        await asyncio.to_thread(brokers.members[0].wait, HANG)
+        await status(brokers.processes[0], ready)
+        brokers.processes[0].signal(signal.SIGTERM)
+        await asyncio.to_thread(brokers.processes[0].wait, HANG)
 
 
 def at(stage: str) -> Callable[[dict[str, Any]], bool]:
@@ -131,7 +131,7 @@
     link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(2, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, at("full"))
         assert len(link.connected_at_s) <= 2 * 8  # not retried as if it were dead
     link.stop()
@@ -184,7 +184,7 @@
     script = FaultSchedule([Fault(0.0, 5.0, "bus", FaultKind.REJECT)], time.monotonic)
     link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(1, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, more) as brokers:
-        member = brokers.members[0]
+        member = brokers.processes[0]
         brokers.start()
         answer = await status(member, ready)
         assert answer["list"] == "disk" and not answer["confirmed"] and answer["listed"] == 2
@@ -240,9 +240,9 @@
     world, raw = await world_of("s-1")
     with fleet(1, raw, f', last_list = "{tmp_path}/none/list"') as brokers:
         brokers.start()
-        await status(brokers.members[0], at("full"))
-        await until(lambda: "last list: not kept" in brokers.members[0].log())
-        assert await brokers.members[0].ready()
+        await status(brokers.processes[0], at("full"))
+        await until(lambda: "last list: not kept" in brokers.processes[0].log())
+        assert await brokers.processes[0].is_ready()
     world.stop()
 
 
@@ -254,16 +254,16 @@
     snapshot = tmp_path / "list"
     with fleet(2, raw, f', last_list = "{snapshot}"') as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             assert member.process is not None
             resource.prlimit(member.process.pid, resource.RLIMIT_FSIZE, (8_192, 8_192))
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, at("full"))
             await until(lambda member=member: "last list: not kept" in member.log())  # type: ignore[misc]
-            assert await member.ready()
+            assert await member.is_ready()
         assert not list(tmp_path.iterdir())  # no half of one is left behind
-        brokers.members[0].signal(signal.SIGTERM)
-        assert await asyncio.to_thread(brokers.members[0].wait, HANG) == 0
+        brokers.processes[0].signal(signal.SIGTERM)
+        assert await asyncio.to_thread(brokers.processes[0].wait, HANG) == 0
     world.stop()
 
 
@@ -309,9 +309,9 @@
     world, raw = await world_of("s-1", "s-2", "s-3")
     with fleet(4, raw) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, ready)
-        for member in brokers.members[:2]:
+        for member in brokers.processes[:2]:
             member.kill()
             member.start()
         paused = brokers.members[3]
@@ -497,7 +497,7 @@
         {**world.discovery.targets["s-1"], "state": "terminated"}, target_entry("s-9", port)
     )
     with fleet(1, {**raw, "bus": f"127.0.0.1:{await link.start()}"}, more) as brokers:
-        member = brokers.members[0]
+        member = brokers.processes[0]
         brokers.start()
         await status(member, ready)
         book = RequestLog("127.0.0.1", member.port)
@@ -595,7 +595,7 @@
     world, raw = await world_of("s-1")
     with fleet(1, raw) as brokers:
         brokers.start()
-        member = brokers.members[0]
+        member = brokers.processes[0]
         await status(member, at("full"))
         address = f"127.0.0.1:{member.operator}"
         arguments = ["start", "show", "--address", address]
@@ -604,7 +604,7 @@
         printed = await asyncio.to_thread(CliRunner().invoke, main, [*arguments, "--json"])
         passed = [p["stage"] for p in json.loads(printed.output)["passed"]]
         assert passed == ["settings", "list", "contact", "ramp"]
-    assert all(m.process.poll() is not None for m in brokers.members) and not os.path.exists(
+    assert all(m.process.poll() is not None for m in brokers.processes) and not os.path.exists(
         member.folder
     )
     world.stop()
