--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -25,6 +25,7 @@
 )
 from query_broker.emulator.decision_simulation import (
     BEGIN_NS,
+    Completion,
     SimulatedBroker,
     SimulatedEngine,
     Simulation,
@@ -133,9 +134,11 @@
             completion: Completion,
         ) -> None:
             if engine.machine is born:
-                me = int(id.split(b"/")[0])
-                cold.came.append((sim.now_ns, work, heard.get((me, number), -1) >= born.started_ns))
-            take(id, cls, work, threads, done)  # type: ignore[arg-type]
+                me = int(query_id.split(b"/")[0])
+                cold.came.append(
+                    (sim.now_ns, work_ns, heard.get((me, number), -1) >= born.started_ns)
+                )
+            take(query_id, request_class, work_ns, threads, completion)
 
         engine.execute = taken  # type: ignore[method-assign]
         for broker in members:
--- a/query_broker/emulator/clients.py
+++ b/query_broker/emulator/clients.py
@@ -10,12 +10,32 @@
 
 from ..protocols import client_frames as frames
 
-MAX_OPEN_REQUESTS = 32  # open requests on one connection, the protocol's limit
+NS_PER_MS = 1_000_000
+#: Requests in flight on one connection, the protocol's limit.
+MAX_OPEN_REQUESTS = 32
+#: A frame's length field, which does not count itself.
+LENGTH_BYTES = 4
+POLL_INTERVAL_S = 0.01
+#: Memory that every request says it needs.
+MEMORY_MB = 16
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request and what became of it. Times in Unix nanoseconds; ``code`` -1: no answer came."""
+    """One request and its outcome.
+
+    Attributes:
+        request_id: The id that the client gave it.
+        tenant: Its tenant; empty: none is named.
+        request_class: Its class.
+        sent_ns: When it was sent, in Unix time.
+        timeout_ns: How long the client waits.
+        code: The code of the answer; -1: no answer came.
+        answered_ns: When the answer came, in Unix time.
+        answer_count: Answers that came; more than one is an error of the broker.
+        retry_after_ms: The backoff that a rejection asks for.
+        idempotency_key: The key of an idempotent write; empty without one.
+    """
 
     request_id: str
     tenant: str
@@ -28,21 +48,31 @@
     retry_after_ms: int = 0
     idempotency_key: str = ""
 
-    def met_objective(self, aim: int) -> bool:
-        return self.code == frames.SERVED and self.answered_ns - self.sent_ns <= aim
+    def met_objective(self, objective_ns: int) -> bool:
+        """Return whether it was served within its latency objective."""
+        return self.code == frames.SERVED and self.answered_ns - self.sent_ns <= objective_ns
 
 
 class EmulatedClient(asyncio.Protocol):
-    """One connection that asks without waiting, and books what is answered."""
-
-    def __init__(self, book: RequestLog) -> None:
-        self.log = book
+    """One connection that sends requests without waiting, and records the answers.
+
+    Attributes:
+        log: Counts answers that match no open request.
+        open_requests: Requests without an answer, by stream.
+        last_stream: Number of the last stream.
+        readiness: The answer to a readiness check that is under way.
+        broker_draining: The broker has asked for no more requests here.
+    """
+
+    def __init__(self, log: RequestLog) -> None:
+        """Create the protocol of a connection that is not made yet."""
+        self.log = log
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.open_requests: dict[int, RequestRecord] = {}
         self.last_stream = 0
         self.readiness: asyncio.Future[bool] | None = None
-        self.broker_draining = False  # the broker has said: no new request here
+        self.broker_draining = False
 
     def connection_made(self, transport: Any) -> None:
         """Keep the transport."""
@@ -54,31 +84,32 @@
         self.open_requests.clear()
 
     def has_capacity(self) -> bool:
-        return (
-            self.transport is not None
-            and not self.broker_draining
-            and len(self.open_requests) < MAX_OPEN_REQUESTS
-        )
+        """Return whether a request may be sent here."""
+        if self.transport is None or self.broker_draining:
+            return False
+        return len(self.open_requests) < MAX_OPEN_REQUESTS
 
-    def send_request(self, asked: RequestRecord, statement: bytes, weight: float) -> None:
+    def send_request(self, record: RequestRecord, statement: bytes, weight: float) -> None:
+        """Send a request; ``weight`` is the estimate of its work in thread-milliseconds."""
         assert self.transport is not None
         self.last_stream += 1
-        self.open_requests[self.last_stream] = asked
+        self.open_requests[self.last_stream] = record
         fields = {
-            "route": asked.request_class,
-            "trace": asked.request_id,
-            "patience": str(asked.timeout_ns // 1_000_000),
+            "route": record.request_class,
+            "trace": record.request_id,
+            "patience": str(record.timeout_ns // NS_PER_MS),
             "weight": f"{weight:.1f}",
             "ram": str(MEMORY_MB),
         }
-        for name, value in (("customer", asked.tenant), ("nonce", asked.idempotency_key)):
-            if value:
-                fields[name] = value
-        self.transport.write(
-            frames.frame(frames.REQUEST, self.last_stream, frames.write_fields(fields) + statement)
-        )
+        if record.tenant:
+            fields["customer"] = record.tenant
+        if record.idempotency_key:
+            fields["nonce"] = record.idempotency_key
+        payload = frames.write_fields(fields) + statement
+        self.transport.write(frames.frame(frames.REQUEST, self.last_stream, payload))
 
     def check_readiness(self) -> asyncio.Future[bool]:
+        """Ask whether the broker is ready, as the front end does."""
         assert self.transport is not None
         self.readiness = asyncio.get_running_loop().create_future()
         self.transport.write(frames.frame(frames.ASK_READY, 0, b"\0"))
@@ -92,42 +123,60 @@
             if len(self.buffer) < end:
                 return
             _, kind, stream = frames.HEAD.unpack_from(self.buffer)
-            payload = bytes(self.buffer[frames.HEAD.size : 4 + length])
-            del self.buffer[: 4 + length]
-            if kind == frames.ANSWER:
-                self._answer(stream, payload)
-            elif kind == frames.READY and self.readiness is not None and not self.readiness.done():
+            payload = bytes(self.buffer[frames.HEAD.size : end])
+            del self.buffer[:end]
+            self._handle_frame(kind, stream, payload)
+
+    def _handle_frame(self, kind: int, stream: int, payload: bytes) -> None:
+        if kind == frames.ANSWER:
+            self._record_answer(stream, payload)
+        elif kind == frames.READY:
+            if self.readiness is not None and not self.readiness.done():
                 self.readiness.set_result(payload[:1] == b"\0")
-            elif kind == frames.NO_MORE:
-                self.broker_draining = True
+        elif kind == frames.NO_MORE:
+            self.broker_draining = True
 
-    def _answer(self, stream: int, payload: bytes) -> None:
-        asked = self.open_requests.pop(stream, None)
-        if asked is None:
-            self.log.unmatched_answers += 1  # an answer to nothing that is open: a second one
+    def _record_answer(self, stream: int, payload: bytes) -> None:
+        record = self.open_requests.pop(stream, None)
+        if record is None:
+            self.log.unmatched_answers += 1
             return
-        asked.answer_count += 1
-        asked.code, asked.answered_ns = payload[0], time.time_ns()
+        record.answer_count += 1
+        record.code = payload[0]
+        record.answered_ns = time.time_ns()
         fields, _ = frames.read_fields(payload[1:])
-        asked.retry_after_ms = int(fields.get("pause", 0))
+        record.retry_after_ms = int(fields.get("pause", 0))
 
 
 class RequestLog:
-    """Every request that was asked of one address, over as many connections as it takes."""
+    """Every request sent to one address, over as many connections as it takes.
+
+    Attributes:
+        records: The requests, in the order in which they were sent.
+        clients: The connections.
+        unmatched_answers: Answers to no open request, as a second answer would be.
+    """
 
     def __init__(self, host: str, port: int) -> None:
-        self.host, self.port = host, port
+        """Create an empty log of requests to an address."""
+        self.host = host
+        self.port = port
         self.records: list[RequestRecord] = []
         self.clients: list[EmulatedClient] = []
         self.unmatched_answers = 0
         self.ids = itertools.count(1)
 
     async def connect(self) -> EmulatedClient:
-        _, counter = await asyncio.get_running_loop().create_connection(
+        """Open another connection.
+
+        Raises:
+            OSError: Nothing accepts it.
+        """
+        _, client = await asyncio.get_running_loop().create_connection(
             lambda: EmulatedClient(self), self.host, self.port
         )
-        self.clients.append(counter)
-        return counter
+        self.clients.append(client)
+        return client
 
     async def send_request(
         self,
@@ -140,45 +189,57 @@
         weight: float | None = None,
         rows: int = 1,
         group: int = 1,
-        nonce: str = "",
+        idempotency_key: str = "",
     ) -> RequestRecord:
-        """``weight``: the estimate that is told, where it is not the true work; ``nonce``: the
-        key.
+        """Send a request on a connection with capacity or a new one, and return its record.
+
+        The outcome is added to the record as it comes. ``work_ms`` is the true work in
+        thread-milliseconds, ``weight`` its estimate where that differs, ``rows`` the size of the
+        result and ``group`` the group of tables; ``RequestRecord`` describes the others.
         """
         number = next(self.ids)
-        asked = RequestRecord(
-            f"{number:016x}", tenant, route, time.time_ns(), patience, idempotency_key=nonce
-        )
+        request_id = f"{number:016x}"
+        now_ns = time.time_ns()
+        record = RequestRecord(request_id, tenant, request_class, now_ns, timeout_ns)
+        record.idempotency_key = idempotency_key
         statement = (
             f"SELECT * FROM sales_{group}.orders /* id={number} work={work_ms:.0f} "
             f"threads={threads} rows={rows} */"
         ).encode()
-        counter = next((c for c in self.clients if c.has_capacity()), None)
-        if counter is None:
-            self.clients = [c for c in self.clients if c.transport is not None]
-            try:
-                counter = await self.connect()
-            except OSError:
-                self.records.append(asked)
-                return asked
-        asked.sent_ns = time.time_ns()
-        self.records.append(asked)
-        counter.send_request(asked, statement, work_ms if weight is None else weight)
-        return asked
+        client = await self._find_client()
+        if client is not None:
+            record.sent_ns = time.time_ns()
+        self.records.append(record)
+        if client is not None:
+            client.send_request(record, statement, work_ms if weight is None else weight)
+        return record
+
+    async def _find_client(self) -> EmulatedClient | None:
+        """Return a connection with capacity; None if there is none and none can be opened."""
+        for client in self.clients:
+            if client.has_capacity():
+                return client
+        self.clients = [client for client in self.clients if client.transport is not None]
+        try:
+            return await self.connect()
+        except OSError:
+            return None
 
     async def wait_until_idle(self, seconds: float) -> None:
-        """Wait until nothing is open, or for so long."""
+        """Wait until no request is open, or for so long."""
         end = time.monotonic() + seconds
-        while any(c.open_requests for c in self.clients) and time.monotonic() < end:
-            await asyncio.sleep(0.01)
+        while any(client.open_requests for client in self.clients) and time.monotonic() < end:
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def close(self) -> None:
-        for counter in self.clients:
-            if counter.transport is not None:
-                counter.transport.close()
+        """Close all connections."""
+        for client in self.clients:
+            if client.transport is not None:
+                client.transport.close()
 
     def of_tenant(self, tenant: str) -> list[RequestRecord]:
-        return [a for a in self.records if a.tenant == tenant]
+        """Return the requests of a tenant."""
+        return [record for record in self.records if record.tenant == tenant]
 
 
 def quantile(values: list[float], fraction: float) -> float:
--- a/query_broker/emulator/cluster.py
+++ b/query_broker/emulator/cluster.py
@@ -57,20 +57,11 @@
 #: Enough for the tests' connections, and little enough that a leak shows.
 BROKER_LIMITS = {"sockets": 512, "memory_mb": 96}
 
+
 def platform_settings(**changes: Any) -> dict[str, Any]:
-    """The simulator's start settings, small."""
-    classes = [
-        dict(name="glance", aim=1_000 * MS, deadline=5_000 * MS, worth=1.0, effect="read_like"),
-        dict(
-            name="stock-add",
-            aim=3_000 * MS,
-            deadline=25_000 * MS,
-            worth=7.5,
-            effect="non_idempotent",
-        ),
-    ]
-    base: dict[str, Any] = dict(
-        classes=classes,
+    """Return the platform settings of a broker; ``changes`` replace or add keys."""
+    settings: dict[str, Any] = dict(  # noqa: C408  # a key is also the name of a class somewhere
+        classes=deepcopy(REQUEST_CLASSES),
         fleet_size=1,
         tick=5 * MS,
         zone="east",
@@ -85,48 +76,61 @@
 
 
 def tenant_settings(*names: str, quota: float = 0.0) -> list[dict[str, Any]]:
-    return [{"name": name, **({"allowance_per_s": quota} if quota else {})} for name in names]
+    """Return the settings of tenants; ``quota`` in requests per second, 0: none."""
+    if not quota:
+        return [{"name": name} for name in names]
+    return [{"name": name, "allowance_per_s": quota} for name in names]
 
 
 class EmulatedCluster:
-    """Engines and their bus. All engines that there ever were stay in ``engines``, for their
-    ledgers.
+    """Engines and their discovery service.
+
+    Attributes:
+        engine_options: What each engine is created with.
+        discovery: The discovery service.
+        discovery_port: Where it listens.
+        engines: All engines that there ever were, by uid; terminated ones keep their ledgers.
     """
 
-    def __init__(self, **engines: Any) -> None:
-        """``engines``: what each engine is made with."""
-        self.engine_options = engines
+    def __init__(self, **engine_options: Any) -> None:
+        """Create a cluster without engines; see ``EmulatedEngine`` for the options."""
+        self.engine_options = engine_options
         self.discovery = EmulatedDiscoveryService()
         self.engines: dict[str, EmulatedEngine] = {}
         self.discovery_port = 0
 
     async def start(self, *uids: str, **more: Any) -> None:
+        """Start the discovery service and engines; ``more`` as for ``add``."""
         self.discovery_port = await self.discovery.start()
         await self.add(*uids, **more)
 
     async def add(self, *uids: str, cores: int = 8, cold: bool = False, **more: Any) -> None:
-        """Engines join; ``cold``: they have started just now."""
-        now = time.time_ns() if cold else 0
-        made = [
-            EmulatedEngine(uid, Machine(cores=cores, started_ns=now), **self.engine_options)
+        """Start engines and announce them.
+
+        Args:
+            uids: Their names.
+            cores: Cores of each.
+            cold: They have just started, and warm up.
+            more: Further keys of their entries in the endpoint list.
+        """
+        started_ns = time.time_ns() if cold else 0
+        added = [
+            EmulatedEngine(uid, Machine(cores=cores, started_ns=started_ns), **self.engine_options)
             for uid in uids
         ]
         for engine in added:
             self.engines[engine.uid] = engine
             await engine.start()
-        self.discovery.publish(
-            *(target_entry(e.uid, e.port, **{"boot_ms": now // MS, **more}) for e in made)
-        )
+        keys = {"boot_ms": started_ns // MS, **more}
+        self.discovery.publish(*(target_entry(engine.uid, engine.port, **keys) for engine in added))
 
     def drain(self, *uids: str) -> None:
-        self.discovery.publish(
-            *({**self.discovery.targets[u], "state": "terminating"} for u in uids)
-        )
+        """Announce that engines are draining."""
+        self._announce_state(uids, "terminating")
 
     def terminate(self, *uids: str) -> None:
-        self.discovery.publish(
-            *({**self.discovery.targets[u], "state": "terminated"} for u in uids)
-        )
+        """Announce that engines have ended, and stop them."""
+        self._announce_state(uids, "terminated")
         for uid in uids:
             self.engines[uid].stop()
 
@@ -140,47 +144,52 @@
             engine.stop()
         self.discovery.stop()
 
-    def queries_after_drain(self, grace: int) -> int:
-        """Queries that came to an engine later than ``grace`` ns after its drain or end was
-        told.
-        """
-        late = 0
+    def queries_after_drain(self, grace_ns: int) -> int:
+        """Count queries received more than the grace after the drain or end was announced."""
+        late_count = 0
         for uid, engine in self.engines.items():
-            since = next(
-                (
-                    at
-                    for at, u, state in self.discovery.announcements
-                    if u == uid and state != "in_service"
-                ),
-                None,
-            )
-            if since is not None:
-                late += sum(at > since + grace for at, _, _ in engine.received)
-        return late
-
-    def count_queries(self, tenant_statements: set[bytes]) -> dict[str, int]:
-        """How many of these statements each engine was sent."""
+            drained_ns = self._drained_ns(uid)
+            if drained_ns is not None:
+                limit_ns = drained_ns + grace_ns
+                late_count += sum(query.received_ns > limit_ns for query in engine.received)
+        return late_count
+
+    def _drained_ns(self, uid: str) -> int | None:
+        for announcement in self.discovery.announcements:
+            if announcement.uid == uid and announcement.state != "in_service":
+                return announcement.announced_ns
+        return None
+
+    def count_queries(self, statements: set[bytes]) -> dict[str, int]:
+        """Count how many of these statements each engine received, by uid."""
         return {
-            uid: sum(s in tenant_statements for _, _, s in e.received)
-            for uid, e in self.engines.items()
+            uid: sum(query.statement in statements for query in engine.received)
+            for uid, engine in self.engines.items()
         }
 
 
-def broker_config(world: EmulatedCluster, listen: str, **changes: Any) -> dict[str, Any]:
-    """A broker's configuration before this world; ``changes`` go over the settings."""
-    limits = changes.pop("limits", {"sockets": 512, "memory_mb": 96})
+def broker_config(cluster: EmulatedCluster, listen: str, **changes: Any) -> dict[str, Any]:
+    """Return the configuration of a broker before this cluster.
+
+    Args:
+        cluster: Its engines and their discovery service.
+        listen: Address for clients.
+        changes: Replace or add platform settings; ``limits`` replaces those of the process.
+    """
+    limits = changes.pop("limits", dict(BROKER_LIMITS))
     return {
         "name": "n0",
         "listen": listen,
         "seed": "8c1f30d27a5be964",
         "limits": limits,
-        "bus": f"127.0.0.1:{world.discovery_port}",
-        "known": world.discovery.snapshot(),
+        "bus": f"127.0.0.1:{cluster.discovery_port}",
+        "known": cluster.discovery.snapshot(),
         "settings": platform_settings(**changes),
     }
 
 
 async def wait_for_result(awaited: asyncio.Future[bool], seconds: float) -> bool:
+    """Return the result, or False if it does not come in time."""
     try:
         return await asyncio.wait_for(awaited, seconds)
     except TimeoutError:
--- a/query_broker/emulator/data_engine.py
+++ b/query_broker/emulator/data_engine.py
@@ -41,12 +41,11 @@
     """
 
     def __init__(self, script: Script | None = None) -> None:
-        self.script = script or (lambda engine, parts, writer: engine.answer_served(parts, writer))
+        """Create an engine that does not listen yet; without a script it answers every query."""
+        self.script = script or ScriptedEngine.answer_served
         self.commands: list[list[bytes]] = []
-        self.writers: list[asyncio.StreamWriter] = []  # of all connections
-        self.command_writers: list[
-            asyncio.StreamWriter
-        ] = []  # of the connection of each command seen
+        self.writers: list[asyncio.StreamWriter] = []
+        self.command_writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> int:
         """Listen, and return the port."""
@@ -68,37 +67,67 @@
             pass
 
     def answer_served(self, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
+        """Answer a query with one row; other commands get no answer."""
         if parts[0] == b"do":
             writer.write(
                 resp.encode(parts[1], b"served", b"chunks=1,spent=5,wanted=3", b"a\tb\tc\n")
             )
 
     def writer_of(self, parts: list[bytes]) -> asyncio.StreamWriter:
-        return next(
-            w for seen, w in zip(self.commands, self.command_writers, strict=True) if seen is parts
-        )
+        """Return the connection of a command."""
+        pairs = zip(self.commands, self.command_writers, strict=True)
+        return next(writer for command, writer in pairs if command is parts)
 
-    def commands_named(self, word: bytes) -> list[list[bytes]]:
-        return [parts for parts in self.commands if parts[0] == word]
+    def commands_named(self, name: bytes) -> list[list[bytes]]:
+        """Return the commands of one name, in their order."""
+        return [parts for parts in self.commands if parts[0] == name]
 
 
 class IdempotencyKeyStore:
-    """What the engines of a fleet know together of keys: a repeat within the window of a first run
-    that is under way or over is not run again; it is answered as served, with no rows.
+    """What the engines of a fleet know together of idempotency keys.
+
+    A repeat within the window of a run that is under way or over is not run again; it is answered
+    as served, with no rows.
+
+    Attributes:
+        window_ns: How long a key is remembered.
+        first_run_ns: When the run of each key began.
+        repeat_count: Repeats that were not run.
     """
 
-    def __init__(self, window: int) -> None:
-        self.window_ns, self.first_run_ns, self.repeat_count = window, dict[str, int](), 0
+    def __init__(self, window_ns: int) -> None:
+        """Create an empty store."""
+        self.window_ns = window_ns
+        self.first_run_ns: dict[str, int] = {}
+        self.repeat_count = 0
+
+    def is_repeat(self, key: str, now_ns: int) -> bool:
+        """Return whether a run of this key began within the window, and count it if so."""
+        if not key:
+            return False
+        first_ns = self.first_run_ns.get(key, -self.window_ns)
+        is_repeat = now_ns - first_ns < self.window_ns
+        self.repeat_count += is_repeat
+        return is_repeat
 
-    def is_repeat(self, nonce: str, now: int) -> bool:
-        known = bool(nonce) and now - self.first_run_ns.get(nonce, -self.window_ns) < self.window_ns
-        self.repeat_count += known
-        return known
+
+class SlowRuns(NamedTuple):
+    """Runs that take longer than their statement says, as those with a bad query plan do."""
+
+    probability: float = 0.0
+    factor: float = 1.0
+
+
+NO_SLOW_RUNS = SlowRuns()
 
 
 class EngineConnection(asyncio.Protocol):
+    """One connection of a broker to an emulated engine."""
+
     def __init__(self, engine: EmulatedEngine) -> None:
-        self.engine, self.parser = engine, resp.RespParser()
+        """Create the protocol of a connection that is not made yet."""
+        self.engine = engine
+        self.parser = resp.RespParser()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: Any) -> None:
@@ -124,10 +153,28 @@
             self.transport.write(resp.encode(*parts))
 
 
+class ReceivedQuery(NamedTuple):
+    """A query as it arrived at an engine, whether it ran or not."""
+
+    received_ns: int
+    query_id: bytes
+    statement: bytes
+
+
 class EmulatedEngine:
-    """A data engine with a machine behind it. ``sent``: when each query arrived, for the rule on
-    drains. ``tells_every``: ns between notes of each query, 0: none. ``bad_plans``: the share of
-    attempts that take so many times their work, drawn for each anew.
+    """A data engine with a machine behind it, in real time.
+
+    Attributes:
+        uid: Its name in the endpoint list.
+        machine: What its queries run on; its ledger tells what ran.
+        key_store: Idempotency keys, shared with other engines; None: keys are ignored.
+        received: All queries that arrived.
+        connections: The brokers' connections.
+        requesters: The connection that waits for each running query.
+        pages: Further pages of results, by query.
+        connection_observer: Called with the monotonic time of each new connection, in seconds.
+        unresponsive: Set by a test: nothing is heard or answered.
+        port: Where it listens.
     """
 
     def __init__(
@@ -135,28 +182,42 @@
         uid: str,
         machine: Machine | None = None,
         honours_cancel: bool = False,
-        keys: IdempotencyKeyStore | None = None,
-        tells_every: int = 0,
-        bad_plans: tuple[float, float] = (0.0, 1.0),
+        key_store: IdempotencyKeyStore | None = None,
+        progress_interval_ns: int = 0,
+        slow_runs: SlowRuns = NO_SLOW_RUNS,
     ) -> None:
-        self.key_store, self.progress_interval_ns, self.slow_runs = keys, tells_every, bad_plans
+        """Create an engine that does not listen yet.
+
+        Args:
+            uid: Its name, and the seed of its draws.
+            machine: A warm one of 8 cores unless given.
+            honours_cancel: Whether it stops a query on request.
+            key_store: Shared idempotency keys.
+            progress_interval_ns: Time between progress messages of each query; 0: none.
+            slow_runs: How often, and by how much, a run is slower than its statement says.
+        """
+        self.uid = uid
+        self.machine = machine or Machine()
+        self.honours_cancel = honours_cancel
+        self.key_store = key_store
+        self.progress_interval_ns = progress_interval_ns
+        self.slow_runs = slow_runs
         self.random = random.Random(uid)
-        self.connection_observer: Callable[[float], Any] | None = None  # told of each connection
+        self.connection_observer: Callable[[float], Any] | None = None
         self.progress_timer: asyncio.TimerHandle | None = None
-        self.uid, self.machine, self.honours_cancel = uid, machine or Machine(), honours_cancel
+        self.completion_timer: asyncio.TimerHandle | None = None
         self.connections: set[EngineConnection] = set()
         self.requesters: dict[bytes, EngineConnection] = {}
         self.pages: dict[bytes, list[bytes]] = {}
-        self.received: list[tuple[int, bytes, bytes]] = []  # when, id, statement
-        self.completion_timer: asyncio.TimerHandle | None = None
+        self.received: list[ReceivedQuery] = []
         self.server: asyncio.Server | None = None
-        self.unresponsive = False  # cut off: says nothing, hears nothing
+        self.unresponsive = False
         self.port = 0
 
     async def start(self) -> int:
         """Listen, and return the port."""
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: EngineConnection(self), "127.0.0.1", 0
+            lambda: EngineConnection(self), HOST, 0
         )
         self.port = int(self.server.sockets[0].getsockname()[1])
         return self.port
@@ -176,31 +237,23 @@
         self.pages.clear()
 
     def handle_command(self, connection: EngineConnection, parts: list[bytes]) -> None:
+        """Carry out one command of a broker; an unknown one is ignored."""
         if self.unresponsive:
             return
         if self.machine.crashed:
-            return self.stop()
-        word, now = parts[0], time.time_ns()
-        if word == b"do" and len(parts) == 4:
-            self._do(connection, parts[1], resp.read_pairs(parts[2]), parts[3], now)
-        elif word in (b"top", b"ping"):
-            connection.write(
-                parts[1], b"green", b"meter=" + self.machine.load_meter().encode(), b""
-            )
-        elif word == b"page" and parts[1] in self.pages and parts[2].isdigit():
-            pages, number = self.pages[parts[1]], int(parts[2])
-            if number < len(pages):
-                connection.write(parts[1], b"rows", b"at=%d" % number, pages[number])
-        elif word == b"page":
-            connection.write(parts[1], b"crashed", b"-", b"")
-        elif word == b"forget":
-            self.pages.pop(parts[1], None)
-        elif word == b"undo" and self.honours_cancel:
-            if (run := self.machine.running.get(parts[1])) is not None:
-                self._forget_key(run.idempotency_key)
-            self._finish(self.machine.cancel(now, parts[1]))
-            self.requesters.pop(parts[1], None)
-            self._look()
+            self.stop()
+            return
+        match parts:
+            case [b"do", query_id, pairs, statement]:
+                self._run_query(connection, query_id, resp.read_pairs(pairs), statement)
+            case [b"top" | b"ping", query_id, *_]:
+                connection.write(query_id, b"green", self._meter(), b"")
+            case [b"page", query_id, *rest]:
+                self._send_page(connection, query_id, rest)
+            case [b"forget", query_id, *_]:
+                self.pages.pop(query_id, None)
+            case [b"undo", query_id, *_] if self.honours_cancel:
+                self._cancel(query_id)
 
     def _meter(self) -> bytes:
         return b"meter=" + self.machine.load_meter().encode()
@@ -225,93 +278,91 @@
     def _run_query(
         self,
         connection: EngineConnection,
-        id: bytes,
+        query_id: bytes,
         fields: dict[str, str],
         statement: bytes,
     ) -> None:
-        self.received.append((now, id, statement))
-
-        def said(pattern: re.Pattern[bytes], default: int) -> int:
-            return int(found[1]) if (found := pattern.search(statement)) else default
-
-        self._finish(self.machine.advance(now))
-        threads, nonce = said(THREADS, 1), fields.get("nonce", "")
-        if self.key_store is not None and self.key_store.is_repeat(nonce, now):
-            connection.write(id, b"served", b"chunks=1,spent=0,wanted=0", b"")
+        now_ns = time.time_ns()
+        self.received.append(ReceivedQuery(now_ns, query_id, statement))
+        self._answer_completed(self.machine.advance(now_ns))
+        key = fields.get("nonce", "")
+        if self.key_store is not None and self.key_store.is_repeat(key, now_ns):
+            connection.write(query_id, b"served", b"chunks=1,spent=0,wanted=0", b"")
             return
-        share, times = self.slow_runs
-        work = said(WORK, 1) * MS * (times if self.random.random() < share else 1.0)
-        if self.key_store is not None and nonce:
-            self.key_store.first_run_ns[nonce] = now
+        work_ns = self._draw_work_ns(statement)
+        if self.key_store is not None and key:
+            self.key_store.first_run_ns[key] = now_ns
+        request_class = fields.get("cls", "").encode()
+        threads = _read_number(THREADS, statement)
         if not self.machine.start_query(
-            now, id, fields.get("cls", "").encode(), statement, work, threads, nonce
+            now_ns, query_id, request_class, statement, work_ns, threads, key
         ):
-            self._forget_key(nonce)
-            connection.write(id, b"overload", b"meter=" + self.machine.load_meter().encode(), b"")
+            self._forget_key(key)
+            connection.write(query_id, b"overload", self._meter(), b"")
             return
-        self.requesters[id] = connection
-        self._look()
+        self.requesters[query_id] = connection
+        self._schedule_completion()
         if self.progress_interval_ns and self.progress_timer is None:
-            self._note_later()
+            self._schedule_progress()
+
+    def _draw_work_ns(self, statement: bytes) -> float:
+        is_slow = self.random.random() < self.slow_runs.probability
+        factor = self.slow_runs.factor if is_slow else 1.0
+        return _read_number(WORK_MS, statement) * NS_PER_MS * factor
 
-    def _forget_key(self, nonce: str) -> None:
-        """Its run never began, was stopped, or died with the engine."""
+    def _forget_key(self, key: str) -> None:
+        """Forget a key whose run never began, was cancelled, or ended with the engine."""
         if self.key_store is not None:
-            self.key_store.first_run_ns.pop(nonce, None)
+            self.key_store.first_run_ns.pop(key, None)
 
-    def _note_later(self) -> None:
-        self.progress_timer = asyncio.get_running_loop().call_later(
-            self.progress_interval_ns / 1e9, self._tell
-        )
+    def _schedule_progress(self) -> None:
+        interval_s = self.progress_interval_ns / NS_PER_S
+        loop = asyncio.get_running_loop()
+        self.progress_timer = loop.call_later(interval_s, self._send_progress)
 
-    def _tell(self) -> None:
-        """A note for each query that is not over."""
+    def _send_progress(self) -> None:
         self.progress_timer = None
-        for id, run in self.machine.running.items():
-            if id in self.requesters and not self.unresponsive:
-                done = max(
-                    0.0, 1 - run.remaining_ns / max(1.0, run.work_ns * self.machine.slowdown)
+        for query_id, run in self.machine.running.items():
+            if query_id in self.requesters and not self.unresponsive:
+                total_ns = max(1.0, run.work_ns * self.machine.slowdown)
+                done = max(0.0, 1 - run.remaining_ns / total_ns)
+                self.requesters[query_id].write(
+                    query_id, b"update", b"tell=pct,amount=%.3f" % done, b""
                 )
-                self.requesters[id].write(id, b"update", b"tell=pct,amount=%.3f" % done, b"")
         if self.machine.running:
             self._schedule_progress()
 
-    def _look(self) -> None:
-        """One timer, for the query that ends first."""
+    def _schedule_completion(self) -> None:
+        """Set the one timer, for the query that completes first."""
         if self.completion_timer is not None:
             self.completion_timer.cancel()
-        now = time.time_ns()
-        if (end := self.machine.next_completion(now)) is not None:
-            self.completion_timer = asyncio.get_running_loop().call_later(
-                max(0, end - now) / 1e9, self._due
-            )
-
-    def _due(self) -> None:
-        self._finish(self.machine.advance(time.time_ns()))
-        self._look()
+        now_ns = time.time_ns()
+        end_ns = self.machine.next_completion(now_ns)
+        if end_ns is not None:
+            delay_s = max(0, end_ns - now_ns) / NS_PER_S
+            loop = asyncio.get_running_loop()
+            self.completion_timer = loop.call_later(delay_s, self._complete_due)
+
+    def _complete_due(self) -> None:
+        self._answer_completed(self.machine.advance(time.time_ns()))
+        self._schedule_completion()
 
-    def _finish(self, runs: list[QueryRun]) -> None:
+    def _answer_completed(self, runs: list[QueryRun]) -> None:
         for run in runs:
             connection = self.requesters.pop(run.query_id, None)
-            if connection is None or self.unresponsive:
-                continue
-            rows = ROWS.search(run.statement)
-            pages = _pages(int(rows[1]) if rows else 1)
-            if len(pages) > 1:
-                self.pages[run.query_id] = pages
-            memory = MEMORY.search(run.statement)
-            connection.write(
-                run.query_id,
-                b"served",
-                b"chunks=%d,spent=%d,wanted=%d,meter=%b"
-                % (
-                    len(pages),
-                    run.work_ns // MS,
-                    int(memory[1]) if memory else 1,
-                    self.machine.load_meter().encode(),
-                ),
-                pages[0],
-            )
+            if connection is not None and not self.unresponsive:
+                self._answer_run(connection, run)
+
+    def _answer_run(self, connection: EngineConnection, run: QueryRun) -> None:
+        pages = _make_pages(_read_number(ROWS, run.statement))
+        if len(pages) > 1:
+            self.pages[run.query_id] = pages
+        fields = b"chunks=%d,spent=%d,wanted=%d," % (
+            len(pages),
+            run.work_ns // NS_PER_MS,
+            _read_number(MEMORY_MB, run.statement),
+        )
+        connection.write(run.query_id, b"served", fields + self._meter(), pages[0])
 
 
 def _read_number(pattern: re.Pattern[bytes], statement: bytes) -> int:
@@ -320,22 +371,33 @@
     return int(found[1]) if found else 1
 
 
+def _make_pages(row_count: int) -> list[bytes]:
+    rows_per_page = MAX_PAGE_BYTES // ROW_BYTES
+    rows = [b"%08d\trow\tvalue\n" % number for number in range(row_count)]
+    starts = range(0, max(1, row_count), rows_per_page)
+    return [b"".join(rows[start : start + rows_per_page]) for start in starts]
+
+
 def keys_run_twice(engines: list[EmulatedEngine]) -> list[str]:
-    """Keys that ran to their end more than once, over all ledgers."""
-    counts = Counter(
-        run.idempotency_key
-        for e in engines
-        for run in e.machine.ledger
-        if run.idempotency_key and run.remaining_ns <= 1.0
-    )
-    return [nonce for nonce, count in counts.items() if count > 1]
-
-
-def statements_run_twice(engines: list[EmulatedEngine], cls: bytes) -> list[bytes]:
-    """Statements of a class that began more than once, over all ledgers. Each carries an id of its
-    own.
+    """Return the idempotency keys that ran to their end more than once, over all ledgers."""
+    counts: Counter[str] = Counter()
+    for engine in engines:
+        counts.update(
+            run.idempotency_key
+            for run in engine.machine.ledger
+            if run.idempotency_key and run.is_complete
+        )
+    return [key for key, count in counts.items() if count > 1]
+
+
+def statements_run_twice(engines: list[EmulatedEngine], request_class: bytes) -> list[bytes]:
+    """Return the statements of a class that began more than once, over all ledgers.
+
+    Each statement must carry an id of its own.
     """
-    counts = Counter(
-        run.statement for e in engines for run in e.machine.ledger if run.request_class == cls
-    )
+    counts: Counter[bytes] = Counter()
+    for engine in engines:
+        counts.update(
+            run.statement for run in engine.machine.ledger if run.request_class == request_class
+        )
     return [statement for statement, count in counts.items() if count > 1]
--- a/query_broker/emulator/decision_simulation.py
+++ b/query_broker/emulator/decision_simulation.py
@@ -34,8 +34,16 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-LINK_LATENCY_NS = NS_PER_MS // 2  # one way over a link
-BEGIN_NS = 100 * NS_PER_S  # the clock's first moment: 0 means "long ago" to a machine
+#: One way over a link between a broker and an engine.
+LINK_LATENCY_NS = NS_PER_MS // 2
+#: Where the clock begins; a machine takes 0 for "long ago".
+BEGIN_NS = 100 * NS_PER_S
+#: The capacity of a machine that warms up changes, so its completions are computed anew this often.
+MAX_TIMER_NS = NS_PER_S // 4
+#: What the estimate of every request says of its memory, in megabytes.
+ESTIMATED_MEMORY_MB = 10.0
+
+Completion = Callable[[AttemptResult], None]
 
 
 class Simulation:
@@ -47,93 +55,166 @@
     """
 
     def __init__(self, seed: int = 1) -> None:
-        self.now_ns, self.random = BEGIN_NS, random.Random(seed)
+        """Create a clock at ``BEGIN_NS`` with nothing scheduled."""
+        self.now_ns = BEGIN_NS
+        self.random = random.Random(seed)
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.count = itertools.count()
 
-    def call_at(self, when: int, call: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (max(when, self.now_ns), next(self.count), call))
+    def call_at(self, when_ns: int, call: Callable[[], None]) -> None:
+        """Schedule a call; those of one time are made in the order in which they were scheduled."""
+        heapq.heappush(self.heap, (max(when_ns, self.now_ns), next(self.count), call))
+
+    def call_after_link(self, call: Callable[[], None]) -> None:
+        """Schedule a call for when a message that is sent now has arrived."""
+        self.call_at(self.now_ns + LINK_LATENCY_NS, call)
 
     def run(self, seconds: float) -> None:
-        """To so many seconds after the beginning."""
-        end = BEGIN_NS + int(seconds * NS_PER_S)
-        while self.heap and self.heap[0][0] <= end:
+        """Make all calls due within so many seconds of the beginning."""
+        end_ns = BEGIN_NS + int(seconds * NS_PER_S)
+        while self.heap and self.heap[0][0] <= end_ns:
             self.now_ns, _, call = heapq.heappop(self.heap)
             call()
-        self.now_ns = end
+        self.now_ns = end_ns
 
 
 class SimulatedEngine:
-    """A machine; ``most``: the most work that it had in hand, thread-nanoseconds."""
+    """A machine that answers over a simulated link.
+
+    Attributes:
+        number: Its number in the endpoint list.
+        machine: What its queries run on.
+        completions: Called with the result of each running query.
+        timer_generation: Number of the timer in force; earlier ones do nothing.
+        peak_work_ns: The most work that it had in hand, in thread-nanoseconds.
+        health_checks_ns: When it answered each health check.
+    """
 
-    def __init__(self, sim: Simulation, number: int, machine: Machine) -> None:
-        self.simulation, self.number, self.machine = sim, number, machine
-        self.completions: dict[bytes, Callable[[AttemptResult], None]] = {}
-        self.timer_generation, self.peak_work_ns, self.health_checks_ns = 0, 0.0, list[int]()
+    def __init__(self, simulation: Simulation, number: int, machine: Machine) -> None:
+        """Create an engine without queries."""
+        self.simulation = simulation
+        self.number = number
+        self.machine = machine
+        self.completions: dict[bytes, Completion] = {}
+        self.timer_generation = 0
+        self.peak_work_ns = 0.0
+        self.health_checks_ns: list[int] = []
 
     def load_report(self) -> LoadReport:
-        threads = sum(r.threads for r in self.machine.running.values())
+        """Return the load as the engine reports it."""
+        threads = sum(run.threads for run in self.machine.running.values())
         return LoadReport(
             utilisation=min(1.0, threads / self.machine.cores),
             inflight=float(len(self.machine.running)),
         )
 
     def execute(
-        self, id: bytes, cls: str, work: float, threads: int, done: Callable[[AttemptResult], None]
+        self,
+        query_id: bytes,
+        request_class: str,
+        work_ns: float,
+        threads: int,
+        completion: Completion,
     ) -> None:
-        now = self.simulation.now_ns
-        self._end(self.machine.advance(now))
+        """Run a query; a crashed machine never calls ``completion``."""
+        now_ns = self.simulation.now_ns
+        self._report_completed(self.machine.advance(now_ns))
         if self.machine.crashed:
-            return  # it says nothing any more
-        if not self.machine.start_query(now, id, cls.encode(), id, work, threads):
-            self.simulation.call_at(now + LINK_LATENCY_NS, lambda: done(AttemptResult.FULL))
             return
-        self.completions[id] = done
-        self.peak_work_ns = max(
-            self.peak_work_ns, sum(r.remaining_ns for r in self.machine.running.values())
+        is_started = self.machine.start_query(
+            now_ns, query_id, request_class.encode(), query_id, work_ns, threads
         )
-        self._look()
+        if not is_started:
+            self.simulation.call_after_link(partial(completion, AttemptResult.FULL))
+            return
+        self.completions[query_id] = completion
+        work_in_hand_ns = sum(run.remaining_ns for run in self.machine.running.values())
+        self.peak_work_ns = max(self.peak_work_ns, work_in_hand_ns)
+        self._set_timer()
 
-    def _end(self, runs: list[QueryRun]) -> None:
+    def _report_completed(self, runs: list[QueryRun]) -> None:
         for run in runs:
-            done = self.completions.pop(run.query_id, None)
-            if done is not None and not self.machine.crashed:
-                self.simulation.call_at(
-                    self.simulation.now_ns + LINK_LATENCY_NS, partial(done, AttemptResult.SERVED)
-                )
+            completion = self.completions.pop(run.query_id, None)
+            if completion is not None and not self.machine.crashed:
+                self.simulation.call_after_link(partial(completion, AttemptResult.SERVED))
 
-    def _look(self) -> None:
+    def _set_timer(self) -> None:
         self.timer_generation += 1
-        turn, end = self.timer_generation, self.machine.next_completion(self.simulation.now_ns)
-        if end is not None:  # while it warms up its pace changes: looked at again
-            self.simulation.call_at(
-                min(end, self.simulation.now_ns + NS_PER_S // 4), lambda: self._due(turn)
-            )
+        generation = self.timer_generation
+        now_ns = self.simulation.now_ns
+        end_ns = self.machine.next_completion(now_ns)
+        if end_ns is not None:
+            due_ns = min(end_ns, now_ns + MAX_TIMER_NS)
+            self.simulation.call_at(due_ns, lambda: self._timer_due(generation))
+
+    def _timer_due(self, generation: int) -> None:
+        if generation == self.timer_generation:
+            self._report_completed(self.machine.advance(self.simulation.now_ns))
+            self._set_timer()
+
+
+class SimulatedRequest(NamedTuple):
+    """A request and its outcome.
+
+    Attributes:
+        arrived_ns: When it arrived.
+        request_class: Its class.
+        answered_ns: When it was answered; 0: not yet.
+        is_served: Whether an engine served it before any other answer.
+    """
+
+    arrived_ns: int
+    request_class: str
+    answered_ns: int = 0
+    is_served: bool = False
+
+
+class QueryWork(NamedTuple):
+    """The true work of a request, in thread-nanoseconds, and its threads."""
+
+    work_ns: float
+    threads: int
+
+
+class RetryAfter(NamedTuple):
+    """When a request was rejected, and the backoff that the client was told."""
 
-    def _due(self, turn: int) -> None:
-        if turn == self.timer_generation:
-            self._end(self.machine.advance(self.simulation.now_ns))
-            self._look()
+    rejected_ns: int
+    retry_after_ns: int
 
 
 class SimulatedBroker:
-    """One broker's decisions behind their facade. ``asked``: of each request when it came, its
-    class, when it was answered (0: not yet), and whether an engine served it.
+    """The decisions of one broker behind their facade, with orders carried out at once.
+
+    Attributes:
+        settings: Its settings.
+        engines: The engines by number.
+        facade: Its decisions.
+        requests: Its requests by id.
+        work: The true work of each request.
+        retry_afters: Its rejections.
+        is_running: False once it was killed.
+        attempt_observer: Called with engine and result of each attempt that ends.
     """
 
     def __init__(
-        self, sim: Simulation, settings: Settings, seed: int, engines: dict[int, SimulatedEngine]
+        self,
+        simulation: Simulation,
+        settings: Settings,
+        seed: int,
+        engines: dict[int, SimulatedEngine],
     ) -> None:
-        self.simulation, self.settings, self.engines = sim, settings, engines
-        self.timer_wheel = TimerWheel(settings.tick_ns, sim.now_ns)
-        self.facade = Facade(settings, seed, sim.now_ns, self.timer_wheel)
-        self.requests: dict[str, tuple[int, str, int, bool]] = {}
-        self.work: dict[str, tuple[float, int]] = {}
-        self.retry_afters: list[tuple[int, int]] = []
+        """Create a broker, and schedule its ticks."""
+        self.simulation = simulation
+        self.settings = settings
+        self.engines = engines
+        self.timer_wheel = TimerWheel(settings.tick_ns, simulation.now_ns)
+        self.facade = Facade(settings, seed, simulation.now_ns, self.timer_wheel)
+        self.requests: dict[str, SimulatedRequest] = {}
+        self.work: dict[str, QueryWork] = {}
+        self.retry_afters: list[RetryAfter] = []
         self.is_running = True
-        self.attempt_observer: Callable[[int, AttemptResult], None] | None = (
-            None  # hears what becomes of attempts
-        )
+        self.attempt_observer: Callable[[int, AttemptResult], None] | None = None
         self._tick()
 
     def _tick(self) -> None:
@@ -145,113 +226,125 @@
         self.simulation.call_at(self.simulation.now_ns + self.settings.tick_ns, self._tick)
 
     def kill(self) -> None:
+        """Stop deciding; attempts in flight go on at their engines."""
         self.is_running = False
 
     def announce_endpoints(self) -> None:
-        self.report(
-            EndpointListUpdate(
-                ListUpdateKind.FULL,
-                tuple(
-                    EndpointEntry(
-                        e.number, EndpointState.READY, "a", "std", started_ns=e.machine.started_ns
-                    )
-                    for e in self.engines.values()
-                ),
+        """Pass all engines to the decisions, as a complete endpoint list."""
+        entries = tuple(
+            EndpointEntry(
+                engine.number,
+                EndpointState.READY,
+                "a",
+                "std",
+                started_ns=engine.machine.started_ns,
             )
             for engine in self.engines.values()
         )
         self.report(EndpointListUpdate(ListUpdateKind.FULL, entries))
 
-    def report(self, news: Event) -> None:
+    def report(self, event: Event) -> None:
+        """Pass an event to the decisions, and carry out their orders."""
         if self.is_running:
-            self._carry_out(self.facade.report(self.simulation.now_ns, news))
+            self._carry_out(self.facade.report(self.simulation.now_ns, event))
 
-    def send_request(self, id: str, cls: str, work: float, threads: int, patience: int) -> None:
-        self.requests[id] = (self.simulation.now_ns, cls, 0, False)
+    def send_request(
+        self, request_id: str, request_class: str, work_ns: float, threads: int, timeout_ns: int
+    ) -> None:
+        """Send a request to this broker."""
+        now_ns = self.simulation.now_ns
+        self.requests[request_id] = SimulatedRequest(now_ns, request_class)
         if not self.is_running:
             return
-        self.work[id] = (work, threads)
-        self._carry_out(
-            self.facade.pick(
-                self.simulation.now_ns,
-                RequestArrived(id, cls, patience, None, None, int(work), 10.0, 0, False),
-            )
+        self.work[request_id] = QueryWork(work_ns, threads)
+        arrival = RequestArrived(
+            request_id,
+            request_class,
+            timeout_ns,
+            None,
+            None,
+            int(work_ns),
+            ESTIMATED_MEMORY_MB,
+            0,
+            False,
         )
         self._carry_out(self.facade.pick(now_ns, arrival))
 
-    def check_health(self, engine: int) -> None:
-        target = self.engines[engine]
+    def check_health(self, engine_number: int) -> None:
+        """Send a health check to an engine; a crashed one does not answer."""
+        engine = self.engines[engine_number]
 
         def answer() -> None:
-            if not target.machine.crashed:
-                target.machine.advance(self.simulation.now_ns)
-                target.health_checks_ns.append(self.simulation.now_ns)
-                load = target.load_report()
-                self.simulation.call_at(
-                    self.simulation.now_ns + LINK_LATENCY_NS,
-                    lambda: self.report(
-                        HealthCheckResult(engine, AttemptResult.SERVED, 2 * LINK_LATENCY_NS, load)
-                    ),
-                )
-
-        self.simulation.call_at(self.simulation.now_ns + LINK_LATENCY_NS, answer)
+            if engine.machine.crashed:
+                return
+            engine.machine.advance(self.simulation.now_ns)
+            engine.health_checks_ns.append(self.simulation.now_ns)
+            result = HealthCheckResult(
+                engine_number, AttemptResult.SERVED, 2 * LINK_LATENCY_NS, engine.load_report()
+            )
+            self.simulation.call_after_link(lambda: self.report(result))
+
+        self.simulation.call_after_link(answer)
 
     def _carry_out(self, orders: OrderBatch) -> None:
         for dispatch in orders.dispatches:
             self._dispatch(dispatch)
         for answer in orders.answers:
-            came, cls, answered, served = self.requests[answer.request_id]
-            self.requests[answer.request_id] = (
-                came,
-                cls,
-                answered or self.simulation.now_ns,
-                served,
-            )
+            self._note_answer(answer.request_id)
             if isinstance(answer, Reject):
-                self.retry_afters.append((self.simulation.now_ns, answer.retry_after_ns))
+                rejection = RetryAfter(self.simulation.now_ns, answer.retry_after_ns)
+                self.retry_afters.append(rejection)
         for check in orders.health_checks:
             self.check_health(check.endpoint)
 
-    def _send(self, send: Dispatch) -> None:
-        sent, engine = self.simulation.now_ns, self.engines[send.endpoint]
-        work, threads = self.work[send.request_id]
-        ended: list[AttemptResult] = []
+    def _note_answer(self, request_id: str) -> None:
+        request = self.requests[request_id]
+        answered_ns = request.answered_ns or self.simulation.now_ns
+        self.requests[request_id] = request._replace(answered_ns=answered_ns)
 
-        def done(result: AttemptResult) -> None:
-            if ended:
-                return
-            ended.append(result)
-            served = result is AttemptResult.SERVED
-            if served:
-                came, cls, answered, _ = self.requests[send.request_id]
-                self.requests[send.request_id] = (
-                    came,
-                    cls,
-                    answered or self.simulation.now_ns,
-                    not answered,
-                )
-            if self.attempt_observer is not None:
-                self.attempt_observer(send.endpoint, result)
-            load = (
-                engine.load_report()
-                if result in (AttemptResult.SERVED, AttemptResult.FULL)
-                else None
-            )
-            self.report(
-                AttemptEnded(
-                    send.request_id,
-                    send.attempt,
-                    send.endpoint,
-                    result,
-                    self.simulation.now_ns - sent,
-                    served,
-                    load,
-                )
-            )
+    def _note_served(self, request_id: str) -> None:
+        request = self.requests[request_id]
+        self.requests[request_id] = request._replace(
+            answered_ns=request.answered_ns or self.simulation.now_ns,
+            is_served=not request.answered_ns,
+        )
+
+    def _dispatch(self, dispatch: Dispatch) -> None:
+        sent_ns = self.simulation.now_ns
+        engine = self.engines[dispatch.endpoint]
+        work = self.work[dispatch.request_id]
+        request_class = self.requests[dispatch.request_id].request_class
+        results: list[AttemptResult] = []
+
+        def complete(result: AttemptResult) -> None:
+            if not results:  # the answer and the timeout may both come
+                results.append(result)
+                self._attempt_ended(dispatch, sent_ns, result)
 
-        id = f"{self.settings.broker_index}/{send.request_id}/{send.attempt}".encode()
-        cls = self.requests[send.request_id][1]
+        attempt = f"{self.settings.broker_index}/{dispatch.request_id}/{dispatch.attempt}".encode()
         self.simulation.call_at(
-            sent + LINK_LATENCY_NS, lambda: engine.execute(id, cls, work, threads, done)
+            sent_ns + LINK_LATENCY_NS,
+            lambda: engine.execute(attempt, request_class, work.work_ns, work.threads, complete),
+        )
+        self.simulation.call_at(
+            sent_ns + dispatch.timeout_ns, lambda: complete(AttemptResult.TIMEOUT)
+        )
+
+    def _attempt_ended(self, dispatch: Dispatch, sent_ns: int, result: AttemptResult) -> None:
+        is_served = result is AttemptResult.SERVED
+        if is_served:
+            self._note_served(dispatch.request_id)
+        if self.attempt_observer is not None:
+            self.attempt_observer(dispatch.endpoint, result)
+        has_load = result in (AttemptResult.SERVED, AttemptResult.FULL)
+        load = self.engines[dispatch.endpoint].load_report() if has_load else None
+        ended = AttemptEnded(
+            dispatch.request_id,
+            dispatch.attempt,
+            dispatch.endpoint,
+            result,
+            self.simulation.now_ns - sent_ns,
+            is_served,
+            load,
         )
-        self.simulation.call_at(sent + send.timeout_ns, lambda: done(AttemptResult.TIMEOUT))
+        self.report(ended)
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -44,9 +44,8 @@
 Printer = Callable[[str], None]
 
 
-def served_ms(asked: list[RequestRecord]) -> list[float]:
-    """Milliseconds from request to answer, of those that were served."""
-    return [(a.answered_ns - a.sent_ns) / MS for a in asked if a.code == frames.SERVED]
+def play(seconds: float, say: Printer) -> int:
+    """Run the demo, and return the exit code: 0 if every request got exactly one answer.
 
     Args:
         seconds: How long requests arrive.
@@ -55,101 +54,115 @@
     return uvloop.run(_play(seconds, say))
 
 
-async def _play(seconds: float, say: Callable[[str], None]) -> int:
-    world = EmulatedCluster()
-    await world.start("s-1", "s-2", "s-3", cores=2)
+def served_ms(records: list[RequestRecord]) -> list[float]:
+    """Return the latencies of the requests that were served, in milliseconds."""
+    return [
+        (record.answered_ns - record.sent_ns) / NS_PER_MS
+        for record in records
+        if record.code == frames.SERVED
+    ]
+
+
+async def _play(seconds: float, say: Printer) -> int:
+    cluster = EmulatedCluster()
+    await cluster.start("s-1", "s-2", "s-3", cores=2)
     with tempfile.TemporaryDirectory() as folder:
-        path = Path(folder) / "config.json"
-        raw = broker_config(
-            world,
-            "127.0.0.1:1",
-            tenants=tenant_settings("harbour", "inland"),
-            kinds=["std"],
-            specifics={"size_cores": [2], "parallelism": [1, 2]},
-        )
-        path.write_text(json.dumps(raw))
-        told = parse(raw, {})
-        node = CellNode(
-            replace(told, port=0),
-            OperatorConfig(CELLS),
-            str(path),
-            {**os.environ, "TMPDIR": folder},
-        )
+        node = _make_node(cluster, Path(folder))
         running = asyncio.create_task(node.run())
-        while node.server is None and not running.done():
-            await asyncio.sleep(0.01)
-        if node.server is None:
-            await running
-        assert node.server is not None
-        port = int(node.server.sockets[0].getsockname()[1])
-        book = RequestLog("127.0.0.1", port)
-        ready = await wait_for_result((await book.connect()).check_readiness(), 5.0)
+        port = await _wait_for_port(node, running)
+        log = RequestLog("127.0.0.1", port)
+        client = await log.connect()
+        is_ready = await wait_for_result(client.check_readiness(), READY_TIMEOUT_S)
         say(
             f"three engines, their bus and a broker with two cells on 127.0.0.1:{port}; "
             f"{'ready' if is_ready else 'not ready'}"
         )
         say(f"for {seconds:.0f} s: harbour asks what its cell can do, inland four times that\n")
-        await _load(book, seconds)
-        await book.wait_until_idle(6.0)
-        say(
-            table(
-                ["tenant", "cell", "asked", "served", "in time", "refused", "failed", "median ms"],
-                [
-                    [
-                        name,
-                        CELLS.home(name),
-                        str(len(asked)),
-                        str(sum(a.code == frames.SERVED for a in asked)),
-                        f"{sum(a.met_objective(AIMS[a.request_class]) for a in asked) / max(1, len(asked)):.0%}",
-                        str(sum(a.code == frames.REFUSED for a in asked)),
-                        str(sum(a.code == frames.FAILED for a in asked)),
-                        f"{quantile(served_ms(asked), 0.5):.0f}",
-                    ]
-                    for name in ("harbour", "inland")
-                    for asked in [book.of_tenant(name)]
-                ],
-            )
-        )
-        say(
-            "\n"
-            + table(
-                ["engine", "cell", "queries run"],
-                [
-                    [
-                        uid,
-                        next(c.name for c in CELLS.cells if uid in c.engines),
-                        str(len(e.machine.ledger)),
-                    ]
-                    for uid, e in world.engines.items()
-                ],
-            )
-        )
-        once = all(a.answer_count == 1 for a in book.records) and not book.unmatched_answers
-        say(f"\nevery request got exactly one answer: {'yes' if once else 'no'}")
-        book.close()
+        await _send_requests(log, seconds)
+        await log.wait_until_idle(IDLE_TIMEOUT_S)
+        say(_tenant_table(log))
+        say("\n" + _engine_table(cluster))
+        is_exact = all(record.answer_count == 1 for record in log.records)
+        is_exact = is_exact and not log.unmatched_answers
+        say(f"\nevery request got exactly one answer: {'yes' if is_exact else 'no'}")
+        log.close()
         node.stop()
         await running
     cluster.stop()
     return 0 if is_exact and is_ready else 1
 
 
-async def _load(book: RequestLog, seconds: float) -> None:
-    """Poisson arrivals from a fixed seed."""
-    draw, loop = random.Random(7), asyncio.get_running_loop()
-    begun = loop.time()
-    due = {"harbour": 0.0, "inland": 0.0}
-    rates = {"harbour": 40.0, "inland": 160.0}
+def _make_node(cluster: EmulatedCluster, folder: Path) -> CellNode:
+    path = folder / "config.json"
+    raw = broker_config(
+        cluster,
+        "127.0.0.1:1",
+        tenants=tenant_settings(*TENANTS),
+        kinds=["std"],
+        specifics={"size_cores": [2], "parallelism": [1, 2]},
+    )
+    path.write_text(json.dumps(raw))
+    # Port 0 is no valid setting, but lets the system choose a free one.
+    config = replace(parse(raw, {}), port=0)
+    environ = {**os.environ, "TMPDIR": str(folder)}
+    return CellNode(config, OperatorConfig(CELLS), str(path), environ)
+
+
+async def _wait_for_port(node: CellNode, running: asyncio.Task[None]) -> int:
+    """Return the port of the clients' socket; raises what ended the node if it does not start."""
+    while node.server is None and not running.done():
+        await asyncio.sleep(POLL_INTERVAL_S)
+    if node.server is None:
+        await running
+    assert node.server is not None
+    return int(node.server.sockets[0].getsockname()[1])
+
+
+async def _send_requests(log: RequestLog, seconds: float) -> None:
+    """Send requests as a Poisson process of each tenant, for so long."""
+    draw = random.Random(SEED)
+    loop = asyncio.get_running_loop()
+    begin_s = loop.time()
+    due_s = dict.fromkeys(TENANTS, 0.0)
     while True:
         tenant = min(due_s, key=due_s.__getitem__)
         if due_s[tenant] > seconds:
             return
-        await asyncio.sleep(max(0.0, begun + due[name] - loop.time()))
-        due[name] += draw.expovariate(rates[name])
-        if draw.random() < 0.9:
-            await book.send_request(
-                name, "glance", draw.uniform(10, 60), 5_000 * MS, group=draw.randint(1, 20)
-            )
+        await asyncio.sleep(max(0.0, begin_s + due_s[tenant] - loop.time()))
+        due_s[tenant] += draw.expovariate(ARRIVALS_PER_S[tenant])
+        if draw.random() < GLANCE_FRACTION:
+            work_ms = draw.uniform(10, 60)
+            group = draw.randint(1, 20)
+            await log.send_request(tenant, "glance", work_ms, 5_000 * NS_PER_MS, group=group)
         else:
-            await book.send_request(
-                name, "stock-add", draw.uniform(100, 200), 20_000 * MS, threads=2
-            )
+            work_ms = draw.uniform(100, 200)
+            await log.send_request(tenant, "stock-add", work_ms, 20_000 * NS_PER_MS, threads=2)
+
+
+def _tenant_table(log: RequestLog) -> str:
+    heads = ["tenant", "cell", "asked", "served", "in time", "refused", "failed", "median ms"]
+    return table(heads, [_tenant_row(tenant, log.of_tenant(tenant)) for tenant in TENANTS])
+
+
+def _tenant_row(tenant: str, records: list[RequestRecord]) -> list[str]:
+    codes = [record.code for record in records]
+    in_time = sum(record.met_objective(OBJECTIVES_NS[record.request_class]) for record in records)
+    return [
+        tenant,
+        CELLS.home(tenant),
+        str(len(records)),
+        str(codes.count(frames.SERVED)),
+        f"{in_time / max(1, len(records)):.0%}",
+        str(codes.count(frames.REFUSED)),
+        str(codes.count(frames.FAILED)),
+        f"{quantile(served_ms(records), 0.5):.0f}",
+    ]
+
+
+def _engine_table(cluster: EmulatedCluster) -> str:
+    cell_of = {uid: cell.name for cell in CELLS.cells for uid in cell.engines}
+    rows = [
+        [uid, cell_of[uid], str(len(engine.machine.ledger))]
+        for uid, engine in cluster.engines.items()
+    ]
+    return table(["engine", "cell", "queries run"], rows)
--- a/query_broker/emulator/discovery_service.py
+++ b/query_broker/emulator/discovery_service.py
@@ -13,7 +13,7 @@
 
 
 def target_entry(uid: str, port: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
-    """An engine as the bus tells of it."""
+    """Return an endpoint as the service describes it; ``more`` replaces or adds keys."""
     return {
         "uid": uid,
         "endpoint": f"{HOST}:{port}",
@@ -28,11 +28,20 @@
 
 
 def topology_event(offset: int, *targets: dict[str, Any], full: bool = False) -> dict[str, Any]:
+    """Return a watch event; ``full`` marks one that replaces the list."""
     return {"offset": offset, "topology": {"rev": offset, "all": full, "targets": list(targets)}}
 
 
 class ScriptedDiscoveryService:
+    """A service that sends what a test tells it to, to the client that connected last.
+
+    Attributes:
+        subscriptions: The first line of each connection.
+        writer: The connection that came last.
+    """
+
     def __init__(self) -> None:
+        """Create a service that does not listen yet."""
         self.subscriptions: list[bytes] = []
         self.writer: asyncio.StreamWriter | None = None
 
@@ -48,26 +57,43 @@
         self.subscriptions.append(await reader.readline())
 
     def publish(self, line: object) -> None:
+        """Send a line: a text as it is, anything else as JSON."""
         assert self.writer is not None
         text = line if isinstance(line, str) else json.dumps(line)
         self.writer.write(text.encode() + b"\n")
 
 
+class Announcement(NamedTuple):
+    """One state of an endpoint, and when it was announced."""
+
+    announced_ns: int
+    uid: str
+    state: str
+
+
 class EmulatedDiscoveryService:
-    """Numbers events, tells each caller what comes after the one it names, and beats once a second.
-    ``told``: when each state of each engine was told."""
+    """Numbers its events, and sends each client those after the one that it names.
+
+    Attributes:
+        events: All events, in their order.
+        targets: The endpoints that are listed, by uid.
+        announcements: When each state of each endpoint was announced.
+        subscribers: The connections.
+        heartbeat_task: Sends the number of the last event once a second.
+    """
 
     def __init__(self) -> None:
         """Create a service that does not listen yet, with an empty list."""
         self.events: list[dict[str, Any]] = []
         self.targets: dict[str, dict[str, Any]] = {}
-        self.announcements: list[tuple[int, str, str]] = []
+        self.announcements: list[Announcement] = []
         self.subscribers: set[asyncio.StreamWriter] = set()
         self.heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self) -> int:
-        self.server = await asyncio.start_server(self._client, "127.0.0.1", 0)
-        self.heartbeat_task = asyncio.create_task(self._beat())
+        """Listen, and return the port."""
+        self.server = await asyncio.start_server(self._serve_client, HOST, 0)
+        self.heartbeat_task = asyncio.create_task(self._send_heartbeats())
         return int(self.server.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
@@ -83,9 +109,9 @@
     ) -> None:
         try:
             line = await reader.readline()
-            last = int(line.split()[1]) if line.startswith(b"from ") else 0
-            for said in self.events[last:]:
-                writer.write(json.dumps(said).encode() + b"\n")
+            last_offset = int(line.split()[1]) if line.startswith(b"from ") else 0
+            for event in self.events[last_offset:]:
+                writer.write(_encode(event))
             self.subscribers.add(writer)
             await reader.read()
         except (ConnectionError, RuntimeError):
@@ -99,8 +125,9 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             self._broadcast(b"%d\n" % len(self.events))
 
-    def _tell_all(self, line: bytes) -> None:
-        """Danger: one caller that has gone would end the beat, or the news, for all others."""
+    def _broadcast(self, line: bytes) -> None:
+        # Writing to a closed connection raises, which would end the heartbeat, or an event, for
+        # all the others.
         for writer in list(self.subscribers):
             if writer.is_closing():
                 self.subscribers.discard(writer)
@@ -108,19 +135,20 @@
                 writer.write(line)
 
     def publish(self, *targets: dict[str, Any]) -> None:
-        now = time.time_ns()
+        """Announce changed endpoints in one event; a terminated one leaves the list."""
+        now_ns = time.time_ns()
         for changed in targets:
-            self.announcements.append((now, changed["uid"], changed["state"]))
+            self.announcements.append(Announcement(now_ns, changed["uid"], changed["state"]))
             if changed["state"] == "terminated":
                 self.targets.pop(changed["uid"], None)
             else:
                 self.targets[changed["uid"]] = changed
-        said = topology_event(len(self.events) + 1, *targets, full=not self.events)
-        self.events.append(said)
-        self._tell_all(json.dumps(said).encode() + b"\n")
+        event = topology_event(len(self.events) + 1, *targets, full=not self.events)
+        self.events.append(event)
+        self._broadcast(_encode(event))
 
     def snapshot(self) -> dict[str, Any]:
-        """What a broker is told at its start."""
+        """Return what a broker's settings hold of the list at its start."""
         return {"offset": len(self.events), "batch": list(self.events)}
 
 
--- a/query_broker/emulator/faulty_links.py
+++ b/query_broker/emulator/faulty_links.py
@@ -38,18 +38,22 @@
 class FaultKind(Enum):
     """What a fault does to its links."""
 
-class FaultKind(Enum):
     DELAY = "delay"
     STALL = "stall"
     RESET = "reset"
     REJECT = "refuse"
-    DROP = "drop"  # a share of chunks never arrive: the connection is reset with the first of them
-    DUPLICATE = "twice"  # a share of datagrams comes once more, later than those that follow
+    #: Some chunks never arrive: the connection is reset with the first of them.
+    DROP = "drop"
+    #: Some datagrams arrive once more, after those that follow.
+    DUPLICATE = "twice"
     RATE = "rate"
 
 
 class Direction(Enum):
-    FORWARD = "there"  # from the one that connects
+    """The direction of data on a link; the values are keys of its counts."""
+
+    #: From the party that connects.
+    FORWARD = "there"
     BACKWARD = "back"
     BOTH = "both"
 
@@ -58,6 +62,17 @@
 class Fault:
     """One entry of a fault schedule.
 
+    Attributes:
+        begin_s: When it begins, in seconds since the start of the schedule.
+        end_s: When it ends.
+        link_pattern: Shell pattern of the names of its links.
+        kind: What it does.
+        direction: Which data it concerns.
+        delay_s: Of ``DELAY``: the delay of each chunk.
+        probability: Of ``DROP`` and ``DUPLICATE``: how likely each chunk is hit.
+        bytes_per_s: Of ``RATE``: the rate of all its links together.
+    """
+
     begin_s: float
     end_s: float
     link_pattern: str
@@ -67,64 +82,96 @@
     probability: float = 1.0
     bytes_per_s: float = 0.0
 
-    def is_active(self, now: float, link: str, way: Direction) -> bool:
-        return (
-            self.begin_s <= now <= self.end_s
-            and fnmatch.fnmatchcase(link, self.link_pattern)
-            and (way is Direction.BOTH or self.direction in (Direction.BOTH, way))
-        )
+    def is_active(self, now_s: float, link: str, direction: Direction) -> bool:
+        """Return whether it concerns this link and direction now."""
+        if not self.begin_s <= now_s <= self.end_s:
+            return False
+        if not fnmatch.fnmatchcase(link, self.link_pattern):
+            return False
+        return direction is Direction.BOTH or self.direction in (Direction.BOTH, direction)
+
 
+def partition_faults(begin_s: float, end_s: float, *groups: Iterable[str]) -> list[Fault]:
+    """Return the faults of a partition: nothing passes between parties of two groups.
 
-def partition_faults(begin: float, end: float, *groups: Iterable[str]) -> list[Fault]:
-    """Links are named `from-to`: nothing passes between parties of two groups."""
-    return [
-        Fault(begin, end, f"{a}-{b}", FaultKind.STALL)
-        for i, one in enumerate(groups)
-        for j, other in enumerate(groups)
-        if i != j
-        for a in one
-        for b in other
-    ]
+    The links must be named ``from-to``.
+    """
+    faults = []
+    for number, senders in enumerate(groups):
+        for other_number, receivers in enumerate(groups):
+            if number != other_number:
+                faults += [
+                    Fault(begin_s, end_s, f"{sender}-{receiver}", FaultKind.STALL)
+                    for sender in senders
+                    for receiver in receivers
+                ]
+    return faults
 
 
 class FaultSchedule:
-    """The faults, their clock, and a draw from a seed."""
+    """Faults, their clock, and random numbers from a seed.
+
+    Attributes:
+        faults: The faults; a test may add to them at any time.
+        clock: Returns seconds.
+        random: The source of random numbers.
+        started_s: When the schedule began, by the clock.
+        capacity_free_at_s: When each limited rate has capacity again.
+    """
 
     def __init__(self, faults: Iterable[Fault], clock: Callable[[], float], seed: int = 1) -> None:
-        self.faults, self.clock, self.random = list(faults), clock, random.Random(seed)
+        """Begin a schedule now."""
+        self.faults = list(faults)
+        self.clock = clock
+        self.random = random.Random(seed)
         self.started_s = clock()
-        self.capacity_free_at_s: dict[Fault, float] = {}  # when a limited rate has room again
+        self.capacity_free_at_s: dict[Fault, float] = {}
 
     def now_s(self) -> float:
+        """Return the seconds since the schedule began."""
         return self.clock() - self.started_s
 
     def active_fault(
-        self, kind: FaultKind, link: str, way: Direction = Direction.BOTH
+        self, kind: FaultKind, link: str, direction: Direction = Direction.BOTH
     ) -> Fault | None:
-        now = self.now_s()
-        return next(
-            (f for f in self.faults if f.kind is kind and f.is_active(now, link, way)), None
-        )
-
-    def delay_s(self, link: str, way: Direction, size: int) -> float:
-        """Seconds until a chunk may go on."""
-        fault = self.active_fault(FaultKind.DELAY, link, way)
-        wait = 0.0 if fault is None else fault.delay_s
-        if (limited := self.active_fault(FaultKind.RATE, link, way)) is not None:
-            now = self.now_s()
-            start = max(now, self.capacity_free_at_s.get(limited, now))
-            self.capacity_free_at_s[limited] = start + size / limited.bytes_per_s
-            wait += self.capacity_free_at_s[limited] - now
-        return wait
+        """Return the first active fault of a kind on a link."""
+        now_s = self.now_s()
+        for fault in self.faults:
+            if fault.kind is kind and fault.is_active(now_s, link, direction):
+                return fault
+        return None
+
+    def delay_s(self, link: str, direction: Direction, size_bytes: int) -> float:
+        """Return the seconds until a chunk may pass, and account it to a limited rate."""
+        fault = self.active_fault(FaultKind.DELAY, link, direction)
+        delay_s = 0.0 if fault is None else fault.delay_s
+        limited = self.active_fault(FaultKind.RATE, link, direction)
+        if limited is not None:
+            now_s = self.now_s()
+            start_s = max(now_s, self.capacity_free_at_s.get(limited, now_s))
+            free_at_s = start_s + size_bytes / limited.bytes_per_s
+            self.capacity_free_at_s[limited] = free_at_s
+            delay_s += free_at_s - now_s
+        return delay_s
 
 
 class FaultyLink:
-    """One proxy. ``counts``: connections let in and refused, bytes each way; ``came``: when each
-    came.
+    """A TCP proxy.
+
+    Attributes:
+        name: By which faults select it.
+        target: Where it connects to.
+        counts: ``connections`` passed on and ``refused``, and bytes by direction.
+        connected_at_s: When each connection came, by the schedule.
+        open_writers: Both ends of all open connections.
+        port: Where it listens.
     """
 
-    def __init__(self, name: str, host: str, port: int, script: FaultSchedule) -> None:
-        self.name, self.target, self.schedule = name, (host, port), script
+    def __init__(self, name: str, host: str, port: int, schedule: FaultSchedule) -> None:
+        """Create a proxy to an address; it does not listen yet."""
+        self.name = name
+        self.target = (host, port)
+        self.schedule = schedule
         self.counts: Counter[str] = Counter()
         self.connected_at_s: list[float] = []
         self.open_writers: set[asyncio.StreamWriter] = set()
@@ -138,24 +185,24 @@
         )
         self.port = int(self.server.sockets[0].getsockname()[1])
         for fault in self.schedule.faults:
-            if fault.kind is FaultKind.RESET and fnmatch.fnmatchcase(self.name, fault.link_pattern):
-                self._keep(asyncio.create_task(self._reset_at(fault.begin_s)))
+            is_reset = fault.kind is FaultKind.RESET
+            if is_reset and fnmatch.fnmatchcase(self.name, fault.link_pattern):
+                task = asyncio.create_task(self._reset_at(fault.begin_s))
+                self.tasks.add(task)
+                task.add_done_callback(self.tasks.discard)
         return self.port
 
-    def _keep(self, task: asyncio.Task[None]) -> None:
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    async def _reset_at(self, at: float) -> None:
-        await asyncio.sleep(max(0.0, at - self.schedule.now_s()))
+    async def _reset_at(self, time_s: float) -> None:
+        await asyncio.sleep(max(0.0, time_s - self.schedule.now_s()))
         for writer in list(self.open_writers):
             writer.transport.abort()
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_client(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.connected_at_s.append(self.schedule.now_s())
         if self.schedule.active_fault(FaultKind.REJECT, self.name):
-            self.counts["refused"] += 1
-            writer.transport.abort()
+            self._reject(writer)
             return
         try:
             target_reader, target_writer = await asyncio.open_connection(*self.target)
@@ -163,31 +210,37 @@
             self._reject(writer)
             return
         self.counts["connections"] += 1
-        self.open_writers |= {writer, other}
+        ends = {writer, target_writer}
+        self.open_writers |= ends
         try:
             await asyncio.gather(
-                self._pass(reader, other, Direction.FORWARD),
-                self._pass(other_reader, writer, Direction.BACKWARD),
+                self._pass_data(reader, target_writer, Direction.FORWARD),
+                self._pass_data(target_reader, writer, Direction.BACKWARD),
             )
         except (ConnectionError, asyncio.CancelledError, RuntimeError):
             pass  # RuntimeError is what uvloop raises on a transport that is closed
         finally:
-            self.open_writers -= {writer, other}
-            for end in (writer, other):
+            self.open_writers -= ends
+            for end in (writer, target_writer):
                 end.transport.abort()
 
-    async def _pass(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Direction
+    def _reject(self, writer: asyncio.StreamWriter) -> None:
+        self.counts["refused"] += 1
+        writer.transport.abort()
+
+    async def _pass_data(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
     ) -> None:
-        while data := await reader.read(16_384):
-            while self.schedule.active_fault(FaultKind.STALL, self.name, way):
-                await asyncio.sleep(0.01)
-            fault = self.schedule.active_fault(FaultKind.DROP, self.name, way)
-            if fault is not None and self.schedule.random.random() < fault.probability:
+        while data := await reader.read(CHUNK_BYTES):
+            while self.schedule.active_fault(FaultKind.STALL, self.name, direction):
+                await asyncio.sleep(STALL_POLL_S)
+            drop = self.schedule.active_fault(FaultKind.DROP, self.name, direction)
+            if drop is not None and self.schedule.random.random() < drop.probability:
                 raise ConnectionResetError
-            if (wait := self.schedule.delay_s(self.name, way, len(data))) > 0:
-                await asyncio.sleep(wait)
-            self.counts[way.value] += len(data)
+            delay_s = self.schedule.delay_s(self.name, direction, len(data))
+            if delay_s > 0:
+                await asyncio.sleep(delay_s)
+            self.counts[direction.value] += len(data)
             writer.write(data)
             await writer.drain()
         if writer.can_write_eof():
@@ -203,13 +256,24 @@
 
 
 class DatagramRelay(asyncio.DatagramProtocol):
-    """Datagrams among parties, each known to the others by a relay's address: what is sent there by
-    party a goes on to party b as from a's relay, if the script lets link `a-b` pass it. Over TCP
-    the same address leads to b's port; who connects shows in its first frame, by ``sender``.
+    """The address of one party, as the others know it.
+
+    What party a sends there goes on to party b as if from a's relay, if the schedule lets the link
+    ``a-b`` pass it. Over TCP the same address leads to b's port; who connects shows in the first
+    frame.
+
+    Attributes:
+        network: The relays of all parties.
+        name: The party's name.
+        target: Where the party itself listens.
+        port: Where the relay listens.
     """
 
-    def __init__(self, net: RelayNetwork, name: str, host: str, port: int) -> None:
-        self.network, self.name, self.target = net, name, (host, port)
+    def __init__(self, network: RelayNetwork, name: str, host: str, port: int) -> None:
+        """Create the relay of a party that listens at this address."""
+        self.network = network
+        self.name = name
+        self.target = (host, port)
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -223,43 +287,25 @@
         return self.port
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Forward a datagram; one of a stranger is passed on as it is."""
         sender = self.network.by_listening_address.get(addr)
-        if sender is None:
-            if self.transport is not None:  # a stranger: passed on as it is
-                self.transport.sendto(data, self.target)
-            return
-        self.network.forward(sender, self, data)
+        if sender is not None:
+            self.network.forward(sender, self, data)
+        elif self.transport is not None:
+            self.transport.sendto(data, self.target)
 
-    async def _client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Whole chunks: where the link is cut in one way, what goes that way waits until it is
-        not.
-        """
-        script, other = self.network.schedule, None
+    async def _serve_client(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        target_writer = None
         try:
-            first = await reader.read(65_536)
+            first = await reader.read(RELAY_CHUNK_BYTES)
             sender = self.network.sender_name(first) if first else None
-            there, back = f"{sender}-{self.name}", f"{self.name}-{sender}"
-            other_reader, other = await asyncio.open_connection(*self.target)
-
-            async def carry(
-                link: str, data: bytes, source: asyncio.StreamReader, sink: asyncio.StreamWriter
-            ) -> None:
-                while data:
-                    while script.active_fault(FaultKind.STALL, link) or script.active_fault(
-                        FaultKind.REJECT, link
-                    ):
-                        await asyncio.sleep(0.05)
-                    if (delay := script.active_fault(FaultKind.DELAY, link)) is not None:
-                        await asyncio.sleep(delay.delay_s)
-                    sink.write(data)
-                    await sink.drain()
-                    data = await source.read(65_536)
-                sink.close()
-
-            async def answers(sink: asyncio.StreamWriter) -> None:
-                await carry(back, await other_reader.read(65_536), other_reader, sink)
-
-            await asyncio.gather(carry(there, first, reader, other), answers(writer))
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            await asyncio.gather(
+                self._pass_data(f"{sender}-{self.name}", first, reader, target_writer),
+                self._pass_answers(f"{self.name}-{sender}", target_reader, writer),
+            )
         except (OSError, RuntimeError, asyncio.CancelledError):
             pass  # one of the ends is closed
         finally:
@@ -301,53 +347,76 @@
 
 
 class RelayNetwork:
-    """A relay for each party. ``counts``: datagrams passed and lost."""
+    """A relay for each party.
+
+    Attributes:
+        schedule: The faults of the links, which are named ``from-to``.
+        sender_address: Returns the address that a frame's content names as its sender.
+        relays: The relays by name.
+        by_listening_address: The relays by the address at which the party itself listens.
+        counts: Datagrams ``passed`` and ``lost``.
+    """
 
-    def __init__(self, script: FaultSchedule, sender_address: Callable[[bytes], str]) -> None:
-        self.schedule, self.sender_address = script, sender_address
+    def __init__(self, schedule: FaultSchedule, sender_address: Callable[[bytes], str]) -> None:
+        """Create a network without parties."""
+        self.schedule = schedule
+        self.sender_address = sender_address
         self.relays: dict[str, DatagramRelay] = {}
         self.by_listening_address: dict[tuple[str, int], DatagramRelay] = {}
         self.counts: Counter[str] = Counter()
 
-    async def add(self, name: str, port: int, at: int = 0) -> str:
-        """The address by which the party that listens on this port is known; ``at``: one that it
-        had before.
+    async def add(self, name: str, port: int, relay_port: int = 0) -> str:
+        """Add a party, and return the address by which the others are to know it.
+
+        Args:
+            name: Its name.
+            port: Where it listens.
+            relay_port: The port of its relay, if it had one before.
         """
-        relay = DatagramRelay(self, name, "127.0.0.1", port)
-        await relay.start(at)
-        self.relays[name], self.by_listening_address["127.0.0.1", port] = relay, relay
-        return f"127.0.0.1:{relay.port}"
+        relay = DatagramRelay(self, name, HOST, port)
+        await relay.start(relay_port)
+        self.relays[name] = relay
+        self.by_listening_address[HOST, port] = relay
+        return f"{HOST}:{relay.port}"
 
     def sender_name(self, frame: bytes) -> str:
-        """Whose frame it is, by the address that it names."""
-        address = self.sender_address(frame[4:])
-        return next(
-            (n for n, r in self.relays.items() if address == f"127.0.0.1:{r.port}"), "stranger"
+        """Return whose frame it is, by the address that it names."""
+        address = self.sender_address(frame[FRAME_LENGTH_BYTES:])
+        for name, relay in self.relays.items():
+            if address == f"{HOST}:{relay.port}":
+                return name
+        return "stranger"
+
+    def is_cut(self, link: str) -> bool:
+        """Return whether nothing passes a link now."""
+        schedule = self.schedule
+        return bool(
+            schedule.active_fault(FaultKind.STALL, link)
+            or schedule.active_fault(FaultKind.REJECT, link)
         )
 
     def forward(self, sender: DatagramRelay, receiver: DatagramRelay, data: bytes) -> None:
-        link, script = f"{sender.name}-{receiver.name}", self.schedule
-        lost = script.active_fault(FaultKind.DROP, link)
-        if (
-            script.active_fault(FaultKind.STALL, link)
-            or script.active_fault(FaultKind.REJECT, link)
-            or (lost is not None and script.random.random() < lost.probability)
-        ):
+        """Forward a datagram, lose it, delay it, or deliver it twice, as the schedule says."""
+        schedule = self.schedule
+        link = f"{sender.name}-{receiver.name}"
+        drop = schedule.active_fault(FaultKind.DROP, link)
+        if self.is_cut(link) or (drop is not None and schedule.random.random() < drop.probability):
             self.counts["lost"] += 1
             return
-        twice = script.active_fault(FaultKind.DUPLICATE, link)
-        delay = script.active_fault(FaultKind.DELAY, link)
-        wait = 0.0 if delay is None else delay.delay_s
-        times = [wait]
-        if twice is not None and script.random.random() < twice.probability:
-            times.append(wait + 0.3 * script.random.random())
-        for later in times:
-            if later:
-                asyncio.get_running_loop().call_later(later, self._pass, sender, receiver, data)
+        duplicate = schedule.active_fault(FaultKind.DUPLICATE, link)
+        delay = schedule.active_fault(FaultKind.DELAY, link)
+        delay_s = 0.0 if delay is None else delay.delay_s
+        delays_s = [delay_s]
+        if duplicate is not None and schedule.random.random() < duplicate.probability:
+            delays_s.append(delay_s + MAX_DUPLICATE_DELAY_S * schedule.random.random())
+        for each_s in delays_s:
+            if each_s:
+                loop = asyncio.get_running_loop()
+                loop.call_later(each_s, self._deliver, sender, receiver, data)
             else:
                 self._deliver(sender, receiver, data)
 
-    def _pass(self, sender: DatagramRelay, receiver: DatagramRelay, data: bytes) -> None:
+    def _deliver(self, sender: DatagramRelay, receiver: DatagramRelay, data: bytes) -> None:
         if sender.transport is not None and not sender.transport.is_closing():
             self.counts["passed"] += 1
             sender.transport.sendto(data, receiver.target)
--- a/query_broker/emulator/machine.py
+++ b/query_broker/emulator/machine.py
@@ -12,11 +12,25 @@
 from dataclasses import dataclass, field
 
 NS_PER_S = 1_000_000_000
+#: Work below this counts as done: rates are floats, so that a run may end a fraction short.
+DONE_WITHIN_NS = 1.0
 
 
 @dataclass(slots=True)
 class QueryRun:
-    """One line of the ledger; ``ended`` 0: it had not ended. Work in thread-nanoseconds."""
+    """One line of a machine's ledger.
+
+    Attributes:
+        query_id: Id of the attempt.
+        request_class: Name of the request class.
+        statement: The statement.
+        begun_ns: When it began.
+        work_ns: Work as the statement says, in thread-nanoseconds.
+        threads: Threads that it uses at the most.
+        ended_ns: When it ended; 0 if it had not.
+        remaining_ns: Work left, in thread-nanoseconds.
+        idempotency_key: The key of an idempotent write; empty without one.
+    """
 
     query_id: bytes
     request_class: bytes
@@ -28,6 +42,11 @@
     remaining_ns: float = 0.0
     idempotency_key: str = ""
 
+    @property
+    def is_complete(self) -> bool:
+        """Whether all its work was done; False of a run that was cancelled or lost."""
+        return self.remaining_ns <= DONE_WITHIN_NS
+
 
 @dataclass(slots=True)
 class Machine:
@@ -50,27 +69,25 @@
     """
 
     cores: int = 8
-    started_ns: int = 0  # 0: long ago
+    started_ns: int = 0
     initial_fraction: float = 0.36
     warm_up_ns: int = 12 * NS_PER_S
     overload_window_ns: int = 3 * NS_PER_S // 2
     overload_multiple: float = 2.0
     max_sessions: int = 64
-    slowdown: float = 1.0  # every query takes so many times its work
+    slowdown: float = 1.0
     ledger: list[QueryRun] = field(default_factory=list)
     running: dict[bytes, QueryRun] = field(default_factory=dict)
     crashed: bool = False
     recent_arrivals: deque[tuple[int, float]] = field(default_factory=deque)
     now_ns: int = 0
 
-    def capacity_fraction(self, now: int) -> float:
-        """Share of its capacity."""
-        if not self.started_ns or now >= self.started_ns + self.warm_up_ns:
+    def capacity_fraction(self, now_ns: int) -> float:
+        """Return the fraction of its capacity that the machine has."""
+        if not self._is_warming_up(now_ns):
             return 1.0
-        return (
-            self.initial_fraction
-            + (1 - self.initial_fraction) * max(0, now - self.started_ns) / self.warm_up_ns
-        )
+        age_ns = max(0, now_ns - self.started_ns)
+        return self.initial_fraction + (1 - self.initial_fraction) * age_ns / self.warm_up_ns
 
     def start_query(
         self,
@@ -82,71 +99,83 @@
         threads: int,
         idempotency_key: str = "",
     ) -> bool:
-        """Take a query; False: the engine is full, and it never ran."""
-        self.advance(now)
-        if self.started_ns and now < self.started_ns + self.warm_up_ns:
-            self.recent_arrivals.append((now, work))
-            while self.recent_arrivals[0][0] <= now - self.overload_window_ns:
-                self.recent_arrivals.popleft()
-            budget = (
-                self.overload_multiple
-                * self.capacity_fraction(now)
-                * self.cores
-                * self.overload_window_ns
-            )
-            if sum(w for _, w in self.recent_arrivals) > budget:
-                self.crashed = True
-        if len(self.running) >= self.max_sessions or id in self.running:
+        """Begin a query; returns False, and nothing runs, if there are too many already."""
+        self.advance(now_ns)
+        if self._is_warming_up(now_ns):
+            self._note_arrival(now_ns, work_ns)
+        if len(self.running) >= self.max_sessions or query_id in self.running:
             return False
         run = QueryRun(
-            id,
-            cls,
+            query_id,
+            request_class,
             statement,
-            now,
-            work,
+            now_ns,
+            work_ns,
             threads,
-            remaining_ns=work * self.slowdown,
-            idempotency_key=nonce,
+            remaining_ns=work_ns * self.slowdown,
+            idempotency_key=idempotency_key,
         )
         self.ledger.append(run)
         self.running[query_id] = run
         return True
 
-    def execution_rates(self, now: int) -> Iterator[tuple[QueryRun, float]]:
-        """Thread-nanoseconds a nanosecond that each query gets."""
-        wanted = sum(r.threads for r in self.running.values())
-        part = min(1.0, self.cores / wanted) * self.capacity_fraction(now) if wanted else 0.0
+    def _is_warming_up(self, now_ns: int) -> bool:
+        return self.started_ns != 0 and now_ns < self.started_ns + self.warm_up_ns
+
+    def _note_arrival(self, now_ns: int, work_ns: float) -> None:
+        self.recent_arrivals.append((now_ns, work_ns))
+        while self.recent_arrivals[0][0] <= now_ns - self.overload_window_ns:
+            self.recent_arrivals.popleft()
+        capacity = self.overload_multiple * self.capacity_fraction(now_ns) * self.cores
+        budget_ns = capacity * self.overload_window_ns
+        if sum(work for _, work in self.recent_arrivals) > budget_ns:
+            self.crashed = True
+
+    def execution_rates(self, now_ns: int) -> Iterator[tuple[QueryRun, float]]:
+        """Yield each running query with the thread-nanoseconds that it gets in a nanosecond."""
+        demanded = self._threads_in_use()
+        fraction = 0.0
+        if demanded:
+            fraction = min(1.0, self.cores / demanded) * self.capacity_fraction(now_ns)
         for run in self.running.values():
-            yield run, run.threads * part
+            yield run, run.threads * fraction
+
+    def advance(self, now_ns: int) -> list[QueryRun]:
+        """Do the work up to now and return what has ended.
 
-    def advance(self, now: int) -> list[QueryRun]:
-        """What has ended by now. Between two calls the pace is that of the first."""
+        Between two calls the capacity is taken to be that at the time of the first.
+        """
         ended = []
         for run, rate in list(self.execution_rates(self.now_ns)):
-            run.remaining_ns -= rate * (now - self.now_ns)
-            if run.remaining_ns <= 1.0:
-                run.ended_ns = now
+            run.remaining_ns -= rate * (now_ns - self.now_ns)
+            if run.is_complete:
+                run.ended_ns = now_ns
                 del self.running[run.query_id]
                 ended.append(run)
-        self.now_ns = now
+        self.now_ns = now_ns
         return ended
 
-    def next_completion(self, now: int) -> int | None:
-        """When the first of them ends, at the present pace."""
+    def next_completion(self, now_ns: int) -> int | None:
+        """Return when the first query ends at the present rates, in ns; None if none runs."""
         ends = [
-            now + int(run.remaining_ns / rate) + 1
-            for run, rate in self.execution_rates(now)
+            now_ns + int(run.remaining_ns / rate) + 1
+            for run, rate in self.execution_rates(now_ns)
             if rate > 0
         ]
         return min(ends, default=None)
 
-    def cancel(self, now: int, id: bytes) -> list[QueryRun]:
-        """An `undo` that is honoured; gives what had ended before it."""
-        ended = self.advance(now)
-        if (run := self.running.pop(id, None)) is not None:
-            run.ended_ns = now
+    def cancel(self, now_ns: int, query_id: bytes) -> list[QueryRun]:
+        """Cancel a query and return what had ended before."""
+        ended = self.advance(now_ns)
+        run = self.running.pop(query_id, None)
+        if run is not None:
+            run.ended_ns = now_ns
         return ended
 
     def load_meter(self) -> str:
-        threads = sum(r.threads for r in self.running.values())
-        return f"inflight:{len(self.running)};util:{min(1.0, threads / self.cores):.3f}"
+        """Return the load as the engine reports it on the wire."""
+        utilisation = min(1.0, self._threads_in_use() / self.cores)
+        return f"inflight:{len(self.running)};util:{utilisation:.3f}"
+
+    def _threads_in_use(self) -> int:
+        return sum(run.threads for run in self.running.values())
--- a/query_broker/emulator/processes.py
+++ b/query_broker/emulator/processes.py
@@ -20,7 +20,7 @@
 from types import TracebackType
 from typing import Any, NamedTuple
 
-from .clients import EmulatedClient
+from .clients import RequestLog
 
 ROOT = Path(__file__).parents[2]
 HOST = "127.0.0.1"
@@ -32,10 +32,15 @@
 
 
 class PortAllocator:
-    """Ports to listen on. Danger: one that the system gives to whoever asks for any is soon some
-    connection's own end, and one that two processes draw is had by one of them: these lie below the
-    system's, in blocks of which each is a single process's, as long as that holds its first
-    port.
+    """Gives out ports to listen on that no other process takes.
+
+    A port that the system chooses may become some connection's own end before it is listened on,
+    and one that two processes draw is had by one of them. So these lie below the system's range, in
+    blocks of which each belongs to one process for as long as that holds the block's first port.
+
+    Attributes:
+        reservations: The sockets that hold the first ports of this process's blocks.
+        ports: The ports of these blocks, that which is given out next first.
     """
 
     #: Below the ports that the system gives to connections (from 32,768 on Linux).
@@ -46,10 +51,16 @@
     SPARE_FACTOR = 4
 
     def __init__(self) -> None:
+        """Create an allocator that has reserved nothing yet."""
         self.reservations: list[socket.socket] = []
         self.ports: deque[int] = deque()
 
     def reserve_block(self) -> None:
+        """Reserve another block, drawn at random.
+
+        Raises:
+            OSError: All blocks are taken.
+        """
         starts = list(self.RANGE[:: self.BLOCK])
         random.SystemRandom().shuffle(starts)
         for start in starts:
@@ -59,7 +70,7 @@
             except OSError:
                 reservation.close()
                 continue
-            self.reservations.append(mine)
+            self.reservations.append(reservation)
             self.ports.extend(range(start + 1, start + self.BLOCK))
             return
         problem = "no block of ports is left"
@@ -74,7 +85,7 @@
         Raises:
             OSError: Too many ports are in use.
         """
-        while len(self.ports) < 4 * count:
+        while len(self.ports) < self.SPARE_FACTOR * count:
             self.reserve_block()
         found: list[int] = []
         for port in list(self.ports):
@@ -92,11 +103,32 @@
 
 
 def free_ports(count: int) -> list[int]:
+    """Return free ports of this process's own blocks."""
     return PORT_ALLOCATOR.take(count)
 
 
+class ProcessPorts(NamedTuple):
+    """Where a process listens: for clients, for operators, and for other brokers."""
+
+    client_port: int
+    admin_port: int
+    peer_port: int
+
+
 class BrokerProcess:
-    """One process, with a folder, ports, settings and a log of its own."""
+    """One process, with a folder, ports, settings and a log of its own.
+
+    Attributes:
+        number: Its number in the fleet.
+        folder: Its files.
+        tree: The source tree that it runs.
+        port: Where it listens for clients.
+        admin_port: Where it listens for operators.
+        peer_port: Where it listens for other brokers.
+        env: Its environment.
+        process: The process, once it was started.
+        started_s: When it was started, in monotonic seconds.
+    """
 
     def __init__(
         self,
@@ -107,36 +139,57 @@
         operator_file: str,
         tree: Path,
     ) -> None:
-        self.number, self.folder, self.tree = number, folder, tree
-        self.port, self.admin_port, self.peer_port = ports
+        """Write the files of a process that is not started yet.
+
+        Args:
+            number: Its number in the fleet.
+            folder: Created for its files.
+            ports: For clients, operators and other brokers.
+            raw: The configuration; names, addresses and seed are replaced.
+            operator_file: Text of the operators' file; empty: it has none.
+            tree: The source tree that it runs.
+        """
+        self.number = number
+        self.folder = folder
+        self.tree = tree
+        self.port, self.admin_port, self.peer_port = ProcessPorts(*ports)
         folder.mkdir()
-        raw = {
+        self._write_config(raw)
+        self.env = self._make_environment()
+        if operator_file:
+            self.write_operator_file(operator_file)
+            self.env["PROXY_OPERATOR_FILE"] = str(folder / "operators.star")
+        self.process: subprocess.Popen[bytes] | None = None
+        self.started_s = 0.0
+
+    def _write_config(self, raw: dict[str, Any]) -> None:
+        config = {
             **raw,
-            "name": f"n{number}",
-            "listen": f"127.0.0.1:{self.port}",
-            "operator": f"127.0.0.1:{self.admin_port}",
-            "seed": f"{number + 1:x}",
-            "settings": {**raw["settings"], "me": number},
+            "name": f"n{self.number}",
+            "listen": f"{HOST}:{self.port}",
+            "operator": f"{HOST}:{self.admin_port}",
+            "seed": f"{self.number + 1:x}",
+            "settings": {**raw["settings"], "me": self.number},
         }
-        (folder / "config.json").write_text(json.dumps(raw))
-        self.env = {
+        (self.folder / "config.json").write_text(json.dumps(config))
+
+    def _make_environment(self) -> dict[str, str]:
+        environment = {
             **os.environ,
-            "PROXY_CONFIG": str(folder / "config.json"),
-            "TMPDIR": str(folder),
-            "PYTHONPATH": str(tree),
+            "PROXY_CONFIG": str(self.folder / "config.json"),
+            "TMPDIR": str(self.folder),
+            "PYTHONPATH": str(self.tree),
         }
-        for name in ("OPERATOR_FILE", "OPERATOR", "LISTEN", "ACCEPT_FD", "NAME"):
-            self.env.pop(f"PROXY_{name}", None)
-        if script:
-            self.write_operator_file(script)
-            self.env["PROXY_OPERATOR_FILE"] = str(folder / "operators.star")
-        self.process: subprocess.Popen[bytes] | None = None
-        self.started_s = 0.0
+        for name in HIDDEN_VARIABLES:
+            environment.pop(f"PROXY_{name}", None)
+        return environment
 
-    def write_operator_file(self, script: str) -> None:
-        (self.folder / "operators.star").write_text(script)
+    def write_operator_file(self, text: str) -> None:
+        """Replace the operators' file."""
+        (self.folder / "operators.star").write_text(text)
 
     def start(self) -> None:
+        """Start the process; its log is appended to that of an earlier one."""
         self.started_s = time.monotonic()
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
@@ -175,7 +228,12 @@
         return (self.folder / "log").read_text(errors="replace")
 
     def call_admin_api(self, path: str, method: str = "GET") -> tuple[int, bytes]:
-        line = http.client.HTTPConnection("127.0.0.1", self.admin_port, timeout=2.0)
+        """Make an operators' call, and return status and body.
+
+        Raises:
+            OSError: The process does not answer.
+        """
+        connection = http.client.HTTPConnection(HOST, self.admin_port, timeout=ADMIN_TIMEOUT_S)
         try:
             connection.request(method, path)
             response = connection.getresponse()
@@ -184,22 +242,18 @@
             connection.close()
 
     def status(self, path: str = "/start") -> Any:
-        return json.loads(self.call_admin_api(path)[1])
-
-    async def is_ready(self) -> bool:
-        """As the front asks: type 16 on the clients' address."""
-        from .clients import RequestLog
+        """Return the JSON answer to an operators' call."""
+        _, body = self.call_admin_api(path)
+        return json.loads(body)
 
     async def is_ready(self) -> bool:
         """Return whether it is ready, as the front end checks it."""
         try:
-            _, counter = await asyncio.get_running_loop().create_connection(
-                lambda: EmulatedClient(RequestLog("127.0.0.1", self.port)), "127.0.0.1", self.port
-            )
+            client = await RequestLog(HOST, self.port).connect()
         except OSError:
             return False
         try:
-            return await asyncio.wait_for(counter.check_readiness(), 2.0)
+            return await asyncio.wait_for(client.check_readiness(), READY_TIMEOUT_S)
         except (TimeoutError, OSError):
             return False
         finally:
@@ -208,8 +262,11 @@
 
 
 class BrokerFleet:
-    """`with Fleet(...)`: whatever becomes of a test, no process of it is left behind. ``script``:
-    the same for all, or by number and port for its peers; each process has one.
+    """Several processes, as a context manager that leaves none of them behind.
+
+    Attributes:
+        temporary_folder: Holds the folder of each process.
+        processes: The processes, by number.
     """
 
     def __init__(
@@ -219,20 +276,33 @@
         operator_file: str | Callable[[int, int], str] = "",
         tree: Path = ROOT,
     ) -> None:
+        """Write the files of processes that are not started yet.
+
+        Args:
+            count: Number of processes.
+            raw: Their configuration; its fleet size is the count unless it says another.
+            operator_file: Text of the operators' file, the same for all, or made from the number of
+                a process and its port for other brokers.
+            tree: The source tree that they run.
+        """
         self.temporary_folder = tempfile.TemporaryDirectory()
         folder = Path(self.temporary_folder.name)
-        ports = free_ports(3 * count)
-        raw = {
-            **raw,
-            "settings": {**raw["settings"], "fleet_size": raw["settings"].get("fleet_size", count)},
-        }
-        self.processes = []
-        for i in range(count):
-            mine = (ports[3 * i], ports[3 * i + 1], ports[3 * i + 2])
-            said = script if isinstance(script, str) else script(i, mine[2])
-            self.processes.append(BrokerProcess(i, folder / f"n{i}", mine, raw, said, tree))
+        settings = {"fleet_size": count, **raw["settings"]}
+        ports_left = iter(free_ports(len(ProcessPorts._fields) * count))
+        self.processes: list[BrokerProcess] = []
+        for number in range(count):
+            ports = ProcessPorts(next(ports_left), next(ports_left), next(ports_left))
+            if isinstance(operator_file, str):
+                text = operator_file
+            else:
+                text = operator_file(number, ports.peer_port)
+            process = BrokerProcess(
+                number, folder / f"n{number}", ports, {**raw, "settings": settings}, text, tree
+            )
+            self.processes.append(process)
 
     def __enter__(self) -> BrokerFleet:
+        """Return the fleet."""
         return self
 
     def __exit__(
@@ -241,23 +311,36 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        for member in self.processes:
-            member.kill()
+        """Kill all processes and remove their files."""
+        for process in self.processes:
+            process.kill()
         self.temporary_folder.cleanup()
 
     def start(self) -> None:
-        for member in self.processes:
-            member.start()
+        """Start all processes."""
+        for process in self.processes:
+            process.start()
+
+    async def wait_until_ready(self, seconds: float, fraction: float = 1.0) -> list[float]:
+        """Wait until this fraction of the processes is ready, or for so long.
 
-    async def wait_until_ready(self, seconds: float, part: float = 1.0) -> list[float]:
-        """Seconds from each one's start until it was ready, as they came; ends when all are, or in
-        time.
+        Returns:
+            Seconds from the start of each process that became ready, in the order in which they
+            did.
         """
-        end, waiting, took = time.monotonic() + seconds, list(self.processes), list[float]()
-        while waiting and time.monotonic() < end and len(took) < part * len(self.processes):
-            said = await asyncio.gather(*(m.is_ready() for m in waiting))
-            now = time.monotonic()
-            took += [now - m.started_s for m, yes in zip(waiting, said, strict=True) if yes]
-            waiting = [m for m, yes in zip(waiting, said, strict=True) if not yes]
-            await asyncio.sleep(0.05)
-        return took
+        end_s = time.monotonic() + seconds
+        waiting = list(self.processes)
+        durations_s: list[float] = []
+        enough = fraction * len(self.processes)
+        while waiting and time.monotonic() < end_s and len(durations_s) < enough:
+            answers = await asyncio.gather(*(process.is_ready() for process in waiting))
+            now_s = time.monotonic()
+            still_waiting = []
+            for process, is_ready in zip(waiting, answers, strict=True):
+                if is_ready:
+                    durations_s.append(now_s - process.started_s)
+                else:
+                    still_waiting.append(process)
+            waiting = still_waiting
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return durations_s
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -24,6 +24,7 @@
 from query_broker.config import Config, parse
 from query_broker.emulator.cluster import platform_settings
 from query_broker.emulator.data_engine import ScriptedEngine as Engine
+from query_broker.emulator.discovery_service import ScriptedDiscoveryService as Bus
 from query_broker.emulator.discovery_service import target_entry, topology_event
 from query_broker.emulator.processes import free_ports
 from query_broker.endpoints.connection_pool import ConnectionPool
@@ -32,11 +33,11 @@
 from query_broker.server.node import Node
 
 __all__ = [
+    "Bus",
     "MS",
     "ROOT",
     "STATEMENT",
     "TRACE",
-    "ScriptedDiscoveryService",
     "Client",
     "Engine",
     "Rig",
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -582,7 +582,7 @@
     config: Config, held: socket.socket, folder: Path, map: CellMap
 ) -> AsyncIterator[Rig]:
     async with running(
-        replace(broker_config, accept_fd=os.dup(held.fileno()), folder=str(folder)),
+        replace(config, accept_fd=os.dup(held.fileno()), folder=str(folder)),
         make=celled(map),
     ) as rig:
         yield rig
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,10 +36,10 @@
     ROOT,
     STATEMENT,
     TRACE,
+    Bus,
     Client,
     Engine,
     Rig,
-    ScriptedDiscoveryService,
     connect,
     free_port,
     gated,
@@ -261,7 +261,7 @@
 async def test_idle_clients_that_fill_the_descriptors_keep_out_neither_the_list_nor_engines() -> (
     None
 ):
-    engine, bus, port = Engine(), ScriptedDiscoveryService(), free_port()
+    engine, bus, port = Engine(), Bus(), free_port()
     spare = await engine.start()
     config = make_config(listed=False, bus=port)
     async with running(config) as rig:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -159,8 +159,8 @@
         handle = controller.handle
 
         def listen(now: int, event: Any) -> Any:
-            heard[type(topology_event).__name__] += 1
-            return handle(now, topology_event)
+            heard[type(event).__name__] += 1
+            return handle(now, event)
 
         controller.handle = listen  # type: ignore[method-assign]
         writer = engine.writer_of(do)
@@ -202,7 +202,12 @@
         for i in range(200):
             route, rows = ("load", 1) if i % 4 == 0 else ("glance", 900)
             await book.send_request(
-                "", route, 20, 4_000 * MS, rows=rows, nonce=f"{i:032x}" if route == "load" else ""
+                "",
+                route,
+                20,
+                4_000 * MS,
+                rows=rows,
+                idempotency_key=f"{i:032x}" if route == "load" else "",
             )
             if i == 60:
                 world.terminate("s-1")
--- a/tests/test_sockets_bus.py
+++ b/tests/test_sockets_bus.py
@@ -15,6 +15,7 @@
 
 from .sockets import (
     MS,
+    Bus,
     Client,
     Engine,
     Rig,
@@ -85,7 +86,7 @@
 
 @on_uvloop
 async def test_a_beat_beyond_what_came_and_a_bad_line_make_it_connect_anew() -> None:
-    bus = ScriptedDiscoveryService()
+    bus = Bus()
     async with running(make_config(bus=await bus.start())) as rig:
         await until(lambda: bus.subscriptions)
         bus.publish(5)
@@ -146,7 +147,7 @@
 async def test_a_service_that_stops_within_an_event_is_connected_to_again_within_2_s(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    bus = ScriptedDiscoveryService()
+    bus = Bus()
     async with running(make_config(bus=await bus.start())) as rig:
         await until(lambda: bus.subscriptions)
         bus.publish(1)
@@ -201,8 +202,8 @@
         take = watch_client.take
 
         def count(event: EndpointListEvent) -> None:
-            offsets.append(topology_event.offset)
-            take(topology_event)
+            offsets.append(event.offset)
+            take(event)
 
         watch_client.take = count
         drain = topology_event(2, {**targets[0], "state": "terminating"})
@@ -239,7 +240,7 @@
         client = await rig.client()
         client.ask(1, trace="1" * 16)
         assert (await client.answer())[:2] == (1, 0)  # what is known serves
-        bus.server = await asyncio.start_server(bus._client, "127.0.0.1", port)
+        bus.server = await asyncio.start_server(bus._serve_client, "127.0.0.1", port)
         await until(lambda: bus.subscriptions)
         # out of turn: asked for again, not taken
         bus.publish(topology_event(3, {**targets[1], "capacity_hint": 9}))
