--- a/query_broker/cells/admin.py
+++ b/query_broker/cells/admin.py
@@ -42,12 +42,12 @@
         if not parts:
             return _answer(HTTPStatus.OK, self.overview())
         try:
-            move = self._change(parts)
+            migration = self._change(parts)
         except MigrationRejectedError as error:
             return _error(HTTPStatus.CONFLICT, str(error))
-        if move is None:
+        if migration is None:
             return _error(HTTPStatus.NOT_FOUND, "no such call")
-        return self._confirm(move)
+        return self._confirm(migration)
 
     def _change(self, parts: list[str]) -> Migration | None:
         """Start or abort a migration; None where the path names no call."""
@@ -61,16 +61,12 @@
             case _:
                 return None
 
-    def _confirm(self, move: Migration) -> AdminResponse:
+    def _confirm(self, migration: Migration) -> AdminResponse:
         """Publish and log a change; once the caller has its answer, it holds at all processes."""
         if self._node.peer_processes is not None:
             self._node.peer_processes.tell()
-        self._node.log(
-            "cells",
-            f"{move.subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}, "
-            "by call",
-        )
-        return _answer(HTTPStatus.OK, move.plain())
+        self._node.log("cells", f"{migration.summary()}, by call")
+        return _answer(HTTPStatus.OK, migration.plain())
 
     # --- the overview ---
 
@@ -78,14 +74,16 @@
         """Return the cells, their endpoints, the tenants with their loads, and the migrations."""
         dispatcher = self._node.celled
         seats = dispatcher.router.seats.placement.seats
-        moves = sorted(dispatcher.moves.records.values(), key=lambda move: -move.begun)
+        migrations = sorted(
+            dispatcher.moves.records.values(), key=lambda migration: -migration.begun
+        )
         return {
             "epoch": self._node.map.epoch,
             "digest": self._node.digest,
             "cells": [self._cell(cell) for cell in self._node.map.cells],
             "tenants": self._tenants(),
             "unplaced": sorted(uid for uid, cell in seats.items() if cell is None),
-            "moves": [move.plain() for move in moves],
+            "moves": [migration.plain() for migration in migrations],
         }
 
     def _cell(self, cell: Cell) -> dict[str, Any]:
--- a/query_broker/cells/cell_status.py
+++ b/query_broker/cells/cell_status.py
@@ -89,7 +89,7 @@
         "me": me,
         "epoch": published.epoch,
         "digest": published.digest,
-        "moves": [move.plain() for move in log.records.values()],
+        "moves": [migration.plain() for migration in log.records.values()],
         "open": open_now,
         "seats": seats,
     }
--- a/query_broker/cells/migration_log.py
+++ b/query_broker/cells/migration_log.py
@@ -54,9 +54,9 @@
 
     def cell(self, subject: str, now_ns: int) -> str:
         """Return where a new request of the subject goes: one cell, at every moment."""
-        move = self.records.get(subject)
-        if move is not None:
-            cell = move.cell(now_ns)
+        migration = self.records.get(subject)
+        if migration is not None:
+            cell = migration.cell(now_ns)
             if self.map.cell(cell) is not None:
                 return cell
         home = self.homes.get(subject)
@@ -86,7 +86,7 @@
         source = self.cell(subject, now_ns)
         if source == target:
             raise MigrationRejectedError("cell", f"{subject!r} is in {target!r} already")
-        if sum(not move.has_ended() for move in self.records.values()) >= MAX_MIGRATIONS:
+        if sum(not migration.has_ended() for migration in self.records.values()) >= MAX_MIGRATIONS:
             raise MigrationRejectedError("moves", f"{MAX_MIGRATIONS} are under way")
         proposed = Migration(
             subject, source, target, Stage.PROPOSED, 0, now_ns, now_ns, driver=self.me
@@ -109,12 +109,12 @@
         Raises:
             MigrationRejectedError: None is under way, or it is being aborted already.
         """
-        move = self.records.get(subject)
-        if move is None or move.has_ended():
+        migration = self.records.get(subject)
+        if migration is None or migration.has_ended():
             raise MigrationRejectedError("tenant", f"{subject!r} is not on the move")
-        if move.stage is Stage.RETURNING:
+        if migration.stage is Stage.RETURNING:
             raise MigrationRejectedError("tenant", f"{subject!r} is being taken back already")
-        return self.abort(move, now_ns, why)
+        return self.abort(migration, now_ns, why)
 
     # --- maps and other processes ---
 
@@ -126,83 +126,83 @@
         before = self.map
         self.map = map
         self.homes = {}
-        for move in list(self.records.values()):
-            if move.has_ended():
-                renamed = map.home(move.subject) != before.home(move.subject)
-                if renamed or self._drops(move.source) or self._drops(move.target):
-                    self._overrule(move, now_ns)
-            elif self._drops(move.target):
-                self._abort_without_target(move, now_ns)
-            elif self._drops(move.source):
-                self._end_without_source(move, now_ns)
+        for migration in list(self.records.values()):
+            if migration.has_ended():
+                renamed = map.home(migration.subject) != before.home(migration.subject)
+                if renamed or self._drops(migration.source) or self._drops(migration.target):
+                    self._overrule(migration, now_ns)
+            elif self._drops(migration.target):
+                self._abort_without_target(migration, now_ns)
+            elif self._drops(migration.source):
+                self._end_without_source(migration, now_ns)
 
     def _drops(self, cell: str) -> bool:
         return self.map.cell(cell) is None
 
-    def _overrule(self, move: Migration, now_ns: int) -> None:
+    def _overrule(self, migration: Migration, now_ns: int) -> None:
         # The record stays and is published: forgotten here alone, the old one would come back from
         # another process.
         overruled = replace(
-            move,
+            migration,
             stage=Stage.TAKEN_BACK,
-            source=self.map.home(move.subject),
+            source=self.map.home(migration.subject),
             at=now_ns,
             why="the map says otherwise",
         )
         self.record(overruled)
 
-    def _abort_without_target(self, move: Migration, now_ns: int) -> None:
-        if self._drops(move.source):
-            move = replace(move, source=self.map.home(move.subject))
-        self.abort(move, now_ns, f"the map has no cell {move.target!r} any more")
+    def _abort_without_target(self, migration: Migration, now_ns: int) -> None:
+        if self._drops(migration.source):
+            migration = replace(migration, source=self.map.home(migration.subject))
+        self.abort(migration, now_ns, f"the map has no cell {migration.target!r} any more")
 
-    def _end_without_source(self, move: Migration, now_ns: int) -> None:
+    def _end_without_source(self, migration: Migration, now_ns: int) -> None:
         # The tenant's open requests end in the dropped cell, however long that takes; for new ones
         # only the target is left.
         ended = replace(
-            move,
+            migration,
             stage=Stage.DONE,
             at=now_ns,
             switch_at=now_ns,
-            why=f"the map has no cell {move.source!r} any more",
+            why=f"the map has no cell {migration.source!r} any more",
         )
         self.record(ended)
 
-    def merge(self, moves: Iterable[Migration]) -> bool:
+    def merge(self, migrations: Iterable[Migration]) -> bool:
         """Take in the records of another process; return whether one of them was newer."""
         newer = False
-        for move in moves:
-            self.version = max(self.version, move.version)
-            known = self.records.get(move.subject)
-            if known is not None and RecordRank.of(move) <= RecordRank.of(known):
+        for migration in migrations:
+            self.version = max(self.version, migration.version)
+            known = self.records.get(migration.subject)
+            if known is not None and RecordRank.of(migration) <= RecordRank.of(known):
                 continue
-            self.records[move.subject] = move
+            self.records[migration.subject] = migration
             newer = True
             was_under_way = known is None or not known.has_ended()
-            if move.why == CLOSED_OUT and was_under_way:
-                self.order_close_out(move)  # each process answers its own requests
+            if migration.why == CLOSED_OUT and was_under_way:
+                self.order_close_out(migration)  # each process answers its own requests
         return newer
 
-    def order_close_out(self, move: Migration) -> None:
+    def order_close_out(self, migration: Migration) -> None:
         """Order the end of what is still open in the cell that the subject has left."""
-        cell = move.source if move.stage is Stage.DONE else move.target
-        self.closing.append(CloseOut(move.subject, cell))
+        cell = migration.source if migration.stage is Stage.DONE else migration.target
+        self.closing.append(CloseOut(migration.subject, cell))
 
     # --- the record ---
 
-    def record(self, move: Migration) -> Migration:
+    def record(self, migration: Migration) -> Migration:
         """Store a record under the next version and return it so."""
         self.version += 1
-        versioned = replace(move, version=self.version)
-        self.records[move.subject] = versioned
+        versioned = replace(migration, version=self.version)
+        self.records[migration.subject] = versioned
         self.changed = True
         return versioned
 
-    def enter(self, move: Migration, stage: Stage, now_ns: int) -> Migration:
+    def enter(self, migration: Migration, stage: Stage, now_ns: int) -> Migration:
         """Record that the migration comes into a stage now."""
-        return self.record(replace(move, stage=stage, at=now_ns))
+        return self.record(replace(migration, stage=stage, at=now_ns))
 
-    def abort(self, move: Migration, now_ns: int, why: str) -> Migration:
+    def abort(self, migration: Migration, now_ns: int, why: str) -> Migration:
         """Take a migration back: at once before the switch, else after the target has drained."""
-        stage = Stage.RETURNING if move.stage in SWITCHED_STAGES else Stage.TAKEN_BACK
-        return self.record(replace(move, stage=stage, at=now_ns, switch_at=0, why=why))
+        stage = Stage.RETURNING if migration.stage in SWITCHED_STAGES else Stage.TAKEN_BACK
+        return self.record(replace(migration, stage=stage, at=now_ns, switch_at=0, why=why))
--- a/query_broker/cells/migration_service.py
+++ b/query_broker/cells/migration_service.py
@@ -27,7 +27,7 @@
     def _step(self, now_ns: int) -> None:
         dispatcher = self._node.celled
         log = dispatcher.moves
-        stages_before = {subject: move.stage for subject, move in log.records.items()}
+        stages_before = {subject: migration.stage for subject, migration in log.records.items()}
         accepting = [name for name, peer in self._node.peers.items() if peer["accepting"]]
         # A process that leaves must not drive what it will not see the end of.
         if not self._node.closing_announced or not accepting:
@@ -43,14 +43,11 @@
                 self._node.peer_processes.tell()
 
     def _log_changes(self, stages_before: dict[str, Stage]) -> None:
-        for subject, move in self._node.celled.moves.records.items():
-            if stages_before.get(subject) is move.stage:
+        for subject, migration in self._node.celled.moves.records.items():
+            if stages_before.get(subject) is migration.stage:
                 continue
-            why = f" ({move.why})" if move.why else ""
-            self._node.log(
-                "cells",
-                f"{subject!r} from {move.source!r} to {move.target!r}: {move.stage.value}{why}",
-            )
+            why = f" ({migration.why})" if migration.why else ""
+            self._node.log("cells", f"{migration.summary()}{why}")
 
     # --- what a step looks at ---
 
@@ -65,12 +62,12 @@
             count += peer["open"].get(subject, {}).get(cell, 0)
         return count
 
-    def is_replicated(self, move: Migration) -> bool:
+    def is_replicated(self, migration: Migration) -> bool:
         """Return whether all other processes of the broker have this record or a later one."""
         for peer in self._node.peers.values():
             versions = [
-                record.version for record in peer["moves"] if record.subject == move.subject
+                record.version for record in peer["moves"] if record.subject == migration.subject
             ]
-            if not any(version >= move.version for version in versions):
+            if not any(version >= migration.version for version in versions):
                 return False
         return True
--- a/query_broker/cells/migration_steps.py
+++ b/query_broker/cells/migration_steps.py
@@ -32,132 +32,142 @@
             takes over the migrations of a process that has ended.
     """
     processes = set(alive)
-    for move in list(log.records.values()):
-        if move.has_ended():
-            _forget_if_settled(log, move, now_ns)
+    for migration in list(log.records.values()):
+        if migration.has_ended():
+            _forget_if_settled(log, migration, now_ns)
             continue
-        driven = _take_over(log, move, processes)
+        driven = _take_over(log, migration, processes)
         if driven.driver == log.me:
             STEPS[driven.stage](log, driven, now_ns, cluster)
 
 
-def _take_over(log: MigrationLog, move: Migration, processes: set[str]) -> Migration:
-    if move.driver == log.me or move.driver in processes:
-        return move
+def _take_over(log: MigrationLog, migration: Migration, processes: set[str]) -> Migration:
+    if migration.driver == log.me or migration.driver in processes:
+        return migration
     if log.me != min({log.me, *processes}):
-        return move
-    return log.record(replace(move, driver=log.me))
+        return migration
+    return log.record(replace(migration, driver=log.me))
 
 
-def _forget_if_settled(log: MigrationLog, move: Migration, now_ns: int) -> None:
+def _forget_if_settled(log: MigrationLog, migration: Migration, now_ns: int) -> None:
     """Forget an ended migration that changes nothing any more.
 
     Where a migration has led is kept for good, unless the map says the same or has no such
     cell.
     """
-    if now_ns - move.at <= RETENTION_NS:
+    if now_ns - migration.at <= RETENTION_NS:
         return
-    cell = move.cell(now_ns)
-    if cell == log.map.home(move.subject) or log.map.cell(cell) is None:
-        del log.records[move.subject]
+    cell = migration.cell(now_ns)
+    if cell == log.map.home(migration.subject) or log.map.cell(cell) is None:
+        del log.records[migration.subject]
 
 
-def _step_proposed(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
-    if cluster.fleet(move.target).ready:
-        log.enter(move, Stage.WARMING, now_ns)
-    elif now_ns - move.at >= log.map.timing.propose:
-        log.abort(move, now_ns, "the target has no ready engine")
+def _step_proposed(
+    log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
+) -> None:
+    if cluster.fleet(migration.target).ready:
+        log.enter(migration, Stage.WARMING, now_ns)
+    elif now_ns - migration.at >= log.map.timing.propose:
+        log.abort(migration, now_ns, "the target has no ready engine")
 
 
-def _step_warming(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
-    able = cluster.fleet(move.target).is_able()
-    if move.switch_at:
-        _await_switch(log, move, now_ns, able, cluster)
+def _step_warming(
+    log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
+) -> None:
+    able = cluster.fleet(migration.target).is_able()
+    if migration.switch_at:
+        _await_switch(log, migration, now_ns, able, cluster)
     else:
-        _await_able(log, move, now_ns, able)
-    latest = log.records[move.subject]
-    if now_ns - move.at >= log.map.timing.warm and latest.stage is Stage.WARMING:
+        _await_able(log, migration, now_ns, able)
+    latest = log.records[migration.subject]
+    if now_ns - migration.at >= log.map.timing.warm and latest.stage is Stage.WARMING:
         log.abort(latest, now_ns, "the target did not get warm in time")
 
 
-def _await_able(log: MigrationLog, move: Migration, now_ns: int, able: bool) -> None:
+def _await_able(log: MigrationLog, migration: Migration, now_ns: int, able: bool) -> None:
     """Decide on the time of the switch once the target has been able for long enough."""
     if not able:
-        if move.able_since:
-            log.record(replace(move, able_since=0))
-    elif not move.able_since:
-        log.record(replace(move, able_since=now_ns))
-    elif now_ns - move.able_since >= log.map.timing.settle:
-        log.record(replace(move, switch_at=now_ns + SWITCH_LEAD_NS))
+        if migration.able_since:
+            log.record(replace(migration, able_since=0))
+    elif not migration.able_since:
+        log.record(replace(migration, able_since=now_ns))
+    elif now_ns - migration.able_since >= log.map.timing.settle:
+        log.record(replace(migration, switch_at=now_ns + SWITCH_LEAD_NS))
 
 
 def _await_switch(
-    log: MigrationLog, move: Migration, now_ns: int, able: bool, cluster: ClusterView
+    log: MigrationLog, migration: Migration, now_ns: int, able: bool, cluster: ClusterView
 ) -> None:
     """Switch once all processes know the time of it; put it off while one does not."""
     if not able:
         # A target that is lost while the other processes learn of the switch must not get the
         # tenant.
-        log.record(replace(move, switch_at=0, able_since=0))
-    elif cluster.is_replicated(move):
-        switch_at = max(now_ns, move.switch_at)
-        log.record(replace(move, stage=Stage.SWITCHED, at=switch_at, switch_at=switch_at))
-    elif now_ns >= move.switch_at:
-        log.record(replace(move, switch_at=now_ns + SWITCH_LEAD_NS))
+        log.record(replace(migration, switch_at=0, able_since=0))
+    elif cluster.is_replicated(migration):
+        switch_at = max(now_ns, migration.switch_at)
+        log.record(replace(migration, stage=Stage.SWITCHED, at=switch_at, switch_at=switch_at))
+    elif now_ns >= migration.switch_at:
+        log.record(replace(migration, switch_at=now_ns + SWITCH_LEAD_NS))
 
 
 def _watch_target(
-    log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView
+    log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> Migration | None:
     """Follow the target once it has the tenant; return the record, or None if it was aborted.
 
     A target that loses its last endpoint gives the tenant back, if the source can take it.
     """
-    if cluster.fleet(move.target).ready:
-        if move.lost_since:
-            return log.record(replace(move, lost_since=0))
-        return move
-    if not move.lost_since:
-        return log.record(replace(move, lost_since=now_ns))
-    is_lost = now_ns - move.lost_since >= log.map.timing.lost
-    if is_lost and cluster.fleet(move.source).ready:
-        log.abort(move, now_ns, "the target has lost its last engine")
+    if cluster.fleet(migration.target).ready:
+        if migration.lost_since:
+            return log.record(replace(migration, lost_since=0))
+        return migration
+    if not migration.lost_since:
+        return log.record(replace(migration, lost_since=now_ns))
+    is_lost = now_ns - migration.lost_since >= log.map.timing.lost
+    if is_lost and cluster.fleet(migration.source).ready:
+        log.abort(migration, now_ns, "the target has lost its last engine")
         return None
-    return move
+    return migration
 
 
-def _step_switched(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
-    if now_ns < move.switch_at:
+def _step_switched(
+    log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
+) -> None:
+    if now_ns < migration.switch_at:
         return
-    watched = _watch_target(log, move, now_ns, cluster)
+    watched = _watch_target(log, migration, now_ns, cluster)
     if watched is None:
         return
-    elapsed_ns = now_ns - move.at
+    elapsed_ns = now_ns - migration.at
     if not watched.lost_since and elapsed_ns >= log.map.timing.watch:
         log.enter(watched, Stage.DRAINING, now_ns)
     elif elapsed_ns >= log.map.timing.switched:
         log.abort(watched, now_ns, "the target was not able for long enough")
 
 
-def _step_draining(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
-    watched = _watch_target(log, move, now_ns, cluster)
+def _step_draining(
+    log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
+) -> None:
+    watched = _watch_target(log, migration, now_ns, cluster)
     if watched is None:
         return
-    if not cluster.open(move.subject, move.source):
+    if not cluster.open(migration.subject, migration.source):
         log.enter(watched, Stage.DONE, now_ns)
-    elif now_ns - move.at >= log.map.timing.drain:
+    elif now_ns - migration.at >= log.map.timing.drain:
         _end_by_close_out(log, watched, Stage.DONE, now_ns)
 
 
-def _step_returning(log: MigrationLog, move: Migration, now_ns: int, cluster: ClusterView) -> None:
-    if not cluster.open(move.subject, move.target):
-        log.enter(move, Stage.TAKEN_BACK, now_ns)
-    elif now_ns - move.at >= log.map.timing.drain:
-        _end_by_close_out(log, move, Stage.TAKEN_BACK, now_ns)
+def _step_returning(
+    log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
+) -> None:
+    if not cluster.open(migration.subject, migration.target):
+        log.enter(migration, Stage.TAKEN_BACK, now_ns)
+    elif now_ns - migration.at >= log.map.timing.drain:
+        _end_by_close_out(log, migration, Stage.TAKEN_BACK, now_ns)
 
 
-def _end_by_close_out(log: MigrationLog, move: Migration, stage: Stage, now_ns: int) -> None:
-    ended = log.record(replace(move, stage=stage, at=now_ns, why=CLOSED_OUT))
+def _end_by_close_out(log: MigrationLog, migration: Migration, stage: Stage, now_ns: int) -> None:
+    ended = log.record(replace(migration, stage=stage, at=now_ns, why=CLOSED_OUT))
     log.order_close_out(ended)
 
 
--- a/query_broker/cells/migrations.py
+++ b/query_broker/cells/migrations.py
@@ -95,6 +95,10 @@
         has_switched = self.stage in SWITCHED_STAGES and now_ns >= self.switch_at
         return self.target if has_switched else self.source
 
+    def summary(self) -> str:
+        """Return what a log line says of it: the subject, both cells and the stage."""
+        return f"{self.subject!r} from {self.source!r} to {self.target!r}: {self.stage.value}"
+
     def plain(self) -> dict[str, Any]:
         """Return the record as plain objects for JSON, the form that `read_migration` reads."""
         return {**asdict(self), "stage": self.stage.value}
@@ -108,14 +112,21 @@
         TypeError: A field is missing, unknown or of the wrong type.
         KeyError: There is no stage.
     """
-    move = Migration(**{**raw, "stage": Stage(raw["stage"])})
-    texts = (move.subject, move.source, move.target, move.driver, move.why)
-    numbers = (move.version, move.at, move.begun, move.able_since, move.lost_since, move.switch_at)
+    migration = Migration(**{**raw, "stage": Stage(raw["stage"])})
+    texts = (migration.subject, migration.source, migration.target, migration.driver, migration.why)
+    numbers = (
+        migration.version,
+        migration.at,
+        migration.begun,
+        migration.able_since,
+        migration.lost_since,
+        migration.switch_at,
+    )
     texts_match = all(type(text) is str for text in texts)
     numbers_match = all(type(number) is int for number in numbers)
     if not (texts_match and numbers_match):
         raise TypeError(WRONG_FIELD_TYPE)
-    return move
+    return migration
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,7 +155,7 @@
     def open(self, subject: str, cell: str) -> int:
         """Return the subject's open requests in the cell, in all processes of the broker."""
 
-    def is_replicated(self, move: Migration) -> bool:
+    def is_replicated(self, migration: Migration) -> bool:
         """Return whether all other processes of the broker have this record."""
 
 
@@ -164,6 +175,6 @@
     driver: str
 
     @classmethod
-    def of(cls, move: Migration) -> RecordRank:
+    def of(cls, migration: Migration) -> RecordRank:
         """Return the rank of a record."""
-        return cls(move.version, STAGE_ORDER.index(move.stage), move.driver)
+        return cls(migration.version, STAGE_ORDER.index(migration.stage), migration.driver)
--- a/tests/test_cells_pure.py
+++ b/tests/test_cells_pure.py
@@ -297,7 +297,7 @@
     def open(self, subject: str, cell: str) -> int:
         return self.count[subject, cell]
 
-    def is_replicated(self, move: Migration) -> bool:
+    def is_replicated(self, migration: Migration) -> bool:
         return self.replicated
 
 
@@ -467,13 +467,13 @@
 
 def test_records_survive_being_told_and_spoilt_ones_are_turned_down() -> None:
     made = MigrationLog(cell_map(), "p1")
-    move = made.propose("x", "b", 5)
-    assert read_migration(move.plain()) == move
+    migration = made.propose("x", "b", 5)
+    assert read_migration(migration.plain()) == migration
     for spoilt in (
         {},
-        {**move.plain(), "stage": "?"},
-        {**move.plain(), "at": "1"},
-        {**move.plain(), "z": 1},
+        {**migration.plain(), "stage": "?"},
+        {**migration.plain(), "at": "1"},
+        {**migration.plain(), "z": 1},
     ):
         with pytest.raises((ValueError, TypeError, KeyError)):
             read_migration(spoilt)
@@ -546,9 +546,9 @@
             cluster.count.clear()
         step_migrations(made, now, cluster)
         assert made.cell("x", now) in "abc" and made.version >= version
-        move = made.records.get("x")
-        if move is not None and not move.has_ended():
-            assert made.cell("x", now) in (move.source, move.target)
+        migration = made.records.get("x")
+        if migration is not None and not migration.has_ended():
+            assert made.cell("x", now) in (migration.source, migration.target)
         version = made.version
 
 
