--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -22,7 +22,7 @@
 from query_broker.cells.model import Cell, CellMap, Tenant, Timing
 from query_broker.cells.node import CellNode
 from query_broker.cells.placement import Placement, Seen
-from query_broker.cells.planner import Problem, hashed, load_of
+from query_broker.cells.planner import Problem, hashed_placement, relative_loads
 from query_broker.cells.solver import solve
 from query_broker.config import parse
 from query_broker.emulator.clients import RequestLog, RequestRecord, quantile
@@ -164,7 +164,7 @@
         while node.server is None:
             await asyncio.sleep(0.01)
         book = RequestLog("127.0.0.1", int(node.server.sockets[0].getsockname()[1]))
-        record, over = node.celled.moves, asyncio.Event()
+        record, over = node.celled.migrations, asyncio.Event()
         loading = asyncio.create_task(_steady(book, names, draw, over))
         breaking = asyncio.create_task(_faults(world, node, draw, over))
         begun, proposed, backs = time.monotonic(), 0, 0
@@ -186,7 +186,7 @@
                     pass
             if draw.random() < 0.02:
                 try:
-                    record.take_back(draw.choice(names), now)
+                    record.abort_by_operators(draw.choice(names), now)
                     backs += 1
                 except MigrationRejectedError:
                     pass
@@ -314,13 +314,13 @@
         await asyncio.sleep(0.01)
     book, ledger = (
         RequestLog("127.0.0.1", int(node.server.sockets[0].getsockname()[1])),
-        node.celled.requests_lent,
+        node.celled.request_ledger,
     )
-    ledger.divide(40, node.celled.shares())
+    ledger.divide(40, node.celled.cell_weights())
     for _ in range(60):
         await book.send_request("x", "glance", 1, 5 * S, weight=1)
     await asyncio.sleep(0.1)
-    figures.tell("loans.lent", ledger.lent("a"), least=1)
+    figures.tell("loans.lent", ledger.borrowed("a"), least=1)
     begun, held = time.monotonic(), 0
     while held < ledger.accounts["b"].part and time.monotonic() - begun < 5:
         await book.send_request("y", "glance", 1, 5 * S, weight=1)
@@ -380,13 +380,13 @@
     figures.tell("map.others_moved_when_one_leaves", moved, most=0)
     loads = {f"t{i}": draw.paretovariate(1.3) for i in range(1_000)}
     capacities = {c.name: 8.0 * max(1, placement.size(c.name)) for c in said.cells}
-    plain = hashed(loads, capacities)
+    plain = hashed_placement(loads, capacities)
     apart = tuple((f"t{i}", f"t{i + 1}") for i in range(0, 40, 2))
     begun = time.perf_counter()
     made = solve(Problem(loads, capacities, plain, apart), seconds)
     figures.tell("plan.seconds", time.perf_counter() - begun, most=seconds + 5)
     mean = sum(loads.values()) / sum(capacities.values())
-    by_hashing = load_of(Problem(loads, capacities, plain), plain)
+    by_hashing = relative_loads(Problem(loads, capacities, plain), plain)
     figures.tell("plan.fullest_by_hashing", max(by_hashing.values()) / mean)
     figures.tell("plan.fullest_by_plan", max(made.after.values()) / mean, most=1.1)
     figures.tell("plan.tenants_moved", len(made.moves))
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -43,8 +43,8 @@
 )
 from query_broker.emulator.machine import Machine
 from query_broker.emulator.processes import ROOT, BrokerFleet
-from query_broker.startup.admission_ramp import Ramp, assumed
-from query_broker.startup.pacing import Calls, probe_at, window
+from query_broker.startup.admission_ramp import AdmissionRamp, assumed_work
+from query_broker.startup.pacing import PacedCalls, call_window_ns, probe_slot_ns
 from query_broker.startup.settings import StartupSettings
 
 from .harness import Figures, worktree
@@ -201,7 +201,7 @@
         figures.tell(
             f"{name}.ready_{part:g}_s",
             ready[min(len(ready) - 1, int(part * len(ready)))],
-            most=6 * window(count, RATE) / S + 15 + 2 * list_s if paced else None,
+            most=6 * call_window_ns(count, RATE) / S + 15 + 2 * list_s if paced else None,
         )
     figures.tell(
         f"{name}.engine_connects_in_the_busiest_second",
@@ -229,15 +229,15 @@
     draw, now = random.Random(seed), 0.0
     script = FaultSchedule(faults, lambda: now)
     resets = sorted(f.begin_s for f in faults if f.kind is FaultKind.RESET)
-    terms = StartupSettings(list_connects=RATE, engine_probes=40.0)
+    terms = StartupSettings(list_connects_per_s=RATE, endpoint_probes_per_s=40.0)
     calls: list[float] = []
     probes: list[float] = []
     full: list[float] = []
     done: set[int] = set()
-    heap: list[tuple[float, int, Calls]] = []
+    heap: list[tuple[float, int, PacedCalls]] = []
     for me in range(count):
-        mine, at = Calls(me, count, RATE, draw.random), draw.random()
-        heap.append((mine.first(int(at * S)) / S if paced else at, me, mine))
+        mine, at = PacedCalls(me, count, RATE, draw.random), draw.random()
+        heap.append((mine.first_at(int(at * S)) / S if paced else at, me, mine))
     heapq.heapify(heap)
     while heap:
         now, me, mine = heapq.heappop(heap)
@@ -245,23 +245,27 @@
         # as it was: 0.05 to 0.4 s, doubled, half to the whole
         if script.active_fault(FaultKind.REJECT, "bus"):
             was = min(0.4, 0.05 * 2**mine.failed) * (0.5 + draw.random() / 2)
-            again = mine.again(int(now * S)) / S
+            again = mine.retry_at(int(now * S)) / S
             heapq.heappush(heap, (again if paced else now + was, me, mine))
             continue
         connected = [t for t in resets if t > now]
         if connected:  # its connection is reset then, and it calls again
-            again = mine.again(int(connected[0] * S)) / S
+            again = mine.retry_at(int(connected[0] * S)) / S
             heapq.heappush(
                 heap, (again if paced else connected[0] + 0.05 * draw.random(), me, mine)
             )
         if me in done:
             continue  # it had started before the reset
-        asked = probe_at(int(now * S), 7, me, count, terms.engine_probes) / S if paced else now
+        asked = (
+            probe_slot_ns(int(now * S), 7, me, count, terms.endpoint_probes_per_s) / S
+            if paced
+            else now
+        )
         probes.append(asked)
-        ramp, at = Ramp(terms, int(now * S)), int(now * S)
-        while paced and not ramp.over():
+        ramp, at = AdmissionRamp(terms, int(now * S)), int(now * S)
+        while paced and not ramp.complete():
             at += S
-            ramp.period(at, 4, 0)
+            ramp.step(at, 4, 0)
         full.append(at / S)
         done.add(me)
     return {"calls": calls, "probes": probes, "full": full}
@@ -301,25 +305,25 @@
         n: SimulatedEngine(sim, n, Machine(started_ns=BEGIN_NS - sim.random.randrange(S // 2)))
         for n in (sim.random.randrange(1 << 32) for _ in range(max(3, min(80, 2 * brokers // 5))))
     }
-    terms = StartupSettings(list_connects=RATE, engine_probes=PROBES)
+    terms = StartupSettings(list_connects_per_s=RATE, endpoint_probes_per_s=PROBES)
     full: list[float] = []
     members: list[SimulatedBroker] = []
 
-    def ramps(broker: SimulatedBroker, ramp: Ramp, seen: list[int]) -> None:
+    def ramps(broker: SimulatedBroker, ramp: AdmissionRamp, seen: list[int]) -> None:
         served = sum(a[3] for a in broker.requests.values())
-        share = ramp.period(sim.now_ns, served - seen[0], 0)
+        share = ramp.step(sim.now_ns, served - seen[0], 0)
         seen[0] = served
-        widest = broker.facade.widest()
+        widest = broker.facade.widest_request_threads()
         left = (
             {
-                n: OutstandingWork(*assumed(share, threads, bound, widest), 0)
-                for n, (threads, bound) in broker.facade.shares().items()
+                n: OutstandingWork(*assumed_work(share, threads, bound, widest), 0)
+                for n, (threads, bound) in broker.facade.quotas_and_bounds().items()
             }
             if share < 1
             else {}
         )
         broker.report(CoProcessLoad(left, 1))
-        if ramp.over():
+        if ramp.complete():
             full.append((sim.now_ns - BEGIN_NS) / S)
         else:
             sim.call_at(sim.now_ns + S, lambda: ramps(broker, ramp, seen))
@@ -330,20 +334,20 @@
             return opens(broker)
         for n in engines:
             sim.call_at(
-                probe_at(sim.now_ns, n, broker.settings.broker_index, brokers, PROBES),
+                probe_slot_ns(sim.now_ns, n, broker.settings.broker_index, brokers, PROBES),
                 partial(broker.check_health, n),
             )
-        sim.call_at(sim.now_ns + terms.contact_wait, lambda: opens(broker))
+        sim.call_at(sim.now_ns + terms.contact_wait_ns, lambda: opens(broker))
 
     def opens(broker: SimulatedBroker) -> None:
         if paced:
-            ramps(broker, Ramp(terms, sim.now_ns), [0])
+            ramps(broker, AdmissionRamp(terms, sim.now_ns), [0])
         members.append(broker)
 
     for me in range(brokers):
         broker = SimulatedBroker(sim, sim_settings(me, brokers), me, engines)
         begun = sim.now_ns + sim.random.randrange(S)
-        first_call = Calls(me, brokers, RATE, sim.random.random).first(begun)
+        first_call = PacedCalls(me, brokers, RATE, sim.random.random).first_at(begun)
         sim.call_at(first_call if paced else begun, partial(listed, broker))
     mean = 0.9 * 0.2 * S + 0.1 * 4 * S
     gap = int(mean / (LOAD * 8 * len(engines)))
@@ -435,7 +439,7 @@
                 figures.tell(
                     f"{at}.all_full_s",
                     max(r["full"] for r in runs),
-                    most=2 * window(size, RATE) / S + 2 + 4 * 8,
+                    most=2 * call_window_ns(size, RATE) / S + 2 + 4 * 8,
                 )
                 figures.tell(
                     f"{at}.at_their_whole_share", min(r["opened"] for r in runs) / size, least=1.0
@@ -463,7 +467,7 @@
                 figures.tell(
                     f"{at}.all_full_s",
                     max(max(r["full"]) for r in runs),
-                    most=last + 6 * window(size, RATE) / S + 10 if paced else None,
+                    most=last + 6 * call_window_ns(size, RATE) / S + 10 if paced else None,
                 )
                 kept[f"{name} {size}, faults until {last:g} s"] = runs[0]["calls"]
     return kept
--- a/query_broker/cells/admin.py
+++ b/query_broker/cells/admin.py
@@ -51,20 +51,20 @@
 
     def _change(self, parts: list[str]) -> Migration | None:
         """Start or abort a migration; None where the path names no call."""
-        log = self._node.celled.moves
+        log = self._node.celled.migrations
         now_ns = self._node.clock.now()
         match parts:
             case ["move", subject, cell]:
                 return log.propose(subject, cell, now_ns)
             case ["abort", subject]:
-                return log.take_back(subject, now_ns)
+                return log.abort_by_operators(subject, now_ns)
             case _:
                 return None
 
     def _confirm(self, migration: Migration) -> AdminResponse:
         """Publish and log a change; once the caller has its answer, it holds at all processes."""
         if self._node.peer_processes is not None:
-            self._node.peer_processes.tell()
+            self._node.peer_processes.publish_status()
         self._node.log("cells", f"{migration.summary()}, by call")
         return _answer(HTTPStatus.OK, migration.plain())
 
@@ -75,7 +75,7 @@
         dispatcher = self._node.celled
         seats = dispatcher.router.seats.placement.seats
         migrations = sorted(
-            dispatcher.moves.records.values(), key=lambda migration: -migration.begun
+            dispatcher.migrations.records.values(), key=lambda migration: -migration.begun
         )
         return {
             "epoch": self._node.map.epoch,
@@ -91,7 +91,7 @@
         seats = dispatcher.router.seats
         facade = dispatcher.router.facades[cell.name]
         fleet = seats.fleet(cell.name, self._node.clock.now())
-        known = facade.controller.engines
+        known = facade.controller.endpoints
         return {
             "cell": cell.name,
             "weight": cell.weight,
@@ -101,7 +101,7 @@
             "short": fleet.ready < cell.least,
             "cores": sum(known[number].cores for number in facade.endpoints if number in known),
             "open": facade.open,
-            "lent": dispatcher.requests_lent.lent(cell.name),
+            "lent": dispatcher.request_ledger.borrowed(cell.name),
             "refused_for_room": dispatcher.accounting.rejected.get(cell.name, 0),
             "engines": sorted(seats.uid_of(number) for number in facade.endpoints),
         }
@@ -110,7 +110,7 @@
         """Return the subjects: of a spread tenant its parts, and not the tenant itself."""
         dispatcher = self._node.celled
         tenants = self._node.map.tenants
-        subjects = {*tenants, *dispatcher.rates.means, *dispatcher.moves.records}
+        subjects = {*tenants, *dispatcher.rates.means, *dispatcher.migrations.records}
         spread = {tenant.name for tenant in tenants.values() if tenant.key}
         return [self._tenant(subject) for subject in sorted(subjects - spread)]
 
@@ -120,7 +120,7 @@
         load = dispatcher.rates.at(subject, now_ns)
         return {
             "tenant": subject,
-            "cell": dispatcher.moves.cell(subject, now_ns),
+            "cell": dispatcher.migrations.cell(subject, now_ns),
             "load": round(load, LOAD_DIGITS),
         }
 
--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -138,7 +138,7 @@
         """Return what must stay free for the cells other than this one."""
         return sum(account.reserve() for owner, account in self.accounts.items() if owner != name)
 
-    def take(self, name: str, amount: int, now_ns: int, firm: bool = False) -> bool:
+    def acquire(self, name: str, amount: int, now_ns: int, firm: bool = False) -> bool:
         """Account the amount to the cell if it may take it; return whether it did."""
         if not self.allows(name, amount, now_ns, firm):
             return False
@@ -155,7 +155,7 @@
         if firm:
             account.firm += amount
 
-    def give(self, name: str, amount: int, firm: bool = False) -> None:
+    def release(self, name: str, amount: int, firm: bool = False) -> None:
         """Give an amount back; ``firm`` as it was taken."""
         account = self.accounts.get(name)
         if account is None:
@@ -167,7 +167,7 @@
             account.firm = max(0, account.firm - amount)
         self._drop_if_unused(name, account)
 
-    def book(self, name: str, used: int, firm: int = 0) -> None:
+    def set_used(self, name: str, used: int, firm: int = 0) -> None:
         """Set the use of a cell that is counted elsewhere."""
         account = self.accounts.get(name)
         if account is None:
@@ -176,7 +176,7 @@
         account.used = used
         account.firm = firm
 
-    def lent(self, name: str) -> int:
+    def borrowed(self, name: str) -> int:
         """Return what the cell uses beyond its part."""
         return self.accounts[name].borrowed()
 
@@ -192,18 +192,18 @@
         if not waiting:
             return {}
         wanted = sum(max(0, account.part - account.used) for account in waiting)
-        largest_first = sorted(self.accounts, key=lambda name: (-self.lent(name), name))
+        largest_first = sorted(self.accounts, key=lambda name: (-self.borrowed(name), name))
         return self._owed(largest_first, wanted - max(0, self.free()))
 
     def over_total(self) -> dict[str, int]:
         """Return what each borrower has to give back where more than the total is in use."""
-        largest_first = sorted(self.accounts, key=lambda name: -self.lent(name))
+        largest_first = sorted(self.accounts, key=lambda name: -self.borrowed(name))
         return self._owed(largest_first, -self.free())
 
     def _owed(self, largest_first: Iterable[str], missing: int) -> dict[str, int]:
         owed: dict[str, int] = {}
         for name in largest_first:
-            amount = min(self.lent(name), missing)
+            amount = min(self.borrowed(name), missing)
             if amount <= 0:
                 break
             owed[name] = amount
--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple, Protocol
 
-from ..metrics import STATUSES, escaped
+from ..metrics import STATUS_LABELS, escape_label
 from .borrowing import Ledger
 from .cell_pools import CelledPools
 from .migration_log import MigrationLog
@@ -60,8 +60,8 @@
     lines = _metric_head("replies_total", "counter", "Requests answered, by cell and class.")
     for (cell, request_class, status), count in sorted(replies.items()):
         lines.append(
-            f'{PREFIX}replies_total{{cell="{escaped(cell)}",type="{escaped(request_class)}",'
-            f'status="{STATUSES[status]}"}} {count}'
+            f'{PREFIX}replies_total{{cell="{escape_label(cell)}",type="{escape_label(request_class)}",'
+            f'status="{STATUS_LABELS[status]}"}} {count}'
         )
     return lines
 
@@ -70,7 +70,7 @@
     """Return the lines of a metric with a time series for each cell."""
     lines = _metric_head(family.name, family.kind, family.help_text)
     for cell, value in sorted(family.values.items()):
-        lines.append(f'{PREFIX}{family.name}{{cell="{escaped(cell)}"}} {value}')
+        lines.append(f'{PREFIX}{family.name}{{cell="{escape_label(cell)}"}} {value}')
     return lines
 
 
@@ -91,7 +91,7 @@
     """The dispatcher, as far as the metrics need it."""
 
     map: CellMap
-    moves: MigrationLog
+    migrations: MigrationLog
     replies: dict[ReplyKey, int]
     accounting: RequestAccounting
     cell_pools: CelledPools
@@ -110,7 +110,7 @@
         lines += _family_lines(family)
     for family in _map_families(source, now_ns):
         lines += _family_lines(family)
-    stages = Counter(move.stage.value for move in source.moves.records.values())
+    stages = Counter(move.stage.value for move in source.migrations.records.values())
     lines += _migration_lines(stages)
     lines += _single_lines(
         "called_in_total",
--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ..endpoints.connection_pool import ConnectionPool
-from ..endpoints.connection_pools import OWN_PART, ConnectionPools
+from ..endpoints.connection_pools import DEDICATED_FRACTION, ConnectionPools
 from ..endpoints.pool_interfaces import HandOverGate, LogWriter, UnsentObserver
 from ..protocols.engine_connection import EngineConnection, Owner
 from .borrowing import RESERVED_FRACTION, Account, Ledger
@@ -87,15 +87,15 @@
             else:
                 without_cell += count
         for cell, count in used.items():
-            self.ledger.book(cell, count)
-        self.ledger.total = max(0, self.most - without_cell)
+            self.ledger.set_used(cell, count)
+        self.ledger.total = max(0, self.max_connections - without_cell)
 
     def _allowance(self, cell: str, account: Account) -> int:
         """Return what the cell may hold now: its part, and what it may borrow."""
         available = self.ledger.free() - self.ledger.reserved_for_others(cell)
         return max(account.part, account.used + max(0, available))
 
-    def share(self, pool: ConnectionPool) -> int:
+    def dedicated_limit(self, pool: ConnectionPool) -> int:
         """Return how many of the cell's connections each of its endpoints may have."""
         cell = self.cell(pool)
         facade = self._host.router.facades.get(cell)
@@ -104,9 +104,9 @@
         self.count_use()
         account = self.ledger.accounts.get(cell)
         allowance = CONNECTIONS_WITHOUT_PART if account is None else self._allowance(cell, account)
-        return max(1, int(allowance * OWN_PART) // max(1, live))
+        return max(1, int(allowance * DEDICATED_FRACTION) // max(1, live))
 
-    def room(self, pool: ConnectionPool) -> bool:
+    def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
         """Return whether an attempt may get a connection of its own.
 
         What is lent is not available yet: until it is back, attempts share connections.
@@ -116,11 +116,11 @@
         account = self.ledger.accounts.get(cell)
         if account is None:
             return False
-        if account.used >= self._allowance(cell, account) * OWN_PART:
+        if account.used >= self._allowance(cell, account) * DEDICATED_FRACTION:
             return False
-        return self.ledger.free() > 0 or bool(self._idle())
+        return self.ledger.free() > 0 or bool(self._idle_connections())
 
-    def make_room(self, pool: ConnectionPool) -> bool:
+    def reserve_descriptor(self, pool: ConnectionPool) -> bool:
         """Return whether the connection that is opening may stay, after closing an idle one.
 
         The opening one is counted already.
@@ -130,7 +130,7 @@
         self.count_use()
         account = self.ledger.accounts.get(cell)
         if account is None:
-            return super().make_room(pool)
+            return super().reserve_descriptor(pool)
         if account.used <= self._allowance(cell, account) and self.ledger.free() >= 0:
             if account.used > RESERVED_FRACTION * account.part:
                 # It uses what may be lent of its part: nothing more of it is lent from now on.
@@ -144,7 +144,7 @@
     def _close_idle_for(self, cell: str, account: Account) -> bool:
         """Close an idle connection of the cell, or of a borrower if the cell is within its part."""
         within_part = account.used <= account.part
-        for connection in self._idle():
+        for connection in self._idle_connections():
             owner = self._host.router.seats.cell_of(connection.endpoint) or ""
             if owner == cell or (within_part and self._borrows(owner)):
                 connection.close()
@@ -152,7 +152,7 @@
         return False
 
     def _borrows(self, cell: str) -> bool:
-        return cell in self.ledger.accounts and self.ledger.lent(cell) > 0
+        return cell in self.ledger.accounts and self.ledger.borrowed(cell) > 0
 
     def call_in(self, now_ns: int) -> None:
         """Take back what owners reclaim from borrowers.
@@ -196,4 +196,4 @@
 def _call_in_order(connection: EngineConnection) -> tuple[int, int]:
     """Rank connections by their attempts that are still wanted, then by their last use."""
     wanted = sum(attempt.wanted() for attempt in connection.in_flight.values())
-    return wanted, connection.used
+    return wanted, connection.last_sent_ns
--- a/query_broker/cells/cell_status.py
+++ b/query_broker/cells/cell_status.py
@@ -13,7 +13,7 @@
 from ..server.process_status import KEY_ACCEPTING, KEY_CELLS
 from .migration_log import MigrationLog
 from .migrations import Migration, read_migration
-from .model import CellMap, from_plain
+from .model import CellMap, read_cell_map
 
 #: Of a map with more tenants only the epoch and the digest are published: to encode and to read it
 #: ten times a second during an upgrade would take too much of the core.
@@ -141,4 +141,4 @@
 def _read_newer_map(raw: Mapping[str, Any], own_epoch: int) -> CellMap | None:
     if "map" not in raw or raw["epoch"] <= own_epoch:
         return None
-    return from_plain(raw["map"])
+    return read_cell_map(raw["map"])
--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -4,7 +4,7 @@
 
 from ..protocols.client_connection import ClientConnection
 from ..server.client_admission import ClientAdmission
-from ..server.host import Host
+from ..server.host import NodeContext
 from .client_connection import CelledConnection
 from .client_seat import ANTEROOM
 from .dispatcher import CellDispatcher
@@ -15,7 +15,9 @@
 class CellAdmission(ClientAdmission):
     """Accounts each client connection to a cell."""
 
-    def __init__(self, node: Host, dispatcher: CellDispatcher, read_turns: ReadTurns) -> None:
+    def __init__(
+        self, node: NodeContext, dispatcher: CellDispatcher, read_turns: ReadTurns
+    ) -> None:
         """Admit connections to the dispatcher's cells; ``read_turns`` forgets those that end."""
         super().__init__(node)
         self._dispatcher = dispatcher
@@ -33,7 +35,7 @@
         self._read_turns.discard(connection)
         if connection in self.connections:
             self.connections.discard(connection)
-            self._dispatcher.connections.give(connection.cell, 1)
+            self._dispatcher.connections.release(connection.cell, 1)
 
     def close_slow_readers(self, now_ns: int) -> None:
         """Close slow readers by the cells' ledgers, and call in borrowed places."""
@@ -43,7 +45,7 @@
         for cell, clients in readers.items():
             used[cell] = sum(client.unread() for client in clients)
         for cell, unread_bytes in used.items():
-            ledger.book(cell, unread_bytes)
+            ledger.set_used(cell, unread_bytes)
             # An owner that uses much of its own part reclaims it by this call.
             ledger.allows(cell, 0, now_ns)
         owed = ledger.over_total()
@@ -59,9 +61,9 @@
         """Account one more connection to the cell, after an eviction if needed."""
         ledger = self._dispatcher.connections
         now_ns = self.node.clock.now()
-        if ledger.take(cell, 1, now_ns):
+        if ledger.acquire(cell, 1, now_ns):
             return True
-        return self._evict_for(cell) and ledger.take(cell, 1, now_ns)
+        return self._evict_for(cell) and ledger.acquire(cell, 1, now_ns)
 
     def _evict_for(self, cell: str) -> bool:
         """End an idle connection of the cell, or of a borrower if the cell is within its part."""
@@ -77,7 +79,7 @@
 
     def _borrows(self, cell: str) -> bool:
         ledger = self._dispatcher.connections
-        return cell in ledger.accounts and ledger.lent(cell) > 0
+        return cell in ledger.accounts and ledger.borrowed(cell) > 0
 
     def settle(self, connection: CelledConnection, cell: str) -> bool:
         """Account a connection to the cell of its request; False where it has no capacity.
@@ -87,11 +89,11 @@
         if connection not in self.connections:
             return True
         places = self._dispatcher.connections
-        places.give(connection.cell, 1)
+        places.release(connection.cell, 1)
         if not self._take_place(cell):
             places.force(connection.cell, 1)  # it keeps the place that it had
             return False
-        self._dispatcher.frames.give(connection.cell, connection.accounted_bytes)
+        self._dispatcher.frames.release(connection.cell, connection.accounted_bytes)
         self._dispatcher.frames.force(cell, connection.accounted_bytes)
         connection.cell = cell
         return True
@@ -103,8 +105,8 @@
                 continue
             if map.cell(connection.cell) is not None:
                 continue
-            self._dispatcher.connections.give(connection.cell, 1)
-            self._dispatcher.frames.give(connection.cell, connection.accounted_bytes)
+            self._dispatcher.connections.release(connection.cell, 1)
+            self._dispatcher.frames.release(connection.cell, connection.accounted_bytes)
             connection.cell = ANTEROOM
             self._dispatcher.connections.force(ANTEROOM, 1)
             self._dispatcher.frames.force(ANTEROOM, connection.accounted_bytes)
@@ -117,13 +119,13 @@
                 for client in self.connections
                 if isinstance(client, CelledConnection) and client.cell == cell
             ]
-            clients.sort(key=lambda client: (not client.idle(), client.used))
+            clients.sort(key=lambda client: (not client.idle(), client.last_used_ns))
             for client in clients[:amount]:
                 if client.idle():
                     self.discard(client)
-                    client.let_go()
+                    client.close()
                 else:
-                    client.leave_off()
+                    client.announce_shutdown()
 
     # --- frames ---
 
@@ -133,7 +135,7 @@
         if not change_bytes:
             return True
         if change_bytes < 0:
-            ledger.give(connection.cell, -change_bytes)
+            ledger.release(connection.cell, -change_bytes)
             return True
         if not ledger.allows(connection.cell, change_bytes, self.node.clock.now()):
             connection.accounted_bytes -= change_bytes
@@ -149,7 +151,7 @@
         readers: dict[str, list[CelledConnection]] = {}
         for client in self.connections:
             assert isinstance(client, CelledConnection)
-            if client.paused_at and now_ns - client.paused_at > max_pause_ns:
+            if client.paused_since_ns and now_ns - client.paused_since_ns > max_pause_ns:
                 self.drop_slow_reader(client)
             elif client.unread():
                 readers.setdefault(client.cell, []).append(client)
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -55,9 +55,9 @@
     ) -> None:
         """Wire the parts; ``me`` is the name of this process among those of the broker."""
         self.map = map
-        self.moves = MigrationLog(map, me)
+        self.migrations = MigrationLog(map, me)
         self.accounting = RequestAccounting()
-        self.requests_lent = self.accounting.requests
+        self.request_ledger = self.accounting.requests
         self.frames = Ledger()
         self.answers = Ledger()
         self.connections = Ledger()
@@ -81,7 +81,7 @@
             self.config.settings,
             self.config.seed,
             now_ns,
-            self.wheel,
+            self.timers,
             self.map,
             lambda number: self.endpoint_table.by_number[number].target.uid,
         )
@@ -92,9 +92,9 @@
         config = self.config
         self.cell_pools = CelledPools(
             self,
-            streams=config.streams,
-            connect_timeout=config.connect_timeout,
-            conn_idle=config.conn_idle,
+            streams=config.streams_per_connection,
+            connect_timeout=config.connect_timeout_ns,
+            conn_idle=config.connection_idle_ns,
             unsent=self.outcomes.end,
             may_go=self.gate.may_go,
         )
@@ -112,30 +112,30 @@
 
     # --- cells ---
 
-    def shares(self) -> dict[str, float]:
+    def cell_weights(self) -> dict[str, float]:
         """Return the weight of each cell in what is divided among cells."""
         return {cell.name: cell.part() for cell in self.map.cells}
 
-    def shares_with_anteroom(self) -> dict[str, float]:
+    def cell_weights_with_anteroom(self) -> dict[str, float]:
         """Return the weights where connections without a cell get a part as well."""
-        weights = self.shares()
+        weights = self.cell_weights()
         anteroom = sum(weights.values()) * ANTEROOM_PART / (1 - ANTEROOM_PART)
         return {**weights, ANTEROOM: anteroom}
 
     def _divide_among_cells(self) -> None:
-        weights = self.shares()
-        weights_with_anteroom = self.shares_with_anteroom()
-        self.accounting.divide(self.room, weights)
-        self.frames.divide(self.room, weights_with_anteroom)
-        self.answers.divide(self.room, weights_with_anteroom)
-        self.connections.divide(self.most_clients, weights_with_anteroom)
-        self.cell_pools.ledger.divide(self.pools.most, weights)
+        weights = self.cell_weights()
+        weights_with_anteroom = self.cell_weights_with_anteroom()
+        self.accounting.divide(self.statement_capacity_bytes, weights)
+        self.frames.divide(self.statement_capacity_bytes, weights_with_anteroom)
+        self.answers.divide(self.statement_capacity_bytes, weights_with_anteroom)
+        self.connections.divide(self.max_clients, weights_with_anteroom)
+        self.cell_pools.ledger.divide(self.pools.max_connections, weights)
 
     def apply_map(self, map: CellMap) -> None:
         """Put another map in force; the caller has made sure that it is no older one."""
         now_ns = self.now()
         self.map = map
-        self.moves.apply_map(map, now_ns)
+        self.migrations.apply_map(map, now_ns)
         self.carry_out(now_ns, self.router.apply_map(map, now_ns))
         self._divide_among_cells()
 
@@ -167,7 +167,7 @@
         """
         now_ns = self.now()
         subject = self.map.subject(parsed.tenant or "", parsed.class_name, parsed.data_set)
-        assignment = Assignment(subject, self.moves.cell(subject, now_ns))
+        assignment = Assignment(subject, self.migrations.cell(subject, now_ns))
         client_id = parsed.client_request_id.encode()
         for other in self.request_table.by_client_id.get(client_id, ()):
             routed = self.router.requests.get(other.id)
--- a/query_broker/cells/endpoint_seats.py
+++ b/query_broker/cells/endpoint_seats.py
@@ -81,7 +81,7 @@
         if entry is not None:
             return self.placement.seat_of(self.uid_of(entry.endpoint))
         for facade in self._facades.values():
-            if number in facade.controller.engines:
+            if number in facade.controller.endpoints:
                 return facade.cell
         return None
 
--- a/query_broker/cells/migration_log.py
+++ b/query_broker/cells/migration_log.py
@@ -103,7 +103,7 @@
                 f"{subject.partition('#')[0]}#0",
             )
 
-    def take_back(self, subject: str, now_ns: int, why: str = BY_OPERATORS) -> Migration:
+    def abort_by_operators(self, subject: str, now_ns: int, why: str = BY_OPERATORS) -> Migration:
         """Abort a migration that is under way and return its record.
 
         Raises:
--- a/query_broker/cells/migration_service.py
+++ b/query_broker/cells/migration_service.py
@@ -26,7 +26,7 @@
 
     def _step(self, now_ns: int) -> None:
         dispatcher = self._node.celled
-        log = dispatcher.moves
+        log = dispatcher.migrations
         stages_before = {subject: migration.stage for subject, migration in log.records.items()}
         accepting = [name for name, peer in self._node.peers.items() if peer["accepting"]]
         # A process that leaves must not drive what it will not see the end of.
@@ -40,10 +40,10 @@
         if log.changed:
             log.changed = False
             if self._node.peer_processes is not None:
-                self._node.peer_processes.tell()
+                self._node.peer_processes.publish_status()
 
     def _log_changes(self, stages_before: dict[str, Stage]) -> None:
-        for subject, migration in self._node.celled.moves.records.items():
+        for subject, migration in self._node.celled.migrations.records.items():
             if stages_before.get(subject) is migration.stage:
                 continue
             why = f" ({migration.why})" if migration.why else ""
--- a/query_broker/cells/model.py
+++ b/query_broker/cells/model.py
@@ -27,11 +27,11 @@
 DIGEST_BYTES = 8
 #: Fields of `Cell` that pin endpoints to it.
 PIN_FIELDS = ("engines", "zones", "models")
-KEY_FIELDS = ("", "route", "data_set")
+SPREAD_FIELDS = ("", "route", "data_set")
 Key = Literal["", "route", "data_set"]
 
 
-class BadMap(ValueError):  # noqa: N818  # the operators' configuration imports it by this name
+class CellMapError(ValueError):  # noqa: N818  # the operators' configuration imports it by this name
     """A cell map that cannot be used; its text is ``key: problem``, in the operators' terms."""
 
     def __init__(self, key: str, problem: str) -> None:
@@ -136,9 +136,9 @@
     def __post_init__(self) -> None:
         """Check the map, in the order of the operators' file."""
         if not self.cells:
-            raise BadMap("cell", "none is named")
+            raise CellMapError("cell", "none is named")
         if self.epoch < 0:
-            raise BadMap("epoch", "must not be negative")
+            raise CellMapError("epoch", "must not be negative")
         names = [cell.name for cell in self.cells]
         for cell in self.cells:
             _check_cell_name(cell.name, names.count(cell.name))
@@ -146,7 +146,7 @@
         for pin_field in PIN_FIELDS:
             _check_pinned_once(self.cells, pin_field)
         if self.default not in names:
-            raise BadMap("default_cell", f"{self.default!r} is no cell")
+            raise CellMapError("default_cell", f"{self.default!r} is no cell")
         for tenant in self.tenants.values():
             _check_tenant(tenant, names)
         _check_timing(self.timing)
@@ -203,44 +203,46 @@
 def _check_cell_name(name: str, uses: int) -> None:
     wrong_length = not name or len(name) > MAX_CELL_NAME_LENGTH
     if wrong_length or not name.isprintable() or "/" in name:
-        raise BadMap(
+        raise CellMapError(
             "cell.name",
             f"{name[:QUOTED_NAME_LENGTH]!r} is no name " "(1 to 64 printable characters, no /)",
         )
     if uses > 1:
-        raise BadMap("cell.name", f"{name!r} is used twice")
+        raise CellMapError("cell.name", f"{name!r} is used twice")
 
 
 def _check_cell_values(cell: Cell) -> None:
     if not (math.isfinite(cell.weight) and cell.weight > 0):
-        raise BadMap("cell.weight", f"of {cell.name!r} must be above 0")
+        raise CellMapError("cell.weight", f"of {cell.name!r} must be above 0")
     if not (math.isfinite(cell.share) and cell.share >= 0):
-        raise BadMap("cell.share", f"of {cell.name!r} must not be negative")
+        raise CellMapError("cell.share", f"of {cell.name!r} must not be negative")
     if cell.least < 0 or cell.most < 0 or (cell.most and cell.most < cell.least):
-        raise BadMap("cell.most", f"of {cell.name!r} must be 0 or at least {cell.least}")
+        raise CellMapError("cell.most", f"of {cell.name!r} must be 0 or at least {cell.least}")
 
 
 def _check_pinned_once(cells: Collection[Cell], pin_field: str) -> None:
     pinned = [value for cell in cells for value in getattr(cell, pin_field)]
     for value in pinned:
         if pinned.count(value) > 1:
-            raise BadMap(f"cell.{pin_field}", f"{value!r} is named twice")
+            raise CellMapError(f"cell.{pin_field}", f"{value!r} is named twice")
 
 
 def _check_tenant(tenant: Tenant, cell_names: Collection[str]) -> None:
-    if not tenant.cells or tenant.key not in KEY_FIELDS:
-        raise BadMap("tenant.cells", f"of {tenant.name!r} must name a cell")
+    if not tenant.cells or tenant.key not in SPREAD_FIELDS:
+        raise CellMapError("tenant.cells", f"of {tenant.name!r} must name a cell")
     if len(tenant.cells) > 1 and not tenant.key:
-        raise BadMap("tenant.key", f"of {tenant.name!r} is needed, since it names several cells")
+        raise CellMapError(
+            "tenant.key", f"of {tenant.name!r} is needed, since it names several cells"
+        )
     for cell_name in tenant.cells:
         if cell_name not in cell_names:
-            raise BadMap("tenant.cell", f"{cell_name!r} of {tenant.name!r} is no cell")
+            raise CellMapError("tenant.cell", f"{cell_name!r} of {tenant.name!r} is no cell")
 
 
 def _check_timing(timing: Timing) -> None:
     for entry in fields(timing):
         if getattr(timing, entry.name) < 0:
-            raise BadMap(f"moves.{entry.name}", "must not be negative")
+            raise CellMapError(f"moves.{entry.name}", "must not be negative")
 
 
 def _is_part_number(text: str) -> bool:
@@ -260,7 +262,7 @@
     return -math.log(drawn) / weight
 
 
-def from_plain(raw: Mapping[str, Any]) -> CellMap:
+def read_cell_map(raw: Mapping[str, Any]) -> CellMap:
     """Read a map from plain objects, the form that `CellMap.plain` gives.
 
     Raises:
@@ -271,10 +273,10 @@
         tenants = {entry["name"]: _read_tenant(entry) for entry in raw["tenants"]}
         epoch = int(raw["epoch"])
         return CellMap(epoch, cells, raw["default"], tenants, Timing(**raw["timing"]))
-    except BadMap:
+    except CellMapError:
         raise
     except (TypeError, KeyError, ValueError, AttributeError) as error:
-        raise BadMap("map", f"{type(error).__name__}: {error}") from None
+        raise CellMapError("map", f"{type(error).__name__}: {error}") from None
 
 
 def _read_cell(raw: Mapping[str, Any]) -> Cell:
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -20,7 +20,7 @@
 from .client_connection import CelledConnection
 from .dispatcher import CellDispatcher
 from .migration_service import MigrationService
-from .model import BadMap, CellMap
+from .model import CellMap, CellMapError
 from .read_turns import ReadTurns
 
 #: The part of the loop's time that goes by turns: reading requests and deciding on them. The rest
@@ -83,7 +83,7 @@
 
     def make_admission(self) -> ClientAdmission:
         """Build the admission of client connections to cells, and their turns to read."""
-        weights = self.celled.shares_with_anteroom()
+        weights = self.celled.cell_weights_with_anteroom()
         self.read_turns = ReadTurns(weights, READ_TURNS_PART * self.config.settings.tick_ns)
         self.client_seats = CellAdmission(self, self.celled, self.read_turns)
         return self.client_seats
@@ -109,7 +109,7 @@
         return encode_cell_status(
             self.me,
             self.published_map,
-            self.celled.moves,
+            self.celled.migrations,
             router.open,
             router.seats.placement.seats,
         )
@@ -132,7 +132,7 @@
                 if peer["epoch"] <= self.map.epoch:
                     self.celled.adopt_seats(peer["seats"])
         for peer in self.peers.values():
-            self.celled.moves.merge(peer["moves"])
+            self.celled.migrations.merge(peer["moves"])
 
     def read_peer_status(self, fields: Mapping[str, Any]) -> PeerCellStatus | None:
         """Read the status of another process's cells; None if it has none.
@@ -141,7 +141,7 @@
         """
         try:
             return read_cell_status(fields, self.map.epoch)
-        except (BadMap, ValueError, TypeError, KeyError, AttributeError) as error:
+        except (CellMapError, ValueError, TypeError, KeyError, AttributeError) as error:
             self.log(
                 "cells",
                 f"what another process tells cannot be read: {type(error).__name__}: {error}",
@@ -171,7 +171,7 @@
         """Put another map in force."""
         self.set_map(map)
         self.celled.apply_map(map)
-        self.read_turns.turns.set_weights(self.celled.shares_with_anteroom())
+        self.read_turns.turns.set_weights(self.celled.cell_weights_with_anteroom())
         self.client_seats.leave_dropped_cells(map)
         self._log_unknown_tenants()
 
--- a/query_broker/cells/outstanding_work.py
+++ b/query_broker/cells/outstanding_work.py
@@ -85,7 +85,7 @@
         """Return what cells other than the endpoint's present one have outstanding on it."""
         work = NO_WORK
         for facade in self._facades.values():
-            if number in facade.controller.engines and number not in facade.endpoints:
+            if number in facade.controller.endpoints and number not in facade.endpoints:
                 work = _sum(work, facade.outstanding(now_ns).get(number, NO_WORK))
         return work
 
--- a/query_broker/cells/planner.py
+++ b/query_broker/cells/planner.py
@@ -22,7 +22,7 @@
 SHOWN_DIGITS = 6
 
 
-class BadProblem(ValueError):  # noqa: N818  # the command line imports it by this name
+class PlanningProblemError(ValueError):  # noqa: N818  # the command line imports it by this name
     """A planning problem that cannot be used; its text is ``key: problem``."""
 
     def __init__(self, key: str, problem: str) -> None:
@@ -30,7 +30,7 @@
         super().__init__(f"{key}: {problem}")
 
 
-class UnreadableProblemError(BadProblem):
+class UnreadableProblemError(PlanningProblemError):
     """A text that is not of the form of a planning problem at all."""
 
     def __init__(self, *, expected: str) -> None:
@@ -72,31 +72,33 @@
         self._check_names("fixed", self.fixed or {})
         for cell in (self.fixed or {}).values():
             if cell not in self.capacities:
-                raise BadProblem("fixed", f"{cell!r} is no cell")
+                raise PlanningProblemError("fixed", f"{cell!r} is no cell")
 
     def _check_loads(self) -> None:
         if not self.loads:
-            raise BadProblem("tenants", "none is named")
+            raise PlanningProblemError("tenants", "none is named")
         if not self.capacities:
-            raise BadProblem("cells", "none is named")
+            raise PlanningProblemError("cells", "none is named")
         for name, value in self.loads.items():
             if not 0 <= value < VALUE_LIMIT:
-                raise BadProblem("tenants.load", f"of {name!r} must not be negative")
+                raise PlanningProblemError("tenants.load", f"of {name!r} must not be negative")
 
     def _check_capacities(self) -> None:
         for name, value in self.capacities.items():
             if not 0 < value < VALUE_LIMIT:
-                raise BadProblem("cells.capacity", f"of {name!r} must be above 0")
+                raise PlanningProblemError("cells.capacity", f"of {name!r} must be above 0")
 
     def _check_homes(self) -> None:
         for name in self.loads:
             if self.now.get(name) not in self.capacities:
-                raise BadProblem("tenants.cell", f"{self.now.get(name)!r} of {name!r} is no cell")
+                raise PlanningProblemError(
+                    "tenants.cell", f"{self.now.get(name)!r} of {name!r} is no cell"
+                )
 
     def _check_names(self, key: str, names: Iterable[str]) -> None:
         for name in names:
             if name not in self.loads:
-                raise BadProblem(f"{key}", f"{name!r} is no tenant")
+                raise PlanningProblemError(f"{key}", f"{name!r} is no tenant")
 
 
 # --- reading a problem ---
@@ -145,26 +147,26 @@
 def _check_kinds(raw: Mapping[str, Any]) -> None:
     for key, kind in (("tenants", dict), ("cells", dict), ("apart", list), ("fixed", dict)):
         if not isinstance(raw.get(key, kind()), kind):
-            raise BadProblem(f"{key}", f"is no {'object' if kind is dict else 'list'}")
+            raise PlanningProblemError(f"{key}", f"is no {'object' if kind is dict else 'list'}")
 
 
 def _check_tenant_loads(tenants: Mapping[str, Any]) -> None:
     for name, tenant in tenants.items():
         if not isinstance(tenant, dict) or not isinstance(tenant.get("load"), int | float):
-            raise BadProblem("tenants.load", f"of {name!r} is no number")
+            raise PlanningProblemError("tenants.load", f"of {name!r} is no number")
 
 
 def _check_cell_capacities(cells: Mapping[str, Any]) -> None:
     for name, value in cells.items():
         if not isinstance(value, int | float):
-            raise BadProblem("cells.capacity", f"of {name!r} is no number")
+            raise PlanningProblemError("cells.capacity", f"of {name!r} is no number")
 
 
 def _check_bound(key: str, value: Any) -> None:
     if value is None:
         return
     if not isinstance(value, int | float) or isinstance(value, bool) or value < 0:
-        raise BadProblem(f"{key}", "is no number from 0 up")
+        raise PlanningProblemError(f"{key}", "is no number from 0 up")
 
 
 def _read_pairs(groups: Iterable[Any]) -> tuple[tuple[str, str], ...]:
@@ -172,7 +174,7 @@
     pairs: list[tuple[str, str]] = []
     for group in groups:
         if not isinstance(group, list) or not all(isinstance(name, str) for name in group):
-            raise BadProblem("apart", "must be a list of lists of tenants")
+            raise PlanningProblemError("apart", "must be a list of lists of tenants")
         for index, first in enumerate(group):
             pairs += [(first, second) for second in group[index + 1 :]]
     return tuple(pairs)
@@ -181,7 +183,7 @@
 # --- measures of a placement ---
 
 
-def hashed(tenants: Iterable[str], capacities: Mapping[str, float]) -> dict[str, str]:
+def hashed_placement(tenants: Iterable[str], capacities: Mapping[str, float]) -> dict[str, str]:
     """Return the placement by weighted rendezvous hashing, which a plan is measured against."""
     return {
         tenant: min(capacities, key=lambda cell: rendezvous(cell, tenant, capacities[cell]))
@@ -189,7 +191,7 @@
     }
 
 
-def load_of(problem: Problem, placed: Mapping[str, str]) -> dict[str, float]:
+def relative_loads(problem: Problem, placed: Mapping[str, str]) -> dict[str, float]:
     """Return each cell's load against its capacity."""
     loads = _absolute_loads(problem, placed)
     return {cell: load / problem.capacities[cell] for cell, load in loads.items()}
@@ -223,7 +225,7 @@
     if problem.most_load is not None:
         broken += [
             f"{cell} has {load:.2f} of its capacity"
-            for cell, load in load_of(problem, placed).items()
+            for cell, load in relative_loads(problem, placed).items()
             if load > problem.most_load + LOAD_TOLERANCE
         ]
     return broken
@@ -394,4 +396,6 @@
         if placed[tenant] != problem.now[tenant]
     ]
     moves.sort(key=lambda move: (-move.load, move.tenant))
-    return Plan(tuple(moves), load_of(problem, problem.now), load_of(problem, placed), proven)
+    return Plan(
+        tuple(moves), relative_loads(problem, problem.now), relative_loads(problem, placed), proven
+    )
--- a/query_broker/cells/read_turns.py
+++ b/query_broker/cells/read_turns.py
@@ -16,7 +16,7 @@
 
     cell: str
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Read on: the turn has come."""
 
 
@@ -58,4 +58,4 @@
             waiting = list(self.queue)
             self.queue = {}
             for connection in waiting:
-                connection.go_on()
+                connection.resume_reading()
--- a/query_broker/cells/request_accounting.py
+++ b/query_broker/cells/request_accounting.py
@@ -71,10 +71,10 @@
     def take(self, request_id: str, charge: Charge, now_ns: int) -> bool:
         """Charge a request to its cell; False where the cell has no capacity for it."""
         cell, statement_bytes, firm = charge
-        if not self.requests.take(cell, 1, now_ns, firm):
+        if not self.requests.acquire(cell, 1, now_ns, firm):
             return False
-        if not self.statements.take(cell, statement_bytes, now_ns, firm):
-            self.requests.give(cell, 1, firm)
+        if not self.statements.acquire(cell, statement_bytes, now_ns, firm):
+            self.requests.release(cell, 1, firm)
             return False
         self.charges[request_id] = charge
         return True
@@ -87,8 +87,8 @@
         """Give back what a request is charged, if it still is."""
         charge = self.charges.pop(request_id, None)
         if charge is not None:
-            self.requests.give(charge.cell, 1, charge.firm)
-            self.statements.give(charge.cell, charge.statement_bytes, charge.firm)
+            self.requests.release(charge.cell, 1, charge.firm)
+            self.statements.release(charge.cell, charge.statement_bytes, charge.firm)
 
     def youngest_borrowers(self, ledger: Ledger, cell: str, amount: int) -> list[str]:
         """Return the cell's youngest requests that may be called in, up to an amount.
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -266,22 +266,22 @@
 
     # --- queries of the facade, over all cells ---
 
-    def avoided(self) -> int:
+    def avoided_endpoints(self) -> int:
         """Return how many listed endpoints the decisions leave out, by hand or by choice."""
-        return sum(facade.avoided() for facade in self.facades.values())
+        return sum(facade.avoided_endpoints() for facade in self.facades.values())
 
-    def shares(self) -> dict[int, tuple[float, float]]:
+    def quotas_and_bounds(self) -> dict[int, tuple[float, float]]:
         """Return the thread quota and the limit of each endpoint, as its cell has them."""
         quotas: dict[int, tuple[float, float]] = {}
         for facade in self.facades.values():
-            for number, quota in facade.shares().items():
+            for number, quota in facade.quotas_and_bounds().items():
                 if number in facade.endpoints:
                     quotas[number] = quota
         return quotas
 
-    def widest(self) -> int:
+    def widest_request_threads(self) -> int:
         """Return the threads of the widest query."""
-        return max((facade.widest() for facade in self.facades.values()), default=1)
+        return max((facade.widest_request_threads() for facade in self.facades.values()), default=1)
 
     def outstanding(self, now_ns: int) -> dict[int, OutstandingWork]:
         """Return what this process has outstanding, for the broker's other processes."""
--- a/query_broker/cells/solver.py
+++ b/query_broker/cells/solver.py
@@ -24,11 +24,11 @@
 DEFAULT_SEARCH_S = 20.0
 
 
-class NoPlan(Exception):  # noqa: N818  # the command line imports it by this name
+class NoPlanError(Exception):  # noqa: N818  # the command line imports it by this name
     """No placement satisfies the terms, or none was found in time; the text says which."""
 
 
-class InvalidSolutionError(NoPlan):
+class InvalidSolutionError(NoPlanError):
     """The solver's placement does not satisfy the terms."""
 
     def __init__(self, fault: str) -> None:
@@ -70,7 +70,7 @@
     placed, proven = _search(problem, start, seconds)
     if placed is None:
         if not start_is_valid:
-            raise NoPlan(
+            raise NoPlanError(
                 "no placement satisfies the terms" if proven else "no placement was found in time"
             )
         placed = start
--- a/query_broker/cli/cells.py
+++ b/query_broker/cli/cells.py
@@ -9,8 +9,8 @@
 
 import click
 
-from ..cells.planner import BadProblem, Plan, Problem, read_problem
-from ..cells.solver import NoPlan, solve
+from ..cells.planner import Plan, PlanningProblemError, Problem, read_problem
+from ..cells.solver import NoPlanError, solve
 from ..text_table import table
 from .admin_client import (
     EXIT_NO_PLAN,
@@ -137,7 +137,7 @@
         else:
             answer = call(address, "GET", "/cells")
             problem = _problem_of_broker(answer, most_moves, most_load, apart)
-    except (BadProblem, UnicodeDecodeError, OSError) as error:
+    except (PlanningProblemError, UnicodeDecodeError, OSError) as error:
         fail(f"{file or address}: {error}", EXIT_USAGE)
     solution = _solve(problem, seconds, as_json)
     if as_json:
@@ -186,7 +186,7 @@
         return solve(problem, seconds)
     except ImportError:
         fail("plan: needs the extra 'planner' (highspy), which is not installed", EXIT_USAGE)
-    except NoPlan as error:
+    except NoPlanError as error:
         if as_json:
             click.echo(json.dumps({"moves": None, "why": str(error)}))
         fail(f"plan: {error}", EXIT_NO_PLAN)
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -14,7 +14,7 @@
 
 from .. import __version__
 from ..config import Config, ConfigError, load
-from ..server.signals import hold_hangup
+from ..server.signals import remember_early_hangups
 from .lazy_group import LazyGroup
 
 if TYPE_CHECKING:
@@ -55,7 +55,7 @@
 )
 def serve(operator_file: str) -> None:
     """Serve clients until SIGTERM."""
-    hold_hangup()
+    remember_early_hangups()
     with _configuration_errors():
         config = load(os.environ)
         if config.accept_fd is not None:
@@ -117,7 +117,7 @@
     """Yield what follows from the operators' file for this installation, a line each."""
     fleet_size = config.settings.fleet_size
     if operator_config.startup is not None:
-        from ..startup.bounds import lines as startup_lines
+        from ..startup.bounds import bound_lines as startup_lines
 
         yield from startup_lines(operator_config.startup, config.settings.broker_index, fleet_size)
     if operator_config.membership is not None:
--- a/query_broker/config/__init__.py
+++ b/query_broker/config/__init__.py
@@ -10,19 +10,19 @@
 from .errors import ConfigError
 from .loading import load, parse
 from .platform_settings import parse_settings
-from .reloading import reload, waiting_for_restart
-from .schema import NOT_NEEDED, READ, REPORTED
+from .reloading import keys_needing_restart, reload
+from .schema import IGNORED_SETTINGS_KEYS, KNOWN_REPORT_FIELDS, SETTINGS_KEYS
 
 __all__ = [
     "DEFAULT_SOCKETS",
-    "NOT_NEEDED",
-    "READ",
-    "REPORTED",
+    "IGNORED_SETTINGS_KEYS",
+    "SETTINGS_KEYS",
+    "KNOWN_REPORT_FIELDS",
     "Config",
     "ConfigError",
     "load",
     "parse",
     "parse_settings",
     "reload",
-    "waiting_for_restart",
+    "keys_needing_restart",
 ]
--- a/query_broker/config/broker_config.py
+++ b/query_broker/config/broker_config.py
@@ -8,7 +8,7 @@
 
 from ..decisions import Settings
 from ..discovery.event_codec import EndpointListEvent
-from .schema import NOT_NEEDED, READ, REPORT, REPORTED
+from .schema import IGNORED_SETTINGS_KEYS, KNOWN_REPORT_FIELDS, REPORT, SETTINGS_KEYS
 from .values import Section
 
 
@@ -44,26 +44,26 @@
     sockets: int
     memory_mb: int
     cores: float
-    bus: tuple[str, int] | None
-    operator: tuple[str, int] | None
+    discovery_address: tuple[str, int] | None
+    admin_address: tuple[str, int] | None
     accept_fd: int | None
     folder: str
     known_offset: int
-    known: tuple[EndpointListEvent, ...]
-    connect_timeout: int
-    conn_idle: int
-    streams: int
+    known_events: tuple[EndpointListEvent, ...]
+    connect_timeout_ns: int
+    connection_idle_ns: int
+    streams_per_connection: int
     settings: Settings
-    told: Mapping[str, Any] = field(default_factory=dict, repr=False)
+    source: Mapping[str, Any] = field(default_factory=dict, repr=False)
 
     @property
-    def tick(self) -> int:
+    def tick_ns(self) -> int:
         """Interval of the decisions' clock, in nanoseconds."""
         return self.settings.tick_ns
 
     def remarks(self) -> list[str]:
         """Return one line for each key of ``settings`` that is not used as it is written."""
-        settings = self.told.get("settings", {})
+        settings = self.source.get("settings", {})
         return [
             *self._place_remarks(settings),
             *(f"settings.{key}: is not known here, and has no effect" for key in unknown(settings)),
@@ -83,7 +83,7 @@
 def _report_remarks(settings: Mapping[str, Any]) -> Iterator[str]:
     report = settings.get(REPORT) or {}
     for name in report.get("fields", []):
-        if name not in REPORTED:
+        if name not in KNOWN_REPORT_FIELDS:
             yield (
                 f"settings.report.fields: {name!r} is no value that is known here, and has no "
                 "effect"
@@ -93,8 +93,8 @@
 def unknown(settings: Mapping[str, Any]) -> list[str]:
     """Return the keys that are neither read nor known as not needed, each once."""
     found: dict[str, None] = {}  # in the place of a set, for its order
-    for part, read in READ.items():
-        known = read | NOT_NEEDED.get(part, set())
+    for part, read in SETTINGS_KEYS.items():
+        known = read | IGNORED_SETTINGS_KEYS.get(part, set())
         prefix = f"{part}." if part else ""
         for source in _objects(settings, part):
             found.update({prefix + key: None for key in source if key not in known})
--- a/query_broker/config/loading.py
+++ b/query_broker/config/loading.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from ..decisions import Settings
-from ..discovery.event_codec import BadLine, EndpointListEvent, parse_address, parse_event
+from ..discovery.event_codec import EndpointListEvent, InvalidEventError, parse_address, parse_event
 from .broker_config import Config
 from .defaults import (
     DEFAULT_CONNECT_TIMEOUT_NS,
@@ -119,17 +119,17 @@
         sockets=_at_least(MIN_SOCKETS, limits, "sockets", DEFAULT_SOCKETS),
         memory_mb=_at_least(MIN_MEMORY_MB, limits, "memory_mb", DEFAULT_MEMORY_MB),
         cores=limits.number("cores", DEFAULT_CORES),
-        bus=_optional_address(bus),
-        operator=_optional_address(operator),
+        discovery_address=_optional_address(bus),
+        admin_address=_optional_address(operator),
         accept_fd=accept_fd,
         folder=environ.get("TMPDIR") or DEFAULT_FOLDER,
         known_offset=known.integer("offset", events[-1].offset if events else 0),
-        known=events,
-        connect_timeout=connections.connect_timeout_ns,
-        conn_idle=connections.idle_ns,
-        streams=connections.streams,
+        known_events=events,
+        connect_timeout_ns=connections.connect_timeout_ns,
+        connection_idle_ns=connections.idle_ns,
+        streams_per_connection=connections.streams,
         settings=settings,
-        told={key: value for key, value in root.values.items() if key != "known"},
+        source={key: value for key, value in root.values.items() if key != "known"},
     )
 
 
@@ -175,7 +175,7 @@
 def _address(source: Override) -> tuple[str, int]:
     try:
         return parse_address(source.text)
-    except BadLine as error:
+    except InvalidEventError as error:
         raise InvalidValueError(source.key, error) from None
 
 
@@ -196,7 +196,7 @@
 def _known_events(known: Section) -> tuple[EndpointListEvent, ...]:
     try:
         return tuple(parse_event(event) for event in known.entries("batch", []))
-    except BadLine as error:
+    except InvalidEventError as error:
         raise InvalidValueError(known.key("batch"), error) from None
 
 
--- a/query_broker/config/reloading.py
+++ b/query_broker/config/reloading.py
@@ -16,9 +16,9 @@
     "limits.sockets": lambda config: config.sockets,
     "listen": lambda config: (config.host, config.port),
     "name": lambda config: config.name,
-    "operator": lambda config: config.operator,
+    "operator": lambda config: config.admin_address,
     "seed": lambda config: config.seed,
-    "settings.tick": lambda config: config.tick,
+    "settings.tick": lambda config: config.tick_ns,
 }
 
 
@@ -32,12 +32,12 @@
         ConfigError: The file can't be used, or lacks a key that the one in force has.
     """
     read = load(environ)
-    for key in missing_keys(running.told, read.told):
+    for key in missing_keys(running.source, read.source):
         raise LostKeyError(key, environ["PROXY_CONFIG"])
     return read
 
 
-def waiting_for_restart(running: Config, read: Config) -> list[str]:
+def keys_needing_restart(running: Config, read: Config) -> list[str]:
     """Return the keys that differ in a configuration read anew and need a restart, sorted."""
     return sorted(
         key for key, value_of in FIXED_UNTIL_RESTART.items() if value_of(running) != value_of(read)
--- a/query_broker/config/schema.py
+++ b/query_broker/config/schema.py
@@ -15,7 +15,7 @@
 #: The keys that are read, by the object under ``settings`` that holds them ("" is ``settings``
 #: itself). A key that is neither here nor in NOT_NEEDED is named in the log, so that no key is
 #: ignored without a message.
-READ = {
+SETTINGS_KEYS = {
     "": {
         "classes",
         "tenants",
@@ -83,7 +83,7 @@
 }
 
 #: The keys that a deployment may hold and that this program does not need.
-NOT_NEEDED = {
+IGNORED_SETTINGS_KEYS = {
     "": {
         "callers",
         "kind_of_service",
@@ -125,7 +125,7 @@
 
 #: The fields that a load report of an endpoint may hold, by the simulator's names and by the
 #: endpoints' own.
-REPORTED = {
+KNOWN_REPORT_FIELDS = {
     "busy",
     "util",
     "q",
--- a/query_broker/deadlines/cancel_scopes.py
+++ b/query_broker/deadlines/cancel_scopes.py
@@ -24,15 +24,15 @@
     REQUEST = "request"
     ATTEMPT = "attempt"
     PAGE = "page"
-    PROBE = "probe"
+    HEALTH_CHECK = "probe"
 
 
 class CancelAction(Enum):
     """What the end of one scope asks the caller to do."""
 
-    TAKE_BACK = "take back"  # no byte has left
-    UNDO = "undo"
-    FORGET = "forget"  # no more pages are wanted
+    WITHDRAW = "take back"  # no byte has left
+    CANCEL = "undo"
+    DISCARD_PAGES = "forget"  # no more pages are wanted
     LET_RUN = "let run"
     ANSWER = "answer"  # the request itself: its client is owed nothing more
 
@@ -48,7 +48,7 @@
     name: object
     parent: CancelScope | None = None
     children: list[CancelScope] = field(default_factory=list)
-    left: bool = False  # a byte of it has left for the engine
+    write_started: bool = False  # a byte of it has left for the engine
     over: bool = False
 
     def open(self, kind: ScopeKind, name: object) -> CancelScope:
@@ -87,13 +87,13 @@
         match self.kind:
             case ScopeKind.REQUEST:
                 yield CancelAction.ANSWER, self
-            case ScopeKind.ATTEMPT if not self.left:
-                yield CancelAction.TAKE_BACK, self
+            case ScopeKind.ATTEMPT if not self.write_started:
+                yield CancelAction.WITHDRAW, self
             case ScopeKind.ATTEMPT:
-                yield CancelAction.UNDO if honoured else CancelAction.LET_RUN, self
+                yield CancelAction.CANCEL if honoured else CancelAction.LET_RUN, self
             case ScopeKind.PAGE:
-                yield CancelAction.FORGET, self
-            case ScopeKind.PROBE:
+                yield CancelAction.DISCARD_PAGES, self
+            case ScopeKind.HEALTH_CHECK:
                 yield CancelAction.LET_RUN, self
 
 
--- a/query_broker/deadlines/handover_checks.py
+++ b/query_broker/deadlines/handover_checks.py
@@ -41,13 +41,13 @@
     """
 
     wanted: bool
-    end: int
-    fastest: int = 0
-    out: bool = False
-    drained_at: int = 0
+    deadline_ns: int
+    fastest_ns: int = 0
+    disabled: bool = False
+    drained_at_ns: int = 0
 
 
-def stop(now: int, passing: HandOverCheck) -> StopReason | None:
+def reason_to_stop(now: int, passing: HandOverCheck) -> StopReason | None:
     """Return the first reason against going on, or None.
 
     The order of the reasons counts: a request whose client has gone says nothing of its endpoint
@@ -55,13 +55,13 @@
     """
     if not passing.wanted:
         return StopReason.LEFT
-    if now >= passing.end:
+    if now >= passing.deadline_ns:
         return StopReason.PAST
-    if passing.out:
+    if passing.disabled:
         return StopReason.OUT
-    if passing.drained_at and now >= passing.drained_at:
+    if passing.drained_at_ns and now >= passing.drained_at_ns:
         return StopReason.DRAINED
-    if passing.fastest and passing.end - now < passing.fastest:
+    if passing.fastest_ns and passing.deadline_ns - now < passing.fastest_ns:
         return StopReason.TOO_LATE
     return None
 
@@ -72,11 +72,11 @@
 
     stopped: Counter[tuple[HandOver, StopReason]] = field(default_factory=Counter)
     begun_after: Counter[StopReason] = field(default_factory=Counter)  # a byte had left, then this
-    cancelled: int = 0  # undone, and silent since
-    went_on: int = 0  # undone, and answered all the same
-    undone: int = 0
+    stopped_after_cancel: int = 0  # undone, and silent since
+    answered_after_cancel: int = 0  # undone, and answered all the same
+    cancels_sent: int = 0
     resent: int = 0
-    late: int = 0  # answers that came when nobody waited
+    late_answers: int = 0  # answers that came when nobody waited
 
     def taken_back(self) -> int:
         """Return the number of attempts that were stopped before a byte of them left."""
--- a/query_broker/deadlines/metrics.py
+++ b/query_broker/deadlines/metrics.py
@@ -65,7 +65,12 @@
 
 
 def _cancellation_lines(tally: HandOverStatistics) -> list[str]:
-    counts = (tally.undone, tally.cancelled, tally.went_on, tally.late)
+    counts = (
+        tally.cancels_sent,
+        tally.stopped_after_cancel,
+        tally.answered_after_cancel,
+        tally.late_answers,
+    )
     lines: list[str] = []
     for (name, description), count in zip(SINGLE.items(), counts, strict=True):
         lines += _single(name, "counter", description, str(count))
--- a/query_broker/deadlines/retry_budget.py
+++ b/query_broker/deadlines/retry_budget.py
@@ -44,18 +44,18 @@
 class RetryBudget:
     """Tokens by class and tenant; a new bucket is full, so that a start is not held back."""
 
-    terms: RetryBudgetSettings
+    settings: RetryBudgetSettings
     tokens: dict[tuple[str, str], float] = field(default_factory=dict)
     refused: int = 0
     gate: Callable[[], bool] | None = None  # asked besides, where brokers share such a limit
 
     def _key(self, route: str, tenant: str) -> tuple[str, str]:
-        return route, tenant if self.terms.by_tenant else ""
+        return route, tenant if self.settings.by_tenant else ""
 
-    def first(self, route: str, tenant: str) -> None:
+    def record_first_attempt(self, route: str, tenant: str) -> None:
         """Earn part of a token, as a first attempt has been sent."""
         key = self._key(route, tenant)
-        share, burst = self.terms.of(route)
+        share, burst = self.settings.of(route)
         self.tokens[key] = min(burst, self.tokens.get(key, burst) + share)
         # Where no tenants are set, clients name any they like: the table is bounded.
         if len(self.tokens) > MOST_KEPT:
@@ -63,24 +63,24 @@
 
     def _evict(self) -> None:
         """Drop the full buckets, which say nothing; else the older half."""
-        full = [key for key, left in self.tokens.items() if left >= self.terms.of(key[0])[1]]
+        full = [key for key, left in self.tokens.items() if left >= self.settings.of(key[0])[1]]
         for key in full or list(self.tokens)[: MOST_KEPT // 2]:
             del self.tokens[key]
 
-    def further(self, route: str, tenant: str) -> bool:
+    def try_spend(self, route: str, tenant: str) -> bool:
         """Return whether one more attempt may be made, and pay for it."""
         key = self._key(route, tenant)
-        left = self.tokens.get(key, self.terms.of(route)[1])
+        left = self.tokens.get(key, self.settings.of(route)[1])
         if left < 1 or self.gate is not None and not self.gate():
             self.refused += 1
             return False
         self.tokens[key] = left - 1
         return True
 
-    def back(self, route: str, tenant: str) -> None:
+    def refund(self, route: str, tenant: str) -> None:
         """Return the token of an attempt that never left."""
         key = self._key(route, tenant)
-        self.tokens[key] = min(self.terms.of(route)[1], self.tokens.get(key, 0.0) + 1)
+        self.tokens[key] = min(self.settings.of(route)[1], self.tokens.get(key, 0.0) + 1)
 
 
 def attempt_time(remaining: int, number: int, repeatable: bool, terms: RetryBudgetSettings) -> int:
--- a/query_broker/deadlines/settings.py
+++ b/query_broker/deadlines/settings.py
@@ -11,7 +11,7 @@
 S = 1_000_000_000
 
 
-class Stage(Enum):
+class LatencyStage(Enum):
     """The stages of a request, in the order in which it goes through them."""
 
     READ = "read"  # from its first byte to its last
--- a/query_broker/deadlines/stage_latencies.py
+++ b/query_broker/deadlines/stage_latencies.py
@@ -12,7 +12,7 @@
 
 from fastdigest import TDigest
 
-from .settings import MarginTerms, Stage
+from .settings import LatencyStage, MarginTerms
 
 MS = 1_000_000
 S = 1_000 * MS
@@ -76,7 +76,7 @@
             self.young.batch_update(self.fresh)
             self.fresh = []
 
-    def at(self, share: float, now: int) -> int | None:
+    def quantile(self, share: float, now: int) -> int | None:
         """Return a quantile in nanoseconds, or None while too little is known."""
         self._fold(now)
         digest = self.old + self.young
@@ -88,24 +88,24 @@
 
     def __init__(self, margin: MarginTerms) -> None:
         """Start with the margin of the settings and no latency known."""
-        self.terms = margin
-        self.held: dict[tuple[str, Stage], Quantiles] = {}
-        self.all: dict[Stage, Quantiles] = {stage: Quantiles() for stage in Stage}
+        self.settings = margin
+        self.by_class: dict[tuple[str, LatencyStage], Quantiles] = {}
+        self.all: dict[LatencyStage, Quantiles] = {stage: Quantiles() for stage in LatencyStage}
         self.margin = margin.start
 
-    def add(self, route: str, stage: Stage, time: int, now: int) -> None:
+    def add(self, route: str, stage: LatencyStage, time: int, now: int) -> None:
         """Add how long a request of this class spent in a stage, in nanoseconds."""
         time = max(0, time)
-        if (known := self.held.get((route, stage))) is None:
-            known = self.held[route, stage] = Quantiles(now)
+        if (known := self.by_class.get((route, stage))) is None:
+            known = self.by_class[route, stage] = Quantiles(now)
         known.add(time, now)
         self.all[stage].add(time, now)
 
     def learn(self, now: int) -> int:
         """Move the margin, by a quarter at most, so that one odd second does not swing it."""
-        terms = self.terms
-        decide = self.all[Stage.DECIDE].at(terms.share, now)
-        answer = self.all[Stage.ANSWER].at(terms.share, now)
+        terms = self.settings
+        decide = self.all[LatencyStage.DECIDE].quantile(terms.share, now)
+        answer = self.all[LatencyStage.ANSWER].quantile(terms.share, now)
         if decide is None or answer is None:
             return self.margin
         wanted = decide + answer + TRANSIT
@@ -114,14 +114,14 @@
         self.margin = max(terms.least, min(terms.most, self.margin))
         return self.margin
 
-    def fastest(self, route: str, now: int, *stages: Stage) -> int:
+    def fastest(self, route: str, now: int, *stages: LatencyStage) -> int:
         """Return what these stages take at the least for this class, in nanoseconds.
 
         Without any stage it is the endpoint's alone. Stages of which too little is known count
         nothing.
         """
-        known = [self.held.get((route, stage)) for stage in stages or (Stage.ENGINE,)]
-        return sum(latency.at(FASTEST, now) or 0 for latency in known if latency is not None)
+        known = [self.by_class.get((route, stage)) for stage in stages or (LatencyStage.ENGINE,)]
+        return sum(latency.quantile(FASTEST, now) or 0 for latency in known if latency is not None)
 
     def text(self, prefix: str) -> list[str]:
         """Return lines of the Prometheus text format, in seconds."""
@@ -130,7 +130,7 @@
             f"# TYPE {prefix}stage_seconds histogram",
         ]
         for (route, stage), known in sorted(
-            self.held.items(), key=lambda item: (item[0][0], item[0][1].value)
+            self.by_class.items(), key=lambda item: (item[0][0], item[0][1].value)
         ):
             labels = f'type="{route}",stage="{stage.value}"'
             so_far = 0
--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -43,9 +43,9 @@
     frames, and ``most_bytes`` of them, may wait before the queue is full.
     """
 
-    leave: Callable[[Frame], tuple[bytes, ...] | None]
-    begun: Callable[[object], None]
-    gone: Callable[[object], None]
+    on_release: Callable[[Frame], tuple[bytes, ...] | None]
+    on_started: Callable[[object], None]
+    on_written: Callable[[object], None]
     most: int = 64
     most_bytes: int = 1 << 20
     heap: list[tuple[int, int, Frame]] = field(default_factory=list)
@@ -63,7 +63,7 @@
         """Return whether no further frame should be queued."""
         return len(self.heap) >= self.most or self.waiting_bytes >= self.most_bytes
 
-    def put(self, frame: Frame) -> bool:
+    def enqueue(self, frame: Frame) -> bool:
         """Queue a frame; return True if nothing waits before it and the caller writes now.
 
         ``leave`` is not asked in that case: it has just been decided to send the frame.
@@ -83,7 +83,7 @@
         heapq.heappush(self.heap, (-frame.level, order, frame))
         self.waiting_bytes += frame.size
 
-    def take_back(self, key: bytes) -> bool:
+    def withdraw(self, key: bytes) -> bool:
         """Withdraw a frame; return whether none of its bytes has left, so that none will."""
         frame = self.keyed.pop(key, None)
         if frame is None:
@@ -97,13 +97,13 @@
         while self.heap and self.heap[0][2].left < 0:
             heapq.heappop(self.heap)
 
-    def raise_level(self, key: bytes, level: int) -> bool:
+    def raise_priority(self, key: bytes, level: int) -> bool:
         """Give a waiting frame another priority; return False if it does not wait."""
         frame = self.keyed.get(key)
         if frame is None:
             return False
         if frame.level != level:
-            self.take_back(key)
+            self.withdraw(key)
             self.count += 1
             self._wait(Frame(frame.pieces, key, level, frame.size, frame.about), self.count)
         return True
@@ -123,7 +123,7 @@
             self.waiting_bytes -= frame.size
             if frame.key is not None:
                 del self.keyed[frame.key]
-            if (pieces := self.leave(frame)) is not None:
+            if (pieces := self.on_release(frame)) is not None:
                 frame.pieces = pieces
                 frame.size = sum(map(len, pieces))
                 self.current = frame
@@ -143,12 +143,12 @@
                 self.before -= 1
                 self._wait(frame, self.before)
                 return False
-            self.begun(frame.about)
+            self.on_started(frame.about)
         frame.left += size
         if frame.left < frame.size:
             return False
         self.current = None
-        self.gone(frame.about)
+        self.on_written(frame.about)
         return True
 
     def abandon(self) -> None:
--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -165,14 +165,14 @@
             estimate_ns=event.estimate_ns,
             data_set=NO_DATA_SET if event.data_set is None else event.data_set,
             key=event.key if statistics.spec.ordered_by_key else None,
-            over_share=self.quotas.is_exceeded(now, event.tenant, event.is_retry),
+            over_quota=self.quotas.is_exceeded(now, event.tenant, event.is_retry),
             memory_mb=max(0.0, event.memory_mb or 0.0),
         )
 
     def _admit(self, now: int, request: Request) -> None:
         """Dispatch a request, or reject it at once."""
         admitted = self.retries.first_attempt(now, request)
-        if not request.over_share:
+        if not request.over_quota:
             statistics = request.statistics
             statistics.admitted += ADMISSION_LEARNING_RATE * (admitted - statistics.admitted)
         if not admitted:
--- a/query_broker/decisions/capacity_check.py
+++ b/query_broker/decisions/capacity_check.py
@@ -58,7 +58,7 @@
         bound_factor = (
             spec.priority_weight / request.work_ns * self.mean_work_ns / self.mean_priority_weight
         )
-        if request.over_share:
+        if request.over_quota:
             bound_factor *= OVER_QUOTA_FACTOR
         if not endpoint.fits(now, backlog_ns, spec.threads, bound_factor):
             return False
--- a/query_broker/decisions/concurrency_limit.py
+++ b/query_broker/decisions/concurrency_limit.py
@@ -51,28 +51,28 @@
         full_until: Until when a rejection for lack of capacity counts as pressure, in ns.
     """
 
-    initial_bound: float = 0.0
+    initial_bound_ns: float = 0.0
     delay_objective: float = 1.0
     thread_quota: float = 0.0
-    bound: float = 0.0
-    backlog: int = 0
-    threads_out: int = 0
+    bound_ns: float = 0.0
+    backlog_ns: int = 0
+    threads_in_flight: int = 0
     delays: list[float] = field(default_factory=list)
     last_error: float | None = None
     bound_used: bool = False
     slowdown: float = 1.0
     best_slowdown: float = 1.0
-    full_until: int = 0
+    full_until_ns: int = 0
 
     def rescale(self, initial_bound: float) -> None:
         """Set another start; the bound keeps its ratio to it."""
-        ratio = self.bound / self.initial_bound if self.initial_bound > 0 else 1
-        self.bound = ratio * initial_bound
-        self.initial_bound = initial_bound
+        ratio = self.bound_ns / self.initial_bound_ns if self.initial_bound_ns > 0 else 1
+        self.bound_ns = ratio * initial_bound
+        self.initial_bound_ns = initial_bound
 
     def crowding(self, now: int, extra_threads: int) -> float:
         """Return our threads, with so many more, as a multiple of our quota."""
-        return (self.threads_out + extra_threads) / self.thread_quota
+        return (self.threads_in_flight + extra_threads) / self.thread_quota
 
     def is_pressed(self, now: int) -> bool:
         """Whether answers, a rejection or our own threads show pressure.
@@ -81,7 +81,7 @@
         """
         return (
             self.slowdown > PRESSURE_SLOWDOWN * self.best_slowdown
-            or now < self.full_until
+            or now < self.full_until_ns
             or self.crowding(now, 0) > 1
         )
 
@@ -97,14 +97,14 @@
             threads: Its threads.
             bound_factor: What the bound is multiplied by for this request.
         """
-        if self.backlog == 0:
+        if self.backlog_ns == 0:
             return True
         crowding = self.crowding(now, threads)
         if not (crowding > 1 or self.is_pressed(now)):
             return True
         self.bound_used = True
         shrinkage = max(1.0, crowding) ** CROWDING_EXPONENT
-        return self.backlog + backlog_ns <= self.bound * bound_factor / shrinkage
+        return self.backlog_ns + backlog_ns <= self.bound_ns * bound_factor / shrinkage
 
     def learn(self, ratio: float) -> None:
         """Take the ratio of a latency to its expectation into the slowdown.
@@ -125,7 +125,7 @@
         if self.delays and self.bound_used:
             self._step()
         else:
-            self.bound += EMPTY_PERIOD_STEP * (self.initial_bound - self.bound)
+            self.bound_ns += EMPTY_PERIOD_STEP * (self.initial_bound_ns - self.bound_ns)
             self.last_error = None
         self.bound_used = False
         self.delays = []
@@ -133,9 +133,9 @@
     def _step(self) -> None:
         error = self.delay_objective - sum(self.delays) / len(self.delays)
         change = 0.0 if self.last_error is None else error - self.last_error
-        largest_step = LARGEST_STEP_FRACTION * CEILING_MULTIPLE * self.initial_bound
-        bound = self.bound + fuzzy_step(error / HALF_SPAN, change / HALF_SPAN, largest_step)
-        self.bound = max(0.0, min(CEILING_MULTIPLE * self.initial_bound, bound))
+        largest_step = LARGEST_STEP_FRACTION * CEILING_MULTIPLE * self.initial_bound_ns
+        bound = self.bound_ns + fuzzy_step(error / HALF_SPAN, change / HALF_SPAN, largest_step)
+        self.bound_ns = max(0.0, min(CEILING_MULTIPLE * self.initial_bound_ns, bound))
         self.last_error = error
 
 
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -112,7 +112,7 @@
         return self.active.settings
 
     @property
-    def engines(self) -> dict[int, TrackedEndpoint]:
+    def endpoints(self) -> dict[int, TrackedEndpoint]:
         """The known endpoints, by number."""
         return self.pool.endpoints
 
--- a/query_broker/decisions/dispatching.py
+++ b/query_broker/decisions/dispatching.py
@@ -83,7 +83,7 @@
             now,
             endpoint.backlog_of(request.work_ns),
             endpoint.load() < UNCONTENDED_LOAD and not endpoint.is_pressed(now),
-            endpoint.suspect,
+            endpoint.ejected,
         )
         if attempt.number == 0:
             self._order_options(request)
@@ -108,8 +108,8 @@
         if spec.is_load:
             self.affinity.add_loads(endpoint, request.data_set, 1)
         endpoint.threads_since_report += spec.threads
-        endpoint.next_trial = now + TRIAL_INTERVAL_NS
-        if now < endpoint.cold_until:
+        endpoint.next_trial_ns = now + TRIAL_INTERVAL_NS
+        if now < endpoint.warmup_ends_ns:
             endpoint.warmup_work.add(now, request.work_ns)
 
     def _order_options(self, request: Request) -> None:
@@ -120,7 +120,7 @@
 
     def _priority(self, request: Request) -> int:
         """Return the priority of a request: the shorter its run time, the higher."""
-        if request.over_share:
+        if request.over_quota:
             return OVER_QUOTA_PRIORITY
         run_time_ns = request.run_time()
         if run_time_ns < self.active.shortest_objective_ns:
--- a/query_broker/decisions/endpoint_pool.py
+++ b/query_broker/decisions/endpoint_pool.py
@@ -127,29 +127,29 @@
         first.
         """
         for number, endpoint in self.endpoints.items():
-            previous = endpoint.beside
-            endpoint.beside = event.outstanding.get(number, NO_OUTSTANDING_WORK)
-            endpoint.threads_out += endpoint.beside.threads - previous.threads
-            endpoint.backlog += endpoint.beside.backlog_ns - previous.backlog_ns
+            previous = endpoint.co_process_work
+            endpoint.co_process_work = event.outstanding.get(number, NO_OUTSTANDING_WORK)
+            endpoint.threads_in_flight += endpoint.co_process_work.threads - previous.threads
+            endpoint.backlog_ns += endpoint.co_process_work.backlog_ns - previous.backlog_ns
 
     def add_outstanding(
         self, now: int, endpoint: TrackedEndpoint, backlog_ns: int, threads: int
     ) -> None:
         """Add to the outstanding work of an endpoint and of the pool; negative where it ends."""
         limit = self.limit
-        endpoint.backlog += backlog_ns
-        endpoint.threads_out += threads
+        endpoint.backlog_ns += backlog_ns
+        endpoint.threads_in_flight += threads
         if endpoint.in_pool:
-            limit.backlog += backlog_ns
-            limit.threads_out += threads
-        limit.mean_threads.record(now, limit.threads_out)
+            limit.backlog_ns += backlog_ns
+            limit.threads_in_flight += threads
+        limit.mean_threads.record(now, limit.threads_in_flight)
 
     def outstanding(self, now: int) -> dict[int, OutstandingWork]:
         """Return what this process alone has out on each endpoint."""
         return {
             number: OutstandingWork(
-                endpoint.threads_out - endpoint.beside.threads,
-                endpoint.backlog - endpoint.beside.backlog_ns,
+                endpoint.threads_in_flight - endpoint.co_process_work.threads,
+                endpoint.backlog_ns - endpoint.co_process_work.backlog_ns,
                 endpoint.warmup_work.at(now),
             )
             for number, endpoint in self.endpoints.items()
@@ -158,7 +158,7 @@
     def avoided(self) -> int:
         """Count the listed endpoints that are disabled or ejected."""
         return sum(
-            endpoint.suspect or number in self.disabled
+            endpoint.ejected or number in self.disabled
             for number, endpoint in self.endpoints.items()
             if endpoint.entry.state is not EndpointState.REMOVED
         )
@@ -181,8 +181,8 @@
         ]
         self._measure_fleet(open_endpoints)
         for endpoint in self.endpoints.values():
-            is_warming = self.large_fleet and now < endpoint.cold_until
-            endpoint.in_pool = self.is_open(endpoint) and not (endpoint.suspect or is_warming)
+            is_warming = self.large_fleet and now < endpoint.warmup_ends_ns
+            endpoint.in_pool = self.is_open(endpoint) and not (endpoint.ejected or is_warming)
         self._measure_limit(now, [endpoint for endpoint in open_endpoints if endpoint.in_pool])
         self._choose_subset(open_endpoints)
 
@@ -198,13 +198,17 @@
     def _measure_limit(self, now: int, members: list[TrackedEndpoint]) -> None:
         fleet_size = self.active.settings.fleet_size
         limit = self.limit
-        limit.rescale(sum(endpoint.initial_bound for endpoint in members))
+        limit.rescale(sum(endpoint.initial_bound_ns for endpoint in members))
         cores = sum(endpoint.cores for endpoint in members)
         quota = POOL_THREADS_PER_CORE * cores / fleet_size
         limit.thread_quota = quota or self.active.widest_threads
-        limit.backlog = sum(member.backlog - member.beside.backlog_ns for member in members)
-        limit.threads_out = sum(member.threads_out - member.beside.threads for member in members)
-        limit.mean_threads.record(now, limit.threads_out)
+        limit.backlog_ns = sum(
+            member.backlog_ns - member.co_process_work.backlog_ns for member in members
+        )
+        limit.threads_in_flight = sum(
+            member.threads_in_flight - member.co_process_work.threads for member in members
+        )
+        limit.mean_threads.record(now, limit.threads_in_flight)
 
     def _choose_subset(self, open_endpoints: list[TrackedEndpoint]) -> None:
         """Choose the endpoints that this broker uses.
@@ -219,11 +223,11 @@
         missing = SUBSET_SIZE if self.large_fleet else len(ordered)
         self.subset = []
         for endpoint in ordered[first:] + ordered[:first]:
-            if missing > 0 and (endpoint.in_pool or endpoint.suspect):
+            if missing > 0 and (endpoint.in_pool or endpoint.ejected):
                 self.subset.append(endpoint)
                 missing -= endpoint.in_pool
         self.warming = [
-            endpoint for endpoint in open_endpoints if not (endpoint.in_pool or endpoint.suspect)
+            endpoint for endpoint in open_endpoints if not (endpoint.in_pool or endpoint.ejected)
         ]
 
     def _update_entry(self, now: int, entry: EndpointEntry) -> None:
@@ -262,14 +266,14 @@
 
         It is cold, and nothing that was learned of the last one holds.
         """
-        endpoint.suspect = False
+        endpoint.ejected = False
         endpoint.slowdown = 1.0
         endpoint.best_slowdown = 1.0
-        endpoint.failures = 0.0
+        endpoint.failure_rate = 0.0
         endpoint.error_rate = 0.0
-        endpoint.report = None
-        endpoint.full_until = 0
+        endpoint.load_report = None
+        endpoint.full_until_ns = 0
         endpoint.process_started_ns = min(now, started_ns)
         endpoint.last_activity_ns = max(endpoint.last_activity_ns, endpoint.process_started_ns)
         warm_ns = started_ns + self.active.contract.warmup_ns
-        endpoint.cold_until = max(endpoint.cold_until, warm_ns)
+        endpoint.warmup_ends_ns = max(endpoint.warmup_ends_ns, warm_ns)
--- a/query_broker/decisions/endpoint_selection.py
+++ b/query_broker/decisions/endpoint_selection.py
@@ -45,7 +45,7 @@
         fits = self.capacity.fits
         fitting = [endpoint for endpoint in eligible if fits(now, request, endpoint)]
         # Endpoints in warm-up come first: what our turn there leaves unused is lost.
-        warming = [endpoint for endpoint in fitting if not (endpoint.in_pool or endpoint.suspect)]
+        warming = [endpoint for endpoint in fitting if not (endpoint.in_pool or endpoint.ejected)]
         return self._draw(request, warming or fitting)
 
     def for_retry(self, now: int, request: Request) -> TrackedEndpoint | None:
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -103,7 +103,7 @@
     def __init__(self, settings: Settings, seed: int, now: int, wheel: TimerWheel) -> None:
         """Make the controller; the parameters are its own."""
         self.controller = AdmissionController(settings, seed, now)
-        self.wheel = wheel
+        self.timer_wheel = wheel
         self.due: deque[int] = deque()
 
     def pick(self, now: int, arrival: RequestArrived) -> OrderBatch:
@@ -125,7 +125,7 @@
     def forget(self, request: str) -> None:
         """Note that the network has nothing of this request any more; does nothing."""
 
-    def avoided(self) -> int:
+    def avoided_endpoints(self) -> int:
         """Count the listed endpoints that get nothing, by hand or by choice."""
         return self.controller.avoided()
 
@@ -133,15 +133,15 @@
         """Return what this process has outstanding, for others of this broker."""
         return self.controller.outstanding(now)
 
-    def shares(self) -> dict[int, tuple[float, float]]:
+    def quotas_and_bounds(self) -> dict[int, tuple[float, float]]:
         """Return the thread quota of each endpoint and the bound on its outstanding work.
 
         The bound is in thread-nanoseconds.
         """
-        endpoints = self.controller.engines
-        return {number: (known.thread_quota, known.bound) for number, known in endpoints.items()}
+        endpoints = self.controller.endpoints
+        return {number: (known.thread_quota, known.bound_ns) for number, known in endpoints.items()}
 
-    def widest(self) -> int:
+    def widest_request_threads(self) -> int:
         """Return the threads of the widest class."""
         return self.controller.active.widest_threads
 
@@ -153,7 +153,7 @@
         for order in self.controller.handle(now, event):
             match order:
                 case SetTimer(due_ns, token):
-                    self.wheel.at(due_ns, self._timer_callback(token))
+                    self.timer_wheel.set_timer(due_ns, self._timer_callback(token))
                 case Dispatch():
                     batch.dispatches.append(order)
                 case DispatchOptions():
--- a/query_broker/decisions/open_requests.py
+++ b/query_broker/decisions/open_requests.py
@@ -101,7 +101,7 @@
     estimate_ns: int | None
     data_set: int
     key: str | None
-    over_share: bool
+    over_quota: bool
     memory_mb: float
     attempts_started: int = 0
     in_flight: dict[int, Attempt] = field(default_factory=dict)
--- a/query_broker/decisions/outlier_detection.py
+++ b/query_broker/decisions/outlier_detection.py
@@ -74,12 +74,12 @@
         self._check_silence(now, endpoint)
         # With nothing of ours in flight everything fits: a full endpoint would admit, reject and
         # be tried again without end.
-        if endpoint.backlog == 0 and now < endpoint.full_until:
-            return now >= endpoint.next_trial
-        if not endpoint.suspect or self._all_ejected():
+        if endpoint.backlog_ns == 0 and now < endpoint.full_until_ns:
+            return now >= endpoint.next_trial_ns
+        if not endpoint.ejected or self._all_ejected():
             return True
         return (
-            now >= endpoint.next_trial
+            now >= endpoint.next_trial_ns
             and request.spec.effect is Effect.IDEMPOTENT
             and not self.pool.ejects_by_health_check
             and not any(attempt.is_trial for attempt in endpoint.in_flight.values())
@@ -87,7 +87,7 @@
 
     def record(self, endpoint: TrackedEndpoint, failed: bool) -> None:
         """Take an outcome into the failures of an endpoint, of its zone and of its kind."""
-        endpoint.failures += FAILURE_LEARNING_RATE * (failed - endpoint.failures)
+        endpoint.failure_rate += FAILURE_LEARNING_RATE * (failed - endpoint.failure_rate)
         groups = self.group_failures
         for group in (endpoint.entry.zone, endpoint.entry.kind):
             failures = groups.get(group, 0.0)
@@ -98,7 +98,7 @@
 
         In a large fleet each endpoint is met too seldom, so its zone and kind count as well.
         """
-        own = max(endpoint.failures, endpoint.error_rate)
+        own = max(endpoint.failure_rate, endpoint.error_rate)
         if not self.pool.large_fleet:
             return own
         groups = self.group_failures
@@ -107,15 +107,15 @@
 
     def set_ejected(self, now: int, endpoint: TrackedEndpoint, ejected: bool) -> None:
         """Eject an endpoint, keep it ejected, or take it back into use."""
-        if ejected or endpoint.suspect:
-            endpoint.suspect = ejected
-            jitter_ns = int(TRIAL_JITTER_NS * endpoint.failures * self.random.random())
-            endpoint.next_trial = now + TRIAL_INTERVAL_NS + jitter_ns
+        if ejected or endpoint.ejected:
+            endpoint.ejected = ejected
+            jitter_ns = int(TRIAL_JITTER_NS * endpoint.failure_rate * self.random.random())
+            endpoint.next_trial_ns = now + TRIAL_INTERVAL_NS + jitter_ns
             self.pool.refresh(now)
 
     def request_health_check(self, now: int, endpoint: TrackedEndpoint) -> None:
         """Order a health check."""
-        endpoint.next_trial = now + TRIAL_INTERVAL_NS
+        endpoint.next_trial_ns = now + TRIAL_INTERVAL_NS
         endpoint.health_check_requested_ns = now
         self.orders.add(HealthCheck(endpoint.entry.endpoint))
 
@@ -178,8 +178,8 @@
             return
         for endpoint in self.pool.endpoints.values():
             # Nothing renews the report, and our dispatches since would add up for good.
-            endpoint.report = None
-            if not endpoint.suspect or now < endpoint.next_trial:
+            endpoint.load_report = None
+            if not endpoint.ejected or now < endpoint.next_trial_ns:
                 continue
             if endpoint.entry.endpoint in used:
                 self.request_health_check(now, endpoint)
@@ -188,15 +188,15 @@
 
     def _take_rejection(self, now: int, endpoint: TrackedEndpoint) -> None:
         full_until = now + TRIAL_INTERVAL_NS
-        endpoint.full_until = full_until
-        self.pool.limit.full_until = full_until
-        ejected = endpoint.suspect or self.pool.ejects_by_health_check
+        endpoint.full_until_ns = full_until
+        self.pool.limit.full_until_ns = full_until
+        ejected = endpoint.ejected or self.pool.ejects_by_health_check
         self.set_ejected(now, endpoint, ejected)
 
     def _take_connection_failure(
         self, now: int, endpoint: TrackedEndpoint, result: AttemptResult
     ) -> None:
-        if result is AttemptResult.CONNECT_FAILED or endpoint.failures > SINGLE_RESET:
+        if result is AttemptResult.CONNECT_FAILED or endpoint.failure_rate > SINGLE_RESET:
             self.set_ejected(now, endpoint, True)
 
     def _take_answer(
@@ -207,19 +207,19 @@
             # and the half of its work that succeeds isn't missed.
             for other in request.error_endpoints:
                 self.record(other, True)
-                ejected = other.suspect or other.failures > SINGLE_RESET
+                ejected = other.ejected or other.failure_rate > SINGLE_RESET
                 self.set_ejected(now, other, ejected)
         endpoint.last_activity_ns = now
         expected_ns = request.statistics.expected_latency(request.work_ns)
         is_late = latency_ns > LATE_MULTIPLE * expected_ns
-        ejected = endpoint.suspect and self.pool.ejects_by_health_check and is_late
+        ejected = endpoint.ejected and self.pool.ejects_by_health_check and is_late
         self.set_ejected(now, endpoint, ejected)
 
     def _check_silence(self, now: int, endpoint: TrackedEndpoint) -> None:
         """Eject an endpoint that takes work and answers nothing, before the list shows it."""
         limit_ns = SILENCE_MULTIPLE * self.active.shortest_objective_ns
         last_activity_ns = max(endpoint.last_activity_ns, self.clock.stalled_at_ns)
-        if endpoint.suspect or now - last_activity_ns <= limit_ns:
+        if endpoint.ejected or now - last_activity_ns <= limit_ns:
             return
         if any(
             _is_unanswered(now, attempt, limit_ns, endpoint.process_started_ns)
@@ -231,7 +231,7 @@
     def _all_ejected(self) -> bool:
         pool = self.pool
         return all(
-            endpoint.suspect for endpoint in pool.endpoints.values() if pool.is_open(endpoint)
+            endpoint.ejected for endpoint in pool.endpoints.values() if pool.is_open(endpoint)
         )
 
 
--- a/query_broker/decisions/retries.py
+++ b/query_broker/decisions/retries.py
@@ -105,7 +105,7 @@
         if endpoint is None:
             return
         unchecked_ns = now - endpoint.health_check_requested_ns
-        if self.pool.ejects_by_health_check and not endpoint.suspect and unchecked_ns > PERIOD_NS:
+        if self.pool.ejects_by_health_check and not endpoint.ejected and unchecked_ns > PERIOD_NS:
             self.outliers.request_health_check(now, endpoint)
         if number == 0:
             self.retry(now, request)
--- a/query_broker/decisions/slow_start.py
+++ b/query_broker/decisions/slow_start.py
@@ -37,7 +37,7 @@
         The shape of the ramp is not known; a square makes it late.
         """
         contract = self.active.contract
-        warmup_left = max(0, endpoint.cold_until - now) / max(1, contract.warmup_ns)
+        warmup_left = max(0, endpoint.warmup_ends_ns - now) / max(1, contract.warmup_ns)
         ramp = max(0.0, 1 - warmup_left) ** 2
         initial_capacity = contract.warmup_initial_capacity
         return initial_capacity + (1 - initial_capacity) * ramp
@@ -56,7 +56,7 @@
     def allows(self, now: int, endpoint: TrackedEndpoint, work_ns: int) -> bool:
         """Whether a work, in thread-nanoseconds, stays within the budget of the warm-up."""
         contract = self.active.contract
-        if now >= endpoint.cold_until or contract.overload_window_ns <= 0:
+        if now >= endpoint.warmup_ends_ns or contract.overload_window_ns <= 0:
             return True
         budget = (
             endpoint.cores
@@ -69,7 +69,7 @@
             fraction = is_our_turn / TURN_ESTIMATE_SAFETY / self.pool.turn_owners
         else:
             fraction = 1 / ESTIMATE_SAFETY / self.active.settings.fleet_size
-        used_ns = endpoint.warmup_work.at(now) + endpoint.beside.warmup_ns
+        used_ns = endpoint.warmup_work.at(now) + endpoint.co_process_work.warmup_ns
         return used_ns + work_ns <= budget * fraction
 
     def fits_in_turn(self, now: int, endpoint: TrackedEndpoint, threads: int) -> bool:
@@ -77,7 +77,7 @@
 
         The usual quota would waste the turn: its owners have the endpoint to themselves.
         """
-        if endpoint.backlog == 0:
+        if endpoint.backlog_ns == 0:
             return True
         capacity = THREADS_PER_CORE * endpoint.cores * self.capacity_fraction(now, endpoint)
-        return endpoint.threads_out + threads <= capacity / self.pool.turn_owners
+        return endpoint.threads_in_flight + threads <= capacity / self.pool.turn_owners
--- a/query_broker/decisions/tracked_endpoint.py
+++ b/query_broker/decisions/tracked_endpoint.py
@@ -43,18 +43,18 @@
     entry: EndpointEntry
     cores: int
     in_flight: dict[tuple[str, int], Attempt] = field(default_factory=dict)
-    failures: float = 0.0
+    failure_rate: float = 0.0
     error_rate: float = 0.0
-    report: LoadReport | None = None
+    load_report: LoadReport | None = None
     threads_since_report: int = 0
-    cold_until: int = 0
+    warmup_ends_ns: int = 0
     warmup_work: SlidingSum
     last_activity_ns: int = 0
-    beside: OutstandingWork = NO_OUTSTANDING_WORK
+    co_process_work: OutstandingWork = NO_OUTSTANDING_WORK
     process_started_ns: int = 0
-    suspect: bool = False
+    ejected: bool = False
     in_pool: bool = False
-    next_trial: int = 0
+    next_trial_ns: int = 0
     health_check_requested_ns: int = 0
 
     def utilisation(self) -> float:
@@ -62,7 +62,7 @@
 
         A queue for memory means that all memory is granted.
         """
-        report = self.report
+        report = self.load_report
         if report is None:
             return 0.0
         return max(
@@ -75,10 +75,10 @@
 
     def load(self) -> float:
         """Return the load in threads a core: reported and dispatched since, at least our own."""
-        if self.report is None:
-            return self.threads_out / self.cores
+        if self.load_report is None:
+            return self.threads_in_flight / self.cores
         reported_threads = self.utilisation() * self.cores + self.threads_since_report
-        return max(self.threads_out, reported_threads) / self.cores
+        return max(self.threads_in_flight, reported_threads) / self.cores
 
     def backlog_of(self, work_ns: int) -> int:
         """Return the thread-nanoseconds that a work takes here, at the slowdown seen so far."""
@@ -91,5 +91,5 @@
 
     def take_report(self, report: LoadReport) -> None:
         """Replace the load report."""
-        self.report = report
+        self.load_report = report
         self.threads_since_report = 0
--- a/query_broker/discovery/event_codec.py
+++ b/query_broker/discovery/event_codec.py
@@ -32,7 +32,7 @@
 Heartbeat = NewType("Heartbeat", int)
 
 
-class BadLine(Exception):  # noqa: N818  # other folders use the name; it is renamed with them
+class InvalidEventError(Exception):  # noqa: N818  # other folders use the name; it is renamed with them
     """A line of the watch, or an entry of the configuration, that isn't in the form of an event.
 
     Attributes:
@@ -108,7 +108,7 @@
     """
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < END_OF_PORTS:
-        raise BadLine(problem=f"{text!r} is no address host:port")
+        raise InvalidEventError(problem=f"{text!r} is no address host:port")
     return Address(host.strip("[]"), int(port))
 
 
@@ -121,14 +121,14 @@
         BadLine: The value isn't in the form of an event.
     """
     if not isinstance(raw, dict) or type(raw.get("offset")) is not int:
-        raise BadLine(problem="an event without its offset")
+        raise InvalidEventError(problem="an event without its offset")
     offset = raw["offset"]
     topology = raw.get("topology")
     if not isinstance(topology, dict):
         return EndpointListEvent(offset, False, ())
     targets = topology.get("targets", [])
     if not isinstance(targets, list):
-        raise BadLine(problem="targets is no list")
+        raise InvalidEventError(problem="targets is no list")
     is_full = topology.get("all") is True
     return EndpointListEvent(offset, is_full, tuple(_parse_target(target) for target in targets))
 
@@ -142,7 +142,7 @@
     try:
         raw = json.loads(line)
     except (ValueError, RecursionError):
-        raise BadLine(problem=f"{line[:QUOTED_BYTES]!r} is no JSON") from None
+        raise InvalidEventError(problem=f"{line[:QUOTED_BYTES]!r} is no JSON") from None
     if type(raw) is int:
         return Heartbeat(raw)
     return parse_event(raw)
@@ -170,20 +170,20 @@
         self.buffer += data
         *lines, rest = self.buffer.split(b"\n")
         if len(rest) > MAX_LINE_BYTES:
-            raise BadLine(problem="a line without end")
+            raise InvalidEventError(problem="a line without end")
         self.buffer = bytearray(rest)
         return [bytes(line) for line in lines if line.strip()]
 
 
 def _parse_target(raw: Any) -> ListedEndpoint:
     if not isinstance(raw, dict):
-        raise BadLine(problem="a target that is no object")
+        raise InvalidEventError(problem="a target that is no object")
     uid = raw.get("uid")
     if not isinstance(uid, str) or not uid:
-        raise BadLine(problem="a target without its uid")
+        raise InvalidEventError(problem="a target without its uid")
     state = raw.get("state")
     if state not in STATES:
-        raise BadLine(problem=f"unknown state {state!r}", uid=uid)
+        raise InvalidEventError(problem=f"unknown state {state!r}", uid=uid)
     return _listed_endpoint(uid, STATES[state], raw)
 
 
@@ -202,7 +202,7 @@
             started_ns=int(raw.get("boot_ms") or 0) * NS_PER_MS,
         )
     except (TypeError, ValueError, OverflowError) as error:
-        raise BadLine(problem=str(error), uid=uid) from None
+        raise InvalidEventError(problem=str(error), uid=uid) from None
 
 
 def _parse_target_address(state: EndpointState, text: Any) -> Address:
--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -11,13 +11,13 @@
 from functools import partial
 from typing import Protocol
 
-from .event_codec import BadLine, EndpointListEvent, Heartbeat, parse_line
+from .event_codec import EndpointListEvent, Heartbeat, InvalidEventError, parse_line
 from .watch_connection import WatchConnection
 
 #: Nanoseconds without a byte after which a connection is given up. A heartbeat comes every second,
 #: and after a stop an event counts as notified 4 s later: a heartbeat may be late, and the next
 #: connection has time to come up.
-SILENT = 1_700_000_000
+SILENCE_LIMIT_NS = 1_700_000_000
 #: Seconds before the first attempt to reconnect, and the most that the doubled wait may reach.
 #: After a break an event counts as notified 2 s later: several attempts fit.
 FIRST_BACKOFF_S = 0.05
@@ -25,7 +25,7 @@
 #: The part of the backoff that isn't drawn: the wait lies between it and the backoff itself.
 FIXED_BACKOFF_PART = 0.5
 #: Seconds in which a connection has to come up.
-CONNECT = 0.5
+CONNECT_TIMEOUT_S = 0.5
 #: Heartbeats in turn that name a lower offset than is known, after which the numbering has begun
 #: anew. One alone may be a replica's that lags.
 HEARTBEATS_OF_NEW_NUMBERING = 2
@@ -47,18 +47,18 @@
         first_wait: Seconds to the first attempt to connect.
     """
 
-    first_wait: float
+    first_wait_s: float
 
-    def wait(self) -> float:
+    def next_wait_s(self) -> float:
         """Return the seconds to the next attempt, after one that failed."""
 
-    def time_out(self) -> float:
+    def connect_timeout_s(self) -> float:
         """Return the seconds in which a connection has to come up."""
 
-    def silent(self) -> int:
+    def silence_limit_ns(self) -> int:
         """Return the nanoseconds without a byte after which a connection is given up."""
 
-    def spoke(self) -> None:
+    def list_confirmed(self) -> None:
         """Take note that the service has sent, or confirmed, the latest event that it has."""
 
 
@@ -97,14 +97,14 @@
             pace: See the attribute; it may be set until `start` is called.
         """
         self.address = address
-        self.last = last
-        self.take = take
+        self.last_offset = last
+        self.on_event = take
         self.now = now
         self.log = log
         self.draw = draw
-        self.pace = pace
+        self.pacing = pace
         self.connection: WatchConnection | None = None
-        self.wait = FIRST_BACKOFF_S
+        self.backoff_s = FIRST_BACKOFF_S
         self.last_received_ns = now()
         self._connecting: asyncio.Task[None] | None = None
         self._lower_heartbeats = 0  # in turn
@@ -112,7 +112,7 @@
 
     def start(self) -> None:
         """Connect, after the wait that the pacing asks for."""
-        self._connect_after(0.0 if self.pace is None else self.pace.first_wait)
+        self._connect_after(0.0 if self.pacing is None else self.pacing.first_wait_s)
 
     def stop(self) -> None:
         """End the connection, and the attempt to open one."""
@@ -121,7 +121,7 @@
         if self.connection is not None:
             self.connection.drop()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Connect to another address at once.
 
         The old connection stays until the new one has come up, since it may still bring what the
@@ -129,17 +129,17 @@
         """
         if address != self.address:
             self.address = address
-            self.wait = FIRST_BACKOFF_S
+            self.backoff_s = FIRST_BACKOFF_S
             self._connect_after(0.0)
 
-    def check(self, now: int) -> None:
+    def drop_if_silent(self, now: int) -> None:
         """Drop the connection if the service has been silent; called every tick.
 
         A service that is cut off sends nothing, and its events count as notified all the same.
         """
         if self.connection is None:
             return
-        limit_ns = SILENT if self.pace is None else self.pace.silent()
+        limit_ns = SILENCE_LIMIT_NS if self.pacing is None else self.pacing.silence_limit_ns()
         if now - self.last_received_ns > limit_ns:
             self.log("bus", "no beat: connecting anew")
             self.last_received_ns = now
@@ -164,9 +164,9 @@
         if connection is not self.connection:
             return
         self.connection = None
-        self.log("bus", f"connection lost after event {self.last}")
+        self.log("bus", f"connection lost after event {self.last_offset}")
         if self._connecting is None:
-            self._again()
+            self._reconnect()
 
     def bytes_received(self) -> None:
         """Note that the service is there."""
@@ -187,11 +187,11 @@
         """
         try:
             event = parse_line(line)
-        except BadLine as error:
-            if self._unreadable_after != self.last:
-                self._unreadable_after = self.last
+        except InvalidEventError as error:
+            if self._unreadable_after != self.last_offset:
+                self._unreadable_after = self.last_offset
                 raise
-            self.log("bus", f"read past a line after event {self.last}: {error}")
+            self.log("bus", f"read past a line after event {self.last_offset}: {error}")
             return
         if isinstance(event, EndpointListEvent):
             self._event_received(event)
@@ -201,30 +201,32 @@
     # --- lines ---
 
     def _event_received(self, event: EndpointListEvent) -> None:
-        self._require_no_gap(event.offset, self.last + 1)
-        self.wait = FIRST_BACKOFF_S
-        if event.offset > self.last:
-            self.last = event.offset
-            self.take(event)
+        self._require_no_gap(event.offset, self.last_offset + 1)
+        self.backoff_s = FIRST_BACKOFF_S
+        if event.offset > self.last_offset:
+            self.last_offset = event.offset
+            self.on_event(event)
         self._confirmed()
 
     def _heartbeat_received(self, offset: Heartbeat) -> None:
-        self._require_no_gap(offset, self.last)
-        self.wait = FIRST_BACKOFF_S
-        if self.pace is not None and offset < self.last:
+        self._require_no_gap(offset, self.last_offset)
+        self.backoff_s = FIRST_BACKOFF_S
+        if self.pacing is not None and offset < self.last_offset:
             self._numbered_lower(offset)
         else:
             self._confirmed()
 
     def _require_no_gap(self, offset: int, highest: int) -> None:
         """Raise BadLine if events are missing; past an unreadable line a gap is expected."""
-        if offset > highest and self._unreadable_after != self.last:
-            raise BadLine(problem=f"events after {self.last} are missing before {offset}")
+        if offset > highest and self._unreadable_after != self.last_offset:
+            raise InvalidEventError(
+                problem=f"events after {self.last_offset} are missing before {offset}"
+            )
 
     def _confirmed(self) -> None:
-        if self.pace is not None:
+        if self.pacing is not None:
             self._lower_heartbeats = 0
-            self.pace.spoke()
+            self.pacing.list_confirmed()
 
     def _numbered_lower(self, offset: int) -> None:
         """Ask for the complete list once the service has begun its numbers anew.
@@ -237,9 +239,9 @@
             return
         self.log(
             "bus",
-            f"the numbers begin anew: {offset} after {self.last}, asking for the whole list",
+            f"the numbers begin anew: {offset} after {self.last_offset}, asking for the whole list",
         )
-        self.last = 0
+        self.last_offset = 0
         self._lower_heartbeats = 0
         self.connection.drop()
 
@@ -254,7 +256,7 @@
         await asyncio.sleep(wait_s)
         address = self.address
         make_connection = partial(WatchConnection, self, address)
-        timeout_s = CONNECT if self.pace is None else self.pace.time_out()
+        timeout_s = CONNECT_TIMEOUT_S if self.pacing is None else self.pacing.connect_timeout_s()
         try:
             async with asyncio.timeout(timeout_s):
                 await asyncio.get_running_loop().create_connection(make_connection, *address)
@@ -262,16 +264,16 @@
             if self._connecting is asyncio.current_task():
                 self.log("bus", f"no connection: {error or 'no answer in time'}")
                 self._connecting = None
-                self._again()
+                self._reconnect()
 
-    def _again(self) -> None:
+    def _reconnect(self) -> None:
         """Reconnect after the backoff.
 
         All brokers lose the service at one moment: without jitter they would come back together.
         """
-        if self.pace is None:
+        if self.pacing is None:
             jitter = FIXED_BACKOFF_PART + self.draw() / 2
-            self._connect_after(self.wait * jitter)
+            self._connect_after(self.backoff_s * jitter)
         else:
-            self._connect_after(self.pace.wait())
-        self.wait = min(MAX_BACKOFF_S, self.wait * 2)
+            self._connect_after(self.pacing.next_wait_s())
+        self.backoff_s = min(MAX_BACKOFF_S, self.backoff_s * 2)
--- a/query_broker/discovery/watch_connection.py
+++ b/query_broker/discovery/watch_connection.py
@@ -8,7 +8,7 @@
 import asyncio
 from typing import Protocol, cast
 
-from .event_codec import BadLine, LineParser
+from .event_codec import InvalidEventError, LineParser
 
 
 class WatchConnectionOwner(Protocol):
@@ -18,7 +18,7 @@
         last: The offset of the latest event that is known.
     """
 
-    last: int
+    last_offset: int
 
     def connection_up(self, connection: WatchConnection) -> None:
         """Take a connection that has come up and has sent its request."""
@@ -61,7 +61,7 @@
         # uvloop's transports are no subclass of asyncio's: a check by isinstance would drop every
         # write.
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.write(b"from %d\n" % self.owner.last)
+        self.transport.write(b"from %d\n" % self.owner.last_offset)
         self.owner.connection_up(self)
 
     def data_received(self, data: bytes) -> None:
@@ -70,7 +70,7 @@
         try:
             for line in self.parser.feed(data):
                 self.owner.line_received(line)
-        except BadLine as error:
+        except InvalidEventError as error:
             self.owner.line_rejected(str(error))
             self.drop()
         except Exception as error:  # no input may raise out of a callback
--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -78,7 +78,7 @@
             self._controls.statistics.stopped[HandOver.POOL, StopReason.BUDGET] += 1
             self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
             return
-        attempt.timer = self._timers.at(
+        attempt.timer = self._timers.set_timer(
             attempt.deadline_ns - TAKE_BACK_TICKS * self._timers.tick_ns,
             partial(self._take_back_before_deadline, attempt),
         )
@@ -94,12 +94,12 @@
         class_name = request.class_name.decode()
         remaining_ns = attempt.deadline_ns - attempt.dispatched_ns
         idempotent = self._is_idempotent(class_name)
-        allowed_ns = attempt_time(remaining_ns, attempt.number, idempotent, budget.terms)
+        allowed_ns = attempt_time(remaining_ns, attempt.number, idempotent, budget.settings)
         attempt.deadline_ns = attempt.dispatched_ns + allowed_ns
         if attempt.number:
-            attempt.budgeted = budget.further(class_name, request.tenant)
+            attempt.budgeted = budget.try_spend(class_name, request.tenant)
             return attempt.budgeted
-        budget.first(class_name, request.tenant)
+        budget.record_first_attempt(class_name, request.tenant)
         return True
 
     def _is_idempotent(self, class_name: str) -> bool:
@@ -115,7 +115,9 @@
         as if it had: it is taken back while there is time to say so.
         """
         if attempt.write_started:
-            attempt.timer = self._timers.at(attempt.deadline_ns, partial(self._time_out, attempt))
+            attempt.timer = self._timers.set_timer(
+                attempt.deadline_ns, partial(self._time_out, attempt)
+            )
             return
         if attempt.connection is not None:
             attempt.connection.withdraw(attempt)
--- a/query_broker/dispatch/attempt_outcomes.py
+++ b/query_broker/dispatch/attempt_outcomes.py
@@ -80,18 +80,18 @@
         """Give a retry's token back, since it never left."""
         budget = self._controls.retry_budget
         if budget is not None:
-            budget.back(attempt.request.class_name.decode(), attempt.request.tenant)
+            budget.refund(attempt.request.class_name.decode(), attempt.request.tenant)
 
     def end_next_tick(self, attempt: Attempt, result: AttemptResult) -> None:
         """Report the end of an attempt with the next tick."""
         self.deferred.append(DeferredOutcome(attempt, result))
-        self._timers.soon()
+        self._timers.wake_next_tick()
 
     def cancel_in_flight(self, attempt: Attempt, connection: AttemptConnection) -> None:
         """Tell the endpoint to stop; only where the settings allow cancellation."""
         connection.cancel(attempt)
         self.delay_report(attempt)
-        self._controls.statistics.undone += 1
+        self._controls.statistics.cancels_sent += 1
 
     def delay_report(self, attempt: Attempt) -> None:
         """Report the attempt only when its cancellation, or its connection's end, has arrived.
@@ -116,7 +116,7 @@
                     delayed.append(outcome)
         self.deferred = delayed
         if delayed:
-            self._timers.soon()
+            self._timers.wake_next_tick()
 
     def _may_be_reported(self, attempt: Attempt, now_ns: int) -> bool:
         """False while its cancellation is under way: the next attempt may leave with the report."""
--- a/query_broker/dispatch/cancellation.py
+++ b/query_broker/dispatch/cancellation.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Sequence
 
 from ..deadlines.cancel_scopes import CancelAction, CancelScope, ScopeKind
-from ..deadlines.handover_checks import HandOver, HandOverCheck, StopReason, stop
-from ..deadlines.settings import Stage
+from ..deadlines.handover_checks import HandOver, HandOverCheck, StopReason, reason_to_stop
+from ..deadlines.settings import LatencyStage
 from ..decisions.facade import (
     AttemptResult,
     CancelAttempt,
@@ -30,9 +30,9 @@
 
 # The stages that still lie before a request at each hand-over.
 REMAINING_STAGES = {
-    HandOver.POOL: (Stage.CONNECT, Stage.WRITE, Stage.ENGINE),
-    HandOver.CONNECTION: (Stage.WRITE, Stage.ENGINE),
-    HandOver.SOCKET: (Stage.ENGINE,),
+    HandOver.POOL: (LatencyStage.CONNECT, LatencyStage.WRITE, LatencyStage.ENGINE),
+    HandOver.CONNECTION: (LatencyStage.WRITE, LatencyStage.ENGINE),
+    HandOver.SOCKET: (LatencyStage.ENGINE,),
 }
 
 
@@ -63,7 +63,7 @@
         if attempt.reported or attempt.concluded:
             return False
         now_ns = self._clock.now()
-        reason = stop(now_ns, self._facts(attempt, hand_over, now_ns))
+        reason = reason_to_stop(now_ns, self._facts(attempt, hand_over, now_ns))
         if reason is None:
             return True
         self._controls.statistics.stopped[hand_over, reason] += 1
@@ -198,18 +198,18 @@
         """Carry out an action and return how the attempt ended; None: it goes on."""
         connection = attempt.connection
         match action:
-            case CancelAction.TAKE_BACK if connection is None:
+            case CancelAction.WITHDRAW if connection is None:
                 self._controls.statistics.stopped[HandOver.POOL, StopReason.LEFT] += 1
                 return AttemptResult.NOT_SENT
-            case CancelAction.TAKE_BACK if connection is not None:
+            case CancelAction.WITHDRAW if connection is not None:
                 if not connection.withdraw(attempt):
                     return None
                 self._controls.statistics.stopped[HandOver.SOCKET, StopReason.LEFT] += 1
                 return AttemptResult.NOT_SENT
-            case CancelAction.UNDO if connection is not None:
+            case CancelAction.CANCEL if connection is not None:
                 self._outcomes.cancel_in_flight(attempt, connection)
                 return AttemptResult.CANCELLED
-            case CancelAction.FORGET if connection is not None:
+            case CancelAction.DISCARD_PAGES if connection is not None:
                 connection.forget(attempt)  # it has run; only its pages are left
                 return AttemptResult.SERVED
         return None
--- a/query_broker/dispatch/capacity.py
+++ b/query_broker/dispatch/capacity.py
@@ -10,7 +10,7 @@
 MIN_ENDPOINT_CONNECTIONS = 4
 # Operators' calls at once. Their descriptors are reserved, so that a flood of clients does not keep
 # the operators out.
-MOST_CALLERS = 12
+MAX_OPERATOR_CALLS = 12
 # Descriptors for the listener, the endpoint watch and the log, and a few to spare: an eighth of the
 # limit, within these bounds.
 MIN_RESERVED_DESCRIPTORS = 24
@@ -52,8 +52,8 @@
     """
     sockets = config.sockets
     reserved = min(MAX_RESERVED_DESCRIPTORS, max(MIN_RESERVED_DESCRIPTORS, sockets // 8))
-    if config.operator is not None:
-        reserved += MOST_CALLERS + 1  # and their listener
+    if config.admin_address is not None:
+        reserved += MAX_OPERATOR_CALLS + 1  # and their listener
     reserved *= processes
     left_by_clients = sockets - sockets // 3 - reserved
     for_endpoints = max(MIN_ENDPOINT_CONNECTIONS, min(sockets * 3 // 8, left_by_clients))
--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -65,11 +65,11 @@
         """Whether the first byte of the attempt may leave."""
         return self._gate.may_go(attempt, HandOver.SOCKET)
 
-    def written_at_once(self) -> None:
+    def attempt_written_at_once(self) -> None:
         """An attempt has left completely as it was handed to its connection."""
         self._metrics.dispatches += 1
 
-    def written(self, attempt: Attempt) -> None:
+    def attempt_written(self, attempt: Attempt) -> None:
         """The last byte of an attempt has left."""
         self._metrics.dispatches += 1
         attempt.written_ns = self._clock.now()
@@ -77,10 +77,10 @@
             reason = StopReason.LEFT if attempt.request.abandoned else StopReason.PAST
             self._controls.statistics.begun_after[reason] += 1
 
-    def stuck(self, connection: EngineConnection) -> None:
+    def socket_blocked(self, connection: EngineConnection) -> None:
         """The socket takes no more: it is flushed with the next tick."""
         self.blocked[connection] = None
-        self._timers.soon()
+        self._timers.wake_next_tick()
 
     def flush_blocked(self) -> None:
         """Write on where sockets took no more."""
@@ -91,7 +91,7 @@
 
     # --- answers ---
 
-    def whole(self, attempt: Attempt, load_text: str) -> None:
+    def answer_completed(self, attempt: Attempt, load_text: str) -> None:
         """Every page is here: the answer leaves as one frame, if somebody still waits for it."""
         request = attempt.request
         if request.client is not None:
@@ -105,20 +105,20 @@
         self._outcomes.end(attempt, AttemptResult.SERVED, load)
         self._cancellations.end_scope(request)
 
-    def ended(self, attempt: Attempt, result: AttemptResult, load_text: str) -> None:
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, load_text: str) -> None:
         """The endpoint has ended the attempt otherwise."""
         self._outcomes.end(attempt, result, parse_load_report(load_text, self._context.log))
 
-    def late(self, attempt: Attempt, load_text: str) -> None:
+    def late_answer_received(self, attempt: Attempt, load_text: str) -> None:
         """An answer that nobody waits for is dropped; its load report is as good as any."""
-        self._controls.statistics.late += 1
+        self._controls.statistics.late_answers += 1
         load = parse_load_report(load_text, self._context.log)
         if load is not None:
             self._context.report_event(
                 HealthCheckResult(attempt.endpoint, AttemptResult.SERVED, 0, load)
             )
 
-    def noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
+    def progress_noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """The attempt is still running; of each kind, one note is taken at a time."""
         now_ns = self._clock.now()
         if now_ns - attempt.progress_ns.get(kind, -PROGRESS_GAP_NS) >= PROGRESS_GAP_NS:
@@ -127,18 +127,18 @@
                 AttemptProgress(attempt.request.id, attempt.number, attempt.endpoint, kind, amount)
             )
 
-    def probed(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
+    def health_check_ended(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
         """A health check has its outcome."""
         self._health_checks.end(tag, result, load_text)
 
-    def undone(self, outcome: CancelOutcome, count: int) -> None:
+    def cancellations_ended(self, outcome: CancelOutcome, count: int) -> None:
         """So many cancelled attempts have come to this outcome."""
         if outcome is CancelOutcome.WENT_ON:
-            self._controls.statistics.went_on += count
+            self._controls.statistics.answered_after_cancel += count
         else:
-            self._controls.statistics.cancelled += count
+            self._controls.statistics.stopped_after_cancel += count
 
-    def twice(self, connection: EngineConnection, request_id: bytes) -> bool:
+    def carried_elsewhere(self, connection: EngineConnection, request_id: bytes) -> bool:
         """Whether another connection to the endpoint has carried this client's id of late."""
         pool = self._context.pools.get(connection.endpoint)
         if pool is None:
@@ -149,7 +149,7 @@
 
     # --- the end of a connection ---
 
-    def lost(self, connection: EngineConnection, why: str, spoilt: bool) -> None:
+    def connection_lost(self, connection: EngineConnection, why: str, spoilt: bool) -> None:
         """The connection has ended; what was in flight on it may have run.
 
         Args:
@@ -158,7 +158,7 @@
             spoilt: A malformed answer made us end it. That says nothing of the endpoint's health:
                 what was in flight is reported as cancelled, not as reset.
         """
-        self._context.pools.lost(connection)
+        self._context.pools.connection_lost(connection)
         attempts = list(connection.in_flight.values())
         connection.in_flight = {}
         if attempts:
@@ -167,7 +167,7 @@
             )
         for attempt in attempts:
             self._end_lost(attempt, spoilt)
-        for tag in connection.probes:
+        for tag in connection.health_checks:
             self._health_checks.end(tag, AttemptResult.RESET, "")
 
     def _end_lost(self, attempt: Attempt, spoilt: bool) -> None:
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -79,7 +79,7 @@
         self.clock = clock
         self.log = log
         now_ns = clock.now()
-        self.wheel = TimerWheel(config.settings.tick_ns, now_ns)
+        self.timers = TimerWheel(config.settings.tick_ns, now_ns)
         self.facade = self.make_facade(now_ns)
         self.endpoint_table = EndpointTable()
         self.administrative_states = AdministrativeStates()
@@ -93,7 +93,7 @@
         parts = DispatchParts(
             self,
             clock,
-            self.wheel,
+            self.timers,
             self.request_table,
             self.endpoint_table,
             self.administrative_states,
@@ -111,23 +111,23 @@
         self.health_checks = parts.health_checks
         self.connection_events = parts.connection_events
         self.pools = self.make_connection_pools()
-        self.pools.own = config.settings.handshake_price <= MAX_HANDSHAKE_PRICE
+        self.pools.dedicated_connections = config.settings.handshake_price <= MAX_HANDSHAKE_PRICE
         self.divide(1, 0)
 
     # --- extension points ---
 
     def make_facade(self, now_ns: int) -> Facade:
         """Make the decisions; the constructor calls it before any other part is there."""
-        return Facade(self.config.settings, self.config.seed, now_ns, self.wheel)
+        return Facade(self.config.settings, self.config.seed, now_ns, self.timers)
 
     def make_connection_pools(self) -> ConnectionPools:
         """Make the pools; the constructor calls it once all other parts are there."""
         return ConnectionPools(
             self.connection_events,
             self.log,
-            streams=self.config.streams,
-            connect_timeout=self.config.connect_timeout,
-            conn_idle=self.config.conn_idle,
+            streams=self.config.streams_per_connection,
+            connect_timeout=self.config.connect_timeout_ns,
+            conn_idle=self.config.connection_idle_ns,
             unsent=self.outcomes.end,
             may_go=self.gate.may_go,
         )
@@ -140,9 +140,9 @@
             clients: Clients that the other processes hold.
         """
         capacity = divide_capacity(self.config, processes, clients)
-        self.most_clients = capacity.client_connections
-        self.pools.limit(capacity.endpoint_connections)
-        self.room = capacity.statement_bytes
+        self.max_clients = capacity.client_connections
+        self.pools.set_max_connections(capacity.endpoint_connections)
+        self.statement_capacity_bytes = capacity.statement_bytes
 
     def admit(
         self, client: Client, stream: int, parsed: ParsedRequest, received_ns: int = 0
@@ -191,7 +191,10 @@
         A flood of large ones would end the process for lack of memory, with all that it had
         admitted.
         """
-        return self.request_table.statement_bytes + len(request.statement) <= self.room
+        return (
+            self.request_table.statement_bytes + len(request.statement)
+            <= self.statement_capacity_bytes
+        )
 
     def begin_answer(self, request: ActiveRequest, status: int) -> Client:
         """Take the client that gets its final answer now.
@@ -206,7 +209,7 @@
         request.client = None
         assert client is not None, "a second answer"
         self.request_table.unanswered_count -= 1
-        self.metrics_counts.answered(request.class_name.decode(), status)
+        self.metrics_counts.count_reply(request.class_name.decode(), status)
         for observer in self.extensions.observers:
             observer.request_ended(request, ENDING_OF_STATUS[status])
         return client
@@ -237,7 +240,7 @@
         try:
             self.validator.check(parsed)
         except InvalidRequestError:
-            self.metrics_counts.answered(parsed.class_name, ERROR)
+            self.metrics_counts.count_reply(parsed.class_name, ERROR)
             raise
         return self.admit(client, stream, parsed, received_ns)
 
@@ -247,21 +250,23 @@
         """Take other settings in one step, for all requests that come from now on."""
         now_ns = self.now()
         # The timer wheel turns by the tick of the start.
-        settings = replace(read.settings, tick_ns=self.config.tick)
+        settings = replace(read.settings, tick_ns=self.config.tick_ns)
         adjusted = self.extensions.adjusted(settings)
         self.carry_out(now_ns, self.facade.report(now_ns, SettingsChanged(adjusted)))
         self.config = replace(
             self.config,
             settings=settings,
-            told=read.told,
-            streams=read.streams,
-            connect_timeout=read.connect_timeout,
-            conn_idle=read.conn_idle,
+            source=read.source,
+            streams_per_connection=read.streams_per_connection,
+            connect_timeout_ns=read.connect_timeout_ns,
+            connection_idle_ns=read.connection_idle_ns,
         )
         self.validator.apply_settings(read.settings)
-        self.metrics_counts.learn(self.validator.class_deadlines_ns)
-        self.pools.retune(read.streams, read.connect_timeout, read.conn_idle)
-        self.pools.own = settings.handshake_price <= MAX_HANDSHAKE_PRICE
+        self.metrics_counts.add_classes(self.validator.class_deadlines_ns)
+        self.pools.apply_settings(
+            read.streams_per_connection, read.connect_timeout_ns, read.connection_idle_ns
+        )
+        self.pools.dedicated_connections = settings.handshake_price <= MAX_HANDSHAKE_PRICE
 
     def refresh_settings(self) -> None:
         """Let the decisions have what a settings adjuster has changed."""
@@ -275,15 +280,17 @@
 
     def endpoint_list_changed(self, event: EndpointListEvent) -> None:
         """Take a change of the endpoint list, or all of it."""
-        entries = self.endpoint_table.learn(event)
+        entries = self.endpoint_table.apply_event(event)
         for entry in entries:
-            self.pools.learn(entry.endpoint, self.endpoint_table.by_number[entry.endpoint].target)
+            self.pools.update_target(
+                entry.endpoint, self.endpoint_table.by_number[entry.endpoint].target
+            )
         if event.full:
             for known in self.endpoint_table.by_number.values():
-                self.pools.learn(known.number, known.target)
+                self.pools.update_target(known.number, known.target)
         kind = ListUpdateKind.FULL if event.full else ListUpdateKind.CHANGES
         self.report_event(EndpointListUpdate(kind, entries))
-        self.endpoint_table.let_go()
+        self.endpoint_table.forget_removed()
 
     def set_endpoint_disabled(self, uid: str, disabled: bool) -> bool:
         """Disable or re-enable an endpoint by an operator's call; False if none has this uid.
@@ -311,9 +318,9 @@
             return
         if state.disabled:
             # What still waits for a connection would leave after the operator has his answer.
-            pool.take_back()
+            pool.withdraw_waiting()
         else:
-            pool.renew()
+            pool.retire_connections()
 
     # --- decisions and time ---
 
@@ -348,7 +355,7 @@
     def tick(self) -> None:
         """Fire timers that are due, and do what was put off to this tick."""
         now_ns = self.now()
-        self.wheel.advance(now_ns)
+        self.timers.advance(now_ns)
         while self.facade.due:
             try:
                 self.carry_out(now_ns, self.facade.tick(now_ns))
@@ -360,14 +367,14 @@
             self.connection_events.flush_blocked()
         self.outcomes.report_deferred()
         if self.stage_timer.waiting or self.connection_events.blocked:
-            self.wheel.soon()
+            self.timers.wake_next_tick()
 
     def metrics(self) -> bytes:
         """The metrics page, in the Prometheus text format."""
         own = self.metrics_counts.text(
             self.request_table.unanswered_count,
             len(self.endpoint_table.by_uid),
-            self.facade.avoided(),
+            self.facade.avoided_endpoints(),
         )
         return own + self.extensions.metrics_text() + self.deadline_controls.metrics_text()
 
--- a/query_broker/dispatch/health_checks.py
+++ b/query_broker/dispatch/health_checks.py
@@ -47,17 +47,17 @@
         """Check one endpoint; it has as long as a connection may take to come up."""
         tag = b"probe-%d" % next(self._numbers)
         self.pending[tag] = PendingCheck(endpoint, now_ns)
-        self._timers.at(
-            now_ns + self._context.config.connect_timeout, partial(self._time_out, endpoint, tag)
+        self._timers.set_timer(
+            now_ns + self._context.config.connect_timeout_ns, partial(self._time_out, endpoint, tag)
         )
         pool = self._context.pools.get(endpoint)
         if pool is not None:
-            pool.probe(tag, now_ns)
+            pool.send_health_check(tag, now_ns)
 
     def _time_out(self, endpoint: int, tag: bytes) -> None:
         pool = self._context.pools.get(endpoint)
         if pool is not None:
-            pool.forget_probe(tag)
+            pool.forget_health_check(tag)
         self.end(tag, AttemptResult.TIMEOUT, "")
 
     def end(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
--- a/query_broker/dispatch/load_reports.py
+++ b/query_broker/dispatch/load_reports.py
@@ -28,8 +28,8 @@
     if not text:
         return None
     try:
-        values = resp.read_meter(text)
-    except resp.BadAnswer as error:
+        values = resp.read_load_report(text)
+    except resp.MalformedAnswerError as error:
         log("engine", str(error))
         return None
     known = {FIELD_OF_NAME[name]: value for name, value in values.items() if name in FIELD_OF_NAME}
--- a/query_broker/dispatch/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -166,7 +166,7 @@
     def scope(self, parent: CancelScope) -> CancelScope:
         """It, and the pages that belong to it, below the scope of its request."""
         scope = parent.open(ScopeKind.ATTEMPT, self)
-        scope.left = self.write_started
+        scope.write_started = self.write_started
         if self.missing:
             scope.open(ScopeKind.PAGE, self)
         return scope
--- a/query_broker/dispatch/stage_timing.py
+++ b/query_broker/dispatch/stage_timing.py
@@ -6,7 +6,7 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-from ..deadlines.settings import Stage
+from ..deadlines.settings import LatencyStage
 from ..timer_wheel import Clock, TimerWheel
 from .deadline_controls import DeadlineControls
 from .requests import Attempt, Client
@@ -54,10 +54,10 @@
             now_ns,
         )
         # One stage more than there are marks: that of the answer follows.
-        for stage, (begin_ns, end_ns) in zip(Stage, pairwise(marks_ns), strict=False):
+        for stage, (begin_ns, end_ns) in zip(LatencyStage, pairwise(marks_ns), strict=False):
             stages.add(class_name, stage, end_ns - begin_ns, now_ns)
         self.waiting.append(WaitingAnswer(client, class_name, now_ns))
-        self._timers.soon()
+        self._timers.wake_next_tick()
         if len(self.waiting) == 1:
             asyncio.get_running_loop().call_soon(self.check_waiting)
 
@@ -75,4 +75,4 @@
             if answer.client.unread() and age_ns < self._controls.settings.slow_reader:
                 self.waiting.append(answer)
             elif self._controls.stages is not None:
-                self._controls.stages.add(answer.class_name, Stage.ANSWER, age_ns, now_ns)
+                self._controls.stages.add(answer.class_name, LatencyStage.ANSWER, age_ns, now_ns)
--- a/query_broker/endpoints/connection_choice.py
+++ b/query_broker/endpoints/connection_choice.py
@@ -12,7 +12,7 @@
 
 #: Nanoseconds without a byte from an endpoint that owes answers, after which it counts as silent.
 #: One second: little is sent to an endpoint that is cut off, and a mistake costs one connect.
-SILENT = 1_000_000_000
+SILENCE_LIMIT_NS = 1_000_000_000
 
 
 def usable_connections(connections: Iterable[EngineConnection], now: int) -> list[EngineConnection]:
@@ -27,9 +27,9 @@
     ]
     if not dispatched_ns:
         return live
-    last_received_ns = max([connection.heard for connection in live])
+    last_received_ns = max([connection.last_received_ns for connection in live])
     silent_since_ns = max(min(dispatched_ns), last_received_ns)
-    return [] if now - silent_since_ns > SILENT else live
+    return [] if now - silent_since_ns > SILENCE_LIMIT_NS else live
 
 
 def choose_connection(
@@ -94,5 +94,5 @@
 def retire_silent(connections: Iterable[EngineConnection], now: int) -> None:
     """Retire the connections that owe answers and have been silent."""
     for connection in connections:
-        if connection.in_flight and now - connection.heard > SILENT:
+        if connection.in_flight and now - connection.last_received_ns > SILENCE_LIMIT_NS:
             connection.retired = True
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -23,10 +23,10 @@
 #: Nanoseconds without a byte from an endpoint that the list says has been removed, after which its
 #: connections are closed. Longer than for an endpoint that counts as silent, since this gives up
 #: the answers that are still open there.
-GONE_SILENT = 3_000_000_000
+REMOVED_SILENCE_LIMIT_NS = 3_000_000_000
 #: Nanoseconds after an attempt's deadline in which its answer may still come. Half a minute, since
 #: to expect it no more retires the connection.
-AFTER = 30_000_000_000
+LATE_ANSWER_NS = 30_000_000_000
 
 
 class PoolContext(Protocol):
@@ -51,16 +51,16 @@
     max_streams: int
     connect_timeout_ns: int
     idle_timeout_ns: int
-    own: bool
-    turn: ConnectPacing | None
+    dedicated_connections: bool
+    connect_pacing: ConnectPacing | None
 
-    def share(self, pool: ConnectionPool) -> int:
+    def dedicated_limit(self, pool: ConnectionPool) -> int:
         """Return how many connections this pool may open for attempts of their own."""
 
-    def room(self, pool: ConnectionPool) -> bool:
+    def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
         """Return whether the budget has a descriptor for one more of these."""
 
-    def make_room(self, pool: ConnectionPool) -> bool:
+    def reserve_descriptor(self, pool: ConnectionPool) -> bool:
         """Return whether the connection that is opening has its descriptor."""
 
 
@@ -96,7 +96,7 @@
         self.number = number
         self.target = target
         self.connections: list[EngineConnection] = []
-        self.waiting: list[Attempt] = []
+        self.waiting_attempts: list[Attempt] = []
         self.waiting_health_checks: list[bytes] = []
         self.opening: asyncio.Task[None] | None = None
 
@@ -123,41 +123,43 @@
                 self.pools.report_unsent(attempt, AttemptResult.NOT_SENT)
             else:
                 self._wait_for_connection(attempt)
-        elif dial and connection.in_flight and self.pools.own and self._may_grow():
+        elif (
+            dial and connection.in_flight and self.pools.dedicated_connections and self._may_grow()
+        ):
             self._wait_for_connection(attempt)
         else:
             attempt.connection = connection
             attempt.assigned_ns = now
             connection.carry(attempt)
-            connection.do(attempt, now)
+            connection.send(attempt, now)
 
-    def probe(self, tag: bytes, now: int) -> None:
+    def send_health_check(self, tag: bytes, now: int) -> None:
         """Send a health check on the least loaded connection, or on a new one if there is none."""
         usable = self._usable(now)
         if usable:
-            min(usable, key=_attempts_in_flight).probe(tag)
+            min(usable, key=_attempts_in_flight).send_health_check(tag)
         else:
             self.waiting_health_checks.append(tag)
             self._open()
 
-    def forget_probe(self, tag: bytes) -> None:
+    def forget_health_check(self, tag: bytes) -> None:
         """Expect no answer to a health check any more.
 
         One whose answer never comes would keep its connection from ever being idle.
         """
         for connection in self.connections:
-            connection.probes.discard(tag)
+            connection.health_checks.discard(tag)
         if tag in self.waiting_health_checks:
             self.waiting_health_checks.remove(tag)
 
-    def take_back(self) -> None:
+    def withdraw_waiting(self) -> None:
         """Report the attempts that wait for a connection as not sent: they never ran."""
-        attempts = self.waiting
-        self.waiting = []
+        attempts = self.waiting_attempts
+        self.waiting_attempts = []
         for attempt in attempts:
             self.pools.report_unsent(attempt, AttemptResult.NOT_SENT)
 
-    def renew(self) -> None:
+    def retire_connections(self) -> None:
         """Retire all connections.
 
         Called where the endpoint may have restarted, perhaps without a word on the old ones.
@@ -175,15 +177,15 @@
         self.target = target
         has_moved = not _listens_at(target, Address(before.host, before.port))
         if has_moved or target.started_ns > before.started_ns:
-            self.renew()
+            self.retire_connections()
 
     def sweep(self, now: int) -> None:
         """Close what is idle, and what can't bring an answer any more."""
         for connection in list(self.connections):
             connection.check(now)
-            idle_ns = now - max(connection.used, connection.heard)
+            idle_ns = now - max(connection.last_sent_ns, connection.last_received_ns)
             is_stale = connection.retired or idle_ns > self.pools.idle_timeout_ns
-            if connection.quiet() and is_stale:
+            if connection.is_idle() and is_stale:
                 connection.close()
             else:
                 _close_unanswered(connection, self.target, now)
@@ -192,12 +194,14 @@
         return usable_connections(self.connections, now)
 
     def _may_grow(self) -> bool:
-        return len(self.connections) < self.pools.share(self) and self.pools.room(self)
+        return len(self.connections) < self.pools.dedicated_limit(
+            self
+        ) and self.pools.has_dedicated_capacity(self)
 
     # --- connects ---
 
     def _wait_for_connection(self, attempt: Attempt) -> None:
-        self.waiting.append(attempt)
+        self.waiting_attempts.append(attempt)
         self._open()
 
     def _open(self) -> None:
@@ -206,7 +210,7 @@
 
     async def _connect(self) -> None:
         """Open a connection, then send what has waited for it or report why it can't be sent."""
-        pacing = self.pools.turn
+        pacing = self.pools.connect_pacing
         if pacing is not None:
             await asyncio.sleep(pacing(self.number) / NS_PER_S)
         started_ns = self.pools.owner.now()
@@ -218,7 +222,7 @@
             self._connected(connection)
 
     async def _dial(self, address: Address) -> EngineConnection:
-        if not self.pools.make_room(self):
+        if not self.pools.reserve_descriptor(self):
             raise NoDescriptorError(address)
         make_connection = partial(EngineConnection, self.pools.owner, self.number)
         connection = await connect(make_connection, address, self.pools.connect_timeout_ns)
@@ -235,7 +239,7 @@
         now = self.pools.owner.now()
         self.connections.append(connection)
         for tag in waiting.health_checks:
-            connection.probe(tag)
+            connection.send_health_check(tag)
         self._send_all(waiting.attempts, now, dial=True)
 
     def _connect_failed(self, error: ConnectError, started_ns: int) -> None:
@@ -243,23 +247,23 @@
         now = self.pools.owner.now()
         address = f"{self.target.host}:{self.target.port}"
         self.pools.log("engine", f"{self.target.uid} at {address}: {error.reason}")
-        if any(connection.heard >= started_ns for connection in self._usable(now)):
+        if any(connection.last_received_ns >= started_ns for connection in self._usable(now)):
             # An endpoint that has sent something meanwhile isn't down because one connect was late.
             for tag in waiting.health_checks:
-                self.probe(tag, now)
+                self.send_health_check(tag, now)
             self._send_all(waiting.attempts, now, dial=False)
             return
         if error.result is AttemptResult.CONNECT_FAILED:
             retire_silent(self.connections, now)
         for tag in waiting.health_checks:
-            self.pools.owner.probed(tag, error.result, "")
+            self.pools.owner.health_check_ended(tag, error.result, "")
         for attempt in waiting.attempts:
             self.pools.report_unsent(attempt, error.result)
 
     def _end_opening(self) -> Waiting:
-        waiting = Waiting(self.waiting, self.waiting_health_checks)
+        waiting = Waiting(self.waiting_attempts, self.waiting_health_checks)
         self.opening = None
-        self.waiting = []
+        self.waiting_attempts = []
         self.waiting_health_checks = []
         return waiting
 
@@ -277,14 +281,19 @@
 
 def _close_unanswered(connection: EngineConnection, target: ListedEndpoint, now: int) -> None:
     """Close a connection whose answers can't come any more."""
-    overdue = [now > attempt.deadline_ns + AFTER for attempt in connection.in_flight.values()]
+    overdue = [
+        now > attempt.deadline_ns + LATE_ANSWER_NS for attempt in connection.in_flight.values()
+    ]
     if any(overdue):
         # An answer that never comes would hold its stream for good. The connection ends once no
         # answer on it is still expected: to close it sooner would give that one up.
         connection.retired = True
         if all(overdue):
             connection.close()
-    elif target.state is EndpointState.REMOVED and now - connection.heard > GONE_SILENT:
+    elif (
+        target.state is EndpointState.REMOVED
+        and now - connection.last_received_ns > REMOVED_SILENCE_LIMIT_NS
+    ):
         # A machine that vanished resets nothing: what is open there would be held until its
         # deadline although no answer can come any more. It may have run.
         connection.close()
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -10,7 +10,7 @@
 
 #: The fraction of the budget that attempts may take for connections of their own. The rest is for
 #: what must have a new connection: an endpoint without one, or one that has been silent.
-OWN_PART = 3 / 4
+DEDICATED_FRACTION = 3 / 4
 
 
 class ConnectionPools:
@@ -49,13 +49,13 @@
         self.log = log
         self.report_unsent = unsent
         self.may_hand_over = may_go
-        self.most = 0
-        self.own = True
-        self.turn: ConnectPacing | None = None
+        self.max_connections = 0
+        self.dedicated_connections = True
+        self.connect_pacing: ConnectPacing | None = None
         self.by_number: dict[int, ConnectionPool] = {}
-        self.retune(streams, connect_timeout, conn_idle)
+        self.apply_settings(streams, connect_timeout, conn_idle)
 
-    def retune(self, streams: int, connect_timeout: int, conn_idle: int) -> None:
+    def apply_settings(self, streams: int, connect_timeout: int, conn_idle: int) -> None:
         """Apply settings, for all connections from now on.
 
         Args:
@@ -68,20 +68,20 @@
         # What is sent as the endpoint closes an idle connection is lost: close it long before.
         self.idle_timeout_ns = conn_idle // 2
 
-    def limit(self, most: int) -> None:
+    def set_max_connections(self, most: int) -> None:
         """Set the budget, and close idle connections that are beyond it."""
-        self.most = most
+        self.max_connections = most
         # A closed connection reports its loss later, so that a loop which waited for the count to
         # fall would never end.
-        excess = max(0, self._held() - most)
-        for connection in self._idle()[:excess]:
+        excess = max(0, self._count_connections() - most)
+        for connection in self._idle_connections()[:excess]:
             connection.close()
 
     def get(self, number: int) -> ConnectionPool | None:
         """Return the pool of an endpoint, if it has one."""
         return self.by_number.get(number)
 
-    def learn(self, number: int, target: ListedEndpoint) -> None:
+    def update_target(self, number: int, target: ListedEndpoint) -> None:
         """Take what the endpoint list says of an endpoint now."""
         pool = self.by_number.get(number)
         if pool is not None:
@@ -89,32 +89,34 @@
         else:
             self.by_number[number] = ConnectionPool(self, number, target)
 
-    def share(self, pool: ConnectionPool) -> int:
+    def dedicated_limit(self, pool: ConnectionPool) -> int:
         """Return how many connections ``pool`` may open for attempts of their own."""
         listed = sum(
             other.target.state is not EndpointState.REMOVED for other in self.by_number.values()
         )
-        return max(1, int(self.most * OWN_PART) // max(1, listed))
+        return max(1, int(self.max_connections * DEDICATED_FRACTION) // max(1, listed))
 
-    def room(self, pool: ConnectionPool) -> bool:
+    def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
         """Return whether the budget has a descriptor for one more of these."""
-        return self._held() < self.most * OWN_PART
+        return self._count_connections() < self.max_connections * DEDICATED_FRACTION
 
-    def make_room(self, pool: ConnectionPool) -> bool:
+    def reserve_descriptor(self, pool: ConnectionPool) -> bool:
         """Return whether the connection that ``pool`` is opening has its descriptor.
 
         Where the budget is spent, an idle connection is closed for it. Beyond the budget clients
         would find no descriptor left for them.
         """
-        if self._held() <= self.most:  # the one that is opening counts already
+        if (
+            self._count_connections() <= self.max_connections
+        ):  # the one that is opening counts already
             return True
-        idle = self._idle()
+        idle = self._idle_connections()
         if not idle:
             return False
         idle[0].close()
         return True
 
-    def lost(self, connection: EngineConnection) -> None:
+    def connection_lost(self, connection: EngineConnection) -> None:
         """Drop a connection that has ended."""
         pool = self.by_number.get(connection.endpoint)
         if pool is not None and connection in pool.connections:
@@ -136,7 +138,7 @@
             for connection in list(pool.connections):
                 connection.close()
 
-    def _held(self) -> int:
+    def _count_connections(self) -> int:
         """Count the connections that are open or being opened, without those that are ending."""
         count = 0
         for pool in self.by_number.values():
@@ -144,10 +146,10 @@
             count += pool.opening is not None
         return count
 
-    def _idle(self) -> list[EngineConnection]:
+    def _idle_connections(self) -> list[EngineConnection]:
         return [
             connection
             for pool in self.by_number.values()
             for connection in pool.connections
-            if connection.quiet() and not connection.ending
+            if connection.is_idle() and not connection.ending
         ]
--- a/query_broker/endpoints/endpoint_table.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -56,7 +56,7 @@
             number = (number + 1) % NUMBER_RANGE
         return number
 
-    def learn(self, event: EndpointListEvent) -> tuple[EndpointEntry, ...]:
+    def apply_event(self, event: EndpointListEvent) -> tuple[EndpointEntry, ...]:
         """Apply an event of the endpoint list.
 
         Args:
@@ -75,7 +75,7 @@
             targets = [*self._displaced(targets, listed_uids), *targets]
         return tuple(self._entry(target) for target in targets)
 
-    def let_go(self) -> None:
+    def forget_removed(self) -> None:
         """Drop the removed endpoints from the table.
 
         Endpoints come under new uids for as long as the process runs. The pool of a removed
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -13,7 +13,7 @@
 
 from ..config import ConfigError
 from ..decisions.facade import Settings
-from ..server.host import Host
+from ..server.host import NodeContext
 from .addresses import split_address
 from .admin_api import AdminAnswer, MembershipAdminApi
 from .codec import MAX_FRAME_BYTES, Codec
@@ -48,7 +48,9 @@
         codec: Codec of all messages.
     """
 
-    def __init__(self, node: Host, settings: MembershipSettings, listener: ViewListener) -> None:
+    def __init__(
+        self, node: NodeContext, settings: MembershipSettings, listener: ViewListener
+    ) -> None:
         """Read the files and bind the sockets.
 
         Raises:
@@ -186,7 +188,7 @@
         now_ns = self.now_ns()
         late_ns = max(0, now_ns - self._tick_due_ns)
         self._tick_due_ns = now_ns + self._settings.interval_ns // TICKS_PER_INTERVAL
-        self._node.dispatcher.wheel.at(self._tick_due_ns, self._tick)
+        self._node.dispatcher.timers.set_timer(self._tick_due_ns, self._tick)
         try:
             self.detector.tick(now_ns, late_ns)
             self.carry_out(now_ns)
@@ -227,7 +229,7 @@
         raise ConfigError(problem) from None
 
 
-def _make_detector(node: Host, settings: MembershipSettings, port: int) -> FailureDetector:
+def _make_detector(node: NodeContext, settings: MembershipSettings, port: int) -> FailureDetector:
     host, _ = split_address(settings.listen_address)
     configured = node.config.settings
     return FailureDetector(
--- a/query_broker/membership/view_publisher.py
+++ b/query_broker/membership/view_publisher.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ..decisions.facade import EndpointState
-from ..server.host import Host
+from ..server.host import NodeContext
 from .failure_detector import FailureDetector
 from .messages import Identity
 from .rate_limit import DatagramRateLimiter
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        node: Host,
+        node: NodeContext,
         settings: MembershipSettings,
         detector: FailureDetector,
         rate_limiter: DatagramRateLimiter,
--- a/query_broker/metrics.py
+++ b/query_broker/metrics.py
@@ -26,7 +26,7 @@
 ERROR = ReplyStatus.ERROR
 
 #: The label ``status`` of each reply status, in the order of their values.
-STATUSES = ("success", "overload", "error")
+STATUS_LABELS = ("success", "overload", "error")
 
 
 class MetricFamily(NamedTuple):
@@ -66,11 +66,11 @@
         """Start every series of these request classes at 0."""
         self.replies: dict[str, list[int]] = {}
         self.dispatches = 0
-        self.reloads_taken = 0
-        self.reloads_turned_down = 0
-        self.learn(classes)
+        self.reloads_applied = 0
+        self.reloads_rejected = 0
+        self.add_classes(classes)
 
-    def learn(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Add the request classes of a configuration; every series is there from 0 on.
 
         A class that a new file drops keeps its counts: whoever scrapes them would see a counter
@@ -79,7 +79,7 @@
         for name in classes:
             self.replies.setdefault(name, [0] * len(ReplyStatus))
 
-    def answered(self, class_name: str, status: int) -> None:
+    def count_reply(self, class_name: str, status: int) -> None:
         """Count one reply; ``status`` is a `ReplyStatus`.
 
         Classes that no configuration has named are not counted: clients name any class they like,
@@ -102,8 +102,8 @@
             "concurrent": concurrent,
             "targets": targets,
             "targets_disabled": disabled,
-            "reload_success_total": self.reloads_taken,
-            "reload_failure_total": self.reloads_turned_down,
+            "reload_success_total": self.reloads_applied,
+            "reload_failure_total": self.reloads_rejected,
         }
         lines: list[str] = []
         for family in FAMILIES:
@@ -118,12 +118,12 @@
 
     def _reply_lines(self, name: str) -> Iterable[str]:
         for class_name, counts in self.replies.items():
-            label = escaped(class_name)
-            for status, count in zip(STATUSES, counts, strict=True):
+            label = escape_label(class_name)
+            for status, count in zip(STATUS_LABELS, counts, strict=True):
                 yield f'{name}{{type="{label}",status="{status}"}} {count}'
 
 
-def escaped(value: str) -> str:
+def escape_label(value: str) -> str:
     """Return a label's value with backslashes, quotes and line ends escaped.
 
     One bare quote or line end in the name of a class would make the complete text unreadable.
--- a/query_broker/operator_config/apply.py
+++ b/query_broker/operator_config/apply.py
@@ -28,7 +28,7 @@
     # Loaded only where operators ask for a learned margin.
     from ..deadlines.stage_latencies import StageLatencies
 
-    if controls.stages is None or controls.stages.terms != settings.margin:
+    if controls.stages is None or controls.stages.settings != settings.margin:
         controls.stages = StageLatencies(settings.margin)
     controls.margin_ns = controls.stages.margin
 
@@ -47,7 +47,7 @@
     """
     if settings is None:
         controls.retry_budget = None
-    elif controls.retry_budget is None or controls.retry_budget.terms != settings:
+    elif controls.retry_budget is None or controls.retry_budget.settings != settings:
         controls.retry_budget = RetryBudget(settings)
         gate_retries(controls, quota_service)
 
@@ -89,9 +89,9 @@
         if logs is None or logs.format == PLAIN_LOG_FORMAT:
             return
         # Loaded only where operators ask for structured lines.
-        from ..server.structured_log import Lines, stories
+        from ..server.structured_log import StructuredLog, trace_observer
 
-        lines = Lines(node.config.name, logs)
+        lines = StructuredLog(node.config.name, logs)
         node.log.sink = lines
-        self._observer = TraceObserver(stories(node.log, lines, node.clock.now))
+        self._observer = TraceObserver(trace_observer(node.log, lines, node.clock.now))
         node.dispatcher.add_observer(self._observer)
--- a/query_broker/operator_config/codec.py
+++ b/query_broker/operator_config/codec.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict
 from typing import Any, TypeVar
 
-from ..cells.model import from_plain
+from ..cells.model import read_cell_map
 from ..deadlines.retry_budget import RetryBudgetSettings
 from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
 from ..membership.settings import MembershipSettings
@@ -68,7 +68,7 @@
     """
     raw = json.loads(text)
     return OperatorConfig(
-        cell_map=_decode_part(raw["map"], from_plain),
+        cell_map=_decode_part(raw["map"], read_cell_map),
         deadlines=_decode_part(raw["deadlines"], _decode_deadlines),
         logs=_decode_part(raw["logs"], lambda fields: Logs(**fields)),
         startup=_decode_part(raw["start"], lambda fields: StartupSettings(**fields)),
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -28,7 +28,7 @@
 from dataclasses import fields
 from typing import Any
 
-from ..cells.model import KEY_FIELDS, Cell, Tenant, Timing
+from ..cells.model import SPREAD_FIELDS, Cell, Tenant, Timing
 from ..deadlines.retry_budget import RetryBudgetSettings
 from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
 from ..membership.settings import MembershipSettings
@@ -125,7 +125,7 @@
         homes: tuple[str, ...] = (check_text(cell, "tenant.cell"),)
     else:
         homes = check_texts(cells, "tenant.cells")
-    key = check_choice(key, "tenant.key", KEY_FIELDS)
+    key = check_choice(key, "tenant.key", SPREAD_FIELDS)
     if not homes or len(set(homes)) < len(homes):
         raise DirectiveError("tenant.cells", "must name each cell once")
     if len(homes) > 1 and not key:
@@ -253,13 +253,13 @@
     if last_list and not str(last_list).startswith("/"):
         raise DirectiveError("start.last_list", f"{last_list!r:.60} is no path from the root")
     draft.startup = StartupSettings(
-        list_connects=check_number(list_connects, "start.list_connects", above=True),
+        list_connects_per_s=check_number(list_connects, "start.list_connects", above=True),
         list_wait_ns=seconds_to_ns(list_wait, "start.list_wait"),
-        engine_probes=check_number(engine_probes, "start.engine_probes", above=True),
+        endpoint_probes_per_s=check_number(engine_probes, "start.engine_probes", above=True),
         endpoint_connects_per_s=check_number(engine_connects, "start.engine_connects", above=True),
         accepts_per_s=check_number(accepts, "start.accepts", above=True),
         contact_fraction=check_fraction(contact_part, "start.contact_part"),
-        contact_wait=seconds_to_ns(contact_wait, "start.contact_wait"),
+        contact_wait_ns=seconds_to_ns(contact_wait, "start.contact_wait"),
         initial_fraction=floor,
         ramp_ns=seconds_to_ns(ramp, "start.ramp"),
         snapshot_path=check_text(last_list, "start.last_list") if last_list else "",
--- a/query_broker/operator_config/draft.py
+++ b/query_broker/operator_config/draft.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ..cells.model import BadMap, Cell, CellMap, Tenant, Timing
+from ..cells.model import Cell, CellMap, CellMapError, Tenant, Timing
 from ..deadlines.retry_budget import RetryBudgetSettings
 from ..deadlines.settings import DeadlineSettings, Logs
 from ..membership.settings import MembershipSettings
@@ -129,7 +129,7 @@
         cells = tuple(self.cells.values())
         try:
             return CellMap(self.epoch, cells, default_cell, self.tenants, self.timing)
-        except BadMap as error:
+        except CellMapError as error:
             key, _, problem = str(error).partition(": ")  # the form of all its texts
             raise DirectiveError(key, problem, self.calls) from None
 
--- a/query_broker/operator_config/script.py
+++ b/query_broker/operator_config/script.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from ..cells.model import BadMap
+from ..cells.model import CellMapError
 from .arguments import DirectiveError
 from .codec import build_config, decode_config, encode_config
 from .directives import DIRECTIVES_BY_NAME, MAX_DIRECTIVE_CALLS
@@ -79,7 +79,7 @@
         raise OperatorFileError.of(path, "evaluation", _describe_crash(finished))
     try:
         return decode_config(finished.stdout)
-    except (ValueError, KeyError, TypeError, BadMap) as error:
+    except (ValueError, KeyError, TypeError, CellMapError) as error:
         raise OperatorFileError.of(path, "evaluation", error) from None
 
 
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -118,26 +118,26 @@
         """Return whether the node and its start-up are ready for requests."""
         return super().ready() and (self.startup_service is None or self.startup_service.ready())
 
-    def came(self, connection: ClientConnection) -> bool:
+    def admit(self, connection: ClientConnection) -> bool:
         """Admit a client connection, if there is a place for it; start-up counts it."""
-        if not super().came(connection):
+        if not super().admit(connection):
             return False
         if self.startup_service is not None:
-            self.startup_service.came(connection)
+            self.startup_service.client_connected(connection)
         return True
 
     def make_watch_client(self, address: tuple[str, int]) -> WatchClient:
         """Create the client that watches the endpoint list, paced while the fleet starts."""
         watch_client = super().make_watch_client(address)
         if self.startup_service is not None:
-            self.startup_service.pace(watch_client)
+            self.startup_service.set_pace(watch_client)
         return watch_client
 
     def endpoint_list_changed(self, event: EndpointListEvent) -> None:
         """Apply a change of the endpoint list."""
         super().endpoint_list_changed(event)
         if self.startup_service is not None:
-            self.startup_service.told()
+            self.startup_service.watch_event_received()
 
     async def open_sockets(self) -> None:
         """Open the sockets on which brokers find each other."""
--- a/query_broker/operator_config/services.py
+++ b/query_broker/operator_config/services.py
@@ -30,7 +30,7 @@
     from ..startup.service import StartupService
 
     service = StartupService(node, settings)
-    node.admin_api.calls.append(service.call)
+    node.admin_api.calls.append(service.admin_answer)
     return service
 
 
--- a/query_broker/outlier_consensus/collaborators.py
+++ b/query_broker/outlier_consensus/collaborators.py
@@ -30,7 +30,7 @@
     extensions: DispatchExtensions
     endpoint_table: EndpointTable
     administrative_states: AdministrativeStates
-    wheel: TimerWheel
+    timers: TimerWheel
 
     @property
     def health_checks(self) -> HealthChecks:
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -22,10 +22,10 @@
 class ClientHost(ReadingHost, Protocol):
     """The side of the broker that admits clients."""
 
-    def came(self, connection: ClientConnection) -> bool:
+    def admit(self, connection: ClientConnection) -> bool:
         """Take a new connection, or return False if there is no place for it."""
 
-    def went(self, connection: ClientConnection) -> None:
+    def release(self, connection: ClientConnection) -> None:
         """Take note that a connection is lost."""
 
 
@@ -46,9 +46,9 @@
         self.transport: asyncio.Transport | None = None
         self.broken = False
         self.half_closed = False
-        self.spoken = False
-        self.used = host.dispatcher.now()
-        self.paused_at = 0
+        self.has_sent_frame = False
+        self.last_used_ns = host.dispatcher.now()
+        self.paused_since_ns = 0
         self.socket = ClientSocket()
         self.requests = OpenRequests(host, self)
         self.open = self.requests.open
@@ -61,7 +61,7 @@
         """Begin, or end at once if there is no place."""
         self.transport = cast(asyncio.Transport, transport)
         self.socket.attach(self.transport)
-        if self.host.came(self):
+        if self.host.admit(self):
             self.timeouts.start()
         else:
             self.broken = True
@@ -72,7 +72,7 @@
         if self.broken:
             self.socket.discard(len(data))
             return
-        self.used = self.host.dispatcher.now()
+        self.last_used_ns = self.host.dispatcher.now()
         self.reader.receive(data)
 
     def eof_received(self) -> bool:
@@ -81,7 +81,7 @@
         Operators may say that it may still wait for answers; then its side alone is ended. Frames
         that wait for their turn are complete; a part of one cannot become complete any more.
         """
-        frames_wait = self.reader.waiting or self.paused_at
+        frames_wait = self.reader.waiting or self.paused_since_ns
         incomplete = self.reader.parser.buffered() and not frames_wait
         if (
             self.host.dispatcher.deadline_controls.settings.half_close != HALF_CLOSE_ANSWERS
@@ -94,7 +94,7 @@
             return False
         self.half_closed = True
         if not self.reader.has_work():
-            self.let_go()
+            self.close()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -104,7 +104,7 @@
         self.socket.detach()
         self.reader.clear()
         self.timeouts.stop()
-        self.host.went(self)
+        self.host.release(self)
         self.requests.cancel_all()
 
     def pause_writing(self) -> None:
@@ -112,12 +112,12 @@
 
         A client that does not read while it requests would fill our memory with its answers.
         """
-        self.paused_at = self.host.dispatcher.now()
+        self.paused_since_ns = self.host.dispatcher.now()
         self.reader.read_if_wanted()
 
     def resume_writing(self) -> None:
         """Take requests again."""
-        self.paused_at = 0
+        self.paused_since_ns = 0
         self.reader.resume_writing()
 
     # --- from the dispatcher ---
@@ -141,22 +141,22 @@
         counts from here.
         """
         self.open.pop(stream, None)
-        self.used = self.host.dispatcher.now()
+        self.last_used_ns = self.host.dispatcher.now()
         self.socket.write(data)
         if self.half_closed and not self.reader.has_work():
-            self.let_go()
+            self.close()
 
     # --- from the side that admits clients ---
 
-    def leave_off(self) -> None:
+    def announce_shutdown(self) -> None:
         """Tell the client to send no new request on this connection."""
         self.socket.write(frames.frame(frames.NO_MORE, NO_STREAM))
 
-    def hold(self) -> None:
+    def defer_reading(self) -> None:
         """Keep what comes unread until `go_on`."""
         self.reader.waiting = True
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Read: the connection's turn has come."""
         if not self.broken:
             self.reader.resume()
@@ -170,7 +170,7 @@
         """Return how many bytes of answers wait for the client to read."""
         return self.socket.unread()
 
-    def let_go(self) -> None:
+    def close(self) -> None:
         """End an idle connection; what has been written still leaves."""
         self.broken = True
         self.socket.close()
--- a/query_broker/protocols/client_frames.py
+++ b/query_broker/protocols/client_frames.py
@@ -62,7 +62,7 @@
 READY_NO = 1
 
 
-class BadFrame(ProtocolError):  # noqa: N818  # other folders catch it by this name
+class MalformedFrameError(ProtocolError):  # noqa: N818  # other folders catch it by this name
     """Bytes that hold no frame; nothing after them on this connection can be trusted."""
 
 
@@ -142,10 +142,10 @@
         length = int.from_bytes(buffer[at : at + LENGTH_SIZE], "big")
         if not LEAST <= length <= MOST:
             reason = f"length {length} is not within {LEAST} to {MOST}"
-            raise BadFrame(reason)
+            raise MalformedFrameError(reason)
         if available > LENGTH_SIZE and buffer[at + LENGTH_SIZE] not in FROM_CLIENT:
             reason = f"type {buffer[at + LENGTH_SIZE]} is none that a client sends"
-            raise BadFrame(reason)
+            raise MalformedFrameError(reason)
         if available < LENGTH_SIZE + length:
             return None
         self.at = at + LENGTH_SIZE + length
@@ -179,19 +179,19 @@
             value_end = value_at + int.from_bytes(payload[name_end:value_at], "big")
             if value_end > len(payload) or value_at > len(payload):
                 reason = "the fields end inside a value"
-                raise BadFrame(reason)
+                raise MalformedFrameError(reason)
             name = payload[at + 1 : name_end].decode()
             if name in fields:
                 reason = f"the field {name[:QUOTED_NAME_LENGTH]!r} comes twice"
-                raise BadFrame(reason)
+                raise MalformedFrameError(reason)
             fields[name] = payload[value_at:value_end].decode()
             at = value_end
     except IndexError:
         reason = "the fields are cut short"
-        raise BadFrame(reason) from None
+        raise MalformedFrameError(reason) from None
     except UnicodeDecodeError:
         reason = "a field is no text"
-        raise BadFrame(reason) from None
+        raise MalformedFrameError(reason) from None
     return FrameFields(fields, payload[at:])
 
 
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -27,7 +27,7 @@
     ``partial``: bytes of incomplete frames on all connections.
     """
 
-    partial: int
+    partial_frame_bytes: int
 
     def ready(self) -> bool:
         """Return whether requests are served; a client's health check asks for it."""
@@ -37,9 +37,9 @@
     """The state of the connection that reading goes by, and sets."""
 
     broken: bool
-    spoken: bool
-    used: int
-    paused_at: int
+    has_sent_frame: bool
+    last_used_ns: int
+    paused_since_ns: int
 
     def break_off(self, why: str) -> None:
         """End the connection with an error that belongs to no request."""
@@ -86,8 +86,8 @@
         self.limits = limits
         self.parser = frames.FrameParser()
         self.lookahead = CancellationLookahead(self.parser, requests)
-        self.frame_begun_ns = connection.used
-        self.received_ns = connection.used
+        self.frame_begun_ns = connection.last_used_ns
+        self.received_ns = connection.last_used_ns
         self.partial = 0
         self.waiting = False
         self.unreadable = False
@@ -95,20 +95,23 @@
     def receive(self, data: bytes) -> None:
         """Take bytes, which have come now."""
         if not self.parser.buffered():
-            self.frame_begun_ns = self.connection.used
+            self.frame_begun_ns = self.connection.last_used_ns
         self.parser.feed(data)
         if self.waiting:
             self.look_ahead()
         else:
             self.read_turn()
         self.count_partial()
-        if self.host.partial > self.host.dispatcher.room and not self.connection.broken:
+        if (
+            self.host.partial_frame_bytes > self.host.dispatcher.statement_capacity_bytes
+            and not self.connection.broken
+        ):
             self.connection.break_off(NO_CAPACITY)
 
     def count_partial(self) -> None:
         """Account for the bytes that are held now, and end the connection if they are too many."""
         buffered = self.parser.buffered()
-        self.host.partial += buffered - self.partial
+        self.host.partial_frame_bytes += buffered - self.partial
         self.partial = buffered
         if self.limits is None:
             return
@@ -157,7 +160,7 @@
         self.waiting = False
         try:
             more_may_wait = self._take_frames()
-        except frames.BadFrame as error:
+        except frames.MalformedFrameError as error:
             self.connection.break_off(str(error))
         except Exception as error:  # no input may raise out of a callback
             self._break_off_after_fault(error)
@@ -171,7 +174,7 @@
         """Take frames; return whether the turn ended before they did."""
         checked_peer = False
         for _ in range(FRAMES_PER_TURN):
-            if self.connection.paused_at:
+            if self.connection.paused_since_ns:
                 self.look_ahead()
                 return False
             frame = None if self.connection.broken else self.parser.next()
@@ -183,8 +186,8 @@
                 if self._end_if_peer_left():
                     return False
             self.received_ns = self.frame_begun_ns
-            self.connection.spoken = True
-            self.frame_begun_ns = self.connection.used
+            self.connection.has_sent_frame = True
+            self.frame_begun_ns = self.connection.last_used_ns
             self._take_frame(frame)
         return True
 
@@ -243,8 +246,11 @@
             self.requests.set_unreadable(unreadable)
 
     def _holds_enough(self) -> bool:
-        if not self.waiting and not self.connection.paused_at:
+        if not self.waiting and not self.connection.paused_since_ns:
             return False
         if self.parser.buffered() > MOST_AHEAD_BYTES:
             return True
-        return self.host.partial > self.host.dispatcher.room // AHEAD_DIVISOR
+        return (
+            self.host.partial_frame_bytes
+            > self.host.dispatcher.statement_capacity_bytes // AHEAD_DIVISOR
+        )
--- a/query_broker/protocols/client_requests.py
+++ b/query_broker/protocols/client_requests.py
@@ -7,7 +7,7 @@
 from ..dispatch.dispatcher import Dispatcher
 from ..dispatch.requests import ActiveRequest, Client
 from ..dispatch.validation import InvalidRequestError
-from .client_frames import BadFrame
+from .client_frames import MalformedFrameError
 from .client_request import FIELD_CLIENT_REQUEST_ID, parse_request
 
 # Requests that may be open on one connection at once.
@@ -43,7 +43,7 @@
         """
         if stream <= self.last_stream:
             reason = f"stream {stream} is not new on this connection"
-            raise BadFrame(reason)
+            raise MalformedFrameError(reason)
         self.last_stream = stream
 
     def submit(self, stream: int, payload: bytes, received_ns: int) -> None:
--- a/query_broker/protocols/client_timeouts.py
+++ b/query_broker/protocols/client_timeouts.py
@@ -23,13 +23,13 @@
 class WatchedConnection(Protocol):
     """The state of the connection that its timeouts go by."""
 
-    spoken: bool
-    used: int
+    has_sent_frame: bool
+    last_used_ns: int
 
     def break_off(self, why: str) -> None:
         """End the connection with an error that belongs to no request."""
 
-    def let_go(self) -> None:
+    def close(self) -> None:
         """End the connection after what has been written."""
 
     def drop(self) -> None:
@@ -59,7 +59,7 @@
 
     def start(self) -> None:
         """Watch a new connection."""
-        self._check_at(self.connection.used + FIRST_FRAME_TIMEOUT_NS)
+        self._check_at(self.connection.last_used_ns + FIRST_FRAME_TIMEOUT_NS)
 
     def stop(self) -> None:
         """Watch it no longer."""
@@ -69,7 +69,7 @@
     def drop_after_linger(self) -> None:
         """End the connection once the client has had time to read the last of it."""
         due_ns = self.host.dispatcher.now() + LINGER_NS
-        self.timer = self.host.dispatcher.wheel.at(due_ns, self.connection.drop)
+        self.timer = self.host.dispatcher.timers.set_timer(due_ns, self.connection.drop)
 
     def check(self) -> None:
         """End the connection if it is due, else look again when it may be."""
@@ -78,8 +78,8 @@
         due_ns = self._due(now, incomplete)
         if due_ns > now:
             self._check_at(due_ns)
-        elif self.connection.spoken and not incomplete:
-            self.connection.let_go()
+        elif self.connection.has_sent_frame and not incomplete:
+            self.connection.close()
         else:
             self.connection.break_off("no whole frame in time")
 
@@ -88,8 +88,8 @@
             return now + FRAME_TIMEOUT_NS
         if incomplete:
             return self.reader.frame_begun_ns + FRAME_TIMEOUT_NS
-        if self.connection.spoken:
-            return self.connection.used + IDLE_TIMEOUT_NS
+        if self.connection.has_sent_frame:
+            return self.connection.last_used_ns + IDLE_TIMEOUT_NS
         return self.reader.frame_begun_ns + FIRST_FRAME_TIMEOUT_NS
 
     def _has_work(self) -> bool:
@@ -103,4 +103,4 @@
         return self.socket.unread() > 0 or self.socket.has_input()
 
     def _check_at(self, due_ns: int) -> None:
-        self.timer = self.host.dispatcher.wheel.at(due_ns, self.check)
+        self.timer = self.host.dispatcher.timers.set_timer(due_ns, self.check)
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -17,19 +17,19 @@
 class AnswerObserver(Protocol):
     """Who is notified of answers. ``meter`` is the answer's load report, empty if it has none."""
 
-    def whole(self, attempt: Attempt, meter: str) -> None:
+    def answer_completed(self, attempt: Attempt, meter: str) -> None:
         """Take an attempt's complete result: every page is in ``attempt.pages``."""
 
-    def ended(self, attempt: Attempt, result: AttemptResult, meter: str) -> None:
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, meter: str) -> None:
         """Take note that an attempt has ended without a result."""
 
-    def noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
+    def progress_noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """Take note of the progress of an attempt that goes on."""
 
-    def probed(self, tag: bytes, result: AttemptResult, meter: str) -> None:
+    def health_check_ended(self, tag: bytes, result: AttemptResult, meter: str) -> None:
         """Take note of the answer to a health check."""
 
-    def late(self, attempt: Attempt, meter: str) -> None:
+    def late_answer_received(self, attempt: Attempt, meter: str) -> None:
         """Take note of the answer to an attempt that had been reported before."""
 
 
@@ -37,7 +37,7 @@
     """What is open on a connection: attempts by request id, health checks by tag."""
 
     in_flight: dict[bytes, Attempt]
-    probes: set[bytes]
+    health_checks: set[bytes]
 
 
 class EngineAnswers:
@@ -84,7 +84,7 @@
             return
         if kind not in messages.ANSWERS_TO_ATTEMPTS:
             reason = f"unknown word {kind[: messages.QUOTED_KIND_LENGTH]!r}"
-            raise resp.BadAnswer(reason)
+            raise resp.MalformedAnswerError(reason)
         attempt = self.connection.in_flight.get(tag)
         if attempt is None:
             # The same answer once more, or more than was requested: it belongs to nothing that is
@@ -100,9 +100,9 @@
             self._conclude(tag, attempt, result, meter)
 
     def _take_health(self, tag: bytes, result: AttemptResult, meter: str) -> None:
-        if tag in self.connection.probes:
-            self.connection.probes.discard(tag)
-            self.observer.probed(tag, result, meter)
+        if tag in self.connection.health_checks:
+            self.connection.health_checks.discard(tag)
+            self.observer.health_check_ended(tag, result, meter)
 
     def _take_progress(self, answer: messages.EngineAnswer) -> None:
         """The frame is complete, so that nothing behind it is lost.
@@ -116,11 +116,11 @@
         try:
             fields = resp.read_pairs(answer.raw_fields)
             amount = float(fields.get(messages.FIELD_PROGRESS_AMOUNT, "0"))
-        except (resp.BadAnswer, ValueError):
+        except (resp.MalformedAnswerError, ValueError):
             return
         kind = messages.PROGRESS_KINDS.get(fields.get(messages.FIELD_PROGRESS_KIND, ""))
         if kind is not None and math.isfinite(amount):
-            self.observer.noted(attempt, kind, amount)
+            self.observer.progress_noted(attempt, kind, amount)
 
     def _take_first_page(
         self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now: int
@@ -145,7 +145,7 @@
         attempt.missing = max(0, page_count - 1)
         if attempt.missing == 0:
             del self.connection.in_flight[tag]
-            self.observer.whole(attempt, meter)
+            self.observer.answer_completed(attempt, meter)
         elif self.used_elsewhere(tag):
             self._give_up_mixed_pages(tag, attempt, meter, now)
         else:
@@ -162,7 +162,7 @@
         if not attempt.pages or not 0 < number < len(attempt.pages):
             if not attempt.reported:
                 reason = f"page {number} was not asked for"
-                raise resp.BadAnswer(reason)
+                raise resp.MalformedAnswerError(reason)
             return
         messages.check_rows(body)
         if not attempt.wanted():
@@ -177,7 +177,7 @@
             return
         del self.connection.in_flight[tag]
         self.writer.send_command(now, messages.FORGET, tag)
-        self.observer.whole(attempt, meter)
+        self.observer.answer_completed(attempt, meter)
 
     def _give_up_mixed_pages(self, tag: bytes, attempt: Attempt, meter: str, now: int) -> None:
         """End an attempt whose pages may be another query's.
@@ -192,9 +192,9 @@
     def _conclude(self, tag: bytes, attempt: Attempt, result: AttemptResult, meter: str) -> None:
         del self.connection.in_flight[tag]
         if attempt.reported:
-            self.observer.late(attempt, meter)
+            self.observer.late_answer_received(attempt, meter)
         else:
-            self.observer.ended(attempt, result, meter)
+            self.observer.attempt_ended(attempt, result, meter)
 
 
 def _add_page(attempt: Attempt, number: int, body: bytes) -> None:
@@ -205,4 +205,4 @@
     size = sum(len(page) for page in attempt.pages if page is not None)
     if size > messages.MOST_RESULT:
         reason = "a result larger than an answer can hold"
-        raise resp.BadAnswer(reason)
+        raise resp.MalformedAnswerError(reason)
--- a/query_broker/protocols/engine_cancellations.py
+++ b/query_broker/protocols/engine_cancellations.py
@@ -17,7 +17,7 @@
 class CancelObserver(Protocol):
     """Who is notified of what became of cancelled attempts."""
 
-    def undone(self, outcome: CancelOutcome, count: int) -> None:
+    def cancellations_ended(self, outcome: CancelOutcome, count: int) -> None:
         """Take note that so many cancellations have had this outcome."""
 
 
@@ -41,16 +41,16 @@
         for request_id in unanswered:
             self.writer.send_command(now, CANCEL, request_id)
         if stopped:
-            self.observer.undone(CancelOutcome.STOPPED, len(stopped))
+            self.observer.cancellations_ended(CancelOutcome.STOPPED, len(stopped))
 
     def answered(self, request_id: bytes) -> None:
         """Take note of an answer to no attempt that is in flight: it may be a cancelled one's."""
         outcome = self.undoing.answered(request_id)
         if outcome is not None:
-            self.observer.undone(outcome, 1)
+            self.observer.cancellations_ended(outcome, 1)
 
     def connection_ended(self) -> None:
         """Report those that were not known to have stopped."""
         lost = self.undoing.lost()
         if lost:
-            self.observer.undone(CancelOutcome.LOST, lost)
+            self.observer.cancellations_ended(CancelOutcome.LOST, lost)
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -29,17 +29,17 @@
 class Owner(AnswerObserver, CancelObserver, WriteObserver, Protocol):
     """Who has opened the connection, and is notified of all that happens on it."""
 
-    def lost(self, connection: EngineConnection, why: str, spoilt: bool) -> None:
+    def connection_lost(self, connection: EngineConnection, why: str, spoilt: bool) -> None:
         """Take note that a connection has ended.
 
         ``spoilt``: it is we who ended it, since its bytes could not be trusted any more, or had to
         give it up.
         """
 
-    def stuck(self, connection: EngineConnection) -> None:
+    def socket_blocked(self, connection: EngineConnection) -> None:
         """Flush this connection at the next tick: its socket takes no more for now."""
 
-    def twice(self, connection: EngineConnection, trace: bytes) -> bool:
+    def carried_elsewhere(self, connection: EngineConnection, trace: bytes) -> bool:
         """Return whether the same id has lately gone to the same engine elsewhere too."""
 
 
@@ -66,22 +66,22 @@
         self.parser = resp.RespParser()
         self.in_flight: dict[bytes, Attempt] = {}
         self.carried: dict[bytes, None] = {}
-        self.probes: set[bytes] = set()
+        self.health_checks: set[bytes] = set()
         now = owner.now()
-        self.heard = now
+        self.last_received_ns = now
         self.answer_begun_ns = now  # when the answer that is incomplete now began
         self.retired = False
         self.ending = False
         self.closed = False
         self.writer = EngineWriter(
-            owner, partial(owner.stuck, self), partial(self._end, spoilt=False)
+            owner, partial(owner.socket_blocked, self), partial(self._end, spoilt=False)
         )
         self.write_queue = self.writer.write_queue
         self.cancels_in_transit = self.writer.cancels_in_transit
         self.cancellations = EngineCancellations(owner, self.writer)
         self.cancelled = self.cancellations.undoing.waiting
         self.answers = EngineAnswers(
-            self, owner, self.writer, self.cancellations, partial(owner.twice, self)
+            self, owner, self.writer, self.cancellations, partial(owner.carried_elsewhere, self)
         )
 
     # --- what is open on it ---
@@ -92,13 +92,13 @@
         return self.writer.jammed
 
     @property
-    def used(self) -> int:
+    def last_sent_ns(self) -> int:
         """When something was last sent on it, in ns."""
         return self.writer.last_used_ns
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether nothing is open on it, and nothing of it is waited for."""
-        return not (self.in_flight or self.probes or self.cancelled)
+        return not (self.in_flight or self.health_checks or self.cancelled)
 
     def ended_by_engine(self) -> bool:
         """Return whether its end has come, perhaps unread as yet.
@@ -120,7 +120,7 @@
             if oldest in self.in_flight:  # one that is still open there stays
                 self.carried[oldest] = None
 
-    def do(self, attempt: Attempt, now: int) -> None:
+    def send(self, attempt: Attempt, now: int) -> None:
         """Send an attempt."""
         self.writer.send(attempt, now)
 
@@ -152,9 +152,9 @@
         if self.in_flight.pop(request_id, None) is not None:
             self.writer.send_command(self.owner.now(), messages.FORGET, request_id)
 
-    def probe(self, tag: bytes, command: bytes = messages.HEALTH_CHECK) -> None:
+    def send_health_check(self, tag: bytes, command: bytes = messages.HEALTH_CHECK) -> None:
         """Send a health check; its answer comes under the same tag."""
-        self.probes.add(tag)
+        self.health_checks.add(tag)
         self.writer.send_command(self.owner.now(), command, tag)
 
     def flush(self) -> None:
@@ -170,7 +170,7 @@
         self.cancellations.check(now)
         if not self.parser.buffer or now - self.answer_begun_ns <= ANSWER_TIMEOUT_NS:
             return
-        stood_still = now - self.heard > ANSWER_TIMEOUT_NS
+        stood_still = now - self.last_received_ns > ANSWER_TIMEOUT_NS
         if stood_still and self.writer.has_input():
             return
         self._end("an answer stopped short", spoilt=True)
@@ -190,7 +190,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to send and to read."""
         now = self.owner.now()
-        self.heard = now
+        self.last_received_ns = now
         self.transport = cast(asyncio.Transport, transport)
         self.writer.attach(self.transport, now)
 
@@ -203,7 +203,7 @@
         if self.closed:
             return
         now = self.owner.now()
-        self.heard = now
+        self.last_received_ns = now
         if not self.parser.buffer:
             self.answer_begun_ns = now
         try:
@@ -212,7 +212,7 @@
                 self.answers.take(parts, now)
                 if self.closed:
                     return
-        except resp.BadAnswer as error:
+        except resp.MalformedAnswerError as error:
             self._end(f"malformed answer: {error}", spoilt=True)
         except Exception as error:  # no input may raise out of a callback
             self._end(f"{type(error).__name__} while reading: {error}", spoilt=True)
@@ -230,4 +230,4 @@
         self.writer.abandon()
         self.cancellations.connection_ended()
         self.close()
-        self.owner.lost(self, why, spoilt)
+        self.owner.connection_lost(self, why, spoilt)
