--- a/query_broker/protocols/engine_messages.py
+++ b/query_broker/protocols/engine_messages.py
@@ -99,7 +99,7 @@
     """
     if len(parts) != ANSWER_PARTS:
         reason = f"{len(parts)} parts in place of {ANSWER_PARTS}"
-        raise resp.BadAnswer(reason)
+        raise resp.MalformedAnswerError(reason)
     return EngineAnswer(*parts)
 
 
@@ -113,10 +113,10 @@
         page.decode()
     except UnicodeDecodeError:
         reason = "a page that is no text"
-        raise resp.BadAnswer(reason) from None
+        raise resp.MalformedAnswerError(reason) from None
     if ROWS.fullmatch(page) is None:
         reason = "a page that is no rows of three columns"
-        raise resp.BadAnswer(reason)
+        raise resp.MalformedAnswerError(reason)
 
 
 def read_count(text: str, name: str) -> int:
@@ -127,5 +127,5 @@
     """
     if not text.isdecimal() or int(text) > MOST_PAGES:
         reason = f"{name}: {text[:QUOTED_COUNT_LENGTH]!r} is no count up to {MOST_PAGES}"
-        raise resp.BadAnswer(reason)
+        raise resp.MalformedAnswerError(reason)
     return int(text)
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -31,10 +31,10 @@
     def now(self) -> int:
         """Return the time in ns."""
 
-    def written(self, attempt: Attempt) -> None:
+    def attempt_written(self, attempt: Attempt) -> None:
         """Take note that the last byte of a queued attempt has left."""
 
-    def written_at_once(self) -> None:
+    def attempt_written_at_once(self) -> None:
         """Take note that an attempt has left complete, without being queued."""
 
     def may_go(self, attempt: Attempt) -> bool:
@@ -130,7 +130,7 @@
             if written == len(pieces[0]):
                 self.last_used_ns = now
                 attempt.written_ns = now
-                self.observer.written_at_once()
+                self.observer.attempt_written_at_once()
                 return
             pieces = (pieces[0][written:],)
         request = attempt.request
@@ -152,11 +152,11 @@
 
     def withdraw(self, request_id: bytes) -> bool:
         """Return whether a queued attempt was withdrawn: no byte of it has left, and none will."""
-        return self.write_queue.take_back(request_id)
+        return self.write_queue.withdraw(request_id)
 
     def raise_priority(self, request_id: bytes, priority: int) -> bool:
         """Give an attempt that is still queued a priority; return False if it is not."""
-        return self.write_queue.raise_level(request_id, priority)
+        return self.write_queue.raise_priority(request_id, priority)
 
     def flush(self) -> None:
         """Write what waits, until the socket takes no more."""
@@ -182,7 +182,7 @@
 
     def _enqueue(self, now: int, frame: Frame) -> None:
         self.last_used_ns = now
-        if self._is_open() and self.write_queue.put(frame):
+        if self._is_open() and self.write_queue.enqueue(frame):
             self.flush()
 
     # --- from the write queue ---
@@ -202,7 +202,7 @@
 
     def _written(self, about: object) -> None:
         if isinstance(about, Attempt):
-            self.observer.written(about)
+            self.observer.attempt_written(about)
         elif isinstance(about, bytes):
             self.cancels_in_transit.discard(about)
 
--- a/query_broker/protocols/operator_calls.py
+++ b/query_broker/protocols/operator_calls.py
@@ -23,10 +23,10 @@
     def metrics(self) -> bytes:
         """Return all metrics in Prometheus' text format."""
 
-    def set_engine(self, uid: str, out: bool) -> bool:
+    def set_endpoint_disabled(self, uid: str, out: bool) -> bool:
         """Disable (``out``) or re-enable an endpoint by hand; return whether it is known."""
 
-    def other(self, method: str, path: str) -> tuple[int, bytes, str, str] | None:
+    def call_subsystem(self, method: str, path: str) -> tuple[int, bytes, str, str] | None:
         """Answer a call of another subsystem, or return None if there is no such call.
 
         The answer is a status, a body, its content type and the allowed method.
@@ -39,7 +39,7 @@
     Raises:
         OperatorCallError: there is no such call, or it cannot be done.
     """
-    other = actions.other(method, path)
+    other = actions.call_subsystem(method, path)
     if other is not None:
         return HttpAnswer(*other)
     is_endpoint_call = path.startswith((DISABLE, ENABLE))
@@ -68,7 +68,7 @@
     except UnicodeDecodeError:
         text = "the id is no text"
         raise OperatorCallError(400, text) from None
-    if not actions.set_engine(uid, out=disable):
+    if not actions.set_endpoint_disabled(uid, out=disable):
         text = "no data engine has this id"
         raise OperatorCallError(404, text)
     return text_answer(200, "done")
--- a/query_broker/protocols/operator_http.py
+++ b/query_broker/protocols/operator_http.py
@@ -23,15 +23,15 @@
 class Operations(OperatorActions, Protocol):
     """What a connection needs of the side that has opened the address."""
 
-    wheel: TimerWheel
+    timer_wheel: TimerWheel
 
     def now(self) -> int:
         """Return the time in ns."""
 
-    def came(self, caller: OperatorConnection) -> None:
+    def admit(self, caller: OperatorConnection) -> None:
         """Take note of a new connection."""
 
-    def went(self, caller: OperatorConnection) -> None:
+    def release(self, caller: OperatorConnection) -> None:
         """Take note that a connection has ended."""
 
     def log(self, kind: str, text: str) -> None:
@@ -66,8 +66,8 @@
         """
         self.transport = cast(asyncio.Transport, transport)
         due_ns = self.operations.now() + CALL_TIMEOUT_NS
-        self.timer = self.operations.wheel.at(due_ns, self._out_of_time)
-        self.operations.came(self)
+        self.timer = self.operations.timer_wheel.set_timer(due_ns, self._out_of_time)
+        self.operations.admit(self)
 
     def data_received(self, data: bytes) -> None:
         """Give the bytes to the parser, and answer what cannot be read."""
@@ -105,7 +105,7 @@
         self.answered = True
         if self.timer is not None:
             self.timer.cancel()
-        self.operations.went(self)
+        self.operations.release(self)
 
     def _out_of_time(self) -> None:
         if not self.answered and self.received_bytes:
--- a/query_broker/protocols/resp.py
+++ b/query_broker/protocols/resp.py
@@ -23,7 +23,7 @@
 QUOTED_LENGTH = 80
 
 
-class BadAnswer(ProtocolError):  # noqa: N818  # other folders catch it by this name
+class MalformedAnswerError(ProtocolError):  # noqa: N818  # other folders catch it by this name
     """Bytes that hold no RESP array; nothing after them on this connection can be trusted."""
 
 
@@ -82,17 +82,17 @@
             return None
         if buffer[at] != sign[0]:
             reason = f"{bytes(buffer[at : at + 1])!r} stands where {sign!r} must"
-            raise BadAnswer(reason)
+            raise MalformedAnswerError(reason)
         end = buffer.find(b"\r\n", at, at + MOST_LINE)
         if end < 0:
             if len(buffer) - at >= MOST_LINE:
                 reason = "a length without its end"
-                raise BadAnswer(reason)
+                raise MalformedAnswerError(reason)
             return None
         digits = bytes(buffer[at + 1 : end])
         if not digits.isdigit() or int(digits) > most:
             reason = f"{digits!r} is no length up to {most}"
-            raise BadAnswer(reason)
+            raise MalformedAnswerError(reason)
         self.at = end + 2
         return int(digits)
 
@@ -113,7 +113,7 @@
                 return None
             if buffer[end : end + 2] != b"\r\n":
                 reason = "a bulk string runs past its length"
-                raise BadAnswer(reason)
+                raise MalformedAnswerError(reason)
             parts.append(bytes(buffer[begin:end]))
             self.at = end + 2
         return parts
@@ -129,7 +129,7 @@
         text = raw.decode()
     except UnicodeDecodeError:
         reason = "fields that are no text"
-        raise BadAnswer(reason) from None
+        raise MalformedAnswerError(reason) from None
     if text in (NO_FIELDS, ""):
         return {}
     fields: dict[str, str] = {}
@@ -137,7 +137,7 @@
         name, sign, value = part.partition(equals)
         if not name or sign != equals:
             reason = f"{text[:QUOTED_LENGTH]!r} is no list of name{equals}value"
-            raise BadAnswer(reason)
+            raise MalformedAnswerError(reason)
         fields[name] = value
     return fields
 
@@ -148,7 +148,7 @@
     return text.encode() or NO_FIELDS.encode()
 
 
-def read_meter(raw: str) -> dict[str, float]:
+def read_load_report(raw: str) -> dict[str, float]:
     """Read a load report, such as ``inflight:7;util:0.61``.
 
     Raises:
@@ -158,4 +158,4 @@
         return {name: float(value) for name, value in read_pairs(raw.encode(), ";", ":").items()}
     except ValueError:
         reason = f"meter {raw[:QUOTED_LENGTH]!r} holds no numbers"
-        raise BadAnswer(reason) from None
+        raise MalformedAnswerError(reason) from None
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -92,7 +92,7 @@
     extensions: DispatchExtensions
     endpoint_table: EndpointTable
     pools: ConnectionPools
-    wheel: TimerWheel
+    timers: TimerWheel
 
     def add_observer(self, observer: DispatchObserver, /) -> None:
         """Register an observer of requests."""
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -104,7 +104,7 @@
         self.decoder: msgspec.msgpack.Decoder[QuotaMessage] = msgspec.msgpack.Decoder(QuotaMessage)
         self._attach()
         self.configure()
-        host.dispatcher.wheel.at(now_ns + TICK_NS, self._tick)
+        host.dispatcher.timers.set_timer(now_ns + TICK_NS, self._tick)
 
     def _create_leases(self, now_ns: int) -> LeaseManager:
         """Create the leases; unused capacity for work is requested even without demand."""
@@ -124,7 +124,7 @@
         dispatcher.extensions.settings_adjusters.append(self.adjust)
         dispatcher.extensions.metrics_sources.append(self.metrics)
         if QuotaKind.CONNECTS in self.rates.limits_by_kind:
-            dispatcher.pools.turn = self._connect_wait_ns
+            dispatcher.pools.connect_pacing = self._connect_wait_ns
 
     # --- settings ---
 
@@ -190,7 +190,7 @@
 
     def _tick(self) -> None:
         now_ns = self.host.clock.now()
-        self.host.dispatcher.wheel.at(now_ns + TICK_NS, self._tick)
+        self.host.dispatcher.timers.set_timer(now_ns + TICK_NS, self._tick)
         try:
             self._update(now_ns)
         except Exception as error:  # a fault here must not end the wheel's turn
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..dispatch.capacity import MOST_CALLERS
+from ..dispatch.capacity import MAX_OPERATOR_CALLS
 from ..protocols.operator_http import OperatorConnection
-from .host import Host
+from .host import NodeContext
 
 # Characters of an endpoint's uid in a log line; a caller may send kilobytes of it.
 MAX_LOGGED_UID_LENGTH = 80
@@ -36,10 +36,10 @@
         connections: The open connections, in the order in which they came.
     """
 
-    def __init__(self, node: Host) -> None:
+    def __init__(self, node: NodeContext) -> None:
         """Prepare the calls; ``listen`` opens the address."""
         self.node = node
-        self.wheel = node.dispatcher.wheel
+        self.timer_wheel = node.dispatcher.timers
         self.connections: dict[OperatorConnection, None] = {}
         self.server: asyncio.Server | None = None
         self.calls: list[AdminCall] = []
@@ -73,18 +73,18 @@
         """Return the metrics in the text format of Prometheus."""
         return self.node.dispatcher.metrics()
 
-    def set_engine(self, uid: str, out: bool) -> bool:
+    def set_endpoint_disabled(self, uid: str, out: bool) -> bool:
         """Disable an endpoint (``out``) or enable it again; False where the uid is not known."""
         done = self.node.dispatcher.set_endpoint_disabled(uid, out)
         if done and self.node.peer_processes is not None:
             # Once the caller has its answer, the call holds at the other process as well.
-            self.node.peer_processes.tell()
+            self.node.peer_processes.publish_status()
         action = "out" if out else "back"
         result = "done" if done else "is not known"
         self.log("operator", f"{action}: {uid[:MAX_LOGGED_UID_LENGTH]!r} {result}")
         return done
 
-    def other(self, method: str, path: str) -> AdminResponse | None:
+    def call_subsystem(self, method: str, path: str) -> AdminResponse | None:
         """Return the answer of the subsystem that serves this path; None where none does."""
         for call in self.calls:
             answer = call(method, path)
@@ -92,13 +92,13 @@
                 return AdminResponse(*answer)
         return None
 
-    def came(self, connection: OperatorConnection) -> None:
+    def admit(self, connection: OperatorConnection) -> None:
         """Admit a connection; past the limit it takes the place of another.
 
         A flood of connections would take the descriptors that are reserved for calls. The place is
         that of one that has its answer, else of the one that has been silent longest.
         """
-        if len(self.connections) >= MOST_CALLERS:
+        if len(self.connections) >= MAX_OPERATOR_CALLS:
             victim = self._eviction_candidate()
             del self.connections[victim]
             victim.drop()
@@ -110,7 +110,7 @@
                 return connection
         return next(iter(self.connections))
 
-    def went(self, connection: OperatorConnection) -> None:
+    def release(self, connection: OperatorConnection) -> None:
         """Forget a connection that has ended."""
         self.connections.pop(connection, None)
 
--- a/query_broker/server/client_admission.py
+++ b/query_broker/server/client_admission.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from ..protocols.client_connection import ClientConnection
-from .host import Host
+from .host import NodeContext
 
 
 class ClientAdmission:
@@ -19,11 +19,11 @@
             of clients must leave enough to reach the endpoints.
     """
 
-    def __init__(self, node: Host) -> None:
+    def __init__(self, node: NodeContext) -> None:
         """Take the number of places from the node's dispatcher."""
         self.node = node
         self.connections: set[ClientConnection] = set()
-        self.max_connections = node.dispatcher.most_clients
+        self.max_connections = node.dispatcher.max_clients
 
     def admit(self, connection: ClientConnection) -> bool:
         """Give a new connection a place; False where all are taken by clients that are served."""
@@ -33,7 +33,7 @@
             return False
         self.connections.add(connection)
         if self.node.closing_announced:
-            connection.leave_off()
+            connection.announce_shutdown()
         return True
 
     def has_place(self) -> bool:
@@ -50,7 +50,7 @@
         """
         victim = min(
             candidates,
-            key=lambda client: (not client.broken, client.spoken, client.used),
+            key=lambda client: (not client.broken, client.has_sent_frame, client.last_used_ns),
             default=None,
         )
         if victim is None:
@@ -59,7 +59,7 @@
         if victim.broken:
             victim.drop()
         else:
-            victim.let_go()
+            victim.close()
         return True
 
     def discard(self, connection: ClientConnection) -> None:
@@ -77,8 +77,8 @@
         unread = 0  # bytes
         for client in sorted(self.connections, key=ClientConnection.unread):
             unread += client.unread()
-            is_stuck = client.paused_at and now_ns - client.paused_at > timeout_ns
-            if unread > dispatcher.room or is_stuck:
+            is_stuck = client.paused_since_ns and now_ns - client.paused_since_ns > timeout_ns
+            if unread > dispatcher.statement_capacity_bytes or is_stuck:
                 self.drop_slow_reader(client)
 
     def drop_slow_reader(self, client: ClientConnection) -> None:
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 
 from ..protocols.socket_state import has_input
-from .host import Host
+from .host import NodeContext
 
 # Seconds after SIGTERM in which nothing changes: new connections come for 0.4 s more, and their
 # first requests up to 0.2 s later.
@@ -54,7 +54,7 @@
         closed_out: The requests that were open at ``close_out_after_s`` got a final answer.
     """
 
-    def __init__(self, node: Host) -> None:
+    def __init__(self, node: NodeContext) -> None:
         """Prepare the shutdown; ``begin`` starts it."""
         self.node = node
         self.begun_at_ns = 0
@@ -108,9 +108,9 @@
         node.closing_announced = True
         if node.peer_processes is not None:
             node.peer_processes.accepting = False
-            node.peer_processes.tell()
+            node.peer_processes.publish_status()
         for client in list(node.clients):
-            client.leave_off()
+            client.announce_shutdown()
         _call_later(linger_s, self._await_requests)
 
     def _accept_queue_filled(self, server: asyncio.Server) -> bool:
@@ -139,7 +139,9 @@
 
         A request of which a part is here would be cut off with its connection.
         """
-        return all(client.idle() for client in self.node.clients) and not self.node.partial
+        return (
+            all(client.idle() for client in self.node.clients) and not self.node.partial_frame_bytes
+        )
 
     def _end_connections(self) -> None:
         """End this side of each connection, and read the other side to its end.
--- a/query_broker/server/host.py
+++ b/query_broker/server/host.py
@@ -31,11 +31,11 @@
     def has_successor(self) -> bool:
         """Return whether another process accepts the connections that come from now on."""
 
-    def tell(self) -> None:
+    def publish_status(self) -> None:
         """Publish the present status of this process."""
 
 
-class Host(Protocol):
+class NodeContext(Protocol):
     """The node, as far as its parts and its subsystems need it."""
 
     closing_announced: bool  # clients have been told to leave: the node is not ready any more
@@ -62,7 +62,7 @@
         """The client connections that have been admitted."""
 
     @property
-    def partial(self) -> int:
+    def partial_frame_bytes(self) -> int:
         """Bytes of client frames that are not complete yet."""
 
     @property
--- a/query_broker/server/log.py
+++ b/query_broker/server/log.py
@@ -7,10 +7,10 @@
 from contextlib import suppress
 from typing import Protocol
 
-SPAN = 10.0  # seconds over which the lines of a kind are counted
+SPAN_S = 10.0  # seconds over which the lines of a kind are counted
 # Lines of one kind within a span. A fault that comes with each request shows in the first few; the
 # number of the others is logged after the span.
-MOST = 20
+MAX_LINES_PER_KIND = 20
 
 
 class LogSink(Protocol):
@@ -47,14 +47,16 @@
         if now_s >= self._span_end_s:
             self._print_omitted()
             self._counts.clear()
-            self._span_end_s = now_s + SPAN
+            self._span_end_s = now_s + SPAN_S
         self._counts[kind] = self._counts.get(kind, 0) + 1
-        return self._counts[kind] <= MOST
+        return self._counts[kind] <= MAX_LINES_PER_KIND
 
     def _print_omitted(self) -> None:
         for kind, count in self._counts.items():
-            if count > MOST:
-                self._print(kind, f"{count - MOST} more lines in {SPAN:.0f} s were left out")
+            if count > MAX_LINES_PER_KIND:
+                self._print(
+                    kind, f"{count - MAX_LINES_PER_KIND} more lines in {SPAN_S:.0f} s were left out"
+                )
 
     def _print(self, kind: str, text: str) -> None:
         # A log that cannot be written is no reason to stop serving.
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -71,7 +71,7 @@
         self.clock = Clock()
         self.dispatcher = self.make_dispatcher()
         self.admission = self.make_admission()
-        self.partial = 0
+        self.partial_frame_bytes = 0
         self.server: asyncio.Server | None = None
         self.admin_api = AdminApi(self)
         self.peer_processes: PeerProcesses | None = None
@@ -135,7 +135,7 @@
             self.watch_client = self.make_watch_client(address)
             self.watch_client.start()
         else:
-            self.watch_client.move(address)
+            self.watch_client.change_address(address)
 
     def endpoint_list_changed(self, event: EndpointListEvent) -> None:
         """Take in a watch event; with the first one the other process may leave its queue here."""
@@ -143,7 +143,7 @@
         self.endpoint_list_known = True
         self.dispatcher.endpoint_list_changed(event)
         if is_first and self.peer_processes is not None:
-            self.peer_processes.tell()
+            self.peer_processes.publish_status()
 
     # --- client connections ---
 
@@ -156,11 +156,11 @@
         """Return whether clients should send their requests here."""
         return self.endpoint_list_known and not self.closing_announced
 
-    def came(self, connection: ClientConnection) -> bool:
+    def admit(self, connection: ClientConnection) -> bool:
         """Admit a new connection; False where it has no place."""
         return self.admission.admit(connection)
 
-    def went(self, connection: ClientConnection) -> None:
+    def release(self, connection: ClientConnection) -> None:
         """Release the place of a connection that has ended."""
         self.admission.discard(connection)
 
@@ -171,7 +171,7 @@
         accepting = 1 + sum(other.accepting for other in others)
         self.dispatcher.report_event(CoProcessLoad(total_outstanding_work(others), accepting))
         self.dispatcher.divide(1 + len(others), sum(other.clients for other in others))
-        self.admission.max_connections = self.dispatcher.most_clients
+        self.admission.max_connections = self.dispatcher.max_clients
 
     # --- from start to stop ---
 
@@ -183,7 +183,7 @@
         """
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(partial(_log_loop_fault, self))
-        for event in self.config.known:
+        for event in self.config.known_events:
             self.dispatcher.endpoint_list_changed(event)
             self.endpoint_list_known = True
         handle_signals(loop, stop=self.shutdown.begin, reload=self.reload)
@@ -191,10 +191,10 @@
             self.peer_processes.start()
             self.peer_processes.poll_periodically()
         await self.open_sockets()
-        if self.config.bus is not None:
-            self.follow_endpoint_list(self.config.bus)
-        if self.config.operator is not None:
-            await self.admin_api.listen(bind_listener(ADMIN_KEY, *self.config.operator))
+        if self.config.discovery_address is not None:
+            self.follow_endpoint_list(self.config.discovery_address)
+        if self.config.admin_address is not None:
+            await self.admin_api.listen(bind_listener(ADMIN_KEY, *self.config.admin_address))
         self.server = await loop.create_server(
             self.make_connection, sock=client_listener(self.config), backlog=ACCEPT_BACKLOG
         )
--- a/query_broker/server/peer_process.py
+++ b/query_broker/server/peer_process.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection
 from pathlib import Path
 
-from .host import Host
+from .host import NodeContext
 from .process_status import ProcessStatus, encode_status
 from .status_files import StatusFiles
 
@@ -27,7 +27,7 @@
         files: The lock and status files in the shared folder.
     """
 
-    def __init__(self, node: Host, folder: str) -> None:
+    def __init__(self, node: NodeContext, folder: str) -> None:
         """Prepare the exchange in this folder; ``start`` begins it."""
         self.node = node
         self.accepting = True
@@ -46,13 +46,13 @@
         except OSError as error:
             self.node.log("upgrade", f"no file in {self.files.folder}: {error}")
         self.poll()
-        self.tell()
+        self.publish_status()
 
     def stop(self) -> None:
         """Leave the exchange: the files of this process are removed."""
         self.files.remove_own()
 
-    def tell(self) -> None:
+    def publish_status(self) -> None:
         """Publish the present status of this process."""
         if not self.files.created:
             return
@@ -75,12 +75,12 @@
 
     def poll_periodically(self) -> None:
         """Poll now and again after each period; publish while another process is alive."""
-        self.node.dispatcher.wheel.at(
+        self.node.dispatcher.timers.set_timer(
             self.node.clock.now() + POLL_PERIOD_NS, self.poll_periodically
         )
         self.poll()
         if self.statuses:
-            self.tell()
+            self.publish_status()
 
     def poll(self) -> None:
         """Read the status of each other process and apply what has changed."""
--- a/query_broker/server/reload.py
+++ b/query_broker/server/reload.py
@@ -5,13 +5,13 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from ..config import Config, ConfigError, waiting_for_restart
+from ..config import Config, ConfigError, keys_needing_restart
 from ..config import reload as read_again
 from .graceful_shutdown import GracefulShutdown
-from .host import Host
+from .host import NodeContext
 
 
-class ReloadableNode(Host, Protocol):
+class ReloadableNode(NodeContext, Protocol):
     """What the reload needs of its node."""
 
     config: Config
@@ -59,19 +59,19 @@
 
     def reject(self, reason: str) -> None:
         """Count and log a configuration that is not applied."""
-        self.node.dispatcher.metrics_counts.reloads_turned_down += 1
+        self.node.dispatcher.metrics_counts.reloads_rejected += 1
         self.node.log("reload", f"the configuration stays as it was: {reason}")
 
     def _adopt(self, config: Config) -> None:
         """Bring the node in line with a configuration that has been applied."""
-        self.node.dispatcher.metrics_counts.reloads_taken += 1
+        self.node.dispatcher.metrics_counts.reloads_applied += 1
         for remark in config.remarks():
             self.node.log("config", remark)
-        fixed_keys = waiting_for_restart(self.started_with, config)
+        fixed_keys = keys_needing_restart(self.started_with, config)
         self.node.config = self.node.dispatcher.config
         result = "done"
         if fixed_keys:
             result += f"; with the next start only: {', '.join(fixed_keys)}"
         self.node.log("reload", result)
-        if config.bus is not None:
-            self.node.follow_endpoint_list(config.bus)
+        if config.discovery_address is not None:
+            self.node.follow_endpoint_list(config.discovery_address)
--- a/query_broker/server/signals.py
+++ b/query_broker/server/signals.py
@@ -10,7 +10,7 @@
 _early_hangups: list[int] = []  # the SIGHUPs that came before the event loop
 
 
-def hold_hangup() -> None:
+def remember_early_hangups() -> None:
     """Remember each SIGHUP from now on, until the event loop takes them.
 
     A process that has just been started is told of new settings like any other. Without a handler
--- a/query_broker/server/structured_log.py
+++ b/query_broker/server/structured_log.py
@@ -12,7 +12,7 @@
 import structlog
 import xxhash
 
-from ..deadlines.settings import Logs, Stage
+from ..deadlines.settings import LatencyStage, Logs
 from ..dispatch.requests import ActiveRequest, Attempt
 from .log import Log
 
@@ -36,12 +36,12 @@
     return logger.bind(broker=name)
 
 
-class Lines:
+class StructuredLog:
     """Writes what the rate-limited log prints, as structured lines."""
 
     def __init__(self, name: str, terms: Logs) -> None:
         """Write lines under the name of this broker, in the form of the operators' settings."""
-        self.terms = terms
+        self.settings = terms
         self.logger = make_logger(name, terms.format)
 
     def __call__(self, kind: str, text: str) -> None:
@@ -49,12 +49,12 @@
         self.logger.info(text, kind=kind)
 
 
-def sampled(request_id: bytes, fraction: float) -> bool:
+def is_sampled(request_id: bytes, fraction: float) -> bool:
     """Return whether a request is in the sample: the same ones at every broker that they reach."""
     return xxhash.xxh3_64_intdigest(request_id) % HASH_RANGE < fraction * HASH_RANGE
 
 
-def story(request: ActiveRequest, end: str, now_ns: int) -> dict[str, Any]:
+def request_trace(request: ActiveRequest, end: str, now_ns: int) -> dict[str, Any]:
     """Return the fields of a request's line: how it ended, and its time by stage in milliseconds.
 
     The names of the fields are part of the log's format.
@@ -86,7 +86,7 @@
         attempt.answered_ns or now_ns,
     )
     times: dict[str, float] = {}
-    for stage, begun_ns, ended_ns in zip(Stage, marks, marks[1:], strict=False):
+    for stage, begun_ns, ended_ns in zip(LatencyStage, marks, marks[1:], strict=False):
         if begun_ns and ended_ns:
             times[f"{stage.value}_ms"] = _milliseconds(ended_ns - begun_ns)
     return times
@@ -96,7 +96,7 @@
     return round(duration_ns / NS_PER_MS, 3)
 
 
-def stories(log: Log, lines: Lines, now: Callable[[], int]) -> RequestObserver:
+def trace_observer(log: Log, lines: StructuredLog, now: Callable[[], int]) -> RequestObserver:
     """Return an observer that writes a line for sampled requests and for those past their deadline.
 
     During a fault every request may end past its deadline, so the limit of the log by kind holds
@@ -107,11 +107,11 @@
         now_ns = now()
         if now_ns > request.deadline_ns:
             kind = "late"
-        elif sampled(request.client_request_id, lines.terms.stories):
+        elif is_sampled(request.client_request_id, lines.settings.stories):
             kind = "story"
         else:
             return
         if log.allowed(kind):
-            lines.logger.info("request", kind=kind, **story(request, end, now_ns))
+            lines.logger.info("request", kind=kind, **request_trace(request, end, now_ns))
 
     return observe
--- a/query_broker/server/tick_loop.py
+++ b/query_broker/server/tick_loop.py
@@ -7,7 +7,7 @@
 
 from ..discovery.watch_client import WatchClient
 from .client_admission import ClientAdmission
-from .host import Host
+from .host import NodeContext
 
 NS_PER_MS = 1_000_000
 # Time between two sweeps of idle connections and slow readers. What the sweep ends has been idle
@@ -18,7 +18,7 @@
 MAX_LAG_NS = 100_000_000
 
 
-class TickingNode(Host, Protocol):
+class TickingNode(NodeContext, Protocol):
     """What the tick loop needs of its node."""
 
     longest_rest_ns: int  # the longest time between two ticks where nothing falls due
@@ -54,7 +54,7 @@
         now_ns = self.node.clock.now()
         self._due_ns = now_ns
         self._swept_ns = now_ns
-        self.node.dispatcher.wheel.sooner = self._wake
+        self.node.dispatcher.timers.on_earlier_timer = self._wake
         self._tick()
 
     def _tick(self) -> None:
@@ -65,7 +65,7 @@
             self._run_due_work(now_ns)
         finally:
             now_ns = self.node.clock.now()
-            rest_ns = self.node.dispatcher.wheel.rest(now_ns, self.node.longest_rest_ns)
+            rest_ns = self.node.dispatcher.timers.idle_ns(now_ns, self.node.longest_rest_ns)
             self._schedule(rest_ns, now_ns)
         # The next tick is scheduled by now, so that a timer set here can bring it forward.
         self.node.after_tick()
@@ -78,7 +78,7 @@
     def _run_due_work(self, now_ns: int) -> None:
         self.node.dispatcher.tick()
         if self.node.watch_client is not None:
-            self.node.watch_client.check(now_ns)
+            self.node.watch_client.drop_if_silent(now_ns)
         if now_ns - self._swept_ns > SWEEP_PERIOD_NS:
             self._swept_ns = now_ns
             self.node.dispatcher.pools.sweep(now_ns)
@@ -97,4 +97,4 @@
             return
         self._scheduled.cancel()
         now_ns = self.node.clock.now()
-        self._schedule(self.node.dispatcher.wheel.until(now_ns), now_ns)
+        self._schedule(self.node.dispatcher.timers.ns_until_wake(now_ns), now_ns)
--- a/query_broker/startup/admission_ramp.py
+++ b/query_broker/startup/admission_ramp.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Ramp:
+class AdmissionRamp:
     """The part of the admission that is open, stepped once a period.
 
     Attributes:
@@ -63,7 +63,7 @@
         ramps_per_period = PERIOD_NS / max(PERIOD_NS, self.settings.ramp_ns)
         return float((1 / initial) ** ramps_per_period)
 
-    def period(self, now: int, good: int, bad: int) -> float:
+    def step(self, now: int, good: int, bad: int) -> float:
         """Take a step if a period is over, and return the open part from now on.
 
         Args:
@@ -81,7 +81,7 @@
             self.open_fraction = 1.0
         return self.open_fraction
 
-    def over(self) -> bool:
+    def complete(self) -> bool:
         """Whether all of the admission is open."""
         return self.open_fraction >= 1.0
 
@@ -93,7 +93,7 @@
     backlog: int
 
 
-def assumed(open_fraction: float, threads: float, bound: float, widest: int) -> AssumedWork:
+def assumed_work(open_fraction: float, threads: float, bound: float, widest: int) -> AssumedWork:
     """Return what is booked at one endpoint while only a part of the admission is open.
 
     Capacity for one request is always left: where the open part is less than that nothing would
--- a/query_broker/startup/bounds.py
+++ b/query_broker/startup/bounds.py
@@ -6,13 +6,13 @@
 from __future__ import annotations
 
 from .admission_ramp import MAX_RAMPS
-from .pacing import MAX_SKIPPED_WINDOWS, window
+from .pacing import MAX_SKIPPED_WINDOWS, call_window_ns
 from .settings import NS_PER_SECOND, StartupSettings
 
 
-def lines(settings: StartupSettings, place: int, fleet_size: int) -> list[str]:
+def bound_lines(settings: StartupSettings, place: int, fleet_size: int) -> list[str]:
     """Return the lines; ``place`` is this broker's in the fleet."""
-    contact_s = window(fleet_size, settings.engine_probes) / NS_PER_SECOND
+    contact_s = call_window_ns(fleet_size, settings.endpoint_probes_per_s) / NS_PER_SECOND
     text = [
         _discovery_line(settings, place, fleet_size),
         _contact_line(settings, contact_s),
@@ -20,7 +20,7 @@
         _ramp_line(settings),
     ]
     enough_contacts_s = contact_s * settings.contact_fraction
-    if enough_contacts_s > settings.contact_wait / NS_PER_SECOND:
+    if enough_contacts_s > settings.contact_wait_ns / NS_PER_SECOND:
         text.append(
             f"start: contact_wait ends before {settings.contact_fraction:g} of the engines can be "
             f"heard of ({enough_contacts_s:.2f} s): the time-out ends this stage"
@@ -35,26 +35,26 @@
 
 
 def _discovery_line(settings: StartupSettings, place: int, fleet_size: int) -> str:
-    window_s = window(fleet_size, settings.list_connects) / NS_PER_SECOND
-    slot_s = place % max(1, fleet_size) / settings.list_connects
+    window_s = call_window_ns(fleet_size, settings.list_connects_per_s) / NS_PER_SECOND
+    slot_s = place % max(1, fleet_size) / settings.list_connects_per_s
     latest_s = (MAX_SKIPPED_WINDOWS + 1) * window_s
     return (
         f"start: place {place} of {fleet_size}: one call on the list service in {window_s:.2f} s "
-        f"at the most, at {slot_s:.2f} s of each; all together {settings.list_connects:g} a "
+        f"at the most, at {slot_s:.2f} s of each; all together {settings.list_connects_per_s:g} a "
         f"second, each again after {latest_s:.2f} s at the latest"
     )
 
 
 def _contact_line(settings: StartupSettings, contact_s: float) -> str:
     return (
-        f"start: {settings.engine_probes:g} brokers a second ask each engine, all in "
+        f"start: {settings.endpoint_probes_per_s:g} brokers a second ask each engine, all in "
         f"{contact_s:.2f} s; ready once {settings.contact_fraction:g} of the engines are heard of, "
-        f"or after {settings.contact_wait / NS_PER_SECOND:g} s"
+        f"or after {settings.contact_wait_ns / NS_PER_SECOND:g} s"
     )
 
 
 def _connections_line(settings: StartupSettings, fleet_size: int) -> str:
-    window_s = window(fleet_size, settings.endpoint_connects_per_s) / NS_PER_SECOND
+    window_s = call_window_ns(fleet_size, settings.endpoint_connects_per_s) / NS_PER_SECOND
     return (
         f"start: until the whole share is open {settings.endpoint_connects_per_s:g} new "
         f"connections a second at each engine, this broker one in {window_s:.2f} s, and "
--- a/query_broker/startup/client_gate.py
+++ b/query_broker/startup/client_gate.py
@@ -22,7 +22,7 @@
         """Read a new client at once, or when its turn comes."""
         if not self._waiting and self._limiter.try_acquire(now):
             return
-        client.hold()
+        client.defer_reading()
         self._waiting[client] = None
 
     def release_due(self, now: int) -> None:
@@ -38,4 +38,4 @@
     def _release_next(self) -> None:
         client = next(iter(self._waiting))
         del self._waiting[client]
-        client.go_on()
+        client.resume_reading()
--- a/query_broker/startup/discovery_pace.py
+++ b/query_broker/startup/discovery_pace.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..discovery.watch_client import CONNECT, SILENT
-from .pacing import Calls, backoff_timeout_ns
+from ..discovery.watch_client import CONNECT_TIMEOUT_S, SILENCE_LIMIT_NS
+from .pacing import PacedCalls, backoff_timeout_ns
 from .settings import NS_PER_SECOND
 
 #: Longest time in which a connection has to come up, after many failures.
@@ -27,36 +27,36 @@
     """Implements ``watch_client.Pace``: by the place in the fleet, then by full jitter."""
 
     def __init__(
-        self, calls: Calls, now: Callable[[], int], listener: ConfirmationListener
+        self, calls: PacedCalls, now: Callable[[], int], listener: ConfirmationListener
     ) -> None:
         """Draw the slot of the first call."""
         self._calls = calls
         self._now = now
         self._listener = listener
         begun = now()
-        self.first_wait = (calls.first(begun) - begun) / NS_PER_SECOND
+        self.first_wait_s = (calls.first_at(begun) - begun) / NS_PER_SECOND
 
     def resize(self, place: int, fleet_size: int) -> None:
         """Go by another place in a fleet of another size."""
         self._calls.place = place
         self._calls.fleet_size = fleet_size
 
-    def wait(self) -> float:
+    def next_wait_s(self) -> float:
         """Return the seconds to the next call, after one that failed."""
         now = self._now()
-        return (self._calls.again(now) - now) / NS_PER_SECOND
+        return (self._calls.retry_at(now) - now) / NS_PER_SECOND
 
-    def time_out(self) -> float:
+    def connect_timeout_s(self) -> float:
         """Return the seconds in which a connection has to come up."""
-        least_ns = int(CONNECT * NS_PER_SECOND)
+        least_ns = int(CONNECT_TIMEOUT_S * NS_PER_SECOND)
         timeout_ns = backoff_timeout_ns(self._calls.failed, least_ns, MAX_CONNECT_TIMEOUT_NS)
         return timeout_ns / NS_PER_SECOND
 
-    def silent(self) -> int:
+    def silence_limit_ns(self) -> int:
         """Return the nanoseconds of silence after which a connection is given up."""
-        return backoff_timeout_ns(self._calls.failed, SILENT, MAX_SILENCE_NS)
+        return backoff_timeout_ns(self._calls.failed, SILENCE_LIMIT_NS, MAX_SILENCE_NS)
 
-    def spoke(self) -> None:
+    def list_confirmed(self) -> None:
         """The service has sent, or confirmed, what it has up to now."""
         self._calls.succeeded()
         self._listener.confirmed()
--- a/query_broker/startup/dispatcher_hooks.py
+++ b/query_broker/startup/dispatcher_hooks.py
@@ -8,7 +8,7 @@
 from ..decisions.facade import CoProcessLoad, OutstandingWork, Settings
 from ..dispatch.dispatcher import Dispatcher
 from ..dispatch.observers import DispatchObserver
-from .admission_ramp import assumed
+from .admission_ramp import assumed_work
 
 
 class StartupObserver(DispatchObserver):
@@ -29,13 +29,13 @@
     def __init__(self, dispatcher: Dispatcher) -> None:
         """Remember how connections are shared in service."""
         self._dispatcher = dispatcher
-        self._own_connections_in_service = dispatcher.pools.own
+        self._own_connections_in_service = dispatcher.pools.dedicated_connections
 
     def register(self, observer: StartupObserver) -> None:
         """Register the observer of a start."""
         self._dispatcher.add_observer(observer)
         self._dispatcher.extensions.metrics_sources.append(observer.metrics)
-        self._dispatcher.pools.turn = observer.connect_delay_ns
+        self._dispatcher.pools.connect_pacing = observer.connect_delay_ns
 
     def register_adjustment(self, adjustment: Callable[[Settings], Settings]) -> None:
         """Let the decisions go by settings that this function changes, from now on."""
@@ -51,12 +51,12 @@
 
         A connection for each attempt, from every broker at once, is more handshakes than requests.
         """
-        self._dispatcher.pools.own = False
+        self._dispatcher.pools.dedicated_connections = False
 
     def end_ramp(self) -> None:
         """Serve as if there had been no start."""
-        self._dispatcher.pools.own = self._own_connections_in_service
-        self._dispatcher.pools.turn = None
+        self._dispatcher.pools.dedicated_connections = self._own_connections_in_service
+        self._dispatcher.pools.connect_pacing = None
         self._dispatcher.extensions.retry_after_policy = None
 
     def health_check(self, now: int, endpoint: int) -> None:
@@ -68,8 +68,8 @@
         outstanding: dict[int, OutstandingWork] = {}
         if open_fraction < 1:
             facade = self._dispatcher.facade
-            widest = facade.widest()
-            for endpoint, (threads, bound) in facade.shares().items():
-                work = assumed(open_fraction, threads, bound, widest)
+            widest = facade.widest_request_threads()
+            for endpoint, (threads, bound) in facade.quotas_and_bounds().items():
+                work = assumed_work(open_fraction, threads, bound, widest)
                 outstanding[endpoint] = OutstandingWork(work.threads, work.backlog, 0)
         self._dispatcher.report_event(CoProcessLoad(outstanding, 1))
--- a/query_broker/startup/endpoint_snapshot.py
+++ b/query_broker/startup/endpoint_snapshot.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LastList:
+class EndpointSnapshot:
     """The endpoint list at one moment.
 
     Attributes:
@@ -73,7 +73,7 @@
         }
 
 
-def encode(snapshot: LastList) -> str:
+def encode(snapshot: EndpointSnapshot) -> str:
     """Return the text of the file."""
     fields = {
         "installation": snapshot.installation,
@@ -85,7 +85,7 @@
     return f"{MAGIC} {FORMAT_VERSION} {_sum(body)}\n{body}\n"
 
 
-def decode(text: str, installation: str, now: int, most_age: int) -> LastList:
+def decode(text: str, installation: str, now: int, most_age: int) -> EndpointSnapshot:
     """Read the text of a file.
 
     Args:
@@ -132,10 +132,10 @@
     return body
 
 
-def _snapshot(body: str) -> LastList:
+def _snapshot(body: str) -> EndpointSnapshot:
     try:
         raw = json.loads(body)
-        return LastList(
+        return EndpointSnapshot(
             str(raw["installation"]),
             int(raw["offset"]),
             int(raw["saved_at"]),
--- a/query_broker/startup/first_contact.py
+++ b/query_broker/startup/first_contact.py
@@ -6,7 +6,7 @@
 
 from ..decisions.facade import AttemptResult
 from .dispatcher_hooks import DispatcherHooks
-from .pacing import probe_at
+from .pacing import probe_slot_ns
 
 #: In the place of a time: the endpoint has been probed.
 PROBED = -1
@@ -38,7 +38,7 @@
         """
         for endpoint in endpoints:
             if endpoint not in self._probe_at:
-                self._probe_at[endpoint] = probe_at(
+                self._probe_at[endpoint] = probe_slot_ns(
                     now, endpoint, place, fleet_size, self._probes_per_s
                 )
             if 0 <= self._probe_at[endpoint] <= now:
--- a/query_broker/startup/initial_list.py
+++ b/query_broker/startup/initial_list.py
@@ -8,9 +8,9 @@
 from ..decisions.facade import EndpointState
 from ..discovery.event_codec import parse_event
 from ..discovery.watch_client import WatchClient
-from ..server.host import Host
+from ..server.host import NodeContext
 from .dispatcher_hooks import DispatcherHooks
-from .endpoint_snapshot import LastList
+from .endpoint_snapshot import EndpointSnapshot
 from .stages import ListSource, StartupStages
 
 #: No endpoint is of this kind: classes bound to it are rejected by the rule on placement.
@@ -27,10 +27,10 @@
 
     def __init__(
         self,
-        node: Host,
+        node: NodeContext,
         hooks: DispatcherHooks,
         stages: StartupStages,
-        snapshot: LastList | None,
+        snapshot: EndpointSnapshot | None,
     ) -> None:
         """Hold the snapshot, None if there is none that may be used."""
         self._node = node
@@ -48,13 +48,13 @@
             age_ns = max(0, self._node.clock.now() - snapshot.saved_at_ns)
             self._stages.settings_read(now, age_ns)
             self._connect_to(snapshot)
-        if self._node.config.known:
+        if self._node.config.known_events:
             self._stages.list_received(now, ListSource.KNOWN, 0)
 
     def resume(self, client: WatchClient) -> None:
         """Let the discovery client ask for what the snapshot lacks, not for all."""
         if self._snapshot is not None:
-            client.last = self._snapshot.offset
+            client.last_offset = self._snapshot.offset
 
     def tick(self, now: int) -> None:
         """Go by the snapshot if the discovery service is away; log it if there is no list."""
@@ -98,7 +98,7 @@
     def _ready_count(self) -> int:
         return len(self.ready_endpoints())
 
-    def _connect_to(self, snapshot: LastList) -> None:
+    def _connect_to(self, snapshot: EndpointSnapshot) -> None:
         self._node.dispatcher.endpoint_list_changed(parse_event(snapshot.event()))
         self._unconfirmed = True
         self._hooks.register_adjustment(self._restricted)
--- a/query_broker/startup/pacing.py
+++ b/query_broker/startup/pacing.py
@@ -25,12 +25,12 @@
 MAX_DOUBLINGS = 20
 
 
-def window(fleet: int, rate: float) -> int:
+def call_window_ns(fleet: int, rate: float) -> int:
     """Return the time in which each broker of the fleet may call once, in nanoseconds."""
     return max(MIN_WINDOW_NS, int(max(1, fleet) / rate * NS_PER_SECOND))
 
 
-def slot(now: int, place: int, fleet: int, rate: float, draw: float) -> int:
+def next_slot_ns(now: int, place: int, fleet: int, rate: float, draw: float) -> int:
     """Return the first moment from now on that lies in the slot of a place.
 
     Args:
@@ -40,14 +40,14 @@
         rate: Calls a second of the whole fleet.
         draw: Where in the slot, from 0 to 1.
     """
-    window_ns = window(fleet, rate)
+    window_ns = call_window_ns(fleet, rate)
     window_start = now - now % window_ns
     at = window_start + int((place % max(1, fleet) + draw) / rate * NS_PER_SECOND)
     return at if at >= now else at + window_ns
 
 
 @dataclass(slots=True)
-class Calls:
+class PacedCalls:
     """The calls of one broker on one service.
 
     Attributes:
@@ -64,16 +64,16 @@
     draw: Callable[[], float]
     failed: int = 0
 
-    def first(self, now: int) -> int:
+    def first_at(self, now: int) -> int:
         """Return when to call for the first time, in Unix nanoseconds."""
         return self._slot(now)
 
-    def again(self, now: int) -> int:
+    def retry_at(self, now: int) -> int:
         """Count a call that failed, and return when to call again, in Unix nanoseconds."""
         self.failed += 1
         possible_skips = min(MAX_SKIPPED_WINDOWS, 1 << min(self.failed, MAX_DOUBLINGS))
         skipped = int(self.draw() * possible_skips)
-        window_ns = window(self.fleet_size, self.rate)
+        window_ns = call_window_ns(self.fleet_size, self.rate)
         at = self._slot(now)
         # What is left of the present slot would be a second call in the same window.
         if at - now < window_ns // 2:
@@ -85,7 +85,7 @@
         self.failed = 0
 
     def _slot(self, now: int) -> int:
-        return slot(now, self.place, self.fleet_size, self.rate, self.draw())
+        return next_slot_ns(now, self.place, self.fleet_size, self.rate, self.draw())
 
 
 @dataclass(slots=True)
@@ -120,10 +120,10 @@
     return min(most_ns, least_ns << min(failed, MAX_DOUBLINGS))
 
 
-def probe_at(now: int, engine: int, me: int, fleet: int, rate: float) -> int:
+def probe_slot_ns(now: int, engine: int, me: int, fleet: int, rate: float) -> int:
     """Return when the broker of a place probes an endpoint, in Unix nanoseconds.
 
     Places are rotated by the endpoint's number: the probes of many endpoints by one broker are
     spread as well as those of one endpoint by many brokers.
     """
-    return slot(now, me + engine, fleet, rate, 0.0)
+    return next_slot_ns(now, me + engine, fleet, rate, 0.0)
--- a/query_broker/startup/recovery_ramp.py
+++ b/query_broker/startup/recovery_ramp.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from ..metrics import ERROR, SUCCESS
-from ..server.host import Host
-from .admission_ramp import Ramp, retry_after_ns
+from ..server.host import NodeContext
+from .admission_ramp import AdmissionRamp, retry_after_ns
 from .dispatcher_hooks import DispatcherHooks
 from .settings import StartupSettings
 
@@ -23,12 +23,12 @@
     """Steps the admission ramp, and books what is not open yet."""
 
     def __init__(
-        self, host: Host, settings: StartupSettings, hooks: DispatcherHooks, now: int
+        self, host: NodeContext, settings: StartupSettings, hooks: DispatcherHooks, now: int
     ) -> None:
         """Begin the ramp now."""
         self._host = host
         self._hooks = hooks
-        self._ramp = Ramp(settings, now)
+        self._ramp = AdmissionRamp(settings, now)
         self._ends_at_ns = now + settings.ramp_ns
         self._counted = AnswerCounts()
         self._booked = False
@@ -38,7 +38,7 @@
         counts = self._answer_counts()
         fraction_before = self._ramp.open_fraction
         stepped_before = self._ramp.stepped_at_ns
-        open_fraction = self._ramp.period(
+        open_fraction = self._ramp.step(
             now, counts.good - self._counted.good, counts.bad - self._counted.bad
         )
         stepped = self._ramp.stepped_at_ns != stepped_before
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -11,13 +11,13 @@
 from ..decisions.facade import AttemptResult
 from ..discovery.watch_client import WatchClient
 from ..protocols.client_connection import ClientConnection
-from ..server.host import Host
+from ..server.host import NodeContext
 from .client_gate import ClientGate
 from .discovery_pace import DiscoveryPace
 from .dispatcher_hooks import DispatcherHooks, StartupObserver
 from .first_contact import FirstContact
 from .initial_list import InitialList
-from .pacing import Calls, RateLimiter, slot
+from .pacing import PacedCalls, RateLimiter, next_slot_ns
 from .recovery_ramp import RecoveryRamp
 from .settings import NS_PER_SECOND, StartupSettings
 from .snapshot_store import SnapshotStore
@@ -31,7 +31,7 @@
 class StartupService(StartupObserver):
     """The start of one node. All is driven by the node's tick."""
 
-    def __init__(self, node: Host, settings: StartupSettings) -> None:
+    def __init__(self, node: NodeContext, settings: StartupSettings) -> None:
         """Read the snapshot, if it may be used, and register with the dispatcher."""
         self._node = node
         self._settings = settings
@@ -45,11 +45,11 @@
         self._watch_client: WatchClient | None = None
         self._pace: DiscoveryPace | None = None
         self._hooks = DispatcherHooks(node.dispatcher)
-        self._contact = FirstContact(self._hooks, settings.engine_probes)
+        self._contact = FirstContact(self._hooks, settings.endpoint_probes_per_s)
         self._clients = ClientGate(RateLimiter(settings.accepts_per_s, now))
         table = node.dispatcher.endpoint_table
         self._store = SnapshotStore(settings, node.clock, node.log, table)
-        snapshot = None if node.config.known else self._store.read()
+        snapshot = None if node.config.known_events else self._store.read()
         self._list = InitialList(node, self._hooks, self._stages, snapshot)
         self._list.begin(now)
         self._hooks.register(self)
@@ -67,19 +67,21 @@
         if self._pace is not None:
             self._pace.resize(place, fleet_size)
 
-    def pace(self, client: WatchClient) -> None:
+    def set_pace(self, client: WatchClient) -> None:
         """Set the pace of a new discovery client."""
-        calls = Calls(self._place, self._fleet_size, self._settings.list_connects, self._draw)
+        calls = PacedCalls(
+            self._place, self._fleet_size, self._settings.list_connects_per_s, self._draw
+        )
         self._watch_client = client
         self._pace = DiscoveryPace(calls, self._node.clock.now, self._list)
-        client.pace = self._pace
+        client.pacing = self._pace
         self._list.resume(client)
 
-    def told(self) -> None:
+    def watch_event_received(self) -> None:
         """A watch event of the discovery service has been applied."""
         self._list.event_received()
 
-    def came(self, client: ClientConnection) -> None:
+    def client_connected(self, client: ClientConnection) -> None:
         """A client has connected."""
         if self._stages.stage is not Stage.FULL:
             self._clients.connected(client, self._node.clock.now())
@@ -96,17 +98,17 @@
         else:
             self._clients.release_due(now)
         self._log_completed_stages()
-        offset = 0 if self._watch_client is None else self._watch_client.last
+        offset = 0 if self._watch_client is None else self._watch_client.last_offset
         self._store.save_if_due(now, offset, self._stages.confirmed())
         if self._stages.stage is not Stage.FULL:
-            self._node.dispatcher.wheel.soon()
+            self._node.dispatcher.timers.wake_next_tick()
 
     def stop(self) -> None:
         """Save what has changed since the last look, if the disk allows it."""
         if self._stages.confirmed() and self._watch_client is not None:
-            self._store.save_now(self._watch_client.last)
+            self._store.save_now(self._watch_client.last_offset)
 
-    def call(self, method: str, path: str) -> AdminAnswer | None:
+    def admin_answer(self, method: str, path: str) -> AdminAnswer | None:
         """Answer a call on the operators' address; None if it is not about the start."""
         if path != PATH:
             return None
@@ -127,7 +129,7 @@
         """
         now = self._node.clock.now()
         rate = self._settings.endpoint_connects_per_s
-        at = slot(now, self._place + endpoint, self._fleet_size, rate, self._draw())
+        at = next_slot_ns(now, self._place + endpoint, self._fleet_size, rate, self._draw())
         return at - now
 
     def metrics(self) -> bytes:
@@ -179,7 +181,7 @@
         self._logged_stages = len(self._stages.completed)
 
 
-def _contact_settings(node: Host, settings: StartupSettings) -> StartupSettings:
+def _contact_settings(node: NodeContext, settings: StartupSettings) -> StartupSettings:
     """The settings; without health checks no endpoint can be waited for."""
     if node.config.settings.limits.health_checks:
         return settings
--- a/query_broker/startup/settings.py
+++ b/query_broker/startup/settings.py
@@ -35,13 +35,13 @@
             (``installation``).
     """
 
-    list_connects: float = 50.0
+    list_connects_per_s: float = 50.0
     list_wait_ns: int = 10 * NS_PER_SECOND
-    engine_probes: float = 20.0
+    endpoint_probes_per_s: float = 20.0
     endpoint_connects_per_s: float = 100.0
     accepts_per_s: float = 200.0
     contact_fraction: float = 0.5
-    contact_wait: int = 2 * NS_PER_SECOND
+    contact_wait_ns: int = 2 * NS_PER_SECOND
     initial_fraction: float = 0.1
     ramp_ns: int = 8 * NS_PER_SECOND
     snapshot_path: str = ""
--- a/query_broker/startup/snapshot_store.py
+++ b/query_broker/startup/snapshot_store.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from ..decisions.facade import EndpointState
-from ..discovery.event_codec import BadLine, ListedEndpoint, parse_event
+from ..discovery.event_codec import InvalidEventError, ListedEndpoint, parse_event
 from ..endpoints.endpoint_table import EndpointTable
 from ..timer_wheel import Clock
-from .endpoint_snapshot import MAX_BYTES, EndpointSnapshotError, LastList, decode, encode
+from .endpoint_snapshot import MAX_BYTES, EndpointSnapshot, EndpointSnapshotError, decode, encode
 from .settings import NS_PER_SECOND, StartupSettings
 
 #: Time between two looks whether the file still holds the list in force.
@@ -46,7 +46,7 @@
     }
 
 
-def listed(table: EndpointTable) -> tuple[dict[str, Any], ...]:
+def listed_targets(table: EndpointTable) -> tuple[dict[str, Any], ...]:
     """Return the endpoints of a table that are not removed."""
     return tuple(
         target_fields(known.target)
@@ -81,7 +81,7 @@
         """Whether the operators have named a file."""
         return bool(self._path)
 
-    def read(self) -> LastList | None:
+    def read(self) -> EndpointSnapshot | None:
         """Return the snapshot if there is one that may be used.
 
         A file that is not to be used is renamed, with ``.bad`` at its end, and the log says why.
@@ -92,7 +92,7 @@
             return self._read_file()
         except FileNotFoundError:
             return None
-        except (EndpointSnapshotError, BadLine, UnicodeDecodeError) as error:
+        except (EndpointSnapshotError, InvalidEventError, UnicodeDecodeError) as error:
             self._log_problem(f"{self._path}: {error}; set aside")
             self._set_aside()
         except OSError as error:
@@ -115,7 +115,7 @@
         self._saving = True
         text = self._encoded(offset, now)
         loop = asyncio.get_running_loop()
-        future = loop.run_in_executor(None, write_whole, self._path, text)
+        future = loop.run_in_executor(None, write_atomically, self._path, text)
         future.add_done_callback(partial(self._saved, offset=offset))
 
     def save_now(self, offset: int) -> None:
@@ -124,11 +124,11 @@
             return
         text = self._encoded(offset, self._clock.now())
         try:
-            write_whole(self._path, text)
+            write_atomically(self._path, text)
         except OSError as error:
             self._log_problem(f"not kept: {error}")
 
-    def _read_file(self) -> LastList:
+    def _read_file(self) -> EndpointSnapshot:
         with open(self._path, encoding="utf-8") as file:
             text = file.read(MAX_BYTES)
         snapshot = decode(text, self._installation, self._clock.now(), self._max_age_ns)
@@ -142,7 +142,9 @@
             self._log_problem(f"{self._path}: {error}")
 
     def _encoded(self, offset: int, now: int) -> str:
-        return encode(LastList(self._installation, offset, now, listed(self._table)))
+        return encode(
+            EndpointSnapshot(self._installation, offset, now, listed_targets(self._table))
+        )
 
     def _saved(self, future: asyncio.Future[None], offset: int) -> None:
         self._saving = False
@@ -158,7 +160,7 @@
         self._log("start", f"last list: {problem}")
 
 
-def write_whole(path: str, text: str) -> None:
+def write_atomically(path: str, text: str) -> None:
     """Write a file by rename: a reader sees all of the old content or all of the new.
 
     Blocks on the disk.
--- a/query_broker/startup/stages.py
+++ b/query_broker/startup/stages.py
@@ -134,7 +134,7 @@
         counts = f"heard of {self.contacted} of {self.listed}"
         if self.listed and self.contacted >= wanted:
             self._complete(now, Stage.RAMP, counts)
-        elif now - self.since_ns >= self.settings.contact_wait:
+        elif now - self.since_ns >= self.settings.contact_wait_ns:
             self._complete(now, Stage.RAMP, f"time-out: {counts} only")
 
     def ramp_advanced(self, now: int, open_fraction: float) -> None:
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -65,13 +65,13 @@
     def __init__(self, tick_ns: int, now: int) -> None:
         """Make an empty wheel whose tick 0 is ``now``."""
         self.tick_ns = tick_ns
-        self.sooner: Callable[[], None] = _nothing
+        self.on_earlier_timer: Callable[[], None] = _nothing
         self._origin_ns = now
         self._current_tick = 0
         self._slots: list[list[Timer]] = [[] for _ in range(self.SLOTS)]
         self._wake_tick = 0  # the tick at which the owner calls `advance` next
 
-    def at(self, when: int, call: Callable[[], None]) -> Timer:
+    def set_timer(self, when: int, call: Callable[[], None]) -> Timer:
         """Set a timer for the first tick at or after ``when``, the next one at the earliest."""
         # The double negation rounds up.
         due_tick = max(self._current_tick + 1, -((self._origin_ns - when) // self.tick_ns))
@@ -79,14 +79,14 @@
         self._slots[due_tick % self.SLOTS].append(timer)
         if due_tick < self._wake_tick:
             self._wake_tick = due_tick
-            self.sooner()
+            self.on_earlier_timer()
         return timer
 
-    def soon(self) -> None:
+    def wake_next_tick(self) -> None:
         """Make the next tick come: something waits for it that isn't a timer."""
-        self.at(0, lambda: None)
+        self.set_timer(0, lambda: None)
 
-    def rest(self, now: int, longest_ns: int) -> int:
+    def idle_ns(self, now: int, longest_ns: int) -> int:
         """Return for how long nothing is due: ``longest_ns`` at most, one tick at least.
 
         A wheel that turned at every tick would wake an idle broker 200 times a second.
@@ -99,9 +99,9 @@
             if self._is_due(tick):
                 self._wake_tick = tick
                 break
-        return self.until(now)
+        return self.ns_until_wake(now)
 
-    def until(self, now: int) -> int:
+    def ns_until_wake(self, now: int) -> int:
         """Return the time that is left to the tick which `rest` has named."""
         return max(0, self._origin_ns + self._wake_tick * self.tick_ns - now)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -113,4 +113,4 @@
         ]
 
     def backlog(self) -> int:
-        return sum(engine.backlog for engine in self.controller.engines.values())
+        return sum(engine.backlog_ns for engine in self.controller.endpoints.values())
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -245,8 +245,8 @@
     make: Callable[[Config, Mapping[str, str]], Node] = Node,
 ) -> AsyncIterator[Rig]:
     """A node on a free port, as `serve` runs it."""
-    operator = config.operator and (config.operator[0], 0)
-    rig = Rig(make(replace(config, port=0, operator=operator), environ))
+    operator = config.admin_address and (config.admin_address[0], 0)
+    rig = Rig(make(replace(config, port=0, admin_address=operator), environ))
     task = asyncio.create_task(rig.node.run())
     await until(lambda: rig.node.server is not None or task.done())
     try:
--- a/tests/test_cells_pure.py
+++ b/tests/test_cells_pure.py
@@ -24,10 +24,10 @@
     Stage,
     read_migration,
 )
-from query_broker.cells.model import BadMap, Cell, CellMap, Tenant, Timing, from_plain
+from query_broker.cells.model import Cell, CellMap, CellMapError, Tenant, Timing, read_cell_map
 from query_broker.cells.placement import Placement, Seen
 from query_broker.cells.read_turns import ReadTurns
-from query_broker.cells.solver import NoPlan, solve
+from query_broker.cells.solver import NoPlanError, solve
 from query_broker.cells.work_rates import DECAY_SPAN_NS, Rates
 
 S = 1_000_000_000
@@ -66,7 +66,7 @@
     ],
 )
 def test_a_map_that_cannot_be_names_its_key(change: dict[str, Any], key: str) -> None:
-    with pytest.raises(BadMap, match=f"^{key}: "):
+    with pytest.raises(CellMapError, match=f"^{key}: "):
         CellMap(**{**dict(epoch=1, cells=(Cell("a"),), default="a", tenants={}), **change})
 
 
@@ -78,10 +78,13 @@
         {"x": Tenant("x", ("a", "b"), "route")},
         Timing(warm=5),
     )
-    assert from_plain(said.plain()) == said and from_plain(said.plain()).digest() == said.digest()
+    assert (
+        read_cell_map(said.plain()) == said
+        and read_cell_map(said.plain()).digest() == said.digest()
+    )
     for spoilt in ({}, {**said.plain(), "cells": 3}, {**said.plain(), "epoch": "x"}):
-        with pytest.raises(BadMap):
-            from_plain(spoilt)
+        with pytest.raises(CellMapError):
+            read_cell_map(spoilt)
 
 
 def test_a_spread_tenant_has_parts_that_stay_where_they_are() -> None:
@@ -183,31 +186,33 @@
 
 def test_a_cell_borrows_what_others_leave_but_never_their_last_quarter() -> None:
     books = ledger()
-    taken = sum(books.take("a", 1, 0) for _ in range(200))
-    assert taken == 100 - int(borrowing.RESERVED_FRACTION * 50) and books.lent("a") == taken - 50
-    assert all(books.take("b", 1, 0) for _ in range(12)) and not books.take("b", 1, 0)
+    taken = sum(books.acquire("a", 1, 0) for _ in range(200))
+    assert (
+        taken == 100 - int(borrowing.RESERVED_FRACTION * 50) and books.borrowed("a") == taken - 50
+    )
+    assert all(books.acquire("b", 1, 0) for _ in range(12)) and not books.acquire("b", 1, 0)
 
 
 def test_what_is_lent_is_due_within_a_second_of_the_owner_s_asking() -> None:
     books = ledger()
-    while books.take("a", 1, 0):
+    while books.acquire("a", 1, 0):
         pass
-    while books.take("b", 1, S):  # digs into what was lent
+    while books.acquire("b", 1, S):  # digs into what was lent
         pass
     assert books.due(S + borrowing.CALL_IN_DELAY_NS - 1) == {} and borrowing.CALL_IN_DELAY_NS < S
     owed = books.due(S + borrowing.CALL_IN_DELAY_NS)
-    assert owed == {"a": books.lent("a")}
-    books.give("a", owed["a"])
-    assert sum(books.take("b", 1, 2 * S) for _ in range(100)) == 50 - 12
-    assert not books.take("a", 1, 2 * S)  # the owner has its whole part
-    books.give("b", 50)
-    assert books.due(2 * S + borrowing.RECLAIM_HOLD_NS + 1) == {} and books.take("a", 1, 8 * S)
+    assert owed == {"a": books.borrowed("a")}
+    books.release("a", owed["a"])
+    assert sum(books.acquire("b", 1, 2 * S) for _ in range(100)) == 50 - 12
+    assert not books.acquire("a", 1, 2 * S)  # the owner has its whole part
+    books.release("b", 50)
+    assert books.due(2 * S + borrowing.RECLAIM_HOLD_NS + 1) == {} and books.acquire("a", 1, 8 * S)
 
 
 def test_what_cannot_be_called_in_is_never_borrowed() -> None:
     books = ledger()
-    assert sum(books.take("a", 1, 0, firm=True) for _ in range(100)) == 50
-    assert not books.take("a", 1, 0, firm=True) and books.take("a", 1, 0)
+    assert sum(books.acquire("a", 1, 0, firm=True) for _ in range(100)) == 50
+    assert not books.acquire("a", 1, 0, firm=True) and books.acquire("a", 1, 0)
 
 
 @settings(max_examples=200)
@@ -218,10 +223,10 @@
     books = ledger(97, a=1.0, b=2.0, c=0.5)
     held: list[tuple[str, int, bool]] = []
     for now, (name, amount, firm, take) in enumerate(steps):
-        if take and books.take(name, amount, now, firm):
+        if take and books.acquire(name, amount, now, firm):
             held.append((name, amount, firm))
         elif not take and held:
-            books.give(*held.pop())
+            books.release(*held.pop())
         assert books.free() >= 0
         for n, account in books.accounts.items():
             assert (
@@ -232,12 +237,16 @@
 
 def test_parts_are_set_anew_with_what_is_in_use_still_booked() -> None:
     books = ledger()
-    books.take("b", 40, 0)
+    books.acquire("b", 40, 0)
     books.divide(100, {"a": 1.0})
-    assert books.accounts["b"].part == 0 and books.lent("b") == 40 and not books.take("a", 61, 0)
+    assert (
+        books.accounts["b"].part == 0
+        and books.borrowed("b") == 40
+        and not books.acquire("a", 61, 0)
+    )
     books.due(0)
     assert books.due(2 * S) == {"b": 40}  # a dropped cell's use is all on loan
-    books.give("b", 40)
+    books.release("b", 40)
     assert "b" not in books.accounts
 
 
@@ -388,16 +397,16 @@
         with pytest.raises(MigrationRejectedError, match="on the move"):
             made.propose("x", "c", now)
         made.propose("y", "c", now)  # another tenant may move at once
-        made.take_back("x", now)
+        made.abort_by_operators("x", now)
         assert made.cell("x", now) == "a"
         if stage in moves.SWITCHED_STAGES:
             with pytest.raises(MigrationRejectedError, match="already"):
-                made.take_back("x", now)
+                made.abort_by_operators("x", now)
             cluster.count.clear()
             now = play(made, cluster, now, 0.1)
         assert at(made) is Stage.TAKEN_BACK
         with pytest.raises(MigrationRejectedError, match="not on the move"):
-            made.take_back("x", now)
+            made.abort_by_operators("x", now)
 
 
 def test_what_cannot_be_moved_is_refused() -> None:
@@ -533,7 +542,7 @@
             if word in "abc":
                 made.propose("x", word, now)
             elif word == "back":
-                made.take_back("x", now)
+                made.abort_by_operators("x", now)
         except MigrationRejectedError:
             pass
         if word == "lose":
@@ -601,7 +610,7 @@
     ],
 )
 def test_terms_that_no_placement_satisfies_are_told(terms: dict[str, Any]) -> None:
-    with pytest.raises(NoPlan, match="no placement satisfies"):
+    with pytest.raises(NoPlanError, match="no placement satisfies"):
         solve(plan.Problem(LOADS, CELLS, dict.fromkeys(LOADS, "a"), **terms))
 
 
@@ -633,7 +642,7 @@
     ],
 )
 def test_a_problem_that_cannot_be_names_its_key(text: str, key: str) -> None:
-    with pytest.raises(plan.BadProblem, match=f"^{key}"):
+    with pytest.raises(plan.PlanningProblemError, match=f"^{key}"):
         plan.read_problem(text)
 
 
@@ -656,7 +665,7 @@
 ) -> None:
     books = ledger()
     for name, amount in used.items():
-        books.book(name, amount)
+        books.set_used(name, amount)
     assert list(books.over_total().items()) == list(owed.items())
 
 
@@ -668,7 +677,7 @@
         self.cell = cell
         self.reads = 0
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         if self.turns.may_read(self):
             self.reads += 1
             self.turns.charge(self.cell, 100)
@@ -677,9 +686,9 @@
 def test_a_connection_whose_turn_has_not_come_reads_in_the_next_round() -> None:
     turns = ReadTurns({"a": 1.0, "b": 1.0}, 100.0)
     greedy, modest = Connection(turns, "a"), Connection(turns, "b")
-    greedy.go_on()
-    modest.go_on()
-    greedy.go_on()  # its cell is in debt and not alone: it waits
+    greedy.resume_reading()
+    modest.resume_reading()
+    greedy.resume_reading()  # its cell is in debt and not alone: it waits
     assert (greedy.reads, modest.reads) == (1, 1) and list(turns.queue) == [greedy]
     turns.next_round()  # nobody else is busy in this one
     assert greedy.reads == 2 and not turns.queue
@@ -688,9 +697,9 @@
 def test_a_connection_that_ends_gives_up_its_turn() -> None:
     turns = ReadTurns({"a": 1.0, "b": 1.0}, 100.0)
     ending, other = Connection(turns, "a"), Connection(turns, "b")
-    ending.go_on()
-    other.go_on()
-    ending.go_on()
+    ending.resume_reading()
+    other.resume_reading()
+    ending.resume_reading()
     turns.discard(ending)
     for _ in range(5):
         turns.next_round()
--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -51,7 +51,7 @@
     until,
     within,
 )
-from .test_operator import call
+from .test_operator import admin_call
 
 S = 1_000 * MS
 FAST = Timing(settle=0, watch=0, lost=50 * MS)
@@ -87,7 +87,7 @@
 
 
 def stage(rig: Rig, subject: str = "acme") -> Stage | None:
-    move = node(rig).celled.moves.records.get(subject)
+    move = node(rig).celled.migrations.records.get(subject)
     return None if move is None else move.stage
 
 
@@ -124,7 +124,7 @@
             and not router(rig).open
             and not node(rig).celled.accounting.charges
         )
-        text = (await call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
+        text = (await admin_call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
         assert 'larchhall_cell_replies_total{cell="a",type="glance",status="success"} 10' in text
 
 
@@ -135,9 +135,9 @@
         client = await rig.client()
         ask(client, 1, "acme", route="stock-add")
         await until(lambda: one.commands_named(b"do"))
-        status, _, body = await call(rig, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n")
+        status, _, body = await admin_call(rig, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n")
         assert status == 200 and json.loads(body)["stage"] == "proposed"
-        assert (await call(rig, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n"))[0] == 409
+        assert (await admin_call(rig, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n"))[0] == 409
         await until(lambda: stage(rig) is Stage.DRAINING)
         ask(client, 2, "acme")
         assert (await client.answer())[:2] == (2, frames.SERVED)
@@ -154,7 +154,7 @@
             one.answer_served(do, one.writer_of(do))
         await until(lambda: stage(rig) is Stage.DONE)
         assert len(two_.commands_named(b"do")) == 1
-        shown = json.loads((await call(rig, b"GET /cells HTTP/1.1\r\n\r\n"))[2])
+        shown = json.loads((await admin_call(rig, b"GET /cells HTTP/1.1\r\n\r\n"))[2])
         assert {t["tenant"]: t["cell"] for t in shown["tenants"]} == {"acme": "b", "beta": "b"}
 
 
@@ -195,12 +195,12 @@
             (b"POST /cells/move/%ff/b", 400),
             (b"POST /cells/move//b", 409),
         ):
-            got, head, body = await call(rig, raw + b" HTTP/1.1\r\n\r\n")
+            got, head, body = await admin_call(rig, raw + b" HTTP/1.1\r\n\r\n")
             assert got == status and "error" in json.loads(body) and body.count("\n") == 1, raw
             assert ("allow" in head) == (status == 405)
-        assert not node(rig).celled.moves.records
+        assert not node(rig).celled.migrations.records
     async with running(make_config(operator=True)) as plain:
-        assert (await call(plain, b"GET /cells HTTP/1.1\r\n\r\n"))[0] == 404
+        assert (await admin_call(plain, b"GET /cells HTTP/1.1\r\n\r\n"))[0] == 404
 
 
 @on_uvloop
@@ -210,7 +210,7 @@
         client = await rig.client()
         ask(client, 1, "acme", route="stock-add")
         await until(lambda: one.commands_named(b"do"))
-        node(rig).celled.moves.propose("acme", "b", rig.node.clock.now())
+        node(rig).celled.migrations.propose("acme", "b", rig.node.clock.now())
         await until(lambda: stage(rig) is Stage.DRAINING)
         port = rig.node.dispatcher.endpoint_table.by_uid["s-2"].target.port
         rig.node.dispatcher.endpoint_list_changed(
@@ -241,7 +241,9 @@
         assert router(rig).seats.fleet("a", rig.node.clock.now()).cold == 1
         node(rig).apply_map(two(3))
         facade = router(rig).facades["b"]
-        assert all(e.cold_until > rig.node.clock.now() for e in facade.controller.engines.values())
+        assert all(
+            e.warmup_ends_ns > rig.node.clock.now() for e in facade.controller.endpoints.values()
+        )
 
 
 @on_uvloop
@@ -258,13 +260,13 @@
             router(rig).seats.cell_of(number) == "b"
             and number in router(rig).outstanding_work.left_over
         )
-        beside = router(rig).facades["b"].controller.engines[number].beside
+        beside = router(rig).facades["b"].controller.endpoints[number].co_process_work
         # what is out there counts in its new cell
         assert beside.threads == 2 and beside.backlog_ns > 0
         assert router(rig).outstanding(0)[number].threads == 2  # and once for other processes
         one.answer_served(one.commands_named(b"do")[0], one.writer_of(one.commands_named(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert router(rig).facades["b"].controller.engines[number].beside.threads == 0
+        assert router(rig).facades["b"].controller.endpoints[number].co_process_work.threads == 0
         assert not router(rig).outstanding_work.left_over and not router(rig).requests
         # Its old cell's tenant does not meet it any more.
         ask(client, 2, "acme")
@@ -329,7 +331,7 @@
         while (await client.answer())[0] != 1:
             pass
         await until(lambda: "b" not in router(rig).facades)
-        assert dropped.dissolved and "b" not in node(rig).celled.requests_lent.accounts
+        assert dropped.dissolved and "b" not in node(rig).celled.request_ledger.accounts
 
 
 @on_uvloop
@@ -337,20 +339,20 @@
     one, two_ = Engine(lambda *_: None), Engine()
     async with pair(two(), one, two_) as rig:
         broker = node(rig).celled
-        broker.requests_lent.divide(16, broker.shares())
+        broker.request_ledger.divide(16, broker.cell_weights())
         client, other = await rig.client(), await rig.client()
         for stream in range(1, 31):
             ask(other, stream, "acme")  # nobody answers: they stay
         for _ in range(30 - 16 + int(RESERVED_FRACTION * 8)):
             stream, code, fields, _ = await other.answer()
             assert code == frames.REFUSED and "pause" in fields
-        assert broker.requests_lent.lent("a") == 16 - int(RESERVED_FRACTION * 8) - 8
+        assert broker.request_ledger.borrowed("a") == 16 - int(RESERVED_FRACTION * 8) - 8
         # The owner asks: what is lent comes back, each of them with one answer.
         two_.script = lambda *_: None
         ask(client, 31, "beta")
         ask(client, 32, "beta")
         ask(client, 33, "beta")
-        await until(lambda: broker.requests_lent.lent("a") == 0)
+        await until(lambda: broker.request_ledger.borrowed("a") == 0)
         assert broker.called_in == 6 and all(
             len(r.statement) or r.client is None for r in broker.requests.values()
         )
@@ -365,13 +367,13 @@
         broker = node(rig).celled
         pools: Any = broker.pools
         pools.most = 8
-        pools.ledger.divide(8, broker.shares())
+        pools.ledger.divide(8, broker.cell_weights())
         client, other = await rig.client(), await rig.client()
         for stream in range(1, 17):
             ask(client, stream, "acme", route="stock-add" if stream % 2 else "glance")
         await until(lambda: len(one.commands_named(b"do")) == 16)
         pools.count_use()
-        assert pools.ledger.accounts["a"].used > 4 and pools.ledger.lent("a")
+        assert pools.ledger.accounts["a"].used > 4 and pools.ledger.borrowed("a")
         two_.script = lambda *_: None
         for stream in range(1, 13):
             ask(other, stream, "beta")
@@ -442,7 +444,7 @@
         by_cell = {c.cell: c for c in rig.node.clients if isinstance(c, CelledConnection)}
         unread = {cell: by_cell[cell].unread() for cell in ("a", "b")}
         node(rig).celled.answers.divide(
-            max(1, unread["b"] // 2), node(rig).celled.shares_with_anteroom()
+            max(1, unread["b"] // 2), node(rig).celled.cell_weights_with_anteroom()
         )
         assert unread["b"] > 0
         rig.node.admission.close_slow_readers(rig.node.clock.now())
@@ -460,7 +462,7 @@
         Engine(),
     ) as rig:
         broker = node(rig).celled
-        broker.connections.divide(20, broker.shares_with_anteroom())
+        broker.connections.divide(20, broker.cell_weights_with_anteroom())
         part = broker.connections.accounts["b"].part
         held = []
         for stream in range(1, 19):
@@ -559,7 +561,7 @@
             await world.add(new, cores=4)
             world.drain(old)
             if step == 1:
-                node(rig).celled.moves.propose("acme", "b", rig.node.clock.now())
+                node(rig).celled.migrations.propose("acme", "b", rig.node.clock.now())
             await asyncio.sleep(0.3)
             world.terminate(old)
         await playing
@@ -601,7 +603,7 @@
             client = await old.client()
             ask(client, 1, "acme", route="stock-add")
             await until(lambda: one.commands_named(b"do"))
-            node(old).celled.moves.propose("acme", "b", old.node.clock.now())
+            node(old).celled.migrations.propose("acme", "b", old.node.clock.now())
             await until(lambda: stage(old) is Stage.DRAINING)
             # The successor was given an older file: it takes the newer map, and the move, from the
             # old one.
@@ -617,7 +619,7 @@
                 assert (await client.frame())[0] == frames.NO_MORE
                 assert (await client.answer())[1] == frames.SERVED
                 await until(lambda: stage(new) is Stage.DONE)
-                moved = node(new).celled.moves
+                moved = node(new).celled.migrations
                 assert moved.records["acme"].driver == node(new).me
                 assert moved.cell("acme", new.node.clock.now()) == "b"
 
@@ -633,7 +635,7 @@
             async with beside(made, held, tmp_path, two(5, beta="a")) as new:
                 await until(lambda: node(old).map.epoch == 5)
                 assert node(old).map.digest() == node(new).map.digest()
-                assert node(old).celled.moves.cell("beta", 0) == "a"
+                assert node(old).celled.migrations.cell("beta", 0) == "a"
                 # Told by somebody else, or spoilt on its way: it changes nothing.
                 assert node(old).read_peer_status({"cells": {"me": 3}, "accepting": True}) is None
                 assert node(old).read_peer_status({"cells": "x", "accepting": True}) is None
@@ -753,13 +755,13 @@
 
         async def hup(text: str) -> None:
             path.write_text(text)
-            before = figures.reloads_taken + figures.reloads_turned_down
+            before = figures.reloads_applied + figures.reloads_rejected
             rig.node.reload()
             rig.node.reload()  # once is enough while the first is being read
-            await until(lambda: figures.reloads_taken + figures.reloads_turned_down > before)
+            await until(lambda: figures.reloads_applied + figures.reloads_rejected > before)
 
         good = path.read_text()
-        node(rig).celled.moves.propose("acme", "b", rig.node.clock.now())
+        node(rig).celled.migrations.propose("acme", "b", rig.node.clock.now())
         for text, problem in (
             (good.replace("epoch(1)", "epoch(0)"), "epoch: 0 is older than 1"),
             (good + '\ntenant("new", cell = "a")', "epoch: 1 is in force with another map"),
@@ -771,7 +773,7 @@
             await hup(text)
             last = [line for line in rig.logged if line.startswith("reload")][-1]
             assert problem in last and "stays as it was" in last
-            assert node(rig).map == first and figures.reloads_taken == 0
+            assert node(rig).map == first and figures.reloads_applied == 0
         # A fault in the other file keeps both as they were.
         newer = good.replace("epoch(1)", "epoch(2)") + '\ntenant("new", cell = "b")'
         raw = (tmp_path / "config.json").read_text()
@@ -780,7 +782,7 @@
         assert node(rig).map == first
         (tmp_path / "config.json").write_text(raw)
         await hup(newer)
-        assert node(rig).map.epoch == 2 and node(rig).celled.moves.cell("new", 0) == "b"
+        assert node(rig).map.epoch == 2 and node(rig).celled.migrations.cell("new", 0) == "b"
         assert stage(rig) is not None  # a move under way goes on
         await hup(newer)  # the same again is no fault
-        assert figures.reloads_taken == 2
+        assert figures.reloads_applied == 2
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,7 +9,14 @@
 
 import pytest
 
-from query_broker.config import DEFAULT_SOCKETS, NOT_NEEDED, READ, ConfigError, load, parse
+from query_broker.config import (
+    DEFAULT_SOCKETS,
+    IGNORED_SETTINGS_KEYS,
+    SETTINGS_KEYS,
+    ConfigError,
+    load,
+    parse,
+)
 from query_broker.decisions.settings import Effect
 
 from . import deployments
@@ -41,9 +48,17 @@
     config = parse(RAW, {})
     assert (config.name, config.host, config.port) == ("n3", "10.0.0.4", 9090)
     assert config.seed == 0x8C1F30D27A5BE964
-    assert (config.sockets, config.bus, config.known_offset) == (4096, ("10.2.0.1", 7070), 3)
-    assert [t.uid for t in config.known[0].targets] == ["s-1"]
-    assert (config.connect_timeout, config.conn_idle, config.streams) == (250 * MS, 30_000 * MS, 32)
+    assert (config.sockets, config.discovery_address, config.known_offset) == (
+        4096,
+        ("10.2.0.1", 7070),
+        3,
+    )
+    assert [t.uid for t in config.known_events[0].targets] == ["s-1"]
+    assert (
+        config.connect_timeout_ns,
+        config.connection_idle_ns,
+        config.streams_per_connection,
+    ) == (250 * MS, 30_000 * MS, 32)
     assert [c.effect for c in config.settings.classes] == [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT]
     assert config.settings.classes[1].threads == 2
 
@@ -59,7 +74,11 @@
     }
     config = parse(smallest, {"PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.1:80"})
     assert (config.name, config.host, config.port) == ("n9", "127.0.0.1", 80)
-    assert (config.sockets, config.bus, config.known) == (DEFAULT_SOCKETS, None, ())
+    assert (config.sockets, config.discovery_address, config.known_events) == (
+        DEFAULT_SOCKETS,
+        None,
+        (),
+    )
 
 
 @pytest.mark.parametrize(
@@ -190,10 +209,12 @@
     for deployment in deployments.ALL.values():
         complete = {**deployment, "charges": {"cross_zone": 0.1, "handshake": 0.0}}
         parse({"listen": "127.0.0.1:1", "settings": watched(complete, "", read)}, {})
-    assert read == READ
+    assert read == SETTINGS_KEYS
     for part, names in DOCUMENTED.items():
-        assert set(names.split()) == READ[part] | NOT_NEEDED.get(part, set()), part
-        assert not READ[part] & NOT_NEEDED.get(part, set())
+        assert set(names.split()) == SETTINGS_KEYS[part] | IGNORED_SETTINGS_KEYS.get(
+            part, set()
+        ), part
+        assert not SETTINGS_KEYS[part] & IGNORED_SETTINGS_KEYS.get(part, set())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -278,7 +278,7 @@
         await until(rig.node.ready)
         client.ask()
         assert (await client.answer())[1] == frames.SERVED
-        held = len(rig.node.clients) + rig.node.dispatcher.pools._held()
+        held = len(rig.node.clients) + rig.node.dispatcher.pools._count_connections()
         assert held < config.sockets
         for raw in idle:
             raw.close()
@@ -457,7 +457,7 @@
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         with socket.create_connection(("127.0.0.1", rig.port)) as raw:
             raw.sendall(frames.frame(frames.ASK_READY, 0, b"\0"))
-            await until(lambda: any(c.spoken for c in rig.node.clients))
+            await until(lambda: any(c.has_sent_frame for c in rig.node.clients))
             connection = next(iter(rig.node.clients))
             raw.sendall(asked(1))
             rig.node.clock.anchor += 2 * IDLE_TIMEOUT_NS
@@ -527,7 +527,7 @@
     """
     engine = Engine()
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        rig.node.dispatcher.pools.own = not busy
+        rig.node.dispatcher.pools.dedicated_connections = not busy
         client = await rig.client()
         client.ask()
         assert (await client.answer())[1] == frames.SERVED
@@ -535,7 +535,7 @@
             engine.script = lambda *_: None
             client.ask(2, trace="2" * 16)
             await until(lambda: len(engine.commands_named(b"do")) == 2)
-            engine.script = lambda e, parts, w: e.serve(parts, w)
+            engine.script = lambda e, parts, w: e.answer_served(parts, w)
         number = engine.writers[0].transport.get_extra_info("socket").fileno()
         with socket.socket(fileno=os.dup(number)) as its:
             if reset:
@@ -594,7 +594,7 @@
         with held.fill():
             client.ask(2, trace="2" * 16)
             pool = next(iter(rig.node.dispatcher.pools.by_number.values()))
-            await until(lambda: pool.waiting)
+            await until(lambda: pool.waiting_attempts)
             engine.writer.write(resp.encode(b"1" * 16, b"update", b"tell=pct,amount=0.5", b""))
             assert b"2" * 16 in await within(engine.reader.readuntil(STATEMENT))
             for trace in (b"1" * 16, b"2" * 16):
@@ -603,7 +603,7 @@
                 (1, frames.SERVED),
                 (2, frames.SERVED),
             }
-        assert not next(iter(rig.node.dispatcher.facade.controller.engines.values())).suspect
+        assert not next(iter(rig.node.dispatcher.facade.controller.endpoints.values())).ejected
         held.listener.close()
 
 
@@ -617,7 +617,7 @@
         with held.fill():
             client.ask(2, trace="2" * 16)
             assert (await client.answer())[:2] == (2, frames.REFUSED)
-        assert next(iter(rig.node.dispatcher.facade.controller.engines.values())).suspect
+        assert next(iter(rig.node.dispatcher.facade.controller.endpoints.values())).ejected
         engine.writer.close()
         held.listener.close()
 
@@ -663,7 +663,7 @@
     async with running(make_config(*targets, classes=classes)) as rig:
         caller = Caller()
         rig.node.dispatcher.submit(caller, 1, ask_of("claim", nonce="k1"))
-        await until(lambda: len(dialled) == 2 and dialled[1].waiting)
+        await until(lambda: len(dialled) == 2 and dialled[1].waiting_attempts)
         assert sum(len(e.commands_named(b"do")) for e in engines) == 1
         if late:
             rig.node.clock.anchor += window
@@ -687,16 +687,16 @@
         broker, caller = rig.node.dispatcher, Caller()
         request = broker.submit(caller, 1, ask_of("glance"))
         pool = next(iter(broker.pools.by_number.values()))
-        assert pool.waiting
+        assert pool.waiting_attempts
         report = broker.outcomes.report_deferred
         # The next tick is still to come.
         monkeypatch.setattr(broker.outcomes, "report_deferred", lambda: None)
         broker.cancellations.cancel_attempt(CancelAttempt(request.id, 0))
         gate.set()
-        await until(lambda: pool.connections and not pool.waiting)
+        await until(lambda: pool.connections and not pool.waiting_attempts)
         assert not engine.commands_named(b"do")
         monkeypatch.setattr(broker.outcomes, "report_deferred", report)
-        broker.wheel.soon()
+        broker.timers.wake_next_tick()
         assert await within(caller.told.get()) == "served"
         assert len(engine.commands_named(b"do")) == 1
 
@@ -715,8 +715,8 @@
         )
     )
     for number in (1, 2):
-        h.controller.outliers.set_ejected(h.now, h.controller.engines[number], True)
-        h.controller.engines[number].next_trial = h.now + 9 * S
+        h.controller.outliers.set_ejected(h.now, h.controller.endpoints[number], True)
+        h.controller.endpoints[number].next_trial_ns = h.now + 9 * S
     h.arrive("r", estimate_ns=40 * MS)
     assert h.sends("r")[0].endpoint in (1, 2)
 
--- a/tests/test_deadlines_pure.py
+++ b/tests/test_deadlines_pure.py
@@ -20,16 +20,16 @@
     ScopeKind,
     Undoing,
 )
-from query_broker.deadlines.handover_checks import HandOverCheck, StopReason, stop
+from query_broker.deadlines.handover_checks import HandOverCheck, StopReason, reason_to_stop
 from query_broker.deadlines.retry_budget import RetryBudget, RetryBudgetSettings, attempt_time
-from query_broker.deadlines.settings import DeadlineSettings, Logs, MarginTerms, Stage
+from query_broker.deadlines.settings import DeadlineSettings, LatencyStage, Logs, MarginTerms
 from query_broker.deadlines.stage_latencies import GENERATION, Quantiles, StageLatencies
 from query_broker.deadlines.write_queue import CONTROL, Frame, WriteQueue, rest
 from query_broker.dispatch.requests import ActiveRequest, Attempt
 from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
 from query_broker.protocols import resp
 from query_broker.server.log import Log
-from query_broker.server.structured_log import Lines, sampled, stories
+from query_broker.server.structured_log import StructuredLog, is_sampled, trace_observer
 from query_broker.timer_wheel import Clock
 
 from .sockets import ROOT
@@ -47,18 +47,18 @@
         (HandOverCheck(False, 10), StopReason.LEFT),
         (HandOverCheck(True, 5), StopReason.PAST),
         (HandOverCheck(True, 4), StopReason.PAST),
-        (HandOverCheck(True, 10, out=True), StopReason.OUT),
-        (HandOverCheck(True, 10, drained_at=5), StopReason.DRAINED),
-        (HandOverCheck(True, 10, drained_at=6), None),
-        (HandOverCheck(True, 10, fastest=6), StopReason.TOO_LATE),
-        (HandOverCheck(True, 10, fastest=5), None),
+        (HandOverCheck(True, 10, disabled=True), StopReason.OUT),
+        (HandOverCheck(True, 10, drained_at_ns=5), StopReason.DRAINED),
+        (HandOverCheck(True, 10, drained_at_ns=6), None),
+        (HandOverCheck(True, 10, fastest_ns=6), StopReason.TOO_LATE),
+        (HandOverCheck(True, 10, fastest_ns=5), None),
         (HandOverCheck(False, 4, 9, True, 1), StopReason.LEFT),
     ],
 )  # nobody wants it: that says nothing of the engine
 def test_a_gate_tells_the_first_reason_against_it(
     passing: HandOverCheck, why: StopReason | None
 ) -> None:
-    assert stop(5, passing) is why
+    assert reason_to_stop(5, passing) is why
 
 
 # --- the outbox ---
@@ -81,7 +81,7 @@
     def put(self, name: str, level: int = 1, size: int = 10) -> None:
         pieces = (name[:1].encode() * (size // 2), name[:1].upper().encode() * (size - size // 2))
         self.whole[name] = b"".join(pieces)
-        if self.box.put(Frame(pieces, name.encode(), level, size, name)):
+        if self.box.enqueue(Frame(pieces, name.encode(), level, size, name)):
             self.flush(0)
 
     def flush(self, most: int) -> None:
@@ -109,12 +109,10 @@
     wire = Wire()
     for name in "abc":
         wire.put(name)
-    assert (
-        wire.box.take_back(b"b") and not wire.box.take_back(b"b") and not wire.box.take_back(b"z")
-    )
+    assert wire.box.withdraw(b"b") and not wire.box.withdraw(b"b") and not wire.box.withdraw(b"z")
     wire.flush(1)
-    assert not wire.box.take_back(b"a")
-    assert wire.box.take_back(b"c") and not wire.box.empty()
+    assert not wire.box.withdraw(b"a")
+    assert wire.box.withdraw(b"c") and not wire.box.empty()
     wire.flush(100)
     assert wire.out == b"aaaaaAAAAA" and wire.box.empty() and wire.box.waiting_bytes == 0
 
@@ -127,7 +125,7 @@
     wire.flush(100)
     assert wire.gone == ["b"] and not wire.box.keyed
     wire.put("c")  # under its key again: the one that was stopped is gone
-    assert wire.box.take_back(b"c")
+    assert wire.box.withdraw(b"c")
 
 
 def test_an_outbox_that_is_full_says_so() -> None:
@@ -145,8 +143,8 @@
     wire = Wire()
     for name in "abc":
         wire.put(name)
-    assert wire.box.raise_level(b"c", 3) and wire.box.raise_level(b"b", 1)
-    assert not wire.box.raise_level(b"z", 3)
+    assert wire.box.raise_priority(b"c", 3) and wire.box.raise_priority(b"b", 1)
+    assert not wire.box.raise_priority(b"z", 3)
     wire.flush(100)
     assert wire.gone == ["c", "a", "b"]
 
@@ -168,12 +166,12 @@
             wire.put(names[-1], number % 5, 2 + number)
         elif word == "flush":
             wire.flush(number)
-        elif word == "back" and wire.box.take_back(name.encode()):
+        elif word == "back" and wire.box.withdraw(name.encode()):
             back.add(name)
         elif word == "stop" and name not in wire.begun:
             wire.stopped.add(name)
         elif word == "level":
-            wire.box.raise_level(name.encode(), number % 4)
+            wire.box.raise_priority(name.encode(), number % 4)
         assert wire.box.waiting_bytes == sum(f.size for f in wire.box.keyed.values())
     wire.flush(1 << 20)
     assert wire.box.empty() and not back & set(wire.begun) and wire.begun == wire.gone
@@ -198,21 +196,21 @@
 def tree() -> tuple[CancelScope, list[CancelScope]]:
     request = CancelScope(ScopeKind.REQUEST, "r")
     unsent, sent = request.open(ScopeKind.ATTEMPT, 0), request.open(ScopeKind.ATTEMPT, 1)
-    sent.left = True
-    page, probe = sent.open(ScopeKind.PAGE, "p"), sent.open(ScopeKind.PROBE, "q")
+    sent.write_started = True
+    page, probe = sent.open(ScopeKind.PAGE, "p"), sent.open(ScopeKind.HEALTH_CHECK, "q")
     return request, [unsent, sent, page, probe]
 
 
 @pytest.mark.parametrize(
-    ("honoured", "act"), [(True, CancelAction.UNDO), (False, CancelAction.LET_RUN)]
+    ("honoured", "act"), [(True, CancelAction.CANCEL), (False, CancelAction.LET_RUN)]
 )
 def test_ending_a_scope_ends_all_below_it_children_first_and_once(
     honoured: bool, act: CancelAction
 ) -> None:
     request, (unsent, sent, page, probe) = tree()
     assert request.end(honoured) == [
-        (CancelAction.TAKE_BACK, unsent),
-        (CancelAction.FORGET, page),
+        (CancelAction.WITHDRAW, unsent),
+        (CancelAction.DISCARD_PAGES, page),
         (CancelAction.LET_RUN, probe),
         (act, sent),
         (CancelAction.ANSWER, request),
@@ -226,7 +224,7 @@
     request, (unsent, sent, page, probe) = tree()
     sent.close()
     assert page.over and request.end(True) == [
-        (CancelAction.TAKE_BACK, unsent),
+        (CancelAction.WITHDRAW, unsent),
         (CancelAction.ANSWER, request),
     ]
 
@@ -252,18 +250,20 @@
 
 def test_a_budget_gives_a_share_of_first_attempts_and_a_burst() -> None:
     budget = RetryBudget(RetryBudgetSettings(share=0.2, burst=3.0, classes=(("load", 0.0, 1.0),)))
-    assert [budget.further("glance", "x") for _ in range(4)] == [True, True, True, False]
-    assert budget.further("glance", "y")  # another tenant's is its own
+    assert [budget.try_spend("glance", "x") for _ in range(4)] == [True, True, True, False]
+    assert budget.try_spend("glance", "y")  # another tenant's is its own
     for _ in range(5):
-        budget.first("glance", "x")
+        budget.record_first_attempt("glance", "x")
     assert (
-        budget.further("glance", "x") and not budget.further("glance", "x") and budget.refused == 2
+        budget.try_spend("glance", "x")
+        and not budget.try_spend("glance", "x")
+        and budget.refused == 2
     )
-    budget.back("glance", "x")  # it never left
-    assert budget.further("glance", "x")
-    assert budget.further("load", "x") and not budget.further("load", "x")
+    budget.refund("glance", "x")  # it never left
+    assert budget.try_spend("glance", "x")
+    assert budget.try_spend("load", "x") and not budget.try_spend("load", "x")
     one = RetryBudget(RetryBudgetSettings(burst=1.0, by_tenant=False))
-    assert one.further("glance", "x") and not one.further("glance", "y")
+    assert one.try_spend("glance", "x") and not one.try_spend("glance", "y")
 
 
 @given(st.lists(st.booleans(), max_size=300), st.floats(0, 1), st.floats(1, 20))
@@ -273,18 +273,18 @@
     budget, firsts, made = RetryBudget(RetryBudgetSettings(share, burst)), 0, 0
     for first in steps:
         if first:
-            budget.first("glance", "x")
+            budget.record_first_attempt("glance", "x")
             firsts += 1
         else:
-            made += budget.further("glance", "x")
+            made += budget.try_spend("glance", "x")
         assert made <= burst + share * firsts + 1e-6
 
 
 def test_books_of_many_tenants_are_bounded() -> None:
     budget = RetryBudget(RetryBudgetSettings())
     for i in range(3 * further.MOST_KEPT):
-        budget.further("glance", f"t{i}")
-        budget.first("glance", f"t{i}")
+        budget.try_spend("glance", f"t{i}")
+        budget.record_first_attempt("glance", f"t{i}")
     assert len(budget.tokens) <= further.MOST_KEPT + 1
 
 
@@ -312,16 +312,16 @@
 
 def test_quantiles_follow_and_forget() -> None:
     known = Quantiles()
-    assert known.at(0.5, 0) is None
+    assert known.quantile(0.5, 0) is None
     for i in range(1_000):
         known.add(i * MS, 0)
-    middle = known.at(0.5, 0)
+    middle = known.quantile(0.5, 0)
     assert middle is not None and abs(middle - 500 * MS) < 20 * MS
     for i in range(1_000):
         known.add(MS, GENERATION + i)
     for i in range(1_000):
         known.add(MS, 2 * GENERATION + 2_000 + i)
-    last = known.at(0.99, 2 * GENERATION + 4_000)
+    last = known.quantile(0.99, 2 * GENERATION + 4_000)
     assert last is not None and last <= 2 * MS and sum(known.counts) == known.seen == 3_000
 
 
@@ -331,14 +331,14 @@
     for slow in (30 * MS, 500 * MS):
         before = stages.margin
         for i in range(200):
-            stages.add("glance", Stage.DECIDE, MS, i)
-            stages.add("glance", Stage.ANSWER, slow, i)
+            stages.add("glance", LatencyStage.DECIDE, MS, i)
+            stages.add("glance", LatencyStage.ANSWER, slow, i)
         assert before < stages.learn(1_000) <= before * 1.25
     for _ in range(50):
         assert 2 * MS <= stages.learn(2_000) <= 40 * MS
     assert stages.margin == 40 * MS
     assert stages.fastest("glance", 0) == 0
-    assert MS <= stages.fastest("glance", 0, Stage.DECIDE, Stage.ENGINE) < 2 * MS
+    assert MS <= stages.fastest("glance", 0, LatencyStage.DECIDE, LatencyStage.ENGINE) < 2 * MS
     text = "\n".join(stages.text("x_"))
     assert 'x_stage_seconds_bucket{type="glance",stage="answer",le="+Inf"} 400' in text
 
@@ -384,9 +384,9 @@
 
 def told(format: str, capsys: pytest.CaptureFixture[str], **more: Any) -> list[str]:
     log = Log("n0")
-    lines = Lines("n0", Logs(format, **more))  # type: ignore[arg-type]
+    lines = StructuredLog("n0", Logs(format, **more))  # type: ignore[arg-type]
     log.sink = lines
-    tell = stories(log, lines, lambda: 2 * S)
+    tell = trace_observer(log, lines, lambda: 2 * S)
     for i, deadline in enumerate((3 * S, S)):
         request = ActiveRequest(
             f"{i}", b"%016x" % i, b"glance", b"", None, 1, deadline, "acme", S, S + MS
@@ -432,8 +432,8 @@
 
 
 def test_the_same_requests_are_sampled_everywhere() -> None:
-    chosen = [i for i in range(10_000) if sampled(b"%016x" % i, 0.1)]
-    assert 800 < len(chosen) < 1_200 and not sampled(b"x", 0.0) and sampled(b"x", 1.0)
+    chosen = [i for i in range(10_000) if is_sampled(b"%016x" % i, 0.1)]
+    assert 800 < len(chosen) < 1_200 and not is_sampled(b"x", 0.0) and is_sampled(b"x", 1.0)
 
 
 def test_the_clock_goes_on_when_the_machine_s_is_set_back(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_deadlines_sockets.py
+++ b/tests/test_deadlines_sockets.py
@@ -40,8 +40,8 @@
     until,
     within,
 )
-from .test_operator import call
-from .test_upgrade import beside, meet
+from .test_operator import admin_call
+from .test_upgrade import co_process, meet
 
 LARGE = b"SELECT 1 FROM sales_17.orders /* " + b"x" * 200_000 + b" */"
 CANCEL = {**platform_settings()["policy_limits"], "cancel": True}
@@ -126,7 +126,7 @@
 
 async def jammed(rig: Rig, most: int = 1) -> Client:
     """A client whose large request is half written before an engine that does not read."""
-    rig.node.dispatcher.pools.most = most
+    rig.node.dispatcher.pools.max_connections = most
     client = await rig.client()
     client.ask(1, body=LARGE, trace=trace(1), patience="5000", route="stock-add", weight="1.0")
     await until(lambda: rig.node.dispatcher.connection_events.blocked)
@@ -164,7 +164,7 @@
 async def test_a_deadline_that_passes_while_the_frame_is_half_written() -> None:
     slow = Slow()
     async with running(make_config(target_entry("s-1", slow.port))) as rig:
-        rig.node.dispatcher.pools.most = 1
+        rig.node.dispatcher.pools.max_connections = 1
         client = await rig.client()
         client.ask(1, body=LARGE, trace=trace(1), patience="300", route="stock-add", weight="1.0")
         client.ask(2, trace=trace(2), patience="300", route="stock-add", weight="1.0")
@@ -237,7 +237,7 @@
         client = await jammed(rig)
         client.ask(2, trace=trace(2), route="stock-add", weight="1.0")
         await until(lambda: held(rig)[0].write_queue.keyed)
-        rig.node.dispatcher.pools.most = 8
+        rig.node.dispatcher.pools.max_connections = 8
         rig.node.dispatcher.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-2", spare)))
         )
@@ -269,7 +269,7 @@
         rig.node.dispatcher.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-2", await other.start())))
         )
-        rig.node.dispatcher.pools.most = 16
+        rig.node.dispatcher.pools.max_connections = 16
         for number in range(2, 32):
             await slow.read(1)
             client.ask(number, trace=trace(number), weight="1.0", patience="400")
@@ -325,7 +325,7 @@
         for _ in range(4):
             await client.answer()
         await until(lambda: not rig.node.dispatcher.requests)
-        assert not engine.commands_named(b"undo") and statistics(rig).undone == 0
+        assert not engine.commands_named(b"undo") and statistics(rig).cancels_sent == 0
 
 
 @pytest.mark.parametrize("end", ["left", "closed", "deadline"])
@@ -348,9 +348,9 @@
             assert (await client.answer())[1] == frames.FAILED
         await until(lambda: engine.commands_named(b"undo"))
         assert {d[1] for d in engine.commands_named(b"undo")} == {TRACE.encode()}
-        await until(lambda: statistics(rig).cancelled == 1)  # by silence
-        assert statistics(rig).undone == 1 and len(engine.commands_named(b"undo")) <= 3
-        assert held(rig)[0].quiet() and not rig.node.dispatcher.requests
+        await until(lambda: statistics(rig).stopped_after_cancel == 1)  # by silence
+        assert statistics(rig).cancels_sent == 1 and len(engine.commands_named(b"undo")) <= 3
+        assert held(rig)[0].is_idle() and not rig.node.dispatcher.requests
 
 
 @on_uvloop
@@ -365,12 +365,12 @@
         client.send(frames.ABANDON, 1)
         await until(lambda: engine.commands_named(b"undo"))
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
-        await until(lambda: statistics(rig).went_on == 1)
+        await until(lambda: statistics(rig).answered_after_cancel == 1)
         client.ask(2, trace=trace(2), weight="1.0")
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         engine.answer_served(engine.commands_named(b"do")[1], engine.writers[-1])
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        assert statistics(rig).cancelled == 0
+        assert statistics(rig).stopped_after_cancel == 0
 
 
 @on_uvloop
@@ -385,7 +385,7 @@
         one.answer_served(one.commands_named(b"do")[0], one.writers[0])
         assert (await client.answer())[1] == frames.SERVED
         await until(lambda: sum(len(e.commands_named(b"undo")) for e in engines) >= 1)
-        assert statistics(rig).undone == 1
+        assert statistics(rig).cancels_sent == 1
 
 
 @on_uvloop
@@ -397,7 +397,7 @@
         assert (await client.answer())[:2] == (1, frames.FAILED)
         await until(lambda: not rig.node.dispatcher.requests)
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
-        await until(lambda: statistics(rig).late == 1)
+        await until(lambda: statistics(rig).late_answers == 1)
         client.send(frames.ASK_READY, 0, b"\0")
         assert (await client.frame())[0] == frames.READY  # and no second answer before it
 
@@ -415,7 +415,7 @@
         await until(lambda: len(engine.commands_named(b"page")) == 2)
         client.send(frames.ABANDON, 1)
         await until(lambda: engine.commands_named(b"forget"))
-        await until(lambda: not rig.node.dispatcher.requests and held(rig)[0].quiet())
+        await until(lambda: not rig.node.dispatcher.requests and held(rig)[0].is_idle())
 
 
 @on_uvloop
@@ -429,7 +429,7 @@
         client = await jammed(rig)
         client.ask(2, trace=trace(2), route="stock-add", weight="1.0")
         await until(lambda: held(rig)[0].write_queue.keyed)
-        rig.node.dispatcher.pools.most = 8
+        rig.node.dispatcher.pools.max_connections = 8
         rig.node.dispatcher.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-2", spare)))
         )
@@ -468,11 +468,11 @@
     slow = Slow()
     made = make_config(target_entry("s-1", slow.port))
     with socket.create_server(("127.0.0.1", 0)) as listening:
-        async with beside(made, listening, tmp_path) as old:
+        async with co_process(made, listening, tmp_path) as old:
             client = await jammed(old)
             client.ask(2, trace=trace(2), patience="900", route="stock-add", weight="200")
             await until(lambda: held(old)[0].write_queue.keyed)
-            async with beside(made, listening, tmp_path) as new:
+            async with co_process(made, listening, tmp_path) as new:
                 await meet(old, new)
                 old.node.shutdown.begin()
                 assert (await client.frame())[0] == frames.NO_MORE
@@ -567,7 +567,7 @@
         for number in range(1, 81):
             client.ask(number, trace=trace(number), weight="1.0")
             assert (await client.answer())[1] == frames.SERVED
-        text = (await call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
+        text = (await admin_call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
         for stage in ("read", "decide", "connect", "write", "engine", "answer"):
             assert f'larchhall_stage_seconds_count{{type="glance",stage="{stage}"}} 80' in text
         assert "larchhall_margin_seconds 0.01" in text and "larchhall_undone_total 0" in text
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -25,7 +25,7 @@
 from query_broker.emulator.clients import RequestLog
 from query_broker.emulator.cluster import EmulatedCluster
 from query_broker.emulator.cluster import broker_config as world_config
-from query_broker.emulator.data_engine import IdempotencyKeyStore, keys_run_twice
+from query_broker.emulator.data_engine import IdempotencyKeyStore, SlowRuns, keys_run_twice
 from query_broker.endpoints.connection_pool import ConnectionPool
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
@@ -191,9 +191,9 @@
     """All that the second deployment's engines do, together; the ledgers are the judge."""
     world = EmulatedCluster(
         honours_cancel=True,
-        keys=IdempotencyKeyStore(20 * S),
-        tells_every=50 * MS,
-        bad_plans=(0.1, 15.0),
+        key_store=IdempotencyKeyStore(20 * S),
+        progress_interval_ns=50 * MS,
+        slow_runs=SlowRuns(0.1, 15.0),
     )
     await world.start("s-1", "s-2", "s-3", "s-4")
     raw = world_config(world, "127.0.0.1:1", **deployments.WAREHOUSE)
@@ -279,7 +279,7 @@
         )
         self.faults: list[str] = []
         self.broker.endpoint_list_changed(parse_event(topology_event(1, *targets, full=True)))
-        self.broker.pools.limit(100)
+        self.broker.pools.set_max_connections(100)
         self.out: dict[int, set[bytes]] = {}
         self.jammed: set[int] = set()
         self.dos = self.most_out = 0
@@ -304,7 +304,7 @@
         opening, self.opening = self.opening, []
         for pool in opening:
             self.connect(pool)
-            waiting, pool.waiting = pool.waiting, []
+            waiting, pool.waiting_attempts = pool.waiting_attempts, []
             for attempt in waiting:
                 if self.broker.gate.may_go(attempt, HandOver.CONNECTION):
                     pool.send(attempt, self.clock.time)
--- a/tests/test_dispatch_parts.py
+++ b/tests/test_dispatch_parts.py
@@ -239,7 +239,7 @@
     other_clients: int,
     expected: Capacity,
 ) -> None:
-    config = replace(make_config(), sockets=sockets, memory_mb=memory_mb, operator=operator)
+    config = replace(make_config(), sockets=sockets, memory_mb=memory_mb, admin_address=operator)
     assert divide_capacity(config, processes, other_clients) == expected
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -156,7 +156,7 @@
             me
             for me, g in enumerate(gateways(engines))
             if g.controller.selector.balancer.slow_start.is_our_turn(
-                harness.now, g.controller.engines[e]
+                harness.now, g.controller.endpoints[e]
             )
         ]
         for e in engines[:15]
@@ -210,18 +210,20 @@
     for index in range(40):
         harness.arrive(f"r{index}", "report", patience=20 * S, estimate_ns=S)
     pool = gateway.pool.limit
-    before = gateway.pool.limit.threads_out
+    before = gateway.pool.limit.threads_in_flight
     lost = [e for e in gateway.pool.subset if e.in_flight][:5]
-    lost_threads = sum(e.threads_out for e in lost)
+    lost_threads = sum(e.threads_in_flight for e in lost)
     for engine in lost:
         gateway.outliers.set_ejected(harness.now, engine, True)
-    assert lost_threads > 0 and pool.threads_out == before - lost_threads
+    assert lost_threads > 0 and pool.threads_in_flight == before - lost_threads
     assert pool.thread_quota == pytest.approx(1.5 * CORES * 25 / FLEET)
     number = next(a for a in lost[0].in_flight)
     harness.end(
         number[0], api.AttemptResult.TIMEOUT, attempt=number[1]
     )  # removed at last: not subtracted twice
-    assert pool.threads_out == sum(e.threads_out for e in gateway.engines.values() if e.in_pool)
+    assert pool.threads_in_flight == sum(
+        e.threads_in_flight for e in gateway.endpoints.values() if e.in_pool
+    )
 
 
 def test_what_drains_takes_no_room_in_the_pool() -> None:
@@ -230,14 +232,14 @@
         harness.arrive(f"r{index}", "report", patience=20 * S, estimate_ns=S)
     gateway = harness.controller
     engine = next(e for e in gateway.pool.subset if e.in_flight)
-    before = gateway.pool.limit.threads_out
+    before = gateway.pool.limit.threads_in_flight
     harness.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES,
             (entry(engine.entry.endpoint, state=api.EndpointState.DRAINING),),
         )
     )
-    assert gateway.pool.limit.threads_out == before - engine.threads_out
+    assert gateway.pool.limit.threads_in_flight == before - engine.threads_in_flight
 
 
 def test_work_of_an_arrival_does_not_grow_with_the_engines() -> None:
@@ -255,7 +257,7 @@
     for index in range(times):
         name = f"{engine}-{index}-{harness.now}"
         request = harness.controller
-        for other in request.engines.values():
+        for other in request.endpoints.values():
             other.entry = entry(
                 other.entry.endpoint,
                 state=api.EndpointState.READY
@@ -263,7 +265,7 @@
                 else api.EndpointState.DRAINING,
             )
         harness.arrive(name, "glance", estimate_ns=MS)
-        for other in request.engines.values():
+        for other in request.endpoints.values():
             other.entry = entry(other.entry.endpoint)
         assert harness.sends(name)[0].endpoint == engine
         harness.end(name, api.AttemptResult.ERROR)
@@ -275,9 +277,9 @@
     harness = gateways(uids(30), limits=PROBES)[0]
     engine = harness.controller.pool.subset[0]
     fail(harness, engine.entry.endpoint, 1)
-    assert not engine.suspect
+    assert not engine.ejected
     fail(harness, engine.entry.endpoint, 2)
-    assert engine.suspect
+    assert engine.ejected
 
 
 def test_what_no_engine_can_read_holds_none_out() -> None:
@@ -287,7 +289,7 @@
         harness.arrive(f"bad{index}", "glance", estimate_ns=MS)
         while not harness.answers(f"bad{index}"):
             harness.end(f"bad{index}", api.AttemptResult.ERROR)
-    assert not any(e.suspect for e in harness.controller.engines.values())
+    assert not any(e.ejected for e in harness.controller.endpoints.values())
 
 
 def probes_of(harness: Harness) -> list[tuple[int, int]]:
@@ -318,7 +320,7 @@
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(memory=0.1)
         )
     )
-    assert not engine.suspect and engine.in_pool
+    assert not engine.ejected and engine.in_pool
 
 
 def test_rests_of_many_gateways_are_not_in_step() -> None:
@@ -326,9 +328,9 @@
     due = set()
     for harness in fleet:
         engine = harness.controller.pool.subset[0]
-        engine.failures = 0.6
+        engine.failure_rate = 0.6
         harness.controller.outliers.set_ejected(harness.now, engine, True)
-        due.add(engine.next_trial - harness.now)
+        due.add(engine.next_trial_ns - harness.now)
     assert len(due) == len(fleet) and max(due) - min(due) > 3 * S
 
 
@@ -340,7 +342,7 @@
     for index in range(60):
         harness.arrive(f"r{index}", "glance", estimate_ns=MS)
         harness.end(f"r{index}", api.AttemptResult.SERVED, latency=MS)
-    assert not probes_of(harness) and not engine.suspect
+    assert not probes_of(harness) and not engine.ejected
 
 
 def test_a_turn_is_not_cut_short_by_the_usual_share() -> None:
@@ -367,7 +369,7 @@
     )
     for index in range(60):
         harness.arrive(f"r{index}", "glance", estimate_ns=200 * MS)
-    assert engine.thread_quota < engine.threads_out <= 2 * CORES
+    assert engine.thread_quota < engine.threads_in_flight <= 2 * CORES
 
 
 def test_the_pool_wants_less_delay_than_the_whole_aim() -> None:
@@ -376,12 +378,12 @@
     """
     harness = gateways(uids(30))[0]
     pool = harness.controller.pool.limit
-    before = pool.bound
+    before = pool.bound_ns
     pool.bound_used = True
     pool.delays = [0.8]
     pool.end_period()
-    assert pool.bound < before
-    assert all(e.delay_objective == 1.0 for e in harness.controller.engines.values())
+    assert pool.bound_ns < before
+    assert all(e.delay_objective == 1.0 for e in harness.controller.endpoints.values())
 
 
 def test_a_zone_goes_silent_and_comes_back_cold() -> None:
@@ -442,14 +444,14 @@
         harness.pass_time(100 * MS)
         if step == 199:
             out = [e for e in harness.controller.pool.subset if e.entry.endpoint in zone]
-            assert out and all(e.suspect for e in out)
+            assert out and all(e.ejected for e in out)
             harness.do(
                 api.EndpointListUpdate(
                     api.ListUpdateKind.CHANGES,
                     tuple(entry(e, zone="b", started_ns=harness.now) for e in sorted(zone)),
                 )
             )
-            assert not any(harness.controller.engines[e].suspect for e in zone)
+            assert not any(harness.controller.endpoints[e].ejected for e in zone)
     assert sum(result is api.AttemptResult.TIMEOUT for _, result in ends.values()) >= 3
     assert not harness.controller.requests
     for name, kind in kinds.items():
@@ -491,8 +493,8 @@
         # a report is as the mean
         harness.controller.selector.capacity.mean_work_ns = 2.0 * S
         harness.controller.selector.capacity.mean_priority_weight = 10.0
-        pool.full_until = harness.now + 99 * S
-        pool.bound = pool.backlog * 1.5
+        pool.full_until_ns = harness.now + 99 * S
+        pool.bound_ns = pool.backlog_ns * 1.5
         view.admitted = share
         harness.arrive("r", "report", patience=20 * S, estimate_ns=2 * S)
         assert bool(harness.sends("r")) is goes and (view.admitted > share) is goes
@@ -501,8 +503,8 @@
 def test_what_is_beyond_a_tenants_share_moves_no_class_s_share() -> None:
     """Prevents: a flood that is refused would win room for its class."""
     harness = gateways(uids(30), tenants=(api.Tenant("acme", 0.0),))[0]
-    harness.controller.pool.limit.full_until = harness.now + 99 * S
-    harness.controller.pool.limit.bound = 0.0
+    harness.controller.pool.limit.full_until_ns = harness.now + 99 * S
+    harness.controller.pool.limit.bound_ns = 0.0
     for index in range(30):
         harness.arrive(f"r{index}", "glance", estimate_ns=200 * MS, tenant="acme")
     assert (
@@ -534,21 +536,21 @@
     """
     harness = gateways(uids(80), 200, limits=PROBES)[0]
     harness.arrive("r0", "glance", estimate_ns=MS)
-    engine = harness.controller.engines[harness.sends("r0")[0].endpoint]
+    engine = harness.controller.endpoints[harness.sends("r0")[0].endpoint]
     harness.end("r0", api.AttemptResult.FULL)
-    assert engine.suspect and harness.sends("r0")[-1].endpoint != engine.entry.endpoint
+    assert engine.ejected and harness.sends("r0")[-1].endpoint != engine.entry.endpoint
     harness.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=30.0)
         )
     )
-    assert engine.suspect  # it lives, and is jammed
+    assert engine.ejected  # it lives, and is jammed
     harness.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=3.0)
         )
     )
-    assert not engine.suspect and engine.in_pool
+    assert not engine.ejected and engine.in_pool
 
 
 def test_an_engine_whose_answer_is_overdue_is_asked_for_its_load() -> None:
@@ -572,7 +574,7 @@
         *(entry(e, zone="ab"[e % 2]) for e in uids(80)),
     )
     harness.arrive("r0", "load", patience=25 * S, estimate_ns=200 * MS)
-    engine = harness.controller.engines[harness.sends("r0")[0].endpoint]
+    engine = harness.controller.endpoints[harness.sends("r0")[0].endpoint]
     harness.pass_time(3 * S)
     assert [e for _, e in probes_of(harness)] == [engine.entry.endpoint]
     harness.do(
@@ -580,13 +582,13 @@
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=30.0)
         )
     )
-    assert engine.suspect and len(harness.sends("r0")) == 1
+    assert engine.ejected and len(harness.sends("r0")) == 1
 
 
 def test_an_answer_that_was_late_does_not_clear_a_jammed_engine() -> None:
     harness = gateways(uids(80), 200, limits=PROBES)[0]
     harness.arrive("r0", "glance", patience=20 * S, estimate_ns=100 * MS)
-    engine = harness.controller.engines[harness.sends("r0")[0].endpoint]
+    engine = harness.controller.endpoints[harness.sends("r0")[0].endpoint]
     harness.do(
         api.HealthCheckResult(
             engine.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(inflight=30.0)
@@ -594,7 +596,7 @@
     )
     harness.pass_time(250 * MS)
     harness.end("r0", api.AttemptResult.SERVED, latency=5 * S)
-    assert engine.suspect
+    assert engine.ejected
 
 
 def test_what_is_held_out_and_used_no_more_is_not_held_out_for_good() -> None:
@@ -604,12 +606,12 @@
     """
     harness = gateways(uids(80), 200, limits=PROBES)[0]
     gateway = harness.controller
-    far = next(e for e in gateway.engines.values() if e not in gateway.pool.subset)
+    far = next(e for e in gateway.endpoints.values() if e not in gateway.pool.subset)
     share = gateway.pool.limit.thread_quota
     gateway.outliers.set_ejected(harness.now, far, True)
     assert gateway.pool.limit.thread_quota < share
     harness.pass_time(12 * S)
-    assert not far.suspect and gateway.pool.limit.thread_quota == pytest.approx(share)
+    assert not far.ejected and gateway.pool.limit.thread_quota == pytest.approx(share)
     assert far.entry.endpoint not in {e for _, e in probes_of(harness)}
 
 
--- a/tests/test_golden_client_wire.py
+++ b/tests/test_golden_client_wire.py
@@ -365,7 +365,7 @@
     owner = create_autospec(Owner, instance=True)
     owner.now.return_value = NOW
     owner.may_go.return_value = True
-    owner.twice.return_value = False
+    owner.carried_elsewhere.return_value = False
     connection = EngineConnection(cast(Owner, owner), 51)
     connection.connection_made(SocketTransport(near))
     yield Line(connection, far)
@@ -382,7 +382,7 @@
 
 def begin(line: Line, attempt: Attempt) -> None:
     line.connection.carry(attempt)
-    line.connection.do(attempt, NOW)
+    line.connection.send(attempt, NOW)
 
 
 DO: list[tuple[str, dict[str, Any], bytes]] = [
@@ -530,12 +530,12 @@
     ),
     (
         "health check",
-        lambda connection, attempt: connection.probe(b"p1"),
+        lambda connection, attempt: connection.send_health_check(b"p1"),
         b"*2\r\n$3\r\ntop\r\n$2\r\np1\r\n",
     ),
     (
         "health check by another word",
-        lambda connection, attempt: connection.probe(b"p1", b"ping"),
+        lambda connection, attempt: connection.send_health_check(b"p1", b"ping"),
         b"*2\r\n$4\r\nping\r\n$2\r\np1\r\n",
     ),
 ]
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -138,7 +138,7 @@
         figures = (
             self.controller.avoided(),
             sorted((n, tuple(o)) for n, o in self.controller.outstanding(self.now).items()),
-            [(e.bound, e.slowdown, e.thread_quota) for e in self.controller.engines.values()],
+            [(e.bound_ns, e.slowdown, e.thread_quota) for e in self.controller.endpoints.values()],
         )
         self.digest.update(repr(figures).encode())
         return f"{self.actions}:{self.digest.hexdigest()}"
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -16,7 +16,7 @@
 from query_broker.deadlines.handover_checks import HandOver, HandOverStatistics, StopReason
 from query_broker.deadlines.retry_budget import RetryBudget
 from query_broker.deadlines.retry_budget import RetryBudgetSettings as FurtherTerms
-from query_broker.deadlines.settings import Logs, MarginTerms, Stage
+from query_broker.deadlines.settings import LatencyStage, Logs, MarginTerms
 from query_broker.deadlines.stage_latencies import StageLatencies
 from query_broker.discovery.event_codec import parse_event
 from query_broker.dispatch.requests import ActiveRequest, Attempt
@@ -31,7 +31,7 @@
 from query_broker.protocols.operator_answers import REASONS
 from query_broker.quotas.lease_holder import Lease
 from query_broker.server.log import Log
-from query_broker.server.structured_log import Lines, story
+from query_broker.server.structured_log import StructuredLog, request_trace
 from query_broker.startup.stages import Stage as StartStage
 from query_broker.timer_wheel import Clock
 
@@ -770,7 +770,7 @@
 
 
 def play(node: ConfiguredNode, method: str, path: str) -> Answer:
-    answer = node.admin_api.other(method, path)
+    answer = node.admin_api.call_subsystem(method, path)
     return answer and (answer[0], answer[1].decode(), answer[2], answer[3])
 
 
@@ -1500,12 +1500,12 @@
 
 def base_metrics() -> str:
     figures = Metrics(["glance", 'quo"te'])
-    figures.answered("glance", SUCCESS)
-    figures.answered("glance", OVERLOAD)
-    figures.answered('quo"te', ERROR)
+    figures.count_reply("glance", SUCCESS)
+    figures.count_reply("glance", OVERLOAD)
+    figures.count_reply('quo"te', ERROR)
     figures.dispatches = 3
-    figures.reloads_taken = 4
-    figures.reloads_turned_down = 5
+    figures.reloads_applied = 4
+    figures.reloads_rejected = 5
     return figures.text(concurrent=6, targets=7, disabled=8).decode()
 
 
@@ -1534,14 +1534,16 @@
 
 
 def deadline_metrics() -> str:
-    tally = HandOverStatistics(cancelled=1, went_on=2, undone=3, late=4)
+    tally = HandOverStatistics(
+        stopped_after_cancel=1, answered_after_cancel=2, cancels_sent=3, late_answers=4
+    )
     for number, hand in enumerate(HandOver, 1):
         for stop in StopReason:
             tally.stopped[hand, stop] = number
     for number, stop in enumerate(StopReason, 1):
         tally.begun_after[stop] = number
     stages = StageLatencies(MarginTerms())
-    for number, stage in enumerate(Stage, 1):
+    for number, stage in enumerate(LatencyStage, 1):
         stages.add("glance", stage, number * S // 1000, NOW)
     return deadline_figures.text(
         tally, stages, 10_000_000, RetryBudget(FurtherTerms(), refused=6)
@@ -1571,14 +1573,14 @@
 
 
 def test_json_log_line(capsys: pytest.CaptureFixture[str]) -> None:
-    Lines("n0", Logs("json"))("bus", "no beat")
+    StructuredLog("n0", Logs("json"))("bus", "no beat")
     line = json.loads(capsys.readouterr().err)
     assert sorted(line) == ["broker", "event", "kind", "timestamp"]
     assert (line["broker"], line["kind"], line["event"]) == ("n0", "bus", "no beat")
 
 
 def test_text_log_line(capsys: pytest.CaptureFixture[str]) -> None:
-    Lines("n0", Logs("text"))("bus", "no beat")
+    StructuredLog("n0", Logs("text"))("bus", "no beat")
     first, rest = capsys.readouterr().err.split(" ", 1)
     assert first.startswith("timestamp=20") and rest == 'broker=n0 kind=bus event="no beat"\n'
 
@@ -1599,7 +1601,7 @@
 
 
 def test_fields_of_a_request_log_line() -> None:
-    assert story(traced_request(), "served", NOW + 21 * S // 1000) == {
+    assert request_trace(traced_request(), "served", NOW + 21 * S // 1000) == {
         "trace": "9b1f03aa5c7e2d41",
         "route": "glance",
         "customer": "acme",
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -21,13 +21,13 @@
 
 from query_broker.cli.main import main
 from query_broker.config import (
-    NOT_NEEDED,
-    READ,
-    REPORTED,
+    IGNORED_SETTINGS_KEYS,
+    KNOWN_REPORT_FIELDS,
+    SETTINGS_KEYS,
     ConfigError,
+    keys_needing_restart,
     load,
     parse,
-    waiting_for_restart,
 )
 from query_broker.operator_config.directives import DIRECTIVES_BY_NAME
 from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
@@ -1459,9 +1459,11 @@
 
 
 def test_keys_of_the_settings() -> None:
-    assert {part: " ".join(sorted(keys)) for part, keys in READ.items()} == KEYS_READ
-    assert {part: " ".join(sorted(keys)) for part, keys in NOT_NEEDED.items()} == KEYS_NOT_NEEDED
-    assert " ".join(sorted(REPORTED)) == LOAD_REPORT_FIELDS
+    assert {part: " ".join(sorted(keys)) for part, keys in SETTINGS_KEYS.items()} == KEYS_READ
+    assert {
+        part: " ".join(sorted(keys)) for part, keys in IGNORED_SETTINGS_KEYS.items()
+    } == KEYS_NOT_NEEDED
+    assert " ".join(sorted(KNOWN_REPORT_FIELDS)) == LOAD_REPORT_FIELDS
 
 
 def plain(value: Any) -> Any:
@@ -1485,14 +1487,14 @@
         config.seed,
         config.sockets,
         config.memory_mb,
-        plain(config.bus),
-        plain(config.operator),
+        plain(config.discovery_address),
+        plain(config.admin_address),
         config.accept_fd,
         config.known_offset,
-        plain([asdict(told) for told in config.known]),
-        config.connect_timeout,
-        config.conn_idle,
-        config.streams,
+        plain([asdict(told) for told in config.known_events]),
+        config.connect_timeout_ns,
+        config.connection_idle_ns,
+        config.streams_per_connection,
         plain(asdict(config.settings)),
     ]
 
@@ -1550,7 +1552,7 @@
     ("path", "value", "keys"), [pytest.param(*case, id=case[0]) for case in FIXED_KEYS]
 )
 def test_the_keys_that_wait_for_the_next_start(path: str, value: Any, keys: list[str]) -> None:
-    assert waiting_for_restart(parse(COMPLETE, {}), parse(with_key(path, value), {})) == keys
+    assert keys_needing_restart(parse(COMPLETE, {}), parse(with_key(path, value), {})) == keys
 
 
 def test_lines_for_a_file_that_cannot_be_read(tmp_path: Path) -> None:
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -124,9 +124,9 @@
 
 def test_cell_map_is_told_and_read_as_its_text() -> None:
     assert json.dumps(CELL_MAP.plain()) == CELL_MAP_TEXT
-    assert model.from_plain(json.loads(CELL_MAP_TEXT)) == CELL_MAP
+    assert model.read_cell_map(json.loads(CELL_MAP_TEXT)) == CELL_MAP
     assert CELL_MAP.digest() == CELL_MAP_DIGEST
-    assert model.from_plain(json.loads(CELL_MAP_TEXT)).digest() == CELL_MAP_DIGEST
+    assert model.read_cell_map(json.loads(CELL_MAP_TEXT)).digest() == CELL_MAP_DIGEST
 
 
 CELLS_TOLD = (
@@ -153,7 +153,7 @@
     record = MigrationLog(CELL_MAP, "41-00ff00ff")
     record.records["acme#7"] = MOVE
     told = SimpleNamespace(
-        moves=record,
+        migrations=record,
         router=SimpleNamespace(
             open={("acme#7", "a"): 3, ("acme#7", "b"): 1, ("bolt", "b"): 9},
             seats=SimpleNamespace(placement=SimpleNamespace(seats={"s-1": "a", "s-2": None})),
@@ -279,8 +279,8 @@
     [(b"0123456789abcdef", 0.847566675), (b"ffffffffffffffff", 0.7876538), (b"", 0.221978471)],
 )
 def test_sampled_requests_are_the_same_at_every_broker(trace: bytes, part: float) -> None:
-    assert not structured.sampled(trace, part - 1e-6)
-    assert structured.sampled(trace, part + 1e-6)
+    assert not structured.is_sampled(trace, part - 1e-6)
+    assert structured.is_sampled(trace, part + 1e-6)
 
 
 @pytest.mark.parametrize(
@@ -294,11 +294,11 @@
 )
 def test_slot_of_a_place_in_a_fleet(place: int, draw: float, at: int) -> None:
     """300 brokers, 50 calls a second: they agree by these values, nothing is sent between them."""
-    assert paces.slot(1_700_000_000_123_456_789, place, 300, 50.0, draw) == at
+    assert paces.next_slot_ns(1_700_000_000_123_456_789, place, 300, 50.0, draw) == at
 
 
 def test_health_check_slot_of_an_engine() -> None:
-    at = paces.probe_at(1_700_000_000_123_456_789, 4_000_000_001, 7, 300, 50.0)
+    at = paces.probe_slot_ns(1_700_000_000_123_456_789, 4_000_000_001, 7, 300, 50.0)
     assert at == 1700000000160000000
 
 
@@ -330,10 +330,10 @@
 LIST_TEXT = f"{LIST_HEAD}\n{LIST_BODY}"
 
 
-def stored_list() -> lastlist.LastList:
+def stored_list() -> lastlist.EndpointSnapshot:
     table = engines.EndpointTable()
-    table.learn(EndpointListEvent(41, True, TARGETS))
-    return lastlist.LastList("atlanta", 41, 1_000 * S, start_joins.listed(table))
+    table.apply_event(EndpointListEvent(41, True, TARGETS))
+    return lastlist.EndpointSnapshot("atlanta", 41, 1_000 * S, start_joins.listed_targets(table))
 
 
 def test_last_list_is_encoded_and_decoded_as_its_text() -> None:
@@ -343,7 +343,7 @@
 
 def test_last_list_on_disk(tmp_path: Path) -> None:
     path = tmp_path / "list"
-    start_joins.write_whole(str(path), LIST_TEXT)
+    start_joins.write_atomically(str(path), LIST_TEXT)
     assert os.listdir(tmp_path) == ["list"]
     assert path.read_bytes() == LIST_TEXT.encode()
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -34,23 +34,23 @@
     harness = two_engines()
     drive(harness, 20, silent=1)
     later = drive(harness, 100, silent=1, prefix="s")
-    assert harness.controller.engines[1].suspect
+    assert harness.controller.endpoints[1].ejected
     assert later.count(1) <= 5
 
 
 def test_one_answer_is_the_way_back() -> None:
     harness = two_engines()
     went = drive(harness, 40, silent=1)
-    assert harness.controller.engines[1].suspect
+    assert harness.controller.endpoints[1].ejected
     harness.end(f"r{went.index(1)}", api.AttemptResult.SERVED, latency=2 * S)
-    assert not harness.controller.engines[1].suspect
+    assert not harness.controller.endpoints[1].ejected
 
 
 def test_never_judge_all_engines_unfit() -> None:
     harness = two_engines()
-    for engine in harness.controller.engines.values():
-        engine.suspect = True
-        engine.next_trial = harness.now + 99 * S
+    for engine in harness.controller.endpoints.values():
+        engine.ejected = True
+        engine.next_trial_ns = harness.now + 99 * S
     harness.arrive("r", estimate_ns=MS)
     assert harness.sends("r")
 
@@ -60,7 +60,7 @@
     harness.arrive("r", estimate_ns=40 * MS)
     harness.end("r", api.AttemptResult.CONNECT_FAILED)
     first, second = (s.endpoint for s in harness.sends("r"))
-    assert first != second and harness.controller.engines[first].suspect
+    assert first != second and harness.controller.endpoints[first].ejected
 
 
 def test_one_reset_excludes_no_engine_a_second_soon_after_does() -> None:
@@ -71,9 +71,9 @@
     harness.arrive("a", estimate_ns=40 * MS)
     harness.arrive("b", estimate_ns=40 * MS)
     harness.end("a", api.AttemptResult.RESET, attempt=0)
-    assert not harness.controller.engines[1].suspect
+    assert not harness.controller.endpoints[1].ejected
     harness.end("b", api.AttemptResult.RESET, attempt=0)
-    assert harness.controller.engines[1].suspect
+    assert harness.controller.endpoints[1].ejected
 
 
 def test_errors_weigh_in_the_draw_and_hold_no_engine_out() -> None:
@@ -81,7 +81,7 @@
     half is lost.
     """
     harness = two_engines()
-    bad = harness.controller.engines[1]
+    bad = harness.controller.endpoints[1]
     for index in range(200):
         harness.arrive(f"r{index}", estimate_ns=40 * MS)
         errs = harness.sends(f"r{index}")[-1].endpoint == 1 and index % 3 > 0
@@ -93,7 +93,7 @@
             ]  # never again where it erred
             harness.end(f"r{index}", api.AttemptResult.SERVED)
     first = [harness.sends(f"r{index}")[0].endpoint for index in range(100, 200)].count(1)
-    assert 0 < first < 25 and bad.error_rate > 0.3 and not bad.suspect
+    assert 0 < first < 25 and bad.error_rate > 0.3 and not bad.ejected
 
 
 def test_what_no_engine_can_read_makes_none_look_worse_than_the_others() -> None:
@@ -106,15 +106,18 @@
         while not harness.answers(f"bad{index}"):
             harness.end(f"bad{index}", api.AttemptResult.ERROR)
         assert len(harness.sends(f"bad{index}")) == 2  # a second error ends it
-    one, other = harness.controller.engines.values()
-    assert one.failures == other.failures == 0.0 and abs(one.error_rate - other.error_rate) < 1e-9
+    one, other = harness.controller.endpoints.values()
+    assert (
+        one.failure_rate == other.failure_rate == 0.0
+        and abs(one.error_rate - other.error_rate) < 1e-9
+    )
 
 
 def test_unsafe_work_keeps_away_from_an_engine_that_errs() -> None:
     """Prevents: an error there may have run: it is lost, where safe work goes on elsewhere."""
     load = query_class("load", effect=api.Effect.NON_IDEMPOTENT)
     harness = Harness(make_settings(query_class(), load), entry(1), entry(2))
-    harness.controller.engines[1].error_rate = 0.5
+    harness.controller.endpoints[1].error_rate = 0.5
     went: dict[str, int] = {}
     for name in ("short", "load"):
         for index in range(300):
@@ -163,7 +166,7 @@
     harness = Harness(
         make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1), entry(2)
     )
-    harness.controller.engines[1].suspect = True
+    harness.controller.endpoints[1].ejected = True
     for index in range(20):
         harness.arrive(f"r{index}", estimate_ns=MS)
         harness.end(f"r{index}", api.AttemptResult.SERVED, latency=MS)
@@ -175,7 +178,7 @@
     harness.arrive("r", estimate_ns=2 * S)
     harness.now += 2 * S
     assert harness.do(api.AttemptProgress("r", 0, 1, api.ProgressKind.PROGRESS, 0.1)) == []
-    assert harness.controller.engines[1].last_activity_ns == harness.now
+    assert harness.controller.endpoints[1].last_activity_ns == harness.now
 
 
 def test_no_cancel_where_it_is_not_heeded() -> None:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -155,7 +155,7 @@
             + b"SELECT 1",
         )
         client.writer.write(frame[:9])
-        await until(lambda: rig.node.partial)
+        await until(lambda: rig.node.partial_frame_bytes)
         drain = GracefulShutdown(rig.node)
         drain.begun_at_ns = rig.node.clock.now()
         drain._announce_leaving()
@@ -275,7 +275,7 @@
         await asyncio.sleep(1.0)
         assert 1 <= ticks <= 10 * (node.clock.now() - begun) / 1e9
         fired: list[int] = []
-        node.dispatcher.wheel.at(node.clock.now() + 20_000_000, lambda: fired.append(ticks))
+        node.dispatcher.timers.set_timer(node.clock.now() + 20_000_000, lambda: fired.append(ticks))
         before = ticks
         await until(lambda: bool(fired))
         assert fired[0] <= before + 3
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -56,36 +56,36 @@
 
 def test_bound_is_clamped_and_steps_as_designed() -> None:
     harness, settings = one_engine()
-    engine = harness.controller.engines[1]
+    engine = harness.controller.endpoints[1]
     start = 2 * 4 * settings.classes[0].latency_objective_ns
-    assert engine.bound == start
+    assert engine.bound_ns == start
     engine.bound_used = True
     engine.delays = [0.1]
     harness.pass_time(S)
     # PVL with ZE gives PL
-    assert engine.bound - start == pytest.approx(
+    assert engine.bound_ns - start == pytest.approx(
         start * CEILING_MULTIPLE * LARGEST_STEP_FRACTION * 3 / 4
     )
     for _ in range(20):
         engine.bound_used = True
         engine.delays = [0.1]
         harness.pass_time(S)
-    assert engine.bound == CEILING_MULTIPLE * start
+    assert engine.bound_ns == CEILING_MULTIPLE * start
     for _ in range(40):
         engine.bound_used = True
         engine.delays = [9.0]
         harness.pass_time(S)
-    assert engine.bound == 0.0
+    assert engine.bound_ns == 0.0
 
 
 @pytest.mark.parametrize("factor", [0.0, 4.0])
 def test_empty_period_steps_toward_the_start(factor: float) -> None:
     harness, _ = one_engine()
-    engine = harness.controller.engines[1]
-    start = engine.bound
-    engine.bound = factor * start
+    engine = harness.controller.endpoints[1]
+    start = engine.bound_ns
+    engine.bound_ns = factor * start
     harness.pass_time(S)
-    assert abs(engine.bound - start) < abs(factor * start - start)
+    assert abs(engine.bound_ns - start) < abs(factor * start - start)
 
 
 def test_quiet_periods_do_not_wind_the_bound_up() -> None:
@@ -93,12 +93,12 @@
     traffic jump.
     """
     harness, _ = one_engine()
-    engine = harness.controller.engines[1]
-    start = engine.bound
+    engine = harness.controller.endpoints[1]
+    start = engine.bound_ns
     for _ in range(5):
         engine.delays = [0.1]
         harness.pass_time(S)
-    assert engine.bound == start
+    assert engine.bound_ns == start
 
 
 @pytest.mark.parametrize("result", list(api.AttemptResult))
@@ -113,7 +113,7 @@
         and len(harness.sends("r")) < 4
     ):
         harness.end("r", result)
-    if harness.controller.engines[1].in_flight:
+    if harness.controller.endpoints[1].in_flight:
         harness.end("r", api.AttemptResult.SERVED)
     assert harness.backlog() == 0
 
@@ -137,15 +137,15 @@
 def test_fits_and_misfits() -> None:
     harness, _ = one_engine()
     crowd(harness, 6, estimate=100 * MS)
-    engine = harness.controller.engines[1]
-    engine.full_until = harness.now + S
+    engine = harness.controller.endpoints[1]
+    engine.full_until_ns = harness.now + S
     harness.arrive("fits", estimate_ns=100 * MS)
     assert harness.sends("fits")
     harness.arrive("misfit", estimate_ns=60 * S, patience=99 * S)
     (answer,) = harness.answers("misfit")
     # one of eight arrivals refused
     assert isinstance(answer, api.Reject) and answer.retry_after_ns == S // 8
-    engine.full_until = 0
+    engine.full_until_ns = 0
     harness.arrive("no pressure", estimate_ns=60 * S, patience=99 * S)
     assert harness.sends("no pressure")
 
@@ -160,8 +160,8 @@
 
 def test_nothing_outstanding_admits_whatever_the_bound() -> None:
     harness, _ = one_engine()
-    harness.controller.engines[1].bound = 0.0
-    harness.controller.engines[1].full_until = harness.now + S
+    harness.controller.endpoints[1].bound_ns = 0.0
+    harness.controller.endpoints[1].full_until_ns = harness.now + S
     harness.arrive("r", estimate_ns=60 * S, patience=99 * S)
     assert harness.sends("r")
 
@@ -188,10 +188,10 @@
 
 def test_over_share_traffic_is_refused_first_under_pressure() -> None:
     harness, _ = one_engine(tenants=(api.Tenant("x", 2.0), api.Tenant("y", 2.0)))
-    engine = harness.controller.engines[1]
+    engine = harness.controller.endpoints[1]
     for index in range(8):
         harness.arrive(f"x{index}", tenant="x", estimate_ns=200 * MS)
-    engine.full_until = harness.now + S
+    engine.full_until_ns = harness.now + S
     harness.arrive("more x", tenant="x", estimate_ns=200 * MS)
     harness.arrive("first y", tenant="y", estimate_ns=200 * MS)
     assert not harness.sends("more x") and harness.sends("first y")
@@ -199,7 +199,7 @@
 
 def test_slow_and_failing_engines_draw_less() -> None:
     harness = Harness(make_settings(), entry(1), entry(2))
-    harness.controller.engines[1].failures = 0.9
+    harness.controller.endpoints[1].failure_rate = 0.9
     for index in range(40):
         harness.arrive(f"r{index}", estimate_ns=10 * MS)
         harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
@@ -251,8 +251,8 @@
     for index in range(30):
         harness.arrive(f"again{index}", tenant="x", estimate_ns=MS, is_retry=True)
     harness.arrive("new", tenant="x", estimate_ns=MS)
-    assert harness.controller.requests["again0"].over_share
-    assert not harness.controller.requests["new"].over_share
+    assert harness.controller.requests["again0"].over_quota
+    assert not harness.controller.requests["new"].over_quota
 
 
 def test_grants_of_queries_that_fit_by_estimate_leave_room_for_each_other() -> None:
--- a/tests/test_middle.py
+++ b/tests/test_middle.py
@@ -26,7 +26,7 @@
     wheel = TimerWheel(5 * MS, 100)
     fired = []
     now = 100
-    wheel.at(100 + after, lambda: fired.append(now))
+    wheel.set_timer(100 + after, lambda: fired.append(now))
     while now < 100 + after + 20 * MS:
         now += MS
         wheel.advance(now)
@@ -38,14 +38,14 @@
     wheel = TimerWheel(5 * MS, 0)
     fired = []
     for at in (7 * S, 30 * MS, 10 * MS):
-        wheel.at(at, lambda at=at: fired.append(at))  # type: ignore[misc]
-    wheel.at(20 * MS, lambda: fired.append(-1)).cancel()
+        wheel.set_timer(at, lambda at=at: fired.append(at))  # type: ignore[misc]
+    wheel.set_timer(20 * MS, lambda: fired.append(-1)).cancel()
 
     def chained() -> None:
         fired.append(0)
-        wheel.at(0, lambda: fired.append(1))
+        wheel.set_timer(0, lambda: fired.append(1))
 
-    wheel.at(15 * MS, chained)
+    wheel.set_timer(15 * MS, chained)
     wheel.advance(8 * S)
     assert fired == [10 * MS, 0, 1, 30 * MS, 7 * S]
 
@@ -53,12 +53,12 @@
 def test_uids_keep_their_numbers_whatever_their_addresses() -> None:
     table = EndpointTable()
     other = EndpointTable()
-    first = table.learn(
+    first = table.apply_event(
         parse_event(topology_event(1, target_entry("a", 1), target_entry("b", 2), full=True))
     )
-    other.learn(parse_event(topology_event(1, target_entry("b", 2), full=True)))
+    other.apply_event(parse_event(topology_event(1, target_entry("b", 2), full=True)))
     assert other.number("b") == first[1].endpoint  # all brokers rank engines alike
-    moved = table.learn(
+    moved = table.apply_event(
         parse_event(topology_event(2, target_entry("c", 1, boot_ms=9), target_entry("b", 3)))
     )
     assert [(e.endpoint, e.state) for e in moved] == [
@@ -67,7 +67,7 @@
         (first[1].endpoint, EndpointState.READY),
     ]
     assert moved[1].started_ns == 9 * MS
-    again = table.learn(parse_event(topology_event(3, target_entry("a", 4), full=True)))
+    again = table.apply_event(parse_event(topology_event(3, target_entry("a", 4), full=True)))
     assert [e.endpoint for e in again] == [first[0].endpoint]
     assert table.by_uid["b"].target.state is EndpointState.REMOVED
 
@@ -86,7 +86,7 @@
         broker.endpoint_table.by_uid,
         broker.endpoint_table.by_number,
         broker.pools.by_number,
-        broker.facade.controller.engines,
+        broker.facade.controller.endpoints,
     ):
         assert 1 <= len(table) <= 2
     number = broker.endpoint_table.number("s-399")
@@ -143,13 +143,13 @@
     now = 50.0
     monkeypatch.setattr("query_broker.server.log.time.monotonic", lambda: now)
     write = log.Log("n0")
-    for _ in range(log.MOST + 30):
+    for _ in range(log.MAX_LINES_PER_KIND + 30):
         write("client", "odd")
     write("engine", "other")
-    now += log.SPAN
+    now += log.SPAN_S
     write("client", "again")
     lines = capsys.readouterr().err.splitlines()
-    assert sum("odd" in line for line in lines) == log.MOST
+    assert sum("odd" in line for line in lines) == log.MAX_LINES_PER_KIND
     assert (
         any("30 more lines" in line for line in lines)
         and sum("other" in line for line in lines) == 1
@@ -160,21 +160,21 @@
     """Prevents: a wheel that turns at every tick wakes 200 idle brokers 200 times a second each."""
     wheel = TimerWheel(5 * MS, 0)
     woken = []
-    wheel.sooner = lambda: woken.append(wheel.until(0))
-    assert wheel.rest(0, 250 * MS) == 250 * MS
-    wheel.at(400 * MS, lambda: None)
+    wheel.on_earlier_timer = lambda: woken.append(wheel.ns_until_wake(0))
+    assert wheel.idle_ns(0, 250 * MS) == 250 * MS
+    wheel.set_timer(400 * MS, lambda: None)
     assert not woken
-    wheel.at(101 * MS, lambda: None).cancel()
+    wheel.set_timer(101 * MS, lambda: None).cancel()
     assert woken == [105 * MS]
-    assert wheel.rest(0, 250 * MS) == 250 * MS  # what was cancelled wakes nobody
-    wheel.at(150 * MS, lambda: None)
-    wheel.soon()
+    assert wheel.idle_ns(0, 250 * MS) == 250 * MS  # what was cancelled wakes nobody
+    wheel.set_timer(150 * MS, lambda: None)
+    wheel.wake_next_tick()
     assert woken == [105 * MS, 150 * MS, 5 * MS]
     wheel.advance(149 * MS)
-    assert wheel.rest(149 * MS, 250 * MS) == MS
+    assert wheel.idle_ns(149 * MS, 250 * MS) == MS
     wheel.advance(150 * MS)
-    assert wheel.rest(150 * MS, 0) == 5 * MS  # a tick at the least, where every one is wanted
-    assert wheel.rest(150 * MS, 500 * MS) == 250 * MS
+    assert wheel.idle_ns(150 * MS, 0) == 5 * MS  # a tick at the least, where every one is wanted
+    assert wheel.idle_ns(150 * MS, 500 * MS) == 250 * MS
 
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.integers(0, 700)), max_size=30))
@@ -186,14 +186,14 @@
     due = list[int]()
     late = list[int]()
     coming = sorted(plan)
-    wheel.rest(0, 250 * MS)
+    wheel.idle_ns(0, 250 * MS)
     for now in range(1_200):
         while coming and coming[0][0] <= now:
             _, after = coming.pop(0)
-            wheel.at((now + after) * MS, partial(due.append, now + after))
-        if wheel.until(now * MS) == 0:
+            wheel.set_timer((now + after) * MS, partial(due.append, now + after))
+        if wheel.ns_until_wake(now * MS) == 0:
             wheel.advance(now * MS)
             late += [now - at for at in due]
             due.clear()
-            wheel.rest(now * MS, 250 * MS)
+            wheel.idle_ns(now * MS, 250 * MS)
     assert len(late) == len(plan) and all(0 <= by <= 10 for by in late)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,7 @@
 
 from query_broker.deadlines.write_queue import Frame
 from query_broker.discovery.event_codec import parse_event
-from query_broker.metrics import ERROR, SUCCESS, Metrics, escaped
+from query_broker.metrics import ERROR, SUCCESS, Metrics, escape_label
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols.operator_http import MOST_BODY, MOST_HEAD
 
@@ -50,7 +50,7 @@
 ]
 
 
-async def call(rig: Rig, raw: bytes) -> tuple[int, dict[str, str], str]:
+async def admin_call(rig: Rig, raw: bytes) -> tuple[int, dict[str, str], str]:
     """Status, headers and body of the answer to a call."""
     reader, writer = await asyncio.open_connection("127.0.0.1", rig.operator_port)
     writer.write(raw)
@@ -64,8 +64,8 @@
     )
 
 
-async def figures(rig: Rig) -> dict[str, float]:
-    status, _, text = await call(rig, b"GET /metrics HTTP/1.1\r\n\r\n")
+async def read_metrics(rig: Rig) -> dict[str, float]:
+    status, _, text = await admin_call(rig, b"GET /metrics HTTP/1.1\r\n\r\n")
     assert status == 200
     return {
         name.removeprefix("edge_proxy_"): float(value)
@@ -77,7 +77,7 @@
 
 async def set_engine(rig: Rig, action: str, uid: str = "s-1") -> int:
     raw = f"POST /data-engines/{action}/{uid} HTTP/1.1\r\n\r\n".encode()
-    status, _, _ = await call(rig, raw)
+    status, _, _ = await admin_call(rig, raw)
     return status
 
 
@@ -85,7 +85,7 @@
 async def test_each_call_gets_exactly_one_answer() -> None:
     async with running(make_config(target_entry("s-1", 9), operator=True)) as rig:
         for raw, status in CALLS:
-            got, headers, body = await call(rig, raw)
+            got, headers, body = await admin_call(rig, raw)
             assert (got, headers["content-length"], headers["connection"]) == (
                 status,
                 str(len(body)),
@@ -108,7 +108,7 @@
     async with running(make_config(target_entry("s-1", 9), operator=True)) as rig:
         idle = [await asyncio.open_connection("127.0.0.1", rig.operator_port) for _ in range(40)]
         idle[-1][1].write(b"GET /rea")
-        assert (await call(rig, CALLS[0][0]))[0] == 200
+        assert (await admin_call(rig, CALLS[0][0]))[0] == 200
         await until(lambda: not rig.node.admin_api.connections)
         assert (await within(idle[-1][0].read())).startswith(b"HTTP/1.1 408 ")
         for reader, writer in idle[:-1]:
@@ -120,11 +120,11 @@
 @on_uvloop
 async def test_not_ready_without_a_list_and_in_the_drain() -> None:
     async with running(make_config(operator=True, listed=False)) as rig:
-        assert (await call(rig, CALLS[0][0]))[0] == 503
+        assert (await admin_call(rig, CALLS[0][0]))[0] == 503
         rig.node.endpoint_list_known = True
-        assert (await call(rig, CALLS[0][0]))[0] == 200
+        assert (await admin_call(rig, CALLS[0][0]))[0] == 200
         rig.node.closing_announced = True
-        assert (await call(rig, CALLS[0][0]))[0] == 503
+        assert (await admin_call(rig, CALLS[0][0]))[0] == 503
 
 
 @on_uvloop
@@ -137,7 +137,7 @@
             operator=True,
         )
     ) as rig:
-        metrics = await figures(rig)
+        metrics = await read_metrics(rig)
         assert metrics['replies_total{type="stock-add",status="overload"}'] == 0
         assert (metrics["dispatches_total"], metrics["concurrent"], metrics["targets"]) == (0, 0, 2)
         client = await rig.client()
@@ -148,7 +148,7 @@
         engine.script = lambda *_: None
         client.ask(stream=3, trace="3" * 16, route="stock-add")
         await until(lambda: len(engine.commands_named(b"do")) == 2)
-        metrics = await figures(rig)
+        metrics = await read_metrics(rig)
         assert metrics['replies_total{type="glance",status="success"}'] == 1
         assert metrics['replies_total{type="glance",status="error"}'] == 1
         assert (
@@ -159,13 +159,13 @@
         client.send(frames.ABANDON, 3)  # ended, with its attempt still out
         client.ask(stream=4, trace="4" * 16, route="stock-add")
         await until(lambda: len(engine.commands_named(b"do")) == 3)
-        assert (await figures(rig))["concurrent"] == 1
+        assert (await read_metrics(rig))["concurrent"] == 1
         assert await set_engine(rig, "disable") == 200
         client.ask(stream=5, trace="5" * 16)
         stream, code, fields, _ = await client.answer()
         assert (stream, code) == (5, frames.REFUSED)
         assert int(fields["pause"]) > 0
-        metrics = await figures(rig)
+        metrics = await read_metrics(rig)
         assert (
             metrics["targets_disabled"],
             metrics['replies_total{type="glance",status="overload"}'],
@@ -174,16 +174,16 @@
 
 def test_the_text_has_help_and_type_and_its_labels_are_escaped() -> None:
     metrics = Metrics(['a"b'])
-    metrics.answered('a"b', SUCCESS)
-    metrics.answered("unheard of", ERROR)  # no series for whatever a client names
-    metrics.learn(["c"])
+    metrics.count_reply('a"b', SUCCESS)
+    metrics.count_reply("unheard of", ERROR)  # no series for whatever a client names
+    metrics.add_classes(["c"])
     text = metrics.text(1, 2, 3).decode()
     assert 'edge_proxy_replies_total{type="a\\"b",status="success"} 1\n' in text
     assert "unheard" not in text
     assert 'edge_proxy_replies_total{type="c",status="error"} 0\n' in text
     assert text.count("# HELP ") == text.count("# TYPE ") == 7
     assert text.endswith("\n")
-    assert escaped('\\ " \n') == '\\\\ \\" \\n'
+    assert escape_label('\\ " \n') == '\\\\ \\" \\n'
 
 
 @on_uvloop
@@ -258,10 +258,10 @@
         )
         pool._open = lambda: None  # type: ignore[method-assign]  # its connection never comes up
         client.ask(route="stock-add")
-        await until(lambda: pool.waiting)
+        await until(lambda: pool.waiting_attempts)
         assert await set_engine(rig, "disable") == 200
         assert (await client.answer())[1] == frames.REFUSED
-        assert not pool.waiting
+        assert not pool.waiting_attempts
         assert not other.commands_named(b"do")
 
 
@@ -276,8 +276,8 @@
         await client.answer()
         await set_engine(rig, "disable")
         await set_engine(rig, "enable")
-        (known,) = rig.node.dispatcher.facade.controller.engines.values()
-        assert known.cold_until > rig.node.clock.now()
+        (known,) = rig.node.dispatcher.facade.controller.endpoints.values()
+        assert known.warmup_ends_ns > rig.node.clock.now()
         client.ask(stream=2, trace="2" * 16)
         assert (await client.answer())[1] == frames.SERVED
         first, again = engine.commands_named(b"do")
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -26,7 +26,7 @@
     target_entry,
     until,
 )
-from .test_operator import figures
+from .test_operator import read_metrics
 
 FILE: dict[str, Any] = {
     "name": "n0",
@@ -154,7 +154,7 @@
         client.ask(stream=2, trace="2" * 16, route="night")
         client.ask(stream=3, trace="3" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 3)
-        metrics = await figures(rig)
+        metrics = await read_metrics(rig)
         assert (metrics["reload_success_total"], metrics["reload_failure_total"]) == (1, 2)
         assert metrics['replies_total{type="night",status="success"}'] == 0
         for writer in engine.writers:  # the engine ends: all three may have run
@@ -164,7 +164,7 @@
         await reload_with(rig, changed("settings.classes.0.name", "other"), "reload: done")
         client.ask(stream=4, trace="4" * 16)
         assert (await client.answer())[1] == frames.FAILED  # its class has been removed
-        assert (await figures(rig))['replies_total{type="glance",status="overload"}'] == 1
+        assert (await read_metrics(rig))['replies_total{type="glance",status="overload"}'] == 1
 
 
 # --- the decisions ---
@@ -204,9 +204,9 @@
     harness.arrive("r", estimate_ns=100 * MS, tenant="a")
     harness.end("r", api.AttemptResult.SERVED, latency=300 * MS)
     view = harness.controller.admission.classes.by_name["short"]
-    engine = harness.controller.engines[1]
+    engine = harness.controller.endpoints[1]
     learned = (view.log_bias, view.slowdown)
-    bound = engine.bound
+    bound = engine.bound_ns
     tokens = harness.controller.admission.quotas.buckets["a"].tokens
     tenants = (api.Tenant("a", 4.0),)
     harness.do(
@@ -219,4 +219,4 @@
     view_after = harness.controller.admission.classes.by_name["short"]
     assert (view_after.log_bias, view_after.slowdown) == learned
     assert harness.controller.admission.quotas.buckets["a"].tokens == tokens
-    assert engine.bound == 2 * bound  # the longest latency objective has doubled
+    assert engine.bound_ns == 2 * bound  # the longest latency objective has doubled
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -300,7 +300,7 @@
     taken = []
     for age in (0, 5 * S, 9 * S):
         harness = Harness(make_settings(fleet_size=2), entry(1, started_ns=100 * S - age))
-        engine = harness.controller.engines[1]
+        engine = harness.controller.endpoints[1]
         rules = harness.controller.active.contract
         for index in range(2_000):
             harness.arrive(f"r{index}", estimate_ns=10 * MS)
@@ -400,7 +400,7 @@
     harness.arrive("a", key="k")
     harness.arrive("b", key="k")
     second = harness.controller.requests["b"]
-    engine = harness.controller.engines[2]
+    engine = harness.controller.endpoints[2]
     assert not harness.controller.selector.eligibility.allows(harness.now, second, engine)
     harness.end("a", api.AttemptResult.SERVED)
     assert len(harness.sends("b")) == 1
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -37,8 +37,8 @@
     """
     harness = many()
     fill(harness, 3)
-    harness.controller.pool.limit.full_until = harness.now + S
-    harness.controller.pool.limit.bound = 0.0
+    harness.controller.pool.limit.full_until_ns = harness.now + S
+    harness.controller.pool.limit.bound_ns = 0.0
     harness.arrive("r", estimate_ns=400 * MS)
     assert isinstance(harness.answers("r")[0], api.Reject)
 
@@ -46,23 +46,23 @@
 def test_pool_stands_aside_with_one_gateway() -> None:
     harness = many(fleet=1)
     fill(harness, 3)
-    harness.controller.pool.limit.full_until = harness.now + S
-    harness.controller.pool.limit.bound = 0.0
+    harness.controller.pool.limit.full_until_ns = harness.now + S
+    harness.controller.pool.limit.bound_ns = 0.0
     harness.arrive("r", estimate_ns=400 * MS)
     assert not harness.controller.pool.large_fleet and harness.sends("r")
 
 
 def test_pool_follows_the_list() -> None:
     harness = many(count=8)
-    before = harness.controller.pool.limit.initial_bound
+    before = harness.controller.pool.limit.initial_bound_ns
     harness.do(
         api.EndpointListUpdate(
             api.ListUpdateKind.CHANGES, (entry(1, state=api.EndpointState.REMOVED),)
         )
     )
-    assert harness.controller.pool.limit.initial_bound == pytest.approx(before * 7 / 8)
-    assert harness.controller.pool.limit.bound == pytest.approx(
-        harness.controller.pool.limit.initial_bound
+    assert harness.controller.pool.limit.initial_bound_ns == pytest.approx(before * 7 / 8)
+    assert harness.controller.pool.limit.bound_ns == pytest.approx(
+        harness.controller.pool.limit.initial_bound_ns
     )
 
 
@@ -71,7 +71,7 @@
     harness = many()
     fill(harness, 3)
     pool = harness.controller.pool.limit
-    assert pool.threads_out > pool.thread_quota and pool.crowding(harness.now, 0) < 1
+    assert pool.threads_in_flight > pool.thread_quota and pool.crowding(harness.now, 0) < 1
     assert pool.crowding(harness.now + 20 * S, 0) > 1
 
 
@@ -80,8 +80,8 @@
     harness = many()
     fill(harness, 4)
     pool = harness.controller.pool.limit
-    pool.full_until = harness.now + S
-    pool.bound = pool.backlog + 1.0 * MS
+    pool.full_until_ns = harness.now + S
+    pool.bound_ns = pool.backlog_ns + 1.0 * MS
     harness.arrive("small", estimate_ns=5 * MS)
     harness.arrive("large", estimate_ns=2 * S)
     assert harness.sends("small") and harness.answers("large")
@@ -91,10 +91,10 @@
     """Prevents: a gateway stands still, then finds every engine silent and every answer late."""
     harness = many(count=2, fleet=1)
     harness.arrive("r", estimate_ns=40 * MS, patience=60 * S)
-    engine = harness.controller.engines[harness.sends("r")[0].endpoint]
+    engine = harness.controller.endpoints[harness.sends("r")[0].endpoint]
     harness.now += 3 * S  # no timer fired meanwhile
     harness.arrive("s", estimate_ns=40 * MS)
-    assert not engine.suspect
+    assert not engine.ejected
     harness.end("r", api.AttemptResult.SERVED, latency=3 * S)
     assert engine.slowdown == 1.0 and not engine.delays
 
@@ -119,9 +119,9 @@
     harness = many(kinds=["good", "bad"])  # engines 2, 4 .. are good, 1, 3 .. bad
     for engine in (1, 3):
         for _ in range(3):
-            harness.controller.outliers.record(harness.controller.engines[engine], True)
+            harness.controller.outliers.record(harness.controller.endpoints[engine], True)
     for engine in (2, 4, 2, 4, 2, 4):
-        harness.controller.outliers.record(harness.controller.engines[engine], False)
+        harness.controller.outliers.record(harness.controller.endpoints[engine], False)
     went = []
     for index in range(60):
         harness.arrive(f"r{index}", estimate_ns=MS)
--- a/tests/test_sockets_bus.py
+++ b/tests/test_sockets_bus.py
@@ -11,7 +11,7 @@
 import pytest
 
 from query_broker.discovery.event_codec import EndpointListEvent
-from query_broker.discovery.watch_client import SILENT, WatchClient
+from query_broker.discovery.watch_client import SILENCE_LIMIT_NS, WatchClient
 
 from .sockets import (
     MS,
@@ -31,7 +31,7 @@
 )
 
 #: The constant of the client that the tests replace, and a limit that is never reached.
-SILENCE_LIMIT = "query_broker.discovery.watch_client.SILENT"
+SILENCE_LIMIT = "query_broker.discovery.watch_client.SILENCE_LIMIT_NS"
 NEVER_NS = 1 << 62
 
 
@@ -60,8 +60,8 @@
     watch_client: WatchClient, silent_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Let the client check for silence, with its own limit, after so long without a byte."""
-    monkeypatch.setattr(SILENCE_LIMIT, SILENT)
-    watch_client.check(watch_client.last_received_ns + silent_ms * MS)
+    monkeypatch.setattr(SILENCE_LIMIT, SILENCE_LIMIT_NS)
+    watch_client.drop_if_silent(watch_client.last_received_ns + silent_ms * MS)
     monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
 
 
@@ -98,7 +98,7 @@
         bus.publish(topology_event(3, target_entry("s-3", 9)))
         await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
         assert len(bus.subscriptions) == 3
-        assert rig.node.watch_client is not None and rig.node.watch_client.last == 3
+        assert rig.node.watch_client is not None and rig.node.watch_client.last_offset == 3
 
 
 @on_uvloop
@@ -199,13 +199,13 @@
         watch_client = rig.node.watch_client
         assert old is not None and watch_client is not None
         offsets: list[int] = []
-        take = watch_client.take
+        take = watch_client.on_event
 
         def count(event: EndpointListEvent) -> None:
             offsets.append(event.offset)
             take(event)
 
-        watch_client.take = count
+        watch_client.on_event = count
         drain = topology_event(2, {**targets[0], "state": "terminating"})
         line = json.dumps(drain).encode() + b"\n"
         old.write(line[:40])
@@ -215,12 +215,12 @@
         assert bus.subscriptions[1] == b"from 1\n"
         old.write(line[40:] + b'{"offset":3,"topology":{"rev":3,"all":true,"targets":[]}}\n')
         bus.publish(drain)
-        await until(lambda: watch_client.last == 2)
+        await until(lambda: watch_client.last_offset == 2)
         bus.publish(drain)
         client = await rig.client()
         await drained_is_left_out(rig, client, leaving, other, 1)
         bus.publish(topology_event(3))
-        await until(lambda: watch_client.last == 3)
+        await until(lambda: watch_client.last_offset == 3)
         assert offsets == [2, 3]
         assert set(rig.node.dispatcher.endpoint_table.by_uid) == {"s-1", "s-2"}
 
@@ -247,7 +247,9 @@
         await until(lambda: len(bus.subscriptions) == 2)
         assert bus.subscriptions == [b"from 1\n", b"from 1\n"]
         bus.publish(topology_event(2, {**targets[0], "state": "terminating"}))
-        await until(lambda: rig.node.watch_client is not None and rig.node.watch_client.last == 2)
+        await until(
+            lambda: rig.node.watch_client is not None and rig.node.watch_client.last_offset == 2
+        )
         await drained_is_left_out(rig, client, leaving, other, 2)
 
 
@@ -278,6 +280,6 @@
         assert new.subscriptions == [b"from 1\n"]
         old.writer.write(line[50:])  # late, from an address that is not in force any more
         new.publish(topology_event(2, {**targets[0], "state": "terminating"}))
-        await until(lambda: watch_client.last == 2)
+        await until(lambda: watch_client.last_offset == 2)
         await drained_is_left_out(rig, await rig.client(), leaving, other, 1)
         assert len(old.subscriptions) == 1
--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -191,19 +191,19 @@
 @on_uvloop
 async def test_incomplete_frames_are_bounded_in_all() -> None:
     async with running(make_config()) as rig:
-        rig.node.dispatcher.room = 310_000
+        rig.node.dispatcher.statement_capacity_bytes = 310_000
         clients = [await rig.client() for _ in range(3)]
         for client in clients:
             client.writer.write((200_000).to_bytes(4, "big") + b"\x02" + bytes(150_000))
         await until(lambda: any(connection.broken for connection in rig.node.clients))
         assert (
-            rig.node.partial <= 310_000
+            rig.node.partial_frame_bytes <= 310_000
             and sum(connection.broken for connection in rig.node.clients) == 1
         )
         for client in clients:
             client.writer.close()
         await until(lambda: not rig.node.clients)
-        assert rig.node.partial == 0
+        assert rig.node.partial_frame_bytes == 0
 
 
 @on_uvloop
@@ -267,7 +267,7 @@
         transport = slow.writer.transport
         transport.pause_reading()  # type: ignore[attr-defined]
         stream = 0
-        while not any(connection.paused_at for connection in rig.node.clients):
+        while not any(connection.paused_since_ns for connection in rig.node.clients):
             stream += 1
             slow.ask(stream=stream, trace=f"{stream:016x}")
             await until(lambda: len(engine.commands_named(b"forget")) == stream)  # noqa: B023
@@ -276,7 +276,7 @@
         transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(stream):
             assert (await slow.answer())[3] == row * 8
-        assert not any(connection.paused_at for connection in rig.node.clients)
+        assert not any(connection.paused_since_ns for connection in rig.node.clients)
 
 
 @on_uvloop
@@ -297,7 +297,7 @@
 async def test_statements_in_memory_are_bounded_and_released() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        rig.node.dispatcher.room = 100
+        rig.node.dispatcher.statement_capacity_bytes = 100
         client = await rig.client()
         client.ask(1, b"x" * 90, weight="900.0")
         client.ask(2, b"x" * 20, trace="2" * 16)
@@ -360,5 +360,5 @@
         stream, code, _, why = await client.answer()
         assert (stream, code) == (0, frames.FAILED) and b"length" in why
         assert await client.ended()
-        assert rig.node.partial == 0
+        assert rig.node.partial_frame_bytes == 0
         await until(lambda: not rig.node.clients)
--- a/tests/test_sockets_engine.py
+++ b/tests/test_sockets_engine.py
@@ -227,8 +227,10 @@
         # tried again, well before its time is up
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert asked == [b"1" * 16, TRACE.encode(), TRACE.encode()]
-        known = rig.node.dispatcher.facade.controller.engines.values()
-        assert not any(e.suspect or e.failures for e in known)  # a spoilt answer is no dead process
+        known = rig.node.dispatcher.facade.controller.endpoints.values()
+        assert not any(
+            e.ejected or e.failure_rate for e in known
+        )  # a spoilt answer is no dead process
         first = next(
             e
             for e in engines
@@ -305,7 +307,7 @@
         pool = next(iter(rig.node.dispatcher.pools.by_number.values()))
         now = rig.node.clock.now()
         assert pool._usable(now) == pool.connections
-        assert pool._usable(now + 2 * connection_choice.SILENT) == []
+        assert pool._usable(now + 2 * connection_choice.SILENCE_LIMIT_NS) == []
 
 
 @on_uvloop
@@ -319,7 +321,7 @@
         pool = next(iter(node.dispatcher.pools.by_number.values()))
         pool.sweep(node.clock.now())
         assert [c.closed for c in pool.connections] == [False]
-        pool.sweep(node.clock.now() + node.config.conn_idle * 6 // 10)
+        pool.sweep(node.clock.now() + node.config.connection_idle_ns * 6 // 10)
         await until(lambda: not pool.connections)
 
 
@@ -337,7 +339,7 @@
         client = await rig.client()
         client.ask(weight="1.0")
         assert (await client.answer())[1] == frames.SERVED
-        assert list(broker.facade.controller.engines) == [broker.endpoint_table.number("s-2")]
+        assert list(broker.facade.controller.endpoints) == [broker.endpoint_table.number("s-2")]
 
 
 @on_uvloop
@@ -356,12 +358,12 @@
 async def test_with_no_descriptor_left_a_send_counts_as_never_run() -> None:
     engine = Engine()
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        rig.node.dispatcher.pools.most = -1
+        rig.node.dispatcher.pools.max_connections = -1
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
         assert not engine.commands
-        assert not any(e.suspect for e in rig.node.dispatcher.facade.controller.engines.values())
+        assert not any(e.ejected for e in rig.node.dispatcher.facade.controller.endpoints.values())
 
 
 @on_uvloop
@@ -369,12 +371,12 @@
     engine = Engine(lambda *_: None)
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, pools_ = await rig.client(), rig.node.dispatcher.pools
-        pools_.most = 8
+        pools_.max_connections = 8
         for stream in range(1, 21):
             client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
         await until(lambda: len(engine.commands_named(b"do")) == 20)
         (pool,) = pools_.by_number.values()
-        assert len(engine.writers) == 6 and pools_.make_room(pool)
+        assert len(engine.writers) == 6 and pools_.reserve_descriptor(pool)
 
 
 @on_uvloop
@@ -386,11 +388,15 @@
     engine = Engine(script)
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         broker = rig.node.dispatcher
-        known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
+        known = broker.facade.controller.endpoints[broker.endpoint_table.number("s-1")]
         broker.health_checks.start(broker.now(), broker.endpoint_table.number("s-1"))
-        await until(lambda: known.report)
-        assert known.report is not None
-        assert (known.report.queue, known.report.memory, known.report.disk) == (2.0, 0.25, 0.5)
+        await until(lambda: known.load_report)
+        assert known.load_report is not None
+        assert (known.load_report.queue, known.load_report.memory, known.load_report.disk) == (
+            2.0,
+            0.25,
+            0.5,
+        )
         assert not broker.health_checks.pending
         client = await rig.client()
         client.ask(patience="150", weight="100.0")
@@ -399,7 +405,7 @@
         engine.writer_of(engine.commands_named(b"do")[0]).write(
             resp.encode(TRACE.encode(), b"served", b"chunks=1,meter=q:0;x0:0.75", b"1\ta\tb\n")
         )
-        await until(lambda: known.report and known.report.memory == 0.75)
+        await until(lambda: known.load_report and known.load_report.memory == 0.75)
 
 
 @on_uvloop
@@ -411,14 +417,14 @@
         client.ask(route="stock-add", patience="20000")
         await until(lambda: engine.commands_named(b"do"))
         pool = next(iter(broker.pools.by_number.values()))
-        pool.sweep(broker.now() + 2 * pools.GONE_SILENT)
+        pool.sweep(broker.now() + 2 * pools.REMOVED_SILENCE_LIMIT_NS)
         assert not pool.connections[0].closed  # silent, but nobody says that it has ended
         broker.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-1", port, "terminated")))
         )
         pool.sweep(broker.now())
         assert not pool.connections[0].closed
-        pool.sweep(broker.now() + 2 * pools.GONE_SILENT)
+        pool.sweep(broker.now() + 2 * pools.REMOVED_SILENCE_LIMIT_NS)
         assert (await client.answer())[1] == frames.FAILED
 
 
@@ -426,7 +432,7 @@
 def test_descriptors_are_kept_for_clients_and_a_reserve(sockets: int, most: int) -> None:
     config = replace(make_config(), sockets=sockets)
     broker = Dispatcher(config, Clock(), lambda kind, text: None)
-    assert broker.pools.most == most
+    assert broker.pools.max_connections == most
     assert most + sockets // 3 + 24 <= sockets
 
 
@@ -503,20 +509,20 @@
     engine = Engine(lambda *_: None)
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client, broker = await rig.client(), rig.node.dispatcher
-        broker.pools.most = 1  # so that both share a connection
+        broker.pools.max_connections = 1  # so that both share a connection
         client.ask(stream=1, patience="200", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
         client.ask(stream=2, patience="20000", route="stock-add", trace="2" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         pool = next(iter(broker.pools.by_number.values()))
         old = pool.connections[0]
-        pool.sweep(broker.now() + pools.AFTER + 1_000 * MS)
+        pool.sweep(broker.now() + pools.LATE_ANSWER_NS + 1_000 * MS)
         assert old.retired and not old.closed  # the load on it is still expected
         engine.answer_served(
             engine.commands_named(b"do")[1], engine.writer_of(engine.commands_named(b"do")[1])
         )
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        pool.sweep(broker.now() + pools.AFTER + 1_000 * MS)
+        pool.sweep(broker.now() + pools.LATE_ANSWER_NS + 1_000 * MS)
         await until(lambda: old.closed)
 
 
@@ -582,9 +588,9 @@
     )
     async with running(config) as rig:
         broker = rig.node.dispatcher
-        known = broker.facade.controller.engines[broker.endpoint_table.number("s-1")]
+        known = broker.facade.controller.endpoints[broker.endpoint_table.number("s-1")]
         broker.facade.controller.outliers.set_ejected(broker.now(), known, True)
-        await until(lambda: engine.commands_named(b"top") and not known.suspect)
+        await until(lambda: engine.commands_named(b"top") and not known.ejected)
 
 
 @on_uvloop
@@ -594,8 +600,8 @@
         async with running(replace(make_config(bus=free_port()), seed=seed)) as rig:
             assert rig.node.watch_client is not None
             rig.node.watch_client._connect_after = waits.append  # type: ignore[method-assign, assignment]
-            rig.node.watch_client.wait = 0.4
-            rig.node.watch_client._again()
+            rig.node.watch_client.backoff_s = 0.4
+            rig.node.watch_client._reconnect()
     assert len(set(waits[-6:])) > 3 and all(0.2 <= wait <= 0.4 for wait in waits)
 
 
--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -34,7 +34,7 @@
 )
 from query_broker.emulator.processes import BrokerFleet, BrokerProcess
 from query_broker.protocols import client_frames as frames
-from query_broker.startup.endpoint_snapshot import LastList, encode
+from query_broker.startup.endpoint_snapshot import EndpointSnapshot, encode
 
 from . import deployments
 from .sockets import HANG, Engine, on_uvloop, until, write_config
@@ -100,7 +100,7 @@
     link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             answer = await status(member, at("list"))
             assert (
                 not answer["ready"]
@@ -109,10 +109,10 @@
             )
             await until(lambda member=member: "still asking, not ready" in member.log())  # type: ignore[misc]
         script.faults.clear()  # it is back
-        for member in brokers.members:
+        for member in brokers.processes:
             answer = await status(member, at("full"))
             assert answer["list"] == "bus" and answer["confirmed"] and answer["listed"] == 2
-        book = RequestLog("127.0.0.1", brokers.members[0].port)
+        book = RequestLog("127.0.0.1", brokers.processes[0].port)
         for _ in range(20):
             await book.send_request("", "glance", 2, 4_000 * MS)
         await book.wait_until_idle(HANG)
@@ -154,7 +154,7 @@
         bus.publish(topology_event(1, target_entry("s-1", port), full=True))
         for number in range(2, 6):
             bus.publish(topology_event(number))
-        await status(brokers.members[0], ready)
+        await status(brokers.processes[0], ready)
         for beat in (3, 5, 3, 3):  # one beat may be a replica's that lags
             bus.publish(beat)
         await until(lambda: len(bus.subscriptions) == 2)
@@ -168,7 +168,7 @@
                 full=True,
             )
         )
-        await status(brokers.members[0], lambda answer: answer["listed"] == 2)
+        await status(brokers.processes[0], lambda answer: answer["listed"] == 2)
 
 
 @on_uvloop
@@ -211,7 +211,9 @@
 
 def from_tomorrow() -> str:
     """The clock has been set back between the runs."""
-    return encode(LastList("", 9, time.time_ns() + 86_400 * 10**9, (target_entry("s-9", 9),)))
+    return encode(
+        EndpointSnapshot("", 9, time.time_ns() + 86_400 * 10**9, (target_entry("s-9", 9),))
+    )
 
 
 @pytest.mark.parametrize(
@@ -228,8 +230,8 @@
     path.write_text(content)
     with fleet(1, raw, f', last_list = "{path}"') as brokers:
         brokers.start()
-        answer = await status(brokers.members[0], ready)
-        assert answer["list"] == "bus" and "set aside" in brokers.members[0].log()
+        answer = await status(brokers.processes[0], ready)
+        assert answer["list"] == "bus" and "set aside" in brokers.processes[0].log()
         assert (tmp_path / "list.bad").read_text() == content
     assert not path.exists() or path.read_text().startswith("larchhall-list 1 ")
     world.stop()
@@ -275,7 +277,7 @@
     world.discovery.publish(target_entry("s-2", port), target_entry("s-3", port))
     with fleet(3, raw) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             answer = await status(member, ready)
             assert "time-out: heard of 1 of 3 only" in str(answer["passed"])
             await status(member, at("full"))
@@ -314,7 +316,7 @@
         for member in brokers.processes[:2]:
             member.kill()
             member.start()
-        paused = brokers.members[3]
+        paused = brokers.processes[3]
         client = RequestLog("127.0.0.1", paused.port)
         in_hand = [
             await client.send_request("", "glance", work, 1_500 * MS)
@@ -328,7 +330,7 @@
         await client.wait_until_idle(HANG)
         assert [a.answer_count for a in in_hand] == [1, 1, 1]
         client.close()
-        for member in brokers.members:
+        for member in brokers.processes:
             answer = await status(
                 member, lambda answer: answer["stage"] == "full" and answer["listed"] == 2
             )
@@ -386,7 +388,7 @@
             target_entry("s-2", world.engines["s-1"].port + 1, "terminating"),
             target_entry("s-3", 9),
         )
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, lambda answer: answer["stage"] == "full" and answer["listed"] == 2)
         assert len(link.connected_at_s) < 100 * link.schedule.now_s() + 4
     link.stop()
@@ -406,7 +408,7 @@
     link = FaultyLink("bus", "127.0.0.1", world.discovery_port, script)
     with fleet(4, {**raw, "bus": f"127.0.0.1:{await link.start()}"}) as brokers:
         brokers.start()
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, lambda answer: answer["stage"] == "full" and answer["listed"] == 1)
         await until(lambda: link.counts["back"] >= 4 * size)
         assert len(link.connected_at_s) <= 8
@@ -527,7 +529,7 @@
     with fleet(4, raw) as brokers:
         brokers.start()
         clients = []
-        for member in brokers.members:
+        for member in brokers.processes:
             await status(member, ready)
             clients.append(RequestLog("127.0.0.1", member.port))
         for _ in range(40):
@@ -597,7 +599,7 @@
         brokers.start()
         member = brokers.processes[0]
         await status(member, at("full"))
-        address = f"127.0.0.1:{member.operator}"
+        address = f"127.0.0.1:{member.admin_port}"
         arguments = ["start", "show", "--address", address]
         shown = await asyncio.to_thread(CliRunner().invoke, main, arguments)
         assert shown.exit_code == 0 and "contact" in shown.output and "full *" in shown.output
--- a/tests/test_start_pure.py
+++ b/tests/test_start_pure.py
@@ -12,9 +12,19 @@
 
 from query_broker.operator_config.script import OperatorFileError, run_script
 from query_broker.startup import endpoint_snapshot, pacing
-from query_broker.startup.admission_ramp import MAX_RAMPS, Ramp, assumed, retry_after_ns
-from query_broker.startup.bounds import lines
-from query_broker.startup.endpoint_snapshot import EndpointSnapshotError, LastList, decode, encode
+from query_broker.startup.admission_ramp import (
+    MAX_RAMPS,
+    AdmissionRamp,
+    assumed_work,
+    retry_after_ns,
+)
+from query_broker.startup.bounds import bound_lines
+from query_broker.startup.endpoint_snapshot import (
+    EndpointSnapshot,
+    EndpointSnapshotError,
+    decode,
+    encode,
+)
 from query_broker.startup.settings import StartupSettings
 from query_broker.startup.stages import ListSource, Stage, StartupStages
 
@@ -51,12 +61,13 @@
     started = [me for me in range(fleet) if me == 0 or draw.random() < part]
     begun = [1_796_000_000 * NS_PER_SECOND + int(draw.random() * within) for _ in started]
     calls = [
-        pacing.Calls(me, fleet, 50.0, draw.random).first(now)
+        pacing.PacedCalls(me, fleet, 50.0, draw.random).first_at(now)
         for me, now in zip(started, begun, strict=True)
     ]
     assert most_calls_in_a_second(calls) <= 52
     assert all(
-        0 <= at - now <= pacing.window(fleet, 50.0) for at, now in zip(calls, begun, strict=True)
+        0 <= at - now <= pacing.call_window_ns(fleet, 50.0)
+        for at, now in zip(calls, begun, strict=True)
     )
 
 
@@ -66,7 +77,7 @@
     configured: int,
 ) -> None:
     draw = random.Random(configured)
-    calls = [pacing.Calls(me, configured, 50.0, draw.random).first(0) for me in range(300)]
+    calls = [pacing.PacedCalls(me, configured, 50.0, draw.random).first_at(0) for me in range(300)]
     assert most_calls_in_a_second(calls) <= 52 * max(1, 300 // configured)
 
 
@@ -74,19 +85,19 @@
     draw = random.Random(5)
     times: list[int] = []
     for me in range(300):
-        calls = pacing.Calls(me, 300, 50.0, draw.random)
-        now = calls.first(int(draw.random() * NS_PER_SECOND))
+        calls = pacing.PacedCalls(me, 300, 50.0, draw.random)
+        now = calls.first_at(int(draw.random() * NS_PER_SECOND))
         while now < 120 * NS_PER_SECOND:
             times.append(now)
-            now = calls.again(now)
+            now = calls.retry_at(now)
     assert most_calls_in_a_second(times) <= 52
     late = [at for at in times if at > 60 * NS_PER_SECOND]
     assert len(late) / 60 < 30
-    alone = pacing.Calls(0, 1, 50.0, draw.random)
+    alone = pacing.PacedCalls(0, 1, 50.0, draw.random)
     now = 0
     waits = []
     for _ in range(60):
-        waits.append(alone.again(now) - now)
+        waits.append(alone.retry_at(now) - now)
         now += waits[-1]
     assert max(waits) <= 6 * pacing.MIN_WINDOW_NS  # one broker alone is back at once
     alone.succeeded()
@@ -96,8 +107,8 @@
 def test_probes_of_one_endpoint_and_of_one_broker_are_both_spread() -> None:
     first = random.Random(7).randrange(1 << 32)
     endpoints = range(first, first + 40)
-    of_endpoint = [pacing.probe_at(place, first, place, 300, 20.0) for place in range(300)]
-    of_broker = [pacing.probe_at(0, endpoint, 3, 300, 20.0) for endpoint in endpoints]
+    of_endpoint = [pacing.probe_slot_ns(place, first, place, 300, 20.0) for place in range(300)]
+    of_broker = [pacing.probe_slot_ns(0, endpoint, 3, 300, 20.0) for endpoint in endpoints]
     assert most_calls_in_a_second(of_endpoint) <= 22 and len(set(of_broker)) == len(endpoints)
 
 
@@ -121,12 +132,12 @@
 def test_a_ramp_ends_sooner_with_successes_and_never_later_than_stated(
     good: int, bad: int, within: int
 ) -> None:
-    ramp = Ramp(SETTINGS, 0)
+    ramp = AdmissionRamp(SETTINGS, 0)
     now = 0
     fractions = [SETTINGS.initial_fraction]
-    while not ramp.over():
+    while not ramp.complete():
         now += NS_PER_SECOND
-        fractions.append(ramp.period(now, good, bad))
+        fractions.append(ramp.step(now, good, bad))
     assert now <= within * NS_PER_SECOND and fractions == sorted(fractions)
     # never complete at once
     assert fractions[1] <= max(2.0, ramp.growth) * fractions[0] + 1e-9
@@ -152,9 +163,9 @@
 
 def test_assumed_work_leaves_capacity_for_one_request_and_ends_with_the_ramp() -> None:
     """Where nothing may be sent no answer can come, and the ramp waits for answers."""
-    assert assumed(0.01, 16.0, 4e9, 4) == (12, int(0.99 * 4e9))
-    assert assumed(0.1, 0.4, 1e9, 4)[0] == 0
-    assert assumed(1.0, 16.0, 4e9, 4) == (0, 0)
+    assert assumed_work(0.01, 16.0, 4e9, 4) == (12, int(0.99 * 4e9))
+    assert assumed_work(0.1, 0.4, 1e9, 4)[0] == 0
+    assert assumed_work(1.0, 16.0, 4e9, 4) == (0, 0)
 
 
 # --- the stages ---
@@ -185,9 +196,9 @@
         stages = StartupStages(SETTINGS, 0)
         stages.settings_read(0, None)
         stages.list_received(0, ListSource.KNOWN, listed)
-        stages.endpoints_contacted(SETTINGS.contact_wait - 1, 0, listed)
+        stages.endpoints_contacted(SETTINGS.contact_wait_ns - 1, 0, listed)
         assert not stages.ready()
-        stages.endpoints_contacted(SETTINGS.contact_wait, 0, listed)
+        stages.endpoints_contacted(SETTINGS.contact_wait_ns, 0, listed)
         assert stages.ready() and "time-out" in stages.completed[-1].reason
 
 
@@ -248,7 +259,7 @@
 
 # --- the endpoint snapshot ---
 
-SNAPSHOT = LastList(
+SNAPSHOT = EndpointSnapshot(
     "atlanta", 41, 1_000 * NS_PER_SECOND, (target_entry("s-1", 9090), target_entry("s-2", 9091))
 )
 
@@ -320,6 +331,6 @@
 
 
 def test_the_lines_of_check_config_name_the_windows_of_this_fleet() -> None:
-    text = lines(StartupSettings(snapshot_path="/x"), 7, 300)
+    text = bound_lines(StartupSettings(snapshot_path="/x"), 7, 300)
     assert "place 7 of 300" in text[0] and "at 0.14 s of each" in text[0] and "6.00 s" in text[0]
     assert any("time-out ends this stage" in line for line in text) and "/x" in text[-1]
