--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -42,7 +42,7 @@
 
 
 @asynccontextmanager
-async def beside(config: Config, listener: socket.socket, folder: Path) -> AsyncIterator[Rig]:
+async def co_process(config: Config, listener: socket.socket, folder: Path) -> AsyncIterator[Rig]:
     """A process of the broker on the platform's socket."""
     async with running(
         replace(config, accept_fd=os.dup(listener.fileno()), folder=str(folder))
@@ -66,21 +66,21 @@
     engine = Engine()
     config = make_config(target_entry("s-1", await engine.start()), operator=True)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(config, listener, tmp_path) as old:
-            assert old.node.admin_api.set_engine("s-1", out=True)
-            async with beside(config, listener, tmp_path) as new:
+        async with co_process(config, listener, tmp_path) as old:
+            assert old.node.admin_api.set_endpoint_disabled("s-1", out=True)
+            async with co_process(config, listener, tmp_path) as new:
                 assert new.node.dispatcher.administrative_states.is_disabled(
                     "s-1"
                 )  # before it serves anybody
-                assert new.node.dispatcher.facade.avoided() == 1
+                assert new.node.dispatcher.facade.avoided_endpoints() == 1
                 await meet(old, new)
-                assert new.node.admin_api.set_engine("s-1", out=False)
+                assert new.node.admin_api.set_endpoint_disabled("s-1", out=False)
                 await until(
                     lambda: not old.node.dispatcher.administrative_states.is_disabled("s-1")
                 )
-                (known,) = old.node.dispatcher.facade.controller.engines.values()
-                assert known.cold_until > old.node.clock.now()
-                assert old.node.admin_api.set_engine("s-1", out=True)
+                (known,) = old.node.dispatcher.facade.controller.endpoints.values()
+                assert known.warmup_ends_ns > old.node.clock.now()
+                assert old.node.admin_api.set_endpoint_disabled("s-1", out=True)
                 await until(lambda: new.node.dispatcher.administrative_states.is_disabled("s-1"))
 
 
@@ -92,11 +92,11 @@
     engine = Engine(lambda *_: None)
     config = make_config(target_entry("s-1", await engine.start()))
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(config, listener, tmp_path) as old:
+        async with co_process(config, listener, tmp_path) as old:
             client = await old.client()
             client.ask(stream=1)
             await until(lambda: engine.commands_named(b"do"))
-            async with beside(config, listener, tmp_path) as new:
+            async with co_process(config, listener, tmp_path) as new:
                 await meet(old, new)
                 old.node.shutdown.begin()
                 assert await client.frame() == (frames.NO_MORE, 0, b"")
@@ -126,7 +126,7 @@
     tmp_path: Path,
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(make_config(target_entry("s-1", 9)), listener, tmp_path) as rig:
+        async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as rig:
             rig.node.shutdown.begin()
             assert rig.node.ready()
             assert rig.node.server is not None
@@ -137,8 +137,8 @@
 async def test_a_process_without_an_endpoint_list_is_no_successor(tmp_path: Path) -> None:
     """The old one would leave the queue to a process that can serve none of it."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(make_config(target_entry("s-1", 9)), listener, tmp_path) as old:
-            async with beside(make_config(listed=False), listener, tmp_path) as new:
+        async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as old:
+            async with co_process(make_config(listed=False), listener, tmp_path) as new:
                 await meet(old, new)
                 assert not peer_processes(old).has_successor()
                 new.node.endpoint_list_changed(
@@ -154,31 +154,31 @@
 ) -> None:
     config = make_config(target_entry("s-1", 9), operator=True)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(config, listener, tmp_path) as old:
+        async with co_process(config, listener, tmp_path) as old:
             undivided = (
                 old.node.admission.max_connections,
-                old.node.dispatcher.pools.most,
-                old.node.dispatcher.room,
+                old.node.dispatcher.pools.max_connections,
+                old.node.dispatcher.statement_capacity_bytes,
             )
-            async with beside(config, listener, tmp_path) as new:
+            async with co_process(config, listener, tmp_path) as new:
                 await meet(old, new)
                 for rig in (old, new):
-                    assert rig.node.dispatcher.pools.most <= undivided[1] // 2
-                    assert rig.node.dispatcher.room < undivided[2]
+                    assert rig.node.dispatcher.pools.max_connections <= undivided[1] // 2
+                    assert rig.node.dispatcher.statement_capacity_bytes < undivided[2]
             await until(lambda: not peer_processes(old).others)
             assert (
                 old.node.admission.max_connections,
-                old.node.dispatcher.pools.most,
-                old.node.dispatcher.room,
+                old.node.dispatcher.pools.max_connections,
+                old.node.dispatcher.statement_capacity_bytes,
             ) == undivided
             broker = old.node.dispatcher
             broker.divide(2, 42)
             # two reserves
-            assert broker.most_clients + 42 + 2 * broker.pools.most <= config.sockets - 90
+            assert broker.max_clients + 42 + 2 * broker.pools.max_connections <= config.sockets - 90
             broker.config = replace(broker.config, sockets=64)
             broker.divide(3, 60)  # the least limit, divided, must leave a part for clients
-            assert broker.most_clients >= 7
-            assert broker.pools.most >= 4
+            assert broker.max_clients >= 7
+            assert broker.pools.max_connections >= 4
 
 
 @on_uvloop
@@ -194,17 +194,17 @@
         for do in engine.commands_named(b"do"):
             engine.answer_served(do, engine.writer_of(do))
             await client.answer()
-        open_connections = pools._held()
+        open_connections = pools._count_connections()
         assert open_connections > 4
-        pools.limit(3)
-        pools.limit(2)  # those that are ending are not counted on twice
-        await until(lambda: pools._held() == 2)
+        pools.set_max_connections(3)
+        pools.set_max_connections(2)  # those that are ending are not counted on twice
+        await until(lambda: pools._count_connections() == 2)
 
 
 @on_uvloop
 async def test_files_of_a_killed_process_are_removed_unread(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(make_config(target_entry("s-1", 9)), listener, tmp_path) as rig:
+        async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as rig:
             name = peer_processes(rig).files.prefix + "9-dead"
             (tmp_path / f"{name}.json").write_text(
                 '{"accepting": true, "words": {"s-1": [9, true]}}'
@@ -229,20 +229,20 @@
 ) -> None:
     """To replace the file flushes it to the disk, and the loop stands still meanwhile."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with beside(
+        async with co_process(
             make_config(target_entry("s-1", 9), operator=True), listener, tmp_path
         ) as rig:
             ours = peer_processes(rig)
             (file,) = tmp_path.glob("*.json")
             inode = file.stat().st_ino
             name = file.name.removesuffix(".json")
-            assert rig.node.admin_api.set_engine("s-1", out=True)
+            assert rig.node.admin_api.set_endpoint_disabled("s-1", out=True)
             long = file.read_bytes()
             status = ours.files.read(name)
             assert status is not None
             assert "s-1" in status.administrative_states
             rig.node.dispatcher.administrative_states.states.clear()
-            ours.tell()
+            ours.publish_status()
             short = file.read_bytes()
             status = ours.files.read(name)
             assert file.stat().st_ino == inode
@@ -296,7 +296,7 @@
 def test_work_of_the_other_process_counts_against_the_bound_and_ends_with_it() -> None:
     """Each would fill the complete bound, and together they would overrun the endpoint."""
     harness = Harness(make_settings(), entry(1))
-    bound = int(harness.controller.engines[1].bound)
+    bound = int(harness.controller.endpoints[1].bound_ns)
     harness.do(
         api.CoProcessLoad(
             {1: api.OutstandingWork(40, bound, 0), 7: api.OutstandingWork(1, 1, 1)}, 2
@@ -331,7 +331,7 @@
         harness.do(api.CoProcessLoad({}, accepting))
         for number in range(10):
             harness.arrive(f"r{number}", estimate_ns=MS, tenant="a")
-        return sum(not request.over_share for request in harness.controller.requests.values())
+        return sum(not request.over_quota for request in harness.controller.requests.values())
 
     assert (within_quota(1), within_quota(2)) == (8, 4)
 
@@ -341,7 +341,7 @@
     harness = Harness(make_settings(), entry(1, started_ns=110 * S))
     harness.arrive("r", estimate_ns=MS)
     harness.end("r", api.AttemptResult.CONNECT_FAILED)
-    assert harness.controller.engines[1].suspect
+    assert harness.controller.endpoints[1].ejected
 
 
 def test_an_attempt_dispatched_before_an_enable_is_no_observation_of_the_endpoint() -> None:
@@ -352,5 +352,5 @@
     harness.now += S
     harness.do(api.AdministrativeChange(engine, False, harness.now))
     harness.end("r", api.AttemptResult.CONNECT_FAILED)
-    assert not harness.controller.engines[engine].suspect
+    assert not harness.controller.endpoints[engine].ejected
     assert harness.controller.avoided() == 0
--- a/tests/test_wire_tables.py
+++ b/tests/test_wire_tables.py
@@ -106,7 +106,7 @@
     ],
 )
 def test_a_malformed_frame_is_an_error_before_the_rest_of_it_is_there(data: bytes) -> None:
-    with pytest.raises(frames.BadFrame):
+    with pytest.raises(frames.MalformedFrameError):
         parse_in_steps(frames.FrameParser(), data, len(data))
 
 
@@ -136,7 +136,7 @@
     ],
 )
 def test_unreadable_fields_are_an_error(payload: bytes) -> None:
-    with pytest.raises(frames.BadFrame):
+    with pytest.raises(frames.MalformedFrameError):
         frames.read_fields(payload)
 
 
@@ -207,7 +207,7 @@
     ],
 )
 def test_malformed_resp_is_an_error(data: bytes) -> None:
-    with pytest.raises(resp.BadAnswer):
+    with pytest.raises(resp.MalformedAnswerError):
         parse_in_steps(resp.RespParser(), data, 1_000)
 
 
@@ -221,11 +221,11 @@
 
 def test_malformed_fields_and_load_reports_are_an_error() -> None:
     for raw in (b"chunks", b"=2", b"a=1,,b=2", b"\xff=1"):
-        with pytest.raises(resp.BadAnswer):
+        with pytest.raises(resp.MalformedAnswerError):
             resp.read_pairs(raw)
-    assert resp.read_meter("inflight:7;util:0.61") == {"inflight": 7.0, "util": 0.61}
-    with pytest.raises(resp.BadAnswer):
-        resp.read_meter("util:high")
+    assert resp.read_load_report("inflight:7;util:0.61") == {"inflight": 7.0, "util": 0.61}
+    with pytest.raises(resp.MalformedAnswerError):
+        resp.read_load_report("util:high")
 
 
 @pytest.mark.parametrize(
@@ -289,7 +289,7 @@
     ],
 )
 def test_bad_bus_lines(line: bytes) -> None:
-    with pytest.raises(bus.BadLine):
+    with pytest.raises(bus.InvalidEventError):
         bus.parse_line(line)
 
 
@@ -316,9 +316,9 @@
 def test_any_bytes_are_read_or_an_error_alike_however_they_are_cut(data: bytes, step: int) -> None:
     """No input may raise anything but the parser's own error."""
     for parser_class, error_class in (
-        (frames.FrameParser, frames.BadFrame),
-        (resp.RespParser, resp.BadAnswer),
-        (bus.LineParser, bus.BadLine),
+        (frames.FrameParser, frames.MalformedFrameError),
+        (resp.RespParser, resp.MalformedAnswerError),
+        (bus.LineParser, bus.InvalidEventError),
     ):
         results = []
         for size in (step, 1_000):
