--- a/query_broker/cells/client_connection.py
+++ b/query_broker/cells/client_connection.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from ..protocols.client_connection import ClientConnection, Front
+from ..protocols.client_connection import ClientConnection, ClientHost
 from .client_seat import ANTEROOM, SeatedClient
 from .read_turns import ReadTurns
 
@@ -19,7 +19,7 @@
         """Account a change of its incomplete frames; False where the cell has no capacity."""
 
 
-class CellFront(Front, Protocol):
+class CellClientHost(ClientHost, Protocol):
     """The node, as far as its connections need it."""
 
     @property
@@ -31,6 +31,39 @@
         """The turns to read."""
 
 
+class CellLimits:
+    """The limits of the cell that a connection is accounted to, for its reading.
+
+    A tenant that sends a hundred times its share would take the loop from the others.
+    """
+
+    def __init__(self, host: CellClientHost, connection: CelledConnection) -> None:
+        """Take who knows the cells, and whose reading is limited."""
+        self._host = host
+        self._connection = connection
+        self._cell = connection.cell
+        self._turn_began_ns = 0
+
+    def begin_turn(self) -> bool:
+        """Return whether the cell has processor time left; if not, the connection is queued."""
+        if not self._host.read_turns.may_read(self._connection):
+            return False
+        self._cell = self._connection.cell  # the turn may settle the connection elsewhere
+        self._turn_began_ns = self._host.dispatcher.now()
+        return True
+
+    def end_turn(self) -> None:
+        """Charge the turn's processor time to the cell in which it began."""
+        elapsed_ns = self._host.dispatcher.now() - self._turn_began_ns
+        self._host.read_turns.charge(self._cell, elapsed_ns)
+
+    def may_buffer(self, size: int) -> bool:
+        """Account bytes of incomplete frames to the cell; return whether it has them left."""
+        change_bytes = size - self._connection.accounted_bytes
+        self._connection.accounted_bytes = size
+        return self._host.client_seats.account_partial_frames(self._connection, change_bytes)
+
+
 class CelledConnection(ClientConnection, SeatedClient):
     """A connection that sits in the anteroom until its first request, then in the last one's cell.
 
@@ -39,32 +72,12 @@
         accounted_bytes: Its incomplete frames, as they are accounted to the cell.
     """
 
-    def __init__(self, front: CellFront) -> None:
+    def __init__(self, host: CellClientHost) -> None:
         """Start in the anteroom."""
-        super().__init__(front)
-        self._seats = front.client_seats
-        self._turns = front.read_turns
+        self._seats = host.client_seats
         self.cell = ANTEROOM
         self.accounted_bytes = 0
-
-    def _read_on(self) -> None:
-        """Read in turn: a tenant that sends a hundred times its share would take the loop."""
-        if not self._turns.may_read(self):
-            self.reading_on = True
-            self._read_if_wanted()
-            return
-        cell = self.cell  # reading may settle the connection elsewhere
-        begun_ns = self.front.dispatcher.now()
-        super()._read_on()
-        self._turns.charge(cell, self.front.dispatcher.now() - begun_ns)
-
-    def _count_partial(self) -> None:
-        super()._count_partial()
-        change_bytes = self.partial - self.accounted_bytes
-        self.accounted_bytes = self.partial
-        has_capacity = self._seats.account_partial_frames(self, change_bytes)
-        if not has_capacity and not self.broken:
-            self._break("no room for more frames that are not whole")
+        super().__init__(host, CellLimits(host, self))
 
     def settle(self, cell: str) -> bool:
         """Account the connection to this cell; False where the cell has no capacity for it."""
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -8,8 +8,9 @@
 
 from ..config import Config
 from ..dispatch.dispatcher import Dispatcher
-from ..operator_config.script import OperatorConfig, OperatorFileError
+from ..operator_config.script import OperatorFileError
 from ..operator_config.service import ConfiguredNode
+from ..operator_config.settings import OperatorConfig
 from ..protocols.client_connection import ClientConnection
 from ..server.client_admission import ClientAdmission
 from ..server.process_status import KEY_ACCEPTING, KEY_CELLS, ProcessStatus
@@ -59,8 +60,8 @@
             path: Where SIGHUP reads the operators' file again.
             environ: Where a reload finds the configuration again.
         """
-        assert said.map is not None, "no cells"
-        self.set_map(said.map)
+        assert said.cell_map is not None, "no cells"
+        self.set_map(said.cell_map)
         self.me = f"{os.getpid()}-{os.urandom(4).hex()}"
         self.peers: dict[str, PeerCellStatus] = {}
         super().__init__(config, said, path, environ)
@@ -190,14 +191,14 @@
                 f"{unknown[0]!r}",
             )
 
-    def _check(self, said: OperatorConfig) -> OperatorConfig:
+    def check_operator_config(self, said: OperatorConfig) -> OperatorConfig:
         """Reject a file that cannot take the place of the one in force.
 
         An old file put back by mistake would undo migrations at this process and not at the others.
         """
-        reason = self._reason_to_reject(said.map)
+        reason = self._reason_to_reject(said.cell_map)
         if reason:
-            message = f"{self.path}: {reason}"
+            message = f"{self.operator_file}: {reason}"
             raise OperatorFileError(message)
         return said
 
@@ -213,7 +214,7 @@
             )
         return ""
 
-    def _apply(self, said: OperatorConfig) -> None:
-        super()._apply(said)
-        if said.map is not None:
-            self.apply_map(said.map)
+    def apply_operator_config(self, said: OperatorConfig) -> None:
+        super().apply_operator_config(said)
+        if said.cell_map is not None:
+            self.apply_map(said.cell_map)
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -28,7 +28,7 @@
 from query_broker.outlier_consensus.consensus import Ejection, OutlierScope
 from query_broker.outlier_consensus.messages import Endpoint
 from query_broker.outlier_consensus.overrides import OVERRIDE_VALUES
-from query_broker.protocols.operator_http import REASONS
+from query_broker.protocols.operator_answers import REASONS
 from query_broker.quotas.lease_holder import Lease
 from query_broker.server.log import Log
 from query_broker.server.structured_log import Lines, story
@@ -1029,7 +1029,9 @@
 
 def make_busy_node(folder: Path) -> ConfiguredNode:
     node = make_node(folder, cells=False)
-    membership, sharing, judging = node.membership, node.sharing, node.judging
+    membership = node.membership_service
+    sharing = node.quota_service
+    judging = node.outlier_consensus_service
     assert membership is not None and sharing is not None and judging is not None
     detector = membership.detector
     for number, status in enumerate(list(Status)[:4]):
--- a/tests/test_start_pure.py
+++ b/tests/test_start_pure.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from query_broker.operator_config.script import OperatorFileError, run
+from query_broker.operator_config.script import OperatorFileError, run_script
 from query_broker.startup import endpoint_snapshot, pacing
 from query_broker.startup.admission_ramp import MAX_RAMPS, Ramp, assumed, retry_after_ns
 from query_broker.startup.bounds import lines
@@ -315,7 +315,7 @@
 )
 def test_a_bad_argument_names_its_key(text: str, key: str) -> None:
     with pytest.raises(OperatorFileError) as fault:
-        run("ops.star", text, lambda: False)
+        run_script("ops.star", text, lambda: False)
     assert f": {key}: " in str(fault.value)
 
 
