--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -48,7 +48,7 @@
     def __init__(
         self,
         config: Config,
-        said: OperatorConfig,
+        operator_config: OperatorConfig,
         path: str,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
@@ -56,15 +56,15 @@
 
         Args:
             config: The configuration as it was read.
-            said: The operators' file as it was read; it names cells.
+            operator_config: The operators' file as it was read; it names cells.
             path: Where SIGHUP reads the operators' file again.
             environ: Where a reload finds the configuration again.
         """
-        assert said.cell_map is not None, "no cells"
-        self.set_map(said.cell_map)
+        assert operator_config.cell_map is not None, "no cells"
+        self.set_map(operator_config.cell_map)
         self.me = f"{os.getpid()}-{os.urandom(4).hex()}"
         self.peers: dict[str, PeerCellStatus] = {}
-        super().__init__(config, said, path, environ)
+        super().__init__(config, operator_config, path, environ)
         self._migrations = MigrationService(self)
         self.admin_api.calls.append(CellAdmin(self).call)
         self._log_unknown_tenants()
@@ -191,16 +191,16 @@
                 f"{unknown[0]!r}",
             )
 
-    def check_operator_config(self, said: OperatorConfig) -> OperatorConfig:
+    def check_operator_config(self, operator_config: OperatorConfig) -> OperatorConfig:
         """Reject a file that cannot take the place of the one in force.
 
         An old file put back by mistake would undo migrations at this process and not at the others.
         """
-        reason = self._reason_to_reject(said.cell_map)
+        reason = self._reason_to_reject(operator_config.cell_map)
         if reason:
             message = f"{self.operator_file}: {reason}"
             raise OperatorFileError(message)
-        return said
+        return operator_config
 
     def _reason_to_reject(self, map: CellMap | None) -> str:
         """Return the key and the problem of a file's map; empty if it may be put in force."""
@@ -214,7 +214,8 @@
             )
         return ""
 
-    def apply_operator_config(self, said: OperatorConfig) -> None:
-        super().apply_operator_config(said)
-        if said.cell_map is not None:
-            self.apply_map(said.cell_map)
+    def apply_operator_config(self, operator_config: OperatorConfig) -> None:
+        """Put another operators' file in force, and its map."""
+        super().apply_operator_config(operator_config)
+        if operator_config.cell_map is not None:
+            self.apply_map(operator_config.cell_map)
