--- a/query_broker/cells/client_connection.py
+++ b/query_broker/cells/client_connection.py
@@ -1,4 +1,4 @@
-"""A client connection in a broker with cells: whose descriptor it is, and when it is its turn."""
+"""A client connection of a broker with cells: its seat in a cell, and its turns to read."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         """Account a change of its incomplete frames; False where the cell has no capacity."""
 
 
-class CellFront(ClientHost, Protocol):
+class CellClientHost(ClientHost, Protocol):
     """The node, as far as its connections need it."""
 
     @property
@@ -37,7 +37,7 @@
     A tenant that sends a hundred times its share would take the loop from the others.
     """
 
-    def __init__(self, host: CellFront, connection: CelledConnection) -> None:
+    def __init__(self, host: CellClientHost, connection: CelledConnection) -> None:
         """Take who knows the cells, and whose reading is limited."""
         self._host = host
         self._connection = connection
@@ -72,12 +72,12 @@
         accounted_bytes: Its incomplete frames, as they are accounted to the cell.
     """
 
-    def __init__(self, front: CellFront) -> None:
+    def __init__(self, host: CellClientHost) -> None:
         """Start in the anteroom."""
-        self._seats = front.client_seats
+        self._seats = host.client_seats
         self.cell = ANTEROOM
         self.accounted_bytes = 0
-        super().__init__(front, CellLimits(front, self))
+        super().__init__(host, CellLimits(host, self))
 
     def settle(self, cell: str) -> bool:
         """Account the connection to this cell; False where the cell has no capacity for it."""
