--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -29,6 +29,44 @@
         """Take note that a connection is lost."""
 
 
+class LostConnection:
+    """What the parts of a lost connection refer to in its place.
+
+    Parts and connection refer to each other: only the cyclic garbage collector would free them, and
+    thousands of clients that come and go would stay in memory until it runs.
+    """
+
+    broken = True
+    has_sent_frame = True
+    last_used_ns = 0
+    paused_since_ns = 0
+
+    def break_off(self, why: str) -> None:
+        """Do nothing: the connection has ended."""
+
+    def close(self) -> None:
+        """Do nothing: the connection has ended."""
+
+    def drop(self) -> None:
+        """Do nothing: the connection has ended."""
+
+    def served(self, stream: int, body: bytes) -> None:
+        """Drop the answer: nobody waits for it."""
+
+    def rejected(self, stream: int, pause_ms: int) -> None:
+        """Drop the answer: nobody waits for it."""
+
+    def failed(self, stream: int, reason: str) -> None:
+        """Drop the answer: nobody waits for it."""
+
+    def unread(self) -> int:
+        """Return that no answer waits to be read."""
+        return 0
+
+
+LOST_CONNECTION = LostConnection()
+
+
 class ClientConnection(asyncio.Protocol):
     """One client connection, and what others know of it.
 
@@ -106,6 +144,13 @@
         self.timeouts.stop()
         self.host.release(self)
         self.requests.cancel_all()
+        self._release_parts()
+
+    def _release_parts(self) -> None:
+        self.reader.connection = LOST_CONNECTION
+        self.reader.limits = None  # a cell's limits refer to the connection too
+        self.timeouts.connection = LOST_CONNECTION
+        self.requests.client = LOST_CONNECTION
 
     def pause_writing(self) -> None:
         """Read on only for cancellations.
--- a/query_broker/protocols/client_timeouts.py
+++ b/query_broker/protocols/client_timeouts.py
@@ -65,6 +65,7 @@
         """Watch it no longer."""
         if self.timer is not None:
             self.timer.cancel()
+            self.timer = None
 
     def drop_after_linger(self) -> None:
         """End the connection once the client has had time to read the last of it."""
--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+import gc
+import weakref
 
 import pytest
 
@@ -365,3 +367,26 @@
         assert await client.ended()
         assert rig.node.partial_frame_bytes == 0
         await until(lambda: not rig.node.clients)
+
+
+@on_uvloop
+async def test_a_lost_connection_and_its_parts_are_freed_without_the_garbage_collector() -> None:
+    engine = pages(b"1\ta\tb\n")
+    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
+        client = await rig.client()
+        client.ask()
+        assert (await client.answer())[1] == frames.SERVED
+        (connection,) = rig.node.admission.connections
+        held: list[weakref.ref[object]] = [
+            weakref.ref(connection),
+            weakref.ref(connection.reader),
+            weakref.ref(connection.requests),
+            weakref.ref(connection.timeouts),
+        ]
+        del connection
+        gc.disable()
+        try:
+            client.writer.close()
+            await until(lambda: [part() for part in held] == [None] * len(held))
+        finally:
+            gc.enable()
