--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -144,9 +144,6 @@
         self.timeouts.stop()
         self.host.release(self)
         self.requests.cancel_all()
-        self._release_parts()
-
-    def _release_parts(self) -> None:
         self.reader.connection = LOST_CONNECTION
         self.reader.limits = None  # a cell's limits refer to the connection too
         self.timeouts.connection = LOST_CONNECTION
