--- a/tests/test_cells_sockets.py
+++ b/tests/test_cells_sockets.py
@@ -53,6 +53,8 @@
 )
 from .test_operator import admin_call
 
+pytestmark = pytest.mark.real_time
+
 S = 1_000 * MS
 FAST = Timing(settle=0, watch=0, lost=50 * MS)
 TWO = [{"name": "acme"}, {"name": "beta"}]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -56,6 +56,8 @@
     write_config,
 )
 
+pytestmark = pytest.mark.real_time
+
 
 def asked(stream: int = 1, **fields: str) -> bytes:
     """A request's frame."""
--- a/tests/test_deadlines_sockets.py
+++ b/tests/test_deadlines_sockets.py
@@ -43,6 +43,8 @@
 from .test_operator import admin_call
 from .test_upgrade import co_process, meet
 
+pytestmark = pytest.mark.real_time
+
 LARGE = b"SELECT 1 FROM sales_17.orders /* " + b"x" * 200_000 + b" */"
 CANCEL = {**platform_settings()["policy_limits"], "cancel": True}
 COPIES = {**platform_settings()["policy_limits"], "cancel": True, "second_copies": True}
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -66,6 +66,7 @@
 # --- keys ---
 
 
+@pytest.mark.real_time
 @on_uvloop
 async def test_a_key_reaches_the_engine_with_every_try_and_is_absent_where_none_came() -> None:
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -92,6 +93,7 @@
         assert [resp.read_pairs(p[2]).get("nonce") for p in last if p[1] == b"a" * 16] == [None]
 
 
+@pytest.mark.real_time
 @on_uvloop
 async def test_a_keyed_request_without_a_usable_key_gets_one_answer_and_harms_nothing_else() -> (
     None
@@ -144,6 +146,7 @@
 # --- notes ---
 
 
+@pytest.mark.real_time
 @on_uvloop
 async def test_notes_of_every_kind_end_nothing_and_cost_little() -> None:
     engine = Engine(lambda *_: None)
@@ -186,6 +189,7 @@
         assert not [line for line in rig.logged if line.startswith("engine")]
 
 
+@pytest.mark.real_time
 @on_uvloop
 async def test_keyed_loads_run_once_to_their_end_while_engines_fail_drain_and_plan_badly() -> None:
     """All that the second deployment's engines do, together; the ledgers are the judge."""
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -20,6 +20,8 @@
 from .deployments import ALL
 from .sockets import HANG, ROOT, Client, free_port, on_uvloop, until, within
 
+pytestmark = pytest.mark.real_time
+
 HANDOVERS = 2  # so that a process that has taken over is itself replaced
 REQUESTS_BEFORE_HANDOVER = 40
 PIPELINED = 8  # requests that a usual client sends at once
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -37,6 +37,8 @@
 
 from .sockets import make_config, on_uvloop, running, target_entry, topology_event, within
 
+pytestmark = pytest.mark.real_time
+
 S = 1_000_000_000
 NOW = 1_700_000_000 * S  # the clock of all nodes in this module stands still here
 DIRECTIVES = """
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -37,6 +37,8 @@
     write_config,
 )
 
+pytestmark = pytest.mark.real_time
+
 
 @pytest.mark.parametrize(
     ("changes", "key"),
--- a/tests/test_members_broker.py
+++ b/tests/test_members_broker.py
@@ -28,6 +28,8 @@
 
 from .sockets import MS, Engine, make_config, on_uvloop, running, target_entry
 
+pytestmark = pytest.mark.real_time
+
 S = 1_000 * MS
 BROKERS = 10
 WARM_UP_NS = 12 * S
--- a/tests/test_members_processes.py
+++ b/tests/test_members_processes.py
@@ -38,6 +38,8 @@
 )
 from .sockets import HANG, on_uvloop, until, write_config
 
+pytestmark = pytest.mark.real_time
+
 PAUSE_S = 6.0
 
 
--- a/tests/test_middle.py
+++ b/tests/test_middle.py
@@ -20,6 +20,8 @@
 from .helpers import MS, S, make_settings, query_class
 from .sockets import make_config, target_entry, topology_event
 
+pytestmark = pytest.mark.real_time
+
 
 @pytest.mark.parametrize("after", [0, 1, 5 * MS, 5 * MS + 1, 12 * S])
 def test_a_timer_fires_once_never_early_and_at_most_a_tick_late(after: int) -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -6,6 +6,8 @@
 from contextlib import suppress
 from typing import Any
 
+import pytest
+
 from query_broker.deadlines.write_queue import Frame
 from query_broker.discovery.event_codec import parse_event
 from query_broker.metrics import ERROR, SUCCESS, Metrics, escape_label
@@ -24,6 +26,8 @@
     within,
 )
 
+pytestmark = pytest.mark.real_time
+
 CALLS = [
     (b"GET /ready HTTP/1.1\r\n\r\n", 200),
     (b"GET /metrics?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", 200),
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -20,6 +20,8 @@
 
 from .sockets import ROOT, write_config
 
+pytestmark = pytest.mark.real_time
+
 FAULTS = [
     ("cell(", 1, "script"),
     ("x", 1, "script"),
--- a/tests/test_quotas_processes.py
+++ b/tests/test_quotas_processes.py
@@ -13,6 +13,7 @@
 from types import SimpleNamespace
 from typing import Any
 
+import pytest
 from click.testing import CliRunner, Result
 
 from query_broker.cli.main import main
@@ -51,6 +52,8 @@
 from .member_processes import LIMITS, OLD_KEY, MemberProcesses, members_directive
 from .sockets import HANG, make_config, on_uvloop, running, until, write_config
 
+pytestmark = pytest.mark.real_time
+
 LEASED_PER_S = 100.0 * 0.8
 DIRECTIVES = (
     '\nlimits(lease = 1, promise = 1.5, told = 0.25)\nlimit("acme")\nlimit("work", kind = "work")\n'
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -28,6 +28,8 @@
 )
 from .test_operator import read_metrics
 
+pytestmark = pytest.mark.real_time
+
 FILE: dict[str, Any] = {
     "name": "n0",
     "listen": "127.0.0.1:1",
--- a/tests/test_sockets_bus.py
+++ b/tests/test_sockets_bus.py
@@ -30,6 +30,8 @@
     write_config,
 )
 
+pytestmark = pytest.mark.real_time
+
 #: The constant of the client that the tests replace, and a limit that is never reached.
 SILENCE_LIMIT = "query_broker.discovery.watch_client.SILENCE_LIMIT_NS"
 NEVER_NS = 1 << 62
--- a/tests/test_sockets_client.py
+++ b/tests/test_sockets_client.py
@@ -25,6 +25,8 @@
     until,
 )
 
+pytestmark = pytest.mark.real_time
+
 
 def pages(*bodies: bytes, say: int = 0) -> Engine:
     """An engine that serves a result in pages and knows no page without a body."""
--- a/tests/test_sockets_engine.py
+++ b/tests/test_sockets_engine.py
@@ -33,6 +33,8 @@
     until,
 )
 
+pytestmark = pytest.mark.real_time
+
 
 def closed_port() -> int:
     """A port that refuses: bound, never listened on."""
--- a/tests/test_start_processes.py
+++ b/tests/test_start_processes.py
@@ -39,6 +39,8 @@
 from . import deployments
 from .sockets import HANG, Engine, on_uvloop, until, write_config
 
+pytestmark = pytest.mark.real_time
+
 FAST = (
     "start(list_connects = 100, list_wait = 0.5, contact_wait = 0.5, engine_probes = 200, ramp = "
     "1, "
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -40,6 +40,8 @@
     write_config,
 )
 
+pytestmark = pytest.mark.real_time
+
 
 @asynccontextmanager
 async def co_process(config: Config, listener: socket.socket, folder: Path) -> AsyncIterator[Rig]:
