--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -25,7 +25,7 @@
 def model(figures: Figures, depth: int) -> None:
     """Explore the model of three members up to a depth."""
     sys.path.insert(0, str(ROOT))
-    from tests.members_model import Exploration, PropertyViolationError, explore
+    from tests.support.members_model import Exploration, PropertyViolationError, explore
 
     try:
         explored = explore(depth, SETTLE_EVERY)
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -300,7 +300,7 @@
 def report_model_checker(figures: Figures, depth: int) -> None:
     """Print how many states the model checker reached; 0, a broken bound, if it found a fault."""
     sys.path.insert(0, str(ROOT))
-    from tests.quota_model import PropertyViolatedError, explore
+    from tests.support.quota_model import PropertyViolatedError, explore
 
     try:
         states = explore(depth)
--- a/tests/test_cells_sockets.py
+++ b/tests/cells/test_sockets.py
@@ -34,7 +34,8 @@
 from query_broker.protocols import resp
 from query_broker.timer_wheel import TimerWheel
 
-from .sockets import (
+from ..server.test_admin_api import admin_call
+from ..support.sockets import (
     MS,
     ROOT,
     Client,
@@ -51,7 +52,6 @@
     until,
     within,
 )
-from .test_operator import admin_call
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_config.py
+++ b/tests/config/test_config.py
@@ -19,8 +19,8 @@
 )
 from query_broker.decisions.settings import Effect
 
-from . import deployments
-from .sockets import MS, platform_settings, target_entry, topology_event
+from ..support import deployments
+from ..support.sockets import MS, platform_settings, target_entry, topology_event
 
 RAW: dict[str, Any] = {
     "name": "n3",
--- a/tests/test_deadlines_pure.py
+++ b/tests/deadlines/test_pure.py
@@ -32,7 +32,7 @@
 from query_broker.server.structured_log import StructuredLog, is_sampled, trace_observer
 from query_broker.timer_wheel import Clock
 
-from .sockets import ROOT
+from ..support.sockets import ROOT
 
 MS = 1_000_000
 S = 1_000 * MS
--- a/tests/test_deadlines_sockets.py
+++ b/tests/deadlines/test_sockets.py
@@ -24,7 +24,9 @@
 from query_broker.protocols import resp
 from query_broker.server.node import Node
 
-from .sockets import (
+from ..server.test_admin_api import admin_call
+from ..server.test_upgrade import co_process, meet
+from ..support.sockets import (
     MS,
     TRACE,
     Client,
@@ -40,8 +42,6 @@
     until,
     within,
 )
-from .test_operator import admin_call
-from .test_upgrade import co_process, meet
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_deployments.py
+++ b/tests/decisions/test_deployments.py
@@ -33,10 +33,10 @@
 from query_broker.protocols.engine_connection import EngineConnection
 from query_broker.timer_wheel import Clock
 
-from . import deployments
-from .deployments import ALL, MS, S
-from .helpers import Harness, entry
-from .sockets import (
+from ..support import deployments
+from ..support.deployments import ALL, MS, S
+from ..support.helpers import Harness, entry
+from ..support.sockets import (
     STATEMENT,
     Client,
     Engine,
--- a/tests/test_mechanism.py
+++ b/tests/decisions/test_fuzzy_control.py
@@ -8,7 +8,7 @@
 from query_broker.decisions.concurrency_limit import CEILING_MULTIPLE, LARGEST_STEP_FRACTION
 from query_broker.decisions.fuzzy_control import fuzzy_step, memberships, output_level
 
-from .helpers import MS, Harness, S, entry, make_settings, query_class
+from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
 
 NAMES = "NVL NL NM NS ZE PS PM PL PVL".split()
 TABLE_2 = """
--- a/tests/test_health.py
+++ b/tests/decisions/test_health.py
@@ -4,7 +4,7 @@
 
 from query_broker import decisions as api
 
-from .helpers import MS, Harness, S, entry, make_settings, query_class
+from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
 
 
 def two_engines() -> Harness:
--- a/tests/test_size.py
+++ b/tests/decisions/test_many_brokers.py
@@ -10,7 +10,7 @@
 
 from query_broker import decisions as api
 
-from .helpers import MS, Harness, S, entry, make_settings, query_class
+from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
 
 
 def many(count: int = 8, fleet: int = 100, seed: int = 7, **more: Any) -> Harness:
--- a/tests/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -12,8 +12,8 @@
 from query_broker import decisions as api
 from query_broker.config import parse_settings
 
-from . import deployments
-from .helpers import MS, Harness, S, entry, make_settings, query_class
+from ..support import deployments
+from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
 
 CLASSES = (
     query_class("short", deadline_ns=2 * S),
--- a/tests/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -9,7 +9,7 @@
 
 from query_broker import decisions as api
 
-from .helpers import MS, TICK, Harness, S, entry, make_settings, query_class
+from ..support.helpers import MS, TICK, Harness, S, entry, make_settings, query_class
 
 KEYED: dict[str, Any] = {"effect": api.Effect.IDEMPOTENCY_KEY, "idempotency_window_ns": 3 * S}
 
--- a/tests/test_sockets_bus.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -13,7 +13,7 @@
 from query_broker.discovery.event_codec import EndpointListEvent
 from query_broker.discovery.watch_client import SILENCE_LIMIT_NS, WatchClient
 
-from .sockets import (
+from ..support.sockets import (
     MS,
     Bus,
     Client,
--- a/tests/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -31,8 +31,8 @@
 from query_broker.protocols.engine_connection import ANSWER_TIMEOUT_NS
 from query_broker.server.graceful_shutdown import GracefulShutdown
 
-from .helpers import MS, Harness, S, entry, make_settings, query_class
-from .sockets import (
+from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
+from ..support.sockets import (
     ROOT,
     STATEMENT,
     TRACE,
--- a/tests/test_dispatch_parts.py
+++ b/tests/dispatch/test_dispatch_parts.py
@@ -33,7 +33,7 @@
 )
 from query_broker.timer_wheel import Clock
 
-from .sockets import MS, STATEMENT, make_config, on_uvloop, target_entry, topology_event
+from ..support.sockets import MS, STATEMENT, make_config, on_uvloop, target_entry, topology_event
 
 S = 1_000 * MS
 VALID = ParsedRequest("glance", "a" * 16, "acme", 4_000.0, 10.0, 16.0, False, 3, STATEMENT)
--- a/tests/test_middle.py
+++ b/tests/dispatch/test_parts_without_sockets.py
@@ -17,8 +17,8 @@
 from query_broker.server import log
 from query_broker.timer_wheel import Clock, TimerWheel
 
-from .helpers import MS, S, make_settings, query_class
-from .sockets import make_config, target_entry, topology_event
+from ..support.helpers import MS, S, make_settings, query_class
+from ..support.sockets import make_config, target_entry, topology_event
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -11,7 +11,7 @@
 
 from query_broker import decisions as api
 
-from .helpers import MS, Harness, S, entry, make_settings, query_class
+from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
 
 FLEET = 40
 CORES = 8
--- a/tests/test_golden_client_wire.py
+++ b/tests/golden/test_client_wire.py
@@ -20,7 +20,7 @@
 from query_broker.protocols.engine_connection import EngineConnection, Owner
 from query_broker.simulator_adapter import Adapter, _render
 
-from .sockets import Engine, make_config, on_uvloop, running, target_entry, until, within
+from ..support.sockets import Engine, make_config, on_uvloop, running, target_entry, until, within
 
 MS = 1_000_000
 NOW = 1_700_000_000_000 * MS
--- a/tests/test_golden_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -18,8 +18,8 @@
 from query_broker.config import parse_settings
 from query_broker.decisions.controller import AdmissionController
 
-from . import deployments
-from .helpers import MS, S, entry, make_settings, query_class
+from ..support import deployments
+from ..support.helpers import MS, S, entry, make_settings, query_class
 
 STEPS = 1_500
 ENGINES = 9
--- a/tests/test_golden_operators.py
+++ b/tests/golden/test_operators.py
@@ -35,7 +35,7 @@
 from query_broker.startup.stages import Stage as StartStage
 from query_broker.timer_wheel import Clock
 
-from .sockets import make_config, on_uvloop, running, target_entry, topology_event, within
+from ..support.sockets import make_config, on_uvloop, running, target_entry, topology_event, within
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_members_broker.py
+++ b/tests/membership/test_broker.py
@@ -26,7 +26,7 @@
     ViewTracker,
 )
 
-from .sockets import MS, Engine, make_config, on_uvloop, running, target_entry
+from ..support.sockets import MS, Engine, make_config, on_uvloop, running, target_entry
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_members_codec.py
+++ b/tests/membership/test_codec.py
@@ -31,7 +31,7 @@
 from query_broker.membership.replay_window import ReplayWindow
 from query_broker.membership.settings import NS_PER_S
 
-from .members_support import (
+from ..support.members_support import (
     ALIVE,
     CHAIN,
     IDENTITY,
--- a/tests/test_members_detector.py
+++ b/tests/membership/test_detector.py
@@ -21,7 +21,7 @@
 from query_broker.membership.settings import NS_PER_S
 from query_broker.membership.timing import detection_bounds, evidence_limit_ns
 
-from .members_support import SETTINGS, make_detector
+from ..support.members_support import SETTINGS, make_detector
 
 FLEET_SIZE = 24
 JOIN_S = 10
--- a/tests/test_members_model.py
+++ b/tests/membership/test_model.py
@@ -13,7 +13,7 @@
 from query_broker.membership.messages import Claim, Status
 from query_broker.membership.suspicion import SuspicionTracker
 
-from .members_model import ModelCluster, PropertyViolationError, explore, replay
+from ..support.members_model import ModelCluster, PropertyViolationError, explore, replay
 
 FAULTS = ("old gossip revives", "any incarnation is believed")
 
--- a/tests/test_members_operators.py
+++ b/tests/membership/test_operators.py
@@ -14,7 +14,7 @@
 from query_broker.membership.reachability import assess_reachability
 from query_broker.membership.settings import NS_PER_S
 
-from .members_support import ALIVE
+from ..support.members_support import ALIVE
 
 NOW_NS = 1_000 * NS_PER_S
 RECENT_NS = NOW_NS - NS_PER_S
--- a/tests/test_members_processes.py
+++ b/tests/membership/test_processes.py
@@ -28,7 +28,7 @@
 from query_broker.membership.keys import parse_keys
 from query_broker.membership.messages import Claim, Identity, Ping, Status
 
-from .member_processes import (
+from ..support.member_processes import (
     LIMITS,
     NEW_KEY,
     OLD_KEY,
@@ -36,7 +36,7 @@
     member_processes,
     members_directive,
 )
-from .sockets import HANG, on_uvloop, until, write_config
+from ..support.sockets import HANG, on_uvloop, until, write_config
 
 pytestmark = pytest.mark.real_time
 
@@ -443,7 +443,7 @@
         capture_output=True,
         text=True,
         check=True,
-        cwd=Path(__file__).parents[1],
+        cwd=Path(__file__).parents[2],
         env=os.environ,
     )
     assert result.stdout.strip() == "['query_broker.membership.settings']"
--- a/tests/test_members_settings.py
+++ b/tests/membership/test_settings.py
@@ -15,7 +15,7 @@
 )
 from query_broker.operator_config.script import OperatorFileError, run_script
 
-from .members_support import SETTINGS
+from ..support.members_support import SETTINGS
 
 SIZES = (3, 24, 1_000)
 GOOD = 'members(address = "127.0.0.1:7000", key_file = "/k", installation = "x"'
--- a/tests/test_operator_file.py
+++ b/tests/operator_config/test_operators_file.py
@@ -18,7 +18,7 @@
 from query_broker.operator_config.draft import ConfigDraft
 from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
 
-from .sockets import ROOT, write_config
+from ..support.sockets import ROOT, write_config
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_sockets_client.py
+++ b/tests/protocols/test_client_sockets.py
@@ -12,7 +12,7 @@
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 
-from .sockets import (
+from ..support.sockets import (
     MS,
     STATEMENT,
     TRACE,
--- a/tests/test_wire_tables.py
+++ b/tests/protocols/test_codecs.py
@@ -17,7 +17,7 @@
 from query_broker.protocols.client_request import parse_request
 from query_broker.protocols.statement import table_group
 
-from .sockets import TRACE, target_entry, topology_event
+from ..support.sockets import TRACE, target_entry, topology_event
 
 FIELDS = frames.write_fields({"route": "glance", "trace": "9b"})
 
--- a/tests/test_sockets_engine.py
+++ b/tests/protocols/test_engine_sockets.py
@@ -18,7 +18,7 @@
 from query_broker.protocols import resp
 from query_broker.timer_wheel import Clock
 
-from .sockets import (
+from ..support.sockets import (
     MS,
     STATEMENT,
     TRACE,
--- a/tests/test_quotas_processes.py
+++ b/tests/quotas/test_processes.py
@@ -49,8 +49,8 @@
 from query_broker.protocols import resp
 from query_broker.quotas.lease_log import LeaseRecord
 
-from .member_processes import LIMITS, OLD_KEY, MemberProcesses, members_directive
-from .sockets import HANG, make_config, on_uvloop, running, until, write_config
+from ..support.member_processes import LIMITS, OLD_KEY, MemberProcesses, members_directive
+from ..support.sockets import HANG, make_config, on_uvloop, running, until, write_config
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_quotas_pure.py
+++ b/tests/quotas/test_pure.py
@@ -37,7 +37,7 @@
 )
 from query_broker.quotas.sharding import preferred_leader
 
-from .quota_model import PropertyViolatedError, explore, replay
+from ..support.quota_model import PropertyViolatedError, explore, replay
 
 SETTINGS = QuotaSettings(
     limits=(
--- a/tests/test_operator.py
+++ b/tests/server/test_admin_api.py
@@ -14,7 +14,7 @@
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols.operator_http import MOST_BODY, MOST_HEAD
 
-from .sockets import (
+from ..support.sockets import (
     Engine,
     Rig,
     make_config,
--- a/tests/test_lifecycle.py
+++ b/tests/server/test_lifecycle.py
@@ -20,7 +20,7 @@
 from query_broker.server.graceful_shutdown import GracefulShutdown
 from query_broker.server.listener import raise_descriptor_limit
 
-from .sockets import (
+from ..support.sockets import (
     ROOT,
     Engine,
     connect,
--- a/tests/test_door.py
+++ b/tests/server/test_process_replacement.py
@@ -17,8 +17,8 @@
 from query_broker.emulator.cluster import MS, EmulatedCluster, broker_config
 from query_broker.protocols import client_frames as frames
 
-from .deployments import ALL
-from .sockets import HANG, ROOT, Client, free_port, on_uvloop, until, within
+from ..support.deployments import ALL
+from ..support.sockets import HANG, ROOT, Client, free_port, on_uvloop, until, within
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_retune.py
+++ b/tests/server/test_reload.py
@@ -15,8 +15,8 @@
 from query_broker.config import ConfigError, load, reload
 from query_broker.protocols import client_frames as frames
 
-from .helpers import MS, Harness, S, entry, make_settings, query_class
-from .sockets import (
+from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
+from ..support.sockets import (
     Engine,
     Rig,
     make_config,
@@ -26,7 +26,7 @@
     target_entry,
     until,
 )
-from .test_operator import read_metrics
+from .test_admin_api import read_metrics
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -25,8 +25,8 @@
 from query_broker.server.peer_process import PeerProcesses
 from query_broker.server.process_status import StatusFormatError, status_from_fields
 
-from .helpers import MS, Harness, S, entry, make_settings, query_class
-from .sockets import (
+from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
+from ..support.sockets import (
     ROOT,
     Engine,
     Rig,
--- a/tests/test_benchlink.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -13,7 +13,7 @@
 
 from query_broker.config import parse_settings
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 MS = 1_000_000
 FACTS: dict[str, Any] = {
     "classes": [
--- a/tests/test_start_processes.py
+++ b/tests/startup/test_processes.py
@@ -36,8 +36,8 @@
 from query_broker.protocols import client_frames as frames
 from query_broker.startup.endpoint_snapshot import EndpointSnapshot, encode
 
-from . import deployments
-from .sockets import HANG, Engine, on_uvloop, until, write_config
+from ..support import deployments
+from ..support.sockets import HANG, Engine, on_uvloop, until, write_config
 
 pytestmark = pytest.mark.real_time
 
--- a/tests/test_start_pure.py
+++ b/tests/startup/test_pure.py
@@ -28,7 +28,7 @@
 from query_broker.startup.settings import StartupSettings
 from query_broker.startup.stages import ListSource, Stage, StartupStages
 
-from .sockets import target_entry
+from ..support.sockets import target_entry
 
 NS_PER_SECOND = 1_000_000_000
 SETTINGS = StartupSettings()
--- a/tests/sockets.py
+++ b/tests/support/sockets.py
@@ -63,7 +63,7 @@
 T = TypeVar("T")
 TRACE = "9b1f03aa5c7e2d41"
 STATEMENT = b"SELECT 1 FROM sales_17.orders"
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def make_config(
