--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -24,6 +24,7 @@
 # Seconds that a start beside another process of this broker rests half way through its imports: at
 # full speed it would take the one core from the other process, whose loop would stand still.
 START_PAUSE_S = 0.15
+EXIT_BAD_CONFIGURATION = 2
 
 
 @contextmanager
@@ -33,7 +34,7 @@
         yield
     except ConfigError as error:
         print(f"larchhall: {error}", file=sys.stderr)
-        sys.exit(2)
+        sys.exit(EXIT_BAD_CONFIGURATION)
 
 
 @click.group(invoke_without_command=True)
