--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -78,7 +78,8 @@
 class Ledger:
     """The use of one resource by all cells.
 
-    Invariant: the parts add up to no more than the total, and `take` never lets the use exceed it.
+    Invariant: the parts add up to no more than the total, and `acquire` never lets the use exceed
+    it.
 
     Attributes:
         total: How much there is.
--- a/query_broker/cells/model.py
+++ b/query_broker/cells/model.py
@@ -126,7 +126,7 @@
         timing: The limits of migrations.
 
     Raises:
-        BadMap: The map contradicts itself; the text names the key.
+        CellMapError: The map contradicts itself; the text names the key.
     """
 
     epoch: int
@@ -192,7 +192,7 @@
         return min(rule.cells, key=lambda name: (rendezvous(name, subject, weights[name]), name))
 
     def plain(self) -> dict[str, Any]:
-        """Return the map as plain objects for JSON, the form that `from_plain` reads."""
+        """Return the map as plain objects for JSON, the form that `read_cell_map` reads."""
         tenants = [asdict(tenant) for tenant in self.tenants.values()]
         return {**asdict(self), "tenants": tenants}
 
@@ -268,7 +268,7 @@
     """Read a map from plain objects, the form that `CellMap.plain` gives.
 
     Raises:
-        BadMap: They hold no map, or one that contradicts itself.
+        CellMapError: They hold no map, or one that contradicts itself.
     """
     try:
         cells = tuple(_read_cell(entry) for entry in raw["cells"])
--- a/query_broker/clickhouse/rules.py
+++ b/query_broker/clickhouse/rules.py
@@ -115,9 +115,16 @@
 class Rules:
     """All rules, and the defaults of what no rule names.
 
-    ``classes``: the deadline of each class in nanoseconds. ``by_does``: the class by what the
-    statement does. ``limits``: settings that say how long the client waits. ``names``: the tenant
-    by user, where it is not the user's name.
+    Attributes:
+        classes: The deadline of each class in nanoseconds.
+        by_does: The class by what the statement does.
+        rules: The rules, looked at in their order.
+        default_tenant: The tenant where the named one is not among the known ones.
+        tenants: The known tenants.
+        limits: Settings that say how long the client waits.
+        dedup: Settings that hold an idempotency key.
+        keyed_by_id: Whether a query id serves as idempotency key.
+        names: The tenant by user, where it is not the user's name.
     """
 
     classes: Mapping[str, int]
@@ -128,7 +135,6 @@
     limits: tuple[str, ...] = ("max_execution_time",)
     dedup: tuple[str, ...] = ("insert_deduplication_token",)
     keyed_by_id: bool = False
-    # tenant by user, where it is not the user's name
     names: Mapping[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -95,7 +95,7 @@
 
     Attributes:
         controller: The controller.
-        wheel: The caller's timer wheel.
+        timer_wheel: The caller's timer wheel.
         due: Tokens of the controller's timers that the wheel has found due, to be handled by
             `tick`.
     """
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -59,7 +59,7 @@
 
     Attributes:
         config: The configuration in force.
-        wheel: Timers; turns by the tick of the start.
+        timers: The timer wheel; turns by the tick of the start.
         facade: The decisions.
         request_table: The open requests.
         requests: The map of `request_table` by the broker's id.
@@ -69,8 +69,8 @@
         health_checks: Starts health checks beside those that the decisions order.
         connection_events: The owner of the connections to endpoints.
         pools: Connections to endpoints.
-        room: Bytes that statements of open requests may take.
-        most_clients: Connections that clients may have.
+        statement_capacity_bytes: Bytes that statements of open requests may take.
+        max_clients: Connections that clients may have.
     """
 
     def __init__(self, config: Config, clock: Clock, log: Callable[[str, str], None]) -> None:
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -40,8 +40,9 @@
         max_streams: Attempts that one connection may carry at a time.
         connect_timeout_ns: How long a connection may take to come up.
         idle_timeout_ns: How long a connection without work is kept.
-        own: Whether an attempt gets a connection of its own while descriptors last.
-        turn: Delays connects, or None where they needn't wait.
+        dedicated_connections: Whether an attempt gets a connection of its own while descriptors
+            last.
+        connect_pacing: Delays connects, or None where they needn't wait.
     """
 
     owner: Owner
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -16,7 +16,8 @@
 MOST_AHEAD_BYTES = 64 * 1024
 # Of the memory for incomplete frames: the part past which no connection reads ahead.
 AHEAD_DIVISOR = 2
-# The setting of `terms.half_close` by which a client that ends its side still gets its answers.
+# The value of `DeadlineSettings.half_close` by which a client that ends its side still gets its
+# answers.
 HALF_CLOSE_ANSWERS = "answer"
 NO_CAPACITY = "no room for more frames that are not whole"
 
@@ -24,7 +25,8 @@
 class ReadingHost(DispatcherHost, Protocol):
     """What reading needs of the side that admits clients.
 
-    ``partial``: bytes of incomplete frames on all connections.
+    Attributes:
+        partial_frame_bytes: Bytes of incomplete frames on all connections.
     """
 
     partial_frame_bytes: int
@@ -64,10 +66,12 @@
 class ClientReader:
     """Takes frames in turns, and reads no more than it can use.
 
-    ``waiting``: complete frames wait for this connection's next turn. ``unreadable``: so much waits
-    that what the client says from now on is not read. ``frame_begun_ns``: when the first byte of
-    the frame that is incomplete now came; ``received_ns``: the same of the frame that was taken
-    last. ``partial``: bytes held of frames that have not been taken.
+    Attributes:
+        waiting: Complete frames wait for this connection's next turn.
+        unreadable: So much waits that what the client says from now on is not read.
+        frame_begun_ns: When the first byte of the frame that is incomplete now came.
+        received_ns: The same of the frame that was taken last.
+        partial: Bytes held of frames that have not been taken.
     """
 
     def __init__(
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -46,16 +46,19 @@
 class EngineConnection(asyncio.Protocol):
     """One connection to a data engine.
 
-    Attempts stay ``in_flight`` until the engine has answered them, also those that nobody waits
-    for: they hold their stream, and their answer must be known to be dropped. ``carried`` has the
-    request ids under which something may still come, the newest last. ``probes`` has the tags of
-    health checks, ``cancelled`` the ids of cancelled attempts.
-
-    Its life goes one way: ``retired`` (takes no further attempts), ``ending`` (closed by us, its
-    loss not reported yet), ``closed`` (its loss reported). Each implies those before it.
-    ``heard`` is when the engine's last bytes came, in ns.
-
+    Its life goes one way: ``retired``, ``ending``, ``closed``; each implies those before it.
     Nothing raises out of a callback.
+
+    Attributes:
+        in_flight: Attempts until the engine has answered them, also those that nobody waits for:
+            they hold their stream, and their answer must be known to be dropped.
+        carried: The request ids under which something may still come, the newest last.
+        health_checks: The tags of health checks.
+        cancelled: The ids of cancelled attempts.
+        retired: It takes no further attempts.
+        ending: It was closed by us, its loss not reported yet.
+        closed: Its loss has been reported.
+        last_received_ns: When the engine's last bytes came.
     """
 
     def __init__(self, owner: Owner, engine: int) -> None:
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -54,8 +54,8 @@
 
     Attributes:
         tick_ns: The length of a tick.
-        sooner: Called where a new timer is due before the tick that `rest` has named, so that the
-            owner can wake up for it.
+        on_earlier_timer: Called where a new timer is due before the tick that `idle_ns` named, so
+            that the owner can wake up for it.
     """
 
     #: Slots of the wheel. With ticks of 5 ms it turns once in 5 s; a timer that is due later is
@@ -102,7 +102,7 @@
         return self.ns_until_wake(now)
 
     def ns_until_wake(self, now: int) -> int:
-        """Return the time that is left to the tick which `rest` has named."""
+        """Return the time that is left to the tick which `idle_ns` has named."""
         return max(0, self._origin_ns + self._wake_tick * self.tick_ns - now)
 
     def advance(self, now: int) -> None:
