--- /dev/null
+++ b/tests/golden/operators/test_deadline_metrics.py
@@ -0,0 +1,38 @@
+"""Golden form of the metrics of deadlines."""
+
+from __future__ import annotations
+
+from query_broker.deadlines import metrics
+from query_broker.deadlines.handover_checks import HandOver, HandOverStatistics, StopReason
+from query_broker.deadlines.retry_budget import RetryBudget, RetryBudgetSettings
+from query_broker.deadlines.settings import LatencyStage, MarginTerms
+from query_broker.deadlines.stage_latencies import StageLatencies
+
+from .expected_deadline_metrics import DEADLINE_METRICS, METRICS_WITHOUT_A_RETRY_BUDGET
+from .nodes import NOW_NS
+
+NS_PER_MS = 1_000_000
+MARGIN_NS = 10 * NS_PER_MS
+
+
+def test_metrics_of_deadlines() -> None:
+    statistics = HandOverStatistics(
+        stopped_after_cancel=1, answered_after_cancel=2, cancels_sent=3, late_answers=4
+    )
+    for number, hand_over in enumerate(HandOver, 1):
+        for reason in StopReason:
+            statistics.stopped[hand_over, reason] = number
+    for number, reason in enumerate(StopReason, 1):
+        statistics.begun_after[reason] = number
+    latencies = StageLatencies(MarginTerms())
+    for number, stage in enumerate(LatencyStage, 1):
+        latencies.add("glance", stage, number * NS_PER_MS, NOW_NS)
+    budget = RetryBudget(RetryBudgetSettings(), refused=6)
+    text = metrics.text(statistics, latencies, MARGIN_NS, budget).decode()
+    assert text == DEADLINE_METRICS
+
+
+def test_metrics_of_deadlines_without_a_retry_budget() -> None:
+    latencies = StageLatencies(MarginTerms())
+    text = metrics.text(HandOverStatistics(), latencies, MARGIN_NS, None).decode()
+    assert text == METRICS_WITHOUT_A_RETRY_BUDGET
