--- /dev/null
+++ b/tests/golden/client_wire/__init__.py
@@ -0,0 +1,1 @@
+"""Golden tests of what clients, data engines and the simulator read, byte for byte."""
