--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -32,7 +32,7 @@
 from query_broker.operator_config.settings import OperatorConfig
 from query_broker.protocols import client_frames as frames
 
-from .harness import ROOT, Daemon, Figures, worktree
+from .former_harness import ROOT, Daemon, Figures, worktree
 
 MS = 1_000_000
 S = 1_000 * MS
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -32,7 +32,7 @@
 )
 from query_broker.emulator.machine import Machine
 
-from .harness import Figures
+from .former_harness import Figures
 from .start import sim_settings
 
 S = 1_000_000_000
--- a/benchmarks/deadlines.py
+++ b/benchmarks/deadlines.py
@@ -36,7 +36,7 @@
 from query_broker.server.node import Node
 
 from .cells import _ask_many
-from .harness import ROOT, Daemon, Figures, package_of, worktree
+from .former_harness import ROOT, Daemon, Figures, package_of, worktree
 
 MS = 1_000_000
 S = 1_000 * MS
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,7 +19,7 @@
 from query_broker.emulator.cluster import EmulatedCluster, tenant_settings
 
 from .cells import _ask_many
-from .harness import ROOT, Daemon, Figures, package_of, worktree
+from .former_harness import ROOT, Daemon, Figures, package_of, worktree
 
 MS = 1_000_000
 S = 1_000 * MS
--- a/benchmarks/harness.py
+++ b/benchmarks/former_harness.py
@@ -1,6 +1,4 @@
-"""What benchmarks share: figures with bounds, a daemon of any tree of this project, and
-worktrees.
-"""
+"""The former harness, for the benchmarks that do not use `harness` yet."""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/benchmarks/harness/trees.py
@@ -0,0 +1,35 @@
+"""This program, and earlier commits of it, as trees of files."""
+
+from __future__ import annotations
+
+import subprocess
+import tempfile
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+
+ROOT = Path(__file__).parents[2]
+PACKAGE = "query_broker"
+#: The import package up to 0.2.
+FORMER_PACKAGE = "larchhall"
+
+
+def package_of(tree: Path) -> str:
+    """Return the name of the import package of a tree of this project."""
+    return PACKAGE if (tree / PACKAGE).is_dir() else FORMER_PACKAGE
+
+
+@contextmanager
+def worktree(revision: str) -> Iterator[Path]:
+    """Check an earlier commit of this project out, for as long as the context lasts."""
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "tree"
+        _git("worktree", "add", "--detach", "-f", str(path), revision)
+        try:
+            yield path
+        finally:
+            _git("worktree", "remove", "--force", str(path))
+
+
+def _git(*arguments: str) -> None:
+    subprocess.run(["git", *arguments], cwd=ROOT, check=True, capture_output=True)
--- a/benchmarks/member_processes.py
+++ b/benchmarks/member_processes.py
@@ -27,7 +27,7 @@
 from query_broker.membership.timing import detection_bounds
 
 from .cells import _ask_many
-from .harness import ROOT, Daemon, Figures, worktree
+from .former_harness import ROOT, Daemon, Figures, worktree
 
 BASE_COMMIT = "37be46c"  # the last landing before brokers knew of each other
 KEY_LINE = "1 " + "ab" * 32
--- a/benchmarks/member_simulations.py
+++ b/benchmarks/member_simulations.py
@@ -19,7 +19,7 @@
 from query_broker.membership.settings import NS_PER_S, MembershipSettings
 from query_broker.membership.timing import Quantiles, detection_bounds, min_suspicion_ns
 
-from .harness import Figures
+from .former_harness import Figures
 
 SETTLED_S = 5.0  # before the first fault
 PAUSE_S = 10.0
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from .harness import ROOT, Figures
+from .former_harness import ROOT, Figures
 from .member_processes import costs, processes
 from .member_simulations import simulated
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -25,7 +25,7 @@
 from query_broker.emulator.discovery_service import target_entry, topology_event
 from query_broker.emulator.processes import ROOT, BrokerFleet, BrokerProcess, free_ports
 
-from .harness import Figures
+from .former_harness import Figures
 
 BOUND, LONGEST = 10.0, 30.0  # s: nine in ten, and each
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -40,7 +40,7 @@
 from query_broker.outlier_consensus.settings import OutlierConsensusSettings, gossip_rounds
 from query_broker.quotas.settings import LimitSettings, QuotaSettings
 
-from .harness import ROOT, Figures
+from .former_harness import ROOT, Figures
 from .member_processes import costs
 
 NS_PER_S = 1_000_000_000
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -47,7 +47,7 @@
 from query_broker.startup.pacing import PacedCalls, call_window_ns, probe_slot_ns
 from query_broker.startup.settings import StartupSettings
 
-from .harness import Figures, worktree
+from .former_harness import Figures, worktree
 
 MS = 1_000_000
 S = 1_000 * MS
