--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -1,20 +1,21 @@
-"""What cold engines are sent by all brokers together: `python -m benchmarks.cold [--quick]`.
+"""What engines that warm up are sent by all brokers together.
 
-The decisions of 1 to 200 brokers before machines on a simulated clock. Engines join, others start
-anew under their old names, under a burst; each broker hears of it after a while of its own, and
-some get several times the mean of the traffic. An engine's budget is N: what it can do then, by its
-own pace, times the contract's multiple and time, in requests of mean work; N + 2 x root of N + 2 is
-chance.
+Run `python -m benchmarks.cold [--quick] [--seeds N]`. The decisions of 1 to 200 brokers before
+machines on a simulated clock. Engines join, others start anew under their old names, under a burst;
+each broker is notified after a while of its own, and some get several times the mean of the
+traffic. An engine's budget is N: what it can do then, by its own warm-up, times the contract's
+multiple and window, in requests of mean work; N + 2 x root of N + 2 is chance.
 """
 
 from __future__ import annotations
 
-import argparse
 import itertools
 import math
 import sys
-from dataclasses import dataclass
+from collections.abc import Sequence
+from dataclasses import dataclass, field
 from functools import partial
+from typing import NamedTuple
 
 from query_broker.decisions.facade import (
     AttemptResult,
@@ -32,183 +33,309 @@
 )
 from query_broker.emulator.machine import Machine
 
-from .former_harness import Figures
-from .start import sim_settings
+from .harness.arguments import benchmark_parser
+from .harness.results import Results
+from .harness.simulated_load import (
+    ENGINE_CORES,
+    LOAD,
+    MEAN_WORK_NS,
+    draw_request,
+    engine_count,
+    simulated_settings,
+)
+from .harness.units import NS_PER_S
+
+MIN_ENGINES = 4
+#: One engine in five joins, and as many start anew.
+STARTING_DIVISOR = 5
+#: From the first start on, the load is so many times as high.
+BURST = 1.5
+#: All brokers are notified of a start within so many seconds, each at a time of its own.
+NOTIFIED_WITHIN_S = 2.0
+FAVOURED_FRACTION = 0.1
+#: Favoured brokers get so many times the traffic of the others.
+FAVOURED_WEIGHT = 5.0
+JOIN_S = 5.0
+RESTART_S = 20.0
+DURATION_S = 36.0
+QUICK_FLEETS = (1, 3)
+FULL_FLEETS = (1, 3, 20, 30, 200)
+QUICK_SEEDS = 1
+FULL_SEEDS = 3
+#: What brokers that were notified send an engine may be chance, but no more.
+MAX_SENT_AGAINST_CHANCE = 1.0
+
+
+class ReceivedQuery(NamedTuple):
+    """A query that a starting engine received.
+
+    Attributes:
+        received_ns: When it was received.
+        work_ns: Its work.
+        sender_notified: Whether its broker had been notified of the start.
+    """
 
-S = 1_000_000_000
-WIDE = 0.1  # of the requests
-MEAN = (1 - WIDE) * S / 5 + WIDE * 4 * S
-LOAD, BURST = 0.6, 1.5  # of what the warm engines can do; times that from the first start on
-HEARD = 2.0  # s in which all hear of a start; each when it likes
-FAVOURED = (0.1, 5.0)  # so many brokers get so many times the others' traffic
-JOINS, REBORN = 5.0, 20.0  # s after the beginning
-SECONDS = 36.0
+    received_ns: int
+    work_ns: float
+    sender_notified: bool
 
 
 @dataclass(slots=True)
-class Cold:
-    """A cold engine, what came to it: when, of which work, from a broker that had been told."""
+class ObservedStart:
+    """A start of an engine, and the queries that it received since."""
 
     engine: SimulatedEngine
-    came: list[tuple[int, float, bool]]
+    received: list[ReceivedQuery] = field(default_factory=list)
 
 
-def worst(cold: Cold) -> tuple[float, float, float]:
-    """Of any window: the calls of mean work against N and against what chance allows, where two
-    thirds came from brokers that had been told; and against N whoever sent them.
+class WorstWindow(NamedTuple):
+    """The most that a starting engine was sent within any window of the contract.
+
+    Attributes:
+        against_budget: Against N, where two thirds came from brokers that had been notified.
+        against_chance: Against what chance allows, of the same windows.
+        against_budget_by_all: Against N, whoever sent it.
     """
-    machine, against, chance, whoever = cold.engine.machine, 0.0, 0.0, 0.0
-    first, within, told = 0, 0.0, 0.0
-    for at, work, known in cold.came:
-        if at >= machine.started_ns + machine.warm_up_ns:
-            break
-        within, told = within + work, told + work * known
-        while cold.came[first][0] <= at - machine.overload_window_ns:
-            within, told = (
-                within - cold.came[first][1],
-                told - cold.came[first][1] * cold.came[first][2],
-            )
+
+    against_budget: float
+    against_chance: float
+    against_budget_by_all: float
+
+
+def worst_window(start: ObservedStart) -> WorstWindow:
+    """Find the most that a starting engine was sent within any window."""
+    machine = start.engine.machine
+    warm_ns = machine.started_ns + machine.warm_up_ns
+    received = [query for query in start.received if query.received_ns < warm_ns]
+    worst = WorstWindow(0.0, 0.0, 0.0)
+    first = 0
+    window_ns = 0.0
+    notified_ns = 0.0
+    for query in received:
+        window_ns += query.work_ns
+        notified_ns += query.work_ns * query.sender_notified
+        while received[first].received_ns <= query.received_ns - machine.overload_window_ns:
+            window_ns -= received[first].work_ns
+            notified_ns -= received[first].work_ns * received[first].sender_notified
             first += 1
-        n = (
-            machine.overload_multiple
-            * machine.capacity_fraction(at)
-            * machine.cores
-            * machine.overload_window_ns
-            / MEAN
-        )
-        calls = within / MEAN
-        whoever = max(whoever, calls / n)
-        if told * 3 > within * 2:
-            against = max(against, calls / n)
-            chance = max(chance, calls / (n + 2 * math.sqrt(n) + 2))
-    return against, chance, whoever
-
-
-def world(brokers: int, seed: int) -> dict[str, float]:  # noqa: C901  # one scenario, told in order
-    sim = Simulation(seed)
-    count = max(4, min(80, 2 * brokers // 5))
-    names = sim.random.sample(range(1 << 32), count + max(1, count // 5))
-    old, new = names[:count], names[count:]
-    engines = {n: SimulatedEngine(sim, n, Machine()) for n in old}
-    watched: list[Cold] = []
-    members: list[SimulatedBroker] = []
-    # broker, engine: when it heard of the engine's last start
-    heard: dict[tuple[int, int], int] = {}
-
-    def tell(broker: SimulatedBroker, number: int) -> None:
-        heard[broker.settings.broker_index, number] = sim.now_ns
-        broker.report(
-            EndpointListUpdate(
-                ListUpdateKind.CHANGES,
-                (
-                    EndpointEntry(
-                        number,
-                        EndpointState.READY,
-                        "a",
-                        "std",
-                        started_ns=engines[number].machine.started_ns,
-                    ),
-                ),
-            )
-        )
+        budget = _budget(machine, query.received_ns)
+        requests = window_ns / MEAN_WORK_NS
+        is_by_notified = notified_ns * 3 > window_ns * 2
+        worst = _worse(worst, requests, budget, is_by_notified)
+    return worst
+
+
+def _budget(machine: Machine, now_ns: int) -> float:
+    """Return how many requests of mean work the contract allows within a window."""
+    capacity = machine.capacity_fraction(now_ns) * machine.cores
+    return machine.overload_multiple * capacity * machine.overload_window_ns / MEAN_WORK_NS
+
+
+def _worse(worst: WorstWindow, requests: float, budget: float, is_by_notified: bool) -> WorstWindow:
+    against_budget = requests / budget
+    by_all = max(worst.against_budget_by_all, against_budget)
+    if not is_by_notified:
+        return worst._replace(against_budget_by_all=by_all)
+    against_chance = requests / (budget + 2 * math.sqrt(budget) + 2)
+    return WorstWindow(
+        max(worst.against_budget, against_budget),
+        max(worst.against_chance, against_chance),
+        by_all,
+    )
+
+
+class SimulationResult(NamedTuple):
+    """What one simulation came to.
+
+    Attributes:
+        against_budget: The worst window of all starts, see `WorstWindow`.
+        against_chance: Likewise.
+        against_budget_by_all: Likewise.
+        starts: Starts of engines.
+        starts_past_budget: Starts with a window past the budget.
+        engines_crashed: Engines that crashed.
+        served: The fraction of the requests that was served.
+        queries_per_start: Mean number of queries to a starting engine.
+    """
+
+    against_budget: float
+    against_chance: float
+    against_budget_by_all: float
+    starts: int
+    starts_past_budget: int
+    engines_crashed: int
+    served: float
+    queries_per_start: float
 
-    def starts(number: int) -> None:
-        if (was := engines.get(number)) is not None:
-            askers, was.completions = was.completions, {}
-            for done in askers.values():
-                done(AttemptResult.RESET)
-            was.machine.running.clear()
-            was.machine = Machine(started_ns=sim.now_ns)
-            engine = was
+
+class WarmUpSimulation:
+    """Brokers before engines, some of which start while the others are warm."""
+
+    def __init__(self, brokers: int, seed: int) -> None:
+        """Create the engines and brokers, and schedule the starts."""
+        self._simulation = Simulation(seed)
+        self._engine_count = engine_count(brokers, MIN_ENGINES)
+        starting = max(1, self._engine_count // STARTING_DIVISOR)
+        source = self._simulation.random
+        numbers = source.sample(range(1 << 32), self._engine_count + starting)
+        warm = numbers[: self._engine_count]
+        joining = numbers[self._engine_count :]
+        self._engines = {
+            number: SimulatedEngine(self._simulation, number, Machine()) for number in warm
+        }
+        self._starts: list[ObservedStart] = []
+        # When a broker was last notified of a start, by its index and the engine.
+        self._notified_ns: dict[tuple[int, int], int] = {}
+        self._brokers = [self._create_broker(index, brokers) for index in range(brokers)]
+        self._schedule_starts(joining, JOIN_S)
+        self._schedule_starts(warm[:starting], RESTART_S)
+        self._weights = _traffic_weights(brokers)
+        self._request_ids = itertools.count()
+
+    def _create_broker(self, index: int, brokers: int) -> SimulatedBroker:
+        settings = simulated_settings(index, brokers)
+        broker = SimulatedBroker(self._simulation, settings, index, self._engines)
+        broker.announce_endpoints()
+        return broker
+
+    def _schedule_starts(self, numbers: Sequence[int], begin_s: float) -> None:
+        for number in numbers:
+            at_s = begin_s + self._simulation.random.random()
+            at_ns = BEGIN_NS + int(at_s * NS_PER_S)
+            self._simulation.call_at(at_ns, partial(self._start_engine, number))
+
+    def _start_engine(self, number: int) -> None:
+        simulation = self._simulation
+        engine = self._engines.get(number)
+        if engine is None:
+            engine = SimulatedEngine(simulation, number, Machine(started_ns=simulation.now_ns))
+            self._engines[number] = engine
         else:
-            engine = engines[number] = SimulatedEngine(sim, number, Machine(started_ns=sim.now_ns))
-        cold = Cold(engine, [])
-        watched.append(cold)
-        take, born = engine.execute, engine.machine
+            _restart(engine, simulation.now_ns)
+        start = ObservedStart(engine)
+        self._starts.append(start)
+        self._observe(start)
+        for broker in self._brokers:
+            delay_s = simulation.random.random() * NOTIFIED_WITHIN_S
+            notified_ns = simulation.now_ns + int(delay_s * NS_PER_S)
+            simulation.call_at(notified_ns, partial(self._notify, broker, engine))
+
+    def _notify(self, broker: SimulatedBroker, engine: SimulatedEngine) -> None:
+        index = broker.settings.broker_index
+        self._notified_ns[index, engine.number] = self._simulation.now_ns
+        entry = EndpointEntry(
+            engine.number,
+            EndpointState.READY,
+            "a",
+            "std",
+            started_ns=engine.machine.started_ns,
+        )
+        broker.report(EndpointListUpdate(ListUpdateKind.CHANGES, (entry,)))
 
-        def taken(
+    def _observe(self, start: ObservedStart) -> None:
+        """Note the queries that an engine receives until it starts anew."""
+        engine = start.engine
+        machine = engine.machine
+        execute = engine.execute
+
+        def observed_execute(
             query_id: bytes,
             request_class: str,
             work_ns: float,
             threads: int,
             completion: Completion,
         ) -> None:
-            if engine.machine is born:
-                me = int(query_id.split(b"/")[0])
-                cold.came.append(
-                    (sim.now_ns, work_ns, heard.get((me, number), -1) >= born.started_ns)
-                )
-            take(query_id, request_class, work_ns, threads, completion)
-
-        engine.execute = taken  # type: ignore[method-assign]
-        for broker in members:
-            sim.call_at(
-                sim.now_ns + int(sim.random.random() * HEARD * S), partial(tell, broker, number)
-            )
-
-    for me in range(brokers):
-        broker = SimulatedBroker(sim, sim_settings(me, brokers), me, engines)
-        broker.announce_endpoints()
-        members.append(broker)
-    for number in new:
-        sim.call_at(BEGIN_NS + int((JOINS + sim.random.random()) * S), partial(starts, number))
-    for number in old[: max(1, count // 5)]:
-        sim.call_at(BEGIN_NS + int((REBORN + sim.random.random()) * S), partial(starts, number))
-    favoured, asked = max(1, int(FAVOURED[0] * brokers)), itertools.count()
-    parts = [FAVOURED[1]] * favoured + [1.0] * (brokers - favoured)
-
-    def arrive() -> None:
-        load = LOAD * (BURST if sim.now_ns > BEGIN_NS + JOINS * S else 1.0) * 8 * count
-        sim.call_at(sim.now_ns + int(sim.random.expovariate(1) * MEAN / load), arrive)
-        wide = sim.random.random() < WIDE
-        work = sim.random.uniform(0.5, 1.5) * (4 * S if wide else S // 5)
-        sim.random.choices(members, parts)[0].send_request(
-            str(next(asked)),
-            "report" if wide else "glance",
-            work,
-            4 if wide else 1,
-            (20 if wide else 5) * S,
+            if engine.machine is machine:
+                broker_index = int(query_id.split(b"/")[0])
+                notified_ns = self._notified_ns.get((broker_index, engine.number), -1)
+                is_notified = notified_ns >= machine.started_ns
+                query = ReceivedQuery(self._simulation.now_ns, work_ns, is_notified)
+                start.received.append(query)
+            execute(query_id, request_class, work_ns, threads, completion)
+
+        engine.execute = observed_execute  # type: ignore[method-assign]
+
+    def _send_requests(self) -> None:
+        simulation = self._simulation
+        has_burst = simulation.now_ns > BEGIN_NS + JOIN_S * NS_PER_S
+        burst = BURST if has_burst else 1.0
+        load = LOAD * burst * ENGINE_CORES * self._engine_count
+        gap_ns = int(simulation.random.expovariate(1) * MEAN_WORK_NS / load)
+        simulation.call_at(simulation.now_ns + gap_ns, self._send_requests)
+        request = draw_request(simulation.random)
+        broker = simulation.random.choices(self._brokers, self._weights)[0]
+        broker.send_request(str(next(self._request_ids)), *request)
+
+    def run(self) -> SimulationResult:
+        """Play the simulation."""
+        self._send_requests()
+        self._simulation.run(DURATION_S)
+        worst = [worst_window(start) for start in self._starts]
+        received = sum(len(start.received) for start in self._starts)
+        return SimulationResult(
+            max(window.against_budget for window in worst),
+            max(window.against_chance for window in worst),
+            max(window.against_budget_by_all for window in worst),
+            len(worst),
+            sum(window.against_budget > 1 for window in worst),
+            sum(engine.machine.crashed for engine in self._engines.values()),
+            self._served_fraction(),
+            received / len(self._starts),
         )
 
-    arrive()
-    sim.run(SECONDS)
-    found = [worst(cold) for cold in watched]
-    done = [a for b in members for a in b.requests.values()]
-    return {
-        "against_n": max(f[0] for f in found),
-        "against_chance": max(f[1] for f in found),
-        "against_n_whoever_sent": max(f[2] for f in found),
-        "starts": len(found),
-        "past_n": sum(f[0] > 1 for f in found),
-        "fallen": sum(e.machine.crashed for e in engines.values()),
-        "served": sum(a[3] for a in done) / len(done),
-        "calls": sum(len(c.came) for c in watched) / len(watched),
-    }
+    def _served_fraction(self) -> float:
+        requests = [request for broker in self._brokers for request in broker.requests.values()]
+        return sum(request.is_served for request in requests) / len(requests)
+
+
+def _restart(engine: SimulatedEngine, now_ns: int) -> None:
+    """Reset all queries of an engine, and give it a machine that has just started."""
+    completions = engine.completions
+    engine.completions = {}
+    for complete in completions.values():
+        complete(AttemptResult.RESET)
+    engine.machine.running.clear()
+    engine.machine = Machine(started_ns=now_ns)
+
+
+def _traffic_weights(brokers: int) -> list[float]:
+    favoured = max(1, int(FAVOURED_FRACTION * brokers))
+    return [FAVOURED_WEIGHT] * favoured + [1.0] * (brokers - favoured)
+
+
+def record_fleet(results: Results, brokers: int, seeds: int) -> None:
+    """Record the simulations of a number of brokers, one for each seed."""
+    runs = [WarmUpSimulation(brokers, seed).run() for seed in range(1, seeds + 1)]
+    name = f"cold.{brokers}_brokers"
+    results.record(f"{name}.starts", sum(run.starts for run in runs))
+    results.record(
+        f"{name}.calls_to_one_while_watched",
+        sum(run.queries_per_start for run in runs) / len(runs),
+    )
+    results.record(f"{name}.sent_against_n", max(run.against_budget for run in runs))
+    results.record(
+        f"{name}.sent_against_chance",
+        max(run.against_chance for run in runs),
+        at_most=MAX_SENT_AGAINST_CHANCE,
+    )
+    results.record(f"{name}.starts_past_n", sum(run.starts_past_budget for run in runs))
+    results.record(
+        f"{name}.sent_against_n_whoever_sent", max(run.against_budget_by_all for run in runs)
+    )
+    results.record(f"{name}.engines_fallen", sum(run.engines_crashed for run in runs))
+    results.record(f"{name}.served", min(run.served for run in runs))
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--quick", action="store_true")
-    parser.add_argument("--seeds", type=int, default=0)
-    given = parser.parse_args()
-    figures = Figures()
-    for brokers in (1, 3) if given.quick else (1, 3, 20, 30, 200):
-        runs = [
-            world(brokers, seed)
-            for seed in range(1, 1 + (given.seeds or (1 if given.quick else 3)))
-        ]
-        at = f"cold.{brokers}_brokers"
-        figures.tell(f"{at}.starts", sum(r["starts"] for r in runs))
-        figures.tell(f"{at}.calls_to_one_while_watched", sum(r["calls"] for r in runs) / len(runs))
-        figures.tell(f"{at}.sent_against_n", max(r["against_n"] for r in runs))
-        figures.tell(f"{at}.sent_against_chance", max(r["against_chance"] for r in runs), most=1.0)
-        figures.tell(f"{at}.starts_past_n", sum(r["past_n"] for r in runs))
-        figures.tell(
-            f"{at}.sent_against_n_whoever_sent", max(r["against_n_whoever_sent"] for r in runs)
-        )
-        figures.tell(f"{at}.engines_fallen", sum(r["fallen"] for r in runs))
-        figures.tell(f"{at}.served", min(r["served"] for r in runs))
-    return figures.exit()
+    """Run all; return the exit code."""
+    parser = benchmark_parser(__doc__)
+    parser.add_argument("--seeds", type=int, default=0, help="simulations of each size")
+    options = parser.parse_args()
+    seeds = options.seeds or (QUICK_SEEDS if options.quick else FULL_SEEDS)
+    results = Results()
+    for brokers in QUICK_FLEETS if options.quick else FULL_FLEETS:
+        record_fleet(results, brokers, seeds)
+    return results.exit_code()
 
 
 if __name__ == "__main__":
