--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,3 +1,5 @@
-"""Measurements on stand-ins: `python -m benchmarks.NAME [--quick]`, a line a figure, exit 1 past a
-bound.
+"""Measurements before emulated clusters and on simulated clocks.
+
+`python -m benchmarks.NAME [--quick]` prints a line for each measured value, and ends with exit code
+1 if one is past its bound.
 """
--- /dev/null
+++ b/benchmarks/cell_lending.py
@@ -0,0 +1,89 @@
+"""Capacity that a cell lends comes back when its owner needs it."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+from query_broker.cells.model import Cell, CellMap, Tenant
+from query_broker.cells.node import CellNode
+from query_broker.emulator.clients import RequestLog
+from query_broker.emulator.cluster import EmulatedCluster, broker_config, tenant_settings
+from query_broker.operator_config.settings import OperatorConfig
+
+from .harness.node import parse_config, serving
+from .harness.results import Results
+from .harness.units import NS_PER_S
+
+TIMEOUT_NS = 5 * NS_PER_S
+MS_PER_S = 1_000
+DIVIDED_REQUESTS = 40
+FLOOD_REQUESTS = 60
+FLOOD_SETTLES_S = 0.1
+OWNER_INTERVAL_S = 0.01
+OWNER_TIMEOUT_S = 5.0
+IDLE_TIMEOUT_S = 6.0
+MAX_ENGINE_SESSIONS = 10_000
+#: So slow that no query ends by itself: what is lent comes back by being reclaimed.
+ENGINE_SLOWDOWN = 1e6
+
+#: Without a loan there is nothing to measure.
+MIN_LENT = 1
+#: The latency objective of the fastest class: an owner that waits longer misses it.
+MAX_OWNER_WAIT_MS = 1_000.0
+#: Every client is owed one answer and no second one.
+MAX_WITHOUT_ONE_ANSWER = 0
+
+
+async def _seconds_until_owner_has_part(requests: RequestLog, node: CellNode) -> float:
+    """Let the owner request its complete part, and return how long it takes to get it."""
+    accounts = node.celled.request_ledger.accounts
+    begun_s = time.monotonic()
+    used = 0
+    while used < accounts["b"].part and time.monotonic() - begun_s < OWNER_TIMEOUT_S:
+        await requests.send_request("y", "glance", 1, TIMEOUT_NS, weight=1)
+        await asyncio.sleep(OWNER_INTERVAL_S)
+        used = accounts["b"].used
+    return time.monotonic() - begun_s
+
+
+async def _record_lending(results: Results, requests: RequestLog, node: CellNode) -> None:
+    ledger = node.celled.request_ledger
+    ledger.divide(DIVIDED_REQUESTS, node.celled.cell_weights())
+    for _ in range(FLOOD_REQUESTS):
+        await requests.send_request("x", "glance", 1, TIMEOUT_NS, weight=1)
+    await asyncio.sleep(FLOOD_SETTLES_S)
+    results.record("loans.lent", ledger.borrowed("a"), at_least=MIN_LENT)
+    owner_wait_ms = await _seconds_until_owner_has_part(requests, node) * MS_PER_S
+    results.record("loans.owner_has_its_part_after_ms", owner_wait_ms, at_most=MAX_OWNER_WAIT_MS)
+    results.record("loans.called_in", node.celled.called_in)
+    await requests.wait_until_idle(IDLE_TIMEOUT_S)
+    without_one_answer = sum(record.answer_count != 1 for record in requests.records)
+    results.record(
+        "loans.requests_without_one_answer",
+        without_one_answer + requests.unmatched_answers,
+        at_most=MAX_WITHOUT_ONE_ANSWER,
+    )
+
+
+async def record_lending(results: Results) -> None:
+    """Let one cell flood until it borrows all it can; then the other needs its complete part."""
+    cluster = EmulatedCluster()
+    await cluster.start("a-1", "b-1")
+    for engine in cluster.engines.values():
+        engine.machine.max_sessions = MAX_ENGINE_SESSIONS
+        engine.machine.slowdown = ENGINE_SLOWDOWN
+    cells = (Cell("a", engines=("a-1",)), Cell("b", engines=("b-1",)))
+    cell_map = CellMap(1, cells, "a", {"y": Tenant("y", ("b",))})
+    raw = broker_config(
+        cluster,
+        "127.0.0.1:1",
+        tenants=tenant_settings("x", "y"),
+        limits={"sockets": 256, "memory_mb": 32},
+    )
+    node = CellNode(parse_config(raw), OperatorConfig(cell_map), "")
+    async with serving(node) as port:
+        requests = RequestLog("127.0.0.1", port)
+        await _record_lending(results, requests, node)
+        requests.close()
+    cluster.stop()
