--- a/benchmarks/harness/trees.py
+++ b/benchmarks/harness/trees.py
@@ -12,6 +12,12 @@
 PACKAGE = "query_broker"
 #: The import package up to 0.2.
 FORMER_PACKAGE = "larchhall"
+#: Runs the former package under the present name.
+FORMER_MAIN = f"""\
+import runpy
+
+runpy.run_module("{FORMER_PACKAGE}", run_name="__main__")
+"""
 
 
 def package_of(tree: Path) -> str:
@@ -19,6 +25,17 @@
     return PACKAGE if (tree / PACKAGE).is_dir() else FORMER_PACKAGE
 
 
+def add_present_name(tree: Path) -> None:
+    """Let `python -m query_broker` run a tree, as the emulated fleets do, whatever its package.
+
+    Args:
+        tree: A temporary worktree; a file is added to it if it has the former package.
+    """
+    if package_of(tree) == FORMER_PACKAGE:
+        (tree / PACKAGE).mkdir()
+        (tree / PACKAGE / "__main__.py").write_text(FORMER_MAIN)
+
+
 @contextmanager
 def worktree(revision: str) -> Iterator[Path]:
     """Check an earlier commit of this project out, for as long as the context lasts."""
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -16,7 +16,7 @@
 
 from .harness.arguments import add_base_option, benchmark_parser
 from .harness.results import Results
-from .harness.trees import worktree
+from .harness.trees import add_present_name, worktree
 from .start_calls import record_calls
 from .start_processes import MassStart, StartScenario, record_start
 from .start_settings import DISCOVERY_FAULTS, LIST_CALLS_PER_S, SLOW_DISCOVERY
@@ -88,6 +88,7 @@
     """Record starts of the program before."""
     engines = max(MIN_ENGINES, brokers // BROKERS_PER_ENGINE)
     with worktree(base) as tree:
+        add_present_name(tree)
         scenarios = {
             f"before_{brokers}": StartScenario(
                 brokers, engines, requests_end_s, tree=tree, operator_script=""
