--- a/query_broker/cells/admin.py
+++ b/query_broker/cells/admin.py
@@ -5,17 +5,16 @@
 
 from __future__ import annotations
 
-import json
 from http import HTTPStatus
 from typing import Any
 from urllib.parse import unquote_to_bytes
 
-from ..server.admin_api import AdminResponse
+from ..protocols.json_answers import json_answer
+from ..protocols.operator_answers import HttpAnswer
 from .host import CellHost
 from .migrations import Migration, MigrationRejectedError
 from .model import Cell
 
-CONTENT_TYPE_JSON = "application/json"
 ROOT = "/cells"
 LOAD_DIGITS = 6
 
@@ -27,7 +26,7 @@
         """Answer for this node."""
         self._node = node
 
-    def call(self, method: str, path: str) -> AdminResponse | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Return the answer to a call; None where the path is none of cells."""
         if path != ROOT and not path.startswith(f"{ROOT}/"):
             return None
@@ -61,7 +60,7 @@
             case _:
                 return None
 
-    def _confirm(self, migration: Migration) -> AdminResponse:
+    def _confirm(self, migration: Migration) -> HttpAnswer:
         """Publish and log a change; once the caller has its answer, it holds at all processes."""
         if self._node.peer_processes is not None:
             self._node.peer_processes.publish_status()
@@ -125,10 +124,9 @@
         }
 
 
-def _answer(status: HTTPStatus, content: dict[str, Any], allowed_method: str = "") -> AdminResponse:
-    body = json.dumps(content, ensure_ascii=False).encode() + b"\n"
-    return AdminResponse(int(status), body, CONTENT_TYPE_JSON, allowed_method)
+def _answer(status: HTTPStatus, content: dict[str, Any], allowed_method: str = "") -> HttpAnswer:
+    return json_answer(content, status, allowed_method, ensure_ascii=False)
 
 
-def _error(status: HTTPStatus, reason: str, allowed_method: str = "") -> AdminResponse:
+def _error(status: HTTPStatus, reason: str, allowed_method: str = "") -> HttpAnswer:
     return _answer(status, {"error": reason}, allowed_method)
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -66,7 +66,7 @@
         self.peers: dict[str, PeerCellStatus] = {}
         super().__init__(config, operator_config, path, environ)
         self._migrations = MigrationService(self)
-        self.admin_api.calls.append(CellAdmin(self).call)
+        self.admin_api.add_call_handler(CellAdmin(self))
         self._log_unknown_tenants()
 
     @property
--- a/query_broker/membership/admin_api.py
+++ b/query_broker/membership/admin_api.py
@@ -5,10 +5,11 @@
 
 from __future__ import annotations
 
-import json
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import Any
 
+from ..protocols.json_answers import json_answer, wrong_method_answer
+from ..protocols.operator_answers import HttpAnswer
 from .codec import Codec
 from .failure_detector import FailureDetector
 from .member_record import MemberRecord
@@ -23,18 +24,6 @@
 KEYS_PATH = "/members/keys"
 LEAVE_PATH = "/members/leave"
 METHODS = {STATUS_PATH: "GET", KEYS_PATH: "GET", LEAVE_PATH: "POST"}
-JSON_TYPE = "application/json"
-HTTP_OK = 200
-HTTP_METHOD_NOT_ALLOWED = 405
-
-
-class AdminAnswer(NamedTuple):
-    """An answer to a call; the allowed method is empty unless another one was used."""
-
-    status: int
-    body: bytes
-    content_type: str
-    allowed_method: str
 
 
 class MembershipAdminApi:
@@ -60,16 +49,14 @@
             LEAVE_PATH: self._leave,
         }
 
-    def call(self, method: str, path: str) -> AdminAnswer | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer a call; None if the path is not one of the membership's."""
         allowed = METHODS.get(path)
         if allowed is None:
             return None
         if method != allowed:
-            error = _encode({"error": f"this call is a {allowed}"})
-            return AdminAnswer(HTTP_METHOD_NOT_ALLOWED, error, JSON_TYPE, allowed)
-        answer = self._answers[path]()
-        return AdminAnswer(HTTP_OK, _encode(answer), JSON_TYPE, "")
+            return wrong_method_answer(allowed)
+        return json_answer(self._answers[path]())
 
     def _leave(self) -> dict[str, Any]:
         self._service.leave()
@@ -150,10 +137,6 @@
         }
 
 
-def _encode(answer: dict[str, Any]) -> bytes:
-    return json.dumps(answer).encode() + b"\n"
-
-
 def _listing_order(record: MemberRecord) -> tuple[Any, ...]:
     return (record.status, record.ordinal, record.identity)
 
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -13,9 +13,10 @@
 
 from ..config import ConfigError
 from ..decisions.facade import Settings
+from ..protocols.operator_answers import HttpAnswer
 from ..server.host import NodeContext
 from .addresses import split_address
-from .admin_api import AdminAnswer, MembershipAdminApi
+from .admin_api import MembershipAdminApi
 from .codec import MAX_FRAME_BYTES, Codec
 from .datagrams import DatagramEndpoint, TopicHandler
 from .errors import KeyFileError
@@ -150,9 +151,9 @@
         view = self.views.view
         return replace(settings, fleet_size=view.effective_size, broker_index=view.effective_index)
 
-    def call(self, method: str, path: str) -> AdminAnswer | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer an operators' call; None if the path is not one of the membership's."""
-        return self._admin.call(method, path)
+        return self._admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
         """Return the membership's part of `/metrics`."""
--- a/query_broker/operator_config/services.py
+++ b/query_broker/operator_config/services.py
@@ -30,7 +30,7 @@
     from ..startup.service import StartupService
 
     service = StartupService(node, settings)
-    node.admin_api.calls.append(service.admin_answer)
+    node.admin_api.add_call_handler(service)
     return service
 
 
@@ -53,7 +53,7 @@
         problem = f"members: needs the extra 'members': {error}"
         raise ConfigError(problem) from None
     service = MembershipService(node, settings, view_changed)
-    node.admin_api.calls.append(service.call)
+    node.admin_api.add_call_handler(service)
     node.dispatcher.extensions.metrics_sources.append(service.metrics)
     node.dispatcher.extensions.settings_adjusters.append(service.adjust)
     return service
@@ -66,7 +66,7 @@
     from ..quotas.service import QuotaService
 
     service = QuotaService(node, membership_service, settings)
-    node.admin_api.calls.append(service.handle_admin_call)
+    node.admin_api.add_call_handler(service)
     gate_retries(node.dispatcher.deadline_controls, service)
     return service
 
@@ -80,5 +80,5 @@
     from ..outlier_consensus.service import OutlierConsensusService
 
     service = OutlierConsensusService(node, membership_service, settings)
-    node.admin_api.calls.append(service.handle_admin_call)
+    node.admin_api.add_call_handler(service)
     return service
--- a/query_broker/outlier_consensus/admin.py
+++ b/query_broker/outlier_consensus/admin.py
@@ -9,7 +9,8 @@
 from http import HTTPStatus
 from typing import Any, Protocol
 
-from ..quotas.admin_responses import AdminResponse, error_response, json_response, wrong_method
+from ..protocols.json_answers import error_answer, json_answer, wrong_method_answer
+from ..protocols.operator_answers import HttpAnswer
 from ..timer_wheel import Clock
 from .consensus import Ejection, OutlierConsensus
 from .messages import Override, OverrideValue
@@ -50,23 +51,23 @@
         self.target = target
         self.clock = clock
 
-    def handle(self, method: str, path: str) -> AdminResponse | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer a call; None if its path belongs to another part."""
         parts = path.strip("/").split("/")
         if parts[0] != PATH:
             return None
         if len(parts) == 1:
-            return json_response(self.status()) if method == "GET" else wrong_method("GET")
+            return json_answer(self.status()) if method == "GET" else wrong_method_answer("GET")
         if method != "POST":
-            return wrong_method("POST")
+            return wrong_method_answer("POST")
         value = ACTIONS.get(parts[1])
         if value is None or len(parts) != 3:
-            return error_response(HTTPStatus.NOT_FOUND, "no such call")
+            return error_answer(HTTPStatus.NOT_FOUND, "no such call")
         uid = parts[2]
         if not self.target.is_known_endpoint(uid):
-            return error_response(HTTPStatus.NOT_FOUND, "no data engine has this id")
+            return error_answer(HTTPStatus.NOT_FOUND, "no data engine has this id")
         override = self.target.override(uid, value)
-        return json_response({"uid": uid, "word": value, "version": override.version})
+        return json_answer({"uid": uid, "word": value, "version": override.version})
 
     def status(self) -> dict[str, Any]:
         """Return ejections and overrides as JSON."""
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -11,7 +11,7 @@
 from ..decisions.facade import AttemptResult
 from ..dispatch.observers import DispatchObserver
 from ..endpoints.administrative_state import AdministrativeState
-from ..quotas.admin_responses import AdminResponse
+from ..protocols.operator_answers import HttpAnswer
 from ..quotas.batching import message_bodies
 from ..quotas.collaborators import GossipMembership
 from .admin import ConsensusAdmin
@@ -280,9 +280,9 @@
             self.consensus.forget(endpoint)
             self.ejections.readmit(endpoint)
 
-    def handle_admin_call(self, method: str, path: str) -> AdminResponse | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer an operators' HTTP call; None if its path belongs to another part."""
-        return self.admin.handle(method, path)
+        return self.admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
         """Return the part of the metrics page that is about the consensus."""
--- a/query_broker/protocols/operator_answers.py
+++ b/query_broker/protocols/operator_answers.py
@@ -24,7 +24,14 @@
 
 
 class HttpAnswer(NamedTuple):
-    """One answer. ``allow`` is the method that the path allows; empty: no such header."""
+    """The answer to one operators' call, whichever subsystem gives it.
+
+    Attributes:
+        status: Status of HTTP; `REASONS` has it.
+        body: All of the body.
+        content_type: Value of the Content-Type header.
+        allow: The method that the path allows; empty to leave the header out.
+    """
 
     status: int
     body: bytes
@@ -48,7 +55,7 @@
 
 def text_answer(status: int, text: str, allow: str = "") -> HttpAnswer:
     """Return an answer of one line of text."""
-    return HttpAnswer(status, f"{text}\n".encode(), TEXT, allow)
+    return HttpAnswer(status=status, body=f"{text}\n".encode(), allow=allow)
 
 
 def encode_answer(answer: HttpAnswer) -> bytes:
--- a/query_broker/protocols/operator_calls.py
+++ b/query_broker/protocols/operator_calls.py
@@ -26,11 +26,8 @@
     def set_endpoint_disabled(self, uid: str, out: bool) -> bool:
         """Disable (``out``) or re-enable an endpoint by hand; return whether it is known."""
 
-    def call_subsystem(self, method: str, path: str) -> tuple[int, bytes, str, str] | None:
-        """Answer a call of another subsystem, or return None if there is no such call.
-
-        The answer is a status, a body, its content type and the allowed method.
-        """
+    def call_subsystem(self, method: str, path: str) -> HttpAnswer | None:
+        """Answer a call of another subsystem, or return None if there is no such call."""
 
 
 def answer_call(actions: OperatorActions, method: str, path: str) -> HttpAnswer:
@@ -41,7 +38,7 @@
     """
     other = actions.call_subsystem(method, path)
     if other is not None:
-        return HttpAnswer(*other)
+        return other
     is_endpoint_call = path.startswith((DISABLE, ENABLE))
     if not is_endpoint_call and path not in (READY_PATH, METRICS_PATH):
         text = "no such call"
@@ -51,7 +48,7 @@
         text = f"this call is a {allowed}"
         raise OperatorCallError(405, text, allowed)
     if path == METRICS_PATH:
-        return HttpAnswer(200, actions.metrics(), METRICS)
+        return HttpAnswer(status=200, body=actions.metrics(), content_type=METRICS)
     if is_endpoint_call:
         return _set_endpoint(actions, path)
     if not actions.ready():
--- a/query_broker/quotas/admin.py
+++ b/query_broker/quotas/admin.py
@@ -9,8 +9,9 @@
 from http import HTTPStatus
 from typing import Any
 
+from ..protocols.json_answers import error_answer, json_answer, wrong_method_answer
+from ..protocols.operator_answers import HttpAnswer
 from ..timer_wheel import Clock
-from .admin_responses import AdminResponse, error_response, json_response, wrong_method
 from .demand_tracker import DemandTracker
 from .lease_log import LeaseLog
 from .quota_rates import QuotaRates
@@ -53,7 +54,7 @@
         self.clock = clock
         self.own_address = own_address
 
-    def handle(self, method: str, path: str) -> AdminResponse | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer a call; None if its path belongs to another part.
 
         Raises:
@@ -64,40 +65,40 @@
             return None
         if path in ("/limits", "/limits/record"):
             if method != "GET":
-                return wrong_method("GET")
+                return wrong_method_answer("GET")
             content = self.status() if path == "/limits" else list(self.lease_log.records)
-            return json_response(content)
+            return json_answer(content)
         if method != "POST":
-            return wrong_method("POST")
+            return wrong_method_answer("POST")
         action, *arguments = parts[1:]
         match (action, *arguments):
             case ("recall", limit, address) if limit in self.leases.state.limits:
                 return self._set_cap(limit, address, 0.0)
             case ("lend", limit, address, amount) if limit in self.leases.state.limits:
                 return self._lend(limit, address, amount)
-        return error_response(HTTPStatus.NOT_FOUND, "no such call, or no such limit")
+        return error_answer(HTTPStatus.NOT_FOUND, "no such call, or no such limit")
 
-    def _lend(self, limit: str, address: str, amount: str) -> AdminResponse:
+    def _lend(self, limit: str, address: str, amount: str) -> HttpAnswer:
         try:
             cap_per_s = max(0.0, float(amount))
         except ValueError:
             reason = f"{amount[:MAX_ECHOED_AMOUNT]!r} is no amount"
-            return error_response(HTTPStatus.BAD_REQUEST, reason)
+            return error_answer(HTTPStatus.BAD_REQUEST, reason)
         return self._set_cap(limit, address, cap_per_s)
 
-    def _set_cap(self, limit: str, address: str, cap_per_s: float) -> AdminResponse:
+    def _set_cap(self, limit: str, address: str, cap_per_s: float) -> HttpAnswer:
         """Cap what one holder is granted; only the leader of the limit's shard can."""
         members = self.rates.environment.member_names()
         holder = next((name for name in members if name.startswith(f"{address}/")), "")
         if not holder:
             reason = f"{address[:MAX_ECHOED_ADDRESS]} is no member"
-            return error_response(HTTPStatus.NOT_FOUND, reason)
+            return error_answer(HTTPStatus.NOT_FOUND, reason)
         leader = self.leases.state.leader_of(limit)
         if leader != self.leases.state.name:
             reason = f"the home of {limit} is {address_of(leader)}: say it there"
-            return error_response(HTTPStatus.CONFLICT, reason)
+            return error_answer(HTTPStatus.CONFLICT, reason)
         self.leases.grantor.caps_per_s[limit, holder] = cap_per_s
-        return json_response({"limit": limit, "holder": address, "at_most": cap_per_s})
+        return json_answer({"limit": limit, "holder": address, "at_most": cap_per_s})
 
     def status(self) -> dict[str, Any]:
         """Return the state of all limits as JSON."""
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -12,8 +12,8 @@
 
 from ..decisions.facade import EndpointState, Settings
 from ..dispatch.observers import DispatchObserver
+from ..protocols.operator_answers import HttpAnswer
 from .admin import QuotaAdmin
-from .admin_responses import AdminResponse
 from .batching import message_bodies
 from .collaborators import QuotaHost, QuotaMembership
 from .counters import UsageCounters
@@ -271,9 +271,9 @@
 
     # --- operators ---
 
-    def handle_admin_call(self, method: str, path: str) -> AdminResponse | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer an operators' HTTP call; None if its path belongs to another part."""
-        return self.admin.handle(method, path)
+        return self.admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
         """Return the part of the metrics page that is about shared limits."""
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -4,10 +4,10 @@
 
 import asyncio
 import socket
-from collections.abc import Callable
-from typing import NamedTuple
+from typing import Protocol
 
 from ..dispatch.capacity import MAX_OPERATOR_CALLS
+from ..protocols.operator_answers import HttpAnswer
 from ..protocols.operator_http import OperatorConnection
 from .host import NodeContext
 
@@ -15,24 +15,17 @@
 MAX_LOGGED_UID_LENGTH = 80
 
 
-class AdminResponse(NamedTuple):
-    """The answer to an operators' call."""
+class AdminCallHandler(Protocol):
+    """A subsystem with operators' calls of its own."""
 
-    status: int  # of HTTP
-    body: bytes
-    content_type: str
-    allowed_method: str  # for the Allow header of a 405, else empty
-
-
-# A subsystem's answer to a method and a path; None where the path is not one of its own.
-AdminCall = Callable[[str, str], tuple[int, bytes, str, str] | None]
+    def handle_admin_call(self, method: str, path: str, /) -> HttpAnswer | None:
+        """Answer a call; None where the path is not one of the subsystem's."""
 
 
 class AdminApi:
     """Serves the operators' calls.
 
     Attributes:
-        calls: The calls of other subsystems, asked in this order.
         connections: The open connections, in the order in which they came.
     """
 
@@ -42,7 +35,11 @@
         self.timer_wheel = node.dispatcher.timers
         self.connections: dict[OperatorConnection, None] = {}
         self.server: asyncio.Server | None = None
-        self.calls: list[AdminCall] = []
+        self._call_handlers: list[AdminCallHandler] = []
+
+    def add_call_handler(self, handler: AdminCallHandler) -> None:
+        """Register a subsystem's calls; those registered before it are asked first."""
+        self._call_handlers.append(handler)
 
     async def listen(self, listener: socket.socket) -> None:
         """Serve calls on this bound socket."""
@@ -84,12 +81,12 @@
         self.log("operator", f"{action}: {uid[:MAX_LOGGED_UID_LENGTH]!r} {result}")
         return done
 
-    def call_subsystem(self, method: str, path: str) -> AdminResponse | None:
+    def call_subsystem(self, method: str, path: str) -> HttpAnswer | None:
         """Return the answer of the subsystem that serves this path; None where none does."""
-        for call in self.calls:
-            answer = call(method, path)
+        for handler in self._call_handlers:
+            answer = handler.handle_admin_call(method, path)
             if answer is not None:
-                return AdminResponse(*answer)
+                return answer
         return None
 
     def admit(self, connection: OperatorConnection) -> None:
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -11,6 +11,7 @@
 from ..decisions.facade import AttemptResult
 from ..discovery.watch_client import WatchClient
 from ..protocols.client_connection import ClientConnection
+from ..protocols.operator_answers import HttpAnswer
 from ..server.host import NodeContext
 from .client_gate import ClientGate
 from .discovery_pace import DiscoveryPace
@@ -22,7 +23,7 @@
 from .settings import NS_PER_SECOND, StartupSettings
 from .snapshot_store import SnapshotStore
 from .stages import Stage, StartupStages
-from .status_report import PATH, AdminAnswer, admin_answer, metrics_text
+from .status_report import PATH, metrics_text, status_answer
 
 #: Makes the draws of a start others than those of the decisions, which have the same seed.
 SEED_MASK = 0x5747
@@ -108,13 +109,13 @@
         if self._stages.confirmed() and self._watch_client is not None:
             self._store.save_now(self._watch_client.last_offset)
 
-    def admin_answer(self, method: str, path: str) -> AdminAnswer | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer a call on the operators' address; None if it is not about the start."""
         if path != PATH:
             return None
         now = self._node.clock.now()
         position = {"place": self._place, "fleet": self._fleet_size}
-        return admin_answer(method, {**position, **self._stages.status(now)})
+        return status_answer(method, {**position, **self._stages.status(now)})
 
     # --- the observer of the dispatcher ---
 
--- a/query_broker/startup/status_report.py
+++ b/query_broker/startup/status_report.py
@@ -5,26 +5,22 @@
 
 from __future__ import annotations
 
-import json
 from collections.abc import Mapping
 from typing import Any
 
+from ..protocols.json_answers import json_answer, wrong_method_answer
+from ..protocols.operator_answers import HttpAnswer
 from .settings import NS_PER_SECOND
 from .stages import StartupStages
 
 PATH = "/start"
-JSON_TYPE = "application/json"
-WRONG_METHOD = b'{"error": "this call is a GET"}\n'
 
-#: An answer of the operators' address: status, body, content type, allowed methods.
-AdminAnswer = tuple[int, bytes, str, str]
 
-
-def admin_answer(method: str, status: Mapping[str, Any]) -> AdminAnswer:
+def status_answer(method: str, status: Mapping[str, Any]) -> HttpAnswer:
     """Return the answer to a call on ``PATH``."""
     if method != "GET":
-        return 405, WRONG_METHOD, JSON_TYPE, "GET"
-    return 200, json.dumps(status).encode() + b"\n", JSON_TYPE, ""
+        return wrong_method_answer("GET")
+    return json_answer(status)
 
 
 def metrics_text(stages: StartupStages, now: int) -> bytes:
