--- a/benchmarks/deadlines.py
+++ b/benchmarks/deadlines.py
@@ -273,7 +273,7 @@
         node.log = node.dispatcher.log = node.dispatcher.pools.log = lambda kind, text: None  # type: ignore[assignment]
         known: dict[bytes, int] = {}
         late: list[bytes] = []
-        leave, begun = node.dispatcher.cancellations.abandon, EngineWriter._write_started
+        leave, begun = node.dispatcher.cancellations.abandon, EngineWriter.frame_started
 
         def leaves(request: Any, leave: Any = leave, known: Any = known) -> None:
             known[request.trace] = time.monotonic_ns()
@@ -291,14 +291,14 @@
             begun(self, about)
 
         node.dispatcher.cancellations.abandon = leaves  # type: ignore[method-assign]
-        EngineWriter._write_started = begins  # type: ignore[method-assign]
+        EngineWriter.frame_started = begins  # type: ignore[method-assign]
         running = asyncio.create_task(node.run())
         while node.server is None:
             await asyncio.sleep(0.01)
         day = await _play(
             int(node.server.sockets[0].getsockname()[1]), engines, seed, count // len(SEEDS)
         )
-        EngineWriter._write_started = begun  # type: ignore[method-assign]
+        EngineWriter.frame_started = begun  # type: ignore[method-assign]
         for name in ("asked", "unanswered", "twice", "unsafe_twice", "departures"):
             setattr(total, name, getattr(total, name) + getattr(day, name))
         total.known_after += len(late)
--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -6,7 +6,8 @@
 
 from ..endpoints.connection_pool import ConnectionPool
 from ..endpoints.connection_pools import DEDICATED_FRACTION, ConnectionPools
-from ..endpoints.pool_interfaces import HandOverGate, LogWriter, UnsentObserver
+from ..endpoints.pool_interfaces import HandOverGate, UnsentObserver
+from ..log import LogWriter
 from ..protocols.engine_connection import EngineConnection, Owner
 from .borrowing import RESERVED_FRACTION, Account, Ledger
 from .request_accounting import RequestAccounting
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import cast
 
 from ..config import Config
@@ -11,6 +10,7 @@
 from ..dispatch.requests import ActiveRequest, Client
 from ..dispatch.validation import ParsedRequest
 from ..endpoints.connection_pools import ConnectionPools
+from ..log import LogWriter
 from ..timer_wheel import Clock
 from .borrowing import Ledger
 from .cell_metrics import ReplyKey, render_cell_metrics
@@ -50,9 +50,7 @@
 
     cell_pools: CelledPools
 
-    def __init__(
-        self, config: Config, clock: Clock, log: Callable[[str, str], None], map: CellMap, me: str
-    ) -> None:
+    def __init__(self, config: Config, clock: Clock, log: LogWriter, map: CellMap, me: str) -> None:
         """Wire the parts; ``me`` is the name of this process among those of the broker."""
         self.map = map
         self.migrations = MigrationLog(map, me)
--- a/query_broker/cells/endpoint_seats.py
+++ b/query_broker/cells/endpoint_seats.py
@@ -5,8 +5,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import replace
+from typing import Protocol
 
 from ..decisions.facade import (
     AdministrativeChange,
@@ -24,6 +25,13 @@
 from .placement import Change, Placement, Seen
 
 
+class UidLookup(Protocol):
+    """Knows the uid of each listed endpoint."""
+
+    def __call__(self, number: int, /) -> str:
+        """Return the uid of the endpoint with this number."""
+
+
 class EndpointSeats:
     """Applies updates of the endpoint list and new maps to the decisions of all cells.
 
@@ -43,7 +51,7 @@
         settings: Settings,
         facades: Mapping[str, CellFacade],
         outstanding: OutstandingWorkTracker,
-        uid_of: Callable[[int], str],
+        uid_of: UidLookup,
     ) -> None:
         """Start without endpoints.
 
--- a/query_broker/cells/host.py
+++ b/query_broker/cells/host.py
@@ -5,9 +5,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from typing import Protocol
 
+from ..log import LogWriter
 from ..server.host import PeerProcessRegistry
 from ..timer_wheel import Clock
 from .cell_status import PeerCellStatus
@@ -45,5 +46,5 @@
         """The clock of all parts, in Unix nanoseconds."""
 
     @property
-    def log(self) -> Callable[[str, str], None]:
+    def log(self) -> LogWriter:
         """Writes a line: its kind and its text."""
--- a/query_broker/cells/request_call_in.py
+++ b/query_broker/cells/request_call_in.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from typing import Protocol
 
 from ..decisions.facade import CloseRequests
 from ..dispatch.request_table import RequestTable
+from ..log import LogWriter
 from .request_accounting import RequestAccounting
 
 
@@ -17,7 +18,7 @@
     accounting: RequestAccounting
 
     @property
-    def log(self) -> Callable[[str, str], None]:
+    def log(self) -> LogWriter:
         """Writes a line: its kind and its text."""
 
     def report_event(self, event: CloseRequests) -> None:
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections import Counter, deque
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from typing import NamedTuple
 
 from ..decisions.facade import (
@@ -27,7 +27,7 @@
 )
 from ..timer_wheel import TimerWheel
 from .cell_facade import CellFacade, extend_orders
-from .endpoint_seats import EndpointSeats
+from .endpoint_seats import EndpointSeats, UidLookup
 from .model import CellMap
 from .outstanding_work import OutstandingWorkTracker
 
@@ -89,7 +89,7 @@
         now_ns: int,
         timer_wheel: TimerWheel,
         map: CellMap,
-        uid_of: Callable[[int], str],
+        uid_of: UidLookup,
     ) -> None:
         """Start with the cells of the map and no endpoints.
 
--- a/query_broker/deadlines/retry_budget.py
+++ b/query_broker/deadlines/retry_budget.py
@@ -10,8 +10,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Protocol
 
 MOST_KEPT = 4_096
 
@@ -40,14 +40,24 @@
         return self.share, self.burst
 
 
+class RetryGate(Protocol):
+    """A limit on retries that all brokers share."""
+
+    def admit_retry(self) -> bool:
+        """Return whether one more retry is within the limit, and count it."""
+
+
 @dataclass(slots=True)
 class RetryBudget:
-    """Tokens by class and tenant; a new bucket is full, so that a start is not held back."""
+    """Tokens by class and tenant; a new bucket is full, so that a start is not held back.
+
+    ``gate`` is asked besides, where brokers share a limit on retries.
+    """
 
     settings: RetryBudgetSettings
     tokens: dict[tuple[str, str], float] = field(default_factory=dict)
     refused: int = 0
-    gate: Callable[[], bool] | None = None  # asked besides, where brokers share such a limit
+    gate: RetryGate | None = None
 
     def _key(self, route: str, tenant: str) -> tuple[str, str]:
         return route, tenant if self.settings.by_tenant else ""
@@ -71,7 +81,7 @@
         """Return whether one more attempt may be made, and pay for it."""
         key = self._key(route, tenant)
         left = self.tokens.get(key, self.settings.of(route)[1])
-        if left < 1 or self.gate is not None and not self.gate():
+        if left < 1 or self.gate is not None and not self.gate.admit_retry():
             self.refused += 1
             return False
         self.tokens[key] = left - 1
--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -8,8 +8,9 @@
 from __future__ import annotations
 
 import heapq
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass, field
+from typing import Protocol
 
 CONTROL = 4  # above the queries' own priorities, 0 to 3: undo, bump, page, forget, probes
 MOST_PIECES = 64  # given to one call; the system's own limit lies at 1,024
@@ -21,7 +22,7 @@
     """One frame, as the pieces that a vectored write takes.
 
     ``key``: what it is known by for being withdrawn; None where it never is. ``left``: bytes that
-    have left, or `WITHDRAWN`. ``about`` is handed to the queue's callbacks.
+    have left, or `WITHDRAWN`. ``about`` is handed to the queue's observer.
     """
 
     pieces: tuple[bytes, ...]
@@ -33,19 +34,30 @@
     begun: bool = False  # bytes before these pieces have left already
 
 
+class FrameObserver(Protocol):
+    """Releases the frames of a queue, and is notified of what of them has left."""
+
+    def release_frame(self, frame: Frame, /) -> tuple[bytes, ...] | None:
+        """Return what to write of a frame that has waited; None if it may not go any more.
+
+        Called before its first byte leaves: the time that its pieces tell has run on meanwhile.
+        """
+
+    def frame_started(self, about: object, /) -> None:
+        """Take note that the first byte of a frame has left."""
+
+    def frame_written(self, about: object, /) -> None:
+        """Take note that the last byte of a frame has left."""
+
+
 @dataclass(slots=True)
 class WriteQueue:
     """A priority queue of frames, of which at most one is half written.
 
-    ``leave`` is asked before the first byte of a frame that has waited: it returns the pieces as
-    they must be now, since the time that they tell has run on meanwhile, or None if the frame may
-    not go. ``begun`` is called right after the first byte, ``gone`` after the last. ``most``
-    frames, and ``most_bytes`` of them, may wait before the queue is full.
+    ``most`` frames, and ``most_bytes`` of them, may wait before the queue is full.
     """
 
-    on_release: Callable[[Frame], tuple[bytes, ...] | None]
-    on_started: Callable[[object], None]
-    on_written: Callable[[object], None]
+    observer: FrameObserver
     most: int = 64
     most_bytes: int = 1 << 20
     heap: list[tuple[int, int, Frame]] = field(default_factory=list)
@@ -66,7 +78,8 @@
     def enqueue(self, frame: Frame) -> bool:
         """Queue a frame; return True if nothing waits before it and the caller writes now.
 
-        ``leave`` is not asked in that case: it has just been decided to send the frame.
+        The observer is not asked to release it in that case: it has just been decided to send the
+        frame.
         """
         if self.current is None and not self.heap:
             self.current = frame
@@ -112,7 +125,7 @@
         """Return the pieces to write now; none if nothing may go.
 
         They are the rest of the frame that is half written, else the first frame that may go. What
-        ``leave`` stops is dropped here, before a byte of it leaves.
+        the observer does not release is dropped here, before a byte of it leaves.
         """
         while self.current is None:
             if not self.heap:
@@ -123,7 +136,7 @@
             self.waiting_bytes -= frame.size
             if frame.key is not None:
                 del self.keyed[frame.key]
-            if (pieces := self.on_release(frame)) is not None:
+            if (pieces := self.observer.release_frame(frame)) is not None:
                 frame.pieces = pieces
                 frame.size = sum(map(len, pieces))
                 self.current = frame
@@ -143,12 +156,12 @@
                 self.before -= 1
                 self._wait(frame, self.before)
                 return False
-            self.on_started(frame.about)
+            self.observer.frame_started(frame.about)
         frame.left += size
         if frame.left < frame.size:
             return False
         self.current = None
-        self.on_written(frame.about)
+        self.observer.frame_written(frame.about)
         return True
 
     def abandon(self) -> None:
--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -7,10 +7,12 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+import random
 from functools import partial
 from typing import Protocol
 
+from ..log import LogWriter
+from ..timer_wheel import Clock
 from .event_codec import EndpointListEvent, Heartbeat, InvalidEventError, parse_line
 from .watch_connection import WatchConnection
 
@@ -80,9 +82,9 @@
         address: tuple[str, int],
         last: int,
         take: EventHandler,
-        now: Callable[[], int],
-        log: Callable[[str, str], None],
-        draw: Callable[[], float],
+        clock: Clock,
+        log: LogWriter,
+        generator: random.Random,
         pace: ReconnectPacing | None = None,
     ) -> None:
         """Make a client that `start` sets to work.
@@ -91,21 +93,21 @@
             address: Host and port of the service.
             last: The offset of the latest event that is known.
             take: Takes the events.
-            now: Gives the time in Unix nanoseconds.
+            clock: Gives the time in Unix nanoseconds.
             log: Writes a line to the log, of a kind.
-            draw: Draws a number from 0 to 1 for the jitter of the backoff.
+            generator: Draws the jitter of the backoff.
             pace: See the attribute; it may be set until `start` is called.
         """
         self.address = address
         self.last_offset = last
         self.on_event = take
-        self.now = now
+        self.clock = clock
         self.log = log
-        self.draw = draw
+        self.generator = generator
         self.pacing = pace
         self.connection: WatchConnection | None = None
         self.backoff_s = FIRST_BACKOFF_S
-        self.last_received_ns = now()
+        self.last_received_ns = clock.now()
         self._connecting: asyncio.Task[None] | None = None
         self._lower_heartbeats = 0  # in turn
         self._unreadable_after = NO_OFFSET  # the latest event when a line could not be read
@@ -153,7 +155,7 @@
             connection.drop()
             return
         self._connecting = None
-        self.last_received_ns = self.now()
+        self.last_received_ns = self.clock.now()
         before = self.connection
         self.connection = connection
         if before is not None:
@@ -170,7 +172,7 @@
 
     def bytes_received(self) -> None:
         """Note that the service is there."""
-        self.last_received_ns = self.now()
+        self.last_received_ns = self.clock.now()
 
     def line_rejected(self, reason: str) -> None:
         """Log why a connection is dropped."""
@@ -272,7 +274,7 @@
         All brokers lose the service at one moment: without jitter they would come back together.
         """
         if self.pacing is None:
-            jitter = FIXED_BACKOFF_PART + self.draw() / 2
+            jitter = FIXED_BACKOFF_PART + self.generator.random() / 2
             self._connect_after(self.backoff_s * jitter)
         else:
             self._connect_after(self.pacing.next_wait_s())
--- a/query_broker/dispatch/context.py
+++ b/query_broker/dispatch/context.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import Protocol
 
 from ..config import Config
 from ..decisions.facade import Event
 from ..endpoints.connection_pools import ConnectionPools
+from ..log import LogWriter
 from .requests import ActiveRequest, Client
 
 
@@ -24,7 +24,7 @@
         """The configuration in force."""
 
     @property
-    def log(self) -> Callable[[str, str], None]:
+    def log(self) -> LogWriter:
         """Where log lines go: takes the kind of a line and its text."""
 
     @property
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -9,7 +9,6 @@
 
 import itertools
 import traceback
-from collections.abc import Callable
 from dataclasses import replace
 
 from ..config import Config
@@ -27,6 +26,7 @@
 from ..endpoints.administrative_state import AdministrativeState, AdministrativeStates
 from ..endpoints.connection_pools import ConnectionPools
 from ..endpoints.endpoint_table import EndpointTable
+from ..log import LogWriter
 from ..metrics import ERROR, OVERLOAD, Metrics
 from ..timer_wheel import Clock, TimerWheel
 from .assembly import DispatchParts
@@ -73,7 +73,7 @@
         most_clients: Connections that clients may have.
     """
 
-    def __init__(self, config: Config, clock: Clock, log: Callable[[str, str], None]) -> None:
+    def __init__(self, config: Config, clock: Clock, log: LogWriter) -> None:
         """Wire the parts; ``log`` takes the kind of a line and its text."""
         self.config = config
         self.clock = clock
--- a/query_broker/dispatch/load_reports.py
+++ b/query_broker/dispatch/load_reports.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from ..decisions.facade import LoadReport
+from ..log import LogWriter
 from ..protocols import resp
 
 # The names that data engines use, and the fields of `LoadReport` that they mean.
@@ -20,7 +19,7 @@
 }
 
 
-def parse_load_report(text: str, log: Callable[[str, str], None]) -> LoadReport | None:
+def parse_load_report(text: str, log: LogWriter) -> LoadReport | None:
     """Read the report of an endpoint; None where it is empty, malformed or of unknown names.
 
     A malformed one is logged: it spoils nothing else of its answer.
--- a/query_broker/dispatch/observers.py
+++ b/query_broker/dispatch/observers.py
@@ -1,7 +1,8 @@
 """What other parts register at the dispatcher: observers, and policies that change its work.
 
-An observer implements the methods it needs; the base class does nothing. The policies are typed
-callables, so that a bound method can be registered. Without any, requests pass empty tuples.
+An observer implements the methods it needs; the base class does nothing. Adjusters and metrics
+sources are registered as the objects that have the method; the policy is one callable. Without any,
+requests pass empty tuples.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
 class SettingsAdjuster(Protocol):
     """Replaces parts of the settings that the decisions go by, beside the files."""
 
-    def __call__(self, settings: Settings, /) -> Settings:
+    def adjust(self, settings: Settings, /) -> Settings:
         """Return the settings with this part's values."""
 
 
@@ -63,7 +64,7 @@
 class MetricsSource(Protocol):
     """Adds lines to the metrics page."""
 
-    def __call__(self) -> bytes:
+    def metrics(self) -> bytes:
         """Return lines of the Prometheus text format."""
 
 
@@ -73,17 +74,15 @@
     Attributes:
         observers: In the order of registration. A tuple, so that an observer may leave while the
             others are called.
-        settings_adjusters: Applied one after the other.
-        metrics_sources: Their lines follow the dispatcher's own, in this order.
         retry_after_policy: None where rejections state the decided pause.
     """
 
     def __init__(self) -> None:
         """Begin with nothing registered."""
         self.observers: tuple[DispatchObserver, ...] = ()
-        self.settings_adjusters: list[SettingsAdjuster] = []
-        self.metrics_sources: list[MetricsSource] = []
         self.retry_after_policy: RetryAfterPolicy | None = None
+        self._settings_adjusters: list[SettingsAdjuster] = []
+        self._metrics_sources: list[MetricsSource] = []
 
     def add_observer(self, observer: DispatchObserver) -> None:
         """Register an observer behind those that are there."""
@@ -93,12 +92,20 @@
         """Remove an observer; nothing happens where it is not registered."""
         self.observers = tuple(known for known in self.observers if known is not observer)
 
+    def add_settings_adjuster(self, adjuster: SettingsAdjuster) -> None:
+        """Register an adjuster, which gets the settings after those that are there."""
+        self._settings_adjusters.append(adjuster)
+
+    def add_metrics_source(self, source: MetricsSource) -> None:
+        """Register a source, whose lines follow the dispatcher's own and those that are there."""
+        self._metrics_sources.append(source)
+
     def adjusted(self, settings: Settings) -> Settings:
         """Return the settings after all adjusters."""
-        for adjust in self.settings_adjusters:
-            settings = adjust(settings)
+        for adjuster in self._settings_adjusters:
+            settings = adjuster.adjust(settings)
         return settings
 
     def metrics_text(self) -> bytes:
         """Return the lines of all metrics sources."""
-        return b"".join(source() for source in self.metrics_sources)
+        return b"".join(source.metrics() for source in self._metrics_sources)
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -10,6 +10,7 @@
 from ..decisions.facade import AttemptResult, EndpointState
 from ..discovery.event_codec import Address, ListedEndpoint
 from ..dispatch.requests import Attempt
+from ..log import LogWriter
 from ..protocols.engine_connection import EngineConnection, Owner
 from .connect import NS_PER_S, ConnectError, NoDescriptorError, connect
 from .connection_choice import (
@@ -18,7 +19,7 @@
     retire_silent,
     usable_connections,
 )
-from .pool_interfaces import ConnectPacing, HandOverGate, LogWriter, UnsentObserver
+from .pool_interfaces import ConnectPacing, HandOverGate, UnsentObserver
 
 #: Nanoseconds without a byte from an endpoint that the list says has been removed, after which its
 #: connections are closed. Longer than for an endpoint that counts as silent, since this gives up
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -4,9 +4,10 @@
 
 from ..decisions.facade import EndpointState
 from ..discovery.event_codec import ListedEndpoint
+from ..log import LogWriter
 from ..protocols.engine_connection import EngineConnection, Owner
 from .connection_pool import ConnectionPool
-from .pool_interfaces import ConnectPacing, HandOverGate, LogWriter, UnsentObserver
+from .pool_interfaces import ConnectPacing, HandOverGate, UnsentObserver
 
 #: The fraction of the budget that attempts may take for connections of their own. The rest is for
 #: what must have a new connection: an endpoint without one, or one that has been silent.
--- a/query_broker/endpoints/pool_interfaces.py
+++ b/query_broker/endpoints/pool_interfaces.py
@@ -12,13 +12,6 @@
 from ..dispatch.requests import Attempt
 
 
-class LogWriter(Protocol):
-    """Writes one line to the log."""
-
-    def __call__(self, kind: str, text: str, /) -> None:
-        """Write ``text`` under ``kind``, the part of the program that it is about."""
-
-
 class UnsentObserver(Protocol):
     """Is notified of attempts that end before any byte of them has left."""
 
--- a/query_broker/server/log.py
+++ b/query_broker/log.py
@@ -13,11 +13,11 @@
 MAX_LINES_PER_KIND = 20
 
 
-class LogSink(Protocol):
-    """Takes lines in place of standard error."""
+class LogWriter(Protocol):
+    """Writes lines to the log."""
 
-    def __call__(self, kind: str, text: str) -> None:
-        """Write one line."""
+    def __call__(self, kind: str, text: str, /) -> None:
+        """Write one line under a kind, the part of the program that it is about."""
 
 
 class Log:
@@ -32,7 +32,7 @@
     def __init__(self, name: str) -> None:
         """Write lines under the name of this broker."""
         self.name = name
-        self.sink: LogSink | None = None
+        self.sink: LogWriter | None = None
         self._span_end_s = 0.0
         self._counts: dict[str, int] = {}
 
--- a/query_broker/operator_config/apply.py
+++ b/query_broker/operator_config/apply.py
@@ -2,14 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import TYPE_CHECKING
 
 from ..deadlines.retry_budget import RetryBudget, RetryBudgetSettings
 from ..deadlines.settings import DeadlineSettings, Logs
 from ..dispatch.deadline_controls import DEFAULT_ANSWER_MARGIN_NS, DeadlineControls
-from ..dispatch.observers import DispatchObserver, RequestEnding
-from ..dispatch.requests import ActiveRequest
+from ..dispatch.observers import DispatchObserver
 
 if TYPE_CHECKING:
     from ..quotas.service import QuotaService
@@ -56,19 +54,7 @@
     """Let the limit on retries that all brokers share bound the retry budget, if there are both."""
     budget = controls.retry_budget
     if budget is not None and quota_service is not None and quota_service.has_retry_limit:
-        budget.gate = quota_service.admit_retry
-
-
-class TraceObserver(DispatchObserver):
-    """Passes the end of each request on to the log of traces."""
-
-    def __init__(self, write: Callable[[ActiveRequest, str], None]) -> None:
-        """Create an observer; ``write`` takes a request and how it ended."""
-        self._write = write
-
-    def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
-        """Log the trace of a request that has ended."""
-        self._write(request, ending.value)
+        budget.gate = quota_service
 
 
 class LogFormat:
@@ -77,7 +63,7 @@
     def __init__(self, node: Node) -> None:
         """Create the switch of one node; its log is plain until ``apply``."""
         self._node = node
-        self._observer: TraceObserver | None = None
+        self._observer: DispatchObserver | None = None
 
     def apply(self, logs: Logs | None) -> None:
         """Set the format of the log; None is the plain one."""
@@ -89,9 +75,9 @@
         if logs is None or logs.format == PLAIN_LOG_FORMAT:
             return
         # Loaded only where operators ask for structured lines.
-        from ..server.structured_log import StructuredLog, trace_observer
+        from ..server.structured_log import StructuredLog, TraceObserver
 
         lines = StructuredLog(node.config.name, logs)
         node.log.sink = lines
-        self._observer = TraceObserver(trace_observer(node.log, lines, node.clock.now))
+        self._observer = TraceObserver(node.log, lines, node.clock)
         node.dispatcher.add_observer(self._observer)
--- a/query_broker/operator_config/reload.py
+++ b/query_broker/operator_config/reload.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from functools import partial
 from typing import Protocol
 
@@ -29,6 +28,13 @@
         """Reload the platform settings, and apply the pending operators' file with them."""
 
 
+class FileRejecter(Protocol):
+    """Is notified of files that are not applied."""
+
+    def reject(self, reason: str, /) -> None:
+        """Count and log a file that is not applied."""
+
+
 class OperatorFileReload:
     """Evaluates the operators' file again, and keeps the result until it is applied.
 
@@ -37,16 +43,16 @@
             no reload is at that point.
     """
 
-    def __init__(self, user: OperatorConfigUser, reject: Callable[[str], None]) -> None:
+    def __init__(self, user: OperatorConfigUser, rejecter: FileRejecter) -> None:
         """Create a reload that has not begun.
 
         Args:
             user: The node that applies the file.
-            reject: Counts and logs a file that is not applied, with the reason.
+            rejecter: Counts and logs a file that is not applied.
         """
         self.pending: OperatorConfig | None = None
         self._user = user
-        self._reject = reject
+        self._rejecter = rejecter
         self._evaluation: asyncio.Future[OperatorConfig] | None = None
 
     def begin(self) -> None:
@@ -65,9 +71,9 @@
         try:
             self.pending = self._user.check_operator_config(evaluation.result())
         except OperatorFileError as error:
-            self._reject(str(error))
+            self._rejecter.reject(str(error))
             return
         except Exception as error:  # no file, however odd, may end a process that serves
-            self._reject(f"{self._user.operator_file}: {type(error).__name__}: {error}")
+            self._rejecter.reject(f"{self._user.operator_file}: {type(error).__name__}: {error}")
             return
         self._user.reload_config()
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -88,7 +88,7 @@
         )
         super().__init__(config, environ)
         self._log_format = LogFormat(self)
-        self._operator_file_reload = OperatorFileReload(self, self.reloader.reject)
+        self._operator_file_reload = OperatorFileReload(self, self.reloader)
         self._apply_controls(operator_config)
         self._create_services(operator_config)
 
--- a/query_broker/operator_config/services.py
+++ b/query_broker/operator_config/services.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import TYPE_CHECKING
 
 from ..config import ConfigError
@@ -18,7 +17,7 @@
 
 if TYPE_CHECKING:
     from ..membership.service import MembershipService
-    from ..membership.views import MembershipView
+    from ..membership.view_publisher import ViewListener
     from ..outlier_consensus.service import OutlierConsensusService
     from ..quotas.service import QuotaService
     from ..server.node import Node
@@ -35,14 +34,14 @@
 
 
 def create_membership_service(
-    node: Node, settings: MembershipSettings, view_changed: Callable[[MembershipView], None]
+    node: Node, settings: MembershipSettings, listener: ViewListener
 ) -> MembershipService:
     """Create the service that finds the other brokers.
 
     Args:
         node: Its metrics, calls and settings are extended.
         settings: From the operators' file.
-        view_changed: Called with each new view of the fleet.
+        listener: Called with each new view of the fleet.
 
     Raises:
         ConfigError: An optional dependency is not installed.
@@ -52,10 +51,10 @@
     except ImportError as error:
         problem = f"members: needs the extra 'members': {error}"
         raise ConfigError(problem) from None
-    service = MembershipService(node, settings, view_changed)
+    service = MembershipService(node, settings, listener)
     node.admin_api.add_call_handler(service)
-    node.dispatcher.extensions.metrics_sources.append(service.metrics)
-    node.dispatcher.extensions.settings_adjusters.append(service.adjust)
+    node.dispatcher.extensions.add_metrics_source(service)
+    node.dispatcher.extensions.add_settings_adjuster(service)
     return service
 
 
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -162,7 +162,7 @@
         self.membership.subscribe(TOPIC, self._receive)
         dispatcher = self.host.dispatcher
         dispatcher.add_observer(self)
-        dispatcher.extensions.metrics_sources.append(self.metrics)
+        dispatcher.extensions.add_metrics_source(self)
 
     # --- own observations ---
 
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
 from typing import Protocol
 
 from ..decisions.facade import AttemptResult, ProgressKind
@@ -33,6 +32,13 @@
         """Take note of the answer to an attempt that had been reported before."""
 
 
+class CarriedElsewhere(Protocol):
+    """Knows what has lately gone to the same engine on other connections."""
+
+    def __call__(self, request_id: bytes, /) -> bool:
+        """Return whether the request id has gone there too."""
+
+
 class OpenOnConnection(Protocol):
     """What is open on a connection: attempts by request id, health checks by tag."""
 
@@ -52,18 +58,14 @@
         observer: AnswerObserver,
         writer: EngineWriter,
         cancellations: EngineCancellations,
-        used_elsewhere: Callable[[bytes], bool],
+        carried_elsewhere: CarriedElsewhere,
     ) -> None:
-        """Take the connection's other parts.
-
-        ``used_elsewhere`` says whether the same request id has lately gone to the same engine on
-        another connection too.
-        """
+        """Take the connection's other parts."""
         self.connection = connection
         self.observer = observer
         self.writer = writer
         self.cancellations = cancellations
-        self.used_elsewhere = used_elsewhere
+        self.carried_elsewhere = carried_elsewhere
 
     def take(self, parts: list[bytes], now: int) -> None:
         """Take one answer, which has come at ``now``.
@@ -146,7 +148,7 @@
         if attempt.missing == 0:
             del self.connection.in_flight[tag]
             self.observer.answer_completed(attempt, meter)
-        elif self.used_elsewhere(tag):
+        elif self.carried_elsewhere(tag):
             self._give_up_mixed_pages(tag, attempt, meter, now)
         else:
             for number in range(1, page_count):
@@ -172,7 +174,7 @@
         _add_page(attempt, number, body)
         if attempt.missing:
             return
-        if self.used_elsewhere(tag):
+        if self.carried_elsewhere(tag):
             self._give_up_mixed_pages(tag, attempt, meter, now)
             return
         del self.connection.in_flight[tag]
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -6,7 +6,6 @@
 import contextlib
 import os
 import socket
-from collections.abc import Callable
 from typing import Protocol
 
 from ..deadlines.write_queue import CONTROL, Frame, WriteQueue
@@ -44,6 +43,20 @@
         """
 
 
+class BlockedListener(Protocol):
+    """Is notified that the socket takes no more for now."""
+
+    def __call__(self) -> None:
+        """Have `EngineWriter.flush` called at the next tick."""
+
+
+class WriteFailureListener(Protocol):
+    """Is notified that the socket cannot be written to any more."""
+
+    def __call__(self, reason: str, /) -> None:
+        """End the connection; the reason is the system's text."""
+
+
 class EngineWriter:
     """The sending side of one connection.
 
@@ -55,22 +68,15 @@
     """
 
     def __init__(
-        self,
-        observer: WriteObserver,
-        blocked: Callable[[], None],
-        failed: Callable[[str], None],
+        self, observer: WriteObserver, blocked: BlockedListener, failed: WriteFailureListener
     ) -> None:
-        """Take whom to notify.
-
-        ``blocked`` is called when the socket takes no more, so that `flush` is called again at the
-        next tick; ``failed`` when a write fails, with the system's text.
-        """
+        """Take whom to notify."""
         self.observer = observer
-        self.blocked = blocked
-        self.failed = failed
+        self.report_blocked = blocked
+        self.report_failure = failed
         self.transport: asyncio.Transport | None = None
         self.fd = NO_DESCRIPTOR
-        self.write_queue = WriteQueue(self._pieces_of, self._write_started, self._written)
+        self.write_queue = WriteQueue(self)
         self.jammed = False
         self.last_used_ns = observer.now()
         self.cancels_in_transit: set[bytes] = set()
@@ -126,7 +132,7 @@
             except OSError:
                 written = 0  # reported, or attempted again, by the flush below
             if written:
-                self._write_started(attempt)
+                self.frame_started(attempt)
             if written == len(pieces[0]):
                 self.last_used_ns = now
                 attempt.written_ns = now
@@ -169,11 +175,11 @@
             except BlockingIOError:
                 written = 0
             except OSError as error:
-                self.failed(str(error))
+                self.report_failure(str(error))
                 return
             if not self.write_queue.wrote(written):
                 self.jammed = True
-                self.blocked()
+                self.report_blocked()
                 return
         self.jammed = False
 
@@ -187,7 +193,7 @@
 
     # --- from the write queue ---
 
-    def _pieces_of(self, frame: Frame) -> tuple[bytes, ...] | None:
+    def release_frame(self, frame: Frame) -> tuple[bytes, ...] | None:
         """Return what to write of a frame that has waited; None if it may not go any more."""
         attempt = frame.about
         if not isinstance(attempt, Attempt):
@@ -196,11 +202,13 @@
             return None
         return encode_attempt(attempt, self.observer.now())
 
-    def _write_started(self, about: object) -> None:
+    def frame_started(self, about: object) -> None:
+        """Mark an attempt of which a byte has left: it may run."""
         if isinstance(about, Attempt):
             about.write_started = True
 
-    def _written(self, about: object) -> None:
+    def frame_written(self, about: object) -> None:
+        """Report an attempt that has left, or forget a cancellation that waited to leave."""
         if isinstance(about, Attempt):
             self.observer.attempt_written(about)
         elif isinstance(about, bytes):
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -6,16 +6,17 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
 from ..config import Config
 from ..endpoints.endpoint_table import EndpointTable
+from ..log import LogWriter
 from ..timer_wheel import Clock, TimerWheel
 
 if TYPE_CHECKING:
     from ..dispatch.observers import DispatchExtensions, DispatchObserver
     from ..endpoints.connection_pools import ConnectionPools
+    from ..membership.datagrams import TopicHandler
 
 
 class MemberIdentity(Protocol):
@@ -52,8 +53,8 @@
     def names(self) -> tuple[str, ...]:
         """Return the names of all members in the view."""
 
-    def subscribe(self, topic: str, receive: Callable[[int, str, bytes], None], /) -> None:
-        """Register what receives a topic's messages: time in ns, name of the sender, body."""
+    def subscribe(self, topic: str, handler: TopicHandler, /) -> None:
+        """Register what receives a topic's messages."""
 
     def send(self, topic: str, name: str, body: bytes, /) -> None:
         """Queue a message for a member; the body must fit into a datagram."""
@@ -113,7 +114,7 @@
         """This broker's clock."""
 
     @property
-    def log(self) -> Callable[[str, str], None]:
+    def log(self) -> LogWriter:
         """Writes a log line: kind and text."""
 
 
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -121,8 +121,8 @@
         self.membership.subscribe(TOPIC, self._receive)
         dispatcher = self.host.dispatcher
         dispatcher.add_observer(self)
-        dispatcher.extensions.settings_adjusters.append(self.adjust)
-        dispatcher.extensions.metrics_sources.append(self.metrics)
+        dispatcher.extensions.add_settings_adjuster(self)
+        dispatcher.extensions.add_metrics_source(self)
         if QuotaKind.CONNECTS in self.rates.limits_by_kind:
             dispatcher.pools.connect_pacing = self._connect_wait_ns
 
--- a/query_broker/server/host.py
+++ b/query_broker/server/host.py
@@ -6,11 +6,12 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Collection, Mapping
+from collections.abc import Collection, Mapping
 from typing import Any, Protocol
 
 from ..config import Config
 from ..dispatch.dispatcher import Dispatcher
+from ..log import LogWriter
 from ..protocols.client_connection import ClientConnection
 from ..timer_wheel import Clock
 from .process_status import ProcessStatus
@@ -50,7 +51,7 @@
         """The clock of all parts, in Unix nanoseconds."""
 
     @property
-    def log(self) -> Callable[[str, str], None]:
+    def log(self) -> LogWriter:
         """Writes a line: its kind, by which lines are limited, and its text."""
 
     @property
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -22,13 +22,13 @@
 from ..discovery.event_codec import EndpointListEvent
 from ..discovery.watch_client import WatchClient
 from ..dispatch.dispatcher import Dispatcher
+from ..log import Log
 from ..protocols.client_connection import ClientConnection
 from ..timer_wheel import Clock
 from .admin_api import AdminApi
 from .client_admission import ClientAdmission
 from .graceful_shutdown import GracefulShutdown
 from .listener import ACCEPT_BACKLOG, bind_listener, client_listener, raise_descriptor_limit
-from .log import Log
 from .peer_process import PeerProcesses
 from .process_status import ProcessStatus, total_outstanding_work
 from .reload import ConfigReloader
@@ -105,9 +105,9 @@
             address,
             self.config.known_offset,
             self.endpoint_list_changed,
-            self.clock.now,
+            self.clock,
             self.log,
-            random.Random(self.config.seed).random,
+            random.Random(self.config.seed),
         )
 
     async def open_sockets(self) -> None:
--- a/query_broker/server/structured_log.py
+++ b/query_broker/server/structured_log.py
@@ -6,19 +6,19 @@
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
 from typing import Any
 
 import structlog
 import xxhash
 
 from ..deadlines.settings import LatencyStage, Logs
+from ..dispatch.observers import DispatchObserver, RequestEnding
 from ..dispatch.requests import ActiveRequest, Attempt
-from .log import Log
+from ..log import Log
+from ..timer_wheel import Clock
 
 NS_PER_MS = 1_000_000
 HASH_RANGE = 1 << 32  # a request id's hash is reduced to 32 bits: enough for any fraction
-RequestObserver = Callable[[ActiveRequest, str], None]  # a request and how it ended
 
 
 def make_logger(name: str, line_format: str) -> Any:
@@ -96,22 +96,28 @@
     return round(duration_ns / NS_PER_MS, 3)
 
 
-def trace_observer(log: Log, lines: StructuredLog, now: Callable[[], int]) -> RequestObserver:
-    """Return an observer that writes a line for sampled requests and for those past their deadline.
+class TraceObserver(DispatchObserver):
+    """Writes a line for sampled requests and for those past their deadline.
 
     During a fault every request may end past its deadline, so the limit of the log by kind holds
     for these lines too.
     """
 
-    def observe(request: ActiveRequest, end: str) -> None:
-        now_ns = now()
+    def __init__(self, log: Log, lines: StructuredLog, clock: Clock) -> None:
+        """Write to these lines, as far as the log's limit allows."""
+        self._log = log
+        self._lines = lines
+        self._clock = clock
+
+    def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
+        """Write the trace of a request that has ended, if it is late or in the sample."""
+        now_ns = self._clock.now()
         if now_ns > request.deadline_ns:
             kind = "late"
-        elif is_sampled(request.client_request_id, lines.settings.stories):
+        elif is_sampled(request.client_request_id, self._lines.settings.stories):
             kind = "story"
         else:
             return
-        if log.allowed(kind):
-            lines.logger.info("request", kind=kind, **request_trace(request, end, now_ns))
-
-    return observe
+        if self._log.allowed(kind):
+            fields = request_trace(request, ending.value, now_ns)
+            self._lines.logger.info("request", kind=kind, **fields)
--- a/query_broker/startup/discovery_pace.py
+++ b/query_broker/startup/discovery_pace.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import Protocol
 
 from ..discovery.watch_client import CONNECT_TIMEOUT_S, SILENCE_LIMIT_NS
+from ..timer_wheel import Clock
 from .pacing import PacedCalls, backoff_timeout_ns
 from .settings import NS_PER_SECOND
 
@@ -24,16 +24,14 @@
 
 
 class DiscoveryPace:
-    """Implements ``watch_client.Pace``: by the place in the fleet, then by full jitter."""
+    """The ``ReconnectPacing`` of a fleet: by the place in it, then by full jitter."""
 
-    def __init__(
-        self, calls: PacedCalls, now: Callable[[], int], listener: ConfirmationListener
-    ) -> None:
+    def __init__(self, calls: PacedCalls, clock: Clock, listener: ConfirmationListener) -> None:
         """Draw the slot of the first call."""
         self._calls = calls
-        self._now = now
+        self._clock = clock
         self._listener = listener
-        begun = now()
+        begun = clock.now()
         self.first_wait_s = (calls.first_at(begun) - begun) / NS_PER_SECOND
 
     def resize(self, place: int, fleet_size: int) -> None:
@@ -43,7 +41,7 @@
 
     def next_wait_s(self) -> float:
         """Return the seconds to the next call, after one that failed."""
-        now = self._now()
+        now = self._clock.now()
         return (self._calls.retry_at(now) - now) / NS_PER_SECOND
 
     def connect_timeout_s(self) -> float:
--- a/query_broker/startup/dispatcher_hooks.py
+++ b/query_broker/startup/dispatcher_hooks.py
@@ -3,11 +3,10 @@
 from __future__ import annotations
 
 from abc import abstractmethod
-from collections.abc import Callable
 
-from ..decisions.facade import CoProcessLoad, OutstandingWork, Settings
+from ..decisions.facade import CoProcessLoad, OutstandingWork
 from ..dispatch.dispatcher import Dispatcher
-from ..dispatch.observers import DispatchObserver
+from ..dispatch.observers import DispatchObserver, RetryAfterPolicy, SettingsAdjuster
 from .admission_ramp import assumed_work
 
 
@@ -34,17 +33,17 @@
     def register(self, observer: StartupObserver) -> None:
         """Register the observer of a start."""
         self._dispatcher.add_observer(observer)
-        self._dispatcher.extensions.metrics_sources.append(observer.metrics)
+        self._dispatcher.extensions.add_metrics_source(observer)
         self._dispatcher.pools.connect_pacing = observer.connect_delay_ns
 
-    def register_adjustment(self, adjustment: Callable[[Settings], Settings]) -> None:
-        """Let the decisions go by settings that this function changes, from now on."""
-        self._dispatcher.extensions.settings_adjusters.append(adjustment)
+    def register_adjuster(self, adjuster: SettingsAdjuster) -> None:
+        """Let the decisions go by settings that this part changes, from now on."""
+        self._dispatcher.extensions.add_settings_adjuster(adjuster)
         self._dispatcher.refresh_settings()
 
-    def begin_ramp(self, retry_after_ns: Callable[[int], int]) -> None:
-        """Let this function widen the pause that rejections advise, in nanoseconds."""
-        self._dispatcher.extensions.retry_after_policy = retry_after_ns
+    def begin_ramp(self, policy: RetryAfterPolicy) -> None:
+        """Let this policy widen the pause that rejections advise."""
+        self._dispatcher.extensions.retry_after_policy = policy
 
     def reuse_connections(self) -> None:
         """Let attempts share connections to endpoints, until the ramp has ended.
--- a/query_broker/startup/initial_list.py
+++ b/query_broker/startup/initial_list.py
@@ -86,6 +86,12 @@
             self._node.endpoint_list_known = True
             self.event_received()
 
+    def adjust(self, settings: Settings) -> Settings:
+        """Return the settings that the decisions go by, narrower until the list is confirmed."""
+        if not self._unconfirmed:
+            return settings
+        return replace(settings, classes=tuple(map(_only_idempotent, settings.classes)))
+
     def ready_endpoints(self) -> list[int]:
         """Return the numbers of the listed endpoints that are ready."""
         endpoints = self._node.dispatcher.endpoint_table.by_number
@@ -101,13 +107,7 @@
     def _connect_to(self, snapshot: EndpointSnapshot) -> None:
         self._node.dispatcher.endpoint_list_changed(parse_event(snapshot.event()))
         self._unconfirmed = True
-        self._hooks.register_adjustment(self._restricted)
-
-    def _restricted(self, settings: Settings) -> Settings:
-        """The settings that the decisions go by."""
-        if not self._unconfirmed:
-            return settings
-        return replace(settings, classes=tuple(map(_only_idempotent, settings.classes)))
+        self._hooks.register_adjuster(self)
 
 
 def _only_idempotent(request_class: RequestClass) -> RequestClass:
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -74,7 +74,7 @@
             self._place, self._fleet_size, self._settings.list_connects_per_s, self._draw
         )
         self._watch_client = client
-        self._pace = DiscoveryPace(calls, self._node.clock.now, self._list)
+        self._pace = DiscoveryPace(calls, self._node.clock, self._list)
         client.pacing = self._pace
         self._list.resume(client)
 
--- a/query_broker/startup/snapshot_store.py
+++ b/query_broker/startup/snapshot_store.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import os
-from collections.abc import Callable
 from contextlib import suppress
 from functools import partial
 from typing import Any
@@ -12,6 +11,7 @@
 from ..decisions.facade import EndpointState
 from ..discovery.event_codec import InvalidEventError, ListedEndpoint, parse_event
 from ..endpoints.endpoint_table import EndpointTable
+from ..log import LogWriter
 from ..timer_wheel import Clock
 from .endpoint_snapshot import MAX_BYTES, EndpointSnapshot, EndpointSnapshotError, decode, encode
 from .settings import NS_PER_SECOND, StartupSettings
@@ -62,7 +62,7 @@
         self,
         settings: StartupSettings,
         clock: Clock,
-        log: Callable[[str, str], None],
+        log: LogWriter,
         table: EndpointTable,
     ) -> None:
         """Hold the file that the settings name; it is not read yet."""
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -8,6 +8,7 @@
 
 import time
 from collections.abc import Callable
+from typing import Protocol
 
 
 class Clock:
@@ -46,6 +47,13 @@
     """Do nothing: what a cancelled timer calls."""
 
 
+class EarlierTimerListener(Protocol):
+    """Wakes up the owner of a wheel, who rests until the tick that `idle_ns` has named."""
+
+    def __call__(self) -> None:
+        """Take note that a timer has been set that is due before that tick."""
+
+
 class TimerWheel:
     """Timers in slots by tick.
 
@@ -54,8 +62,7 @@
 
     Attributes:
         tick_ns: The length of a tick.
-        sooner: Called where a new timer is due before the tick that `rest` has named, so that the
-            owner can wake up for it.
+        on_earlier_timer: Its owner sets it before the first rest; until then it does nothing.
     """
 
     #: Slots of the wheel. With ticks of 5 ms it turns once in 5 s; a timer that is due later is
@@ -65,7 +72,7 @@
     def __init__(self, tick_ns: int, now: int) -> None:
         """Make an empty wheel whose tick 0 is ``now``."""
         self.tick_ns = tick_ns
-        self.on_earlier_timer: Callable[[], None] = _nothing
+        self.on_earlier_timer: EarlierTimerListener = _nothing
         self._origin_ns = now
         self._current_tick = 0
         self._slots: list[list[Timer]] = [[] for _ in range(self.SLOTS)]
@@ -102,7 +109,7 @@
         return self.ns_until_wake(now)
 
     def ns_until_wake(self, now: int) -> int:
-        """Return the time that is left to the tick which `rest` has named."""
+        """Return the time that is left to the tick which `idle_ns` has named."""
         return max(0, self._origin_ns + self._wake_tick * self.tick_ns - now)
 
     def advance(self, now: int) -> None:
@@ -119,7 +126,7 @@
 
     def _is_due(self, tick: int) -> bool:
         slot = self._slots[tick % self.SLOTS]
-        # Most slots are empty, and `rest` looks at fifty of them each time the broker falls idle.
+        # Most slots are empty, and `idle_ns` looks at fifty of them whenever the broker falls idle.
         return bool(slot) and any(
             timer.due_tick <= tick and timer.call is not _nothing for timer in slot
         )
--- a/tests/test_deadlines_pure.py
+++ b/tests/test_deadlines_pure.py
@@ -25,11 +25,12 @@
 from query_broker.deadlines.settings import DeadlineSettings, LatencyStage, Logs, MarginTerms
 from query_broker.deadlines.stage_latencies import GENERATION, Quantiles, StageLatencies
 from query_broker.deadlines.write_queue import CONTROL, Frame, WriteQueue, rest
+from query_broker.dispatch.observers import RequestEnding
 from query_broker.dispatch.requests import ActiveRequest, Attempt
+from query_broker.log import Log
 from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
 from query_broker.protocols import resp
-from query_broker.server.log import Log
-from query_broker.server.structured_log import StructuredLog, is_sampled, trace_observer
+from query_broker.server.structured_log import StructuredLog, TraceObserver, is_sampled
 from query_broker.timer_wheel import Clock
 
 from .sockets import ROOT
@@ -70,14 +71,20 @@
     def __init__(self) -> None:
         self.begun: list[object] = []
         self.gone: list[object] = []
-        self.box = WriteQueue(self.leave, self.begun.append, self.gone.append)
+        self.box = WriteQueue(self)
         self.out = b""
         self.stopped: set[object] = set()
         self.whole: dict[object, bytes] = {}
 
-    def leave(self, frame: Frame) -> tuple[bytes, ...] | None:
+    def release_frame(self, frame: Frame) -> tuple[bytes, ...] | None:
         return None if frame.about in self.stopped else frame.pieces
 
+    def frame_started(self, about: object) -> None:
+        self.begun.append(about)
+
+    def frame_written(self, about: object) -> None:
+        self.gone.append(about)
+
     def put(self, name: str, level: int = 1, size: int = 10) -> None:
         pieces = (name[:1].encode() * (size // 2), name[:1].upper().encode() * (size - size // 2))
         self.whole[name] = b"".join(pieces)
@@ -403,11 +410,22 @@
     assert DeadlineSettings().further is None
 
 
+class StoppedClock(Clock):
+    """A clock that stands still."""
+
+    def __init__(self, now_ns: int) -> None:
+        super().__init__()
+        self.now_ns = now_ns
+
+    def now(self) -> int:
+        return self.now_ns
+
+
 def told(format: str, capsys: pytest.CaptureFixture[str], **more: Any) -> list[str]:
     log = Log("n0")
     lines = StructuredLog("n0", Logs(format, **more))  # type: ignore[arg-type]
     log.sink = lines
-    tell = trace_observer(log, lines, lambda: 2 * S)
+    observer = TraceObserver(log, lines, StoppedClock(2 * S))
     for i, deadline in enumerate((3 * S, S)):
         request = ActiveRequest(
             f"{i}", b"%016x" % i, b"glance", b"", None, 1, deadline, "acme", S, S + MS
@@ -423,7 +441,7 @@
             written_ns=S + 3 * MS,
         )
         request.attempts[0] = attempt
-        tell(request, "success")
+        observer.request_ended(request, RequestEnding.SUCCESS)
     for _ in range(30):
         log("engine", "a line of its kind")
     return capsys.readouterr().err.splitlines()
--- a/tests/test_dispatch_parts.py
+++ b/tests/test_dispatch_parts.py
@@ -172,20 +172,32 @@
     extensions = DispatchExtensions()
     settings = make_config().settings
 
-    def grow(given: Settings) -> Settings:
-        return replace(given, fleet_size=given.fleet_size + 1)
+    class Grow:
+        def adjust(self, given: Settings) -> Settings:
+            return replace(given, fleet_size=given.fleet_size + 1)
 
-    def double(given: Settings) -> Settings:
-        return replace(given, fleet_size=given.fleet_size * 2)
+    class Double:
+        def adjust(self, given: Settings) -> Settings:
+            return replace(given, fleet_size=given.fleet_size * 2)
 
-    extensions.settings_adjusters += [grow, double]
+    extensions.add_settings_adjuster(Grow())
+    extensions.add_settings_adjuster(Double())
     assert extensions.adjusted(settings).fleet_size == (settings.fleet_size + 1) * 2
 
 
 def test_metrics_sources_follow_the_dispatcher_s_own_lines() -> None:
     dispatcher = make_dispatcher()
     own = dispatcher.metrics()
-    dispatcher.extensions.metrics_sources += [lambda: b"one 1\n", lambda: b"two 2\n"]
+
+    class Source:
+        def __init__(self, lines: bytes) -> None:
+            self.lines = lines
+
+        def metrics(self) -> bytes:
+            return self.lines
+
+    dispatcher.extensions.add_metrics_source(Source(b"one 1\n"))
+    dispatcher.extensions.add_metrics_source(Source(b"two 2\n"))
     assert dispatcher.metrics() == own + b"one 1\ntwo 2\n"
 
 
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -20,6 +20,7 @@
 from query_broker.deadlines.stage_latencies import StageLatencies
 from query_broker.discovery.event_codec import parse_event
 from query_broker.dispatch.requests import ActiveRequest, Attempt
+from query_broker.log import Log
 from query_broker.membership.member_record import HelperResult, MemberRecord
 from query_broker.membership.messages import Identity, Status
 from query_broker.metrics import ERROR, OVERLOAD, SUCCESS, Metrics
@@ -30,7 +31,6 @@
 from query_broker.outlier_consensus.overrides import OVERRIDE_VALUES
 from query_broker.protocols.operator_answers import REASONS
 from query_broker.quotas.lease_holder import Lease
-from query_broker.server.log import Log
 from query_broker.server.structured_log import StructuredLog, request_trace
 from query_broker.startup.stages import Stage as StartStage
 from query_broker.timer_wheel import Clock
--- a/tests/test_members_broker.py
+++ b/tests/test_members_broker.py
@@ -177,9 +177,12 @@
     async with running(config) as rig:
         dispatcher = rig.node.dispatcher
         effective_size = 10
-        dispatcher.extensions.settings_adjusters.append(
-            lambda settings: replace(settings, fleet_size=effective_size, broker_index=0)
-        )
+
+        class Resize:
+            def adjust(self, settings: Settings) -> Settings:
+                return replace(settings, fleet_size=effective_size, broker_index=0)
+
+        dispatcher.extensions.add_settings_adjuster(Resize())
         client = await rig.client()
         for stream in range(1, 31):
             effective_size = draw.choice([1, 2, 100, 10])
--- a/tests/test_middle.py
+++ b/tests/test_middle.py
@@ -8,13 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from query_broker import log
 from query_broker.decisions import facade as f
 from query_broker.decisions.events import AttemptResult, EndpointState
 from query_broker.decisions.settings import Effect
 from query_broker.discovery.event_codec import parse_event
 from query_broker.dispatch.dispatcher import Dispatcher
 from query_broker.endpoints.endpoint_table import EndpointTable
-from query_broker.server import log
 from query_broker.timer_wheel import Clock, TimerWheel
 
 from .helpers import MS, S, make_settings, query_class
@@ -144,7 +144,7 @@
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = 50.0
-    monkeypatch.setattr("query_broker.server.log.time.monotonic", lambda: now)
+    monkeypatch.setattr("query_broker.log.time.monotonic", lambda: now)
     write = log.Log("n0")
     for _ in range(log.MAX_LINES_PER_KIND + 30):
         write("client", "odd")
