--- a/query_broker/membership/datagrams.py
+++ b/query_broker/membership/datagrams.py
@@ -11,6 +11,7 @@
 from .codec import PROTOCOL_VERSION, Codec
 from .errors import MessageRejectedError
 from .failure_detector import FailureDetector
+from .message_endpoint import MessageEndpoint
 from .messages import Envelope, TopicMessage, process_name
 from .messenger import OutgoingMessage
 from .rate_limit import DatagramRateLimiter
@@ -25,7 +26,7 @@
         """Process a message of the member with the given process name."""
 
 
-class DatagramEndpoint(asyncio.DatagramProtocol):
+class DatagramEndpoint(MessageEndpoint, asyncio.DatagramProtocol):
     """Receives datagrams for the failure detector and sends its messages.
 
     Attributes:
@@ -40,10 +41,7 @@
         host: ServiceHost,
     ) -> None:
         """Start without a socket; messages are dropped until `open`."""
-        self._detector = detector
-        self._codec = codec
-        self._traffic = traffic
-        self._host = host
+        super().__init__(detector, codec, traffic, host)
         self._topics: dict[str, TopicHandler] = {}
         self._transport: asyncio.DatagramTransport | None = None
         self.rate_limiter = DatagramRateLimiter(host.now_ns())
@@ -69,9 +67,7 @@
             if not self.rate_limiter.admit(now_ns, f"{addr[0]}:{addr[1]}"):
                 self._traffic.flooded += 1
                 return
-            self._traffic.received_bytes += len(data)
-            envelope = self._codec.read(data)
-            self._deliver(now_ns, envelope)
+            self._deliver(now_ns, self._decode(data))
         except MessageRejectedError:
             return
         except Exception as error:  # No datagram may raise out of a callback.
@@ -86,10 +82,7 @@
         for recipient, message in messages:
             record = self._detector.table.get(recipient)
             protocol = PROTOCOL_VERSION if record is None else record.max_protocol
-            own_claim = self._detector.own.claim()
-            data = self._codec.write(recipient, own_claim, message, protocol)
-            self._traffic.sent_bytes += len(data)
-            self._send(recipient.address, data)
+            self._send(recipient.address, self._encode(recipient, message, protocol))
 
     def _send(self, address: str, data: bytes) -> None:
         if self._transport is None:
--- a/query_broker/membership/table_exchange.py
+++ b/query_broker/membership/table_exchange.py
@@ -13,6 +13,7 @@
 from .codec import MAX_FRAME_BYTES, Codec
 from .errors import MessageRejectedError, RejectReason
 from .failure_detector import FailureDetector
+from .message_endpoint import MessageEndpoint
 from .messages import Identity, Sync
 from .service_host import ServiceHost
 from .traffic import TrafficCounters
@@ -24,7 +25,7 @@
 ANY_PROCESS = Identity("", b"")
 
 
-class TableExchange:
+class TableExchange(MessageEndpoint):
     """Both sides of the exchange.
 
     Attributes:
@@ -39,10 +40,7 @@
         host: ServiceHost,
     ) -> None:
         """Start with no exchange under way."""
-        self._detector = detector
-        self._codec = codec
-        self._traffic = traffic
-        self._host = host
+        super().__init__(detector, codec, traffic, host)
         self._incoming = 0
         self._outgoing: set[asyncio.Task[None]] = set()
         self.closed = False
@@ -93,8 +91,7 @@
         if size > MAX_FRAME_BYTES:
             raise MessageRejectedError(RejectReason.OVERSIZED)
         data = await reader.readexactly(size)
-        self._traffic.received_bytes += size
-        envelope = self._codec.read(data, MAX_FRAME_BYTES)
+        envelope = self._decode(data, MAX_FRAME_BYTES)
         if not isinstance(envelope.message, Sync):
             raise MessageRejectedError(RejectReason.UNKNOWN)
         self._detector.merger.merge(self._host.now_ns(), envelope.sender)
@@ -102,8 +99,7 @@
 
     def write_frame(self, writer: asyncio.StreamWriter, message: Sync) -> None:
         """Write a message."""
-        data = self._codec.write(ANY_PROCESS, self._detector.own.claim(), message)
-        self._traffic.sent_bytes += len(data)
+        data = self._encode(ANY_PROCESS, message)
         writer.write(len(data).to_bytes(LENGTH_BYTES, "big") + data)
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
