--- a/query_broker/endpoints/endpoint_table.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -132,3 +132,11 @@
 
 def _removed(target: ListedEndpoint) -> ListedEndpoint:
     return replace(target, state=EndpointState.REMOVED)
+
+
+def has_warming_endpoint(table: EndpointTable, warm_up_ns: int, now_ns: int) -> bool:
+    """Return whether a ready endpoint of the table has started less than a warm-up ago."""
+    return any(
+        known.target.state is EndpointState.READY and known.target.started_ns + warm_up_ns > now_ns
+        for known in table.by_number.values()
+    )
--- a/query_broker/membership/claim_merge.py
+++ b/query_broker/membership/claim_merge.py
@@ -77,11 +77,8 @@
 
     def _is_authentic(self, record: MemberRecord, claim: Claim, max_ahead: int) -> bool:
         """Return whether the claim's leave and newer incarnation are proven by their owner."""
-        if claim.status is Status.LEFT:
-            if len(claim.leave_proof) > MAX_LEAVE_SECRET_BYTES:
-                return False
-            if next_hash(claim.leave_proof) != record.leave_proof:
-                return False
+        if claim.status is Status.LEFT and _leave_commitment(claim) != record.leave_proof:
+            return False
         if claim.incarnation == record.incarnation:
             return True
         return is_proven(
@@ -167,11 +164,9 @@
             self._suspicions.suspect(now_ns, record, claim.reporter)
 
     def _is_new_member_proven(self, claim: Claim, max_ahead: int) -> bool:
-        leave_commitment = claim.leave_proof
-        if claim.status is Status.LEFT:
-            if len(claim.leave_proof) > MAX_LEAVE_SECRET_BYTES:
-                return False
-            leave_commitment = next_hash(claim.leave_proof)
+        leave_commitment = _leave_commitment(claim)
+        if leave_commitment is None:
+            return False
         return is_proven(
             claim.member.boot,
             claim.incarnation,
@@ -180,3 +175,12 @@
             None,
             max_ahead,
         )
+
+
+def _leave_commitment(claim: Claim) -> bytes | None:
+    """Return the commitment that a claim rests on; None if the secret of a leave is too long."""
+    if claim.status is not Status.LEFT:
+        return claim.leave_proof
+    if len(claim.leave_proof) > MAX_LEAVE_SECRET_BYTES:
+        return None
+    return next_hash(claim.leave_proof)
--- a/query_broker/membership/datagrams.py
+++ b/query_broker/membership/datagrams.py
@@ -8,15 +8,12 @@
 from typing import Protocol
 
 from .addresses import MAX_LOGGED_ADDRESS, split_address
-from .codec import PROTOCOL_VERSION, Codec
+from .codec import PROTOCOL_VERSION
 from .errors import MessageRejectedError
-from .failure_detector import FailureDetector
-from .message_endpoint import MessageEndpoint
+from .message_exchange import MessageExchange
 from .messages import Envelope, TopicMessage, process_name
 from .messenger import OutgoingMessage
 from .rate_limit import DatagramRateLimiter
-from .service_host import ServiceHost
-from .traffic import TrafficCounters
 
 
 class TopicHandler(Protocol):
@@ -26,25 +23,21 @@
         """Process a message of the member with the given process name."""
 
 
-class DatagramEndpoint(MessageEndpoint, asyncio.DatagramProtocol):
+class DatagramEndpoint(asyncio.DatagramProtocol):
     """Receives datagrams for the failure detector and sends its messages.
 
     Attributes:
         rate_limiter: Limits the datagrams that are looked at.
     """
 
-    def __init__(
-        self,
-        detector: FailureDetector,
-        codec: Codec,
-        traffic: TrafficCounters,
-        host: ServiceHost,
-    ) -> None:
+    def __init__(self, messages: MessageExchange) -> None:
         """Start without a socket; messages are dropped until `open`."""
-        super().__init__(detector, codec, traffic, host)
+        self._messages = messages
+        self._detector = messages.detector
+        self._host = messages.host
         self._topics: dict[str, TopicHandler] = {}
         self._transport: asyncio.DatagramTransport | None = None
-        self.rate_limiter = DatagramRateLimiter(host.now_ns())
+        self.rate_limiter = DatagramRateLimiter(messages.host.now_ns())
 
     async def open(self, udp: socket.socket) -> None:
         """Receive and send on a bound socket."""
@@ -65,9 +58,9 @@
         now_ns = self._host.now_ns()
         try:
             if not self.rate_limiter.admit(now_ns, f"{addr[0]}:{addr[1]}"):
-                self._traffic.flooded += 1
+                self._messages.traffic.flooded += 1
                 return
-            self._deliver(now_ns, self._decode(data))
+            self._deliver(now_ns, self._messages.decode(data))
         except MessageRejectedError:
             return
         except Exception as error:  # No datagram may raise out of a callback.
@@ -82,7 +75,7 @@
         for recipient, message in messages:
             record = self._detector.table.get(recipient)
             protocol = PROTOCOL_VERSION if record is None else record.max_protocol
-            self._send(recipient.address, self._encode(recipient, message, protocol))
+            self._send(recipient.address, self._messages.encode(recipient, message, protocol))
 
     def _send(self, address: str, data: bytes) -> None:
         if self._transport is None:
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -25,6 +25,7 @@
 from .key_files import read_key_file, read_seeds_file
 from .keys import KeyRing
 from .listeners import BoundSockets, bind_sockets
+from .message_exchange import MessageExchange
 from .messages import Identity, Status, TopicMessage, process_name
 from .metrics_text import render_metrics
 from .settings import MembershipSettings
@@ -66,8 +67,9 @@
         self._sockets = _bind(settings.listen_address)
         self._traffic = TrafficCounters()
         self.detector = _make_detector(node, settings, self._sockets.port)
-        self._datagrams = DatagramEndpoint(self.detector, self.codec, self._traffic, self)
-        self._exchange = TableExchange(self.detector, self.codec, self._traffic, self)
+        messages = MessageExchange(self.detector, self.codec, self._traffic, self)
+        self._datagrams = DatagramEndpoint(messages)
+        self._exchange = TableExchange(messages)
         self._publisher = ViewPublisher(
             node, settings, self.detector, self._datagrams.rate_limiter, self, listener
         )
--- a/query_broker/membership/table_exchange.py
+++ b/query_broker/membership/table_exchange.py
@@ -10,13 +10,10 @@
 import asyncio
 
 from .addresses import MAX_LOGGED_ADDRESS, split_address
-from .codec import MAX_FRAME_BYTES, Codec
+from .codec import MAX_FRAME_BYTES
 from .errors import MessageRejectedError, RejectReason
-from .failure_detector import FailureDetector
-from .message_endpoint import MessageEndpoint
+from .message_exchange import MessageExchange
 from .messages import Identity, Sync
-from .service_host import ServiceHost
-from .traffic import TrafficCounters
 
 LENGTH_BYTES = 4
 MAX_INCOMING_EXCHANGES = 8
@@ -25,22 +22,18 @@
 ANY_PROCESS = Identity("", b"")
 
 
-class TableExchange(MessageEndpoint):
+class TableExchange:
     """Both sides of the exchange.
 
     Attributes:
         closed: No further exchange begins.
     """
 
-    def __init__(
-        self,
-        detector: FailureDetector,
-        codec: Codec,
-        traffic: TrafficCounters,
-        host: ServiceHost,
-    ) -> None:
+    def __init__(self, messages: MessageExchange) -> None:
         """Start with no exchange under way."""
-        super().__init__(detector, codec, traffic, host)
+        self._messages = messages
+        self._detector = messages.detector
+        self._host = messages.host
         self._incoming = 0
         self._outgoing: set[asyncio.Task[None]] = set()
         self.closed = False
@@ -91,7 +84,7 @@
         if size > MAX_FRAME_BYTES:
             raise MessageRejectedError(RejectReason.OVERSIZED)
         data = await reader.readexactly(size)
-        envelope = self._decode(data, MAX_FRAME_BYTES)
+        envelope = self._messages.decode(data, MAX_FRAME_BYTES)
         if not isinstance(envelope.message, Sync):
             raise MessageRejectedError(RejectReason.UNKNOWN)
         self._detector.merger.merge(self._host.now_ns(), envelope.sender)
@@ -99,7 +92,7 @@
 
     def write_frame(self, writer: asyncio.StreamWriter, message: Sync) -> None:
         """Write a message."""
-        data = self._encode(ANY_PROCESS, message)
+        data = self._messages.encode(ANY_PROCESS, message)
         writer.write(len(data).to_bytes(LENGTH_BYTES, "big") + data)
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/query_broker/membership/view_publisher.py
+++ b/query_broker/membership/view_publisher.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from ..decisions.facade import EndpointState
+from ..endpoints.endpoint_table import has_warming_endpoint
 from ..server.host import NodeContext
 from .failure_detector import FailureDetector
 from .messages import Identity
@@ -106,11 +106,7 @@
 
     def _is_endpoint_warming_up(self, now_ns: int) -> bool:
         warm_up_ns = self._node.config.settings.contract.warmup_ns
-        return any(
-            endpoint.target.state is EndpointState.READY
-            and endpoint.target.started_ns + warm_up_ns > now_ns
-            for endpoint in self._node.dispatcher.endpoint_table.by_number.values()
-        )
+        return has_warming_endpoint(self._node.dispatcher.endpoint_table, warm_up_ns, now_ns)
 
     def _is_removal_pending(self, now_ns: int) -> bool:
         suspicions = self._detector.suspicions
--- a/query_broker/operator_config/arguments.py
+++ b/query_broker/operator_config/arguments.py
@@ -73,11 +73,13 @@
     return int(value)
 
 
-def check_fraction(value: Any, key: str) -> float:
-    """Return a number from 0 to 1."""
+def check_fraction(value: Any, key: str, above: bool = False) -> float:
+    """Return a number from 0 to 1, and not 0 where ``above`` is set."""
     fraction = check_number(value, key)
     if fraction > 1:
         raise DirectiveError(key, "must lie in 0 to 1")
+    if above and fraction == 0:
+        raise DirectiveError(key, "must be above 0")
     return fraction
 
 
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -194,9 +194,7 @@
 ) -> None:
     """Set the retry budget: what a first attempt earns, and how much may be saved up."""
     draft.declare_once("further_attempts")
-    first = check_fraction(first, "further_attempts.first")
-    if not first:
-        raise DirectiveError("further_attempts.first", "must be above 0")
+    first = check_fraction(first, "further_attempts.first", above=True)
     draft.retry_budget = RetryBudgetSettings(
         check_number(share, "further_attempts.share"),
         check_number(burst, "further_attempts.burst", 1),
@@ -247,9 +245,7 @@
 ) -> None:
     """Set how a broker starts where hundreds start at once; rates are those of the whole fleet."""
     draft.declare_once("start")
-    floor = check_fraction(floor, "start.floor")
-    if not floor > 0:
-        raise DirectiveError("start.floor", "must be above 0")
+    floor = check_fraction(floor, "start.floor", above=True)
     if last_list and not str(last_list).startswith("/"):
         raise DirectiveError("start.last_list", f"{last_list!r:.60} is no path from the root")
     draft.startup = StartupSettings(
--- a/query_broker/outlier_consensus/collaborators.py
+++ b/query_broker/outlier_consensus/collaborators.py
@@ -10,7 +10,7 @@
 from ..decisions.facade import AdministrativeChange
 from ..endpoints.administrative_state import AdministrativeState, AdministrativeStates
 from ..endpoints.endpoint_table import EndpointTable
-from ..quotas.collaborators import ServiceHost
+from ..server.host import ServiceContext
 from ..timer_wheel import TimerWheel
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
         """Disable or enable an endpoint administratively."""
 
 
-class ConsensusHost(ServiceHost, Protocol):
+class ConsensusHost(ServiceContext, Protocol):
     """The node as `OutlierConsensusService` sees it."""
 
     @property
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -8,10 +8,9 @@
 import random
 from typing import TYPE_CHECKING, Protocol
 
-from ..config import Config
 from ..endpoints.endpoint_table import EndpointTable
-from ..log import LogWriter
-from ..timer_wheel import Clock, TimerWheel
+from ..server.host import ServiceContext
+from ..timer_wheel import TimerWheel
 
 if TYPE_CHECKING:
     from ..dispatch.observers import DispatchExtensions, DispatchObserver
@@ -102,23 +101,7 @@
         """Apply the settings again, since an adjustment has changed."""
 
 
-class ServiceHost(Protocol):
-    """What a service needs of the node whatever its dispatcher."""
-
-    @property
-    def config(self) -> Config:
-        """Platform settings in force."""
-
-    @property
-    def clock(self) -> Clock:
-        """This broker's clock."""
-
-    @property
-    def log(self) -> LogWriter:
-        """Writes a log line: kind and text."""
-
-
-class QuotaHost(ServiceHost, Protocol):
+class QuotaHost(ServiceContext, Protocol):
     """The node as `QuotaService` sees it."""
 
     @property
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -12,6 +12,7 @@
 
 from ..decisions.facade import EndpointState, Settings
 from ..dispatch.observers import DispatchObserver
+from ..endpoints.endpoint_table import has_warming_endpoint
 from ..protocols.operator_answers import HttpAnswer
 from .admin import QuotaAdmin
 from .batching import message_bodies
@@ -145,11 +146,7 @@
         """
         now_ns = self.host.clock.now()
         warm_up_ns = self.host.config.settings.contract.warmup_ns
-        return any(
-            known.target.state is EndpointState.READY
-            and known.target.started_ns + warm_up_ns > now_ns
-            for known in self.host.dispatcher.endpoint_table.by_number.values()
-        )
+        return has_warming_endpoint(self.host.dispatcher.endpoint_table, warm_up_ns, now_ns)
 
     # --- requests ---
 
--- a/query_broker/server/host.py
+++ b/query_broker/server/host.py
@@ -36,11 +36,8 @@
         """Publish the present status of this process."""
 
 
-class NodeContext(Protocol):
-    """The node, as far as its parts and its subsystems need it."""
-
-    closing_announced: bool  # clients have been told to leave: the node is not ready any more
-    endpoint_list_known: bool  # an endpoint list has come, from the settings or the service
+class ServiceContext(Protocol):
+    """The node, as far as a service needs it whatever its dispatcher."""
 
     @property
     def config(self) -> Config:
@@ -54,6 +51,13 @@
     def log(self) -> LogWriter:
         """Writes a line: its kind, by which lines are limited, and its text."""
 
+
+class NodeContext(ServiceContext, Protocol):
+    """The node, as far as its parts and its subsystems need it."""
+
+    closing_announced: bool  # clients have been told to leave: the node is not ready any more
+    endpoint_list_known: bool  # an endpoint list has come, from the settings or the service
+
     @property
     def dispatcher(self) -> Dispatcher:
         """Carries requests to the endpoints; owns the timer wheel."""
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -18,6 +18,7 @@
 from query_broker.membership import member_table as table
 from query_broker.membership.failure_detector import FailureDetector
 from query_broker.membership.member_record import MemberRecord
+from query_broker.membership.message_exchange import MessageExchange
 from query_broker.membership.messages import Claim, Envelope, Identity, Message, Status
 from query_broker.membership.settings import MembershipSettings
 from query_broker.membership.table_exchange import TableExchange
@@ -294,7 +295,7 @@
         "10.0.0.3:7000",
     )
     host = cast(Any, SimpleNamespace(now_ns=lambda: 0))
-    return TableExchange(detector, fresh_codec(), TrafficCounters(), host)
+    return TableExchange(MessageExchange(detector, fresh_codec(), TrafficCounters(), host))
 
 
 FRAMES: dict[str, tuple[bool, bool, bytes]] = {
