--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -79,7 +79,7 @@
             self.config.settings,
             self.config.seed,
             now_ns,
-            self.timers,
+            self.timer_wheel,
             self.map,
             lambda number: self.endpoint_table.by_number[number].target.uid,
         )
--- a/query_broker/cells/model.py
+++ b/query_broker/cells/model.py
@@ -1,7 +1,8 @@
 """The cell map: the cells, the tenants in them and the values that operators set for both.
 
 It is built from the operators' file, passed between processes as plain JSON objects, and never
-changed in place. Its field names are the keys of the stored form. Performs no I/O.
+changed in place. Its field names are the keys of the stored form, but for `Cell.capacity_weight`,
+which is `share` there. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -29,6 +30,8 @@
 DIGEST_BYTES = 8
 #: Fields of `Cell` that pin endpoints to it.
 PIN_FIELDS = ("engines", "zones", "models")
+#: `Cell.capacity_weight` in the stored form.
+CAPACITY_WEIGHT_KEY = "share"
 SPREAD_FIELDS = ("", "route", "data_set")
 Key = Literal["", "route", "data_set"]
 
@@ -56,7 +59,7 @@
         models: Hardware models whose endpoints are pinned to the cell.
         least: How many ready endpoints the cell should have.
         most: How many ready endpoints it may have; 0 sets no bound.
-        share: Its part of the broker's capacity; 0 takes the weight in its place.
+        capacity_weight: Its part of the broker's capacity; 0 takes the weight in its place.
     """
 
     name: str
@@ -66,11 +69,11 @@
     models: tuple[str, ...] = ()
     least: int = 1
     most: int = 0
-    share: float = 0.0
+    capacity_weight: float = 0.0
 
     def part(self) -> float:
         """Return the cell's part of the broker's capacity, against the parts of the others."""
-        return self.share or self.weight
+        return self.capacity_weight or self.weight
 
 
 @dataclass(frozen=True, slots=True)
@@ -192,9 +195,10 @@
         return min(rule.cells, key=lambda name: (rendezvous(name, subject, weights[name]), name))
 
     def plain(self) -> dict[str, Any]:
-        """Return the map as plain objects for JSON, the form that `from_plain` reads."""
+        """Return the map as plain objects for JSON, the form that `read_cell_map` reads."""
+        cells = tuple(_plain_cell(cell) for cell in self.cells)
         tenants = [asdict(tenant) for tenant in self.tenants.values()]
-        return {**asdict(self), "tenants": tenants}
+        return {**asdict(self), "cells": cells, "tenants": tenants}
 
     def digest(self) -> str:
         """Return a digest that distinguishes maps of one epoch with different contents."""
@@ -216,7 +220,7 @@
 def _check_cell_values(cell: Cell) -> None:
     if not (math.isfinite(cell.weight) and cell.weight > 0):
         raise CellMapError("cell.weight", f"of {cell.name!r} must be above 0")
-    if not (math.isfinite(cell.share) and cell.share >= 0):
+    if not (math.isfinite(cell.capacity_weight) and cell.capacity_weight >= 0):
         raise CellMapError("cell.share", f"of {cell.name!r} must not be negative")
     if cell.least < 0 or cell.most < 0 or (cell.most and cell.most < cell.least):
         raise CellMapError("cell.most", f"of {cell.name!r} must be 0 or at least {cell.least}")
@@ -281,9 +285,17 @@
         raise CellMapError("map", f"{type(error).__name__}: {error}") from None
 
 
+def _plain_cell(cell: Cell) -> dict[str, Any]:
+    plain = asdict(cell)
+    plain[CAPACITY_WEIGHT_KEY] = plain.pop("capacity_weight")
+    return plain
+
+
 def _read_cell(raw: Mapping[str, Any]) -> Cell:
     pins = {pin_field: tuple(raw.get(pin_field, ())) for pin_field in PIN_FIELDS}
-    return Cell(**{**raw, **pins})
+    values = {**raw, **pins}
+    capacity_weight = values.pop(CAPACITY_WEIGHT_KEY, 0.0)
+    return Cell(**values, capacity_weight=capacity_weight)
 
 
 def _read_tenant(raw: Mapping[str, Any]) -> Tenant:
--- a/query_broker/deadlines/retry_budget.py
+++ b/query_broker/deadlines/retry_budget.py
@@ -20,12 +20,12 @@
 class RetryBudgetSettings:
     """The operators' settings of the retry budget.
 
-    ``share`` of a token is earned by each first attempt, ``burst`` tokens are kept at the most; by
-    class where one is named. ``first``: the part of the remaining time that the first attempt of
-    an idempotent class gets.
+    ``tokens_per_attempt`` are earned by each first attempt, ``burst`` tokens are kept at the most;
+    both by class where ``classes`` names one. ``first``: the part of the remaining time that the
+    first attempt of an idempotent class gets.
     """
 
-    share: float = 0.2
+    tokens_per_attempt: float = 0.2
     burst: float = 10.0
     classes: tuple[tuple[str, float, float], ...] = ()
     by_tenant: bool = True
@@ -33,11 +33,11 @@
     least: int = 100_000_000  # ns; no attempt is cut shorter than that
 
     def of(self, route: str) -> tuple[float, float]:
-        """Return the share and the burst of a request class."""
-        for name, share, burst in self.classes:
+        """Return the tokens per first attempt and the burst of a request class."""
+        for name, tokens_per_attempt, burst in self.classes:
             if name == route:
-                return share, burst
-        return self.share, self.burst
+                return tokens_per_attempt, burst
+        return self.tokens_per_attempt, self.burst
 
 
 class RetryGate(Protocol):
@@ -65,8 +65,8 @@
     def record_first_attempt(self, route: str, tenant: str) -> None:
         """Earn part of a token, as a first attempt has been sent."""
         key = self._key(route, tenant)
-        share, burst = self.settings.of(route)
-        self.tokens[key] = min(burst, self.tokens.get(key, burst) + share)
+        earned, burst = self.settings.of(route)
+        self.tokens[key] = min(burst, self.tokens.get(key, burst) + earned)
         # Where no tenants are set, clients name any they like: the table is bounded.
         if len(self.tokens) > MOST_KEPT:
             self._evict()
--- a/query_broker/deadlines/settings.py
+++ b/query_broker/deadlines/settings.py
@@ -26,13 +26,13 @@
 class MarginTerms:
     """The margin kept of a request's time for its answer's way back, and how it is learned.
 
-    Durations in nanoseconds; ``share`` is the quantile of the measured stages that must fit.
+    Durations in nanoseconds; ``quantile`` is that of the measured stages which must fit.
     """
 
     start: int = 10_000_000
     least: int = 2_000_000
     most: int = 100_000_000
-    share: float = 0.99
+    quantile: float = 0.99
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,9 +56,9 @@
 class Logs:
     """The format of the log, and which requests get a line of their own.
 
-    ``stories``: the part of the requests that are traced; those that ended past their deadline
-    always are.
+    ``traced_fraction``: the part of the requests that are traced; those that ended past their
+    deadline always are.
     """
 
     format: Literal["plain", "text", "json"] = "plain"
-    stories: float = 0.0
+    traced_fraction: float = 0.0
--- a/query_broker/deadlines/stage_latencies.py
+++ b/query_broker/deadlines/stage_latencies.py
@@ -76,11 +76,11 @@
             self.young.batch_update(self.fresh)
             self.fresh = []
 
-    def quantile(self, share: float, now: int) -> int | None:
+    def quantile(self, fraction: float, now: int) -> int | None:
         """Return a quantile in nanoseconds, or None while too little is known."""
         self._fold(now)
         digest = self.old + self.young
-        return int(digest.quantile(share)) if digest.n_values >= LEAST_SEEN else None
+        return int(digest.quantile(fraction)) if digest.n_values >= LEAST_SEEN else None
 
 
 class StageLatencies:
@@ -104,8 +104,8 @@
     def learn(self, now: int) -> int:
         """Move the margin, by a quarter at most, so that one odd second does not swing it."""
         terms = self.settings
-        decide = self.all[LatencyStage.DECIDE].quantile(terms.share, now)
-        answer = self.all[LatencyStage.ANSWER].quantile(terms.share, now)
+        decide = self.all[LatencyStage.DECIDE].quantile(terms.quantile, now)
+        answer = self.all[LatencyStage.ANSWER].quantile(terms.quantile, now)
         if decide is None or answer is None:
             return self.margin
         wanted = decide + answer + TRANSIT
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -95,15 +95,15 @@
 
     Attributes:
         controller: The controller.
-        wheel: The caller's timer wheel.
+        timer_wheel: The caller's timer wheel.
         due: Tokens of the controller's timers that the wheel has found due, to be handled by
             `tick`.
     """
 
-    def __init__(self, settings: Settings, seed: int, now: int, wheel: TimerWheel) -> None:
+    def __init__(self, settings: Settings, seed: int, now: int, timer_wheel: TimerWheel) -> None:
         """Make the controller; the parameters are its own."""
         self.controller = AdmissionController(settings, seed, now)
-        self.timer_wheel = wheel
+        self.timer_wheel = timer_wheel
         self.due: deque[int] = deque()
 
     def pick(self, now: int, arrival: RequestArrived) -> OrderBatch:
--- a/query_broker/dispatch/assembly.py
+++ b/query_broker/dispatch/assembly.py
@@ -28,7 +28,7 @@
         self,
         context: DispatchContext,
         clock: Clock,
-        timers: TimerWheel,
+        timer_wheel: TimerWheel,
         table: RequestTable,
         endpoints: EndpointTable,
         administrative_states: AdministrativeStates,
@@ -38,19 +38,19 @@
         numbers: Iterator[int],
     ) -> None:
         """Make the parts; ``numbers`` is the count that requests' ids come from too."""
-        self.stage_timer = StageTimer(clock, timers, controls)
-        self.outcomes = AttemptOutcomes(context, clock, timers, extensions, controls)
-        self.attempts = AttemptDispatcher(context, timers, table, controls, self.outcomes)
+        self.stage_timer = StageTimer(clock, timer_wheel, controls)
+        self.outcomes = AttemptOutcomes(context, clock, timer_wheel, extensions, controls)
+        self.attempts = AttemptDispatcher(context, timer_wheel, table, controls, self.outcomes)
         self.gate = HandOverGate(clock, endpoints, administrative_states, controls, self.outcomes)
         self.cancellations = RequestCancellation(
             context, table, extensions, controls, self.outcomes
         )
         self.client_answers = ClientAnswers(context, table, extensions, self.cancellations)
-        self.health_checks = HealthChecks(context, clock, timers, extensions, numbers)
+        self.health_checks = HealthChecks(context, clock, timer_wheel, extensions, numbers)
         self.connection_events = ConnectionEvents(
             context,
             clock,
-            timers,
+            timer_wheel,
             metrics,
             controls,
             self.outcomes,
--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -26,14 +26,14 @@
     def __init__(
         self,
         context: DispatchContext,
-        timers: TimerWheel,
+        timer_wheel: TimerWheel,
         table: RequestTable,
         controls: DeadlineControls,
         outcomes: AttemptOutcomes,
     ) -> None:
         """Take what attempts are made from and reported to."""
         self._context = context
-        self._timers = timers
+        self._timer_wheel = timer_wheel
         self._table = table
         self._controls = controls
         self._outcomes = outcomes
@@ -78,8 +78,8 @@
             self._controls.statistics.stopped[HandOver.POOL, StopReason.BUDGET] += 1
             self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
             return
-        attempt.timer = self._timers.set_timer(
-            attempt.deadline_ns - TAKE_BACK_TICKS * self._timers.tick_ns,
+        attempt.timer = self._timer_wheel.set_timer(
+            attempt.deadline_ns - TAKE_BACK_TICKS * self._timer_wheel.tick_ns,
             partial(self._take_back_before_deadline, attempt),
         )
         pool = self._context.pools.get(order.endpoint)
@@ -115,7 +115,7 @@
         as if it had: it is taken back while there is time to say so.
         """
         if attempt.write_started:
-            attempt.timer = self._timers.set_timer(
+            attempt.timer = self._timer_wheel.set_timer(
                 attempt.deadline_ns, partial(self._time_out, attempt)
             )
             return
--- a/query_broker/dispatch/attempt_outcomes.py
+++ b/query_broker/dispatch/attempt_outcomes.py
@@ -37,14 +37,14 @@
         self,
         context: DispatchContext,
         clock: Clock,
-        timers: TimerWheel,
+        timer_wheel: TimerWheel,
         extensions: DispatchExtensions,
         controls: DeadlineControls,
     ) -> None:
         """Begin with nothing deferred."""
         self._context = context
         self._clock = clock
-        self._timers = timers
+        self._timer_wheel = timer_wheel
         self._extensions = extensions
         self._controls = controls
         self.deferred: list[DeferredOutcome] = []
@@ -85,7 +85,7 @@
     def end_next_tick(self, attempt: Attempt, result: AttemptResult) -> None:
         """Report the end of an attempt with the next tick."""
         self.deferred.append(DeferredOutcome(attempt, result))
-        self._timers.wake_next_tick()
+        self._timer_wheel.wake_next_tick()
 
     def cancel_in_flight(self, attempt: Attempt, connection: AttemptConnection) -> None:
         """Tell the endpoint to stop; only where the settings allow cancellation."""
@@ -116,7 +116,7 @@
                     delayed.append(outcome)
         self.deferred = delayed
         if delayed:
-            self._timers.wake_next_tick()
+            self._timer_wheel.wake_next_tick()
 
     def _may_be_reported(self, attempt: Attempt, now_ns: int) -> bool:
         """False while its cancellation is under way: the next attempt may leave with the report."""
--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -33,7 +33,7 @@
         self,
         context: DispatchContext,
         clock: Clock,
-        timers: TimerWheel,
+        timer_wheel: TimerWheel,
         metrics: Metrics,
         controls: DeadlineControls,
         outcomes: AttemptOutcomes,
@@ -45,7 +45,7 @@
         """Take the parts that the events are for."""
         self._context = context
         self._clock = clock
-        self._timers = timers
+        self._timer_wheel = timer_wheel
         self._metrics = metrics
         self._controls = controls
         self._outcomes = outcomes
@@ -80,7 +80,7 @@
     def socket_blocked(self, connection: EngineConnection) -> None:
         """The socket takes no more: it is flushed with the next tick."""
         self.blocked[connection] = None
-        self._timers.wake_next_tick()
+        self._timer_wheel.wake_next_tick()
 
     def flush_blocked(self) -> None:
         """Write on where sockets took no more."""
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -59,7 +59,7 @@
 
     Attributes:
         config: The configuration in force.
-        wheel: Timers; turns by the tick of the start.
+        timer_wheel: Turns by the tick of the start.
         facade: The decisions.
         request_table: The open requests.
         requests: The map of `request_table` by the broker's id.
@@ -79,7 +79,7 @@
         self.clock = clock
         self.log = log
         now_ns = clock.now()
-        self.timers = TimerWheel(config.settings.tick_ns, now_ns)
+        self.timer_wheel = TimerWheel(config.settings.tick_ns, now_ns)
         self.facade = self.make_facade(now_ns)
         self.endpoint_table = EndpointTable()
         self.administrative_states = AdministrativeStates()
@@ -93,7 +93,7 @@
         parts = DispatchParts(
             self,
             clock,
-            self.timers,
+            self.timer_wheel,
             self.request_table,
             self.endpoint_table,
             self.administrative_states,
@@ -118,7 +118,7 @@
 
     def make_facade(self, now_ns: int) -> Facade:
         """Make the decisions; the constructor calls it before any other part is there."""
-        return Facade(self.config.settings, self.config.seed, now_ns, self.timers)
+        return Facade(self.config.settings, self.config.seed, now_ns, self.timer_wheel)
 
     def make_connection_pools(self) -> ConnectionPools:
         """Make the pools; the constructor calls it once all other parts are there."""
@@ -355,7 +355,7 @@
     def tick(self) -> None:
         """Fire timers that are due, and do what was put off to this tick."""
         now_ns = self.now()
-        self.timers.advance(now_ns)
+        self.timer_wheel.advance(now_ns)
         while self.facade.due:
             try:
                 self.carry_out(now_ns, self.facade.tick(now_ns))
@@ -367,7 +367,7 @@
             self.connection_events.flush_blocked()
         self.outcomes.report_deferred()
         if self.stage_timer.waiting or self.connection_events.blocked:
-            self.timers.wake_next_tick()
+            self.timer_wheel.wake_next_tick()
 
     def metrics(self) -> bytes:
         """The metrics page, in the Prometheus text format."""
--- a/query_broker/dispatch/health_checks.py
+++ b/query_broker/dispatch/health_checks.py
@@ -31,14 +31,14 @@
         self,
         context: DispatchContext,
         clock: Clock,
-        timers: TimerWheel,
+        timer_wheel: TimerWheel,
         extensions: DispatchExtensions,
         numbers: Iterator[int],
     ) -> None:
         """Take ``numbers``, which requests' ids come from too: no tag may equal an id."""
         self._context = context
         self._clock = clock
-        self._timers = timers
+        self._timer_wheel = timer_wheel
         self._extensions = extensions
         self._numbers = numbers
         self.pending: dict[bytes, PendingCheck] = {}
@@ -47,7 +47,7 @@
         """Check one endpoint; it has as long as a connection may take to come up."""
         tag = b"probe-%d" % next(self._numbers)
         self.pending[tag] = PendingCheck(endpoint, now_ns)
-        self._timers.set_timer(
+        self._timer_wheel.set_timer(
             now_ns + self._context.config.connect_timeout_ns, partial(self._time_out, endpoint, tag)
         )
         pool = self._context.pools.get(endpoint)
--- a/query_broker/dispatch/stage_timing.py
+++ b/query_broker/dispatch/stage_timing.py
@@ -30,10 +30,10 @@
         waiting: Answers that were unread at the last look.
     """
 
-    def __init__(self, clock: Clock, timers: TimerWheel, controls: DeadlineControls) -> None:
+    def __init__(self, clock: Clock, timer_wheel: TimerWheel, controls: DeadlineControls) -> None:
         """Begin with no answers."""
         self._clock = clock
-        self._timers = timers
+        self._timer_wheel = timer_wheel
         self._controls = controls
         self.waiting: list[WaitingAnswer] = []
 
@@ -57,7 +57,7 @@
         for stage, (begin_ns, end_ns) in zip(LatencyStage, pairwise(marks_ns), strict=False):
             stages.add(class_name, stage, end_ns - begin_ns, now_ns)
         self.waiting.append(WaitingAnswer(client, class_name, now_ns))
-        self._timers.wake_next_tick()
+        self._timer_wheel.wake_next_tick()
         if len(self.waiting) == 1:
             asyncio.get_running_loop().call_soon(self.check_waiting)
 
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -191,7 +191,7 @@
         now_ns = self.now_ns()
         late_ns = max(0, now_ns - self._tick_due_ns)
         self._tick_due_ns = now_ns + self._settings.interval_ns // TICKS_PER_INTERVAL
-        self._node.dispatcher.timers.set_timer(self._tick_due_ns, self._tick)
+        self._node.dispatcher.timer_wheel.set_timer(self._tick_due_ns, self._tick)
         try:
             self.detector.tick(now_ns, late_ns)
             self.carry_out(now_ns)
--- a/query_broker/operator_config/codec.py
+++ b/query_broker/operator_config/codec.py
@@ -2,14 +2,15 @@
 
 The keys are the one place where the operators' words of this form stand beside the terms of the
 code: ``map``, ``start``, ``members``, ``shares`` and ``verdicts`` are ``cell_map``, ``startup``,
-``membership``, ``quotas`` and ``outlier_consensus``. During an upgrade both processes are of the
+``membership``, ``quotas`` and ``outlier_consensus``; fields of other names stand in the tables
+below, and in ``cells/model.py`` for the cell map. During an upgrade both processes are of the
 same version, since the broker starts the other one from its own files. Performs no I/O.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import asdict
 from typing import Any, TypeVar
 
@@ -25,6 +26,11 @@
 
 Part = TypeVar("Part")
 
+#: Keys of this form by the field of the settings, where the two differ.
+LOGS_KEYS = {"traced_fraction": "stories"}
+MARGIN_KEYS = {"quantile": "share"}
+RETRY_BUDGET_KEYS = {"tokens_per_attempt": "share"}
+
 
 def build_config(draft: ConfigDraft) -> OperatorConfig:
     """Return what a complete draft declares.
@@ -45,17 +51,20 @@
 
 def encode_config(config: OperatorConfig) -> str:
     """Return the JSON form of a configuration."""
-    return json.dumps(
-        {
-            "map": None if config.cell_map is None else config.cell_map.plain(),
-            "deadlines": _encode_part(config.deadlines),
-            "logs": _encode_part(config.logs),
-            "start": _encode_part(config.startup),
-            "members": _encode_part(config.membership),
-            "shares": _encode_part(config.quotas),
-            "verdicts": _encode_part(config.outlier_consensus),
-        }
-    )
+    return json.dumps(plain_config(config))
+
+
+def plain_config(config: OperatorConfig) -> dict[str, Any]:
+    """Return a configuration as plain objects, from which its JSON form is made."""
+    return {
+        "map": None if config.cell_map is None else config.cell_map.plain(),
+        "deadlines": None if config.deadlines is None else _plain_deadlines(config.deadlines),
+        "logs": None if config.logs is None else _to_form(asdict(config.logs), LOGS_KEYS),
+        "start": _plain_part(config.startup),
+        "members": _plain_part(config.membership),
+        "shares": _plain_part(config.quotas),
+        "verdicts": _plain_part(config.outlier_consensus),
+    }
 
 
 def decode_config(text: str) -> OperatorConfig:
@@ -70,7 +79,7 @@
     return OperatorConfig(
         cell_map=_decode_part(raw["map"], read_cell_map),
         deadlines=_decode_part(raw["deadlines"], _decode_deadlines),
-        logs=_decode_part(raw["logs"], lambda fields: Logs(**fields)),
+        logs=_decode_part(raw["logs"], lambda form: Logs(**_from_form(form, LOGS_KEYS))),
         startup=_decode_part(raw["start"], lambda fields: StartupSettings(**fields)),
         membership=_decode_part(raw["members"], _decode_membership),
         quotas=_decode_part(raw["shares"], _decode_quotas),
@@ -80,10 +89,29 @@
     )
 
 
-def _encode_part(settings: Any) -> dict[str, Any] | None:
+def _plain_part(settings: Any) -> dict[str, Any] | None:
     return None if settings is None else asdict(settings)
 
 
+def _plain_deadlines(settings: DeadlineSettings) -> dict[str, Any]:
+    plain = asdict(settings)
+    plain["margin"] = _to_form(plain["margin"], MARGIN_KEYS)
+    if plain["further"] is not None:
+        plain["further"] = _to_form(plain["further"], RETRY_BUDGET_KEYS)
+    return plain
+
+
+def _to_form(values: Mapping[str, Any], keys: Mapping[str, str]) -> dict[str, Any]:
+    """Return the values of fields under their keys in the form."""
+    return {keys.get(name, name): value for name, value in values.items()}
+
+
+def _from_form(form: Mapping[str, Any], keys: Mapping[str, str]) -> dict[str, Any]:
+    """Return the values of the form under the names of their fields."""
+    names = {key: name for name, key in keys.items()}
+    return {names.get(key, key): value for key, value in form.items()}
+
+
 def _decode_part(raw: Any, decode: Callable[[Any], Part]) -> Part | None:
     return None if raw is None else decode(raw)
 
@@ -99,10 +127,10 @@
 
 def _decode_retry_budget(raw: dict[str, Any]) -> RetryBudgetSettings:
     classes = tuple(tuple(request_class) for request_class in raw["classes"])
-    return RetryBudgetSettings(**{**raw, "classes": classes})
+    return RetryBudgetSettings(**{**_from_form(raw, RETRY_BUDGET_KEYS), "classes": classes})
 
 
 def _decode_deadlines(raw: dict[str, Any]) -> DeadlineSettings:
-    margin = MarginTerms(**raw["margin"])
+    margin = MarginTerms(**_from_form(raw["margin"], MARGIN_KEYS))
     retry_budget = _decode_part(raw["further"], _decode_retry_budget)
     return DeadlineSettings(**{**raw, "margin": margin, "further": retry_budget})
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -9,8 +9,9 @@
 spelling, which differs from the terms of the code as follows:
 
 - ``further_attempts``, ``further_class``: the retry budget, and that of a request class;
-  ``share``: tokens that a first attempt earns.
-- ``cell.share``: the cell's part of the load. ``least`` and ``most``: minimum and maximum.
+  ``share``: tokens that a first attempt earns (``tokens_per_attempt``).
+- ``cell.share``: the cell's part of the load (``capacity_weight``). ``least`` and ``most``:
+  minimum and maximum.
 - ``moves``: time limits of migrations between cells.
 - ``deadlines.margin_share``: the quantile of latencies that the learned margin covers.
 - ``logs.stories``: the fraction of requests whose trace is logged.
@@ -99,14 +100,14 @@
     if max_endpoints and max_endpoints < min_endpoints:
         raise DirectiveError("cell.most", f"must be 0 or at least {min_endpoints}")
     draft.cells[name] = Cell(
-        name,
-        check_number(weight, "cell.weight", above=True),
-        check_texts(engines, "cell.engines"),
-        check_texts(zones, "cell.zones"),
-        check_texts(models, "cell.models"),
-        min_endpoints,
-        max_endpoints,
-        check_number(share, "cell.share"),
+        name=name,
+        weight=check_number(weight, "cell.weight", above=True),
+        engines=check_texts(engines, "cell.engines"),
+        zones=check_texts(zones, "cell.zones"),
+        models=check_texts(models, "cell.models"),
+        least=min_endpoints,
+        most=max_endpoints,
+        capacity_weight=check_number(share, "cell.share"),
     )
     return str(name)
 
@@ -174,13 +175,16 @@
     if not least_ns <= start_ns <= most_ns:
         raise DirectiveError("deadlines.margin_ms", "must lie in least_margin_ms to most_margin_ms")
     draft.deadlines = DeadlineSettings(
-        check_flag(learn, "deadlines.learn"),
-        MarginTerms(
-            start_ns, least_ns, most_ns, check_fraction(margin_share, "deadlines.margin_share")
+        learn=check_flag(learn, "deadlines.learn"),
+        margin=MarginTerms(
+            start=start_ns,
+            least=least_ns,
+            most=most_ns,
+            quantile=check_fraction(margin_share, "deadlines.margin_share"),
         ),
-        check_choice(count_from, "deadlines.count_from", ("first", "last")),
-        check_choice(half_close, "deadlines.half_close", ("left", "answer")),
-        seconds_to_ns(slow_reader, "deadlines.slow_reader", above=True),
+        count_from=check_choice(count_from, "deadlines.count_from", ("first", "last")),
+        half_close=check_choice(half_close, "deadlines.half_close", ("left", "answer")),
+        slow_reader=seconds_to_ns(slow_reader, "deadlines.slow_reader", above=True),
     )
 
 
@@ -196,12 +200,11 @@
     draft.declare_once("further_attempts")
     first = check_fraction(first, "further_attempts.first", above=True)
     draft.retry_budget = RetryBudgetSettings(
-        check_number(share, "further_attempts.share"),
-        check_number(burst, "further_attempts.burst", 1),
-        (),
-        check_flag(by_tenant, "further_attempts.by_tenant"),
-        first,
-        milliseconds_to_ns(least_ms, "further_attempts.least_ms"),
+        tokens_per_attempt=check_number(share, "further_attempts.share"),
+        burst=check_number(burst, "further_attempts.burst", 1),
+        by_tenant=check_flag(by_tenant, "further_attempts.by_tenant"),
+        first=first,
+        least=milliseconds_to_ns(least_ms, "further_attempts.least_ms"),
     )
 
 
@@ -220,8 +223,8 @@
     """Set the format of the log, and the fraction of requests whose trace is logged."""
     draft.declare_once("logs")
     draft.logs = Logs(
-        check_choice(format, "logs.format", ("plain", "text", "json")),
-        check_fraction(stories, "logs.stories"),
+        format=check_choice(format, "logs.format", ("plain", "text", "json")),
+        traced_fraction=check_fraction(stories, "logs.stories"),
     )
 
 
--- a/query_broker/outlier_consensus/collaborators.py
+++ b/query_broker/outlier_consensus/collaborators.py
@@ -30,7 +30,7 @@
     extensions: DispatchExtensions
     endpoint_table: EndpointTable
     administrative_states: AdministrativeStates
-    timers: TimerWheel
+    timer_wheel: TimerWheel
 
     @property
     def health_checks(self) -> HealthChecks:
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -156,7 +156,7 @@
         )
         self._gossiped_at_ns = host.clock.now()
         self._attach()
-        host.dispatcher.timers.set_timer(self._gossiped_at_ns + TICK_NS, self._tick)
+        host.dispatcher.timer_wheel.set_timer(self._gossiped_at_ns + TICK_NS, self._tick)
 
     def _attach(self) -> None:
         self.membership.subscribe(TOPIC, self._receive)
@@ -188,7 +188,7 @@
 
     def _tick(self) -> None:
         now_ns = self.host.clock.now()
-        self.host.dispatcher.timers.set_timer(now_ns + TICK_NS, self._tick)
+        self.host.dispatcher.timer_wheel.set_timer(now_ns + TICK_NS, self._tick)
         try:
             self.observations.name = self.membership.name
             if now_ns - self._gossiped_at_ns >= self.settings.gossip_interval_ns:
--- a/query_broker/protocols/client_timeouts.py
+++ b/query_broker/protocols/client_timeouts.py
@@ -70,7 +70,7 @@
     def drop_after_linger(self) -> None:
         """End the connection once the client has had time to read the last of it."""
         due_ns = self.host.dispatcher.now() + LINGER_NS
-        self.timer = self.host.dispatcher.timers.set_timer(due_ns, self.connection.drop)
+        self.timer = self.host.dispatcher.timer_wheel.set_timer(due_ns, self.connection.drop)
 
     def check(self) -> None:
         """End the connection if it is due, else look again when it may be."""
@@ -104,4 +104,4 @@
         return self.socket.unread() > 0 or self.socket.has_input()
 
     def _check_at(self, due_ns: int) -> None:
-        self.timer = self.host.dispatcher.timers.set_timer(due_ns, self.check)
+        self.timer = self.host.dispatcher.timer_wheel.set_timer(due_ns, self.check)
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -92,7 +92,7 @@
     extensions: DispatchExtensions
     endpoint_table: EndpointTable
     pools: ConnectionPools
-    timers: TimerWheel
+    timer_wheel: TimerWheel
 
     def add_observer(self, observer: DispatchObserver, /) -> None:
         """Register an observer of requests."""
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -105,7 +105,7 @@
         self.decoder: msgspec.msgpack.Decoder[QuotaMessage] = msgspec.msgpack.Decoder(QuotaMessage)
         self._attach()
         self.configure()
-        host.dispatcher.timers.set_timer(now_ns + TICK_NS, self._tick)
+        host.dispatcher.timer_wheel.set_timer(now_ns + TICK_NS, self._tick)
 
     def _create_leases(self, now_ns: int) -> LeaseManager:
         """Create the leases; unused capacity for work is requested even without demand."""
@@ -187,7 +187,7 @@
 
     def _tick(self) -> None:
         now_ns = self.host.clock.now()
-        self.host.dispatcher.timers.set_timer(now_ns + TICK_NS, self._tick)
+        self.host.dispatcher.timer_wheel.set_timer(now_ns + TICK_NS, self._tick)
         try:
             self._update(now_ns)
         except Exception as error:  # a fault here must not end the wheel's turn
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -32,7 +32,7 @@
     def __init__(self, node: NodeContext) -> None:
         """Prepare the calls; ``listen`` opens the address."""
         self.node = node
-        self.timer_wheel = node.dispatcher.timers
+        self.timer_wheel = node.dispatcher.timer_wheel
         self.connections: dict[OperatorConnection, None] = {}
         self.server: asyncio.Server | None = None
         self._call_handlers: list[AdminCallHandler] = []
--- a/query_broker/server/peer_process.py
+++ b/query_broker/server/peer_process.py
@@ -75,7 +75,7 @@
 
     def poll_periodically(self) -> None:
         """Poll now and again after each period; publish while another process is alive."""
-        self.node.dispatcher.timers.set_timer(
+        self.node.dispatcher.timer_wheel.set_timer(
             self.node.clock.now() + POLL_PERIOD_NS, self.poll_periodically
         )
         self.poll()
--- a/query_broker/server/structured_log.py
+++ b/query_broker/server/structured_log.py
@@ -114,7 +114,7 @@
         now_ns = self._clock.now()
         if now_ns > request.deadline_ns:
             kind = "late"
-        elif is_sampled(request.client_request_id, self._lines.settings.stories):
+        elif is_sampled(request.client_request_id, self._lines.settings.traced_fraction):
             kind = "story"
         else:
             return
--- a/query_broker/server/tick_loop.py
+++ b/query_broker/server/tick_loop.py
@@ -54,7 +54,7 @@
         now_ns = self.node.clock.now()
         self._due_ns = now_ns
         self._swept_ns = now_ns
-        self.node.dispatcher.timers.on_earlier_timer = self._wake
+        self.node.dispatcher.timer_wheel.on_earlier_timer = self._wake
         self._tick()
 
     def _tick(self) -> None:
@@ -65,7 +65,7 @@
             self._run_due_work(now_ns)
         finally:
             now_ns = self.node.clock.now()
-            rest_ns = self.node.dispatcher.timers.idle_ns(now_ns, self.node.longest_rest_ns)
+            rest_ns = self.node.dispatcher.timer_wheel.idle_ns(now_ns, self.node.longest_rest_ns)
             self._schedule(rest_ns, now_ns)
         # The next tick is scheduled by now, so that a timer set here can bring it forward.
         self.node.after_tick()
@@ -97,4 +97,4 @@
             return
         self._scheduled.cancel()
         now_ns = self.node.clock.now()
-        self._schedule(self.node.dispatcher.timers.ns_until_wake(now_ns), now_ns)
+        self._schedule(self.node.dispatcher.timer_wheel.ns_until_wake(now_ns), now_ns)
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -102,7 +102,7 @@
         offset = 0 if self._watch_client is None else self._watch_client.last_offset
         self._store.save_if_due(now, offset, self._stages.confirmed())
         if self._stages.stage is not Stage.FULL:
-            self._node.dispatcher.timers.wake_next_tick()
+            self._node.dispatcher.timer_wheel.wake_next_tick()
 
     def stop(self) -> None:
         """Save what has changed since the last look, if the disk allows it."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -718,7 +718,7 @@
         await until(lambda: pool.connections and not pool.waiting_attempts)
         assert not engine.commands_named(b"do")
         monkeypatch.setattr(broker.outcomes, "report_deferred", report)
-        broker.timers.wake_next_tick()
+        broker.timer_wheel.wake_next_tick()
         assert await within(caller.told.get()) == "served"
         assert len(engine.commands_named(b"do")) == 1
 
--- a/tests/test_deadlines_pure.py
+++ b/tests/test_deadlines_pure.py
@@ -275,7 +275,9 @@
 
 
 def test_a_budget_gives_a_share_of_first_attempts_and_a_burst() -> None:
-    budget = RetryBudget(RetryBudgetSettings(share=0.2, burst=3.0, classes=(("load", 0.0, 1.0),)))
+    budget = RetryBudget(
+        RetryBudgetSettings(tokens_per_attempt=0.2, burst=3.0, classes=(("load", 0.0, 1.0),))
+    )
     assert [budget.try_spend("glance", "x") for _ in range(4)] == [True, True, True, False]
     assert budget.try_spend("glance", "y")  # another tenant's is its own
     for _ in range(5):
@@ -465,7 +467,7 @@
     assert late["broker"] == "n0"
     assert late["engine_ms"] == 997.0
     assert "timestamp" in late
-    both = told("text", capsys, stories=1.0)
+    both = told("text", capsys, traced_fraction=1.0)
     assert both[0].count("kind=story") == 1
     assert both[1].count("kind=late") == 1
     assert "broker=n0" in both[0]
--- a/tests/test_deadlines_sockets.py
+++ b/tests/test_deadlines_sockets.py
@@ -547,7 +547,7 @@
 
     engines = [Engine(reset) for _ in range(3)]
     targets = [target_entry(f"s-{i}", await e.start()) for i, e in enumerate(engines)]
-    terms = DeadlineSettings(further=RetryBudgetSettings(share=0.0, burst=2.0))
+    terms = DeadlineSettings(further=RetryBudgetSettings(tokens_per_attempt=0.0, burst=2.0))
     async with running(make_config(*targets), make=filed(deadlines=terms)) as rig:
         client = await rig.client()
         for number in range(1, 11):
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -29,6 +29,7 @@
     load,
     parse,
 )
+from query_broker.operator_config.codec import plain_config
 from query_broker.operator_config.directives import DIRECTIVES_BY_NAME
 from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
 
@@ -590,18 +591,12 @@
     path.write_text(script)
     read = evaluate(str(path))
     assert read.cell_map is not None
-    parts = {
-        "deadlines": read.deadlines,
-        "logs": read.logs,
-        "start": read.startup,
-        "members": read.membership,
-        "shares": read.quotas,
-        "verdicts": read.outlier_consensus,
-    }
+    plain = plain_config(read)
+    parts = ("deadlines", "logs", "start", "members", "shares", "verdicts")
     return {
-        "map": read.cell_map.plain(),
+        "map": plain["map"],
         "digest": read.cell_map.digest(),
-        **{name: list(asdict(part).values()) for name, part in parts.items() if part is not None},
+        **{name: list(plain[name].values()) for name in parts if plain[name] is not None},
     }
 
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -277,7 +277,9 @@
         await asyncio.sleep(1.0)
         assert 1 <= ticks <= 10 * (node.clock.now() - begun) / 1e9
         fired: list[int] = []
-        node.dispatcher.timers.set_timer(node.clock.now() + 20_000_000, lambda: fired.append(ticks))
+        node.dispatcher.timer_wheel.set_timer(
+            node.clock.now() + 20_000_000, lambda: fired.append(ticks)
+        )
         before = ticks
         await until(lambda: bool(fired))
         assert fired[0] <= before + 3
--- a/tests/test_quotas_service.py
+++ b/tests/test_quotas_service.py
@@ -92,7 +92,7 @@
             administrative_states=self.administrative_states,
             endpoint_table=SimpleNamespace(by_number={7: known}, by_uid={"e1": known}),
             pools=SimpleNamespace(turn=None),
-            timers=SimpleNamespace(set_timer=self._at),
+            timer_wheel=SimpleNamespace(set_timer=self._at),
             refresh_settings=lambda: None,
             report_event=self.events.append,
             apply_administrative_state=self._take_word,
