--- a/query_broker/decisions/__init__.py
+++ b/query_broker/decisions/__init__.py
@@ -1,6 +1,7 @@
 """Every decision on endpoints, retries and rejections. Performs no I/O."""
 
-from .controller import AdmissionController
+from .admission import UnknownRequestClassError
+from .controller import AdmissionController, UnknownEventError
 from .events import (
     NEVER_EXECUTED,
     AdministrativeChange,
@@ -34,7 +35,16 @@
     Reject,
     SetTimer,
 )
-from .settings import Contract, Effect, IdempotencyScope, Limits, RequestClass, Settings, Tenant
+from .settings import (
+    Contract,
+    Effect,
+    IdempotencyScope,
+    InvalidSettingsError,
+    Limits,
+    RequestClass,
+    Settings,
+    Tenant,
+)
 
 __all__ = [
     "Order",
@@ -74,4 +84,7 @@
     "Tenant",
     "DispatchOptions",
     "TimerFired",
+    "InvalidSettingsError",
+    "UnknownEventError",
+    "UnknownRequestClassError",
 ]
--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from ..errors import QueryBrokerError
 from .active_settings import ActiveSettings
 from .eligibility import RetryBudget
 from .events import CloseRequests, RequestAbandoned, RequestArrived
@@ -20,6 +21,14 @@
 ADMISSION_LEARNING_RATE = 0.2
 
 
+class UnknownRequestClassError(QueryBrokerError, ValueError):
+    """A request names a class that the settings do not have."""
+
+    def __init__(self, class_name: str) -> None:
+        """Name the class."""
+        super().__init__(f"class_name: {class_name!r} is not in the settings")
+
+
 class Admission:
     """Admits requests, serves them in the order of their keys, and gives their final answers.
 
@@ -82,14 +91,11 @@
         """Decide on a request that has arrived: dispatch, queue behind its key, or reject.
 
         Raises:
-            ValueError: The settings have no class of that name.
+            UnknownRequestClassError: The settings have no class of that name.
         """
         statistics = self.classes.by_name.get(event.class_name)
         if statistics is None:
-            # The simulator's adapter writes the error's type and text on the wire.
-            raise ValueError(  # noqa: TRY003  # a subclass would change the bytes on the wire
-                f"class_name: {event.class_name!r} is not in the settings"
-            )
+            raise UnknownRequestClassError(event.class_name)
         self.rejections.arrivals += 1
         self.retry_budget.arrivals.add(now)
         request = self._open(now, statistics, event)
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -17,6 +17,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from ..errors import QueryBrokerError
 from .active_settings import ActiveSettings
 from .admission import Admission
 from .capacity_check import CapacityCheck
@@ -58,6 +59,14 @@
 from .tracked_endpoint import TrackedEndpoint
 
 
+class UnknownEventError(QueryBrokerError, TypeError):
+    """An event of a type that the controller does not take."""
+
+    def __init__(self, event: object) -> None:
+        """Name the type of the event."""
+        super().__init__(f"event: {type(event).__name__} is none of the interface's events")
+
+
 class AdmissionController:
     """The decisions of one broker.
 
@@ -129,15 +138,12 @@
             event: What has happened.
 
         Raises:
-            TypeError: The event is of no known type.
-            ValueError: A request names a class that the settings don't have.
+            UnknownEventError: The event is of no known type.
+            UnknownRequestClassError: A request names a class that the settings don't have.
         """
         handler = self._handlers.get(type(event))
         if handler is None:
-            name = type(event).__name__
-            raise TypeError(  # noqa: TRY003  # a subclass would change the bytes on the wire
-                f"event: {name} is none of the interface's events"
-            )
+            raise UnknownEventError(event)
         orders = self.orders.begin()
         if self.orders.next_token == 0:
             self.orders.set_timer(now + PERIOD_NS, self._end_period)
--- a/query_broker/decisions/settings.py
+++ b/query_broker/decisions/settings.py
@@ -9,6 +9,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from ..errors import QueryBrokerError
+
 
 class Effect(Enum):
     """What a request does when it runs more than once (rule 2).
@@ -32,10 +34,18 @@
     CELL = "cell"
 
 
+class InvalidSettingsError(QueryBrokerError, ValueError):
+    """A value that the decisions cannot go by."""
+
+    def __init__(self, key: str, problem: str) -> None:
+        """Name the key, as operators write it, and what is wrong with its value."""
+        super().__init__(f"{key}: {problem}")
+
+
 def _require(ok: bool, key: str, problem: str) -> None:
-    """Raise a ValueError with the key, as operators write it, unless a value is possible."""
+    """Raise InvalidSettingsError with the key unless a value is possible."""
     if not ok:
-        raise ValueError(f"{key}: {problem}")  # noqa: TRY003  # operators see this text as it is
+        raise InvalidSettingsError(key, problem)
 
 
 @dataclass(frozen=True, slots=True)
--- a/query_broker/simulator_adapter.py
+++ b/query_broker/simulator_adapter.py
@@ -41,6 +41,12 @@
     "not_sent": api.AttemptResult.NOT_SENT,
 }
 REPORT_FIELDS = {"busy": "utilisation", "q": "queue", "x0": "memory", "x1": "disk"}
+# The wire names errors of the decisions by the built-in type that each derives from.
+NAMES_OF_ERRORS: dict[type[Exception], str] = {
+    api.InvalidSettingsError: "ValueError",
+    api.UnknownRequestClassError: "ValueError",
+    api.UnknownEventError: "TypeError",
+}
 NO_TENANT = "0"  # the group of a user who belongs to none
 EMPTY_PAYLOAD = "-"
 # What a fault is about where it is no field.
@@ -330,7 +336,8 @@
             raise WireError(name, str(error)) from None
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
-            text = f"{type(error).__name__}: {error}".replace("\n", " ").replace("\t", " ")
+            name_of_error = NAMES_OF_ERRORS.get(type(error), type(error).__name__)
+            text = f"{name_of_error}: {error}".replace("\n", " ").replace("\t", " ")
             out.append(f"BUG\ti={inst}\tbody_text={text}\n")
             return
         out.extend(_render(inst, order) for order in orders)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -11,7 +11,10 @@
 
 import pytest
 
+from query_broker import decisions
 from query_broker.config import parse_settings
+from query_broker.errors import QueryBrokerError
+from query_broker.simulator_adapter import NAMES_OF_ERRORS
 
 ROOT = Path(__file__).parent.parent
 MS = 1_000_000
@@ -128,6 +131,19 @@
     assert "Traceback" in done.stderr
 
 
+def test_each_error_of_the_decisions_goes_by_its_built_in_type() -> None:
+    """Prevents: a typed error changes the line that the simulator reads."""
+    typed = {
+        error
+        for error in vars(decisions).values()
+        if isinstance(error, type) and issubclass(error, QueryBrokerError)
+    }
+    assert typed == set(NAMES_OF_ERRORS)
+    for error, name in NAMES_OF_ERRORS.items():
+        built_in = next(base for base in error.__mro__ if base.__module__ == "builtins")
+        assert built_in.__name__ == name
+
+
 @pytest.mark.parametrize(("key", "value"), [("classes", []), ("fleet_size", 0), ("tick", None)])
 def test_bad_settings_name_their_key(key: str, value: object) -> None:
     facts = {**FACTS, key: value}
