--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -26,7 +26,7 @@
     Attributes:
         cell: The cell of the request.
         request_class: Its class.
-        status: An index of `metrics.STATUSES`.
+        status: How it was answered, a `metrics.ReplyStatus`.
     """
 
     cell: str
--- a/query_broker/cells/cell_status.py
+++ b/query_broker/cells/cell_status.py
@@ -106,7 +106,7 @@
         own_epoch: The epoch of the map in force here; only a newer map is read.
 
     Raises:
-        BadMap: The map is none.
+        CellMapError: The map is none.
         ValueError: A value is not what it should be.
         TypeError: A value is of the wrong type.
         KeyError: A key is missing.
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -36,9 +36,9 @@
 
     Attributes:
         map: The cell map in force.
-        moves: The migrations of tenants.
+        migrations: The migrations of tenants.
         accounting: Open requests and their statements.
-        requests_lent: The ledger of open requests.
+        request_ledger: The ledger of open requests.
         frames: The ledger of bytes of client frames that are not complete yet.
         answers: The ledger of bytes of answers that clients have not read yet.
         connections: The ledger of client connections.
--- a/query_broker/cells/model.py
+++ b/query_broker/cells/model.py
@@ -129,7 +129,7 @@
         timing: The limits of migrations.
 
     Raises:
-        BadMap: The map contradicts itself; the text names the key.
+        CellMapError: The map contradicts itself; the text names the key.
     """
 
     epoch: int
@@ -272,7 +272,7 @@
     """Read a map from plain objects, the form that `CellMap.plain` gives.
 
     Raises:
-        BadMap: They hold no map, or one that contradicts itself.
+        CellMapError: They hold no map, or one that contradicts itself.
     """
     try:
         cells = tuple(_read_cell(entry) for entry in raw["cells"])
--- a/query_broker/cells/planner.py
+++ b/query_broker/cells/planner.py
@@ -53,7 +53,7 @@
         most_load: The largest load of any cell, against its capacity; None sets no bound.
 
     Raises:
-        BadProblem: The problem contradicts itself; the text names the key.
+        PlanningProblemError: The problem contradicts itself; the text names the key.
     """
 
     loads: Mapping[str, float]
@@ -113,7 +113,7 @@
     absent.
 
     Raises:
-        BadProblem: The text is not of this form, or the problem contradicts itself.
+        PlanningProblemError: The text is not of this form, or the problem contradicts itself.
     """
     raw = _read_object(text)
     _check_kinds(raw)
--- a/query_broker/cells/solver.py
+++ b/query_broker/cells/solver.py
@@ -64,7 +64,7 @@
         seconds: How long the search may take.
 
     Raises:
-        NoPlan: There is none, or none was found in time.
+        NoPlanError: There is none, or none was found in time.
     """
     start = greedy(problem)
     start_is_valid = not faults(problem, start)
--- a/query_broker/config/broker_config.py
+++ b/query_broker/config/broker_config.py
@@ -24,17 +24,17 @@
         sockets: Descriptors that the process may hold.
         memory_mb: Memory that the process may take, in megabytes.
         cores: Processor time in seconds a second, which the platform enforces.
-        bus: Address of the discovery service, if there is one.
-        operator: Address on which the operators' calls are accepted, if there is one.
+        discovery_address: Address of the discovery service, if there is one.
+        admin_address: Address on which the operators' calls are accepted, if there is one.
         accept_fd: Descriptor of the clients' listening socket, where the platform holds it.
         folder: Folder shared with another process of this broker.
-        known_offset: Number of the last watch event that ``known`` includes.
-        known: Watch events that the file itself holds.
-        connect_timeout: Time in which a connection to an endpoint has to be established.
-        conn_idle: Time after which an unused connection to an endpoint is closed.
-        streams: Requests that one connection to an endpoint carries at a time.
+        known_offset: Number of the last watch event that ``known_events`` includes.
+        known_events: Watch events that the file itself holds.
+        connect_timeout_ns: Time in which a connection to an endpoint has to be established.
+        connection_idle_ns: Time after which an unused connection to an endpoint is closed.
+        streams_per_connection: Requests that one connection to an endpoint carries at a time.
         settings: The platform's settings.
-        told: The file as it was read, without ``known``: what a reload compares.
+        source: The file as it was read, without ``known``: what a reload compares.
     """
 
     name: str
--- a/query_broker/deadlines/handover_checks.py
+++ b/query_broker/deadlines/handover_checks.py
@@ -35,9 +35,12 @@
 class HandOverCheck:
     """What a check looks at, in nanoseconds of the caller's clock.
 
-    ``end``: when the answer must be here. ``fastest``: what the endpoint takes at the least, 0
-    where that is not known. ``out``: the endpoint is administratively disabled. ``drained_at``:
-    when the endpoint was told to drain, 0 where it was not.
+    Attributes:
+        wanted: Somebody still waits for the answer.
+        deadline_ns: When the answer must be here.
+        fastest_ns: What the endpoint takes at the least, 0 where that is not known.
+        disabled: The endpoint is administratively disabled.
+        drained_at_ns: When the endpoint was notified to drain, 0 where it was not.
     """
 
     wanted: bool
--- a/query_broker/decisions/concurrency_limit.py
+++ b/query_broker/decisions/concurrency_limit.py
@@ -37,18 +37,18 @@
     """A fuzzy control loop: the bound on this broker's outstanding work and what moves it.
 
     Attributes:
-        initial_bound: Where the bound begins, in thread-nanoseconds.
+        initial_bound_ns: Where the bound begins, in thread-nanoseconds.
         delay_objective: The wanted mean delay S_t of the paper, in latency objectives.
         thread_quota: Threads of ours above this are pressure by themselves.
-        bound: The bound d_t(k), in thread-nanoseconds.
-        backlog: Outstanding work, in thread-nanoseconds.
-        threads_out: Threads of the outstanding work.
+        bound_ns: The bound d_t(k), in thread-nanoseconds.
+        backlog_ns: Outstanding work, in thread-nanoseconds.
+        threads_in_flight: Threads of the outstanding work.
         delays: Delays of this period, in latency objectives.
         last_error: The error of the period before, or None where it taught nothing.
         bound_used: Something was tested against the bound in this period.
         slowdown: Geometric mean of latency over expected run time.
         best_slowdown: The lowest slowdown, drifting up.
-        full_until: Until when a rejection for lack of capacity counts as pressure, in ns.
+        full_until_ns: Until when a rejection for lack of capacity counts as pressure, in ns.
     """
 
     initial_bound_ns: float = 0.0
--- a/query_broker/decisions/open_requests.py
+++ b/query_broker/decisions/open_requests.py
@@ -84,7 +84,7 @@
         estimate_ns: The client's estimate of the work, in thread-nanoseconds.
         data_set: Number of the data set that it reads or loads, or `NO_DATA_SET`.
         key: Its key, in classes that keep the order by key (rule 5), else None.
-        over_share: It exceeds its tenant's quota.
+        over_quota: It exceeds its tenant's quota.
         memory_mb: Estimated memory.
         attempts_started: Number of attempts so far.
         in_flight: Attempts without an outcome, by number.
--- a/query_broker/decisions/tracked_endpoint.py
+++ b/query_broker/decisions/tracked_endpoint.py
@@ -25,18 +25,19 @@
         entry: Its last entry in the endpoint list.
         cores: Its cores, from its kind or its weight.
         in_flight: Attempts without an outcome, by request id and attempt number.
-        failures: Fading fraction of failed connections among its outcomes.
+        failure_rate: Fading fraction of failed connections among its outcomes.
         error_rate: Fading fraction of errors among its answers.
-        report: Its last load report.
+        load_report: Its last load report.
         threads_since_report: Threads dispatched since that report.
-        cold_until: When its warm-up ends, in ns (rule 4).
+        warmup_ends_ns: When its warm-up ends, in ns (rule 4).
         warmup_work: Work dispatched to it while it warms up, over the window of rule 4.
         last_activity_ns: When it last showed that it lives.
-        beside: What other processes of this broker have out on it; included in backlog and threads.
+        co_process_work: What other processes of this broker have out on it; included in backlog
+            and threads.
         process_started_ns: What was dispatched earlier went to another process.
-        suspect: It is ejected as an outlier.
+        ejected: It is ejected as an outlier.
         in_pool: Its work counts in the limit of the pool.
-        next_trial: When an ejected or full endpoint may next be tried, in ns.
+        next_trial_ns: When an ejected or full endpoint may next be tried, in ns.
         health_check_requested_ns: When a health check was last ordered.
     """
 
--- a/query_broker/discovery/event_codec.py
+++ b/query_broker/discovery/event_codec.py
@@ -105,7 +105,7 @@
     """Read ``host:port``; an IPv6 address may stand in brackets.
 
     Raises:
-        BadLine: The text isn't in that form.
+        InvalidEventError: The text isn't in that form.
     """
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < END_OF_PORTS:
@@ -119,7 +119,7 @@
     An event without a topology is about something else: only its number counts.
 
     Raises:
-        BadLine: The value isn't in the form of an event.
+        InvalidEventError: The value isn't in the form of an event.
     """
     if not isinstance(raw, dict) or type(raw.get("offset")) is not int:
         raise InvalidEventError(problem="an event without its offset")
@@ -138,7 +138,7 @@
     """Read one line of the watch.
 
     Raises:
-        BadLine: The line is neither an event nor a heartbeat.
+        InvalidEventError: The line is neither an event nor a heartbeat.
     """
     try:
         raw = json.loads(line)
@@ -166,7 +166,7 @@
         Blank lines are left out.
 
         Raises:
-            BadLine: A line grows beyond `MAX_LINE_BYTES`.
+            InvalidEventError: A line grows beyond `MAX_LINE_BYTES`.
         """
         self.buffer += data
         *lines, rest = self.buffer.split(b"\n")
--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -46,7 +46,7 @@
     """When to connect, and how long to wait, where a complete fleet watches one service.
 
     Attributes:
-        first_wait: Seconds to the first attempt to connect.
+        first_wait_s: Seconds to the first attempt to connect.
     """
 
     first_wait_s: float
@@ -69,11 +69,11 @@
 
     Attributes:
         address: Where the service listens.
-        last: The offset of the latest event that is known.
-        take: Takes the events.
-        pace: Paces the connects of a fleet; None where the service takes any number of clients.
+        last_offset: The offset of the latest event that is known.
+        on_event: Takes the events.
+        pacing: Paces the connects of a fleet; None where the service takes any number of clients.
         connection: The connection in use, None while there is none.
-        wait: The present backoff in seconds.
+        backoff_s: The present backoff in seconds.
         last_received_ns: When the latest bytes came, in Unix nanoseconds.
     """
 
@@ -185,7 +185,8 @@
         connection. If it can't be read then either, it is passed over.
 
         Raises:
-            BadLine: Events are missing before the line, or it can't be read for the first time.
+            InvalidEventError: Events are missing before the line, or it can't be read for the
+                first time.
         """
         try:
             event = parse_line(line)
@@ -219,7 +220,7 @@
             self._confirmed()
 
     def _require_no_gap(self, offset: int, highest: int) -> None:
-        """Raise BadLine if events are missing; past an unreadable line a gap is expected."""
+        """Raise `InvalidEventError` if events are missing, but not past an unreadable line."""
         if offset > highest and self._unreadable_after != self.last_offset:
             raise InvalidEventError(
                 problem=f"events after {self.last_offset} are missing before {offset}"
--- a/query_broker/discovery/watch_connection.py
+++ b/query_broker/discovery/watch_connection.py
@@ -15,7 +15,7 @@
     """Whom a connection reports to.
 
     Attributes:
-        last: The offset of the latest event that is known.
+        last_offset: The offset of the latest event that is known.
     """
 
     last_offset: int
@@ -30,7 +30,7 @@
         """Take one complete line without its end.
 
         Raises:
-            BadLine: The line can't be used; the connection is dropped.
+            InvalidEventError: The line can't be used; the connection is dropped.
         """
 
     def line_rejected(self, reason: str) -> None:
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -69,8 +69,8 @@
         health_checks: Starts health checks beside those that the decisions order.
         connection_events: The owner of the connections to endpoints.
         pools: Connections to endpoints.
-        room: Bytes that statements of open requests may take.
-        most_clients: Connections that clients may have.
+        statement_capacity_bytes: Bytes that statements of open requests may take.
+        max_clients: Connections that clients may have.
     """
 
     def __init__(self, config: Config, clock: Clock, log: LogWriter) -> None:
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -41,8 +41,9 @@
         max_streams: Attempts that one connection may carry at a time.
         connect_timeout_ns: How long a connection may take to come up.
         idle_timeout_ns: How long a connection without work is kept.
-        own: Whether an attempt gets a connection of its own while descriptors last.
-        turn: Delays connects, or None where they needn't wait.
+        dedicated_connections: Whether an attempt gets a connection of its own while descriptors
+            last.
+        connect_pacing: Delays connects, or None where they needn't wait.
     """
 
     owner: Owner
@@ -87,7 +88,7 @@
         number: The endpoint's number in the table.
         target: What the endpoint list said of it last.
         connections: All that are open, retired ones too.
-        waiting: Attempts that wait for a connection to come up; no byte of them has left.
+        waiting_attempts: Attempts that wait for a connection to come up; no byte of them has left.
         opening: The task that opens a connection, if there is one.
     """
 
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -19,9 +19,10 @@
 
     Attributes:
         by_number: The pool of each endpoint, by its number in the table.
-        most: The budget: how many connections there may be.
-        own: Whether an attempt gets a connection of its own while the budget lasts.
-        turn: Delays connects to endpoints, or None where they needn't wait.
+        max_connections: The budget: how many connections there may be.
+        dedicated_connections: Whether an attempt gets a connection of its own while the budget
+            lasts.
+        connect_pacing: Delays connects to endpoints, or None where they needn't wait.
     """
 
     def __init__(
@@ -35,14 +36,14 @@
         unsent: UnsentObserver,
         may_go: HandOverGate,
     ) -> None:
-        """Start without pools, and without a budget until `limit` gives one.
+        """Start without pools, and without a budget until `set_max_connections` gives one.
 
         Args:
             owner: Whom the connections report to.
             log: Writes a line to the log.
-            streams: See `retune`.
-            connect_timeout: See `retune`.
-            conn_idle: See `retune`.
+            streams: See `apply_settings`.
+            connect_timeout: See `apply_settings`.
+            conn_idle: See `apply_settings`.
             unsent: Notified of attempts that end before they have left.
             may_go: Asked before an attempt that waited is given to a connection.
         """
--- a/query_broker/metrics.py
+++ b/query_broker/metrics.py
@@ -58,8 +58,8 @@
     Attributes:
         replies: For each request class the number of replies, indexed by `ReplyStatus`.
         dispatches: Attempts whose last byte has been written to an endpoint.
-        reloads_taken: Configuration files applied at SIGHUP.
-        reloads_turned_down: Configuration files rejected at SIGHUP.
+        reloads_applied: Configuration files applied at SIGHUP.
+        reloads_rejected: Configuration files rejected at SIGHUP.
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
--- a/query_broker/operator_config/codec.py
+++ b/query_broker/operator_config/codec.py
@@ -71,7 +71,7 @@
     """Return the configuration that ``encode_config`` wrote.
 
     Raises:
-        ValueError: The text is no JSON, or the cell map is invalid (``BadMap``).
+        ValueError: The text is no JSON, or the cell map is invalid (``CellMapError``).
         KeyError: A part is missing.
         TypeError: A part has other fields than the settings.
     """
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -70,12 +70,15 @@
 class ClientConnection(asyncio.Protocol):
     """One client connection, and what others know of it.
 
-    ``broken``: nothing more is read; it is about to end. ``half_closed``: the client has ended its
-    side and waits for its answers. ``spoken``: a complete frame has come. ``used``: when something
-    was last received or answered, in ns. ``paused_at``: since when the client has read its answers
-    too slowly, in ns; 0 if it does not. ``open``: the requests that are owed an answer, by stream.
-
     Nothing raises out of a callback.
+
+    Attributes:
+        broken: Nothing more is read; it is about to end.
+        half_closed: The client has ended its side and waits for its answers.
+        has_sent_frame: A complete frame has come.
+        last_used_ns: When something was last received or answered.
+        paused_since_ns: Since when the client has read its answers too slowly; 0 if it does not.
+        open: The requests that are owed an answer, by stream.
     """
 
     def __init__(self, host: ClientHost, limits: ReadingLimits | None = None) -> None:
@@ -195,7 +198,7 @@
         self.socket.write(frames.frame(frames.NO_MORE, NO_STREAM))
 
     def defer_reading(self) -> None:
-        """Keep what comes unread until `go_on`."""
+        """Keep what comes unread until `resume_reading`."""
         self.reader.waiting = True
 
     def resume_reading(self) -> None:
--- a/query_broker/protocols/client_frames.py
+++ b/query_broker/protocols/client_frames.py
@@ -132,7 +132,7 @@
         error at once, and what is buffered never passes the length of one frame.
 
         Raises:
-            BadFrame: the length or the type is none that a client may send.
+            MalformedFrameError: the length or the type is none that a client may send.
         """
         buffer = self.buffer
         at = self.at
@@ -167,7 +167,7 @@
     """Return the fields at the head of a payload, and the body behind them.
 
     Raises:
-        BadFrame: the fields are cut short, repeated or no UTF-8.
+        MalformedFrameError: the fields are cut short, repeated or no UTF-8.
     """
     fields: dict[str, str] = {}
     try:
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -24,7 +24,7 @@
 class ReadingHost(DispatcherHost, Protocol):
     """What reading needs of the side that admits clients.
 
-    ``partial``: bytes of incomplete frames on all connections.
+    ``partial_frame_bytes``: bytes of incomplete frames on all connections.
     """
 
     partial_frame_bytes: int
--- a/query_broker/protocols/client_request.py
+++ b/query_broker/protocols/client_request.py
@@ -30,7 +30,7 @@
     """Read the payload of a request frame.
 
     Raises:
-        BadFrame: the fields cannot be read at all.
+        MalformedFrameError: the fields cannot be read at all.
         InvalidRequestError: a field, or the statement, cannot be used; the text says which.
     """
     fields, statement = read_fields(payload)
--- a/query_broker/protocols/client_requests.py
+++ b/query_broker/protocols/client_requests.py
@@ -39,7 +39,7 @@
         """Take note of a request's stream: each is greater than all before it.
 
         Raises:
-            BadFrame: it is not.
+            MalformedFrameError: it is not.
         """
         if stream <= self.last_stream:
             reason = f"stream {stream} is not new on this connection"
@@ -50,7 +50,7 @@
         """Submit a request whose first byte came at ``received_ns``; one that is unusable fails.
 
         Raises:
-            BadFrame: its fields cannot be read at all.
+            MalformedFrameError: its fields cannot be read at all.
         """
         try:
             parsed = parse_request(payload)
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -71,7 +71,7 @@
         """Take one answer, which has come at ``now``.
 
         Raises:
-            BadAnswer: no answer of the protocol, or not one to what was sent.
+            MalformedAnswerError: no answer of the protocol, or not one to what was sent.
         """
         answer = messages.read_answer(parts)
         tag = answer.tag
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -48,12 +48,12 @@
 
     Attempts stay ``in_flight`` until the engine has answered them, also those that nobody waits
     for: they hold their stream, and their answer must be known to be dropped. ``carried`` has the
-    request ids under which something may still come, the newest last. ``probes`` has the tags of
-    health checks, ``cancelled`` the ids of cancelled attempts.
+    request ids under which something may still come, the newest last. ``health_checks`` has
+    their tags, ``cancelled`` the ids of cancelled attempts.
 
     Its life goes one way: ``retired`` (takes no further attempts), ``ending`` (closed by us, its
     loss not reported yet), ``closed`` (its loss reported). Each implies those before it.
-    ``heard`` is when the engine's last bytes came, in ns.
+    ``last_received_ns`` is when the engine's last bytes came, in ns.
 
     Nothing raises out of a callback.
     """
@@ -110,7 +110,7 @@
     # --- from the dispatcher ---
 
     def carry(self, attempt: Attempt) -> None:
-        """Take an attempt, which `do` then sends."""
+        """Take an attempt, which `send` then sends."""
         request_id = attempt.request.client_request_id
         self.in_flight[request_id] = attempt
         self.carried[request_id] = None
--- a/query_broker/protocols/engine_messages.py
+++ b/query_broker/protocols/engine_messages.py
@@ -95,7 +95,7 @@
     """Name the parts of an answer.
 
     Raises:
-        BadAnswer: there are more or fewer of them.
+        MalformedAnswerError: there are more or fewer of them.
     """
     if len(parts) != ANSWER_PARTS:
         reason = f"{len(parts)} parts in place of {ANSWER_PARTS}"
@@ -107,7 +107,7 @@
     """Check that a page holds rows: noise in a good frame would be served as a result.
 
     Raises:
-        BadAnswer: no UTF-8, or no rows of three columns.
+        MalformedAnswerError: no UTF-8, or no rows of three columns.
     """
     try:
         page.decode()
@@ -123,7 +123,7 @@
     """Read a count of pages, or the number of one.
 
     Raises:
-        BadAnswer: no number from 0 to `MOST_PAGES`.
+        MalformedAnswerError: no number from 0 to `MOST_PAGES`.
     """
     if not text.isdecimal() or int(text) > MOST_PAGES:
         reason = f"{name}: {text[:QUOTED_COUNT_LENGTH]!r} is no count up to {MOST_PAGES}"
--- a/query_broker/protocols/resp.py
+++ b/query_broker/protocols/resp.py
@@ -64,7 +64,7 @@
         """Add bytes, and yield the arrays that are complete with them.
 
         Raises:
-            BadAnswer: what comes next is no array of bulk strings within the bounds.
+            MalformedAnswerError: what comes next is no array of bulk strings within the bounds.
         """
         self.buffer += data
         self.at = 0
@@ -123,7 +123,7 @@
     """Read fields such as ``name=value,name=value``, or ``-`` for none.
 
     Raises:
-        BadAnswer: no UTF-8, or a part without a name or without the sign between.
+        MalformedAnswerError: no UTF-8, or a part without a name or without the sign between.
     """
     try:
         text = raw.decode()
@@ -152,7 +152,7 @@
     """Read a load report, such as ``inflight:7;util:0.61``.
 
     Raises:
-        BadAnswer: it is no list of ``name:value``, or a value is no number.
+        MalformedAnswerError: it is no list of ``name:value``, or a value is no number.
     """
     try:
         return {name: float(value) for name, value in read_pairs(raw.encode(), ";", ":").items()}
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -45,7 +45,8 @@
         config: The configuration in force.
         dispatcher: Carries requests from the clients to the endpoints.
         admission: The client connections.
-        partial: Bytes of client frames that are not complete yet, counted by the connections.
+        partial_frame_bytes: Bytes of client frames that are not complete yet, counted by the
+            connections.
         server: The clients' server, once it listens.
         admin_api: The operators' calls.
         peer_processes: The other processes of this broker. Without an inherited socket no second
--- a/query_broker/startup/settings.py
+++ b/query_broker/startup/settings.py
@@ -15,17 +15,17 @@
     follows from the fleet's size.
 
     Attributes:
-        list_connects: Calls that the discovery service takes (``list_connects``).
+        list_connects_per_s: Calls that the discovery service takes (``list_connects``).
         list_wait_ns: Time without the discovery service after which the endpoint snapshot will do
             (``list_wait``).
-        engine_probes: Brokers that probe one endpoint (``engine_probes``).
+        endpoint_probes_per_s: Brokers that probe one endpoint (``engine_probes``).
         endpoint_connects_per_s: New connections that one endpoint takes until the ramp has ended
             (``engine_connects``).
         accepts_per_s: New clients that this broker alone begins to read until the ramp has ended
             (``accepts``).
         contact_fraction: Part of the listed endpoints that must have answered before the broker
             is ready (``contact_part``).
-        contact_wait: Time after which the broker is ready all the same (``contact_wait``).
+        contact_wait_ns: Time after which the broker is ready all the same (``contact_wait``).
         initial_fraction: Part of its admission with which the broker begins (``floor``).
         ramp_ns: Time to the full admission without any answers; less with successes, more with
             failures (``ramp``).
