--- a/benchmarks/client_lifecycles.py
+++ b/benchmarks/client_lifecycles.py
@@ -225,7 +225,7 @@
         cancellations: Any = node.dispatcher.cancellations
         writer_class: Any = EngineWriter
         abandon = cancellations.abandon
-        write_started = writer_class._write_started
+        write_started = writer_class.frame_started
 
         def observe_departure(request: ActiveRequest) -> None:
             self._departed.add(request.client_request_id)
@@ -236,11 +236,11 @@
             write_started(writer, about)
 
         cancellations.abandon = observe_departure
-        writer_class._write_started = observe_write
+        writer_class.frame_started = observe_write
         try:
             yield
         finally:
-            writer_class._write_started = write_started
+            writer_class.frame_started = write_started
 
     def _write_started(self, about: object) -> None:
         if not isinstance(about, Attempt):
--- a/query_broker/config/broker_config.py
+++ b/query_broker/config/broker_config.py
@@ -28,7 +28,7 @@
         admin_address: Address on which the operators' calls are accepted, if there is one.
         accept_fd: Descriptor of the clients' listening socket, where the platform holds it.
         folder: Folder shared with another process of this broker.
-        known_offset: Number of the last watch event that ``known_events`` include.
+        known_offset: Number of the last watch event that ``known_events`` includes.
         known_events: Watch events that the file itself holds.
         connect_timeout_ns: Time in which a connection to an endpoint has to be established.
         connection_idle_ns: Time after which an unused connection to an endpoint is closed.
--- a/query_broker/deadlines/handover_checks.py
+++ b/query_broker/deadlines/handover_checks.py
@@ -40,7 +40,7 @@
         deadline_ns: When the answer must be here.
         fastest_ns: What the endpoint takes at the least, 0 where that is not known.
         disabled: The endpoint is administratively disabled.
-        drained_at_ns: When the endpoint was told to drain, 0 where it was not.
+        drained_at_ns: When the endpoint was notified to drain, 0 where it was not.
     """
 
     wanted: bool
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -100,10 +100,10 @@
             `tick`.
     """
 
-    def __init__(self, settings: Settings, seed: int, now: int, wheel: TimerWheel) -> None:
+    def __init__(self, settings: Settings, seed: int, now: int, timer_wheel: TimerWheel) -> None:
         """Make the controller; the parameters are its own."""
         self.controller = AdmissionController(settings, seed, now)
-        self.timer_wheel = wheel
+        self.timer_wheel = timer_wheel
         self.due: deque[int] = deque()
 
     def pick(self, now: int, arrival: RequestArrived) -> OrderBatch:
--- a/query_broker/decisions/tracked_endpoint.py
+++ b/query_broker/decisions/tracked_endpoint.py
@@ -32,8 +32,8 @@
         warmup_ends_ns: When its warm-up ends, in ns (rule 4).
         warmup_work: Work dispatched to it while it warms up, over the window of rule 4.
         last_activity_ns: When it last showed that it lives.
-        co_process_work: What other processes of this broker have in flight on it; included in
-            backlog and threads.
+        co_process_work: What other processes of this broker have out on it; included in backlog
+            and threads.
         process_started_ns: What was dispatched earlier went to another process.
         ejected: It is ejected as an outlier.
         in_pool: Its work counts in the limit of the pool.
--- a/query_broker/membership/datagrams.py
+++ b/query_broker/membership/datagrams.py
@@ -8,14 +8,12 @@
 from typing import Protocol
 
 from .addresses import MAX_LOGGED_ADDRESS, split_address
-from .codec import PROTOCOL_VERSION, Codec
+from .codec import PROTOCOL_VERSION
 from .errors import MessageRejectedError
-from .failure_detector import FailureDetector
+from .message_exchange import MessageExchange
 from .messages import Envelope, TopicMessage, process_name
 from .messenger import OutgoingMessage
 from .rate_limit import DatagramRateLimiter
-from .service_host import ServiceHost
-from .traffic import TrafficCounters
 
 
 class TopicHandler(Protocol):
@@ -32,21 +30,14 @@
         rate_limiter: Limits the datagrams that are looked at.
     """
 
-    def __init__(
-        self,
-        detector: FailureDetector,
-        codec: Codec,
-        traffic: TrafficCounters,
-        host: ServiceHost,
-    ) -> None:
+    def __init__(self, messages: MessageExchange) -> None:
         """Start without a socket; messages are dropped until `open`."""
-        self._detector = detector
-        self._codec = codec
-        self._traffic = traffic
-        self._host = host
+        self._messages = messages
+        self._detector = messages.detector
+        self._host = messages.host
         self._topics: dict[str, TopicHandler] = {}
         self._transport: asyncio.DatagramTransport | None = None
-        self.rate_limiter = DatagramRateLimiter(host.now_ns())
+        self.rate_limiter = DatagramRateLimiter(messages.host.now_ns())
 
     async def open(self, udp: socket.socket) -> None:
         """Receive and send on a bound socket."""
@@ -67,11 +58,9 @@
         now_ns = self._host.now_ns()
         try:
             if not self.rate_limiter.admit(now_ns, f"{addr[0]}:{addr[1]}"):
-                self._traffic.flooded += 1
+                self._messages.traffic.flooded += 1
                 return
-            self._traffic.received_bytes += len(data)
-            envelope = self._codec.read(data)
-            self._deliver(now_ns, envelope)
+            self._deliver(now_ns, self._messages.decode(data))
         except MessageRejectedError:
             return
         except Exception as error:  # No datagram may raise out of a callback.
@@ -86,10 +75,7 @@
         for recipient, message in messages:
             record = self._detector.table.get(recipient)
             protocol = PROTOCOL_VERSION if record is None else record.max_protocol
-            own_claim = self._detector.own.claim()
-            data = self._codec.write(recipient, own_claim, message, protocol)
-            self._traffic.sent_bytes += len(data)
-            self._send(recipient.address, data)
+            self._send(recipient.address, self._messages.encode(recipient, message, protocol))
 
     def _send(self, address: str, data: bytes) -> None:
         if self._transport is None:
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -13,9 +13,10 @@
 
 from ..config import ConfigError
 from ..decisions.facade import Settings
+from ..protocols.operator_answers import HttpAnswer
 from ..server.host import NodeContext
 from .addresses import split_address
-from .admin_api import AdminAnswer, MembershipAdminApi
+from .admin_api import MembershipAdminApi
 from .codec import MAX_FRAME_BYTES, Codec
 from .datagrams import DatagramEndpoint, TopicHandler
 from .errors import KeyFileError
@@ -24,6 +25,7 @@
 from .key_files import read_key_file, read_seeds_file
 from .keys import KeyRing
 from .listeners import BoundSockets, bind_sockets
+from .message_exchange import MessageExchange
 from .messages import Identity, Status, TopicMessage, process_name
 from .metrics_text import render_metrics
 from .settings import MembershipSettings
@@ -65,8 +67,9 @@
         self._sockets = _bind(settings.listen_address)
         self._traffic = TrafficCounters()
         self.detector = _make_detector(node, settings, self._sockets.port)
-        self._datagrams = DatagramEndpoint(self.detector, self.codec, self._traffic, self)
-        self._exchange = TableExchange(self.detector, self.codec, self._traffic, self)
+        messages = MessageExchange(self.detector, self.codec, self._traffic, self)
+        self._datagrams = DatagramEndpoint(messages)
+        self._exchange = TableExchange(messages)
         self._publisher = ViewPublisher(
             node, settings, self.detector, self._datagrams.rate_limiter, self, listener
         )
@@ -150,9 +153,9 @@
         view = self.views.view
         return replace(settings, fleet_size=view.effective_size, broker_index=view.effective_index)
 
-    def call(self, method: str, path: str) -> AdminAnswer | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer an operators' call; None if the path is not one of the membership's."""
-        return self._admin.call(method, path)
+        return self._admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
         """Return the membership's part of `/metrics`."""
@@ -188,7 +191,7 @@
         now_ns = self.now_ns()
         late_ns = max(0, now_ns - self._tick_due_ns)
         self._tick_due_ns = now_ns + self._settings.interval_ns // TICKS_PER_INTERVAL
-        self._node.dispatcher.timers.set_timer(self._tick_due_ns, self._tick)
+        self._node.dispatcher.timer_wheel.set_timer(self._tick_due_ns, self._tick)
         try:
             self.detector.tick(now_ns, late_ns)
             self.carry_out(now_ns)
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -11,7 +11,7 @@
 from ..decisions.facade import AttemptResult
 from ..dispatch.observers import DispatchObserver
 from ..endpoints.administrative_state import AdministrativeState
-from ..quotas.admin_responses import AdminResponse
+from ..protocols.operator_answers import HttpAnswer
 from ..quotas.batching import message_bodies
 from ..quotas.collaborators import GossipMembership
 from .admin import ConsensusAdmin
@@ -156,13 +156,13 @@
         )
         self._gossiped_at_ns = host.clock.now()
         self._attach()
-        host.dispatcher.timers.set_timer(self._gossiped_at_ns + TICK_NS, self._tick)
+        host.dispatcher.timer_wheel.set_timer(self._gossiped_at_ns + TICK_NS, self._tick)
 
     def _attach(self) -> None:
         self.membership.subscribe(TOPIC, self._receive)
         dispatcher = self.host.dispatcher
         dispatcher.add_observer(self)
-        dispatcher.extensions.metrics_sources.append(self.metrics)
+        dispatcher.extensions.add_metrics_source(self)
 
     # --- own observations ---
 
@@ -188,7 +188,7 @@
 
     def _tick(self) -> None:
         now_ns = self.host.clock.now()
-        self.host.dispatcher.timers.set_timer(now_ns + TICK_NS, self._tick)
+        self.host.dispatcher.timer_wheel.set_timer(now_ns + TICK_NS, self._tick)
         try:
             self.observations.name = self.membership.name
             if now_ns - self._gossiped_at_ns >= self.settings.gossip_interval_ns:
@@ -280,9 +280,9 @@
             self.consensus.forget(endpoint)
             self.ejections.readmit(endpoint)
 
-    def handle_admin_call(self, method: str, path: str) -> AdminResponse | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer an operators' HTTP call; None if its path belongs to another part."""
-        return self.admin.handle(method, path)
+        return self.admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
         """Return the part of the metrics page that is about the consensus."""
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -6,16 +6,16 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from ..config import Config
 from ..endpoints.endpoint_table import EndpointTable
-from ..timer_wheel import Clock, TimerWheel
+from ..server.host import ServiceContext
+from ..timer_wheel import TimerWheel
 
 if TYPE_CHECKING:
     from ..dispatch.observers import DispatchExtensions, DispatchObserver
     from ..endpoints.connection_pools import ConnectionPools
+    from ..membership.datagrams import TopicHandler
 
 
 class MemberIdentity(Protocol):
@@ -52,8 +52,8 @@
     def names(self) -> tuple[str, ...]:
         """Return the names of all members in the view."""
 
-    def subscribe(self, topic: str, receive: Callable[[int, str, bytes], None], /) -> None:
-        """Register what receives a topic's messages: time in ns, name of the sender, body."""
+    def subscribe(self, topic: str, handler: TopicHandler, /) -> None:
+        """Register what receives a topic's messages."""
 
     def send(self, topic: str, name: str, body: bytes, /) -> None:
         """Queue a message for a member; the body must fit into a datagram."""
@@ -92,7 +92,7 @@
     extensions: DispatchExtensions
     endpoint_table: EndpointTable
     pools: ConnectionPools
-    timers: TimerWheel
+    timer_wheel: TimerWheel
 
     def add_observer(self, observer: DispatchObserver, /) -> None:
         """Register an observer of requests."""
@@ -101,23 +101,7 @@
         """Apply the settings again, since an adjustment has changed."""
 
 
-class ServiceHost(Protocol):
-    """What a service needs of the node whatever its dispatcher."""
-
-    @property
-    def config(self) -> Config:
-        """Platform settings in force."""
-
-    @property
-    def clock(self) -> Clock:
-        """This broker's clock."""
-
-    @property
-    def log(self) -> Callable[[str, str], None]:
-        """Writes a log line: kind and text."""
-
-
-class QuotaHost(ServiceHost, Protocol):
+class QuotaHost(ServiceContext, Protocol):
     """The node as `QuotaService` sees it."""
 
     @property
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -12,8 +12,9 @@
 
 from ..decisions.facade import EndpointState, Settings
 from ..dispatch.observers import DispatchObserver
+from ..endpoints.endpoint_table import has_warming_endpoint
+from ..protocols.operator_answers import HttpAnswer
 from .admin import QuotaAdmin
-from .admin_responses import AdminResponse
 from .batching import message_bodies
 from .collaborators import QuotaHost, QuotaMembership
 from .counters import UsageCounters
@@ -104,7 +105,7 @@
         self.decoder: msgspec.msgpack.Decoder[QuotaMessage] = msgspec.msgpack.Decoder(QuotaMessage)
         self._attach()
         self.configure()
-        host.dispatcher.timers.set_timer(now_ns + TICK_NS, self._tick)
+        host.dispatcher.timer_wheel.set_timer(now_ns + TICK_NS, self._tick)
 
     def _create_leases(self, now_ns: int) -> LeaseManager:
         """Create the leases; unused capacity for work is requested even without demand."""
@@ -121,8 +122,8 @@
         self.membership.subscribe(TOPIC, self._receive)
         dispatcher = self.host.dispatcher
         dispatcher.add_observer(self)
-        dispatcher.extensions.settings_adjusters.append(self.adjust)
-        dispatcher.extensions.metrics_sources.append(self.metrics)
+        dispatcher.extensions.add_settings_adjuster(self)
+        dispatcher.extensions.add_metrics_source(self)
         if QuotaKind.CONNECTS in self.rates.limits_by_kind:
             dispatcher.pools.connect_pacing = self._connect_wait_ns
 
@@ -145,11 +146,7 @@
         """
         now_ns = self.host.clock.now()
         warm_up_ns = self.host.config.settings.contract.warmup_ns
-        return any(
-            known.target.state is EndpointState.READY
-            and known.target.started_ns + warm_up_ns > now_ns
-            for known in self.host.dispatcher.endpoint_table.by_number.values()
-        )
+        return has_warming_endpoint(self.host.dispatcher.endpoint_table, warm_up_ns, now_ns)
 
     # --- requests ---
 
@@ -190,7 +187,7 @@
 
     def _tick(self) -> None:
         now_ns = self.host.clock.now()
-        self.host.dispatcher.timers.set_timer(now_ns + TICK_NS, self._tick)
+        self.host.dispatcher.timer_wheel.set_timer(now_ns + TICK_NS, self._tick)
         try:
             self._update(now_ns)
         except Exception as error:  # a fault here must not end the wheel's turn
@@ -271,9 +268,9 @@
 
     # --- operators ---
 
-    def handle_admin_call(self, method: str, path: str) -> AdminResponse | None:
+    def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer an operators' HTTP call; None if its path belongs to another part."""
-        return self.admin.handle(method, path)
+        return self.admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
         """Return the part of the metrics page that is about shared limits."""
--- a/query_broker/server/host.py
+++ b/query_broker/server/host.py
@@ -6,11 +6,12 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Collection, Mapping
+from collections.abc import Collection, Mapping
 from typing import Any, Protocol
 
 from ..config import Config
 from ..dispatch.dispatcher import Dispatcher
+from ..log import LogWriter
 from ..protocols.client_connection import ClientConnection
 from ..timer_wheel import Clock
 from .process_status import ProcessStatus
@@ -35,11 +36,8 @@
         """Publish the present status of this process."""
 
 
-class NodeContext(Protocol):
-    """The node, as far as its parts and its subsystems need it."""
-
-    closing_announced: bool  # clients have been told to leave: the node is not ready any more
-    endpoint_list_known: bool  # an endpoint list has come, from the settings or the service
+class ServiceContext(Protocol):
+    """The node, as far as a service needs it whatever its dispatcher."""
 
     @property
     def config(self) -> Config:
@@ -50,9 +48,16 @@
         """The clock of all parts, in Unix nanoseconds."""
 
     @property
-    def log(self) -> Callable[[str, str], None]:
+    def log(self) -> LogWriter:
         """Writes a line: its kind, by which lines are limited, and its text."""
 
+
+class NodeContext(ServiceContext, Protocol):
+    """The node, as far as its parts and its subsystems need it."""
+
+    closing_announced: bool  # clients have been told to leave: the node is not ready any more
+    endpoint_list_known: bool  # an endpoint list has come, from the settings or the service
+
     @property
     def dispatcher(self) -> Dispatcher:
         """Carries requests to the endpoints; owns the timer wheel."""
--- a/query_broker/startup/settings.py
+++ b/query_broker/startup/settings.py
@@ -18,7 +18,7 @@
         list_connects_per_s: Calls that the discovery service takes (``list_connects``).
         list_wait_ns: Time without the discovery service after which the endpoint snapshot will do
             (``list_wait``).
-        endpoint_probes_per_s: Health checks of one endpoint (``engine_probes``).
+        endpoint_probes_per_s: Brokers that probe one endpoint (``engine_probes``).
         endpoint_connects_per_s: New connections that one endpoint takes until the ramp has ended
             (``engine_connects``).
         accepts_per_s: New clients that this broker alone begins to read until the ramp has ended
--- a/tests/golden/operators/nodes.py
+++ b/tests/golden/operators/nodes.py
@@ -162,6 +162,4 @@
     response = node.admin_api.call_subsystem(call.method, call.path)
     if response is None:
         return None
-    return Answer(
-        response.status, response.body.decode(), response.content_type, response.allowed_method
-    )
+    return Answer(response.status, response.body.decode(), response.content_type, response.allow)
--- a/tests/golden/operators/test_log_lines.py
+++ b/tests/golden/operators/test_log_lines.py
@@ -8,7 +8,7 @@
 
 from query_broker.deadlines.settings import Logs
 from query_broker.dispatch.requests import ActiveRequest, Attempt
-from query_broker.server.log import Log
+from query_broker.log import Log
 from query_broker.server.structured_log import StructuredLog, request_trace
 
 from .nodes import NOW_NS, NS_PER_S
--- a/tests/golden/peers/test_table_exchange.py
+++ b/tests/golden/peers/test_table_exchange.py
@@ -13,6 +13,7 @@
 from query_broker.membership.failure_detector import FailureDetector
 from query_broker.membership.incarnations import IncarnationChain
 from query_broker.membership.member_record import MemberRecord
+from query_broker.membership.message_exchange import MessageExchange
 from query_broker.membership.messages import Sync
 from query_broker.membership.settings import MembershipSettings
 from query_broker.membership.table_exchange import TableExchange
@@ -55,7 +56,7 @@
         reporter=PEER.reporter,
     )
     host = cast(Any, SimpleNamespace(now_ns=lambda: 0))
-    return TableExchange(detector, fresh_codec(), TrafficCounters(), host)
+    return TableExchange(MessageExchange(detector, fresh_codec(), TrafficCounters(), host))
 
 
 FRAMES: dict[str, TableFrame] = {
--- a/tests/golden/stored/cells.py
+++ b/tests/golden/stored/cells.py
@@ -41,7 +41,7 @@
             models=("m-1",),
             least=2,
             most=4,
-            share=0.25,
+            capacity_weight=0.25,
         ),
         Cell("b", zones=("zone-b",)),
         Cell("c"),
