--- a/query_broker/quotas/leadership.py
+++ b/query_broker/quotas/leadership.py
@@ -157,7 +157,7 @@
                 self.state.event_counts[LeaseEvent.LEADERSHIP_LOST] += 1
 
     def request_votes(self, now_ns: int) -> None:
-        """ParsedRequest all members for their votes in the shards assigned to this broker."""
+        """Ask all members for their votes in the shards assigned to this broker."""
         assigned = self._assigned_shards()
         for shard in list(self.leaderships):
             if shard not in assigned and not self.has_authority(shard, now_ns):
