--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -147,7 +147,7 @@
 
     def _readers(self, now_ns: int) -> dict[str, list[CelledConnection]]:
         """Return the clients with unread answers by cell; those that are overdue are dropped."""
-        max_pause_ns = self.node.dispatcher.deadline_controls.settings.slow_reader
+        max_pause_ns = self.node.dispatcher.deadline_controls.settings.slow_reader_timeout_ns
         readers: dict[str, list[CelledConnection]] = {}
         for client in self.connections:
             assert isinstance(client, CelledConnection)
--- a/query_broker/deadlines/metrics.py
+++ b/query_broker/deadlines/metrics.py
@@ -36,7 +36,7 @@
             "Further attempts that the budget did not allow.",
             str(budget.refused),
         )
-    return ("\n".join([*lines, *stages.text(PREFIX)]) + "\n").encode()
+    return ("\n".join([*lines, *stages.metrics_lines(PREFIX)]) + "\n").encode()
 
 
 def _head(name: str, kind: str, description: str) -> list[str]:
--- a/query_broker/deadlines/settings.py
+++ b/query_broker/deadlines/settings.py
@@ -1,14 +1,18 @@
-"""What operators may set about deadlines; the defaults are the behaviour without any setting."""
+"""What operators may set about deadlines; the defaults are the behaviour without any setting.
+
+The names that these settings have in the operators' file stand in `operator_config.directives`.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 from typing import Literal
 
 from .retry_budget import RetryBudgetSettings
 
-S = 1_000_000_000
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000 * NS_PER_MS
 
 
 class LatencyStage(Enum):
@@ -22,34 +26,58 @@
     ANSWER = "answer"  # from the answer to its last byte out
 
 
+class TimeoutStart(StrEnum):
+    """From when the timeout of a request counts; the values are those of the operators' file."""
+
+    FIRST_BYTE = "first"
+    LAST_BYTE = "last"
+
+
+class HalfClosePolicy(StrEnum):
+    """What it means that a client ends its side; the values are those of the operators' file."""
+
+    CLIENT_LEFT = "left"
+    AWAIT_ANSWERS = "answer"  # it still gets the answers to its open requests
+
+
 @dataclass(frozen=True, slots=True)
-class MarginTerms:
-    """The margin kept of a request's time for its answer's way back, and how it is learned.
+class MarginSettings:
+    """The margin that is deducted from each timeout, and how it is learned.
+
+    The margin is for the way back of the answer, so that it reaches the client in time.
 
-    Durations in nanoseconds; ``share`` is the quantile of the measured stages that must fit.
+    Attributes:
+        initial_ns: The margin before anything is learned.
+        min_ns: The lower bound of a learned margin.
+        max_ns: The upper bound of a learned margin.
+        quantile: The quantile of the measured latencies that a learned margin covers.
     """
 
-    start: int = 10_000_000
-    least: int = 2_000_000
-    most: int = 100_000_000
-    share: float = 0.99
+    initial_ns: int = 10 * NS_PER_MS
+    min_ns: int = 2 * NS_PER_MS
+    max_ns: int = 100 * NS_PER_MS
+    quantile: float = 0.99
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineSettings:
     """The operators' settings of deadlines.
 
-    ``count_from``: whether a request's time counts from its first or its last byte.
-    ``half_close``: a client that ends its side has left, or still gets its answers.
-    ``slow_reader``: nanoseconds that answers may lie unread.
+    Attributes:
+        learn_margin: Whether stages are measured and the margin is learned from them.
+        margin: The bounds of the learned margin.
+        timeout_start: From when a request's timeout counts.
+        half_close: What it means that a client ends its side.
+        slow_reader_timeout_ns: How long answers may lie unread.
+        retry_budget: The bound on retries; None sets none.
     """
 
-    learn: bool = False
-    margin: MarginTerms = field(default_factory=MarginTerms)
-    count_from: Literal["first", "last"] = "last"
-    half_close: Literal["left", "answer"] = "left"
-    slow_reader: int = 30 * S
-    further: RetryBudgetSettings | None = None
+    learn_margin: bool = False
+    margin: MarginSettings = field(default_factory=MarginSettings)
+    timeout_start: TimeoutStart = TimeoutStart.LAST_BYTE
+    half_close: HalfClosePolicy = HalfClosePolicy.CLIENT_LEFT
+    slow_reader_timeout_ns: int = 30 * NS_PER_S
+    retry_budget: RetryBudgetSettings | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/query_broker/deadlines/stage_latencies.py
+++ b/query_broker/deadlines/stage_latencies.py
@@ -1,8 +1,8 @@
-"""Latencies of each stage, as quantiles that fade, and the margin learned from them.
+"""Latencies of each stage, as quantiles that age, and the margin learned from them.
 
 Performs no I/O. Quantiles are t-digests (fastdigest) in two generations: a query is answered from
-both, and the older one is dropped when the newer one is full of age. Histograms with fixed bounds
-are kept beside them for the metrics.
+both, and the older one is dropped when the newer one has reached its age. Histograms with fixed
+bounds are kept besides, for the metrics.
 """
 
 from __future__ import annotations
@@ -12,136 +12,180 @@
 
 from fastdigest import TDigest
 
-from .settings import LatencyStage, MarginTerms
-
-MS = 1_000_000
-S = 1_000 * MS
-BOUNDS = tuple(
-    int(bound_ms * MS)
-    for bound_ms in (
-        0.1,
-        0.25,
-        0.5,
-        1,
-        2.5,
-        5,
-        10,
-        25,
-        50,
-        100,
-        250,
-        500,
-        1_000,
-        2_500,
-        5_000,
-        10_000,
-        30_000,
-    )
+from .settings import LatencyStage, MarginSettings
+
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000 * NS_PER_MS
+BUCKET_BOUNDS_MS = (
+    0.1,
+    0.25,
+    0.5,
+    1,
+    2.5,
+    5,
+    10,
+    25,
+    50,
+    100,
+    250,
+    500,
+    1_000,
+    2_500,
+    5_000,
+    10_000,
+    30_000,
 )
-GENERATION = 30 * S  # ns
-BATCH = 64  # values that are taken into the digest at once
-LEAST_SEEN = 50  # below that nothing is learned
-FASTEST = 0.01  # the quantile that counts as the least a stage takes
-TRANSIT = 2 * MS  # of the way back that nobody here can see
+#: The inclusive upper bounds of the histogram's buckets; one more bucket is unbounded.
+BUCKET_BOUNDS_NS = tuple(int(bound_ms * NS_PER_MS) for bound_ms in BUCKET_BOUNDS_MS)
+#: The age at which a digest becomes the older generation.
+GENERATION_NS = 30 * NS_PER_S
+#: How many latencies are collected before they are added to the digest together.
+DIGEST_BATCH_SIZE = 64
+#: With fewer latencies than this a quantile is unknown.
+MIN_SAMPLES = 50
+#: The quantile that counts as the shortest time that a stage takes.
+MIN_LATENCY_QUANTILE = 0.01
+#: The part of the answer's way back that the broker cannot measure.
+TRANSIT_ALLOWANCE_NS = 2 * NS_PER_MS
+#: How far the margin moves at most in one step, as factors of its value.
+MAX_MARGIN_DECREASE = 0.75
+MAX_MARGIN_INCREASE = 1.25
 
 
 @dataclass(slots=True)
 class Quantiles:
-    """Quantiles and histogram of one latency, over the last half to one minute."""
-
-    since: int = 0
-    fresh: list[float] = field(default_factory=list)
-    young: TDigest = field(default_factory=TDigest)
-    old: TDigest = field(default_factory=TDigest)
-    counts: list[int] = field(default_factory=lambda: [0] * (len(BOUNDS) + 1))
-    total: int = 0
-    seen: int = 0
-
-    def add(self, value: int, now: int) -> None:
-        """Add one latency, in nanoseconds."""
-        self.counts[bisect_left(BOUNDS, value)] += 1
-        self.total += value
-        self.seen += 1
-        self.fresh.append(float(value))
-        if len(self.fresh) >= BATCH:
-            self._fold(now)
-
-    def _fold(self, now: int) -> None:
-        if now - self.since >= GENERATION:
-            # After a long silence neither generation tells of the present.
-            self.old = self.young if now - self.since < 2 * GENERATION else TDigest()
-            self.young = TDigest()
-            self.since = now
-        if self.fresh:
-            self.young.batch_update(self.fresh)
-            self.fresh = []
-
-    def quantile(self, share: float, now: int) -> int | None:
-        """Return a quantile in nanoseconds, or None while too little is known."""
-        self._fold(now)
-        digest = self.old + self.young
-        return int(digest.quantile(share)) if digest.n_values >= LEAST_SEEN else None
+    """Quantiles and histogram of one latency, over the last half to one minute.
+
+    Attributes:
+        generation_start_ns: When the newer generation began.
+        batch_ns: Latencies that are not in the digest yet.
+        newer: The digest of the present generation.
+        older: The digest of the generation before it.
+        bucket_counts: The number of latencies in each bucket of the histogram.
+        sum_ns: The sum of all latencies.
+        count: The number of all latencies.
+    """
+
+    generation_start_ns: int = 0
+    batch_ns: list[float] = field(default_factory=list)
+    newer: TDigest = field(default_factory=TDigest)
+    older: TDigest = field(default_factory=TDigest)
+    bucket_counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKET_BOUNDS_NS) + 1))
+    sum_ns: int = 0
+    count: int = 0
+
+    def add(self, latency_ns: int, now: int) -> None:
+        """Add one latency."""
+        self.bucket_counts[bisect_left(BUCKET_BOUNDS_NS, latency_ns)] += 1
+        self.sum_ns += latency_ns
+        self.count += 1
+        self.batch_ns.append(float(latency_ns))
+        if len(self.batch_ns) >= DIGEST_BATCH_SIZE:
+            self._flush_batch(now)
+
+    def _flush_batch(self, now: int) -> None:
+        """Add the collected latencies to the digest, after a change of generations if it is due."""
+        age_ns = now - self.generation_start_ns
+        if age_ns >= GENERATION_NS:
+            # After a long time without latencies both generations are out of date.
+            self.older = self.newer if age_ns < 2 * GENERATION_NS else TDigest()
+            self.newer = TDigest()
+            self.generation_start_ns = now
+        if self.batch_ns:
+            self.newer.batch_update(self.batch_ns)
+            self.batch_ns = []
+
+    def quantile(self, quantile: float, now: int) -> int | None:
+        """Return a quantile in nanoseconds, or None where there are fewer than `MIN_SAMPLES`."""
+        self._flush_batch(now)
+        digest = self.older + self.newer
+        if digest.n_values < MIN_SAMPLES:
+            return None
+        return int(digest.quantile(quantile))
 
 
 class StageLatencies:
-    """The latencies of all stages by request class, and the margin learned from them."""
+    """The latencies of all stages by request class, and the margin learned from them.
+
+    Attributes:
+        settings: The bounds of the margin.
+        by_class: The latencies of each request class and stage.
+        by_stage: The latencies of each stage, over all request classes.
+        margin_ns: The margin that was learned last.
+    """
 
-    def __init__(self, margin: MarginTerms) -> None:
-        """Start with the margin of the settings and no latency known."""
+    def __init__(self, margin: MarginSettings) -> None:
+        """Start with the margin of the settings and without latencies."""
         self.settings = margin
         self.by_class: dict[tuple[str, LatencyStage], Quantiles] = {}
-        self.all: dict[LatencyStage, Quantiles] = {stage: Quantiles() for stage in LatencyStage}
-        self.margin = margin.start
-
-    def add(self, route: str, stage: LatencyStage, time: int, now: int) -> None:
-        """Add how long a request of this class spent in a stage, in nanoseconds."""
-        time = max(0, time)
-        if (known := self.by_class.get((route, stage))) is None:
-            known = self.by_class[route, stage] = Quantiles(now)
-        known.add(time, now)
-        self.all[stage].add(time, now)
-
-    def learn(self, now: int) -> int:
-        """Move the margin, by a quarter at most, so that one odd second does not swing it."""
-        terms = self.settings
-        decide = self.all[LatencyStage.DECIDE].quantile(terms.share, now)
-        answer = self.all[LatencyStage.ANSWER].quantile(terms.share, now)
-        if decide is None or answer is None:
-            return self.margin
-        wanted = decide + answer + TRANSIT
-        wanted = max(terms.least, min(terms.most, wanted))
-        self.margin = max(int(self.margin * 0.75), min(int(self.margin * 1.25), wanted))
-        self.margin = max(terms.least, min(terms.most, self.margin))
-        return self.margin
-
-    def fastest(self, route: str, now: int, *stages: LatencyStage) -> int:
-        """Return what these stages take at the least for this class, in nanoseconds.
-
-        Without any stage it is the endpoint's alone. Stages of which too little is known count
-        nothing.
+        self.by_stage: dict[LatencyStage, Quantiles] = {
+            stage: Quantiles() for stage in LatencyStage
+        }
+        self.margin_ns = margin.initial_ns
+
+    def add(self, class_name: str, stage: LatencyStage, latency_ns: int, now: int) -> None:
+        """Add how long a request of this class spent in a stage."""
+        latency_ns = max(0, latency_ns)
+        latencies = self.by_class.get((class_name, stage))
+        if latencies is None:
+            latencies = Quantiles(now)
+            self.by_class[class_name, stage] = latencies
+        latencies.add(latency_ns, now)
+        self.by_stage[stage].add(latency_ns, now)
+
+    def learn_margin(self, now: int) -> int:
+        """Adapt the margin to the latencies and return it, in nanoseconds.
+
+        One step changes it by a quarter at most, so that a single unusual second has little effect.
         """
-        known = [self.by_class.get((route, stage)) for stage in stages or (LatencyStage.ENGINE,)]
-        return sum(latency.quantile(FASTEST, now) or 0 for latency in known if latency is not None)
-
-    def text(self, prefix: str) -> list[str]:
+        settings = self.settings
+        decide_ns = self.by_stage[LatencyStage.DECIDE].quantile(settings.quantile, now)
+        answer_ns = self.by_stage[LatencyStage.ANSWER].quantile(settings.quantile, now)
+        if decide_ns is None or answer_ns is None:
+            return self.margin_ns
+        target_ns = self._bounded(decide_ns + answer_ns + TRANSIT_ALLOWANCE_NS)
+        lower_ns = int(self.margin_ns * MAX_MARGIN_DECREASE)
+        upper_ns = int(self.margin_ns * MAX_MARGIN_INCREASE)
+        self.margin_ns = self._bounded(max(lower_ns, min(upper_ns, target_ns)))
+        return self.margin_ns
+
+    def _bounded(self, margin_ns: int) -> int:
+        return max(self.settings.min_ns, min(self.settings.max_ns, margin_ns))
+
+    def min_latency_ns(self, class_name: str, now: int, *stages: LatencyStage) -> int:
+        """Return the shortest time that these stages take together for requests of a class.
+
+        Without a stage it is that of the endpoint. A stage with too few latencies counts as 0.
+        """
+        total_ns = 0
+        for stage in stages or (LatencyStage.ENGINE,):
+            latencies = self.by_class.get((class_name, stage))
+            if latencies is not None:
+                total_ns += latencies.quantile(MIN_LATENCY_QUANTILE, now) or 0
+        return total_ns
+
+    def metrics_lines(self, prefix: str) -> list[str]:
         """Return lines of the Prometheus text format, in seconds."""
+        name = f"{prefix}stage_seconds"
         lines = [
-            f"# HELP {prefix}stage_seconds Time that requests spent in each stage.",
-            f"# TYPE {prefix}stage_seconds histogram",
+            f"# HELP {name} Time that requests spent in each stage.",
+            f"# TYPE {name} histogram",
         ]
-        for (route, stage), known in sorted(
-            self.by_class.items(), key=lambda item: (item[0][0], item[0][1].value)
-        ):
-            labels = f'type="{route}",stage="{stage.value}"'
-            so_far = 0
-            for bound, count in zip(BOUNDS, known.counts, strict=False):
-                so_far += count
-                lines.append(
-                    f'{prefix}stage_seconds_bucket{{{labels},le="{bound / S:g}"}} {so_far}'
-                )
-            lines += (
-                f'{prefix}stage_seconds_bucket{{{labels},le="+Inf"}} {known.seen}',
-                f"{prefix}stage_seconds_sum{{{labels}}} {known.total / S:.6f}",
-                f"{prefix}stage_seconds_count{{{labels}}} {known.seen}",
-            )
+        for class_name, stage in sorted(self.by_class, key=lambda key: (key[0], key[1].value)):
+            labels = f'type="{class_name}",stage="{stage.value}"'
+            lines += _histogram_lines(name, labels, self.by_class[class_name, stage])
         return lines
+
+
+def _histogram_lines(name: str, labels: str, latencies: Quantiles) -> list[str]:
+    lines = []
+    cumulative_count = 0
+    for bound_ns, count in zip(BUCKET_BOUNDS_NS, latencies.bucket_counts, strict=False):
+        cumulative_count += count
+        lines.append(f'{name}_bucket{{{labels},le="{bound_ns / NS_PER_S:g}"}} {cumulative_count}')
+    lines += (
+        f'{name}_bucket{{{labels},le="+Inf"}} {latencies.count}',
+        f"{name}_sum{{{labels}}} {latencies.sum_ns / NS_PER_S:.6f}",
+        f"{name}_count{{{labels}}} {latencies.count}",
+    )
+    return lines
--- a/query_broker/dispatch/cancellation.py
+++ b/query_broker/dispatch/cancellation.py
@@ -80,7 +80,7 @@
         fastest_ns = 0
         if stages is not None:
             remaining = REMAINING_STAGES[hand_over]
-            fastest_ns = stages.fastest(request.class_name.decode(), now_ns, *remaining)
+            fastest_ns = stages.min_latency_ns(request.class_name.decode(), now_ns, *remaining)
         disabled = False
         if known is not None and self._administrative_states.states:
             disabled = self._administrative_states.is_disabled(known.target.uid)
--- a/query_broker/dispatch/deadline_controls.py
+++ b/query_broker/dispatch/deadline_controls.py
@@ -6,7 +6,7 @@
 
 from ..deadlines.handover_checks import HandOverStatistics
 from ..deadlines.retry_budget import RetryBudget
-from ..deadlines.settings import DeadlineSettings
+from ..deadlines.settings import DeadlineSettings, TimeoutStart
 
 if TYPE_CHECKING:
     from ..deadlines.stage_latencies import StageLatencies
@@ -50,7 +50,7 @@
         """
         timeout_ns = min(int(stated_ms * NS_PER_MS), class_deadline_ns)
         timeout_ns -= min(self.margin_ns, timeout_ns // 4)
-        if received_ns and self.settings.count_from == "first":
+        if received_ns and self.settings.timeout_start is TimeoutStart.FIRST_BYTE:
             return max(1, timeout_ns - (now_ns - received_ns))
         return timeout_ns
 
--- a/query_broker/operator_config/apply.py
+++ b/query_broker/operator_config/apply.py
@@ -21,7 +21,7 @@
 def apply_deadlines(controls: DeadlineControls, settings: DeadlineSettings) -> None:
     """Set how deadlines are counted; the latencies learned so far stay if the margin's do."""
     controls.settings = settings
-    if not settings.learn:
+    if not settings.learn_margin:
         controls.stages = None
         controls.margin_ns = DEFAULT_ANSWER_MARGIN_NS
         return
@@ -30,7 +30,7 @@
 
     if controls.stages is None or controls.stages.settings != settings.margin:
         controls.stages = StageLatencies(settings.margin)
-    controls.margin_ns = controls.stages.margin
+    controls.margin_ns = controls.stages.margin_ns
 
 
 def apply_retry_budget(
--- a/query_broker/operator_config/codec.py
+++ b/query_broker/operator_config/codec.py
@@ -2,7 +2,8 @@
 
 The keys are the one place where the operators' words of this form stand beside the terms of the
 code: ``map``, ``start``, ``members``, ``shares`` and ``verdicts`` are ``cell_map``, ``startup``,
-``membership``, ``quotas`` and ``outlier_consensus``. During an upgrade both processes are of the
+``membership``, ``quotas`` and ``outlier_consensus``; those of the deadlines stand in
+`encode_deadlines`. During an upgrade both processes are of the
 same version, since the broker starts the other one from its own files. Performs no I/O.
 """
 
@@ -15,7 +16,13 @@
 
 from ..cells.model import read_cell_map
 from ..deadlines.retry_budget import RetryBudgetSettings
-from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
+from ..deadlines.settings import (
+    DeadlineSettings,
+    HalfClosePolicy,
+    Logs,
+    MarginSettings,
+    TimeoutStart,
+)
 from ..membership.settings import MembershipSettings
 from ..outlier_consensus.settings import OutlierConsensusSettings
 from ..quotas.settings import LimitSettings, QuotaSettings
@@ -48,7 +55,7 @@
     return json.dumps(
         {
             "map": None if config.cell_map is None else config.cell_map.plain(),
-            "deadlines": _encode_part(config.deadlines),
+            "deadlines": None if config.deadlines is None else encode_deadlines(config.deadlines),
             "logs": _encode_part(config.logs),
             "start": _encode_part(config.startup),
             "members": _encode_part(config.membership),
@@ -102,7 +109,36 @@
     return RetryBudgetSettings(**{**raw, "classes": classes})
 
 
+def encode_deadlines(settings: DeadlineSettings) -> dict[str, Any]:
+    """Return the settings of deadlines by the keys of the JSON form."""
+    margin = settings.margin
+    return {
+        "learn": settings.learn_margin,
+        "margin": {
+            "start": margin.initial_ns,
+            "least": margin.min_ns,
+            "most": margin.max_ns,
+            "share": margin.quantile,
+        },
+        "count_from": settings.timeout_start,
+        "half_close": settings.half_close,
+        "slow_reader": settings.slow_reader_timeout_ns,
+        "further": _encode_part(settings.retry_budget),
+    }
+
+
 def _decode_deadlines(raw: dict[str, Any]) -> DeadlineSettings:
-    margin = MarginTerms(**raw["margin"])
-    retry_budget = _decode_part(raw["further"], _decode_retry_budget)
-    return DeadlineSettings(**{**raw, "margin": margin, "further": retry_budget})
+    margin = raw["margin"]
+    return DeadlineSettings(
+        learn_margin=raw["learn"],
+        margin=MarginSettings(
+            initial_ns=margin["start"],
+            min_ns=margin["least"],
+            max_ns=margin["most"],
+            quantile=margin["share"],
+        ),
+        timeout_start=TimeoutStart(raw["count_from"]),
+        half_close=HalfClosePolicy(raw["half_close"]),
+        slow_reader_timeout_ns=raw["slow_reader"],
+        retry_budget=_decode_part(raw["further"], _decode_retry_budget),
+    )
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -30,7 +30,13 @@
 
 from ..cells.model import SPREAD_FIELDS, Cell, Tenant, Timing
 from ..deadlines.retry_budget import RetryBudgetSettings
-from ..deadlines.settings import DeadlineSettings, Logs, MarginTerms
+from ..deadlines.settings import (
+    DeadlineSettings,
+    HalfClosePolicy,
+    Logs,
+    MarginSettings,
+    TimeoutStart,
+)
 from ..membership.settings import MembershipSettings
 from ..outlier_consensus.settings import OutlierConsensusSettings
 from ..quotas.settings import QUOTA_KINDS, LimitSettings, QuotaSettings
@@ -52,6 +58,8 @@
 
 #: A script of a large fleet has some thousands; more are a loop that was not meant.
 MAX_DIRECTIVE_CALLS = 200_000
+TIMEOUT_STARTS = tuple(start.value for start in TimeoutStart)
+HALF_CLOSE_POLICIES = tuple(policy.value for policy in HalfClosePolicy)
 #: Names of cells and limits are labels of metrics and parts of paths.
 MAX_NAME_LENGTH = 64
 #: With half of the brokers lost neither side of a partition knows that it is the larger.
@@ -168,18 +176,18 @@
 ) -> None:
     """Set how a request's time is counted, and when its client counts as departed."""
     draft.declare_once("deadlines")
-    start_ns = milliseconds_to_ns(margin_ms, "deadlines.margin_ms")
-    least_ns = milliseconds_to_ns(least_margin_ms, "deadlines.least_margin_ms")
-    most_ns = milliseconds_to_ns(most_margin_ms, "deadlines.most_margin_ms")
-    if not least_ns <= start_ns <= most_ns:
+    initial_ns = milliseconds_to_ns(margin_ms, "deadlines.margin_ms")
+    min_ns = milliseconds_to_ns(least_margin_ms, "deadlines.least_margin_ms")
+    max_ns = milliseconds_to_ns(most_margin_ms, "deadlines.most_margin_ms")
+    if not min_ns <= initial_ns <= max_ns:
         raise DirectiveError("deadlines.margin_ms", "must lie in least_margin_ms to most_margin_ms")
     draft.deadlines = DeadlineSettings(
         check_flag(learn, "deadlines.learn"),
-        MarginTerms(
-            start_ns, least_ns, most_ns, check_fraction(margin_share, "deadlines.margin_share")
+        MarginSettings(
+            initial_ns, min_ns, max_ns, check_fraction(margin_share, "deadlines.margin_share")
         ),
-        check_choice(count_from, "deadlines.count_from", ("first", "last")),
-        check_choice(half_close, "deadlines.half_close", ("left", "answer")),
+        TimeoutStart(check_choice(count_from, "deadlines.count_from", TIMEOUT_STARTS)),
+        HalfClosePolicy(check_choice(half_close, "deadlines.half_close", HALF_CLOSE_POLICIES)),
         seconds_to_ns(slow_reader, "deadlines.slow_reader", above=True),
     )
 
--- a/query_broker/operator_config/draft.py
+++ b/query_broker/operator_config/draft.py
@@ -111,7 +111,7 @@
         if retry_budget is not None:
             classes = tuple(self.retry_budget_classes.values())
             retry_budget = replace(retry_budget, classes=classes)
-        return replace(self.deadlines or DeadlineSettings(), further=retry_budget)
+        return replace(self.deadlines or DeadlineSettings(), retry_budget=retry_budget)
 
     def build_cell_map(self) -> CellMap | None:
         """Return the cell map; None if the file declares no cells.
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -171,7 +171,7 @@
         is_due = now_ns - self._margin_learned_at_ns >= MARGIN_LEARNING_INTERVAL_NS
         if controls.stages is not None and is_due:
             self._margin_learned_at_ns = now_ns
-            controls.margin_ns = controls.stages.learn(now_ns)
+            controls.margin_ns = controls.stages.learn_margin(now_ns)
 
     def _membership_changed(self, view: MembershipView) -> None:
         position = FleetPosition(view.effective_size, view.effective_index)
@@ -205,7 +205,7 @@
         controls = self.dispatcher.deadline_controls
         settings = operator_config.deadlines or DeadlineSettings()
         apply_deadlines(controls, settings)
-        apply_retry_budget(controls, settings.further, self.quota_service)
+        apply_retry_budget(controls, settings.retry_budget, self.quota_service)
         self._log_format.apply(operator_config.logs)
 
     # --- SIGHUP ---
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -9,8 +9,9 @@
 import asyncio
 from typing import Protocol, cast
 
+from ..deadlines.settings import HalfClosePolicy
 from . import client_frames as frames
-from .client_reader import HALF_CLOSE_ANSWERS, ClientReader, ReadingHost, ReadingLimits
+from .client_reader import ClientReader, ReadingHost, ReadingLimits
 from .client_requests import OpenRequests
 from .client_socket import ClientSocket
 from .client_timeouts import ClientTimeouts
@@ -124,11 +125,8 @@
         """
         frames_wait = self.reader.waiting or self.paused_since_ns
         incomplete = self.reader.parser.buffered() and not frames_wait
-        if (
-            self.host.dispatcher.deadline_controls.settings.half_close != HALF_CLOSE_ANSWERS
-            or self.broken
-            or incomplete
-        ):
+        policy = self.host.dispatcher.deadline_controls.settings.half_close
+        if policy is HalfClosePolicy.CLIENT_LEFT or self.broken or incomplete:
             # Where answers are still unread, the transport reports the loss only after them.
             self.broken = True
             self.requests.cancel_all()
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -5,6 +5,7 @@
 import asyncio
 from typing import Protocol
 
+from ..deadlines.settings import HalfClosePolicy
 from . import client_frames as frames
 from .client_lookahead import CancellationLookahead
 from .client_requests import DispatcherHost, OpenRequests
@@ -16,9 +17,6 @@
 MOST_AHEAD_BYTES = 64 * 1024
 # Of the memory for incomplete frames: the part past which no connection reads ahead.
 AHEAD_DIVISOR = 2
-# The value of `DeadlineSettings.half_close` by which a client that ends its side still gets its
-# answers.
-HALF_CLOSE_ANSWERS = "answer"
 NO_CAPACITY = "no room for more frames that are not whole"
 
 
@@ -212,7 +210,8 @@
         Who sends much and leaves has left before the last of it is read, and nothing of it may
         begin then.
         """
-        if self.host.dispatcher.deadline_controls.settings.half_close == HALF_CLOSE_ANSWERS:
+        policy = self.host.dispatcher.deadline_controls.settings.half_close
+        if policy is HalfClosePolicy.AWAIT_ANSWERS:
             return False
         if not self.socket.has_ended():
             return False
--- a/query_broker/server/client_admission.py
+++ b/query_broker/server/client_admission.py
@@ -73,7 +73,7 @@
         answers, those with the most of them go.
         """
         dispatcher = self.node.dispatcher
-        timeout_ns = dispatcher.deadline_controls.settings.slow_reader
+        timeout_ns = dispatcher.deadline_controls.settings.slow_reader_timeout_ns
         unread = 0  # bytes
         for client in sorted(self.connections, key=ClientConnection.unread):
             unread += client.unread()
--- a/tests/deadlines/test_pure.py
+++ b/tests/deadlines/test_pure.py
@@ -22,8 +22,14 @@
 )
 from query_broker.deadlines.handover_checks import HandOverCheck, StopReason, reason_to_stop
 from query_broker.deadlines.retry_budget import RetryBudget, RetryBudgetSettings, attempt_time
-from query_broker.deadlines.settings import DeadlineSettings, LatencyStage, Logs, MarginTerms
-from query_broker.deadlines.stage_latencies import GENERATION, Quantiles, StageLatencies
+from query_broker.deadlines.settings import (
+    DeadlineSettings,
+    HalfClosePolicy,
+    LatencyStage,
+    Logs,
+    MarginSettings,
+)
+from query_broker.deadlines.stage_latencies import GENERATION_NS, Quantiles, StageLatencies
 from query_broker.deadlines.write_queue import CONTROL, Frame, WriteQueue, rest
 from query_broker.dispatch.requests import ActiveRequest, Attempt
 from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
@@ -338,30 +344,32 @@
     assert middle is not None
     assert abs(middle - 500 * MS) < 20 * MS
     for i in range(1_000):
-        known.add(MS, GENERATION + i)
+        known.add(MS, GENERATION_NS + i)
     for i in range(1_000):
-        known.add(MS, 2 * GENERATION + 2_000 + i)
-    last = known.quantile(0.99, 2 * GENERATION + 4_000)
+        known.add(MS, 2 * GENERATION_NS + 2_000 + i)
+    last = known.quantile(0.99, 2 * GENERATION_NS + 4_000)
     assert last is not None
     assert last <= 2 * MS
-    assert sum(known.counts) == known.seen == 3_000
+    assert sum(known.bucket_counts) == known.count == 3_000
 
 
 def test_the_margin_starts_as_today_moves_slowly_and_stays_within_bounds() -> None:
-    stages = StageLatencies(MarginTerms(most=40 * MS))
-    assert stages.learn(0) == 10 * MS
+    stages = StageLatencies(MarginSettings(max_ns=40 * MS))
+    assert stages.learn_margin(0) == 10 * MS
     for slow in (30 * MS, 500 * MS):
-        before = stages.margin
+        before = stages.margin_ns
         for i in range(200):
             stages.add("glance", LatencyStage.DECIDE, MS, i)
             stages.add("glance", LatencyStage.ANSWER, slow, i)
-        assert before < stages.learn(1_000) <= before * 1.25
+        assert before < stages.learn_margin(1_000) <= before * 1.25
     for _ in range(50):
-        assert 2 * MS <= stages.learn(2_000) <= 40 * MS
-    assert stages.margin == 40 * MS
-    assert stages.fastest("glance", 0) == 0
-    assert MS <= stages.fastest("glance", 0, LatencyStage.DECIDE, LatencyStage.ENGINE) < 2 * MS
-    text = "\n".join(stages.text("x_"))
+        assert 2 * MS <= stages.learn_margin(2_000) <= 40 * MS
+    assert stages.margin_ns == 40 * MS
+    assert stages.min_latency_ns("glance", 0) == 0
+    assert (
+        MS <= stages.min_latency_ns("glance", 0, LatencyStage.DECIDE, LatencyStage.ENGINE) < 2 * MS
+    )
+    text = "\n".join(stages.metrics_lines("x_"))
     assert 'x_stage_seconds_bucket{type="glance",stage="answer",le="+Inf"} 400' in text
 
 
@@ -394,13 +402,13 @@
 def test_the_example_says_what_is_read() -> None:
     said = evaluate(str(ROOT / "deploy" / "operators.star"))
     assert said.deadlines is not None
-    assert said.deadlines.learn
-    assert said.deadlines.half_close == "answer"
-    assert said.deadlines.further == RetryBudgetSettings(
+    assert said.deadlines.learn_margin
+    assert said.deadlines.half_close is HalfClosePolicy.AWAIT_ANSWERS
+    assert said.deadlines.retry_budget == RetryBudgetSettings(
         0.2, 10, (("report", 0.1, 2.0),), True, 0.7
     )
     assert said.logs == Logs("json", 0.01)
-    assert DeadlineSettings().further is None
+    assert DeadlineSettings().retry_budget is None
 
 
 def told(format: str, capsys: pytest.CaptureFixture[str], **more: Any) -> list[str]:
--- a/tests/deadlines/test_sockets.py
+++ b/tests/deadlines/test_sockets.py
@@ -15,7 +15,7 @@
 
 from query_broker.deadlines.handover_checks import HandOver, HandOverStatistics, StopReason
 from query_broker.deadlines.retry_budget import RetryBudgetSettings
-from query_broker.deadlines.settings import DeadlineSettings, Logs
+from query_broker.deadlines.settings import DeadlineSettings, HalfClosePolicy, Logs, TimeoutStart
 from query_broker.discovery.event_codec import parse_event
 from query_broker.dispatch.deadline_controls import DeadlineControls
 from query_broker.operator_config.service import ConfiguredNode
@@ -498,7 +498,8 @@
 
 @on_uvloop
 async def test_a_half_closed_client_gets_its_answers_where_that_is_said() -> None:
-    for said, answered in ((DeadlineSettings(half_close="answer"), True), (None, False)):
+    await_answers = DeadlineSettings(half_close=HalfClosePolicy.AWAIT_ANSWERS)
+    for said, answered in ((await_answers, True), (None, False)):
         engine = Engine(lambda *_: None)
         made = make_config(target_entry("s-1", await engine.start()))
         async with running(made, make=filed(deadlines=said)) as rig:
@@ -525,7 +526,8 @@
         )
     )
     made = make_config(target_entry("s-1", await engine.start()))
-    async with running(made, make=filed(deadlines=DeadlineSettings(slow_reader=200 * MS))) as rig:
+    deadlines = DeadlineSettings(slow_reader_timeout_ns=200 * MS)
+    async with running(made, make=filed(deadlines=deadlines)) as rig:
         client = await rig.client()
         await until(lambda: rig.node.clients)
         for end in (
@@ -547,7 +549,7 @@
 
     engines = [Engine(reset) for _ in range(3)]
     targets = [target_entry(f"s-{i}", await e.start()) for i, e in enumerate(engines)]
-    terms = DeadlineSettings(further=RetryBudgetSettings(share=0.0, burst=2.0))
+    terms = DeadlineSettings(retry_budget=RetryBudgetSettings(share=0.0, burst=2.0))
     async with running(make_config(*targets), make=filed(deadlines=terms)) as rig:
         client = await rig.client()
         for number in range(1, 11):
@@ -563,7 +565,7 @@
     engine = Engine()
     made = make_config(target_entry("s-1", await engine.start()), operator=True)
     async with running(
-        made, make=filed(deadlines=DeadlineSettings(learn=True), logs=Logs("json", 1.0))
+        made, make=filed(deadlines=DeadlineSettings(learn_margin=True), logs=Logs("json", 1.0))
     ) as rig:
         client = await rig.client()
         for number in range(1, 81):
@@ -574,8 +576,8 @@
             assert f'larchhall_stage_seconds_count{{type="glance",stage="{stage}"}} 80' in text
         assert "larchhall_margin_seconds 0.01" in text
         assert "larchhall_undone_total 0" in text
-        controls(rig).stages.learn(rig.node.dispatcher.now())  # type: ignore[union-attr]
-        assert controls(rig).stages.margin < 10 * MS  # type: ignore[union-attr]
+        controls(rig).stages.learn_margin(rig.node.dispatcher.now())  # type: ignore[union-attr]
+        assert controls(rig).stages.margin_ns < 10 * MS  # type: ignore[union-attr]
         ordinary = Node(made, os.environ)
         assert b"larchhall_" not in ordinary.dispatcher.metrics()
         assert ordinary.dispatcher.deadline_controls.stages is None
@@ -585,7 +587,8 @@
 async def test_time_may_count_from_the_first_byte() -> None:
     engine = Engine(lambda *_: None)
     made = make_config(target_entry("s-1", await engine.start()))
-    for terms in (DeadlineSettings(count_from="first"), DeadlineSettings(count_from="last")):
+    for timeout_start in (TimeoutStart.FIRST_BYTE, TimeoutStart.LAST_BYTE):
+        terms = DeadlineSettings(timeout_start=timeout_start)
         async with running(made, make=filed(deadlines=terms)) as rig:
             client = await rig.client()
             fields = {
@@ -602,7 +605,7 @@
             await until(lambda: rig.node.dispatcher.requests)
             (request,) = rig.node.dispatcher.requests.values()
             taken = request.deadline_ns - request.accepted_ns
-            assert (taken < 2_750 * MS) == (terms.count_from == "first")
+            assert (taken < 2_750 * MS) == (terms.timeout_start is TimeoutStart.FIRST_BYTE)
             assert taken <= 2_990 * MS
             client.writer.transport.abort()
             await until(lambda: not rig.node.dispatcher.request_table.unanswered_count)
--- a/tests/dispatch/test_dispatch_parts.py
+++ b/tests/dispatch/test_dispatch_parts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from query_broker.deadlines.settings import DeadlineSettings
+from query_broker.deadlines.settings import DeadlineSettings, TimeoutStart
 from query_broker.decisions.facade import (
     AttemptEnded,
     AttemptResult,
@@ -245,24 +245,27 @@
 
 # --- deadlines ---
 
+FIRST_BYTE = TimeoutStart.FIRST_BYTE
+LAST_BYTE = TimeoutStart.LAST_BYTE
+
 
 @pytest.mark.parametrize(
-    ("count_from", "stated_ms", "received_ns", "expected_ns"),
+    ("timeout_start", "stated_ms", "received_ns", "expected_ns"),
     [
-        pytest.param("last", 4_000.0, 0, 3_990 * MS, id="stated"),
-        pytest.param("last", 90_000.0, 0, 19_990 * MS, id="deadline of the class"),
-        pytest.param("last", 8.0, 0, 6 * MS, id="short: a quarter at the most is kept"),
-        pytest.param("last", 4_000.0, 7 * S, 3_990 * MS, id="age does not count"),
-        pytest.param("first", 4_000.0, 7 * S, 2_990 * MS, id="age counts"),
-        pytest.param("first", 4_000.0, 0, 3_990 * MS, id="age is not known"),
-        pytest.param("first", 500.0, 7 * S, 1, id="nothing is left"),
+        pytest.param(LAST_BYTE, 4_000.0, 0, 3_990 * MS, id="stated"),
+        pytest.param(LAST_BYTE, 90_000.0, 0, 19_990 * MS, id="deadline of the class"),
+        pytest.param(LAST_BYTE, 8.0, 0, 6 * MS, id="short: a quarter at the most is kept"),
+        pytest.param(LAST_BYTE, 4_000.0, 7 * S, 3_990 * MS, id="age does not count"),
+        pytest.param(FIRST_BYTE, 4_000.0, 7 * S, 2_990 * MS, id="age counts"),
+        pytest.param(FIRST_BYTE, 4_000.0, 0, 3_990 * MS, id="age is not known"),
+        pytest.param(FIRST_BYTE, 500.0, 7 * S, 1, id="nothing is left"),
     ],
 )
 def test_timeout_of_a_request(
-    count_from: str, stated_ms: float, received_ns: int, expected_ns: int
+    timeout_start: TimeoutStart, stated_ms: float, received_ns: int, expected_ns: int
 ) -> None:
     controls = DeadlineControls()
-    controls.settings = replace(DeadlineSettings(), count_from=count_from)  # type: ignore[arg-type]
+    controls.settings = replace(DeadlineSettings(), timeout_start=timeout_start)
     assert controls.timeout_ns(stated_ms, 20 * S, received_ns, 8 * S) == expected_ns
 
 
--- a/tests/golden/operators/test_deadline_metrics.py
+++ b/tests/golden/operators/test_deadline_metrics.py
@@ -5,7 +5,7 @@
 from query_broker.deadlines import metrics
 from query_broker.deadlines.handover_checks import HandOver, HandOverStatistics, StopReason
 from query_broker.deadlines.retry_budget import RetryBudget, RetryBudgetSettings
-from query_broker.deadlines.settings import LatencyStage, MarginTerms
+from query_broker.deadlines.settings import LatencyStage, MarginSettings
 from query_broker.deadlines.stage_latencies import StageLatencies
 
 from .expected_deadline_metrics import DEADLINE_METRICS, METRICS_WITHOUT_A_RETRY_BUDGET
@@ -24,7 +24,7 @@
             statistics.stopped[hand_over, reason] = number
     for number, reason in enumerate(StopReason, 1):
         statistics.begun_after[reason] = number
-    latencies = StageLatencies(MarginTerms())
+    latencies = StageLatencies(MarginSettings())
     for number, stage in enumerate(LatencyStage, 1):
         latencies.add("glance", stage, number * NS_PER_MS, NOW_NS)
     budget = RetryBudget(RetryBudgetSettings(), refused=6)
@@ -33,6 +33,6 @@
 
 
 def test_metrics_of_deadlines_without_a_retry_budget() -> None:
-    latencies = StageLatencies(MarginTerms())
+    latencies = StageLatencies(MarginSettings())
     text = metrics.text(HandOverStatistics(), latencies, MARGIN_NS, None).decode()
     assert text == METRICS_WITHOUT_A_RETRY_BUDGET
--- a/tests/golden/test_settings.py
+++ b/tests/golden/test_settings.py
@@ -29,6 +29,7 @@
     load,
     parse,
 )
+from query_broker.operator_config.codec import encode_deadlines
 from query_broker.operator_config.directives import DIRECTIVES_BY_NAME
 from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
 
@@ -598,10 +599,13 @@
         "shares": read.quotas,
         "verdicts": read.outlier_consensus,
     }
+    plain = {name: asdict(part) for name, part in parts.items() if part is not None}
+    if read.deadlines is not None:
+        plain["deadlines"] = encode_deadlines(read.deadlines)
     return {
         "map": read.cell_map.plain(),
         "digest": read.cell_map.digest(),
-        **{name: list(asdict(part).values()) for name, part in parts.items() if part is not None},
+        **{name: list(fields.values()) for name, fields in plain.items()},
     }
 
 
