--- a/benchmarks/deadlines.py
+++ b/benchmarks/deadlines.py
@@ -302,11 +302,11 @@
         for name in ("asked", "unanswered", "twice", "unsafe_twice", "departures"):
             setattr(total, name, getattr(total, name) + getattr(day, name))
         total.known_after += len(late)
-        taken = sum(node.dispatcher.deadline_controls.statistics.stopped.values())
+        taken = sum(node.dispatcher.deadline_controls.statistics.stop_counts.values())
         figures.tell(f"inside.seed_{seed}.taken_back_unsent", taken)
         figures.tell(
             f"inside.seed_{seed}.half_written_at_departure",
-            sum(node.dispatcher.deadline_controls.statistics.begun_after.values()),
+            sum(node.dispatcher.deadline_controls.statistics.partial_write_counts.values()),
         )
         for _ in range(400):  # engines that never answer hold a request to its end
             if not node.dispatcher.requests:
--- a/query_broker/deadlines/cancel_scopes.py
+++ b/query_broker/deadlines/cancel_scopes.py
@@ -1,9 +1,9 @@
 """Cancel scopes: ending a request ends its attempts, ending an attempt ends its pages, in order.
 
 Performs no I/O. After trio's cancel scopes: an end goes down the tree, children first, once. What
-ending an attempt means depends on how far it has come: unsent, it is withdrawn; sent, it is
-cancelled where endpoints honour that, and watched until it is silent or has answered all the same;
-else it is let run and its answer dropped.
+ending an attempt means depends on how far it has come. An attempt that was not sent is withdrawn.
+One that was sent is cancelled where endpoints support that, and tracked until it counts as stopped
+or has answered nevertheless; elsewhere it is left running and its answer is dropped.
 """
 
 from __future__ import annotations
@@ -11,11 +11,14 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
-MS = 1_000_000
-CONFIRM = 1_000 * MS  # ns of silence after which an undone attempt counts as stopped
-RESEND = 250 * MS  # ns between an `undo` and the next, while nothing shows that it was heard
-MOST_RESENDS = 2
+NS_PER_MS = 1_000_000
+#: How long a cancelled attempt must be silent until it counts as stopped.
+CONFIRMATION_NS = 1_000 * NS_PER_MS
+#: How long after a cancellation it is sent again if nothing has answered it.
+RESEND_INTERVAL_NS = 250 * NS_PER_MS
+MAX_RESENDS = 2
 
 
 class ScopeKind(Enum):
@@ -24,132 +27,174 @@
     REQUEST = "request"
     ATTEMPT = "attempt"
     PAGE = "page"
-    HEALTH_CHECK = "probe"
+    HEALTH_CHECK = "health check"
 
 
 class CancelAction(Enum):
-    """What the end of one scope asks the caller to do."""
+    """What the caller has to do for a scope that has ended."""
 
-    WITHDRAW = "take back"  # no byte has left
-    CANCEL = "undo"
-    DISCARD_PAGES = "forget"  # no more pages are wanted
+    WITHDRAW = "withdraw"  # no byte of the attempt has been written
+    CANCEL = "cancel"
+    DISCARD_PAGES = "discard pages"
     LET_RUN = "let run"
-    ANSWER = "answer"  # the request itself: its client is owed nothing more
+    END_REQUEST = "end request"  # its client is owed nothing more
+
+
+class ScopeEnd(NamedTuple):
+    """A scope that has ended, and what the caller has to do for it."""
+
+    action: CancelAction
+    scope: CancelScope
 
 
 @dataclass(slots=True)
 class CancelScope:
-    """One thing under way and what belongs to it.
+    """A request, attempt, page or health check under way, and the scopes that belong to it.
 
     A scope ends once; what is added to a scope that has ended has ended too.
+
+    Attributes:
+        kind: What the scope stands for.
+        work: The request, the attempt or what else it is, as the caller knows it.
+        parent: The scope that it belongs to; None for a request.
+        children: The scopes below it that have not ended.
+        write_started: Whether a byte of the attempt has been written to the endpoint.
+        ended: Whether the scope has ended, by itself or by `end`.
     """
 
     kind: ScopeKind
-    name: object
+    work: object
     parent: CancelScope | None = None
     children: list[CancelScope] = field(default_factory=list)
-    write_started: bool = False  # a byte of it has left for the engine
-    over: bool = False
+    write_started: bool = False
+    ended: bool = False
 
-    def open(self, kind: ScopeKind, name: object) -> CancelScope:
+    def open(self, kind: ScopeKind, work: object) -> CancelScope:
         """Return a new scope below this one."""
-        child = CancelScope(kind, name, self, over=self.over)
-        if not self.over:
+        child = CancelScope(kind, work, self, ended=self.ended)
+        if not self.ended:
             self.children.append(child)
         return child
 
     def close(self) -> None:
-        """Close the scope because its work is over by itself; its children close with it."""
-        self.over = True
+        """Close the scope because its work has ended by itself; its children close with it."""
+        self.ended = True
         for child in self.children:
-            child.over = True
+            child.ended = True
         self.children.clear()
         if self.parent is not None and self in self.parent.children:
             self.parent.children.remove(self)
 
-    def end(self, honoured: bool) -> list[tuple[CancelAction, CancelScope]]:
+    def end(self, cancellation_supported: bool) -> list[ScopeEnd]:
         """End the scope and return what is to be done, children before their parents.
 
-        The second call returns nothing. ``honoured`` says whether endpoints heed a cancellation
-        (`undo` on the wire); where they do not, none may ever be sent.
+        A second call returns nothing.
+
+        Args:
+            cancellation_supported: Whether the endpoints support cancellation (`undo` on the
+                wire); where they do not, none may ever be sent.
         """
-        if self.over:
+        if self.ended:
             return []
-        done = list(self._end(honoured))
+        ends = list(self._end(cancellation_supported))
         self.close()
-        return done
+        return ends
 
-    def _end(self, honoured: bool) -> Iterator[tuple[CancelAction, CancelScope]]:
-        self.over = True
+    def _end(self, cancellation_supported: bool) -> Iterator[ScopeEnd]:
+        self.ended = True
         for child in list(self.children):
-            if not child.over:
-                yield from child._end(honoured)
+            if not child.ended:
+                yield from child._end(cancellation_supported)
+        yield ScopeEnd(self._end_action(cancellation_supported), self)
+
+    def _end_action(self, cancellation_supported: bool) -> CancelAction:
         match self.kind:
             case ScopeKind.REQUEST:
-                yield CancelAction.ANSWER, self
+                return CancelAction.END_REQUEST
             case ScopeKind.ATTEMPT if not self.write_started:
-                yield CancelAction.WITHDRAW, self
-            case ScopeKind.ATTEMPT:
-                yield CancelAction.CANCEL if honoured else CancelAction.LET_RUN, self
+                return CancelAction.WITHDRAW
+            case ScopeKind.ATTEMPT if cancellation_supported:
+                return CancelAction.CANCEL
             case ScopeKind.PAGE:
-                yield CancelAction.DISCARD_PAGES, self
-            case ScopeKind.HEALTH_CHECK:
-                yield CancelAction.LET_RUN, self
+                return CancelAction.DISCARD_PAGES
+            case ScopeKind.ATTEMPT | ScopeKind.HEALTH_CHECK:
+                return CancelAction.LET_RUN
 
 
 class CancelOutcome(Enum):
     """What became of a cancelled attempt."""
 
-    STOPPED = "stopped"  # silent for long enough
-    WENT_ON = "went on"  # it answered after the undo
-    LOST = "lost"  # its connection ended first
+    STOPPED = "stopped"  # silent for `CONFIRMATION_NS`
+    ANSWERED = "answered"  # it answered after the cancellation
+    CONNECTION_LOST = "connection lost"  # its connection ended first
 
 
 @dataclass(slots=True)
 class PendingCancel:
-    """A cancellation that has been asked for: when first, when last, and how often again."""
+    """A cancellation that was sent and has no outcome yet.
+
+    Attributes:
+        first_sent_ns: When it was first sent.
+        last_sent_ns: When it was last sent.
+        resends: How often it was sent again.
+    """
 
     first_sent_ns: int
     last_sent_ns: int
     resends: int = 0
 
 
+class CancelCheck(NamedTuple):
+    """What a check of the pending cancellations found.
+
+    Attributes:
+        to_resend: The ids whose cancellation is to be sent again.
+        stopped: The ids of the attempts that count as stopped from now on.
+    """
+
+    to_resend: list[bytes]
+    stopped: list[bytes]
+
+
 @dataclass(slots=True)
-class Undoing:
-    """The cancelled attempts of one connection, until each is known to have stopped or gone on.
+class PendingCancels:
+    """The cancelled attempts of one connection, until each has its outcome.
+
+    An attempt holds its stream until then: an answer that crosses the cancellation must be
+    recognised, so that it can be dropped.
 
-    They hold their stream for as long: an answer that crosses the cancellation must be known, so
-    that it can be dropped.
+    Attributes:
+        by_id: The pending cancellations by the id of the attempt on the wire.
     """
 
-    waiting: dict[bytes, PendingCancel] = field(default_factory=dict)
+    by_id: dict[bytes, PendingCancel] = field(default_factory=dict)
 
-    def begin(self, id: bytes, now: int) -> None:
+    def begin(self, request_id: bytes, now: int) -> None:
         """Record that the attempt under this id is being cancelled."""
-        self.waiting.setdefault(id, PendingCancel(now, now))
+        self.by_id.setdefault(request_id, PendingCancel(now, now))
 
-    def answered(self, id: bytes) -> CancelOutcome | None:
-        """Take note of an answer under the id; None if it was not cancelled."""
-        if self.waiting.pop(id, None) is None:
+    def resolve_by_answer(self, request_id: bytes) -> CancelOutcome | None:
+        """Record an answer under the id and return the outcome; None if it was not cancelled."""
+        if self.by_id.pop(request_id, None) is None:
             return None
-        return CancelOutcome.WENT_ON
+        return CancelOutcome.ANSWERED
 
-    def due(self, now: int) -> tuple[list[bytes], list[bytes]]:
-        """Return the ids to be cancelled again, and those that count as stopped."""
-        again: list[bytes] = []
+    def check(self, now: int) -> CancelCheck:
+        """Return what is to be cancelled again and what has stopped, which is then forgotten."""
+        to_resend: list[bytes] = []
         stopped: list[bytes] = []
-        for id, pending in list(self.waiting.items()):
-            if now - pending.first_sent_ns >= CONFIRM:
-                stopped.append(id)
-                del self.waiting[id]
-            elif now - pending.last_sent_ns >= RESEND and pending.resends < MOST_RESENDS:
+        for request_id, pending in list(self.by_id.items()):
+            if now - pending.first_sent_ns >= CONFIRMATION_NS:
+                stopped.append(request_id)
+                del self.by_id[request_id]
+            elif now - pending.last_sent_ns >= RESEND_INTERVAL_NS and pending.resends < MAX_RESENDS:
                 pending.resends += 1
                 pending.last_sent_ns = now
-                again.append(id)
-        return again, stopped
+                to_resend.append(request_id)
+        return CancelCheck(to_resend, stopped)
 
-    def lost(self) -> int:
-        """Forget all, as the connection has ended; return how many there were."""
-        count = len(self.waiting)
-        self.waiting.clear()
+    def clear(self) -> int:
+        """Forget all, since the connection has ended; return how many there were."""
+        count = len(self.by_id)
+        self.by_id.clear()
         return count
--- a/query_broker/deadlines/handover_checks.py
+++ b/query_broker/deadlines/handover_checks.py
@@ -1,8 +1,8 @@
-"""Checks at each hand-over: whether a request may still go on. Performs no I/O.
+"""Checks at each hand-over: whether an attempt still goes on to its endpoint. Performs no I/O.
 
-A check stands wherever a request changes hands before a byte of it has left for an endpoint: on
+An attempt is checked wherever it changes hands before a byte of it is written to an endpoint: on
 its way into a connection pool, from the pool to a connection, from the write queue to the socket.
-What is stopped there never ran.
+An attempt that is stopped there was never executed.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 
 class StopReason(Enum):
-    """Why a request does not go on."""
+    """Why an attempt does not go on; the values are labels of metrics."""
 
-    LEFT = "left"  # its client has gone, or it has its answer
-    PAST = "past"  # its time is up
-    TOO_LATE = "too late"  # it can no longer end in time
-    OUT = "out"  # the engine has been taken out by hand
-    DRAINED = "drained"  # the engine drains, or has gone
-    BUDGET = "budget"  # no further attempt is left in the budget
+    CLIENT_LEFT = "left"  # or it has its answer already
+    DEADLINE_PASSED = "past"
+    INSUFFICIENT_TIME = "too late"  # the attempt cannot complete before the deadline any more
+    ENDPOINT_DISABLED = "out"  # administratively
+    ENDPOINT_DRAINING = "drained"  # or the endpoint list does not name it any more
+    RETRY_BUDGET_EXHAUSTED = "budget"
 
 
 class HandOver(Enum):
-    """The hand-overs, in the order in which a request passes them."""
+    """The hand-overs, in the order in which an attempt passes them; values are metric labels."""
 
     POOL = "pool"
     CONNECTION = "connection"
@@ -32,55 +32,60 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandOverCheck:
-    """What a check looks at, in nanoseconds of the caller's clock.
+class HandOverState:
+    """What a check looks at; times are on the caller's clock.
 
     Attributes:
-        wanted: Somebody still waits for the answer.
-        deadline_ns: When the answer must be here.
-        fastest_ns: What the endpoint takes at the least, 0 where that is not known.
-        disabled: The endpoint is administratively disabled.
-        drained_at_ns: When the endpoint was told to drain, 0 where it was not.
+        answer_wanted: Whether a client still waits for the answer.
+        deadline_ns: By when the answer must be here.
+        min_latency_ns: The shortest time that the endpoint takes; 0 if that is not known.
+        disabled: Whether the endpoint is administratively disabled.
+        draining_since_ns: Since when the endpoint is draining; 0 if it is not.
     """
 
-    wanted: bool
+    answer_wanted: bool
     deadline_ns: int
-    fastest_ns: int = 0
+    min_latency_ns: int = 0
     disabled: bool = False
-    drained_at_ns: int = 0
+    draining_since_ns: int = 0
 
 
-def reason_to_stop(now: int, passing: HandOverCheck) -> StopReason | None:
-    """Return the first reason against going on, or None.
+def reason_to_stop(now: int, state: HandOverState) -> StopReason | None:
+    """Return the first reason against going on; None if there is none.
 
-    The order of the reasons counts: a request whose client has gone says nothing of its endpoint
-    and must not be reported as if it did.
+    The order of the reasons matters: a request whose client has left says nothing about its
+    endpoint and must not be counted as if it did.
     """
-    if not passing.wanted:
-        return StopReason.LEFT
-    if now >= passing.deadline_ns:
-        return StopReason.PAST
-    if passing.disabled:
-        return StopReason.OUT
-    if passing.drained_at_ns and now >= passing.drained_at_ns:
-        return StopReason.DRAINED
-    if passing.fastest_ns and passing.deadline_ns - now < passing.fastest_ns:
-        return StopReason.TOO_LATE
+    if not state.answer_wanted:
+        return StopReason.CLIENT_LEFT
+    if now >= state.deadline_ns:
+        return StopReason.DEADLINE_PASSED
+    if state.disabled:
+        return StopReason.ENDPOINT_DISABLED
+    if state.draining_since_ns and now >= state.draining_since_ns:
+        return StopReason.ENDPOINT_DRAINING
+    if state.min_latency_ns and state.deadline_ns - now < state.min_latency_ns:
+        return StopReason.INSUFFICIENT_TIME
     return None
 
 
 @dataclass(slots=True)
 class HandOverStatistics:
-    """Counts of what the checks have stopped, and of what went on all the same."""
+    """Counts of attempts that were stopped or cancelled.
 
-    stopped: Counter[tuple[HandOver, StopReason]] = field(default_factory=Counter)
-    begun_after: Counter[StopReason] = field(default_factory=Counter)  # a byte had left, then this
-    stopped_after_cancel: int = 0  # undone, and silent since
-    answered_after_cancel: int = 0  # undone, and answered all the same
-    cancels_sent: int = 0
-    resent: int = 0
-    late_answers: int = 0  # answers that came when nobody waited
+    Attributes:
+        stop_counts: Attempts that were stopped at a hand-over, so that no byte was written.
+        partial_write_counts: Attempts that were partly written when their request ended, and were
+            written to their end.
+        cancels_sent: Attempts in flight that were cancelled.
+        cancels_confirmed: Cancelled attempts that have been silent since.
+        cancels_answered: Cancelled attempts that were answered nevertheless.
+        late_answers: Answers that came when no client waited for them.
+    """
 
-    def taken_back(self) -> int:
-        """Return the number of attempts that were stopped before a byte of them left."""
-        return sum(self.stopped.values())
+    stop_counts: Counter[tuple[HandOver, StopReason]] = field(default_factory=Counter)
+    partial_write_counts: Counter[StopReason] = field(default_factory=Counter)
+    cancels_sent: int = 0
+    cancels_confirmed: int = 0
+    cancels_answered: int = 0
+    late_answers: int = 0
--- a/query_broker/deadlines/metrics.py
+++ b/query_broker/deadlines/metrics.py
@@ -1,4 +1,7 @@
-"""Metrics of deadlines in the Prometheus text format. Performs no I/O."""
+"""Metrics of deadlines in the Prometheus text format. Performs no I/O.
+
+The names, labels and help texts are read by dashboards and stay as they are, in the older terms.
+"""
 
 from __future__ import annotations
 
@@ -7,71 +10,90 @@
 from .stage_latencies import StageLatencies
 
 PREFIX = "larchhall_"
-SINGLE = {
-    "undone_total": "Running attempts that were undone.",
-    "undone_stopped_total": "Of them, those that were silent from then on.",
-    "undone_went_on_total": "Of them, those that answered all the same.",
-    "answers_late_total": "Answers that came when nobody waited.",
-}
+NS_PER_S = 1e9
 
 
-def text(
-    tally: HandOverStatistics, stages: StageLatencies, margin: int, budget: RetryBudget | None
+def render_deadline_metrics(
+    statistics: HandOverStatistics,
+    stages: StageLatencies,
+    margin_ns: int,
+    budget: RetryBudget | None,
 ) -> bytes:
-    """Return the lines of all metrics of deadlines; ``margin`` in nanoseconds."""
+    """Return the lines of all metrics of deadlines.
+
+    Args:
+        statistics: What hand-over checks and cancellations have counted.
+        stages: The latencies of each stage.
+        margin_ns: The margin in force.
+        budget: The retry budget; None where operators set none.
+    """
     lines = [
-        *_handover_lines(tally),
-        *_cancellation_lines(tally),
-        *_single(
+        *_hand_over_lines(statistics),
+        *_cancellation_lines(statistics),
+        *_single_lines(
             "margin_seconds",
             "gauge",
             "Kept of each request's time for its answer's way back.",
-            f"{margin / 1e9:.6f}",
+            f"{margin_ns / NS_PER_S:.6f}",
         ),
     ]
     if budget is not None:
-        lines += _single(
+        lines += _single_lines(
             "further_refused_total",
             "counter",
             "Further attempts that the budget did not allow.",
             str(budget.refused),
         )
-    return ("\n".join([*lines, *stages.metrics_lines(PREFIX)]) + "\n").encode()
+    lines += stages.metrics_lines(PREFIX)
+    return ("\n".join(lines) + "\n").encode()
 
 
-def _head(name: str, kind: str, description: str) -> list[str]:
-    return [f"# HELP {PREFIX}{name} {description}", f"# TYPE {PREFIX}{name} {kind}"]
+def _head_lines(name: str, kind: str, help_text: str) -> list[str]:
+    return [f"# HELP {PREFIX}{name} {help_text}", f"# TYPE {PREFIX}{name} {kind}"]
 
 
-def _single(name: str, kind: str, description: str, value: str) -> list[str]:
-    return [*_head(name, kind, description), f"{PREFIX}{name} {value}"]
+def _single_lines(name: str, kind: str, help_text: str, value: str) -> list[str]:
+    return [*_head_lines(name, kind, help_text), f"{PREFIX}{name} {value}"]
 
 
-def _handover_lines(tally: HandOverStatistics) -> list[str]:
-    """Attempts stopped at a hand-over, and those that were half written by then."""
-    stopped = sorted((hand.value, why.value, count) for (hand, why), count in tally.stopped.items())
-    begun_after = sorted((why.value, count) for why, count in tally.begun_after.items())
-    return [
-        *_head(
-            "taken_back_total", "counter", "Attempts stopped at a hand-over before a byte left."
-        ),
-        *(
-            f'{PREFIX}taken_back_total{{at="{hand}",cause="{cause}"}} {count}'
-            for hand, cause, count in stopped
-        ),
-        *_head("begun_after_total", "counter", "Attempts half written when their request ended."),
-        *(f'{PREFIX}begun_after_total{{cause="{cause}"}} {count}' for cause, count in begun_after),
-    ]
+def _hand_over_lines(statistics: HandOverStatistics) -> list[str]:
+    """Return the counts of attempts that were stopped, and of those that were partly written."""
+    lines = _head_lines(
+        "taken_back_total", "counter", "Attempts stopped at a hand-over before a byte left."
+    )
+    stop_counts = sorted(
+        (hand_over.value, reason.value, count)
+        for (hand_over, reason), count in statistics.stop_counts.items()
+    )
+    for hand_over, cause, count in stop_counts:
+        lines.append(f'{PREFIX}taken_back_total{{at="{hand_over}",cause="{cause}"}} {count}')
+    lines += _head_lines(
+        "begun_after_total", "counter", "Attempts half written when their request ended."
+    )
+    partial_write_counts = sorted(
+        (reason.value, count) for reason, count in statistics.partial_write_counts.items()
+    )
+    for cause, count in partial_write_counts:
+        lines.append(f'{PREFIX}begun_after_total{{cause="{cause}"}} {count}')
+    return lines
 
 
-def _cancellation_lines(tally: HandOverStatistics) -> list[str]:
-    counts = (
-        tally.cancels_sent,
-        tally.stopped_after_cancel,
-        tally.answered_after_cancel,
-        tally.late_answers,
+def _cancellation_lines(statistics: HandOverStatistics) -> list[str]:
+    counters = (
+        ("undone_total", "Running attempts that were undone.", statistics.cancels_sent),
+        (
+            "undone_stopped_total",
+            "Of them, those that were silent from then on.",
+            statistics.cancels_confirmed,
+        ),
+        (
+            "undone_went_on_total",
+            "Of them, those that answered all the same.",
+            statistics.cancels_answered,
+        ),
+        ("answers_late_total", "Answers that came when nobody waited.", statistics.late_answers),
     )
     lines: list[str] = []
-    for (name, description), count in zip(SINGLE.items(), counts, strict=True):
-        lines += _single(name, "counter", description, str(count))
+    for name, help_text, count in counters:
+        lines += _single_lines(name, "counter", help_text, str(count))
     return lines
--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -75,7 +75,8 @@
             return
         budget = self._controls.retry_budget
         if budget is not None and not self._is_within_budget(budget, attempt):
-            self._controls.statistics.stopped[HandOver.POOL, StopReason.BUDGET] += 1
+            stop_counts = self._controls.statistics.stop_counts
+            stop_counts[HandOver.POOL, StopReason.RETRY_BUDGET_EXHAUSTED] += 1
             self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
             return
         attempt.timer = self._timers.set_timer(
--- a/query_broker/dispatch/cancellation.py
+++ b/query_broker/dispatch/cancellation.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 
 from ..deadlines.cancel_scopes import CancelAction, CancelScope, ScopeKind
-from ..deadlines.handover_checks import HandOver, HandOverCheck, StopReason, reason_to_stop
+from ..deadlines.handover_checks import HandOver, HandOverState, StopReason, reason_to_stop
 from ..deadlines.settings import LatencyStage
 from ..decisions.facade import (
     AttemptResult,
@@ -66,29 +66,29 @@
         reason = reason_to_stop(now_ns, self._facts(attempt, hand_over, now_ns))
         if reason is None:
             return True
-        self._controls.statistics.stopped[hand_over, reason] += 1
+        self._controls.statistics.stop_counts[hand_over, reason] += 1
         if attempt.connection is not None:
             attempt.connection.in_flight.pop(attempt.request.client_request_id, None)
         self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
         return False
 
-    def _facts(self, attempt: Attempt, hand_over: HandOver, now_ns: int) -> HandOverCheck:
+    def _facts(self, attempt: Attempt, hand_over: HandOver, now_ns: int) -> HandOverState:
         """What the check of a hand-over looks at."""
         request = attempt.request
         known = self._endpoints.by_number.get(attempt.endpoint)
         stages = self._controls.stages
-        fastest_ns = 0
+        min_latency_ns = 0
         if stages is not None:
             remaining = REMAINING_STAGES[hand_over]
-            fastest_ns = stages.min_latency_ns(request.class_name.decode(), now_ns, *remaining)
+            min_latency_ns = stages.min_latency_ns(request.class_name.decode(), now_ns, *remaining)
         disabled = False
         if known is not None and self._administrative_states.states:
             disabled = self._administrative_states.is_disabled(known.target.uid)
         draining = known is None or known.target.state is not EndpointState.READY
-        return HandOverCheck(
+        return HandOverState(
             request.client is not None and not request.client_unreadable,
             min(attempt.deadline_ns, request.deadline_ns, attempt.latest_start_ns),
-            fastest_ns,
+            min_latency_ns,
             disabled,
             now_ns if draining else 0,
         )
@@ -162,10 +162,10 @@
         """
         if not request.attempts:
             return
-        honoured = self._context.config.settings.limits.cancellation
-        for action, scope in request.scope().end(honoured):
-            if isinstance(scope.name, Attempt):
-                self._apply(action, scope.name)
+        supported = self._context.config.settings.limits.cancellation
+        for action, scope in request.scope().end(supported):
+            if isinstance(scope.work, Attempt):
+                self._apply(action, scope.work)
 
     def cancel_attempt(self, order: CancelAttempt) -> None:
         """Cancel one attempt by order of the decisions.
@@ -199,12 +199,12 @@
         connection = attempt.connection
         match action:
             case CancelAction.WITHDRAW if connection is None:
-                self._controls.statistics.stopped[HandOver.POOL, StopReason.LEFT] += 1
+                self._controls.statistics.stop_counts[HandOver.POOL, StopReason.CLIENT_LEFT] += 1
                 return AttemptResult.NOT_SENT
             case CancelAction.WITHDRAW if connection is not None:
                 if not connection.withdraw(attempt):
                     return None
-                self._controls.statistics.stopped[HandOver.SOCKET, StopReason.LEFT] += 1
+                self._controls.statistics.stop_counts[HandOver.SOCKET, StopReason.CLIENT_LEFT] += 1
                 return AttemptResult.NOT_SENT
             case CancelAction.CANCEL if connection is not None:
                 self._outcomes.cancel_in_flight(attempt, connection)
--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -74,8 +74,10 @@
         self._metrics.dispatches += 1
         attempt.written_ns = self._clock.now()
         if not attempt.wanted():  # it was half written when its request ended: the rest followed
-            reason = StopReason.LEFT if attempt.request.abandoned else StopReason.PAST
-            self._controls.statistics.begun_after[reason] += 1
+            reason = StopReason.DEADLINE_PASSED
+            if attempt.request.abandoned:
+                reason = StopReason.CLIENT_LEFT
+            self._controls.statistics.partial_write_counts[reason] += 1
 
     def socket_blocked(self, connection: EngineConnection) -> None:
         """The socket takes no more: it is flushed with the next tick."""
@@ -133,10 +135,10 @@
 
     def cancellations_ended(self, outcome: CancelOutcome, count: int) -> None:
         """So many cancelled attempts have come to this outcome."""
-        if outcome is CancelOutcome.WENT_ON:
-            self._controls.statistics.answered_after_cancel += count
+        if outcome is CancelOutcome.ANSWERED:
+            self._controls.statistics.cancels_answered += count
         else:
-            self._controls.statistics.stopped_after_cancel += count
+            self._controls.statistics.cancels_confirmed += count
 
     def carried_elsewhere(self, connection: EngineConnection, request_id: bytes) -> bool:
         """Whether another connection to the endpoint has carried this client's id of late."""
--- a/query_broker/dispatch/deadline_controls.py
+++ b/query_broker/dispatch/deadline_controls.py
@@ -59,6 +59,8 @@
         if self.stages is None:
             return b""
         # Imported here: the module needs an optional package, which `run` must not load.
-        from ..deadlines.metrics import text
+        from ..deadlines.metrics import render_deadline_metrics
 
-        return text(self.statistics, self.stages, self.margin_ns, self.retry_budget)
+        return render_deadline_metrics(
+            self.statistics, self.stages, self.margin_ns, self.retry_budget
+        )
--- a/query_broker/protocols/engine_cancellations.py
+++ b/query_broker/protocols/engine_cancellations.py
@@ -9,7 +9,7 @@
 
 from typing import Protocol
 
-from ..deadlines.cancel_scopes import CancelOutcome, Undoing
+from ..deadlines.cancel_scopes import CancelOutcome, PendingCancels
 from .engine_messages import CANCEL
 from .engine_writer import EngineWriter
 
@@ -28,29 +28,29 @@
         """Take whom to notify, and where cancellations are written."""
         self.observer = observer
         self.writer = writer
-        self.undoing = Undoing()
+        self.pending = PendingCancels()
 
     def begin(self, request_id: bytes, now: int) -> None:
         """Cancel the attempt under this id."""
-        self.undoing.begin(request_id, now)
+        self.pending.begin(request_id, now)
         self.writer.send_cancel(now, request_id)
 
     def check(self, now: int) -> None:
         """Repeat what may not have been heard, and report what counts as stopped."""
-        unanswered, stopped = self.undoing.due(now)
-        for request_id in unanswered:
+        found = self.pending.check(now)
+        for request_id in found.to_resend:
             self.writer.send_command(now, CANCEL, request_id)
-        if stopped:
-            self.observer.cancellations_ended(CancelOutcome.STOPPED, len(stopped))
+        if found.stopped:
+            self.observer.cancellations_ended(CancelOutcome.STOPPED, len(found.stopped))
 
     def answered(self, request_id: bytes) -> None:
         """Take note of an answer to no attempt that is in flight: it may be a cancelled one's."""
-        outcome = self.undoing.answered(request_id)
+        outcome = self.pending.resolve_by_answer(request_id)
         if outcome is not None:
             self.observer.cancellations_ended(outcome, 1)
 
     def connection_ended(self) -> None:
         """Report those that were not known to have stopped."""
-        lost = self.undoing.lost()
+        lost = self.pending.clear()
         if lost:
-            self.observer.cancellations_ended(CancelOutcome.LOST, lost)
+            self.observer.cancellations_ended(CancelOutcome.CONNECTION_LOST, lost)
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -82,7 +82,7 @@
         self.write_queue = self.writer.write_queue
         self.cancels_in_transit = self.writer.cancels_in_transit
         self.cancellations = EngineCancellations(owner, self.writer)
-        self.cancelled = self.cancellations.undoing.waiting
+        self.cancelled = self.cancellations.pending.by_id
         self.answers = EngineAnswers(
             self, owner, self.writer, self.cancellations, partial(owner.carried_elsewhere, self)
         )
--- a/tests/deadlines/test_pure.py
+++ b/tests/deadlines/test_pure.py
@@ -17,10 +17,10 @@
     CancelAction,
     CancelOutcome,
     CancelScope,
+    PendingCancels,
     ScopeKind,
-    Undoing,
 )
-from query_broker.deadlines.handover_checks import HandOverCheck, StopReason, reason_to_stop
+from query_broker.deadlines.handover_checks import HandOverState, StopReason, reason_to_stop
 from query_broker.deadlines.retry_budget import RetryBudget, RetryBudgetSettings, attempt_time
 from query_broker.deadlines.settings import (
     DeadlineSettings,
@@ -49,20 +49,20 @@
 @pytest.mark.parametrize(
     ("passing", "why"),
     [
-        (HandOverCheck(True, 10), None),
-        (HandOverCheck(False, 10), StopReason.LEFT),
-        (HandOverCheck(True, 5), StopReason.PAST),
-        (HandOverCheck(True, 4), StopReason.PAST),
-        (HandOverCheck(True, 10, disabled=True), StopReason.OUT),
-        (HandOverCheck(True, 10, drained_at_ns=5), StopReason.DRAINED),
-        (HandOverCheck(True, 10, drained_at_ns=6), None),
-        (HandOverCheck(True, 10, fastest_ns=6), StopReason.TOO_LATE),
-        (HandOverCheck(True, 10, fastest_ns=5), None),
-        (HandOverCheck(False, 4, 9, True, 1), StopReason.LEFT),
+        (HandOverState(True, 10), None),
+        (HandOverState(False, 10), StopReason.CLIENT_LEFT),
+        (HandOverState(True, 5), StopReason.DEADLINE_PASSED),
+        (HandOverState(True, 4), StopReason.DEADLINE_PASSED),
+        (HandOverState(True, 10, disabled=True), StopReason.ENDPOINT_DISABLED),
+        (HandOverState(True, 10, draining_since_ns=5), StopReason.ENDPOINT_DRAINING),
+        (HandOverState(True, 10, draining_since_ns=6), None),
+        (HandOverState(True, 10, min_latency_ns=6), StopReason.INSUFFICIENT_TIME),
+        (HandOverState(True, 10, min_latency_ns=5), None),
+        (HandOverState(False, 4, 9, True, 1), StopReason.CLIENT_LEFT),
     ],
 )  # nobody wants it: that says nothing of the engine
 def test_a_gate_tells_the_first_reason_against_it(
-    passing: HandOverCheck, why: StopReason | None
+    passing: HandOverState, why: StopReason | None
 ) -> None:
     assert reason_to_stop(5, passing) is why
 
@@ -231,43 +231,43 @@
         (CancelAction.DISCARD_PAGES, page),
         (CancelAction.LET_RUN, probe),
         (act, sent),
-        (CancelAction.ANSWER, request),
+        (CancelAction.END_REQUEST, request),
     ]
     assert request.end(honoured) == []
     assert sent.end(honoured) == []
     late = request.open(ScopeKind.ATTEMPT, 2)
-    assert late.over
+    assert late.ended
     assert late.end(True) == []
 
 
 def test_a_scope_that_is_over_by_itself_is_not_ended_with_the_rest() -> None:
     request, (unsent, sent, page, probe) = tree()
     sent.close()
-    assert page.over
+    assert page.ended
     assert request.end(True) == [
         (CancelAction.WITHDRAW, unsent),
-        (CancelAction.ANSWER, request),
+        (CancelAction.END_REQUEST, request),
     ]
 
 
 def test_an_undo_is_said_again_within_bounds_and_ends_by_silence_or_answer() -> None:
-    undoing = Undoing()
-    undoing.begin(b"a", 0)
-    undoing.begin(b"b", 0)
-    assert undoing.due(scopes.RESEND - 1) == ([], [])
-    assert undoing.due(scopes.RESEND) == ([b"a", b"b"], [])
-    assert undoing.answered(b"a") is CancelOutcome.WENT_ON
-    assert undoing.answered(b"a") is None
-    assert undoing.due(2 * scopes.RESEND) == ([b"b"], [])
-    assert undoing.due(3 * scopes.RESEND) == (
+    pending = PendingCancels()
+    pending.begin(b"a", 0)
+    pending.begin(b"b", 0)
+    assert pending.check(scopes.RESEND_INTERVAL_NS - 1) == ([], [])
+    assert pending.check(scopes.RESEND_INTERVAL_NS) == ([b"a", b"b"], [])
+    assert pending.resolve_by_answer(b"a") is CancelOutcome.ANSWERED
+    assert pending.resolve_by_answer(b"a") is None
+    assert pending.check(2 * scopes.RESEND_INTERVAL_NS) == ([b"b"], [])
+    assert pending.check(3 * scopes.RESEND_INTERVAL_NS) == (
         [],
         [],
     )
-    assert undoing.due(scopes.CONFIRM) == ([], [b"b"])
-    assert undoing.lost() == 0
-    undoing.begin(b"c", 0)
-    assert undoing.lost() == 1
-    assert not undoing.waiting
+    assert pending.check(scopes.CONFIRMATION_NS) == ([], [b"b"])
+    assert pending.clear() == 0
+    pending.begin(b"c", 0)
+    assert pending.clear() == 1
+    assert not pending.by_id
 
 
 # --- further attempts ---
--- a/tests/deadlines/test_sockets.py
+++ b/tests/deadlines/test_sockets.py
@@ -119,7 +119,7 @@
 
 
 def tally(rig: Rig, hand: HandOver, why: StopReason) -> int:
-    return statistics(rig).stopped[hand, why]
+    return statistics(rig).stop_counts[hand, why]
 
 
 def trace(number: int) -> str:
@@ -148,7 +148,7 @@
             client.ask(number, trace=trace(number), weight="1.0")
         await until(lambda: held(rig)[0].write_queue.keyed)
         client.send(frames.ABANDON, 2)
-        await until(lambda: tally(rig, HandOver.SOCKET, StopReason.LEFT) == 1)
+        await until(lambda: tally(rig, HandOver.SOCKET, StopReason.CLIENT_LEFT) == 1)
         await until(lambda: trace(2).encode() not in held(rig)[0].in_flight)
         client.send(frames.ABANDON, 1)  # half of it has left: the rest must follow
         for _ in range(400):
@@ -158,7 +158,7 @@
             await asyncio.sleep(0.005)
         assert [d[1] for d in slow.words(b"do")] == [trace(1).encode(), trace(3).encode()]
         assert slow.words(b"do")[0][3] == LARGE
-        assert statistics(rig).begun_after == {StopReason.LEFT: 1}
+        assert statistics(rig).partial_write_counts == {StopReason.CLIENT_LEFT: 1}
     slow.close()
 
 
@@ -180,7 +180,7 @@
             await slow.read()
             await asyncio.sleep(0.005)
         assert [d[1] for d in slow.words(b"do")] == [trace(1).encode()]
-        assert statistics(rig).begun_after == {StopReason.PAST: 1}
+        assert statistics(rig).partial_write_counts == {StopReason.DEADLINE_PASSED: 1}
     slow.close()
 
 
@@ -204,7 +204,7 @@
         attempt.deadline_ns = rig.node.dispatcher.now()
         attempt.reported = False
         assert not rig.node.dispatcher.connection_events.may_go(attempt)
-        assert tally(rig, HandOver.SOCKET, StopReason.PAST) == 1
+        assert tally(rig, HandOver.SOCKET, StopReason.DEADLINE_PASSED) == 1
     slow.close()
 
 
@@ -220,7 +220,7 @@
         await until(lambda: len(rig.node.dispatcher.requests) == 2)
         client.send(frames.ABANDON, 1)
         await until(
-            lambda: tally(rig, HandOver.POOL, StopReason.LEFT) == 1
+            lambda: tally(rig, HandOver.POOL, StopReason.CLIENT_LEFT) == 1
             and len(rig.node.dispatcher.requests) == 1
         )
         gate.set()
@@ -255,9 +255,9 @@
         # Unsafe, and sent elsewhere all the same: it never left for the first engine.
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert [d[1] for d in slow.words(b"do")] == [trace(1).encode()]
-        assert (
-            tally(rig, HandOver.SOCKET, StopReason.OUT if how == "out" else StopReason.DRAINED) == 1
-        )
+        disabled = how == "out"
+        reason = StopReason.ENDPOINT_DISABLED if disabled else StopReason.ENDPOINT_DRAINING
+        assert tally(rig, HandOver.SOCKET, reason) == 1
     slow.close()
 
 
@@ -299,7 +299,7 @@
             lambda: not rig.node.dispatcher.request_table.unanswered_count
             and not rig.node.dispatcher.requests
         )
-        assert tally(rig, HandOver.POOL, StopReason.LEFT) == 500
+        assert tally(rig, HandOver.POOL, StopReason.CLIENT_LEFT) == 500
         gate.set()
         last = await rig.client()
         last.ask(1, trace=trace(1), weight="0.1", customer=None)
@@ -348,7 +348,7 @@
             assert (await client.answer())[1] == frames.FAILED
         await until(lambda: engine.commands_named(b"undo"))
         assert {d[1] for d in engine.commands_named(b"undo")} == {TRACE.encode()}
-        await until(lambda: statistics(rig).stopped_after_cancel == 1)  # by silence
+        await until(lambda: statistics(rig).cancels_confirmed == 1)  # by silence
         assert statistics(rig).cancels_sent == 1
         assert len(engine.commands_named(b"undo")) <= 3
         assert held(rig)[0].is_idle()
@@ -367,12 +367,12 @@
         client.send(frames.ABANDON, 1)
         await until(lambda: engine.commands_named(b"undo"))
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
-        await until(lambda: statistics(rig).answered_after_cancel == 1)
+        await until(lambda: statistics(rig).cancels_answered == 1)
         client.ask(2, trace=trace(2), weight="1.0")
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         engine.answer_served(engine.commands_named(b"do")[1], engine.writers[-1])
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        assert statistics(rig).stopped_after_cancel == 0
+        assert statistics(rig).cancels_confirmed == 0
 
 
 @on_uvloop
@@ -556,7 +556,7 @@
             client.ask(number, trace=trace(number), weight="1.0")
             assert (await client.answer())[1] == frames.REFUSED
         assert sum(len(e.commands_named(b"do")) for e in engines) == 12
-        assert tally(rig, HandOver.POOL, StopReason.BUDGET)
+        assert tally(rig, HandOver.POOL, StopReason.RETRY_BUDGET_EXHAUSTED)
         assert controls(rig).retry_budget is not None
 
 
--- a/tests/golden/operators/test_deadline_metrics.py
+++ b/tests/golden/operators/test_deadline_metrics.py
@@ -17,22 +17,24 @@
 
 def test_metrics_of_deadlines() -> None:
     statistics = HandOverStatistics(
-        stopped_after_cancel=1, answered_after_cancel=2, cancels_sent=3, late_answers=4
+        cancels_confirmed=1, cancels_answered=2, cancels_sent=3, late_answers=4
     )
     for number, hand_over in enumerate(HandOver, 1):
         for reason in StopReason:
-            statistics.stopped[hand_over, reason] = number
+            statistics.stop_counts[hand_over, reason] = number
     for number, reason in enumerate(StopReason, 1):
-        statistics.begun_after[reason] = number
+        statistics.partial_write_counts[reason] = number
     latencies = StageLatencies(MarginSettings())
     for number, stage in enumerate(LatencyStage, 1):
         latencies.add("glance", stage, number * NS_PER_MS, NOW_NS)
     budget = RetryBudget(RetryBudgetSettings(), refused=6)
-    text = metrics.text(statistics, latencies, MARGIN_NS, budget).decode()
+    text = metrics.render_deadline_metrics(statistics, latencies, MARGIN_NS, budget).decode()
     assert text == DEADLINE_METRICS
 
 
 def test_metrics_of_deadlines_without_a_retry_budget() -> None:
     latencies = StageLatencies(MarginSettings())
-    text = metrics.text(HandOverStatistics(), latencies, MARGIN_NS, None).decode()
+    text = metrics.render_deadline_metrics(
+        HandOverStatistics(), latencies, MARGIN_NS, None
+    ).decode()
     assert text == METRICS_WITHOUT_A_RETRY_BUDGET
