--- a/query_broker/clickhouse/errors.py
+++ b/query_broker/clickhouse/errors.py
@@ -9,7 +9,8 @@
 
 from ..errors import QueryBrokerError
 
-HEADER = "X-ClickHouse-Exception-Code"
+MS_PER_S = 1_000
+EXCEPTION_CODE_HEADER = "X-ClickHouse-Exception-Code"
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,14 +40,16 @@
 class QueryError(QueryBrokerError):
     """A request that gets an error in place of a result.
 
-    ``pause`` is the time to stay away in seconds, for a rejection; 0 states none.
+    Attributes:
+        kind: The kind of the error.
+        retry_after_s: How long the client should wait before a retry; 0 states nothing.
     """
 
-    def __init__(self, kind: ErrorKind, text: str, pause: float = 0.0) -> None:
-        """Take the kind of the error, what is wrong, and the pause in seconds."""
+    def __init__(self, kind: ErrorKind, text: str, retry_after_s: float = 0.0) -> None:
+        """Take the kind of the error, what is wrong, and when to retry."""
         super().__init__(text)
         self.kind = kind
-        self.pause = pause
+        self.retry_after_s = retry_after_s
 
     def body(self) -> bytes:
         """Return the one line that clients look for; a line end in the text is made a space."""
@@ -54,9 +57,10 @@
         return f"Code: {self.kind.code}. DB::Exception: {text}. ({self.kind.name})\n".encode()
 
     def headers(self) -> list[tuple[str, str]]:
-        """Return the headers of the answer: the code, and the pause where there is one."""
-        headers = [(HEADER, str(self.kind.code))]
-        if self.pause > 0:
-            retry_after_s = max(1, -(-int(self.pause * 1000) // 1000))
-            headers.append(("Retry-After", str(retry_after_s)))
+        """Return the headers of the answer: the code, and when to retry where that is stated."""
+        headers = [(EXCEPTION_CODE_HEADER, str(self.kind.code))]
+        if self.retry_after_s > 0:
+            milliseconds = int(self.retry_after_s * MS_PER_S)
+            seconds = max(1, -(-milliseconds // MS_PER_S))  # rounded up
+            headers.append(("Retry-After", str(seconds)))
         return headers
--- a/query_broker/clickhouse/request.py
+++ b/query_broker/clickhouse/request.py
@@ -1,8 +1,8 @@
 """A request of the interface: its URL, its headers, and how much of its body is the statement.
 
-Performs no I/O.
-The statement stands in the URL's ``query``, in the body, or in both (then the body follows it after
-a line feed, or is an INSERT's data). What is no word of the interface is a setting, passed on.
+Performs no I/O. The statement stands in the URL's ``query``, in the body, or in both: then the body
+follows it after a line feed, or is the data of an INSERT. A parameter that the interface does not
+define is a setting, which is passed on to the engine.
 """
 
 from __future__ import annotations
@@ -12,17 +12,19 @@
 import re
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 from urllib.parse import parse_qsl
 
 from .errors import AUTHENTICATION_FAILED, BAD_ARGUMENTS, SYNTAX_ERROR, QueryError
 
 NS_PER_S = 1_000_000_000
-MOST_URL = 65_536  # bytes
-MOST_PARAMETERS = 500
-NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_.]{0,127}")
+MAX_URL_BYTES = 65_536
+MAX_PARAMETERS = 500
+SETTING_NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_.]{0,127}")
 PARAMETER_PREFIX = "param_"
-ID = re.compile(r"[\x21-\x7e]{1,200}")
-WORDS = frozenset(
+QUERY_ID = re.compile(r"[\x21-\x7e]{1,200}")
+#: Parameters of a URL that the interface defines; all others are settings.
+INTERFACE_PARAMETERS = frozenset(
     {
         "query",
         "query_id",
@@ -46,14 +48,44 @@
         "close_session",
     }
 )
-HIDDEN = frozenset({"password", "authorization", "x-clickhouse-key"})
+SECRET_PARAMETERS = re.compile(r"(?i)([?&](?:password|user)=)[^&#]*")
+MAX_SESSION_TIMEOUT_S = 3_600
+MAX_BUFFER_BYTES = 1 << 40
+MAX_COUNT_DIGITS = 15
+#: How much of a rejected name an error quotes.
+QUOTED_NAME_LENGTH = 60
+DEFAULT_USER = "default"
+
+
+class Credentials(NamedTuple):
+    """Who sends a request."""
+
+    user: str
+    password: str
 
 
 @dataclass(frozen=True, slots=True)
-class Parameters:
-    """What the head of a request says.
+class RequestHead:
+    """What the URL and the headers of a request say.
 
-    ``params`` are the values for ``{name:Type}`` in the statement.
+    Attributes:
+        path: The path of the URL.
+        query: The statement, or its beginning, from the URL.
+        query_id: The id that the client gives the request; empty if it gives none.
+        user: The user.
+        password: The password of the user.
+        database: The database of names that have none.
+        default_format: The format of the result where the statement names none.
+        quota_key: By what the user's quota is counted.
+        session_id: The session; empty if there is none.
+        session_timeout_ns: How long the session lives without a request; 0 states nothing.
+        session_must_exist: Whether the session must exist already.
+        wait_end_of_query: Whether the result is wanted in one piece.
+        buffer_bytes: How much of the result the client wants to be buffered.
+        progress_headers: Whether the client wants progress in headers.
+        compress_answer: Whether the client accepts a compressed answer.
+        settings: All other parameters, which are passed on to the engine.
+        statement_parameters: The values for ``{name:Type}`` in the statement.
     """
 
     path: str
@@ -62,54 +94,64 @@
     user: str
     password: str
     database: str
-    format: str
-    quota: str
+    default_format: str
+    quota_key: str
     session_id: str
-    session_timeout: int  # ns; 0: not said
-    session_check: bool
+    session_timeout_ns: int
+    session_must_exist: bool
     wait_end_of_query: bool
-    buffer_size: int
+    buffer_bytes: int
     progress_headers: bool
-    compressed_answer: bool
+    compress_answer: bool
     settings: Mapping[str, str]
-    params: Mapping[str, str]
+    statement_parameters: Mapping[str, str]
 
 
-def _flag(found: Mapping[str, str], name: str) -> bool:
-    value = found.get(name, "0")
+class ParsedUrl(NamedTuple):
+    """The path of a URL and its parameters by name."""
+
+    path: str
+    parameters: dict[str, str]
+
+
+def _flag(parameters: Mapping[str, str], name: str) -> bool:
+    value = parameters.get(name, "0")
     if value not in ("0", "1", "true", "false", ""):
         raise QueryError(BAD_ARGUMENTS, f"{name} is neither 0 nor 1")
     return value in ("1", "true")
 
 
-def _count(found: Mapping[str, str], name: str, most: int) -> int:
-    value = found.get(name) or "0"
-    if not value.isascii() or not value.isdecimal() or len(value) > 15 or int(value) > most:
-        raise QueryError(BAD_ARGUMENTS, f"{name} is no whole number from 0 to {most}")
+def _count(parameters: Mapping[str, str], name: str, max_count: int) -> int:
+    value = parameters.get(name) or "0"
+    is_number = value.isascii() and value.isdecimal() and len(value) <= MAX_COUNT_DIGITS
+    if not is_number or int(value) > max_count:
+        raise QueryError(BAD_ARGUMENTS, f"{name} is no whole number from 0 to {max_count}")
     return int(value)
 
 
-def credentials(headers: Mapping[str, str], found: Mapping[str, str]) -> tuple[str, str]:
+def read_credentials(headers: Mapping[str, str], parameters: Mapping[str, str]) -> Credentials:
     """Return user and password: from the interface's headers, basic authentication, or the URL.
 
-    Two of these at once may name two users, and whose rules hold would be a guess: that raises
-    `Fault`, as does a header that cannot be read.
+    Raises:
+        QueryError: A header cannot be read, or credentials come in several of these ways: they may
+            name two users, and it would be unclear whose rules hold.
     """
-    ways: list[tuple[str, str]] = []
+    candidates: list[Credentials] = []
     if "x-clickhouse-user" in headers or "x-clickhouse-key" in headers:
-        ways.append(
-            (headers.get("x-clickhouse-user", "default"), headers.get("x-clickhouse-key", ""))
-        )
-    if basic := headers.get("authorization", ""):
-        ways.append(_basic_credentials(basic))
-    if "user" in found or "password" in found:
-        ways.append((found.get("user", "default"), found.get("password", "")))
-    if len(ways) > 1:
+        user = headers.get("x-clickhouse-user", DEFAULT_USER)
+        candidates.append(Credentials(user, headers.get("x-clickhouse-key", "")))
+    authorization = headers.get("authorization", "")
+    if authorization:
+        candidates.append(_read_basic_credentials(authorization))
+    if "user" in parameters or "password" in parameters:
+        user = parameters.get("user", DEFAULT_USER)
+        candidates.append(Credentials(user, parameters.get("password", "")))
+    if len(candidates) > 1:
         raise QueryError(AUTHENTICATION_FAILED, "credentials come in more than one way")
-    return ways[0] if ways else ("default", "")
+    return candidates[0] if candidates else Credentials(DEFAULT_USER, "")
 
 
-def _basic_credentials(header: str) -> tuple[str, str]:
+def _read_basic_credentials(header: str) -> Credentials:
     """Return user and password of an Authorization header of the scheme Basic."""
     scheme, _, encoded = header.partition(" ")
     try:
@@ -119,89 +161,107 @@
     user, colon, password = text.partition(":")
     if scheme.lower() != "basic" or not colon:
         raise QueryError(AUTHENTICATION_FAILED, "the Authorization header cannot be read")
-    return user, password
+    return Credentials(user, password)
 
 
-def _read_url(url: bytes) -> tuple[str, dict[str, str]]:
-    """Return the path and the parameters of a URL."""
-    if len(url) > MOST_URL:
-        raise QueryError(BAD_ARGUMENTS, f"the URL is longer than {MOST_URL} bytes")
-    path, _, raw = url.partition(b"?")
+def _read_url(url: bytes) -> ParsedUrl:
+    if len(url) > MAX_URL_BYTES:
+        raise QueryError(BAD_ARGUMENTS, f"the URL is longer than {MAX_URL_BYTES} bytes")
+    path, _, raw_parameters = url.partition(b"?")
     try:
         pairs = parse_qsl(
-            raw.decode("ascii"),
+            raw_parameters.decode("ascii"),
             keep_blank_values=True,
             errors="strict",
-            max_num_fields=MOST_PARAMETERS,
+            max_num_fields=MAX_PARAMETERS,
         )
         text_path = path.decode("ascii")
     except (ValueError, UnicodeDecodeError):
         raise QueryError(BAD_ARGUMENTS, "the URL cannot be read") from None
-    found = dict(pairs)
-    if len(found) < len(pairs):
+    parameters = dict(pairs)
+    if len(parameters) < len(pairs):
         names = [name for name, _ in pairs]
-        twice = next(name for name in names if names.count(name) > 1)
-        raise QueryError(BAD_ARGUMENTS, f"{twice[:60]!r} comes twice")
-    return text_path, found
+        repeated = next(name for name in names if names.count(name) > 1)
+        raise QueryError(BAD_ARGUMENTS, f"{repeated[:QUOTED_NAME_LENGTH]!r} comes twice")
+    return ParsedUrl(text_path, parameters)
 
 
-def _settings(found: Mapping[str, str]) -> tuple[dict[str, str], dict[str, str]]:
-    """Return the settings and the statement's parameters among what a URL names."""
+def _read_settings(parameters: Mapping[str, str]) -> dict[str, str]:
+    """Return the parameters that are settings."""
     settings: dict[str, str] = {}
-    params: dict[str, str] = {}
-    for name, value in found.items():
-        if name in WORDS:
+    for name, value in parameters.items():
+        if name in INTERFACE_PARAMETERS or name.startswith(PARAMETER_PREFIX):
             continue
-        if name.startswith(PARAMETER_PREFIX):
-            params[name.removeprefix(PARAMETER_PREFIX)] = value
-        elif NAME.fullmatch(name) is None:
-            raise QueryError(BAD_ARGUMENTS, f"{name[:60]!r} is no name of a setting")
-        else:
-            settings[name] = value
-    return settings, params
-
-
-def read(url: bytes, headers: Iterable[tuple[str, str]]) -> Parameters:
-    """Return the head of a request; `Fault` says what is wrong with it, and tells no secret."""
-    path, found = _read_url(url)
-    head = {name.lower(): value for name, value in headers}
-    user, password = credentials(head, found)
-    query_id = found.get("query_id", "") or head.get("x-clickhouse-query-id", "")
-    if query_id and not ID.fullmatch(query_id):
+        if SETTING_NAME.fullmatch(name) is None:
+            quoted = repr(name[:QUOTED_NAME_LENGTH])
+            raise QueryError(BAD_ARGUMENTS, f"{quoted} is no name of a setting")
+        settings[name] = value
+    return settings
+
+
+def _read_statement_parameters(parameters: Mapping[str, str]) -> dict[str, str]:
+    return {
+        name.removeprefix(PARAMETER_PREFIX): value
+        for name, value in parameters.items()
+        if name.startswith(PARAMETER_PREFIX)
+    }
+
+
+def read_head(url: bytes, headers: Iterable[tuple[str, str]]) -> RequestHead:
+    """Return what the URL and the headers of a request say.
+
+    Raises:
+        QueryError: They cannot be read or contradict each other; the text contains no secret.
+    """
+    path, parameters = _read_url(url)
+    lower_headers = {name.lower(): value for name, value in headers}
+    user, password = read_credentials(lower_headers, parameters)
+    query_id = parameters.get("query_id", "") or lower_headers.get("x-clickhouse-query-id", "")
+    if query_id and not QUERY_ID.fullmatch(query_id):
         raise QueryError(BAD_ARGUMENTS, "query_id has more than 200, or odd, characters")
-    settings, params = _settings(found)
-    return Parameters(
-        path,
-        found.get("query", ""),
-        query_id,
-        user,
-        password,
-        found.get("database") or head.get("x-clickhouse-database", ""),
-        found.get("default_format") or head.get("x-clickhouse-format", ""),
-        found.get("quota_key") or head.get("x-clickhouse-quota", ""),
-        found.get("session_id", ""),
-        _count(found, "session_timeout", 3_600) * NS_PER_S,
-        _flag(found, "session_check"),
-        _flag(found, "wait_end_of_query"),
-        _count(found, "buffer_size", 1 << 40),
-        _flag(found, "send_progress_in_http_headers"),
-        _flag(found, "enable_http_compression"),
-        settings,
-        params,
+    settings = _read_settings(parameters)
+    session_timeout_s = _count(parameters, "session_timeout", MAX_SESSION_TIMEOUT_S)
+    return RequestHead(
+        path=path,
+        query=parameters.get("query", ""),
+        query_id=query_id,
+        user=user,
+        password=password,
+        database=parameters.get("database") or lower_headers.get("x-clickhouse-database", ""),
+        default_format=(
+            parameters.get("default_format") or lower_headers.get("x-clickhouse-format", "")
+        ),
+        quota_key=parameters.get("quota_key") or lower_headers.get("x-clickhouse-quota", ""),
+        session_id=parameters.get("session_id", ""),
+        session_timeout_ns=session_timeout_s * NS_PER_S,
+        session_must_exist=_flag(parameters, "session_check"),
+        wait_end_of_query=_flag(parameters, "wait_end_of_query"),
+        buffer_bytes=_count(parameters, "buffer_size", MAX_BUFFER_BYTES),
+        progress_headers=_flag(parameters, "send_progress_in_http_headers"),
+        compress_answer=_flag(parameters, "enable_http_compression"),
+        settings=settings,
+        statement_parameters=_read_statement_parameters(parameters),
     )
 
 
-def statement(parameters: Parameters, body: bytes, method: str) -> bytes:
-    """Return the statement's text, of the URL and the body together, as far as it is here."""
-    if method == "GET" and not parameters.query:
+def statement_text(head: RequestHead, body: bytes, method: str) -> bytes:
+    """Return the statement's text, of the URL and the body together, as far as it is here.
+
+    Raises:
+        QueryError: There is no statement.
+    """
+    if method == "GET" and not head.query:
         raise QueryError(SYNTAX_ERROR, "a GET needs its statement in the URL")
-    if not parameters.query:
+    if not head.query:
         if not body.strip():
             raise QueryError(SYNTAX_ERROR, "the statement is empty")
         return body
-    return parameters.query.encode() + (b"\n" + body if body else b"")
+    text = head.query.encode()
+    if body:
+        text += b"\n" + body
+    return text
 
 
-def shown(url: str) -> str:
+def redacted_url(url: str) -> str:
     """Return a URL for the log, without its secrets."""
-    return re.sub(r"(?i)([?&](?:password|user)=)[^&#]*", r"\1***", url)
+    return SECRET_PARAMETERS.sub(r"\1***", url)
--- a/query_broker/clickhouse/rules.py
+++ b/query_broker/clickhouse/rules.py
@@ -1,9 +1,8 @@
 """Where a request goes and under which terms: operators' rules, of which the first match wins.
 
-Performs no I/O. Each part of the outcome is taken from the first rule that names it.
-
-A rule names conditions and what they lead to. What no rule says is taken from the defaults: the
-class by what the statement does, the tenant by the user, the pool and the patience of the class.
+Performs no I/O. A rule names conditions and what they lead to. Each part of the outcome is taken
+from the first matching rule that names it. What no rule names is taken from the defaults: the class
+by what the statement does, the tenant by the user, the pool and the deadline of the class.
 """
 
 from __future__ import annotations
@@ -11,17 +10,23 @@
 import fnmatch
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from ..errors import QueryBrokerError
 from .statement import Statement, StatementKind
 
-MS = 1_000_000
-LONGEST_S = 1e9  # a time beyond that is taken for none
-WHERE = ("user", "path", "database", "first", "does", "setting", "header", "quota")
+NS_PER_MS = 1_000_000
+MS_PER_S = 1_000
+#: A client's timeout from here on counts as none.
+CLIENT_TIMEOUT_LIMIT_S = 1e9
 
 
 class RuleError(QueryBrokerError, ValueError):
-    """A rule that cannot be used; the text is ``key: problem``."""
+    """A rule that cannot be used; the text is ``key: problem``.
+
+    The keys are those of the rules' own form: ``route`` is the class, ``first`` the verbs,
+    ``patience_ms`` the timeout and ``by_does`` the class by kind.
+    """
 
     def __init__(self, key: str, problem: str) -> None:
         """Name the key of the rule and what is wrong with it."""
@@ -30,7 +35,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """A request as rules see it. Header names in small letters; times in milliseconds."""
+    """A request as rules see it.
+
+    Attributes:
+        user: The user.
+        path: The path of the URL.
+        database: The database that the head of the request names.
+        statement: What was read of its statement.
+        settings: The settings that it names.
+        headers: Its headers; their names are in lower case.
+        quota_key: By what the user's quota is counted.
+    """
 
     user: str
     path: str
@@ -38,77 +53,134 @@
     statement: Statement
     settings: Mapping[str, str]
     headers: Mapping[str, str]
-    quota: str = ""
+    quota_key: str = ""
+
+
+class NamedPattern(NamedTuple):
+    """A shell pattern for the value of a setting or header."""
+
+    name: str
+    pattern: str
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """One rule: patterns as in a shell, and what a match leads to.
+    """One rule: conditions that must all hold, and what a match leads to.
 
-    ``setting`` and ``header`` are pairs of name and pattern; all must match. An empty outcome says
-    nothing of that part.
+    Patterns are those of a shell. An empty condition always holds, and an empty outcome leaves that
+    part to later rules.
+
+    Attributes:
+        user: A pattern for the user.
+        path: A pattern for the path of the URL.
+        database: A pattern for the database.
+        verbs: The first words of statements that match, in capitals.
+        kinds: What the statement does.
+        settings: Settings that must be named, with patterns for their values.
+        headers: Headers that must be there, with patterns for their values.
+        quota_key: A pattern for the quota key.
+        class_name: The request class.
+        tenant: The tenant.
+        pool: The pool.
+        cell: The cell.
+        timeout_ms: The timeout; 0 sets none.
+        denial: The reason to deny the request.
+
+    Raises:
+        RuleError: A value cannot be used; the text names the key.
     """
 
     user: str = ""
     path: str = ""
     database: str = ""
-    first: tuple[str, ...] = ()
-    does: tuple[StatementKind, ...] = ()
-    setting: tuple[tuple[str, str], ...] = ()
-    header: tuple[tuple[str, str], ...] = ()
-    quota: str = ""
-    route: str = ""
+    verbs: tuple[str, ...] = ()
+    kinds: tuple[StatementKind, ...] = ()
+    settings: tuple[NamedPattern, ...] = ()
+    headers: tuple[NamedPattern, ...] = ()
+    quota_key: str = ""
+    class_name: str = ""
     tenant: str = ""
     pool: str = ""
     cell: str = ""
-    patience_ms: int = 0
-    deny: str = ""
+    timeout_ms: int = 0
+    denial: str = ""
 
     def __post_init__(self) -> None:
-        """Check the values; RuleError names the one that cannot be used."""
-        if not (
-            self.route or self.tenant or self.pool or self.cell or self.patience_ms or self.deny
-        ):
+        """Check the values."""
+        outcomes = (self.class_name, self.tenant, self.pool, self.cell, self.denial)
+        if not any(outcomes) and not self.timeout_ms:
             raise RuleError("route", "a rule must lead to something")
-        if self.patience_ms < 0:
+        if self.timeout_ms < 0:
             raise RuleError("patience_ms", "must not be negative")
-        if any(verb != verb.upper() for verb in self.first):
+        if any(verb != verb.upper() for verb in self.verbs):
             raise RuleError("first", "words are written in capitals")
 
-    def matches(self, seen: RequestFacts) -> bool:
+    def matches(self, request: RequestFacts) -> bool:
         """Return whether all conditions hold for a request."""
         return (
-            _fits(self.user, seen.user)
-            and _fits(self.path, seen.path)
-            and _fits(self.database, seen.database)
-            and _fits(self.quota, seen.quota)
-            and (not self.first or seen.statement.first in self.first)
-            and (not self.does or seen.statement.does in self.does)
-            and _all_fit(self.setting, seen.settings)
-            and _all_fit(self.header, seen.headers)
+            _matches(self.user, request.user)
+            and _matches(self.path, request.path)
+            and _matches(self.database, request.database)
+            and _matches(self.quota_key, request.quota_key)
+            and (not self.verbs or request.statement.verb in self.verbs)
+            and (not self.kinds or request.statement.kind in self.kinds)
+            and _all_match(self.settings, request.settings)
+            and _all_match(self.headers, request.headers)
         )
 
 
-def _all_fit(patterns: tuple[tuple[str, str], ...], values: Mapping[str, str]) -> bool:
-    return all(name in values and _fits(pattern, values[name]) for name, pattern in patterns)
+def _all_match(patterns: tuple[NamedPattern, ...], values: Mapping[str, str]) -> bool:
+    return all(name in values and _matches(pattern, values[name]) for name, pattern in patterns)
 
 
-def _fits(pattern: str, value: str) -> bool:
+def _matches(pattern: str, value: str) -> bool:
     return not pattern or fnmatch.fnmatchcase(value, pattern)
 
 
 @dataclass(frozen=True, slots=True)
 class Routing:
-    """Where a request goes and under which terms. ``timeout_ns`` in nanoseconds."""
+    """Where a request goes and under which terms.
 
-    route: str
+    Attributes:
+        class_name: Its request class.
+        tenant: Its tenant.
+        pool: Its pool; empty leaves the choice to the class.
+        cell: Its cell; empty leaves the choice to the map.
+        timeout_ns: How long it may take.
+        denial: Why it is denied; empty if it is not.
+        has_idempotency_key: Whether its engine recognises a second execution.
+        idempotent: Whether a second execution does no harm.
+    """
+
+    class_name: str
     tenant: str
     pool: str
     cell: str
     timeout_ns: int
-    deny: str
-    keyed: bool  # a repeat is recognised by its engine
-    repeatable: bool  # a repeat does no harm at all
+    denial: str
+    has_idempotency_key: bool
+    idempotent: bool
+
+
+@dataclass(slots=True)
+class _Outcome:
+    """What the matching rules lead to, each part from the first rule that names it."""
+
+    class_name: str = ""
+    tenant: str = ""
+    pool: str = ""
+    cell: str = ""
+    denial: str = ""
+    timeout_ms: int = 0
+
+    def add(self, rule: Rule) -> None:
+        """Take the parts that no earlier rule has named."""
+        self.class_name = self.class_name or rule.class_name
+        self.tenant = self.tenant or rule.tenant
+        self.pool = self.pool or rule.pool
+        self.cell = self.cell or rule.cell
+        self.denial = self.denial or rule.denial
+        self.timeout_ms = self.timeout_ms or rule.timeout_ms
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,91 +188,90 @@
     """All rules, and the defaults of what no rule names.
 
     Attributes:
-        classes: The deadline of each class in nanoseconds.
-        by_does: The class by what the statement does.
+        class_deadlines_ns: The deadline of each request class.
+        class_by_kind: The request class by what the statement does.
         rules: The rules, looked at in their order.
         default_tenant: The tenant where the named one is not among the known ones.
-        tenants: The known tenants.
-        limits: Settings that say how long the client waits.
-        dedup: Settings that hold an idempotency key.
-        keyed_by_id: Whether a query id serves as idempotency key.
-        names: The tenant by user, where it is not the user's name.
+        tenants: The known tenants; with none, any name is one.
+        timeout_settings: Settings that say how long the client waits.
+        idempotency_settings: Settings that hold an idempotency key.
+        query_id_is_idempotency_key: Whether a query id serves as idempotency key.
+        tenant_by_user: The tenant of each user whose tenant has another name than the user.
+
+    Raises:
+        RuleError: A value cannot be used; the text names the key.
     """
 
-    classes: Mapping[str, int]
-    by_does: Mapping[StatementKind, str]
+    class_deadlines_ns: Mapping[str, int]
+    class_by_kind: Mapping[StatementKind, str]
     rules: tuple[Rule, ...] = ()
     default_tenant: str = ""
     tenants: frozenset[str] = frozenset()
-    limits: tuple[str, ...] = ("max_execution_time",)
-    dedup: tuple[str, ...] = ("insert_deduplication_token",)
-    keyed_by_id: bool = False
-    names: Mapping[str, str] = field(default_factory=dict)
+    timeout_settings: tuple[str, ...] = ("max_execution_time",)
+    idempotency_settings: tuple[str, ...] = ("insert_deduplication_token",)
+    query_id_is_idempotency_key: bool = False
+    tenant_by_user: Mapping[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Check the values; RuleError names the one that cannot be used."""
-        named = [("rules.route", rule.route) for rule in self.rules]
-        named += [("by_does", class_name) for class_name in self.by_does.values()]
+        """Check the values."""
+        named = [("rules.route", rule.class_name) for rule in self.rules]
+        named += [("by_does", class_name) for class_name in self.class_by_kind.values()]
         for key, class_name in named:
-            if class_name and class_name not in self.classes:
+            if class_name and class_name not in self.class_deadlines_ns:
                 raise RuleError(key, f"{class_name!r} is no class of the settings")
-        for does in StatementKind:
-            if does not in self.by_does:
-                raise RuleError("by_does", f"nothing is said of {does.value!r}")
+        for kind in StatementKind:
+            if kind not in self.class_by_kind:
+                raise RuleError("by_does", f"nothing is said of {kind.value!r}")
 
-    def route(self, seen: RequestFacts, query_id: str = "") -> Routing:
+    def route(self, request: RequestFacts, query_id: str = "") -> Routing:
         """Return where a request goes; ``query_id`` is the client's own id of it."""
-        outcome, rule_timeout_ms = self._outcome(seen)
-        class_name = outcome["route"] or self.by_does[seen.statement.does]
+        outcome = self._outcome(request)
+        kind = request.statement.kind
+        class_name = outcome.class_name or self.class_by_kind[kind]
         return Routing(
-            class_name,
-            self._tenant(outcome["tenant"], seen.user),
-            outcome["pool"],
-            outcome["cell"],
-            self._timeout_ns(class_name, rule_timeout_ms, seen),
-            outcome["deny"],
-            self._has_idempotency_key(seen, query_id),
-            seen.statement.does is StatementKind.READ,
+            class_name=class_name,
+            tenant=self._tenant(outcome.tenant, request.user),
+            pool=outcome.pool,
+            cell=outcome.cell,
+            timeout_ns=self._timeout_ns(class_name, outcome.timeout_ms, request),
+            denial=outcome.denial,
+            has_idempotency_key=self._has_idempotency_key(request, query_id),
+            idempotent=kind is StatementKind.READ,
         )
 
-    def _outcome(self, seen: RequestFacts) -> tuple[dict[str, str], int]:
-        """Each part from the first matching rule that names it, and the timeout likewise."""
-        outcome = dict.fromkeys(("route", "tenant", "pool", "cell", "deny"), "")
-        timeout_ms = 0
+    def _outcome(self, request: RequestFacts) -> _Outcome:
+        outcome = _Outcome()
         for rule in self.rules:
-            if not rule.matches(seen):
-                continue
-            for key, value in outcome.items():
-                outcome[key] = value or getattr(rule, key)
-            timeout_ms = timeout_ms or rule.patience_ms
-        return outcome, timeout_ms
+            if rule.matches(request):
+                outcome.add(rule)
+        return outcome
 
     def _tenant(self, named: str, user: str) -> str:
-        tenant = named or self.names.get(user, user)
+        tenant = named or self.tenant_by_user.get(user, user)
         if self.tenants and tenant not in self.tenants:
             return self.default_tenant
         return tenant
 
-    def _has_idempotency_key(self, seen: RequestFacts, query_id: str) -> bool:
-        if seen.statement.does is not StatementKind.WRITE:
+    def _has_idempotency_key(self, request: RequestFacts, query_id: str) -> bool:
+        if request.statement.kind is not StatementKind.WRITE:
             return False
-        if any(seen.settings.get(name) for name in self.dedup):
+        if any(request.settings.get(name) for name in self.idempotency_settings):
             return True
-        return self.keyed_by_id and bool(query_id)
+        return self.query_id_is_idempotency_key and bool(query_id)
 
-    def _timeout_ns(self, class_name: str, rule_timeout_ms: int, seen: RequestFacts) -> int:
-        """The least of the class's deadline, the rule's, and what the client says that it waits.
+    def _timeout_ns(self, class_name: str, rule_timeout_ms: int, request: RequestFacts) -> int:
+        """Return the shortest of the class's deadline, the rule's timeout and the client's.
 
-        There 0, and what is no number, mean that there is no limit; here the class's holds.
+        For the client 0, and what is no number, mean that there is no limit; the class's holds.
         """
-        found = [self.classes[class_name]]
+        timeouts_ns = [self.class_deadlines_ns[class_name]]
         if rule_timeout_ms:
-            found.append(rule_timeout_ms * MS)
-        for name in self.limits:
+            timeouts_ns.append(rule_timeout_ms * NS_PER_MS)
+        for name in self.timeout_settings:
             try:
-                seconds = float(seen.settings.get(name, "0"))
+                timeout_s = float(request.settings.get(name, "0"))
             except ValueError:
                 continue
-            if 0 < seconds < LONGEST_S:
-                found.append(int(seconds * 1_000 * MS))
-        return max(MS, min(found))
+            if 0 < timeout_s < CLIENT_TIMEOUT_LIMIT_S:
+                timeouts_ns.append(int(timeout_s * MS_PER_S * NS_PER_MS))
+        return max(NS_PER_MS, min(timeouts_ns))
--- a/query_broker/clickhouse/statement.py
+++ b/query_broker/clickhouse/statement.py
@@ -1,7 +1,7 @@
 """What a statement does, by its first words, read past comments, strings and brackets.
 
-Performs no I/O. It is no parser of the language: what cannot be told is reported as unknown, and
-the rules for that hold.
+Performs no I/O. It is no parser of the language: a statement that cannot be recognised is reported
+as unknown, and the rules for unknown statements hold.
 """
 
 from __future__ import annotations
@@ -9,22 +9,33 @@
 import re
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
-MOST_READ = 65_536  # characters; what decides stands at the front
-SKIP = re.compile(r"(?:\s+|--[^\n]*(?:\n|$)|#[! ][^\n]*(?:\n|$)|/\*.*?\*/)+", re.S)
+#: How much of a statement is read; what it does is clear from its beginning.
+MAX_READ_CHARACTERS = 65_536
+BLANK_OR_COMMENT = re.compile(r"(?:\s+|--[^\n]*(?:\n|$)|#[! ][^\n]*(?:\n|$)|/\*.*?\*/)+", re.S)
 WORD = re.compile(r"[A-Za-z_][A-Za-z0-9_]*")
-PART = r"(?:`[^`]+`|\"[^\"]+\"|[A-Za-z_]\w*)"
-NAME = re.compile(rf"{PART}(?:\s*\.\s*{PART})?")
-MAIN = re.compile(
+IDENTIFIER = r"(?:`[^`]+`|\"[^\"]+\"|[A-Za-z_]\w*)"
+TABLE_NAME = re.compile(rf"{IDENTIFIER}(?:\s*\.\s*{IDENTIFIER})?")
+MAIN_VERB_TOKEN = re.compile(
     r"'(?:[^'\\]|\\.|'')*'|`[^`]*`|\"[^\"]*\"|--[^\n]*|/\*.*?\*/|[()]|\b(?:SELECT|INSERT)\b",
     re.S | re.I,
 )
-TOKENS = re.compile(
+CLAUSE_TOKEN = re.compile(
     r"'(?:[^'\\]|\\.|'')*'|`[^`]*`|\"[^\"]*\"|--[^\n]*|/\*.*?\*/|\b(?:SETTINGS|FORMAT)\b|[();]",
     re.S | re.I,
 )
-READS = frozenset({"SELECT", "WITH", "SHOW", "DESCRIBE", "DESC", "EXISTS", "EXPLAIN", "CHECK"})
-STICKS = frozenset({"SET", "USE"})
+FORMAT_NAME = re.compile(r"\s+([A-Za-z]\w*)")
+#: One setting: its name, its value, and a comma if another setting follows.
+ASSIGNMENT = re.compile(r"\s*([A-Za-z_]\w*)\s*=\s*('(?:[^'\\]|\\.)*'|-?[\w.]+)\s*(,?)")
+ESCAPED_CHARACTER = re.compile(r"\\(.)")
+READING_VERBS = frozenset(
+    {"SELECT", "WITH", "SHOW", "DESCRIBE", "DESC", "EXISTS", "EXPLAIN", "CHECK"}
+)
+SESSION_VERBS = frozenset({"SET", "USE"})
+#: Behind a session's verb these words change a user and not the session.
+USER_WORDS = ("ROLE", "DEFAULT")
+TEMPORARY_VERBS = ("CREATE", "DROP")
 
 
 class StatementKind(Enum):
@@ -33,7 +44,7 @@
     READ = "read"
     WRITE = "write"  # INSERT
     CHANGE = "change"  # everything else that changes something
-    SESSION = "session"  # SET, USE, temporary tables: tells on what comes after it in its session
+    SESSION = "session"  # SET, USE, temporary tables: affects later statements of its session
     UNKNOWN = "unknown"
 
 
@@ -41,105 +52,148 @@
 class Statement:
     """What was read of a statement.
 
-    ``first`` is its first word in capitals, empty where there is none; ``table`` that of an INSERT,
-    as it stands.
+    Attributes:
+        verb: Its first word in capitals; empty where there is none.
+        kind: What it does.
+        table: The table of an INSERT, as it is written.
+        settings: The name and value of each setting of its SETTINGS clause.
+        format: The format of its FORMAT clause; empty where there is none.
     """
 
-    first: str
-    does: StatementKind
+    verb: str
+    kind: StatementKind
     table: str = ""
     settings: tuple[tuple[str, str], ...] = ()
     format: str = ""
 
 
-def _past(text: str, at: int) -> int:
-    found = SKIP.match(text, at)
-    return found.end() if found else at
+class _Token(NamedTuple):
+    """A word in capitals, empty where there is none, and the position behind it."""
+
+    text: str
+    end: int
+
+
+class _Clauses(NamedTuple):
+    """The SETTINGS and FORMAT clauses of a statement."""
+
+    settings: tuple[tuple[str, str], ...]
+    format: str
 
 
-def _next_token(text: str, at: int) -> tuple[str, int]:
-    """The word behind space, comments and opening brackets, in capitals."""
-    at = _past(text, at)
-    while text.startswith("(", at):
-        at = _past(text, at + 1)
-    found = WORD.match(text, at)
-    return (found[0].upper(), found.end()) if found else ("", at)
+def _skip_blank(text: str, position: int) -> int:
+    """Return the position behind white space and comments."""
+    match = BLANK_OR_COMMENT.match(text, position)
+    return match.end() if match else position
 
 
-def read(text: str) -> Statement:
+def _next_token(text: str, position: int) -> _Token:
+    """Return the word behind white space, comments and opening brackets."""
+    position = _skip_blank(text, position)
+    while text.startswith("(", position):
+        position = _skip_blank(text, position + 1)
+    match = WORD.match(text, position)
+    if match is None:
+        return _Token("", position)
+    return _Token(match[0].upper(), match.end())
+
+
+def parse_statement(text: str) -> Statement:
     """Return what a statement does; this raises nothing.
 
-    A statement that cannot be understood is UNKNOWN, and its engine says what is wrong.
+    A statement that cannot be recognised is UNKNOWN, and its engine answers what is wrong with it.
     """
-    text = text[:MOST_READ]
-    first, at = _next_token(text, 0)
-    if not first:
+    text = text[:MAX_READ_CHARACTERS]
+    verb, position = _next_token(text, 0)
+    if not verb:
         return Statement("", StatementKind.UNKNOWN)
-    if first == "INSERT":
-        return _insert(text, at)
-    second, _ = _next_token(text, at)
-    third = _next_token(text, _next_token(text, at)[1])[0]
-    settings, format = _tail(text)
-    changes_temporary = "TEMPORARY" in (second, third) and first in ("CREATE", "DROP")
-    if changes_temporary or (first in STICKS and second not in ("ROLE", "DEFAULT")):
-        does = StatementKind.SESSION
-    elif first == "WITH":
-        does = StatementKind.WRITE if _main_verb(text) == "INSERT" else StatementKind.READ
-    elif first in READS:
-        does = StatementKind.READ
-    else:
-        does = StatementKind.CHANGE
-    return Statement(first, does, "", settings, format)
-
-
-def _insert(text: str, at: int) -> Statement:
-    token, after = _next_token(text, at)
-    if token == "INTO":
-        at = after
-        token, after = _next_token(text, at)
-    if token == "TABLE":
-        at = after
-        token, after = _next_token(text, at)
-    found = None if token == "FUNCTION" else NAME.match(text, _past(text, at))
-    settings, format = _tail(text)
-    return Statement("INSERT", StatementKind.WRITE, found[0] if found else "", settings, format)
+    if verb == "INSERT":
+        return _parse_insert(text, position)
+    second, position = _next_token(text, position)
+    third, _ = _next_token(text, position)
+    kind = _kind_of(text, verb, second, third)
+    clauses = _read_clauses(text)
+    return Statement(verb, kind, "", clauses.settings, clauses.format)
+
+
+def _kind_of(text: str, verb: str, second: str, third: str) -> StatementKind:
+    if verb in TEMPORARY_VERBS and "TEMPORARY" in (second, third):
+        return StatementKind.SESSION
+    if verb in SESSION_VERBS and second not in USER_WORDS:
+        return StatementKind.SESSION
+    if verb == "WITH" and _main_verb(text) == "INSERT":
+        return StatementKind.WRITE
+    if verb in READING_VERBS:
+        return StatementKind.READ
+    return StatementKind.CHANGE
+
+
+def _parse_insert(text: str, position: int) -> Statement:
+    """Return an INSERT; the words INTO and TABLE before its table may be absent."""
+    token, end = _next_token(text, position)
+    for optional_word in ("INTO", "TABLE"):
+        if token == optional_word:
+            position = end
+            token, end = _next_token(text, position)
+    table = ""
+    if token != "FUNCTION":
+        match = TABLE_NAME.match(text, _skip_blank(text, position))
+        table = match[0] if match else ""
+    clauses = _read_clauses(text)
+    return Statement("INSERT", StatementKind.WRITE, table, clauses.settings, clauses.format)
 
 
 def _main_verb(text: str) -> str:
     """Return SELECT or INSERT, whichever stands first outside brackets and strings."""
     depth = 0
-    for found in MAIN.finditer(text):
-        token = found[0].upper()
-        depth += (token == "(") - (token == ")")
+    for match in MAIN_VERB_TOKEN.finditer(text):
+        token = match[0].upper()
+        depth += _depth_change(token)
         if depth == 0 and token in ("SELECT", "INSERT"):
             return token
     return ""
 
 
-def _tail(text: str) -> tuple[tuple[tuple[str, str], ...], str]:
-    """`SETTINGS name = value, ...` and `FORMAT Name`, outside brackets and strings."""
+def _depth_change(token: str) -> int:
+    match token:
+        case "(":
+            return 1
+        case ")":
+            return -1
+        case _:
+            return 0
+
+
+def _read_clauses(text: str) -> _Clauses:
+    """Read `SETTINGS name = value, ...` and `FORMAT Name`, outside brackets and strings."""
     depth = 0
     settings: dict[str, str] = {}
-    format = ""
-    for found in TOKENS.finditer(text):
-        token = found[0].upper()
-        if token in "()":
-            depth += (token == "(") - (token == ")")
-        elif depth == 0 and token == "FORMAT":
-            if name := re.compile(r"\s+([A-Za-z]\w*)").match(text, found.end()):
-                format = name[1]
-        elif depth == 0 and token == "SETTINGS":
-            settings.update(_settings(text, found.end()))
-    return tuple(settings.items()), format
-
-
-def _settings(text: str, at: int) -> dict[str, str]:
-    found: dict[str, str] = {}
-    one = re.compile(r"\s*([A-Za-z_]\w*)\s*=\s*('(?:[^'\\]|\\.)*'|-?[\w.]+)\s*(,?)")
-    while (match := one.match(text, at)) is not None:
-        value = match[2]
-        found[match[1]] = re.sub(r"\\(.)", r"\1", value[1:-1]) if value.startswith("'") else value
-        at = match.end()
-        if not match[3]:
-            break
-    return found
+    format_name = ""
+    for match in CLAUSE_TOKEN.finditer(text):
+        token = match[0].upper()
+        depth += _depth_change(token)
+        if depth != 0:
+            continue
+        if token == "FORMAT":
+            name = FORMAT_NAME.match(text, match.end())
+            if name is not None:
+                format_name = name[1]
+        elif token == "SETTINGS":
+            settings.update(_read_assignments(text, match.end()))
+    return _Clauses(tuple(settings.items()), format_name)
+
+
+def _read_assignments(text: str, position: int) -> dict[str, str]:
+    """Return the settings of a SETTINGS clause that begins at the position."""
+    settings: dict[str, str] = {}
+    while True:
+        match = ASSIGNMENT.match(text, position)
+        if match is None:
+            return settings
+        name, value, comma = match.groups()
+        if value.startswith("'"):
+            value = ESCAPED_CHARACTER.sub(r"\1", value[1:-1])
+        settings[name] = value
+        if not comma:
+            return settings
+        position = match.end()
--- a/tests/clickhouse/test_pure.py
+++ b/tests/clickhouse/test_pure.py
@@ -11,17 +11,16 @@
 
 from query_broker.clickhouse import sessions as sessions_
 from query_broker.clickhouse.errors import (
-    HEADER,
+    EXCEPTION_CODE_HEADER,
     SESSION_NOT_FOUND,
     TOO_MANY_SIMULTANEOUS_QUERIES,
     QueryError,
 )
 from query_broker.clickhouse.relay import FaultOutcome, Relay, RelayAction, RelayState, ResponseHead
-from query_broker.clickhouse.request import read as read_head
-from query_broker.clickhouse.request import shown, statement
-from query_broker.clickhouse.rules import RequestFacts, Rule, RuleError, Rules
+from query_broker.clickhouse.request import read_head, redacted_url, statement_text
+from query_broker.clickhouse.rules import NamedPattern, RequestFacts, Rule, RuleError, Rules
 from query_broker.clickhouse.sessions import Sessions
-from query_broker.clickhouse.statement import Statement, StatementKind, read
+from query_broker.clickhouse.statement import Statement, StatementKind, parse_statement
 
 S = 1_000_000_000
 
@@ -58,8 +57,8 @@
 
 @pytest.mark.parametrize(("text", "first", "does"), STATEMENTS)
 def test_a_statement_s_first_words(text: str, first: str, does: StatementKind) -> None:
-    found = read(text)
-    assert (found.first, found.does) == (first, does)
+    found = parse_statement(text)
+    assert (found.verb, found.kind) == (first, does)
 
 
 @pytest.mark.parametrize(
@@ -73,11 +72,11 @@
     ],
 )
 def test_the_table_of_an_insert(text: str, table: str) -> None:
-    assert read(text).table == table
+    assert parse_statement(text).table == table
 
 
 def test_settings_and_format_outside_brackets_and_strings() -> None:
-    found = read(
+    found = parse_statement(
         "SELECT 'FORMAT x', (SELECT 1 SETTINGS a = 1) SETTINGS max_threads = 2, b = 'o\\'k' "
         "FORMAT TSV"
     )
@@ -87,7 +86,7 @@
 
 @given(st.text(max_size=300))
 def test_no_statement_raises(text: str) -> None:
-    assert read(text).does in StatementKind
+    assert parse_statement(text).kind in StatementKind
 
 
 # --- heads ---
@@ -101,13 +100,13 @@
     )
     assert (said.user, said.password, said.database, said.query) == ("ann", "k", "d", "SELECT 1")
     assert said.settings == {"max_threads": "2"}
-    assert said.params == {"a": "x"}
-    assert said.session_timeout == 9 * S
+    assert said.statement_parameters == {"a": "x"}
+    assert said.session_timeout_ns == 9 * S
     assert said.wait_end_of_query
     assert said.query_id == "q1"
     basic = base64.b64encode(b"bob:se:cret").decode()
     told = read_head(b"/", [("authorization", f"Basic {basic}"), ("x-clickhouse-format", "JSON")])
-    assert (told.user, told.password, told.format) == ("bob", "se:cret", "JSON")
+    assert (told.user, told.password, told.default_format) == ("bob", "se:cret", "JSON")
     assert read_head(b"/ping", []).user == "default"
 
 
@@ -131,27 +130,27 @@
 ) -> None:
     with pytest.raises(QueryError, match=problem):
         read_head(url, headers)
-    assert shown("/?password=hidden&query=1") == "/?password=***&query=1"
+    assert redacted_url("/?password=hidden&query=1") == "/?password=***&query=1"
 
 
 def test_the_statement_stands_in_the_url_the_body_or_both() -> None:
-    assert statement(read_head(b"/?query=INSERT+INTO+t+FORMAT+CSV", []), b"1\n2", "POST") == (
+    assert statement_text(read_head(b"/?query=INSERT+INTO+t+FORMAT+CSV", []), b"1\n2", "POST") == (
         b"INSERT INTO t FORMAT CSV\n1\n2"
     )
-    assert statement(read_head(b"/", []), b"SELECT 1", "POST") == b"SELECT 1"
+    assert statement_text(read_head(b"/", []), b"SELECT 1", "POST") == b"SELECT 1"
     for body, method in ((b"", "GET"), (b" \n", "POST")):
         with pytest.raises(QueryError):
-            statement(read_head(b"/", []), body, method)
+            statement_text(read_head(b"/", []), body, method)
 
 
 def test_errors_keep_the_interface_s_form() -> None:
-    fault = QueryError(TOO_MANY_SIMULTANEOUS_QUERIES, "come\nback later", pause=0.2)
+    fault = QueryError(TOO_MANY_SIMULTANEOUS_QUERIES, "come\nback later", retry_after_s=0.2)
     assert (
         fault.body()
         == b"Code: 202. DB::Exception: come back later. (TOO_MANY_SIMULTANEOUS_QUERIES)\n"
     )
-    assert fault.headers() == [(HEADER, "202"), ("Retry-After", "1")]
-    assert dict(QueryError(SESSION_NOT_FOUND, "x").headers()) == {HEADER: "372"}
+    assert fault.headers() == [(EXCEPTION_CODE_HEADER, "202"), ("Retry-After", "1")]
+    assert dict(QueryError(SESSION_NOT_FOUND, "x").headers()) == {EXCEPTION_CODE_HEADER: "372"}
 
 
 # --- rules ---
@@ -174,7 +173,7 @@
         "settings": {},
         "headers": {},
     }
-    return RequestFacts(statement=read(text), **{**base, **more})
+    return RequestFacts(statement=parse_statement(text), **{**base, **more})
 
 
 def test_each_part_is_what_the_first_rule_that_names_it_says() -> None:
@@ -182,16 +181,16 @@
         CLASSES,
         BY_DOES,
         (
-            Rule(user="fin*", route="report", pool="big"),
-            Rule(database="t?", tenant="likoni", patience_ms=3_000),
-            Rule(user="fin*", route="load", cell="b"),
-            Rule(setting=(("priority", "1*"),), cell="a"),
-            Rule(header=(("x-desk", "lamu"),), tenant="lamu"),
-            Rule(first=("KILL",), deny="not here"),
+            Rule(user="fin*", class_name="report", pool="big"),
+            Rule(database="t?", tenant="likoni", timeout_ms=3_000),
+            Rule(user="fin*", class_name="load", cell="b"),
+            Rule(settings=(NamedPattern("priority", "1*"),), cell="a"),
+            Rule(headers=(NamedPattern("x-desk", "lamu"),), tenant="lamu"),
+            Rule(verbs=("KILL",), denial="not here"),
         ),
     )
     went = rules.route(seen(user="finance", database="t1", settings={"priority": "10"}))
-    assert (went.route, went.pool, went.cell, went.tenant, went.timeout_ns) == (
+    assert (went.class_name, went.pool, went.cell, went.tenant, went.timeout_ns) == (
         "report",
         "big",
         "b",
@@ -199,8 +198,8 @@
         3 * S,
     )
     assert rules.route(seen(headers={"x-desk": "lamu"})).tenant == "lamu"
-    assert rules.route(seen("KILL QUERY WHERE 1")).deny == "not here"
-    assert not rules.route(seen()).deny
+    assert rules.route(seen("KILL QUERY WHERE 1")).denial == "not here"
+    assert not rules.route(seen()).denial
 
 
 def test_patience_is_the_least_of_class_rule_and_client() -> None:
@@ -211,29 +210,33 @@
 
 def test_an_insert_is_unsafe_unless_a_token_or_an_id_makes_it_keyed() -> None:
     rules = Rules(
-        CLASSES, BY_DOES, keyed_by_id=True, tenants=frozenset({"acme"}), default_tenant="acme"
+        CLASSES,
+        BY_DOES,
+        query_id_is_idempotency_key=True,
+        tenants=frozenset({"acme"}),
+        default_tenant="acme",
     )
     went = rules.route(seen("INSERT INTO t VALUES (1)"))
-    assert not went.keyed
-    assert not went.repeatable
+    assert not went.has_idempotency_key
+    assert not went.idempotent
     assert went.tenant == "acme"
-    assert went.route == "load"
+    assert went.class_name == "load"
     assert rules.route(
         seen("INSERT INTO t VALUES (1)", settings={"insert_deduplication_token": "x"})
-    ).keyed
-    assert rules.route(seen("INSERT INTO t VALUES (1)"), "q1").keyed
+    ).has_idempotency_key
+    assert rules.route(seen("INSERT INTO t VALUES (1)"), "q1").has_idempotency_key
     # that runs twice all the same
-    assert not rules.route(seen("ALTER TABLE t DELETE WHERE 1"), "q1").keyed
-    assert rules.route(seen()).repeatable
+    assert not rules.route(seen("ALTER TABLE t DELETE WHERE 1"), "q1").has_idempotency_key
+    assert rules.route(seen()).idempotent
 
 
 @pytest.mark.parametrize(
     "make",
     [
         lambda: Rule(user="a"),
-        lambda: Rule(route="x", patience_ms=-1),
-        lambda: Rule(first=("kill",), deny="x"),
-        lambda: Rules(CLASSES, BY_DOES, (Rule(route="nowhere"),)),
+        lambda: Rule(class_name="x", timeout_ms=-1),
+        lambda: Rule(verbs=("kill",), denial="x"),
+        lambda: Rules(CLASSES, BY_DOES, (Rule(class_name="nowhere"),)),
         lambda: Rules(CLASSES, {StatementKind.READ: "glance"}),
         lambda: Rules({}, BY_DOES),
     ],
@@ -252,9 +255,9 @@
     with pytest.raises(QueryError, match="locked"):
         held.begin("ann", "s", 1)
     held.begin("bob", "s", 1)  # another user's is another session
-    held.bind(one, 7, state=True)
+    held.bind(one, 7, leaves_state=True)
     held.end(one, S)
-    assert held.begin("ann", "s", 2 * S, check=True) is one
+    assert held.begin("ann", "s", 2 * S, must_exist=True) is one
     assert one.engine == 7
     held.end(one, 2 * S)
     assert held.engine_removed(7) == [one]
@@ -268,7 +271,7 @@
 def test_a_session_that_left_nothing_behind_goes_elsewhere() -> None:
     held = Sessions()
     one = held.begin("ann", "s", 0)
-    held.bind(one, 7, state=False)
+    held.bind(one, 7, leaves_state=False)
     held.end(one, 0)
     assert held.engine_removed(7) == []
     assert held.begin("ann", "s", 1) is one
@@ -277,16 +280,16 @@
 
 def test_sessions_expire_and_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     held = Sessions()
-    one = held.begin("ann", "s", 0, timeout=2 * S)
+    one = held.begin("ann", "s", 0, timeout_ns=2 * S)
     held.end(one, 0)
     with pytest.raises(QueryError, match="not found"):
-        held.begin("ann", "s", 2 * S, check=True)
+        held.begin("ann", "s", 2 * S, must_exist=True)
     for bad in (-1, 9_999 * S):
         with pytest.raises(QueryError, match="session_timeout"):
-            held.begin("ann", "t", 0, timeout=bad)
+            held.begin("ann", "t", 0, timeout_ns=bad)
     with pytest.raises(QueryError, match="session_id"):
         held.begin("ann", "x" * 201, 0)
-    monkeypatch.setattr(sessions_, "MOST_SESSIONS", 5)
+    monkeypatch.setattr(sessions_, "MAX_SESSIONS", 5)
     for i in range(20):
         held.end(held.begin("ann", f"i{i}", 10 * S + i), 10 * S + i)
     assert len(held.by_key) <= 5
@@ -296,85 +299,85 @@
 
 
 def test_statements_are_read_no_further_than_they_decide() -> None:
-    assert read("SELECT 1 " + "x" * 1_000_000).does is StatementKind.READ
-    assert Statement("SELECT", StatementKind.READ) == read("SELECT 1")
+    assert parse_statement("SELECT 1 " + "x" * 1_000_000).kind is StatementKind.READ
+    assert Statement("SELECT", StatementKind.READ) == parse_statement("SELECT 1")
 
 
 # --- results on their way ---
 
 
 def kinds(relay: Relay) -> list[RelayAction]:
-    return [act for act, _ in relay.take()]
+    return [act for act, _ in relay.take_steps()]
 
 
 def test_until_a_byte_has_gone_another_attempt_may_take_the_place() -> None:
-    relay = Relay(wait_end=True)
-    relay.begin(ResponseHead(200))
-    relay.data(b"half")
-    assert relay.fault() is FaultOutcome.AGAIN
-    assert not relay.take()
+    relay = Relay(wait_for_end=True)
+    relay.head_received(ResponseHead(200))
+    relay.body_received(b"half")
+    assert relay.attempt_failed() is FaultOutcome.RETRY
+    assert not relay.take_steps()
     assert relay.state is RelayState.WAITING
-    relay.begin(ResponseHead(200))
-    relay.data(b"whole")
-    assert relay.end()
-    assert relay.take() == [
-        (RelayAction.HEAD, b""),
-        (RelayAction.BODY, b"whole"),
-        (RelayAction.END, b""),
+    relay.head_received(ResponseHead(200))
+    relay.body_received(b"whole")
+    assert relay.body_ended()
+    assert relay.take_steps() == [
+        (RelayAction.SEND_HEAD, b""),
+        (RelayAction.SEND_BODY, b"whole"),
+        (RelayAction.SEND_END, b""),
     ]
-    assert relay.fault() is FaultOutcome.OVER
+    assert relay.attempt_failed() is FaultOutcome.ALREADY_ENDED
 
 
 def test_once_it_flows_a_fault_is_shown_and_never_repeated() -> None:
     relay = Relay()
-    relay.begin(ResponseHead(200))
-    relay.data(b"a")
-    assert relay.fault() is FaultOutcome.FAILED
+    relay.head_received(ResponseHead(200))
+    relay.body_received(b"a")
+    assert relay.attempt_failed() is FaultOutcome.FAILED
     assert kinds(relay) == [
-        RelayAction.HEAD,
-        RelayAction.BODY,
-        RelayAction.TEAR,
+        RelayAction.SEND_HEAD,
+        RelayAction.SEND_BODY,
+        RelayAction.ABORT,
     ]
     with pytest.raises(AssertionError):
-        relay.again()
-    relay.data(b"b")
-    assert not relay.end()
-    assert not relay.take()
+        relay.restart()
+    relay.body_received(b"b")
+    assert not relay.body_ended()
+    assert not relay.take_steps()
 
 
 def test_a_result_that_says_itself_that_it_broke_is_no_result() -> None:
     for wait_end, fate in ((True, RelayState.WAITING), (False, RelayState.BROKEN)):
-        relay = Relay(wait_end=wait_end)
-        relay.begin(ResponseHead(200))
-        relay.data(b"1\t2\n__exce")
-        relay.data(b"ption__\nCode: 241\n")
-        assert not relay.end()
+        relay = Relay(wait_for_end=wait_end)
+        relay.head_received(ResponseHead(200))
+        relay.body_received(b"1\t2\n__exce")
+        relay.body_received(b"ption__\nCode: 241\n")
+        assert not relay.body_ended()
         assert relay.state is fate
     held = Relay()
-    held.begin(ResponseHead(200))
-    held.data(b"a row with __exception__ in it\n")
-    assert held.end()
+    held.head_received(ResponseHead(200))
+    held.body_received(b"a row with __exception__ in it\n")
+    assert held.body_ended()
 
 
 def test_what_is_held_is_bounded_and_then_flows() -> None:
-    relay = Relay(wait_end=True, most_buffered=10)
-    relay.begin(ResponseHead(200))
-    relay.data(b"x" * 8)
-    assert not relay.take()
-    relay.data(b"x" * 8)
-    assert kinds(relay) == [RelayAction.HEAD, RelayAction.BODY, RelayAction.BODY]
+    relay = Relay(wait_for_end=True, max_buffered_bytes=10)
+    relay.head_received(ResponseHead(200))
+    relay.body_received(b"x" * 8)
+    assert not relay.take_steps()
+    relay.body_received(b"x" * 8)
+    assert kinds(relay) == [RelayAction.SEND_HEAD, RelayAction.SEND_BODY, RelayAction.SEND_BODY]
     assert relay.overflowed
     assert relay.buffered_bytes == 0
 
 
 def test_an_error_of_the_engine_is_not_shown_while_another_may_do_better() -> None:
     relay = Relay()
-    relay.begin(ResponseHead(500))
-    relay.data(b"Code: 241")
-    assert not relay.take()
-    assert relay.fault() is FaultOutcome.AGAIN
+    relay.head_received(ResponseHead(500))
+    relay.body_received(b"Code: 241")
+    assert not relay.take_steps()
+    assert relay.attempt_failed() is FaultOutcome.RETRY
     assert relay.give_up() is FaultOutcome.FAILED
-    assert kinds(relay) == [RelayAction.ERROR]
+    assert kinds(relay) == [RelayAction.SEND_ERROR]
 
 
 @given(
@@ -390,28 +393,28 @@
 def test_memory_is_bounded_and_the_client_gets_one_end(
     steps: list[tuple[str, int]], wait_end: bool
 ) -> None:
-    relay, sent, ends, gone = Relay(wait_end=wait_end, most_buffered=100_000), 0, 0, False
-    relay.begin(ResponseHead(200))
+    relay, sent, ends, gone = Relay(wait_for_end=wait_end, max_buffered_bytes=100_000), 0, 0, False
+    relay.head_received(ResponseHead(200))
     for word, number in steps:
         if word == "data" and not relay.paused:
-            relay.data(b"x" * number)
+            relay.body_received(b"x" * number)
         elif word == "gone":
             relay.bytes_written(number)
         elif word == "fault":
-            relay.fault()
+            relay.attempt_failed()
         elif word == "end":
-            relay.end()
+            relay.body_ended()
         elif word == "left":
-            relay.left()
+            relay.client_left()
             gone = True
         if relay.state is RelayState.WAITING:
-            relay.begin(ResponseHead(200))
-        for act, data in relay.take():
+            relay.head_received(ResponseHead(200))
+        for act, data in relay.take_steps():
             assert not gone or act is RelayAction.RESUME
             assert not ends or act in (RelayAction.RESUME, RelayAction.PAUSE)
             sent += len(data)
-            ends += act in (RelayAction.END, RelayAction.TEAR, RelayAction.ERROR)
+            ends += act in (RelayAction.SEND_END, RelayAction.ABORT, RelayAction.SEND_ERROR)
         assert relay.buffered_bytes <= 100_000
-        assert relay.unread <= 262_144 + 800_000
+        assert relay.unread_bytes <= 262_144 + 800_000
     assert ends <= 1
-    assert sent <= relay.passed
+    assert sent <= relay.passed_bytes
