--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from query_broker.cells.migrations import MigrationRejectedError, Stage
-from query_broker.cells.model import Cell, CellMap, Tenant, Timing
+from query_broker.cells.model import Cell, CellMap, MigrationTimeouts, Tenant
 from query_broker.cells.node import CellNode
 from query_broker.cells.placement import Placement, Seen
 from query_broker.cells.planner import Problem, hashed_placement, relative_loads
@@ -143,7 +143,13 @@
         tuple(Cell(c, least=2) for c in cells),
         "a",
         {n: Tenant(n, (cells[i % 4],)) for i, n in enumerate(names)},
-        Timing(propose=1 * S, warm=2 * S, settle=S // 10, watch=S // 5, lost=S // 5),
+        MigrationTimeouts(
+            proposed_ns=1 * S,
+            warming_ns=2 * S,
+            settle_ns=S // 10,
+            watch_ns=S // 5,
+            target_lost_ns=S // 5,
+        ),
     )
     raw = broker_config(
         world,
@@ -177,7 +183,7 @@
                 if move.has_ended() and move.version not in seen:
                     seen.add(move.version)
                     ended[move.stage] = ended.get(move.stage, 0) + 1
-                    moving.append((move.subject, move.begun, move.at))
+                    moving.append((move.subject, move.proposed_ns, move.stage_since_ns))
             if proposed < count + 10:
                 try:
                     record.propose(draw.choice(names), draw.choice(cells), now)
--- a/query_broker/cells/admin.py
+++ b/query_broker/cells/admin.py
@@ -75,7 +75,7 @@
         dispatcher = self._node.celled
         seats = dispatcher.router.seats.placement.seats
         migrations = sorted(
-            dispatcher.migrations.records.values(), key=lambda migration: -migration.begun
+            dispatcher.migrations.records.values(), key=lambda migration: -migration.proposed_ns
         )
         return {
             "epoch": self._node.map.epoch,
@@ -96,9 +96,9 @@
             "cell": cell.name,
             "weight": cell.weight,
             "default": cell.name == self._node.map.default,
-            "ready": fleet.ready,
-            "cold": fleet.cold,
-            "short": fleet.ready < cell.least,
+            "ready": fleet.ready_count,
+            "cold": fleet.warming_count,
+            "short": fleet.ready_count < cell.least,
             "cores": sum(known[number].cores for number in facade.endpoints if number in known),
             "open": facade.open,
             "lent": dispatcher.request_ledger.borrowed(cell.name),
--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -148,8 +148,8 @@
     """Return the metrics with one time series for each cell of the map."""
     names = [cell.name for cell in source.map.cells]
     fleets = {name: source.router.seats.fleet(name, now_ns) for name in names}
-    ready = {name: fleet.ready for name, fleet in fleets.items()}
-    cold = {name: fleet.cold for name, fleet in fleets.items()}
+    ready = {name: fleet.ready_count for name, fleet in fleets.items()}
+    cold = {name: fleet.warming_count for name, fleet in fleets.items()}
     rejected = {name: source.accounting.rejected.get(name, 0) for name in names}
     return [
         CellFamily("engines_ready", "gauge", "Engines that take new work.", ready),
--- a/query_broker/cells/cell_status.py
+++ b/query_broker/cells/cell_status.py
@@ -8,7 +8,8 @@
 
 from collections import Counter
 from collections.abc import Mapping
-from typing import Any, NamedTuple, TypedDict
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from ..server.process_status import KEY_ACCEPTING, KEY_CELLS
 from .migration_log import MigrationLog
@@ -20,28 +21,29 @@
 MAX_PUBLISHED_TENANTS = 5_000
 
 
-class PeerCellStatus(TypedDict):
+@dataclass(frozen=True, slots=True)
+class PeerCellStatus:
     """What another process has published of its cells.
 
-    Keys:
-        me: The name of the process.
+    Attributes:
+        process_name: The name of the process.
         accepting: Whether it takes new connections.
         epoch: The epoch of its map.
         digest: The digest of its map.
-        moves: Its records of migrations.
-        open: Its open requests, by subject and cell.
+        migrations: Its records of migrations.
+        open_requests: The number of its open requests, by subject and cell.
         seats: The cell of each of its endpoints, by uid.
-        map: Its map where that is newer than the own one; else None.
+        newer_map: Its map where that is newer than the one in force here; else None.
     """
 
-    me: str
+    process_name: str
     accepting: bool
     epoch: int
     digest: str
-    moves: list[Migration]
-    open: dict[str, dict[str, int]]
+    migrations: list[Migration]
+    open_requests: dict[str, dict[str, int]]
     seats: dict[str, str | None]
-    map: CellMap | None
+    newer_map: CellMap | None
 
 
 class PublishedMap(NamedTuple):
@@ -65,7 +67,7 @@
 
 
 def encode_cell_status(
-    me: str,
+    process_name: str,
     published: PublishedMap,
     log: MigrationLog,
     open_requests: Counter[tuple[str, str]],
@@ -74,23 +76,23 @@
     """Return the key that cells add to the status file, with plain JSON values.
 
     Args:
-        me: The name of this process.
+        process_name: The name of this process.
         published: Its map.
         log: Its records of migrations.
         open_requests: Its open requests by subject and cell; those of subjects that have a
             migration are published.
         seats: The cell of each endpoint, by uid.
     """
-    open_now: dict[str, dict[str, int]] = {}
+    open_by_subject: dict[str, dict[str, int]] = {}
     for (subject, cell), count in open_requests.items():
         if subject in log.records:
-            open_now.setdefault(subject, {})[cell] = count
+            open_by_subject.setdefault(subject, {})[cell] = count
     status: dict[str, Any] = {
-        "me": me,
+        "me": process_name,
         "epoch": published.epoch,
         "digest": published.digest,
         "moves": [migration.plain() for migration in log.records.values()],
-        "open": open_now,
+        "open": open_by_subject,
         "seats": seats,
     }
     if published.plain is not None:
@@ -115,19 +117,19 @@
     raw = fields.get(KEY_CELLS)
     if raw is None:
         return None
-    return {
-        "me": str(raw["me"]),
-        "accepting": bool(fields[KEY_ACCEPTING]),
-        "epoch": int(raw["epoch"]),
-        "digest": str(raw["digest"]),
-        "moves": [read_migration(record) for record in raw["moves"]],
-        "open": _read_open(raw["open"]),
-        "seats": _read_seats(raw["seats"]),
-        "map": _read_newer_map(raw, own_epoch),
-    }
-
-
-def _read_open(raw: Mapping[Any, Any]) -> dict[str, dict[str, int]]:
+    return PeerCellStatus(
+        process_name=str(raw["me"]),
+        accepting=bool(fields[KEY_ACCEPTING]),
+        epoch=int(raw["epoch"]),
+        digest=str(raw["digest"]),
+        migrations=[read_migration(record) for record in raw["moves"]],
+        open_requests=_read_open_requests(raw["open"]),
+        seats=_read_seats(raw["seats"]),
+        newer_map=_read_newer_map(raw, own_epoch),
+    )
+
+
+def _read_open_requests(raw: Mapping[Any, Any]) -> dict[str, dict[str, int]]:
     open_requests: dict[str, dict[str, int]] = {}
     for subject, counts in raw.items():
         open_requests[str(subject)] = {str(cell): int(count) for cell, count in counts.items()}
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -51,11 +51,16 @@
     cell_pools: CelledPools
 
     def __init__(
-        self, config: Config, clock: Clock, log: Callable[[str, str], None], map: CellMap, me: str
+        self,
+        config: Config,
+        clock: Clock,
+        log: Callable[[str, str], None],
+        map: CellMap,
+        process_name: str,
     ) -> None:
-        """Wire the parts; ``me`` is the name of this process among those of the broker."""
+        """Wire the parts; ``process_name`` is unique among the processes of the broker."""
         self.map = map
-        self.migrations = MigrationLog(map, me)
+        self.migrations = MigrationLog(map, process_name)
         self.accounting = RequestAccounting()
         self.request_ledger = self.accounting.requests
         self.frames = Ledger()
--- a/query_broker/cells/endpoint_seats.py
+++ b/query_broker/cells/endpoint_seats.py
@@ -34,7 +34,7 @@
         numbers: The number of each listed endpoint, by uid.
         disabled: The administrative change that disabled each disabled endpoint.
         uid_of: Returns the uid of an endpoint's number.
-        cold_until: When endpoints that were enabled again began to warm up.
+        enabled_ns: When endpoints that were disabled were enabled again, from when they warm up.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self.entries: dict[int, EndpointEntry] = {}
         self.numbers: dict[str, int] = {}
         self.disabled: dict[int, AdministrativeChange] = {}
-        self.cold_until: dict[int, int] = {}
+        self.enabled_ns: dict[int, int] = {}
         self._facades = facades
         self._outstanding = outstanding
         self.uid_of = uid_of
@@ -95,14 +95,14 @@
             for number in facade.endpoints
             if self.entries[number].state is EndpointState.READY and number not in self.disabled
         ]
-        cold = sum(now_ns < self._warm_at(number) for number in ready)
-        return Fleet(len(ready), cold)
+        warming_count = sum(now_ns < self._warm_at_ns(number) for number in ready)
+        return Fleet(len(ready), warming_count)
 
     def _started_ns(self, entry: EndpointEntry) -> int:
         """Return when the endpoint began to warm up: at its start, or when it was enabled again."""
-        return max(entry.started_ns, self.cold_until.get(entry.endpoint, 0))
+        return max(entry.started_ns, self.enabled_ns.get(entry.endpoint, 0))
 
-    def _warm_at(self, number: int) -> int:
+    def _warm_at_ns(self, number: int) -> int:
         return self._started_ns(self.entries[number]) + self.settings.contract.warmup_ns
 
     # --- changes ---
@@ -113,7 +113,7 @@
             self.disabled[change.endpoint] = change
         else:
             self.disabled.pop(change.endpoint, None)
-            self.cold_until[change.endpoint] = change.at_ns
+            self.enabled_ns[change.endpoint] = change.at_ns
 
     def apply_update(self, now_ns: int, update: EndpointListUpdate, orders: OrderBatch) -> None:
         """Apply an update of the endpoint list.
@@ -155,7 +155,7 @@
         self, now_ns: int, entry: EndpointEntry, uid: str | None, orders: OrderBatch
     ) -> None:
         self.entries.pop(entry.endpoint, None)
-        self.cold_until.pop(entry.endpoint, None)
+        self.enabled_ns.pop(entry.endpoint, None)
         if uid is not None:
             del self.numbers[uid]
         facade = self.facade_of(entry.endpoint)
--- a/query_broker/cells/migration_log.py
+++ b/query_broker/cells/migration_log.py
@@ -1,4 +1,4 @@
-"""The log of migrations of one process: what operators propose, and what other processes know.
+"""The log of migrations of one process: proposals of operators, and records of other processes.
 
 `migration_steps` advances the records. Performs no I/O.
 """
@@ -32,23 +32,23 @@
 
     Attributes:
         map: The cell map in force.
-        me: The name of this process.
+        process_name: The name of this process among those of the broker.
         version: The highest version seen.
         records: The latest record of each subject.
-        homes: A cache of what the map says of subjects.
-        closing: Orders that the owner of the log has still to carry out.
-        changed: Whether something is to be published to the other processes.
+        cached_homes: The cells that the map gives subjects, for those that were looked up.
+        close_outs: Orders that the owner of the log has still to carry out.
+        has_unpublished_changes: Whether the other processes lack a change of the records.
     """
 
-    def __init__(self, map: CellMap, me: str) -> None:
+    def __init__(self, map: CellMap, process_name: str) -> None:
         """Start without records."""
         self.map = map
-        self.me = me
+        self.process_name = process_name
         self.version = 0
         self.records: dict[str, Migration] = {}
-        self.homes: dict[str, str] = {}
-        self.closing: list[CloseOut] = []
-        self.changed = False
+        self.cached_homes: dict[str, str] = {}
+        self.close_outs: list[CloseOut] = []
+        self.has_unpublished_changes = False
 
     # --- routing ---
 
@@ -59,12 +59,12 @@
             cell = migration.cell(now_ns)
             if self.map.cell(cell) is not None:
                 return cell
-        home = self.homes.get(subject)
+        home = self.cached_homes.get(subject)
         if home is None:
-            if len(self.homes) >= MAX_CACHED_HOMES:
-                self.homes.clear()
+            if len(self.cached_homes) >= MAX_CACHED_HOMES:
+                self.cached_homes.clear()
             home = self.map.home(subject)
-            self.homes[subject] = home
+            self.cached_homes[subject] = home
         return home
 
     # --- the operators ---
@@ -89,21 +89,23 @@
         if sum(not migration.has_ended() for migration in self.records.values()) >= MAX_MIGRATIONS:
             raise MigrationRejectedError("moves", f"{MAX_MIGRATIONS} are under way")
         proposed = Migration(
-            subject, source, target, Stage.PROPOSED, 0, now_ns, now_ns, driver=self.me
+            subject, source, target, Stage.PROPOSED, 0, now_ns, now_ns, driver=self.process_name
         )
         return self.record(proposed)
 
     def _check_subject(self, subject: str) -> None:
         if not subject or len(subject) > MAX_SUBJECT_LENGTH or not subject.isprintable():
             raise MigrationRejectedError("tenant", "is no name")
-        if not self.map.known(subject):
+        if not self.map.is_migratable(subject):
             raise MigrationRejectedError(
                 "tenant",
                 f"{subject!r} is spread by a field; name one of its parts, as in "
                 f"{subject.partition('#')[0]}#0",
             )
 
-    def abort_by_operators(self, subject: str, now_ns: int, why: str = BY_OPERATORS) -> Migration:
+    def abort_by_operators(
+        self, subject: str, now_ns: int, reason: str = BY_OPERATORS
+    ) -> Migration:
         """Abort a migration that is under way and return its record.
 
         Raises:
@@ -114,7 +116,7 @@
             raise MigrationRejectedError("tenant", f"{subject!r} is not on the move")
         if migration.stage is Stage.RETURNING:
             raise MigrationRejectedError("tenant", f"{subject!r} is being taken back already")
-        return self.abort(migration, now_ns, why)
+        return self.abort(migration, now_ns, reason)
 
     # --- maps and other processes ---
 
@@ -125,7 +127,7 @@
         """
         before = self.map
         self.map = map
-        self.homes = {}
+        self.cached_homes = {}
         for migration in list(self.records.values()):
             if migration.has_ended():
                 renamed = map.home(migration.subject) != before.home(migration.subject)
@@ -146,8 +148,8 @@
             migration,
             stage=Stage.TAKEN_BACK,
             source=self.map.home(migration.subject),
-            at=now_ns,
-            why="the map says otherwise",
+            stage_since_ns=now_ns,
+            reason="the map says otherwise",
         )
         self.record(overruled)
 
@@ -162,9 +164,9 @@
         ended = replace(
             migration,
             stage=Stage.DONE,
-            at=now_ns,
-            switch_at=now_ns,
-            why=f"the map has no cell {migration.source!r} any more",
+            stage_since_ns=now_ns,
+            switch_at_ns=now_ns,
+            reason=f"the map has no cell {migration.source!r} any more",
         )
         self.record(ended)
 
@@ -179,14 +181,14 @@
             self.records[migration.subject] = migration
             newer = True
             was_under_way = known is None or not known.has_ended()
-            if migration.why == CLOSED_OUT and was_under_way:
+            if migration.reason == CLOSED_OUT and was_under_way:
                 self.order_close_out(migration)  # each process answers its own requests
         return newer
 
     def order_close_out(self, migration: Migration) -> None:
         """Order the end of what is still open in the cell that the subject has left."""
         cell = migration.source if migration.stage is Stage.DONE else migration.target
-        self.closing.append(CloseOut(migration.subject, cell))
+        self.close_outs.append(CloseOut(migration.subject, cell))
 
     # --- the record ---
 
@@ -195,14 +197,16 @@
         self.version += 1
         versioned = replace(migration, version=self.version)
         self.records[migration.subject] = versioned
-        self.changed = True
+        self.has_unpublished_changes = True
         return versioned
 
     def enter(self, migration: Migration, stage: Stage, now_ns: int) -> Migration:
         """Record that the migration comes into a stage now."""
-        return self.record(replace(migration, stage=stage, at=now_ns))
+        return self.record(replace(migration, stage=stage, stage_since_ns=now_ns))
 
-    def abort(self, migration: Migration, now_ns: int, why: str) -> Migration:
+    def abort(self, migration: Migration, now_ns: int, reason: str) -> Migration:
         """Take a migration back: at once before the switch, else after the target has drained."""
         stage = Stage.RETURNING if migration.stage in SWITCHED_STAGES else Stage.TAKEN_BACK
-        return self.record(replace(migration, stage=stage, at=now_ns, switch_at=0, why=why))
+        return self.record(
+            replace(migration, stage=stage, stage_since_ns=now_ns, switch_at_ns=0, reason=reason)
+        )
--- a/query_broker/cells/migration_service.py
+++ b/query_broker/cells/migration_service.py
@@ -1,4 +1,4 @@
-"""The service that advances migrations: it shows them the cluster and carries their orders out."""
+"""The service that advances migrations: it is their view of the cluster and carries orders out."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
         dispatcher = self._node.celled
         log = dispatcher.migrations
         stages_before = {subject: migration.stage for subject, migration in log.records.items()}
-        accepting = [name for name, peer in self._node.peers.items() if peer["accepting"]]
+        accepting = [name for name, peer in self._node.peers.items() if peer.accepting]
         # A process that leaves must not drive what it will not see the end of.
         if not self._node.closing_announced or not accepting:
             step_migrations(log, now_ns, self, accepting)
         self._log_changes(stages_before)
-        closing = log.closing
-        log.closing = []
-        for order in closing:
+        close_outs = log.close_outs
+        log.close_outs = []
+        for order in close_outs:
             dispatcher.close_out(order.subject, order.cell)
-        if log.changed:
-            log.changed = False
+        if log.has_unpublished_changes:
+            log.has_unpublished_changes = False
             if self._node.peer_processes is not None:
                 self._node.peer_processes.publish_status()
 
@@ -46,8 +46,8 @@
         for subject, migration in self._node.celled.migrations.records.items():
             if stages_before.get(subject) is migration.stage:
                 continue
-            why = f" ({migration.why})" if migration.why else ""
-            self._node.log("cells", f"{migration.summary()}{why}")
+            reason = f" ({migration.reason})" if migration.reason else ""
+            self._node.log("cells", f"{migration.summary()}{reason}")
 
     # --- what a step looks at ---
 
@@ -59,14 +59,14 @@
         """Return the subject's open requests in the cell, in all processes of the broker."""
         count = self._node.celled.router.open.get((subject, cell), 0)
         for peer in self._node.peers.values():
-            count += peer["open"].get(subject, {}).get(cell, 0)
+            count += peer.open_requests.get(subject, {}).get(cell, 0)
         return count
 
     def is_replicated(self, migration: Migration) -> bool:
         """Return whether all other processes of the broker have this record or a later one."""
         for peer in self._node.peers.values():
             versions = [
-                record.version for record in peer["moves"] if record.subject == migration.subject
+                record.version for record in peer.migrations if record.subject == migration.subject
             ]
             if not any(version >= migration.version for version in versions):
                 return False
--- a/query_broker/cells/migration_steps.py
+++ b/query_broker/cells/migration_steps.py
@@ -28,8 +28,8 @@
         log: The records.
         now_ns: The time.
         cluster: What the step looks at.
-        alive: The other processes that take requests. The least name of them and this one
-            takes over the migrations of a process that has ended.
+        alive: The other processes that take requests. The first name in order among them and
+            this one takes over the migrations of a process that has ended.
     """
     processes = set(alive)
     for migration in list(log.records.values()):
@@ -37,16 +37,16 @@
             _forget_if_settled(log, migration, now_ns)
             continue
         driven = _take_over(log, migration, processes)
-        if driven.driver == log.me:
+        if driven.driver == log.process_name:
             STEPS[driven.stage](log, driven, now_ns, cluster)
 
 
 def _take_over(log: MigrationLog, migration: Migration, processes: set[str]) -> Migration:
-    if migration.driver == log.me or migration.driver in processes:
+    if migration.driver == log.process_name or migration.driver in processes:
         return migration
-    if log.me != min({log.me, *processes}):
+    if log.process_name != min({log.process_name, *processes}):
         return migration
-    return log.record(replace(migration, driver=log.me))
+    return log.record(replace(migration, driver=log.process_name))
 
 
 def _forget_if_settled(log: MigrationLog, migration: Migration, now_ns: int) -> None:
@@ -55,7 +55,7 @@
     Where a migration has led is kept for good, unless the map says the same or has no such
     cell.
     """
-    if now_ns - migration.at <= RETENTION_NS:
+    if now_ns - migration.stage_since_ns <= RETENTION_NS:
         return
     cell = migration.cell(now_ns)
     if cell == log.map.home(migration.subject) or log.map.cell(cell) is None:
@@ -65,9 +65,9 @@
 def _step_proposed(
     log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> None:
-    if cluster.fleet(migration.target).ready:
+    if cluster.fleet(migration.target).ready_count:
         log.enter(migration, Stage.WARMING, now_ns)
-    elif now_ns - migration.at >= log.map.timing.propose:
+    elif now_ns - migration.stage_since_ns >= log.map.timeouts.proposed_ns:
         log.abort(migration, now_ns, "the target has no ready engine")
 
 
@@ -75,24 +75,25 @@
     log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> None:
     able = cluster.fleet(migration.target).is_able()
-    if migration.switch_at:
+    if migration.switch_at_ns:
         _await_switch(log, migration, now_ns, able, cluster)
     else:
         _await_able(log, migration, now_ns, able)
     latest = log.records[migration.subject]
-    if now_ns - migration.at >= log.map.timing.warm and latest.stage is Stage.WARMING:
+    elapsed_ns = now_ns - migration.stage_since_ns
+    if elapsed_ns >= log.map.timeouts.warming_ns and latest.stage is Stage.WARMING:
         log.abort(latest, now_ns, "the target did not get warm in time")
 
 
 def _await_able(log: MigrationLog, migration: Migration, now_ns: int, able: bool) -> None:
     """Decide on the time of the switch once the target has been able for long enough."""
     if not able:
-        if migration.able_since:
-            log.record(replace(migration, able_since=0))
-    elif not migration.able_since:
-        log.record(replace(migration, able_since=now_ns))
-    elif now_ns - migration.able_since >= log.map.timing.settle:
-        log.record(replace(migration, switch_at=now_ns + SWITCH_LEAD_NS))
+        if migration.able_since_ns:
+            log.record(replace(migration, able_since_ns=0))
+    elif not migration.able_since_ns:
+        log.record(replace(migration, able_since_ns=now_ns))
+    elif now_ns - migration.able_since_ns >= log.map.timeouts.settle_ns:
+        log.record(replace(migration, switch_at_ns=now_ns + SWITCH_LEAD_NS))
 
 
 def _await_switch(
@@ -102,12 +103,19 @@
     if not able:
         # A target that is lost while the other processes learn of the switch must not get the
         # tenant.
-        log.record(replace(migration, switch_at=0, able_since=0))
+        log.record(replace(migration, switch_at_ns=0, able_since_ns=0))
     elif cluster.is_replicated(migration):
-        switch_at = max(now_ns, migration.switch_at)
-        log.record(replace(migration, stage=Stage.SWITCHED, at=switch_at, switch_at=switch_at))
-    elif now_ns >= migration.switch_at:
-        log.record(replace(migration, switch_at=now_ns + SWITCH_LEAD_NS))
+        switch_at_ns = max(now_ns, migration.switch_at_ns)
+        log.record(
+            replace(
+                migration,
+                stage=Stage.SWITCHED,
+                stage_since_ns=switch_at_ns,
+                switch_at_ns=switch_at_ns,
+            )
+        )
+    elif now_ns >= migration.switch_at_ns:
+        log.record(replace(migration, switch_at_ns=now_ns + SWITCH_LEAD_NS))
 
 
 def _watch_target(
@@ -117,14 +125,14 @@
 
     A target that loses its last endpoint gives the tenant back, if the source can take it.
     """
-    if cluster.fleet(migration.target).ready:
-        if migration.lost_since:
-            return log.record(replace(migration, lost_since=0))
+    if cluster.fleet(migration.target).ready_count:
+        if migration.lost_since_ns:
+            return log.record(replace(migration, lost_since_ns=0))
         return migration
-    if not migration.lost_since:
-        return log.record(replace(migration, lost_since=now_ns))
-    is_lost = now_ns - migration.lost_since >= log.map.timing.lost
-    if is_lost and cluster.fleet(migration.source).ready:
+    if not migration.lost_since_ns:
+        return log.record(replace(migration, lost_since_ns=now_ns))
+    is_lost = now_ns - migration.lost_since_ns >= log.map.timeouts.target_lost_ns
+    if is_lost and cluster.fleet(migration.source).ready_count:
         log.abort(migration, now_ns, "the target has lost its last engine")
         return None
     return migration
@@ -133,15 +141,15 @@
 def _step_switched(
     log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> None:
-    if now_ns < migration.switch_at:
+    if now_ns < migration.switch_at_ns:
         return
     watched = _watch_target(log, migration, now_ns, cluster)
     if watched is None:
         return
-    elapsed_ns = now_ns - migration.at
-    if not watched.lost_since and elapsed_ns >= log.map.timing.watch:
+    elapsed_ns = now_ns - migration.stage_since_ns
+    if not watched.lost_since_ns and elapsed_ns >= log.map.timeouts.watch_ns:
         log.enter(watched, Stage.DRAINING, now_ns)
-    elif elapsed_ns >= log.map.timing.switched:
+    elif elapsed_ns >= log.map.timeouts.switched_ns:
         log.abort(watched, now_ns, "the target was not able for long enough")
 
 
@@ -153,7 +161,7 @@
         return
     if not cluster.open(migration.subject, migration.source):
         log.enter(watched, Stage.DONE, now_ns)
-    elif now_ns - migration.at >= log.map.timing.drain:
+    elif now_ns - migration.stage_since_ns >= log.map.timeouts.draining_ns:
         _end_by_close_out(log, watched, Stage.DONE, now_ns)
 
 
@@ -162,12 +170,12 @@
 ) -> None:
     if not cluster.open(migration.subject, migration.target):
         log.enter(migration, Stage.TAKEN_BACK, now_ns)
-    elif now_ns - migration.at >= log.map.timing.drain:
+    elif now_ns - migration.stage_since_ns >= log.map.timeouts.draining_ns:
         _end_by_close_out(log, migration, Stage.TAKEN_BACK, now_ns)
 
 
 def _end_by_close_out(log: MigrationLog, migration: Migration, stage: Stage, now_ns: int) -> None:
-    ended = log.record(replace(migration, stage=stage, at=now_ns, why=CLOSED_OUT))
+    ended = log.record(replace(migration, stage=stage, stage_since_ns=now_ns, reason=CLOSED_OUT))
     log.order_close_out(ended)
 
 
--- a/query_broker/cells/migrations.py
+++ b/query_broker/cells/migrations.py
@@ -28,6 +28,16 @@
 #: Stored and compared between processes: it tells a follower to close out as well.
 CLOSED_OUT = "what was open past its time was closed out"
 WRONG_FIELD_TYPE = "a move with fields of the wrong kind"
+#: The keys of the stored form of a `Migration`, where they differ from the names of its fields.
+STORED_KEYS = {
+    "stage_since_ns": "at",
+    "proposed_ns": "begun",
+    "able_since_ns": "able_since",
+    "lost_since_ns": "lost_since",
+    "switch_at_ns": "switch_at",
+    "reason": "why",
+}
+FIELD_NAMES = {key: name for name, key in STORED_KEYS.items()}
 
 
 class Stage(Enum):
@@ -58,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Migration:
-    """The record of one migration; its field names are the keys of the stored form.
+    """The record of one migration; `plain` gives its stored form.
 
     Attributes:
         subject: The tenant, or one part of a spread one.
@@ -66,13 +76,13 @@
         target: The cell it goes to.
         stage: Where it stands.
         version: Orders the records on one subject.
-        at: When it came into this stage.
-        begun: When it was proposed.
+        stage_since_ns: When it came into this stage.
+        proposed_ns: When it was proposed.
         driver: The process that advances it.
-        able_since: Since when the target has enough warm endpoints; 0 if it has not.
-        lost_since: Since when the target has no endpoint; 0 if it has one.
-        switch_at: From then on new requests go to the target; 0 before that is decided.
-        why: Why it ended or was aborted.
+        able_since_ns: Since when the target has enough warm endpoints; 0 if it has not.
+        lost_since_ns: Since when the target has no endpoint; 0 if it has one.
+        switch_at_ns: From then on new requests go to the target; 0 before that is decided.
+        reason: Why it ended or was aborted.
     """
 
     subject: str
@@ -80,13 +90,13 @@
     target: str
     stage: Stage
     version: int
-    at: int
-    begun: int
+    stage_since_ns: int
+    proposed_ns: int
     driver: str
-    able_since: int = 0
-    lost_since: int = 0
-    switch_at: int = 0
-    why: str = ""
+    able_since_ns: int = 0
+    lost_since_ns: int = 0
+    switch_at_ns: int = 0
+    reason: str = ""
 
     def has_ended(self) -> bool:
         """Return whether it is in one of the stages that nothing follows."""
@@ -94,7 +104,7 @@
 
     def cell(self, now_ns: int) -> str:
         """Return the cell that new requests go to."""
-        has_switched = self.stage in SWITCHED_STAGES and now_ns >= self.switch_at
+        has_switched = self.stage in SWITCHED_STAGES and now_ns >= self.switch_at_ns
         return self.target if has_switched else self.source
 
     def summary(self) -> str:
@@ -103,7 +113,9 @@
 
     def plain(self) -> dict[str, Any]:
         """Return the record as plain objects for JSON, the form that `read_migration` reads."""
-        return {**asdict(self), "stage": self.stage.value}
+        stored = {STORED_KEYS.get(name, name): value for name, value in asdict(self).items()}
+        stored["stage"] = self.stage.value
+        return stored
 
 
 def read_migration(raw: Mapping[str, Any]) -> Migration:
@@ -114,15 +126,22 @@
         TypeError: A field is missing, unknown or of the wrong type.
         KeyError: There is no stage.
     """
-    migration = Migration(**{**raw, "stage": Stage(raw["stage"])})
-    texts = (migration.subject, migration.source, migration.target, migration.driver, migration.why)
+    named = {FIELD_NAMES.get(key, key): value for key, value in raw.items()}
+    migration = Migration(**{**named, "stage": Stage(raw["stage"])})
+    texts = (
+        migration.subject,
+        migration.source,
+        migration.target,
+        migration.driver,
+        migration.reason,
+    )
     numbers = (
         migration.version,
-        migration.at,
-        migration.begun,
-        migration.able_since,
-        migration.lost_since,
-        migration.switch_at,
+        migration.stage_since_ns,
+        migration.proposed_ns,
+        migration.able_since_ns,
+        migration.lost_since_ns,
+        migration.switch_at_ns,
     )
     texts_match = all(type(text) is str for text in texts)
     numbers_match = all(type(number) is int for number in numbers)
@@ -133,19 +152,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The endpoints of a cell that take new work.
+    """The number of a cell's endpoints that take new work.
 
     Attributes:
-        ready: How many there are.
-        cold: How many of them are still warming up.
+        ready_count: How many there are.
+        warming_count: How many of them are still warming up.
     """
 
-    ready: int
-    cold: int
+    ready_count: int
+    warming_count: int
 
     def is_able(self) -> bool:
         """Return whether enough of the endpoints are warm for the cell to take a tenant over."""
-        return self.ready > 0 and self.ready - self.cold >= MIN_WARM_FRACTION * self.ready
+        warm_count = self.ready_count - self.warming_count
+        return self.ready_count > 0 and warm_count >= MIN_WARM_FRACTION * self.ready_count
 
 
 class ClusterView(Protocol):
--- a/query_broker/cells/model.py
+++ b/query_broker/cells/model.py
@@ -1,7 +1,8 @@
 """The cell map: the cells, the tenants in them and the values that operators set for both.
 
 It is built from the operators' file, passed between processes as plain JSON objects, and never
-changed in place. Its field names are the keys of the stored form. Performs no I/O.
+changed in place. The keys of its stored form are the names of the fields, but for the timeouts:
+`TIMEOUT_FIELDS` maps those. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import json
 import math
 from collections.abc import Collection, Mapping
-from dataclasses import asdict, dataclass, field, fields
+from dataclasses import asdict, dataclass, field
 from typing import Any, Literal
 
 import xxhash
@@ -89,29 +90,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timing:
-    """How long a migration may stay in each stage, in nanoseconds.
+class MigrationTimeouts:
+    """How long a migration may stay in each stage.
 
     Attributes:
-        propose: After this long without a ready endpoint in the target it is aborted.
-        warm: After this long without enough warm endpoints in the target it is aborted.
-        settle: How long the target must have been able before the switch.
-        watch: How long the target must stay able after the switch.
-        switched: After this long since the switch without that, it is aborted.
-        drain: What is still open in the source after this long is closed out.
-        lost: A target without endpoints for this long gives the tenant back.
+        proposed_ns: After this long without a ready endpoint in the target it is aborted.
+        warming_ns: After this long without enough warm endpoints in the target it is aborted.
+        settle_ns: How long the target must have had enough warm endpoints before the switch.
+        watch_ns: How long the target must keep them after the switch.
+        switched_ns: After this long since the switch without that, it is aborted.
+        draining_ns: What is still open in the source after this long is closed out.
+        target_lost_ns: A target without endpoints for this long gives the tenant back.
     """
 
-    propose: int = 10 * NS_PER_S
-    warm: int = 30 * NS_PER_S
-    settle: int = 1 * NS_PER_S
-    watch: int = 2 * NS_PER_S
-    switched: int = 10 * NS_PER_S
-    drain: int = 60 * NS_PER_S
-    lost: int = NS_PER_S // 2
+    proposed_ns: int = 10 * NS_PER_S
+    warming_ns: int = 30 * NS_PER_S
+    settle_ns: int = 1 * NS_PER_S
+    watch_ns: int = 2 * NS_PER_S
+    switched_ns: int = 10 * NS_PER_S
+    draining_ns: int = 60 * NS_PER_S
+    target_lost_ns: int = NS_PER_S // 2
 
+    def plain(self) -> dict[str, int]:
+        """Return the timeouts by the keys of the stored form and of the operators' file."""
+        return {key: getattr(self, name) for key, name in TIMEOUT_FIELDS.items()}
 
-DEFAULT_TIMING = Timing()
+
+#: The field of `MigrationTimeouts` for each key of the stored form and of the operators' file.
+TIMEOUT_FIELDS = {
+    "propose": "proposed_ns",
+    "warm": "warming_ns",
+    "settle": "settle_ns",
+    "watch": "watch_ns",
+    "switched": "switched_ns",
+    "drain": "draining_ns",
+    "lost": "target_lost_ns",
+}
+DEFAULT_TIMEOUTS = MigrationTimeouts()
+
+
+def timeouts_of(timeouts_ns: Mapping[str, int]) -> MigrationTimeouts:
+    """Return the timeouts that stand under the keys of `TIMEOUT_FIELDS`.
+
+    Raises:
+        TypeError: A key is none of them.
+    """
+    return MigrationTimeouts(
+        **{TIMEOUT_FIELDS.get(key, key): value for key, value in timeouts_ns.items()}
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,7 +149,7 @@
         cells: The cells, in the operators' order.
         default: The cell of tenants that the map does not name.
         tenants: The homes by the tenant's name.
-        timing: The limits of migrations.
+        timeouts: The limits of migrations.
 
     Raises:
         CellMapError: The map contradicts itself; the text names the key.
@@ -133,7 +159,7 @@
     cells: tuple[Cell, ...]
     default: str
     tenants: Mapping[str, Tenant] = field(default_factory=dict)
-    timing: Timing = DEFAULT_TIMING
+    timeouts: MigrationTimeouts = DEFAULT_TIMEOUTS
 
     def __post_init__(self) -> None:
         """Check the map, in the order of the operators' file."""
@@ -151,7 +177,7 @@
             raise CellMapError("default_cell", f"{self.default!r} is no cell")
         for tenant in self.tenants.values():
             _check_tenant(tenant, names)
-        _check_timing(self.timing)
+        _check_timeouts(self.timeouts)
 
     def cell(self, name: str) -> Cell | None:
         """Return the cell of this name, or None."""
@@ -169,7 +195,7 @@
         part = xxhash.xxh3_64_intdigest(f"{tenant}\0{value}".encode()) % BUCKETS
         return f"{tenant}#{part}"
 
-    def known(self, subject: str) -> bool:
+    def is_migratable(self, subject: str) -> bool:
         """Return whether a migration may name the subject.
 
         It may name a tenant that is not spread, or one part of a tenant that is.
@@ -193,8 +219,13 @@
 
     def plain(self) -> dict[str, Any]:
         """Return the map as plain objects for JSON, the form that `read_cell_map` reads."""
-        tenants = [asdict(tenant) for tenant in self.tenants.values()]
-        return {**asdict(self), "tenants": tenants}
+        return {
+            "epoch": self.epoch,
+            "cells": tuple(asdict(cell) for cell in self.cells),
+            "default": self.default,
+            "tenants": [asdict(tenant) for tenant in self.tenants.values()],
+            "timing": self.timeouts.plain(),
+        }
 
     def digest(self) -> str:
         """Return a digest that distinguishes maps of one epoch with different contents."""
@@ -241,10 +272,10 @@
             raise CellMapError("tenant.cell", f"{cell_name!r} of {tenant.name!r} is no cell")
 
 
-def _check_timing(timing: Timing) -> None:
-    for entry in fields(timing):
-        if getattr(timing, entry.name) < 0:
-            raise CellMapError(f"moves.{entry.name}", "must not be negative")
+def _check_timeouts(timeouts: MigrationTimeouts) -> None:
+    for key, timeout_ns in timeouts.plain().items():
+        if timeout_ns < 0:
+            raise CellMapError(f"moves.{key}", "must not be negative")
 
 
 def _is_part_number(text: str) -> bool:
@@ -274,7 +305,7 @@
         cells = tuple(_read_cell(entry) for entry in raw["cells"])
         tenants = {entry["name"]: _read_tenant(entry) for entry in raw["tenants"]}
         epoch = int(raw["epoch"])
-        return CellMap(epoch, cells, raw["default"], tenants, Timing(**raw["timing"]))
+        return CellMap(epoch, cells, raw["default"], tenants, timeouts_of(raw["timing"]))
     except CellMapError:
         raise
     except (TypeError, KeyError, ValueError, AttributeError) as error:
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -35,7 +35,7 @@
         map: The cell map in force.
         digest: Its digest.
         published_map: The map as it is published to the other processes.
-        me: The name of this process, unique among those of the broker.
+        process_name: The name of this process, unique among those of the broker.
         peers: The status of the other processes' cells, by their names.
         read_turns: The turns of client connections.
         client_seats: The admission of client connections, which accounts them to cells.
@@ -62,7 +62,7 @@
         """
         assert operator_config.cell_map is not None, "no cells"
         self.set_map(operator_config.cell_map)
-        self.me = f"{os.getpid()}-{os.urandom(4).hex()}"
+        self.process_name = f"{os.getpid()}-{os.urandom(4).hex()}"
         self.peers: dict[str, PeerCellStatus] = {}
         super().__init__(config, operator_config, path, environ)
         self._migrations = MigrationService(self)
@@ -79,7 +79,7 @@
 
     def make_dispatcher(self) -> Dispatcher:
         """Build the dispatcher with the cells of the map."""
-        return CellDispatcher(self.config, self.clock, self.log, self.map, self.me)
+        return CellDispatcher(self.config, self.clock, self.log, self.map, self.process_name)
 
     def make_admission(self) -> ClientAdmission:
         """Build the admission of client connections to cells, and their turns to read."""
@@ -107,7 +107,7 @@
         """Return the status of the cells, for the other processes."""
         router = self.celled.router
         return encode_cell_status(
-            self.me,
+            self.process_name,
             self.published_map,
             self.celled.migrations,
             router.open,
@@ -123,16 +123,16 @@
             fields = {KEY_ACCEPTING: other.accepting, KEY_CELLS: other.cells}
             peer = self.read_peer_status(fields)
             if peer is not None:
-                self.peers[peer["me"]] = peer
+                self.peers[peer.process_name] = peer
         for peer in self.peers.values():
             self._compare_maps(peer)
         # A process that serves already keeps the seats that it has.
         if is_first and self.server is None:
             for peer in self.peers.values():
-                if peer["epoch"] <= self.map.epoch:
-                    self.celled.adopt_seats(peer["seats"])
+                if peer.epoch <= self.map.epoch:
+                    self.celled.adopt_seats(peer.seats)
         for peer in self.peers.values():
-            self.celled.migrations.merge(peer["moves"])
+            self.celled.migrations.merge(peer.migrations)
 
     def read_peer_status(self, fields: Mapping[str, Any]) -> PeerCellStatus | None:
         """Read the status of another process's cells; None if it has none.
@@ -150,13 +150,13 @@
 
     def _compare_maps(self, peer: PeerCellStatus) -> None:
         """Take a newer map over; log another one of the same epoch."""
-        if peer["map"] is not None and peer["epoch"] > self.map.epoch:
+        if peer.newer_map is not None and peer.epoch > self.map.epoch:
             self.log(
                 "cells",
-                f"another process has the map of epoch {peer['epoch']}: taken from there",
+                f"another process has the map of epoch {peer.epoch}: taken from there",
             )
-            self.apply_map(peer["map"])
-        elif peer["epoch"] == self.map.epoch and peer["digest"] != self.digest:
+            self.apply_map(peer.newer_map)
+        elif peer.epoch == self.map.epoch and peer.digest != self.digest:
             self.log("cells", f"another process has another map of the same epoch {self.map.epoch}")
 
     # --- maps ---
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -25,10 +25,9 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import fields
 from typing import Any
 
-from ..cells.model import SPREAD_FIELDS, Cell, Tenant, Timing
+from ..cells.model import SPREAD_FIELDS, TIMEOUT_FIELDS, Cell, Tenant, timeouts_of
 from ..deadlines.retry_budget import RetryBudgetSettings
 from ..deadlines.settings import (
     DeadlineSettings,
@@ -151,12 +150,11 @@
 def moves(draft: ConfigDraft, **seconds: Any) -> None:
     """Set how many seconds a migration may stay in each stage."""
     draft.declare_once("moves")
-    stages = {stage.name for stage in fields(Timing)}
     for key in seconds:
-        if key not in stages:
-            raise DirectiveError(f"moves.{key}", f"is none of {', '.join(sorted(stages))}")
-    draft.timing = Timing(
-        **{key: seconds_to_ns(value, f"moves.{key}") for key, value in seconds.items()}
+        if key not in TIMEOUT_FIELDS:
+            raise DirectiveError(f"moves.{key}", f"is none of {', '.join(sorted(TIMEOUT_FIELDS))}")
+    draft.migration_timeouts = timeouts_of(
+        {key: seconds_to_ns(value, f"moves.{key}") for key, value in seconds.items()}
     )
 
 
--- a/query_broker/operator_config/draft.py
+++ b/query_broker/operator_config/draft.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from ..cells.model import Cell, CellMap, CellMapError, Tenant, Timing
+from ..cells.model import Cell, CellMap, CellMapError, MigrationTimeouts, Tenant
 from ..deadlines.retry_budget import RetryBudgetSettings
 from ..deadlines.settings import DeadlineSettings, Logs
 from ..membership.settings import MembershipSettings
@@ -30,7 +30,7 @@
         calls: Number of directives that were called.
         epoch: Epoch of the cell map.
         default_cell: Cell of the tenants that the file does not name; empty if not declared.
-        timing: Time limits of the stages of a migration.
+        migration_timeouts: Time limits of the stages of a migration.
         cells: Cells by name, in the order of the file.
         tenants: Tenants by name, in the order of the file.
         declared_at: Number of the call that declared something, by directive and name; the name is
@@ -50,7 +50,7 @@
     calls: int = 0
     epoch: int = 0
     default_cell: str = ""
-    timing: Timing = field(default_factory=Timing)
+    migration_timeouts: MigrationTimeouts = field(default_factory=MigrationTimeouts)
     cells: dict[str, Cell] = field(default_factory=dict)
     tenants: dict[str, Tenant] = field(default_factory=dict)
     declared_at: dict[tuple[str, str], int] = field(default_factory=dict)
@@ -128,7 +128,7 @@
         self._check_exclusive_cell_fields()
         cells = tuple(self.cells.values())
         try:
-            return CellMap(self.epoch, cells, default_cell, self.tenants, self.timing)
+            return CellMap(self.epoch, cells, default_cell, self.tenants, self.migration_timeouts)
         except CellMapError as error:
             key, _, problem = str(error).partition(": ")  # the form of all its texts
             raise DirectiveError(key, problem, self.calls) from None
--- a/tests/cells/test_pure.py
+++ b/tests/cells/test_pure.py
@@ -24,7 +24,14 @@
     Stage,
     read_migration,
 )
-from query_broker.cells.model import Cell, CellMap, CellMapError, Tenant, Timing, read_cell_map
+from query_broker.cells.model import (
+    Cell,
+    CellMap,
+    CellMapError,
+    MigrationTimeouts,
+    Tenant,
+    read_cell_map,
+)
 from query_broker.cells.placement import Placement, Seen
 from query_broker.cells.read_turns import ReadTurns
 from query_broker.cells.solver import NoPlanError, solve
@@ -62,7 +69,7 @@
         ({"cells": (Cell("a", zones=("z",)), Cell("b", zones=("z",)))}, "cell.zones"),
         ({"tenants": {"x": Tenant("x", ("c",))}}, "tenant.cell"),
         ({"tenants": {"x": Tenant("x", ("a", "a"))}}, "tenant.key"),
-        ({"timing": Timing(warm=-1)}, "moves.warm"),
+        ({"timeouts": MigrationTimeouts(warming_ns=-1)}, "moves.warm"),
     ],
 )
 def test_a_map_that_cannot_be_names_its_key(change: dict[str, Any], key: str) -> None:
@@ -76,7 +83,7 @@
         (Cell("a", 2.0, ("s-1",), most=4), Cell("b", zones=("z",))),
         "b",
         {"x": Tenant("x", ("a", "b"), "route")},
-        Timing(warm=5),
+        MigrationTimeouts(warming_ns=5),
     )
     assert read_cell_map(said.plain()) == said
     assert read_cell_map(said.plain()).digest() == said.digest()
@@ -94,10 +101,10 @@
     assert min(homes.values()) > 20
     assert said.subject("x", "report", 7) == parts[7]
     assert said.subject("y", "glance", 7) == "y"
-    assert said.known(parts[7])
-    assert not said.known("x")
-    assert not said.known("x#64")
-    assert not said.known("x#07")
+    assert said.is_migratable(parts[7])
+    assert not said.is_migratable("x")
+    assert not said.is_migratable("x#64")
+    assert not said.is_migratable("x#07")
     # One cell fewer: the parts of the others stay.
     less = CellMap(2, cells, "a", {"x": Tenant("x", ("a", "b"), "data_set")})
     assert all(less.home(p) == said.home(p) for p in parts.values() if said.home(p) != "c")
@@ -331,7 +338,7 @@
         if stage is not stages[-1]:
             stages.append(stage)
         assert made.cell("x", now) == (
-            "b" if stage in moves.SWITCHED_STAGES and now >= made.records["x"].switch_at else "a"
+            "b" if stage in moves.SWITCHED_STAGES and now >= made.records["x"].switch_at_ns else "a"
         )
     assert stages == [Stage.PROPOSED, Stage.WARMING, Stage.SWITCHED, Stage.DRAINING]
     cluster.count.clear()
@@ -351,7 +358,7 @@
     made.propose("x", "b", 0)
     now = play(made, cluster, 0, 45)
     assert at(made) is Stage.TAKEN_BACK
-    assert why in made.records["x"].why
+    assert why in made.records["x"].reason
     assert made.cell("x", now) == "a"
     made.propose("x", "b", now)  # it may be tried again
 
@@ -422,23 +429,23 @@
         with pytest.raises(MigrationRejectedError):
             made.propose(subject, target, 0)
     assert not made.records
-    assert not made.changed
+    assert not made.has_unpublished_changes
     part = next(f"x#{i}" for i in range(64) if spread.home(f"x#{i}") == "a")
     made.propose(part, "b", 0)
 
 
 def test_what_is_open_past_the_time_for_it_is_closed_out_by_every_process() -> None:
-    said = cell_map(timing=Timing(drain=2 * S))
+    said = cell_map(timeouts=MigrationTimeouts(draining_ns=2 * S))
     made, other, cluster = MigrationLog(said, "p1"), MigrationLog(said, "p2"), SimulatedCluster()
     cluster.count["x", "a"] = 1
     made.propose("x", "b", 0)
     now = play(made, cluster, 0, 5)
     other.merge(made.records.values())
     now = play(made, cluster, now, 3)
-    assert made.closing == [CloseOut("x", "a")]
+    assert made.close_outs == [CloseOut("x", "a")]
     assert at(made) is Stage.DONE
     other.merge(made.records.values())
-    assert other.closing == [CloseOut("x", "a")]
+    assert other.close_outs == [CloseOut("x", "a")]
     assert other.cell("x", now) == "b"
 
 
@@ -724,6 +731,8 @@
     cells = (Cell("a"), Cell("b"))
     spread = CellMap(1, cells, "a", {"x": Tenant("x", ("a", "b"), "route")})
     known = [
-        part for part in ("0", "63", "64", "07", "-1", "٣", "", "x") if spread.known(f"x#{part}")
+        part
+        for part in ("0", "63", "64", "07", "-1", "٣", "", "x")
+        if spread.is_migratable(f"x#{part}")
     ]
     assert known == ["0", "63"]
--- a/tests/cells/test_sockets.py
+++ b/tests/cells/test_sockets.py
@@ -21,7 +21,7 @@
 from query_broker.cells.client_connection import CelledConnection
 from query_broker.cells.client_seat import ANTEROOM
 from query_broker.cells.migrations import Stage
-from query_broker.cells.model import Cell, CellMap, Tenant, Timing
+from query_broker.cells.model import Cell, CellMap, MigrationTimeouts, Tenant
 from query_broker.cells.node import CellNode
 from query_broker.cells.router import Assignment, CellRouter
 from query_broker.cli.main import main
@@ -56,7 +56,7 @@
 pytestmark = pytest.mark.real_time
 
 S = 1_000 * MS
-FAST = Timing(settle=0, watch=0, lost=50 * MS)
+FAST = MigrationTimeouts(settle_ns=0, watch_ns=0, target_lost_ns=50 * MS)
 TWO = [{"name": "acme"}, {"name": "beta"}]
 
 
@@ -65,7 +65,7 @@
     *,
     a: tuple[str, ...] = ("s-1",),
     b: tuple[str, ...] = ("s-2",),
-    timing: Timing = FAST,
+    timing: MigrationTimeouts = FAST,
     **homes: str,
 ) -> CellMap:
     """Cells a and b with these engines; acme in a, beta in b."""
@@ -237,7 +237,7 @@
     one, two_ = Engine(), Engine()
     async with pair(two(), one, two_) as rig:
         assert rig.node.dispatcher.set_endpoint_disabled("s-2", True)
-        assert router(rig).seats.fleet("b", rig.node.clock.now()).ready == 0
+        assert router(rig).seats.fleet("b", rig.node.clock.now()).ready_count == 0
         node(rig).apply_map(two(2, a=("s-1", "s-2"), b=()))
         client = await rig.client()
         for stream in range(1, 11):
@@ -245,7 +245,7 @@
             assert (await client.answer())[1] == frames.SERVED
         assert not two_.commands_named(b"do")
         assert rig.node.dispatcher.set_endpoint_disabled("s-2", False)  # back, and cold
-        assert router(rig).seats.fleet("a", rig.node.clock.now()).cold == 1
+        assert router(rig).seats.fleet("a", rig.node.clock.now()).warming_count == 1
         node(rig).apply_map(two(3))
         facade = router(rig).facades["b"]
         assert all(
@@ -635,7 +635,7 @@
                 assert (await client.answer())[1] == frames.SERVED
                 await until(lambda: stage(new) is Stage.DONE)
                 moved = node(new).celled.migrations
-                assert moved.records["acme"].driver == node(new).me
+                assert moved.records["acme"].driver == node(new).process_name
                 assert moved.cell("acme", new.node.clock.now()) == "b"
 
 
--- a/tests/golden/stored/cells.py
+++ b/tests/golden/stored/cells.py
@@ -7,7 +7,7 @@
 
 from query_broker.cells.migration_log import MigrationLog
 from query_broker.cells.migrations import Migration, Stage
-from query_broker.cells.model import Cell, CellMap, Tenant, Timing
+from query_broker.cells.model import Cell, CellMap, MigrationTimeouts, Tenant
 from query_broker.cells.node import CellNode
 
 PROCESS_NAME = "41-00ff00ff"
@@ -17,13 +17,13 @@
     target="b",
     stage=Stage.WARMING,
     version=12,
-    at=1_700,
-    begun=1_600,
+    stage_since_ns=1_700,
+    proposed_ns=1_600,
     driver=PROCESS_NAME,
-    able_since=1_650,
-    lost_since=0,
-    switch_at=2_000,
-    why="wäit",
+    able_since_ns=1_650,
+    lost_since_ns=0,
+    switch_at_ns=2_000,
+    reason="wäit",
 )
 MIGRATION_TEXT = (
     '{"subject": "acme#7", "source": "a", "target": "b", "stage": "warming", "ver'
@@ -52,7 +52,7 @@
         "bolt": Tenant("bolt", ("b",)),
         "data": Tenant("data", ("a", "b"), "data_set"),
     },
-    timing=Timing(warm=5),
+    timeouts=MigrationTimeouts(warming_ns=5),
 )
 CELL_MAP_TEXT = (
     '{"epoch": 3, "cells": [{"name": "a", "weight": 2.0, "engines": ["s-1"], "zon'
@@ -102,6 +102,6 @@
         celled = cast(Any, runtime)
 
     node = NodeOfTheseCells.__new__(NodeOfTheseCells)
-    node.me = PROCESS_NAME
+    node.process_name = PROCESS_NAME
     node.set_map(CELL_MAP)
     return node
--- a/tests/golden/stored/test_cells.py
+++ b/tests/golden/stored/test_cells.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import json
-from typing import Any
 
 import pytest
 
 from query_broker.cells import migrations
+from query_broker.cells.cell_status import PeerCellStatus
 from query_broker.cells.migrations import Stage
 from query_broker.cells.model import read_cell_map
 from query_broker.cells.node import CellNode
@@ -83,18 +83,20 @@
     raw = json.loads(CELLS_STATUS_TEXT)
     raw["cells"]["map"]["epoch"] = 4  # a map is read where it is newer
     raw["cells"]["epoch"] = 4
-    status: Any = cell_node.read_peer_status({"accepting": True, **raw})
+    status = cell_node.read_peer_status({"accepting": True, **raw})
     assert status is not None
-    newer_map = status.pop("map")
+    newer_map = status.newer_map
+    assert newer_map is not None
     assert newer_map.epoch == 4
     assert newer_map.cells == CELL_MAP.cells
     assert newer_map.tenants == CELL_MAP.tenants
-    assert status == {
-        "me": "41-00ff00ff",
-        "accepting": True,
-        "epoch": 4,
-        "digest": CELL_MAP_DIGEST,
-        "moves": [MIGRATION],
-        "open": {"acme#7": {"a": 3, "b": 1}},
-        "seats": {"s-1": "a", "s-2": None},
-    }
+    assert status == PeerCellStatus(
+        process_name="41-00ff00ff",
+        accepting=True,
+        epoch=4,
+        digest=CELL_MAP_DIGEST,
+        migrations=[MIGRATION],
+        open_requests={"acme#7": {"a": 3, "b": 1}},
+        seats={"s-1": "a", "s-2": None},
+        newer_map=newer_map,
+    )
--- a/tests/operator_config/test_operators_file.py
+++ b/tests/operator_config/test_operators_file.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner
 
-from query_broker.cells.model import Timing
+from query_broker.cells.model import MigrationTimeouts
 from query_broker.cli.main import main
 from query_broker.operator_config.arguments import DirectiveError
 from query_broker.operator_config.directives import moves
@@ -80,7 +80,7 @@
     ]
     assert said.home("kilifi-creek-ferries") == "finance"
     assert said.home("nobody") == "counters"
-    assert said.timing == Timing()
+    assert said.timeouts == MigrationTimeouts()
     assert said.epoch == 1
     assert {said.home(said.subject("lamu-island-boats", "glance", d)) for d in range(50)} == {
         "counters",
@@ -167,7 +167,7 @@
 def test_words_do_not_need_the_interpreter() -> None:
     draft = ConfigDraft()
     moves(draft, warm=1.5)
-    assert draft.timing.warm == 1_500_000_000
+    assert draft.migration_timeouts.warming_ns == 1_500_000_000
     assert draft.build_cell_map() is None
     with pytest.raises(DirectiveError, match="said twice"):
         moves(draft)
