--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -21,7 +21,7 @@
 from query_broker.cells.migrations import MigrationRejectedError, Stage
 from query_broker.cells.model import Cell, CellMap, MigrationTimeouts, Tenant
 from query_broker.cells.node import CellNode
-from query_broker.cells.placement import Placement, Seen
+from query_broker.cells.placement import PlacedEndpoint, Placement
 from query_broker.cells.planner import Problem, hashed_placement, relative_loads
 from query_broker.cells.solver import solve
 from query_broker.config import parse
@@ -328,10 +328,10 @@
     await asyncio.sleep(0.1)
     figures.tell("loans.lent", ledger.borrowed("a"), least=1)
     begun, held = time.monotonic(), 0
-    while held < ledger.accounts["b"].part and time.monotonic() - begun < 5:
+    while held < ledger.accounts["b"].quota and time.monotonic() - begun < 5:
         await book.send_request("y", "glance", 1, 5 * S, weight=1)
         await asyncio.sleep(0.01)
-        held = ledger.accounts["b"].used
+        held = ledger.accounts["b"].in_use
     figures.tell(
         "loans.owner_has_its_part_after_ms", (time.monotonic() - begun) * 1e3, most=1_000.0
     )
@@ -364,10 +364,10 @@
         said = evaluate(str(path)).cell_map
         figures.tell("map.file_ms", (time.perf_counter() - begun) * 1e3, most=2_000.0)
     assert said is not None
-    engines = [Seen(f"s-{i:04x}", "east", "std", True) for i in range(60)]
+    engines = [PlacedEndpoint(f"s-{i:04x}", "east", "std", True) for i in range(60)]
     begun = time.perf_counter()
     placement = Placement(said)
-    placement.learn(engines)
+    placement.apply_list_update(engines)
     figures.tell("map.placement_ms", (time.perf_counter() - begun) * 1e3, most=50.0)
     begun = time.perf_counter()
     for i in range(100_000):
@@ -379,9 +379,9 @@
     moved = 0
     for engine in engines:
         again = Placement(said)
-        again.learn(engines)
+        again.apply_list_update(engines)
         before = dict(again.seats)
-        again.learn([], [engine.uid])
+        again.apply_list_update([], [engine.uid])
         moved += sum(again.seats[u] != c for u, c in before.items() if u != engine.uid)
     figures.tell("map.others_moved_when_one_leaves", moved, most=0)
     loads = {f"t{i}": draw.paretovariate(1.3) for i in range(1_000)}
--- a/query_broker/cells/admin.py
+++ b/query_broker/cells/admin.py
@@ -100,7 +100,7 @@
             "cold": fleet.warming_count,
             "short": fleet.ready_count < cell.least,
             "cores": sum(known[number].cores for number in facade.endpoints if number in known),
-            "open": facade.open,
+            "open": facade.open_count,
             "lent": dispatcher.request_ledger.borrowed(cell.name),
             "refused_for_room": dispatcher.accounting.rejected.get(cell.name, 0),
             "engines": sorted(seats.uid_of(number) for number in facade.endpoints),
@@ -117,7 +117,7 @@
     def _tenant(self, subject: str) -> dict[str, Any]:
         dispatcher = self._node.celled
         now_ns = self._node.clock.now()
-        load = dispatcher.rates.at(subject, now_ns)
+        load = dispatcher.rates.rate_at(subject, now_ns)
         return {
             "tenant": subject,
             "cell": dispatcher.migrations.cell(subject, now_ns),
--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -1,10 +1,10 @@
 """Borrowing between cells: what each may hold of one resource that all of them share.
 
-A cell owns a part of the resource and may borrow what the others do not use. The owner's part is a
-guarantee: `RESERVED_FRACTION` of it is never lent, and once the owner uses more than that (it
-*reclaims* its part), nothing more of the part is lent and what is lent is called in within
+A cell has a quota of the resource and may borrow what the others do not use of theirs. The quota is
+a guarantee: `RESERVED_FRACTION` of it is never lent, and once the owner uses more than that (it
+*reclaims* its quota), nothing more of it is lent and what is lent is called in within
 `CALL_IN_DELAY_NS`. Only what can be given back may be borrowed: *firm* use, which must not be cut
-short (such as work that is not idempotent), stays within the cell's own part.
+short (such as work that is not idempotent), stays within the cell's own quota.
 
 Amounts are descriptors, bytes or requests; times are integer nanoseconds. Performs no I/O.
 """
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 
 NS_PER_S = 1_000_000_000
-#: The fraction of a part that is never lent, so that an owner can always start at once.
+#: The fraction of a quota that is never lent, so that an owner can always start at once.
 RESERVED_FRACTION = 0.25
 #: From the owner's reclaim until the last of what it lent is called in: within a second, less the
 #: time that borrowers take to end.
 CALL_IN_DELAY_NS = NS_PER_S * 3 // 5
-#: How long an owner that has reclaimed its part keeps all of it.
+#: How long an owner that has reclaimed its quota keeps all of it.
 RECLAIM_HOLD_NS = 5 * NS_PER_S
 
 
@@ -29,56 +29,58 @@
     """One cell's use of one resource.
 
     Attributes:
-        part: What the cell owns.
-        used: What it uses, borrowed amounts included.
-        firm: What of it must not be cut short.
-        reclaim_since: Since when the owner wants its complete part; None if it does not.
-        last_reclaim: When it last wanted it.
-        reserved: What of the part is never lent.
+        quota: What the cell owns.
+        in_use: What it uses, borrowed amounts included.
+        firm_in_use: What of it must not be cut short.
+        reclaim_since_ns: Since when the owner wants its complete quota; None if it does not.
+        last_reclaim_ns: When it last wanted it.
+        reserved_quota: What of the quota is never lent.
     """
 
-    part: int = 0
-    used: int = 0
-    firm: int = 0
-    reclaim_since: int | None = None
-    last_reclaim: int = 0
-    reserved: int = 0
+    quota: int = 0
+    in_use: int = 0
+    firm_in_use: int = 0
+    reclaim_since_ns: int | None = None
+    last_reclaim_ns: int = 0
+    reserved_quota: int = 0
 
-    def set_part(self, part: int) -> None:
+    def set_quota(self, quota: int) -> None:
         """Set what the cell owns."""
-        self.part = part
-        self.reserved = int(RESERVED_FRACTION * part)
+        self.quota = quota
+        self.reserved_quota = int(RESERVED_FRACTION * quota)
 
-    def reserve(self) -> int:
+    def reserved_amount(self) -> int:
         """Return what must stay free for the cell now."""
-        wanted = self.part if self.reclaim_since is not None else self.reserved
-        return max(0, wanted - self.used)
+        guaranteed = self.quota if self.reclaim_since_ns is not None else self.reserved_quota
+        return max(0, guaranteed - self.in_use)
 
     def borrowed(self) -> int:
-        """Return what the cell uses beyond its part."""
-        return max(0, self.used - self.part)
+        """Return what the cell uses beyond its quota."""
+        return max(0, self.in_use - self.quota)
 
     def note_reclaim(self, now_ns: int) -> None:
-        """Record that the owner wants its complete part."""
-        if self.reclaim_since is None:
-            self.reclaim_since = now_ns
-        self.last_reclaim = now_ns
+        """Record that the owner wants its complete quota."""
+        if self.reclaim_since_ns is None:
+            self.reclaim_since_ns = now_ns
+        self.last_reclaim_ns = now_ns
 
     def expire_reclaim(self, now_ns: int) -> None:
         """End a reclaim that has not been repeated for `RECLAIM_HOLD_NS`."""
-        if self.reclaim_since is not None and now_ns - self.last_reclaim > RECLAIM_HOLD_NS:
-            self.reclaim_since = None
+        if self.reclaim_since_ns is not None and now_ns - self.last_reclaim_ns > RECLAIM_HOLD_NS:
+            self.reclaim_since_ns = None
 
     def call_in_is_due(self, now_ns: int) -> bool:
-        """Return whether the owner has waited for its part for `CALL_IN_DELAY_NS`."""
-        return self.reclaim_since is not None and now_ns - self.reclaim_since >= CALL_IN_DELAY_NS
+        """Return whether the owner has waited for its quota for `CALL_IN_DELAY_NS`."""
+        if self.reclaim_since_ns is None:
+            return False
+        return now_ns - self.reclaim_since_ns >= CALL_IN_DELAY_NS
 
 
 @dataclass(slots=True)
 class Ledger:
     """The use of one resource by all cells.
 
-    Invariant: the parts add up to no more than the total, and `acquire` never lets the use exceed
+    Invariant: the quotas add up to no more than the total, and `acquire` never lets the use exceed
     it.
 
     Attributes:
@@ -92,23 +94,23 @@
     accounts: dict[str, Account] = field(default_factory=dict)
 
     def divide(self, total: int, weights: Mapping[str, float]) -> None:
-        """Set the total and the parts anew.
+        """Set the total and the quotas anew.
 
-        What is in use stays accounted, also for cells that have no part any more.
+        What is in use stays accounted, also for cells that have no quota any more.
         """
         self.total = max(0, total)
         total_weight = sum(weights.values()) or 1.0
         for name, account in list(self.accounts.items()):
             if name not in weights:
-                account.reclaim_since = None
-                account.set_part(0)
+                account.reclaim_since_ns = None
+                account.set_quota(0)
                 self._drop_if_unused(name, account)
         for name, weight in weights.items():
-            part = int(self.total * weight / total_weight)
-            self.accounts.setdefault(name, Account()).set_part(part)
+            quota = int(self.total * weight / total_weight)
+            self.accounts.setdefault(name, Account()).set_quota(quota)
 
     def _drop_if_unused(self, name: str, account: Account) -> None:
-        if not account.part and not account.used:
+        if not account.quota and not account.in_use:
             del self.accounts[name]
 
     def free(self) -> int:
@@ -118,26 +120,29 @@
     def allows(self, name: str, amount: int, now_ns: int, firm: bool = False) -> bool:
         """Return whether the cell may take this amount more.
 
-        A cell that reaches into the part of its own that may be lent reclaims it by this call:
+        A cell that uses more than the reserved part of its quota reclaims the quota by this call:
         borrowed amounts are called in then.
         """
         account = self.accounts.get(name)
         if account is None:
             return False
-        if account.used + amount <= account.reserved:  # the ordinary case, on every request's path
+        # The ordinary case, which runs for every request.
+        if account.in_use + amount <= account.reserved_quota:
             return self.in_use + amount <= self.total
-        if account.used < account.part:
+        if account.in_use < account.quota:
             account.note_reclaim(now_ns)
-        if firm and account.firm + amount > account.part:
+        if firm and account.firm_in_use + amount > account.quota:
             return False
         free = self.free() - amount
-        if account.used + amount <= account.part:
+        if account.in_use + amount <= account.quota:
             return free >= 0
         return free >= self.reserved_for_others(name)
 
     def reserved_for_others(self, name: str) -> int:
         """Return what must stay free for the cells other than this one."""
-        return sum(account.reserve() for owner, account in self.accounts.items() if owner != name)
+        return sum(
+            account.reserved_amount() for owner, account in self.accounts.items() if owner != name
+        )
 
     def acquire(self, name: str, amount: int, now_ns: int, firm: bool = False) -> bool:
         """Account the amount to the cell if it may take it; return whether it did."""
@@ -147,66 +152,66 @@
         return True
 
     def force(self, name: str, amount: int, firm: bool = False) -> None:
-        """Account an amount that is in use already, whatever the cell's part."""
+        """Account an amount that is in use already, whatever the cell's quota."""
         account = self.accounts.get(name)
         if account is None:
             return
-        account.used += amount
+        account.in_use += amount
         self.in_use += amount
         if firm:
-            account.firm += amount
+            account.firm_in_use += amount
 
     def release(self, name: str, amount: int, firm: bool = False) -> None:
         """Give an amount back; ``firm`` as it was taken."""
         account = self.accounts.get(name)
         if account is None:
             return
-        amount = min(amount, account.used)
-        account.used -= amount
+        amount = min(amount, account.in_use)
+        account.in_use -= amount
         self.in_use -= amount
         if firm:
-            account.firm = max(0, account.firm - amount)
+            account.firm_in_use = max(0, account.firm_in_use - amount)
         self._drop_if_unused(name, account)
 
-    def set_used(self, name: str, used: int, firm: int = 0) -> None:
+    def set_in_use(self, name: str, in_use: int, firm_in_use: int = 0) -> None:
         """Set the use of a cell that is counted elsewhere."""
         account = self.accounts.get(name)
         if account is None:
             return
-        self.in_use += used - account.used
-        account.used = used
-        account.firm = firm
+        self.in_use += in_use - account.in_use
+        account.in_use = in_use
+        account.firm_in_use = firm_in_use
 
     def borrowed(self, name: str) -> int:
-        """Return what the cell uses beyond its part."""
+        """Return what the cell uses beyond its quota."""
         return self.accounts[name].borrowed()
 
-    def due(self, now_ns: int) -> dict[str, int]:
+    def amounts_to_call_in(self, now_ns: int) -> dict[str, int]:
         """Return what each borrower has to give back now.
 
         The largest borrowers come first, and no more is called in than is missing for the owners
-        that reclaimed their part long enough ago.
+        that reclaimed their quota long enough ago.
         """
         for account in self.accounts.values():
             account.expire_reclaim(now_ns)
         waiting = [account for account in self.accounts.values() if account.call_in_is_due(now_ns)]
         if not waiting:
             return {}
-        wanted = sum(max(0, account.part - account.used) for account in waiting)
+        wanted = sum(max(0, account.quota - account.in_use) for account in waiting)
         largest_first = sorted(self.accounts, key=lambda name: (-self.borrowed(name), name))
-        return self._owed(largest_first, wanted - max(0, self.free()))
+        return self._amounts_of_borrowers(largest_first, wanted - max(0, self.free()))
 
-    def over_total(self) -> dict[str, int]:
+    def amounts_over_total(self) -> dict[str, int]:
         """Return what each borrower has to give back where more than the total is in use."""
         largest_first = sorted(self.accounts, key=lambda name: -self.borrowed(name))
-        return self._owed(largest_first, -self.free())
+        return self._amounts_of_borrowers(largest_first, -self.free())
 
-    def _owed(self, largest_first: Iterable[str], missing: int) -> dict[str, int]:
-        owed: dict[str, int] = {}
+    def _amounts_of_borrowers(self, largest_first: Iterable[str], missing: int) -> dict[str, int]:
+        amounts: dict[str, int] = {}
         for name in largest_first:
             amount = min(self.borrowed(name), missing)
             if amount <= 0:
                 break
-            owed[name] = amount
+            amounts[name] = amount
             missing -= amount
-        return owed
+        return amounts
--- a/query_broker/cells/cell_facade.py
+++ b/query_broker/cells/cell_facade.py
@@ -15,7 +15,7 @@
     Attributes:
         cell: The name of the cell.
         endpoints: The numbers of the endpoints that have their seat in the cell.
-        open: How many requests are open in the cell.
+        open_count: How many requests are open in the cell.
         dissolved: Whether the cell has ended; its timers are ignored from then on.
     """
 
@@ -41,7 +41,7 @@
         """
         self.cell = cell
         self.endpoints: set[int] = set()
-        self.open = 0
+        self.open_count = 0
         self.dissolved = False
         self._due_facades = due_facades
         super().__init__(settings, seed, now_ns, timer_wheel)
--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -164,4 +164,4 @@
 
 
 def _used(ledger: Ledger) -> dict[str, int]:
-    return {cell: account.used for cell, account in ledger.accounts.items()}
+    return {cell: account.in_use for cell, account in ledger.accounts.items()}
--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, each cell with its part of the descriptors."""
+"""Connections to endpoints, each cell with its quota of the descriptors."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from .request_accounting import RequestAccounting
 from .router import CellRouter
 
-#: What a cell without a part may hold, such as one that the map has dropped.
-CONNECTIONS_WITHOUT_PART = 1
+#: What a cell without a quota may hold, such as one that the map has dropped.
+CONNECTIONS_WITHOUT_QUOTA = 1
 
 
 class PoolHost(Protocol):
@@ -87,13 +87,13 @@
             else:
                 without_cell += count
         for cell, count in used.items():
-            self.ledger.set_used(cell, count)
+            self.ledger.set_in_use(cell, count)
         self.ledger.total = max(0, self.max_connections - without_cell)
 
     def _allowance(self, cell: str, account: Account) -> int:
-        """Return what the cell may hold now: its part, and what it may borrow."""
+        """Return what the cell may hold now: its quota, and what it may borrow."""
         available = self.ledger.free() - self.ledger.reserved_for_others(cell)
-        return max(account.part, account.used + max(0, available))
+        return max(account.quota, account.in_use + max(0, available))
 
     def dedicated_limit(self, pool: ConnectionPool) -> int:
         """Return how many of the cell's connections each of its endpoints may have."""
@@ -103,7 +103,7 @@
         live = sum(number in self.by_number for number in endpoints)
         self.count_use()
         account = self.ledger.accounts.get(cell)
-        allowance = CONNECTIONS_WITHOUT_PART if account is None else self._allowance(cell, account)
+        allowance = CONNECTIONS_WITHOUT_QUOTA if account is None else self._allowance(cell, account)
         return max(1, int(allowance * DEDICATED_FRACTION) // max(1, live))
 
     def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
@@ -116,7 +116,7 @@
         account = self.ledger.accounts.get(cell)
         if account is None:
             return False
-        if account.used >= self._allowance(cell, account) * DEDICATED_FRACTION:
+        if account.in_use >= self._allowance(cell, account) * DEDICATED_FRACTION:
             return False
         return self.ledger.free() > 0 or bool(self._idle_connections())
 
@@ -131,9 +131,9 @@
         account = self.ledger.accounts.get(cell)
         if account is None:
             return super().reserve_descriptor(pool)
-        if account.used <= self._allowance(cell, account) and self.ledger.free() >= 0:
-            if account.used > RESERVED_FRACTION * account.part:
-                # It uses what may be lent of its part: nothing more of it is lent from now on.
+        if account.in_use <= self._allowance(cell, account) and self.ledger.free() >= 0:
+            if account.in_use > RESERVED_FRACTION * account.quota:
+                # It uses what may be lent of its quota: nothing more of it is lent from now on.
                 self.ledger.allows(cell, 0, now_ns)
             return True
         if self._close_idle_for(cell, account):
@@ -142,11 +142,11 @@
         return False
 
     def _close_idle_for(self, cell: str, account: Account) -> bool:
-        """Close an idle connection of the cell, or of a borrower if the cell is within its part."""
-        within_part = account.used <= account.part
+        """Close an idle connection of the cell, or of a borrower where the cell is within quota."""
+        within_quota = account.in_use <= account.quota
         for connection in self._idle_connections():
             owner = self._host.router.seats.cell_of(connection.endpoint) or ""
-            if owner == cell or (within_part and self._borrows(owner)):
+            if owner == cell or (within_quota and self._borrows(owner)):
                 connection.close()
                 return True
         return False
@@ -159,10 +159,10 @@
 
         Idle connections go first, then those without a request whose work must not be cut short.
         """
-        if all(account.reclaim_since is None for account in self.ledger.accounts.values()):
+        if all(account.reclaim_since_ns is None for account in self.ledger.accounts.values()):
             return
         self.count_use()
-        for cell, amount in self.ledger.due(now_ns).items():
+        for cell, amount in self.ledger.amounts_to_call_in(now_ns).items():
             connections = [
                 connection
                 for connection in self._connections_of(cell)
--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -45,13 +45,13 @@
         for cell, clients in readers.items():
             used[cell] = sum(client.unread() for client in clients)
         for cell, unread_bytes in used.items():
-            ledger.set_used(cell, unread_bytes)
-            # An owner that uses much of its own part reclaims it by this call.
+            ledger.set_in_use(cell, unread_bytes)
+            # An owner that uses much of its own quota reclaims it by this call.
             ledger.allows(cell, 0, now_ns)
-        owed = ledger.over_total()
-        for cell, amount in ledger.due(now_ns).items():
-            owed[cell] = max(owed.get(cell, 0), amount)
-        for cell, amount in owed.items():
+        amounts_to_free = ledger.amounts_over_total()
+        for cell, amount in ledger.amounts_to_call_in(now_ns).items():
+            amounts_to_free[cell] = max(amounts_to_free.get(cell, 0), amount)
+        for cell, amount in amounts_to_free.items():
             self._drop_slowest(readers.get(cell, []), amount)
         self._call_in_places(now_ns)
 
@@ -66,15 +66,15 @@
         return self._evict_for(cell) and ledger.acquire(cell, 1, now_ns)
 
     def _evict_for(self, cell: str) -> bool:
-        """End an idle connection of the cell, or of a borrower if the cell is within its part."""
+        """End an idle connection of the cell, or of a borrower if the cell is within its quota."""
         owner = self._dispatcher.connections.accounts.get(cell)
-        within_part = owner is not None and owner.used < owner.part
+        within_quota = owner is not None and owner.in_use < owner.quota
         return self.evict(
             client
             for client in self.connections
             if isinstance(client, CelledConnection)
             and client.idle()
-            and (client.cell == cell or (within_part and self._borrows(client.cell)))
+            and (client.cell == cell or (within_quota and self._borrows(client.cell)))
         )
 
     def _borrows(self, cell: str) -> bool:
@@ -113,7 +113,7 @@
 
     def _call_in_places(self, now_ns: int) -> None:
         """Call in borrowed places: idle connections end, the others are asked to leave."""
-        for cell, amount in self._dispatcher.connections.due(now_ns).items():
+        for cell, amount in self._dispatcher.connections.amounts_to_call_in(now_ns).items():
             clients = [
                 client
                 for client in self.connections
--- a/query_broker/cells/client_seat.py
+++ b/query_broker/cells/client_seat.py
@@ -1,4 +1,4 @@
-"""The seat of a client connection: the cell whose part of the descriptors it takes."""
+"""The seat of a client connection: the cell whose quota of descriptors it counts against."""
 
 from __future__ import annotations
 
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -21,12 +21,12 @@
 from .request_accounting import Charge, RequestAccounting
 from .request_call_in import call_in_requests
 from .router import Assignment, CellRouter
-from .work_rates import Rates
+from .work_rates import WorkRates
 
 NS_PER_MS = 1_000_000
-#: The anteroom's part of what is divided among client connections: enough for a wave of new
+#: The anteroom's fraction of what is divided among client connections: enough for a wave of new
 #: clients, little enough to leave the cells most of it.
-ANTEROOM_PART = 0.2
+ANTEROOM_FRACTION = 0.2
 #: How often borrowers are called in; well within the delay that the ledgers grant.
 CALL_IN_PERIOD_NS = 100 * NS_PER_MS
 
@@ -66,7 +66,7 @@
         self.frames = Ledger()
         self.answers = Ledger()
         self.connections = Ledger()
-        self.rates = Rates()
+        self.rates = WorkRates()
         self.replies: dict[ReplyKey, int] = {}
         self.called_in = 0
         self._called_in_at_ns = clock.now()
@@ -106,7 +106,7 @@
         return self.cell_pools
 
     def divide(self, processes: int, clients: int) -> None:
-        """Take this process's part of the limits and divide it among the cells."""
+        """Set this process's quota of the limits and divide it among the cells."""
         super().divide(processes, clients)
         self._divide_among_cells()
 
@@ -122,9 +122,9 @@
         return {cell.name: cell.part() for cell in self.map.cells}
 
     def cell_weights_with_anteroom(self) -> dict[str, float]:
-        """Return the weights where connections without a cell get a part as well."""
+        """Return the weights where connections without a cell get a quota as well."""
         weights = self.cell_weights()
-        anteroom = sum(weights.values()) * ANTEROOM_PART / (1 - ANTEROOM_PART)
+        anteroom = sum(weights.values()) * ANTEROOM_FRACTION / (1 - ANTEROOM_FRACTION)
         return {**weights, ANTEROOM: anteroom}
 
     def _divide_among_cells(self) -> None:
@@ -160,7 +160,7 @@
     ) -> ActiveRequest:
         """Assign a valid request to its cell and make it an open one."""
         assignment = self._assign(parsed)
-        self.router.assigned = assignment
+        self.router.assignment = assignment
         self.rates.add(assignment.subject, int(parsed.estimate_ms * NS_PER_MS))
         return super().admit(client, stream, parsed, received_ns)
 
@@ -186,8 +186,8 @@
         One tenant's flood would take the memory and the descriptors of all. Work that may have been
         executed must not be cut short, so it is never accepted on borrowed capacity.
         """
-        assert self.router.assigned is not None
-        cell = self.router.assigned.cell
+        assert self.router.assignment is not None
+        cell = self.router.assignment.cell
         client = request.client
         if isinstance(client, SeatedClient) and not client.settle(cell):
             self.accounting.count_rejection(cell)
@@ -205,8 +205,8 @@
         cell = ""
         if routed is not None:
             cell = routed.facade.cell
-        elif self.router.assigned is not None:
-            cell = self.router.assigned.cell
+        elif self.router.assignment is not None:
+            cell = self.router.assignment.cell
         key = ReplyKey(cell, request.class_name.decode(), status)
         self.replies[key] = self.replies.get(key, 0) + 1
         return super().begin_answer(request, status)
@@ -228,7 +228,7 @@
             self.rates.fold(now_ns)
             self.called_in += call_in_requests(self, now_ns)
             self.cell_pools.call_in(now_ns)
-            self.carry_out(now_ns, self.router.fade(now_ns))
+            self.carry_out(now_ns, self.router.report_former_cells(now_ns))
 
     def metrics(self) -> bytes:
         """Return the metrics in the text format of Prometheus."""
--- a/query_broker/cells/endpoint_seats.py
+++ b/query_broker/cells/endpoint_seats.py
@@ -1,4 +1,4 @@
-"""The seats of listed endpoints: which cell's decisions know of each, and what they learn of it.
+"""The seats of listed endpoints: which cell's decisions know of each, and what is reported to them.
 
 An endpoint belongs to one cell at a time. Performs no I/O.
 """
@@ -21,7 +21,7 @@
 from .migrations import Fleet
 from .model import CellMap
 from .outstanding_work import NO_WORK, OutstandingWorkTracker
-from .placement import Change, Placement, Seen
+from .placement import PlacedEndpoint, Placement, SeatChange
 
 
 class EndpointSeats:
@@ -127,7 +127,8 @@
             self.numbers[self.uid_of(entry.endpoint)] = entry.endpoint
             self.entries[entry.endpoint] = entry
         removed_uids = [uids[entry.endpoint] for entry in removed if entry.endpoint in uids]
-        changes = self.placement.learn([self._seen(entry) for entry in present], removed_uids)
+        endpoints = [self._placed_endpoint(entry) for entry in present]
+        changes = self.placement.apply_list_update(endpoints, removed_uids)
         for entry in removed:
             self._remove(now_ns, entry, uids.get(entry.endpoint), orders)
         self.reseat(now_ns, changes, orders)
@@ -147,9 +148,9 @@
             ]
         return removed
 
-    def _seen(self, entry: EndpointEntry) -> Seen:
+    def _placed_endpoint(self, entry: EndpointEntry) -> PlacedEndpoint:
         ready = entry.state is EndpointState.READY
-        return Seen(self.uid_of(entry.endpoint), entry.zone, entry.kind, ready)
+        return PlacedEndpoint(self.uid_of(entry.endpoint), entry.zone, entry.kind, ready)
 
     def _remove(
         self, now_ns: int, entry: EndpointEntry, uid: str | None, orders: OrderBatch
@@ -171,7 +172,7 @@
             if own:
                 _report_entries(facade, now_ns, own, orders)
 
-    def reseat(self, now_ns: int, changes: Iterable[Change], orders: OrderBatch) -> None:
+    def reseat(self, now_ns: int, changes: Iterable[SeatChange], orders: OrderBatch) -> None:
         """Move endpoints between the decisions of cells.
 
         An endpoint leaves its former cell first: in two cells it would get the work of two limits.
@@ -181,14 +182,14 @@
             if number is None:
                 continue
             entry = self.entries[number]
-            former = self._facades.get(change.before or "")
+            former = self._facades.get(change.former_cell or "")
             if former is not None and number in former.endpoints:
                 self._leave(former, now_ns, entry, orders)
-            present = self._facades.get(change.after or "")
-            if present is not None:
-                present.endpoints.add(number)
-                joined = replace(entry, started_ns=self._started_ns(entry))
-                _report_entries(present, now_ns, (joined,), orders)
+            new = self._facades.get(change.new_cell or "")
+            if new is not None:
+                new.endpoints.add(number)
+                added = replace(entry, started_ns=self._started_ns(entry))
+                _report_entries(new, now_ns, (added,), orders)
 
     def _leave(
         self, facade: CellFacade, now_ns: int, entry: EndpointEntry, orders: OrderBatch
@@ -196,8 +197,8 @@
         number = entry.endpoint
         outstanding = facade.outstanding(now_ns).get(number, NO_WORK)
         facade.endpoints.discard(number)
-        left = replace(entry, state=EndpointState.REMOVED)
-        _report_entries(facade, now_ns, (left,), orders)
+        removed = replace(entry, state=EndpointState.REMOVED)
+        _report_entries(facade, now_ns, (removed,), orders)
         until_ns = now_ns + self.settings.contract.overload_window_ns
         self._outstanding.endpoint_left(number, outstanding, until_ns)
 
--- a/query_broker/cells/fair_turns.py
+++ b/query_broker/cells/fair_turns.py
@@ -1,7 +1,7 @@
 """Turns on the event loop: deficit round robin over the cells, in the time that each has taken.
 
 After M. Shreedhar and G. Varghese, "Efficient Fair Queueing using Deficit Round Robin", 1995. A
-cell that is alone may use the complete round. One that competes with others gets its part of it,
+cell that is alone may use the complete round. One that competes with others gets its share of it,
 and what it took beyond that is carried on as debt. Performs no I/O.
 """
 
--- a/query_broker/cells/migration_service.py
+++ b/query_broker/cells/migration_service.py
@@ -55,9 +55,9 @@
         """Return the cell's endpoints."""
         return self._node.celled.router.seats.fleet(cell, self._node.clock.now())
 
-    def open(self, subject: str, cell: str) -> int:
+    def open_count(self, subject: str, cell: str) -> int:
         """Return the subject's open requests in the cell, in all processes of the broker."""
-        count = self._node.celled.router.open.get((subject, cell), 0)
+        count = self._node.celled.router.open_counts.get((subject, cell), 0)
         for peer in self._node.peers.values():
             count += peer.open_requests.get(subject, {}).get(cell, 0)
         return count
--- a/query_broker/cells/migration_steps.py
+++ b/query_broker/cells/migration_steps.py
@@ -159,7 +159,7 @@
     watched = _watch_target(log, migration, now_ns, cluster)
     if watched is None:
         return
-    if not cluster.open(migration.subject, migration.source):
+    if not cluster.open_count(migration.subject, migration.source):
         log.enter(watched, Stage.DONE, now_ns)
     elif now_ns - migration.stage_since_ns >= log.map.timeouts.draining_ns:
         _end_by_close_out(log, watched, Stage.DONE, now_ns)
@@ -168,7 +168,7 @@
 def _step_returning(
     log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> None:
-    if not cluster.open(migration.subject, migration.target):
+    if not cluster.open_count(migration.subject, migration.target):
         log.enter(migration, Stage.TAKEN_BACK, now_ns)
     elif now_ns - migration.stage_since_ns >= log.map.timeouts.draining_ns:
         _end_by_close_out(log, migration, Stage.TAKEN_BACK, now_ns)
--- a/query_broker/cells/migrations.py
+++ b/query_broker/cells/migrations.py
@@ -174,7 +174,7 @@
     def fleet(self, cell: str) -> Fleet:
         """Return the cell's endpoints."""
 
-    def open(self, subject: str, cell: str) -> int:
+    def open_count(self, subject: str, cell: str) -> int:
         """Return the subject's open requests in the cell, in all processes of the broker."""
 
     def is_replicated(self, migration: Migration) -> bool:
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -23,9 +23,9 @@
 from .model import CellMap, CellMapError
 from .read_turns import ReadTurns
 
-#: The part of the loop's time that goes by turns: reading requests and deciding on them. The rest
+#: The fraction of the loop's time that goes by turns: reading requests and deciding on them. The rest
 #: of each tick is for the endpoints' answers.
-READ_TURNS_PART = 0.6
+READ_TURNS_FRACTION = 0.6
 
 
 class CellNode(ConfiguredNode):
@@ -84,7 +84,7 @@
     def make_admission(self) -> ClientAdmission:
         """Build the admission of client connections to cells, and their turns to read."""
         weights = self.celled.cell_weights_with_anteroom()
-        self.read_turns = ReadTurns(weights, READ_TURNS_PART * self.config.settings.tick_ns)
+        self.read_turns = ReadTurns(weights, READ_TURNS_FRACTION * self.config.settings.tick_ns)
         self.client_seats = CellAdmission(self, self.celled, self.read_turns)
         return self.client_seats
 
@@ -110,7 +110,7 @@
             self.process_name,
             self.published_map,
             self.celled.migrations,
-            router.open,
+            router.open_counts,
             router.seats.placement.seats,
         )
 
--- a/query_broker/cells/outstanding_work.py
+++ b/query_broker/cells/outstanding_work.py
@@ -33,16 +33,16 @@
 
     Attributes:
         co_processes: The last report of the broker's other processes.
-        left_over: Endpoints on which a former cell has something outstanding.
-        carried: What former cells dispatched to endpoints that were warming up.
+        endpoints_to_watch: Endpoints on which a former cell has something outstanding.
+        carried_work: What former cells dispatched to endpoints that were warming up.
     """
 
     def __init__(self, facades: Mapping[str, CellFacade]) -> None:
         """Start without other work; ``facades`` are the cells, by their name."""
         self._facades = facades
         self.co_processes = CoProcessLoad({}, 1)
-        self.left_over: set[int] = set()
-        self.carried: dict[int, CarriedWork] = {}
+        self.endpoints_to_watch: set[int] = set()
+        self.carried_work: dict[int, CarriedWork] = {}
 
     def endpoint_left(self, number: int, outstanding: OutstandingWork, until_ns: int) -> None:
         """Note what a cell has outstanding on an endpoint that leaves it.
@@ -50,11 +50,11 @@
         What it dispatched while the endpoint was warming up counts in the next cell until
         ``until_ns``: each cell with a warm-up budget of its own would overload the endpoint.
         """
-        self.left_over.add(number)
+        self.endpoints_to_watch.add(number)
         if outstanding.warmup_ns:
-            earlier = self.carried.get(number)
+            earlier = self.carried_work.get(number)
             warmup_ns = outstanding.warmup_ns + (earlier.warmup_ns if earlier else 0)
-            self.carried[number] = CarriedWork(warmup_ns, until_ns)
+            self.carried_work[number] = CarriedWork(warmup_ns, until_ns)
 
     def publish(self, now_ns: int, orders: OrderBatch) -> None:
         """Report to every cell what others have outstanding on its endpoints."""
@@ -73,10 +73,10 @@
 
     def _work_of_former_cells(self, now_ns: int) -> dict[int, OutstandingWork]:
         former: dict[int, OutstandingWork] = {}
-        for number in list(self.left_over):
+        for number in list(self.endpoints_to_watch):
             work = self._with_carried(number, self._work_outside_owner(number, now_ns), now_ns)
             if work == NO_WORK:
-                self.left_over.discard(number)
+                self.endpoints_to_watch.discard(number)
             else:
                 former[number] = work
         return former
@@ -90,11 +90,11 @@
         return work
 
     def _with_carried(self, number: int, work: OutstandingWork, now_ns: int) -> OutstandingWork:
-        carried = self.carried.get(number)
+        carried = self.carried_work.get(number)
         if carried is None:
             return work
         if now_ns >= carried.until_ns:
-            del self.carried[number]
+            del self.carried_work[number]
             return work
         # What the former cell still accounts as dispatched during the warm-up is the same work.
         warmup_ns = max(work.warmup_ns, carried.warmup_ns)
--- a/query_broker/cells/placement.py
+++ b/query_broker/cells/placement.py
@@ -15,8 +15,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """An endpoint as the endpoint list describes it.
+class PlacedEndpoint:
+    """What placement looks at of an endpoint in the endpoint list.
 
     Attributes:
         uid: Its stable name.
@@ -32,18 +32,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class SeatChange:
     """An endpoint has changed its seat.
 
     Attributes:
         uid: The endpoint.
-        before: Its former cell; None if it had none.
-        after: Its cell now; None if it has none.
+        former_cell: Its cell before; None if it had none.
+        new_cell: Its cell now; None if it has none.
     """
 
     uid: str
-    before: str | None
-    after: str | None
+    former_cell: str | None
+    new_cell: str | None
 
 
 class Placement:
@@ -51,14 +51,14 @@
 
     Attributes:
         map: The cell map in force.
-        seen: The listed endpoints by uid.
+        endpoints: The listed endpoints by uid.
         seats: The cell of each listed endpoint; None where no cell has capacity for it.
     """
 
     def __init__(self, map: CellMap) -> None:
         """Start without endpoints."""
         self.map = map
-        self.seen: dict[str, Seen] = {}
+        self.endpoints: dict[str, PlacedEndpoint] = {}
         self.seats: dict[str, str | None] = {}
 
     def seat_of(self, uid: str) -> str | None:
@@ -67,9 +67,11 @@
 
     def size(self, cell: str) -> int:
         """Return how many ready endpoints the cell has."""
-        return sum(seat == cell and self.seen[uid].ready for uid, seat in self.seats.items())
+        return sum(seat == cell and self.endpoints[uid].ready for uid, seat in self.seats.items())
 
-    def learn(self, engines: Iterable[Seen], removed: Iterable[str] = ()) -> list[Change]:
+    def apply_list_update(
+        self, endpoints: Iterable[PlacedEndpoint], removed: Iterable[str] = ()
+    ) -> list[SeatChange]:
         """Apply an update of the endpoint list and return the changed seats.
 
         Newcomers are seated in the order in which they are listed, since the same update must give
@@ -79,23 +81,23 @@
         changes = []
         for uid in removed:
             if uid in self.seats:
-                changes.append(Change(uid, self.seats.pop(uid), None))
-                del self.seen[uid]
+                changes.append(SeatChange(uid, self.seats.pop(uid), None))
+                del self.endpoints[uid]
         newcomers = []
-        for engine in engines:
-            self.seen[engine.uid] = engine
-            if engine.uid not in self.seats:
-                newcomers.append(engine.uid)
+        for endpoint in endpoints:
+            self.endpoints[endpoint.uid] = endpoint
+            if endpoint.uid not in self.seats:
+                newcomers.append(endpoint.uid)
         waiting = [uid for uid, seat in self.seats.items() if seat is None]
         for uid in [*waiting, *newcomers]:
             before = self.seats.get(uid)
-            seat = self._choose(self.seen[uid])
+            seat = self._choose_cell(self.endpoints[uid])
             self.seats[uid] = seat
             if seat != before:
-                changes.append(Change(uid, before, seat))
+                changes.append(SeatChange(uid, before, seat))
         return changes
 
-    def apply_map(self, map: CellMap) -> list[Change]:
+    def apply_map(self, map: CellMap) -> list[SeatChange]:
         """Put a new map in force and return the changed seats.
 
         Endpoints stay where the map allows it; the others are seated anew, in the list's order.
@@ -105,12 +107,12 @@
         self._unseat_forbidden()
         for cell in map.cells:
             self._unseat_excess(cell)
-        self._fill_short()
+        self._fill_to_lower_bounds()
         for uid in before:
             if self.seats[uid] is None:
-                self.seats[uid] = self._choose(self.seen[uid])
+                self.seats[uid] = self._choose_cell(self.endpoints[uid])
         return [
-            Change(uid, seat, self.seats[uid])
+            SeatChange(uid, seat, self.seats[uid])
             for uid, seat in before.items()
             if seat != self.seats[uid]
         ]
@@ -119,7 +121,7 @@
         """Free the seats in cells that the map does not have, or that it pins elsewhere."""
         names = {cell.name for cell in self.map.cells}
         for uid, seat in self.seats.items():
-            pinned = self._pinned(self.seen[uid])
+            pinned = self._pinned_cell(self.endpoints[uid])
             if seat not in names or (pinned is not None and pinned != seat):
                 self.seats[uid] = None
 
@@ -138,10 +140,10 @@
             self.seats[uid] = None
 
     def _is_free_to_move(self, uid: str) -> bool:
-        engine = self.seen[uid]
-        return engine.ready and self._pinned(engine) is None
+        endpoint = self.endpoints[uid]
+        return endpoint.ready and self._pinned_cell(endpoint) is None
 
-    def adopt(self, seats: dict[str, str | None]) -> list[Change]:
+    def adopt(self, seats: dict[str, str | None]) -> list[SeatChange]:
         """Take over the seats of another process of this broker and return the changed ones.
 
         After an upgrade no endpoint changes cells for it. Seats that the map does not allow are
@@ -149,30 +151,30 @@
         """
         names = {cell.name for cell in self.map.cells}
         changes = [
-            Change(uid, self.seats[uid], seat)
+            SeatChange(uid, self.seats[uid], seat)
             for uid, seat in seats.items()
             if uid in self.seats
             and seat in names
             and self.seats[uid] != seat
-            and self._pinned(self.seen[uid]) in (None, seat)
+            and self._pinned_cell(self.endpoints[uid]) in (None, seat)
         ]
         for change in changes:
-            self.seats[change.uid] = change.after
+            self.seats[change.uid] = change.new_cell
         return changes
 
-    def _fill_short(self) -> None:
+    def _fill_to_lower_bounds(self) -> None:
         """Bring cells up to their lower bound from cells that have more than theirs.
 
         Only a new map may do so; an update of the endpoint list moves no endpoint.
         """
         for cell in self.map.cells:
             while (size := self.size(cell.name)) < cell.least:
-                uid = self._best_for_short(cell, size)
+                uid = self._best_for(cell, size)
                 if uid is None:
                     break
                 self.seats[uid] = cell.name
 
-    def _best_for_short(self, short: Cell, size: int) -> str | None:
+    def _best_for(self, short: Cell, size: int) -> str | None:
         """Return the endpoint to seat in a cell that is short; None where none may be moved."""
         spare = {
             cell.name for cell in self.map.cells if self.size(cell.name) > max(cell.least, size + 1)
@@ -186,26 +188,26 @@
             return None
         return min(candidates, key=lambda uid: (rendezvous(short.name, uid, 1.0), uid))
 
-    def _pinned(self, engine: Seen) -> str | None:
+    def _pinned_cell(self, endpoint: PlacedEndpoint) -> str | None:
         """Return the cell that the map pins the endpoint to; its uid counts before its zone."""
         for cell in self.map.cells:
-            if engine.uid in cell.engines:
+            if endpoint.uid in cell.engines:
                 return cell.name
         for cell in self.map.cells:
-            if engine.zone in cell.zones:
+            if endpoint.zone in cell.zones:
                 return cell.name
         for cell in self.map.cells:
-            if engine.model in cell.models:
+            if endpoint.model in cell.models:
                 return cell.name
         return None
 
-    def _choose(self, engine: Seen) -> str | None:
+    def _choose_cell(self, endpoint: PlacedEndpoint) -> str | None:
         """Return the cell for an endpoint without a seat; None where every cell is full.
 
         It is the cell that it is pinned to; else the one that lacks the largest part of its lower
         bound; else the choice of the hash.
         """
-        if (pinned := self._pinned(engine)) is not None:
+        if (pinned := self._pinned_cell(endpoint)) is not None:
             return pinned
         sizes = self._sizes()
         candidates = [
@@ -215,8 +217,8 @@
             return None
 
         def rank(cell: Cell) -> tuple[float, float, str]:
-            cost = rendezvous(cell.name, engine.uid, cell.weight)
-            return -_lack(cell, sizes[cell.name]), cost, cell.name
+            cost = rendezvous(cell.name, endpoint.uid, cell.weight)
+            return -_missing_fraction(cell, sizes[cell.name]), cost, cell.name
 
         return min(candidates, key=rank).name
 
@@ -224,12 +226,12 @@
         """Return the number of ready endpoints of every cell, in one pass."""
         sizes = dict.fromkeys((cell.name for cell in self.map.cells), 0)
         for uid, seat in self.seats.items():
-            if seat is not None and self.seen[uid].ready and seat in sizes:
+            if seat is not None and self.endpoints[uid].ready and seat in sizes:
                 sizes[seat] += 1
         return sizes
 
 
-def _lack(cell: Cell, size: int) -> float:
+def _missing_fraction(cell: Cell, size: int) -> float:
     """Return which part of its lower bound the cell lacks."""
     if not cell.least:
         return 0.0
--- a/query_broker/cells/request_accounting.py
+++ b/query_broker/cells/request_accounting.py
@@ -52,7 +52,7 @@
     firm_classes: frozenset[str] = frozenset()
 
     def divide(self, statement_bytes: int, weights: Mapping[str, float]) -> None:
-        """Set the capacity and the cells' parts of it anew."""
+        """Set the capacity and the cells' quotas of it anew."""
         self.statements.divide(statement_bytes, weights)
         self.requests.divide(statement_bytes // STATEMENT_BYTES_PER_REQUEST, weights)
 
--- a/query_broker/cells/request_call_in.py
+++ b/query_broker/cells/request_call_in.py
@@ -25,7 +25,7 @@
 
 
 def call_in_requests(host: CallInHost, now_ns: int) -> int:
-    """Close requests of borrowers whose owners reclaim their part; return how many.
+    """Close requests of borrowers whose owners reclaim their quota; return how many.
 
     The youngest requests that may be cut short get their final answer, and their statements are
     freed. Attempts that are in flight go on; nothing more is dispatched for them.
@@ -33,7 +33,7 @@
     accounting = host.accounting
     called_in = 0
     for ledger in (accounting.requests, accounting.statements):
-        for cell, amount in ledger.due(now_ns).items():
+        for cell, amount in ledger.amounts_to_call_in(now_ns).items():
             request_ids = accounting.youngest_borrowers(ledger, cell, amount)
             if not request_ids:
                 continue
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -76,8 +76,8 @@
         due: The decisions for which a timer is due, in the order of the wheel.
         facades: The decisions of each cell; a dropped cell stays until its last request ends.
         requests: The open requests, by the broker's id.
-        open: The number of open requests by subject and cell.
-        assigned: The cell of the request that is being admitted; set before `pick`.
+        open_counts: The number of open requests by subject and cell.
+        assignment: The cell of the request that is being admitted; set before `pick`.
         outstanding_work: What others have outstanding on the cells' endpoints.
         seats: The cell of each endpoint.
     """
@@ -106,8 +106,8 @@
         self.due: deque[CellFacade] = deque()
         self.facades: dict[str, CellFacade] = {}
         self.requests: dict[str, RoutedRequest] = {}
-        self.open: Counter[tuple[str, str]] = Counter()
-        self.assigned: Assignment | None = None
+        self.open_counts: Counter[tuple[str, str]] = Counter()
+        self.assignment: Assignment | None = None
         self.outstanding_work = OutstandingWorkTracker(self.facades)
         self.seats = EndpointSeats(map, settings, self.facades, self.outstanding_work, uid_of)
         self._seed = seed
@@ -132,7 +132,7 @@
 
     def _dissolve_if_ended(self, facade: CellFacade) -> None:
         """End a cell that the map has dropped once its last request is over."""
-        if facade.open or self.map.cell(facade.cell) is not None:
+        if facade.open_count or self.map.cell(facade.cell) is not None:
             return
         if self.facades.get(facade.cell) is facade:
             facade.dissolved = True
@@ -165,18 +165,18 @@
     # --- requests ---
 
     def pick(self, now_ns: int, arrival: RequestArrived) -> OrderBatch:
-        """Decide on a request that has arrived, in the cell that `assigned` names.
+        """Decide on a request that has arrived, in the cell that `assignment` names.
 
         The cell was chosen when the request was accounted to it; to choose again here could give it
         another one.
         """
-        assert self.assigned is not None, "a request without a cell"
-        subject, cell = self.assigned
-        self.assigned = None
+        assert self.assignment is not None, "a request without a cell"
+        subject, cell = self.assignment
+        self.assignment = None
         facade = self.facades[cell]
         self.requests[arrival.request_id] = RoutedRequest(facade, subject)
-        facade.open += 1
-        self.open[subject, cell] += 1
+        facade.open_count += 1
+        self.open_counts[subject, cell] += 1
         return facade.pick(now_ns, arrival)
 
     def forget(self, request_id: str) -> None:
@@ -186,11 +186,11 @@
             return
         facade = routed.facade
         facade.forget(request_id)
-        facade.open -= 1
+        facade.open_count -= 1
         key = (routed.subject, facade.cell)
-        self.open[key] -= 1
-        if not self.open[key]:
-            del self.open[key]
+        self.open_counts[key] -= 1
+        if not self.open_counts[key]:
+            del self.open_counts[key]
         self._dissolve_if_ended(facade)
 
     def requests_of(self, subject: str, cell: str) -> frozenset[str]:
@@ -239,8 +239,8 @@
         if routed is None:
             return OrderBatch()
         orders = routed.facade.report(now_ns, event)
-        left_over = self.outstanding_work.left_over
-        if isinstance(event, AttemptEnded) and event.endpoint in left_over:
+        endpoints_to_watch = self.outstanding_work.endpoints_to_watch
+        if isinstance(event, AttemptEnded) and event.endpoint in endpoints_to_watch:
             self.outstanding_work.publish(now_ns, orders)
         return orders
 
@@ -257,10 +257,10 @@
         open_ids = [request_id for request_id in request_ids if request_id in self.requests]
         return sorted({self.requests[request_id].facade.cell for request_id in open_ids})
 
-    def fade(self, now_ns: int) -> OrderBatch:
+    def report_former_cells(self, now_ns: int) -> OrderBatch:
         """Report anew what former cells have outstanding, which decays; to be called regularly."""
         orders = OrderBatch()
-        if self.outstanding_work.left_over:
+        if self.outstanding_work.endpoints_to_watch:
             self.outstanding_work.publish(now_ns, orders)
         return orders
 
--- a/query_broker/cells/work_rates.py
+++ b/query_broker/cells/work_rates.py
@@ -32,35 +32,36 @@
 
 
 @dataclass(slots=True)
-class Rates:
+class WorkRates:
     """The rates of all tenants.
 
     Attributes:
         means: The mean of each tenant that has brought work.
-        new: Work that came since the last `fold`, in thread-nanoseconds.
+        pending_work_ns: Work that came since the last `fold`, in thread-nanoseconds.
     """
 
     means: dict[str, DecayingMean] = field(default_factory=dict)
-    new: dict[str, int] = field(default_factory=dict)
+    pending_work_ns: dict[str, int] = field(default_factory=dict)
 
     def add(self, name: str, work_ns: int) -> None:
-        """Account work in thread-nanoseconds; this is on every request's path and no more."""
-        self.new[name] = self.new.get(name, 0) + work_ns
+        """Account work in thread-nanoseconds; this runs for every request."""
+        self.pending_work_ns[name] = self.pending_work_ns.get(name, 0) + work_ns
 
     def fold(self, now_ns: int) -> None:
         """Take the work that came since the last call into the means."""
-        new = self.new
-        self.new = {}
-        for name, work_ns in new.items():
-            self.means[name] = DecayingMean(self.at(name, now_ns) + work_ns / DECAY_SPAN_NS, now_ns)
+        pending_work_ns = self.pending_work_ns
+        self.pending_work_ns = {}
+        for name, work_ns in pending_work_ns.items():
+            rate = self.rate_at(name, now_ns) + work_ns / DECAY_SPAN_NS
+            self.means[name] = DecayingMean(rate, now_ns)
             if len(self.means) > MAX_TENANTS:
                 self._drop_smallest(now_ns)
 
     def _drop_smallest(self, now_ns: int) -> None:
-        by_rate = sorted(self.means, key=lambda name: -self.at(name, now_ns))
+        by_rate = sorted(self.means, key=lambda name: -self.rate_at(name, now_ns))
         self.means = {name: self.means[name] for name in by_rate[: MAX_TENANTS // 2]}
 
-    def at(self, name: str, now_ns: int) -> float:
+    def rate_at(self, name: str, now_ns: int) -> float:
         """Return a tenant's rate in thread-seconds a second; 0 for one that is not known."""
         mean = self.means.get(name)
         return 0.0 if mean is None else mean.value_at(now_ns)
--- a/tests/cells/test_pure.py
+++ b/tests/cells/test_pure.py
@@ -32,10 +32,10 @@
     Tenant,
     read_cell_map,
 )
-from query_broker.cells.placement import Placement, Seen
+from query_broker.cells.placement import PlacedEndpoint, Placement
 from query_broker.cells.read_turns import ReadTurns
 from query_broker.cells.solver import NoPlanError, solve
-from query_broker.cells.work_rates import DECAY_SPAN_NS, Rates
+from query_broker.cells.work_rates import DECAY_SPAN_NS, WorkRates
 
 S = 1_000_000_000
 
@@ -48,8 +48,8 @@
     return CellMap(epoch, cells, cells[0].name, named, **more)
 
 
-def seen(*uids: str, ready: bool = True, zone: str = "z", model: str = "m") -> list[Seen]:
-    return [Seen(u, zone, model, ready) for u in uids]
+def seen(*uids: str, ready: bool = True, zone: str = "z", model: str = "m") -> list[PlacedEndpoint]:
+    return [PlacedEndpoint(u, zone, model, ready) for u in uids]
 
 
 # --- the map ---
@@ -119,60 +119,60 @@
         1, (Cell("a", 2.0, most=8), Cell("b", least=3), Cell("c", least=0, most=5)), "a"
     )
     placement = Placement(bounded)
-    placement.learn(seen(*(f"s-{u}" for u in uids)))
+    placement.apply_list_update(seen(*(f"s-{u}" for u in uids)))
     before = dict(placement.seats)
-    changes = placement.learn(seen(f"s-{other}"))
+    changes = placement.apply_list_update(seen(f"s-{other}"))
     assert {u: placement.seats[u] for u in before} == before
     assert len(changes) == (f"s-{other}" not in before)
-    placement.learn([], [f"s-{other}"])
+    placement.apply_list_update([], [f"s-{other}"])
     assert all(placement.seats[u] == c for u, c in before.items() if u != f"s-{other}")
     assert placement.size("a") <= 8
     assert placement.size("c") <= 5
     again = Placement(bounded)
-    again.learn(seen(*(f"s-{u}" for u in uids)))
+    again.apply_list_update(seen(*(f"s-{u}" for u in uids)))
     assert again.seats == before  # the same news give the same seats everywhere
 
 
 def test_seats_go_by_weight_pins_and_what_a_cell_lacks() -> None:
     placement = Placement(CellMap(1, (Cell("a", 3.0, least=0), Cell("b", 1.0, least=0)), "a"))
-    placement.learn(seen(*(f"s-{i}" for i in range(1_000))))
+    placement.apply_list_update(seen(*(f"s-{i}" for i in range(1_000))))
     assert 700 < placement.size("a") < 800
     pinned = Placement(
         CellMap(1, (Cell("a", least=2), Cell("b", engines=("s-1",), zones=("y",))), "a")
     )
-    pinned.learn([*seen("s-1"), *seen("s-2", zone="y"), *seen("s-3", "s-4")])
+    pinned.apply_list_update([*seen("s-1"), *seen("s-2", zone="y"), *seen("s-3", "s-4")])
     assert pinned.seats == {"s-1": "b", "s-2": "b", "s-3": "a", "s-4": "a"}
 
 
 def test_draining_engines_do_not_hold_the_seats_of_their_successors() -> None:
     placement = Placement(CellMap(1, tuple(Cell(n, least=3, most=3) for n in "ab"), "a"))
-    placement.learn(seen(*(f"s-{i}" for i in range(6))))
+    placement.apply_list_update(seen(*(f"s-{i}" for i in range(6))))
     for i in range(6):
         old, home = f"s-{i}", placement.seat_of(f"s-{i}")
-        placement.learn(seen(old, ready=False))
-        placement.learn(seen(f"n-{i}"))
-        placement.learn([], [old])
+        placement.apply_list_update(seen(old, ready=False))
+        placement.apply_list_update(seen(f"n-{i}"))
+        placement.apply_list_update([], [old])
         assert placement.seat_of(f"n-{i}") == home
         assert placement.size("a") == placement.size("b") == 3
-    placement.learn(seen("extra"))
+    placement.apply_list_update(seen("extra"))
     assert placement.seat_of("extra") is None  # every cell is full
-    placement.learn([], ["n-0"])
+    placement.apply_list_update([], ["n-0"])
     assert placement.seat_of("extra") is not None
 
 
 def test_a_new_map_moves_what_it_must_and_no_more() -> None:
     placement = Placement(cell_map("a", "b", "c"))
-    placement.learn(seen(*(f"s-{i}" for i in range(30))))
+    placement.apply_list_update(seen(*(f"s-{i}" for i in range(30))))
     before = dict(placement.seats)
     changes = placement.apply_map(cell_map("a", "b", epoch=2))
     assert {c.uid for c in changes} == {u for u, c in before.items() if c == "c"}
-    assert all(c.after in ("a", "b") for c in changes)
+    assert all(c.new_cell in ("a", "b") for c in changes)
     placement.apply_map(CellMap(3, (Cell("a"), Cell("b", most=4), Cell("d", least=5)), "a"))
     assert placement.size("b") <= 4
     assert placement.size("d") >= 5
     assert None not in placement.seats.values()
     other = Placement(placement.map)
-    other.learn(seen(*(f"s-{i}" for i in range(30))))
+    other.apply_list_update(seen(*(f"s-{i}" for i in range(30))))
     other.adopt(placement.seats)
     assert other.seats == placement.seats
 
@@ -201,15 +201,15 @@
         pass
     while books.acquire("b", 1, S):  # digs into what was lent
         pass
-    assert books.due(S + borrowing.CALL_IN_DELAY_NS - 1) == {}
+    assert books.amounts_to_call_in(S + borrowing.CALL_IN_DELAY_NS - 1) == {}
     assert borrowing.CALL_IN_DELAY_NS < S
-    owed = books.due(S + borrowing.CALL_IN_DELAY_NS)
+    owed = books.amounts_to_call_in(S + borrowing.CALL_IN_DELAY_NS)
     assert owed == {"a": books.borrowed("a")}
     books.release("a", owed["a"])
     assert sum(books.acquire("b", 1, 2 * S) for _ in range(100)) == 50 - 12
     assert not books.acquire("a", 1, 2 * S)  # the owner has its whole part
     books.release("b", 50)
-    assert books.due(2 * S + borrowing.RECLAIM_HOLD_NS + 1) == {}
+    assert books.amounts_to_call_in(2 * S + borrowing.RECLAIM_HOLD_NS + 1) == {}
     assert books.acquire("a", 1, 8 * S)
 
 
@@ -234,19 +234,19 @@
             books.release(*held.pop())
         assert books.free() >= 0
         for n, account in books.accounts.items():
-            assert account.used == sum(a for h, a, _ in held if h == n)
-            assert account.firm <= account.part
+            assert account.in_use == sum(a for h, a, _ in held if h == n)
+            assert account.firm_in_use <= account.quota
 
 
 def test_parts_are_set_anew_with_what_is_in_use_still_booked() -> None:
     books = ledger()
     books.acquire("b", 40, 0)
     books.divide(100, {"a": 1.0})
-    assert books.accounts["b"].part == 0
+    assert books.accounts["b"].quota == 0
     assert books.borrowed("b") == 40
     assert not books.acquire("a", 61, 0)
-    books.due(0)
-    assert books.due(2 * S) == {"b": 40}  # a dropped cell's use is all on loan
+    books.amounts_to_call_in(0)
+    assert books.amounts_to_call_in(2 * S) == {"b": 40}  # a dropped cell's use is all on loan
     books.release("b", 40)
     assert "b" not in books.accounts
 
@@ -306,7 +306,7 @@
     def fleet(self, cell: str) -> Fleet:
         return self.fleets.get(cell, Fleet(0, 0))
 
-    def open(self, subject: str, cell: str) -> int:
+    def open_count(self, subject: str, cell: str) -> int:
         return self.count[subject, cell]
 
     def is_replicated(self, migration: Migration) -> bool:
@@ -580,13 +580,13 @@
 
 
 def test_rates_fade_and_are_bounded() -> None:
-    rates = Rates()
+    rates = WorkRates()
     for second in range(600):
         rates.add("x", S // 2)
         rates.fold(second * S)
-    assert 0.45 < rates.at("x", 600 * S) < 0.55
-    assert rates.at("x", 600 * S + 5 * DECAY_SPAN_NS) < 0.01
-    assert rates.at("y", 0) == 0.0
+    assert 0.45 < rates.rate_at("x", 600 * S) < 0.55
+    assert rates.rate_at("x", 600 * S + 5 * DECAY_SPAN_NS) < 0.01
+    assert rates.rate_at("y", 0) == 0.0
     for i in range(10_000):
         rates.add(f"t{i}", 1)
         rates.fold(600 * S)
@@ -684,8 +684,8 @@
 ) -> None:
     books = ledger()
     for name, amount in used.items():
-        books.set_used(name, amount)
-    assert list(books.over_total().items()) == list(owed.items())
+        books.set_in_use(name, amount)
+    assert list(books.amounts_over_total().items()) == list(owed.items())
 
 
 class Connection:
--- a/tests/cells/test_sockets.py
+++ b/tests/cells/test_sockets.py
@@ -122,7 +122,7 @@
         assert len(one.commands_named(b"do")) == len(two_.commands_named(b"do")) == 10
         assert all(d[1].startswith(b"acme".hex().encode()) for d in one.commands_named(b"do"))
         assert not router(rig).requests
-        assert not router(rig).open
+        assert not router(rig).open_counts
         assert not node(rig).celled.accounting.charges
         text = (await admin_call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
         assert 'larchhall_cell_replies_total{cell="a",type="glance",status="success"} 10' in text
@@ -264,7 +264,7 @@
         node(rig).apply_map(two(2, a=("s-3",), b=("s-1", "s-2")))
         number = rig.node.dispatcher.endpoint_table.number("s-1")
         assert router(rig).seats.cell_of(number) == "b"
-        assert number in router(rig).outstanding_work.left_over
+        assert number in router(rig).outstanding_work.endpoints_to_watch
         beside = router(rig).facades["b"].controller.endpoints[number].co_process_work
         # what is out there counts in its new cell
         assert beside.threads == 2
@@ -273,7 +273,7 @@
         one.answer_served(one.commands_named(b"do")[0], one.writer_of(one.commands_named(b"do")[0]))
         assert (await client.answer())[:2] == (1, frames.SERVED)
         assert router(rig).facades["b"].controller.endpoints[number].co_process_work.threads == 0
-        assert not router(rig).outstanding_work.left_over
+        assert not router(rig).outstanding_work.endpoints_to_watch
         assert not router(rig).requests
         # Its old cell's tenant does not meet it any more.
         ask(client, 2, "acme")
@@ -299,7 +299,7 @@
     moved.report(now, EndpointListUpdate(ListUpdateKind.FULL, (cold,)))
     sent = 0
     for i in range(200):
-        moved.assigned = Assignment("acme", "a")
+        moved.assignment = Assignment("acme", "a")
         sent += len(
             moved.pick(
                 now, RequestArrived(f"{i}", "glance", 5 * S, "acme", None, 200 * MS, 1.0, -1, False)
@@ -308,15 +308,15 @@
     assert sent == 14  # 0.36 x 8 cores x 1.5 s x 2, with a margin of 3
     moved.apply_map(two(2, a=(), b=("s-1",)), now + 10 * MS)
     for i in range(200, 400):
-        moved.assigned = Assignment("beta", "b")
+        moved.assignment = Assignment("beta", "b")
         orders = moved.pick(
             now + 10 * MS,
             RequestArrived(f"{i}", "glance", 5 * S, "beta", None, 200 * MS, 1.0, -1, False),
         )
         assert not orders.dispatches
         assert isinstance(orders.answers[0], Reject)
-    moved.fade(now + 3 * S)  # the window has passed
-    moved.assigned = Assignment("beta", "b")
+    moved.report_former_cells(now + 3 * S)  # the window has passed
+    moved.assignment = Assignment("beta", "b")
     assert moved.pick(
         now + 3 * S, RequestArrived("z", "glance", 5 * S, "beta", None, 100 * MS, 1.0, -1, False)
     ).dispatches
@@ -383,7 +383,7 @@
             ask(client, stream, "acme", route="stock-add" if stream % 2 else "glance")
         await until(lambda: len(one.commands_named(b"do")) == 16)
         pools.count_use()
-        assert pools.ledger.accounts["a"].used > 4
+        assert pools.ledger.accounts["a"].in_use > 4
         assert pools.ledger.borrowed("a")
         two_.script = lambda *_: None
         for stream in range(1, 13):
@@ -391,7 +391,7 @@
         await until(lambda: len(two_.commands_named(b"do")) >= 12)
         await until(
             lambda: pools.count_use()
-            or not pools.ledger.due(rig.node.clock.now() + S)
+            or not pools.ledger.amounts_to_call_in(rig.node.clock.now() + S)
             or all(
                 any(broker.accounting.is_firm(a.request) for a in c.in_flight.values())
                 for p in pools.by_number.values()
@@ -474,7 +474,7 @@
     ) as rig:
         broker = node(rig).celled
         broker.connections.divide(20, broker.cell_weights_with_anteroom())
-        part = broker.connections.accounts["b"].part
+        part = broker.connections.accounts["b"].quota
         held = []
         for stream in range(1, 19):
             client = await rig.client()
@@ -482,13 +482,13 @@
             assert (await client.answer())[1] in (frames.SERVED, frames.REFUSED)
             held.append(client)
         assert broker.connections.free() >= 0
-        assert broker.connections.accounts["b"].used > part - 1
-        for stream in range(1, broker.connections.accounts["a"].part + 1):
+        assert broker.connections.accounts["b"].in_use > part - 1
+        for stream in range(1, broker.connections.accounts["a"].quota + 1):
             client = await rig.client()
             ask(client, stream, "acme")
             assert (await client.answer())[1] == frames.SERVED  # an idle one of b's makes room
             held.append(client)
-        used = {n: a.used for n, a in broker.connections.accounts.items()}
+        used = {n: a.in_use for n, a in broker.connections.accounts.items()}
         counted = {
             n: sum(isinstance(c, CelledConnection) and c.cell == n for c in rig.node.clients)
             for n in used
--- a/tests/golden/stored/cells.py
+++ b/tests/golden/stored/cells.py
@@ -93,7 +93,7 @@
     migrations.records["acme#7"] = MIGRATION
     placement = SimpleNamespace(seats={"s-1": "a", "s-2": None})
     router = SimpleNamespace(
-        open={("acme#7", "a"): 3, ("acme#7", "b"): 1, ("bolt", "b"): 9},
+        open_counts={("acme#7", "a"): 3, ("acme#7", "b"): 1, ("bolt", "b"): 9},
         seats=SimpleNamespace(placement=placement),
     )
     runtime = SimpleNamespace(migrations=migrations, router=router)
--- a/tests/golden/stored/test_placement.py
+++ b/tests/golden/stored/test_placement.py
@@ -51,15 +51,15 @@
     assert CELL_MAP.home(subject) == home
 
 
-def endpoint(number: int) -> placement.Seen:
+def endpoint(number: int) -> placement.PlacedEndpoint:
     """Return a ready endpoint; every fourth one, from the third on, runs in zone b."""
     zone = "zone-b" if number % 4 == 2 else "zone-a"
-    return placement.Seen(f"s-{number}", zone, "m-0", True)
+    return placement.PlacedEndpoint(f"s-{number}", zone, "m-0", True)
 
 
 def test_cells_of_twelve_endpoints() -> None:
     seats = placement.Placement(CELL_MAP)
-    seats.learn(endpoint(number) for number in range(12))
+    seats.apply_list_update(endpoint(number) for number in range(12))
     assert seats.seats == {
         "s-0": "a",
         "s-1": "a",
