--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -394,12 +394,12 @@
     mean = sum(loads.values()) / sum(capacities.values())
     by_hashing = relative_loads(Problem(loads, capacities, plain), plain)
     figures.tell("plan.fullest_by_hashing", max(by_hashing.values()) / mean)
-    figures.tell("plan.fullest_by_plan", max(made.after.values()) / mean, most=1.1)
+    figures.tell("plan.fullest_by_plan", max(made.loads_after.values()) / mean, most=1.1)
     figures.tell("plan.tenants_moved", len(made.moves))
     begun = time.perf_counter()
-    few = solve(Problem(loads, capacities, plain, apart, most_moves=60), seconds)
+    few = solve(Problem(loads, capacities, plain, apart, max_moves=60), seconds)
     figures.tell("plan.seconds_60_moves", time.perf_counter() - begun, most=seconds + 5)
-    figures.tell("plan.fullest_by_60_moves", max(few.after.values()) / mean)
+    figures.tell("plan.fullest_by_60_moves", max(few.loads_after.values()) / mean)
 
 
 # --- the ordinary path ---
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -23,8 +23,8 @@
 from .model import CellMap, CellMapError
 from .read_turns import ReadTurns
 
-#: The fraction of the loop's time that goes by turns: reading requests and deciding on them. The rest
-#: of each tick is for the endpoints' answers.
+#: The fraction of the loop's time that goes by turns: reading requests and deciding on them. The
+#: rest of each tick is for the endpoints' answers.
 READ_TURNS_FRACTION = 0.6
 
 
--- a/query_broker/cells/planner.py
+++ b/query_broker/cells/planner.py
@@ -1,7 +1,7 @@
 """Planning which tenants to migrate where: the problem, a greedy plan, and what a plan does.
 
-The solver is in `query_broker.cells.solver`; this module holds what it is given, checks its answer
-and says how much a plan gains. Plain hashing is there to compare with. Performs no I/O.
+The solver is in `query_broker.cells.solver`; this module holds its problem, checks its answer and
+computes how much a plan gains. Placement by hashing alone is there for comparison. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 #: Loads and capacities from here on are no sensible numbers, and would spoil the solver's scaling.
 VALUE_LIMIT = 1e12
-#: How far a cell may exceed ``most_load`` by rounding alone.
+#: How far a cell may exceed ``max_load`` by rounding alone.
 LOAD_TOLERANCE = 1e-6
 #: A move has to lower the fullest cell by more than rounding may.
 MIN_GAIN = 1e-9
@@ -46,11 +46,11 @@
     Attributes:
         loads: The load of each tenant in thread-seconds a second.
         capacities: The capacity of each cell in cores.
-        now: The cell of each tenant today.
-        apart: Pairs of tenants that must not be in one cell.
-        fixed: Tenants that must be in a given cell.
-        most_moves: How many tenants may change cells; None sets no bound.
-        most_load: The largest load of any cell, against its capacity; None sets no bound.
+        current_cells: The cell of each tenant today.
+        separated_pairs: Pairs of tenants that must not be in one cell.
+        fixed_cells: The cell of each tenant that must be in a given one.
+        max_moves: How many tenants may change cells; None sets no bound.
+        max_load: The largest load of any cell, against its capacity; None sets no bound.
 
     Raises:
         PlanningProblemError: The problem contradicts itself; the text names the key.
@@ -58,20 +58,20 @@
 
     loads: Mapping[str, float]
     capacities: Mapping[str, float]
-    now: Mapping[str, str]
-    apart: tuple[tuple[str, str], ...] = ()
-    fixed: Mapping[str, str] | None = None
-    most_moves: int | None = None
-    most_load: float | None = None
+    current_cells: Mapping[str, str]
+    separated_pairs: tuple[tuple[str, str], ...] = ()
+    fixed_cells: Mapping[str, str] | None = None
+    max_moves: int | None = None
+    max_load: float | None = None
 
     def __post_init__(self) -> None:
         """Check the problem, in the order of the keys of the file."""
         self._check_loads()
         self._check_capacities()
         self._check_homes()
-        self._check_names("apart", [name for pair in self.apart for name in pair])
-        self._check_names("fixed", self.fixed or {})
-        for cell in (self.fixed or {}).values():
+        self._check_names("apart", [name for pair in self.separated_pairs for name in pair])
+        self._check_names("fixed", self.fixed_cells or {})
+        for cell in (self.fixed_cells or {}).values():
             if cell not in self.capacities:
                 raise PlanningProblemError("fixed", f"{cell!r} is no cell")
 
@@ -91,9 +91,9 @@
 
     def _check_homes(self) -> None:
         for name in self.loads:
-            if self.now.get(name) not in self.capacities:
+            if self.current_cells.get(name) not in self.capacities:
                 raise PlanningProblemError(
-                    "tenants.cell", f"{self.now.get(name)!r} of {name!r} is no cell"
+                    "tenants.cell", f"{self.current_cells.get(name)!r} of {name!r} is no cell"
                 )
 
     def _check_names(self, key: str, names: Iterable[str]) -> None:
@@ -127,11 +127,11 @@
     return Problem(
         loads={name: float(tenant["load"]) for name, tenant in tenants.items()},
         capacities={name: float(capacity) for name, capacity in cells.items()},
-        now={name: tenant.get("cell") for name, tenant in tenants.items()},
-        apart=_read_pairs(raw.get("apart", [])),
-        fixed=raw.get("fixed"),
-        most_moves=None if most_moves is None else int(most_moves),
-        most_load=raw.get("most_load"),
+        current_cells={name: tenant.get("cell") for name, tenant in tenants.items()},
+        separated_pairs=_read_pairs(raw.get("apart", [])),
+        fixed_cells=raw.get("fixed"),
+        max_moves=None if most_moves is None else int(most_moves),
+        max_load=raw.get("most_load"),
     )
 
 
@@ -192,42 +192,42 @@
     }
 
 
-def relative_loads(problem: Problem, placed: Mapping[str, str]) -> dict[str, float]:
+def relative_loads(problem: Problem, placement: Mapping[str, str]) -> dict[str, float]:
     """Return each cell's load against its capacity."""
-    loads = _absolute_loads(problem, placed)
+    loads = _absolute_loads(problem, placement)
     return {cell: load / problem.capacities[cell] for cell, load in loads.items()}
 
 
-def _absolute_loads(problem: Problem, placed: Mapping[str, str]) -> dict[str, float]:
+def _absolute_loads(problem: Problem, placement: Mapping[str, str]) -> dict[str, float]:
     loads = dict.fromkeys(problem.capacities, 0.0)
-    for tenant, cell in placed.items():
+    for tenant, cell in placement.items():
         loads[cell] += problem.loads[tenant]
     return loads
 
 
-def faults(problem: Problem, placed: Mapping[str, str]) -> list[str]:
-    """Return the terms of the problem that a placement breaks, as texts.
+def broken_constraints(problem: Problem, placement: Mapping[str, str]) -> list[str]:
+    """Return the constraints of the problem that a placement breaks, as texts.
 
     A solver's answer is used only after this check.
     """
     broken = [
-        f"{first} and {second} are both in {placed[first]}"
-        for first, second in problem.apart
-        if placed[first] == placed[second]
+        f"{first} and {second} are both in {placement[first]}"
+        for first, second in problem.separated_pairs
+        if placement[first] == placement[second]
     ]
     broken += [
-        f"{tenant} is in {placed[tenant]}, not in {cell}"
-        for tenant, cell in (problem.fixed or {}).items()
-        if placed[tenant] != cell
+        f"{tenant} is in {placement[tenant]}, not in {cell}"
+        for tenant, cell in (problem.fixed_cells or {}).items()
+        if placement[tenant] != cell
     ]
-    moved = sum(placed[tenant] != problem.now[tenant] for tenant in problem.loads)
-    if problem.most_moves is not None and moved > problem.most_moves:
-        broken.append(f"{moved} tenants move, more than {problem.most_moves}")
-    if problem.most_load is not None:
+    moved = sum(placement[tenant] != problem.current_cells[tenant] for tenant in problem.loads)
+    if problem.max_moves is not None and moved > problem.max_moves:
+        broken.append(f"{moved} tenants move, more than {problem.max_moves}")
+    if problem.max_load is not None:
         broken += [
             f"{cell} has {load:.2f} of its capacity"
-            for cell, load in relative_loads(problem, placed).items()
-            if load > problem.most_load + LOAD_TOLERANCE
+            for cell, load in relative_loads(problem, placement).items()
+            if load > problem.max_load + LOAD_TOLERANCE
         ]
     return broken
 
@@ -235,8 +235,8 @@
 # --- the greedy plan ---
 
 
-def greedy(problem: Problem) -> dict[str, str]:
-    """Return a placement by greedy steps, which may break terms that it cannot repair.
+def greedy_placement(problem: Problem) -> dict[str, str]:
+    """Return a placement by greedy steps, which may break constraints that it cannot repair.
 
     It is a start for the solver, and the answer where the solver's time runs out: pairs that must
     be apart are separated, then the move that lowers the fullest cell most is made for as long as
@@ -246,7 +246,7 @@
     search.separate_pairs()
     while search.make_best_move():
         pass
-    return search.placed
+    return search.placement
 
 
 class _Candidate(NamedTuple):
@@ -258,29 +258,31 @@
 
 
 class _GreedySearch:
-    """The placement of `greedy` under way."""
+    """The placement of `greedy_placement` under way."""
 
     def __init__(self, problem: Problem) -> None:
         self.problem = problem
-        self.fixed: Mapping[str, str] = problem.fixed or {}
-        self.placed: dict[str, str] = {**problem.now, **self.fixed}
-        self.loads = _absolute_loads(problem, self.placed)
+        self.fixed: Mapping[str, str] = problem.fixed_cells or {}
+        self.placement: dict[str, str] = {**problem.current_cells, **self.fixed}
+        self.loads = _absolute_loads(problem, self.placement)
         self.conflicts: dict[str, set[str]] = {}
-        for first, second in problem.apart:
+        for first, second in problem.separated_pairs:
             self.conflicts.setdefault(first, set()).add(second)
             self.conflicts.setdefault(second, set()).add(first)
-        allowed = len(self.placed) if problem.most_moves is None else problem.most_moves
-        moved = sum(cell != problem.now[tenant] for tenant, cell in self.placed.items())
+        allowed = len(self.placement) if problem.max_moves is None else problem.max_moves
+        moved = sum(
+            cell != problem.current_cells[tenant] for tenant, cell in self.placement.items()
+        )
         self.moves_left = allowed - moved
 
     def separate_pairs(self) -> None:
         """Move one tenant of each pair that must be apart and is not, where there is a cell."""
-        for first, second in self.problem.apart:
+        for first, second in self.problem.separated_pairs:
             tenant = self._to_move_of_pair(first, second)
             cells = [
                 cell for cell in self.problem.capacities if self._has_no_conflict(tenant, cell)
             ]
-            together = self.placed[first] == self.placed[second]
+            together = self.placement[first] == self.placement[second]
             if together and tenant not in self.fixed and cells and self.moves_left > 0:
                 self._move(tenant, min(cells, key=lambda cell: self._load_after(tenant, cell)))
 
@@ -306,7 +308,7 @@
     def _candidates(self) -> Iterable[_Candidate]:
         fullest = max(self.loads, key=self._relative_load)
         highest = self._relative_load(fullest)
-        for tenant, home in self.placed.items():
+        for tenant, home in self.placement.items():
             if home != fullest or not self._may_move(tenant):
                 continue
             for cell in self.problem.capacities:
@@ -317,13 +319,13 @@
                     yield _Candidate(load_after, tenant, cell)
 
     def _may_move(self, tenant: str) -> bool:
-        """Return whether the tenant is where it is today and its terms allow it to move."""
+        """Return whether the tenant is where it is today and its constraints allow it to move."""
         if tenant in self.fixed or tenant not in self.problem.loads:
             return False
-        return self.problem.now[tenant] == self.placed[tenant]
+        return self.problem.current_cells[tenant] == self.placement[tenant]
 
     def _has_no_conflict(self, tenant: str, cell: str) -> bool:
-        return all(self.placed[other] != cell for other in self.conflicts.get(tenant, ()))
+        return all(self.placement[other] != cell for other in self.conflicts.get(tenant, ()))
 
     def _relative_load(self, cell: str) -> float:
         return self.loads[cell] / self.problem.capacities[cell]
@@ -333,9 +335,9 @@
         return load / self.problem.capacities[cell]
 
     def _move(self, tenant: str, cell: str) -> None:
-        self.loads[self.placed[tenant]] -= self.problem.loads[tenant]
+        self.loads[self.placement[tenant]] -= self.problem.loads[tenant]
         self.loads[cell] += self.problem.loads[tenant]
-        self.placed[tenant] = cell
+        self.placement[tenant] = cell
         self.moves_left -= 1
 
 
@@ -364,14 +366,14 @@
 
     Attributes:
         moves: The tenants that change cells, the largest load first.
-        before: Each cell's load against its capacity today.
-        after: The same by the plan.
-        proven: Whether it is proven that nothing better satisfies the terms.
+        loads_before: Each cell's load against its capacity today.
+        loads_after: The same by the plan.
+        proven: Whether it is proven that nothing better satisfies the constraints.
     """
 
     moves: tuple[PlannedMove, ...]
-    before: Mapping[str, float]
-    after: Mapping[str, float]
+    loads_before: Mapping[str, float]
+    loads_after: Mapping[str, float]
     proven: bool
 
     def plain(self) -> dict[str, Any]:
@@ -381,22 +383,25 @@
             for move in self.moves
         ]
         cells = {}
-        for cell in self.before:
+        for cell in self.loads_before:
             cells[cell] = {
-                "before": round(self.before[cell], SHOWN_DIGITS),
-                "after": round(self.after[cell], SHOWN_DIGITS),
+                "before": round(self.loads_before[cell], SHOWN_DIGITS),
+                "after": round(self.loads_after[cell], SHOWN_DIGITS),
             }
         return {"moves": moves, "cells": cells, "proven": self.proven}
 
 
-def plan_of(problem: Problem, placed: Mapping[str, str], proven: bool) -> Plan:
+def make_plan(problem: Problem, placement: Mapping[str, str], proven: bool) -> Plan:
     """Return the plan that leads from today's placement to this one."""
     moves = [
-        PlannedMove(tenant, problem.now[tenant], placed[tenant], load)
+        PlannedMove(tenant, problem.current_cells[tenant], placement[tenant], load)
         for tenant, load in problem.loads.items()
-        if placed[tenant] != problem.now[tenant]
+        if placement[tenant] != problem.current_cells[tenant]
     ]
     moves.sort(key=lambda move: (-move.load, move.tenant))
     return Plan(
-        tuple(moves), relative_loads(problem, problem.now), relative_loads(problem, placed), proven
+        moves=tuple(moves),
+        loads_before=relative_loads(problem, problem.current_cells),
+        loads_after=relative_loads(problem, placement),
+        proven=proven,
     )
--- a/query_broker/cells/solver.py
+++ b/query_broker/cells/solver.py
@@ -3,7 +3,7 @@
 It needs the extra with `highspy`, which the daemon never loads. Minimised are, in this order, the
 load of the fullest cell against its capacity and how many tenants move. The programme has a binary
 column for each tenant and cell and one column for the load of the fullest cell; a pair that must be
-apart is a row for each cell. A solution is checked against the terms before it is used.
+apart is a row for each cell. A solution is checked against the constraints before it is used.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from ..errors import QueryBrokerError
-from .planner import Plan, Problem, faults, greedy, plan_of
+from .planner import Plan, Problem, broken_constraints, greedy_placement, make_plan
 
 #: The cost of moving all tenants, against the load of the fullest cell: it only decides between
 #: placements that are otherwise equally good.
@@ -22,18 +22,18 @@
 BINARY_THRESHOLD = 0.5
 #: A placement has to be better by more than rounding to replace another.
 MIN_GAIN = 1e-9
-DEFAULT_SEARCH_S = 20.0
+DEFAULT_TIME_LIMIT_S = 20.0
 
 
 class NoPlanError(QueryBrokerError):
-    """No placement satisfies the terms, or none was found in time; the text says which."""
+    """No placement satisfies the constraints, or none was found in time; the text says which."""
 
 
 class InvalidSolutionError(NoPlanError):
-    """The solver's placement does not satisfy the terms."""
+    """The solver's placement does not satisfy the constraints."""
 
     def __init__(self, fault: str) -> None:
-        """Name the first term that it breaks."""
+        """Name the first constraint that it breaks."""
         super().__init__(f"the solver's placement breaks the terms: {fault}")
 
 
@@ -41,11 +41,11 @@
     """What the search has found.
 
     Attributes:
-        placed: The placement; None if there is none.
+        placement: The placement; None if there is none.
         proven: Whether it is proven to be the best, or that there is none.
     """
 
-    placed: dict[str, str] | None
+    placement: dict[str, str] | None
     proven: bool
 
 
@@ -56,37 +56,40 @@
     value: float
 
 
-def solve(problem: Problem, seconds: float = DEFAULT_SEARCH_S) -> Plan:
+def solve(problem: Problem, time_limit_s: float = DEFAULT_TIME_LIMIT_S) -> Plan:
     """Return the plan for a problem.
 
     Args:
         problem: What to solve.
-        seconds: How long the search may take.
+        time_limit_s: How long the search may take.
 
     Raises:
         NoPlanError: There is none, or none was found in time.
     """
-    start = greedy(problem)
-    start_is_valid = not faults(problem, start)
-    placed, proven = _search(problem, start, seconds)
-    if placed is None:
+    start = greedy_placement(problem)
+    start_is_valid = not broken_constraints(problem, start)
+    placement, proven = _search(problem, start, time_limit_s)
+    if placement is None:
         if not start_is_valid:
             raise NoPlanError(
                 "no placement satisfies the terms" if proven else "no placement was found in time"
             )
-        placed = start
-    if broken := faults(problem, placed):
+        placement = start
+    broken = broken_constraints(problem, placement)
+    if broken:
         raise InvalidSolutionError(broken[0])
-    if start_is_valid and _highest_load(problem, start) < _highest_load(problem, placed) - MIN_GAIN:
-        return plan_of(problem, start, proven=False)
-    return plan_of(problem, placed, proven)
+    if start_is_valid:
+        solved_load = _highest_load(problem, placement)
+        if _highest_load(problem, start) < solved_load - MIN_GAIN:
+            return make_plan(problem, start, proven=False)
+    return make_plan(problem, placement, proven)
 
 
-def _highest_load(problem: Problem, placed: dict[str, str]) -> float:
-    return max(plan_of(problem, placed, proven=False).after.values())
+def _highest_load(problem: Problem, placement: dict[str, str]) -> float:
+    return max(make_plan(problem, placement, proven=False).loads_after.values())
 
 
-def _search(problem: Problem, start: dict[str, str], seconds: float) -> SearchResult:
+def _search(problem: Problem, start: dict[str, str], time_limit_s: float) -> SearchResult:
     """Solve the programme, beginning with a placement that is used where it is valid."""
     import highspy
 
@@ -94,14 +97,14 @@
     solver = highspy.Highs()  # type: ignore[no-untyped-call]
     for name, value in (
         ("output_flag", False),
-        ("time_limit", float(seconds)),
+        ("time_limit", float(time_limit_s)),
         ("mip_rel_gap", OPTIMALITY_GAP),
         ("threads", 1),
         ("random_seed", 1),
     ):
         solver.setOptionValue(name, value)
     solver.passModel(programme.model())
-    if not faults(problem, start):
+    if not broken_constraints(problem, start):
         solver.setSolution(programme.solution_of(start))
     solver.run()
     status = solver.getModelStatus()
@@ -110,9 +113,9 @@
         highspy.HighsModelStatus.kUnboundedOrInfeasible,
     ):
         return SearchResult(None, proven=True)
-    placed = programme.placement_of(list(solver.getSolution().col_value))
-    is_optimal = placed is not None and status == highspy.HighsModelStatus.kOptimal
-    return SearchResult(placed, proven=bool(is_optimal))
+    placement = programme.placement_of(list(solver.getSolution().col_value))
+    is_optimal = placement is not None and status == highspy.HighsModelStatus.kOptimal
+    return SearchResult(placement, proven=bool(is_optimal))
 
 
 class _Programme:
@@ -140,11 +143,13 @@
         self.row_upper: list[float] = []
         self.indices: list[int] = []
         self.values: list[float] = []
-        self.columns_today = [self._column(tenant, problem.now[tenant]) for tenant in self.tenants]
+        self.columns_today = [
+            self._column(tenant, problem.current_cells[tenant]) for tenant in self.tenants
+        ]
         self._add_one_cell_rows()
         self._add_load_rows()
         self._add_apart_rows()
-        self._add_most_moves_row()
+        self._add_max_moves_row()
 
     def _column(self, tenant: str, cell: str) -> int:
         return self.first_columns[tenant] + self.cells.index(cell)
@@ -179,7 +184,7 @@
 
     def _add_apart_rows(self) -> None:
         """Of two tenants that must be apart, each cell has at most one."""
-        for first, second in self.problem.apart:
+        for first, second in self.problem.separated_pairs:
             for cell in self.cells:
                 entries = [
                     MatrixEntry(self._column(first, cell), 1.0),
@@ -187,11 +192,11 @@
                 ]
                 self._add_row(-self.infinity, 1.0, entries)
 
-    def _add_most_moves_row(self) -> None:
+    def _add_max_moves_row(self) -> None:
         """Enough tenants stay where they are."""
-        if self.problem.most_moves is None:
+        if self.problem.max_moves is None:
             return
-        must_stay = float(len(self.tenants) - self.problem.most_moves)
+        must_stay = float(len(self.tenants) - self.problem.max_moves)
         entries = [MatrixEntry(column, 1.0) for column in self.columns_today]
         self._add_row(must_stay, self.infinity, entries)
 
@@ -211,16 +216,16 @@
         import numpy
 
         lower = numpy.zeros(self.load_column + 1)
-        for tenant, cell in (self.problem.fixed or {}).items():
+        for tenant, cell in (self.problem.fixed_cells or {}).items():
             lower[self._column(tenant, cell)] = 1.0
         return lower
 
     def _column_upper(self) -> Any:
         import numpy
 
-        most_load = self.problem.most_load
+        max_load = self.problem.max_load
         upper = numpy.ones(self.load_column + 1)
-        upper[self.load_column] = self.infinity if most_load is None else most_load
+        upper[self.load_column] = self.infinity if max_load is None else max_load
         return upper
 
     def model(self) -> Any:
@@ -247,15 +252,15 @@
 
     # --- placements ---
 
-    def solution_of(self, placed: dict[str, str]) -> Any:
+    def solution_of(self, placement: dict[str, str]) -> Any:
         """Return a placement as a solution that HiGHS can begin with."""
         import highspy
         import numpy
 
         columns = numpy.zeros(self.load_column + 1)
         for tenant in self.tenants:
-            columns[self._column(tenant, placed[tenant])] = 1.0
-        columns[self.load_column] = _highest_load(self.problem, placed)
+            columns[self._column(tenant, placement[tenant])] = 1.0
+        columns[self.load_column] = _highest_load(self.problem, placement)
         solution: Any = highspy.HighsSolution()
         solution.col_value = list(columns)
         return solution
@@ -266,9 +271,9 @@
         is_complete = len(solution) == self.load_column + 1
         if not is_complete or not any(value > BINARY_THRESHOLD for value in binary):
             return None
-        placed = {}
+        placement = {}
         for tenant in self.tenants:
             first = self.first_columns[tenant]
             values = binary[first : first + len(self.cells)]
-            placed[tenant] = self.cells[values.index(max(values))]
-        return placed
+            placement[tenant] = self.cells[values.index(max(values))]
+        return placement
--- a/query_broker/cli/cells.py
+++ b/query_broker/cli/cells.py
@@ -154,11 +154,11 @@
     return Problem(
         read.loads,
         read.capacities,
-        read.now,
-        read.apart + _pairs(apart),
-        read.fixed,
-        read.most_moves if most_moves is None else most_moves,
-        read.most_load if most_load is None else most_load,
+        read.current_cells,
+        read.separated_pairs + _pairs(apart),
+        read.fixed_cells,
+        read.max_moves if most_moves is None else most_moves,
+        read.max_load if most_load is None else most_load,
     )
 
 
@@ -202,12 +202,14 @@
     else:
         click.echo("nothing to move")
     loads = [
-        [cell, f"{before:.3f}", f"{solution.after[cell]:.3f}"]
-        for cell, before in solution.before.items()
+        [cell, f"{before:.3f}", f"{solution.loads_after[cell]:.3f}"]
+        for cell, before in solution.loads_before.items()
     ]
     click.echo("\n" + table(["cell", "before", "after"], loads))
     proven = "" if solution.proven else "; not proven to be the best"
+    highest_before = max(solution.loads_before.values())
+    highest_after = max(solution.loads_after.values())
     click.echo(
         f"\n{len(solution.moves)} of {tenants} tenants move; the fullest cell goes from "
-        f"{max(solution.before.values()):.3f} to {max(solution.after.values()):.3f}{proven}"
+        f"{highest_before:.3f} to {highest_after:.3f}{proven}"
     )
--- a/tests/cells/test_pure.py
+++ b/tests/cells/test_pure.py
@@ -601,21 +601,21 @@
 def test_a_plan_balances_within_its_terms() -> None:
     now = dict.fromkeys(LOADS, "a")
     made = solve(plan.Problem(LOADS, CELLS, now, (("t1", "t2"),), {"t3": "b"}))
-    assert max(made.after.values()) <= 1.02 * sum(LOADS.values()) / 40 + 0.1
+    assert max(made.loads_after.values()) <= 1.02 * sum(LOADS.values()) / 40 + 0.1
     assert made.moves == tuple(sorted(made.moves, key=lambda m: (-m[3], m[0])))
-    few = solve(plan.Problem(LOADS, CELLS, now, most_moves=4))
+    few = solve(plan.Problem(LOADS, CELLS, now, max_moves=4))
     assert len(few.moves) <= 4
-    assert max(few.after.values()) < max(few.before.values())
-    still = solve(plan.Problem(LOADS, CELLS, now, most_moves=0))
+    assert max(few.loads_after.values()) < max(few.loads_before.values())
+    still = solve(plan.Problem(LOADS, CELLS, now, max_moves=0))
     assert still.moves == ()
-    assert plan.faults(plan.Problem(LOADS, CELLS, now), now) == []
+    assert plan.broken_constraints(plan.Problem(LOADS, CELLS, now), now) == []
 
 
 @pytest.mark.parametrize(
     "terms",
     [
         {
-            "apart": (
+            "separated_pairs": (
                 ("t1", "t2"),
                 ("t2", "t3"),
                 ("t1", "t3"),
@@ -624,8 +624,8 @@
                 ("t3", "t4"),
             )
         },
-        {"most_load": 0.5},
-        {"fixed": {"t1": "b"}, "most_moves": 0},
+        {"max_load": 0.5},
+        {"fixed_cells": {"t1": "b"}, "max_moves": 0},
     ],
 )
 def test_terms_that_no_placement_satisfies_are_told(terms: dict[str, Any]) -> None:
