--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -214,7 +214,7 @@
         ]
         figures.tell("moves.ended", len(seen), least=count)
         figures.tell("moves.done", ended.get(Stage.DONE, 0))
-        figures.tell("moves.taken_back", ended.get(Stage.TAKEN_BACK, 0))
+        figures.tell("moves.taken_back", ended.get(Stage.ROLLED_BACK, 0))
         figures.tell("moves.taken_back_by_call", backs)
         figures.tell("moves.seconds", time.monotonic() - begun)
         figures.tell("moves.requests", len(book.records))
--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -1,10 +1,10 @@
 """Borrowing between cells: what each may hold of one resource that all of them share.
 
 A cell has a quota of the resource and may borrow what the others do not use of theirs. The quota is
-a guarantee: `RESERVED_FRACTION` of it is never lent, and once the owner uses more than that (it
-*reclaims* its quota), nothing more of it is lent and what is lent is called in within
-`CALL_IN_DELAY_NS`. Only what can be given back may be borrowed: *firm* use, which must not be cut
-short (such as work that is not idempotent), stays within the cell's own quota.
+a guarantee: others never borrow `RESERVED_FRACTION` of it. Once the owner uses more than that it
+*reclaims* its quota: others may borrow nothing more of it, and what they have borrowed is called in
+within `CALL_IN_DELAY_NS`. Only what can be given back may be borrowed: *firm* use, which must not
+be cut short (such as work that is not idempotent), stays within the cell's own quota.
 
 Amounts are descriptors, bytes or requests; times are integer nanoseconds. Performs no I/O.
 """
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 
 NS_PER_S = 1_000_000_000
-#: The fraction of a quota that is never lent, so that an owner can always start at once.
+#: The fraction of a quota that is never borrowed, so that an owner can always start at once.
 RESERVED_FRACTION = 0.25
-#: From the owner's reclaim until the last of what it lent is called in: within a second, less the
+#: From the owner's reclaim until the last borrowed amount is called in: within a second, less the
 #: time that borrowers take to end.
 CALL_IN_DELAY_NS = NS_PER_S * 3 // 5
 #: How long an owner that has reclaimed its quota keeps all of it.
@@ -34,7 +34,7 @@
         firm_in_use: What of it must not be cut short.
         reclaim_since_ns: Since when the owner wants its complete quota; None if it does not.
         last_reclaim_ns: When it last wanted it.
-        reserved_quota: What of the quota is never lent.
+        reserved_quota: What of the quota is never borrowed.
     """
 
     quota: int = 0
--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -109,7 +109,8 @@
     def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
         """Return whether an attempt may get a connection of its own.
 
-        What is lent is not available yet: until it is back, attempts share connections.
+        What others have borrowed is not available yet: until it is returned, attempts share
+        connections.
         """
         cell = self.cell(pool)
         self.count_use()
@@ -133,7 +134,7 @@
             return super().reserve_descriptor(pool)
         if account.in_use <= self._allowance(cell, account) and self.ledger.free() >= 0:
             if account.in_use > RESERVED_FRACTION * account.quota:
-                # It uses what may be lent of its quota: nothing more of it is lent from now on.
+                # It uses what others may borrow of its quota: from now on they may borrow no more.
                 self.ledger.allows(cell, 0, now_ns)
             return True
         if self._close_idle_for(cell, account):
--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -6,7 +6,7 @@
 from ..server.client_admission import ClientAdmission
 from ..server.host import NodeContext
 from .client_connection import CelledConnection
-from .client_seat import ANTEROOM
+from .client_seat import UNASSIGNED
 from .dispatcher import CellDispatcher
 from .model import CellMap
 from .read_turns import ReadTurns
@@ -26,8 +26,8 @@
     # --- extension points of the admission ---
 
     def has_place(self) -> bool:
-        """A new connection is accounted to the anteroom, until its first request names a tenant."""
-        return self._take_place(ANTEROOM)
+        """Account a new connection to no cell, until its first request names a tenant."""
+        return self._take_place(UNASSIGNED)
 
     def discard(self, connection: ClientConnection) -> None:
         """Release the place of a connection in its cell, and its turn."""
@@ -99,17 +99,17 @@
         return True
 
     def leave_dropped_cells(self, map: CellMap) -> None:
-        """Account the connections of cells that the map does not have to the anteroom."""
+        """Take connections out of cells that the map does not have any more."""
         for connection in self.connections:
-            if not isinstance(connection, CelledConnection) or connection.cell == ANTEROOM:
+            if not isinstance(connection, CelledConnection) or connection.cell == UNASSIGNED:
                 continue
             if map.cell(connection.cell) is not None:
                 continue
             self._dispatcher.connections.release(connection.cell, 1)
             self._dispatcher.frames.release(connection.cell, connection.accounted_bytes)
-            connection.cell = ANTEROOM
-            self._dispatcher.connections.force(ANTEROOM, 1)
-            self._dispatcher.frames.force(ANTEROOM, connection.accounted_bytes)
+            connection.cell = UNASSIGNED
+            self._dispatcher.connections.force(UNASSIGNED, 1)
+            self._dispatcher.frames.force(UNASSIGNED, connection.accounted_bytes)
 
     def _call_in_places(self, now_ns: int) -> None:
         """Call in borrowed places: idle connections end, the others are asked to leave."""
--- a/query_broker/cells/client_connection.py
+++ b/query_broker/cells/client_connection.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ..protocols.client_connection import ClientConnection, ClientHost
-from .client_seat import ANTEROOM, SeatedClient
+from .client_seat import UNASSIGNED, SeatedClient
 from .read_turns import ReadTurns
 
 
@@ -65,7 +65,7 @@
 
 
 class CelledConnection(ClientConnection, SeatedClient):
-    """A connection that sits in the anteroom until its first request, then in the last one's cell.
+    """A connection without a cell until its first request, then in the cell of the last one.
 
     Attributes:
         cell: The cell that it is accounted to.
@@ -73,9 +73,9 @@
     """
 
     def __init__(self, host: CellClientHost) -> None:
-        """Start in the anteroom."""
+        """Start without a cell."""
         self._seats = host.client_seats
-        self.cell = ANTEROOM
+        self.cell = UNASSIGNED
         self.accounted_bytes = 0
         super().__init__(host, CellLimits(host, self))
 
--- a/query_broker/cells/client_seat.py
+++ b/query_broker/cells/client_seat.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 
 #: The cell of connections that have not sent a request yet; no cell of a map has this name.
-ANTEROOM = ""
+UNASSIGNED = ""
 
 
 class SeatedClient(ABC):
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -15,7 +15,7 @@
 from .borrowing import Ledger
 from .cell_metrics import ReplyKey, render_cell_metrics
 from .cell_pools import CelledPools
-from .client_seat import ANTEROOM, SeatedClient
+from .client_seat import UNASSIGNED, SeatedClient
 from .migration_log import MigrationLog
 from .model import CellMap
 from .request_accounting import Charge, RequestAccounting
@@ -24,9 +24,9 @@
 from .work_rates import WorkRates
 
 NS_PER_MS = 1_000_000
-#: The anteroom's fraction of what is divided among client connections: enough for a wave of new
-#: clients, little enough to leave the cells most of it.
-ANTEROOM_FRACTION = 0.2
+#: The fraction of what is divided among client connections that those without a cell get: enough
+#: for many new clients at once, little enough to leave the cells most of it.
+UNASSIGNED_FRACTION = 0.2
 #: How often borrowers are called in; well within the delay that the ledgers grant.
 CALL_IN_PERIOD_NS = 100 * NS_PER_MS
 
@@ -121,19 +121,19 @@
         """Return the weight of each cell in what is divided among cells."""
         return {cell.name: cell.part() for cell in self.map.cells}
 
-    def cell_weights_with_anteroom(self) -> dict[str, float]:
+    def cell_weights_with_unassigned(self) -> dict[str, float]:
         """Return the weights where connections without a cell get a quota as well."""
         weights = self.cell_weights()
-        anteroom = sum(weights.values()) * ANTEROOM_FRACTION / (1 - ANTEROOM_FRACTION)
-        return {**weights, ANTEROOM: anteroom}
+        unassigned = sum(weights.values()) * UNASSIGNED_FRACTION / (1 - UNASSIGNED_FRACTION)
+        return {**weights, UNASSIGNED: unassigned}
 
     def _divide_among_cells(self) -> None:
         weights = self.cell_weights()
-        weights_with_anteroom = self.cell_weights_with_anteroom()
+        weights_with_unassigned = self.cell_weights_with_unassigned()
         self.accounting.divide(self.statement_capacity_bytes, weights)
-        self.frames.divide(self.statement_capacity_bytes, weights_with_anteroom)
-        self.answers.divide(self.statement_capacity_bytes, weights_with_anteroom)
-        self.connections.divide(self.max_clients, weights_with_anteroom)
+        self.frames.divide(self.statement_capacity_bytes, weights_with_unassigned)
+        self.answers.divide(self.statement_capacity_bytes, weights_with_unassigned)
+        self.connections.divide(self.max_clients, weights_with_unassigned)
         self.cell_pools.ledger.divide(self.pools.max_connections, weights)
 
     def apply_map(self, map: CellMap) -> None:
--- a/query_broker/cells/host.py
+++ b/query_broker/cells/host.py
@@ -18,7 +18,7 @@
 class CellHost(Protocol):
     """The node, as far as its migrations and its operators' calls need it."""
 
-    closing_announced: bool  # clients have been told to leave: this process ends soon
+    closing_announced: bool  # clients were asked to leave, since this process ends soon
 
     @property
     def map(self) -> CellMap:
--- a/query_broker/cells/migration_log.py
+++ b/query_broker/cells/migration_log.py
@@ -114,7 +114,7 @@
         migration = self.records.get(subject)
         if migration is None or migration.has_ended():
             raise MigrationRejectedError("tenant", f"{subject!r} is not on the move")
-        if migration.stage is Stage.RETURNING:
+        if migration.stage is Stage.ROLLING_BACK:
             raise MigrationRejectedError("tenant", f"{subject!r} is being taken back already")
         return self.abort(migration, now_ns, reason)
 
@@ -146,7 +146,7 @@
         # another process.
         overruled = replace(
             migration,
-            stage=Stage.TAKEN_BACK,
+            stage=Stage.ROLLED_BACK,
             source=self.map.home(migration.subject),
             stage_since_ns=now_ns,
             reason="the map says otherwise",
@@ -206,7 +206,7 @@
 
     def abort(self, migration: Migration, now_ns: int, reason: str) -> Migration:
         """Take a migration back: at once before the switch, else after the target has drained."""
-        stage = Stage.RETURNING if migration.stage in SWITCHED_STAGES else Stage.TAKEN_BACK
+        stage = Stage.ROLLING_BACK if migration.stage in SWITCHED_STAGES else Stage.ROLLED_BACK
         return self.record(
             replace(migration, stage=stage, stage_since_ns=now_ns, switch_at_ns=0, reason=reason)
         )
--- a/query_broker/cells/migration_steps.py
+++ b/query_broker/cells/migration_steps.py
@@ -74,36 +74,40 @@
 def _step_warming(
     log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> None:
-    able = cluster.fleet(migration.target).is_able()
+    is_warm = cluster.fleet(migration.target).has_enough_warm()
     if migration.switch_at_ns:
-        _await_switch(log, migration, now_ns, able, cluster)
+        _await_switch(log, migration, now_ns, is_warm, cluster)
     else:
-        _await_able(log, migration, now_ns, able)
+        _await_warm_target(log, migration, now_ns, is_warm)
     latest = log.records[migration.subject]
     elapsed_ns = now_ns - migration.stage_since_ns
     if elapsed_ns >= log.map.timeouts.warming_ns and latest.stage is Stage.WARMING:
         log.abort(latest, now_ns, "the target did not get warm in time")
 
 
-def _await_able(log: MigrationLog, migration: Migration, now_ns: int, able: bool) -> None:
-    """Decide on the time of the switch once the target has been able for long enough."""
-    if not able:
-        if migration.able_since_ns:
-            log.record(replace(migration, able_since_ns=0))
-    elif not migration.able_since_ns:
-        log.record(replace(migration, able_since_ns=now_ns))
-    elif now_ns - migration.able_since_ns >= log.map.timeouts.settle_ns:
+def _await_warm_target(log: MigrationLog, migration: Migration, now_ns: int, is_warm: bool) -> None:
+    """Decide on the time of the switch once the target has been warm for long enough."""
+    if not is_warm:
+        if migration.warm_since_ns:
+            log.record(replace(migration, warm_since_ns=0))
+    elif not migration.warm_since_ns:
+        log.record(replace(migration, warm_since_ns=now_ns))
+    elif now_ns - migration.warm_since_ns >= log.map.timeouts.settle_ns:
         log.record(replace(migration, switch_at_ns=now_ns + SWITCH_LEAD_NS))
 
 
 def _await_switch(
-    log: MigrationLog, migration: Migration, now_ns: int, able: bool, cluster: ClusterView
+    log: MigrationLog,
+    migration: Migration,
+    now_ns: int,
+    is_warm: bool,
+    cluster: ClusterView,
 ) -> None:
     """Switch once all processes know the time of it; put it off while one does not."""
-    if not able:
+    if not is_warm:
         # A target that is lost while the other processes learn of the switch must not get the
         # tenant.
-        log.record(replace(migration, switch_at_ns=0, able_since_ns=0))
+        log.record(replace(migration, switch_at_ns=0, warm_since_ns=0))
     elif cluster.is_replicated(migration):
         switch_at_ns = max(now_ns, migration.switch_at_ns)
         log.record(
@@ -126,12 +130,12 @@
     A target that loses its last endpoint gives the tenant back, if the source can take it.
     """
     if cluster.fleet(migration.target).ready_count:
-        if migration.lost_since_ns:
-            return log.record(replace(migration, lost_since_ns=0))
+        if migration.target_lost_since_ns:
+            return log.record(replace(migration, target_lost_since_ns=0))
         return migration
-    if not migration.lost_since_ns:
-        return log.record(replace(migration, lost_since_ns=now_ns))
-    is_lost = now_ns - migration.lost_since_ns >= log.map.timeouts.target_lost_ns
+    if not migration.target_lost_since_ns:
+        return log.record(replace(migration, target_lost_since_ns=now_ns))
+    is_lost = now_ns - migration.target_lost_since_ns >= log.map.timeouts.target_lost_ns
     if is_lost and cluster.fleet(migration.source).ready_count:
         log.abort(migration, now_ns, "the target has lost its last engine")
         return None
@@ -147,7 +151,7 @@
     if watched is None:
         return
     elapsed_ns = now_ns - migration.stage_since_ns
-    if not watched.lost_since_ns and elapsed_ns >= log.map.timeouts.watch_ns:
+    if not watched.target_lost_since_ns and elapsed_ns >= log.map.timeouts.watch_ns:
         log.enter(watched, Stage.DRAINING, now_ns)
     elif elapsed_ns >= log.map.timeouts.switched_ns:
         log.abort(watched, now_ns, "the target was not able for long enough")
@@ -165,13 +169,13 @@
         _end_by_close_out(log, watched, Stage.DONE, now_ns)
 
 
-def _step_returning(
+def _step_rolling_back(
     log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> None:
     if not cluster.open_count(migration.subject, migration.target):
-        log.enter(migration, Stage.TAKEN_BACK, now_ns)
+        log.enter(migration, Stage.ROLLED_BACK, now_ns)
     elif now_ns - migration.stage_since_ns >= log.map.timeouts.draining_ns:
-        _end_by_close_out(log, migration, Stage.TAKEN_BACK, now_ns)
+        _end_by_close_out(log, migration, Stage.ROLLED_BACK, now_ns)
 
 
 def _end_by_close_out(log: MigrationLog, migration: Migration, stage: Stage, now_ns: int) -> None:
@@ -185,5 +189,5 @@
     Stage.WARMING: _step_warming,
     Stage.SWITCHED: _step_switched,
     Stage.DRAINING: _step_draining,
-    Stage.RETURNING: _step_returning,
+    Stage.ROLLING_BACK: _step_rolling_back,
 }
--- a/query_broker/cells/migrations.py
+++ b/query_broker/cells/migrations.py
@@ -5,8 +5,8 @@
         +----------+--> taken back <-- returning
 
 New requests go to one cell: the source up to the switch, the target from then on, and the source
-again from the moment a migration is returning. What is open ends in the cell where it began; only
-that cell's decisions make its further attempts, so that no switch can execute it twice.
+again from the moment a migration is being rolled back. What is open ends in the cell where it
+began; only that cell's decisions make its retries, so that no switch can execute it twice.
 
 Records carry a version, one counter over all processes of a broker (after L. Lamport, "Time,
 Clocks, and the Ordering of Events in a Distributed System", 1978): of two records on one subject
@@ -32,8 +32,8 @@
 STORED_KEYS = {
     "stage_since_ns": "at",
     "proposed_ns": "begun",
-    "able_since_ns": "able_since",
-    "lost_since_ns": "lost_since",
+    "warm_since_ns": "able_since",
+    "target_lost_since_ns": "lost_since",
     "switch_at_ns": "switch_at",
     "reason": "why",
 }
@@ -47,12 +47,12 @@
     WARMING = "warming"
     SWITCHED = "switched"
     DRAINING = "draining"
-    RETURNING = "returning"
+    ROLLING_BACK = "returning"
     DONE = "done"
-    TAKEN_BACK = "taken back"
+    ROLLED_BACK = "taken back"
 
 
-ENDED_STAGES = frozenset({Stage.DONE, Stage.TAKEN_BACK})
+ENDED_STAGES = frozenset({Stage.DONE, Stage.ROLLED_BACK})
 SWITCHED_STAGES = frozenset({Stage.SWITCHED, Stage.DRAINING, Stage.DONE})
 #: Of two records with one version the one in the later stage is valid.
 STAGE_ORDER = list(Stage)
@@ -79,8 +79,8 @@
         stage_since_ns: When it came into this stage.
         proposed_ns: When it was proposed.
         driver: The process that advances it.
-        able_since_ns: Since when the target has enough warm endpoints; 0 if it has not.
-        lost_since_ns: Since when the target has no endpoint; 0 if it has one.
+        warm_since_ns: Since when the target has enough warm endpoints; 0 if it has not.
+        target_lost_since_ns: Since when the target has no endpoint; 0 if it has one.
         switch_at_ns: From then on new requests go to the target; 0 before that is decided.
         reason: Why it ended or was aborted.
     """
@@ -93,8 +93,8 @@
     stage_since_ns: int
     proposed_ns: int
     driver: str
-    able_since_ns: int = 0
-    lost_since_ns: int = 0
+    warm_since_ns: int = 0
+    target_lost_since_ns: int = 0
     switch_at_ns: int = 0
     reason: str = ""
 
@@ -139,8 +139,8 @@
         migration.version,
         migration.stage_since_ns,
         migration.proposed_ns,
-        migration.able_since_ns,
-        migration.lost_since_ns,
+        migration.warm_since_ns,
+        migration.target_lost_since_ns,
         migration.switch_at_ns,
     )
     texts_match = all(type(text) is str for text in texts)
@@ -162,7 +162,7 @@
     ready_count: int
     warming_count: int
 
-    def is_able(self) -> bool:
+    def has_enough_warm(self) -> bool:
         """Return whether enough of the endpoints are warm for the cell to take a tenant over."""
         warm_count = self.ready_count - self.warming_count
         return self.ready_count > 0 and warm_count >= MIN_WARM_FRACTION * self.ready_count
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -83,7 +83,7 @@
 
     def make_admission(self) -> ClientAdmission:
         """Build the admission of client connections to cells, and their turns to read."""
-        weights = self.celled.cell_weights_with_anteroom()
+        weights = self.celled.cell_weights_with_unassigned()
         self.read_turns = ReadTurns(weights, READ_TURNS_FRACTION * self.config.settings.tick_ns)
         self.client_seats = CellAdmission(self, self.celled, self.read_turns)
         return self.client_seats
@@ -171,7 +171,7 @@
         """Put another map in force."""
         self.set_map(map)
         self.celled.apply_map(map)
-        self.read_turns.turns.set_weights(self.celled.cell_weights_with_anteroom())
+        self.read_turns.turns.set_weights(self.celled.cell_weights_with_unassigned())
         self.client_seats.leave_dropped_cells(map)
         self._log_unknown_tenants()
 
--- a/query_broker/cells/read_turns.py
+++ b/query_broker/cells/read_turns.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from .fair_turns import Turns
+from .fair_turns import DeficitRoundRobin
 
 
 class WaitingConnection(Protocol):
@@ -30,12 +30,12 @@
 
     def __init__(self, weights: Mapping[str, float], round_ns: float) -> None:
         """Start a round of this length, with these cells and their weights."""
-        self.turns = Turns(weights, round_ns)
+        self.turns = DeficitRoundRobin(weights, round_ns)
         self.queue: dict[WaitingConnection, None] = {}
 
     def may_read(self, connection: WaitingConnection) -> bool:
         """Return whether the connection may read now; if not, it is queued for the next round."""
-        if self.turns.allowed(connection.cell):
+        if self.turns.may_proceed(connection.cell):
             return True
         self.queue[connection] = None
         return False
@@ -53,7 +53,7 @@
 
         One that is not allowed again is queued anew, behind the others.
         """
-        self.turns.round()
+        self.turns.begin_round()
         if self.queue:
             waiting = list(self.queue)
             self.queue = {}
--- a/tests/cells/test_pure.py
+++ b/tests/cells/test_pure.py
@@ -13,7 +13,7 @@
 from query_broker.cells import migrations as moves
 from query_broker.cells import planner as plan
 from query_broker.cells.borrowing import Ledger
-from query_broker.cells.fair_turns import Turns
+from query_broker.cells.fair_turns import DeficitRoundRobin
 from query_broker.cells.migration_log import MigrationLog
 from query_broker.cells.migration_steps import step_migrations
 from query_broker.cells.migrations import (
@@ -255,40 +255,41 @@
 
 
 def test_crowded_cells_get_their_shares_and_one_alone_gets_all() -> None:
-    turns = Turns({"a": 1.0, "b": 1.0}, 100.0)
+    turns = DeficitRoundRobin({"a": 1.0, "b": 1.0}, 100.0)
     spent: Counter[str] = Counter()
     for _ in range(100):
         for name in "ab":
-            while turns.allowed(name) and spent[name] - spent["b" if name == "a" else "a"] < 1_000:
+            other = "b" if name == "a" else "a"
+            while turns.may_proceed(name) and spent[name] - spent[other] < 1_000:
                 turns.charge(name, 7.0)
                 spent[name] += 7
-        turns.round()
+        turns.begin_round()
     assert abs(spent["a"] - spent["b"]) < 0.05 * spent["a"]
     alone = 0.0
-    turns = Turns({"a": 1.0, "b": 9.0}, 100.0)
-    while turns.allowed("a"):
+    turns = DeficitRoundRobin({"a": 1.0, "b": 9.0}, 100.0)
+    while turns.may_proceed("a"):
         turns.charge("a", 7.0)
         alone += 7.0
     assert alone >= 100.0  # the whole round, not a tenth
     turns.charge("b", 1.0)
-    assert not turns.allowed("a")
-    assert turns.allowed("b")
+    assert not turns.may_proceed("a")
+    assert turns.may_proceed("b")
 
 
 def test_debt_is_bounded_and_cells_come_and_go() -> None:
-    turns = Turns({"a": 1.0, "b": 1.0}, 100.0)
+    turns = DeficitRoundRobin({"a": 1.0, "b": 1.0}, 100.0)
     turns.charge("a", 1e9)
     turns.charge("b", 1.0)
     rounds = 0
-    while not turns.allowed("a"):
+    while not turns.may_proceed("a"):
         turns.charge("b", 1.0)
         turns.charge("a", 0.0)
-        turns.round()
+        turns.begin_round()
         rounds += 1
     assert rounds <= 6
     turns.set_weights({"b": 1.0, "c": 1.0})
-    assert turns.allowed("c")
-    assert set(turns.balance) == {"b", "c"}
+    assert turns.may_proceed("c")
+    assert set(turns.balance_by_cell) == {"b", "c"}
     turns.charge("a", 1.0)  # a connection of a cell that is gone
 
 
@@ -357,7 +358,7 @@
     cluster.fleets["b"] = fleet
     made.propose("x", "b", 0)
     now = play(made, cluster, 0, 45)
-    assert at(made) is Stage.TAKEN_BACK
+    assert at(made) is Stage.ROLLED_BACK
     assert why in made.records["x"].reason
     assert made.cell("x", now) == "a"
     made.propose("x", "b", now)  # it may be tried again
@@ -374,11 +375,11 @@
     now = play(made, cluster, now, 0.3)
     assert made.cell("x", now) == "b"  # a blip moves nothing
     now = play(made, cluster, now, 0.5)
-    assert at(made) is Stage.RETURNING
+    assert at(made) is Stage.ROLLING_BACK
     assert made.cell("x", now) == "a"
     cluster.count.clear()
     now = play(made, cluster, now, 0.1)
-    assert at(made) is Stage.TAKEN_BACK
+    assert at(made) is Stage.ROLLED_BACK
     # Where the source has none either, there is nowhere better.
     cluster.fleets = {"a": Fleet(0, 0), "b": Fleet(2, 0)}
     made.propose("x", "b", now)
@@ -410,7 +411,7 @@
                 made.abort_by_operators("x", now)
             cluster.count.clear()
             now = play(made, cluster, now, 0.1)
-        assert at(made) is Stage.TAKEN_BACK
+        assert at(made) is Stage.ROLLED_BACK
         with pytest.raises(MigrationRejectedError, match="not on the move"):
             made.abort_by_operators("x", now)
 
@@ -504,11 +505,11 @@
 @pytest.mark.parametrize(
     ("seconds", "left", "stage", "home"),
     [
-        (0.1, "ac", Stage.TAKEN_BACK, "a"),
-        (3.0, "ac", Stage.RETURNING, "a"),
+        (0.1, "ac", Stage.ROLLED_BACK, "a"),
+        (3.0, "ac", Stage.ROLLING_BACK, "a"),
         (0.1, "bc", Stage.DONE, "b"),
         (3.0, "bc", Stage.DONE, "b"),
-        (3.0, "c", Stage.RETURNING, "c"),
+        (3.0, "c", Stage.ROLLING_BACK, "c"),
     ],
 )
 def test_a_map_that_drops_a_cell_ends_its_moves(
--- a/tests/cells/test_sockets.py
+++ b/tests/cells/test_sockets.py
@@ -19,7 +19,7 @@
 
 from query_broker.cells.borrowing import RESERVED_FRACTION
 from query_broker.cells.client_connection import CelledConnection
-from query_broker.cells.client_seat import ANTEROOM
+from query_broker.cells.client_seat import UNASSIGNED
 from query_broker.cells.migrations import Stage
 from query_broker.cells.model import Cell, CellMap, MigrationTimeouts, Tenant
 from query_broker.cells.node import CellNode
@@ -223,7 +223,7 @@
         rig.node.dispatcher.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-2", port, "terminating")))
         )
-        await until(lambda: stage(rig) is Stage.TAKEN_BACK)
+        await until(lambda: stage(rig) is Stage.ROLLED_BACK)
         ask(client, 2, "acme")
         await until(lambda: len(one.commands_named(b"do")) == 2)
         assert not two_.commands_named(b"do")
@@ -429,7 +429,7 @@
             assert b"is not within 5 to 262144" in await within(hog.reader.read())
         assert len(one.commands_named(b"do")) == 40
         assert all(
-            c.cell in (ANTEROOM, "a", "b")
+            c.cell in (UNASSIGNED, "a", "b")
             for c in rig.node.clients
             if isinstance(c, CelledConnection)
         )
@@ -455,7 +455,7 @@
         by_cell = {c.cell: c for c in rig.node.clients if isinstance(c, CelledConnection)}
         unread = {cell: by_cell[cell].unread() for cell in ("a", "b")}
         node(rig).celled.answers.divide(
-            max(1, unread["b"] // 2), node(rig).celled.cell_weights_with_anteroom()
+            max(1, unread["b"] // 2), node(rig).celled.cell_weights_with_unassigned()
         )
         assert unread["b"] > 0
         rig.node.admission.close_slow_readers(rig.node.clock.now())
@@ -473,7 +473,7 @@
         Engine(),
     ) as rig:
         broker = node(rig).celled
-        broker.connections.divide(20, broker.cell_weights_with_anteroom())
+        broker.connections.divide(20, broker.cell_weights_with_unassigned())
         part = broker.connections.accounts["b"].quota
         held = []
         for stream in range(1, 19):
--- a/tests/golden/stored/cells.py
+++ b/tests/golden/stored/cells.py
@@ -20,8 +20,8 @@
     stage_since_ns=1_700,
     proposed_ns=1_600,
     driver=PROCESS_NAME,
-    able_since_ns=1_650,
-    lost_since_ns=0,
+    warm_since_ns=1_650,
+    target_lost_since_ns=0,
     switch_at_ns=2_000,
     reason="wäit",
 )
--- a/tests/golden/stored/test_cells.py
+++ b/tests/golden/stored/test_cells.py
@@ -37,9 +37,9 @@
         (Stage.WARMING, "warming"),
         (Stage.SWITCHED, "switched"),
         (Stage.DRAINING, "draining"),
-        (Stage.RETURNING, "returning"),
+        (Stage.ROLLING_BACK, "returning"),
         (Stage.DONE, "done"),
-        (Stage.TAKEN_BACK, "taken back"),
+        (Stage.ROLLED_BACK, "taken back"),
     ],
 )
 def test_stage_of_a_migration_is_written_as_its_value(stage: Stage, value: str) -> None:
