--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -186,6 +186,10 @@
         """Return what the cell uses beyond its quota."""
         return self.accounts[name].borrowed()
 
+    def borrows(self, name: str) -> bool:
+        """Return whether the cell uses more than its quota."""
+        return name in self.accounts and self.borrowed(name) > 0
+
     def amounts_to_call_in(self, now_ns: int) -> dict[str, int]:
         """Return what each borrower has to give back now.
 
--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -10,6 +10,7 @@
 from typing import NamedTuple, Protocol
 
 from ..metrics import STATUS_LABELS, escape_label
+from ..prometheus_text import metric_header, metrics_page, single_metric
 from .borrowing import Ledger
 from .cell_pools import CelledPools
 from .migration_log import MigrationLog
@@ -50,14 +51,11 @@
     values: Mapping[str, float]
 
 
-def _metric_head(name: str, kind: str, help_text: str) -> list[str]:
-    """Return the two lines before a metric's values."""
-    return [f"# HELP {PREFIX}{name} {help_text}", f"# TYPE {PREFIX}{name} {kind}"]
-
-
 def _reply_lines(replies: Mapping[ReplyKey, int]) -> list[str]:
     """Return the lines of the counter of answers."""
-    lines = _metric_head("replies_total", "counter", "Requests answered, by cell and class.")
+    lines = metric_header(
+        f"{PREFIX}replies_total", "Requests answered, by cell and class.", "counter"
+    )
     for (cell, request_class, status), count in sorted(replies.items()):
         lines.append(
             f'{PREFIX}replies_total{{cell="{escape_label(cell)}",type="{escape_label(request_class)}",'
@@ -68,7 +66,7 @@
 
 def _family_lines(family: CellFamily) -> list[str]:
     """Return the lines of a metric with a time series for each cell."""
-    lines = _metric_head(family.name, family.kind, family.help_text)
+    lines = metric_header(f"{PREFIX}{family.name}", family.help_text, family.kind)
     for cell, value in sorted(family.values.items()):
         lines.append(f'{PREFIX}{family.name}{{cell="{escape_label(cell)}"}} {value}')
     return lines
@@ -76,17 +74,12 @@
 
 def _migration_lines(counts: Mapping[str, int]) -> list[str]:
     """Return the lines of the gauge of migrations by stage."""
-    lines = _metric_head("moves", "gauge", "Moves on record, by stage.")
+    lines = metric_header(f"{PREFIX}moves", "Moves on record, by stage.", "gauge")
     for stage, count in sorted(counts.items()):
         lines.append(f'{PREFIX}moves{{stage="{stage}"}} {count}')
     return lines
 
 
-def _single_lines(name: str, kind: str, help_text: str, value: int) -> list[str]:
-    """Return the lines of a metric with one value."""
-    return [*_metric_head(name, kind, help_text), f"{PREFIX}{name} {value}"]
-
-
 class MetricsSource(Protocol):
     """The dispatcher, as far as the metrics need it."""
 
@@ -112,14 +105,16 @@
         lines += _family_lines(family)
     stages = Counter(move.stage.value for move in source.migrations.records.values())
     lines += _migration_lines(stages)
-    lines += _single_lines(
-        "called_in_total",
-        "counter",
+    lines += single_metric(
+        f"{PREFIX}called_in_total",
         "Requests on loan that were called in.",
+        "counter",
         source.called_in,
     )
-    lines += _single_lines("map_epoch", "gauge", "Epoch of the map in force.", source.map.epoch)
-    return ("\n".join(lines) + "\n").encode()
+    lines += single_metric(
+        f"{PREFIX}map_epoch", "Epoch of the map in force.", "gauge", source.map.epoch
+    )
+    return metrics_page(lines)
 
 
 def _ledger_families(source: MetricsSource) -> list[CellFamily]:
--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -147,14 +147,11 @@
         within_quota = account.in_use <= account.quota
         for connection in self._idle_connections():
             owner = self._host.router.seats.cell_of(connection.endpoint) or ""
-            if owner == cell or (within_quota and self._borrows(owner)):
+            if owner == cell or (within_quota and self.ledger.borrows(owner)):
                 connection.close()
                 return True
         return False
 
-    def _borrows(self, cell: str) -> bool:
-        return cell in self.ledger.accounts and self.ledger.borrowed(cell) > 0
-
     def call_in(self, now_ns: int) -> None:
         """Take back what owners reclaim from borrowers.
 
--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -67,20 +67,17 @@
 
     def _evict_for(self, cell: str) -> bool:
         """End an idle connection of the cell, or of a borrower if the cell is within its quota."""
-        owner = self._dispatcher.connections.accounts.get(cell)
+        places = self._dispatcher.connections
+        owner = places.accounts.get(cell)
         within_quota = owner is not None and owner.in_use < owner.quota
         return self.evict(
             client
             for client in self.connections
             if isinstance(client, CelledConnection)
             and client.idle()
-            and (client.cell == cell or (within_quota and self._borrows(client.cell)))
+            and (client.cell == cell or (within_quota and places.borrows(client.cell)))
         )
 
-    def _borrows(self, cell: str) -> bool:
-        ledger = self._dispatcher.connections
-        return cell in ledger.accounts and ledger.borrowed(cell) > 0
-
     def settle(self, connection: CelledConnection, cell: str) -> bool:
         """Account a connection to the cell of its request; False where it has no capacity.
 
@@ -93,10 +90,14 @@
         if not self._take_place(cell):
             places.force(connection.cell, 1)  # it keeps the place that it had
             return False
+        self._assign(connection, cell)
+        return True
+
+    def _assign(self, connection: CelledConnection, cell: str) -> None:
+        """Account the incomplete frames of a connection to the cell that it belongs to now."""
         self._dispatcher.frames.release(connection.cell, connection.accounted_bytes)
         self._dispatcher.frames.force(cell, connection.accounted_bytes)
         connection.cell = cell
-        return True
 
     def leave_dropped_cells(self, map: CellMap) -> None:
         """Take connections out of cells that the map does not have any more."""
@@ -106,10 +107,8 @@
             if map.cell(connection.cell) is not None:
                 continue
             self._dispatcher.connections.release(connection.cell, 1)
-            self._dispatcher.frames.release(connection.cell, connection.accounted_bytes)
-            connection.cell = UNASSIGNED
             self._dispatcher.connections.force(UNASSIGNED, 1)
-            self._dispatcher.frames.force(UNASSIGNED, connection.accounted_bytes)
+            self._assign(connection, UNASSIGNED)
 
     def _call_in_places(self, now_ns: int) -> None:
         """Call in borrowed places: idle connections end, the others are asked to leave."""
--- a/query_broker/deadlines/metrics.py
+++ b/query_broker/deadlines/metrics.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+from ..prometheus_text import metric_header, metrics_page, single_metric
 from .handover_checks import HandOverStatistics
 from .retry_budget import RetryBudget
 from .stage_latencies import StageLatencies
@@ -30,36 +31,30 @@
     lines = [
         *_hand_over_lines(statistics),
         *_cancellation_lines(statistics),
-        *_single_lines(
-            "margin_seconds",
-            "gauge",
+        *single_metric(
+            f"{PREFIX}margin_seconds",
             "Kept of each request's time for its answer's way back.",
+            "gauge",
             f"{margin_ns / NS_PER_S:.6f}",
         ),
     ]
     if budget is not None:
-        lines += _single_lines(
-            "further_refused_total",
-            "counter",
+        lines += single_metric(
+            f"{PREFIX}further_refused_total",
             "Further attempts that the budget did not allow.",
-            str(budget.refused),
+            "counter",
+            budget.refused,
         )
     lines += stages.metrics_lines(PREFIX)
-    return ("\n".join(lines) + "\n").encode()
-
-
-def _head_lines(name: str, kind: str, help_text: str) -> list[str]:
-    return [f"# HELP {PREFIX}{name} {help_text}", f"# TYPE {PREFIX}{name} {kind}"]
-
-
-def _single_lines(name: str, kind: str, help_text: str, value: str) -> list[str]:
-    return [*_head_lines(name, kind, help_text), f"{PREFIX}{name} {value}"]
+    return metrics_page(lines)
 
 
 def _hand_over_lines(statistics: HandOverStatistics) -> list[str]:
     """Return the counts of attempts that were stopped, and of those that were partly written."""
-    lines = _head_lines(
-        "taken_back_total", "counter", "Attempts stopped at a hand-over before a byte left."
+    lines = metric_header(
+        f"{PREFIX}taken_back_total",
+        "Attempts stopped at a hand-over before a byte left.",
+        "counter",
     )
     stop_counts = sorted(
         (hand_over.value, reason.value, count)
@@ -67,8 +62,8 @@
     )
     for hand_over, cause, count in stop_counts:
         lines.append(f'{PREFIX}taken_back_total{{at="{hand_over}",cause="{cause}"}} {count}')
-    lines += _head_lines(
-        "begun_after_total", "counter", "Attempts half written when their request ended."
+    lines += metric_header(
+        f"{PREFIX}begun_after_total", "Attempts half written when their request ended.", "counter"
     )
     partial_write_counts = sorted(
         (reason.value, count) for reason, count in statistics.partial_write_counts.items()
@@ -95,5 +90,5 @@
     )
     lines: list[str] = []
     for name, help_text, count in counters:
-        lines += _single_lines(name, "counter", help_text, str(count))
+        lines += single_metric(f"{PREFIX}{name}", help_text, "counter", count)
     return lines
--- a/query_broker/deadlines/stage_latencies.py
+++ b/query_broker/deadlines/stage_latencies.py
@@ -12,6 +12,7 @@
 
 from fastdigest import TDigest
 
+from ..prometheus_text import metric_header
 from .settings import LatencyStage, MarginSettings
 
 NS_PER_MS = 1_000_000
@@ -167,10 +168,7 @@
     def metrics_lines(self, prefix: str) -> list[str]:
         """Return lines of the Prometheus text format, in seconds."""
         name = f"{prefix}stage_seconds"
-        lines = [
-            f"# HELP {name} Time that requests spent in each stage.",
-            f"# TYPE {name} histogram",
-        ]
+        lines = metric_header(name, "Time that requests spent in each stage.", "histogram")
         for class_name, stage in sorted(self.by_class, key=lambda key: (key[0], key[1].value)):
             labels = f'type="{class_name}",stage="{stage.value}"'
             lines += _histogram_lines(name, labels, self.by_class[class_name, stage])
--- a/query_broker/outlier_consensus/metrics.py
+++ b/query_broker/outlier_consensus/metrics.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..quotas.prometheus_text import event_counter, metric_header, metrics_page
+from ..prometheus_text import event_counter, metric_header, metrics_page
 from .consensus import OutlierConsensus
 
 
--- a/query_broker/quotas/prometheus_text.py
+++ b/query_broker/prometheus_text.py
@@ -10,6 +10,11 @@
     return [f"# HELP {name} {help_text}", f"# TYPE {name} {metric_type}"]
 
 
+def single_metric(name: str, help_text: str, metric_type: str, value: object) -> list[str]:
+    """Return the lines of a metric with one time series."""
+    return [*metric_header(name, help_text, metric_type), f"{name} {value}"]
+
+
 def event_counter(name: str, help_text: str, counts: Mapping[str, int]) -> list[str]:
     """Return the lines of a counter with one time series an event."""
     samples = [f'{name}{{event="{event}"}} {count}' for event, count in counts.items()]
--- a/query_broker/quotas/metrics.py
+++ b/query_broker/quotas/metrics.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from ..prometheus_text import event_counter, metric_header, metrics_page
 from .demand_tracker import DemandTracker
-from .prometheus_text import event_counter, metric_header, metrics_page
 from .quota_rates import QuotaRates
 from .settings import LimitSettings
 
