--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -41,19 +41,25 @@
         """Close slow readers by the cells' ledgers, and call in borrowed places."""
         ledger = self._dispatcher.answers
         readers = self._readers(now_ns)
-        used = dict.fromkeys(ledger.accounts, 0)
+        self._account_unread_answers(readers, now_ns)
+        bytes_to_free = ledger.amounts_over_total()
+        for cell, amount_bytes in ledger.amounts_to_call_in(now_ns).items():
+            bytes_to_free[cell] = max(bytes_to_free.get(cell, 0), amount_bytes)
+        for cell, amount_bytes in bytes_to_free.items():
+            self._drop_slowest(readers.get(cell, []), amount_bytes)
+        self._call_in_places(now_ns)
+
+    def _account_unread_answers(
+        self, readers: dict[str, list[CelledConnection]], now_ns: int
+    ) -> None:
+        ledger = self._dispatcher.answers
+        unread_by_cell = dict.fromkeys(ledger.accounts, 0)
         for cell, clients in readers.items():
-            used[cell] = sum(client.unread() for client in clients)
-        for cell, unread_bytes in used.items():
+            unread_by_cell[cell] = sum(client.unread() for client in clients)
+        for cell, unread_bytes in unread_by_cell.items():
             ledger.set_in_use(cell, unread_bytes)
             # An owner that uses much of its own quota reclaims it by this call.
             ledger.allows(cell, 0, now_ns)
-        amounts_to_free = ledger.amounts_over_total()
-        for cell, amount in ledger.amounts_to_call_in(now_ns).items():
-            amounts_to_free[cell] = max(amounts_to_free.get(cell, 0), amount)
-        for cell, amount in amounts_to_free.items():
-            self._drop_slowest(readers.get(cell, []), amount)
-        self._call_in_places(now_ns)
 
     # --- places ---
 
@@ -146,20 +152,20 @@
 
     def _readers(self, now_ns: int) -> dict[str, list[CelledConnection]]:
         """Return the clients with unread answers by cell; those that are overdue are dropped."""
-        max_pause_ns = self.node.dispatcher.deadline_controls.settings.slow_reader_timeout_ns
+        timeout_ns = self.node.dispatcher.deadline_controls.settings.slow_reader_timeout_ns
         readers: dict[str, list[CelledConnection]] = {}
         for client in self.connections:
             assert isinstance(client, CelledConnection)
-            if client.paused_since_ns and now_ns - client.paused_since_ns > max_pause_ns:
+            if client.paused_since_ns and now_ns - client.paused_since_ns > timeout_ns:
                 self.drop_slow_reader(client)
             elif client.unread():
                 readers.setdefault(client.cell, []).append(client)
         return readers
 
-    def _drop_slowest(self, clients: list[CelledConnection], amount: int) -> None:
+    def _drop_slowest(self, clients: list[CelledConnection], amount_bytes: int) -> None:
         """Drop the clients with the most unread answers until these bytes are free."""
         for client in sorted(clients, key=ClientConnection.unread, reverse=True):
-            if amount <= 0:
+            if amount_bytes <= 0:
                 break
-            amount -= client.unread()
+            amount_bytes -= client.unread()
             self.drop_slow_reader(client)
--- a/query_broker/cells/outstanding_work.py
+++ b/query_broker/cells/outstanding_work.py
@@ -29,7 +29,7 @@
 
 
 class OutstandingWorkTracker:
-    """Tells each cell what others have outstanding on its endpoints.
+    """Reports to each cell what others have outstanding on its endpoints.
 
     Attributes:
         co_processes: The last report of the broker's other processes.
