--- /dev/null
+++ b/tests/cells/test_cell_admin_api.py
@@ -0,0 +1,85 @@
+"""The admin calls and the command line on cells."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+
+import pytest
+from click.testing import CliRunner
+
+from query_broker.cli.main import main
+
+from ..server.test_admin_api import admin_call
+from ..support.sockets import (
+    Engine,
+    make_config,
+    on_uvloop,
+    running,
+)
+from .cell_brokers import (
+    broker_with_two_cells,
+    cell_node,
+    two_cells,
+)
+
+pytestmark = pytest.mark.real_time
+
+
+@on_uvloop
+async def test_the_command_line_shows_proposes_and_aborts_migrations() -> None:
+    async with broker_with_two_cells(two_cells(), Engine(), Engine()) as rig:
+        address = ["--address", f"127.0.0.1:{rig.operator_port}"]
+
+        async def cells(*args: str) -> str:
+            result = await asyncio.to_thread(
+                CliRunner().invoke, main, ["cells", args[0], *address, *args[1:]]
+            )
+            return f"{result.exit_code} {result.output}"
+
+        shown = await cells("show")
+        assert "a *" in shown
+        assert "s-2" in shown
+        assert "acme" in shown
+        assert json.loads((await cells("show", "--json"))[2:])["epoch"] == 1
+        rig.node.dispatcher.set_endpoint_disabled("s-2", True)  # so that it stays where it is
+        assert await cells("move", "acme", "b") == "0 acme from a to b: proposed\n"
+        assert "is on the move to 'b'" in await cells("move", "acme", "b")
+        assert "proposed" in await cells("show")
+        assert await cells("abort", "acme") == "0 acme from a to b: taken back (by the operators)\n"
+        assert (await cells("abort", "acme")).startswith("1 larchhall: ")
+        planned = await cells("plan", "--json")
+        assert planned.startswith("0 ")
+        assert json.loads(planned[2:])["moves"] == []
+
+
+@pytest.mark.parametrize(
+    ("request_line", "status"),
+    [
+        pytest.param(b"POST /cells", 405, id="post to the list"),
+        pytest.param(b"GET /cells/move/acme/b", 405, id="get of a migration"),
+        pytest.param(b"POST /cells/x", 404, id="unknown action"),
+        pytest.param(b"POST /cells/move/acme/c", 409, id="unknown cell"),
+        pytest.param(b"POST /cells/move/acme/a", 409, id="its own cell"),
+        pytest.param(b"POST /cells/abort/acme", 409, id="no migration to abort"),
+        pytest.param(b"POST /cells/move/%ff/b", 400, id="tenant that is not UTF-8"),
+        pytest.param(b"POST /cells/move//b", 409, id="tenant without a name"),
+    ],
+)
+@on_uvloop
+async def test_a_call_on_cells_that_cannot_be_is_rejected_in_one_line(
+    request_line: bytes, status: int
+) -> None:
+    async with broker_with_two_cells(two_cells(), Engine(), Engine()) as rig:
+        got, headers, body = await admin_call(rig, request_line + b" HTTP/1.1\r\n\r\n")
+        assert got == status
+        assert "error" in json.loads(body)
+        assert body.count("\n") == 1
+        assert ("allow" in headers) == (status == 405)
+        assert not cell_node(rig).celled.migrations.records
+
+
+@on_uvloop
+async def test_a_broker_without_cells_has_no_calls_on_them() -> None:
+    async with running(make_config(operator=True)) as rig:
+        assert (await admin_call(rig, b"GET /cells HTTP/1.1\r\n\r\n"))[0] == 404
--- /dev/null
+++ b/tests/cells/test_cell_map_reload.py
@@ -0,0 +1,128 @@
+"""A reload of the cell map by SIGHUP."""
+
+from __future__ import annotations
+
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from pathlib import Path
+from typing import NamedTuple
+
+import pytest
+
+from query_broker.cells.model import CellMap
+from query_broker.config import load
+from query_broker.metrics import Metrics
+from query_broker.operator_config.script import evaluate
+
+from ..support.sockets import (
+    Rig,
+    celled,
+    on_uvloop,
+    running,
+    target_entry,
+    until,
+)
+from .cell_brokers import (
+    cell_node,
+    migration_stage,
+    write_deployment,
+)
+
+pytestmark = pytest.mark.real_time
+
+
+class ReloadingBroker(NamedTuple):
+    """A broker with a migration under way, and the two files that SIGHUP reads again."""
+
+    rig: Rig
+    config_file: Path
+    operator_file: Path
+    first_script: str
+    first_map: CellMap
+
+    @property
+    def counts(self) -> Metrics:
+        return self.rig.node.dispatcher.metrics_counts
+
+    async def reload(self, script: str) -> None:
+        """The operators' file holds this script, and the reload of it is over."""
+        self.operator_file.write_text(script)
+        before = self.reloads()
+        self.rig.node.reload()
+        self.rig.node.reload()  # once is enough while the first is being read
+        await until(lambda: self.reloads() > before)
+
+    def reloads(self) -> int:
+        return self.counts.reloads_applied + self.counts.reloads_rejected
+
+
+@asynccontextmanager
+async def reloading_broker(folder: Path) -> AsyncIterator[ReloadingBroker]:
+    """A broker that reads its files from this folder."""
+    env = write_deployment(folder, 1, [target_entry("s-1", 9), target_entry("s-2", 9)])
+    operator_file = Path(env["PROXY_OPERATOR_FILE"])
+    first_map = evaluate(str(operator_file)).cell_map
+    assert first_map is not None
+    async with running(load(env), env, make=celled(first_map, str(operator_file))) as rig:
+        cell_node(rig).celled.migrations.propose("acme", "b", rig.node.clock.now())
+        yield ReloadingBroker(
+            rig, folder / "config.json", operator_file, operator_file.read_text(), first_map
+        )
+
+
+@pytest.mark.parametrize(
+    ("change", "problem"),
+    [
+        pytest.param(
+            lambda script: script.replace("epoch(1)", "epoch(0)"),
+            "epoch: 0 is older than 1",
+            id="older epoch",
+        ),
+        pytest.param(
+            lambda script: script + '\ntenant("new", cell = "a")',
+            "epoch: 1 is in force with another map",
+            id="same epoch with another map",
+        ),
+        pytest.param(
+            lambda script: script + '\ntenant("new", cell = "z")',
+            ":7: tenant.cell: 'z' of 'new' is no cell",
+            id="unknown cell",
+        ),
+        pytest.param(lambda script: "", "cell: none is named", id="empty file"),
+        pytest.param(lambda script: "cell(", "script: Parse error", id="syntax error"),
+        pytest.param(
+            lambda script: script + '\ncell("c", weight = -1)',
+            ":7: cell.weight: must be above 0",
+            id="negative weight",
+        ),
+    ],
+)
+@on_uvloop
+async def test_sighup_with_a_fault_in_the_operators_file_changes_nothing(
+    tmp_path: Path, change: Callable[[str], str], problem: str
+) -> None:
+    async with reloading_broker(tmp_path) as broker:
+        await broker.reload(change(broker.first_script))
+        last = [line for line in broker.rig.logged if line.startswith("reload")][-1]
+        assert problem in last
+        assert "stays as it was" in last
+        assert cell_node(broker.rig).map == broker.first_map
+        assert broker.counts.reloads_applied == 0
+
+
+@on_uvloop
+async def test_sighup_takes_both_files_completely_or_not_at_all(tmp_path: Path) -> None:
+    async with reloading_broker(tmp_path) as broker:
+        node = cell_node(broker.rig)
+        newer = broker.first_script.replace("epoch(1)", "epoch(2)") + '\ntenant("new", cell = "b")'
+        config_text = broker.config_file.read_text()
+        broker.config_file.write_text("{")
+        await broker.reload(newer)
+        assert node.map == broker.first_map  # a fault in the other file keeps both as they were
+        broker.config_file.write_text(config_text)
+        await broker.reload(newer)
+        assert node.map.epoch == 2
+        assert node.celled.migrations.cell("new", 0) == "b"
+        assert migration_stage(broker.rig) is not None  # a migration under way goes on
+        await broker.reload(newer)  # the same again is no fault
+        assert broker.counts.reloads_applied == 2
--- /dev/null
+++ b/tests/cells/test_cells_across_processes.py
@@ -0,0 +1,168 @@
+"""Cells of two processes of one broker, and of a process that ends and starts again."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+import socket
+import sys
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from query_broker.cells.migrations import Stage
+from query_broker.config import Config
+from query_broker.protocols import client_frames as frames
+
+from ..support.sockets import (
+    ROOT,
+    Engine,
+    connect,
+    free_port,
+    make_config,
+    on_uvloop,
+    target_entry,
+    until,
+    within,
+)
+from .cell_brokers import (
+    TENANTS,
+    answer_request,
+    cell_node,
+    co_process_with_cells,
+    dispatch_request,
+    migration_stage,
+    two_cells,
+    write_deployment,
+)
+
+pytestmark = pytest.mark.real_time
+
+
+async def config_for(engine_of_a: Engine, engine_of_b: Engine) -> Config:
+    """The settings of a broker before these two, which start here."""
+    return make_config(
+        target_entry("s-1", await engine_of_a.start()),
+        target_entry("s-2", await engine_of_b.start()),
+        tenants=TENANTS,
+    )
+
+
+async def start_broker(env: dict[str, str]) -> asyncio.subprocess.Process:
+    """The real program, which reads its files from this environment."""
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "query_broker",
+        cwd=ROOT,
+        env=env,
+        stderr=asyncio.subprocess.DEVNULL,
+    )
+
+
+async def call_admin_api(port: int, request_line: str) -> Any:
+    """What the process with this admin port answers."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    writer.write(f"{request_line} HTTP/1.1\r\n\r\n".encode())
+    return json.loads((await within(reader.read())).partition(b"\r\n\r\n")[2])
+
+
+@on_uvloop
+async def test_a_migration_goes_over_to_the_successor_and_an_older_map_never_wins(
+    tmp_path: Path,
+) -> None:
+    engine_of_a = Engine(lambda *_: None)
+    engine_of_b = Engine()
+    config = await config_for(engine_of_a, engine_of_b)
+    with socket.create_server(("127.0.0.1", 0)) as listening:
+        async with co_process_with_cells(config, listening, tmp_path, two_cells(2)) as old:
+            client = await old.client()
+            await dispatch_request(client, "acme", engine_of_a)
+            cell_node(old).celled.migrations.propose("acme", "b", old.node.clock.now())
+            await until(lambda: migration_stage(old) is Stage.DRAINING)
+            # The successor was given an older file: it takes the newer map, and the move, from the
+            # old one.
+            async with co_process_with_cells(
+                config, listening, tmp_path, two_cells(1, acme="a", beta="a")
+            ) as new:
+                await until(lambda: cell_node(new).peers and cell_node(old).peers)
+                assert cell_node(new).map.epoch == 2
+                assert migration_stage(new) is Stage.DRAINING
+                old.node.shutdown.begin()
+                await until(lambda: old.node.closing_announced)
+                assert migration_stage(new) is Stage.DRAINING  # open at the other process counts
+                answer_request(engine_of_a, engine_of_a.commands_named(b"do")[0])
+                assert (await client.frame())[0] == frames.NO_MORE
+                assert (await client.answer())[1] == frames.SERVED
+                await until(lambda: migration_stage(new) is Stage.DONE)
+                moved = cell_node(new).celled.migrations
+                assert moved.records["acme"].driver == cell_node(new).me
+                assert moved.cell("acme", new.node.clock.now()) == "b"
+
+
+@on_uvloop
+async def test_a_newer_map_is_taken_from_the_other_process(tmp_path: Path) -> None:
+    engine_of_a = Engine()
+    engine_of_b = Engine()
+    config = await config_for(engine_of_a, engine_of_b)
+    with socket.create_server(("127.0.0.1", 0)) as listening:
+        async with co_process_with_cells(config, listening, tmp_path, two_cells(1)) as old:
+            async with co_process_with_cells(
+                config, listening, tmp_path, two_cells(5, beta="a")
+            ) as new:
+                await until(lambda: cell_node(old).map.epoch == 5)
+                assert cell_node(old).map.digest() == cell_node(new).map.digest()
+                assert cell_node(old).celled.migrations.cell("beta", 0) == "a"
+                # A status of another broker, or one spoilt on its way, changes nothing.
+                for spoilt in ({"me": 3}, "x"):
+                    status = {"cells": spoilt, "accepting": True}
+                    assert cell_node(old).read_peer_status(status) is None
+
+
+@pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM], ids=["killed", "terminated"])
+@on_uvloop
+async def test_a_process_that_ends_in_mid_migration_leaves_nothing_half_done(
+    tmp_path: Path, end: int
+) -> None:
+    """Alone after SIGKILL it starts from the file; SIGTERM answers what is open first."""
+    engine_of_a = Engine(lambda *_: None)
+    engine_of_b = Engine()
+    port = free_port()
+    admin_port = free_port()
+    env = write_deployment(
+        tmp_path,
+        port,
+        [
+            target_entry("s-1", await engine_of_a.start()),
+            target_entry("s-2", await engine_of_b.start()),
+        ],
+    )
+    env["PROXY_OPERATOR"] = f"127.0.0.1:{admin_port}"
+
+    process = await start_broker(env)
+    try:
+        client = await connect(port)
+        await dispatch_request(client, "acme", engine_of_a)
+        assert (await call_admin_api(admin_port, "POST /cells/move/acme/b"))["stage"] == "proposed"
+        while (await call_admin_api(admin_port, "GET /cells"))["moves"][0]["stage"] != "draining":
+            await asyncio.sleep(0.02)
+        process.send_signal(end)
+        if end == signal.SIGTERM:
+            assert (await client.frame())[0] == frames.NO_MORE
+            engine_of_a.answer_served(engine_of_a.commands_named(b"do")[0], engine_of_a.writers[0])
+            assert (await client.answer())[1] == frames.SERVED
+        assert await within(process.wait()) == (0 if end == signal.SIGTERM else -signal.SIGKILL)
+        process = await start_broker(env)
+        client = await connect(port)
+        shown = await call_admin_api(admin_port, "GET /cells")
+        assert shown["moves"] == []
+        assert {tenant["tenant"]: tenant["cell"] for tenant in shown["tenants"]} == {"beta": "b"}
+        received = engine_of_a.commands_named(b"do") + engine_of_b.commands_named(b"do")
+        loads = [command for command in received if b"stock-add" in command[2]]
+        assert len(loads) == 1
+    finally:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
