--- /dev/null
+++ b/tests/cells/cell_maps.py
@@ -0,0 +1,23 @@
+"""Cell maps and endpoints as the tests of the cells' decisions write them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from query_broker.cells.model import Cell, CellMap, Tenant
+from query_broker.cells.placement import Seen
+
+
+def make_cell_map(
+    *names: str, epoch: int = 1, tenants: dict[str, str] | None = None, **changes: Any
+) -> CellMap:
+    """Cells of these names (a and b), the first the default; tenants by their cell (x in a)."""
+    cells = tuple(Cell(name) for name in names or ("a", "b"))
+    cell_by_tenant = tenants or {"x": "a"}
+    tenant_table = {tenant: Tenant(tenant, (cell,)) for tenant, cell in cell_by_tenant.items()}
+    return CellMap(epoch, cells, cells[0].name, tenant_table, **changes)
+
+
+def endpoints_seen(*uids: str, ready: bool = True, zone: str = "z", model: str = "m") -> list[Seen]:
+    """These endpoints, alike but for their uid."""
+    return [Seen(uid, zone, model, ready) for uid in uids]
--- /dev/null
+++ b/tests/cells/test_cell_map.py
@@ -0,0 +1,109 @@
+"""The map of cells: its faults, its plain form, and tenants that are spread over cells."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from query_broker.cells.model import Cell, CellMap, CellMapError, Tenant, Timing, read_cell_map
+
+VALID_MAP: dict[str, Any] = {"epoch": 1, "cells": (Cell("a"),), "default": "a", "tenants": {}}
+
+
+@pytest.mark.parametrize(
+    ("change", "key"),
+    [
+        pytest.param({"cells": ()}, "cell", id="no cell"),
+        pytest.param({"cells": (Cell("a"), Cell("a"))}, "cell.name", id="a name twice"),
+        pytest.param({"epoch": -1}, "epoch", id="negative epoch"),
+        pytest.param({"cells": (Cell("a", weight=0.0),)}, "cell.weight", id="weight of zero"),
+        pytest.param({"cells": (Cell("a/b"),)}, "cell.name", id="slash in a name"),
+        pytest.param(
+            {"cells": (Cell("a", weight=float("nan")),)},
+            "cell.weight",
+            id="weight that is no number",
+        ),
+        pytest.param({"default": "c"}, "default_cell", id="unknown default cell"),
+        pytest.param(
+            {"cells": (Cell("a", least=2, most=1),)}, "cell.most", id="more than the most"
+        ),
+        pytest.param(
+            {"cells": (Cell("a", zones=("z",)), Cell("b", zones=("z",)))},
+            "cell.zones",
+            id="a zone in two cells",
+        ),
+        pytest.param(
+            {"tenants": {"x": Tenant("x", ("c",))}}, "tenant.cell", id="tenant in an unknown cell"
+        ),
+        pytest.param(
+            {"tenants": {"x": Tenant("x", ("a", "a"))}}, "tenant.key", id="tenant twice in a cell"
+        ),
+        pytest.param({"timing": Timing(warm=-1)}, "moves.warm", id="negative time to warm up"),
+    ],
+)
+def test_a_map_that_cannot_be_names_its_key(change: dict[str, Any], key: str) -> None:
+    with pytest.raises(CellMapError, match=f"^{key}: "):
+        CellMap(**{**VALID_MAP, **change})
+
+
+@pytest.fixture
+def cell_map() -> CellMap:
+    """A map with every kind of key."""
+    return CellMap(
+        3,
+        (Cell("a", 2.0, ("s-1",), most=4), Cell("b", zones=("z",))),
+        "b",
+        {"x": Tenant("x", ("a", "b"), "route")},
+        Timing(warm=5),
+    )
+
+
+def test_a_map_is_read_as_it_was_written(cell_map: CellMap) -> None:
+    assert read_cell_map(cell_map.plain()) == cell_map
+    assert read_cell_map(cell_map.plain()).digest() == cell_map.digest()
+
+
+@pytest.mark.parametrize(
+    "spoil",
+    [
+        pytest.param(lambda plain: {}, id="empty"),
+        pytest.param(lambda plain: {**plain, "cells": 3}, id="cells that are no list"),
+        pytest.param(lambda plain: {**plain, "epoch": "x"}, id="epoch that is no number"),
+    ],
+)
+def test_a_spoilt_map_is_rejected(
+    cell_map: CellMap, spoil: Callable[[dict[str, Any]], dict[str, Any]]
+) -> None:
+    with pytest.raises(CellMapError):
+        read_cell_map(spoil(cell_map.plain()))
+
+
+def test_a_spread_tenant_has_parts_that_stay_where_they_are() -> None:
+    cells = tuple(Cell(name) for name in "abc")
+    cell_map = CellMap(1, cells, "a", {"x": Tenant("x", ("a", "b", "c"), "data_set")})
+    parts = {data_set: cell_map.subject("x", "glance", data_set) for data_set in range(200)}
+    homes = Counter(cell_map.home(part) for part in parts.values())
+    assert set(homes) == set("abc")
+    assert min(homes.values()) > 20
+    assert cell_map.subject("x", "report", 7) == parts[7]
+    assert cell_map.subject("y", "glance", 7) == "y"
+    assert cell_map.known(parts[7])
+    assert not cell_map.known("x")
+    assert not cell_map.known("x#64")
+    assert not cell_map.known("x#07")
+    # One cell fewer: the parts of the others stay.
+    smaller_map = CellMap(2, cells, "a", {"x": Tenant("x", ("a", "b"), "data_set")})
+    unaffected = [part for part in parts.values() if cell_map.home(part) != "c"]
+    assert all(smaller_map.home(part) == cell_map.home(part) for part in unaffected)
+
+
+def test_a_spread_tenants_part_number_has_one_spelling() -> None:
+    cells = (Cell("a"), Cell("b"))
+    spread = CellMap(1, cells, "a", {"x": Tenant("x", ("a", "b"), "route")})
+    known = [
+        part for part in ("0", "63", "64", "07", "-1", "٣", "", "x") if spread.known(f"x#{part}")
+    ]
+    assert known == ["0", "63"]
--- /dev/null
+++ b/tests/cells/test_placement.py
@@ -0,0 +1,91 @@
+"""Which cell an endpoint is placed in, and when it moves."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from query_broker.cells.model import Cell, CellMap
+from query_broker.cells.placement import Placement
+
+from .cell_maps import endpoints_seen, make_cell_map
+
+
+def numbered(numbers: Iterable[int]) -> list[str]:
+    """The uids of these endpoints."""
+    return [f"s-{number}" for number in numbers]
+
+
+@given(st.lists(st.integers(0, 40), unique=True, min_size=1), st.integers(0, 40))
+def test_an_engine_that_joins_or_leaves_moves_no_other(numbers: list[int], other: int) -> None:
+    bounded = CellMap(
+        1, (Cell("a", 2.0, most=8), Cell("b", least=3), Cell("c", least=0, most=5)), "a"
+    )
+    placement = Placement(bounded)
+    placement.learn(endpoints_seen(*numbered(numbers)))
+    before = dict(placement.seats)
+    changes = placement.learn(endpoints_seen(f"s-{other}"))
+    assert {uid: placement.seats[uid] for uid in before} == before
+    assert len(changes) == (f"s-{other}" not in before)
+    placement.learn([], [f"s-{other}"])
+    unaffected = {uid: cell for uid, cell in before.items() if uid != f"s-{other}"}
+    assert all(placement.seats[uid] == cell for uid, cell in unaffected.items())
+    assert placement.size("a") <= 8
+    assert placement.size("c") <= 5
+    again = Placement(bounded)
+    again.learn(endpoints_seen(*numbered(numbers)))
+    assert again.seats == before  # the same events give the same seats everywhere
+
+
+def test_seats_go_by_weight() -> None:
+    placement = Placement(CellMap(1, (Cell("a", 3.0, least=0), Cell("b", 1.0, least=0)), "a"))
+    placement.learn(endpoints_seen(*numbered(range(1_000))))
+    assert 700 < placement.size("a") < 800
+
+
+def test_seats_go_by_pins_and_what_a_cell_lacks() -> None:
+    pinned = Placement(
+        CellMap(1, (Cell("a", least=2), Cell("b", engines=("s-1",), zones=("y",))), "a")
+    )
+    pinned.learn(
+        [*endpoints_seen("s-1"), *endpoints_seen("s-2", zone="y"), *endpoints_seen("s-3", "s-4")]
+    )
+    assert pinned.seats == {"s-1": "b", "s-2": "b", "s-3": "a", "s-4": "a"}
+
+
+def test_draining_engines_do_not_hold_the_seats_of_their_successors() -> None:
+    placement = Placement(CellMap(1, tuple(Cell(name, least=3, most=3) for name in "ab"), "a"))
+    placement.learn(endpoints_seen(*numbered(range(6))))
+    for number in range(6):
+        old = f"s-{number}"
+        home = placement.seat_of(old)
+        placement.learn(endpoints_seen(old, ready=False))
+        placement.learn(endpoints_seen(f"n-{number}"))
+        placement.learn([], [old])
+        assert placement.seat_of(f"n-{number}") == home
+        assert placement.size("a") == placement.size("b") == 3
+    placement.learn(endpoints_seen("extra"))
+    assert placement.seat_of("extra") is None  # every cell is full
+    placement.learn([], ["n-0"])
+    assert placement.seat_of("extra") is not None
+
+
+def test_a_new_map_moves_what_it_must_and_no_more() -> None:
+    placement = Placement(make_cell_map("a", "b", "c"))
+    placement.learn(endpoints_seen(*numbered(range(30))))
+    before = dict(placement.seats)
+    changes = placement.apply_map(make_cell_map("a", "b", epoch=2))
+    assert {change.uid for change in changes} == {
+        uid for uid, cell in before.items() if cell == "c"
+    }
+    assert all(change.after in ("a", "b") for change in changes)
+    placement.apply_map(CellMap(3, (Cell("a"), Cell("b", most=4), Cell("d", least=5)), "a"))
+    assert placement.size("b") <= 4
+    assert placement.size("d") >= 5
+    assert None not in placement.seats.values()
+    other = Placement(placement.map)
+    other.learn(endpoints_seen(*numbered(range(30))))
+    other.adopt(placement.seats)
+    assert other.seats == placement.seats
