--- /dev/null
+++ b/tests/startup/test_directives.py
@@ -0,0 +1,40 @@
+"""The operators' directive `start`, and the lines of `check-config` on it."""
+
+from __future__ import annotations
+
+import pytest
+
+from query_broker.operator_config.script import OperatorFileError, run_script
+from query_broker.startup.bounds import bound_lines
+from query_broker.startup.settings import StartupSettings
+
+
+@pytest.mark.parametrize(
+    ("text", "key"),
+    [
+        pytest.param("start(list_connects = 0)", "start.list_connects", id="rate of zero"),
+        pytest.param("start(floor = 0)", "start.floor", id="floor of zero"),
+        pytest.param("start(floor = 2)", "start.floor", id="floor above one"),
+        pytest.param("start(ramp = -1)", "start.ramp", id="negative ramp"),
+        pytest.param("start(rmap = 1)", "start", id="unknown option"),
+        pytest.param('start(last_list = "list")', "start.last_list", id="relative path"),
+        pytest.param("start()\nstart()", "start", id="directive twice"),
+        pytest.param("start(accepts = 0)", "start.accepts", id="accepts of zero"),
+        pytest.param(
+            "start(engine_connects = True)", "start.engine_connects", id="boolean as a number"
+        ),
+    ],
+)
+def test_a_bad_argument_names_its_key(text: str, key: str) -> None:
+    with pytest.raises(OperatorFileError) as fault:
+        run_script("ops.star", text, lambda: False)
+    assert f": {key}: " in str(fault.value)
+
+
+def test_the_lines_of_check_config_name_the_windows_of_this_fleet() -> None:
+    text = bound_lines(StartupSettings(snapshot_path="/x"), 7, 300)
+    assert "place 7 of 300" in text[0]
+    assert "at 0.14 s of each" in text[0]
+    assert "6.00 s" in text[0]
+    assert any("time-out ends this stage" in line for line in text)
+    assert "/x" in text[-1]
--- /dev/null
+++ b/tests/startup/test_stages.py
@@ -0,0 +1,110 @@
+"""The stages of a start, on the test's own clock."""
+
+from __future__ import annotations
+
+import itertools
+
+import pytest
+
+from query_broker.startup.settings import NS_PER_SECOND, StartupSettings
+from query_broker.startup.stages import ListSource, Stage, StartupStages
+
+SETTINGS = StartupSettings()
+
+
+def test_a_start_with_everything_at_hand() -> None:
+    stages = StartupStages(SETTINGS, 0)
+    stages.settings_read(1, None)
+    assert not stages.ready()
+    stages.list_received(NS_PER_SECOND, ListSource.BUS, 8)
+    stages.endpoints_contacted(NS_PER_SECOND + 5, 3, 8)
+    assert not stages.ready()
+    stages.endpoints_contacted(NS_PER_SECOND + 9, 4, 8)
+    assert stages.ready()
+    assert stages.confirmed()
+    stages.ramp_advanced(9 * NS_PER_SECOND, 0.5)
+    stages.ramp_advanced(10 * NS_PER_SECOND, 1.0)
+    assert stages.status(11 * NS_PER_SECOND)["stage"] == "full"
+    assert [completed.stage for completed in stages.completed] == [
+        Stage.SETTINGS,
+        Stage.LIST,
+        Stage.CONTACT,
+        Stage.RAMP,
+    ]
+
+
+@pytest.mark.parametrize("listed", [8, 0], ids=["silent endpoints", "a list without endpoints"])
+def test_silent_endpoints_and_a_list_without_endpoints_delay_no_start(listed: int) -> None:
+    stages = StartupStages(SETTINGS, 0)
+    stages.settings_read(0, None)
+    stages.list_received(0, ListSource.KNOWN, listed)
+    stages.endpoints_contacted(SETTINGS.contact_wait_ns - 1, 0, listed)
+    assert not stages.ready()
+    stages.endpoints_contacted(SETTINGS.contact_wait_ns, 0, listed)
+    assert stages.ready()
+    assert "time-out" in stages.completed[-1].reason
+
+
+def test_without_the_discovery_service_the_snapshot_serves() -> None:
+    stages = StartupStages(SETTINGS, 0)
+    stages.settings_read(0, 60 * NS_PER_SECOND)
+    assert not stages.snapshot_due(SETTINGS.list_wait_ns - 1)
+    assert stages.snapshot_due(SETTINGS.list_wait_ns)
+    stages.list_received(SETTINGS.list_wait_ns, ListSource.DISK, 3)
+    stages.endpoints_contacted(SETTINGS.list_wait_ns, 3, 3)
+    assert stages.ready()
+    assert not stages.confirmed()
+    stages.list_received(40 * NS_PER_SECOND, ListSource.BUS, 3)
+    assert stages.confirmed()
+
+
+def test_without_the_discovery_service_and_a_snapshot_nothing_is_served() -> None:
+    stages = StartupStages(SETTINGS, 0)
+    stages.settings_read(0, None)
+    for now in range(0, 4_000 * NS_PER_SECOND, 50 * NS_PER_SECOND):
+        stages.tick(now)
+        assert not stages.ready()
+        assert not stages.snapshot_due(now)
+        assert stages.waits_for() == "the bus"
+
+
+def apply_event(stages: StartupStages, event: str, now: int) -> None:
+    """One of the events that may come in any order."""
+    match event:
+        case "known":
+            stages.list_received(now, ListSource.KNOWN, 4)
+        case "bus":
+            stages.list_received(now, ListSource.BUS, 4)
+        case "disk":
+            if stages.snapshot_due(now):
+                stages.list_received(now, ListSource.DISK, 4)
+        case "contact":
+            stages.endpoints_contacted(now, 4, 4)
+        case "full":
+            stages.ramp_advanced(now, 1.0)
+        case "skip":
+            stages.skip(now, "beside")
+
+
+def stage_number(stages: StartupStages) -> int:
+    """The place of its stage in their order."""
+    return list(Stage).index(stages.stage)
+
+
+def test_no_order_of_events_leads_back_or_is_ready_without_a_list() -> None:
+    """All orders of six events of a start, with a second or a time-out between them."""
+    orders = itertools.permutations(["known", "bus", "disk", "contact", "full", "skip"])
+    for events, step in itertools.product(orders, (NS_PER_SECOND, 11 * NS_PER_SECOND)):
+        stages = StartupStages(SETTINGS, 0)
+        now = 0
+        stages.settings_read(0, NS_PER_SECOND)
+        for event in events:
+            now += step
+            stage_before = stage_number(stages)
+            source_before = stages.source.value
+            apply_event(stages, event, now)
+            assert stage_number(stages) >= stage_before
+            assert stages.source.value >= source_before
+            assert not stages.ready() or stages.source is not ListSource.NONE
+            stages.status(now)
+        assert sum(completed.took_ns for completed in stages.completed) <= now
