--- /dev/null
+++ b/tests/deadlines/test_operator_options.py
@@ -0,0 +1,157 @@
+"""What operators may set on deadlines, on real sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from typing import Literal
+
+import pytest
+
+from query_broker.deadlines.handover_checks import HandOver, StopReason
+from query_broker.deadlines.retry_budget import RetryBudgetSettings
+from query_broker.deadlines.settings import DeadlineSettings, Logs
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.server.node import Node
+
+from ..server.test_admin_api import admin_call
+from ..support.sockets import (
+    MS,
+    Engine,
+    make_config,
+    on_uvloop,
+    running,
+    target_entry,
+    until,
+)
+from .deadline_brokers import (
+    broker_before,
+    configured_node,
+    deadline_controls,
+    request_id,
+    shrink_buffers,
+    stopped_count,
+)
+
+pytestmark = pytest.mark.real_time
+
+
+@on_uvloop
+async def test_a_half_closed_client_gets_its_answers_where_that_is_set() -> None:
+    engine = Engine(lambda *_: None)
+    make = configured_node(deadlines=DeadlineSettings(half_close="answer"))
+    async with broker_before(await engine.start(), make=make) as rig:
+        client = await rig.client()
+        client.ask(1, weight="1.0")
+        await until(lambda: engine.commands_named(b"do"))
+        client.writer.write_eof()
+        await asyncio.sleep(0.05)
+        engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
+        assert (await client.answer())[:2] == (1, frames.SERVED)
+        assert await client.ended()
+        await until(lambda: not rig.node.clients)
+
+
+@on_uvloop
+async def test_a_half_closed_client_has_left_where_nothing_is_set() -> None:
+    engine = Engine(lambda *_: None)
+    make = configured_node(deadlines=None)
+    async with broker_before(await engine.start(), make=make) as rig:
+        client = await rig.client()
+        client.ask(1, weight="1.0")
+        await until(lambda: engine.commands_named(b"do"))
+        client.writer.write_eof()
+        await until(lambda: not rig.node.dispatcher.request_table.unanswered_count)
+        await until(lambda: not rig.node.clients)
+
+
+@on_uvloop
+async def test_a_client_that_stops_reading_has_left_after_the_time_that_is_set() -> None:
+    def answer_at_length(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
+        if parts[0] == b"do":
+            writer.write(resp.encode(parts[1], b"served", b"chunks=1", b"a\tb\tc\n" * 7_000))
+
+    engine = Engine(answer_at_length)
+    make = configured_node(deadlines=DeadlineSettings(slow_reader=200 * MS))
+    async with broker_before(await engine.start(), make=make) as rig:
+        client = await rig.client()
+        await until(lambda: rig.node.clients)
+        shrink_buffers(client.writer.transport)
+        for connection in rig.node.clients:
+            if connection.transport:
+                shrink_buffers(connection.transport)
+        for number in range(1, 33):
+            client.ask(number, trace=request_id(number), weight="1.0")
+        await until(lambda: not rig.node.clients)
+
+
+@on_uvloop
+async def test_retries_stay_within_their_budget() -> None:
+    def crash(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
+        if parts[0] == b"do":
+            writer.write(resp.encode(parts[1], b"crashed", b"-", b""))
+
+    engines = [Engine(crash) for _ in range(3)]
+    ports = [await engine.start() for engine in engines]
+    budget = RetryBudgetSettings(share=0.0, burst=2.0)
+    make = configured_node(deadlines=DeadlineSettings(further=budget))
+    async with broker_before(*ports, make=make) as rig:
+        client = await rig.client()
+        for number in range(1, 11):
+            client.ask(number, trace=request_id(number), weight="1.0")
+            assert (await client.answer())[1] == frames.REFUSED
+        assert sum(len(engine.commands_named(b"do")) for engine in engines) == 12
+        assert stopped_count(rig, HandOver.POOL, StopReason.BUDGET)
+        assert deadline_controls(rig).retry_budget is not None
+
+
+@on_uvloop
+async def test_a_learned_margin_stages_and_cancels_are_in_the_metrics() -> None:
+    engine = Engine()
+    config = make_config(target_entry("s-1", await engine.start()), operator=True)
+    make = configured_node(deadlines=DeadlineSettings(learn=True), logs=Logs("json", 1.0))
+    async with running(config, make=make) as rig:
+        client = await rig.client()
+        for number in range(1, 81):
+            client.ask(number, trace=request_id(number), weight="1.0")
+            assert (await client.answer())[1] == frames.SERVED
+        text = (await admin_call(rig, b"GET /metrics HTTP/1.1\r\n\r\n"))[2]
+        for stage in ("read", "decide", "connect", "write", "engine", "answer"):
+            assert f'larchhall_stage_seconds_count{{type="glance",stage="{stage}"}} 80' in text
+        assert "larchhall_margin_seconds 0.01" in text
+        assert "larchhall_undone_total 0" in text
+        stages = deadline_controls(rig).stages
+        assert stages is not None
+        stages.learn(rig.node.dispatcher.now())
+        assert stages.margin < 10 * MS
+        ordinary = Node(config, os.environ)
+        assert b"larchhall_" not in ordinary.dispatcher.metrics()
+        assert ordinary.dispatcher.deadline_controls.stages is None
+
+
+@pytest.mark.parametrize("count_from", ["first", "last"])
+@on_uvloop
+async def test_time_may_count_from_the_first_byte(count_from: Literal["first", "last"]) -> None:
+    engine = Engine(lambda *_: None)
+    make = configured_node(deadlines=DeadlineSettings(count_from=count_from))
+    async with broker_before(await engine.start(), make=make) as rig:
+        client = await rig.client()
+        fields = {
+            "route": "glance",
+            "trace": request_id(7),
+            "patience": "3000",
+            "customer": "acme",
+            "weight": "1.0",
+        }
+        frame = frames.frame(frames.REQUEST, 1, frames.write_fields(fields) + b"SELECT 1")
+        client.writer.write(frame[:30])
+        await asyncio.sleep(0.3)
+        client.writer.write(frame[30:])
+        await until(lambda: rig.node.dispatcher.requests)
+        (request,) = rig.node.dispatcher.requests.values()
+        time_left_ns = request.deadline_ns - request.accepted_ns
+        assert (time_left_ns < 2_750 * MS) == (count_from == "first")
+        assert time_left_ns <= 2_990 * MS
+        client.writer.transport.abort()
+        await until(lambda: not rig.node.dispatcher.request_table.unanswered_count)
--- /dev/null
+++ b/tests/deadlines/test_queued_requests.py
@@ -0,0 +1,196 @@
+"""Requests that wait in the write queue of an engine which does not read."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from query_broker.deadlines.handover_checks import HandOver, StopReason
+from query_broker.protocols import client_frames as frames
+
+from ..server.test_upgrade import co_process, meet
+from ..support.sockets import (
+    Client,
+    Engine,
+    make_config,
+    on_uvloop,
+    target_entry,
+    until,
+    within,
+)
+from .deadline_brokers import (
+    LARGE_STATEMENT,
+    broker_before,
+    change_endpoint,
+    client_with_half_written_request,
+    client_with_queued_request,
+    engine_connections,
+    request_id,
+    statistics,
+    stopped_count,
+    wait_for_queued_request,
+)
+from .slow_engine import slow_engine
+
+pytestmark = pytest.mark.real_time
+
+ID_1 = request_id(1).encode()
+ID_2 = request_id(2).encode()
+ID_3 = request_id(3).encode()
+
+
+async def codes_of_two_answers(client: Client) -> dict[int, int]:
+    """The codes of the next two answers, by stream."""
+    codes = {}
+    for _ in range(2):
+        stream, code, _, _ = await client.answer()
+        codes[stream] = code
+    return codes
+
+
+@on_uvloop
+async def test_a_client_that_leaves_takes_its_unsent_request_back_completely() -> None:
+    async with slow_engine() as slow, broker_before(slow.port) as rig:
+        client = await client_with_half_written_request(rig)
+        for number in (2, 3):
+            client.ask(number, trace=request_id(number), weight="1.0")
+        await wait_for_queued_request(rig)
+        client.send(frames.ABANDON, 2)
+        await until(lambda: stopped_count(rig, HandOver.SOCKET, StopReason.LEFT) == 1)
+        await until(lambda: ID_2 not in engine_connections(rig)[0].in_flight)
+        client.send(frames.ABANDON, 1)  # half of it has left: the rest must follow
+        await slow.read_until(lambda: len(slow.requests()) == 2)
+        assert slow.request_ids() == [ID_1, ID_3]
+        assert slow.requests()[0][3] == LARGE_STATEMENT
+        assert statistics(rig).begun_after == {StopReason.LEFT: 1}
+
+
+@on_uvloop
+async def test_a_deadline_that_passes_while_the_frame_is_half_written() -> None:
+    async with slow_engine() as slow, broker_before(slow.port) as rig:
+        rig.node.dispatcher.pools.max_connections = 1
+        client = await rig.client()
+        fields: dict[str, Any] = {"patience": "300", "route": "stock-add", "weight": "1.0"}
+        client.ask(1, body=LARGE_STATEMENT, trace=request_id(1), **fields)
+        client.ask(2, trace=request_id(2), **fields)
+        codes = await codes_of_two_answers(client)
+        # The first may run, so it failed; of the second no byte had left, so a retry is harmless.
+        assert codes == {1: frames.FAILED, 2: frames.REFUSED}
+        await slow.read_rounds(100)
+        assert slow.request_ids() == [ID_1]
+        assert statistics(rig).begun_after == {StopReason.PAST: 1}
+
+
+@on_uvloop
+async def test_what_has_waited_tells_the_time_that_is_left_and_none_goes_without_any() -> None:
+    """A deadline that passes in transit: the engine would get less than nothing to work with."""
+    async with slow_engine() as slow, broker_before(slow.port) as rig:
+        client = await client_with_queued_request(rig, patience="4000")
+        (attempt,) = (
+            frame.about for frame in engine_connections(rig)[0].write_queue.keyed.values()
+        )
+        await asyncio.sleep(0.2)
+        await slow.read_until(lambda: len(slow.requests()) == 2)
+        fields = dict(field.split(b"=") for field in slow.requests()[1][2].split(b","))
+        assert int(fields[b"limit"]) <= 3_800
+        attempt.deadline_ns = rig.node.dispatcher.now()
+        attempt.reported = False
+        assert not rig.node.dispatcher.connection_events.may_go(attempt)
+        assert stopped_count(rig, HandOver.SOCKET, StopReason.PAST) == 1
+        client.writer.close()  # it must have waited until here
+
+
+@pytest.mark.parametrize(
+    "reason", [StopReason.OUT, StopReason.DRAINED], ids=["disabled", "drained"]
+)
+@on_uvloop
+async def test_an_engine_disabled_or_drained_meanwhile_gets_nothing_that_waited(
+    reason: StopReason,
+) -> None:
+    other = Engine()
+    other_port = await other.start()
+    async with slow_engine() as slow, broker_before(slow.port) as rig:
+        client = await client_with_queued_request(rig, route="stock-add")
+        rig.node.dispatcher.pools.max_connections = 8
+        change_endpoint(rig, 2, target_entry("s-2", other_port))
+        if reason is StopReason.OUT:
+            rig.node.dispatcher.set_endpoint_disabled("s-1", True)
+        else:
+            change_endpoint(rig, 3, target_entry("s-1", slow.port, "terminating"))
+        await slow.read_until(lambda: other.commands_named(b"do"))
+        # Not idempotent, and dispatched elsewhere all the same: it never left for the first engine.
+        assert (await client.answer())[:2] == (2, frames.SERVED)
+        assert slow.request_ids() == [ID_1]
+        assert stopped_count(rig, HandOver.SOCKET, reason) == 1
+
+
+@on_uvloop
+async def test_an_engine_that_reads_a_byte_at_a_time_holds_up_no_other() -> None:
+    other = Engine()
+    async with slow_engine() as slow, broker_before(slow.port) as rig:
+        client = await client_with_half_written_request(rig, max_connections=2)
+        change_endpoint(rig, 2, target_entry("s-2", await other.start()))
+        rig.node.dispatcher.pools.max_connections = 16
+        for number in range(2, 32):
+            await slow.read(1)
+            client.ask(number, trace=request_id(number), weight="1.0", patience="400")
+            await asyncio.sleep(0.005)
+        codes = [(await client.answer())[1] for _ in range(30)]
+        assert codes.count(frames.SERVED) >= 10
+        assert len(codes) == 30
+        queues = [connection.write_queue for connection in engine_connections(rig)]
+        assert all(len(queue.heap) <= queue.most for queue in queues)
+
+
+@on_uvloop
+async def test_a_retry_keeps_its_class_s_rule() -> None:
+    """The first attempt of one may have begun, of the other it has not left: only the latter goes
+    again.
+    """
+    other = Engine()
+    other_port = await other.start()
+    async with slow_engine() as slow, broker_before(slow.port) as rig:
+        client = await client_with_queued_request(rig, route="stock-add")
+        rig.node.dispatcher.pools.max_connections = 8
+        change_endpoint(rig, 2, target_entry("s-2", other_port))
+        engine_connections(rig)[0].transport.abort()  # as if the engine had reset it
+        codes = await codes_of_two_answers(client)
+        assert codes == {1: frames.FAILED, 2: frames.SERVED}
+        assert [command[1] for command in other.commands_named(b"do")] == [ID_2]
+
+
+@on_uvloop
+async def test_what_has_not_left_when_all_is_closed_out_is_rejected() -> None:
+    other = Engine()
+    other_port = await other.start()
+    async with slow_engine() as slow, broker_before(slow.port) as rig:
+        client = await client_with_queued_request(rig, route="stock-add")
+        change_endpoint(rig, 2, target_entry("s-2", other_port))
+        rig.node.dispatcher.cancellations.close_out_all()
+        codes = await codes_of_two_answers(client)
+        assert codes == {1: frames.FAILED, 2: frames.REFUSED}
+        assert not other.commands_named(b"do")
+
+
+@on_uvloop
+async def test_a_successor_takes_over_while_frames_wait_in_the_write_queue(tmp_path: Path) -> None:
+    async with slow_engine() as slow:
+        config = make_config(target_entry("s-1", slow.port))
+        with socket.create_server(("127.0.0.1", 0)) as listening:
+            async with co_process(config, listening, tmp_path) as old:
+                client = await client_with_queued_request(
+                    old, patience="900", route="stock-add", weight="200"
+                )
+                async with co_process(config, listening, tmp_path) as new:
+                    await meet(old, new)
+                    old.node.shutdown.begin()
+                    assert (await client.frame())[0] == frames.NO_MORE
+                    assert (await client.answer())[:2] == (2, frames.REFUSED)  # it never left
+                    client.send(frames.ABANDON, 1)
+                    await within(old.node.stopped.wait())
+                    await slow.read_rounds(50)
+                    assert ID_2 not in slow.request_ids()
