--- /dev/null
+++ b/tests/deadlines/test_cancel_scopes.py
@@ -0,0 +1,89 @@
+"""What ends with a request, in which order, and when a cancel is said again."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+import pytest
+
+from query_broker.deadlines import cancel_scopes as scopes
+from query_broker.deadlines.cancel_scopes import (
+    CancelAction,
+    CancelOutcome,
+    CancelScope,
+    ScopeKind,
+    Undoing,
+)
+
+
+class RequestTree(NamedTuple):
+    """A request with an attempt that has not left, and one that has, with a page and a check."""
+
+    request: CancelScope
+    unsent: CancelScope
+    sent: CancelScope
+    page: CancelScope
+    health_check: CancelScope
+
+
+@pytest.fixture
+def tree() -> RequestTree:
+    """None of its scopes has ended."""
+    request = CancelScope(ScopeKind.REQUEST, "r")
+    unsent = request.open(ScopeKind.ATTEMPT, 0)
+    sent = request.open(ScopeKind.ATTEMPT, 1)
+    sent.write_started = True
+    page = sent.open(ScopeKind.PAGE, "p")
+    health_check = sent.open(ScopeKind.HEALTH_CHECK, "q")
+    return RequestTree(request, unsent, sent, page, health_check)
+
+
+@pytest.mark.parametrize(
+    ("honoured", "action"),
+    [
+        pytest.param(True, CancelAction.CANCEL, id="engines honour cancels"),
+        pytest.param(False, CancelAction.LET_RUN, id="engines honour no cancel"),
+    ],
+)
+def test_ending_a_scope_ends_all_below_it_children_first_and_once(
+    tree: RequestTree, honoured: bool, action: CancelAction
+) -> None:
+    request = tree.request
+    assert request.end(honoured) == [
+        (CancelAction.WITHDRAW, tree.unsent),
+        (CancelAction.DISCARD_PAGES, tree.page),
+        (CancelAction.LET_RUN, tree.health_check),
+        (action, tree.sent),
+        (CancelAction.ANSWER, request),
+    ]
+    assert request.end(honoured) == []
+    assert tree.sent.end(honoured) == []
+    late = request.open(ScopeKind.ATTEMPT, 2)
+    assert late.over
+    assert late.end(True) == []
+
+
+def test_a_scope_that_is_over_by_itself_is_not_ended_with_the_rest(tree: RequestTree) -> None:
+    tree.sent.close()
+    assert tree.page.over
+    assert tree.request.end(True) == [
+        (CancelAction.WITHDRAW, tree.unsent),
+        (CancelAction.ANSWER, tree.request),
+    ]
+
+
+def test_a_cancel_is_said_again_within_bounds_and_ends_by_silence_or_answer() -> None:
+    cancels = Undoing()
+    cancels.begin(b"a", 0)
+    cancels.begin(b"b", 0)
+    assert cancels.due(scopes.RESEND - 1) == ([], [])
+    assert cancels.due(scopes.RESEND) == ([b"a", b"b"], [])
+    assert cancels.answered(b"a") is CancelOutcome.WENT_ON
+    assert cancels.answered(b"a") is None
+    assert cancels.due(2 * scopes.RESEND) == ([b"b"], [])
+    assert cancels.due(3 * scopes.RESEND) == ([], [])
+    assert cancels.due(scopes.CONFIRM) == ([], [b"b"])
+    assert cancels.lost() == 0
+    cancels.begin(b"c", 0)
+    assert cancels.lost() == 1
+    assert not cancels.waiting
--- a/tests/deadlines/test_cancellation.py
+++ b/tests/deadlines/test_cancellation.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    ("end_request", "patience"),
+    ("end_request", "timeout_ms"),
     [
         pytest.param(abandon, "4000", id="left"),
         pytest.param(close, "4000", id="closed"),
@@ -66,12 +66,12 @@
 )
 @on_uvloop
 async def test_running_work_is_cancelled_when_no_client_waits_for_it(
-    end_request: Callable[[Client], Awaitable[None]], patience: str
+    end_request: Callable[[Client], Awaitable[None]], timeout_ms: str
 ) -> None:
     engine = silent_engine()
     async with broker_before(await engine.start(), policy_limits=CANCEL_LIMITS) as rig:
         client = await rig.client()
-        client.ask(1, patience=patience, route="stock-add", weight="1.0")
+        client.ask(1, patience=timeout_ms, route="stock-add", weight="1.0")
         await until(lambda: engine.commands_named(b"do"))
         await end_request(client)
         await until(lambda: engine.commands_named(b"undo"))
--- /dev/null
+++ b/tests/deadlines/test_stage_latencies.py
@@ -0,0 +1,54 @@
+"""Latencies by stage, and the margin that is learned from them."""
+
+from __future__ import annotations
+
+import pytest
+
+from query_broker.deadlines.settings import LatencyStage, MarginTerms
+from query_broker.deadlines.stage_latencies import GENERATION, Quantiles, StageLatencies
+from query_broker.timer_wheel import Clock
+
+MS = 1_000_000
+
+
+def test_quantiles_follow_and_forget() -> None:
+    latencies = Quantiles()
+    assert latencies.quantile(0.5, 0) is None
+    for number in range(1_000):
+        latencies.add(number * MS, 0)
+    median = latencies.quantile(0.5, 0)
+    assert median is not None
+    assert abs(median - 500 * MS) < 20 * MS
+    for number in range(1_000):
+        latencies.add(MS, GENERATION + number)
+    for number in range(1_000):
+        latencies.add(MS, 2 * GENERATION + 2_000 + number)
+    latest = latencies.quantile(0.99, 2 * GENERATION + 4_000)
+    assert latest is not None
+    assert latest <= 2 * MS
+    assert sum(latencies.counts) == latencies.seen == 3_000
+
+
+def test_the_margin_starts_as_today_moves_slowly_and_stays_within_bounds() -> None:
+    stages = StageLatencies(MarginTerms(most=40 * MS))
+    assert stages.learn(0) == 10 * MS
+    for slow_ns in (30 * MS, 500 * MS):
+        before = stages.margin
+        for number in range(200):
+            stages.add("glance", LatencyStage.DECIDE, MS, number)
+            stages.add("glance", LatencyStage.ANSWER, slow_ns, number)
+        assert before < stages.learn(1_000) <= before * 1.25
+    for _ in range(50):
+        assert 2 * MS <= stages.learn(2_000) <= 40 * MS
+    assert stages.margin == 40 * MS
+    assert stages.fastest("glance", 0) == 0
+    assert MS <= stages.fastest("glance", 0, LatencyStage.DECIDE, LatencyStage.ENGINE) < 2 * MS
+    text = "\n".join(stages.text("x_"))
+    assert 'x_stage_seconds_bucket{type="glance",stage="answer",le="+Inf"} 400' in text
+
+
+def test_the_clock_goes_on_when_the_machine_s_is_set_back(monkeypatch: pytest.MonkeyPatch) -> None:
+    clock = Clock()
+    before = clock.now()
+    monkeypatch.setattr("time.time_ns", lambda: 0)
+    assert clock.now() >= before
--- /dev/null
+++ b/tests/deadlines/test_structured_log.py
@@ -0,0 +1,92 @@
+"""Structured log lines: their rate, and the traces of requests."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from query_broker.deadlines.settings import Logs
+from query_broker.dispatch.requests import ActiveRequest, Attempt
+from query_broker.server.log import Log
+from query_broker.server.structured_log import StructuredLog, is_sampled, trace_observer
+
+MS = 1_000_000
+
+NS_PER_SECOND = 1_000 * MS
+
+
+def answered_request(number: int, deadline_ns: int) -> ActiveRequest:
+    """A request that arrived at 1 s, with one attempt that was written after 3 ms."""
+    trace = b"%016x" % number
+    request = ActiveRequest(
+        f"{number}",
+        trace,
+        b"glance",
+        b"",
+        None,
+        1,
+        deadline_ns,
+        "acme",
+        NS_PER_SECOND,
+        NS_PER_SECOND + MS,
+    )
+    request.attempts[0] = Attempt(
+        request,
+        0,
+        7,
+        NS_PER_SECOND + 2 * MS,
+        deadline_ns,
+        deadline_ns,
+        assigned_ns=NS_PER_SECOND + 2 * MS,
+        written_ns=NS_PER_SECOND + 3 * MS,
+    )
+    return request
+
+
+def logged_lines(settings: Logs, capsys: pytest.CaptureFixture[str]) -> list[str]:
+    """The log of a request in time and a late one, both answered at 2 s, and of thirty lines."""
+    log = Log("n0")
+    structured_log = StructuredLog("n0", settings)
+    log.sink = structured_log
+    observe = trace_observer(log, structured_log, lambda: 2 * NS_PER_SECOND)
+    for number, deadline_ns in enumerate((3 * NS_PER_SECOND, NS_PER_SECOND)):
+        observe(answered_request(number, deadline_ns), "success")
+    for _ in range(30):
+        log("engine", "a line of its kind")
+    return capsys.readouterr().err.splitlines()
+
+
+def test_structured_lines_are_limited_and_late_requests_are_always_traced(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
+    lines = [json.loads(line) for line in logged_lines(Logs("json"), capsys)]
+    assert [line["kind"] for line in lines] == ["late", *["engine"] * 20]
+    late = lines[0]
+    assert late["trace"] == "0" * 15 + "1"
+    assert late["total_ms"] == 1_000.0
+    assert late["left_ms"] == -1_000.0
+    assert late["read_ms"] == 1.0
+    assert late["decide_ms"] == 1.0
+    assert late["connect_ms"] == 0.0
+    assert late["write_ms"] == 1.0
+    assert late["broker"] == "n0"
+    assert late["engine_ms"] == 997.0
+    assert "timestamp" in late
+
+
+def test_all_requests_are_traced_in_text_where_that_is_set(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
+    lines = logged_lines(Logs("text", stories=1.0), capsys)
+    assert lines[0].count("kind=story") == 1
+    assert lines[1].count("kind=late") == 1
+    assert "broker=n0" in lines[0]
+    assert "customer=acme" in lines[0]
+
+
+def test_the_same_requests_are_sampled_everywhere() -> None:
+    sampled = [number for number in range(10_000) if is_sampled(b"%016x" % number, 0.1)]
+    assert 800 < len(sampled) < 1_200
+    assert not is_sampled(b"x", 0.0)
+    assert is_sampled(b"x", 1.0)
