--- /dev/null
+++ b/tests/dispatch/test_signal_races.py
@@ -0,0 +1,90 @@
+"""Signals while the process starts, and while its interpreter ends."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from query_broker.protocols import client_frames as frames
+
+from ..support.sockets import (
+    ROOT,
+    connect,
+    free_port,
+    make_known,
+    on_uvloop,
+    target_entry,
+    within,
+    write_config,
+)
+from .broker_processes import start_broker
+
+pytestmark = pytest.mark.real_time
+
+
+def feed_settings(path: Path, text: str, hang_up: asyncio.subprocess.Process | None = None) -> None:
+    """Write the text into the pipe once the broker has opened it, and hang up just before."""
+    with open(path, "w") as pipe:
+        if hang_up is not None:
+            hang_up.send_signal(signal.SIGHUP)
+        pipe.write(text)
+
+
+@on_uvloop
+async def test_a_sighup_that_comes_while_the_settings_are_read_is_taken_after_the_start(
+    tmp_path: Path,
+) -> None:
+    """The file is a pipe, so that the process waits in the middle of reading it."""
+    port = free_port()
+    path = tmp_path / "config.json"
+    env = write_config(
+        tmp_path, listen=f"127.0.0.1:{port}", known=make_known(target_entry("s-1", 9))
+    )
+    text = path.read_text()
+    changed = json.loads(text)
+    changed["settings"]["classes"][0]["name"] = "peek"
+    path.unlink()
+    os.mkfifo(path)
+    broker = await start_broker(env, stderr=asyncio.subprocess.DEVNULL)
+    try:
+        await within(asyncio.to_thread(feed_settings, path, text, hang_up=broker))
+        client = await within(connect(port))  # it listens: the first reading is over
+        # it is read again: the signal was not lost
+        await within(asyncio.to_thread(feed_settings, path, json.dumps(changed)))
+        client.ask(route="peek")
+        # no engine is there; the class is
+        assert (await client.answer())[:2] == (1, frames.REFUSED)
+    finally:
+        broker.kill()
+        await broker.wait()
+
+
+def test_signals_while_the_interpreter_ends_are_ignored() -> None:
+    """The interpreter restores the system's handlers before its last objects are freed; an end by a
+    signal would be an exit code other than 0.
+    """
+    program = (
+        "import os, signal\n"
+        "from query_broker.server.node import serve\n"
+        "class Short:\n"
+        "    async def run(self):\n"
+        "        pass\n"
+        "class Last:\n"
+        "    def __del__(self, kill=os.kill, me=os.getpid()):\n"
+        "        kill(me, 15)\n"
+        "        kill(me, 1)\n"
+        "signal.signal(signal.SIGTERM, print)\n"
+        "last = Last()\n"
+        "serve(Short)\n"
+    )
+    process = subprocess.run(
+        [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=False
+    )
+    assert process.returncode == 0, process.stderr
--- /dev/null
+++ b/tests/protocols/scripted_engines.py
@@ -0,0 +1,71 @@
+"""Data engines with scripted answers, and brokers whose endpoint list holds them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from typing import Any
+
+from query_broker.endpoints.connection_pool import ConnectionPool
+from query_broker.protocols import resp
+
+from ..support.sockets import Engine, Rig, make_config, running, target_entry
+
+
+def silent_engine() -> Engine:
+    """Return an engine that answers nothing by itself."""
+    return Engine(lambda *_: None)
+
+
+def engine_that_answers(result: bytes, body: bytes = b"") -> Engine:
+    """Return an engine that answers every query with this result."""
+
+    def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
+        if parts[0] == b"do":
+            writer.write(resp.encode(parts[1], result, b"-", body))
+
+    return Engine(script)
+
+
+def engine_that_writes_and_closes(data: bytes) -> Engine:
+    """Return an engine that answers every command with these bytes and closes the connection."""
+
+    def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
+        writer.write(data)
+        writer.close()
+
+    return Engine(script)
+
+
+def engine_with_pages(*bodies: bytes, stated_pages: int = 0) -> Engine:
+    """Return an engine that serves a result in pages and knows no page without a body."""
+
+    def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
+        if parts[0] == b"do":
+            chunks = b"chunks=%d" % (stated_pages or len(bodies))
+            writer.write(resp.encode(parts[1], b"served", chunks, bodies[0]))
+        elif parts[0] == b"page" and int(parts[2]) < len(bodies):
+            writer.write(resp.encode(parts[1], b"rows", b"at=" + parts[2], bodies[int(parts[2])]))
+        elif parts[0] == b"page":
+            writer.write(resp.encode(parts[1], b"crashed", b"-", b""))
+
+    return Engine(script)
+
+
+@asynccontextmanager
+async def broker_with_engines(
+    *engines: Engine, first_number: int = 1, **changes: Any
+) -> AsyncIterator[Rig]:
+    """Start the engines and run a broker whose endpoint list holds them as s-1, s-2 and so on."""
+    targets = [
+        target_entry(f"s-{number}", await engine.start())
+        for number, engine in enumerate(engines, first_number)
+    ]
+    async with running(make_config(*targets, **changes)) as rig:
+        yield rig
+
+
+def first_pool(rig: Rig) -> ConnectionPool:
+    """Return the connection pool of the endpoint that was listed first."""
+    return next(iter(rig.node.dispatcher.pools.by_number.values()))
