--- /dev/null
+++ b/tests/protocols/conftest.py
@@ -0,0 +1,17 @@
+"""Fixtures of the protocols' tests."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+import pytest
+
+from .closed_ports import ClosedPorts
+
+
+@pytest.fixture
+def closed_ports() -> Iterator[ClosedPorts]:
+    """Ports that refuse connects until the test is over."""
+    ports = ClosedPorts()
+    yield ports
+    ports.release()
--- /dev/null
+++ b/tests/protocols/test_attempt_results.py
@@ -0,0 +1,221 @@
+"""What the end of an attempt at an engine means for its request: rejected, failed or retried."""
+
+from __future__ import annotations
+
+import pytest
+
+from query_broker.discovery.event_codec import parse_event
+from query_broker.dispatch.validation import ParsedRequest
+from query_broker.endpoints.connection_pool import REMOVED_SILENCE_LIMIT_NS
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+
+from ..dispatch.recording_client import Outcome, RecordingClient
+from ..support.sockets import (
+    TRACE,
+    Engine,
+    make_config,
+    on_uvloop,
+    running,
+    target_entry,
+    topology_event,
+    until,
+)
+from .closed_ports import ClosedPorts
+from .scripted_engines import (
+    broker_with_engines,
+    engine_that_answers,
+    engine_that_writes_and_closes,
+    first_pool,
+    silent_engine,
+)
+
+pytestmark = pytest.mark.real_time
+
+
+@on_uvloop
+async def test_a_refused_connect_never_ran_so_even_a_load_is_rejected(
+    closed_ports: ClosedPorts,
+) -> None:
+    async with running(make_config(target_entry("s-1", closed_ports.reserve()))) as rig:
+        client = await rig.client()
+        client.ask(route="stock-add", patience="20000")
+        assert (await client.answer())[1] == frames.REFUSED
+
+
+@on_uvloop
+async def test_a_refused_connect_goes_on_to_another_engine(closed_ports: ClosedPorts) -> None:
+    good = Engine()
+    config = make_config(
+        target_entry("s-1", await good.start()), target_entry("s-2", closed_ports.reserve())
+    )
+    async with running(config) as rig:
+        client = await rig.client()
+        for stream in range(1, 9):
+            client.ask(stream=stream, route="stock-add", patience="20000", trace=f"{stream:016x}")
+            assert (await client.answer())[:2] == (stream, frames.SERVED)
+
+
+@pytest.mark.parametrize("result", [b"overload", b"nobody"], ids=["overload", "nobody"])
+@on_uvloop
+async def test_a_load_that_was_answered_with_overload_or_nobody_never_ran(result: bytes) -> None:
+    async with broker_with_engines(engine_that_answers(result)) as rig:
+        client = await rig.client()
+        client.ask(route="stock-add", patience="20000")
+        assert (await client.answer())[1] == frames.REFUSED
+
+
+async def assert_failed_and_dispatched_once(engine: Engine) -> None:
+    """Send a load to a broker whose only endpoint is this engine: it may have run there."""
+    async with broker_with_engines(engine) as rig:
+        client = await rig.client()
+        client.ask(route="stock-add", patience="20000")
+        assert (await client.answer())[1] == frames.FAILED
+        assert len(engine.commands_named(b"do")) == 1
+
+
+@pytest.mark.parametrize("result", [b"crashed", b"what"], ids=["crashed", "unknown"])
+@on_uvloop
+async def test_a_load_that_ended_without_success_may_have_run_and_is_failed(result: bytes) -> None:
+    await assert_failed_and_dispatched_once(engine_that_answers(result))
+
+
+def answer_bytes(result: bytes, fields: bytes, body: bytes) -> bytes:
+    """Return an answer to the request that `Client.ask` sends."""
+    return resp.encode(TRACE.encode(), result, fields, body)
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        pytest.param(b"", id="no answer"),
+        pytest.param(b"-ERR\r\n", id="an error"),
+        pytest.param(b"*4\r\n$3000000000\r\n", id="a part too long"),
+        pytest.param(answer_bytes(b"served", b"chunks=x", b""), id="no number of pages"),
+        pytest.param(
+            answer_bytes(b"served", b"chunks=1", b"1\ta\tb\n" * 8_001), id="a page too long"
+        ),
+        pytest.param(answer_bytes(b"rows", b"at=1", b"1\ta\tb\n"), id="a page before the answer"),
+        pytest.param(answer_bytes(b"served", b"chunks=1", b"1\ta\n"), id="two columns"),
+        pytest.param(answer_bytes(b"served", b"chunks=1", b"1\ta\tb"), id="no end of the line"),
+        pytest.param(answer_bytes(b"served", b"chunks=1", b"1\ta\tb\tc\n"), id="four columns"),
+        pytest.param(answer_bytes(b"served", b"chunks=1", b"\xff\ta\tb\n"), id="no UTF-8"),
+        pytest.param(answer_bytes(b"served", b"chunks=1", b"1\ta\tb\n\n"), id="an empty line"),
+        pytest.param(answer_bytes(b"served", b"chunks=1", b"noise"), id="no columns"),
+    ],
+)
+@on_uvloop
+async def test_a_load_with_a_malformed_or_no_answer_may_have_run_and_is_failed(
+    data: bytes,
+) -> None:
+    await assert_failed_and_dispatched_once(engine_that_writes_and_closes(data))
+
+
+@on_uvloop
+async def test_a_lookup_that_met_a_reset_is_served_by_another_engine() -> None:
+    closing = engine_that_writes_and_closes(b"")
+    async with broker_with_engines(closing, Engine()) as rig:
+        client = await rig.client()
+        for stream in range(1, 9):
+            client.ask(stream=stream, trace=f"{stream:016x}")
+            assert (await client.answer())[:2] == (stream, frames.SERVED)
+
+
+@on_uvloop
+async def test_draining_engines_get_nothing_new() -> None:
+    engine = Engine()
+    async with running(
+        make_config(target_entry("s-1", await engine.start(), "terminating"))
+    ) as rig:
+        client = await rig.client()
+        client.ask()
+        assert (await client.answer())[1] == frames.REFUSED
+        assert not engine.commands
+
+
+@on_uvloop
+async def test_with_no_descriptor_left_a_dispatch_counts_as_never_run() -> None:
+    engine = Engine()
+    async with broker_with_engines(engine) as rig:
+        rig.node.dispatcher.pools.max_connections = -1
+        client = await rig.client()
+        client.ask(route="stock-add", patience="20000")
+        assert (await client.answer())[1] == frames.REFUSED
+        assert not engine.commands
+        endpoints = rig.node.dispatcher.facade.controller.endpoints.values()
+        assert not any(endpoint.ejected for endpoint in endpoints)
+
+
+@on_uvloop
+async def test_attempts_at_a_vanished_engine_end_once_it_is_listed_as_terminated() -> None:
+    engine = silent_engine()
+    port = await engine.start()
+    async with running(make_config(target_entry("s-1", port))) as rig:
+        client = await rig.client()
+        broker = rig.node.dispatcher
+        client.ask(route="stock-add", patience="20000")
+        await until(lambda: engine.commands_named(b"do"))
+        pool = first_pool(rig)
+        pool.sweep(broker.now() + 2 * REMOVED_SILENCE_LIMIT_NS)
+        assert not pool.connections[0].closed  # silent, but not listed as terminated
+        broker.endpoint_list_changed(
+            parse_event(topology_event(2, target_entry("s-1", port, "terminated")))
+        )
+        pool.sweep(broker.now())
+        assert not pool.connections[0].closed
+        pool.sweep(broker.now() + 2 * REMOVED_SILENCE_LIMIT_NS)
+        assert (await client.answer())[1] == frames.FAILED
+
+
+@on_uvloop
+async def test_a_fault_in_one_timer_costs_no_other_its_answer() -> None:
+    engine = silent_engine()
+    async with broker_with_engines(engine) as rig:
+        client = await rig.client()
+        facade = rig.node.dispatcher.facade
+
+        def fault(now: int) -> None:
+            raise ZeroDivisionError
+
+        facade.controller.orders.timers[-1] = (fault, ())
+        client.ask(patience="300")
+        await until(lambda: engine.commands_named(b"do"))
+        facade.due.append(-1)
+        assert (await client.answer())[1] == frames.REFUSED
+        assert any("ZeroDivisionError" in line for line in rig.logged)
+
+
+@on_uvloop
+async def test_a_connect_that_a_watch_event_overtook_dispatches_nothing_to_that_address() -> None:
+    engine = Engine()
+    port = await engine.start()
+    async with running(make_config(target_entry("s-1", port))) as rig:
+        recorder = RecordingClient()
+        load = ParsedRequest("stock-add", TRACE, "acme", 20_000, 10, 16, False, 17, b"x")
+        rig.node.dispatcher.submit(recorder, 1, load)
+        # In the same turn of the loop, so that its connect is under way.
+        rig.node.dispatcher.endpoint_list_changed(
+            parse_event(topology_event(2, target_entry("s-2", port, "terminating")))
+        )
+        await until(lambda: recorder.answers)
+        assert [answer.outcome for answer in recorder.answers] == [Outcome.REJECTED]
+        assert not engine.commands
+
+
+@on_uvloop
+async def test_what_no_engine_has_capacity_for_is_rejected_at_once_with_a_pause(
+    closed_ports: ClosedPorts,
+) -> None:
+    config = make_config(
+        *[target_entry(f"s-{number}", closed_ports.reserve()) for number in range(30)],
+        fleet_size=40,
+        charges={"handshake": 0.08},
+    )
+    async with running(config) as rig:
+        client = await rig.client()
+        for stream in range(1, 11):
+            route = "stock-add" if stream % 2 else "glance"
+            client.ask(stream, trace=f"{stream:016x}", route=route)
+            code, fields = (await client.answer())[1:3]
+            assert code == frames.REFUSED
+            assert int(fields["pause"]) > 0
--- /dev/null
+++ b/tests/protocols/test_engine_connections.py
@@ -0,0 +1,206 @@
+"""Connections to engines: how many there are, which attempts use them and when they are closed."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from query_broker.discovery.event_codec import parse_event
+from query_broker.dispatch.dispatcher import Dispatcher
+from query_broker.dispatch.requests import ActiveRequest, Attempt
+from query_broker.endpoints import connection_choice
+from query_broker.endpoints.connection_pool import LATE_ANSWER_NS
+from query_broker.protocols import client_frames as frames
+from query_broker.protocols import resp
+from query_broker.timer_wheel import Clock
+
+from ..dispatch.recording_client import RecordingClient
+from ..support.sockets import (
+    MS,
+    STATEMENT,
+    TRACE,
+    Engine,
+    make_config,
+    on_uvloop,
+    running,
+    target_entry,
+    topology_event,
+    until,
+)
+from .scripted_engines import broker_with_engines, first_pool, silent_engine
+
+pytestmark = pytest.mark.real_time
+
+
+@pytest.mark.parametrize(
+    ("charges", "connections"), [({}, 3), ({"handshake": 0.08}, 1)], ids=["free", "charged"]
+)
+@on_uvloop
+async def test_attempts_use_one_connection_where_handshakes_are_charged(
+    charges: dict[str, float], connections: int
+) -> None:
+    """With one for each attempt, 40 brokers would fill the engines' tables, and each handshake is
+    charged.
+    """
+    engine = silent_engine()
+    async with broker_with_engines(engine, charges=charges) as rig:
+        client = await rig.client()
+        for stream in (1, 2, 3):
+            client.ask(
+                stream, route="stock-add", trace=f"{stream}" * 16, patience="20000", weight="1.0"
+            )
+            await until(lambda: len(engine.commands_named(b"do")) == stream)  # noqa: B023
+        pool = first_pool(rig)
+        assert len(pool.connections) == connections
+
+
+@on_uvloop
+async def test_a_connection_takes_no_more_streams_than_the_settings_allow() -> None:
+    engine = silent_engine()
+    async with broker_with_engines(engine) as rig:
+        clients = [await rig.client(), await rig.client()]
+        for number in range(60):
+            clients[number % 2].ask(stream=number // 2 + 1, trace=f"{number:016x}", weight="1.0")
+        await until(lambda: len(engine.commands_named(b"do")) == 60)
+        in_flight = [
+            len(connection.in_flight)
+            for pool in rig.node.dispatcher.pools.by_number.values()
+            for connection in pool.connections
+        ]
+        assert max(in_flight) <= 32
+        assert sum(in_flight) == 60
+
+
+@on_uvloop
+async def test_one_id_is_never_open_twice_on_a_connection() -> None:
+    engine = silent_engine()
+    async with broker_with_engines(engine) as rig:
+        client = await rig.client()
+        other_client = await rig.client()
+        client.ask(stream=1)
+        await until(lambda: len(engine.commands_named(b"do")) == 1)
+        # the same request, as it comes again when its connection crossed a close
+        other_client.ask(stream=2)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
+        assert len(engine.writers) == 2
+        engine.writer_of(engine.commands_named(b"do")[1]).write(
+            resp.encode(TRACE.encode(), b"served", b"chunks=1", b"2\ta\tb\n")
+        )
+        assert await other_client.answer() == (2, frames.SERVED, {}, b"2\ta\tb\n")
+
+
+@on_uvloop
+async def test_no_second_attempt_goes_where_a_second_answer_of_the_first_may_still_come() -> None:
+    engine = Engine()
+    async with broker_with_engines(engine) as rig:
+        client = await rig.client()
+        broker = rig.node.dispatcher
+        client.ask()
+        await client.answer()
+        pool = first_pool(rig)
+        [connection] = pool.connections
+        for client_request_id, reused in ((b"9" * 16, True), (TRACE.encode(), False)):
+            end_ns = broker.now() + 9_000 * MS
+            request = ActiveRequest(
+                "9", client_request_id, b"glance", STATEMENT, RecordingClient(), 1, end_ns
+            )
+            attempt = Attempt(
+                request, 1, pool.number, broker.now(), request.deadline_ns, request.deadline_ns
+            )
+            pool.send(attempt, broker.now())
+            await until(lambda: attempt.reported)  # noqa: B023
+            assert (attempt.connection is connection) == reused
+
+
+@on_uvloop
+async def test_a_silent_engine_gets_nothing_more_until_a_new_connection_has_come_up() -> None:
+    engine = silent_engine()
+    async with broker_with_engines(engine) as rig:
+        client = await rig.client()
+        client.ask(stream=1)
+        await until(lambda: engine.commands_named(b"do"))
+        pool = first_pool(rig)
+        now = rig.node.clock.now()
+        assert pool._usable(now) == pool.connections
+        assert pool._usable(now + 2 * connection_choice.SILENCE_LIMIT_NS) == []
+
+
+@on_uvloop
+async def test_idle_connections_are_closed_well_before_the_engine_would() -> None:
+    engine = Engine()
+    async with broker_with_engines(engine) as rig:
+        client = await rig.client()
+        client.ask()
+        await client.answer()
+        node = rig.node
+        pool = first_pool(rig)
+        pool.sweep(node.clock.now())
+        assert [connection.closed for connection in pool.connections] == [False]
+        pool.sweep(node.clock.now() + node.config.connection_idle_ns * 6 // 10)
+        await until(lambda: not pool.connections)
+
+
+@on_uvloop
+async def test_an_answer_that_never_comes_does_not_hold_its_stream_for_good() -> None:
+    engine = silent_engine()
+    async with broker_with_engines(engine) as rig:
+        client = await rig.client()
+        broker = rig.node.dispatcher
+        broker.pools.max_connections = 1  # so that both use one connection
+        client.ask(stream=1, patience="200", weight="100.0")
+        assert (await client.answer())[1] == frames.REFUSED
+        client.ask(stream=2, patience="20000", route="stock-add", trace="2" * 16)
+        await until(lambda: len(engine.commands_named(b"do")) == 2)
+        pool = first_pool(rig)
+        connection = pool.connections[0]
+        pool.sweep(broker.now() + LATE_ANSWER_NS + 1_000 * MS)
+        assert connection.retired
+        assert not connection.closed
+        second = engine.commands_named(b"do")[1]
+        engine.answer_served(second, engine.writer_of(second))
+        assert (await client.answer())[:2] == (2, frames.SERVED)
+        pool.sweep(broker.now() + LATE_ANSWER_NS + 1_000 * MS)
+        await until(lambda: connection.closed)
+
+
+@on_uvloop
+async def test_an_engine_at_the_address_of_another_is_known_by_its_uid() -> None:
+    engine = Engine()
+    port = await engine.start()
+    async with running(make_config(target_entry("s-1", port))) as rig:
+        broker = rig.node.dispatcher
+        first = broker.endpoint_table.number("s-1")
+        broker.endpoint_list_changed(
+            parse_event(topology_event(2, target_entry("s-2", port, boot_ms=1)))
+        )
+        assert broker.endpoint_table.number("s-2") != first == broker.endpoint_table.number("s-1")
+        client = await rig.client()
+        client.ask(weight="1.0")
+        assert (await client.answer())[1] == frames.SERVED
+        assert list(broker.facade.controller.endpoints) == [broker.endpoint_table.number("s-2")]
+
+
+@on_uvloop
+async def test_attempts_reuse_connections_once_their_part_of_the_descriptors_is_taken() -> None:
+    engine = silent_engine()
+    async with broker_with_engines(engine) as rig:
+        client = await rig.client()
+        pools = rig.node.dispatcher.pools
+        pools.max_connections = 8
+        for stream in range(1, 21):
+            client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
+        await until(lambda: len(engine.commands_named(b"do")) == 20)
+        (pool,) = pools.by_number.values()
+        assert len(engine.writers) == 6  # the others are left for connects to other engines
+        assert pools.reserve_descriptor(pool)
+
+
+@pytest.mark.parametrize(
+    ("sockets", "max_connections"), [(64, 19), (128, 48), (256, 96), (1024, 384)]
+)
+def test_descriptors_are_left_for_clients_and_a_reserve(sockets: int, max_connections: int) -> None:
+    config = replace(make_config(), sockets=sockets)
+    broker = Dispatcher(config, Clock(), lambda kind, text: None)
+    assert broker.pools.max_connections == max_connections
+    assert max_connections + sockets // 3 + 24 <= sockets
