--- /dev/null
+++ b/tests/clickhouse/test_errors.py
@@ -0,0 +1,20 @@
+"""Errors in the form of the interface."""
+
+from __future__ import annotations
+
+from query_broker.clickhouse.errors import (
+    HEADER,
+    SESSION_NOT_FOUND,
+    TOO_MANY_SIMULTANEOUS_QUERIES,
+    QueryError,
+)
+
+
+def test_errors_keep_the_interface_s_form() -> None:
+    fault = QueryError(TOO_MANY_SIMULTANEOUS_QUERIES, "come\nback later", pause=0.2)
+    assert (
+        fault.body()
+        == b"Code: 202. DB::Exception: come back later. (TOO_MANY_SIMULTANEOUS_QUERIES)\n"
+    )
+    assert fault.headers() == [(HEADER, "202"), ("Retry-After", "1")]
+    assert dict(QueryError(SESSION_NOT_FOUND, "x").headers()) == {HEADER: "372"}
--- /dev/null
+++ b/tests/clickhouse/test_relay.py
@@ -0,0 +1,148 @@
+"""Results on their way from an engine to the client."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from query_broker.clickhouse.relay import FaultOutcome, Relay, RelayAction, RelayState, ResponseHead
+
+
+def take_actions(relay: Relay) -> list[RelayAction]:
+    """Take what the relay has for the client, without the data."""
+    return [action for action, _ in relay.take()]
+
+
+def test_until_a_byte_has_been_written_another_attempt_may_serve_the_request() -> None:
+    relay = Relay(wait_end=True)
+    relay.begin(ResponseHead(200))
+    relay.data(b"half")
+    assert relay.fault() is FaultOutcome.AGAIN
+    assert not relay.take()
+    assert relay.state is RelayState.WAITING
+    relay.begin(ResponseHead(200))
+    relay.data(b"complete")
+    assert relay.end()
+    assert relay.take() == [
+        (RelayAction.HEAD, b""),
+        (RelayAction.BODY, b"complete"),
+        (RelayAction.END, b""),
+    ]
+    assert relay.fault() is FaultOutcome.OVER
+
+
+def test_a_fault_after_the_first_byte_is_shown_and_never_retried() -> None:
+    relay = Relay()
+    relay.begin(ResponseHead(200))
+    relay.data(b"a")
+    assert relay.fault() is FaultOutcome.FAILED
+    assert take_actions(relay) == [
+        RelayAction.HEAD,
+        RelayAction.BODY,
+        RelayAction.TEAR,
+    ]
+    with pytest.raises(AssertionError):
+        relay.again()
+    relay.data(b"b")
+    assert not relay.end()
+    assert not relay.take()
+
+
+@pytest.mark.parametrize(
+    ("wait_end", "state"),
+    [(True, RelayState.WAITING), (False, RelayState.BROKEN)],
+    ids=["buffered", "streamed"],
+)
+def test_a_result_that_ends_with_an_exception_is_no_result(
+    wait_end: bool, state: RelayState
+) -> None:
+    relay = Relay(wait_end=wait_end)
+    relay.begin(ResponseHead(200))
+    relay.data(b"1\t2\n__exce")
+    relay.data(b"ption__\nCode: 241\n")
+    assert not relay.end()
+    assert relay.state is state
+
+
+def test_a_row_that_holds_the_marker_of_an_exception_is_a_result() -> None:
+    relay = Relay()
+    relay.begin(ResponseHead(200))
+    relay.data(b"a row with __exception__ in it\n")
+    assert relay.end()
+
+
+def test_what_is_buffered_is_bounded_and_then_streamed() -> None:
+    relay = Relay(wait_end=True, most_buffered=10)
+    relay.begin(ResponseHead(200))
+    relay.data(b"x" * 8)
+    assert not relay.take()
+    relay.data(b"x" * 8)
+    assert take_actions(relay) == [RelayAction.HEAD, RelayAction.BODY, RelayAction.BODY]
+    assert relay.overflowed
+    assert relay.buffered_bytes == 0
+
+
+def test_an_error_of_the_engine_is_not_shown_while_another_may_do_better() -> None:
+    relay = Relay()
+    relay.begin(ResponseHead(500))
+    relay.data(b"Code: 241")
+    assert not relay.take()
+    assert relay.fault() is FaultOutcome.AGAIN
+    assert relay.give_up() is FaultOutcome.FAILED
+    assert take_actions(relay) == [RelayAction.ERROR]
+
+
+class RelayStep(Enum):
+    """What may happen to a relay, in any order."""
+
+    DATA = "data"
+    WRITTEN = "written"
+    FAULT = "fault"
+    END = "end"
+    NOTHING = "nothing"
+    CLIENT_LEFT = "client left"
+
+
+def take_step(relay: Relay, step: RelayStep, byte_count: int) -> None:
+    """Let the step happen to the relay; the next attempt begins where it waits for one."""
+    if step is RelayStep.DATA and not relay.paused:
+        relay.data(b"x" * byte_count)
+    elif step is RelayStep.WRITTEN:
+        relay.bytes_written(byte_count)
+    elif step is RelayStep.FAULT:
+        relay.fault()
+    elif step is RelayStep.END:
+        relay.end()
+    elif step is RelayStep.CLIENT_LEFT:
+        relay.left()
+    if relay.state is RelayState.WAITING:
+        relay.begin(ResponseHead(200))
+
+
+@given(
+    st.lists(st.tuples(st.sampled_from(RelayStep), st.integers(0, 400_000)), max_size=40),
+    st.booleans(),
+)
+def test_memory_is_bounded_and_the_client_gets_one_end(
+    steps: list[tuple[RelayStep, int]], wait_end: bool
+) -> None:
+    relay = Relay(wait_end=wait_end, most_buffered=100_000)
+    sent_bytes = 0
+    ends = 0
+    client_left = False
+    relay.begin(ResponseHead(200))
+    for step, byte_count in steps:
+        take_step(relay, step, byte_count)
+        client_left = client_left or step is RelayStep.CLIENT_LEFT
+        for action, data in relay.take():
+            assert not client_left or action is RelayAction.RESUME
+            assert not ends or action in (RelayAction.RESUME, RelayAction.PAUSE)
+            sent_bytes += len(data)
+            ends += action in (RelayAction.END, RelayAction.TEAR, RelayAction.ERROR)
+        assert relay.buffered_bytes <= 100_000
+        assert relay.unread <= 262_144 + 800_000
+    assert ends <= 1
+    assert sent_bytes <= relay.passed
--- /dev/null
+++ b/tests/clickhouse/test_request_head.py
@@ -0,0 +1,85 @@
+"""Heads of requests: user, statement, settings, and the errors of invalid ones."""
+
+from __future__ import annotations
+
+import base64
+
+import pytest
+
+from query_broker.clickhouse.errors import QueryError
+from query_broker.clickhouse.request import read as read_head
+from query_broker.clickhouse.request import shown, statement
+
+from ..support.helpers import S
+
+
+def test_a_head_names_user_statement_settings_and_session() -> None:
+    head = read_head(
+        b"/?query=SELECT+1&database=d&max_threads=2&param_a=x&session_id=s&session_timeout=9"
+        b"&wait_end_of_query=1&query_id=q1",
+        [("X-ClickHouse-User", "ann"), ("X-ClickHouse-Key", "k")],
+    )
+    assert head.user == "ann"
+    assert head.password == "k"
+    assert head.database == "d"
+    assert head.query == "SELECT 1"
+    assert head.settings == {"max_threads": "2"}
+    assert head.params == {"a": "x"}
+    assert head.session_timeout == 9 * S
+    assert head.wait_end_of_query
+    assert head.query_id == "q1"
+
+
+def test_basic_authorization_and_a_format_header_are_read() -> None:
+    basic = base64.b64encode(b"bob:se:cret").decode()
+    head = read_head(b"/", [("authorization", f"Basic {basic}"), ("x-clickhouse-format", "JSON")])
+    assert head.user == "bob"
+    assert head.password == "se:cret"
+    assert head.format == "JSON"
+
+
+def test_a_head_without_a_user_is_the_default_user_s() -> None:
+    assert read_head(b"/ping", []).user == "default"
+
+
+@pytest.mark.parametrize(
+    ("url", "headers", "problem"),
+    [
+        pytest.param(b"/?a=1&a=2", [], "comes twice", id="a setting twice"),
+        pytest.param(b"/?query=%ff", [], "cannot be read", id="no UTF-8"),
+        pytest.param(b"/?session_timeout=x", [], "session_timeout", id="session_timeout"),
+        pytest.param(b"/?session_check=2", [], "session_check", id="session_check"),
+        pytest.param(b"/?a%20b=1", [], "no name of a setting", id="name of a setting"),
+        pytest.param(b"/?query_id=" + b"x" * 201, [], "query_id", id="long query_id"),
+        pytest.param(
+            b"/?user=a", [("X-ClickHouse-User", "b")], "more than one way", id="two users"
+        ),
+        pytest.param(b"/", [("Authorization", "Bearer x")], "Authorization", id="bearer"),
+        pytest.param(b"/", [("Authorization", "Basic !")], "Authorization", id="no base64"),
+        pytest.param(b"/" + b"a" * 70_000, [], "longer than", id="long URL"),
+    ],
+)
+def test_an_invalid_head_is_an_error(
+    url: bytes, headers: list[tuple[str, str]], problem: str
+) -> None:
+    with pytest.raises(QueryError, match=problem):
+        read_head(url, headers)
+
+
+def test_a_shown_url_hides_the_password() -> None:
+    assert shown("/?password=hidden&query=1") == "/?password=***&query=1"
+
+
+def test_the_statement_is_read_from_the_url_the_body_or_both() -> None:
+    assert statement(read_head(b"/?query=INSERT+INTO+t+FORMAT+CSV", []), b"1\n2", "POST") == (
+        b"INSERT INTO t FORMAT CSV\n1\n2"
+    )
+    assert statement(read_head(b"/", []), b"SELECT 1", "POST") == b"SELECT 1"
+
+
+@pytest.mark.parametrize(
+    ("body", "method"), [(b"", "GET"), (b" \n", "POST")], ids=["empty", "blank"]
+)
+def test_a_request_without_a_statement_is_an_error(body: bytes, method: str) -> None:
+    with pytest.raises(QueryError):
+        statement(read_head(b"/", []), body, method)
--- /dev/null
+++ b/tests/clickhouse/test_statement.py
@@ -0,0 +1,82 @@
+"""Statements: kind, table of an insert, settings and format."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from query_broker.clickhouse.statement import Statement, StatementKind, read
+
+STATEMENTS = [
+    ("SELECT 1", "SELECT", StatementKind.READ),
+    ("  select 1 -- x", "SELECT", StatementKind.READ),
+    ("/* INSERT */ SELECT 1", "SELECT", StatementKind.READ),
+    ("-- INSERT\nSELECT 1", "SELECT", StatementKind.READ),
+    ("#! x\nSELECT 1", "SELECT", StatementKind.READ),
+    ("((SELECT 1) UNION ALL SELECT 2)", "SELECT", StatementKind.READ),
+    ("WITH x AS (SELECT 1) SELECT * FROM x", "WITH", StatementKind.READ),
+    ("WITH 'INSERT' AS x SELECT x", "WITH", StatementKind.READ),
+    ("WITH x AS (SELECT 1) INSERT INTO t SELECT * FROM x", "WITH", StatementKind.WRITE),
+    ("SHOW TABLES", "SHOW", StatementKind.READ),
+    ("DESCRIBE t", "DESCRIBE", StatementKind.READ),
+    ("EXPLAIN SELECT 1", "EXPLAIN", StatementKind.READ),
+    ("INSERT INTO t VALUES (1)", "INSERT", StatementKind.WRITE),
+    ("SET max_threads = 1", "SET", StatementKind.SESSION),
+    ("USE tickets", "USE", StatementKind.SESSION),
+    ("SET ROLE a", "SET", StatementKind.CHANGE),
+    ("CREATE TEMPORARY TABLE t (a Int8)", "CREATE", StatementKind.SESSION),
+    ("CREATE OR REPLACE TEMPORARY TABLE t (a Int8)", "CREATE", StatementKind.CHANGE),
+    ("CREATE TABLE t (a Int8)", "CREATE", StatementKind.CHANGE),
+    ("DROP TEMPORARY TABLE t", "DROP", StatementKind.SESSION),
+    ("ALTER TABLE t DELETE WHERE 1", "ALTER", StatementKind.CHANGE),
+    ("SYSTEM FLUSH LOGS", "SYSTEM", StatementKind.CHANGE),
+    ("KILL QUERY WHERE 1", "KILL", StatementKind.CHANGE),
+    ("", "", StatementKind.UNKNOWN),
+    ("/* open", "", StatementKind.UNKNOWN),
+    ("42", "", StatementKind.UNKNOWN),
+    ("'SELECT'", "", StatementKind.UNKNOWN),
+]
+
+
+@pytest.mark.parametrize(
+    ("text", "first", "kind"), STATEMENTS, ids=[text or "empty" for text, _, _ in STATEMENTS]
+)
+def test_the_first_keyword_decides_the_kind_of_a_statement(
+    text: str, first: str, kind: StatementKind
+) -> None:
+    statement = read(text)
+    assert (statement.first, statement.does) == (first, kind)
+
+
+@pytest.mark.parametrize(
+    ("text", "table"),
+    [
+        ("INSERT INTO t VALUES (1)", "t"),
+        ("insert into `a b`.t format CSV", "`a b`.t"),
+        ("INSERT INTO TABLE db.t SELECT 1", "db.t"),
+        ("INSERT INTO FUNCTION file('x') SELECT 1", ""),
+        ("INSERT t VALUES", "t"),
+    ],
+)
+def test_the_table_of_an_insert(text: str, table: str) -> None:
+    assert read(text).table == table
+
+
+def test_settings_and_format_are_read_outside_brackets_and_strings() -> None:
+    statement = read(
+        "SELECT 'FORMAT x', (SELECT 1 SETTINGS a = 1) SETTINGS max_threads = 2, b = 'o\\'k' "
+        "FORMAT TSV"
+    )
+    assert dict(statement.settings) == {"max_threads": "2", "b": "o'k"}
+    assert statement.format == "TSV"
+
+
+@given(st.text(max_size=300))
+def test_no_statement_raises(text: str) -> None:
+    assert read(text).does in StatementKind
+
+
+def test_statements_are_read_no_further_than_their_kind_needs() -> None:
+    assert read("SELECT 1 " + "x" * 1_000_000).does is StatementKind.READ
+    assert Statement("SELECT", StatementKind.READ) == read("SELECT 1")
