--- /dev/null
+++ b/tests/dispatch/test_deadline_controls.py
@@ -0,0 +1,32 @@
+"""Timeouts of requests, with the time that they have spent before."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from query_broker.deadlines.settings import DeadlineSettings
+from query_broker.dispatch.deadline_controls import DeadlineControls
+
+from ..support.helpers import MS, S
+
+
+@pytest.mark.parametrize(
+    ("count_from", "stated_ms", "received_ns", "expected_ns"),
+    [
+        pytest.param("last", 4_000.0, 0, 3_990 * MS, id="stated"),
+        pytest.param("last", 90_000.0, 0, 19_990 * MS, id="deadline of the class"),
+        pytest.param("last", 8.0, 0, 6 * MS, id="short: a quarter at the most is reserved"),
+        pytest.param("last", 4_000.0, 7 * S, 3_990 * MS, id="age does not count"),
+        pytest.param("first", 4_000.0, 7 * S, 2_990 * MS, id="age counts"),
+        pytest.param("first", 4_000.0, 0, 3_990 * MS, id="age is not known"),
+        pytest.param("first", 500.0, 7 * S, 1, id="nothing is left"),
+    ],
+)
+def test_the_timeout_of_a_request_counts_from_its_first_or_last_sending(
+    count_from: str, stated_ms: float, received_ns: int, expected_ns: int
+) -> None:
+    controls = DeadlineControls()
+    controls.settings = replace(DeadlineSettings(), count_from=count_from)  # type: ignore[arg-type]
+    assert controls.timeout_ns(stated_ms, 20 * S, received_ns, 8 * S) == expected_ns
--- /dev/null
+++ b/tests/dispatch/test_policies.py
@@ -0,0 +1,50 @@
+"""Policies that change the work of the dispatcher: settings, metrics and `retry_after`."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from query_broker.decisions.facade import Settings
+from query_broker.dispatch.observers import DispatchExtensions
+
+from ..support.sockets import make_config
+from .dispatchers import make_dispatcher
+from .recording_client import Answer, Outcome, RecordingClient, parsed_request
+
+
+def test_settings_adjusters_are_applied_one_after_the_other() -> None:
+    extensions = DispatchExtensions()
+    settings = make_config().settings
+
+    def grow(given: Settings) -> Settings:
+        return replace(given, fleet_size=given.fleet_size + 1)
+
+    def double(given: Settings) -> Settings:
+        return replace(given, fleet_size=given.fleet_size * 2)
+
+    extensions.settings_adjusters += [grow, double]
+    assert extensions.adjusted(settings).fleet_size == (settings.fleet_size + 1) * 2
+
+
+def test_metrics_sources_follow_the_dispatcher_s_own_lines() -> None:
+    dispatcher = make_dispatcher()
+    own = dispatcher.metrics()
+    dispatcher.extensions.metrics_sources += [lambda: b"one 1\n", lambda: b"two 2\n"]
+    assert dispatcher.metrics() == own + b"one 1\ntwo 2\n"
+
+
+@pytest.mark.parametrize(
+    ("widened_ns", "pause_ms"), [(7_000_001, 8), (7_000_000, 7)], ids=["rounded", "exact"]
+)
+def test_the_retry_after_policy_is_rounded_up_to_milliseconds(
+    widened_ns: int, pause_ms: int
+) -> None:
+    dispatcher = make_dispatcher()
+    client = RecordingClient()
+    dispatcher.extensions.retry_after_policy = lambda retry_after_ns: widened_ns
+    # No endpoint is known: the request waits, then it is rejected.
+    dispatcher.submit(client, 1, parsed_request("glance"))
+    dispatcher.cancellations.close_out_all()
+    assert client.answers == [Answer(Outcome.REJECTED, pause_ms)]
