--- a/tests/dispatch/test_signal_races.py
+++ b/tests/dispatch/test_signal_races.py
@@ -29,7 +29,7 @@
 pytestmark = pytest.mark.real_time
 
 
-def feed_settings(path: Path, text: str, hang_up: asyncio.subprocess.Process | None = None) -> None:
+def write_to_pipe(path: Path, text: str, hang_up: asyncio.subprocess.Process | None = None) -> None:
     """Write the text into the pipe once the broker has opened it, and hang up just before."""
     with open(path, "w") as pipe:
         if hang_up is not None:
@@ -54,10 +54,10 @@
     os.mkfifo(path)
     broker = await start_broker(env, stderr=asyncio.subprocess.DEVNULL)
     try:
-        await within(asyncio.to_thread(feed_settings, path, text, hang_up=broker))
+        await within(asyncio.to_thread(write_to_pipe, path, text, hang_up=broker))
         client = await within(connect(port))  # it listens: the first reading is over
         # it is read again: the signal was not lost
-        await within(asyncio.to_thread(feed_settings, path, json.dumps(changed)))
+        await within(asyncio.to_thread(write_to_pipe, path, json.dumps(changed)))
         client.ask(route="peek")
         # no engine is there; the class is
         assert (await client.answer())[:2] == (1, frames.REFUSED)
--- /dev/null
+++ b/tests/protocols/test_client_connections.py
@@ -0,0 +1,88 @@
+"""Connections of clients: slow readers, silent clients, and what a lost one leaves."""
+
+from __future__ import annotations
+
+import gc
+import weakref
+
+import pytest
+
+from query_broker.protocols import client_frames as frames
+
+from ..support.sockets import MS, make_config, on_uvloop, running, until
+from .scripted_engines import broker_with_engines, engine_with_pages
+
+pytestmark = pytest.mark.real_time
+
+
+@on_uvloop
+async def test_a_slow_reader_is_not_read_from_and_delays_no_other_client() -> None:
+    row = b"x" * 5_900 + b"\tb\tc\n"
+    engine = engine_with_pages(*[row] * 8)
+    async with broker_with_engines(engine) as rig:
+        slow = await rig.client()
+        quick = await rig.client()
+        transport = slow.writer.transport
+        transport.pause_reading()  # type: ignore[attr-defined]
+        stream = 0
+        while not any(connection.paused_since_ns for connection in rig.node.clients):
+            stream += 1
+            slow.ask(stream=stream, trace=f"{stream:016x}")
+            await until(lambda: len(engine.commands_named(b"forget")) == stream)  # noqa: B023
+        quick.ask()
+        assert (await quick.answer())[3] == row * 8
+        transport.resume_reading()  # type: ignore[attr-defined]
+        for _ in range(stream):
+            assert (await slow.answer())[3] == row * 8
+        assert not any(connection.paused_since_ns for connection in rig.node.clients)
+
+
+@pytest.mark.parametrize(
+    ("complete", "incomplete", "gets_error"),
+    [
+        (b"", b"", True),
+        (b"", frames.frame(frames.REQUEST, 1, b"\0")[:9], True),
+        (frames.frame(frames.ASK_READY, 1, b"\0"), b"", False),
+        (frames.frame(frames.ASK_READY, 1, b"\0"), b"\0\0", True),
+    ],
+    ids=["silent", "half a request", "idle after a frame", "half a second frame"],
+)
+@on_uvloop
+async def test_a_silent_incomplete_or_idle_client_is_disconnected_by_a_timer(
+    complete: bytes, incomplete: bytes, gets_error: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    for name in ("FIRST_FRAME_TIMEOUT_NS", "FRAME_TIMEOUT_NS", "IDLE_TIMEOUT_NS"):
+        monkeypatch.setattr(f"query_broker.protocols.client_timeouts.{name}", 50 * MS)
+    async with running(make_config()) as rig:
+        client = await rig.client()
+        client.writer.write(complete + incomplete)
+        if complete:
+            assert (await client.frame())[0] == frames.READY
+        if gets_error:
+            assert (await client.answer())[:2] == (0, frames.FAILED)
+        assert await client.ended()
+        client.writer.close()
+        await until(lambda: not rig.node.clients)
+
+
+@on_uvloop
+async def test_a_lost_connection_and_its_parts_are_freed_without_the_garbage_collector() -> None:
+    engine = engine_with_pages(b"1\ta\tb\n")
+    async with broker_with_engines(engine) as rig:
+        client = await rig.client()
+        client.ask()
+        assert (await client.answer())[1] == frames.SERVED
+        (connection,) = rig.node.admission.connections
+        parts: list[weakref.ref[object]] = [
+            weakref.ref(connection),
+            weakref.ref(connection.reader),
+            weakref.ref(connection.requests),
+            weakref.ref(connection.timeouts),
+        ]
+        del connection
+        gc.disable()
+        try:
+            client.writer.close()
+            await until(lambda: [part() for part in parts] == [None] * len(parts))
+        finally:
+            gc.enable()
