--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list on real sockets: one test for each rule."""
+"""The watch of the endpoint list on real sockets: events, silence, drains and new addresses."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 import os
 import signal
 from pathlib import Path
+from typing import Any, NamedTuple
 
 import pytest
 
 from query_broker.discovery.event_codec import EndpointListEvent
 from query_broker.discovery.watch_client import SILENCE_LIMIT_NS, WatchClient
+from query_broker.emulator.discovery_service import ScriptedDiscoveryService
 
 from ..support.sockets import (
     MS,
-    Bus,
     Client,
     Engine,
     Rig,
@@ -39,11 +40,11 @@
 
 @pytest.fixture(autouse=True)
 def _never_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A slow machine is no silent service."""
+    """Keep a slow machine from passing for a silent service."""
     monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
 
 
-def configuration(bus: str) -> str:
+def config_text(address: str) -> str:
     """Return the text of a configuration file that names this address of the service."""
     return json.dumps(
         {
@@ -53,11 +54,37 @@
             "limits": {"sockets": 256},
             "settings": platform_settings(),
             "known": {"offset": 1},
-            "bus": bus,
+            "bus": address,
         }
     )
 
 
+class LeavingAndOther(NamedTuple):
+    """Two engines, of which the first one is going to drain.
+
+    Attributes:
+        leaving: The engine that drains.
+        other: The engine that stays.
+        targets: How the service describes them, in this order.
+    """
+
+    leaving: Engine
+    other: Engine
+    targets: list[dict[str, Any]]
+
+    def drain(self, offset: int) -> dict[str, Any]:
+        """Return the event that the first engine drains."""
+        return topology_event(offset, {**self.targets[0], "state": "terminating"})
+
+
+async def start_leaving_and_other() -> LeavingAndOther:
+    """Start both engines, and describe them as s-1 and s-2."""
+    leaving = Engine()
+    other = Engine()
+    targets = [target_entry("s-1", await leaving.start()), target_entry("s-2", await other.start())]
+    return LeavingAndOther(leaving, other, targets)
+
+
 def check_after_silence(
     watch_client: WatchClient, silent_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -69,48 +96,48 @@
 
 @on_uvloop
 async def test_requests_the_events_it_lacks_and_resumes_after_a_cut() -> None:
-    bus = Bus()
+    service = ScriptedDiscoveryService()
     engine = Engine()
     port = await engine.start()
-    async with running(make_config(bus=await bus.start())) as rig:
-        await until(lambda: bus.subscriptions)
-        assert bus.subscriptions == [b"from 1\n"]
-        bus.publish(topology_event(2, target_entry("s-1", port)))
+    async with running(make_config(bus=await service.start())) as rig:
+        await until(lambda: service.subscriptions)
+        assert service.subscriptions == [b"from 1\n"]
+        service.publish(topology_event(2, target_entry("s-1", port)))
         await until(lambda: "s-1" in rig.node.dispatcher.endpoint_table.by_uid)
         client = await rig.client()
         client.ask()
         assert (await client.answer())[1] == 0
-        assert bus.writer is not None
-        bus.writer.close()
-        await until(lambda: len(bus.subscriptions) == 2)
-        assert bus.subscriptions[1] == b"from 2\n"
+        assert service.writer is not None
+        service.writer.close()
+        await until(lambda: len(service.subscriptions) == 2)
+        assert service.subscriptions[1] == b"from 2\n"
 
 
 @on_uvloop
-async def test_a_beat_beyond_what_came_and_a_bad_line_make_it_connect_anew() -> None:
-    bus = Bus()
-    async with running(make_config(bus=await bus.start())) as rig:
-        await until(lambda: bus.subscriptions)
-        bus.publish(5)
-        await until(lambda: len(bus.subscriptions) == 2)
-        assert bus.subscriptions[1] == b"from 1\n"
-        bus.publish('{"offset":2,')
-        await until(lambda: len(bus.subscriptions) == 3)
-        bus.publish('{"offset":2,')  # again: read past, the connection goes on
-        bus.publish(topology_event(3, target_entry("s-3", 9)))
+async def test_a_heartbeat_beyond_what_came_and_an_invalid_line_make_it_connect_anew() -> None:
+    service = ScriptedDiscoveryService()
+    async with running(make_config(bus=await service.start())) as rig:
+        await until(lambda: service.subscriptions)
+        service.publish(5)
+        await until(lambda: len(service.subscriptions) == 2)
+        assert service.subscriptions[1] == b"from 1\n"
+        service.publish('{"offset":2,')
+        await until(lambda: len(service.subscriptions) == 3)
+        service.publish('{"offset":2,')  # again: skipped, the connection goes on
+        service.publish(topology_event(3, target_entry("s-3", 9)))
         await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
-        assert len(bus.subscriptions) == 3
+        assert len(service.subscriptions) == 3
         assert rig.node.watch_client is not None
         assert rig.node.watch_client.last_offset == 3
 
 
 @on_uvloop
-async def test_sighup_moves_to_another_bus_and_keeps_the_old_one_until_it_is_up(
+async def test_sighup_moves_to_another_service_and_keeps_the_old_one_until_it_is_up(
     tmp_path: Path,
 ) -> None:
-    old = Bus()
-    new = Bus()
-    late = Bus()
+    old = ScriptedDiscoveryService()
+    new = ScriptedDiscoveryService()
+    late = ScriptedDiscoveryService()
     path = tmp_path / "config.json"
     first = await old.start()
 
@@ -121,28 +148,27 @@
     config = make_config(bus=first)
     async with running(config, {"PROXY_CONFIG": str(path)}) as rig:
         await until(lambda: old.subscriptions)
-        # wholly or not at all, and the key is named
-        reload(rig, configuration("127.0.0.1:x"))
+        # a faulty file changes nothing, and the key is named
+        reload(rig, config_text("127.0.0.1:x"))
         await until(lambda: any("bus: '127.0.0.1:x'" in line for line in rig.logged))
         reload(rig, "{")
         await until(lambda: sum("stays as it was" in line for line in rig.logged) == 2)
         empty = free_port()
-        reload(rig, configuration(f"127.0.0.1:{empty}"))
+        reload(rig, config_text(f"127.0.0.1:{empty}"))
         await until(lambda: any("no connection" in line for line in rig.logged))
-        old.publish(
-            topology_event(2, target_entry("s-2", 9))
-        )  # nobody listens at the new address yet
+        # nothing listens at the new address yet
+        old.publish(topology_event(2, target_entry("s-2", 9)))
         await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
-        reload(rig, configuration(f"127.0.0.1:{await new.start()}"))
+        reload(rig, config_text(f"127.0.0.1:{await new.start()}"))
         await until(lambda: new.subscriptions)
         assert new.subscriptions == [b"from 2\n"]
         assert len(old.subscriptions) == 1
-        new.publish(topology_event(2, target_entry("s-9", 9)))  # told already
+        new.publish(topology_event(2, target_entry("s-9", 9)))  # known already
         new.publish(topology_event(3, target_entry("s-3", 9)))
         await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
         assert "s-9" not in rig.node.dispatcher.endpoint_table.by_uid
         rig.node.shutdown.begun_at_ns = 1
-        reload(rig, configuration(f"127.0.0.1:{await late.start()}"))
+        reload(rig, config_text(f"127.0.0.1:{await late.start()}"))
         await until(lambda: any("not during the drain" in line for line in rig.logged))
         assert not late.subscriptions
 
@@ -151,24 +177,37 @@
 async def test_a_service_that_stops_within_an_event_is_connected_to_again_within_2_s(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    bus = Bus()
-    async with running(make_config(bus=await bus.start())) as rig:
-        await until(lambda: bus.subscriptions)
-        bus.publish(1)
-        assert bus.writer is not None
+    service = ScriptedDiscoveryService()
+    async with running(make_config(bus=await service.start())) as rig:
+        await until(lambda: service.subscriptions)
+        service.publish(1)
+        assert service.writer is not None
         assert rig.node.watch_client is not None
-        bus.writer.write(b'{"offset":2,"topo')
+        service.writer.write(b'{"offset":2,"topo')
         watch_client = rig.node.watch_client
         await until_part_of_a_line_has_come(watch_client)
-        check_after_silence(watch_client, 1_500, monkeypatch)  # a beat may be late
+        check_after_silence(watch_client, 1_500, monkeypatch)  # a heartbeat may be late
         assert not watch_client.connection.transport.is_closing()  # type: ignore[union-attr]
         check_after_silence(watch_client, 2_000, monkeypatch)
-        await until(lambda: len(bus.subscriptions) == 2)
-        assert bus.subscriptions[1] == b"from 1\n"
-        bus.publish(topology_event(2, target_entry("s-2", 9)))
+        await until(lambda: len(service.subscriptions) == 2)
+        assert service.subscriptions[1] == b"from 1\n"
+        service.publish(topology_event(2, target_entry("s-2", 9)))
         await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
 
 
+def record_offsets(watch_client: WatchClient) -> list[int]:
+    """Return the list to which the offset of each event is added that the client passes on."""
+    offsets: list[int] = []
+    pass_on = watch_client.on_event
+
+    def record(event: EndpointListEvent) -> None:
+        offsets.append(event.offset)
+        pass_on(event)
+
+    watch_client.on_event = record
+    return offsets
+
+
 async def until_part_of_a_line_has_come(watch_client: WatchClient) -> None:
     """Wait until the connection holds a line whose end has not come."""
     await until(
@@ -176,57 +215,48 @@
     )
 
 
-async def drained_is_left_out(
-    rig: Rig, client: Client, drained: Engine, other: Engine, first: int
+async def assert_drained_gets_nothing(
+    client: Client, engines: LeavingAndOther, first_stream: int
 ) -> None:
-    """Requests from now on go to the other engine alone."""
-    before = len(drained.commands_named(b"do"))
-    for stream in range(first, first + 8):
+    """Send eight requests: all of them go to the engine that stays."""
+    before = len(engines.leaving.commands_named(b"do"))
+    for stream in range(first_stream, first_stream + 8):
         client.ask(stream, trace=f"{stream:016x}")
         assert (await client.answer())[:2] == (stream, 0)
-    assert len(drained.commands_named(b"do")) == before
-    assert other.commands_named(b"do")
+    assert len(engines.leaving.commands_named(b"do")) == before
+    assert engines.other.commands_named(b"do")
 
 
 @on_uvloop
 async def test_watches_that_fall_silent_and_drains_notified_just_after(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The old connection stays open and says nothing, in the middle of a line; what it still says
-    once the next one is up counts for nothing, and what is told twice counts once.
+    """The old connection stays open and silent, in the middle of a line; what it still sends once
+    the next one is up is not read, and an event that comes twice counts once.
     """
-    bus = Bus()
-    leaving = Engine()
-    other = Engine()
-    targets = [target_entry("s-1", await leaving.start()), target_entry("s-2", await other.start())]
-    async with running(make_config(*targets, bus=await bus.start())) as rig:
-        await until(lambda: bus.writer)
-        old = bus.writer
+    service = ScriptedDiscoveryService()
+    engines = await start_leaving_and_other()
+    async with running(make_config(*engines.targets, bus=await service.start())) as rig:
+        await until(lambda: service.writer)
+        old = service.writer
         watch_client = rig.node.watch_client
         assert old is not None
         assert watch_client is not None
-        offsets: list[int] = []
-        take = watch_client.on_event
-
-        def count(event: EndpointListEvent) -> None:
-            offsets.append(event.offset)
-            take(event)
-
-        watch_client.on_event = count
-        drain = topology_event(2, {**targets[0], "state": "terminating"})
+        offsets = record_offsets(watch_client)
+        drain = engines.drain(2)
         line = json.dumps(drain).encode() + b"\n"
         old.write(line[:40])
         await until_part_of_a_line_has_come(watch_client)
         check_after_silence(watch_client, 2_000, monkeypatch)
-        await until(lambda: len(bus.subscriptions) == 2 and bus.writer is not old)
-        assert bus.subscriptions[1] == b"from 1\n"
+        await until(lambda: len(service.subscriptions) == 2 and service.writer is not old)
+        assert service.subscriptions[1] == b"from 1\n"
         old.write(line[40:] + b'{"offset":3,"topology":{"rev":3,"all":true,"targets":[]}}\n')
-        bus.publish(drain)
+        service.publish(drain)
         await until(lambda: watch_client.last_offset == 2)
-        bus.publish(drain)
+        service.publish(drain)
         client = await rig.client()
-        await drained_is_left_out(rig, client, leaving, other, 1)
-        bus.publish(topology_event(3))
+        await assert_drained_gets_nothing(client, engines, 1)
+        service.publish(topology_event(3))
         await until(lambda: watch_client.last_offset == 3)
         assert offsets == [2, 3]
         assert set(rig.node.dispatcher.endpoint_table.by_uid) == {"s-1", "s-2"}
@@ -234,51 +264,46 @@
 
 @on_uvloop
 async def test_discovery_is_back_with_drains_in_its_first_moments() -> None:
-    """It refused; its first lines are the drains that were told meanwhile, and requests are under
-    way.
+    """It refused connects; its first lines are the drains of the time between, while requests are
+    in flight.
     """
-    bus = Bus()
-    leaving = Engine()
-    other = Engine()
+    service = ScriptedDiscoveryService()
+    engines = await start_leaving_and_other()
     port = free_port()
-    targets = [target_entry("s-1", await leaving.start()), target_entry("s-2", await other.start())]
-    async with running(make_config(*targets, bus=port)) as rig:
+    async with running(make_config(*engines.targets, bus=port)) as rig:
         await until(lambda: any("no connection" in line for line in rig.logged))
         client = await rig.client()
         client.ask(1, trace="1" * 16)
-        assert (await client.answer())[:2] == (1, 0)  # what is known serves
-        bus.server = await asyncio.start_server(bus._serve_client, "127.0.0.1", port)
-        await until(lambda: bus.subscriptions)
-        # out of turn: asked for again, not taken
-        bus.publish(topology_event(3, {**targets[1], "capacity_hint": 9}))
-        await until(lambda: len(bus.subscriptions) == 2)
-        assert bus.subscriptions == [b"from 1\n", b"from 1\n"]
-        bus.publish(topology_event(2, {**targets[0], "state": "terminating"}))
+        assert (await client.answer())[:2] == (1, 0)  # the known endpoints serve
+        service.server = await asyncio.start_server(service._serve_client, "127.0.0.1", port)
+        await until(lambda: service.subscriptions)
+        # out of turn: requested again, not applied
+        service.publish(topology_event(3, {**engines.targets[1], "capacity_hint": 9}))
+        await until(lambda: len(service.subscriptions) == 2)
+        assert service.subscriptions == [b"from 1\n", b"from 1\n"]
+        service.publish(engines.drain(2))
         await until(
             lambda: rig.node.watch_client is not None and rig.node.watch_client.last_offset == 2
         )
-        await drained_is_left_out(rig, client, leaving, other, 2)
+        await assert_drained_gets_nothing(client, engines, 2)
 
 
 @on_uvloop
 async def test_a_new_address_while_the_old_connection_has_part_of_a_line(
     tmp_path: Path,
 ) -> None:
-    old = Bus()
-    new = Bus()
-    leaving = Engine()
-    other = Engine()
-    targets = [target_entry("s-1", await leaving.start()), target_entry("s-2", await other.start())]
-    config = make_config(*targets, bus=await old.start())
+    old = ScriptedDiscoveryService()
+    new = ScriptedDiscoveryService()
+    engines = await start_leaving_and_other()
+    config = make_config(*engines.targets, bus=await old.start())
     moved = write_config(tmp_path, bus=f"127.0.0.1:{await new.start()}", limits={"sockets": 256})
     async with running(config, moved) as rig:
         await until(lambda: old.writer)
         watch_client = rig.node.watch_client
         assert watch_client is not None
         assert old.writer is not None
-        line = (
-            json.dumps(topology_event(2, {**targets[1], "state": "terminating"})).encode() + b"\n"
-        )
+        stale_drain = topology_event(2, {**engines.targets[1], "state": "terminating"})
+        line = json.dumps(stale_drain).encode() + b"\n"
         old.writer.write(line[:50])
         await until_part_of_a_line_has_come(watch_client)
         before = watch_client.connection
@@ -287,7 +312,7 @@
         await until(lambda: new.subscriptions and before.transport is None)
         assert new.subscriptions == [b"from 1\n"]
         old.writer.write(line[50:])  # late, from an address that is not in force any more
-        new.publish(topology_event(2, {**targets[0], "state": "terminating"}))
+        new.publish(engines.drain(2))
         await until(lambda: watch_client.last_offset == 2)
-        await drained_is_left_out(rig, await rig.client(), leaving, other, 1)
+        await assert_drained_gets_nothing(await rig.client(), engines, 1)
         assert len(old.subscriptions) == 1
--- a/tests/dispatch/test_client_races.py
+++ b/tests/dispatch/test_client_races.py
@@ -10,6 +10,7 @@
 
 import pytest
 
+from query_broker.emulator.discovery_service import ScriptedDiscoveryService
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.client_connection import ClientConnection
@@ -20,7 +21,6 @@
 from ..support.sockets import (
     STATEMENT,
     TRACE,
-    Bus,
     Client,
     Engine,
     Rig,
@@ -75,7 +75,7 @@
     None
 ):
     engine = Engine()
-    discovery = Bus()
+    discovery = ScriptedDiscoveryService()
     port = free_port()
     spare_port = await engine.start()
     config = make_config(listed=False, bus=port)
