--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-written transcripts of the wire."""
+"""The adapter on hand-written transcripts of the simulator's wire."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 import os
 import subprocess
 import sys
-from pathlib import Path
 from typing import Any
 
 import pytest
 
 from query_broker.config import parse_settings
 
-ROOT = Path(__file__).parents[2]
-MS = 1_000_000
-FACTS: dict[str, Any] = {
+from ..support.helpers import MS, S
+from ..support.sockets import ROOT
+
+SETTINGS: dict[str, Any] = {
     "classes": [
         {
             "name": "short",
             "aim": 500 * MS,
-            "deadline": 5000 * MS,
+            "deadline": 5 * S,
             "worth": 1.0,
             "effect": "read_like",
             "late_value": 0.1,
@@ -32,24 +32,26 @@
     "zone": "a",
     "kinds": ["box"],
     "unheard_of": {"x": 1},
-    "policy_limits": {"cancel": True, "send_cap": 3, "max_retry_after": 2000 * MS},
+    "policy_limits": {"cancel": True, "send_cap": 3, "max_retry_after": 2 * S},
     "report": {"via": "piggyback", "fields": ["busy", "q"]},
     "specifics": {"size_cores": [4], "parallelism": [1]},
 }
-BEGIN = f"BEGIN\ti=gateway/0\tnonce64=5\tfacts={json.dumps(FACTS)}\n"
-LIST = (
+BEGIN = f"BEGIN\ti=gateway/0\tnonce64=5\tfacts={json.dumps(SETTINGS)}\n"
+ENDPOINT_LIST = (
     "TABLE\tlist=0\tmembers_list=1\n"
     "ROW\tbay=0\tpower_hint=1\tstage_state=SERVING\tarea=a\tclass_of_host=box\tengine=51\n"
     "TARGETS\ti=gateway/0\tmode=C\tlist=0\tversion=1\n"
 )
-INGRESS = "INGRESS\ti=gateway/0\treq=r-1\tkind=short\tpatience_left=4000000000\texpected=90000000\n"
+ARRIVAL = "INGRESS\ti=gateway/0\treq=r-1\tkind=short\tpatience_left=4000000000\texpected=90000000\n"
 
 
-def frame(number: int, body: str = "", clock: int = 1000 * MS) -> str:
-    return f"TURN\tclock={clock}\tframe={number}\n{body}FLUSH\n"
+def batch(number: int, body: str = "", clock_ns: int = S) -> str:
+    """Return the lines of a batch; the wire calls it a frame."""
+    return f"TURN\tclock={clock_ns}\tframe={number}\n{body}FLUSH\n"
 
 
-def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
+    """Run the adapter on this input to its end."""
     return subprocess.run(
         [sys.executable, "-m", "query_broker.simulator_adapter"],
         input=text,
@@ -61,89 +63,100 @@
     )
 
 
-def test_empty_batch() -> None:
-    done = run(frame(1))
-    assert (done.returncode, done.stdout) == (0, "READY\tframe=1\n")
+def test_an_empty_batch_is_answered_as_ready() -> None:
+    process = run_adapter(batch(1))
+    assert (process.returncode, process.stdout) == (0, "READY\tframe=1\n")
 
 
-def test_request_is_sent_and_settled() -> None:
+def test_a_request_is_dispatched_and_its_outcome_taken() -> None:
     outcome = (
         "FINISHED\ti=gateway/0\treq=r-1\tdone_flag=1\ttime_taken=90000000\tn=0\treason=served"
         "\tengine=51\treport=0.5,0\n"
     )
-    done = run(
-        frame(1, BEGIN + LIST)
-        + frame(2, INGRESS)
-        + frame(3, outcome)
-        + frame(4, INGRESS.replace("r-1", "r-2") + "NEWS_OF_TOMORROW\ti=gateway/0\tx=1\n")
+    process = run_adapter(
+        batch(1, BEGIN + ENDPOINT_LIST)
+        + batch(2, ARRIVAL)
+        + batch(3, outcome)
+        + batch(4, ARRIVAL.replace("r-1", "r-2") + "NEWS_OF_TOMORROW\ti=gateway/0\tx=1\n")
     )
-    assert done.returncode == 0, done.stderr
-    lines = done.stdout.splitlines()
+    assert process.returncode == 0, process.stderr
+    lines = process.stdout.splitlines()
     assert "FORWARD\ti=gateway/0\treq=r-1\tengine=51\tallow_for=4000000000" in lines
     assert "FORWARD\ti=gateway/0\treq=r-2\tengine=51\tallow_for=4000000000" in lines
     assert lines[-1] == "READY\tframe=4"
 
 
-def test_same_actions_whatever_the_hash_seed() -> None:
-    text = frame(1, BEGIN + LIST) + "".join(
-        frame(i, INGRESS.replace("r-1", f"r-{i}")) for i in range(2, 40)
+def test_the_actions_are_the_same_whatever_the_hash_seed() -> None:
+    text = batch(1, BEGIN + ENDPOINT_LIST) + "".join(
+        batch(number, ARRIVAL.replace("r-1", f"r-{number}")) for number in range(2, 40)
     )
-    assert run(text, "1").stdout == run(text, "2").stdout
+    assert run_adapter(text, "1").stdout == run_adapter(text, "2").stdout
 
 
-def test_crash_forgets_the_instance() -> None:
-    done = run(frame(1, BEGIN + LIST) + frame(2, "CRASH_NOW\ti=gateway/0\n") + frame(3, INGRESS))
-    assert done.returncode == 2
-    assert "frame 3" in done.stderr
-    assert "never began" in done.stderr
+def test_a_crash_forgets_the_instance() -> None:
+    process = run_adapter(
+        batch(1, BEGIN + ENDPOINT_LIST) + batch(2, "CRASH_NOW\ti=gateway/0\n") + batch(3, ARRIVAL)
+    )
+    assert process.returncode == 2
+    assert "frame 3" in process.stderr
+    assert "never began" in process.stderr
 
 
 @pytest.mark.parametrize(
-    ("body", "says"),
+    ("body", "reason"),
     [
-        (INGRESS, "never began"),
+        (ARRIVAL, "never began"),
         ("req=r-1\ti=gateway/0\n", "without its name"),
-        (BEGIN + LIST + INGRESS.replace("4000000000", "soon"), "patience_left"),
+        (BEGIN + ENDPOINT_LIST + ARRIVAL.replace("4000000000", "soon"), "patience_left"),
         (BEGIN + "TARGETS\ti=gateway/0\tmode=F\tlist=9\tversion=1\n", "never laid out"),
-        (BEGIN + LIST + "INGRESS\ti=gateway/0\tbroken\n", "name=value"),
+        (BEGIN + ENDPOINT_LIST + "INGRESS\ti=gateway/0\tbroken\n", "name=value"),
         ("BEGIN\ti=gateway/0\tnonce64=5\tfacts={\n", "facts"),
     ],
+    ids=[
+        "unknown instance",
+        "no name",
+        "timeout is no number",
+        "unknown list",
+        "no value",
+        "settings cut",
+    ],
 )
-def test_malformed_input_ends_with_one_plain_line(body: str, says: str) -> None:
-    done = run(frame(7, body))
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1
-    assert says in done.stderr
-    assert "frame 7" in done.stderr
+def test_malformed_input_ends_with_one_plain_line(body: str, reason: str) -> None:
+    process = run_adapter(batch(7, body))
+    assert process.returncode == 2
+    assert len(process.stderr.splitlines()) == 1
+    assert reason in process.stderr
+    assert "frame 7" in process.stderr
 
 
-def test_input_that_ends_inside_a_batch() -> None:
-    assert run("TURN\tclock=1\tframe=1\n").returncode == 2
+def test_input_that_ends_inside_a_batch_is_malformed() -> None:
+    assert run_adapter("TURN\tclock=1\tframe=1\n").returncode == 2
 
 
-def test_fault_of_the_module_is_declared() -> None:
-    done = run(frame(1, BEGIN + LIST + INGRESS.replace("kind=short", "kind=unheard")))
-    assert done.returncode == 0
-    assert "BUG\ti=gateway/0\tbody_text=ValueError: class_name" in done.stdout
-    assert "Traceback" in done.stderr
+def test_a_fault_of_the_decisions_is_declared() -> None:
+    process = run_adapter(
+        batch(1, BEGIN + ENDPOINT_LIST + ARRIVAL.replace("kind=short", "kind=unheard"))
+    )
+    assert process.returncode == 0
+    assert "BUG\ti=gateway/0\tbody_text=ValueError: class_name" in process.stdout
+    assert "Traceback" in process.stderr
 
 
-@pytest.mark.parametrize(("key", "value"), [("classes", []), ("fleet_size", 0), ("tick", None)])
-def test_bad_settings_name_their_key(key: str, value: object) -> None:
-    facts = {**FACTS, key: value}
+@pytest.mark.parametrize(
+    ("key", "value"),
+    [("classes", []), ("fleet_size", 0), ("tick", None)],
+    ids=["no classes", "fleet_size 0", "no tick"],
+)
+def test_invalid_settings_name_their_key(key: str, value: object) -> None:
+    settings = {**SETTINGS, key: value}
     if value is None:
-        del facts[key]
+        del settings[key]
     with pytest.raises(ValueError, match=key):
-        parse_settings(facts)
-
+        parse_settings(settings)
 
-def test_unknown_effect_is_named() -> None:
-    facts = {**FACTS, "classes": [{**FACTS["classes"][0], "effect": "odd"}]}
-    with pytest.raises(ValueError, match="effect"):
-        parse_settings(facts)
 
-
-def test_unknown_group_is_named() -> None:
-    facts = {**FACTS, "classes": [{**FACTS["classes"][0], "group": "odd"}]}
-    with pytest.raises(ValueError, match="group"):
-        parse_settings(facts)
+@pytest.mark.parametrize("key", ["effect", "group"])
+def test_an_unknown_value_of_a_class_names_its_key(key: str) -> None:
+    settings = {**SETTINGS, "classes": [{**SETTINGS["classes"][0], key: "odd"}]}
+    with pytest.raises(ValueError, match=key):
+        parse_settings(settings)
