--- a/tests/clickhouse/test_rules.py
+++ b/tests/clickhouse/test_rules.py
@@ -23,6 +23,7 @@
 
 
 def request_facts(text: str = "SELECT 1", **more: Any) -> RequestFacts:
+    """Return what the rules know of a request with this statement."""
     defaults: dict[str, Any] = {
         "user": "ann",
         "path": "/",
--- a/tests/clickhouse/test_sessions.py
+++ b/tests/clickhouse/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: sticky, locked while in use, bounded, and gone with their engine."""
+"""Sessions: sticky, locked while in use, bounded, and lost with their engine."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..support.helpers import S
 
 
-def test_a_session_is_sticky_and_one_whose_engine_has_gone_is_notified_once() -> None:
+def test_a_session_is_sticky_and_one_whose_engine_was_removed_is_notified_once() -> None:
     sessions = Sessions()
     session = sessions.begin("ann", "s", 0)
     with pytest.raises(QueryError, match="locked"):
--- a/tests/clickhouse/test_statement.py
+++ b/tests/clickhouse/test_statement.py
@@ -77,6 +77,6 @@
     assert read(text).does in StatementKind
 
 
-def test_statements_are_read_no_further_than_their_kind_needs() -> None:
+def test_statements_are_read_only_as_far_as_their_kind_needs() -> None:
     assert read("SELECT 1 " + "x" * 1_000_000).does is StatementKind.READ
     assert Statement("SELECT", StatementKind.READ) == read("SELECT 1")
--- a/tests/dispatch/test_draining_endpoints.py
+++ b/tests/dispatch/test_draining_endpoints.py
@@ -8,7 +8,7 @@
 
 
 def test_with_every_open_engine_ejected_a_draining_one_keeps_none_of_them_shut() -> None:
-    """Where all are ejected, all are tried; a draining endpoint in good health can't be tried."""
+    """Where all are ejected, all get trials; a draining endpoint in good health can't get any."""
     harness = Harness(make_settings(query_class(deadline_ns=60 * S)), entry(1), entry(2), entry(3))
     harness.do(
         api.EndpointListUpdate(
--- a/tests/dispatch/test_engine_connection_races.py
+++ b/tests/dispatch/test_engine_connection_races.py
@@ -56,6 +56,7 @@
         self.port = int(self.listener.getsockname()[1])
 
     async def accept(self) -> Client:
+        """Accept the next connection; the client's streams serve the engine's side as well."""
         accepted, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         return Client(*await asyncio.open_connection(sock=accepted))
 
@@ -66,6 +67,7 @@
 
 @pytest.fixture
 def engine_listener() -> Iterator[EngineWithFullQueue]:
+    """An engine that is closed once the test is over."""
     engine = EngineWithFullQueue()
     yield engine
     engine.listener.close()
--- a/tests/protocols/test_engine_answers.py
+++ b/tests/protocols/test_engine_answers.py
@@ -84,7 +84,7 @@
         client.ask(stream=1, route="stock-add", patience="20000", trace="1" * 16, weight="1.0")
         await until(lambda: len(received_ids) == 1)
         client.ask(stream=2, patience="4000")
-        # retried, well before its time is up
+        # retried, well before its timeout
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert received_ids == [b"1" * 16, TRACE.encode(), TRACE.encode()]
         endpoints = rig.node.dispatcher.facade.controller.endpoints.values()
