--- a/tests/cells/test_planner.py
+++ b/tests/cells/test_planner.py
@@ -73,7 +73,9 @@
             id="four apart in three cells",
         ),
         pytest.param({"max_load": 0.5}, id="less load than there is"),
-        pytest.param({"fixed_cells": {"t1": "b"}, "max_moves": 0}, id="a migration where none may be"),
+        pytest.param(
+            {"fixed_cells": {"t1": "b"}, "max_moves": 0}, id="a migration where none may be"
+        ),
     ],
 )
 def test_terms_that_no_placement_satisfies_are_rejected(terms: dict[str, Any]) -> None:
