--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -237,20 +237,20 @@
     heap: list[tuple[float, int, PacedCalls]] = []
     for me in range(count):
         mine, at = PacedCalls(me, count, RATE, draw.random), draw.random()
-        heap.append((mine.first_at(int(at * S)) / S if paced else at, me, mine))
+        heap.append((mine.first_call_ns(int(at * S)) / S if paced else at, me, mine))
     heapq.heapify(heap)
     while heap:
         now, me, mine = heapq.heappop(heap)
         calls.append(now)
         # as it was: 0.05 to 0.4 s, doubled, half to the whole
         if script.active_fault(FaultKind.REJECT, "bus"):
-            was = min(0.4, 0.05 * 2**mine.failed) * (0.5 + draw.random() / 2)
-            again = mine.retry_at(int(now * S)) / S
+            was = min(0.4, 0.05 * 2**mine.failure_count) * (0.5 + draw.random() / 2)
+            again = mine.retry_ns(int(now * S)) / S
             heapq.heappush(heap, (again if paced else now + was, me, mine))
             continue
         connected = [t for t in resets if t > now]
         if connected:  # its connection is reset then, and it calls again
-            again = mine.retry_at(int(connected[0] * S)) / S
+            again = mine.retry_ns(int(connected[0] * S)) / S
             heapq.heappush(
                 heap, (again if paced else connected[0] + 0.05 * draw.random(), me, mine)
             )
@@ -263,7 +263,7 @@
         )
         probes.append(asked)
         ramp, at = AdmissionRamp(terms, int(now * S)), int(now * S)
-        while paced and not ramp.complete():
+        while paced and not ramp.is_complete():
             at += S
             ramp.step(at, 4, 0)
         full.append(at / S)
@@ -323,7 +323,7 @@
             else {}
         )
         broker.report(CoProcessLoad(left, 1))
-        if ramp.complete():
+        if ramp.is_complete():
             full.append((sim.now_ns - BEGIN_NS) / S)
         else:
             sim.call_at(sim.now_ns + S, lambda: ramps(broker, ramp, seen))
@@ -348,7 +348,7 @@
     for me in range(brokers):
         broker = SimulatedBroker(sim, sim_settings(me, brokers), me, engines)
         begun = sim.now_ns + sim.random.randrange(S)
-        first_call = PacedCalls(me, brokers, RATE, sim.random.random).first_at(begun)
+        first_call = PacedCalls(me, brokers, RATE, sim.random.random).first_call_ns(begun)
         sim.call_at(first_call if paced else begun, partial(listed, broker))
     mean = 0.9 * 0.2 * S + 0.1 * 4 * S
     gap = int(mean / (LOAD * 8 * len(engines)))
--- a/query_broker/startup/bounds.py
+++ b/query_broker/startup/bounds.py
@@ -11,27 +11,33 @@
 
 
 def bound_lines(settings: StartupSettings, place: int, fleet_size: int) -> list[str]:
-    """Return the lines; ``place`` is this broker's in the fleet."""
-    contact_s = call_window_ns(fleet_size, settings.endpoint_probes_per_s) / NS_PER_SECOND
-    text = [
+    """Return the lines.
+
+    Args:
+        settings: The settings of the start.
+        place: Place of this broker in the fleet.
+        fleet_size: Number of brokers.
+    """
+    all_probed_s = call_window_ns(fleet_size, settings.endpoint_probes_per_s) / NS_PER_SECOND
+    lines = [
         _discovery_line(settings, place, fleet_size),
-        _contact_line(settings, contact_s),
+        _contact_line(settings, all_probed_s),
         _connections_line(settings, fleet_size),
         _ramp_line(settings),
     ]
-    enough_contacts_s = contact_s * settings.contact_fraction
+    enough_contacts_s = all_probed_s * settings.contact_fraction
     if enough_contacts_s > settings.contact_wait_ns / NS_PER_SECOND:
-        text.append(
+        lines.append(
             f"start: contact_wait ends before {settings.contact_fraction:g} of the engines can be "
             f"heard of ({enough_contacts_s:.2f} s): the time-out ends this stage"
         )
     if settings.snapshot_path:
-        text.append(
+        lines.append(
             f"start: the last list in {settings.snapshot_path} is used after "
             f"{settings.list_wait_ns / NS_PER_SECOND:g} s without the bus, if it is not older than "
             f"{settings.snapshot_max_age_ns / NS_PER_SECOND:g} s"
         )
-    return text
+    return lines
 
 
 def _discovery_line(settings: StartupSettings, place: int, fleet_size: int) -> str:
@@ -45,11 +51,11 @@
     )
 
 
-def _contact_line(settings: StartupSettings, contact_s: float) -> str:
+def _contact_line(settings: StartupSettings, all_probed_s: float) -> str:
     return (
         f"start: {settings.endpoint_probes_per_s:g} brokers a second ask each engine, all in "
-        f"{contact_s:.2f} s; ready once {settings.contact_fraction:g} of the engines are heard of, "
-        f"or after {settings.contact_wait_ns / NS_PER_SECOND:g} s"
+        f"{all_probed_s:.2f} s; ready once {settings.contact_fraction:g} of the engines are heard "
+        f"of, or after {settings.contact_wait_ns / NS_PER_SECOND:g} s"
     )
 
 
--- a/query_broker/startup/client_gate.py
+++ b/query_broker/startup/client_gate.py
@@ -1,7 +1,7 @@
-"""New clients are read one after the other until all of the admission is open.
+"""Rate limit on the new client connections that are read, until all of the admission is open.
 
-A front end that finds this broker again hands it all that it holds back, on many connections at
-once: those that are read at once would keep the others from their answers.
+A front end that finds this broker again sends all requests that it has queued, on many connections
+at once. To read all of them at once would delay the answers to each.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 
 
 class ClientGate:
-    """Clients that are connected and not read yet, in their order."""
+    """Defers reading from new clients, and resumes it in the order in which they connected."""
 
     def __init__(self, limiter: RateLimiter) -> None:
-        """Begin with no client."""
+        """Begin with no client; ``limiter`` decides how many are read a second."""
         self._limiter = limiter
-        self._waiting: dict[ClientConnection, None] = {}  # in the place of a set, for its order
+        self._deferred: dict[ClientConnection, None] = {}  # an ordered set
 
     def connected(self, client: ClientConnection, now: int) -> None:
-        """Read a new client at once, or when its turn comes."""
-        if not self._waiting and self._limiter.try_acquire(now):
+        """Read a new client at once, or defer it."""
+        if not self._deferred and self._limiter.try_acquire(now):
             return
         client.defer_reading()
-        self._waiting[client] = None
+        self._deferred[client] = None
 
     def release_due(self, now: int) -> None:
-        """Read the clients whose turn has come."""
-        while self._waiting and self._limiter.try_acquire(now):
+        """Read as many deferred clients as the rate allows now."""
+        while self._deferred and self._limiter.try_acquire(now):
             self._release_next()
 
     def release_all(self) -> None:
-        """Read all clients that wait."""
-        while self._waiting:
+        """Read all deferred clients."""
+        while self._deferred:
             self._release_next()
 
     def _release_next(self) -> None:
-        client = next(iter(self._waiting))
-        del self._waiting[client]
+        client = next(iter(self._deferred))
+        del self._deferred[client]
         client.resume_reading()
--- a/query_broker/startup/discovery_pace.py
+++ b/query_broker/startup/discovery_pace.py
@@ -20,41 +20,53 @@
     """Is notified when the discovery service has nothing newer than this broker."""
 
     def confirmed(self) -> None:
-        """The endpoint list is the service's."""
+        """The endpoint list is the one that the discovery service has."""
 
 
 class DiscoveryPace:
-    """Implements ``watch_client.Pace``: by the place in the fleet, then by full jitter."""
+    """Implements ``watch_client.Pace``: by the place in the fleet, then by full jitter.
+
+    Attributes:
+        first_wait_s: Seconds until the first call.
+    """
 
     def __init__(
         self, calls: PacedCalls, now: Callable[[], int], listener: ConfirmationListener
     ) -> None:
-        """Draw the slot of the first call."""
+        """Draw the slot of the first call.
+
+        Args:
+            calls: Decides when this broker calls.
+            now: Returns the Unix time in nanoseconds.
+            listener: Is notified when the list is confirmed.
+        """
         self._calls = calls
         self._now = now
         self._listener = listener
-        begun = now()
-        self.first_wait_s = (calls.first_at(begun) - begun) / NS_PER_SECOND
+        now_ns = now()
+        self.first_wait_s = (calls.first_call_ns(now_ns) - now_ns) / NS_PER_SECOND
 
     def resize(self, place: int, fleet_size: int) -> None:
-        """Go by another place in a fleet of another size."""
+        """Set the place of this broker and the size of the fleet."""
         self._calls.place = place
         self._calls.fleet_size = fleet_size
 
     def next_wait_s(self) -> float:
         """Return the seconds to the next call, after one that failed."""
         now = self._now()
-        return (self._calls.retry_at(now) - now) / NS_PER_SECOND
+        return (self._calls.retry_ns(now) - now) / NS_PER_SECOND
 
     def connect_timeout_s(self) -> float:
         """Return the seconds in which a connection has to come up."""
-        least_ns = int(CONNECT_TIMEOUT_S * NS_PER_SECOND)
-        timeout_ns = backoff_timeout_ns(self._calls.failed, least_ns, MAX_CONNECT_TIMEOUT_NS)
+        min_timeout_ns = int(CONNECT_TIMEOUT_S * NS_PER_SECOND)
+        timeout_ns = backoff_timeout_ns(
+            self._calls.failure_count, min_timeout_ns, MAX_CONNECT_TIMEOUT_NS
+        )
         return timeout_ns / NS_PER_SECOND
 
     def silence_limit_ns(self) -> int:
         """Return the nanoseconds of silence after which a connection is given up."""
-        return backoff_timeout_ns(self._calls.failed, SILENCE_LIMIT_NS, MAX_SILENCE_NS)
+        return backoff_timeout_ns(self._calls.failure_count, SILENCE_LIMIT_NS, MAX_SILENCE_NS)
 
     def list_confirmed(self) -> None:
         """The service has sent, or confirmed, what it has up to now."""
--- a/query_broker/startup/dispatcher_hooks.py
+++ b/query_broker/startup/dispatcher_hooks.py
@@ -1,4 +1,4 @@
-"""All that a start changes in the dispatcher, in one place, so that its end undoes it."""
+"""What a start changes in the dispatcher, and the way back when the ramp has ended."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StartupObserver(DispatchObserver):
-    """What the dispatcher asks of a start, beside what it notifies it of."""
+    """An observer of the dispatcher that also provides metrics and the pace of connections."""
 
     @abstractmethod
     def metrics(self) -> bytes:
@@ -24,12 +24,12 @@
 
 
 class DispatcherHooks:
-    """Registers a start with the dispatcher, and ends its influence when all is open."""
+    """Registers a start with the dispatcher, and undoes its changes when the ramp has ended."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        """Remember how connections are shared in service."""
+        """Remember how attempts share connections outside of a start."""
         self._dispatcher = dispatcher
-        self._own_connections_in_service = dispatcher.pools.dedicated_connections
+        self._dedicated_connections_after_ramp = dispatcher.pools.dedicated_connections
 
     def register(self, observer: StartupObserver) -> None:
         """Register the observer of a start."""
@@ -38,12 +38,12 @@
         self._dispatcher.pools.connect_pacing = observer.connect_delay_ns
 
     def register_adjustment(self, adjustment: Callable[[Settings], Settings]) -> None:
-        """Let the decisions go by settings that this function changes, from now on."""
+        """Let this function adjust the settings of the decisions, from now on."""
         self._dispatcher.extensions.settings_adjusters.append(adjustment)
         self._dispatcher.refresh_settings()
 
     def begin_ramp(self, retry_after_ns: Callable[[int], int]) -> None:
-        """Let this function widen the pause that rejections advise, in nanoseconds."""
+        """Let this function lengthen the backoff that rejections ask for, in nanoseconds."""
         self._dispatcher.extensions.retry_after_policy = retry_after_ns
 
     def reuse_connections(self) -> None:
@@ -54,8 +54,8 @@
         self._dispatcher.pools.dedicated_connections = False
 
     def end_ramp(self) -> None:
-        """Serve as if there had been no start."""
-        self._dispatcher.pools.dedicated_connections = self._own_connections_in_service
+        """Restore what the start has changed."""
+        self._dispatcher.pools.dedicated_connections = self._dedicated_connections_after_ramp
         self._dispatcher.pools.connect_pacing = None
         self._dispatcher.extensions.retry_after_policy = None
 
@@ -63,13 +63,13 @@
         """Begin a health check of an endpoint."""
         self._dispatcher.health_checks.start(now, endpoint)
 
-    def book_assumed_work(self, open_fraction: float) -> None:
-        """Book what is not open as the work of another process of this broker."""
+    def account_assumed_work(self, open_fraction: float) -> None:
+        """Account what is not open as the work of another process of this broker."""
         outstanding: dict[int, OutstandingWork] = {}
         if open_fraction < 1:
             facade = self._dispatcher.facade
-            widest = facade.widest_request_threads()
-            for endpoint, (threads, bound) in facade.quotas_and_bounds().items():
-                work = assumed_work(open_fraction, threads, bound, widest)
+            max_request_threads = facade.widest_request_threads()
+            for endpoint, (threads, max_backlog) in facade.quotas_and_bounds().items():
+                work = assumed_work(open_fraction, threads, max_backlog, max_request_threads)
                 outstanding[endpoint] = OutstandingWork(work.threads, work.backlog, 0)
         self._dispatcher.report_event(CoProcessLoad(outstanding, 1))
--- a/query_broker/startup/endpoint_snapshot.py
+++ b/query_broker/startup/endpoint_snapshot.py
@@ -1,7 +1,8 @@
 """The endpoint snapshot, the last endpoint list as the text of a file. Performs no I/O.
 
-The file has one head line, ``larchhall-list FORMAT SUM``, and one line of JSON. The sum has no key:
-it finds torn and altered files, not forged ones; the file lies where only the broker writes.
+The file has one head line, ``larchhall-list FORMAT CHECKSUM``, and one line of JSON. The checksum
+has no key: it detects torn and altered files, not forged ones; only the broker can write to the
+folder.
 """
 
 from __future__ import annotations
@@ -17,21 +18,24 @@
 FORMAT_VERSION = 1
 MAGIC = "larchhall-list"
 
-#: Bytes that are read of a file: far more than the largest list takes.
-MAX_BYTES = 16 << 20
+#: Fields of the head line: magic, format and checksum.
+HEAD_FIELD_COUNT = 3
 
-#: Size of the sum, in bytes.
-SUM_BYTES = 16
+#: Largest part of a file that is read, in bytes: far more than the largest list takes.
+MAX_FILE_BYTES = 16 << 20
+
+#: Size of the checksum, in bytes.
+CHECKSUM_BYTES = 16
 
 #: A snapshot from further in the future shows that the clock has been set back.
-MAX_AHEAD_NS = 5 * NS_PER_SECOND
+MAX_CLOCK_SETBACK_NS = 5 * NS_PER_SECOND
 
 #: Characters of a foreign installation's name that an error quotes.
 MAX_QUOTED_CHARACTERS = 60
 
 
 class EndpointSnapshotError(QueryBrokerError):
-    """Why a file is not used, as the end of a sentence that begins with its path."""
+    """A file that is not used; the text ends a sentence that begins with its path."""
 
 
 class MalformedSnapshotError(EndpointSnapshotError):
@@ -83,57 +87,57 @@
         "targets": snapshot.targets,
     }
     body = json.dumps(fields, separators=(",", ":"))
-    return f"{MAGIC} {FORMAT_VERSION} {_sum(body)}\n{body}\n"
+    return f"{MAGIC} {FORMAT_VERSION} {_checksum(body)}\n{body}\n"
 
 
-def decode(text: str, installation: str, now: int, most_age: int) -> EndpointSnapshot:
+def decode(text: str, installation: str, now: int, max_age_ns: int) -> EndpointSnapshot:
     """Read the text of a file.
 
     Args:
         text: The content of the file.
         installation: Name of this installation.
         now: Unix time in nanoseconds.
-        most_age: Age up to which a snapshot is used, in nanoseconds.
+        max_age_ns: Age up to which a snapshot is used, in nanoseconds.
 
     Raises:
-        EndpointSnapshotError: The file is not to be used; says why in a few words.
+        EndpointSnapshotError: The file must not be used; its subclasses say why.
     """
-    snapshot = _snapshot(_body(text))
+    snapshot = _parse_body(_verified_body(text))
     if snapshot.installation != installation:
         found = repr(snapshot.installation[:MAX_QUOTED_CHARACTERS])
         raise UnusableSnapshotError("is of installation " + found)
-    if snapshot.saved_at_ns > now + MAX_AHEAD_NS:
+    if snapshot.saved_at_ns > now + MAX_CLOCK_SETBACK_NS:
         problem = "is from the future: the clock has been set back, its age is not known"
         raise UnusableSnapshotError(problem)
     age_ns = now - snapshot.saved_at_ns
-    if age_ns > most_age:
+    if age_ns > max_age_ns:
         problem = f"is {age_ns / NS_PER_SECOND:.0f} s old"
         raise UnusableSnapshotError(problem)
     return snapshot
 
 
-def _sum(body: str) -> str:
-    return hashlib.blake2b(body.encode(), digest_size=SUM_BYTES).hexdigest()
+def _checksum(body: str) -> str:
+    return hashlib.blake2b(body.encode(), digest_size=CHECKSUM_BYTES).hexdigest()
 
 
-def _body(text: str) -> str:
-    """The JSON line of a file, once its head line and its sum have been checked."""
+def _verified_body(text: str) -> str:
+    """The JSON line of a file, once its head line and its checksum have been verified."""
     head, newline, rest = text.partition("\n")
     parts = head.split(" ")
-    if len(parts) != 3 or parts[0] != MAGIC or not parts[1].isdecimal():
+    if len(parts) != HEAD_FIELD_COUNT or parts[0] != MAGIC or not parts[1].isdecimal():
         problem = "is no list of ours"
         raise MalformedSnapshotError(problem)
-    _, version, written_sum = parts
+    _, version, written_checksum = parts
     if int(version) != FORMAT_VERSION:
         raise SnapshotVersionError(version)
     body = rest.removesuffix("\n")
-    if not newline or body == rest or _sum(body) != written_sum:
+    if not newline or body == rest or _checksum(body) != written_checksum:
         problem = "is torn or altered"
         raise MalformedSnapshotError(problem)
     return body
 
 
-def _snapshot(body: str) -> EndpointSnapshot:
+def _parse_body(body: str) -> EndpointSnapshot:
     try:
         raw = json.loads(body)
         return EndpointSnapshot(
--- a/query_broker/startup/first_contact.py
+++ b/query_broker/startup/first_contact.py
@@ -8,7 +8,7 @@
 from .dispatcher_hooks import DispatcherHooks
 from .pacing import probe_slot_ns
 
-#: In the place of a time: the endpoint has been probed.
+#: In place of a slot: the endpoint has been probed.
 PROBED = -1
 
 
@@ -16,14 +16,19 @@
     """Which endpoints are to be probed, and which have answered."""
 
     def __init__(self, hooks: DispatcherHooks, probes_per_s: float) -> None:
-        """Begin with no endpoint known; the rate is of the whole fleet at one endpoint."""
+        """Begin without endpoints.
+
+        Args:
+            hooks: Starts the health checks.
+            probes_per_s: Probes of one endpoint by the whole fleet.
+        """
         self._hooks = hooks
         self._probes_per_s = probes_per_s
         self._answered: set[int] = set()
-        self._probe_at: dict[int, int] = {}
+        self._probe_slots_ns: dict[int, int] = {}
 
-    def ended(self, endpoint: int, result: AttemptResult) -> None:
-        """A health check has ended; a rejection is contact as well, silence is not."""
+    def health_check_ended(self, endpoint: int, result: AttemptResult) -> None:
+        """Note the end of a health check: a rejection counts as an answer, a timeout does not."""
         if result is not AttemptResult.TIMEOUT:
             self._answered.add(endpoint)
 
@@ -37,14 +42,14 @@
             fleet_size: Number of brokers.
         """
         for endpoint in endpoints:
-            if endpoint not in self._probe_at:
-                self._probe_at[endpoint] = probe_slot_ns(
+            if endpoint not in self._probe_slots_ns:
+                self._probe_slots_ns[endpoint] = probe_slot_ns(
                     now, endpoint, place, fleet_size, self._probes_per_s
                 )
-            if 0 <= self._probe_at[endpoint] <= now:
-                self._probe_at[endpoint] = PROBED
+            if 0 <= self._probe_slots_ns[endpoint] <= now:
+                self._probe_slots_ns[endpoint] = PROBED
                 self._hooks.health_check(now, endpoint)
 
-    def answered_of(self, endpoints: Collection[int]) -> int:
+    def count_answered(self, endpoints: Collection[int]) -> int:
         """Return how many of these endpoints have answered."""
         return len(self._answered.intersection(endpoints))
--- a/query_broker/startup/initial_list.py
+++ b/query_broker/startup/initial_list.py
@@ -13,16 +13,16 @@
 from .endpoint_snapshot import EndpointSnapshot
 from .stages import ListSource, StartupStages
 
-#: No endpoint is of this kind: classes bound to it are rejected by the rule on placement.
+#: A kind that no endpoint has: requests of classes restricted to it are rejected.
 NO_ENDPOINT_KIND = ("\0unconfirmed",)
 
 
 class InitialList:
-    """Gives the node its first endpoint list, and tells the stages where it is from.
+    """Gives the node its first endpoint list, and reports its source to the stages.
 
-    An address in a snapshot may be another endpoint's by now. Until the discovery service has
-    confirmed the list, requests that may not run twice are not sent to it: their classes are bound
-    to a kind that no endpoint has, and the decisions reject them at once.
+    An address in a snapshot may belong to another endpoint by now. Until the discovery service has
+    confirmed the list, requests that are not idempotent are rejected: their classes are restricted
+    to a kind that no endpoint has.
     """
 
     def __init__(
@@ -32,7 +32,14 @@
         stages: StartupStages,
         snapshot: EndpointSnapshot | None,
     ) -> None:
-        """Hold the snapshot, None if there is none that may be used."""
+        """Prepare the list.
+
+        Args:
+            node: The node that gets the list.
+            hooks: Registers the restriction of the settings.
+            stages: The stages of the start.
+            snapshot: The endpoint snapshot; None if there is none that may be used.
+        """
         self._node = node
         self._hooks = hooks
         self._stages = stages
@@ -40,7 +47,7 @@
         self._unconfirmed = False
 
     def begin(self, now: int) -> None:
-        """End the stage of the settings, and use what list there is."""
+        """End the stage of the settings, and use the list of the snapshot or the configuration."""
         snapshot = self._snapshot
         if snapshot is None:
             self._stages.settings_read(now, None)
@@ -52,12 +59,12 @@
             self._stages.list_received(now, ListSource.KNOWN, 0)
 
     def resume(self, client: WatchClient) -> None:
-        """Let the discovery client ask for what the snapshot lacks, not for all."""
+        """Let the discovery client ask only for the events after the snapshot."""
         if self._snapshot is not None:
             client.last_offset = self._snapshot.offset
 
     def tick(self, now: int) -> None:
-        """Go by the snapshot if the discovery service is away; log it if there is no list."""
+        """Use the snapshot if the discovery service is silent; log if there is no list."""
         if self._stages.snapshot_due(now):
             self._node.endpoint_list_known = True
             if self._snapshot is not None:
@@ -70,11 +77,11 @@
             )
 
     def event_received(self) -> None:
-        """A watch event of the discovery service has been applied."""
+        """Note that a watch event of the discovery service has been applied."""
         self._stages.list_received(self._node.clock.now(), ListSource.BUS, self._ready_count())
 
     def confirmed(self) -> None:
-        """The discovery service has nothing newer than this broker."""
+        """Note that the discovery service has nothing newer than this broker."""
         if self._unconfirmed:
             self._unconfirmed = False
             self._node.dispatcher.refresh_settings()
@@ -104,7 +111,7 @@
         self._hooks.register_adjustment(self._restricted)
 
     def _restricted(self, settings: Settings) -> Settings:
-        """The settings that the decisions go by."""
+        """Return the settings with all classes that are not idempotent restricted."""
         if not self._unconfirmed:
             return settings
         return replace(settings, classes=tuple(map(_only_idempotent, settings.classes)))
--- a/query_broker/startup/pacing.py
+++ b/query_broker/startup/pacing.py
@@ -1,11 +1,11 @@
 """Call pacing: when a broker may call on what all brokers share. Performs no I/O.
 
-Brokers that start together can't talk, but each knows its place in the fleet, the fleet's size and
-the time. The clock is cut into windows of fleet / rate seconds, and each place has a slot of its
-own in every window: no second ever holds more calls than the rate and two, whatever subset starts
-and when, and however often they fail. A draw within the slot spreads brokers whose clocks agree.
-A call that fails skips windows by full jitter, uniform below a count that doubles: a service that
-is down is called less and less.
+Brokers that start together cannot communicate, but each knows its place in the fleet, the fleet's
+size and the time. The clock is cut into windows of fleet / rate seconds, and each place has a slot
+of its own in every window: no second ever has more calls than the rate plus two, whatever subset
+starts and when, and however often they fail. A draw within the slot spreads brokers whose clocks
+agree. After a failure the broker skips windows by full jitter, uniform below a count that doubles:
+a service that is down is called less and less.
 """
 
 from __future__ import annotations
@@ -25,25 +25,26 @@
 MAX_DOUBLINGS = 20
 
 
-def call_window_ns(fleet: int, rate: float) -> int:
+def call_window_ns(fleet_size: int, calls_per_s: float) -> int:
     """Return the time in which each broker of the fleet may call once, in nanoseconds."""
-    return max(MIN_WINDOW_NS, int(max(1, fleet) / rate * NS_PER_SECOND))
+    return max(MIN_WINDOW_NS, int(max(1, fleet_size) / calls_per_s * NS_PER_SECOND))
 
 
-def next_slot_ns(now: int, place: int, fleet: int, rate: float, draw: float) -> int:
+def next_slot_ns(now: int, place: int, fleet_size: int, calls_per_s: float, draw: float) -> int:
     """Return the first moment from now on that lies in the slot of a place.
 
     Args:
         now: Unix time in nanoseconds, as is the answer.
         place: Place of the broker in the fleet; places past its end count modulo its size.
-        fleet: Number of brokers.
-        rate: Calls a second of the whole fleet.
-        draw: Where in the slot, from 0 to 1.
+        fleet_size: Number of brokers.
+        calls_per_s: Calls of the whole fleet.
+        draw: Position within the slot, from 0 to 1.
     """
-    window_ns = call_window_ns(fleet, rate)
-    window_start = now - now % window_ns
-    at = window_start + int((place % max(1, fleet) + draw) / rate * NS_PER_SECOND)
-    return at if at >= now else at + window_ns
+    window_ns = call_window_ns(fleet_size, calls_per_s)
+    window_start_ns = now - now % window_ns
+    offset_ns = int((place % max(1, fleet_size) + draw) / calls_per_s * NS_PER_SECOND)
+    slot_ns = window_start_ns + offset_ns
+    return slot_ns if slot_ns >= now else slot_ns + window_ns
 
 
 @dataclass(slots=True)
@@ -53,39 +54,39 @@
     Attributes:
         place: Place of the broker in the fleet.
         fleet_size: Number of brokers.
-        rate: Calls a second of the whole fleet.
+        calls_per_s: Calls of the whole fleet.
         draw: Returns a random number from 0 to 1.
-        failed: Calls that failed since the last success.
+        failure_count: Calls that failed since the last success.
     """
 
     place: int
     fleet_size: int
-    rate: float
+    calls_per_s: float
     draw: Callable[[], float]
-    failed: int = 0
+    failure_count: int = 0
 
-    def first_at(self, now: int) -> int:
+    def first_call_ns(self, now: int) -> int:
         """Return when to call for the first time, in Unix nanoseconds."""
-        return self._slot(now)
+        return self._next_slot_ns(now)
 
-    def retry_at(self, now: int) -> int:
+    def retry_ns(self, now: int) -> int:
         """Count a call that failed, and return when to call again, in Unix nanoseconds."""
-        self.failed += 1
-        possible_skips = min(MAX_SKIPPED_WINDOWS, 1 << min(self.failed, MAX_DOUBLINGS))
-        skipped = int(self.draw() * possible_skips)
-        window_ns = call_window_ns(self.fleet_size, self.rate)
-        at = self._slot(now)
+        self.failure_count += 1
+        possible_skips = min(MAX_SKIPPED_WINDOWS, 1 << min(self.failure_count, MAX_DOUBLINGS))
+        skipped_windows = int(self.draw() * possible_skips)
+        window_ns = call_window_ns(self.fleet_size, self.calls_per_s)
+        slot_ns = self._next_slot_ns(now)
         # What is left of the present slot would be a second call in the same window.
-        if at - now < window_ns // 2:
-            skipped += 1
-        return at + skipped * window_ns
+        if slot_ns - now < window_ns // 2:
+            skipped_windows += 1
+        return slot_ns + skipped_windows * window_ns
 
     def succeeded(self) -> None:
         """Count a call that succeeded: the next failure is the first again."""
-        self.failed = 0
+        self.failure_count = 0
 
-    def _slot(self, now: int) -> int:
-        return next_slot_ns(now, self.place, self.fleet_size, self.rate, self.draw())
+    def _next_slot_ns(self, now: int) -> int:
+        return next_slot_ns(now, self.place, self.fleet_size, self.calls_per_s, self.draw())
 
 
 @dataclass(slots=True)
@@ -93,37 +94,45 @@
     """Admits so many a second, one after the other.
 
     Attributes:
-        rate: How many a second.
-        next_at: When the next one is admitted, in nanoseconds.
+        rate_per_s: How many a second.
+        next_admission_ns: When the next one is admitted, in nanoseconds.
     """
 
-    rate: float
-    next_at: int
+    rate_per_s: float
+    next_admission_ns: int
 
     def try_acquire(self, now: int) -> bool:
         """Return whether one may pass, and count it if so.
 
         What was not used is saved up for a second at most.
         """
-        if now < self.next_at:
+        if now < self.next_admission_ns:
             return False
-        self.next_at = max(self.next_at, now - NS_PER_SECOND) + int(NS_PER_SECOND / self.rate)
+        earliest_ns = max(self.next_admission_ns, now - NS_PER_SECOND)
+        self.next_admission_ns = earliest_ns + int(NS_PER_SECOND / self.rate_per_s)
         return True
 
 
-def backoff_timeout_ns(failed: int, least_ns: int, most_ns: int) -> int:
+def backoff_timeout_ns(failure_count: int, min_timeout_ns: int, max_timeout_ns: int) -> int:
     """Return how long one call may take after so many failures, in nanoseconds.
 
-    A service that is slow under a whole fleet is waited for longer each time, not called more
-    often.
+    A service that is slow under the load of a complete fleet gets more time for each call, not more
+    calls.
     """
-    return min(most_ns, least_ns << min(failed, MAX_DOUBLINGS))
+    return min(max_timeout_ns, min_timeout_ns << min(failure_count, MAX_DOUBLINGS))
 
 
-def probe_slot_ns(now: int, engine: int, me: int, fleet: int, rate: float) -> int:
+def probe_slot_ns(now: int, endpoint: int, place: int, fleet_size: int, probes_per_s: float) -> int:
     """Return when the broker of a place probes an endpoint, in Unix nanoseconds.
 
     Places are rotated by the endpoint's number: the probes of many endpoints by one broker are
     spread as well as those of one endpoint by many brokers.
+
+    Args:
+        now: Unix time in nanoseconds.
+        endpoint: Number of the endpoint.
+        place: Place of the broker in the fleet.
+        fleet_size: Number of brokers.
+        probes_per_s: Probes of one endpoint by the whole fleet.
     """
-    return next_slot_ns(now, me + engine, fleet, rate, 0.0)
+    return next_slot_ns(now, place + endpoint, fleet_size, probes_per_s, 0.0)
--- a/query_broker/startup/recovery_ramp.py
+++ b/query_broker/startup/recovery_ramp.py
@@ -1,4 +1,4 @@
-"""The admission ramp of one start, fed with the dispatcher's answers."""
+"""The admission ramp of one start, driven by the answers that clients have got."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 class AnswerCounts:
     """Answers that clients have got since the process began."""
 
-    good: int = 0
-    bad: int = 0
+    successes: int = 0
+    failures: int = 0
 
 
 class RecoveryRamp:
-    """Steps the admission ramp, and books what is not open yet."""
+    """Steps the admission ramp, and accounts what is not open yet as work in flight."""
 
     def __init__(
         self, host: NodeContext, settings: StartupSettings, hooks: DispatcherHooks, now: int
@@ -30,28 +30,30 @@
         self._hooks = hooks
         self._ramp = AdmissionRamp(settings, now)
         self._ends_at_ns = now + settings.ramp_ns
-        self._counted = AnswerCounts()
-        self._booked = False
+        self._counts_at_step = AnswerCounts()
+        self._is_accounted = False
 
     def advance(self, now: int) -> float:
         """Take a step if it is time, and return the open part of the admission."""
         counts = self._answer_counts()
         fraction_before = self._ramp.open_fraction
-        stepped_before = self._ramp.stepped_at_ns
+        stepped_before_ns = self._ramp.stepped_at_ns
         open_fraction = self._ramp.step(
-            now, counts.good - self._counted.good, counts.bad - self._counted.bad
+            now,
+            counts.successes - self._counts_at_step.successes,
+            counts.failures - self._counts_at_step.failures,
         )
-        stepped = self._ramp.stepped_at_ns != stepped_before
-        if stepped:
-            self._counted = counts
-        # The endpoints' threads and bounds change: each step books anew.
-        if stepped or not self._booked or open_fraction != fraction_before:
-            self._booked = True
-            self._hooks.book_assumed_work(open_fraction)
+        has_stepped = self._ramp.stepped_at_ns != stepped_before_ns
+        if has_stepped:
+            self._counts_at_step = counts
+        # The endpoints' threads and bounds change, so each step accounts anew.
+        if has_stepped or not self._is_accounted or open_fraction != fraction_before:
+            self._is_accounted = True
+            self._hooks.account_assumed_work(open_fraction)
         return open_fraction
 
     def retry_after_ns(self, proposed_ns: int, now: int, draw: float) -> int:
-        """Return how long a rejected client is told to stay away, in nanoseconds."""
+        """Return the backoff that a rejected client is asked for, in nanoseconds."""
         limits = self._host.config.settings.limits
         max_ns = limits.max_retry_after_ns if limits.retry_after else 0
         return retry_after_ns(proposed_ns, max(0, self._ends_at_ns - now), max_ns, draw)
@@ -59,6 +61,6 @@
     def _answer_counts(self) -> AnswerCounts:
         replies = self._host.dispatcher.metrics_counts.replies.values()
         return AnswerCounts(
-            good=sum(counts[SUCCESS] for counts in replies),
-            bad=sum(counts[ERROR] for counts in replies),
+            successes=sum(counts[SUCCESS] for counts in replies),
+            failures=sum(counts[ERROR] for counts in replies),
         )
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -24,12 +24,12 @@
 from .stages import Stage, StartupStages
 from .status_report import PATH, AdminAnswer, admin_answer, metrics_text
 
-#: Makes the draws of a start others than those of the decisions, which have the same seed.
+#: Gives the random draws of a start another seed than those of the decisions.
 SEED_MASK = 0x5747
 
 
 class StartupService(StartupObserver):
-    """The start of one node. All is driven by the node's tick."""
+    """The start of one node, driven by the node's tick."""
 
     def __init__(self, node: NodeContext, settings: StartupSettings) -> None:
         """Read the snapshot, if it may be used, and register with the dispatcher."""
@@ -61,7 +61,7 @@
         return self._stages.ready()
 
     def resize(self, place: int, fleet_size: int) -> None:
-        """Go by the brokers that are there, where they are others than the file says."""
+        """Follow the membership, where it differs from the place and size in the configuration."""
         self._place = place
         self._fleet_size = fleet_size
         if self._pace is not None:
@@ -120,7 +120,7 @@
 
     def health_check_ended(self, endpoint: int, result: AttemptResult) -> None:
         """Count the endpoint as contacted, if it has answered."""
-        self._contact.ended(endpoint, result)
+        self._contact.health_check_ended(endpoint, result)
 
     def connect_delay_ns(self, endpoint: int) -> int:
         """Return the time to this broker's slot at an endpoint, in nanoseconds.
@@ -128,9 +128,14 @@
         Hundreds of brokers that open connections to one endpoint in a second overload it.
         """
         now = self._node.clock.now()
-        rate = self._settings.endpoint_connects_per_s
-        at = next_slot_ns(now, self._place + endpoint, self._fleet_size, rate, self._draw())
-        return at - now
+        slot_ns = next_slot_ns(
+            now,
+            self._place + endpoint,
+            self._fleet_size,
+            self._settings.endpoint_connects_per_s,
+            self._draw(),
+        )
+        return slot_ns - now
 
     def metrics(self) -> bytes:
         """Return the lines for the metrics."""
@@ -152,7 +157,7 @@
             return
         endpoints = self._list.ready_endpoints()
         self._contact.probe_due(now, endpoints, self._place, self._fleet_size)
-        answered = self._contact.answered_of(endpoints)
+        answered = self._contact.count_answered(endpoints)
         self._stages.endpoints_contacted(now, answered, len(endpoints))
 
     def _advance_ramp(self, now: int) -> None:
@@ -176,8 +181,10 @@
 
     def _log_completed_stages(self) -> None:
         for completed in self._stages.completed[self._logged_stages :]:
-            took_s = completed.took_ns / NS_PER_SECOND
-            self._node.log("start", f"{completed.stage.value}: {took_s:.2f} s, {completed.reason}")
+            duration_s = completed.duration_ns / NS_PER_SECOND
+            self._node.log(
+                "start", f"{completed.stage.value}: {duration_s:.2f} s, {completed.reason}"
+            )
         self._logged_stages = len(self._stages.completed)
 
 
--- a/query_broker/startup/settings.py
+++ b/query_broker/startup/settings.py
@@ -1,4 +1,4 @@
-"""What the operators' directive ``start`` sets."""
+"""Settings of a start, from the operators' directive ``start``."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 class StartupSettings:
     """The arguments of the directive ``start``, in its order; durations in nanoseconds.
 
-    Rates are per second and of the whole fleet, unless said otherwise: the part of one broker
+    Rates are per second and of the whole fleet, unless noted otherwise; the rate of one broker
     follows from the fleet's size.
 
     Attributes:
         list_connects_per_s: Calls that the discovery service takes (``list_connects``).
-        list_wait_ns: Time without the discovery service after which the endpoint snapshot will do
+        list_wait_ns: Time without the discovery service after which the endpoint snapshot is used
             (``list_wait``).
         endpoint_probes_per_s: Health checks of one endpoint (``engine_probes``).
         endpoint_connects_per_s: New connections that one endpoint takes until the ramp has ended
@@ -26,8 +26,8 @@
         contact_fraction: Part of the listed endpoints that must have answered before the broker
             is ready (``contact_part``).
         contact_wait_ns: Time after which the broker is ready all the same (``contact_wait``).
-        initial_fraction: Part of its admission with which the broker begins (``floor``).
-        ramp_ns: Time to the full admission without any answers; less with successes, more with
+        initial_fraction: Part of the admission that is open when the ramp begins (``floor``).
+        ramp_ns: Time to the full admission without any answers; shorter with successes, longer with
             failures (``ramp``).
         snapshot_path: File of the endpoint snapshot; empty for none (``last_list``).
         snapshot_max_age_ns: Age from which a snapshot is not used (``last_list_age``).
--- a/query_broker/startup/snapshot_store.py
+++ b/query_broker/startup/snapshot_store.py
@@ -13,22 +13,28 @@
 from ..discovery.event_codec import InvalidEventError, ListedEndpoint, parse_event
 from ..endpoints.endpoint_table import EndpointTable
 from ..timer_wheel import Clock
-from .endpoint_snapshot import MAX_BYTES, EndpointSnapshot, EndpointSnapshotError, decode, encode
+from .endpoint_snapshot import (
+    MAX_FILE_BYTES,
+    EndpointSnapshot,
+    EndpointSnapshotError,
+    decode,
+    encode,
+)
 from .settings import NS_PER_SECOND, StartupSettings
 
-#: Time between two looks whether the file still holds the list in force.
+#: Time between two checks whether the list has changed since it was saved.
 SAVE_INTERVAL_NS = 5 * NS_PER_SECOND
 
 NS_PER_MILLISECOND = 1_000_000
 
 #: The states of an endpoint, as the discovery service writes them.
-STATES = {
+STATE_NAMES = {
     EndpointState.READY: "in_service",
     EndpointState.DRAINING: "terminating",
     EndpointState.REMOVED: "terminated",
 }
 
-#: The offset of a file that has not been written by this process.
+#: In place of an offset: this process has not saved any list.
 NEVER_SAVED = -1
 
 
@@ -40,7 +46,7 @@
         "az": target.zone,
         "model": target.kind,
         "pod_group": target.cell,
-        "state": STATES[target.state],
+        "state": STATE_NAMES[target.state],
         "capacity_hint": target.weight,
         "boot_ms": target.started_ns // NS_PER_MILLISECOND,
     }
@@ -65,14 +71,21 @@
         log: Callable[[str, str], None],
         table: EndpointTable,
     ) -> None:
-        """Hold the file that the settings name; it is not read yet."""
+        """Create the store; the file is not read yet.
+
+        Args:
+            settings: They name the file, the age up to which it is used, and the installation.
+            clock: The clock of the node.
+            log: Writes a log line: its kind and its text.
+            table: The endpoints that are saved.
+        """
         self._path = settings.snapshot_path
         self._max_age_ns = settings.snapshot_max_age_ns
         self._installation = settings.installation
         self._clock = clock
         self._log = log
         self._table = table
-        self._looked_at_ns = clock.now()
+        self._last_check_ns = clock.now()
         self._saving = False
         self._saved_offset = NEVER_SAVED
 
@@ -100,16 +113,16 @@
         return None
 
     def save_if_due(self, now: int, offset: int, confirmed: bool) -> None:
-        """Begin to save the list if it has changed since the last look.
+        """Begin to save the list if the interval is over and the list has changed.
 
         Args:
             now: The time in nanoseconds.
             offset: Number of the last watch event that the list includes.
-            confirmed: Whether the list is not the snapshot's alone.
+            confirmed: Whether the list is from another source than the snapshot.
         """
-        if not self._path or now - self._looked_at_ns < SAVE_INTERVAL_NS:
+        if not self._path or now - self._last_check_ns < SAVE_INTERVAL_NS:
             return
-        self._looked_at_ns = now
+        self._last_check_ns = now
         if self._saving or not confirmed or offset == self._saved_offset:
             return
         self._saving = True
@@ -130,7 +143,7 @@
 
     def _read_file(self) -> EndpointSnapshot:
         with open(self._path, encoding="utf-8") as file:
-            text = file.read(MAX_BYTES)
+            text = file.read(MAX_FILE_BYTES)
         snapshot = decode(text, self._installation, self._clock.now(), self._max_age_ns)
         parse_event(snapshot.event())  # raises if the discovery client could not read it
         return snapshot
--- a/query_broker/startup/stages.py
+++ b/query_broker/startup/stages.py
@@ -2,11 +2,11 @@
 
     settings -> list -> contact -> ramp -> full
 
-Each stage ends by what it waits for or by its timeout, and says which. An endpoint list is there
-once the configuration or the discovery service has given one. Where the discovery service says
-nothing for ``list_wait_ns``, the endpoint snapshot will do; what it names is unconfirmed until the
-service has spoken. Without any list the broker stays in the stage ``list``, says so, and goes on
-calling: it never ends because the discovery service is away, and never serves from nothing.
+Each stage ends with what it waits for or with its timeout, and records which. An endpoint list is
+there once the configuration or the discovery service has given one. Where the discovery service is
+silent for ``list_wait_ns``, the endpoint snapshot is used; it stays unconfirmed until the service
+has answered. Without any list the broker stays in the stage ``list``, logs it once, and goes on
+calling: it neither ends because the discovery service is unreachable, nor serves without a list.
 """
 
 from __future__ import annotations
@@ -47,10 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletedStage:
-    """A stage that is over, how long it took in nanoseconds, and what ended it."""
+    """A stage that is over.
+
+    Attributes:
+        stage: The stage.
+        duration_ns: How long it took, in nanoseconds.
+        reason: What ended it, for the log and for operators.
+    """
 
     stage: Stage
-    took_ns: int
+    duration_ns: int
     reason: str
 
 
@@ -60,89 +66,95 @@
 
     Attributes:
         settings: The settings of the start.
-        begun_ns: When it began.
+        started_ns: When the start began.
         stage: The present stage.
-        since_ns: When the present stage began.
+        stage_started_ns: When the present stage began.
         source: Where the endpoint list is from.
         snapshot_age_ns: Age of the snapshot, where it is in use.
         usable_snapshot_age_ns: Age of a snapshot that may be used; None for none.
-        listed: Endpoints in the list.
-        contacted: Listed endpoints that have answered, or rejected, since the start.
+        listed_count: Number of ready endpoints in the list.
+        contacted_count: Number of listed endpoints that have answered, or rejected, since the
+            start.
         open_fraction: Part of the admission that is open, from 0 to 1.
         delay_logged: Whether the log has a line on the absence of any list.
         completed: The stages that are over, in their order.
     """
 
     settings: StartupSettings
-    begun_ns: int
+    started_ns: int
     stage: Stage = Stage.SETTINGS
-    since_ns: int = 0
+    stage_started_ns: int = 0
     source: ListSource = ListSource.NONE
     snapshot_age_ns: int = 0
     usable_snapshot_age_ns: int | None = None
-    listed: int = 0
-    contacted: int = 0
+    listed_count: int = 0
+    contacted_count: int = 0
     open_fraction: float = 0.0
     delay_logged: bool = False
     completed: list[CompletedStage] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Begin the first stage."""
-        self.since_ns = self.begun_ns
+        self.stage_started_ns = self.started_ns
 
     def settings_read(self, now: int, usable_snapshot_age_ns: int | None) -> None:
-        """The configuration has been read, and the snapshot looked for; None if there is none."""
+        """The configuration has been read.
+
+        Args:
+            now: The time in nanoseconds.
+            usable_snapshot_age_ns: Age of the snapshot; None if there is none that may be used.
+        """
         if self.stage is Stage.SETTINGS:
             self.usable_snapshot_age_ns = usable_snapshot_age_ns
             self._complete(now, Stage.LIST, "read")
 
-    def list_received(self, now: int, source: ListSource, listed: int) -> None:
+    def list_received(self, now: int, source: ListSource, listed_count: int) -> None:
         """A complete list, or a change of it, has come from this source."""
         if source.value > self.source.value:
             self.source = source
-        self.listed = listed
+        self.listed_count = listed_count
         if self.stage is Stage.LIST:
             self._complete(now, Stage.CONTACT, f"told by the {source.label}")
 
-    def endpoints_contacted(self, now: int, contacted: int, listed: int) -> None:
-        """So many of the listed endpoints have answered since the start, or rejected."""
-        self.contacted = contacted
-        self.listed = listed
+    def endpoints_contacted(self, now: int, contacted_count: int, listed_count: int) -> None:
+        """Update how many of the listed endpoints have answered since the start, or rejected."""
+        self.contacted_count = contacted_count
+        self.listed_count = listed_count
         self.tick(now)
 
     def snapshot_due(self, now: int) -> bool:
-        """Whether the discovery service has been silent for so long that the snapshot will do."""
+        """Whether the discovery service has been silent for so long that the snapshot is used."""
         return (
             self.stage is Stage.LIST
             and self.usable_snapshot_age_ns is not None
-            and now - self.since_ns >= self.settings.list_wait_ns
+            and now - self.stage_started_ns >= self.settings.list_wait_ns
         )
 
     def list_overdue(self, now: int) -> bool:
-        """Whether there is no list for so long that the log has to say it, and has not yet."""
+        """Whether the absence of any list is to be logged: it lasts, and is not logged yet."""
         return (
             self.stage is Stage.LIST
             and not self.delay_logged
-            and now - self.since_ns >= self.settings.list_wait_ns
+            and now - self.stage_started_ns >= self.settings.list_wait_ns
         )
 
     def tick(self, now: int) -> None:
         """End the stage of contact if enough endpoints have answered, or its time is over."""
         if self.stage is not Stage.CONTACT:
             return
-        wanted = self.settings.contact_fraction * self.listed
-        counts = f"heard of {self.contacted} of {self.listed}"
-        if self.listed and self.contacted >= wanted:
+        required = self.settings.contact_fraction * self.listed_count
+        counts = f"heard of {self.contacted_count} of {self.listed_count}"
+        if self.listed_count and self.contacted_count >= required:
             self._complete(now, Stage.RAMP, counts)
-        elif now - self.since_ns >= self.settings.contact_wait_ns:
+        elif now - self.stage_started_ns >= self.settings.contact_wait_ns:
             self._complete(now, Stage.RAMP, f"time-out: {counts} only")
 
     def ramp_advanced(self, now: int, open_fraction: float) -> None:
-        """This part of the admission is open now."""
+        """Update the part of the admission that is open, from 0 to 1."""
         self.open_fraction = open_fraction
         if self.stage is Stage.RAMP and open_fraction >= 1.0:
-            took_s = (now - self.since_ns) / NS_PER_SECOND
-            self._complete(now, Stage.FULL, f"whole share after {took_s:.1f} s")
+            duration_s = (now - self.stage_started_ns) / NS_PER_SECOND
+            self._complete(now, Stage.FULL, f"whole share after {duration_s:.1f} s")
 
     def skip(self, now: int, reason: str) -> None:
         """Go to the last stage: another process of this broker serves already."""
@@ -171,8 +183,8 @@
                     return "the bus"
                 return f"the bus, or {self.settings.list_wait_ns / NS_PER_SECOND:g} s"
             case Stage.CONTACT:
-                wanted = f"{self.settings.contact_fraction:g} of {self.listed} engines"
-                return f"{wanted}, heard of {self.contacted}"
+                required = f"{self.settings.contact_fraction:g} of {self.listed_count} engines"
+                return f"{required}, heard of {self.contacted_count}"
             case Stage.RAMP:
                 return f"its whole share, {self.open_fraction:.2f} now"
             case Stage.FULL:
@@ -182,19 +194,19 @@
         """The answer for operators; durations in seconds."""
         return {
             "stage": self.stage.value,
-            "for": (now - self.since_ns) / NS_PER_SECOND,
+            "for": (now - self.stage_started_ns) / NS_PER_SECOND,
             "waits_for": self.waits_for(),
             "ready": self.ready(),
             "list": self.source.label,
             "list_age": self.snapshot_age_ns / NS_PER_SECOND,
             "confirmed": self.confirmed(),
-            "listed": self.listed,
-            "heard": self.contacted,
+            "listed": self.listed_count,
+            "heard": self.contacted_count,
             "share": round(self.open_fraction, 4),
             "passed": [
                 {
                     "stage": completed.stage.value,
-                    "took": completed.took_ns / NS_PER_SECOND,
+                    "took": completed.duration_ns / NS_PER_SECOND,
                     "why": completed.reason,
                 }
                 for completed in self.completed
@@ -202,6 +214,6 @@
         }
 
     def _complete(self, now: int, following: Stage, reason: str) -> None:
-        self.completed.append(CompletedStage(self.stage, now - self.since_ns, reason))
+        self.completed.append(CompletedStage(self.stage, now - self.stage_started_ns, reason))
         self.stage = following
-        self.since_ns = now
+        self.stage_started_ns = now
--- a/query_broker/startup/status_report.py
+++ b/query_broker/startup/status_report.py
@@ -29,8 +29,8 @@
 
 def metrics_text(stages: StartupStages, now: int) -> bytes:
     """Return the metrics: seconds in each stage so far, and the open part of the admission."""
-    durations_ns = {completed.stage: completed.took_ns for completed in stages.completed}
-    durations_ns[stages.stage] = now - stages.since_ns
+    durations_ns = {completed.stage: completed.duration_ns for completed in stages.completed}
+    durations_ns[stages.stage] = now - stages.stage_started_ns
     lines = [
         "# HELP edge_proxy_start_seconds Time in each stage of the start.",
         "# TYPE edge_proxy_start_seconds gauge",
--- a/tests/startup/test_pure.py
+++ b/tests/startup/test_pure.py
@@ -61,7 +61,7 @@
     started = [me for me in range(fleet) if me == 0 or draw.random() < part]
     begun = [1_796_000_000 * NS_PER_SECOND + int(draw.random() * within) for _ in started]
     calls = [
-        pacing.PacedCalls(me, fleet, 50.0, draw.random).first_at(now)
+        pacing.PacedCalls(me, fleet, 50.0, draw.random).first_call_ns(now)
         for me, now in zip(started, begun, strict=True)
     ]
     assert most_calls_in_a_second(calls) <= 52
@@ -77,7 +77,9 @@
     configured: int,
 ) -> None:
     draw = random.Random(configured)
-    calls = [pacing.PacedCalls(me, configured, 50.0, draw.random).first_at(0) for me in range(300)]
+    calls = [
+        pacing.PacedCalls(me, configured, 50.0, draw.random).first_call_ns(0) for me in range(300)
+    ]
     assert most_calls_in_a_second(calls) <= 52 * max(1, 300 // configured)
 
 
@@ -86,10 +88,10 @@
     times: list[int] = []
     for me in range(300):
         calls = pacing.PacedCalls(me, 300, 50.0, draw.random)
-        now = calls.first_at(int(draw.random() * NS_PER_SECOND))
+        now = calls.first_call_ns(int(draw.random() * NS_PER_SECOND))
         while now < 120 * NS_PER_SECOND:
             times.append(now)
-            now = calls.retry_at(now)
+            now = calls.retry_ns(now)
     assert most_calls_in_a_second(times) <= 52
     late = [at for at in times if at > 60 * NS_PER_SECOND]
     assert len(late) / 60 < 30
@@ -97,11 +99,11 @@
     now = 0
     waits = []
     for _ in range(60):
-        waits.append(alone.retry_at(now) - now)
+        waits.append(alone.retry_ns(now) - now)
         now += waits[-1]
     assert max(waits) <= 6 * pacing.MIN_WINDOW_NS  # one broker alone is back at once
     alone.succeeded()
-    assert alone.failed == 0
+    assert alone.failure_count == 0
 
 
 def test_probes_of_one_endpoint_and_of_one_broker_are_both_spread() -> None:
@@ -136,7 +138,7 @@
     ramp = AdmissionRamp(SETTINGS, 0)
     now = 0
     fractions = [SETTINGS.initial_fraction]
-    while not ramp.complete():
+    while not ramp.is_complete():
         now += NS_PER_SECOND
         fractions.append(ramp.step(now, good, bad))
     assert now <= within * NS_PER_SECOND
@@ -260,7 +262,7 @@
                 assert stages.source.value >= source_before
                 assert not stages.ready() or stages.source is not ListSource.NONE
                 stages.status(now)
-            assert sum(completed.took_ns for completed in stages.completed) <= now
+            assert sum(completed.duration_ns for completed in stages.completed) <= now
 
 
 # --- the endpoint snapshot ---
@@ -299,7 +301,7 @@
     given: dict[str, Any] = {
         "installation": "atlanta",
         "now": 1_060 * NS_PER_SECOND,
-        "most_age": 3_600 * NS_PER_SECOND,
+        "max_age_ns": 3_600 * NS_PER_SECOND,
         **change,
     }
     with pytest.raises(EndpointSnapshotError, match=why):
