--- a/query_broker/startup/admission_ramp.py
+++ b/query_broker/startup/admission_ramp.py
@@ -94,7 +94,8 @@
 
     Attributes:
         threads: Threads that the former process is assumed to use.
-        backlog: Work that it is assumed to have queued, in the unit of the decisions' backlog bound.
+        backlog: Work that it is assumed to have queued, in the unit of the decisions' backlog
+            bound.
     """
 
     threads: int
