--- a/query_broker/config/broker_config.py
+++ b/query_broker/config/broker_config.py
@@ -1,4 +1,4 @@
-"""The configuration of one broker, as a value, and the remarks that it calls for."""
+"""The configuration of one broker, and the remarks on it that are logged."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ..decisions import Settings
 from ..discovery.event_codec import EndpointListEvent
-from .schema import IGNORED_SETTINGS_KEYS, KNOWN_REPORT_FIELDS, REPORT, SETTINGS_KEYS
+from .schema import IGNORED_SETTINGS_KEYS, KNOWN_REPORT_FIELDS, REPORT_KEY, SETTINGS_KEYS
 from .values import Section
 
 
@@ -21,11 +21,11 @@
         host: Address on which clients are accepted.
         port: Port on which clients are accepted.
         seed: Seed of the random draws.
-        sockets: Descriptors that the process may hold.
-        memory_mb: Memory that the process may take, in megabytes.
+        sockets: File descriptors that the process may have open.
+        memory_mb: Memory that the process may use, in megabytes.
         cores: Processor time in seconds a second, which the platform enforces.
-        discovery_address: Address of the discovery service, if there is one.
-        admin_address: Address on which the operators' calls are accepted, if there is one.
+        discovery_address: Host and port of the discovery service, if there is one.
+        admin_address: Host and port on which the operators' calls are accepted, if there is one.
         accept_fd: Descriptor of the clients' listening socket, where the platform holds it.
         folder: Folder shared with another process of this broker.
         known_offset: Number of the last watch event that ``known_events`` include.
@@ -66,22 +66,25 @@
         settings = self.source.get("settings", {})
         return [
             *self._place_remarks(settings),
-            *(f"settings.{key}: is not known here, and has no effect" for key in unknown(settings)),
+            *(
+                f"settings.{key}: is not known here, and has no effect"
+                for key in unknown_keys(settings)
+            ),
             *_report_remarks(settings),
         ]
 
     def _place_remarks(self, settings: Mapping[str, Any]) -> Iterator[str]:
-        # A fleet that grows or shrinks may give the size and the places in it at different times,
-        # and that is no reason not to serve.
+        # While a fleet grows or shrinks, its size and the places in it may be deployed at different
+        # times; the broker has to serve all the same.
         place = self.settings.broker_index
-        last = self.settings.fleet_size - 1
-        written = Section(settings, "settings").integer("me", place)
-        if written != place:
-            yield f"settings.me: {written} is outside 0 to {last}: taken as {place}"
+        last_place = self.settings.fleet_size - 1
+        configured = Section(settings, "settings").integer("me", place)
+        if configured != place:
+            yield f"settings.me: {configured} is outside 0 to {last_place}: taken as {place}"
 
 
 def _report_remarks(settings: Mapping[str, Any]) -> Iterator[str]:
-    report = settings.get(REPORT) or {}
+    report = settings.get(REPORT_KEY) or {}
     for name in report.get("fields", []):
         if name not in KNOWN_REPORT_FIELDS:
             yield (
@@ -90,19 +93,19 @@
             )
 
 
-def unknown(settings: Mapping[str, Any]) -> list[str]:
-    """Return the keys that are neither read nor known as not needed, each once."""
-    found: dict[str, None] = {}  # in the place of a set, for its order
-    for part, read in SETTINGS_KEYS.items():
-        known = read | IGNORED_SETTINGS_KEYS.get(part, set())
-        prefix = f"{part}." if part else ""
-        for source in _objects(settings, part):
-            found.update({prefix + key: None for key in source if key not in known})
-    return list(found)
+def unknown_keys(settings: Mapping[str, Any]) -> list[str]:
+    """Return the keys that are neither used nor in ``IGNORED_SETTINGS_KEYS``, each once."""
+    unknown: dict[str, None] = {}  # an ordered set
+    for section, used_keys in SETTINGS_KEYS.items():
+        known_keys = used_keys | IGNORED_SETTINGS_KEYS.get(section, set())
+        prefix = f"{section}." if section else ""
+        for entry in _objects(settings, section):
+            unknown.update({prefix + key: None for key in entry if key not in known_keys})
+    return list(unknown)
 
 
-def _objects(settings: Mapping[str, Any], part: str) -> list[Mapping[str, Any]]:
-    """The objects of one part of the settings: one, or all of a list."""
-    content = settings.get(part, {}) if part else settings
+def _objects(settings: Mapping[str, Any], section: str) -> list[Mapping[str, Any]]:
+    """The objects of one section of the settings: a single one, or all of a list."""
+    content = settings.get(section, {}) if section else settings
     entries = content if isinstance(content, list) else [content]
     return [entry for entry in entries if isinstance(entry, dict)]
--- a/query_broker/config/defaults.py
+++ b/query_broker/config/defaults.py
@@ -1,10 +1,10 @@
-"""Defaults and least values of the configuration's keys."""
+"""Defaults and minimums of the configuration's keys."""
 
 from __future__ import annotations
 
 from typing import Final
 
-#: Name of a broker that is given none, in the log and towards its other processes.
+#: Name of a broker without a configured one, in the log and towards its other processes.
 DEFAULT_NAME: Final = "larchhall"
 
 #: Seed of the random draws, in hexadecimal as the file holds it.
@@ -13,13 +13,14 @@
 #: Descriptors of a process with the usual limit of a shell (``ulimit -n``).
 DEFAULT_SOCKETS: Final = 1_024
 
-#: Below this the sockets reserved for the program itself leave none for clients and endpoints.
+#: With fewer descriptors, those reserved for the program itself leave none for clients and
+#: endpoints.
 MIN_SOCKETS: Final = 64
 
 #: Memory of the process, in megabytes.
 DEFAULT_MEMORY_MB: Final = 64
 
-#: The interpreter and the program alone take nearly this much, in megabytes.
+#: The interpreter and the program alone use nearly this much, in megabytes.
 MIN_MEMORY_MB: Final = 32
 
 #: Processor time that the platform grants, in seconds a second.
--- a/query_broker/config/errors.py
+++ b/query_broker/config/errors.py
@@ -22,7 +22,7 @@
 
 
 class MissingKeyError(ConfigError):
-    """A key that must be there is absent or null."""
+    """A required key is absent or null."""
 
     def __init__(self, key: str) -> None:
         """Name the missing key."""
@@ -30,7 +30,7 @@
 
 
 class InvalidValueError(ConfigError):
-    """A value that is of another kind, unknown, malformed or out of range."""
+    """A value is of the wrong kind, unknown, malformed or out of range."""
 
     def __init__(self, key: str, problem: object) -> None:
         """Name the key and what is wrong with its value."""
@@ -38,7 +38,7 @@
 
 
 class LostKeyError(ConfigError):
-    """A key of the configuration in force that a file read anew no longer holds."""
+    """A key of the configuration in force is missing in the file that was read again."""
 
     def __init__(self, key: str, path: str) -> None:
         """Name the lost key and the path of the file."""
--- a/query_broker/config/loading.py
+++ b/query_broker/config/loading.py
@@ -35,26 +35,37 @@
 #: names one of them is known not to be about the file.
 ENVIRONMENT_PREFIX = "PROXY_"
 
-#: Longest number of a descriptor that is read: no system has as many.
+#: Digits of the number of a file descriptor: no system has more descriptors.
 MAX_DESCRIPTOR_DIGITS = 7
 
 #: Characters of a faulty descriptor that an error quotes, so that it stays one line.
 MAX_QUOTED_CHARACTERS = 40
 
 
-class Override(NamedTuple):
-    """A text from the file or from the environment, and the key or variable that it is from."""
+class SourcedText(NamedTuple):
+    """A text from the file or from the environment.
+
+    Attributes:
+        text: The text.
+        key: The key or the environment variable that it is from, which an error names.
+    """
 
     text: str
     key: str
 
 
 class ConnectionLimits(NamedTuple):
-    """The keys of ``policy_limits`` that connections to endpoints go by; nanoseconds."""
+    """Limits of connections to endpoints, from the keys of ``policy_limits``.
+
+    Attributes:
+        connect_timeout_ns: Time in which a connection has to be established.
+        idle_timeout_ns: Time after which an unused connection is closed.
+        max_streams: Requests that one connection carries at a time.
+    """
 
     connect_timeout_ns: int
-    idle_ns: int
-    streams: int
+    idle_timeout_ns: int
+    max_streams: int
 
 
 def load(environ: Mapping[str, str]) -> Config:
@@ -94,30 +105,30 @@
     """
     if not isinstance(raw, dict):
         raise InvalidValueError("PROXY_CONFIG", "holds no JSON object")
-    return _config(Section(raw), environ)
+    return _read_config(Section(raw), environ)
 
 
-def _config(root: Section, environ: Mapping[str, str]) -> Config:
+def _read_config(root: Section, environ: Mapping[str, str]) -> Config:
     # Where several keys are faulty, the order of reading decides which one the error names.
     limits = root.section("limits")
     known = root.section("known")
     platform = root.value("settings", ValueKind.OBJECT)
     settings = _platform_settings(platform)
     connections = _connection_limits(platform)
-    listen = _override(environ, "PROXY_LISTEN", root, "listen")
+    listen = _text_or_override(environ, "PROXY_LISTEN", root, "listen")
     host, port = _address(listen)
-    operator = _override(environ, "PROXY_OPERATOR", root, "operator", "")
+    operator = _text_or_override(environ, "PROXY_OPERATOR", root, "operator", "")
     accept_fd = _descriptor(environ.get("PROXY_ACCEPT_FD", ""))
     seed = root.text("seed", DEFAULT_SEED)
-    bus = Override(root.text("bus", ""), "bus")
+    bus = SourcedText(root.text("bus", ""), "bus")
     events = _known_events(known)
     return Config(
         seed=_hexadecimal(seed, "seed"),
-        name=_override(environ, "PROXY_NAME", root, "name", DEFAULT_NAME).text,
+        name=_text_or_override(environ, "PROXY_NAME", root, "name", DEFAULT_NAME).text,
         host=host,
         port=port,
-        sockets=_at_least(MIN_SOCKETS, limits, "sockets", DEFAULT_SOCKETS),
-        memory_mb=_at_least(MIN_MEMORY_MB, limits, "memory_mb", DEFAULT_MEMORY_MB),
+        sockets=_integer_at_least(MIN_SOCKETS, limits, "sockets", DEFAULT_SOCKETS),
+        memory_mb=_integer_at_least(MIN_MEMORY_MB, limits, "memory_mb", DEFAULT_MEMORY_MB),
         cores=limits.number("cores", DEFAULT_CORES),
         discovery_address=_optional_address(bus),
         admin_address=_optional_address(operator),
@@ -126,8 +137,8 @@
         known_offset=known.integer("offset", events[-1].offset if events else 0),
         known_events=events,
         connect_timeout_ns=connections.connect_timeout_ns,
-        connection_idle_ns=connections.idle_ns,
-        streams_per_connection=connections.streams,
+        connection_idle_ns=connections.idle_timeout_ns,
+        streams_per_connection=connections.max_streams,
         settings=settings,
         source={key: value for key, value in root.values.items() if key != "known"},
     )
@@ -142,44 +153,40 @@
 
 
 def _connection_limits(platform: Mapping[str, Any]) -> ConnectionLimits:
-    # All three are read before the first is compared with its least value: which of several
+    # All three are read before the first is compared with its minimum: which of several
     # faulty keys an error names depends on it.
-    values = Section(platform, "settings").section("policy_limits")
-    limits = {
-        name: values.integer(name, default)
-        for name, default in (
-            ("connect_timeout", DEFAULT_CONNECT_TIMEOUT_NS),
-            ("conn_idle", DEFAULT_CONNECTION_IDLE_NS),
-            ("streams_per_conn", DEFAULT_STREAMS),
-        )
-    }
-    for name, limit in limits.items():
-        _check_at_least(1, limit, values.key(name))
-    return ConnectionLimits(*limits.values())
-
-
-def _override(
+    section = Section(platform, "settings").section("policy_limits")
+    connect_timeout_ns = section.integer("connect_timeout", DEFAULT_CONNECT_TIMEOUT_NS)
+    idle_timeout_ns = section.integer("conn_idle", DEFAULT_CONNECTION_IDLE_NS)
+    max_streams = section.integer("streams_per_conn", DEFAULT_STREAMS)
+    _check_at_least(1, connect_timeout_ns, section.key("connect_timeout"))
+    _check_at_least(1, idle_timeout_ns, section.key("conn_idle"))
+    _check_at_least(1, max_streams, section.key("streams_per_conn"))
+    return ConnectionLimits(connect_timeout_ns, idle_timeout_ns, max_streams)
+
+
+def _text_or_override(
     environ: Mapping[str, str],
     variable: str,
     section: Section,
     name: str,
     default: str | None = None,
-) -> Override:
-    """The text of a variable of the environment, or else of a key; an empty variable is none."""
+) -> SourcedText:
+    """The text of an environment variable; of a key where the variable is unset or empty."""
     text = environ.get(variable)
     if text:
-        return Override(text, variable)
-    return Override(section.text(name, default), section.key(name))
+        return SourcedText(text, variable)
+    return SourcedText(section.text(name, default), section.key(name))
 
 
-def _address(source: Override) -> tuple[str, int]:
+def _address(source: SourcedText) -> tuple[str, int]:
     try:
         return parse_address(source.text)
     except InvalidEventError as error:
         raise InvalidValueError(source.key, error) from None
 
 
-def _optional_address(source: Override) -> tuple[str, int] | None:
+def _optional_address(source: SourcedText) -> tuple[str, int] | None:
     """An address, or None for an empty text."""
     return _address(source) if source.text else None
 
@@ -207,12 +214,12 @@
         raise InvalidValueError(key, f"{text!r} is no hexadecimal number") from None
 
 
-def _at_least(least: int, section: Section, name: str, default: int) -> int:
+def _integer_at_least(minimum: int, section: Section, name: str, default: int) -> int:
     number = section.integer(name, default)
-    _check_at_least(least, number, section.key(name))
+    _check_at_least(minimum, number, section.key(name))
     return number
 
 
-def _check_at_least(least: int, number: int, key: str) -> None:
-    if number < least:
-        raise InvalidValueError(key, f"must be at least {least}")
+def _check_at_least(minimum: int, number: int, key: str) -> None:
+    if number < minimum:
+        raise InvalidValueError(key, f"must be at least {minimum}")
--- a/query_broker/config/platform_settings.py
+++ b/query_broker/config/platform_settings.py
@@ -2,7 +2,7 @@
 
 The broker finds the object in its configuration file, the simulator's adapter gets it alone on its
 wire; both call ``parse_settings``. Where several keys are faulty, the order of reading decides
-which one the error names: the functions keep it on purpose.
+which one the error names: the functions keep that order.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from ..decisions import Contract, Effect, Limits, RequestClass, Settings, Tenant
 from .errors import ConfigError, InvalidValueError
 from .schema import (
-    CONTRACT_TERMS,
+    CONTRACT_FIELDS,
     EFFECTS,
-    KEYS_OF_CHECKED_FIELDS,
-    LIMITS_TERMS,
-    REPORT,
-    SCOPES,
-    Term,
+    IDEMPOTENCY_SCOPES,
+    KEYS_BY_CHECKED_FIELD,
+    LIMITS_FIELDS,
+    REPORT_KEY,
+    SettingsField,
 )
 from .values import Section, ValueKind, meaning_of
 
@@ -34,23 +34,23 @@
         ConfigError: A key is missing or its value impossible; the error names it.
     """
     try:
-        return _settings(Section(settings))
+        return _read_settings(Section(settings))
     except ConfigError:
         raise
     except ValueError as error:  # from the checks in `decisions.settings`, as `field: problem`
         field, colon, problem = str(error).partition(":")
-        key = KEYS_OF_CHECKED_FIELDS.get(field, field)
+        key = KEYS_BY_CHECKED_FIELD.get(field, field)
         raise ConfigError(key + colon + problem) from None
 
 
-def _settings(root: Section) -> Settings:
+def _read_settings(root: Section) -> Settings:
     specifics = root.section("specifics")
     policy_limits = root.section("policy_limits")
     contract = root.section("contract")
     charges = root.section("charges")
     classes = root.entries("classes")
     # Nothing uses the fields of load reports, but a list of another kind is an error.
-    root.section(REPORT).list_of("fields", ValueKind.TEXT)
+    root.section(REPORT_KEY).list_of("fields", ValueKind.TEXT)
     fleet_size = root.integer("fleet_size")
     return Settings(
         classes=_request_classes(classes, specifics),
@@ -58,8 +58,8 @@
         tick_ns=root.integer("tick"),
         broker_index=root.integer("me", 0) % max(1, fleet_size),
         zone=root.text("zone", ""),
-        contract=Contract(**_fields(contract, CONTRACT_TERMS)),
-        limits=Limits(**_fields(policy_limits, LIMITS_TERMS)),
+        contract=Contract(**_fields(contract, CONTRACT_FIELDS)),
+        limits=Limits(**_fields(policy_limits, LIMITS_FIELDS)),
         tenants=_tenants(root.entries("tenants", [])),
         kind_cores=_kind_cores(root, specifics),
         cross_zone_price=_price(charges, "cross_zone"),
@@ -70,12 +70,12 @@
     )
 
 
-def _fields(section: Section, terms: Mapping[str, Term]) -> dict[str, Any]:
+def _fields(section: Section, fields: Mapping[str, SettingsField]) -> dict[str, Any]:
     """The fields whose keys are present; those of absent keys keep the dataclass's defaults."""
     return {
-        term.field: section.value(name, term.kind)
-        for name, term in terms.items()
-        if section.holds(name)
+        field.name: section.value(key, field.kind)
+        for key, field in fields.items()
+        if section.holds(key)
     }
 
 
@@ -97,27 +97,31 @@
         late_priority_weight=section.number("late_value", 0.0),
         objective_stretch=section.number("aim_stretch", 0.0),
         idempotency_scope=meaning_of(
-            section.text("group", "all") or "all", SCOPES, section.key("group")
+            section.text("group", "all") or "all", IDEMPOTENCY_SCOPES, section.key("group")
         ),
         idempotency_window_ns=_idempotency_window_ns(section, effect),
         ordered_by_key=section.boolean("fifo_by_key", False),
         allowed_zones=tuple(section.list_of("zones_only", ValueKind.TEXT)),
         allowed_kinds=tuple(section.list_of("kinds_allowed", ValueKind.TEXT)),
-        threads=_of_class(specifics, "parallelism", index, ValueKind.INTEGER, 1),
-        is_load=_of_class(specifics, "is_load", index, ValueKind.BOOLEAN, False),
-        blocked_by_loads=_of_class(specifics, "blocked_by_loads", index, ValueKind.BOOLEAN, False),
+        threads=_value_of_class(specifics, "parallelism", index, ValueKind.INTEGER, 1),
+        is_load=_value_of_class(specifics, "is_load", index, ValueKind.BOOLEAN, False),
+        blocked_by_loads=_value_of_class(
+            specifics, "blocked_by_loads", index, ValueKind.BOOLEAN, False
+        ),
     )
 
 
 def _idempotency_window_ns(section: Section, effect: Effect) -> int:
-    # For how long endpoints remember an idempotency key can't be guessed, and a retry after that
-    # time would run twice: a class with such keys has to say it.
+    # There is no safe default for how long endpoints remember an idempotency key: a retry after
+    # that time would run twice. So the key is required for a class with such keys.
     if effect is Effect.IDEMPOTENCY_KEY:
         return section.integer("window")
     return section.integer("window", 0)
 
 
-def _of_class(specifics: Section, name: str, index: int, kind: ValueKind, default: Any) -> Any:
+def _value_of_class(
+    specifics: Section, name: str, index: int, kind: ValueKind, default: Any
+) -> Any:
     """The entry of one class in a list that has one for each class, or the default."""
     entries = specifics.list_of(name, kind)
     return entries[index] if index < len(entries) else default
--- a/query_broker/config/reloading.py
+++ b/query_broker/config/reloading.py
@@ -1,4 +1,4 @@
-"""What SIGHUP compares: keys that need a restart, and keys that a new file has lost."""
+"""Reload at SIGHUP: reports keys that need a restart, rejects a file that lacks former keys."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from .errors import LostKeyError
 from .loading import load
 
-#: What is read at the start only, by the key that an operator writes. ``bus`` and ``settings`` take
-#: effect at SIGHUP, except for the tick: the timer wheel is built for the tick of the start.
+#: The values that are read at the start only, by the key that an operator writes. ``bus`` and
+#: ``settings`` take effect at SIGHUP, except for the tick: the timer wheel is built for the tick of
+#: the start.
 FIXED_UNTIL_RESTART: Mapping[str, Callable[[Config], object]] = {
     "limits.memory_mb": lambda config: config.memory_mb,
     "limits.sockets": lambda config: config.sockets,
@@ -23,28 +24,30 @@
 
 
 def reload(running: Config, environ: Mapping[str, str]) -> Config:
-    """Read the file again, to take the place of the configuration in force.
+    """Read the file again, to replace the configuration in force.
 
-    A key that has got lost would fall back to its default, in service and without a message: such
-    a file is rejected as a whole.
+    A key that is missing by mistake would silently fall back to its default in a serving broker, so
+    such a file is rejected as a whole.
 
     Raises:
         ConfigError: The file can't be used, or lacks a key that the one in force has.
     """
-    read = load(environ)
-    for key in missing_keys(running.source, read.source):
+    new_config = load(environ)
+    for key in missing_keys(running.source, new_config.source):
         raise LostKeyError(key, environ["PROXY_CONFIG"])
-    return read
+    return new_config
 
 
-def keys_needing_restart(running: Config, read: Config) -> list[str]:
-    """Return the keys that differ in a configuration read anew and need a restart, sorted."""
+def keys_needing_restart(running: Config, new_config: Config) -> list[str]:
+    """Return the keys whose new values need a restart, sorted."""
     return sorted(
-        key for key, value_of in FIXED_UNTIL_RESTART.items() if value_of(running) != value_of(read)
+        key
+        for key, value_of in FIXED_UNTIL_RESTART.items()
+        if value_of(running) != value_of(new_config)
     )
 
 
-def missing_keys(before: Any, after: Any, path: str = "") -> Iterator[str]:
+def missing_keys(before: Any, after: Any, prefix: str = "") -> Iterator[str]:
     """Yield the dotted keys that one JSON value has and another lacks.
 
     Objects are compared key by key; null counts as absent. For lists of objects, the keys that all
@@ -53,13 +56,13 @@
     if isinstance(before, dict) and isinstance(after, dict):
         for key, value in before.items():
             if value is not None and after.get(key) is None:
-                yield path + key
+                yield prefix + key
             else:
-                yield from missing_keys(value, after.get(key), f"{path}{key}.")
+                yield from missing_keys(value, after.get(key), f"{prefix}{key}.")
     elif isinstance(before, list) and isinstance(after, list):
-        common = _common_keys(before)
+        common_keys = _common_keys(before)
         for entry in after:
-            yield from missing_keys(common, entry, path)
+            yield from missing_keys(common_keys, entry, prefix)
 
 
 def _common_keys(entries: list[Any]) -> dict[str, Any]:
--- a/query_broker/config/schema.py
+++ b/query_broker/config/schema.py
@@ -1,4 +1,4 @@
-"""Schema of the platform's settings: their keys, and the code's term for each of them.
+"""Schema of the platform's settings: their keys, and the field of the code for each of them.
 
 The spelling of the keys belongs to the platform. It appears here and in the reader
 (``platform_settings``); everything else uses the terms of ``decisions.settings``. Performs no I/O.
@@ -13,8 +13,8 @@
 from .values import ValueKind
 
 #: The keys that are read, by the object under ``settings`` that holds them ("" is ``settings``
-#: itself). A key that is neither here nor in NOT_NEEDED is named in the log, so that no key is
-#: ignored without a message.
+#: itself). A key that is neither here nor in IGNORED_SETTINGS_KEYS is named in the log, so that no
+#: key is ignored without a message.
 SETTINGS_KEYS = {
     "": {
         "classes",
@@ -82,7 +82,7 @@
     "report": {"fields"},
 }
 
-#: The keys that a deployment may hold and that this program does not need.
+#: The keys that a deployment may hold and that this program does not use.
 IGNORED_SETTINGS_KEYS = {
     "": {
         "callers",
@@ -142,56 +142,62 @@
     "eps",
 }
 
-#: What the values of ``classes.effect`` mean.
+#: The values of ``classes.effect``.
 EFFECTS: Mapping[str, Effect] = {
     "read_like": Effect.IDEMPOTENT,
     "idempotency_key": Effect.IDEMPOTENCY_KEY,
     "non_idempotent": Effect.NON_IDEMPOTENT,
 }
 
-#: What the values of ``classes.group`` mean.
-SCOPES: Mapping[str, IdempotencyScope] = {scope.value: scope for scope in IdempotencyScope}
+#: The values of ``classes.group``.
+IDEMPOTENCY_SCOPES: Mapping[str, IdempotencyScope] = {
+    scope.value: scope for scope in IdempotencyScope
+}
 
+#: The key of the object that lists the fields of a load report.
+REPORT_KEY = "report"
 
-#: The key of the object that says which fields a load report of an endpoint has.
-REPORT = "report"
 
+class SettingsField(NamedTuple):
+    """What one key of the settings is read into.
 
-class Term(NamedTuple):
-    """The code's term for one key of the settings: a field of a dataclass, and the value's kind."""
+    Attributes:
+        name: Name of the field of the dataclass.
+        kind: Kind of the JSON value.
+    """
 
-    field: str
+    name: str
     kind: ValueKind
 
 
 #: The keys of ``contract``, as fields of ``decisions.Contract``. Durations are in nanoseconds.
-CONTRACT_TERMS: Mapping[str, Term] = {
-    "answer_slack": Term("answer_slack_ns", ValueKind.INTEGER),
-    "drain_grace": Term("drain_grace_ns", ValueKind.INTEGER),
-    "start_capacity": Term("warmup_initial_capacity", ValueKind.NUMBER),
-    "cold": Term("warmup_ns", ValueKind.INTEGER),
-    "fall": Term("overload_window_ns", ValueKind.INTEGER),
-    "fall_multiple": Term("overload_multiple", ValueKind.NUMBER),
-    "key_rest": Term("key_rest_ns", ValueKind.INTEGER),
-    "ratio_span": Term("retry_budget_window_ns", ValueKind.INTEGER),
-    "budget_free": Term("retry_budget_free", ValueKind.NUMBER),
-    "extra_ratio": Term("retry_budget_ratio", ValueKind.NUMBER),
+CONTRACT_FIELDS: Mapping[str, SettingsField] = {
+    "answer_slack": SettingsField("answer_slack_ns", ValueKind.INTEGER),
+    "drain_grace": SettingsField("drain_grace_ns", ValueKind.INTEGER),
+    "start_capacity": SettingsField("warmup_initial_capacity", ValueKind.NUMBER),
+    "cold": SettingsField("warmup_ns", ValueKind.INTEGER),
+    "fall": SettingsField("overload_window_ns", ValueKind.INTEGER),
+    "fall_multiple": SettingsField("overload_multiple", ValueKind.NUMBER),
+    "key_rest": SettingsField("key_rest_ns", ValueKind.INTEGER),
+    "ratio_span": SettingsField("retry_budget_window_ns", ValueKind.INTEGER),
+    "budget_free": SettingsField("retry_budget_free", ValueKind.NUMBER),
+    "extra_ratio": SettingsField("retry_budget_ratio", ValueKind.NUMBER),
 }
 
 #: The keys of ``policy_limits``, as fields of ``decisions.Limits``.
-LIMITS_TERMS: Mapping[str, Term] = {
-    "cancel": Term("cancellation", ValueKind.BOOLEAN),
-    "probing": Term("health_checks", ValueKind.BOOLEAN),
-    "peer_messages": Term("peer_messages", ValueKind.BOOLEAN),
-    "second_copies": Term("hedging", ValueKind.BOOLEAN),
-    "retry_after": Term("retry_after", ValueKind.BOOLEAN),
-    "send_cap": Term("max_attempts", ValueKind.INTEGER),
-    "max_retry_after": Term("max_retry_after_ns", ValueKind.INTEGER),
+LIMITS_FIELDS: Mapping[str, SettingsField] = {
+    "cancel": SettingsField("cancellation", ValueKind.BOOLEAN),
+    "probing": SettingsField("health_checks", ValueKind.BOOLEAN),
+    "peer_messages": SettingsField("peer_messages", ValueKind.BOOLEAN),
+    "second_copies": SettingsField("hedging", ValueKind.BOOLEAN),
+    "retry_after": SettingsField("retry_after", ValueKind.BOOLEAN),
+    "send_cap": SettingsField("max_attempts", ValueKind.INTEGER),
+    "max_retry_after": SettingsField("max_retry_after_ns", ValueKind.INTEGER),
 }
 
-#: The checks in ``decisions.settings`` name their own fields; an error names the key that the
-#: operator wrote.
-KEYS_OF_CHECKED_FIELDS: Mapping[str, str] = {
+#: The errors of ``decisions.settings`` name the fields on the left; the errors of the configuration
+#: name the keys on the right, which the operator has written.
+KEYS_BY_CHECKED_FIELD: Mapping[str, str] = {
     "contract.cold_from": "contract.start_capacity",
     "contract.order_settle": "contract.key_rest",
     "contract.budget_window": "contract.ratio_span",
--- a/query_broker/config/values.py
+++ b/query_broker/config/values.py
@@ -10,7 +10,7 @@
 
 from .errors import InvalidValueError, MissingKeyError
 
-#: NaN, infinity and whatever no field could hold do not count as numbers.
+#: Largest absolute value of a number; infinity and NaN are rejected by the same comparison.
 MAX_NUMBER = 1e18
 
 #: Characters of a faulty value that an error quotes, so that it stays one line.
@@ -57,7 +57,7 @@
 
     Args:
         value: As the JSON reader gave it; None stands for null and for an absent key.
-        kind: What it has to be.
+        kind: The required kind.
         key: The dotted key that an error names.
 
     Raises:
@@ -75,10 +75,15 @@
 
 
 def meaning_of(value: str, meanings: Mapping[str, Meaning], key: str) -> Meaning:
-    """Return what a text means, by a table of all that are known.
+    """Look up the meaning of a text.
+
+    Args:
+        value: The text.
+        meanings: The meaning of each valid text.
+        key: The dotted key that an error names.
 
     Raises:
-        InvalidValueError: The table does not hold the text.
+        InvalidValueError: The text is not valid.
     """
     if value not in meanings:
         raise InvalidValueError(key, f"unknown value {value!r}")
