--- a/query_broker/operator_config/apply.py
+++ b/query_broker/operator_config/apply.py
@@ -19,7 +19,10 @@
 
 
 def apply_deadlines(controls: DeadlineControls, settings: DeadlineSettings) -> None:
-    """Set how deadlines are counted; the latencies learned so far stay if the margin's do."""
+    """Set how deadlines are counted.
+
+    The latencies learned so far are kept if the settings of the margin have not changed.
+    """
     controls.settings = settings
     if not settings.learn:
         controls.stages = None
@@ -38,12 +41,12 @@
     settings: RetryBudgetSettings | None,
     quota_service: QuotaService | None,
 ) -> None:
-    """Set the retry budget; its tokens stay if the settings do.
+    """Set the retry budget; its tokens are kept if its settings have not changed.
 
     Args:
-        controls: Where the dispatcher looks the budget up.
+        controls: Hold the budget that the dispatcher uses.
         settings: None removes the budget.
-        quota_service: Bounds retries besides, if operators declare such a limit.
+        quota_service: Limits retries of all brokers, if operators declare such a limit.
     """
     if settings is None:
         controls.retry_budget = None
@@ -53,7 +56,7 @@
 
 
 def gate_retries(controls: DeadlineControls, quota_service: QuotaService | None) -> None:
-    """Let the limit on retries that all brokers share bound the retry budget, if there are both."""
+    """Connect the shared limit on retries to the retry budget, if both exist."""
     budget = controls.retry_budget
     if budget is not None and quota_service is not None and quota_service.has_retry_limit:
         budget.gate = quota_service.admit_retry
@@ -75,7 +78,7 @@
     """Switches a node between the plain log and structured lines with traces."""
 
     def __init__(self, node: Node) -> None:
-        """Create the switch of one node; its log is plain until ``apply``."""
+        """Create the switch of one node, whose log is plain until ``apply`` is called."""
         self._node = node
         self._observer: TraceObserver | None = None
 
--- a/query_broker/operator_config/arguments.py
+++ b/query_broker/operator_config/arguments.py
@@ -1,7 +1,7 @@
 """Checks of the arguments of directives. Performs no I/O.
 
-Each check takes the value as the script passed it and the key that error texts name, for example
-``cell.weight``, and returns the value in the type of the settings. All raise ``DirectiveError``.
+Each check takes the value as the script passed it, and the key that error texts name, for example
+``cell.weight``. It returns the value in the type of the settings. All raise ``DirectiveError``.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 MS_PER_S = 1_000
 #: Names and paths go into log lines and metrics labels, which must stay readable.
 MAX_TEXT_LENGTH = 256
-#: Numbers are stored as nanoseconds or floats; beyond this a float no longer counts in ones.
+#: Numbers are stored as nanoseconds or floats; up to this a float holds whole numbers exactly.
 NUMBER_LIMIT = 1e15
 IPV4_PARTS = 4
 MAX_OCTET = 255
@@ -25,19 +25,19 @@
     """A directive that cannot be accepted; the text has the form ``key: problem``.
 
     Attributes:
-        call: Number of the directive call that is at fault; None means the current one.
+        call_number: Number of the call at fault, counted from 1; None for the current call.
     """
 
-    def __init__(self, key: str, problem: str, call: int | None = None) -> None:
+    def __init__(self, key: str, problem: str, call_number: int | None = None) -> None:
         """Create the error.
 
         Args:
             key: The directive, or the directive and its argument, as in ``cell.weight``.
             problem: What is wrong with it.
-            call: Number of the call at fault, counted from 1; None for the current call.
+            call_number: Number of the call at fault, counted from 1; None for the current call.
         """
         super().__init__(f"{key}: {problem}")
-        self.call = call
+        self.call_number = call_number
 
 
 def check_text(value: Any, key: str) -> str:
@@ -55,20 +55,20 @@
     return tuple(check_text(text, key) for text in value)
 
 
-def check_number(value: Any, key: str, least: float = 0.0, above: bool = False) -> float:
-    """Return a number of at least ``least``, or strictly greater where ``above`` is set."""
+def check_number(value: Any, key: str, minimum: float = 0.0, exclusive: bool = False) -> float:
+    """Return a number of at least ``minimum``, or above it where ``exclusive`` is set."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not -NUMBER_LIMIT < value < NUMBER_LIMIT:
         raise DirectiveError(key, f"{value!r:.60} is no number")
-    if value < least or (above and value <= least):
-        bound = "above" if above else "at least"
-        raise DirectiveError(key, f"must be {bound} {least:g}")
+    if value < minimum or (exclusive and value <= minimum):
+        bound = "above" if exclusive else "at least"
+        raise DirectiveError(key, f"must be {bound} {minimum:g}")
     return float(value)
 
 
-def check_integer(value: Any, key: str, least: int = 0) -> int:
-    """Return an integer of at least ``least``."""
-    if value != int(check_number(value, key, least)):
+def check_integer(value: Any, key: str, minimum: int = 0) -> int:
+    """Return an integer of at least ``minimum``."""
+    if value != int(check_number(value, key, minimum)):
         raise DirectiveError(key, f"{value!r} is no whole number")
     return int(value)
 
@@ -109,11 +109,18 @@
     return text
 
 
-def seconds_to_ns(value: Any, key: str, least: float = 0.0, above: bool = False) -> int:
-    """Return a duration given in seconds as nanoseconds, truncated to whole milliseconds."""
-    return int(check_number(value, key, least, above) * MS_PER_S) * NS_PER_MS
+def seconds_to_ns(value: Any, key: str, minimum: float = 0.0, exclusive: bool = False) -> int:
+    """Return a duration given in seconds as nanoseconds, truncated to whole milliseconds.
+
+    Args:
+        value: The duration in seconds.
+        key: The key that an error names.
+        minimum: The shortest duration that is accepted, in seconds.
+        exclusive: Whether the duration must be above the minimum.
+    """
+    return int(check_number(value, key, minimum, exclusive) * MS_PER_S) * NS_PER_MS
 
 
 def milliseconds_to_ns(value: Any, key: str) -> int:
     """Return a duration given in milliseconds, which must be above 0, as nanoseconds."""
-    return int(check_number(value, key, above=True) * NS_PER_MS)
+    return int(check_number(value, key, exclusive=True) * NS_PER_MS)
--- a/query_broker/operator_config/codec.py
+++ b/query_broker/operator_config/codec.py
@@ -1,9 +1,9 @@
-"""The JSON form in which the evaluating process hands its result to the broker.
+"""The JSON form in which the evaluating process passes its result to the broker.
 
-The keys are the one place where the operators' words of this form stand beside the terms of the
-code: ``map``, ``start``, ``members``, ``shares`` and ``verdicts`` are ``cell_map``, ``startup``,
-``membership``, ``quotas`` and ``outlier_consensus``. During an upgrade both processes are of the
-same version, since the broker starts the other one from its own files. Performs no I/O.
+The keys keep the words of the operators' file; the code uses other terms for some of them: ``map``,
+``start``, ``members``, ``shares`` and ``verdicts`` are ``cell_map``, ``startup``, ``membership``,
+``quotas`` and ``outlier_consensus``. The evaluating process always has the version of the broker,
+which starts it from its own files. Performs no I/O.
 """
 
 from __future__ import annotations
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -1,4 +1,4 @@
-"""The directives of the operators' file. Performs no I/O, and knows nothing of Starlark.
+"""The directives of the operators' file. Performs no I/O, and is independent of Starlark.
 
 Each directive is a function that takes its arguments as the script passes them, checks them, and
 adds what they declare to the ``ConfigDraft``. An invalid argument raises ``DirectiveError`` with
@@ -54,9 +54,9 @@
 MAX_DIRECTIVE_CALLS = 200_000
 #: Names of cells and limits are labels of metrics and parts of paths.
 MAX_NAME_LENGTH = 64
-#: With half of the brokers lost neither side of a partition knows that it is the larger.
-LOSS_FRACTION_LIMIT = 0.5
-#: A clock that runs at half the speed would double each lease.
+#: With half of the brokers lost, neither side of a partition can know that it is the larger one.
+LOST_FRACTION_LIMIT = 0.5
+#: A clock at half the speed would double the duration of each lease.
 CLOCK_DRIFT_LIMIT = 0.5
 MIN_OBSERVERS = 2
 MIN_GOSSIP_INTERVAL_S = 0.05
@@ -100,7 +100,7 @@
         raise DirectiveError("cell.most", f"must be 0 or at least {min_endpoints}")
     draft.cells[name] = Cell(
         name,
-        check_number(weight, "cell.weight", above=True),
+        check_number(weight, "cell.weight", exclusive=True),
         check_texts(engines, "cell.engines"),
         check_texts(zones, "cell.zones"),
         check_texts(models, "cell.models"),
@@ -122,15 +122,15 @@
     if (cell is None) == (cells is None):
         raise DirectiveError("tenant.cell", "name one cell, or several as cells")
     if cells is None:
-        homes: tuple[str, ...] = (check_text(cell, "tenant.cell"),)
+        tenant_cells: tuple[str, ...] = (check_text(cell, "tenant.cell"),)
     else:
-        homes = check_texts(cells, "tenant.cells")
+        tenant_cells = check_texts(cells, "tenant.cells")
     key = check_choice(key, "tenant.key", SPREAD_FIELDS)
-    if not homes or len(set(homes)) < len(homes):
+    if not tenant_cells or len(set(tenant_cells)) < len(tenant_cells):
         raise DirectiveError("tenant.cells", "must name each cell once")
-    if len(homes) > 1 and not key:
+    if len(tenant_cells) > 1 and not key:
         raise DirectiveError("tenant.key", "is missing, since the tenant is in several cells")
-    draft.tenants[name] = Tenant(name, homes, key)
+    draft.tenants[name] = Tenant(name, tenant_cells, key)
     return str(name)
 
 
@@ -166,21 +166,24 @@
     half_close: Any = "left",
     slow_reader: Any = 30,
 ) -> None:
-    """Set how a request's time is counted, and when its client counts as departed."""
+    """Set from when deadlines count, what margin they keep, and when a client has disconnected."""
     draft.declare_once("deadlines")
-    start_ns = milliseconds_to_ns(margin_ms, "deadlines.margin_ms")
-    least_ns = milliseconds_to_ns(least_margin_ms, "deadlines.least_margin_ms")
-    most_ns = milliseconds_to_ns(most_margin_ms, "deadlines.most_margin_ms")
-    if not least_ns <= start_ns <= most_ns:
+    initial_margin_ns = milliseconds_to_ns(margin_ms, "deadlines.margin_ms")
+    min_margin_ns = milliseconds_to_ns(least_margin_ms, "deadlines.least_margin_ms")
+    max_margin_ns = milliseconds_to_ns(most_margin_ms, "deadlines.most_margin_ms")
+    if not min_margin_ns <= initial_margin_ns <= max_margin_ns:
         raise DirectiveError("deadlines.margin_ms", "must lie in least_margin_ms to most_margin_ms")
     draft.deadlines = DeadlineSettings(
         check_flag(learn, "deadlines.learn"),
         MarginTerms(
-            start_ns, least_ns, most_ns, check_fraction(margin_share, "deadlines.margin_share")
+            initial_margin_ns,
+            min_margin_ns,
+            max_margin_ns,
+            check_fraction(margin_share, "deadlines.margin_share"),
         ),
         check_choice(count_from, "deadlines.count_from", ("first", "last")),
         check_choice(half_close, "deadlines.half_close", ("left", "answer")),
-        seconds_to_ns(slow_reader, "deadlines.slow_reader", above=True),
+        seconds_to_ns(slow_reader, "deadlines.slow_reader", exclusive=True),
     )
 
 
@@ -192,7 +195,7 @@
     first: Any = 1.0,
     least_ms: Any = 100,
 ) -> None:
-    """Set the retry budget: what a first attempt earns, and how much may be saved up."""
+    """Set the retry budget: the tokens that a first attempt earns, and the most that are saved."""
     draft.declare_once("further_attempts")
     first = check_fraction(first, "further_attempts.first")
     if not first:
@@ -253,11 +256,13 @@
     if last_list and not str(last_list).startswith("/"):
         raise DirectiveError("start.last_list", f"{last_list!r:.60} is no path from the root")
     draft.startup = StartupSettings(
-        list_connects_per_s=check_number(list_connects, "start.list_connects", above=True),
+        list_connects_per_s=check_number(list_connects, "start.list_connects", exclusive=True),
         list_wait_ns=seconds_to_ns(list_wait, "start.list_wait"),
-        endpoint_probes_per_s=check_number(engine_probes, "start.engine_probes", above=True),
-        endpoint_connects_per_s=check_number(engine_connects, "start.engine_connects", above=True),
-        accepts_per_s=check_number(accepts, "start.accepts", above=True),
+        endpoint_probes_per_s=check_number(engine_probes, "start.engine_probes", exclusive=True),
+        endpoint_connects_per_s=check_number(
+            engine_connects, "start.engine_connects", exclusive=True
+        ),
+        accepts_per_s=check_number(accepts, "start.accepts", exclusive=True),
         contact_fraction=check_fraction(contact_part, "start.contact_part"),
         contact_wait_ns=seconds_to_ns(contact_wait, "start.contact_wait"),
         initial_fraction=floor,
@@ -268,7 +273,7 @@
     )
 
 
-# --- what brokers share ---
+# --- membership, quotas and consensus between brokers ---
 
 
 def members(
@@ -285,25 +290,27 @@
     settle: Any = 5,
     forget: Any = 600,
 ) -> None:
-    """Set how the brokers find out which of them are alive; durations in seconds."""
+    """Set how the brokers detect which of them are alive; durations in seconds."""
     draft.declare_once("members")
-    loss_fraction = check_fraction(part, "members.part")
-    if not 0 < loss_fraction < LOSS_FRACTION_LIMIT:
+    max_lost_fraction = check_fraction(part, "members.part")
+    if not 0 < max_lost_fraction < LOST_FRACTION_LIMIT:
         raise DirectiveError(
             "members.part", "must lie between 0 and 0.5: with half lost neither side may be sure"
         )
     draft.membership = MembershipSettings(
-        check_address(address, "members.address"),
-        check_address(advertise, "members.advertise") if advertise else "",
-        tuple(check_address(seed, "members.seeds") for seed in check_texts(seeds, "members.seeds")),
-        check_text(seeds_file, "members.seeds_file") if seeds_file else "",
-        check_text(key_file, "members.key_file"),
-        check_text(installation, "members.installation"),
-        seconds_to_ns(interval, "members.interval", MIN_GOSSIP_INTERVAL_S),
-        seconds_to_ns(sync, "members.sync", MIN_SYNC_INTERVAL_S),
-        loss_fraction,
-        seconds_to_ns(settle, "members.settle"),
-        seconds_to_ns(forget, "members.forget", MIN_FORGET_S),
+        listen_address=check_address(address, "members.address"),
+        advertise_address=check_address(advertise, "members.advertise") if advertise else "",
+        seeds=tuple(
+            check_address(seed, "members.seeds") for seed in check_texts(seeds, "members.seeds")
+        ),
+        seeds_file=check_text(seeds_file, "members.seeds_file") if seeds_file else "",
+        key_file=check_text(key_file, "members.key_file"),
+        installation=check_text(installation, "members.installation"),
+        interval_ns=seconds_to_ns(interval, "members.interval", MIN_GOSSIP_INTERVAL_S),
+        sync_interval_ns=seconds_to_ns(sync, "members.sync", MIN_SYNC_INTERVAL_S),
+        max_lost_fraction=max_lost_fraction,
+        settle_ns=seconds_to_ns(settle, "members.settle"),
+        forget_after_ns=seconds_to_ns(forget, "members.forget", MIN_FORGET_S),
     )
 
 
@@ -313,7 +320,7 @@
     draft.declare("limit", name, draft.limits)
     kind = check_choice(kind, "limit.kind", QUOTA_KINDS)
     _check_name(name, "limit.name")
-    if kind != "tenant" and any(known.kind == kind for known in draft.limits.values()):
+    if kind != "tenant" and any(other.kind == kind for other in draft.limits.values()):
         raise DirectiveError("limit.kind", f"there is a limit of kind {kind} already")
     rate = check_number(rate, "limit.rate")
     if kind in ("further", "connects") and not rate:
@@ -333,18 +340,21 @@
 ) -> None:
     """Set how limits are shared; durations in seconds."""
     draft.declare_once("limits")
-    drift = check_fraction(drift, "limits.drift")
-    if not 0 < drift < CLOCK_DRIFT_LIMIT:
+    clock_drift = check_fraction(drift, "limits.drift")
+    if not 0 < clock_drift < CLOCK_DRIFT_LIMIT:
         raise DirectiveError("limits.drift", "must lie between 0 and 0.5")
-    guaranteed = check_fraction(guaranteed, "limits.guaranteed")
-    if not guaranteed > 0:
+    guaranteed_fraction = check_fraction(guaranteed, "limits.guaranteed")
+    if not guaranteed_fraction > 0:
         raise DirectiveError(
             "limits.guaranteed", "must be above 0: without contact a broker has nothing else"
         )
-    lease_ns = seconds_to_ns(lease, "limits.lease", MIN_QUOTA_DURATION_S)
-    vote_ns = seconds_to_ns(promise, "limits.promise", MIN_QUOTA_DURATION_S)
-    gossip_interval_ns = seconds_to_ns(told, "limits.told", MIN_QUOTA_DURATION_S)
-    draft.quotas = QuotaSettings(lease_ns, vote_ns, drift, guaranteed, gossip_interval_ns)
+    draft.quotas = QuotaSettings(
+        lease_ns=seconds_to_ns(lease, "limits.lease", MIN_QUOTA_DURATION_S),
+        vote_ns=seconds_to_ns(promise, "limits.promise", MIN_QUOTA_DURATION_S),
+        clock_drift=clock_drift,
+        guaranteed_fraction=guaranteed_fraction,
+        gossip_interval_ns=seconds_to_ns(told, "limits.told", MIN_QUOTA_DURATION_S),
+    )
 
 
 def verdicts(
@@ -357,29 +367,30 @@
     most_hold: Any = 60,
     told: Any = 0.5,
 ) -> None:
-    """Set how brokers agree on outliers and on operators' orders; durations in seconds."""
+    """Set how brokers agree on outliers and on operators' overrides; durations in seconds."""
     draft.declare_once("verdicts")
     observers = check_integer(observers, "verdicts.observers", 1)
     if observers < MIN_OBSERVERS:
         raise DirectiveError(
             "verdicts.observers", "must be at least 2: one that lies would hold out what it likes"
         )
-    age_ns = seconds_to_ns(age, "verdicts.age", above=True)
-    ejection_ns = seconds_to_ns(hold, "verdicts.hold", above=True)
-    max_ejection_ns = seconds_to_ns(most_hold, "verdicts.most_hold", above=True)
-    gossip_interval_ns = seconds_to_ns(told, "verdicts.told", above=True)
+    # The order of the checks decides which of several faulty arguments an error names.
+    max_age_ns = seconds_to_ns(age, "verdicts.age", exclusive=True)
+    min_ejection_ns = seconds_to_ns(hold, "verdicts.hold", exclusive=True)
+    max_ejection_ns = seconds_to_ns(most_hold, "verdicts.most_hold", exclusive=True)
+    gossip_interval_ns = seconds_to_ns(told, "verdicts.told", exclusive=True)
     draft.outlier_consensus = OutlierConsensusSettings(
-        observers,
-        check_integer(failures, "verdicts.failures", 1),
-        age_ns,
-        check_fraction(part, "verdicts.part"),
-        ejection_ns,
-        max_ejection_ns,
-        gossip_interval_ns,
+        observers=observers,
+        failures=check_integer(failures, "verdicts.failures", 1),
+        max_age_ns=max_age_ns,
+        max_ejected_fraction=check_fraction(part, "verdicts.part"),
+        min_ejection_ns=min_ejection_ns,
+        max_ejection_ns=max_ejection_ns,
+        gossip_interval_ns=gossip_interval_ns,
     )
 
 
-#: What a script may call, by the name that it calls it by.
+#: The functions that a script may call, by their names in the script.
 DIRECTIVES_BY_NAME: dict[str, Callable[..., Any]] = {
     directive.__name__: directive
     for directive in (
--- a/query_broker/operator_config/draft.py
+++ b/query_broker/operator_config/draft.py
@@ -1,6 +1,6 @@
-"""What the directives of one script have declared so far, and the checks of the whole.
+"""Collects the declarations of one script, and checks that they fit together.
 
-Performs no I/O, and knows nothing of Starlark.
+Performs no I/O, and is independent of Starlark.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
     """The declarations of a script that is being evaluated.
 
     Attributes:
-        calls: Number of directives that were called.
+        call_count: Number of directives that were called.
         epoch: Epoch of the cell map.
         default_cell: Cell of the tenants that the file does not name; empty if not declared.
         timing: Time limits of the stages of a migration.
         cells: Cells by name, in the order of the file.
         tenants: Tenants by name, in the order of the file.
-        declared_at: Number of the call that declared something, by directive and name; the name is
-            empty for a directive that may be called once only.
+        declaring_calls: Number of the call that declared something, by directive and name; the name
+            is empty for a directive that may be called once only.
         single_directives: The directives of that kind which were called.
         deadlines: Deadlines, without the retry budget.
         retry_budget: The retry budget, without the classes that have their own.
@@ -47,13 +47,13 @@
         outlier_consensus: How brokers agree on outliers.
     """
 
-    calls: int = 0
+    call_count: int = 0
     epoch: int = 0
     default_cell: str = ""
     timing: Timing = field(default_factory=Timing)
     cells: dict[str, Cell] = field(default_factory=dict)
     tenants: dict[str, Tenant] = field(default_factory=dict)
-    declared_at: dict[tuple[str, str], int] = field(default_factory=dict)
+    declaring_calls: dict[tuple[str, str], int] = field(default_factory=dict)
     single_directives: set[str] = field(default_factory=set)
     deadlines: DeadlineSettings | None = None
     retry_budget: RetryBudgetSettings | None = None
@@ -66,17 +66,17 @@
     outlier_consensus: OutlierConsensusSettings | None = None
 
     def declare(self, directive: str, name: str, declared: Mapping[str, Any]) -> None:
-        """Note the call that declares a name.
+        """Record the call that declares a name.
 
         Raises:
             DirectiveError: The name is among those ``declared`` already.
         """
         if name in declared:
             raise DirectiveError(f"{directive}.name", f"{name!r} is used twice")
-        self.declared_at[directive, name] = self.calls
+        self.declaring_calls[directive, name] = self.call_count
 
     def declare_once(self, directive: str) -> None:
-        """Note the call of a directive that a file may hold once.
+        """Record the call of a directive that a file may have once only.
 
         Raises:
             DirectiveError: It was called before.
@@ -84,13 +84,14 @@
         if directive in self.single_directives:
             raise DirectiveError(directive, "is said twice")
         self.single_directives.add(directive)
-        self.declared_at[directive, ""] = self.calls
+        self.declaring_calls[directive, ""] = self.call_count
 
     def build_quotas(self) -> QuotaSettings | None:
         """Return the shared limits and how they are shared; None if there are none.
 
         Raises:
-            DirectiveError: Something is shared, but the file declares no ``members``.
+            DirectiveError: The file declares quotas or the consensus on outliers, but no
+                ``members``.
         """
         needing_members = {"limit": self.limits, "verdicts": self.outlier_consensus}
         for directive, declared in needing_members.items():
@@ -131,20 +132,22 @@
             return CellMap(self.epoch, cells, default_cell, self.tenants, self.timing)
         except CellMapError as error:
             key, _, problem = str(error).partition(": ")  # the form of all its texts
-            raise DirectiveError(key, problem, self.calls) from None
+            raise DirectiveError(key, problem, self.call_count) from None
 
     def _check_retry_budget_classes(self) -> None:
         if self.retry_budget_classes and self.retry_budget is None:
             first = next(iter(self.retry_budget_classes))
             raise DirectiveError(
-                "further_class", "needs further_attempts", self.declared_at["further_class", first]
+                "further_class",
+                "needs further_attempts",
+                self.declaring_calls["further_class", first],
             )
 
     def _check_no_tenants(self) -> None:
         if self.tenants:
             first = next(iter(self.tenants))
             raise DirectiveError(
-                "tenant.cell", "the file names no cell", self.declared_at["tenant", first]
+                "tenant.cell", "the file names no cell", self.declaring_calls["tenant", first]
             )
 
     def _check_tenant_cells(self) -> None:
@@ -154,7 +157,7 @@
                     raise DirectiveError(
                         "tenant.cell",
                         f"{cell!r} of {tenant.name!r} is no cell",
-                        self.declared_at["tenant", tenant.name],
+                        self.declaring_calls["tenant", tenant.name],
                     )
 
     def _find_default_cell(self) -> str:
@@ -162,10 +165,12 @@
         if not default_cell and len(self.cells) == 1:
             default_cell = next(iter(self.cells))
         if not default_cell:
-            raise DirectiveError("default_cell", "is missing", self.calls)
+            raise DirectiveError("default_cell", "is missing", self.call_count)
         if default_cell not in self.cells:
             raise DirectiveError(
-                "default_cell", f"{default_cell!r} is no cell", self.declared_at["default_cell", ""]
+                "default_cell",
+                f"{default_cell!r} is no cell",
+                self.declaring_calls["default_cell", ""],
             )
         return default_cell
 
@@ -179,5 +184,5 @@
                         raise DirectiveError(
                             f"cell.{key}",
                             f"{value!r} is in {owner!r} already",
-                            self.declared_at["cell", cell.name],
+                            self.declaring_calls["cell", cell.name],
                         )
--- a/query_broker/operator_config/reload.py
+++ b/query_broker/operator_config/reload.py
@@ -15,8 +15,8 @@
 from .settings import OperatorConfig
 
 
-class OperatorConfigUser(Protocol):
-    """What the reload needs of its node."""
+class ReloadTarget(Protocol):
+    """The node that a reload applies its result to."""
 
     @property
     def operator_file(self) -> str:
@@ -30,31 +30,31 @@
 
 
 class OperatorFileReload:
-    """Evaluates the operators' file again, and keeps the result until it is applied.
+    """Evaluates the operators' file again, and holds the result until it is applied.
 
     Attributes:
         pending: The evaluated file that the platform settings are to be applied with; None while
             no reload is at that point.
     """
 
-    def __init__(self, user: OperatorConfigUser, reject: Callable[[str], None]) -> None:
+    def __init__(self, target: ReloadTarget, reject: Callable[[str], None]) -> None:
         """Create a reload that has not begun.
 
         Args:
-            user: The node that applies the file.
-            reject: Counts and logs a file that is not applied, with the reason.
+            target: The node that applies the file.
+            reject: Counts and logs a rejected file; takes the reason.
         """
         self.pending: OperatorConfig | None = None
-        self._user = user
+        self._target = target
         self._reject = reject
         self._evaluation: asyncio.Future[OperatorConfig] | None = None
 
     def begin(self) -> None:
-        """Begin an evaluation; without effect while another one is under way."""
+        """Start an evaluation; without effect while another one is in progress."""
         if self._evaluation is not None:
             return
         loop = asyncio.get_running_loop()
-        evaluation = loop.run_in_executor(None, partial(evaluate, self._user.operator_file))
+        evaluation = loop.run_in_executor(None, partial(evaluate, self._target.operator_file))
         self._evaluation = evaluation
         evaluation.add_done_callback(self._evaluated)
 
@@ -63,11 +63,11 @@
         if evaluation.cancelled():
             return
         try:
-            self.pending = self._user.check_operator_config(evaluation.result())
+            self.pending = self._target.check_operator_config(evaluation.result())
         except OperatorFileError as error:
             self._reject(str(error))
             return
-        except Exception as error:  # no file, however odd, may end a process that serves
-            self._reject(f"{self._user.operator_file}: {type(error).__name__}: {error}")
+        except Exception as error:  # no file may end a broker that serves
+            self._reject(f"{self._target.operator_file}: {type(error).__name__}: {error}")
             return
-        self._user.reload_config()
+        self._target.reload_config()
--- a/query_broker/operator_config/script.py
+++ b/query_broker/operator_config/script.py
@@ -1,9 +1,9 @@
-"""Evaluates the operators' file in a process of its own, within bounds.
+"""Evaluates the operators' file in a separate process with limits on its resources.
 
-A script can build a list of any length in a single step, which no count of steps would notice: the
-broker itself would be killed for lack of memory, with all requests in flight. So another process
-evaluates the file under limits of its own and prints the result as JSON (see ``codec``). The broker
-never loads the Starlark interpreter.
+A script can build a list of any length in a single step, which a limit on steps would not prevent:
+the broker itself would run out of memory and be killed with all requests in flight. So another
+process evaluates the file under limits of its own and prints the result as JSON (see ``codec``).
+The broker never loads the Starlark interpreter.
 
 The process exits with 0 and prints the JSON, or with 2 and prints the error in one line.
 """
@@ -29,15 +29,16 @@
 from .settings import OperatorConfig
 
 #: Characters of the file; the map of a fleet with thousands of tenants has less than one million.
-MAX_FILE_LENGTH = 4 << 20
-#: Address space of the evaluating process, in bytes: small beside that of a broker's machine.
+MAX_FILE_CHARACTERS = 4 << 20
+#: Address space of the evaluating process: small against the memory of a broker's machine.
 MAX_MEMORY_BYTES = 512 << 20
 #: Processor time of the evaluating process; the broker waits twice as long for it.
 MAX_PROCESSOR_TIME_S = 5.0
-#: The interpreter gives up this long before the limit on processor time kills it.
-CANCEL_BEFORE_S = 1
+#: The evaluation is cancelled this long before the limit on processor time kills it.
+CANCELLATION_MARGIN_S = 1
 #: Calls within calls; Starlark has no recursion, so that more are an error in any case.
 MAX_CALL_DEPTH = 100
+#: Exit code of the evaluating process for a file that is not accepted.
 EXIT_INVALID = 2
 #: Where the interpreter's error names line and column.
 ERROR_LOCATION = re.compile(r" --> .*?:(\d+):\d+\n")
@@ -48,18 +49,23 @@
 
 
 class OperatorFileError(QueryBrokerError):
-    """A file that cannot be accepted; the text is one line, ``FILE:LINE: key: problem``."""
+    """A file that is not accepted; the text is one line, ``FILE:LINE: key: problem``."""
 
     @classmethod
     def of(cls, path: str, key: str, problem: object) -> OperatorFileError:
-        """Return the error of a file as a whole, where no line is at fault."""
+        """Return an error of the file as a whole, without a line number."""
         return cls(f"{path}: {key}: {problem}")
 
 
-class LateError(NamedTuple):
-    """An error that shows only at the end of a script, and the call that it is about."""
+class DeferredError(NamedTuple):
+    """An error that is found only at the end of a script.
 
-    call: int
+    Attributes:
+        call_number: Number of the call at fault, counted from 1.
+        error: The error.
+    """
+
+    call_number: int
     error: DirectiveError
 
 
@@ -67,19 +73,21 @@
 
 
 def evaluate(path: str) -> OperatorConfig:
-    """Evaluate the file in another process; waits for it, and so must not run on the event loop.
+    """Evaluate the file in another process.
+
+    Blocks until that process has ended, so it must not be called on the event loop.
 
     Raises:
         OperatorFileError: The file cannot be read, evaluated or accepted.
     """
-    finished = _run_evaluator(path)
-    if finished.returncode == EXIT_INVALID:
-        message = finished.stdout.strip().replace("\n", " ")
+    process = _run_evaluator(path)
+    if process.returncode == EXIT_INVALID:
+        message = process.stdout.strip().replace("\n", " ")
         raise OperatorFileError(message or f"{path}: evaluation: failed")
-    if finished.returncode != 0:
-        raise OperatorFileError.of(path, "evaluation", _describe_crash(finished))
+    if process.returncode != 0:
+        raise OperatorFileError.of(path, "evaluation", _describe_crash(process))
     try:
-        return decode_config(finished.stdout)
+        return decode_config(process.stdout)
     except (ValueError, KeyError, TypeError, CellMapError) as error:
         raise OperatorFileError.of(path, "evaluation", error) from None
 
@@ -107,22 +115,22 @@
         raise OperatorFileError.of(path, "evaluation", error) from None
 
 
-def _describe_crash(finished: subprocess.CompletedProcess[str]) -> str:
-    if finished.returncode < 0:  # ended by a signal, as the limits of the process do
+def _describe_crash(process: subprocess.CompletedProcess[str]) -> str:
+    if process.returncode < 0:  # ended by a signal, as the limits of the process do
         return "out of its bounds"
-    lines = finished.stderr.strip().splitlines()
-    return lines[-1] if lines else f"ended with {finished.returncode}"
+    lines = process.stderr.strip().splitlines()
+    return lines[-1] if lines else f"ended with {process.returncode}"
 
 
 # --- in the evaluating process ---
 
 
 def run_script(path: str, text: str, is_cancelled: Callable[[], bool]) -> ConfigDraft:
-    """Evaluate the text of a file, and check its directives as a whole.
+    """Evaluate the text of a file, and check that its directives fit together.
 
-    An error that shows only at the end is about an earlier directive, whose line the interpreter
-    knows only while it runs. The text does the same each time, so it is run again up to that
-    directive, which then fails.
+    An error that is found only at the end is about an earlier directive, whose line is known only
+    while that directive runs. Scripts are deterministic, so the text is run again, and the call of
+    that directive raises the error.
 
     Args:
         path: Name of the file, for error texts.
@@ -137,15 +145,15 @@
         draft.build_cell_map()
         draft.build_quotas()
     except DirectiveError as error:
-        late_error = LateError(error.call or draft.calls, error)
-        _run_directives(path, text, is_cancelled, late_error)
+        deferred_error = DeferredError(error.call_number or draft.call_count, error)
+        _run_directives(path, text, is_cancelled, deferred_error)
         without_line = f"{path}: {error}"
         raise OperatorFileError(without_line) from None
     return draft
 
 
 def _run_directives(
-    path: str, text: str, is_cancelled: Callable[[], bool], late_error: LateError | None
+    path: str, text: str, is_cancelled: Callable[[], bool], deferred_error: DeferredError | None
 ) -> ConfigDraft:
     # The interpreter is an optional dependency, which only the evaluating process needs.
     import starlark
@@ -153,7 +161,7 @@
     draft = ConfigDraft()
     module = starlark.Module()
     for name, directive in DIRECTIVES_BY_NAME.items():
-        module.add_callable(name, _make_callable(draft, name, directive, late_error))
+        module.add_callable(name, _make_callable(draft, name, directive, deferred_error))
     dialect = starlark.Dialect.extended()
     dialect.enable_load = False
     try:
@@ -170,14 +178,17 @@
 
 
 def _make_callable(
-    draft: ConfigDraft, name: str, directive: Callable[..., Any], late_error: LateError | None
+    draft: ConfigDraft,
+    name: str,
+    directive: Callable[..., Any],
+    deferred_error: DeferredError | None,
 ) -> Callable[..., Any]:
     def call(*arguments: Any, **named: Any) -> Any:
-        draft.calls += 1
-        if draft.calls > MAX_DIRECTIVE_CALLS:
+        draft.call_count += 1
+        if draft.call_count > MAX_DIRECTIVE_CALLS:
             raise DirectiveError(name, f"more than {MAX_DIRECTIVE_CALLS} words")
-        if late_error is not None and draft.calls == late_error.call:
-            raise late_error.error
+        if deferred_error is not None and draft.call_count == deferred_error.call_number:
+            raise deferred_error.error
         try:
             return directive(draft, *arguments, **named)
         except TypeError as error:
@@ -187,7 +198,7 @@
 
 
 def _discount_draft(text: str) -> str:
-    """Lower the counts in Python's text on arguments, which include the draft."""
+    """Correct the counts in Python's text on arguments, which include the draft, by one."""
 
     def lower(count: re.Match[str]) -> str:
         return f"{count[1]} {max(0, int(count[2]) - 1)}"
@@ -209,9 +220,9 @@
 
 def _read_text(path: str) -> str:
     with open(path, encoding="utf-8") as file:
-        text = file.read(MAX_FILE_LENGTH + 1)
-    if len(text) > MAX_FILE_LENGTH:
-        raise OperatorFileError.of(path, "file", f"is longer than {MAX_FILE_LENGTH} characters")
+        text = file.read(MAX_FILE_CHARACTERS + 1)
+    if len(text) > MAX_FILE_CHARACTERS:
+        raise OperatorFileError.of(path, "file", f"is longer than {MAX_FILE_CHARACTERS} characters")
     return text
 
 
@@ -223,9 +234,9 @@
 
 def _main(path: str) -> int:
     _limit_process()
-    end = time.monotonic() + MAX_PROCESSOR_TIME_S - CANCEL_BEFORE_S
+    deadline_s = time.monotonic() + MAX_PROCESSOR_TIME_S - CANCELLATION_MARGIN_S
     try:
-        draft = run_script(path, _read_text(path), lambda: time.monotonic() > end)
+        draft = run_script(path, _read_text(path), lambda: time.monotonic() > deadline_s)
         print(encode_config(build_config(draft)))
     except OperatorFileError as error:
         print(error)
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -34,12 +34,12 @@
     from ..quotas.service import QuotaService
     from ..startup.service import StartupService
 
-#: Often enough to follow a change of load, seldom enough to cost nothing beside requests.
+#: Time between two updates of the learned margin.
 MARGIN_LEARNING_INTERVAL_NS = 1_000_000_000
 
 
 class FleetPosition(NamedTuple):
-    """The size of the fleet and this broker's place in it, by which the decisions go."""
+    """The size of the fleet, and this broker's place in it, that the decisions use."""
 
     fleet_size: int
     broker_index: int
@@ -96,8 +96,8 @@
         if operator_config.startup is not None:
             self.startup_service = create_startup_service(self, operator_config.startup)
         if operator_config.membership is None:
-            # Quotas and the consensus on outliers rest on it; a file that has them without it has
-            # been rejected.
+            # Quotas and the consensus on outliers need it; a file that has them without it has been
+            # rejected.
             return
         membership_service = create_membership_service(
             self, operator_config.membership, self._membership_changed
@@ -112,14 +112,14 @@
                 self, membership_service, operator_config.outlier_consensus
             )
 
-    # --- events of the node that services follow ---
+    # --- extension points of the node ---
 
     def ready(self) -> bool:
         """Return whether the node and its start-up are ready for requests."""
         return super().ready() and (self.startup_service is None or self.startup_service.ready())
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Admit a client connection, if there is a place for it; start-up counts it."""
+        """Admit a client connection if there is capacity, and pass it to the start-up service."""
         if not super().admit(connection):
             return False
         if self.startup_service is not None:
@@ -153,7 +153,7 @@
         super().stop()
 
     def after_tick(self) -> None:
-        """Let the services do what is due."""
+        """Run the periodic work of the services."""
         super().after_tick()
         now_ns = self.clock.now()
         if self.startup_service is not None:
--- a/query_broker/operator_config/services.py
+++ b/query_broker/operator_config/services.py
@@ -1,7 +1,7 @@
 """Creates the services that an operators' file asks for, and connects them to their node.
 
-They are imported only where the file asks for them: some need optional dependencies, and none may
-cost anything where it is not used.
+They are imported only where the file asks for them: some need optional dependencies, and all cost
+time at the start.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 def create_quota_service(
     node: Node, membership_service: MembershipService, settings: QuotaSettings
 ) -> QuotaService:
-    """Create the service that shares limits; one on retries bounds the retry budget at once."""
+    """Create the service that shares limits, and connect a limit on retries to the retry budget."""
     from ..quotas.service import QuotaService
 
     service = QuotaService(node, membership_service, settings)
@@ -76,7 +76,7 @@
     membership_service: MembershipService,
     settings: OutlierConsensusSettings,
 ) -> OutlierConsensusService:
-    """Create the service that shares observations of endpoints, and orders about them."""
+    """Create the service that shares observations of endpoints and operators' overrides."""
     from ..outlier_consensus.service import OutlierConsensusService
 
     service = OutlierConsensusService(node, membership_service, settings)
