--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -59,11 +59,16 @@
         route, threads = ("stock-add", 2) if load else ("glance", 1)
         if name == "bad":
             await book.send_request(
-                name, route, 1_000, 5 * S, threads=threads, weight=10, rows=1_500
+                name, route, 1_000, 5 * S, threads=threads, estimated_work_ms=10, rows=1_500
             )
         else:
             await book.send_request(
-                name, route, draw.uniform(20, 60), 5 * S, threads=threads, group=draw.randint(1, 9)
+                name,
+                route,
+                draw.uniform(20, 60),
+                5 * S,
+                threads=threads,
+                table_group=draw.randint(1, 9),
             )
 
 
@@ -318,12 +323,12 @@
     )
     ledger.divide(40, node.celled.cell_weights())
     for _ in range(60):
-        await book.send_request("x", "glance", 1, 5 * S, weight=1)
+        await book.send_request("x", "glance", 1, 5 * S, estimated_work_ms=1)
     await asyncio.sleep(0.1)
     figures.tell("loans.lent", ledger.borrowed("a"), least=1)
     begun, held = time.monotonic(), 0
     while held < ledger.accounts["b"].part and time.monotonic() - begun < 5:
-        await book.send_request("y", "glance", 1, 5 * S, weight=1)
+        await book.send_request("y", "glance", 1, 5 * S, estimated_work_ms=1)
         await asyncio.sleep(0.01)
         held = ledger.accounts["b"].used
     figures.tell(
@@ -405,7 +410,7 @@
     left = count
     while left or any(c.open_requests for c in daemon.book.clients):
         while left and sum(len(c.open_requests) for c in daemon.book.clients) < 40:
-            await daemon.book.send_request(f"t{left % 4}", "glance", 0, 5 * S, weight=5)
+            await daemon.book.send_request(f"t{left % 4}", "glance", 0, 5 * S, estimated_work_ms=5)
             left -= 1
         await asyncio.sleep(0.001)
     return (daemon.used() - begun) / count / 1e3
--- a/benchmarks/member_simulations.py
+++ b/benchmarks/member_simulations.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 from query_broker.emulator.clients import quantile
-from query_broker.emulator.membership_simulation import BEGIN, LinkFunction, SimulatedCluster
+from query_broker.emulator.membership_simulation import BEGIN_NS, LinkProperty, SimulatedCluster
 from query_broker.membership.messages import Identity, Status
 from query_broker.membership.settings import NS_PER_S, MembershipSettings
 from query_broker.membership.timing import Quantiles, detection_bounds, min_suspicion_ns
@@ -56,14 +56,14 @@
     messages_per_s: float
 
 
-def uniform_loss(loss: float) -> LinkFunction | None:
+def uniform_loss(loss: float) -> LinkProperty | None:
     """Return the loss of all links; None for none."""
     return (lambda now, sender, receiver: loss) if loss else None
 
 
 def is_present_to_any(cluster: SimulatedCluster, identity: Identity) -> bool:
     """Return whether any running member holds another to be present."""
-    return any(identity in member.detector.present() for member in cluster.living())
+    return any(identity in member.detector.present() for member in cluster.running_members())
 
 
 def first_suspicion_ns(cluster: SimulatedCluster, victim: Identity, after_ns: int) -> int:
@@ -89,7 +89,7 @@
     worst_s = detection_bounds(membership, count).removed.worst_s
     cluster.run(2 * worst_s, lambda: not is_present_to_any(cluster, victim))
     removals = cluster.removals([victim])
-    last_ns = max((removal.at_ns for removal in removals), default=cluster.now)
+    last_ns = max((removal.removed_at_ns for removal in removals), default=cluster.now)
     if is_present_to_any(cluster, victim):
         last_ns = cluster.now
     first_ns = first_suspicion_ns(cluster, victim, ended_ns)
@@ -117,7 +117,7 @@
     wrong = cluster.removals(awake)
     return Mistakes(
         len(wrong),
-        sum(removal.by in paused for removal in wrong),
+        sum(removal.removed_by in paused for removal in wrong),
         sum(removal.member not in awake for removal in cluster.removals()),
     )
 
@@ -167,17 +167,17 @@
     """Measure how a partition into halves heals."""
 
     def loss(now: int, sender: int, receiver: int) -> float:
-        elapsed_s = (now - BEGIN) / NS_PER_S
+        elapsed_s = (now - BEGIN_NS) / NS_PER_S
         is_partitioned = SETTLED_S <= elapsed_s < SETTLED_S + PARTITION_S
         return float(is_partitioned and (sender < count // 2) != (receiver < count // 2))
 
     cluster = SimulatedCluster(count, MembershipSettings(), seed, loss)
     cluster.run(SETTLED_S + PARTITION_S)
     healed_ns = cluster.now
-    messages_before = cluster.messages
+    messages_before = cluster.message_count
     cluster.run(240, cluster.agree)
     agreed_s = (cluster.now - healed_ns) / NS_PER_S
-    messages = cluster.messages - messages_before
+    messages = cluster.message_count - messages_before
     return Healing(agreed_s, messages / count / max(1.0, agreed_s))
 
 
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -75,7 +75,7 @@
     except AssertionError:
         return FaultScheduleResult(0.0, 0.0, True)
     overshoot = max(simulation.worst_overshoot_per_s.values())
-    return FaultScheduleResult(overshoot, simulation.messages / count / seconds, False)
+    return FaultScheduleResult(overshoot, simulation.message_count / count / seconds, False)
 
 
 class UsedFractions(NamedTuple):
--- a/query_broker/emulator/clients.py
+++ b/query_broker/emulator/clients.py
@@ -16,7 +16,7 @@
 #: A frame's length field, which does not count itself.
 LENGTH_BYTES = 4
 POLL_INTERVAL_S = 0.01
-#: Memory that every request says it needs.
+#: Estimated memory of every request.
 MEMORY_MB = 16
 
 
@@ -57,16 +57,16 @@
     """One connection that sends requests without waiting, and records the answers.
 
     Attributes:
-        log: Counts answers that match no open request.
+        request_log: Counts answers that match no open request.
         open_requests: Requests without an answer, by stream.
         last_stream: Number of the last stream.
         readiness: The answer to a readiness check that is under way.
         broker_draining: The broker has asked for no more requests here.
     """
 
-    def __init__(self, log: RequestLog) -> None:
+    def __init__(self, request_log: RequestLog) -> None:
         """Create the protocol of a connection that is not made yet."""
-        self.log = log
+        self.request_log = request_log
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.open_requests: dict[int, RequestRecord] = {}
@@ -79,7 +79,7 @@
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give the open requests up; their records say that no answer came."""
+        """Abandon the open requests; their records keep the code for no answer."""
         self.transport = None
         self.open_requests.clear()
 
@@ -89,8 +89,10 @@
             return False
         return len(self.open_requests) < MAX_OPEN_REQUESTS
 
-    def send_request(self, record: RequestRecord, statement: bytes, weight: float) -> None:
-        """Send a request; ``weight`` is the estimate of its work in thread-milliseconds."""
+    def send_request(
+        self, record: RequestRecord, statement: bytes, estimated_work_ms: float
+    ) -> None:
+        """Send a request; the estimate of its work is in thread-milliseconds."""
         assert self.transport is not None
         self.last_stream += 1
         self.open_requests[self.last_stream] = record
@@ -98,7 +100,7 @@
             "route": record.request_class,
             "trace": record.request_id,
             "patience": str(record.timeout_ns // NS_PER_MS),
-            "weight": f"{weight:.1f}",
+            "weight": f"{estimated_work_ms:.1f}",
             "ram": str(MEMORY_MB),
         }
         if record.tenant:
@@ -139,7 +141,7 @@
     def _record_answer(self, stream: int, payload: bytes) -> None:
         record = self.open_requests.pop(stream, None)
         if record is None:
-            self.log.unmatched_answers += 1
+            self.request_log.unmatched_answers += 1
             return
         record.answer_count += 1
         record.code = payload[0]
@@ -186,16 +188,26 @@
         timeout_ns: int,
         *,
         threads: int = 1,
-        weight: float | None = None,
+        estimated_work_ms: float | None = None,
         rows: int = 1,
-        group: int = 1,
+        table_group: int = 1,
         idempotency_key: str = "",
     ) -> RequestRecord:
-        """Send a request on a connection with capacity or a new one, and return its record.
-
-        The outcome is added to the record as it comes. ``work_ms`` is the true work in
-        thread-milliseconds, ``weight`` its estimate where that differs, ``rows`` the size of the
-        result and ``group`` the group of tables; ``RequestRecord`` describes the others.
+        """Send a request on a connection with capacity or a new one.
+
+        Args:
+            tenant: Its tenant; empty names none.
+            request_class: Its class.
+            work_ms: Its true work in thread-milliseconds.
+            timeout_ns: How long the client waits.
+            threads: Threads that the query uses.
+            estimated_work_ms: The estimate of its work, where that differs from the true work.
+            rows: Rows of the result.
+            table_group: Number of the group of tables that it reads.
+            idempotency_key: The key of an idempotent write; empty without one.
+
+        Returns:
+            Its record, which gets the outcome when the answer comes.
         """
         number = next(self.ids)
         request_id = f"{number:016x}"
@@ -203,7 +215,7 @@
         record = RequestRecord(request_id, tenant, request_class, now_ns, timeout_ns)
         record.idempotency_key = idempotency_key
         statement = (
-            f"SELECT * FROM sales_{group}.orders /* id={number} work={work_ms:.0f} "
+            f"SELECT * FROM sales_{table_group}.orders /* id={number} work={work_ms:.0f} "
             f"threads={threads} rows={rows} */"
         ).encode()
         client = await self._find_client()
@@ -211,7 +223,8 @@
             record.sent_ns = time.time_ns()
         self.records.append(record)
         if client is not None:
-            client.send_request(record, statement, work_ms if weight is None else weight)
+            estimate_ms = work_ms if estimated_work_ms is None else estimated_work_ms
+            client.send_request(record, statement, estimate_ms)
         return record
 
     async def _find_client(self) -> EmulatedClient | None:
@@ -226,9 +239,9 @@
             return None
 
     async def wait_until_idle(self, seconds: float) -> None:
-        """Wait until no request is open, or for so long."""
-        end = time.monotonic() + seconds
-        while any(client.open_requests for client in self.clients) and time.monotonic() < end:
+        """Wait until no request is open, or until this time is over."""
+        end_s = time.monotonic() + seconds
+        while any(client.open_requests for client in self.clients) and time.monotonic() < end_s:
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def close(self) -> None:
--- a/query_broker/emulator/cluster.py
+++ b/query_broker/emulator/cluster.py
@@ -13,7 +13,7 @@
 
 MS = 1_000_000
 
-# The start settings of the platform's simulator, at a small scale. Durations in nanoseconds.
+# The initial settings of the platform's simulator, at a small scale; durations in nanoseconds.
 REQUEST_CLASSES: list[dict[str, Any]] = [
     {
         "name": "glance",
@@ -54,7 +54,7 @@
     "memory_heeded": True,
     "lanes_count": True,
 }
-#: Enough for the tests' connections, and little enough that a leak shows.
+#: Enough for the tests' connections, and small enough that a leak exceeds them.
 BROKER_LIMITS = {"sockets": 512, "memory_mb": 96}
 
 
@@ -110,7 +110,7 @@
         Args:
             uids: Their names.
             cores: Cores of each.
-            cold: They have just started, and warm up.
+            cold: Whether they have just started, and warm up.
             more: Further keys of their entries in the endpoint list.
         """
         started_ns = time.time_ns() if cold else 0
@@ -169,7 +169,7 @@
 
 
 def broker_config(cluster: EmulatedCluster, listen: str, **changes: Any) -> dict[str, Any]:
-    """Return the configuration of a broker before this cluster.
+    """Return the configuration of a broker in front of this cluster.
 
     Args:
         cluster: Its engines and their discovery service.
--- a/query_broker/emulator/data_engine.py
+++ b/query_broker/emulator/data_engine.py
@@ -17,12 +17,12 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 READ_SIZE_BYTES = 65_536
-# What a statement says of itself in a comment: `/* work=120 threads=2 rows=3 mem=40 */`, with work
-# in milliseconds and memory in megabytes.
-WORK_MS = re.compile(rb"work=(\d+)")
-THREADS = re.compile(rb"threads=(\d+)")
-ROWS = re.compile(rb"rows=(\d+)")
-MEMORY_MB = re.compile(rb"mem=(\d+)")
+# Values in the comment of a statement, as in `/* work=120 threads=2 rows=3 mem=40 */`, with work in
+# milliseconds and memory in megabytes.
+WORK_MS_PATTERN = re.compile(rb"work=(\d+)")
+THREADS_PATTERN = re.compile(rb"threads=(\d+)")
+ROWS_PATTERN = re.compile(rb"rows=(\d+)")
+MEMORY_MB_PATTERN = re.compile(rb"mem=(\d+)")
 #: Small, so that a result of some hundred rows has several pages.
 MAX_PAGE_BYTES = 6_000
 ROW_BYTES = 24
@@ -84,10 +84,10 @@
 
 
 class IdempotencyKeyStore:
-    """What the engines of a fleet know together of idempotency keys.
+    """The idempotency keys that the engines of a fleet share.
 
-    A repeat within the window of a run that is under way or over is not run again; it is answered
-    as served, with no rows.
+    A query whose key began a run within the window is not run again; it is answered as served,
+    without rows.
 
     Attributes:
         window_ns: How long a key is remembered.
@@ -112,7 +112,12 @@
 
 
 class SlowRuns(NamedTuple):
-    """Runs that take longer than their statement says, as those with a bad query plan do."""
+    """Runs that take longer than their statement says, like queries with a bad plan.
+
+    Attributes:
+        probability: How likely a run is slow.
+        factor: By how much its work is multiplied.
+    """
 
     probability: float = 0.0
     factor: float = 1.0
@@ -166,14 +171,14 @@
 
     Attributes:
         uid: Its name in the endpoint list.
-        machine: What its queries run on; its ledger tells what ran.
+        machine: What its queries run on; its ledger records every query that began.
         key_store: Idempotency keys, shared with other engines; None: keys are ignored.
         received: All queries that arrived.
         connections: The brokers' connections.
         requesters: The connection that waits for each running query.
         pages: Further pages of results, by query.
         connection_observer: Called with the monotonic time of each new connection, in seconds.
-        unresponsive: Set by a test: nothing is heard or answered.
+        unresponsive: Set by a test: commands are ignored, and nothing is answered.
         port: Where it listens.
     """
 
@@ -293,7 +298,7 @@
         if self.key_store is not None and key:
             self.key_store.first_run_ns[key] = now_ns
         request_class = fields.get("cls", "").encode()
-        threads = _read_number(THREADS, statement)
+        threads = _read_number(THREADS_PATTERN, statement)
         if not self.machine.start_query(
             now_ns, query_id, request_class, statement, work_ns, threads, key
         ):
@@ -308,7 +313,7 @@
     def _draw_work_ns(self, statement: bytes) -> float:
         is_slow = self.random.random() < self.slow_runs.probability
         factor = self.slow_runs.factor if is_slow else 1.0
-        return _read_number(WORK_MS, statement) * NS_PER_MS * factor
+        return _read_number(WORK_MS_PATTERN, statement) * NS_PER_MS * factor
 
     def _forget_key(self, key: str) -> None:
         """Forget a key whose run never began, was cancelled, or ended with the engine."""
@@ -354,19 +359,19 @@
                 self._answer_run(connection, run)
 
     def _answer_run(self, connection: EngineConnection, run: QueryRun) -> None:
-        pages = _make_pages(_read_number(ROWS, run.statement))
+        pages = _make_pages(_read_number(ROWS_PATTERN, run.statement))
         if len(pages) > 1:
             self.pages[run.query_id] = pages
         fields = b"chunks=%d,spent=%d,wanted=%d," % (
             len(pages),
             run.work_ns // NS_PER_MS,
-            _read_number(MEMORY_MB, run.statement),
+            _read_number(MEMORY_MB_PATTERN, run.statement),
         )
         connection.write(run.query_id, b"served", fields + self._meter(), pages[0])
 
 
 def _read_number(pattern: re.Pattern[bytes], statement: bytes) -> int:
-    """Return a number that the statement says of itself; 1 where it says none."""
+    """Return a number from the comment of a statement; 1 if it has none."""
     found = pattern.search(statement)
     return int(found[1]) if found else 1
 
--- a/query_broker/emulator/decision_simulation.py
+++ b/query_broker/emulator/decision_simulation.py
@@ -5,8 +5,6 @@
 
 from __future__ import annotations
 
-import heapq
-import itertools
 import random
 from collections.abc import Callable
 from functools import partial
@@ -30,17 +28,18 @@
     Settings,
 )
 from ..timer_wheel import TimerWheel
+from .event_queue import EventQueue
 from .machine import Machine, QueryRun
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
 #: One way over a link between a broker and an engine.
 LINK_LATENCY_NS = NS_PER_MS // 2
-#: Where the clock begins; a machine takes 0 for "long ago".
+#: Where the clock begins; not 0, which stands for "long ago" in a machine's start.
 BEGIN_NS = 100 * NS_PER_S
 #: The capacity of a machine that warms up changes, so its completions are computed anew this often.
 MAX_TIMER_NS = NS_PER_S // 4
-#: What the estimate of every request says of its memory, in megabytes.
+#: Estimate of every request's memory, in megabytes.
 ESTIMATED_MEMORY_MB = 10.0
 
 Completion = Callable[[AttemptResult], None]
@@ -51,30 +50,30 @@
 
     Attributes:
         now_ns: The present time.
-        random: The one source of random numbers.
+        random: The only source of random numbers.
     """
 
     def __init__(self, seed: int = 1) -> None:
         """Create a clock at ``BEGIN_NS`` with nothing scheduled."""
         self.now_ns = BEGIN_NS
         self.random = random.Random(seed)
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.count = itertools.count()
+        self._events = EventQueue()
 
-    def call_at(self, when_ns: int, call: Callable[[], None]) -> None:
+    def call_at(self, due_ns: int, callback: Callable[[], None]) -> None:
         """Schedule a call; those of one time are made in the order in which they were scheduled."""
-        heapq.heappush(self.heap, (max(when_ns, self.now_ns), next(self.count), call))
+        self._events.schedule(max(due_ns, self.now_ns), callback)
 
-    def call_after_link(self, call: Callable[[], None]) -> None:
-        """Schedule a call for when a message that is sent now has arrived."""
-        self.call_at(self.now_ns + LINK_LATENCY_NS, call)
+    def call_after_link(self, callback: Callable[[], None]) -> None:
+        """Schedule a call for the arrival of a message that is sent now."""
+        self.call_at(self.now_ns + LINK_LATENCY_NS, callback)
 
     def run(self, seconds: float) -> None:
         """Make all calls due within so many seconds of the beginning."""
         end_ns = BEGIN_NS + int(seconds * NS_PER_S)
-        while self.heap and self.heap[0][0] <= end_ns:
-            self.now_ns, _, call = heapq.heappop(self.heap)
-            call()
+        while self._events.has_due(end_ns):
+            event = self._events.pop()
+            self.now_ns = event.due_ns
+            event.callback()
         self.now_ns = end_ns
 
 
@@ -86,7 +85,7 @@
         machine: What its queries run on.
         completions: Called with the result of each running query.
         timer_generation: Number of the timer in force; earlier ones do nothing.
-        peak_work_ns: The most work that it had in hand, in thread-nanoseconds.
+        peak_work_ns: The most work in flight so far, in thread-nanoseconds.
         health_checks_ns: When it answered each health check.
     """
 
@@ -128,8 +127,8 @@
             self.simulation.call_after_link(partial(completion, AttemptResult.FULL))
             return
         self.completions[query_id] = completion
-        work_in_hand_ns = sum(run.remaining_ns for run in self.machine.running.values())
-        self.peak_work_ns = max(self.peak_work_ns, work_in_hand_ns)
+        work_in_flight_ns = sum(run.remaining_ns for run in self.machine.running.values())
+        self.peak_work_ns = max(self.peak_work_ns, work_in_flight_ns)
         self._set_timer()
 
     def _report_completed(self, runs: list[QueryRun]) -> None:
@@ -177,7 +176,7 @@
 
 
 class RetryAfter(NamedTuple):
-    """When a request was rejected, and the backoff that the client was told."""
+    """When a request was rejected, and the backoff that the rejection asked for."""
 
     rejected_ns: int
     retry_after_ns: int
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -1,4 +1,4 @@
-"""`larchhall demo`: a small cluster on loopback, to see the broker at work before setting it up."""
+"""`larchhall demo`: a broker before a small emulated cluster on loopback."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     {"harbour": Tenant("harbour", ("counters",)), "inland": Tenant("inland", ("finance",))},
 )
 TENANTS = ("harbour", "inland")
-#: What the cell of the first tenant can do, and four times what that of the second can.
+#: The capacity of the first tenant's cell, and four times that of the second tenant's.
 ARRIVALS_PER_S = {"harbour": 40.0, "inland": 160.0}
 GLANCE_FRACTION = 0.9
 #: Any seed will do; a fixed one makes the demo the same each time.
@@ -44,14 +44,14 @@
 Printer = Callable[[str], None]
 
 
-def play(seconds: float, say: Printer) -> int:
+def play(seconds: float, print_text: Printer) -> int:
     """Run the demo, and return the exit code: 0 if every request got exactly one answer.
 
     Args:
         seconds: How long requests arrive.
-        say: Prints a text.
+        print_text: Prints a text.
     """
-    return uvloop.run(_play(seconds, say))
+    return uvloop.run(_play(seconds, print_text))
 
 
 def served_ms(records: list[RequestRecord]) -> list[float]:
@@ -63,7 +63,7 @@
     ]
 
 
-async def _play(seconds: float, say: Printer) -> int:
+async def _play(seconds: float, print_text: Printer) -> int:
     cluster = EmulatedCluster()
     await cluster.start("s-1", "s-2", "s-3", cores=2)
     with tempfile.TemporaryDirectory() as folder:
@@ -73,18 +73,20 @@
         log = RequestLog("127.0.0.1", port)
         client = await log.connect()
         is_ready = await wait_for_result(client.check_readiness(), READY_TIMEOUT_S)
-        say(
+        print_text(
             f"three engines, their bus and a broker with two cells on 127.0.0.1:{port}; "
             f"{'ready' if is_ready else 'not ready'}"
         )
-        say(f"for {seconds:.0f} s: harbour asks what its cell can do, inland four times that\n")
+        print_text(
+            f"for {seconds:.0f} s: harbour asks what its cell can do, inland four times that\n"
+        )
         await _send_requests(log, seconds)
         await log.wait_until_idle(IDLE_TIMEOUT_S)
-        say(_tenant_table(log))
-        say("\n" + _engine_table(cluster))
+        print_text(_tenant_table(log))
+        print_text("\n" + _engine_table(cluster))
         is_exact = all(record.answer_count == 1 for record in log.records)
         is_exact = is_exact and not log.unmatched_answers
-        say(f"\nevery request got exactly one answer: {'yes' if is_exact else 'no'}")
+        print_text(f"\nevery request got exactly one answer: {'yes' if is_exact else 'no'}")
         log.close()
         node.stop()
         await running
@@ -132,8 +134,10 @@
         due_s[tenant] += draw.expovariate(ARRIVALS_PER_S[tenant])
         if draw.random() < GLANCE_FRACTION:
             work_ms = draw.uniform(10, 60)
-            group = draw.randint(1, 20)
-            await log.send_request(tenant, "glance", work_ms, 5_000 * NS_PER_MS, group=group)
+            table_group = draw.randint(1, 20)
+            await log.send_request(
+                tenant, "glance", work_ms, 5_000 * NS_PER_MS, table_group=table_group
+            )
         else:
             work_ms = draw.uniform(100, 200)
             await log.send_request(tenant, "stock-add", work_ms, 20_000 * NS_PER_MS, threads=2)
--- a/query_broker/emulator/discovery_service.py
+++ b/query_broker/emulator/discovery_service.py
@@ -1,4 +1,4 @@
-"""The discovery service on loopback: one whose every line is scripted, and one with a list."""
+"""Discovery services on loopback: one whose every line is scripted, and one with a list."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 HOST = "127.0.0.1"
-#: The beat of the real service, by which a watch client tells a silent connection from a dead one.
+#: As of the real service; a watch client recognises a dead connection by missing heartbeats.
 HEARTBEAT_INTERVAL_S = 1.0
 
 
@@ -33,7 +33,7 @@
 
 
 class ScriptedDiscoveryService:
-    """A service that sends what a test tells it to, to the client that connected last.
+    """A service that sends the lines of a test to the client that connected last.
 
     Attributes:
         subscriptions: The first line of each connection.
@@ -72,7 +72,7 @@
 
 
 class EmulatedDiscoveryService:
-    """Numbers its events, and sends each client those after the one that it names.
+    """Keeps an endpoint list, and sends each client the events after the offset that it names.
 
     Attributes:
         events: All events, in their order.
--- a/query_broker/emulator/faulty_links.py
+++ b/query_broker/emulator/faulty_links.py
@@ -116,7 +116,7 @@
         clock: Returns seconds.
         random: The source of random numbers.
         started_s: When the schedule began, by the clock.
-        capacity_free_at_s: When each limited rate has capacity again.
+        capacity_free_at_s: When each limited rate has capacity again, by the schedule.
     """
 
     def __init__(self, faults: Iterable[Fault], clock: Callable[[], float], seed: int = 1) -> None:
@@ -159,8 +159,8 @@
     """A TCP proxy.
 
     Attributes:
-        name: By which faults select it.
-        target: Where it connects to.
+        name: The name that the patterns of faults match.
+        target: Host and port that it connects to.
         counts: ``connections`` passed on and ``refused``, and bytes by direction.
         connected_at_s: When each connection came, by the schedule.
         open_writers: Both ends of all open connections.
@@ -258,14 +258,14 @@
 class DatagramRelay(asyncio.DatagramProtocol):
     """The address of one party, as the others know it.
 
-    What party a sends there goes on to party b as if from a's relay, if the schedule lets the link
-    ``a-b`` pass it. Over TCP the same address leads to b's port; who connects shows in the first
-    frame.
+    A datagram that party ``a`` sends to the relay of ``b`` is forwarded to ``b`` from the relay of
+    ``a``, unless a fault of the link ``a-b`` prevents it. TCP connections to the relay of ``b`` are
+    forwarded to its port; the first frame names the party that connects.
 
     Attributes:
         network: The relays of all parties.
         name: The party's name.
-        target: Where the party itself listens.
+        target: Host and port on which the party itself listens.
         port: Where the relay listens.
     """
 
@@ -287,7 +287,7 @@
         return self.port
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Forward a datagram; one of a stranger is passed on as it is."""
+        """Forward a datagram; one of an unknown sender is not subject to faults."""
         sender = self.network.by_listening_address.get(addr)
         if sender is not None:
             self.network.forward(sender, self, data)
@@ -380,7 +380,7 @@
         return f"{HOST}:{relay.port}"
 
     def sender_name(self, frame: bytes) -> str:
-        """Return whose frame it is, by the address that it names."""
+        """Return the name of the party whose address a frame names as its sender."""
         address = self.sender_address(frame[FRAME_LENGTH_BYTES:])
         for name, relay in self.relays.items():
             if address == f"{HOST}:{relay.port}":
@@ -409,10 +409,10 @@
         delays_s = [delay_s]
         if duplicate is not None and schedule.random.random() < duplicate.probability:
             delays_s.append(delay_s + MAX_DUPLICATE_DELAY_S * schedule.random.random())
-        for each_s in delays_s:
-            if each_s:
+        for copy_delay_s in delays_s:
+            if copy_delay_s:
                 loop = asyncio.get_running_loop()
-                loop.call_later(each_s, self._deliver, sender, receiver, data)
+                loop.call_later(copy_delay_s, self._deliver, sender, receiver, data)
             else:
                 self._deliver(sender, receiver, data)
 
--- a/query_broker/emulator/machine.py
+++ b/query_broker/emulator/machine.py
@@ -1,8 +1,8 @@
-"""The machine of an emulated data engine: cores that its queries share, a warm-up and a ledger.
+"""The machine of an emulated data engine: shared cores, a warm-up and a ledger of queries.
 
-Performs no I/O. Cores are shared as in processor sharing: a query gets as many as it has threads
-while there are enough, else its part of them. A machine that has just started warms up over a
-while; one that gets far more work than it can do meanwhile crashes and stays down.
+Performs no I/O. Cores are shared as in processor sharing: a query gets one core for each of its
+threads while there are enough, else a proportional part of them. A machine that has just started
+warms up over a while; one that gets far more work than it can do meanwhile crashes and stays down.
 """
 
 from __future__ import annotations
@@ -10,10 +10,11 @@
 from collections import deque
 from collections.abc import Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 NS_PER_S = 1_000_000_000
-#: Work below this counts as done: rates are floats, so that a run may end a fraction short.
-DONE_WITHIN_NS = 1.0
+#: Remaining work up to this counts as done, since rates are floats.
+COMPLETION_TOLERANCE_NS = 1.0
 
 
 @dataclass(slots=True)
@@ -45,7 +46,21 @@
     @property
     def is_complete(self) -> bool:
         """Whether all its work was done; False of a run that was cancelled or lost."""
-        return self.remaining_ns <= DONE_WITHIN_NS
+        return self.remaining_ns <= COMPLETION_TOLERANCE_NS
+
+
+class WorkArrival(NamedTuple):
+    """Work, in thread-nanoseconds, that arrived at a time."""
+
+    arrived_ns: int
+    work_ns: float
+
+
+class ExecutionRate(NamedTuple):
+    """The thread-nanoseconds that a running query gets in a nanosecond."""
+
+    run: QueryRun
+    rate: float
 
 
 @dataclass(slots=True)
@@ -64,7 +79,7 @@
         ledger: Every query that began.
         running: The queries that run, by id.
         crashed: Whether it is down.
-        recent_arrivals: Time and work of arrivals within the window.
+        recent_arrivals: The arrivals within the window.
         now_ns: Time up to which work has been done.
     """
 
@@ -79,7 +94,7 @@
     ledger: list[QueryRun] = field(default_factory=list)
     running: dict[bytes, QueryRun] = field(default_factory=dict)
     crashed: bool = False
-    recent_arrivals: deque[tuple[int, float]] = field(default_factory=deque)
+    recent_arrivals: deque[WorkArrival] = field(default_factory=deque)
     now_ns: int = 0
 
     def capacity_fraction(self, now_ns: int) -> float:
@@ -123,22 +138,22 @@
         return self.started_ns != 0 and now_ns < self.started_ns + self.warm_up_ns
 
     def _note_arrival(self, now_ns: int, work_ns: float) -> None:
-        self.recent_arrivals.append((now_ns, work_ns))
-        while self.recent_arrivals[0][0] <= now_ns - self.overload_window_ns:
+        self.recent_arrivals.append(WorkArrival(now_ns, work_ns))
+        while self.recent_arrivals[0].arrived_ns <= now_ns - self.overload_window_ns:
             self.recent_arrivals.popleft()
         capacity = self.overload_multiple * self.capacity_fraction(now_ns) * self.cores
         budget_ns = capacity * self.overload_window_ns
-        if sum(work for _, work in self.recent_arrivals) > budget_ns:
+        if sum(arrival.work_ns for arrival in self.recent_arrivals) > budget_ns:
             self.crashed = True
 
-    def execution_rates(self, now_ns: int) -> Iterator[tuple[QueryRun, float]]:
-        """Yield each running query with the thread-nanoseconds that it gets in a nanosecond."""
-        demanded = self._threads_in_use()
+    def execution_rates(self, now_ns: int) -> Iterator[ExecutionRate]:
+        """Yield the rate of each running query."""
+        threads = self._threads_in_use()
         fraction = 0.0
-        if demanded:
-            fraction = min(1.0, self.cores / demanded) * self.capacity_fraction(now_ns)
+        if threads:
+            fraction = min(1.0, self.cores / threads) * self.capacity_fraction(now_ns)
         for run in self.running.values():
-            yield run, run.threads * fraction
+            yield ExecutionRate(run, run.threads * fraction)
 
     def advance(self, now_ns: int) -> list[QueryRun]:
         """Do the work up to now and return what has ended.
--- a/query_broker/emulator/membership_simulation.py
+++ b/query_broker/emulator/membership_simulation.py
@@ -5,8 +5,6 @@
 
 from __future__ import annotations
 
-import heapq
-import itertools
 import random
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -17,26 +15,33 @@
 from ..membership.member_table import MemberChange
 from ..membership.messages import Claim, Identity, Message, Status
 from ..membership.settings import NS_PER_S, MembershipSettings
+from .event_queue import EventQueue
 
 NS_PER_MS = 1_000_000
-BEGIN = 1_000 * NS_PER_S
+#: Where the clock begins.
+BEGIN_NS = 1_000 * NS_PER_S
+#: Ticks of a failure detector within one ping interval.
 TICKS_PER_INTERVAL = 5
-CHAIN_LENGTH = 4 * CHECKPOINT_INTERVAL
-MAX_QUEUED_DATAGRAMS = 200  # that wait for a paused member
-LOOKS_PER_S = 10  # how often `run` looks whether its condition holds
+INCARNATION_CHAIN_LENGTH = 4 * CHECKPOINT_INTERVAL
+#: Datagrams that are queued for a paused member; more are lost.
+MAX_QUEUED_DATAGRAMS = 200
+#: How often `run` checks whether its condition holds.
+CHECKS_PER_S = 10
+#: Size of a datagram without its claims.
 DATAGRAM_OVERHEAD_BYTES = 80
 MIN_DELAY_NS = NS_PER_MS // 2
 MAX_DELAY_NS = 2 * NS_PER_MS
 SYNC_DELAY_NS = 5 * NS_PER_MS
-CUT_OFF_LOSS = 0.95  # a link that loses more carries no table exchange
+#: A link with a greater loss probability carries no table exchange.
+CUT_OFF_LOSS = 0.95
 ADDRESSES_PER_SUBNET = 250
 
-LinkFunction = Callable[[int, int, int], float]
-"""A property of a link: of the time in ns, the sender's number and the receiver's."""
+#: A property of a link, by the time in nanoseconds, the sender's number and the receiver's.
+LinkProperty = Callable[[int, int, int], float]
 
 
 class Datagram(NamedTuple):
-    """A message under way."""
+    """A message between two members."""
 
     recipient_boot: bytes
     sequence: int
@@ -45,17 +50,23 @@
 
 
 class Removal(NamedTuple):
-    """That one member has removed another."""
+    """One member has removed another from its view.
 
-    at_ns: int
-    by: int
+    Attributes:
+        removed_at_ns: When.
+        removed_by: Number of the member that removed it.
+        member: The removed member.
+    """
+
+    removed_at_ns: int
+    removed_by: int
     member: Identity
 
 
 class ObservedChange(NamedTuple):
     """A change that a member's failure detector has reported."""
 
-    at_ns: int
+    observed_at_ns: int
     change: MemberChange
 
 
@@ -66,11 +77,11 @@
         number: Its number in the cluster.
         address: Its address.
         detector: Its failure detector.
-        up: It runs.
-        paused_until: When it wakes, where it is paused.
+        is_running: Whether it runs.
+        paused_until_ns: When its pause ends; 0 if it was never paused.
         generation: Number of processes that ran under its number before.
         sequence: Sequence number of its last message.
-        waiting: Datagrams that arrived while it was paused.
+        queued_datagrams: Datagrams that arrived while it was paused.
         changes: What its failure detector has reported.
     """
 
@@ -79,16 +90,16 @@
         self.number = number
         self.address = address
         self.detector = detector
-        self.up = True
-        self.paused_until = 0
+        self.is_running = True
+        self.paused_until_ns = 0
         self.generation = 0
         self.sequence = 0
-        self.waiting: list[Datagram] = []
+        self.queued_datagrams: list[Datagram] = []
         self.changes: list[ObservedChange] = []
 
-    def hears(self, now: int) -> bool:
+    def can_receive(self, now: int) -> bool:
         """Return whether it runs and is not paused."""
-        return self.up and now >= self.paused_until
+        return self.is_running and now >= self.paused_until_ns
 
 
 class SimulatedClock:
@@ -99,30 +110,37 @@
     """
 
     def __init__(self) -> None:
-        """Start at `BEGIN`."""
-        self.now = BEGIN
-        self._order = itertools.count()
-        self._events: list[tuple[int, int, Callable[[], None]]] = []
+        """Start at `BEGIN_NS`."""
+        self.now = BEGIN_NS
+        self._events = EventQueue()
 
-    def at(self, when: int, call: Callable[[], None]) -> None:
-        """Call a function at a time."""
-        heapq.heappush(self._events, (when, next(self._order), call))
+    def call_at(self, due_ns: int, callback: Callable[[], None]) -> None:
+        """Schedule a call."""
+        self._events.schedule(due_ns, callback)
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
-        """Let time pass, and return whether the condition holds; it ends the run early."""
-        end = self.now + int(seconds * NS_PER_S)
-        next_look = self.now
-        while self._events and self._events[0][0] <= end:
-            when, _, call = heapq.heappop(self._events)
-            if until is not None and when >= next_look:
-                self.now = max(self.now, next_look)
-                next_look = when + NS_PER_S // LOOKS_PER_S
+        """Let time pass.
+
+        Args:
+            seconds: How long.
+            until: A condition that ends the run early; it is checked `CHECKS_PER_S` times a second.
+
+        Returns:
+            Whether the condition holds.
+        """
+        end_ns = self.now + int(seconds * NS_PER_S)
+        next_check_ns = self.now
+        while self._events.has_due(end_ns):
+            due_ns = self._events.next_due_ns()
+            if until is not None and due_ns >= next_check_ns:
+                self.now = max(self.now, next_check_ns)
+                next_check_ns = due_ns + NS_PER_S // CHECKS_PER_S
                 if until():
-                    heapq.heappush(self._events, (when, -1, call))
                     return True
-            self.now = when
-            call()
-        self.now = end
+            event = self._events.pop()
+            self.now = event.due_ns
+            event.callback()
+        self.now = end_ns
         return until is not None and until()
 
 
@@ -130,9 +148,9 @@
     """Members and the links between them.
 
     Attributes:
-        members: The processes; one that was restarted stands in place of the former.
+        members: The processes by number; a restarted one replaces the former.
         sent_bytes: Bytes that each number has sent.
-        messages: Number of datagrams sent.
+        message_count: Number of datagrams sent.
     """
 
     def __init__(
@@ -140,8 +158,8 @@
         count: int,
         settings: MembershipSettings,
         seed: int,
-        loss: LinkFunction | None = None,
-        delay_ns: LinkFunction | None = None,
+        loss: LinkProperty | None = None,
+        delay_ns: LinkProperty | None = None,
         joined: bool = True,
     ) -> None:
         """Start the members.
@@ -152,14 +170,14 @@
             seed: Seed of all random decisions.
             loss: Probability that a link loses a datagram.
             delay_ns: Additional delay of a link in one direction.
-            joined: They know each other from the start.
+            joined: Whether they know each other from the start.
         """
         super().__init__()
         self.settings = settings
         self.draw = random.Random(seed)
         self.members: list[SimulatedMember] = []
         self.sent_bytes: Counter[int] = Counter()
-        self.messages = 0
+        self.message_count = 0
         self._loss = loss
         self._delay_ns = delay_ns
         self._number_at: dict[str, int] = {}
@@ -174,7 +192,7 @@
         if not address:
             subnet, host = divmod(number, ADDRESSES_PER_SUBNET)
             address = f"10.0.{subnet}.{host}:7000"
-        chain = IncarnationChain(self.draw.randbytes(16), CHAIN_LENGTH)
+        chain = IncarnationChain(self.draw.randbytes(16), INCARNATION_CHAIN_LENGTH)
         draw = random.Random(self.draw.getrandbits(60))
         detector = FailureDetector(address, self.settings, chain, draw, self.now, number)
         member = SimulatedMember(number, address, detector)
@@ -190,28 +208,29 @@
 
     # --- time ---
 
-    def _schedule_tick(self, member: SimulatedMember, when: int) -> None:
-        self.at(when, lambda: self._tick(member, when))
+    def _schedule_tick(self, member: SimulatedMember, due_ns: int) -> None:
+        self.call_at(due_ns, lambda: self._tick(member, due_ns))
 
-    def _tick(self, member: SimulatedMember, when: int) -> None:
-        if not member.up:
+    def _tick(self, member: SimulatedMember, due_ns: int) -> None:
+        if not member.is_running:
             return
-        if self.now < member.paused_until:
-            self.at(member.paused_until, lambda: self._tick(member, when))
+        if self.now < member.paused_until_ns:
+            self.call_at(member.paused_until_ns, lambda: self._tick(member, due_ns))
             return
-        if member.waiting and not self.draw.randrange(2):
-            self._read_waiting(member)  # A process that wakes may read before its timers fire.
-        member.detector.tick(self.now, self.now - when)
-        self._read_waiting(member)
+        if member.queued_datagrams and not self.draw.randrange(2):
+            # A process that resumes may read before its timers fire.
+            self._receive_queued(member)
+        member.detector.tick(self.now, self.now - due_ns)
+        self._receive_queued(member)
         self._carry_out(member)
         self._schedule_tick(member, self.now + self.settings.interval_ns // TICKS_PER_INTERVAL)
 
     # --- the links ---
 
-    def _read_waiting(self, member: SimulatedMember) -> None:
-        waiting = member.waiting
-        member.waiting = []
-        for datagram in waiting:
+    def _receive_queued(self, member: SimulatedMember) -> None:
+        datagrams = member.queued_datagrams
+        member.queued_datagrams = []
+        for datagram in datagrams:
             self._receive(member, datagram)
 
     def _receive(self, member: SimulatedMember, datagram: Datagram) -> None:
@@ -238,7 +257,7 @@
     def _send(self, member: SimulatedMember, address: str, datagram: Datagram) -> None:
         claims: tuple[Claim, ...] = getattr(datagram.message, "claims", ())
         claims_bytes = sum(claim.max_encoded_bytes() for claim in claims)
-        self.messages += 1
+        self.message_count += 1
         self.sent_bytes[member.number] += DATAGRAM_OVERHEAD_BYTES + claims_bytes
         receiver = self._number_at.get(address)
         if receiver is None:
@@ -248,7 +267,7 @@
         delay_ns = self.draw.randrange(MIN_DELAY_NS, MAX_DELAY_NS)
         if self._delay_ns is not None:
             delay_ns += int(self._delay_ns(self.now, member.number, receiver))
-        self.at(self.now + delay_ns, lambda: self._arrive(receiver, datagram))
+        self.call_at(self.now + delay_ns, lambda: self._arrive(receiver, datagram))
 
     def _is_lost(self, sender: int, receiver: int) -> bool:
         if self._loss is None:
@@ -257,23 +276,23 @@
 
     def _arrive(self, receiver: int, datagram: Datagram) -> None:
         member = self.members[receiver]
-        if not member.up:
+        if not member.is_running:
             return
-        if self.now < member.paused_until:
-            if len(member.waiting) < MAX_QUEUED_DATAGRAMS:
-                member.waiting.append(datagram)
+        if self.now < member.paused_until_ns:
+            if len(member.queued_datagrams) < MAX_QUEUED_DATAGRAMS:
+                member.queued_datagrams.append(datagram)
             return
         self._receive(member, datagram)
         self._carry_out(member)
 
     def _sync(self, member: SimulatedMember, number: int | None) -> None:
         """Exchange complete tables, as over a connection; none where either direction is cut."""
-        if number is None or not self.members[number].hears(self.now):
+        if number is None or not self.members[number].can_receive(self.now):
             return
         if self._loss is not None:
-            there = self._loss(self.now, member.number, number)
-            back = self._loss(self.now, number, member.number)
-            if max(there, back) > CUT_OFF_LOSS:
+            outbound_loss = self._loss(self.now, member.number, number)
+            inbound_loss = self._loss(self.now, number, member.number)
+            if max(outbound_loss, inbound_loss) > CUT_OFF_LOSS:
                 return
         other = self.members[number]
         own_claims = member.detector.claims()
@@ -285,10 +304,10 @@
             self._merge_table(member, other_claims)
             self._merge_table(other, own_claims)
 
-        self.at(self.now + SYNC_DELAY_NS, arrive)
+        self.call_at(self.now + SYNC_DELAY_NS, arrive)
 
     def _merge_table(self, member: SimulatedMember, claims: tuple[Claim, ...]) -> None:
-        if member.hears(self.now):
+        if member.can_receive(self.now):
             member.detector.merge_table(self.now, claims)
             self._carry_out(member)
 
@@ -297,58 +316,62 @@
     def kill(self, numbers: Iterable[int]) -> None:
         """End members without notice."""
         for number in numbers:
-            self.members[number].up = False
+            self.members[number].is_running = False
 
     def pause(self, numbers: Iterable[int], seconds: float) -> None:
         """Stop members for some time, as SIGSTOP does."""
         for number in numbers:
-            self.members[number].paused_until = self.now + int(seconds * NS_PER_S)
+            self.members[number].paused_until_ns = self.now + int(seconds * NS_PER_S)
 
     def restart(self, number: int, seeds: Iterable[int], address: str = "") -> SimulatedMember:
-        """Start another process, at the same address unless one is given."""
-        self.members[number].up = False
+        """Replace a member by a new process, at the same address unless one is given."""
+        self.members[number].is_running = False
         member = self._start_member(number, address or self.members[number].address)
         member.detector.contacts.seeds = [self.members[seed].address for seed in seeds]
         return member
 
     def leave(self, number: int) -> None:
-        """Have a member announce its leave and end."""
+        """Let a member announce that it leaves, and end it."""
         member = self.members[number]
         member.detector.leave()
         self._carry_out(member)
-        member.up = False
+        member.is_running = False
 
     # --- results ---
 
-    def living(self) -> list[SimulatedMember]:
+    def running_members(self) -> list[SimulatedMember]:
         """Return the members that run."""
-        return [member for member in self.members if member.up]
+        return [member for member in self.members if member.is_running]
 
-    def all_hold(
+    def all_have_view(
         self,
         identities: Iterable[Identity],
         among: Iterable[SimulatedMember] | None = None,
     ) -> bool:
-        """Return whether the views of some members, else of all that run, are just these.
+        """Return whether the views consist of exactly these identities.
 
-        Each counts as part of its own view.
+        Each member counts as part of its own view.
+
+        Args:
+            identities: The expected view.
+            among: The members whose views are compared; None stands for all that run.
         """
         wanted = set(identities)
-        observers = among or self.living()
+        observers = among or self.running_members()
         return all(
             {*member.detector.present(), member.detector.me} == wanted for member in observers
         )
 
     def agree(self) -> bool:
-        """Return whether all members that run hold just each other to be present."""
-        return self.all_hold([member.detector.me for member in self.living()])
+        """Return whether the view of each running member is exactly all running members."""
+        return self.all_have_view([member.detector.me for member in self.running_members()])
 
-    def removals(self, of: Iterable[Identity] | None = None) -> list[Removal]:
-        """Return the removals of some members, else of all."""
-        wanted = None if of is None else set(of)
+    def removals(self, identities: Iterable[Identity] | None = None) -> list[Removal]:
+        """Return the removals of these members; None stands for all."""
+        wanted = None if identities is None else set(identities)
         return [
-            Removal(at_ns, member.number, change.member)
+            Removal(change_ns, member.number, change.member)
             for member in self.members
-            for at_ns, change in member.changes
+            for change_ns, change in member.changes
             if change.status is Status.DEAD and (wanted is None or change.member in wanted)
         ]
--- a/query_broker/emulator/processes.py
+++ b/query_broker/emulator/processes.py
@@ -27,27 +27,27 @@
 ADMIN_TIMEOUT_S = 2.0
 READY_TIMEOUT_S = 2.0
 POLL_INTERVAL_S = 0.05
-#: Settings of the caller's environment that would reach through to the processes.
+#: Variables (without their prefix) of the caller's environment that the processes must not inherit.
 HIDDEN_VARIABLES = ("OPERATOR_FILE", "OPERATOR", "LISTEN", "ACCEPT_FD", "NAME")
 
 
 class PortAllocator:
-    """Gives out ports to listen on that no other process takes.
+    """Allocates ports to listen on that no other process allocates.
 
-    A port that the system chooses may become some connection's own end before it is listened on,
-    and one that two processes draw is had by one of them. So these lie below the system's range, in
-    blocks of which each belongs to one process for as long as that holds the block's first port.
+    A port that the system has chosen may become the local port of some connection before it is
+    listened on, and two processes may choose the same one. So ports are taken from blocks below the
+    range of the system. A block belongs to the process that has bound its first port.
 
     Attributes:
-        reservations: The sockets that hold the first ports of this process's blocks.
-        ports: The ports of these blocks, that which is given out next first.
+        reservations: The sockets bound to the first ports of this process's blocks.
+        ports: The ports of these blocks; the first one is given out next.
     """
 
     #: Below the ports that the system gives to connections (from 32,768 on Linux).
-    RANGE = range(10_000, 32_000)
+    PORT_RANGE = range(10_000, 32_000)
     #: A test takes some tens of ports at the most.
-    BLOCK = 100
-    #: So many times the ports asked for are kept, as some may be in use.
+    BLOCK_SIZE = 100
+    #: Ports that are reserved for each one that is requested, since some may be in use.
     SPARE_FACTOR = 4
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         Raises:
             OSError: All blocks are taken.
         """
-        starts = list(self.RANGE[:: self.BLOCK])
+        starts = list(self.PORT_RANGE[:: self.BLOCK_SIZE])
         random.SystemRandom().shuffle(starts)
         for start in starts:
             reservation = socket.socket()
@@ -71,12 +71,12 @@
                 reservation.close()
                 continue
             self.reservations.append(reservation)
-            self.ports.extend(range(start + 1, start + self.BLOCK))
+            self.ports.extend(range(start + 1, start + self.BLOCK_SIZE))
             return
         problem = "no block of ports is left"
         raise OSError(problem)
 
-    def take(self, count: int) -> list[int]:
+    def allocate(self, count: int) -> list[int]:
         """Return free ports.
 
         They are given out in turn, so that one is not given out again before it is listened on.
@@ -104,7 +104,7 @@
 
 def free_ports(count: int) -> list[int]:
     """Return free ports of this process's own blocks."""
-    return PORT_ALLOCATOR.take(count)
+    return PORT_ALLOCATOR.allocate(count)
 
 
 class ProcessPorts(NamedTuple):
@@ -115,13 +115,20 @@
     peer_port: int
 
 
+class AdminReply(NamedTuple):
+    """The HTTP status and the body of the answer to an operators' call."""
+
+    status: int
+    body: bytes
+
+
 class BrokerProcess:
     """One process, with a folder, ports, settings and a log of its own.
 
     Attributes:
         number: Its number in the fleet.
         folder: Its files.
-        tree: The source tree that it runs.
+        tree: Root of the source tree that it runs.
         port: Where it listens for clients.
         admin_port: Where it listens for operators.
         peer_port: Where it listens for other brokers.
@@ -134,7 +141,7 @@
         self,
         number: int,
         folder: Path,
-        ports: tuple[int, int, int],
+        ports: ProcessPorts,
         raw: dict[str, Any],
         operator_file: str,
         tree: Path,
@@ -147,12 +154,14 @@
             ports: For clients, operators and other brokers.
             raw: The configuration; names, addresses and seed are replaced.
             operator_file: Text of the operators' file; empty: it has none.
-            tree: The source tree that it runs.
+            tree: Root of the source tree that it runs.
         """
         self.number = number
         self.folder = folder
         self.tree = tree
-        self.port, self.admin_port, self.peer_port = ProcessPorts(*ports)
+        self.port = ports.client_port
+        self.admin_port = ports.admin_port
+        self.peer_port = ports.peer_port
         folder.mkdir()
         self._write_config(raw)
         self.env = self._make_environment()
@@ -227,8 +236,8 @@
         """Return the log so far."""
         return (self.folder / "log").read_text(errors="replace")
 
-    def call_admin_api(self, path: str, method: str = "GET") -> tuple[int, bytes]:
-        """Make an operators' call, and return status and body.
+    def call_admin_api(self, path: str, method: str = "GET") -> AdminReply:
+        """Make an operators' call.
 
         Raises:
             OSError: The process does not answer.
@@ -237,14 +246,13 @@
         try:
             connection.request(method, path)
             response = connection.getresponse()
-            return response.status, response.read()
+            return AdminReply(response.status, response.read())
         finally:
             connection.close()
 
     def status(self, path: str = "/start") -> Any:
         """Return the JSON answer to an operators' call."""
-        _, body = self.call_admin_api(path)
-        return json.loads(body)
+        return json.loads(self.call_admin_api(path).body)
 
     async def is_ready(self) -> bool:
         """Return whether it is ready, as the front end checks it."""
@@ -283,7 +291,7 @@
             raw: Their configuration; its fleet size is the count unless it says another.
             operator_file: Text of the operators' file, the same for all, or made from the number of
                 a process and its port for other brokers.
-            tree: The source tree that they run.
+            tree: Root of the source tree that they run.
         """
         self.temporary_folder = tempfile.TemporaryDirectory()
         folder = Path(self.temporary_folder.name)
--- a/query_broker/emulator/quota_simulation.py
+++ b/query_broker/emulator/quota_simulation.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import heapq
 import itertools
 import random
 from collections.abc import Callable, Iterable
@@ -17,6 +16,7 @@
 from ..quotas.leases import LeaseManager
 from ..quotas.messages import LeaseMessage
 from ..quotas.settings import QuotaSettings
+from .event_queue import EventQueue
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
@@ -30,12 +30,21 @@
 #: Messages that a paused broker finds when it resumes; more are lost.
 MAX_WAITING_MESSAGES = 200
 #: A message is slow, and is overtaken by others, with this probability and by this factor.
-SLOW_PROBABILITY = 0.05
-SLOW_FACTOR = 50
+SLOW_MESSAGE_PROBABILITY = 0.05
+SLOW_MESSAGE_FACTOR = 50
+#: A view is certain if more than this fraction of all brokers is reachable.
 CERTAIN_FRACTION = 2 / 3
 
-#: Whether messages are cut off: time in ns, number of the sender, number of the recipient.
-Cut = Callable[[int, int, int], bool]
+#: Returns whether a message is lost to a partition, by the time in nanoseconds, the sender's number
+#: and the recipient's.
+PartitionFunction = Callable[[int, int, int], bool]
+
+
+class WaitingMessage(NamedTuple):
+    """A message that arrived while its recipient was paused."""
+
+    sender: str
+    message: LeaseMessage
 
 
 class SimulatedBroker:
@@ -46,11 +55,11 @@
         name: Its name, another one after each restart.
         leases: What is simulated.
         clock_rate: How fast its clock runs.
-        clock_offset_ns: What its clock is ahead of the true one.
+        clock_offset_ns: By how much its clock is ahead of the true one.
         generation: How often it was restarted.
         is_running: False once it was killed.
-        paused_until_ns: Until then, by the true clock, it does nothing.
-        waiting: Messages that arrived while it was paused, each with its sender.
+        paused_until_ns: Until when, by the true clock, it is paused.
+        waiting: Messages that arrived while it was paused.
     """
 
     def __init__(
@@ -70,7 +79,7 @@
         self.generation = generation
         self.is_running = True
         self.paused_until_ns = 0
-        self.waiting: list[tuple[str, LeaseMessage]] = []
+        self.waiting: list[WaitingMessage] = []
 
     def clock_ns(self, now_ns: int) -> int:
         """Return what its clock shows at a true time."""
@@ -105,9 +114,9 @@
     Attributes:
         brokers: All brokers by number.
         worst_overshoot_per_s: The most by which the leases of a limit exceeded its leased part.
-        used: Lease-seconds that were wanted and valid, by limit.
-        messages: Number of messages sent.
-        cut: Which messages are cut off; None for none.
+        used_amounts: Sum over time of the leased rates that were both wanted and valid, by limit.
+        message_count: Number of messages sent.
+        is_cut: Returns which messages are lost to a partition; None for none.
         now_ns: The true time.
     """
 
@@ -132,21 +141,20 @@
         self.limits = dict(limits)
         self.draw = random.Random(seed)
         self.conditions = conditions
-        self.cut: Cut | None = None
+        self.is_cut: PartitionFunction | None = None
         self.now_ns = BEGIN_NS
-        self.order = itertools.count()
-        self.events: list[tuple[int, int, Callable[[], None]]] = []
+        self._events = EventQueue()
         self.brokers: list[SimulatedBroker] = []
         self.brokers_by_name: dict[str, SimulatedBroker] = {}
         self.worst_overshoot_per_s: dict[str, float] = dict.fromkeys(limits, 0.0)
-        self.used: dict[str, float] = dict.fromkeys(limits, 0.0)
-        self.messages = 0
-        self.count = count
+        self.used_amounts: dict[str, float] = dict.fromkeys(limits, 0.0)
+        self.message_count = 0
+        self.broker_count = count
         self.audit_interval_ns = AUDIT_INTERVAL_NS * max(1, count // 50)
         for number in range(count):
             self.brokers.append(self._create(number, 0))
         self._update_views()
-        self.at(self.now_ns, self._audit)
+        self.call_at(self.now_ns, self._audit)
 
     def _create(self, number: int, generation: int) -> SimulatedBroker:
         clock_rate = 1 + self.conditions.clock_drift * self.draw.uniform(-1, 1)
@@ -154,7 +162,7 @@
         leases = LeaseManager(
             f"b{number}/{generation}",
             self.settings,
-            self.count,
+            self.broker_count,
             int(self.now_ns * clock_rate) + clock_offset_ns,
             self.draw.random,
         )
@@ -164,28 +172,29 @@
         }
         broker = SimulatedBroker(number, generation, leases, clock_rate, clock_offset_ns)
         self.brokers_by_name[broker.name] = broker
-        self.at(self.now_ns + self.draw.randrange(TICK_NS), lambda: self._tick(broker))
+        self.call_at(self.now_ns + self.draw.randrange(TICK_NS), lambda: self._tick(broker))
         return broker
 
     # --- the clock ---
 
-    def at(self, due_ns: int, callback: Callable[[], None]) -> None:
-        """Call back at a true time."""
-        heapq.heappush(self.events, (due_ns, next(self.order), callback))
+    def call_at(self, due_ns: int, callback: Callable[[], None]) -> None:
+        """Schedule a call at a true time."""
+        self._events.schedule(due_ns, callback)
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
         end_ns = self.now_ns + int(seconds * NS_PER_S)
-        while self.events and self.events[0][0] <= end_ns:
-            self.now_ns, _, callback = heapq.heappop(self.events)
-            callback()
+        while self._events.has_due(end_ns):
+            event = self._events.pop()
+            self.now_ns = event.due_ns
+            event.callback()
         self.now_ns = end_ns
 
     def _tick(self, broker: SimulatedBroker) -> None:
         if not broker.is_running:
             return
         if self.now_ns < broker.paused_until_ns:
-            self.at(broker.paused_until_ns, lambda: self._tick(broker))
+            self.call_at(broker.paused_until_ns, lambda: self._tick(broker))
             return
         waiting = broker.waiting
         broker.waiting = []
@@ -193,7 +202,7 @@
             broker.leases.receive(broker.clock_ns(self.now_ns), sender, message)
         broker.leases.tick(broker.clock_ns(self.now_ns))
         self._send_outbox(broker)
-        self.at(self.now_ns + TICK_NS, lambda: self._tick(broker))
+        self.call_at(self.now_ns + TICK_NS, lambda: self._tick(broker))
 
     # --- messages ---
 
@@ -201,22 +210,24 @@
         outbox = list(broker.leases.outbox)
         broker.leases.outbox.clear()
         for recipient, message in outbox:
-            self.messages += 1
+            self.message_count += 1
             target = self.brokers_by_name.get(recipient)
             if target is None or self.draw.random() < self.conditions.loss:
                 continue
-            if self.cut is not None and self.cut(self.now_ns, broker.number, target.number):
+            if self.is_cut is not None and self.is_cut(self.now_ns, broker.number, target.number):
                 continue
-            factor = SLOW_FACTOR if self.draw.random() < SLOW_PROBABILITY else 1
+            factor = SLOW_MESSAGE_FACTOR if self.draw.random() < SLOW_MESSAGE_PROBABILITY else 1
             delay_ns = factor * self.draw.randrange(NS_PER_MS // 2, 3 * NS_PER_MS)
-            self.at(self.now_ns + delay_ns, partial(self._deliver, target, broker.name, message))
+            self.call_at(
+                self.now_ns + delay_ns, partial(self._deliver, target, broker.name, message)
+            )
 
     def _deliver(self, target: SimulatedBroker, sender: str, message: LeaseMessage) -> None:
         if not target.is_running:
             return
         if self.now_ns < target.paused_until_ns:
             if len(target.waiting) < MAX_WAITING_MESSAGES:
-                target.waiting.append((sender, message))
+                target.waiting.append(WaitingMessage(sender, message))
             return
         target.leases.receive(target.clock_ns(self.now_ns), sender, message)
         self._send_outbox(target)
@@ -233,17 +244,17 @@
                 and self.now_ns >= other.paused_until_ns
                 and self._was_reachable(broker, other)
             ]
-            is_certain = len(reachable) > self.count * CERTAIN_FRACTION
+            is_certain = len(reachable) > self.broker_count * CERTAIN_FRACTION
             due_ns = self.now_ns + self.draw.randrange(VIEW_INTERVAL_NS)
-            self.at(due_ns, partial(broker.leases.set_view, reachable, is_certain))
-        self.at(self.now_ns + VIEW_INTERVAL_NS, self._update_views)
+            self.call_at(due_ns, partial(broker.leases.set_view, reachable, is_certain))
+        self.call_at(self.now_ns + VIEW_INTERVAL_NS, self._update_views)
 
     def _was_reachable(self, broker: SimulatedBroker, other: SimulatedBroker) -> bool:
         past_ns = self.now_ns - self.conditions.view_delay_ns
-        if other is broker or self.cut is None or past_ns < BEGIN_NS:
+        if other is broker or self.is_cut is None or past_ns < BEGIN_NS:
             return True
-        is_cut_there = self.cut(past_ns, other.number, broker.number)
-        return not (is_cut_there and self.cut(past_ns, broker.number, other.number))
+        is_cut_there = self.is_cut(past_ns, other.number, broker.number)
+        return not (is_cut_there and self.is_cut(past_ns, broker.number, other.number))
 
     # --- faults ---
 
@@ -291,9 +302,9 @@
             overshoot = self.valid_per_s(limit) - leased_per_s
             worst = self.worst_overshoot_per_s[limit]
             self.worst_overshoot_per_s[limit] = max(worst, overshoot)
-            self.used[limit] += self.audit_interval_ns / NS_PER_S * self._used_per_s(limit)
+            self.used_amounts[limit] += self.audit_interval_ns / NS_PER_S * self._used_per_s(limit)
             self.leader(limit)  # raises if there are two
-        self.at(self.now_ns + self.audit_interval_ns, self._audit)
+        self.call_at(self.now_ns + self.audit_interval_ns, self._audit)
 
     def _used_per_s(self, limit: str) -> float:
         return sum(
@@ -340,10 +351,10 @@
         """
         simulation = self.simulation
         begin_ns = simulation.now_ns
-        simulation.cut = self._is_cut
+        simulation.is_cut = self._is_cut
         for _ in range(self.draw.randrange(4, 12)):
             self._schedule_fault(begin_ns, seconds)
-        simulation.at(simulation.now_ns, self._change_demand)
+        simulation.call_at(simulation.now_ns, self._change_demand)
 
     def _is_cut(self, now_ns: int, sender: int, recipient: int) -> bool:
         return any(partition.cuts(now_ns, sender, recipient) for partition in self.partitions)
@@ -351,22 +362,22 @@
     def _schedule_fault(self, begin_ns: int, seconds: float) -> None:
         simulation = self.simulation
         due_ns = begin_ns + int(self.draw.random() * seconds * NS_PER_S)
-        number = self.draw.randrange(simulation.count)
+        number = self.draw.randrange(simulation.broker_count)
         duration_s = self.draw.uniform(1, 15)
         match self.draw.randrange(6):
             case 0:
-                simulation.at(due_ns, self._kill_leader)
+                simulation.call_at(due_ns, self._kill_leader)
             case 1:
-                simulation.at(due_ns, partial(self._pause_leader, duration_s))
+                simulation.call_at(due_ns, partial(self._pause_leader, duration_s))
             case 2:
-                simulation.at(due_ns, partial(simulation.pause, number, duration_s))
+                simulation.call_at(due_ns, partial(simulation.pause, number, duration_s))
             case 3 | 4 as kind:
-                size = self.draw.randrange(1, simulation.count)
-                side = frozenset(self.draw.sample(range(simulation.count), size))
+                size = self.draw.randrange(1, simulation.broker_count)
+                side = frozenset(self.draw.sample(range(simulation.broker_count), size))
                 end_ns = due_ns + int(duration_s * NS_PER_S)
                 self.partitions.append(Partition(due_ns, end_ns, side, kind == 4))
             case 5:
-                simulation.at(due_ns, partial(simulation.restart, number))
+                simulation.call_at(due_ns, partial(simulation.restart, number))
 
     def _kill_leader(self) -> None:
         leader = self.simulation.leader(self.limits[0])
@@ -383,7 +394,7 @@
             broker.leases.holder.wanted_per_s = {
                 limit: self.draw.choice(DEMANDS_PER_S) for limit in self.limits
             }
-        self.simulation.at(self.simulation.now_ns + DEMAND_INTERVAL_NS, self._change_demand)
+        self.simulation.call_at(self.simulation.now_ns + DEMAND_INTERVAL_NS, self._change_demand)
 
 
 def max_concurrent_leases_per_s(records: Iterable[Iterable[LeaseRecord]], limit: str) -> float:
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from query_broker.emulator.membership_simulation import BEGIN
+from query_broker.emulator.membership_simulation import BEGIN_NS
 from query_broker.membership.codec import Codec, message_mac
 from query_broker.membership.errors import KeyFileError, MessageRejectedError
 from query_broker.membership.incarnations import (
@@ -178,7 +178,7 @@
         accepted += 1
         detector = make_detector("10.0.0.9:1")
         detector.receive(
-            BEGIN, detector.me.boot, envelope.sequence, envelope.sender, envelope.message
+            BEGIN_NS, detector.me.boot, envelope.sequence, envelope.sender, envelope.message
         )
     assert accepted > 0
 
@@ -215,8 +215,8 @@
             ordinal=1_000,
             zone="a-zone-with-a-name",
         )
-        detector.merger.merge(BEGIN, claim)
-    detector.tick(BEGIN + NS_PER_S)
+        detector.merger.merge(BEGIN_NS, claim)
+    detector.tick(BEGIN_NS + NS_PER_S)
     codec = Codec("an installation with a name", KEYS)
     sizes = [
         len(codec.write(recipient, detector.own.claim(), message))
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -9,8 +9,8 @@
 import pytest
 
 from query_broker.emulator.membership_simulation import (
-    BEGIN,
-    LinkFunction,
+    BEGIN_NS,
+    LinkProperty,
     Removal,
     SimulatedCluster,
     SimulatedMember,
@@ -27,18 +27,18 @@
 JOIN_S = 10
 
 
-def cut_between(begin_s: float, end_s: float, is_cut: Callable[[int, int], bool]) -> LinkFunction:
+def cut_between(begin_s: float, end_s: float, is_cut: Callable[[int, int], bool]) -> LinkProperty:
     """Return the loss of links that are cut for some time of the simulation."""
 
     def loss(now_ns: int, sender: int, receiver: int) -> float:
-        is_active = begin_s * NS_PER_S <= now_ns - BEGIN < end_s * NS_PER_S
+        is_active = begin_s * NS_PER_S <= now_ns - BEGIN_NS < end_s * NS_PER_S
         return float(is_active and is_cut(sender, receiver))
 
     return loss
 
 
 def start_cluster(
-    count: int = FLEET_SIZE, loss: LinkFunction | None = None, seed: int = 1, **more: Any
+    count: int = FLEET_SIZE, loss: LinkProperty | None = None, seed: int = 1, **more: Any
 ) -> SimulatedCluster:
     """Return a cluster that has run for ten seconds."""
     cluster = SimulatedCluster(count, SETTINGS, seed, loss, **more)
@@ -48,7 +48,7 @@
 
 def wrong_removals(cluster: SimulatedCluster) -> list[Removal]:
     """Return the removals of members that ran all the time."""
-    return cluster.removals([member.detector.me for member in cluster.living()])
+    return cluster.removals([member.detector.me for member in cluster.running_members()])
 
 
 def worst_removal_s(size: int) -> float:
@@ -73,7 +73,7 @@
     ended_ns = cluster.now
     assert cluster.run(worst_removal_s(count), cluster.agree)
     assert not wrong_removals(cluster)
-    assert all(removal.at_ns > ended_ns for removal in cluster.removals())
+    assert all(removal.removed_at_ns > ended_ns for removal in cluster.removals())
 
 
 def test_seven_in_ten_that_end_at_once_are_all_removed() -> None:
@@ -105,8 +105,8 @@
     assert successor.address == former.address
     assert successor != former
     cluster.run(5)
-    assert not is_held_by_any(former, cluster.living())
-    for member in cluster.living():
+    assert not is_held_by_any(former, cluster.running_members())
+    for member in cluster.running_members():
         assert successor in {*member.detector.present(), member.detector.me}
 
 
@@ -143,8 +143,8 @@
 class LinkFault(NamedTuple):
     """What links lose, and by how much they delay."""
 
-    loss: LinkFunction | None
-    delay_ns: LinkFunction | None = None
+    loss: LinkProperty | None
+    delay_ns: LinkProperty | None = None
 
 
 LINK_FAULTS = {
@@ -180,7 +180,7 @@
     deaf = 3
     cluster = start_cluster(loss=cut_between(0, 99, lambda sender, receiver: receiver == deaf))
     cluster.run(60)
-    assert [removal for removal in wrong_removals(cluster) if removal.by != deaf] == []
+    assert [removal for removal in wrong_removals(cluster) if removal.removed_by != deaf] == []
     assert cluster.members[deaf].detector.health.is_isolated(23)
 
 
@@ -189,7 +189,7 @@
     """As its health score falls, so do its timeouts: all its suspicions would end at once."""
 
     def loss(now_ns: int, sender: int, receiver: int) -> float:
-        elapsed_s = (now_ns - BEGIN) / NS_PER_S
+        elapsed_s = (now_ns - BEGIN_NS) / NS_PER_S
         if 10 <= elapsed_s < 26:
             return float(receiver == 4)
         if 26 <= elapsed_s < 60:
@@ -198,8 +198,10 @@
 
     cluster = start_cluster(6, loss=loss, seed=seed)
     cluster.run(50)
-    receives_again_ns = BEGIN + 26 * NS_PER_S
-    late = [removal for removal in wrong_removals(cluster) if removal.at_ns > receives_again_ns]
+    receives_again_ns = BEGIN_NS + 26 * NS_PER_S
+    late = [
+        removal for removal in wrong_removals(cluster) if removal.removed_at_ns > receives_again_ns
+    ]
     assert late == []
 
 
@@ -207,7 +209,7 @@
     cluster = start_cluster(loss=cut_between(10, 50, lambda sender, receiver: sender == 3))
     others = [member for member in cluster.members if member.number != 3]
     cluster.run(40)
-    assert cluster.all_hold([member.detector.me for member in others], others)
+    assert cluster.all_have_view([member.detector.me for member in others], others)
     assert cluster.run(30, cluster.agree)
 
 
@@ -234,11 +236,11 @@
         assert held >= reachable
         # Few that hear few doubt themselves first, and are slow to accuse.
         assert len(reachable) < 7 or held == reachable
-    messages_before = cluster.messages
+    messages_before = cluster.message_count
     healed_ns = cluster.now
     assert cluster.run(60, cluster.agree)
     healing_s = (cluster.now - healed_ns) / NS_PER_S
-    assert (cluster.messages - messages_before) / FLEET_SIZE / healing_s < 20
+    assert (cluster.message_count - messages_before) / FLEET_SIZE / healing_s < 20
 
 
 # --- members that pause ---
@@ -324,7 +326,7 @@
         cluster.run(1)
     cluster.run(evidence_limit_ns(SETTINGS.interval_ns, size) / NS_PER_S)
     assert not wrong_removals(cluster)
-    assert not is_held_by_any(dead.me, cluster.living())
+    assert not is_held_by_any(dead.me, cluster.running_members())
 
 
 def test_a_message_to_the_former_process_says_nothing_of_its_sender() -> None:
@@ -350,8 +352,8 @@
         chain = IncarnationChain(b"%d" % number, CHECKPOINT_INTERVAL)
         identity = Identity(f"g{number}:1", chain.boot)
         claim = Claim(identity, 0, Status.DEAD, chain.proof(0), chain.leave_commitment)
-        detector.merger.merge(BEGIN, claim)
+        detector.merger.merge(BEGIN_NS, claim)
     assert len(detector.table.records) == 300
     assert detector.present() == []
-    detector.tick(BEGIN + 2 * SETTINGS.forget_after_ns)
+    detector.tick(BEGIN_NS + 2 * SETTINGS.forget_after_ns)
     assert detector.table.records == {}
--- a/tests/membership/test_lossy_links.py
+++ b/tests/membership/test_lossy_links.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from query_broker.emulator.membership_simulation import BEGIN, LinkFunction, SimulatedCluster
+from query_broker.emulator.membership_simulation import BEGIN_NS, LinkProperty, SimulatedCluster
 from query_broker.membership.messages import Identity, Status
 from query_broker.membership.settings import NS_PER_S
 from query_broker.membership.timing import min_suspicion_ns
@@ -24,11 +24,11 @@
 MAX_SEEDS_WITH_A_REMOVAL = 7
 
 
-def losses(fraction: float) -> LinkFunction:
+def losses(fraction: float) -> LinkProperty:
     """Return a third of all messages lost, then a fraction of one member's, then none."""
 
     def loss(now_ns: int, sender: int, receiver: int) -> float:
-        elapsed_s = (now_ns - BEGIN) / NS_PER_S
+        elapsed_s = (now_ns - BEGIN_NS) / NS_PER_S
         if 10 <= elapsed_s < LOSS_BEGINS_S:
             return 0.33
         if LOSS_BEGINS_S <= elapsed_s < LOSS_ENDS_S:
@@ -71,7 +71,7 @@
     for seed in SEEDS:
         cluster = run_through_loss(0.9, seed)
         lossy = cluster.members[LOSSY].detector.me
-        removals = [removal for removal in cluster.removals() if removal.by != LOSSY]
+        removals = [removal for removal in cluster.removals() if removal.removed_by != LOSSY]
         seeds_with_a_removal += bool(removals)
         assert {removal.member for removal in removals} <= {lossy}, f"seed {seed}"
         shortest_ns = min_suspicion_ns(SETTINGS.interval_ns, SIZE)
--- a/tests/quotas/test_pure.py
+++ b/tests/quotas/test_pure.py
@@ -208,7 +208,7 @@
 ) -> None:
     assert simulation.leader("a") is not None
     until_ns = simulation.now_ns + 20 * NS_PER_S
-    simulation.cut = lambda now_ns, sender, recipient: (
+    simulation.is_cut = lambda now_ns, sender, recipient: (
         now_ns < until_ns and (sender in minority) != (recipient in minority)
     )
     simulation.run(18)
--- a/tests/support/members_support.py
+++ b/tests/support/members_support.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from query_broker.emulator.membership_simulation import BEGIN
+from query_broker.emulator.membership_simulation import BEGIN_NS
 from query_broker.membership.failure_detector import FailureDetector
 from query_broker.membership.incarnations import CHECKPOINT_INTERVAL, IncarnationChain
 from query_broker.membership.keys import parse_keys
@@ -32,4 +32,4 @@
 def make_detector(address: str, *position: Any) -> FailureDetector:
     """Return the failure detector of a member that is alone."""
     chain = IncarnationChain(b"x", CHECKPOINT_INTERVAL)
-    return FailureDetector(address, SETTINGS, chain, random.Random(1), BEGIN, *position)
+    return FailureDetector(address, SETTINGS, chain, random.Random(1), BEGIN_NS, *position)
