--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -118,21 +118,23 @@
     """Yield what follows from the operators' file for this installation, a line each."""
     fleet_size = config.settings.fleet_size
     if operator_config.startup is not None:
-        from ..startup.bounds import bound_lines as startup_lines
+        from ..startup.bounds import describe_bounds as describe_startup
 
-        yield from startup_lines(operator_config.startup, config.settings.broker_index, fleet_size)
+        yield from describe_startup(
+            operator_config.startup, config.settings.broker_index, fleet_size
+        )
     if operator_config.membership is not None:
-        from ..membership.timing import describe_bounds
+        from ..membership.timing import describe_bounds as describe_membership
 
-        yield from describe_bounds(operator_config.membership, fleet_size)
+        yield from describe_membership(operator_config.membership, fleet_size)
     if operator_config.quotas is not None:
-        from ..quotas.settings import describe as quota_lines
+        from ..quotas.settings import describe_bounds as describe_quotas
 
-        yield from quota_lines(operator_config.quotas, fleet_size)
+        yield from describe_quotas(operator_config.quotas, fleet_size)
     if operator_config.outlier_consensus is not None:
-        from ..outlier_consensus.settings import describe as consensus_lines
+        from ..outlier_consensus.settings import describe_bounds as describe_consensus
 
-        yield from consensus_lines(operator_config.outlier_consensus, fleet_size)
+        yield from describe_consensus(operator_config.outlier_consensus, fleet_size)
 
 
 @main.command()
--- a/query_broker/emulator/quota_simulation.py
+++ b/query_broker/emulator/quota_simulation.py
@@ -411,9 +411,9 @@
         for change, following in itertools.zip_longest(changes, changes[1:]):
             end_ns = change.expires_at_ns
             if following is not None:
-                end_ns = min(end_ns, following.at_ns)
-            if end_ns > change.at_ns and change.amount_per_s > 0:
-                steps.append((change.at_ns, change.amount_per_s))
+                end_ns = min(end_ns, following.changed_at_ns)
+            if end_ns > change.changed_at_ns and change.amount_per_s > 0:
+                steps.append((change.changed_at_ns, change.amount_per_s))
                 steps.append((end_ns, -change.amount_per_s))
     # At equal times the ends, which are negative, come before the beginnings.
     steps.sort()
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -194,7 +194,7 @@
             self.carry_out(now_ns)
             if now_ns - self._publisher.observed_at_ns >= self._settings.interval_ns:
                 self._publisher.observe(now_ns)
-        except Exception as error:  # A fault here must not end the turn of the timer wheel.
+        except Exception as error:  # A fault here must not stop the timer wheel.
             self._node.log(FAULT_LOG_KIND, f"members: {type(error).__name__}: {error}")
 
     def _load_seeds(self) -> None:
--- a/query_broker/outlier_consensus/admin.py
+++ b/query_broker/outlier_consensus/admin.py
@@ -25,7 +25,7 @@
 
 
 class OverrideTarget(Protocol):
-    """What carries out operators' overrides."""
+    """Carries out operators' overrides."""
 
     def is_known_endpoint(self, uid: str) -> bool:
         """Return whether the endpoint is or was listed."""
@@ -51,7 +51,7 @@
         self.clock = clock
 
     def handle(self, method: str, path: str) -> AdminResponse | None:
-        """Answer a call; None if its path belongs to another part."""
+        """Answer a call; None if its path is not one of this service."""
         parts = path.strip("/").split("/")
         if parts[0] != PATH:
             return None
@@ -74,8 +74,8 @@
         ejections = self.consensus.ejections.values()
         return {
             "verdicts": [_ejection_status(ejection, now_ns) for ejection in ejections],
-            "words": [_override_status(known) for known in self.overrides.overrides.values()],
-            "lost": [_override_status(known) for known in self.overrides.superseded.values()],
+            "words": [_override_status(override) for override in self.overrides.overrides.values()],
+            "lost": [_override_status(override) for override in self.overrides.superseded.values()],
             "figures": self.consensus.event_counts,
         }
 
@@ -86,9 +86,9 @@
         "kind": ejection.scope.value,
         "zone": ejection.zone,
         "observers": len(ejection.observers),
-        "for": round((now_ns - ejection.since_ns) / NS_PER_S, 2),
-        "at_least": round((ejection.until_ns - now_ns) / NS_PER_S, 2),
-        "evidence_age": round((now_ns - ejection.newest_ns) / NS_PER_S, 2),
+        "for": round((now_ns - ejection.ejected_at_ns) / NS_PER_S, 2),
+        "at_least": round((ejection.min_end_ns - now_ns) / NS_PER_S, 2),
+        "evidence_age": round((now_ns - ejection.latest_failure_ns) / NS_PER_S, 2),
         "relapses": ejection.relapses,
     }
 
--- a/query_broker/outlier_consensus/consensus.py
+++ b/query_broker/outlier_consensus/consensus.py
@@ -1,8 +1,8 @@
 """The consensus on outliers: ejects endpoints that several brokers observe to fail.
 
-A pure function of the observations and of earlier ejections. It takes several distinct observers,
-so that one that lies, or whose own network is broken, ejects nothing; a bounded part of a zone
-can be ejected. Performs no I/O.
+The result depends only on the observations and on earlier ejections. An ejection takes several
+distinct observers, so that a single one that is faulty, or whose network is broken, ejects nothing.
+The fraction of a zone that can be ejected is bounded. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from typing import NamedTuple
 
 from .messages import Endpoint
-from .observations import ObservationStore, View
+from .observations import ObservationStore, ObserverView
 from .settings import OutlierConsensusSettings
 
 MAX_DOUBLINGS = 10
-#: Relapses are remembered for so many times the longest ejection.
-RELAPSE_MEMORY = 10
+#: Relapses are remembered for this multiple of the longest ejection.
+RELAPSE_MEMORY_FACTOR = 10
 
 
 class OutlierScope(Enum):
-    """For whom an endpoint fails; the values stand in the log and in the operators' JSON."""
+    """For whom an endpoint fails; the values appear in the log and in the operators' JSON."""
 
     FLEET = "bad for all"
     ZONE = "out of this zone's reach"
@@ -44,28 +44,29 @@
         endpoint: The endpoint.
         scope: Whether it fails for all brokers or for this zone only.
         zone: The zone for which it is ejected; empty for all.
-        since_ns: When it was ejected.
-        until_ns: Until when it stays ejected at least.
-        newest_ns: When the newest failure happened that the ejection rests on, by our clock.
-        observers: The brokers on whose observations it rests.
+        ejected_at_ns: When it was ejected.
+        min_end_ns: Until when it stays ejected at least.
+        latest_failure_ns: When the latest failure that the ejection is based on was observed, by
+            this broker's clock.
+        observers: The brokers on whose observations it is based.
         relapses: How often the endpoint was ejected before.
     """
 
     endpoint: Endpoint
     scope: OutlierScope
     zone: str
-    since_ns: int
-    until_ns: int
-    newest_ns: int
+    ejected_at_ns: int
+    min_end_ns: int
+    latest_failure_ns: int
     observers: frozenset[str]
     relapses: int = 0
 
 
 class Relapses(NamedTuple):
-    """How often an endpoint was ejected, and when the last time."""
+    """How often an endpoint was ejected, and when for the last time."""
 
-    times: int
-    last_ns: int
+    ejection_count: int
+    last_ejected_ns: int
 
 
 NO_RELAPSES = Relapses(0, 0)
@@ -112,7 +113,7 @@
         views = self.observations.views(now_ns, members)
         readmitted = self._readmit(now_ns, zones, views)
         ejected: list[Ejection] = []
-        for endpoint, by_observer in sorted(views.items(), key=_oldest_proof):
+        for endpoint, by_observer in sorted(views.items(), key=_earliest_outcome_ns):
             if endpoint in self.ejections or endpoint not in zones or endpoint in readmitted:
                 continue
             ejection = self._ejection(now_ns, endpoint, by_observer)
@@ -137,7 +138,7 @@
         self,
         now_ns: int,
         zones: Mapping[Endpoint, str],
-        views: Mapping[Endpoint, Mapping[str, View]],
+        views: Mapping[Endpoint, Mapping[str, ObserverView]],
     ) -> list[Endpoint]:
         readmitted = [
             endpoint
@@ -155,15 +156,15 @@
         return ejected + 1 <= max(self.settings.max_ejected_fraction * endpoints, 0)
 
     def _forget_relapses(self, now_ns: int) -> None:
-        memory_ns = RELAPSE_MEMORY * self.settings.max_ejection_ns
+        memory_ns = RELAPSE_MEMORY_FACTOR * self.settings.max_ejection_ns
         self.relapses = {
             endpoint: relapses
             for endpoint, relapses in self.relapses.items()
-            if now_ns - relapses.last_ns < memory_ns
+            if now_ns - relapses.last_ejected_ns < memory_ns
         }
 
     def _ejection(
-        self, now_ns: int, endpoint: Endpoint, views: Mapping[str, View]
+        self, now_ns: int, endpoint: Endpoint, views: Mapping[str, ObserverView]
     ) -> Ejection | None:
         """Return the ejection that the observers' views justify, if any."""
         failing = {name: view for name, view in views.items() if view.is_failing}
@@ -171,7 +172,7 @@
         scope = OutlierScope.FLEET
         zone = ""
         if len(working_zones) * 2 > len(failing):
-            # Some reach it well. If all of those are in other zones, this zone is cut off from it.
+            # Some observers reach it. If all of them are in other zones, this zone cannot reach it.
             scope = OutlierScope.ZONE
             zone = self.observations.zone
             failing = {name: view for name, view in failing.items() if view.zone == zone}
@@ -179,26 +180,37 @@
                 return None
         if len(failing) < self.settings.observers:
             return None
-        relapses = self.relapses.get(endpoint, NO_RELAPSES).times
-        newest_ns = max(view.newest_ns for view in failing.values())
-        until_ns = now_ns + self._duration_ns(relapses)
+        relapses = self.relapses.get(endpoint, NO_RELAPSES).ejection_count
+        latest_failure_ns = max(view.latest_outcome_ns for view in failing.values())
+        min_end_ns = now_ns + self._duration_ns(relapses)
         return Ejection(
-            endpoint, scope, zone, now_ns, until_ns, newest_ns, frozenset(failing), relapses
+            endpoint,
+            scope,
+            zone,
+            now_ns,
+            min_end_ns,
+            latest_failure_ns,
+            frozenset(failing),
+            relapses,
         )
 
     def _duration_ns(self, relapses: int) -> int:
         doubled_ns = self.settings.min_ejection_ns << min(MAX_DOUBLINGS, relapses)
         return min(self.settings.max_ejection_ns, doubled_ns)
 
-    def _has_ended(self, now_ns: int, ejection: Ejection, views: Mapping[str, View]) -> bool:
-        """Return whether an endpoint is readmitted.
+    def _has_ended(
+        self, now_ns: int, ejection: Ejection, views: Mapping[str, ObserverView]
+    ) -> bool:
+        """Return whether an ejection has ended.
 
-        That takes half as many newer successes as the ejection took observers, or that no failure
-        has been observed for a while.
+        It ends once half as many observers as are needed for an ejection have seen newer successes,
+        or once no failure has been observed for a while.
         """
-        if now_ns < ejection.until_ns:
+        if now_ns < ejection.min_end_ns:
             return False
-        newer = [view for view in views.values() if view.newest_ns > ejection.newest_ns]
+        newer = [
+            view for view in views.values() if view.latest_outcome_ns > ejection.latest_failure_ns
+        ]
         successes = sum(
             not view.is_failing and (not ejection.zone or view.zone == ejection.zone)
             for view in newer
@@ -206,10 +218,10 @@
         if successes >= (self.settings.observers + 1) // 2:
             return True
         still_failing = any(view.is_failing for view in newer)
-        is_outdated = now_ns - ejection.newest_ns > self.settings.max_age_ns
+        is_outdated = now_ns - ejection.latest_failure_ns > self.settings.max_age_ns
         return not still_failing and is_outdated
 
 
-def _oldest_proof(item: tuple[Endpoint, Mapping[str, View]]) -> int:
+def _earliest_outcome_ns(item: tuple[Endpoint, Mapping[str, ObserverView]]) -> int:
     _, views = item
-    return min(view.newest_ns for view in views.values())
+    return min(view.latest_outcome_ns for view in views.values())
--- a/query_broker/outlier_consensus/ejection_control.py
+++ b/query_broker/outlier_consensus/ejection_control.py
@@ -25,7 +25,7 @@
 
     Attributes:
         known_to_all_at_ns: By when all members have received the observations that the ejection
-            rests on.
+            is based on.
         next_check_at_ns: When a health check is due.
     """
 
@@ -59,7 +59,7 @@
         self.ejected: dict[Endpoint, EjectedEndpoint] = {}
 
     def eject(self, now_ns: int, endpoint: Endpoint, member_count: int) -> None:
-        """Stop using an endpoint; its health checks begin when all members know why."""
+        """Stop using an endpoint; health checks begin once all members have the observations."""
         gossip_ns = gossip_rounds(member_count) * self.settings.gossip_interval_ns
         known_to_all_at_ns = now_ns + gossip_ns
         self.ejected[endpoint] = EjectedEndpoint(known_to_all_at_ns, known_to_all_at_ns)
@@ -72,7 +72,7 @@
         self._inform_decisions(endpoint, is_ejected=False, at_ns=started_ns)
 
     def _inform_decisions(self, endpoint: Endpoint, *, is_ejected: bool, at_ns: int) -> None:
-        """Tell the decisions of a change, unless operators have disabled the endpoint."""
+        """Report a change to the decisions, unless operators have disabled the endpoint."""
         number = self.directory.number(endpoint)
         if number is not None and not self.dispatcher.administrative_states.is_disabled(
             endpoint.uid
@@ -86,9 +86,9 @@
     def counts_health_check(self, now_ns: int, endpoint: Endpoint) -> bool:
         """Return whether the outcome of a health check counts as an observation.
 
-        Only of ejected endpoints: elsewhere a load report is no answer to a query. If the first
-        broker to eject took a success for a proof before the others had received the failures, it
-        would take from them what their own ejection would rest on.
+        Only those of ejected endpoints count, since a health check is no query. And they count only
+        once all members have received the failures: an earlier success would replace, in this
+        broker's report, the failures that the others need for their own ejections.
         """
         ejected = self.ejected.get(endpoint)
         return ejected is not None and now_ns >= ejected.known_to_all_at_ns
@@ -114,5 +114,5 @@
         position = members.index(own_name) if own_name in members else 0
         count = max(1, len(members))
         observers = self.settings.observers
-        first = (now_ns // HEALTH_CHECK_INTERVAL_NS * observers) % count
-        return (position - first) % count < observers
+        first_position = (now_ns // HEALTH_CHECK_INTERVAL_NS * observers) % count
+        return (position - first_position) % count < observers
--- a/query_broker/outlier_consensus/observations.py
+++ b/query_broker/outlier_consensus/observations.py
@@ -1,4 +1,4 @@
-"""What this broker and others have observed of failing endpoints.
+"""Observations of failing endpoints, by this broker and by others.
 
 Each broker writes its own report alone, with a rising version; of two reports the newer replaces
 the other. Reports hold observations, not opinions: every broker derives the consensus itself.
@@ -18,30 +18,34 @@
 from .settings import OutlierConsensusSettings
 
 NS_PER_MS = 1_000_000
-MAX_ENDPOINTS = 64  # in one report: those that failed, the latest failure first
-MAX_TRACKED_ENDPOINTS = 4 * MAX_ENDPOINTS
-MAX_OUTCOMES = 16  # of one endpoint
+#: Endpoints in one report, those with the latest failure first.
+MAX_REPORTED_ENDPOINTS = 64
+MAX_TRACKED_ENDPOINTS = 4 * MAX_REPORTED_ENDPOINTS
+#: Outcomes of one endpoint that are kept.
+MAX_OUTCOMES = 16
 MAX_OBSERVERS = 4_096
+#: In place of an age: there was no such outcome.
 NO_AGE_MS = -1
+#: In place of a time: there was no such outcome.
 NEVER_NS = -1
 
 
 class Outcome(NamedTuple):
     """The end of one attempt."""
 
-    at_ns: int
+    ended_at_ns: int
     succeeded: bool
 
 
 @dataclass(slots=True)
 class EndpointOutcomes:
-    """The latest outcomes of one endpoint, as this broker met them."""
+    """The latest outcomes of this broker's own attempts at one endpoint."""
 
     outcomes: deque[Outcome] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
 
     def observation(self, endpoint: Endpoint, now_ns: int, max_age_ns: int) -> Observation:
         """Return the outcomes that are recent enough as an observation."""
-        recent = [outcome for outcome in self.outcomes if now_ns - outcome.at_ns < max_age_ns]
+        recent = [outcome for outcome in self.outcomes if now_ns - outcome.ended_at_ns < max_age_ns]
         successes = sum(outcome.succeeded for outcome in recent)
         return Observation(
             endpoint,
@@ -53,30 +57,30 @@
 
 
 def _last_age_ms(outcomes: list[Outcome], now_ns: int, *, succeeded: bool) -> int:
-    times = (outcome.at_ns for outcome in outcomes if outcome.succeeded is succeeded)
+    times = (outcome.ended_at_ns for outcome in outcomes if outcome.succeeded is succeeded)
     last_ns = max(times, default=NEVER_NS)
     return NO_AGE_MS if last_ns < 0 else (now_ns - last_ns) // NS_PER_MS
 
 
 class ReceivedReport(NamedTuple):
-    """A report, and when it arrived by our clock."""
+    """A report, and when it arrived by this broker's clock."""
 
     report: ObserverReport
     received_at_ns: int
 
 
-class View(NamedTuple):
-    """What one observer's latest proof says of an endpoint.
+class ObserverView(NamedTuple):
+    """What one observer's latest outcomes show of an endpoint.
 
     Attributes:
         zone: Zone of the observer.
         is_failing: Whether the endpoint fails for it.
-        newest_ns: When it met the latest outcome, by our clock.
+        latest_outcome_ns: When it observed the latest outcome, by this broker's clock.
     """
 
     zone: str
     is_failing: bool
-    newest_ns: int
+    latest_outcome_ns: int
 
 
 class ObservationStore:
@@ -86,7 +90,7 @@
         name: Name of this broker.
         zone: Its zone.
         settings: Settings of the consensus.
-        own: Outcomes by endpoint, as this broker met them.
+        own: Outcomes of this broker's own attempts, by endpoint.
         reported_failing_ns: Endpoints that another broker reported as failing, and when.
         reports: Latest report by observer.
     """
@@ -117,7 +121,7 @@
         known.outcomes.append(Outcome(now_ns, succeeded))
 
     def write_report(self, now_ns: int) -> ObserverReport:
-        """Write this broker's next report, and forget what is too old."""
+        """Write this broker's next report, and drop outcomes that are too old."""
         self._forget_old(now_ns)
         self.version += 1
         max_age_ns = self.settings.max_age_ns
@@ -127,7 +131,7 @@
         ]
         observations.sort(key=_latest_failure_first)
         report = ObserverReport(
-            self.name, self.zone, self.version, 0, tuple(observations[:MAX_ENDPOINTS])
+            self.name, self.zone, self.version, 0, tuple(observations[:MAX_REPORTED_ENDPOINTS])
         )
         self.reports[self.name] = ReceivedReport(report, now_ns)
         return report
@@ -135,7 +139,7 @@
     def _forget_old(self, now_ns: int) -> None:
         max_age_ns = self.settings.max_age_ns
         for endpoint, known in list(self.own.items()):
-            if now_ns - known.outcomes[-1].at_ns > max_age_ns:
+            if now_ns - known.outcomes[-1].ended_at_ns > max_age_ns:
                 del self.own[endpoint]
         for endpoint, reported_at_ns in list(self.reported_failing_ns.items()):
             if now_ns - reported_at_ns > max_age_ns:
@@ -162,7 +166,7 @@
         return is_other, report.age_ms - received.received_at_ns // NS_PER_MS
 
     def receive(self, now_ns: int, batch: ObserverReports, members: Collection[str]) -> None:
-        """Merge reports of others; those of strangers, outdated or out of bounds are ignored."""
+        """Merge reports; those of other senders, outdated or out of bounds are ignored."""
         for report in batch.reports:
             if not self._is_acceptable(report, members):
                 continue
@@ -175,22 +179,24 @@
     def _is_acceptable(self, report: ObserverReport, members: Collection[str]) -> bool:
         if report.observer == self.name or report.observer not in members:
             return False
-        if report.age_ms < 0 or len(report.observations) > MAX_ENDPOINTS:
+        if report.age_ms < 0 or len(report.observations) > MAX_REPORTED_ENDPOINTS:
             return False
         known = self.reports.get(report.observer)
         if known is None:
             return len(self.reports) < MAX_OBSERVERS
         return known.report.version < report.version
 
-    def views(self, now_ns: int, members: Collection[str]) -> dict[Endpoint, dict[str, View]]:
-        """Return of each endpoint what each observer's recent proof says.
+    def views(
+        self, now_ns: int, members: Collection[str]
+    ) -> dict[Endpoint, dict[str, ObserverView]]:
+        """Return by endpoint and observer what the recent outcomes show.
 
-        Reports of brokers that are no members any more are forgotten.
+        Reports of brokers that are no longer members are dropped.
         """
         for observer in list(self.reports):
             if observer not in members and observer != self.name:
                 del self.reports[observer]
-        views: dict[Endpoint, dict[str, View]] = {}
+        views: dict[Endpoint, dict[str, ObserverView]] = {}
         for observer, received in self.reports.items():
             for observation in received.report.observations:
                 view = self._view(now_ns, received, observation)
@@ -198,24 +204,26 @@
                     views.setdefault(observation.endpoint, {})[observer] = view
         return views
 
-    def _view(self, now_ns: int, received: ReceivedReport, observation: Observation) -> View | None:
-        """Return what an observation proves, or None if that is nothing or too old."""
+    def _view(
+        self, now_ns: int, received: ReceivedReport, observation: Observation
+    ) -> ObserverView | None:
+        """Return what an observation shows; None if it is undecided or too old."""
         report = received.report
         written_at_ns = received.received_at_ns - report.age_ms * NS_PER_MS
         failed_at_ns = _time_of(written_at_ns, observation.failure_age_ms)
         succeeded_at_ns = _time_of(written_at_ns, observation.success_age_ms)
-        newest_ns = max(failed_at_ns, succeeded_at_ns)
-        if newest_ns < 0 or now_ns - newest_ns > self.settings.max_age_ns:
+        latest_outcome_ns = max(failed_at_ns, succeeded_at_ns)
+        if latest_outcome_ns < 0 or now_ns - latest_outcome_ns > self.settings.max_age_ns:
             return None
-        has_succeeded_last = succeeded_at_ns > failed_at_ns
+        is_working = succeeded_at_ns > failed_at_ns
         is_failing = (
             observation.failures >= self.settings.failures
             and observation.failures > observation.successes
             and failed_at_ns > succeeded_at_ns
         )
-        if not is_failing and not has_succeeded_last:
+        if not is_failing and not is_working:
             return None
-        return View(report.zone, is_failing, newest_ns)
+        return ObserverView(report.zone, is_failing, latest_outcome_ns)
 
 
 def _latest_failure_first(observation: Observation) -> tuple[bool, int]:
--- a/query_broker/outlier_consensus/overrides.py
+++ b/query_broker/outlier_consensus/overrides.py
@@ -16,20 +16,18 @@
 
 MAX_OVERRIDES = 4_096
 DIGEST_BYTES = 8
-NOTHING_REPLACED = (0, "")
+NO_REPLACED_OVERRIDE = (0, "")
 #: Versions that lie further apart than this are not of concurrent overrides.
-CONCURRENT_DISTANCE = 2
-
-
+CONCURRENT_VERSION_DISTANCE = 2
 OVERRIDE_VALUES = tuple(value.value for value in OverrideValue)
 
 
 class OverrideStore:
-    """The overrides that hold, those that did not, and what is still to be sent.
+    """The overrides in force, those that were superseded, and what is still to be sent.
 
     Attributes:
         own_address: Address of this broker, the author of the overrides taken here.
-        overrides: The override that holds, by endpoint id.
+        overrides: The override in force, by endpoint id.
         superseded: By endpoint id, the last override that lost against a concurrent one.
         remaining_sends: By endpoint id, in how many more batches its override is sent.
     """
@@ -42,7 +40,7 @@
         self.remaining_sends: dict[str, int] = {}
 
     def digest(self) -> bytes:
-        """Return a hash of all overrides that hold."""
+        """Return a hash of all overrides in force."""
         digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
         for uid in sorted(self.overrides):
             override = self.overrides[uid]
@@ -56,23 +54,23 @@
         override = self.overrides.get(uid)
         return override is not None and override.value == value
 
-    def set(self, uid: str, value: str, sends: int) -> Override:
-        """Take an operator's decision made here; send it in so many batches."""
+    def set(self, uid: str, value: str, send_count: int) -> Override:
+        """Store an operator's decision made at this broker, to be sent in `send_count` batches."""
         known = self.overrides.get(uid)
         if known is None:
-            override = Override(uid, value, 1, self.own_address, NOTHING_REPLACED)
+            override = Override(uid, value, 1, self.own_address, NO_REPLACED_OVERRIDE)
         else:
             replaced = (known.version, known.author)
             override = Override(uid, value, 1 + known.version, self.own_address, replaced)
-        self._hold(override, sends)
+        self._store(override, send_count)
         return override
 
-    def merge(self, overrides: Iterable[Override], sends: int) -> list[Override]:
-        """Merge overrides of other brokers; return those that hold from now on.
+    def merge(self, overrides: Iterable[Override], send_count: int) -> list[Override]:
+        """Merge overrides of other brokers; return those that are in force from now on.
 
         Args:
             overrides: As received; invalid ones are ignored.
-            sends: In how many batches each new one is passed on.
+            send_count: In how many batches each new one is passed on.
         """
         accepted: list[Override] = []
         for override in overrides:
@@ -85,7 +83,7 @@
                 continue
             if known is not None and _are_concurrent(override, known):
                 self.superseded[override.uid] = known
-            self._hold(override, sends)
+            self._store(override, send_count)
             accepted.append(override)
         return accepted
 
@@ -96,9 +94,9 @@
             return len(self.overrides) < MAX_OVERRIDES
         return known != override
 
-    def _hold(self, override: Override, sends: int) -> None:
+    def _store(self, override: Override, send_count: int) -> None:
         self.overrides[override.uid] = override
-        self.remaining_sends[override.uid] = sends
+        self.remaining_sends[override.uid] = send_count
 
     def next_batch(self, max_count: int) -> tuple[Override, ...]:
         """Return the overrides to send in one round, those sent least often first."""
@@ -115,4 +113,4 @@
     """Return whether the winner's author did not know the loser."""
     if winner.replaced == (loser.version, loser.author):
         return False
-    return winner.version - loser.version < CONCURRENT_DISTANCE
+    return winner.version - loser.version < CONCURRENT_VERSION_DISTANCE
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -38,13 +38,13 @@
 FAILURES = frozenset(
     {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET}
 )
-#: A broker whose overrides differ gets all of ours at most this often.
+#: Time between two answers to the same broker, each with all overrides.
 ANSWER_INTERVAL_NS = NS_PER_S
 MAX_REPORTS_PER_ROUND = 16
 MAX_OVERRIDES_PER_ROUND = 8
 #: Probability with which a broker without overrides asks another for its own in a round.
 QUERY_PROBABILITY = 0.25
-MAX_LOGGED_UID = 80
+MAX_LOGGED_UID_LENGTH = 80
 
 
 class ConsensusGossip:
@@ -83,7 +83,7 @@
         self.membership.flush()
 
     def answer(self, now_ns: int, sender: str, batch: OverrideBatch) -> None:
-        """Send all overrides to a broker whose digest shows that it knows others than we do."""
+        """Send all overrides to a broker whose digest differs from this broker's."""
         if batch.digest == self.overrides.digest():
             return
         if now_ns - self._answered_at_ns.get(sender, 0) < ANSWER_INTERVAL_NS:
@@ -91,7 +91,7 @@
         self._forget_old_answers(now_ns)
         self._answered_at_ns[sender] = now_ns
         self._send_all_overrides(sender)
-        if not batch.is_answer:  # The sender may have overrides that we do not.
+        if not batch.is_answer:  # The sender may have overrides that this broker lacks.
             self._send(sender, OverrideBatch(self.overrides.digest(), (), is_answer=True))
 
     def _forget_old_answers(self, now_ns: int) -> None:
@@ -122,7 +122,7 @@
     Attributes:
         observations: Observations of this broker and of others.
         consensus: Ejections derived from them.
-        overrides: Operators' decisions, which stand above the consensus.
+        overrides: Operators' decisions, which take precedence over the consensus.
         ejections: The ejections that this broker carries out.
         admin: Answers operators' calls.
     """
@@ -167,7 +167,7 @@
     # --- own observations ---
 
     def attempt_ended(self, endpoint: int, result: AttemptResult) -> None:
-        """Record what an attempt tells of its endpoint."""
+        """Record the outcome of an attempt."""
         succeeded = result in SUCCESSES
         if not succeeded and result not in FAILURES:
             return
@@ -176,7 +176,7 @@
             self.observations.record(self.host.clock.now(), observed, succeeded)
 
     def health_check_ended(self, endpoint: int, result: AttemptResult) -> None:
-        """Record what a health check tells of an ejected endpoint."""
+        """Record the outcome of a health check of an ejected endpoint."""
         observed = self.directory.endpoint(endpoint)
         if observed is None:
             return
@@ -196,7 +196,7 @@
                 self.gossip.send_round(now_ns)
             self._evaluate(now_ns)
             self.ejections.check_health(now_ns, self.membership.names(), self.membership.name)
-        except Exception as error:  # a fault here must not end the wheel's turn
+        except Exception as error:  # a fault here must not stop the timer wheel
             self.host.log("fault", f"verdicts: {type(error).__name__}: {error}")
 
     def _evaluate(self, now_ns: int) -> None:
@@ -211,14 +211,14 @@
             self._log_ejection(now_ns, ejection)
             self.ejections.eject(now_ns, ejection.endpoint, len(members))
         for endpoint in change.readmitted:
-            self.host.log("verdicts", f"{endpoint.uid[:MAX_LOGGED_UID]}: let in again")
+            self.host.log("verdicts", f"{endpoint.uid[:MAX_LOGGED_UID_LENGTH]}: let in again")
             self.ejections.readmit(endpoint)
 
     def _log_ejection(self, now_ns: int, ejection: Ejection) -> None:
-        duration_s = (ejection.until_ns - now_ns) / NS_PER_S
+        duration_s = (ejection.min_end_ns - now_ns) / NS_PER_S
         self.host.log(
             "verdicts",
-            f"{ejection.endpoint.uid[:MAX_LOGGED_UID]}: {ejection.scope.value}, by "
+            f"{ejection.endpoint.uid[:MAX_LOGGED_UID_LENGTH]}: {ejection.scope.value}, by "
             f"{len(ejection.observers)} observers, held out for {duration_s:.0f} s at least",
         )
 
@@ -230,21 +230,23 @@
             case ObserverReports():
                 self.observations.receive(now_ns, message, self.membership.names())
             case OverrideBatch():
-                for override in self.overrides.merge(message.overrides, self._rounds_to_all()):
+                for override in self.overrides.merge(
+                    message.overrides, self._rounds_to_all_members()
+                ):
                     self._apply(override)
                 self.gossip.answer(now_ns, sender, message)
 
-    def _rounds_to_all(self) -> int:
+    def _rounds_to_all_members(self) -> int:
         """Return after how many rounds of gossip all members have received an override."""
         return gossip_rounds(len(self.membership.names()))
 
     # --- operators ---
 
     def endpoint_administered(self, uid: str, disabled: bool) -> None:
-        """Take an operator's call to this broker's own switch for all brokers."""
+        """Extend an operator's call on this broker alone to all brokers."""
         value = OverrideValue.DISABLED if disabled else OverrideValue.ENABLED
         if not self.overrides.has_value(uid, value):
-            self.overrides.set(uid, value, self._rounds_to_all())
+            self.overrides.set(uid, value, self._rounds_to_all_members())
 
     def is_known_endpoint(self, uid: str) -> bool:
         """Return whether the endpoint is or was listed here or has an override."""
@@ -252,11 +254,11 @@
 
     def override(self, uid: str, value: OverrideValue) -> Override:
         """Take an operator's decision, for all brokers."""
-        override = self.overrides.set(uid, value, self._rounds_to_all())
+        override = self.overrides.set(uid, value, self._rounds_to_all_members())
         self._apply(override)
         self.host.log(
             "operator",
-            f"{value}: {uid[:MAX_LOGGED_UID]!r} for all brokers, version {override.version}",
+            f"{value}: {uid[:MAX_LOGGED_UID_LENGTH]!r} for all brokers, version {override.version}",
         )
         return override
 
@@ -275,13 +277,13 @@
         )
 
     def _end_ejections(self, uid: str) -> None:
-        """End the ejections of an endpoint: an operator's decision stands above them."""
+        """End the ejections of an endpoint: an operator's decision takes precedence."""
         for endpoint in self.ejections.ejected_incarnations(uid):
             self.consensus.forget(endpoint)
             self.ejections.readmit(endpoint)
 
     def handle_admin_call(self, method: str, path: str) -> AdminResponse | None:
-        """Answer an operators' HTTP call; None if its path belongs to another part."""
+        """Answer an operators' HTTP call; None if its path is not one of this service."""
         return self.admin.handle(method, path)
 
     def metrics(self) -> bytes:
--- a/query_broker/outlier_consensus/settings.py
+++ b/query_broker/outlier_consensus/settings.py
@@ -10,8 +10,10 @@
 from dataclasses import dataclass
 
 NS_PER_S = 1_000_000_000
-FANOUT = 3  # members to which a round of gossip goes
-SPARE_ROUNDS = 3  # beyond those that full coverage takes on average
+#: Members to which a round of gossip goes.
+FANOUT = 3
+#: Rounds beyond those that full coverage takes on average.
+SPARE_ROUNDS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,17 +40,17 @@
     gossip_interval_ns: int = NS_PER_S // 2
 
 
-def gossip_rounds(brokers: int, fanout: int = FANOUT) -> int:
-    """Return after how many rounds of gossip all brokers have received a message."""
-    return math.ceil(math.log(max(2, brokers)) / math.log(1 + fanout)) + SPARE_ROUNDS
+def gossip_rounds(fleet_size: int, fanout: int = FANOUT) -> int:
+    """Return the number of rounds of gossip after which all brokers have received a message."""
+    return math.ceil(math.log(max(2, fleet_size)) / math.log(1 + fanout)) + SPARE_ROUNDS
 
 
-def describe(settings: OutlierConsensusSettings, brokers: int) -> Iterable[str]:
+def describe_bounds(settings: OutlierConsensusSettings, fleet_size: int) -> Iterable[str]:
     """Yield the lines that `check-config` prints on the consensus."""
-    spread_s = gossip_rounds(brokers) * settings.gossip_interval_ns / NS_PER_S
+    spread_s = gossip_rounds(fleet_size) * settings.gossip_interval_ns / NS_PER_S
     yield (
         f"verdicts: {settings.observers} observers of {settings.failures} failures each within "
-        f"{settings.max_age_ns / NS_PER_S:g} s; all {brokers} brokers act on it within "
+        f"{settings.max_age_ns / NS_PER_S:g} s; all {fleet_size} brokers act on it within "
         f"{spread_s:.1f} s, as on an operator's word; {settings.max_ejected_fraction:.0%} of a "
         f"zone at the most, {settings.min_ejection_ns / NS_PER_S:g} s at least"
     )
--- a/query_broker/quotas/admin.py
+++ b/query_broker/quotas/admin.py
@@ -17,8 +17,8 @@
 from .settings import NS_PER_S, LimitSettings, max_staleness_s
 
 PATH = "limits"
-MAX_ECHOED_AMOUNT = 40
-MAX_ECHOED_ADDRESS = 60
+MAX_ECHOED_AMOUNT_LENGTH = 40
+MAX_ECHOED_ADDRESS_LENGTH = 60
 
 
 def address_of(member: str) -> str:
@@ -54,7 +54,7 @@
         self.own_address = own_address
 
     def handle(self, method: str, path: str) -> AdminResponse | None:
-        """Answer a call; None if its path belongs to another part.
+        """Answer a call; None if its path is not one of the shared limits.
 
         Raises:
             ValueError: A POST to `/limits/` names no action; the connection answers it with 400.
@@ -81,7 +81,7 @@
         try:
             cap_per_s = max(0.0, float(amount))
         except ValueError:
-            reason = f"{amount[:MAX_ECHOED_AMOUNT]!r} is no amount"
+            reason = f"{amount[:MAX_ECHOED_AMOUNT_LENGTH]!r} is no amount"
             return error_response(HTTPStatus.BAD_REQUEST, reason)
         return self._set_cap(limit, address, cap_per_s)
 
@@ -90,7 +90,7 @@
         members = self.rates.environment.member_names()
         holder = next((name for name in members if name.startswith(f"{address}/")), "")
         if not holder:
-            reason = f"{address[:MAX_ECHOED_ADDRESS]} is no member"
+            reason = f"{address[:MAX_ECHOED_ADDRESS_LENGTH]} is no member"
             return error_response(HTTPStatus.NOT_FOUND, reason)
         leader = self.leases.state.leader_of(limit)
         if leader != self.leases.state.name:
@@ -141,16 +141,16 @@
             "floor_in_force": lease is None,
         }
         if leader == self.leases.state.name:
-            granted = self.leases.grantor.outstanding_per_s(limit.name, now_ns)
+            granted_per_s = self.leases.grantor.outstanding_per_s(limit.name, now_ns)
             status["lent"] = {
-                address_of(holder): round(amount, 6) for holder, amount in granted.items()
+                address_of(holder): round(amount, 6) for holder, amount in granted_per_s.items()
             }
         return status
 
     def _soft_status(self, limit: LimitSettings, now_ns: int) -> dict[str, Any]:
-        oldest_report_ns = self.rates.soft_quota(limit, now_ns).oldest_report_ns
+        oldest_report_age_ns = self.rates.soft_quota(limit, now_ns).oldest_report_age_ns
         worst_overshoot = self.tracker.worst_overshoot_per_s.get(limit.name, 0.0)
         return {
-            "age_s": round(oldest_report_ns / NS_PER_S, 2),
+            "age_s": round(oldest_report_age_ns / NS_PER_S, 2),
             "overshoot_seen": round(worst_overshoot, 3),
         }
--- a/query_broker/quotas/counters.py
+++ b/query_broker/quotas/counters.py
@@ -20,9 +20,10 @@
 MAX_REPORTS = 4_096
 MAX_REPORTS_PER_MESSAGE = 12
 MAX_LIMITS_PER_REPORT = 16
+#: Members to which a round of gossip goes.
 FANOUT = 3
-#: A quota is at most so many times the own use: not all brokers may jump at once.
-MAX_GROWTH = 2.0
+#: A quota is at most so many times the own use, since all brokers may raise theirs at once.
+MAX_GROWTH_FACTOR = 2.0
 
 
 class UsageEvent(StrEnum):
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True)
 class ReceivedReport:
-    """A report, and when it arrived by our clock."""
+    """A report, and when it arrived by this broker's clock."""
 
     report: UsageReport
     received_at_ns: int
@@ -48,7 +49,14 @@
     """This broker's part of a soft limit, and the age of the oldest report it rests on."""
 
     rate_per_s: float
-    oldest_report_ns: int
+    oldest_report_age_ns: int
+
+
+class AddressedReports(NamedTuple):
+    """Reports, and the name of the member that they are for."""
+
+    recipient: str
+    reports: UsageReports
 
 
 class UsageCounters:
@@ -58,6 +66,7 @@
         name: Name of this broker.
         reports: Latest report by broker.
         own_rates_per_s: What this broker reported in the last round, by limit.
+        version: Version of this broker's last report.
         event_counts: How often each `UsageEvent` happened.
     """
 
@@ -79,8 +88,8 @@
 
     def next_round(
         self, now_ns: int, rates_per_s: dict[str, float], members: Collection[str]
-    ) -> list[tuple[str, UsageReports]]:
-        """Report the own rates; return the messages of this round, each with its recipient."""
+    ) -> list[AddressedReports]:
+        """Report the own rates, and return the messages of this round."""
         self.own_rates_per_s = dict(list(rates_per_s.items())[:MAX_LIMITS_PER_REPORT])
         self.version += 1
         own_report = UsageReport(self.name, self.version, 0, tuple(self.own_rates_per_s.items()))
@@ -89,8 +98,8 @@
             if broker not in members and broker != self.name:
                 del self.reports[broker]
         recipients = self._draw_recipients(members)
-        batch = self._freshest(now_ns)
-        return [(recipient, batch) for recipient in recipients]
+        reports = self._newest_reports(now_ns)
+        return [AddressedReports(recipient, reports) for recipient in recipients]
 
     def _draw_recipients(self, members: Collection[str]) -> list[str]:
         others = [member for member in members if member != self.name]
@@ -100,7 +109,7 @@
             recipients.append(others.pop(position))
         return recipients
 
-    def _freshest(self, now_ns: int) -> UsageReports:
+    def _newest_reports(self, now_ns: int) -> UsageReports:
         by_age = sorted(self.reports.values(), key=lambda received: received.age_ns(now_ns))
         return UsageReports(
             tuple(
@@ -115,7 +124,7 @@
         )
 
     def receive(self, now_ns: int, batch: UsageReports, members: Collection[str]) -> None:
-        """Merge reports of others; those of strangers or out of bounds are ignored."""
+        """Merge reports of members; those of other brokers or out of bounds are ignored."""
         for report in batch.reports[:MAX_REPORTS_PER_MESSAGE]:
             if not self._is_acceptable(report, members):
                 continue
@@ -143,11 +152,12 @@
     ) -> SoftQuota:
         """Return what this broker may use of a limit.
 
-        Never less than the even part, never more than `MAX_GROWTH` times what it used or that part.
+        Never less than the even part, never more than `MAX_GROWTH_FACTOR` times what it used or
+        that part.
         """
         even_part = limit_per_s / max(fleet_size, len(members), 1)
         used_by_others = 0.0
-        oldest_ns = 0
+        oldest_age_ns = 0
         for member in members:
             if member == self.name:
                 continue
@@ -156,10 +166,10 @@
                 used_by_others += even_part
                 continue
             used_by_others += max(0.0, dict(received.report.rates_per_s).get(limit, 0.0))
-            oldest_ns = max(oldest_ns, received.age_ns(now_ns))
+            oldest_age_ns = max(oldest_age_ns, received.age_ns(now_ns))
         remaining = max(even_part, limit_per_s - used_by_others)
         own_rate = max(even_part, self.own_rates_per_s.get(limit, 0.0))
-        return SoftQuota(min(remaining, MAX_GROWTH * own_rate), oldest_ns)
+        return SoftQuota(min(remaining, MAX_GROWTH_FACTOR * own_rate), oldest_age_ns)
 
     def _is_stale(self, received: ReceivedReport, now_ns: int) -> bool:
         return received.age_ns(now_ns) > STALE_AFTER_ROUNDS * self.gossip_interval_ns
--- a/query_broker/quotas/leadership.py
+++ b/query_broker/quotas/leadership.py
@@ -16,8 +16,8 @@
 from .sharding import preferred_leader, shard_of
 from .voting import Voter
 
-#: A vote that answers an older request than the last so many does not count.
-OPEN_VOTE_REQUESTS = 8
+#: Requests that a vote may answer: those before the latest so many are forgotten.
+MAX_OPEN_VOTE_REQUESTS = 8
 
 
 class OutstandingGrant(NamedTuple):
@@ -52,10 +52,10 @@
 
     def discard_except(self, grant_id: int, now_ns: int) -> None:
         """Drop all grants but the one that the holder says it uses, if that has not expired."""
-        used = self.grants.get(grant_id)
+        grant = self.grants.get(grant_id)
         self.grants = {}
-        if used is not None and used.expires_at_ns > now_ns:
-            self.grants[grant_id] = used
+        if grant is not None and grant.expires_at_ns > now_ns:
+            self.grants[grant_id] = grant
 
 
 @dataclass(slots=True)
@@ -64,9 +64,9 @@
 
     Attributes:
         term: Term of the candidacy.
-        votes: By voter, until when its vote counts, by our clock.
+        votes: By voter, when its vote expires, by this broker's clock.
         requests_sent_ns: By number of a vote request, when it was sent.
-        elected_at_ns: Since when this broker alone grants; 0 while it does not.
+        elected_at_ns: Since when only this broker grants; 0 while it is not elected.
         raises_from_ns: When all that the previous leader granted has expired; until then leases
             are renewed, not raised.
         ledgers: Grants by limit and holder.
@@ -157,7 +157,7 @@
                 self.state.event_counts[LeaseEvent.LEADERSHIP_LOST] += 1
 
     def request_votes(self, now_ns: int) -> None:
-        """ParsedRequest all members for their votes in the shards assigned to this broker."""
+        """Request the votes of all members in the shards assigned to this broker."""
         assigned = self._assigned_shards()
         for shard in list(self.leaderships):
             if shard not in assigned and not self.has_authority(shard, now_ns):
@@ -189,9 +189,11 @@
         ]
 
     def _candidacy(self, now_ns: int, shard: int, sequence: int) -> tuple[int, int, bool]:
+        """Record a vote request for a shard, and return its entry as in `VoteRequest`."""
         leadership = self.leaderships[shard]
-        sent = leadership.requests_sent_ns
-        sent[sequence] = now_ns
-        for outdated in [number for number in sent if number < sequence - OPEN_VOTE_REQUESTS]:
-            del sent[outdated]
+        requests_sent_ns = leadership.requests_sent_ns
+        requests_sent_ns[sequence] = now_ns
+        oldest_open = sequence - MAX_OPEN_VOTE_REQUESTS
+        for outdated in [number for number in requests_sent_ns if number < oldest_open]:
+            del requests_sent_ns[outdated]
         return shard, leadership.term, bool(leadership.elected_at_ns)
--- a/query_broker/quotas/lease_holder.py
+++ b/query_broker/quotas/lease_holder.py
@@ -17,8 +17,8 @@
 from .sharding import shard_of
 from .voting import Voter
 
-#: As the wanted amount: the lease is returned.
-RETURNED = -1.0
+#: In place of a wanted amount: the lease is returned.
+RETURNED_AMOUNT = -1.0
 #: In place of the number of a request that has been answered.
 NO_SEQUENCE = -1
 
@@ -29,7 +29,7 @@
 
     Attributes:
         amount_per_s: What may be used.
-        expires_at_ns: Until when, by our clock.
+        expires_at_ns: Until when it may be used, by this broker's clock.
         grant_id: Number of the grant.
         leader_term: Term of the leader that granted it.
     """
@@ -50,6 +50,13 @@
 NEVER_REQUESTED = PendingRequest(NO_SEQUENCE, 0)
 
 
+class AddressedRequest(NamedTuple):
+    """A lease request, and the name of the leader that it is for."""
+
+    leader: str
+    request: LeaseRequest
+
+
 class LeaseHolder:
     """Keeps this broker's leases.
 
@@ -84,7 +91,9 @@
     def amount_per_s(self, limit: str, now_ns: int) -> float:
         """Return what may be used at this moment of the leased part of a limit."""
         lease = self.leases.get(limit)
-        return lease.amount_per_s if lease is not None and now_ns < lease.expires_at_ns else 0.0
+        if lease is None or now_ns >= lease.expires_at_ns:
+            return 0.0
+        return lease.amount_per_s
 
     def first_expiry_ns(self, now_ns: int) -> int:
         """Return when the first of the live leases expires; 0 if there is none."""
@@ -114,8 +123,8 @@
             grant.leader_term,
         )
 
-    def requests(self, now_ns: int) -> list[tuple[str, LeaseRequest]]:
-        """Return the requests that are due, each with the leader it is for."""
+    def requests(self, now_ns: int) -> list[AddressedRequest]:
+        """Return the requests that are due."""
         demands_by_leader: dict[str, list[LeaseDemand]] = {}
         for limit in self.state.limits:
             leader = self.state.leader_of(limit)
@@ -124,11 +133,11 @@
             demand = self._demand(limit, now_ns)
             if demand is not None:
                 demands_by_leader.setdefault(leader, []).append(demand)
-        requests: list[tuple[str, LeaseRequest]] = []
+        requests: list[AddressedRequest] = []
         for leader, demands in demands_by_leader.items():
             for start in range(0, len(demands), MAX_DEMANDS_PER_MESSAGE):
                 batch = demands[start : start + MAX_DEMANDS_PER_MESSAGE]
-                requests.append((leader, self._request(now_ns, batch)))
+                requests.append(AddressedRequest(leader, self._request(now_ns, batch)))
         return requests
 
     def _request(self, now_ns: int, demands: list[LeaseDemand]) -> LeaseRequest:
@@ -146,7 +155,7 @@
             if lease is None:
                 return None
             lease.expires_at_ns = now_ns  # Returned, and not used from this moment on.
-            return LeaseDemand(limit, RETURNED, 0.0, 0, leader_term)
+            return LeaseDemand(limit, RETURNED_AMOUNT, 0.0, 0, leader_term)
         if lease is None:
             return LeaseDemand(limit, wanted, 0.0, 0, leader_term)
         return LeaseDemand(limit, wanted, lease.amount_per_s, lease.grant_id, leader_term)
--- a/query_broker/quotas/lease_log.py
+++ b/query_broker/quotas/lease_log.py
@@ -14,14 +14,28 @@
 
 
 class LeaseRecord(NamedTuple):
-    """A lease of a limit began, changed or ended; in the operators' JSON a list in this order."""
+    """The beginning, change or end of a lease; in the operators' JSON a list in this order.
 
-    at_ns: int
+    Attributes:
+        changed_at_ns: When, by this broker's clock.
+        limit: Name of the limit.
+        amount_per_s: What may be used from then on.
+        expires_at_ns: Until when, by this broker's clock.
+    """
+
+    changed_at_ns: int
     limit: str
     amount_per_s: float
     expires_at_ns: int
 
 
+class LeaseState(NamedTuple):
+    """The amount and the end of a lease, as they were recorded last."""
+
+    amount_per_s: float
+    expires_at_ns: int
+
+
 class LeaseLog:
     """Keeps the latest changes of leases.
 
@@ -33,7 +47,7 @@
         """Start with an empty record of the given leases."""
         self.leases = leases
         self.records: deque[LeaseRecord] = deque(maxlen=MAX_RECORDS)
-        self._last: dict[str, tuple[float, int]] = {}
+        self._last_states: dict[str, LeaseState] = {}
 
     def update(self, now_ns: int) -> None:
         """Record what has changed."""
@@ -41,7 +55,7 @@
             lease = self.leases.holder.leases.get(limit)
             amount_per_s = 0.0 if lease is None else lease.amount_per_s
             expires_at_ns = now_ns if lease is None else lease.expires_at_ns
-            current = (amount_per_s, expires_at_ns)
-            if self._last.get(limit) != current:
-                self._last[limit] = current
+            current = LeaseState(amount_per_s, expires_at_ns)
+            if self._last_states.get(limit) != current:
+                self._last_states[limit] = current
                 self.records.append(LeaseRecord(now_ns, limit, *current))
--- a/query_broker/quotas/quota_rates.py
+++ b/query_broker/quotas/quota_rates.py
@@ -16,8 +16,8 @@
 #: A small lease shrinks this broker's part of the endpoints to no less than the even part divided
 #: by this factor.
 MAX_FLEET_FACTOR = 8
-#: Stands for a quota of zero where one is divided by it.
-MIN_QUOTA = 1e-6
+#: Stands for a fraction of zero where one is divided by it.
+MIN_WORK_FRACTION = 1e-6
 #: The "work" limit is a fraction of all that the endpoints can do.
 ALL_WORK = 1.0
 
@@ -52,8 +52,8 @@
         Args:
             settings: Settings of the shared limits.
             environment: Platform settings and members.
-            leases: Tells the quota of hard limits.
-            counters: Tells the quota of soft limits.
+            leases: Give the quotas of hard limits.
+            counters: Give the quotas of soft limits.
         """
         self.settings = settings
         self.leases = leases
@@ -127,7 +127,7 @@
         position = settings.broker_index
         work_limit = self.limits_by_kind.get(QuotaKind.WORK)
         if work_limit is not None and use_work_quota:
-            fleet_size = self._size_for(self.quota_per_s(work_limit, now_ns))
+            fleet_size = self._fleet_size_for(self.quota_per_s(work_limit, now_ns))
             position %= fleet_size
         tenants = []
         for tenant in settings.tenants:
@@ -141,7 +141,7 @@
             settings, fleet_size=fleet_size, broker_index=position, tenants=tuple(tenants)
         )
 
-    def _size_for(self, work_fraction: float) -> int:
+    def _fleet_size_for(self, work_fraction: float) -> int:
         """Return the fleet size of which one even part is the given fraction of the work."""
         max_size = MAX_FLEET_FACTOR * self.environment.platform_settings().fleet_size
-        return max(1, min(max_size, round(1 / max(MIN_QUOTA, work_fraction))))
+        return max(1, min(max_size, round(1 / max(MIN_WORK_FRACTION, work_fraction))))
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -12,6 +12,7 @@
 
 from ..decisions.facade import EndpointState, Settings
 from ..dispatch.observers import DispatchObserver
+from ..token_bucket import TokenBucket
 from .admin import QuotaAdmin
 from .admin_responses import AdminResponse
 from .batching import message_bodies
@@ -24,16 +25,17 @@
 from .metrics import quota_metrics
 from .quota_rates import QuotaRates
 from .settings import NS_PER_S, QuotaKind, QuotaSettings
-from .token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from ..dispatch.validation import ParsedRequest
 
 TOPIC = "limits"
 TICK_NS = NS_PER_S // 4
-#: A quota that moves by a smaller fraction is not applied anew.
-SIGNIFICANT_CHANGE = 0.05
-SMALLEST_QUOTA = 1e-9
+#: Change of a quota, as a fraction, up to which it is not applied again.
+SIGNIFICANT_CHANGE_FRACTION = 0.05
+#: Stands for a quota of zero in the comparison of changes.
+MIN_COMPARED_QUOTA_PER_S = 1e-9
+#: Stands for the quota of a limit that has not been applied yet.
 NEVER_APPLIED = -1.0
 MS_PER_S = 1_000
 
@@ -97,7 +99,7 @@
         )
         # Retries and connections draw from one bucket, each at its own rate.
         self._bucket = TokenBucket(now_ns)
-        self._applied: dict[str, float] = {}
+        self._applied_quotas_per_s: dict[str, float] = {}
         self._first_expiry_ns = 0
         self._gossiped_at_ns = now_ns
         self.encoder = msgspec.msgpack.Encoder()
@@ -141,7 +143,7 @@
     def _has_warming_endpoint(self) -> bool:
         """Return whether an endpoint is still warming up.
 
-        Such an endpoint is overloaded if several brokers use large parts of it at once.
+        Such an endpoint would be overloaded if several brokers used large parts of it at once.
         """
         now_ns = self.host.clock.now()
         warm_up_ns = self.host.config.settings.contract.warmup_ns
@@ -193,7 +195,7 @@
         self.host.dispatcher.timers.set_timer(now_ns + TICK_NS, self._tick)
         try:
             self._update(now_ns)
-        except Exception as error:  # a fault here must not end the wheel's turn
+        except Exception as error:  # a fault here must not stop the timer wheel
             self.host.log("fault", f"limits: {type(error).__name__}: {error}")
 
     def _update(self, now_ns: int) -> None:
@@ -228,14 +230,14 @@
     def _apply_quotas(self, now_ns: int) -> None:
         """Let the decisions use the current quotas, if these have changed significantly."""
         self._first_expiry_ns = self.leases.holder.first_expiry_ns(now_ns)
-        quotas = self.rates.hard_quotas(now_ns)
-        if any(self._is_significant(limit, quota) for limit, quota in quotas.items()):
-            self._applied = quotas
+        quotas_per_s = self.rates.hard_quotas(now_ns)
+        if any(self._is_significant(limit, quota) for limit, quota in quotas_per_s.items()):
+            self._applied_quotas_per_s = quotas_per_s
             self.host.dispatcher.refresh_settings()
 
     def _is_significant(self, limit: str, quota_per_s: float) -> bool:
-        change = abs(quota_per_s - self._applied.get(limit, NEVER_APPLIED))
-        return change > SIGNIFICANT_CHANGE * max(quota_per_s, SMALLEST_QUOTA)
+        change = abs(quota_per_s - self._applied_quotas_per_s.get(limit, NEVER_APPLIED))
+        return change > SIGNIFICANT_CHANGE_FRACTION * max(quota_per_s, MIN_COMPARED_QUOTA_PER_S)
 
     # --- messages ---
 
@@ -272,7 +274,7 @@
     # --- operators ---
 
     def handle_admin_call(self, method: str, path: str) -> AdminResponse | None:
-        """Answer an operators' HTTP call; None if its path belongs to another part."""
+        """Answer an operators' HTTP call; None if its path is not one of this service."""
         return self.admin.handle(method, path)
 
     def metrics(self) -> bytes:
--- a/query_broker/quotas/settings.py
+++ b/query_broker/quotas/settings.py
@@ -87,7 +87,7 @@
 
 
 def expiry_wait_ns(duration_ns: int, clock_drift: float) -> int:
-    """Return how long to wait, by the own clock, until what another gave has surely expired."""
+    """Return how long to wait, by this broker's clock, until another's grant has surely expired."""
     return int(duration_ns * (1 + clock_drift) / (1 - clock_drift))
 
 
@@ -95,7 +95,7 @@
     settings: QuotaSettings,
     limit: LimitSettings,
     rate_per_s: float,
-    brokers: int,
+    fleet_size: int,
     actual_drift: float = 0.0,
 ) -> float:
     """Return by how much all brokers together can exceed a limit, per second.
@@ -107,7 +107,7 @@
     if limit.is_hard:
         excess_drift = max(0.0, actual_drift - settings.clock_drift)
         return rate_per_s * (1 - settings.guaranteed_fraction) * min(1.0, 2 * excess_drift)
-    return rate_per_s * (brokers - 1) / brokers
+    return rate_per_s * (fleet_size - 1) / fleet_size
 
 
 def max_staleness_s(settings: QuotaSettings, limit: LimitSettings) -> float:
@@ -117,30 +117,31 @@
     return STALE_AFTER_ROUNDS * settings.gossip_interval_ns / NS_PER_S
 
 
-def describe(settings: QuotaSettings, brokers: int) -> Iterable[str]:
+def describe_bounds(settings: QuotaSettings, fleet_size: int) -> Iterable[str]:
     """Yield the lines that `check-config` prints on the shared limits."""
     fraction = settings.guaranteed_fraction
     vote_s = holder_duration_ns(settings.vote_ns, settings.clock_drift) / NS_PER_S
     takeover_s = (settings.vote_ns + settings.lease_ns) / NS_PER_S
     yield (
         f"limits: {len(settings.limits)}, leases of {settings.lease_ns / NS_PER_S:g} s, "
-        f"{fraction:.0%} guaranteed: each of {brokers} brokers {fraction / brokers:.4f} of a limit "
-        "without any contact"
+        f"{fraction:.0%} guaranteed: each of {fleet_size} brokers {fraction / fleet_size:.4f} of a "
+        "limit without any contact"
     )
     yield (
-        f"limits: a home grants for {vote_s:.2f} s after more than half of {brokers} have agreed; "
-        f"another takes over within {takeover_s:g} s; until then leases are renewed, not raised"
+        f"limits: a home grants for {vote_s:.2f} s after more than half of {fleet_size} have "
+        f"agreed; another takes over within {takeover_s:g} s; until then leases are renewed, not "
+        "raised"
     )
     for limit in settings.limits:
-        yield _describe_limit(settings, limit, brokers)
+        yield _describe_limit(settings, limit, fleet_size)
 
 
-def _describe_limit(settings: QuotaSettings, limit: LimitSettings, brokers: int) -> str:
+def _describe_limit(settings: QuotaSettings, limit: LimitSettings, fleet_size: int) -> str:
     rate = f"{limit.rate:g} a second" if limit.rate else "as the settings have it"
     if limit.is_hard:
         overshoot = f"0 while clocks differ by less than {settings.clock_drift:.1%}"
     else:
-        fraction = max_overshoot_per_s(settings, limit, 1.0, brokers)
+        fraction = max_overshoot_per_s(settings, limit, 1.0, fleet_size)
         overshoot = f"{fraction:.2f} of it, once, in a cut or a jump"
     return (
         f"limits: {limit.name} ({limit.kind}): {rate}; what is acted on is "
--- a/query_broker/startup/bounds.py
+++ b/query_broker/startup/bounds.py
@@ -10,7 +10,7 @@
 from .settings import NS_PER_SECOND, StartupSettings
 
 
-def bound_lines(settings: StartupSettings, place: int, fleet_size: int) -> list[str]:
+def describe_bounds(settings: StartupSettings, place: int, fleet_size: int) -> list[str]:
     """Return the lines.
 
     Args:
--- a/tests/membership/test_operators.py
+++ b/tests/membership/test_operators.py
@@ -10,9 +10,10 @@
 from query_broker.membership.keys import parse_keys
 from query_broker.membership.member_record import MemberRecord
 from query_broker.membership.messages import Status
-from query_broker.membership.rate_limit import DatagramRateLimiter, TokenBucket
+from query_broker.membership.rate_limit import DatagramRateLimiter
 from query_broker.membership.reachability import assess_reachability
 from query_broker.membership.settings import NS_PER_S
+from query_broker.token_bucket import TokenBucket
 
 from ..support.members_support import ALIVE
 
@@ -63,8 +64,8 @@
 
 
 def test_a_token_bucket_holds_one_second_of_tokens() -> None:
-    bucket = TokenBucket(NOW_NS)
-    taken = [bucket.take(NOW_NS + 10 * NS_PER_S, 3.0) for _ in range(5)]
+    bucket = TokenBucket.full(NOW_NS)
+    taken = [bucket.try_take(NOW_NS + 10 * NS_PER_S, 3.0) for _ in range(5)]
     assert taken == [True, True, True, False, False]
 
 
--- a/tests/outlier_consensus/test_pure.py
+++ b/tests/outlier_consensus/test_pure.py
@@ -160,8 +160,8 @@
         version += 1
         receive(consensus, now_ns, *(report(seen, version=version) for seen in FAILING_IN_X))
         (ejection,) = evaluate(consensus, now_ns).ejected
-        durations_ns.append(ejection.until_ns - ejection.since_ns)
-        now_ns = ejection.until_ns + NS_PER_S
+        durations_ns.append(ejection.min_end_ns - ejection.ejected_at_ns)
+        now_ns = ejection.min_end_ns + NS_PER_S
         version += 1
         receive(consensus, now_ns, report(Seen("x0", 3, 4), 5_000, 10, version))
         assert evaluate(consensus, now_ns).readmitted == []  # one of two
--- a/tests/quotas/test_pure.py
+++ b/tests/quotas/test_pure.py
@@ -30,7 +30,7 @@
     LimitSettings,
     QuotaKind,
     QuotaSettings,
-    describe,
+    describe_bounds,
     expiry_wait_ns,
     holder_duration_ns,
     max_overshoot_per_s,
@@ -409,6 +409,6 @@
 
 
 def test_check_config_describes_the_bounds_of_each_limit() -> None:
-    text = "\n".join(describe(SETTINGS, 24))
+    text = "\n".join(describe_bounds(SETTINGS, 24))
     assert "0 while clocks differ by less than 1.0%" in text
     assert "0.96 of it, once" in text
--- a/tests/quotas/test_service.py
+++ b/tests/quotas/test_service.py
@@ -22,7 +22,7 @@
 from query_broker.quotas.batching import MAX_BODY_BYTES, message_bodies
 from query_broker.quotas.service import QuotaService
 from query_broker.quotas.settings import NS_PER_S, LimitSettings, QuotaKind, QuotaSettings
-from query_broker.quotas.token_bucket import TokenBucket
+from query_broker.token_bucket import TokenBucket
 
 BEGIN_NS = 1_000 * NS_PER_S
 OWN_ADDRESS = "10.0.0.1:7000"
--- a/tests/startup/test_pure.py
+++ b/tests/startup/test_pure.py
@@ -18,7 +18,7 @@
     assumed_work,
     retry_after_ns,
 )
-from query_broker.startup.bounds import bound_lines
+from query_broker.startup.bounds import describe_bounds
 from query_broker.startup.endpoint_snapshot import (
     EndpointSnapshot,
     EndpointSnapshotError,
@@ -340,7 +340,7 @@
 
 
 def test_the_lines_of_check_config_name_the_windows_of_this_fleet() -> None:
-    text = bound_lines(StartupSettings(snapshot_path="/x"), 7, 300)
+    text = describe_bounds(StartupSettings(snapshot_path="/x"), 7, 300)
     assert "place 7 of 300" in text[0]
     assert "at 0.14 s of each" in text[0]
     assert "6.00 s" in text[0]
