--- a/query_broker/membership/ack_handling.py
+++ b/query_broker/membership/ack_handling.py
@@ -1,4 +1,4 @@
-"""What an ack tells: about its sender, about the member that was pinged, and about ourselves.
+"""Handling of acks: they update the pinged member, the sender and the local health.
 
 Performs no I/O.
 """
@@ -57,10 +57,10 @@
         if ack.responder == ping.target:
             self._record_answer(now_ns, sender, ping, ack)
         elif ack.responder.address == ping.target.address:
-            self._remove_replaced(now_ns, ping.target)
+            self._remove_replaced_member(now_ns, ping.target)
 
-    def _remove_replaced(self, now_ns: int, target: Identity) -> None:
-        """Remove a member whose address another process has: it cannot run any more."""
+    def _remove_replaced_member(self, now_ns: int, target: Identity) -> None:
+        """Remove a member whose address now belongs to another process."""
         record = self._table.get(target)
         if record is not None and record.is_present():
             reason = f"{target.address} is another's now"
--- a/query_broker/membership/admin_api.py
+++ b/query_broker/membership/admin_api.py
@@ -1,6 +1,6 @@
 """The operators' HTTP calls about the membership, answered in JSON.
 
-The keys of the answers are a public interface; each stands here beside the attribute it shows.
+The keys of the answers are a public interface and keep their spelling; this module maps them.
 """
 
 from __future__ import annotations
@@ -96,9 +96,9 @@
             "me": detector.me.address,
             "boot": detector.me.boot.hex(),
             "incarnation": detector.own.incarnation,
-            "left": detector.own.left,
+            "left": detector.own.has_left,
             "doubt": detector.health.score,
-            "pauses": detector.health.pauses,
+            "pauses": detector.health.pause_count,
             "isolated": detector.health.is_isolated(len(detector.present())),
             "view": self._view_status(),
             "bounds_s": _bounds_status(bounds),
@@ -107,7 +107,7 @@
                 **detector.statistics,
                 "bytes_in": self._traffic.received_bytes,
                 "bytes_out": self._traffic.sent_bytes,
-                "flooded": self._traffic.flooded,
+                "flooded": self._traffic.rate_limited_datagrams,
                 "dropped": self._codec.dropped,
             },
         }
@@ -117,10 +117,10 @@
         return {
             "epoch": view.epoch,
             "digest": view.digest.hex(),
-            "certain": view.certain,
+            "certain": view.is_certain,
             "why": view.reason,
-            "alive": view.alive,
-            "reference": view.reference,
+            "alive": view.member_count,
+            "reference": view.reference_size,
             "limits_by": view.effective_size,
             "place": view.effective_index,
             "configured": self._views.configured_size,
@@ -144,7 +144,10 @@
             "by": record.reporter,
             "round_trip_ms": round(record.round_trip.mean_ns / NS_PER_MS, 2),
             "helpers": {
-                helper: {"reached": result.reached, "ago": _age_s(now_ns, result.at_ns)}
+                helper: {
+                    "reached": result.has_reached,
+                    "ago": _age_s(now_ns, result.reported_at_ns),
+                }
                 for helper, result in record.helper_results.items()
             },
         }
@@ -158,8 +161,11 @@
     return (record.status, record.ordinal, record.identity)
 
 
-def _age_s(now_ns: int, at_ns: int) -> float | None:
-    return round((now_ns - at_ns) / NS_PER_S, 2) if at_ns else None
+def _age_s(now_ns: int, event_ns: int) -> float | None:
+    """Return how long ago an event was, in seconds; None if it never was."""
+    if not event_ns:
+        return None
+    return round((now_ns - event_ns) / NS_PER_S, 2)
 
 
 def _bounds_status(bounds: DetectionBounds) -> dict[str, float]:
--- a/query_broker/membership/anti_entropy.py
+++ b/query_broker/membership/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: exchanges of complete tables, and contact with members that are out of reach.
+"""Anti-entropy: exchanges of complete tables, and contact with unreachable members.
 
 Gossip alone does not join a new member to the group, nor heal a partition in which both sides have
-removed each other. Performs no I/O: the exchange itself is the caller's (`table_exchange.py`).
+removed each other. Performs no I/O: the caller carries out the exchange (`table_exchange.py`).
 """
 
 from __future__ import annotations
@@ -17,9 +17,12 @@
 from .settings import MembershipSettings
 from .suspicion import SuspicionTracker
 
-RECONTACT_INTERVALS = 10  # mean time between two contacts with somebody out of reach
-DIFFERING_DIGESTS = 4  # acks in a row with another digest than ours
-MAX_SEED_BACKOFF = 5  # doublings
+#: Mean time between two contacts with unreachable members, in ping intervals.
+RECONTACT_INTERVALS = 10
+#: Consecutive acks with another digest than this process's after which tables are exchanged.
+MAX_DIFFERING_DIGESTS = 4
+#: Doublings of the time between two contacts with seeds.
+MAX_SEED_BACKOFF_DOUBLINGS = 5
 
 
 def _jittered_ns(draw: random.Random, mean_ns: int) -> int:
@@ -28,7 +31,7 @@
 
 
 class SyncScheduler:
-    """Decides when to exchange tables, and with whom."""
+    """Decides when to exchange tables, and with which member."""
 
     def __init__(
         self,
@@ -48,38 +51,38 @@
         self._messenger = messenger
         self._draw = draw
         self._differing_digests = 0
-        self._sync_at_ns = now_ns + _jittered_ns(draw, settings.sync_interval_ns)
+        self._next_sync_ns = now_ns + _jittered_ns(draw, settings.sync_interval_ns)
 
     def tick(self, now_ns: int) -> None:
         """Request an exchange with a random member once it is due."""
-        if now_ns < self._sync_at_ns:
+        if now_ns < self._next_sync_ns:
             return
-        self._sync_at_ns = now_ns + _jittered_ns(self._draw, self._settings.sync_interval_ns)
+        self._next_sync_ns = now_ns + _jittered_ns(self._draw, self._settings.sync_interval_ns)
         addresses = [record.identity.address for record in self._table.alive_records()]
         if addresses:
             self._messenger.request_sync(self._draw.choice(addresses))
 
     def compare_digest(self, now_ns: int, ack: Ack) -> None:
-        """Bring the next exchange forward where views differ though no gossip is under way."""
+        """Bring the next exchange forward if views differ while no gossip is in progress."""
         if ack.digest and ack.digest != self._table.digest():
             self._differing_digests += 1
         else:
             self._differing_digests = 0
-        is_quiet = not self._gossip.waiting and not self._suspicions.active
-        if self._differing_digests >= DIFFERING_DIGESTS and is_quiet:
+        is_quiet = not self._gossip.queued_claims and not self._suspicions.active
+        if self._differing_digests >= MAX_DIFFERING_DIGESTS and is_quiet:
             self._differing_digests = 0
-            self._sync_at_ns = min(self._sync_at_ns, now_ns)
+            self._next_sync_ns = min(self._next_sync_ns, now_ns)
 
 
 class ContactScheduler:
-    """Contacts seeds until somebody has answered, and seldom members that are out of reach.
+    """Contacts seeds until one has answered, and now and then an unreachable member.
 
-    A healed partition is found by the latter; each member contacts one at a time, however many
+    The latter detects that a partition has healed. Each member contacts one at a time, however many
     were lost.
 
     Attributes:
         seeds: Addresses of members that are usually present.
-        joined: Some member has answered.
+        has_joined: Whether some member has answered.
     """
 
     def __init__(
@@ -101,35 +104,35 @@
         self._draw = draw
         self._seed_attempts = 0
         self._last_contact_id = -1
-        self._seed_at_ns = now_ns
+        self._next_seed_contact_ns = now_ns
         self._recontact_interval_ns = RECONTACT_INTERVALS * settings.interval_ns
-        self._recontact_at_ns = now_ns + _jittered_ns(draw, self._recontact_interval_ns)
+        self._next_recontact_ns = now_ns + _jittered_ns(draw, self._recontact_interval_ns)
         self.seeds: list[str] = []
-        self.joined = False
+        self.has_joined = False
 
     def tick(self, now_ns: int) -> None:
-        """Contact a seed, or somebody out of reach, where it is due."""
-        if self.seeds and not self.joined and now_ns >= self._seed_at_ns:
+        """Contact a seed or an unreachable member when it is due."""
+        if self.seeds and not self.has_joined and now_ns >= self._next_seed_contact_ns:
             self._contact_seed(now_ns)
-        if now_ns >= self._recontact_at_ns:
+        if now_ns >= self._next_recontact_ns:
             self._recontact(now_ns)
 
     def record_answer(self, sender: Identity, ping_id: int) -> None:
         """Record that a member has answered; the answer to a contact leads to an exchange."""
-        self.joined = True
+        self.has_joined = True
         if ping_id == self._last_contact_id:
             self._messenger.request_sync(sender.address)
 
     def _contact_seed(self, now_ns: int) -> None:
-        self._seed_attempts = min(MAX_SEED_BACKOFF, self._seed_attempts + 1)
+        self._seed_attempts = min(MAX_SEED_BACKOFF_DOUBLINGS, self._seed_attempts + 1)
         backoff = 0.5 + self._draw.random() * (1 << self._seed_attempts) / 4
-        self._seed_at_ns = now_ns + int(backoff * self._settings.interval_ns)
+        self._next_seed_contact_ns = now_ns + int(backoff * self._settings.interval_ns)
         self._contact(now_ns, Identity(self._draw.choice(self.seeds), b""))
 
     def _recontact(self, now_ns: int) -> None:
-        self._recontact_at_ns = now_ns + _jittered_ns(self._draw, self._recontact_interval_ns)
+        self._next_recontact_ns = now_ns + _jittered_ns(self._draw, self._recontact_interval_ns)
         candidates = self._unreachable()
-        if candidates and not self._own.left:
+        if candidates and not self._own.has_left:
             self._contact(now_ns, self._draw.choice(candidates))
 
     def _unreachable(self) -> list[Identity]:
--- a/query_broker/membership/claim_merge.py
+++ b/query_broker/membership/claim_merge.py
@@ -19,7 +19,8 @@
 from .settings import MembershipSettings
 from .suspicion import SuspicionTracker
 
-MAX_LEAVE_SECRET_BYTES = HASH_BYTES + 4  # longer ones are not even hashed
+#: Longer leave secrets are rejected without hashing them.
+MAX_LEAVE_SECRET_BYTES = HASH_BYTES + 4
 
 
 class ClaimMerger:
@@ -119,8 +120,8 @@
     ) -> None:
         """Apply a claim that a member is suspected or dead.
 
-        One member that is faulty, or has just woken, could otherwise remove whom it likes: a claim
-        that somebody is dead is no more than a suspicion, which the member can still refute.
+        A claim that a member is dead counts only as a suspicion, which that member can still
+        refute. Otherwise one member that is faulty, or was paused, could remove any other.
         """
         is_dead = record.status is Status.DEAD
         if self._settings.plain_swim and claim.status is Status.DEAD and not is_dead:
@@ -128,7 +129,7 @@
         elif record.status is Status.ALIVE:
             self._suspicions.suspect(now_ns, record, claim.reporter)
         elif is_dead and is_newer:
-            # It had come back, as its newer incarnation proves, and is suspected again.
+            # Its newer incarnation proves that it was alive again; now it is suspected again.
             self._suspicions.refute(now_ns, record)
             self._suspicions.suspect(now_ns, record, claim.reporter)
         elif record.status is Status.SUSPECT:
@@ -137,10 +138,11 @@
     def _refute_claim_about_us(self, claim: Claim) -> None:
         """Answer an accusation of this process by a newer incarnation.
 
-        Only claims about the present incarnation count, or old gossip would raise it for ever.
+        Only claims about the present incarnation count; otherwise old gossip would raise it without
+        end.
         """
         is_accusation = claim.status in (Status.SUSPECT, Status.DEAD)
-        if not is_accusation or claim.incarnation < self._own.incarnation or self._own.left:
+        if not is_accusation or claim.incarnation < self._own.incarnation or self._own.has_left:
             return
         self._own.raise_incarnation()
         self._table.invalidate_digest()
@@ -157,7 +159,7 @@
         record = MemberRecord.from_claim(claim, now_ns)
         self._table.insert(record)
         if not record.is_present():
-            return  # Recorded, so that old gossip cannot bring it back.
+            return  # It is recorded, so that old gossip cannot add it as alive.
         if claim.status is Status.SUSPECT:
             record.status = Status.ALIVE
         self._table.enter_ping_order(claim.member)
--- a/query_broker/membership/datagrams.py
+++ b/query_broker/membership/datagrams.py
@@ -19,7 +19,7 @@
 
 
 class TopicHandler(Protocol):
-    """Receives the messages of a topic; it may raise on nonsense."""
+    """Receives the messages of a topic; it may raise on a malformed one."""
 
     def __call__(self, now_ns: int, sender: str, payload: bytes, /) -> None:
         """Process a message of the member with the given process name."""
@@ -29,7 +29,7 @@
     """Receives datagrams for the failure detector and sends its messages.
 
     Attributes:
-        rate_limiter: Limits the datagrams that are looked at.
+        rate_limiter: Limits the datagrams that are processed.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
             self._transport.close()
 
     def subscribe(self, topic: str, handler: TopicHandler) -> None:
-        """Have the messages of a topic delivered to a handler."""
+        """Register the handler of a topic's messages."""
         self._topics[topic] = handler
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
@@ -67,7 +67,7 @@
         now_ns = self._host.now_ns()
         try:
             if not self.rate_limiter.admit(now_ns, f"{addr[0]}:{addr[1]}"):
-                self._traffic.flooded += 1
+                self._traffic.rate_limited_datagrams += 1
                 return
             self._traffic.received_bytes += len(data)
             envelope = self._codec.read(data)
@@ -79,10 +79,10 @@
         self._host.carry_out(now_ns)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an ICMP error: it says no more than a lost datagram does."""
+        """Ignore an ICMP error, which is handled like a lost datagram."""
 
     def send_all(self, messages: Iterable[OutgoingMessage]) -> None:
-        """Send messages; a failure is logged and does not keep back the others."""
+        """Send messages; a failure is logged and does not prevent the others."""
         for recipient, message in messages:
             record = self._detector.table.get(recipient)
             protocol = PROTOCOL_VERSION if record is None else record.max_protocol
--- a/query_broker/membership/failure_detector.py
+++ b/query_broker/membership/failure_detector.py
@@ -2,10 +2,10 @@
 
 Pings in random order, indirect pings and gossip piggybacked on both are SWIM's (Das, Gupta,
 Motivala, DSN 2002). Suspicions that shrink as others confirm them, the local health score and
-telling a suspect first are Lifeguard's (Dadgar, Phillips, Currey, DSN 2018). Added here are
+notifying a suspect first are Lifeguard's (Dadgar, Phillips, Currey, DSN 2018). Added here are
 incarnations and leaves that only their owner can prove, evidence from others for a suspect that
-speaks but does not hear, another's claim of a removal as no more than a confirmation, and the
-recovery of a process that was paused. Performs no I/O; the caller supplies the time in nanoseconds.
+speaks but does not hear, claims of removals that count only as confirmations, and the recovery of a
+process that was paused. Performs no I/O; the caller supplies the time in nanoseconds.
 """
 
 from __future__ import annotations
@@ -32,9 +32,12 @@
 from .suspicion import SuspicionTracker
 from .timing import HELPER_COUNT
 
-EXTRA_PINGS = 4.0  # pings of one suspect in an interval, by all members, beside its turns
+#: Additional pings of one suspect in an interval, by all members together.
+EXTRA_SUSPECT_PINGS = 4.0
 LEAVE_RECIPIENTS = 2 * HELPER_COUNT
-FORGET_CHECKS = 4  # in the time after which an absent member is forgotten
+#: Checks in the time after which an absent member is forgotten.
+FORGET_CHECKS = 4
+#: In place of an age: no message has arrived.
 UNKNOWN_AGE_MS = -1
 
 
@@ -94,7 +97,7 @@
         self._start_schedules(now_ns)
 
     def _start_schedules(self, now_ns: int) -> None:
-        """Set up all that acts by time; the order of the draws is part of a seeded run."""
+        """Create the collaborators that act by time, in the order of draws of a seeded run."""
         settings = self.settings
         overall_round_trip = RoundTripEstimator()
         self._relay = PingRelay(settings, self.own, self.table, self.messenger, overall_round_trip)
@@ -108,14 +111,14 @@
             overall_round_trip,
             self.draw,
         )
-        self.ping_at_ns = now_ns + int(self.draw.random() * settings.interval_ns)
+        self.next_ping_ns = now_ns + int(self.draw.random() * settings.interval_ns)
         self._syncs = SyncScheduler(
             settings, self.table, self.suspicions, self.gossip, self.messenger, self.draw, now_ns
         )
         self.contacts = ContactScheduler(
             settings, self.own, self.table, self.pinger, self.messenger, self.draw, now_ns
         )
-        self._forget_at_ns = now_ns + settings.forget_after_ns // FORGET_CHECKS
+        self._next_forget_ns = now_ns + settings.forget_after_ns // FORGET_CHECKS
         self._acks = AckHandler(
             settings,
             self.own,
@@ -160,7 +163,7 @@
     def preload(self, others: Iterable[FailureDetector]) -> None:
         """Start as if the group had existed for long; for simulations."""
         self.table.preload(other.own.claim() for other in others if other is not self)
-        self.contacts.joined = True
+        self.contacts.has_joined = True
 
     def receive(
         self, now_ns: int, recipient_boot: bytes, sequence: int, sender: Claim, message: Message
@@ -169,12 +172,12 @@
 
         Args:
             now_ns: The present time.
-            recipient_boot: Boot identifier of the process that was meant.
+            recipient_boot: Boot identifier of the process that the message is addressed to.
             sequence: The sender's sequence number; the caller has checked that it is no replay.
             sender: The sender's claim about itself.
             message: The message.
         """
-        if sender.member == self.me or self.own.left:
+        if sender.member == self.me or self.own.has_left:
             return
         if recipient_boot != self.me.boot:
             self._receive_misaddressed(now_ns, sender, message)
@@ -190,11 +193,11 @@
         """Merge another member's complete table."""
         self.merger.merge_all(now_ns, claims, CHAIN_LENGTH)
         if self.present():
-            self.contacts.joined = True
+            self.contacts.has_joined = True
 
     def leave(self) -> None:
         """Announce the leave of this process to some members, which pass it on."""
-        if self.own.left:
+        if self.own.has_left:
             return
         self.own.mark_left()
         self.table.invalidate_digest()
@@ -204,7 +207,7 @@
             self.messenger.send(recipient, Ping(ping_id, "", (self.own.claim(),)))
 
     def tick(self, now_ns: int, late_ns: int = 0) -> None:
-        """Do what is due.
+        """Run the periodic work.
 
         Args:
             now_ns: The present time.
@@ -217,19 +220,19 @@
         self._relay.expire(now_ns)
         self.pinger.advance(now_ns)
         self.suspicions.expire(now_ns)
-        if now_ns >= self.ping_at_ns:
+        if now_ns >= self.next_ping_ns:
             self._start_pings(now_ns)
         self.contacts.tick(now_ns)
         self._syncs.tick(now_ns)
-        self._forget(now_ns)
+        self._forget_absent(now_ns)
 
     # --- messages ---
 
     def _receive_misaddressed(self, now_ns: int, sender: Claim, message: Message) -> None:
-        """Process a message that was meant for an earlier process at this address.
+        """Process a message that is addressed to an earlier process at this address.
 
-        It may be years old: a ping gets an answer that says who is here, and nothing is believed
-        but what the claims themselves prove.
+        It may be very old. A ping is answered with the identity of this process, and only what the
+        claims themselves prove is accepted.
         """
         if not isinstance(message, Ping):
             return
@@ -283,18 +286,18 @@
         The interval is not extended by the local health score as timeouts are: a process that
         receives nothing shows by its pings that it is present.
         """
-        self.ping_at_ns = now_ns + self.settings.interval_ns
+        self.next_ping_ns = now_ns + self.settings.interval_ns
         target = self.table.next_to_ping()
         if target is not None:
             self.pinger.start(now_ns, target)
         if self.settings.plain_swim:
             return
         for suspect in list(self.suspicions.active):
-            if self.draw.random() < EXTRA_PINGS / self.table.size:
+            if self.draw.random() < EXTRA_SUSPECT_PINGS / self.table.size:
                 self.pinger.start(now_ns, suspect)
 
-    def _forget(self, now_ns: int) -> None:
-        if now_ns < self._forget_at_ns:
+    def _forget_absent(self, now_ns: int) -> None:
+        if now_ns < self._next_forget_ns:
             return
-        self._forget_at_ns = now_ns + self.settings.forget_after_ns // FORGET_CHECKS
+        self._next_forget_ns = now_ns + self.settings.forget_after_ns // FORGET_CHECKS
         self.table.forget_older_than(now_ns, self.settings.forget_after_ns)
--- a/query_broker/membership/gossip.py
+++ b/query_broker/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: claims that wait to be piggybacked on pings and acks (SWIM, section 4.1).
+"""Gossip: claims that are queued to be piggybacked on pings and acks (SWIM, section 4.1).
 
 Performs no I/O.
 """
@@ -11,73 +11,75 @@
 from .messages import Claim, Identity, Status
 from .timing import retransmit_limit
 
-MAX_PIGGYBACK_BYTES = 900  # of claims in one datagram
-MAX_CANDIDATES = 16  # claims that are considered for one datagram
+#: Size of the claims in one datagram.
+MAX_PIGGYBACK_BYTES = 900
+#: Claims that are considered for one datagram.
+MAX_CANDIDATES = 16
 
 
 class ClaimKey(NamedTuple):
-    """Identifies a waiting claim: one state and one piece of evidence wait for each member."""
+    """Identifies a queued claim: each member has at most one state and one piece of evidence."""
 
     member: Identity
     is_evidence: bool
 
 
 class QueuedClaim(NamedTuple):
-    """A waiting claim and how often it has been sent."""
+    """A queued claim and how often it has been sent."""
 
     claim: Claim
-    sent: int
+    send_count: int
 
 
 class GossipQueue:
     """Claims to pass on, each a bounded number of times, those sent least often first.
 
     Attributes:
-        waiting: The claims that are still to be sent.
+        queued_claims: The claims that are still to be sent.
     """
 
     def __init__(self) -> None:
         """Start with nothing to pass on."""
-        self.waiting: dict[ClaimKey, QueuedClaim] = {}
+        self.queued_claims: dict[ClaimKey, QueuedClaim] = {}
 
     def add(self, claim: Claim) -> None:
         """Queue a claim in place of an earlier one about the same member."""
         key = ClaimKey(claim.member, claim.status is Status.EVIDENCE)
-        self.waiting[key] = QueuedClaim(claim, 0)
+        self.queued_claims[key] = QueuedClaim(claim, 0)
 
     def take(
-        self, size: int, urgent: list[Claim], max_bytes: int = MAX_PIGGYBACK_BYTES
+        self, group_size: int, urgent: list[Claim], max_bytes: int = MAX_PIGGYBACK_BYTES
     ) -> tuple[Claim, ...]:
         """Select claims for one datagram and count them as sent.
 
         Args:
-            size: Number of members of the group, which bounds how often a claim is sent.
+            group_size: Number of members of the group, which bounds how often a claim is sent.
             urgent: Claims that the receiver must learn first; they are not counted.
             max_bytes: Bound of the claims' encoded size.
         """
         remaining_bytes = max_bytes
-        taken: list[Claim] = []
+        selected: list[Claim] = []
         for claim in urgent:
             remaining_bytes -= claim.max_encoded_bytes()
             if remaining_bytes >= 0:
-                taken.append(claim)
-        if self.waiting:
-            self._take_waiting(taken, retransmit_limit(size), remaining_bytes)
-        return tuple(taken)
+                selected.append(claim)
+        if self.queued_claims:
+            self._select_queued(selected, retransmit_limit(group_size), remaining_bytes)
+        return tuple(selected)
 
-    def _take_waiting(self, taken: list[Claim], limit: int, remaining_bytes: int) -> None:
-        known = {(claim.member, claim.status) for claim in taken}
+    def _select_queued(self, selected: list[Claim], limit: int, remaining_bytes: int) -> None:
+        selected_keys = {(claim.member, claim.status) for claim in selected}
         candidates = heapq.nsmallest(
-            MAX_CANDIDATES, self.waiting.items(), key=lambda item: item[1].sent
+            MAX_CANDIDATES, self.queued_claims.items(), key=lambda item: item[1].send_count
         )
-        for key, (claim, sent) in candidates:
-            if (claim.member, claim.status) in known:
+        for key, (claim, send_count) in candidates:
+            if (claim.member, claim.status) in selected_keys:
                 continue
             if claim.max_encoded_bytes() > remaining_bytes:
                 break
             remaining_bytes -= claim.max_encoded_bytes()
-            taken.append(claim)
-            if sent + 1 >= limit:
-                del self.waiting[key]
+            selected.append(claim)
+            if send_count + 1 >= limit:
+                del self.queued_claims[key]
             else:
-                self.waiting[key] = QueuedClaim(claim, sent + 1)
+                self.queued_claims[key] = QueuedClaim(claim, send_count + 1)
--- a/query_broker/membership/local_health.py
+++ b/query_broker/membership/local_health.py
@@ -1,8 +1,8 @@
 """How far this process can trust its own observations.
 
 Lifeguard's local health multiplier (section IV.A): a process that is slow or cut off sees everybody
-else as dead. Signs of trouble on our own side raise a score, answers lower it, and our timeouts and
-the suspicions that we hold are extended by it. Performs no I/O.
+else as dead. Signs of a fault of this process raise a score, and answers lower it. The timeouts
+and the suspicions of this process are extended by it. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -13,10 +13,12 @@
 
 MAX_SCORE = 8
 RECOVERY_INTERVALS = 5
-DOUBTFUL_FROM = 3  # score, or failed pings in a row
+#: Score, or consecutive failed pings, from which own observations are doubtful.
+DOUBTFUL_FROM = 3
 PAUSE_PENALTY = 2
 MIN_PAUSE_NS = NS_PER_S // 4
-ISOLATED_FROM = 3  # failed pings in a row
+#: Consecutive failed pings from which this process is isolated.
+ISOLATED_FROM = 3
 
 
 @dataclass(slots=True)
@@ -29,14 +31,14 @@
         failed_pings: Pings in a row without any answer, even of a helper.
         recovers_at_ns: After a pause of this process: until then it accuses nobody, unless it
             receives an answer.
-        pauses: How often this process has paused.
+        pause_count: How often this process has paused.
     """
 
     interval_ns: int
     score: int = 0
     failed_pings: int = 0
     recovers_at_ns: int = 0
-    pauses: int = 0
+    pause_count: int = 0
 
     def penalize(self, points: int = 1) -> None:
         """Raise the score, up to its maximum."""
@@ -60,17 +62,18 @@
     def record_lateness(self, now_ns: int, late_ns: int) -> bool:
         """Record how late our own timer fired; return whether this process has paused.
 
-        A paused process wakes to timeouts of everybody else, and must not act on them.
+        When a paused process resumes, the timeouts of all other members have passed; it must not
+        act on them.
         """
         if late_ns < max(self.interval_ns // 2, MIN_PAUSE_NS):
             return False
         self.penalize(PAUSE_PENALTY)
         self.recovers_at_ns = now_ns + RECOVERY_INTERVALS * self.extended_ns(self.interval_ns)
-        self.pauses += 1
+        self.pause_count += 1
         return True
 
     def is_isolated(self, other_members: int) -> bool:
-        """Return whether nobody answers at all, so that the fault is more likely ours."""
+        """Return whether no member answers, which points to a fault of this process."""
         return self.failed_pings >= min(ISOLATED_FROM, other_members) > 1
 
     def extended_ns(self, duration_ns: int) -> int:
--- a/query_broker/membership/member_record.py
+++ b/query_broker/membership/member_record.py
@@ -1,4 +1,4 @@
-"""What this process knows of one other member.
+"""The record of one other member.
 
 Performs no I/O. Points in time are in nanoseconds; 0 stands for never.
 """
@@ -18,8 +18,8 @@
 class HelperResult(NamedTuple):
     """Whether a helper reached a member with an indirect ping, and when it reported that."""
 
-    reached: bool
-    at_ns: int
+    has_reached: bool
+    reported_at_ns: int
 
 
 @dataclass(slots=True)
@@ -39,13 +39,16 @@
         reporter: Address of the member that reported its suspicion or removal; else empty.
         sequence: Sequence number of its newest known message.
         received_ns: When a message of it last arrived here.
-        evidence_ns: When we learned, from it or from another member, that it had spoken.
-        acked_ns: When it last answered a ping of ours directly.
+        evidence_ns: When it last proved, directly or through another member, that it sends
+            messages.
+        acked_ns: When it last answered a ping of this process directly.
         acked_indirectly_ns: When it last answered through a helper.
-        hears_us_ns: When it last reported, through a helper, that it receives our messages.
+        hears_us_ns: When it last reported, through a helper, that it receives messages of this
+            process.
         round_trip: Estimate of its round-trip time.
         helper_results: Results of indirect pings, by the helper's address.
-        false_suspicions: How often of late it refuted a suspicion, as of `false_suspicion_at_ns`.
+        false_suspicions: How often it has recently refuted a suspicion, as of
+            `false_suspicion_at_ns`.
         false_suspicion_at_ns: When it last refuted one.
     """
 
--- a/query_broker/membership/member_table.py
+++ b/query_broker/membership/member_table.py
@@ -67,12 +67,12 @@
     def digest(self) -> bytes:
         """Return the digest of the present members, this process among them unless it has left."""
         if self._digest is None:
-            own = [] if self._own.left else [self._own.identity]
+            own = [] if self._own.has_left else [self._own.identity]
             self._digest = view_digest([*self.present(), *own])
         return self._digest
 
     def invalidate_digest(self) -> None:
-        """Have the digest computed anew, after a change of this process's own identity."""
+        """Discard the cached digest, after a change of this process's own identity."""
         self._digest = None
 
     def insert(self, record: MemberRecord) -> None:
@@ -105,7 +105,7 @@
         self.record_change(record, reason)
 
     def record_change(self, record: MemberRecord, reason: str) -> None:
-        """Queue a change for the caller and count the present members anew."""
+        """Queue a change for the caller and update the number of present members."""
         self._digest = None
         self.size = 1 + sum(other.is_present() for other in self.records.values())
         self.changes.append(MemberChange(record.identity, record.status, reason))
--- a/query_broker/membership/metrics_text.py
+++ b/query_broker/membership/metrics_text.py
@@ -1,6 +1,6 @@
 """The membership's part of `/metrics`, in the Prometheus text format.
 
-The names of the metrics are a public interface: dashboards and alerts go by them.
+The names of the metrics are a public interface: dashboards and alerts use them.
 """
 
 from __future__ import annotations
@@ -50,10 +50,10 @@
     values: dict[str, int] = {
         **detector.statistics,
         "view_epoch": view.epoch,
-        "view_certain": int(view.certain),
+        "view_certain": int(view.is_certain),
         "view_limits_by": view.effective_size,
         "doubt": detector.health.score,
-        "flooded": traffic.flooded,
+        "flooded": traffic.rate_limited_datagrams,
         "bytes_in": traffic.received_bytes,
         "bytes_out": traffic.sent_bytes,
     }
--- a/query_broker/membership/own_member.py
+++ b/query_broker/membership/own_member.py
@@ -16,7 +16,7 @@
         identity: Address and boot identifier of this process.
         chain: Proves its incarnations and its leave.
         incarnation: Its present incarnation number.
-        left: It has announced its leave.
+        has_left: Whether it has announced its leave.
         ordinal: Its configured index among the brokers.
     """
 
@@ -32,7 +32,7 @@
         self.identity = Identity(address, chain.boot)
         self.chain = chain
         self.incarnation = 0
-        self.left = False
+        self.has_left = False
         self.ordinal = ordinal
         self._zone = zone
         self._max_protocol = max_protocol
@@ -55,16 +55,16 @@
 
     def mark_left(self) -> None:
         """Disclose the leave secret in the claim from now on."""
-        self.left = True
+        self.has_left = True
         self._claim = None
 
     def _make_claim(self) -> Claim:
         return Claim(
             self.identity,
             self.incarnation,
-            Status.LEFT if self.left else Status.ALIVE,
+            Status.LEFT if self.has_left else Status.ALIVE,
             self.chain.proof(self.incarnation),
-            self.chain.leave_secret if self.left else self.chain.leave_commitment,
+            self.chain.leave_secret if self.has_left else self.chain.leave_commitment,
             "",
             self.ordinal,
             self._zone,
--- a/query_broker/membership/ping_relay.py
+++ b/query_broker/membership/ping_relay.py
@@ -33,7 +33,7 @@
 
 
 class PingRelay:
-    """The indirect pings under way."""
+    """The indirect pings in progress."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         messenger: Messenger,
         overall_round_trip: RoundTripEstimator,
     ) -> None:
-        """Start without a ping under way."""
+        """Start without a ping in progress."""
         self._settings = settings
         self._own = own
         self._table = table
@@ -52,7 +52,7 @@
         self._relayed: dict[int, RelayedPing] = {}
 
     def start(self, now_ns: int, requester: Identity, ping_id: int, target: Identity) -> None:
-        """Ping the target for the requester, unless too many such pings are under way."""
+        """Ping the target for the requester, unless too many such pings are in progress."""
         if len(self._relayed) >= MAX_RELAYED_PINGS or target == self._own.identity:
             return
         own_ping_id = self._messenger.new_ping_id()
--- a/query_broker/membership/pings.py
+++ b/query_broker/membership/pings.py
@@ -23,7 +23,8 @@
 
 MAX_PENDING_PINGS = 16
 MAX_HELPER_ROUNDS = 2
-TIMEOUTS_UNTIL_FAILED = 3
+MIN_TIMEOUTS_UNTIL_FAILURE = 3
+#: Points of the health score for a ping without any answer of a helper.
 MAX_NO_NACK_PENALTY = 2
 
 
@@ -40,9 +41,9 @@
 
     Attributes:
         target: The member that was pinged.
-        sent_ns: When.
+        sent_ns: When it was sent.
         ack_timeout_ns: How long one answer may take.
-        indirect_at_ns: When helpers are requested next.
+        next_indirect_ns: When helpers are requested next.
         fail_at_ns: When the ping has failed.
         helpers: Addresses of the helpers that were requested.
         helper_rounds: How often helpers were requested.
@@ -52,7 +53,7 @@
     target: Identity
     sent_ns: int
     ack_timeout_ns: int
-    indirect_at_ns: int
+    next_indirect_ns: int
     fail_at_ns: int
     helpers: set[str] = field(default_factory=set)
     helper_rounds: int = 0
@@ -98,7 +99,7 @@
         timeout_ns = self._ack_timeout_ns(self._table.records[target])
         fail_after_ns = max(
             self._health.extended_ns(self._settings.interval_ns),
-            TIMEOUTS_UNTIL_FAILED * timeout_ns,
+            MIN_TIMEOUTS_UNTIL_FAILURE * timeout_ns,
         )
         ping_id = self._messenger.new_ping_id()
         self.pending[ping_id] = PendingPing(
@@ -107,9 +108,9 @@
         self._messenger.send_ping(target, ping_id)
 
     def contact(self, now_ns: int, target: Identity) -> int:
-        """Ping whoever has the target's address; return the ping id.
+        """Ping the process at the target's address; return the ping id.
 
-        No suspicion follows from it: the answer tells who is there.
+        No suspicion follows from it; the answer names the process at the address.
         """
         ping_id = self._messenger.new_ping_id()
         self._overdue[ping_id] = SentPing(target, now_ns)
@@ -138,7 +139,7 @@
         for ping_id, ping in list(self.pending.items()):
             if now_ns >= ping.fail_at_ns:
                 self._fail(now_ns, ping_id, ping)
-            elif now_ns >= ping.indirect_at_ns:
+            elif now_ns >= ping.next_indirect_ns:
                 self._request_indirect_pings(now_ns, ping_id, ping)
 
     def cancel_all(self) -> None:
@@ -156,11 +157,12 @@
         ping.helper_rounds += 1
         plain_swim = self._settings.plain_swim
         if plain_swim or ping.helper_rounds >= MAX_HELPER_ROUNDS:
-            ping.indirect_at_ns = ping.fail_at_ns
+            ping.next_indirect_ns = ping.fail_at_ns
         else:
-            ping.indirect_at_ns = now_ns + ping.ack_timeout_ns
+            ping.next_indirect_ns = now_ns + ping.ack_timeout_ns
         if not plain_swim:
-            # One datagram of three may be lost: a second ping costs less than a false suspicion.
+            # On a link that loses one datagram of three, a second ping costs less than a false
+            # suspicion.
             self._messenger.send_ping(ping.target, ping_id)
         candidates = self._helper_candidates(ping)
         for helper in self._draw.sample(candidates, min(HELPER_COUNT, len(candidates))):
@@ -181,11 +183,11 @@
         if record is None or not record.is_present():
             return
         if not self._settings.plain_swim:
-            self._judge_own_health(ping)
+            self._update_own_health(ping)
             answered_since = ping.sent_ns <= record.acked_indirectly_ns
             if now_ns < self._health.recovers_at_ns or answered_since:
                 return
-        self._accuse(now_ns, record)
+        self._report_suspicion(now_ns, record)
 
     def _remember_overdue(self, ping_id: int, ping: PendingPing) -> None:
         self._overdue[ping_id] = SentPing(ping.target, ping.sent_ns)
@@ -193,18 +195,18 @@
             oldest = next(iter(self._overdue))
             del self._overdue[oldest]
 
-    def _judge_own_health(self, ping: PendingPing) -> None:
-        """Count the ping against ourselves where no helper could be reached either."""
+    def _update_own_health(self, ping: PendingPing) -> None:
+        """Lower the trust in this process if no helper could be reached either."""
         if ping.nacks:
             self._health.failed_pings = 0
         elif ping.helpers:
             self._health.failed_pings += 1
             self._health.penalize(min(MAX_NO_NACK_PENALTY, len(ping.helpers)))
 
-    def _accuse(self, now_ns: int, record: MemberRecord) -> None:
+    def _report_suspicion(self, now_ns: int, record: MemberRecord) -> None:
         own_address = self._own.identity.address
         if record.status is Status.ALIVE:
-            # An isolated process would accuse everybody: it keeps its suspicions to itself.
+            # An isolated process would accuse all members, so it does not announce its suspicions.
             is_isolated = self._health.is_isolated(len(self._table.records))
             self._suspicions.suspect(now_ns, record, own_address, is_announced=not is_isolated)
         elif not self._suspicions.is_reported_by(record.identity, own_address):
--- a/query_broker/membership/replay_window.py
+++ b/query_broker/membership/replay_window.py
@@ -10,7 +10,8 @@
 
 from .messages import Identity
 
-WINDOW_BITS = 256  # messages of one sender that may overtake each other
+#: Messages of one sender that may overtake each other.
+WINDOW_BITS = 256
 MAX_WINDOWS = 8_192
 
 
@@ -18,27 +19,27 @@
 class ReplayWindow:
     """The sequence numbers of one sender that have arrived, as a bit for each of the last ones."""
 
-    highest: int = -1
+    highest_sequence: int = -1
     bits: int = 0
 
     def accept(self, sequence: int) -> bool:
         """Record a sequence number; return False if it has arrived before or is too old."""
-        if sequence > self.highest:
+        if sequence > self.highest_sequence:
             self._advance(sequence)
             return True
-        behind = self.highest - sequence
-        if behind >= WINDOW_BITS or self.bits >> behind & 1:
+        distance = self.highest_sequence - sequence
+        if distance >= WINDOW_BITS or self.bits >> distance & 1:
             return False
-        self.bits |= 1 << behind
+        self.bits |= 1 << distance
         return True
 
     def _advance(self, sequence: int) -> None:
-        ahead = sequence - self.highest
-        if ahead < WINDOW_BITS:
-            self.bits = ((self.bits << ahead) | 1) & ((1 << WINDOW_BITS) - 1)
+        advance = sequence - self.highest_sequence
+        if advance < WINDOW_BITS:
+            self.bits = ((self.bits << advance) | 1) & ((1 << WINDOW_BITS) - 1)
         else:
             self.bits = 1
-        self.highest = sequence
+        self.highest_sequence = sequence
 
 
 @dataclass(slots=True)
--- a/query_broker/membership/round_trip.py
+++ b/query_broker/membership/round_trip.py
@@ -11,8 +11,9 @@
 
 MEAN_GAIN = 0.125
 DEVIATION_GAIN = 0.25
-DEVIATIONS = 4
-TICK_SLACK_NS = 20_000_000  # how long our own ticks may delay an answer
+DEVIATION_FACTOR = 4
+#: Delay of an answer by the ticks of this process.
+TICK_SLACK_NS = 20_000_000
 MAX_TIMEOUT_NS = 6 * NS_PER_S
 
 
@@ -43,10 +44,10 @@
 
         Args:
             interval_ns: Time between two pings.
-            overall: Estimate over all members, for one that has not been measured yet.
+            overall: Estimate over all members, used until this one has been measured.
         """
         if self.mean_ns:
-            estimate_ns = self.mean_ns + DEVIATIONS * self.deviation_ns + TICK_SLACK_NS
+            estimate_ns = self.mean_ns + DEVIATION_FACTOR * self.deviation_ns + TICK_SLACK_NS
             return int(min(MAX_TIMEOUT_NS, max(interval_ns // 5, estimate_ns)))
         if overall is None:
             return default_timeout_ns(interval_ns)
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -129,7 +129,7 @@
         return tuple(process_name(identity) for identity in self.views.view.members)
 
     def subscribe(self, topic: str, handler: TopicHandler) -> None:
-        """Have the messages of a topic delivered to a handler."""
+        """Register the handler of a topic's messages."""
         self._datagrams.subscribe(topic, handler)
 
     def send(self, topic: str, name: str, payload: bytes) -> None:
@@ -183,7 +183,7 @@
             self._publisher.observe(now_ns)
 
     def _tick(self) -> None:
-        if self._exchange.closed:
+        if self._exchange.is_closed:
             return
         now_ns = self.now_ns()
         late_ns = max(0, now_ns - self._tick_due_ns)
--- a/query_broker/membership/service_host.py
+++ b/query_broker/membership/service_host.py
@@ -1,4 +1,4 @@
-"""What the parts of the service need of it."""
+"""The interface of the service that its parts depend on."""
 
 from __future__ import annotations
 
--- a/query_broker/membership/suspicion.py
+++ b/query_broker/membership/suspicion.py
@@ -1,8 +1,8 @@
 """Suspicions: how a member becomes suspected, refutes it, or is removed.
 
 SWIM's suspicion subprotocol (section 4.2) with Lifeguard's dynamic timeouts (section IV.B). In
-addition, evidence that a suspect still speaks extends its suspicion, and another member's claim
-that somebody is dead counts as no more than a confirmation. Performs no I/O.
+addition, evidence that a suspect still sends messages extends its suspicion, and another member's
+claim that a member is dead counts only as a confirmation. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
     """A suspicion that has not ended.
 
     Attributes:
-        opened_ns: When it began; never moved.
-        timer_start_ns: Start of its timer, moved by evidence that the member speaks.
+        opened_ns: When it began.
+        timer_start_ns: Start of its timer; later after evidence that the member sends messages.
         reporters: Addresses of the members that suspect it.
     """
 
@@ -71,7 +71,7 @@
     def suspect(
         self, now_ns: int, record: MemberRecord, reporter: str, is_announced: bool = True
     ) -> None:
-        """Begin a suspicion, and gossip it unless it is to stay with this process."""
+        """Begin a suspicion, and gossip it if `is_announced`."""
         record.reporter = reporter
         self._statistics[Statistic.SUSPICIONS] += 1
         self.active[record.identity] = Suspicion(now_ns, now_ns, {reporter})
@@ -82,8 +82,8 @@
     def confirm(self, record: MemberRecord, reporter: str) -> None:
         """Count an independent report of the same suspicion.
 
-        A faulty member that repeats one suspicion under ever new names cannot make it shorter than
-        the minimum, within which a living member learns of it and refutes it.
+        A faulty member that repeats a suspicion under many names cannot shorten it below the
+        minimum, within which a living member receives and refutes it.
         """
         reporters = self.active[record.identity].reporters
         if reporter not in reporters and len(reporters) <= CONFIRMATIONS_WANTED:
@@ -136,10 +136,10 @@
         return suspicion.timer_start_ns + self._health.extended_ns(timeout_ns)
 
     def expire(self, now_ns: int) -> None:
-        """Remove the suspects whose time is up, or extend it where they are known to speak."""
+        """Remove suspects whose time is over, or extend it if they are known to send messages."""
         for identity, suspicion in list(self.active.items()):
             if now_ns >= self.deadline_ns(identity):
-                self._decide(now_ns, self._table.records[identity], suspicion)
+                self._resolve(now_ns, self._table.records[identity], suspicion)
 
     def restart_timers(self, now_ns: int) -> None:
         """Start the timers of all suspicions anew.
@@ -155,15 +155,15 @@
         for suspicion in self.active.values():
             suspicion.timer_start_ns += duration_ns
 
-    def _decide(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> None:
+    def _resolve(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> None:
         if self._settings.plain_swim:
             self.remove(now_ns, record, self._own.identity.address)
         elif record.received_ns > suspicion.timer_start_ns:
-            # It speaks to us; that it does not hear is no reason to remove it.
+            # Its messages arrive here; that it does not receive ours is no reason to remove it.
             suspicion.timer_start_ns = now_ns
             suspicion.opened_ns = now_ns
             self._count_false_suspicion(now_ns, record)
-        elif self._is_vouched_for(now_ns, record, suspicion):
+        elif self._has_recent_evidence(now_ns, record, suspicion):
             suspicion.timer_start_ns = now_ns
             self._count_false_suspicion(now_ns, record)
         elif now_ns < self._health.recovers_at_ns:
@@ -172,8 +172,8 @@
         else:
             self.remove(now_ns, record, self._own.identity.address)
 
-    def _is_vouched_for(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> bool:
-        """Return whether others still hear the member; that counts for a limited time only."""
+    def _has_recent_evidence(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> bool:
+        """Return whether others still receive its messages; that counts for a limited time only."""
         if record.evidence_ns <= suspicion.timer_start_ns:
             return False
         limit_ns = evidence_limit_ns(self._settings.interval_ns, self._table.size)
--- a/query_broker/membership/table_exchange.py
+++ b/query_broker/membership/table_exchange.py
@@ -28,7 +28,7 @@
     """Both sides of the exchange.
 
     Attributes:
-        closed: No further exchange begins.
+        is_closed: Whether no further exchange begins.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
         self._codec = codec
         self._traffic = traffic
         self._host = host
-        self._incoming = 0
+        self._incoming_count = 0
         self._outgoing: set[asyncio.Task[None]] = set()
-        self.closed = False
+        self.is_closed = False
 
     def start(self, address: str) -> None:
         """Exchange tables with the member at the address, unless too many exchanges run."""
-        if len(self._outgoing) >= MAX_OUTGOING_EXCHANGES or self.closed:
+        if len(self._outgoing) >= MAX_OUTGOING_EXCHANGES or self.is_closed:
             return
         task = asyncio.get_running_loop().create_task(self._sync_with(address))
         self._outgoing.add(task)
@@ -57,16 +57,16 @@
 
     def close(self) -> None:
         """Cancel the exchanges that this process has started."""
-        self.closed = True
+        self.is_closed = True
         for task in list(self._outgoing):
             task.cancel()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a connection of another member."""
-        if self._incoming >= MAX_INCOMING_EXCHANGES or self.closed:
+        if self._incoming_count >= MAX_INCOMING_EXCHANGES or self.is_closed:
             writer.transport.abort()
             return
-        self._incoming += 1
+        self._incoming_count += 1
         try:
             await asyncio.wait_for(self._answer(reader, writer), EXCHANGE_TIMEOUT_S)
         except (OSError, EOFError, TimeoutError, MessageRejectedError):
@@ -74,11 +74,11 @@
         except Exception as error:  # No peer may end the process.
             self._host.log(f"a table: {type(error).__name__}: {error}")
         finally:
-            self._incoming -= 1
+            self._incoming_count -= 1
             writer.close()
 
     def table_message(self, is_request: bool, with_claims: bool) -> Sync:
-        """Return a message with our digest, and with our table where it is wanted."""
+        """Return a message with our digest, and with our table if `with_claims`."""
         claims = self._detector.claims() if with_claims else ()
         return Sync(self._detector.table.digest(), is_request, claims)
 
@@ -109,35 +109,35 @@
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         request = await self.read_frame(reader)
         is_different = request.digest != self._detector.table.digest()
-        self.write_frame(writer, self.table_message(False, is_different))
+        self.write_frame(writer, self.table_message(is_request=False, with_claims=is_different))
         await writer.drain()
         if is_different:
             self._merge(await self.read_frame(reader))
 
     async def _sync_with(self, address: str) -> None:
-        shown = address[:MAX_LOGGED_ADDRESS]
+        logged_address = address[:MAX_LOGGED_ADDRESS]
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 await self._request(address)
         except (OSError, EOFError, TimeoutError, ValueError, MessageRejectedError) as error:
-            self._host.log(f"no table from {shown}: {type(error).__name__}")
+            self._host.log(f"no table from {logged_address}: {type(error).__name__}")
         except Exception as error:  # No peer may end the process.
-            self._host.log(f"no table from {shown}: {type(error).__name__}: {error}")
+            self._host.log(f"no table from {logged_address}: {type(error).__name__}: {error}")
 
     async def _request(self, address: str) -> None:
         host, port = split_address(address)
         reader, writer = await asyncio.open_connection(host, port, limit=MAX_FRAME_BYTES)
         try:
-            self.write_frame(writer, self.table_message(True, False))
-            theirs = await self.read_frame(reader)
-            if theirs.claims:
-                self.write_frame(writer, self.table_message(False, True))
+            self.write_frame(writer, self.table_message(is_request=True, with_claims=False))
+            peer_message = await self.read_frame(reader)
+            if peer_message.claims:
+                self.write_frame(writer, self.table_message(is_request=False, with_claims=True))
                 await writer.drain()
-                self._merge(theirs)
+                self._merge(peer_message)
         finally:
             writer.close()
 
-    def _merge(self, theirs: Sync) -> None:
+    def _merge(self, peer_message: Sync) -> None:
         now_ns = self._host.now_ns()
-        self._detector.merge_table(now_ns, theirs.claims)
+        self._detector.merge_table(now_ns, peer_message.claims)
         self._host.carry_out(now_ns)
--- a/query_broker/membership/view_publisher.py
+++ b/query_broker/membership/view_publisher.py
@@ -20,7 +20,7 @@
     """Is called with each published view."""
 
     def __call__(self, view: MembershipView, /) -> None:
-        """Take note of a view."""
+        """Process a published view."""
 
 
 class ViewPublisher:
@@ -74,7 +74,7 @@
             for record in detector.table.records.values()
             if record.is_present()
         ]
-        if not detector.own.left:
+        if not detector.own.has_left:
             present.append(PlacedMember(detector.own.ordinal, detector.me))
         self._rate_limiter.member_addresses = {member.identity.address for member in present}
         is_isolated = detector.health.is_isolated(len(present) - 1)
@@ -83,10 +83,10 @@
             Observation(
                 present=present,
                 own=detector.me,
-                cut_off=detector.own.left or is_isolated,
-                joined=detector.contacts.joined,
-                warming_up=self._is_endpoint_warming_up(now_ns),
-                removal_pending=self._is_removal_pending(now_ns),
+                is_cut_off=detector.own.has_left or is_isolated,
+                has_joined=detector.contacts.has_joined,
+                is_endpoint_warming_up=self._is_endpoint_warming_up(now_ns),
+                is_removal_pending=self._is_removal_pending(now_ns),
             ),
         )
 
@@ -98,7 +98,7 @@
     ) -> None:
         """Log a published view and pass it on."""
         self._host.log(
-            f"view {view.epoch} ({view.digest.hex()}): {view.alive} there, {view.reason}; "
+            f"view {view.epoch} ({view.digest.hex()}): {view.member_count} there, {view.reason}; "
             f"limits by {view.effective_size}, place {view.effective_index}"
             f"{_listing('came', joined)}{_listing('went', departed)}"
         )
--- a/query_broker/membership/views.py
+++ b/query_broker/membership/views.py
@@ -1,12 +1,12 @@
 """The view of the group that the rest of the program reads.
 
-Three numbers must not be confused: how many members this process holds to be *alive*; whether that
-is *certain*; and the *effective size* that limits are divided by. A network partition looks like a
+A view has the number of members that are present, whether that number is *certain*, and the
+*effective size* that limits are divided by; these differ. A network partition looks like a
 mass failure from both of its sides. Therefore a view is certain only while more than
 1 - `max_lost_fraction` of the members that were last present still are. With that fraction below
 one half, no two sides of a partition can both be certain, and all sides together use
 1 + `max_lost_fraction` of a limit at the most: the certain one all of it, the others, less than
-`max_lost_fraction` of all members, their quota of the size as it was. Performs no I/O.
+`max_lost_fraction` of all members, their quota of the former size. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -18,10 +18,14 @@
 from .member_table import view_digest
 from .messages import Identity
 
-MIN_SIZE_FRACTION = 1 / 3  # of the configured size: limits are never divided by less
-MAX_SIZE_MULTIPLE = 4  # of the configured size: nor by more
-CALM_SETTLE_PERIODS = 6  # settle times of certainty until a smaller size is the new reference
-PENDING_REMOVAL_BATCHES = 4  # batches that a view waits for a removal that is due
+#: Fraction of the configured size below which limits are never divided.
+MIN_SIZE_FRACTION = 1 / 3
+#: Multiple of the configured size above which limits are never divided.
+MAX_SIZE_MULTIPLE = 4
+#: Settle times of certainty after which a smaller size is the new reference.
+CALM_SETTLE_PERIODS = 6
+#: Batch times that a view waits for a pending removal.
+PENDING_REMOVAL_BATCHES = 4
 
 
 class PlacedMember(NamedTuple):
@@ -46,9 +50,9 @@
         epoch: Number that rises with each change of the members.
         members: The present members in the order of their configured indexes.
         digest: Digest of the members.
-        certain: Limits go by the members of this view.
-        alive: Number of the members.
-        reference: Number of members that losses are measured by.
+        is_certain: Whether limits are divided by the members of this view.
+        member_count: Number of the members.
+        reference_size: Number of members that losses are measured against.
         effective_size: Number of brokers that limits are divided by.
         effective_index: Index of this broker among them.
         reason: Why the view is certain or not, for operators.
@@ -57,9 +61,9 @@
     epoch: int
     members: tuple[Identity, ...]
     digest: bytes
-    certain: bool
-    alive: int
-    reference: int
+    is_certain: bool
+    member_count: int
+    reference_size: int
     effective_size: int
     effective_index: int
     reason: str
@@ -67,23 +71,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What the failure detector and the broker know at one moment.
+    """The state of the group and of this broker at one moment.
 
     Attributes:
         present: The present members, this process among them unless it has left.
         own: This process.
-        cut_off: Nobody answers this process, or it has left.
-        joined: Some member has answered.
-        warming_up: An endpoint is warming up; limits must not rise meanwhile.
-        removal_pending: A suspicion ends at any moment, so that a batch waits for it.
+        is_cut_off: Whether no member answers this process, or it has left.
+        has_joined: Whether some member has answered.
+        is_endpoint_warming_up: Whether an endpoint is warming up; meanwhile limits must not rise.
+        is_removal_pending: Whether a suspicion is about to end, so that a batch waits for it.
     """
 
     present: list[PlacedMember]
     own: Identity
-    cut_off: bool
-    joined: bool
-    warming_up: bool
-    removal_pending: bool
+    is_cut_off: bool
+    has_joined: bool
+    is_endpoint_warming_up: bool
+    is_removal_pending: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +106,7 @@
 
 
 class ViewObserver(Protocol):
-    """Is notified of each published view, never of each change by itself."""
+    """Is notified of each published view, not of each single change."""
 
     def view_changed(
         self,
@@ -110,7 +114,7 @@
         joined: tuple[Identity, ...],
         departed: tuple[Identity, ...],
     ) -> None:
-        """Take note of a view and of its difference from the one before."""
+        """Process a published view and its difference from the previous one."""
 
 
 class ViewTracker:
@@ -134,9 +138,9 @@
             epoch=0,
             members=(),
             digest=b"",
-            certain=False,
-            alive=1,
-            reference=configured_size,
+            is_certain=False,
+            member_count=1,
+            reference_size=configured_size,
             effective_size=configured_size,
             effective_index=configured_index,
             reason="nobody has been heard yet",
@@ -144,16 +148,16 @@
         self._configured_size = configured_size
         self._settings = settings
         self._observer = observer
-        self._reference = configured_size
+        self._reference_size = configured_size
         self._pending_since_ns = 0
         self._certain_since_ns = 0
         self._smaller_size = 0  # the smaller size that has to persist; 0 for none
         self._smaller_since_ns = 0
 
     def configure(self, configured_size: int, configured_index: int) -> None:
-        """Take new settings; a changed size is what losses are measured by from now on."""
+        """Apply new settings; losses are measured against a changed size from now on."""
         if configured_size != self._configured_size:
-            self._reference = configured_size
+            self._reference_size = configured_size
         self._configured_size = configured_size
         self.configured_index = configured_index
 
@@ -163,79 +167,79 @@
         return self._configured_size
 
     def record_leave(self) -> None:
-        """Note that a member has announced its leave, which is no loss."""
-        self._reference = max(1, self._reference - 1)
+        """Record that a member has announced its leave, which does not count as a loss."""
+        self._reference_size = max(1, self._reference_size - 1)
 
-    def observe(self, now_ns: int, seen: Observation) -> None:
+    def observe(self, now_ns: int, observation: Observation) -> None:
         """Publish a view if the observation differs from the last one for long enough."""
-        members = tuple(member.identity for member in sorted(seen.present))
-        alive = len(members)
-        self._reference = max(self._reference, alive)
-        certain = self._is_certain(seen, alive)
-        reason = self._explain(seen, alive, certain)
-        self._update_reference(now_ns, alive, certain)
-        position = self._effective_position(now_ns, members, seen, certain)
-        if self._is_published(members, certain, position):
+        members = tuple(member.identity for member in sorted(observation.present))
+        member_count = len(members)
+        self._reference_size = max(self._reference_size, member_count)
+        is_certain = self._is_certain(observation, member_count)
+        reason = self._explain(observation, member_count, is_certain)
+        self._update_reference(now_ns, member_count, is_certain)
+        position = self._effective_position(now_ns, members, observation, is_certain)
+        if self._is_published(members, is_certain, position):
             self._pending_since_ns = 0
-            self.view = replace(self.view, reference=self._reference, reason=reason)
+            self.view = replace(self.view, reference_size=self._reference_size, reason=reason)
             return
         is_changed = members != self.view.members
-        if is_changed and self._is_batching(now_ns, seen, certain):
+        if is_changed and self._is_batching(now_ns, observation, is_certain):
             return
         self._publish(
             MembershipView(
                 epoch=self.view.epoch + is_changed,
                 members=members,
                 digest=view_digest(list(members)),
-                certain=certain,
-                alive=alive,
-                reference=self._reference,
+                is_certain=is_certain,
+                member_count=member_count,
+                reference_size=self._reference_size,
                 effective_size=position.fleet_size,
                 effective_index=position.own_index,
                 reason=reason,
             )
         )
 
-    def _is_certain(self, seen: Observation, alive: int) -> bool:
-        needed = (1 - self._settings.max_lost_fraction) * self._reference
-        return seen.joined and not seen.cut_off and alive > needed
+    def _is_certain(self, observation: Observation, member_count: int) -> bool:
+        needed = (1 - self._settings.max_lost_fraction) * self._reference_size
+        return observation.has_joined and not observation.is_cut_off and member_count > needed
 
-    def _explain(self, seen: Observation, alive: int, certain: bool) -> str:
-        if certain:
+    def _explain(self, observation: Observation, member_count: int, is_certain: bool) -> str:
+        if is_certain:
             return "certain"
-        if seen.cut_off or not seen.joined:
+        if observation.is_cut_off or not observation.has_joined:
             return "we hear nobody"
         lost = self._settings.max_lost_fraction
-        return f"{alive} of {self._reference} are there: more than {lost:.0%} are lost"
+        return f"{member_count} of {self._reference_size} are there: more than {lost:.0%} are lost"
 
-    def _update_reference(self, now_ns: int, alive: int, certain: bool) -> None:
+    def _update_reference(self, now_ns: int, member_count: int, is_certain: bool) -> None:
         """Measure losses by the present size once views have been certain for long enough."""
-        if not certain:
+        if not is_certain:
             self._certain_since_ns = 0
             return
         if not self._certain_since_ns:
             self._certain_since_ns = now_ns
         calm_ns = CALM_SETTLE_PERIODS * self._settings.settle_ns
         if now_ns - self._certain_since_ns >= calm_ns:
-            self._reference = alive
+            self._reference_size = member_count
             self._certain_since_ns = now_ns
 
     def _is_published(
-        self, members: tuple[Identity, ...], certain: bool, position: Position
+        self, members: tuple[Identity, ...], is_certain: bool, position: Position
     ) -> bool:
         view = self.view
         return (
             members == view.members
-            and certain == view.certain
+            and is_certain == view.is_certain
             and position == (view.effective_size, view.effective_index)
         )
 
-    def _is_batching(self, now_ns: int, seen: Observation, certain: bool) -> bool:
+    def _is_batching(self, now_ns: int, observation: Observation, is_certain: bool) -> bool:
         """Return whether changes are still being collected; a loss of certainty never waits."""
         self._pending_since_ns = self._pending_since_ns or now_ns
-        batches = PENDING_REMOVAL_BATCHES if seen.removal_pending else 1
+        batches = PENDING_REMOVAL_BATCHES if observation.is_removal_pending else 1
         waited_ns = now_ns - self._pending_since_ns
-        return waited_ns < batches * self._settings.batch_ns and self.view.certain >= certain
+        return waited_ns < batches * self._settings.batch_ns and self.view.is_certain >= is_certain
 
     def _publish(self, view: MembershipView) -> None:
         before = set(self.view.members)
@@ -245,7 +249,7 @@
         self._observer.view_changed(view, tuple(after - before), tuple(before - after))
 
     def _effective_position(
-        self, now_ns: int, members: tuple[Identity, ...], seen: Observation, certain: bool
+        self, now_ns: int, members: tuple[Identity, ...], observation: Observation, is_certain: bool
     ) -> Position:
         """Return what limits are divided by.
 
@@ -253,17 +257,17 @@
         effect only while the view is certain, has persisted, and no endpoint is warming up: one
         that all brokers load at once falls over.
         """
-        alive = len(members)
-        is_safe = certain and not seen.warming_up
-        size = self._settled_size(now_ns, self._bounded_size(alive, is_safe))
-        if not is_safe or seen.own not in members or size < alive:
+        member_count = len(members)
+        is_safe = is_certain and not observation.is_endpoint_warming_up
+        size = self._settled_size(now_ns, self._bounded_size(member_count, is_safe))
+        if not is_safe or observation.own not in members or size < member_count:
             return Position(size, self.configured_index % size)
-        return Position(size, members.index(seen.own) % size)
+        return Position(size, members.index(observation.own) % size)
 
-    def _bounded_size(self, alive: int, is_safe: bool) -> int:
+    def _bounded_size(self, member_count: int, is_safe: bool) -> int:
         smallest = math.ceil(MIN_SIZE_FRACTION * self._configured_size)
         largest = MAX_SIZE_MULTIPLE * self._configured_size
-        size = min(largest, max(alive, smallest))
+        size = min(largest, max(member_count, smallest))
         return size if is_safe else max(size, self._configured_size)
 
     def _settled_size(self, now_ns: int, size: int) -> int:
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -163,7 +163,7 @@
 
     def _leave_when_closing(self) -> None:
         service = self.membership_service
-        if self.closing_announced and service is not None and not service.detector.own.left:
+        if self.closing_announced and service is not None and not service.detector.own.has_left:
             service.leave()
 
     def _learn_margin(self, now_ns: int) -> None:
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -66,7 +66,7 @@
     """One view of the membership."""
 
     @property
-    def certain(self) -> bool:
+    def is_certain(self) -> bool:
         """Whether the membership considers the view reliable."""
 
 
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -206,7 +206,7 @@
                 f"{breach.overshoot_per_s:.1f} over; {breach.promised_per_s:.1f} are promised at "
                 "the most",
             )
-        is_certain = self.membership.views.view.certain
+        is_certain = self.membership.views.view.is_certain
         self.counters.name = self.membership.name
         self.leases.state.name = self.membership.name
         self.leases.set_view(self.membership.names(), is_certain)
--- a/tests/golden/operators/nodes.py
+++ b/tests/golden/operators/nodes.py
@@ -99,7 +99,7 @@
         detector.table.records[record.identity] = record
     view = membership.views.view
     first = next(iter(detector.table.records))
-    membership.views.view = replace(view, members=(detector.me, first), certain=True)
+    membership.views.view = replace(view, members=(detector.me, first), is_certain=True)
     membership.codec.dropped["forged"] = 2
 
 
--- a/tests/membership/test_broker.py
+++ b/tests/membership/test_broker.py
@@ -83,10 +83,10 @@
         observation = Observation(
             present=[*present, self._own],
             own=self._own.identity,
-            cut_off=False,
-            joined=True,
-            warming_up=self._is_engine_warming_up(),
-            removal_pending=False,
+            is_cut_off=False,
+            has_joined=True,
+            is_endpoint_warming_up=self._is_engine_warming_up(),
+            is_removal_pending=False,
         )
         self._tracker.observe(self._sim.now_ns, observation)
         view = self._tracker.view
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -52,10 +52,10 @@
     observation = {
         "present": [placed(ordinal) for ordinal in ordinals],
         "own": placed(tracker.configured_index).identity,
-        "cut_off": False,
-        "joined": True,
-        "warming_up": False,
-        "removal_pending": False,
+        "is_cut_off": False,
+        "has_joined": True,
+        "is_endpoint_warming_up": False,
+        "is_removal_pending": False,
         **more,
     }
     tracker.observe(int(seconds * NS_PER_S), Observation(**observation))
@@ -82,7 +82,7 @@
         tracker = joined_tracker(fleet_size, ordinals[0])
         for second in range(3, 100):
             view = observe(tracker, second, ordinals)
-        certain += view.certain
+        certain += view.is_certain
         used += len(ordinals) / view.effective_size
     assert certain <= 1
     assert used <= 1 + 1 / 3 + 1e-9
@@ -102,7 +102,7 @@
     assert tracker.view.effective_size == 24
     for turn, alive in enumerate((20, 16, 12)):
         view = observe_for(tracker, 2.0 + 60 * turn, 60, list(range(alive)))
-        assert (view.effective_size, view.certain, view.reference) == (alive, True, alive)
+        assert (view.effective_size, view.is_certain, view.reference_size) == (alive, True, alive)
 
 
 def test_a_great_loss_is_not_followed_until_operators_confirm_it() -> None:
@@ -110,10 +110,10 @@
     for turn, alive in enumerate((20, 16, 12)):
         observe_for(tracker, 2.0 + 60 * turn, 60, list(range(alive)))
     view = observe_for(tracker, 182.0, 60, list(range(4)))
-    assert (view.effective_size, view.certain, view.reference) == (24, False, 12)
+    assert (view.effective_size, view.is_certain, view.reference_size) == (24, False, 12)
     tracker.configure(4, 0)
     view = observe_for(tracker, 242.0, 10, list(range(4)))
-    assert (view.effective_size, view.certain) == (4, True)
+    assert (view.effective_size, view.is_certain) == (4, True)
 
 
 def test_changes_are_published_in_batches() -> None:
@@ -123,7 +123,7 @@
         observe(tracker, 3 + removed / 10, list(range(9 - removed)))
     assert tracker.view.epoch == epoch
     assert observe(tracker, 4.1, list(range(5))).epoch == epoch + 1
-    assert not tracker.view.certain
+    assert not tracker.view.is_certain
 
 
 def test_an_announced_leave_is_no_loss() -> None:
@@ -134,7 +134,7 @@
         observe(tracker, 4 + 2 * left, list(range(9 - left)))
     for second in range(20, 40):
         observe(tracker, second, list(range(5)))
-    assert tracker.view.certain
+    assert tracker.view.is_certain
     assert tracker.view.effective_size == 5
 
 
@@ -150,11 +150,15 @@
     sizes: list[int] = []
     for second in range(200):
         alive = list(range(draw.choice([1, 2, 5, 10, 30, 100])))
-        sizes.append(observe(tracker, second, alive, warming_up=warming_up).effective_size)
+        sizes.append(
+            observe(tracker, second, alive, is_endpoint_warming_up=warming_up).effective_size
+        )
     assert min(sizes) >= smallest
     assert max(sizes) <= 40
     for second in range(200, 260):  # So few of so many are not certain, however steady.
-        sizes.append(observe(tracker, second, [0], warming_up=warming_up).effective_size)
+        sizes.append(
+            observe(tracker, second, [0], is_endpoint_warming_up=warming_up).effective_size
+        )
     assert sizes[-1] == 10
 
 
--- a/tests/quotas/test_service.py
+++ b/tests/quotas/test_service.py
@@ -43,7 +43,7 @@
         self.detector = SimpleNamespace(
             draw=random.Random(5), me=SimpleNamespace(address=OWN_ADDRESS)
         )
-        self.views = SimpleNamespace(view=SimpleNamespace(certain=True))
+        self.views = SimpleNamespace(view=SimpleNamespace(is_certain=True))
 
     def names(self) -> tuple[str, ...]:
         return (OWN_NAME,)
--- a/tests/support/members_model.py
+++ b/tests/support/members_model.py
@@ -135,7 +135,7 @@
         self.issued: dict[Identity, int] = {}
         for member in self.members:
             member.preload(self.members)
-            member.ping_at_ns = self.now_ns
+            member.next_ping_ns = self.now_ns
         self.check()
 
     def copy(self) -> ModelCluster:
@@ -270,11 +270,11 @@
     def _member_key(self, member: FailureDetector) -> tuple[Any, ...]:
         records = member.table.records.values()
         suspicions = member.suspicions.active.items()
-        waiting = member.gossip.waiting.values()
+        waiting = member.gossip.queued_claims.values()
         return (
             member.own.incarnation,
             member.me.boot,
-            member.ping_at_ns - self.now_ns,
+            member.next_ping_ns - self.now_ns,
             member.health.score,
             sorted(
                 (held.identity, held.incarnation, held.status, held.sequence) for held in records
