--- a/query_broker/cli/admin_client.py
+++ b/query_broker/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls to the admin address of a running broker, and what all commands that make them share."""
+"""Calls to the admin address of a running broker, and options shared by the commands."""
 
 from __future__ import annotations
 
@@ -6,20 +6,34 @@
 import json
 import sys
 from collections.abc import Callable
-from typing import Any, NoReturn, TypeVar
+from http import HTTPStatus
+from typing import Any, NamedTuple, NoReturn, TypeVar
 
 import click
 
-TIMEOUT_S = 2.0  # a broker answers within one second
-MOST_SHOWN = 200  # bytes of an answer that is no JSON
-EXIT_REFUSED = 1  # the broker said no, or did not answer
-EXIT_USAGE = 2  # what was asked for makes no sense
-EXIT_NO_PLAN = 3  # no placement satisfies the terms
+MAX_PORT = 65_535
+#: Timeout of a call; a broker answers within one second.
+TIMEOUT_S = 2.0
+#: Bytes of an answer that is not JSON which are printed.
+MAX_PRINTED_BYTES = 200
+#: Exit code: the broker has rejected the call, or has not answered.
+EXIT_REJECTED = 1
+#: Exit code: the arguments of the command are not valid.
+EXIT_USAGE = 2
+#: Exit code: no placement satisfies the constraints.
+EXIT_NO_PLAN = 3
 
 Command = TypeVar("Command", bound=Callable[..., Any])
 
 
-def fail(text: str, code: int = EXIT_REFUSED) -> NoReturn:
+class HttpAnswer(NamedTuple):
+    """The HTTP status and the body of an answer."""
+
+    status: int
+    body: bytes
+
+
+def fail(text: str, code: int = EXIT_REJECTED) -> NoReturn:
     """End the command with one line on standard error and an exit code."""
     click.echo(f"larchhall: {text}", err=True)
     sys.exit(code)
@@ -28,30 +42,30 @@
 def call(address: str, method: str, path: str) -> Any:
     """Make one call on the admin address and return the JSON answer.
 
-    A refusal, or no answer in time, ends the command with `EXIT_REFUSED` and one line; a malformed
-    address ends it with `EXIT_USAGE`.
+    A rejection, or no answer in time, ends the command with `EXIT_REJECTED` and one line; a
+    malformed address ends it with `EXIT_USAGE`.
     """
     status, body = _exchange(address, method, path)
-    if status == 404 and path == "/cells":
+    if status == HTTPStatus.NOT_FOUND and path == "/cells":
         fail(f"{address}: this broker has no cells")
     try:
         answer = json.loads(body)
     except ValueError:
-        fail(f"{address}: {status} {body[:MOST_SHOWN].decode(errors='replace').strip()}")
-    if status != 200:
+        fail(f"{address}: {status} {body[:MAX_PRINTED_BYTES].decode(errors='replace').strip()}")
+    if status != HTTPStatus.OK:
         fail(f"{address}: {answer.get('error', status)}")
     return answer
 
 
-def _exchange(address: str, method: str, path: str) -> tuple[int, bytes]:
+def _exchange(address: str, method: str, path: str) -> HttpAnswer:
     host, colon, port = address.rpartition(":")
-    if not colon or not port.isdecimal() or not 0 < int(port) < 65_536:
+    if not colon or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         fail(f"--address: {address!r} is no address host:port", EXIT_USAGE)
     connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=TIMEOUT_S)
     try:
         connection.request(method, path)
         response = connection.getresponse()
-        return response.status, response.read()
+        return HttpAnswer(response.status, response.read())
     except (OSError, http.client.HTTPException) as error:
         fail(f"{address}: {error or type(error).__name__}")
     finally:
--- a/query_broker/cli/cells.py
+++ b/query_broker/cli/cells.py
@@ -1,4 +1,4 @@
-"""`query-broker cells ...`: operators' calls on cells from a shell, and the planner."""
+"""`query-broker cells ...`: commands for the cells of a running broker, and the planner."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 CELL_COLUMNS = ["cell", "ready", "cold", "cores", "open", "lent", "refused", "", "engines"]
 CELL_COUNTS = ("ready", "cold", "cores", "open", "lent", "refused_for_room")
-MOST_ENGINES_SHOWN = 6
+MAX_PRINTED_ENGINES = 6
 
 TenantPairs = tuple[tuple[str, ...], ...]
 
@@ -59,8 +59,8 @@
 
 
 def _cell_row(cell: dict[str, Any]) -> list[str]:
-    engines = " ".join(cell["engines"][:MOST_ENGINES_SHOWN])
-    if len(cell["engines"]) > MOST_ENGINES_SHOWN:
+    engines = " ".join(cell["engines"][:MAX_PRINTED_ENGINES])
+    if len(cell["engines"]) > MAX_PRINTED_ENGINES:
         engines += " ..."
     name = cell["cell"]
     if cell["default"]:
@@ -69,7 +69,7 @@
     return [name, *counts, "short" if cell["short"] else "", engines]
 
 
-def _print_move(migration: dict[str, Any], as_json: bool) -> None:
+def _print_migration(migration: dict[str, Any], as_json: bool) -> None:
     if as_json:
         click.echo(json.dumps(migration, ensure_ascii=False))
         return
@@ -86,7 +86,7 @@
 def move(address: str, as_json: bool, tenant: str, cell: str) -> None:
     """Start the migration of a tenant to another cell."""
     path = f"/cells/move/{quote(tenant, safe='')}/{quote(cell, safe='')}"
-    _print_move(call(address, "POST", path), as_json)
+    _print_migration(call(address, "POST", path), as_json)
 
 
 @cells.command(help="Take back the move of TENANT that is under way.")
@@ -95,7 +95,7 @@
 @click.argument("tenant")
 def abort(address: str, as_json: bool, tenant: str) -> None:
     """Abort the migration of a tenant."""
-    _print_move(call(address, "POST", f"/cells/abort/{quote(tenant, safe='')}"), as_json)
+    _print_migration(call(address, "POST", f"/cells/abort/{quote(tenant, safe='')}"), as_json)
 
 
 @cells.command(
@@ -107,10 +107,19 @@
 @click.option(
     "--address", metavar="HOST:PORT", default="", help="Loads and cells of a running broker."
 )
-@click.option("--most-moves", type=click.IntRange(0), help="No more tenants than so many move.")
-@click.option("--most-load", type=float, help="No cell gets more than this share of its capacity.")
 @click.option(
-    "--apart", nargs=2, multiple=True, metavar="TENANT TENANT", help="Not both in one cell."
+    "--most-moves", "max_moves", type=click.IntRange(0), help="No more tenants than so many move."
+)
+@click.option(
+    "--most-load", "max_load", type=float, help="No cell gets more than this share of its capacity."
+)
+@click.option(
+    "--apart",
+    "separated",
+    nargs=2,
+    multiple=True,
+    metavar="TENANT TENANT",
+    help="Not both in one cell.",
 )
 @click.option(
     "--seconds",
@@ -123,9 +132,9 @@
     file: str | None,
     as_json: bool,
     address: str,
-    most_moves: int | None,
-    most_load: float | None,
-    apart: TenantPairs,
+    max_moves: int | None,
+    max_load: float | None,
+    separated: TenantPairs,
     seconds: float,
 ) -> None:
     """Print which tenants to move so that the cells are balanced."""
@@ -133,10 +142,10 @@
         fail("plan: name a FILE or an --address", EXIT_USAGE)
     try:
         if file is not None:
-            problem = _problem_of_file(file, most_moves, most_load, apart)
+            problem = _problem_of_file(file, max_moves, max_load, separated)
         else:
             answer = call(address, "GET", "/cells")
-            problem = _problem_of_broker(answer, most_moves, most_load, apart)
+            problem = _problem_of_broker(answer, max_moves, max_load, separated)
     except (PlanningProblemError, UnicodeDecodeError, OSError) as error:
         fail(f"{file or address}: {error}", EXIT_USAGE)
     solution = _solve(problem, seconds, as_json)
@@ -147,38 +156,38 @@
 
 
 def _problem_of_file(
-    file: str, most_moves: int | None, most_load: float | None, apart: TenantPairs
+    file: str, max_moves: int | None, max_load: float | None, separated: TenantPairs
 ) -> Problem:
-    """Return the problem that a file states; options on the command line stand above it."""
-    read = read_problem(Path(file).read_text(encoding="utf-8"))
+    """Return the problem that a file states; options on the command line take precedence."""
+    stated = read_problem(Path(file).read_text(encoding="utf-8"))
     return Problem(
-        read.loads,
-        read.capacities,
-        read.now,
-        read.apart + _pairs(apart),
-        read.fixed,
-        read.most_moves if most_moves is None else most_moves,
-        read.most_load if most_load is None else most_load,
+        stated.loads,
+        stated.capacities,
+        stated.now,
+        stated.apart + _pairs(separated),
+        stated.fixed,
+        stated.most_moves if max_moves is None else max_moves,
+        stated.most_load if max_load is None else max_load,
     )
 
 
 def _problem_of_broker(
-    answer: dict[str, Any], most_moves: int | None, most_load: float | None, apart: TenantPairs
+    answer: dict[str, Any], max_moves: int | None, max_load: float | None, separated: TenantPairs
 ) -> Problem:
     """Return the problem of a running broker: its measured loads and the cores of each cell."""
     return Problem(
         {tenant["tenant"]: tenant["load"] for tenant in answer["tenants"]},
         {cell["cell"]: float(cell["cores"]) for cell in answer["cells"] if cell["cores"]},
         {tenant["tenant"]: tenant["cell"] for tenant in answer["tenants"]},
-        _pairs(apart),
+        _pairs(separated),
         None,
-        most_moves,
-        most_load,
+        max_moves,
+        max_load,
     )
 
 
-def _pairs(apart: TenantPairs) -> tuple[tuple[str, str], ...]:
-    return tuple((first, second) for first, second in apart)
+def _pairs(separated: TenantPairs) -> tuple[tuple[str, str], ...]:
+    return tuple((first, second) for first, second in separated)
 
 
 def _solve(problem: Problem, seconds: float, as_json: bool) -> Plan:
@@ -192,7 +201,7 @@
         fail(f"plan: {error}", EXIT_NO_PLAN)
 
 
-def _print_plan(solution: Plan, tenants: int) -> None:
+def _print_plan(solution: Plan, tenant_count: int) -> None:
     if solution.moves:
         rows = [
             [tenant, source, target, f"{load:.3f}"]
@@ -208,6 +217,6 @@
     click.echo("\n" + table(["cell", "before", "after"], loads))
     proven = "" if solution.proven else "; not proven to be the best"
     click.echo(
-        f"\n{len(solution.moves)} of {tenants} tenants move; the fullest cell goes from "
+        f"\n{len(solution.moves)} of {tenant_count} tenants move; the fullest cell goes from "
         f"{max(solution.before.values()):.3f} to {max(solution.after.values()):.3f}{proven}"
     )
--- a/query_broker/cli/lazy_group.py
+++ b/query_broker/cli/lazy_group.py
@@ -9,13 +9,13 @@
 
 
 class LazyGroup(click.Group):
-    """A click group that stands for another one.
+    """A click group that loads another one when it is used.
 
-    Loaded with the daemon, the sub-commands' modules would cost each of its starts.
+    Otherwise each start of the daemon would load the modules of all sub-commands.
     """
 
     def __init__(self, *args: Any, module: str, group: str, **options: Any) -> None:
-        """Stand for the group of that name in a module of this package."""
+        """Represent the group of that name in a module of this package."""
         super().__init__(*args, **options)
         self.module = module
         self.group_name = group
--- a/query_broker/cli/limits.py
+++ b/query_broker/cli/limits.py
@@ -1,6 +1,6 @@
-"""`query-broker limits ...` and `query-broker verdicts ...`: what brokers share.
+"""`query-broker limits ...` and `query-broker verdicts ...`.
 
-The limits that all brokers share, and what they know together of the endpoints.
+The first is about the limits that all brokers share, the second about their consensus on outliers.
 """
 
 from __future__ import annotations
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -21,9 +21,9 @@
     from ..operator_config.settings import OperatorConfig
     from ..server.node import Node
 
-# Seconds that a start beside another process of this broker rests half way through its imports: at
-# full speed it would take the one core from the other process, whose loop would stand still.
-START_PAUSE_S = 0.15
+# Pause in the imports of a process that starts while another one of this broker serves: without it
+# the start would take the only core from the event loop of the other process.
+IMPORT_PAUSE_S = 0.15
 EXIT_BAD_CONFIGURATION = 2
 
 
@@ -42,7 +42,7 @@
 def main(context: click.Context) -> None:
     """A broker that shares a pool of data engines fairly. Without a command it serves."""
     if context.invoked_subcommand is None:
-        # A command that is not on the line does not have its options read from the environment.
+        # Click reads the environment only for the options of a command that is named.
         context.invoke(serve, operator_file=os.environ.get("PROXY_OPERATOR_FILE", ""))
 
 
@@ -60,14 +60,14 @@
     with _configuration_errors():
         config = load(os.environ)
         if config.accept_fd is not None:
-            time.sleep(START_PAUSE_S)
+            time.sleep(IMPORT_PAUSE_S)
         from ..server.node import Node
         from ..server.node import serve as run
 
-        make: Callable[[], Node] = partial(Node, config)
+        create_node: Callable[[], Node] = partial(Node, config)
         if operator_file:
-            make = _node_with_operator_file(config, operator_file)
-        run(make)
+            create_node = _node_with_operator_file(config, operator_file)
+        run(create_node)
 
 
 def _read_operator_file(path: str) -> OperatorConfig:
@@ -110,12 +110,12 @@
         + (f", {operator_file} ok" if operator_file else "")
     )
     if operator_config is not None:
-        for line in _bounds(config, operator_config):
+        for line in _describe_bounds(config, operator_config):
             click.echo(line)
 
 
-def _bounds(config: Config, operator_config: OperatorConfig) -> Iterator[str]:
-    """Yield what follows from the operators' file for this installation, a line each."""
+def _describe_bounds(config: Config, operator_config: OperatorConfig) -> Iterator[str]:
+    """Yield lines on the bounds that follow from the operators' file for this installation."""
     fleet_size = config.settings.fleet_size
     if operator_config.startup is not None:
         from ..startup.bounds import describe_bounds as describe_startup
--- a/query_broker/cli/members.py
+++ b/query_broker/cli/members.py
@@ -1,4 +1,4 @@
-"""`query-broker members ...`: which brokers of the installation are there."""
+"""`query-broker members ...`: commands for the membership of the brokers."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
 
 def _summary(answer: dict[str, Any]) -> str:
     view = answer["view"]
-    isolated = ", cut off" if answer["isolated"] else ""
-    left = ", has left" if answer["left"] else ""
+    isolation = ", cut off" if answer["isolated"] else ""
+    departure = ", has left" if answer["left"] else ""
     return (
         f"{answer['me']}, view {view['epoch']} ({view['digest']}): {view['alive']} there, "
         f"{view['why']}; limits by {view['limits_by']}, place {view['place']}; "
-        f"doubt in itself {answer['doubt']} of 8{isolated}{left}"
+        f"doubt in itself {answer['doubt']} of 8{isolation}{departure}"
     )
 
 
@@ -56,16 +56,16 @@
         member["address"],
         member["status"],
         member["verdict"],
-        _seconds(member["for"]),
-        _seconds(member["heard"]),
-        _seconds(member["reached"]),
-        _seconds(member["through_others"]),
+        _format_seconds(member["for"]),
+        _format_seconds(member["heard"]),
+        _format_seconds(member["reached"]),
+        _format_seconds(member["through_others"]),
         f"{member['round_trip_ms']:.1f}",
         str(member["incarnation"]),
     ]
 
 
-def _seconds(value: float | None) -> str:
+def _format_seconds(value: float | None) -> str:
     return "never" if value is None else f"{value:.1f}"
 
 
--- a/query_broker/cli/start.py
+++ b/query_broker/cli/start.py
@@ -1,4 +1,4 @@
-"""`query-broker start show`: how far a broker has come in its start-up."""
+"""`query-broker start show`: the progress of a broker's start-up."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 
 
 def _summary(answer: dict[str, Any]) -> str:
-    ready = "ready" if answer["ready"] else "not ready"
-    confirmed = "" if answer["confirmed"] else " (not confirmed)"
+    readiness = "ready" if answer["ready"] else "not ready"
+    confirmation = "" if answer["confirmed"] else " (not confirmed)"
     return (
-        f"place {answer['place']} of {answer['fleet']}, {ready}, "
-        f"list from {answer['list']}{confirmed}, share {answer['share']:.2f}"
+        f"place {answer['place']} of {answer['fleet']}, {readiness}, "
+        f"list from {answer['list']}{confirmation}, share {answer['share']:.2f}"
     )
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -11,17 +11,24 @@
 from ..protocols.operator_http import OperatorConnection
 from .host import NodeContext
 
-# Characters of an endpoint's uid in a log line; a caller may send kilobytes of it.
+# Characters of an endpoint's uid in a log line, since a caller may send kilobytes of it.
 MAX_LOGGED_UID_LENGTH = 80
 
 
 class AdminResponse(NamedTuple):
-    """The answer to an operators' call."""
+    """The answer to an operators' call.
 
-    status: int  # of HTTP
+    Attributes:
+        status: HTTP status code.
+        body: Body of the answer.
+        content_type: Value of Content-Type.
+        allowed_method: Value of Allow for a 405, else empty.
+    """
+
+    status: int
     body: bytes
     content_type: str
-    allowed_method: str  # for the Allow header of a 405, else empty
+    allowed_method: str
 
 
 # A subsystem's answer to a method and a path; None where the path is not one of its own.
@@ -32,7 +39,7 @@
     """Serves the operators' calls.
 
     Attributes:
-        calls: The calls of other subsystems, asked in this order.
+        calls: The calls of other subsystems, tried in this order.
         connections: The open connections, in the order in which they came.
     """
 
@@ -50,7 +57,7 @@
         self.server = await loop.create_server(lambda: OperatorConnection(self), sock=listener)
 
     def close(self) -> None:
-        """Stop listening and end all connections; an answer that is on its way still leaves."""
+        """Stop listening and end all connections; answers in progress are still sent."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
@@ -93,15 +100,15 @@
         return None
 
     def admit(self, connection: OperatorConnection) -> None:
-        """Admit a connection; past the limit it takes the place of another.
+        """Admit a connection; at the limit another one is evicted for it.
 
-        A flood of connections would take the descriptors that are reserved for calls. The place is
-        that of one that has its answer, else of the one that has been silent longest.
+        A flood of connections would otherwise use up the descriptors that are reserved for calls.
+        Evicted is a connection that has its answer, or else the oldest one.
         """
         if len(self.connections) >= MAX_OPERATOR_CALLS:
-            victim = self._eviction_candidate()
-            del self.connections[victim]
-            victim.drop()
+            evicted = self._eviction_candidate()
+            del self.connections[evicted]
+            evicted.drop()
         self.connections[connection] = None
 
     def _eviction_candidate(self) -> OperatorConnection:
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -2,7 +2,7 @@
 
 1. ``begin``: the grace period, in which nothing changes for clients. It is left out where another
    process accepts connections.
-2. ``_announce_leaving``: the listener is closed and clients are told to send no new requests.
+2. ``_announce_leaving``: the listener is closed and clients are asked to send no new requests.
 3. ``_await_requests``: requests in flight are awaited; at ``close_out_after_s`` all open ones get a
    final answer.
 4. ``_end_connections``: this side of each connection ends.
@@ -23,9 +23,9 @@
 # Seconds after SIGTERM, where another process accepts connections, in which requests on open
 # connections are awaited.
 HANDOVER_LINGER_S = 0.7
-# Seconds after clients were told to leave in which a request that crossed the message may come.
+# Seconds after clients were asked to leave in which a request that crossed the message may come.
 LINGER_S = 0.1
-# More time, for the connections that the system has accepted and the loop has not come to.
+# More time, for the connections that the system has accepted and the event loop has not processed.
 ACCEPT_QUEUE_TIMEOUT_NS = 50_000_000
 # The longest deadline of a request class counts up to this: the platform's SIGKILL waits no longer.
 MAX_DEADLINE_S = 3.0
@@ -38,8 +38,8 @@
 CLOSE_OUT_MARGIN_S = 0.4
 # Time in which the answers of the close-out may leave.
 FLUSH_TIMEOUT_S = 0.25
-# Time in which the clients end their side once this one has ended: after that nothing is owed to
-# them, and the node does not wait for a client that stays.
+# Time in which the clients end their side of a connection once this one has ended; the node does
+# not wait longer for a client that stays.
 DISCONNECT_TIMEOUT_NS = 100_000_000
 # Time between two checks of whether all is done; short beside every timeout above.
 CHECK_PERIOD_S = 0.01
@@ -73,7 +73,7 @@
         config = self.node.config
         inherited = config.accept_fd is not None
         limit_s = MAX_DEADLINE_INHERITED_S if inherited else MAX_DEADLINE_S
-        deadline_s = max(spec.deadline_ns for spec in config.settings.classes) / 1e9
+        deadline_s = max(spec.deadline_ns for spec in config.settings.classes) / NS_PER_S
         return min(deadline_s, limit_s) + KILL_DELAY_S - CLOSE_OUT_MARGIN_S
 
     def begin(self) -> None:
@@ -92,10 +92,10 @@
             _call_later(GRACE_PERIOD_S, self._announce_leaving)
 
     def _announce_leaving(self, linger_s: float = LINGER_S) -> None:
-        """Close the listener once its queue is empty, then tell the clients to leave.
+        """Close the listener once its queue is empty, then ask the clients to leave.
 
         To close it at once would break connections that clients are still sent here for, and reset
-        those that the system has accepted and the loop has not come to.
+        those that the system has accepted and the event loop has not processed yet.
         """
         node = self.node
         if not self._leaving_since_ns:
@@ -123,21 +123,21 @@
 
     def _await_requests(self) -> None:
         """Wait until nothing is in flight; close out what is open when the time is up."""
-        passed_s = (self.node.clock.now() - self.begun_at_ns) / NS_PER_S
-        if self._is_idle() or passed_s > self.close_out_after_s + FLUSH_TIMEOUT_S:
+        elapsed_s = (self.node.clock.now() - self.begun_at_ns) / NS_PER_S
+        if self._is_idle() or elapsed_s > self.close_out_after_s + FLUSH_TIMEOUT_S:
             self._end_connections()
             return
-        if passed_s >= self.close_out_after_s and not self.closed_out:
-            # SIGKILL would take what is open with it: a final answer now is better than none.
+        if elapsed_s >= self.close_out_after_s and not self.closed_out:
+            # SIGKILL would end these requests without any answer: a final answer now is better.
             self.closed_out = True
             self.node.log("stop", f"closing out {len(self.node.dispatcher.requests)} requests")
             self.node.dispatcher.cancellations.close_out_all()
         _call_later(CHECK_PERIOD_S, self._await_requests)
 
     def _is_idle(self) -> bool:
-        """Whether every answer has left and no request has come in part.
+        """Whether every answer has been sent and no request has arrived in part.
 
-        A request of which a part is here would be cut off with its connection.
+        A partial request would be lost with its connection.
         """
         return (
             all(client.idle() for client in self.node.clients) and not self.node.partial_frame_bytes
--- a/query_broker/server/host.py
+++ b/query_broker/server/host.py
@@ -1,6 +1,6 @@
-"""What the parts of a node know of it.
+"""The interfaces of a node that its parts depend on.
 
-The parts depend on these protocols and not on the node, which is composed of them.
+The parts depend on these protocols and not on the node itself, which is composed of them.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class PeerProcessRegistry(Protocol):
-    """The other processes of this broker, and what they are told of this one."""
+    """The other processes of this broker, and the exchange of status with them."""
 
     accepting: bool  # this process takes new connections
 
@@ -38,7 +38,7 @@
 class NodeContext(Protocol):
     """The node, as far as its parts and its subsystems need it."""
 
-    closing_announced: bool  # clients have been told to leave: the node is not ready any more
+    closing_announced: bool  # clients have been asked to leave: the node is not ready any more
     endpoint_list_known: bool  # an endpoint list has come, from the settings or the service
 
     @property
--- a/query_broker/server/log.py
+++ b/query_broker/server/log.py
@@ -7,9 +7,9 @@
 from contextlib import suppress
 from typing import Protocol
 
-SPAN_S = 10.0  # seconds over which the lines of a kind are counted
-# Lines of one kind within a span. A fault that comes with each request shows in the first few; the
-# number of the others is logged after the span.
+# Time over which the lines of a kind are counted.
+SPAN_S = 10.0
+# Lines of one kind that are written within a span; the number of the others is logged after it.
 MAX_LINES_PER_KIND = 20
 
 
@@ -21,9 +21,9 @@
 
 
 class Log:
-    """Writes lines, and leaves out those of a kind that comes too often.
+    """Writes lines, at most so many of each kind within a span of time.
 
-    A fault that comes with every request must not turn the log into load or fill a disk.
+    A fault that occurs with every request must neither slow the broker down nor fill a disk.
 
     Attributes:
         sink: Takes the lines in place of standard error, where set.
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -52,8 +52,9 @@
         peer_processes: The other processes of this broker. Without an inherited socket no second
             process can listen, and there are none.
         watch_client: The client of the discovery service, once one is configured.
-        endpoint_list_known: An endpoint list has come, from the settings or the service.
-        closing_announced: Clients have been told to leave: the node is not ready any more.
+        endpoint_list_known: Whether an endpoint list has come, from the settings or the service.
+        closing_announced: Whether clients have been asked to leave; the node is no longer ready
+            then.
         stopped: Set when all resources are released.
     """
 
@@ -86,7 +87,7 @@
         self.tick_loop = TickLoop(self)
         self.stopped = asyncio.Event()
 
-    # --- extension points: what a node with an operators' file or with cells does otherwise ---
+    # --- extension points: overridden by a node with an operators' file or with cells ---
 
     def make_dispatcher(self) -> Dispatcher:
         """Build the dispatcher, from the configuration, the clock and the log."""
@@ -139,7 +140,7 @@
             self.watch_client.change_address(address)
 
     def endpoint_list_changed(self, event: EndpointListEvent) -> None:
-        """Take in a watch event; with the first one the other process may leave its queue here."""
+        """Apply a watch event; from the first one on, this process can accept for another one."""
         is_first = not self.endpoint_list_known
         self.endpoint_list_known = True
         self.dispatcher.endpoint_list_changed(event)
@@ -158,19 +159,21 @@
         return self.endpoint_list_known and not self.closing_announced
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Admit a new connection; False where it has no place."""
+        """Admit a new connection; False if there is no capacity for it."""
         return self.admission.admit(connection)
 
     def release(self, connection: ClientConnection) -> None:
-        """Release the place of a connection that has ended."""
+        """Remove a connection that has ended."""
         self.admission.discard(connection)
 
     # --- the other processes of this broker ---
 
     def apply_peer_statuses(self, others: Collection[ProcessStatus]) -> None:
-        """Divide the broker's limits with these other processes; with none, take them all."""
-        accepting = 1 + sum(other.accepting for other in others)
-        self.dispatcher.report_event(CoProcessLoad(total_outstanding_work(others), accepting))
+        """Divide the broker's limits with these other processes; without any, use them all."""
+        accepting_processes = 1 + sum(other.accepting for other in others)
+        self.dispatcher.report_event(
+            CoProcessLoad(total_outstanding_work(others), accepting_processes)
+        )
         self.dispatcher.divide(1 + len(others), sum(other.clients for other in others))
         self.admission.max_connections = self.dispatcher.max_clients
 
@@ -199,8 +202,8 @@
         self.server = await loop.create_server(
             self.make_connection, sock=client_listener(self.config), backlog=ACCEPT_BACKLOG
         )
-        # What lives as long as the process is no work for the garbage collector, which would stop
-        # the loop for it.
+        # Objects that live as long as the process are excluded from garbage collection, which would
+        # stop the event loop to scan them.
         gc.collect()
         gc.freeze()
         self._log_start()
@@ -235,15 +238,15 @@
         self.stopped.set()
 
 
-def serve(make: Callable[[], Node]) -> None:
-    """Run the node that ``make`` builds until SIGTERM, on a loop of its own.
+def serve(create_node: Callable[[], Node]) -> None:
+    """Run the node that ``create_node`` builds until SIGTERM, on a loop of its own.
 
     Raises:
         ConfigError: The node cannot be built, or an address cannot be listened on.
     """
 
     async def main() -> None:
-        await make().run()
+        await create_node().run()
         ignore_signals(asyncio.get_running_loop())
 
     uvloop.run(main())
--- a/query_broker/server/peer_process.py
+++ b/query_broker/server/peer_process.py
@@ -1,7 +1,7 @@
 """Exchange of status with the other processes of this broker during an upgrade.
 
 While two processes serve side by side they divide the limits of the broker and share the operators'
-calls; the older one leaves its queue to the newer one once that accepts connections.
+calls; the older one stops accepting once the newer one accepts connections.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from .process_status import ProcessStatus, encode_status
 from .status_files import StatusFiles
 
-# Time between two polls. A status must reach the other process within a second; ten polls leave
-# room for a loop that is late.
+# Time between two polls. A status must reach the other process within a second; ten polls allow
+# for an event loop that is late.
 POLL_PERIOD_NS = 100_000_000
 
 
@@ -22,7 +22,7 @@
     """Publishes the status of this process and takes in those of the others.
 
     Attributes:
-        accepting: This process takes new connections; cleared by the graceful shutdown.
+        accepting: Whether this process accepts new connections; cleared by the graceful shutdown.
         statuses: The last complete status of each other process that is alive, by its name.
         files: The lock and status files in the shared folder.
     """
@@ -40,7 +40,7 @@
         return self.statuses.keys()
 
     def start(self) -> None:
-        """Join the exchange; call it before the first client, since what others know holds here."""
+        """Join the exchange, before the first client: the operators' states apply from then on."""
         try:
             self.files.create()
         except OSError as error:
@@ -58,7 +58,7 @@
             return
         dispatcher = self.node.dispatcher
         status = ProcessStatus(
-            # One that has no endpoint list yet would take the queue and could serve none of it.
+            # Without an endpoint list this process would accept clients that it cannot serve.
             accepting=self.accepting and self.node.endpoint_list_known,
             clients=len(self.node.clients),
             administrative_states=dispatcher.administrative_states.states,
--- a/query_broker/server/process_status.py
+++ b/query_broker/server/process_status.py
@@ -1,7 +1,7 @@
 """The status that two processes of one broker exchange during an upgrade, and its JSON codec.
 
-The keys of the file are fixed by the versions that are in service; they stand in this module alone,
-beside the terms that they map to. Performs no I/O.
+The keys of the file are fixed by the versions that are in service; this module alone maps them to
+the terms of the code. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStatus:
-    """What one process tells the others of this broker.
+    """What one process publishes to the others of this broker.
 
     Attributes:
-        accepting: It takes new connections and has an endpoint list to serve them with.
+        accepting: Whether it accepts new connections and has an endpoint list to serve them.
         clients: Its open client connections.
         administrative_states: The operators' last call on each endpoint, by endpoint uid.
         outstanding_work: Its unfinished work on each endpoint, by endpoint number.
@@ -118,14 +118,14 @@
 
 
 def total_outstanding_work(statuses: Iterable[ProcessStatus]) -> dict[int, OutstandingWork]:
-    """Add up what the processes have unfinished on each endpoint, by endpoint number."""
+    """Add up the unfinished work of the processes, by endpoint number."""
     total: dict[int, OutstandingWork] = {}
     for status in statuses:
         for number, work in status.outstanding_work.items():
-            so_far = total.get(number, OutstandingWork(0, 0, 0))
+            previous = total.get(number, OutstandingWork(0, 0, 0))
             total[number] = OutstandingWork(
-                threads=so_far.threads + work.threads,
-                backlog_ns=so_far.backlog_ns + work.backlog_ns,
-                warmup_ns=so_far.warmup_ns + work.warmup_ns,
+                threads=previous.threads + work.threads,
+                backlog_ns=previous.backlog_ns + work.backlog_ns,
+                warmup_ns=previous.warmup_ns + work.warmup_ns,
             )
     return total
--- a/query_broker/server/reload.py
+++ b/query_broker/server/reload.py
@@ -25,7 +25,7 @@
 
 
 class ConfigReloader:
-    """Replaces the configuration of a running node, or leaves it as it is."""
+    """Replaces the configuration of a running node, or keeps it if the new one is rejected."""
 
     def __init__(
         self, node: ReloadableNode, started_with: Config, environ: Mapping[str, str]
@@ -34,9 +34,9 @@
 
         Args:
             node: The node whose configuration is replaced.
-            started_with: The configuration as it was read at the start. Some of its keys hold until
-                the next start; a reload names those that differ.
-            environ: Where the path of the file and the values above it are read again.
+            started_with: The configuration as it was read at the start. Some of its keys are fixed
+                until the next start; a reload names those that differ.
+            environ: Environment with the path of the file and the variables that override its keys.
         """
         self.node = node
         self.started_with = started_with
@@ -52,7 +52,7 @@
             self.node.apply_config(config)
         except ConfigError as error:
             self.reject(str(error))
-        except Exception as error:  # no file, however odd, may end a process that serves
+        except Exception as error:  # no file may end a broker that serves
             self.reject(f"{type(error).__name__}: {error}")
         else:
             self._adopt(config)
@@ -63,7 +63,7 @@
         self.node.log("reload", f"the configuration stays as it was: {reason}")
 
     def _adopt(self, config: Config) -> None:
-        """Bring the node in line with a configuration that has been applied."""
+        """Update the node after a configuration has been applied."""
         self.node.dispatcher.metrics_counts.reloads_applied += 1
         for remark in config.remarks():
             self.node.log("config", remark)
--- a/query_broker/server/signals.py
+++ b/query_broker/server/signals.py
@@ -13,17 +13,17 @@
 def remember_early_hangups() -> None:
     """Remember each SIGHUP from now on, until the event loop takes them.
 
-    A process that has just been started is told of new settings like any other. Without a handler
-    the signal ends it; ignored, it leaves it with the settings that it had begun to read.
+    A process that has just been started gets SIGHUP for new settings like any other. Without a
+    handler the signal would end it; if ignored, the process would keep the former settings.
     """
     signal.signal(signal.SIGHUP, lambda number, frame: _early_hangups.append(number))
 
 
 def take_early_hangup() -> bool:
     """Return whether a SIGHUP came before the event loop; each is reported once."""
-    came = bool(_early_hangups)
+    has_come = bool(_early_hangups)
     _early_hangups.clear()
-    return came
+    return has_come
 
 
 def handle_signals(
--- a/query_broker/server/status_files.py
+++ b/query_broker/server/status_files.py
@@ -1,6 +1,6 @@
 """The files by which the processes of one broker find each other: a lock and a status for each.
 
-They stand in a folder that the processes share. A process holds its lock for as long as it lives,
+They are in a folder that the processes share. A process holds its lock for as long as it lives,
 so a lock that is free belongs to a process that was killed, and its files are removed unread.
 """
 
@@ -17,8 +17,8 @@
 LOCK_SUFFIX = ".lock"
 STATUS_SUFFIX = ".json"
 # Characters of a status file that are read: more than a status with a map of cells takes. A larger
-# file is none of ours and must not fill the memory.
-MAX_STATUS_LENGTH = 1 << 20
+# file was not written by a broker and must not fill the memory.
+MAX_STATUS_CHARACTERS = 1 << 20
 OWNER_ONLY = 0o600  # the files name endpoints and tenants
 CREATE_FLAGS = os.O_CREAT | os.O_RDWR | os.O_CLOEXEC
 FILE_CLOSED = -1
@@ -41,11 +41,11 @@
         self.own_name = f"{self.prefix}{os.getpid()}-{os.urandom(4).hex()}"
         self._lock: int | None = None
         self._status_file = FILE_CLOSED
-        self._longest_written = 0  # bytes
+        self._max_written_bytes = 0
 
     @property
     def created(self) -> bool:
-        """Both files of this process are there."""
+        """Whether both files of this process exist."""
         return self._lock is not None and self._status_file != FILE_CLOSED
 
     def create(self) -> None:
@@ -77,15 +77,15 @@
     def write(self, status: bytes) -> None:
         """Write the status of this process over the one before.
 
-        A file that is replaced by a rename is flushed to the disk first, and the loop stands still
+        A file that is replaced by a rename is flushed to the disk first, which stops the event loop
         for 80 to 400 ms. So it is written in place, padded with spaces over a longer one; a reader
         knows an incomplete status by its checksum.
 
         Raises:
             OSError: The file cannot be written.
         """
-        self._longest_written = max(self._longest_written, len(status))
-        os.pwrite(self._status_file, status.ljust(self._longest_written), 0)
+        self._max_written_bytes = max(self._max_written_bytes, len(status))
+        os.pwrite(self._status_file, status.ljust(self._max_written_bytes), 0)
 
     def other_names(self) -> list[str]:
         """Return the names of the other processes whose lock is visible, alive or not.
@@ -120,7 +120,7 @@
         """Return the status of a process; None while it is missing, incomplete or not ours."""
         try:
             with open(self.folder / f"{name}{STATUS_SUFFIX}", encoding="utf-8") as file:
-                return decode_status(file.read(MAX_STATUS_LENGTH))
+                return decode_status(file.read(MAX_STATUS_CHARACTERS))
         except (OSError, UnicodeDecodeError, StatusFormatError):
             return None
 
--- a/query_broker/server/structured_log.py
+++ b/query_broker/server/structured_log.py
@@ -17,8 +17,10 @@
 from .log import Log
 
 NS_PER_MS = 1_000_000
-HASH_RANGE = 1 << 32  # a request id's hash is reduced to 32 bits: enough for any fraction
-RequestObserver = Callable[[ActiveRequest, str], None]  # a request and how it ended
+# The hash of a request id is reduced to 32 bits, enough for any fraction.
+HASH_RANGE = 1 << 32
+# Takes a request and how it ended.
+RequestObserver = Callable[[ActiveRequest, str], None]
 
 
 def make_logger(name: str, line_format: str) -> Any:
@@ -37,12 +39,12 @@
 
 
 class StructuredLog:
-    """Writes what the rate-limited log prints, as structured lines."""
+    """Writes the lines of the rate-limited log in a structured format."""
 
-    def __init__(self, name: str, terms: Logs) -> None:
+    def __init__(self, name: str, settings: Logs) -> None:
         """Write lines under the name of this broker, in the form of the operators' settings."""
-        self.settings = terms
-        self.logger = make_logger(name, terms.format)
+        self.settings = settings
+        self.logger = make_logger(name, settings.format)
 
     def __call__(self, kind: str, text: str) -> None:
         """Write one line."""
@@ -54,7 +56,7 @@
     return xxhash.xxh3_64_intdigest(request_id) % HASH_RANGE < fraction * HASH_RANGE
 
 
-def request_trace(request: ActiveRequest, end: str, now_ns: int) -> dict[str, Any]:
+def request_trace(request: ActiveRequest, ending: str, now_ns: int) -> dict[str, Any]:
     """Return the fields of a request's line: how it ended, and its time by stage in milliseconds.
 
     The names of the fields are part of the log's format.
@@ -63,7 +65,7 @@
         "trace": request.client_request_id.decode(),
         "route": request.class_name.decode(),
         "customer": request.tenant,
-        "end": end,
+        "end": ending,
         "total_ms": _milliseconds(now_ns - request.received_ns),
         "left_ms": _milliseconds(request.deadline_ns - now_ns),
     }
@@ -77,7 +79,7 @@
 
 def _stage_times(request: ActiveRequest, attempt: Attempt, now_ns: int) -> dict[str, float]:
     """Return the time of each stage that has begun and ended, in milliseconds."""
-    marks = (
+    stage_boundaries_ns = (
         request.received_ns,
         request.accepted_ns,
         attempt.dispatched_ns,
@@ -86,7 +88,9 @@
         attempt.answered_ns or now_ns,
     )
     times: dict[str, float] = {}
-    for stage, begun_ns, ended_ns in zip(LatencyStage, marks, marks[1:], strict=False):
+    for stage, begun_ns, ended_ns in zip(
+        LatencyStage, stage_boundaries_ns, stage_boundaries_ns[1:], strict=False
+    ):
         if begun_ns and ended_ns:
             times[f"{stage.value}_ms"] = _milliseconds(ended_ns - begun_ns)
     return times
@@ -103,7 +107,7 @@
     for these lines too.
     """
 
-    def observe(request: ActiveRequest, end: str) -> None:
+    def observe(request: ActiveRequest, ending: str) -> None:
         now_ns = now()
         if now_ns > request.deadline_ns:
             kind = "late"
@@ -112,6 +116,6 @@
         else:
             return
         if log.allowed(kind):
-            lines.logger.info("request", kind=kind, **request_trace(request, end, now_ns))
+            lines.logger.info("request", kind=kind, **request_trace(request, ending, now_ns))
 
     return observe
--- a/query_broker/server/tick_loop.py
+++ b/query_broker/server/tick_loop.py
@@ -10,8 +10,9 @@
 from .host import NodeContext
 
 NS_PER_MS = 1_000_000
-# Time between two sweeps of idle connections and slow readers. What the sweep ends has been idle
-# for seconds; a quarter of one adds little to that.
+MS_PER_S = 1_000
+# Time between two sweeps of idle connections and slow readers. Their timeouts are seconds, to
+# which a quarter of a second adds little.
 SWEEP_PERIOD_NS = 250_000_000
 # A tick that is later than this is logged. Ticks are a few milliseconds apart: one so late means
 # that the process had too little processor time.
@@ -44,23 +45,23 @@
     def __init__(self, node: TickingNode) -> None:
         """Prepare the loop; ``start`` runs the first tick."""
         self.node = node
-        self._scheduled: asyncio.TimerHandle | None = None  # None while a tick is under way
+        self._next_tick: asyncio.TimerHandle | None = None  # None during a tick
         now_ns = node.clock.now()
         self._due_ns = now_ns  # when the next tick is due
-        self._swept_ns = now_ns
+        self._last_sweep_ns = now_ns
 
     def start(self) -> None:
         """Run the first tick; call it on the running event loop."""
         now_ns = self.node.clock.now()
         self._due_ns = now_ns
-        self._swept_ns = now_ns
+        self._last_sweep_ns = now_ns
         self.node.dispatcher.timers.on_earlier_timer = self._wake
         self._tick()
 
     def _tick(self) -> None:
         now_ns = self.node.clock.now()
         self._log_lag(now_ns)
-        self._scheduled = None
+        self._next_tick = None
         try:
             self._run_due_work(now_ns)
         finally:
@@ -79,8 +80,8 @@
         self.node.dispatcher.tick()
         if self.node.watch_client is not None:
             self.node.watch_client.drop_if_silent(now_ns)
-        if now_ns - self._swept_ns > SWEEP_PERIOD_NS:
-            self._swept_ns = now_ns
+        if now_ns - self._last_sweep_ns > SWEEP_PERIOD_NS:
+            self._last_sweep_ns = now_ns
             self.node.dispatcher.pools.sweep(now_ns)
             self.node.admission.close_slow_readers(now_ns)
 
@@ -89,12 +90,12 @@
         # The timers of the event loop go by whole milliseconds: rounded up, none fires early.
         rest_ms = -(-rest_ns // NS_PER_MS)
         loop = asyncio.get_running_loop()
-        self._scheduled = loop.call_later(rest_ms / 1e3, self._tick)
+        self._next_tick = loop.call_later(rest_ms / MS_PER_S, self._tick)
 
     def _wake(self) -> None:
         """Bring the next tick forward, since a timer falls due before it."""
-        if self._scheduled is None:
+        if self._next_tick is None:
             return
-        self._scheduled.cancel()
+        self._next_tick.cancel()
         now_ns = self.node.clock.now()
         self._schedule(self.node.dispatcher.timers.ns_until_wake(now_ns), now_ns)
--- a/tests/server/test_lifecycle.py
+++ b/tests/server/test_lifecycle.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from query_broker import __version__
-from query_broker.cli.main import START_PAUSE_S, main
+from query_broker.cli.main import IMPORT_PAUSE_S, main
 from query_broker.protocols import client_frames as frames
 from query_broker.server.graceful_shutdown import GracefulShutdown
 from query_broker.server.listener import raise_descriptor_limit
@@ -253,7 +253,7 @@
     )
     env = write_config(tmp_path) | {"PROXY_ACCEPT_FD": "3" if inherited else ""}
     assert CliRunner().invoke(main, ["serve"], env=env).exit_code == 0
-    expected: list[Any] = [START_PAUSE_S, 3] if inherited else [None]
+    expected: list[Any] = [IMPORT_PAUSE_S, 3] if inherited else [None]
     assert done == expected
 
 
