--- a/query_broker/protocols/operator_calls.py
+++ b/query_broker/protocols/operator_calls.py
@@ -23,8 +23,8 @@
     def metrics(self) -> bytes:
         """Return all metrics in Prometheus' text format."""
 
-    def set_endpoint_disabled(self, uid: str, out: bool) -> bool:
-        """Disable (``out``) or re-enable an endpoint by hand; return whether it is known."""
+    def set_endpoint_disabled(self, uid: str, disabled: bool) -> bool:
+        """Disable or re-enable an endpoint administratively; return whether it is known."""
 
     def call_subsystem(self, method: str, path: str) -> tuple[int, bytes, str, str] | None:
         """Answer a call of another subsystem, or return None if there is no such call.
@@ -68,7 +68,7 @@
     except UnicodeDecodeError:
         text = "the id is no text"
         raise OperatorCallError(400, text) from None
-    if not actions.set_endpoint_disabled(uid, out=disable):
+    if not actions.set_endpoint_disabled(uid, disabled=disable):
         text = "no data engine has this id"
         raise OperatorCallError(404, text)
     return text_answer(200, "done")
