--- a/query_broker/config/loading.py
+++ b/query_broker/config/loading.py
@@ -111,7 +111,7 @@
 def _read_config(root: Section, environ: Mapping[str, str]) -> Config:
     # Where several keys are faulty, the order of reading decides which one the error names.
     limits = root.section("limits")
-    known = root.section("known")
+    known_list = root.section("known")
     platform = root.value("settings", ValueKind.OBJECT)
     settings = _platform_settings(platform)
     connections = _connection_limits(platform)
@@ -121,7 +121,7 @@
     accept_fd = _descriptor(environ.get("PROXY_ACCEPT_FD", ""))
     seed = root.text("seed", DEFAULT_SEED)
     bus = SourcedText(root.text("bus", ""), "bus")
-    events = _known_events(known)
+    events = _known_events(known_list)
     return Config(
         seed=_hexadecimal(seed, "seed"),
         name=_text_or_override(environ, "PROXY_NAME", root, "name", DEFAULT_NAME).text,
@@ -134,7 +134,7 @@
         admin_address=_optional_address(operator),
         accept_fd=accept_fd,
         folder=environ.get("TMPDIR") or DEFAULT_FOLDER,
-        known_offset=known.integer("offset", events[-1].offset if events else 0),
+        known_offset=known_list.integer("offset", events[-1].offset if events else 0),
         known_events=events,
         connect_timeout_ns=connections.connect_timeout_ns,
         connection_idle_ns=connections.idle_timeout_ns,
@@ -200,11 +200,11 @@
     return int(text)
 
 
-def _known_events(known: Section) -> tuple[EndpointListEvent, ...]:
+def _known_events(known_list: Section) -> tuple[EndpointListEvent, ...]:
     try:
-        return tuple(parse_event(event) for event in known.entries("batch", []))
+        return tuple(parse_event(event) for event in known_list.entries("batch", []))
     except InvalidEventError as error:
-        raise InvalidValueError(known.key("batch"), error) from None
+        raise InvalidValueError(known_list.key("batch"), error) from None
 
 
 def _hexadecimal(text: str, key: str) -> int:
--- a/query_broker/membership/anti_entropy.py
+++ b/query_broker/membership/anti_entropy.py
@@ -68,7 +68,7 @@
             self._differing_digests += 1
         else:
             self._differing_digests = 0
-        is_quiet = not self._gossip.queued_claims and not self._suspicions.active
+        is_quiet = not self._gossip.queued_claims and not self._suspicions.active_suspicions
         if self._differing_digests >= MAX_DIFFERING_DIGESTS and is_quiet:
             self._differing_digests = 0
             self._next_sync_ns = min(self._next_sync_ns, now_ns)
--- a/query_broker/membership/failure_detector.py
+++ b/query_broker/membership/failure_detector.py
@@ -292,7 +292,7 @@
             self.pinger.start(now_ns, target)
         if self.settings.plain_swim:
             return
-        for suspect in list(self.suspicions.active):
+        for suspect in list(self.suspicions.active_suspicions):
             if self.draw.random() < EXTRA_SUSPECT_PINGS / self.table.size:
                 self.pinger.start(now_ns, suspect)
 
--- a/query_broker/membership/incarnations.py
+++ b/query_broker/membership/incarnations.py
@@ -15,11 +15,14 @@
 import os
 from typing import NamedTuple
 
-CHAIN_LENGTH = 1 << 14  # incarnations of one process; after that it takes a new identity
-CHECKPOINT_INTERVAL = 128  # hashes between two that are stored
+#: Incarnations of one process; after that it takes a new identity.
+CHAIN_LENGTH = 1 << 14
+#: Hashes between two that are stored.
+CHECKPOINT_INTERVAL = 128
 HASH_BYTES = 12
 SECRET_BYTES = 32
-MAX_AHEAD = 256  # incarnations that a datagram may be ahead of the known one: bounds the hashing
+#: How far the incarnation in a datagram may be ahead of the known one; bounds the hashing.
+MAX_AHEAD = 256
 HASH_PERSON = b"larchhall-inc"
 IDENTITY_PERSON = b"larchhall-boot"
 
@@ -81,7 +84,7 @@
     incarnation: int,
     proof: bytes,
     leave_commitment: bytes,
-    known: ProvenIncarnation | None,
+    verified: ProvenIncarnation | None,
     max_ahead: int = MAX_AHEAD,
 ) -> bool:
     """Return whether the proof shows that the process itself issued the incarnation.
@@ -91,17 +94,17 @@
         incarnation: The claimed incarnation.
         proof: Its claimed proof.
         leave_commitment: Hash of the process's leave secret.
-        known: An incarnation of the same process that was verified before, or None.
-        max_ahead: Largest accepted distance to the known incarnation; bounds the hashing.
+        verified: An incarnation of the same process that was verified before, or None.
+        max_ahead: Largest accepted distance to the verified incarnation; bounds the hashing.
     """
-    verified = known or ProvenIncarnation(0, b"")
-    distance = incarnation - verified.number
+    verified_number = 0 if verified is None else verified.number
+    distance = incarnation - verified_number
     if not 0 <= distance <= max_ahead:
         return False
     if len(proof) != HASH_BYTES or len(leave_commitment) != HASH_BYTES:
         return False
     for _ in range(distance):
         proof = next_hash(proof)
-    if known:
+    if verified is not None:
         return proof == verified.proof
     return boot_identifier(proof, leave_commitment) == boot
--- a/query_broker/membership/suspicion.py
+++ b/query_broker/membership/suspicion.py
@@ -46,7 +46,7 @@
     """The open suspicions, and the changes of status that follow from them.
 
     Attributes:
-        active: Open suspicions by member.
+        active_suspicions: Open suspicions by member.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._health = health
         self._statistics = statistics
         self._fade_ns = FALSE_SUSPICION_FADE_INTERVALS * settings.interval_ns
-        self.active: dict[Identity, Suspicion] = {}
+        self.active_suspicions: dict[Identity, Suspicion] = {}
 
     def suspect(
         self, now_ns: int, record: MemberRecord, reporter: str, is_announced: bool = True
@@ -74,7 +74,7 @@
         """Begin a suspicion, and gossip it if `is_announced`."""
         record.reporter = reporter
         self._statistics[Statistic.SUSPICIONS] += 1
-        self.active[record.identity] = Suspicion(now_ns, now_ns, {reporter})
+        self.active_suspicions[record.identity] = Suspicion(now_ns, now_ns, {reporter})
         self._set_status(now_ns, record, Status.SUSPECT, f"suspected by {reporter}")
         if is_announced:
             self._gossip.add(record.claim(Status.SUSPECT, reporter))
@@ -85,14 +85,14 @@
         A faulty member that repeats a suspicion under many names cannot shorten it below the
         minimum, within which a living member receives and refutes it.
         """
-        reporters = self.active[record.identity].reporters
+        reporters = self.active_suspicions[record.identity].reporters
         if reporter not in reporters and len(reporters) <= CONFIRMATIONS_WANTED:
             reporters.add(reporter)
             self._gossip.add(record.claim(Status.SUSPECT, reporter))
 
     def is_reported_by(self, identity: Identity, reporter: str) -> bool:
         """Return whether the reporter has already confirmed the suspicion of a suspect."""
-        return reporter in self.active[identity].reporters
+        return reporter in self.active_suspicions[identity].reporters
 
     def refute(self, now_ns: int, record: MemberRecord) -> None:
         """Accept a newer incarnation of a member as proof that it is alive."""
@@ -122,7 +122,7 @@
 
     def deadline_ns(self, identity: Identity) -> int:
         """Return when the suspicion of a suspect ends."""
-        suspicion = self.active[identity]
+        suspicion = self.active_suspicions[identity]
         interval_ns = self._settings.interval_ns
         size = self._table.size
         if self._settings.plain_swim:
@@ -137,7 +137,7 @@
 
     def expire(self, now_ns: int) -> None:
         """Remove suspects whose time is over, or extend it if they are known to send messages."""
-        for identity, suspicion in list(self.active.items()):
+        for identity, suspicion in list(self.active_suspicions.items()):
             if now_ns >= self.deadline_ns(identity):
                 self._resolve(now_ns, self._table.records[identity], suspicion)
 
@@ -147,12 +147,12 @@
         When the local health score falls, so do the timeouts: what was suspected while this process
         received nothing would end at once.
         """
-        for suspicion in self.active.values():
+        for suspicion in self.active_suspicions.values():
             suspicion.timer_start_ns = now_ns
 
     def postpone(self, duration_ns: int) -> None:
         """Move all timers by the time for which this process was paused."""
-        for suspicion in self.active.values():
+        for suspicion in self.active_suspicions.values():
             suspicion.timer_start_ns += duration_ns
 
     def _resolve(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> None:
@@ -186,5 +186,5 @@
 
     def _set_status(self, now_ns: int, record: MemberRecord, status: Status, reason: str) -> None:
         if status is not Status.SUSPECT:
-            self.active.pop(record.identity, None)
+            self.active_suspicions.pop(record.identity, None)
         self._table.set_status(now_ns, record, status, reason)
--- a/query_broker/membership/timing.py
+++ b/query_broker/membership/timing.py
@@ -42,7 +42,7 @@
     Args:
         interval_ns: Time between two pings.
         size: Number of members of the group.
-        confirmations: Members beside the first that reported the same suspicion.
+        confirmations: Members besides the first that reported the same suspicion.
         false_suspicions: How often of late this member was suspected and refuted it. A member on
             a bad link gets longer, but never more than the maximum.
     """
--- a/query_broker/membership/view_publisher.py
+++ b/query_broker/membership/view_publisher.py
@@ -116,7 +116,7 @@
         suspicions = self._detector.suspicions
         return any(
             suspicions.deadline_ns(identity) - now_ns < self._settings.interval_ns
-            for identity in suspicions.active
+            for identity in suspicions.active_suspicions
         )
 
 
--- a/query_broker/operator_config/reload.py
+++ b/query_broker/operator_config/reload.py
@@ -33,8 +33,8 @@
     """Evaluates the operators' file again, and holds the result until it is applied.
 
     Attributes:
-        pending: The evaluated file that the platform settings are to be applied with; None while
-            no reload is at that point.
+        pending_config: The evaluated file that the platform settings are to be applied with; None
+            while no reload is at that point.
     """
 
     def __init__(self, target: ReloadTarget, reject: Callable[[str], None]) -> None:
@@ -44,7 +44,7 @@
             target: The node that applies the file.
             reject: Counts and logs a rejected file; takes the reason.
         """
-        self.pending: OperatorConfig | None = None
+        self.pending_config: OperatorConfig | None = None
         self._target = target
         self._reject = reject
         self._evaluation: asyncio.Future[OperatorConfig] | None = None
@@ -63,7 +63,7 @@
         if evaluation.cancelled():
             return
         try:
-            self.pending = self._target.check_operator_config(evaluation.result())
+            self.pending_config = self._target.check_operator_config(evaluation.result())
         except OperatorFileError as error:
             self._reject(str(error))
             return
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -220,7 +220,7 @@
     def reload_config(self) -> None:
         """Reload the platform settings together with the evaluated operators' file."""
         super().reload()
-        self._operator_file_reload.pending = None
+        self._operator_file_reload.pending_config = None
         if self.membership_service is not None:
             self.membership_service.reload()
         if self.quota_service is not None:
@@ -229,6 +229,6 @@
     def apply_config(self, config: Config) -> None:
         """Apply platform settings, and with them the operators' file of this reload."""
         super().apply_config(config)
-        pending = self._operator_file_reload.pending
-        if pending is not None:
-            self.apply_operator_config(pending)
+        pending_config = self._operator_file_reload.pending_config
+        if pending_config is not None:
+            self.apply_operator_config(pending_config)
--- a/query_broker/outlier_consensus/consensus.py
+++ b/query_broker/outlier_consensus/consensus.py
@@ -132,7 +132,7 @@
     def forget(self, endpoint: Endpoint) -> None:
         """Drop the ejection and the own observations of an endpoint that operators override."""
         self.ejections.pop(endpoint, None)
-        self.observations.own.pop(endpoint, None)
+        self.observations.own_outcomes.pop(endpoint, None)
 
     def _readmit(
         self,
--- a/query_broker/outlier_consensus/ejection_control.py
+++ b/query_broker/outlier_consensus/ejection_control.py
@@ -37,7 +37,7 @@
     """The endpoints that this broker does not use because of an ejection.
 
     Attributes:
-        ejected: The ejected endpoints with their health checks.
+        ejected_endpoints: The ejected endpoints with their health checks.
     """
 
     def __init__(
@@ -56,18 +56,18 @@
         self.dispatcher = dispatcher
         self.directory = directory
         self.settings = settings
-        self.ejected: dict[Endpoint, EjectedEndpoint] = {}
+        self.ejected_endpoints: dict[Endpoint, EjectedEndpoint] = {}
 
     def eject(self, now_ns: int, endpoint: Endpoint, member_count: int) -> None:
         """Stop using an endpoint; health checks begin once all members have the observations."""
         gossip_ns = gossip_rounds(member_count) * self.settings.gossip_interval_ns
         known_to_all_at_ns = now_ns + gossip_ns
-        self.ejected[endpoint] = EjectedEndpoint(known_to_all_at_ns, known_to_all_at_ns)
+        self.ejected_endpoints[endpoint] = EjectedEndpoint(known_to_all_at_ns, known_to_all_at_ns)
         self._inform_decisions(endpoint, is_ejected=True, at_ns=now_ns)
 
     def readmit(self, endpoint: Endpoint) -> None:
         """Use an endpoint again; it is as warmed up as its start says."""
-        self.ejected.pop(endpoint, None)
+        self.ejected_endpoints.pop(endpoint, None)
         started_ns = endpoint.started_ms * NS_PER_MS
         self._inform_decisions(endpoint, is_ejected=False, at_ns=started_ns)
 
@@ -81,7 +81,7 @@
 
     def ejected_incarnations(self, uid: str) -> list[Endpoint]:
         """Return the ejected incarnations of an endpoint."""
-        return [endpoint for endpoint in self.ejected if endpoint.uid == uid]
+        return [endpoint for endpoint in self.ejected_endpoints if endpoint.uid == uid]
 
     def counts_health_check(self, now_ns: int, endpoint: Endpoint) -> bool:
         """Return whether the outcome of a health check counts as an observation.
@@ -90,7 +90,7 @@
         once all members have received the failures: an earlier success would replace, in this
         broker's report, the failures that the others need for their own ejections.
         """
-        ejected = self.ejected.get(endpoint)
+        ejected = self.ejected_endpoints.get(endpoint)
         return ejected is not None and now_ns >= ejected.known_to_all_at_ns
 
     def check_health(self, now_ns: int, members: Sequence[str], own_name: str) -> None:
@@ -102,7 +102,7 @@
             own_name: Name of this broker.
         """
         is_own_turn = self._is_own_turn(now_ns, sorted(members), own_name)
-        for endpoint, ejected in list(self.ejected.items()):
+        for endpoint, ejected in list(self.ejected_endpoints.items()):
             number = self.directory.number(endpoint)
             if number is None or now_ns < ejected.next_check_at_ns:
                 continue
--- a/query_broker/outlier_consensus/endpoint_directory.py
+++ b/query_broker/outlier_consensus/endpoint_directory.py
@@ -20,15 +20,15 @@
 
     def endpoint(self, number: int) -> Endpoint | None:
         """Return the present incarnation of an endpoint; None if its number is unknown."""
-        known = self.table.by_number.get(number)
-        return None if known is None else _incarnation(known)
+        listed = self.table.by_number.get(number)
+        return None if listed is None else _incarnation(listed)
 
     def number(self, endpoint: Endpoint) -> int | None:
         """Return the number of an endpoint; None if it is unknown or was restarted since."""
-        known = self.table.by_uid.get(endpoint.uid)
-        if known is None or _incarnation(known) != endpoint:
+        listed = self.table.by_uid.get(endpoint.uid)
+        if listed is None or _incarnation(listed) != endpoint:
             return None
-        return known.number
+        return listed.number
 
     def is_listed(self, uid: str) -> bool:
         """Return whether an endpoint is or was in the endpoint list."""
@@ -37,11 +37,11 @@
     def ready_zones(self) -> dict[Endpoint, str]:
         """Return the zone of each ready endpoint."""
         return {
-            _incarnation(known): known.target.zone
-            for known in self.table.by_number.values()
-            if known.target.state is EndpointState.READY
+            _incarnation(listed): listed.target.zone
+            for listed in self.table.by_number.values()
+            if listed.target.state is EndpointState.READY
         }
 
 
-def _incarnation(known: KnownEndpoint) -> Endpoint:
-    return Endpoint(known.target.uid, known.target.started_ns // NS_PER_MS)
+def _incarnation(listed: KnownEndpoint) -> Endpoint:
+    return Endpoint(listed.target.uid, listed.target.started_ns // NS_PER_MS)
--- a/query_broker/outlier_consensus/observations.py
+++ b/query_broker/outlier_consensus/observations.py
@@ -90,7 +90,7 @@
         name: Name of this broker.
         zone: Its zone.
         settings: Settings of the consensus.
-        own: Outcomes of this broker's own attempts, by endpoint.
+        own_outcomes: Outcomes of this broker's own attempts, by endpoint.
         reported_failing_ns: Endpoints that another broker reported as failing, and when.
         reports: Latest report by observer.
     """
@@ -100,7 +100,7 @@
         self.name = name
         self.zone = zone
         self.settings = settings
-        self.own: dict[Endpoint, EndpointOutcomes] = {}
+        self.own_outcomes: dict[Endpoint, EndpointOutcomes] = {}
         self.reported_failing_ns: dict[Endpoint, int] = {}
         self.reports: dict[str, ReceivedReport] = {}
         self.version = 0
@@ -110,15 +110,15 @@
 
         Successes are of interest only for endpoints that failed here or elsewhere.
         """
-        known = self.own.get(endpoint)
-        if known is None:
+        tracked = self.own_outcomes.get(endpoint)
+        if tracked is None:
             if succeeded and endpoint not in self.reported_failing_ns:
                 return
-            if len(self.own) >= MAX_TRACKED_ENDPOINTS:
-                self.own.pop(next(iter(self.own)))
-            known = EndpointOutcomes()
-            self.own[endpoint] = known
-        known.outcomes.append(Outcome(now_ns, succeeded))
+            if len(self.own_outcomes) >= MAX_TRACKED_ENDPOINTS:
+                self.own_outcomes.pop(next(iter(self.own_outcomes)))
+            tracked = EndpointOutcomes()
+            self.own_outcomes[endpoint] = tracked
+        tracked.outcomes.append(Outcome(now_ns, succeeded))
 
     def write_report(self, now_ns: int) -> ObserverReport:
         """Write this broker's next report, and drop outcomes that are too old."""
@@ -127,7 +127,7 @@
         max_age_ns = self.settings.max_age_ns
         observations = [
             outcomes.observation(endpoint, now_ns, max_age_ns)
-            for endpoint, outcomes in self.own.items()
+            for endpoint, outcomes in self.own_outcomes.items()
         ]
         observations.sort(key=_latest_failure_first)
         report = ObserverReport(
@@ -138,9 +138,9 @@
 
     def _forget_old(self, now_ns: int) -> None:
         max_age_ns = self.settings.max_age_ns
-        for endpoint, known in list(self.own.items()):
-            if now_ns - known.outcomes[-1].ended_at_ns > max_age_ns:
-                del self.own[endpoint]
+        for endpoint, tracked in list(self.own_outcomes.items()):
+            if now_ns - tracked.outcomes[-1].ended_at_ns > max_age_ns:
+                del self.own_outcomes[endpoint]
         for endpoint, reported_at_ns in list(self.reported_failing_ns.items()):
             if now_ns - reported_at_ns > max_age_ns:
                 del self.reported_failing_ns[endpoint]
@@ -181,10 +181,10 @@
             return False
         if report.age_ms < 0 or len(report.observations) > MAX_REPORTED_ENDPOINTS:
             return False
-        known = self.reports.get(report.observer)
-        if known is None:
+        previous = self.reports.get(report.observer)
+        if previous is None:
             return len(self.reports) < MAX_OBSERVERS
-        return known.report.version < report.version
+        return previous.report.version < report.version
 
     def views(
         self, now_ns: int, members: Collection[str]
--- a/query_broker/outlier_consensus/overrides.py
+++ b/query_broker/outlier_consensus/overrides.py
@@ -56,12 +56,12 @@
 
     def set(self, uid: str, value: str, send_count: int) -> Override:
         """Store an operator's decision made at this broker, to be sent in `send_count` batches."""
-        known = self.overrides.get(uid)
-        if known is None:
+        present = self.overrides.get(uid)
+        if present is None:
             override = Override(uid, value, 1, self.own_address, NO_REPLACED_OVERRIDE)
         else:
-            replaced = (known.version, known.author)
-            override = Override(uid, value, 1 + known.version, self.own_address, replaced)
+            replaced = (present.version, present.author)
+            override = Override(uid, value, 1 + present.version, self.own_address, replaced)
         self._store(override, send_count)
         return override
 
@@ -74,25 +74,25 @@
         """
         accepted: list[Override] = []
         for override in overrides:
-            known = self.overrides.get(override.uid)
-            if not self._is_acceptable(override, known):
+            present = self.overrides.get(override.uid)
+            if not self._is_acceptable(override, present):
                 continue
-            if known is not None and override.rank() <= known.rank():
-                if _are_concurrent(known, override):
+            if present is not None and override.rank() <= present.rank():
+                if _are_concurrent(present, override):
                     self.superseded[override.uid] = override
                 continue
-            if known is not None and _are_concurrent(override, known):
-                self.superseded[override.uid] = known
+            if present is not None and _are_concurrent(override, present):
+                self.superseded[override.uid] = present
             self._store(override, send_count)
             accepted.append(override)
         return accepted
 
-    def _is_acceptable(self, override: Override, known: Override | None) -> bool:
+    def _is_acceptable(self, override: Override, present: Override | None) -> bool:
         if override.value not in OVERRIDE_VALUES or override.version < 1:
             return False
-        if known is None:
+        if present is None:
             return len(self.overrides) < MAX_OVERRIDES
-        return known != override
+        return present != override
 
     def _store(self, override: Override, send_count: int) -> None:
         self.overrides[override.uid] = override
--- a/query_broker/quotas/lease_holder.py
+++ b/query_broker/quotas/lease_holder.py
@@ -64,7 +64,7 @@
         leases: Lease by limit.
         wanted_per_s: By limit, what is needed beyond the guaranteed part.
         always_requested: Limits of which unused capacity is taken even without need.
-        pending: Last request by limit.
+        pending_requests: Last request by limit.
     """
 
     def __init__(self, state: BrokerState, voter: Voter) -> None:
@@ -79,7 +79,7 @@
         self.leases: dict[str, Lease] = {}
         self.wanted_per_s: dict[str, float] = {}
         self.always_requested: frozenset[str] = frozenset()
-        self.pending: dict[str, PendingRequest] = {}
+        self.pending_requests: dict[str, PendingRequest] = {}
 
     def live_lease(self, limit: str, now_ns: int) -> Lease | None:
         """Return the lease of a limit if it has not expired."""
@@ -105,7 +105,7 @@
         settings = self.state.settings
         duration_ns = holder_duration_ns(settings.lease_ns, settings.clock_drift)
         for grant in response.grants:
-            request = self.pending.get(grant.limit, NEVER_REQUESTED)
+            request = self.pending_requests.get(grant.limit, NEVER_REQUESTED)
             if request.sequence == response.sequence:
                 self._accept_grant(grant, request, duration_ns)
 
@@ -115,7 +115,7 @@
             return
         self.voter.observe_term(shard, grant.leader_term)
         # One grant for one request: a repeated response is ignored.
-        self.pending[grant.limit] = PendingRequest(NO_SEQUENCE, request.sent_at_ns)
+        self.pending_requests[grant.limit] = PendingRequest(NO_SEQUENCE, request.sent_at_ns)
         self.leases[grant.limit] = Lease(
             grant.amount_per_s,
             request.sent_at_ns + duration_ns,
@@ -143,7 +143,7 @@
     def _request(self, now_ns: int, demands: list[LeaseDemand]) -> LeaseRequest:
         sequence = self.state.next_sequence()
         for demand in demands:
-            self.pending[demand.limit] = PendingRequest(sequence, now_ns)
+            self.pending_requests[demand.limit] = PendingRequest(sequence, now_ns)
         self.state.event_counts[LeaseEvent.REQUESTED] += len(demands)
         return LeaseRequest(sequence, tuple(demands))
 
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -21,7 +21,7 @@
 from .demand_tracker import DemandTracker
 from .lease_log import LeaseLog
 from .leases import LeaseManager
-from .messages import LeaseResponse, QuotaMessage, UsageReports
+from .messages import LeaseMessage, LeaseResponse, QuotaMessage, UsageReports
 from .metrics import quota_metrics
 from .quota_rates import QuotaRates
 from .settings import NS_PER_S, QuotaKind, QuotaSettings
@@ -262,14 +262,19 @@
 
     def _receive(self, now_ns: int, sender: str, body: bytes) -> None:
         message = self.decoder.decode(body)
-        if isinstance(message, UsageReports):
-            self.counters.receive(now_ns, message, self.membership.names())
-            return
+        match message:
+            case UsageReports():
+                self.counters.receive(now_ns, message, self.membership.names())
+            case LeaseResponse():
+                self._receive_lease_message(now_ns, sender, message)
+                self.lease_log.update(now_ns)
+                self._apply_quotas(now_ns)
+            case _:
+                self._receive_lease_message(now_ns, sender, message)
+
+    def _receive_lease_message(self, now_ns: int, sender: str, message: LeaseMessage) -> None:
         self.leases.receive(now_ns, sender, message)
         self._send()
-        if isinstance(message, LeaseResponse):
-            self.lease_log.update(now_ns)
-            self._apply_quotas(now_ns)
 
     # --- operators ---
 
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -41,7 +41,7 @@
 # Time in which the clients end their side of a connection once this one has ended; the node does
 # not wait longer for a client that stays.
 DISCONNECT_TIMEOUT_NS = 100_000_000
-# Time between two checks of whether all is done; short beside every timeout above.
+# Time between two checks of whether all is done; short compared to every timeout above.
 CHECK_PERIOD_S = 0.01
 NS_PER_S = 1_000_000_000
 
--- a/tests/support/members_model.py
+++ b/tests/support/members_model.py
@@ -269,7 +269,7 @@
 
     def _member_key(self, member: FailureDetector) -> tuple[Any, ...]:
         records = member.table.records.values()
-        suspicions = member.suspicions.active.items()
+        suspicions = member.suspicions.active_suspicions.items()
         waiting = member.gossip.queued_claims.values()
         return (
             member.own.incarnation,
--- a/tests/support/quota_model.py
+++ b/tests/support/quota_model.py
@@ -201,7 +201,7 @@
             (
                 broker.voter.votes,
                 broker.holder.leases,
-                broker.holder.pending,
+                broker.holder.pending_requests,
                 broker.election.leaderships,
                 broker.voter.confirmed_terms,
             )
