--- a/benchmarks/cell_isolation.py
+++ b/benchmarks/cell_isolation.py
@@ -83,14 +83,14 @@
             FAULTY_WORK_MS,
             TIMEOUT_NS,
             threads=threads,
-            weight=FAULTY_ESTIMATE_MS,
+            estimated_work_ms=FAULTY_ESTIMATE_MS,
             rows=FAULTY_ROWS,
         )
         return
     work_ms = source.uniform(*HEALTHY_WORK_MS)
     group = source.randint(1, 9)
     await requests.send_request(
-        tenant, request_class, work_ms, TIMEOUT_NS, threads=threads, group=group
+        tenant, request_class, work_ms, TIMEOUT_NS, threads=threads, table_group=group
     )
 
 
--- a/benchmarks/cell_lending.py
+++ b/benchmarks/cell_lending.py
@@ -41,7 +41,7 @@
     begun_s = time.monotonic()
     used = 0
     while used < accounts["b"].quota and time.monotonic() - begun_s < OWNER_TIMEOUT_S:
-        await requests.send_request("y", "glance", 1, TIMEOUT_NS, weight=1)
+        await requests.send_request("y", "glance", 1, TIMEOUT_NS, estimated_work_ms=1)
         await asyncio.sleep(OWNER_INTERVAL_S)
         used = accounts["b"].in_use
     return time.monotonic() - begun_s
@@ -51,7 +51,7 @@
     ledger = node.celled.request_ledger
     ledger.divide(DIVIDED_REQUESTS, node.celled.cell_weights())
     for _ in range(FLOOD_REQUESTS):
-        await requests.send_request("x", "glance", 1, TIMEOUT_NS, weight=1)
+        await requests.send_request("x", "glance", 1, TIMEOUT_NS, estimated_work_ms=1)
     await asyncio.sleep(FLOOD_SETTLES_S)
     results.record("loans.lent", ledger.borrowed("a"), at_least=MIN_LENT)
     owner_wait_ms = await _seconds_until_owner_has_part(requests, node) * MS_PER_S
--- a/benchmarks/harness/request_cost.py
+++ b/benchmarks/harness/request_cost.py
@@ -38,7 +38,7 @@
         while remaining and _count_in_flight(daemon) < REQUESTS_IN_FLIGHT:
             tenant = TENANTS[remaining % len(TENANTS)]
             await daemon.requests.send_request(
-                tenant, "glance", 0, REQUEST_TIMEOUT_NS, weight=REQUEST_WEIGHT
+                tenant, "glance", 0, REQUEST_TIMEOUT_NS, estimated_work_ms=REQUEST_WEIGHT
             )
             remaining -= 1
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/benchmarks/start_calls.py
+++ b/benchmarks/start_calls.py
@@ -98,7 +98,9 @@
         begun_s = self._random.random()
         if not self._is_paced:
             return ScheduledCall(begun_s, broker, pacing)
-        return ScheduledCall(pacing.first_at(int(begun_s * NS_PER_S)) / NS_PER_S, broker, pacing)
+        return ScheduledCall(
+            pacing.first_call_ns(int(begun_s * NS_PER_S)) / NS_PER_S, broker, pacing
+        )
 
     def run(self) -> CallTimes:
         """Make all calls, and return their times."""
@@ -115,9 +117,9 @@
         return self._times
 
     def _retry(self, call: ScheduledCall) -> None:
-        backoff_s = min(FORMER_MAX_BACKOFF_S, FORMER_BACKOFF_S * 2**call.pacing.failed)
+        backoff_s = min(FORMER_MAX_BACKOFF_S, FORMER_BACKOFF_S * 2**call.pacing.failure_count)
         former_s = call.at_s + backoff_s * (0.5 + self._random.random() / 2)
-        paced_s = call.pacing.retry_at(int(call.at_s * NS_PER_S)) / NS_PER_S
+        paced_s = call.pacing.retry_ns(int(call.at_s * NS_PER_S)) / NS_PER_S
         self._push(call, paced_s if self._is_paced else former_s)
 
     def _call_again_after_reset(self, call: ScheduledCall) -> None:
@@ -125,7 +127,7 @@
         later_s = [reset_s for reset_s in self._resets_s if reset_s > call.at_s]
         if not later_s:
             return
-        paced_s = call.pacing.retry_at(int(later_s[0] * NS_PER_S)) / NS_PER_S
+        paced_s = call.pacing.retry_ns(int(later_s[0] * NS_PER_S)) / NS_PER_S
         if self._is_paced:
             self._push(call, paced_s)
             return
@@ -143,7 +145,7 @@
             probe_s = slot_ns / NS_PER_S
         self._times.probes_s.append(probe_s)
         ramp = AdmissionRamp(self._settings, now_ns)
-        while self._is_paced and not ramp.complete():
+        while self._is_paced and not ramp.is_complete():
             now_ns += NS_PER_S
             ramp.step(now_ns, RAMP_SUCCESSES_PER_S, 0)
         self._times.open_s.append(now_ns / NS_PER_S)
--- a/benchmarks/start_simulation.py
+++ b/benchmarks/start_simulation.py
@@ -119,7 +119,7 @@
         broker = SimulatedBroker(simulation, settings, index, self._engines)
         begun_ns = simulation.now_ns + simulation.random.randrange(NS_PER_S)
         calls = PacedCalls(index, brokers, LIST_CALLS_PER_S, simulation.random.random)
-        first_call_ns = calls.first_at(begun_ns)
+        first_call_ns = calls.first_call_ns(begun_ns)
         due_ns = first_call_ns if self._is_paced else begun_ns
         simulation.call_at(due_ns, partial(self._receive_endpoints, broker))
 
@@ -147,7 +147,7 @@
         served = sum(request.is_served for request in broker.requests.values())
         open_fraction = ramp.step(simulation.now_ns, served - served_before, 0)
         broker.report(CoProcessLoad(_assumed_load(broker, open_fraction), 1))
-        if ramp.complete():
+        if ramp.is_complete():
             self._open_s.append((simulation.now_ns - BEGIN_NS) / NS_PER_S)
             return
         due_ns = simulation.now_ns + RAMP_STEP_NS
--- a/query_broker/membership/datagrams.py
+++ b/query_broker/membership/datagrams.py
@@ -17,7 +17,7 @@
 
 
 class TopicHandler(Protocol):
-    """Receives the messages of a topic; it may raise on nonsense."""
+    """Receives the messages of a topic; it may raise on a malformed one."""
 
     def __call__(self, now_ns: int, sender: str, payload: bytes, /) -> None:
         """Process a message of the member with the given process name."""
@@ -27,7 +27,7 @@
     """Receives datagrams for the failure detector and sends its messages.
 
     Attributes:
-        rate_limiter: Limits the datagrams that are looked at.
+        rate_limiter: Limits the datagrams that are processed.
     """
 
     def __init__(self, messages: MessageExchange) -> None:
@@ -50,7 +50,7 @@
             self._transport.close()
 
     def subscribe(self, topic: str, handler: TopicHandler) -> None:
-        """Have the messages of a topic delivered to a handler."""
+        """Register the handler of a topic's messages."""
         self._topics[topic] = handler
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
@@ -58,7 +58,7 @@
         now_ns = self._host.now_ns()
         try:
             if not self.rate_limiter.admit(now_ns, f"{addr[0]}:{addr[1]}"):
-                self._messages.traffic.flooded += 1
+                self._messages.traffic.rate_limited_datagrams += 1
                 return
             self._deliver(now_ns, self._messages.decode(data))
         except MessageRejectedError:
@@ -68,10 +68,10 @@
         self._host.carry_out(now_ns)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an ICMP error: it says no more than a lost datagram does."""
+        """Ignore an ICMP error, which is handled like a lost datagram."""
 
     def send_all(self, messages: Iterable[OutgoingMessage]) -> None:
-        """Send messages; a failure is logged and does not keep back the others."""
+        """Send messages; a failure is logged and does not prevent the others."""
         for recipient, message in messages:
             record = self._detector.table.get(recipient)
             protocol = PROTOCOL_VERSION if record is None else record.max_protocol
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -132,7 +132,7 @@
         return tuple(process_name(identity) for identity in self.views.view.members)
 
     def subscribe(self, topic: str, handler: TopicHandler) -> None:
-        """Have the messages of a topic delivered to a handler."""
+        """Register the handler of a topic's messages."""
         self._datagrams.subscribe(topic, handler)
 
     def send(self, topic: str, name: str, payload: bytes) -> None:
@@ -186,7 +186,7 @@
             self._publisher.observe(now_ns)
 
     def _tick(self) -> None:
-        if self._exchange.closed:
+        if self._exchange.is_closed:
             return
         now_ns = self.now_ns()
         late_ns = max(0, now_ns - self._tick_due_ns)
@@ -197,7 +197,7 @@
             self.carry_out(now_ns)
             if now_ns - self._publisher.observed_at_ns >= self._settings.interval_ns:
                 self._publisher.observe(now_ns)
-        except Exception as error:  # A fault here must not end the turn of the timer wheel.
+        except Exception as error:  # A fault here must not stop the timer wheel.
             self._node.log(FAULT_LOG_KIND, f"members: {type(error).__name__}: {error}")
 
     def _load_seeds(self) -> None:
--- a/query_broker/membership/suspicion.py
+++ b/query_broker/membership/suspicion.py
@@ -1,8 +1,8 @@
 """Suspicions: how a member becomes suspected, refutes it, or is removed.
 
 SWIM's suspicion subprotocol (section 4.2) with Lifeguard's dynamic timeouts (section IV.B). In
-addition, evidence that a suspect still speaks extends its suspicion, and another member's claim
-that somebody is dead counts as no more than a confirmation. Performs no I/O.
+addition, evidence that a suspect still sends messages extends its suspicion, and another member's
+claim that a member is dead counts only as a confirmation. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
     """A suspicion that has not ended.
 
     Attributes:
-        opened_ns: When it began; never moved.
-        timer_start_ns: Start of its timer, moved by evidence that the member speaks.
+        opened_ns: When it began.
+        timer_start_ns: Start of its timer; later after evidence that the member sends messages.
         reporters: Addresses of the members that suspect it.
     """
 
@@ -46,7 +46,7 @@
     """The open suspicions, and the changes of status that follow from them.
 
     Attributes:
-        active: Open suspicions by member.
+        active_suspicions: Open suspicions by member.
     """
 
     def __init__(
@@ -66,15 +66,15 @@
         self._health = health
         self._statistics = statistics
         self._fade_ns = FALSE_SUSPICION_FADE_INTERVALS * settings.interval_ns
-        self.active: dict[Identity, Suspicion] = {}
+        self.active_suspicions: dict[Identity, Suspicion] = {}
 
     def suspect(
         self, now_ns: int, record: MemberRecord, reporter: str, is_announced: bool = True
     ) -> None:
-        """Begin a suspicion, and gossip it unless it is to stay with this process."""
+        """Begin a suspicion, and gossip it if `is_announced`."""
         record.reporter = reporter
         self._statistics[Statistic.SUSPICIONS] += 1
-        self.active[record.identity] = Suspicion(now_ns, now_ns, {reporter})
+        self.active_suspicions[record.identity] = Suspicion(now_ns, now_ns, {reporter})
         self._set_status(now_ns, record, Status.SUSPECT, f"suspected by {reporter}")
         if is_announced:
             self._gossip.add(record.claim(Status.SUSPECT, reporter))
@@ -82,17 +82,17 @@
     def confirm(self, record: MemberRecord, reporter: str) -> None:
         """Count an independent report of the same suspicion.
 
-        A faulty member that repeats one suspicion under ever new names cannot make it shorter than
-        the minimum, within which a living member learns of it and refutes it.
+        A faulty member that repeats a suspicion under many names cannot shorten it below the
+        minimum, within which a living member receives and refutes it.
         """
-        reporters = self.active[record.identity].reporters
+        reporters = self.active_suspicions[record.identity].reporters
         if reporter not in reporters and len(reporters) <= CONFIRMATIONS_WANTED:
             reporters.add(reporter)
             self._gossip.add(record.claim(Status.SUSPECT, reporter))
 
     def is_reported_by(self, identity: Identity, reporter: str) -> bool:
         """Return whether the reporter has already confirmed the suspicion of a suspect."""
-        return reporter in self.active[identity].reporters
+        return reporter in self.active_suspicions[identity].reporters
 
     def refute(self, now_ns: int, record: MemberRecord) -> None:
         """Accept a newer incarnation of a member as proof that it is alive."""
@@ -122,7 +122,7 @@
 
     def deadline_ns(self, identity: Identity) -> int:
         """Return when the suspicion of a suspect ends."""
-        suspicion = self.active[identity]
+        suspicion = self.active_suspicions[identity]
         interval_ns = self._settings.interval_ns
         size = self._table.size
         if self._settings.plain_swim:
@@ -136,10 +136,10 @@
         return suspicion.timer_start_ns + self._health.extended_ns(timeout_ns)
 
     def expire(self, now_ns: int) -> None:
-        """Remove the suspects whose time is up, or extend it where they are known to speak."""
-        for identity, suspicion in list(self.active.items()):
+        """Remove suspects whose time is over, or extend it if they are known to send messages."""
+        for identity, suspicion in list(self.active_suspicions.items()):
             if now_ns >= self.deadline_ns(identity):
-                self._decide(now_ns, self._table.records[identity], suspicion)
+                self._resolve(now_ns, self._table.records[identity], suspicion)
 
     def restart_timers(self, now_ns: int) -> None:
         """Start the timers of all suspicions anew.
@@ -147,23 +147,23 @@
         When the local health score falls, so do the timeouts: what was suspected while this process
         received nothing would end at once.
         """
-        for suspicion in self.active.values():
+        for suspicion in self.active_suspicions.values():
             suspicion.timer_start_ns = now_ns
 
     def postpone(self, duration_ns: int) -> None:
         """Move all timers by the time for which this process was paused."""
-        for suspicion in self.active.values():
+        for suspicion in self.active_suspicions.values():
             suspicion.timer_start_ns += duration_ns
 
-    def _decide(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> None:
+    def _resolve(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> None:
         if self._settings.plain_swim:
             self.remove(now_ns, record, self._own.identity.address)
         elif record.received_ns > suspicion.timer_start_ns:
-            # It speaks to us; that it does not hear is no reason to remove it.
+            # Its messages arrive here; that it does not receive ours is no reason to remove it.
             suspicion.timer_start_ns = now_ns
             suspicion.opened_ns = now_ns
             self._count_false_suspicion(now_ns, record)
-        elif self._is_vouched_for(now_ns, record, suspicion):
+        elif self._has_recent_evidence(now_ns, record, suspicion):
             suspicion.timer_start_ns = now_ns
             self._count_false_suspicion(now_ns, record)
         elif now_ns < self._health.recovers_at_ns:
@@ -172,8 +172,8 @@
         else:
             self.remove(now_ns, record, self._own.identity.address)
 
-    def _is_vouched_for(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> bool:
-        """Return whether others still hear the member; that counts for a limited time only."""
+    def _has_recent_evidence(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> bool:
+        """Return whether others still receive its messages; that counts for a limited time only."""
         if record.evidence_ns <= suspicion.timer_start_ns:
             return False
         limit_ns = evidence_limit_ns(self._settings.interval_ns, self._table.size)
@@ -186,5 +186,5 @@
 
     def _set_status(self, now_ns: int, record: MemberRecord, status: Status, reason: str) -> None:
         if status is not Status.SUSPECT:
-            self.active.pop(record.identity, None)
+            self.active_suspicions.pop(record.identity, None)
         self._table.set_status(now_ns, record, status, reason)
--- a/query_broker/operator_config/codec.py
+++ b/query_broker/operator_config/codec.py
@@ -1,11 +1,10 @@
-"""The JSON form in which the evaluating process hands its result to the broker.
-
-The keys are the one place where the operators' words of this form stand beside the terms of the
-code: ``map``, ``start``, ``members``, ``shares`` and ``verdicts`` are ``cell_map``, ``startup``,
-``membership``, ``quotas`` and ``outlier_consensus``; fields of other names stand in the tables
-below, in `_plain_deadlines`, and in ``cells/model.py`` for the cell map. During an upgrade both
-processes are of the same version, since the broker starts the other one from its own files.
-Performs no I/O.
+"""The JSON form in which the evaluating process passes its result to the broker.
+
+The keys keep the words of the operators' file; the code uses other terms for some of them: ``map``,
+``start``, ``members``, ``shares`` and ``verdicts`` are ``cell_map``, ``startup``, ``membership``,
+``quotas`` and ``outlier_consensus``; fields of other names stand in the tables below, in
+`_plain_deadlines`, and in ``cells/model.py`` for the cell map. The evaluating process always has
+the version of the broker, which starts it from its own files. Performs no I/O.
 """
 
 from __future__ import annotations
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -34,12 +34,12 @@
     from ..quotas.service import QuotaService
     from ..startup.service import StartupService
 
-#: Often enough to follow a change of load, seldom enough to cost nothing beside requests.
+#: Time between two updates of the learned margin.
 MARGIN_LEARNING_INTERVAL_NS = 1_000_000_000
 
 
 class FleetPosition(NamedTuple):
-    """The size of the fleet and this broker's place in it, by which the decisions go."""
+    """The size of the fleet, and this broker's place in it, that the decisions use."""
 
     fleet_size: int
     broker_index: int
@@ -96,8 +96,8 @@
         if operator_config.startup is not None:
             self.startup_service = create_startup_service(self, operator_config.startup)
         if operator_config.membership is None:
-            # Quotas and the consensus on outliers rest on it; a file that has them without it has
-            # been rejected.
+            # Quotas and the consensus on outliers need it; a file that has them without it has been
+            # rejected.
             return
         membership_service = create_membership_service(
             self, operator_config.membership, self._membership_changed
@@ -112,14 +112,14 @@
                 self, membership_service, operator_config.outlier_consensus
             )
 
-    # --- events of the node that services follow ---
+    # --- extension points of the node ---
 
     def ready(self) -> bool:
         """Return whether the node and its start-up are ready for requests."""
         return super().ready() and (self.startup_service is None or self.startup_service.ready())
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Admit a client connection, if there is a place for it; start-up counts it."""
+        """Admit a client connection if there is capacity, and pass it to the start-up service."""
         if not super().admit(connection):
             return False
         if self.startup_service is not None:
@@ -153,7 +153,7 @@
         super().stop()
 
     def after_tick(self) -> None:
-        """Let the services do what is due."""
+        """Run the periodic work of the services."""
         super().after_tick()
         now_ns = self.clock.now()
         if self.startup_service is not None:
@@ -163,7 +163,7 @@
 
     def _leave_when_closing(self) -> None:
         service = self.membership_service
-        if self.closing_announced and service is not None and not service.detector.own.left:
+        if self.closing_announced and service is not None and not service.detector.own.has_left:
             service.leave()
 
     def _learn_margin(self, now_ns: int) -> None:
@@ -220,7 +220,7 @@
     def reload_config(self) -> None:
         """Reload the platform settings together with the evaluated operators' file."""
         super().reload()
-        self._operator_file_reload.pending = None
+        self._operator_file_reload.pending_config = None
         if self.membership_service is not None:
             self.membership_service.reload()
         if self.quota_service is not None:
@@ -229,6 +229,6 @@
     def apply_config(self, config: Config) -> None:
         """Apply platform settings, and with them the operators' file of this reload."""
         super().apply_config(config)
-        pending = self._operator_file_reload.pending
-        if pending is not None:
-            self.apply_operator_config(pending)
+        pending_config = self._operator_file_reload.pending_config
+        if pending_config is not None:
+            self.apply_operator_config(pending_config)
--- a/query_broker/outlier_consensus/ejection_control.py
+++ b/query_broker/outlier_consensus/ejection_control.py
@@ -25,7 +25,7 @@
 
     Attributes:
         known_to_all_at_ns: By when all members have received the observations that the ejection
-            rests on.
+            is based on.
         next_check_at_ns: When a health check is due.
     """
 
@@ -37,7 +37,7 @@
     """The endpoints that this broker does not use because of an ejection.
 
     Attributes:
-        ejected: The ejected endpoints with their health checks.
+        ejected_endpoints: The ejected endpoints with their health checks.
     """
 
     def __init__(
@@ -56,23 +56,23 @@
         self.dispatcher = dispatcher
         self.directory = directory
         self.settings = settings
-        self.ejected: dict[Endpoint, EjectedEndpoint] = {}
+        self.ejected_endpoints: dict[Endpoint, EjectedEndpoint] = {}
 
     def eject(self, now_ns: int, endpoint: Endpoint, member_count: int) -> None:
-        """Stop using an endpoint; its health checks begin when all members know why."""
+        """Stop using an endpoint; health checks begin once all members have the observations."""
         gossip_ns = gossip_rounds(member_count) * self.settings.gossip_interval_ns
         known_to_all_at_ns = now_ns + gossip_ns
-        self.ejected[endpoint] = EjectedEndpoint(known_to_all_at_ns, known_to_all_at_ns)
+        self.ejected_endpoints[endpoint] = EjectedEndpoint(known_to_all_at_ns, known_to_all_at_ns)
         self._inform_decisions(endpoint, is_ejected=True, at_ns=now_ns)
 
     def readmit(self, endpoint: Endpoint) -> None:
         """Use an endpoint again; it is as warmed up as its start says."""
-        self.ejected.pop(endpoint, None)
+        self.ejected_endpoints.pop(endpoint, None)
         started_ns = endpoint.started_ms * NS_PER_MS
         self._inform_decisions(endpoint, is_ejected=False, at_ns=started_ns)
 
     def _inform_decisions(self, endpoint: Endpoint, *, is_ejected: bool, at_ns: int) -> None:
-        """Tell the decisions of a change, unless operators have disabled the endpoint."""
+        """Report a change to the decisions, unless operators have disabled the endpoint."""
         number = self.directory.number(endpoint)
         if number is not None and not self.dispatcher.administrative_states.is_disabled(
             endpoint.uid
@@ -81,16 +81,16 @@
 
     def ejected_incarnations(self, uid: str) -> list[Endpoint]:
         """Return the ejected incarnations of an endpoint."""
-        return [endpoint for endpoint in self.ejected if endpoint.uid == uid]
+        return [endpoint for endpoint in self.ejected_endpoints if endpoint.uid == uid]
 
     def counts_health_check(self, now_ns: int, endpoint: Endpoint) -> bool:
         """Return whether the outcome of a health check counts as an observation.
 
-        Only of ejected endpoints: elsewhere a load report is no answer to a query. If the first
-        broker to eject took a success for a proof before the others had received the failures, it
-        would take from them what their own ejection would rest on.
+        Only those of ejected endpoints count, since a health check is no query. And they count only
+        once all members have received the failures: an earlier success would replace, in this
+        broker's report, the failures that the others need for their own ejections.
         """
-        ejected = self.ejected.get(endpoint)
+        ejected = self.ejected_endpoints.get(endpoint)
         return ejected is not None and now_ns >= ejected.known_to_all_at_ns
 
     def check_health(self, now_ns: int, members: Sequence[str], own_name: str) -> None:
@@ -102,7 +102,7 @@
             own_name: Name of this broker.
         """
         is_own_turn = self._is_own_turn(now_ns, sorted(members), own_name)
-        for endpoint, ejected in list(self.ejected.items()):
+        for endpoint, ejected in list(self.ejected_endpoints.items()):
             number = self.directory.number(endpoint)
             if number is None or now_ns < ejected.next_check_at_ns:
                 continue
@@ -114,5 +114,5 @@
         position = members.index(own_name) if own_name in members else 0
         count = max(1, len(members))
         observers = self.settings.observers
-        first = (now_ns // HEALTH_CHECK_INTERVAL_NS * observers) % count
-        return (position - first) % count < observers
+        first_position = (now_ns // HEALTH_CHECK_INTERVAL_NS * observers) % count
+        return (position - first_position) % count < observers
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -14,6 +14,7 @@
 from ..dispatch.observers import DispatchObserver
 from ..endpoints.endpoint_table import has_warming_endpoint
 from ..protocols.operator_answers import HttpAnswer
+from ..token_bucket import TokenBucket
 from .admin import QuotaAdmin
 from .batching import message_bodies
 from .collaborators import QuotaHost, QuotaMembership
@@ -21,20 +22,21 @@
 from .demand_tracker import DemandTracker
 from .lease_log import LeaseLog
 from .leases import LeaseManager
-from .messages import LeaseResponse, QuotaMessage, UsageReports
+from .messages import LeaseMessage, LeaseResponse, QuotaMessage, UsageReports
 from .metrics import quota_metrics
 from .quota_rates import QuotaRates
 from .settings import NS_PER_S, QuotaKind, QuotaSettings
-from .token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from ..dispatch.validation import ParsedRequest
 
 TOPIC = "limits"
 TICK_NS = NS_PER_S // 4
-#: A quota that moves by a smaller fraction is not applied anew.
-SIGNIFICANT_CHANGE = 0.05
-SMALLEST_QUOTA = 1e-9
+#: Change of a quota, as a fraction, up to which it is not applied again.
+SIGNIFICANT_CHANGE_FRACTION = 0.05
+#: Stands for a quota of zero in the comparison of changes.
+MIN_COMPARED_QUOTA_PER_S = 1e-9
+#: Stands for the quota of a limit that has not been applied yet.
 NEVER_APPLIED = -1.0
 MS_PER_S = 1_000
 
@@ -98,7 +100,7 @@
         )
         # Retries and connections draw from one bucket, each at its own rate.
         self._bucket = TokenBucket(now_ns)
-        self._applied: dict[str, float] = {}
+        self._applied_quotas_per_s: dict[str, float] = {}
         self._first_expiry_ns = 0
         self._gossiped_at_ns = now_ns
         self.encoder = msgspec.msgpack.Encoder()
@@ -142,7 +144,7 @@
     def _has_warming_endpoint(self) -> bool:
         """Return whether an endpoint is still warming up.
 
-        Such an endpoint is overloaded if several brokers use large parts of it at once.
+        Such an endpoint would be overloaded if several brokers used large parts of it at once.
         """
         now_ns = self.host.clock.now()
         warm_up_ns = self.host.config.settings.contract.warmup_ns
@@ -190,7 +192,7 @@
         self.host.dispatcher.timer_wheel.set_timer(now_ns + TICK_NS, self._tick)
         try:
             self._update(now_ns)
-        except Exception as error:  # a fault here must not end the wheel's turn
+        except Exception as error:  # a fault here must not stop the timer wheel
             self.host.log("fault", f"limits: {type(error).__name__}: {error}")
 
     def _update(self, now_ns: int) -> None:
@@ -201,7 +203,7 @@
                 f"{breach.overshoot_per_s:.1f} over; {breach.promised_per_s:.1f} are promised at "
                 "the most",
             )
-        is_certain = self.membership.views.view.certain
+        is_certain = self.membership.views.view.is_certain
         self.counters.name = self.membership.name
         self.leases.state.name = self.membership.name
         self.leases.set_view(self.membership.names(), is_certain)
@@ -225,14 +227,14 @@
     def _apply_quotas(self, now_ns: int) -> None:
         """Let the decisions use the current quotas, if these have changed significantly."""
         self._first_expiry_ns = self.leases.holder.first_expiry_ns(now_ns)
-        quotas = self.rates.hard_quotas(now_ns)
-        if any(self._is_significant(limit, quota) for limit, quota in quotas.items()):
-            self._applied = quotas
+        quotas_per_s = self.rates.hard_quotas(now_ns)
+        if any(self._is_significant(limit, quota) for limit, quota in quotas_per_s.items()):
+            self._applied_quotas_per_s = quotas_per_s
             self.host.dispatcher.refresh_settings()
 
     def _is_significant(self, limit: str, quota_per_s: float) -> bool:
-        change = abs(quota_per_s - self._applied.get(limit, NEVER_APPLIED))
-        return change > SIGNIFICANT_CHANGE * max(quota_per_s, SMALLEST_QUOTA)
+        change = abs(quota_per_s - self._applied_quotas_per_s.get(limit, NEVER_APPLIED))
+        return change > SIGNIFICANT_CHANGE_FRACTION * max(quota_per_s, MIN_COMPARED_QUOTA_PER_S)
 
     # --- messages ---
 
@@ -257,19 +259,24 @@
 
     def _receive(self, now_ns: int, sender: str, body: bytes) -> None:
         message = self.decoder.decode(body)
-        if isinstance(message, UsageReports):
-            self.counters.receive(now_ns, message, self.membership.names())
-            return
+        match message:
+            case UsageReports():
+                self.counters.receive(now_ns, message, self.membership.names())
+            case LeaseResponse():
+                self._receive_lease_message(now_ns, sender, message)
+                self.lease_log.update(now_ns)
+                self._apply_quotas(now_ns)
+            case _:
+                self._receive_lease_message(now_ns, sender, message)
+
+    def _receive_lease_message(self, now_ns: int, sender: str, message: LeaseMessage) -> None:
         self.leases.receive(now_ns, sender, message)
         self._send()
-        if isinstance(message, LeaseResponse):
-            self.lease_log.update(now_ns)
-            self._apply_quotas(now_ns)
 
     # --- operators ---
 
     def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
-        """Answer an operators' HTTP call; None if its path belongs to another part."""
+        """Answer an operators' HTTP call; None if its path is not one of this service."""
         return self.admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -11,7 +11,7 @@
 from ..protocols.operator_http import OperatorConnection
 from .host import NodeContext
 
-# Characters of an endpoint's uid in a log line; a caller may send kilobytes of it.
+# Characters of an endpoint's uid in a log line, since a caller may send kilobytes of it.
 MAX_LOGGED_UID_LENGTH = 80
 
 
@@ -47,7 +47,7 @@
         self.server = await loop.create_server(lambda: OperatorConnection(self), sock=listener)
 
     def close(self) -> None:
-        """Stop listening and end all connections; an answer that is on its way still leaves."""
+        """Stop listening and end all connections; answers in progress are still sent."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
@@ -70,13 +70,13 @@
         """Return the metrics in the text format of Prometheus."""
         return self.node.dispatcher.metrics()
 
-    def set_endpoint_disabled(self, uid: str, out: bool) -> bool:
-        """Disable an endpoint (``out``) or enable it again; False where the uid is not known."""
-        done = self.node.dispatcher.set_endpoint_disabled(uid, out)
+    def set_endpoint_disabled(self, uid: str, disabled: bool) -> bool:
+        """Disable an endpoint or enable it again; return False if the uid is unknown."""
+        done = self.node.dispatcher.set_endpoint_disabled(uid, disabled)
         if done and self.node.peer_processes is not None:
             # Once the caller has its answer, the call holds at the other process as well.
             self.node.peer_processes.publish_status()
-        action = "out" if out else "back"
+        action = "out" if disabled else "back"
         result = "done" if done else "is not known"
         self.log("operator", f"{action}: {uid[:MAX_LOGGED_UID_LENGTH]!r} {result}")
         return done
@@ -90,15 +90,15 @@
         return None
 
     def admit(self, connection: OperatorConnection) -> None:
-        """Admit a connection; past the limit it takes the place of another.
+        """Admit a connection; at the limit another one is evicted for it.
 
-        A flood of connections would take the descriptors that are reserved for calls. The place is
-        that of one that has its answer, else of the one that has been silent longest.
+        A flood of connections would otherwise use up the descriptors that are reserved for calls.
+        Evicted is a connection that has its answer, or else the oldest one.
         """
         if len(self.connections) >= MAX_OPERATOR_CALLS:
-            victim = self._eviction_candidate()
-            del self.connections[victim]
-            victim.drop()
+            evicted = self._eviction_candidate()
+            del self.connections[evicted]
+            evicted.drop()
         self.connections[connection] = None
 
     def _eviction_candidate(self) -> OperatorConnection:
--- a/query_broker/server/host.py
+++ b/query_broker/server/host.py
@@ -1,6 +1,6 @@
-"""What the parts of a node know of it.
+"""The interfaces of a node that its parts depend on.
 
-The parts depend on these protocols and not on the node, which is composed of them.
+The parts depend on these protocols and not on the node itself, which is composed of them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class PeerProcessRegistry(Protocol):
-    """The other processes of this broker, and what they are told of this one."""
+    """The other processes of this broker, and the exchange of status with them."""
 
     accepting: bool  # this process takes new connections
 
--- a/tests/quotas/test_pure.py
+++ b/tests/quotas/test_pure.py
@@ -30,7 +30,7 @@
     LimitSettings,
     QuotaKind,
     QuotaSettings,
-    describe,
+    describe_bounds,
     expiry_wait_ns,
     holder_duration_ns,
     max_overshoot_per_s,
@@ -208,7 +208,7 @@
 ) -> None:
     assert simulation.leader("a") is not None
     until_ns = simulation.now_ns + 20 * NS_PER_S
-    simulation.cut = lambda now_ns, sender, recipient: (
+    simulation.is_cut = lambda now_ns, sender, recipient: (
         now_ns < until_ns and (sender in minority) != (recipient in minority)
     )
     simulation.run(18)
@@ -409,6 +409,6 @@
 
 
 def test_check_config_describes_the_bounds_of_each_limit() -> None:
-    text = "\n".join(describe(SETTINGS, 24))
+    text = "\n".join(describe_bounds(SETTINGS, 24))
     assert "0 while clocks differ by less than 1.0%" in text
     assert "0.96 of it, once" in text
--- a/tests/startup/test_admission_ramp.py
+++ b/tests/startup/test_admission_ramp.py
@@ -30,7 +30,7 @@
     ramp = AdmissionRamp(SETTINGS, 0)
     now = 0
     fractions = [SETTINGS.initial_fraction]
-    while not ramp.complete():
+    while not ramp.is_complete():
         now += NS_PER_SECOND
         fractions.append(ramp.step(now, good, bad))
     assert now <= within * NS_PER_SECOND
--- a/tests/startup/test_call_pacing.py
+++ b/tests/startup/test_call_pacing.py
@@ -39,7 +39,7 @@
     started = [place for place in range(fleet) if place == 0 or draw.random() < part]
     began = [1_796_000_000 * NS_PER_SECOND + int(draw.random() * within) for _ in started]
     calls = [
-        pacing.PacedCalls(place, fleet, 50.0, draw.random).first_at(now)
+        pacing.PacedCalls(place, fleet, 50.0, draw.random).first_call_ns(now)
         for place, now in zip(started, began, strict=True)
     ]
     assert most_calls_in_a_second(calls) <= 52
@@ -57,7 +57,8 @@
 ) -> None:
     draw = random.Random(configured)
     calls = [
-        pacing.PacedCalls(place, configured, 50.0, draw.random).first_at(0) for place in range(300)
+        pacing.PacedCalls(place, configured, 50.0, draw.random).first_call_ns(0)
+        for place in range(300)
     ]
     assert most_calls_in_a_second(calls) <= 52 * max(1, 300 // configured)
 
@@ -67,10 +68,10 @@
     times: list[int] = []
     for place in range(300):
         calls = pacing.PacedCalls(place, 300, 50.0, draw.random)
-        now = calls.first_at(int(draw.random() * NS_PER_SECOND))
+        now = calls.first_call_ns(int(draw.random() * NS_PER_SECOND))
         while now < 120 * NS_PER_SECOND:
             times.append(now)
-            now = calls.retry_at(now)
+            now = calls.retry_ns(now)
     assert most_calls_in_a_second(times) <= 52
     late = [at for at in times if at > 60 * NS_PER_SECOND]
     assert len(late) / 60 < 30
@@ -78,11 +79,11 @@
     now = 0
     waits = []
     for _ in range(60):
-        waits.append(alone.retry_at(now) - now)
+        waits.append(alone.retry_ns(now) - now)
         now += waits[-1]
     assert max(waits) <= 6 * pacing.MIN_WINDOW_NS  # one broker alone is back at once
     alone.succeeded()
-    assert alone.failed == 0
+    assert alone.failure_count == 0
 
 
 def test_health_checks_of_one_endpoint_and_of_one_broker_are_both_spread() -> None:
--- a/tests/startup/test_endpoint_snapshot.py
+++ b/tests/startup/test_endpoint_snapshot.py
@@ -59,7 +59,7 @@
     given: dict[str, Any] = {
         "installation": "atlanta",
         "now": READ_AT_NS,
-        "most_age": MAX_AGE_NS,
+        "max_age_ns": MAX_AGE_NS,
         **change,
     }
     with pytest.raises(EndpointSnapshotError, match=reason):
--- a/tests/startup/test_stages.py
+++ b/tests/startup/test_stages.py
@@ -107,4 +107,4 @@
             assert stages.source.value >= source_before
             assert not stages.ready() or stages.source is not ListSource.NONE
             stages.status(now)
-        assert sum(completed.took_ns for completed in stages.completed) <= now
+        assert sum(completed.duration_ns for completed in stages.completed) <= now
