--- a/query_broker/protocols/client_frames.py
+++ b/query_broker/protocols/client_frames.py
@@ -15,21 +15,36 @@
 
 
 class FrameType(IntEnum):
-    """What a frame is."""
+    """The type of a frame, as it stands on the wire.
+
+    Attributes:
+        REQUEST: A client's request.
+        ANSWER: The final answer to a request.
+        ABANDON: The client cancels a request.
+        ASK_READY: A client's health check.
+        READY: The answer to a health check.
+        NO_MORE: Graceful shutdown: the client sends no new request on this connection.
+    """
 
     REQUEST = 2
     ANSWER = 4
-    ABANDON = 8  # the client cancels a request
-    ASK_READY = 16  # the client's health check
-    READY = 32  # the answer to it
-    NO_MORE = 64  # graceful shutdown: no new request on this connection
+    ABANDON = 8
+    ASK_READY = 16
+    READY = 32
+    NO_MORE = 64
 
 
 class AnswerCode(IntEnum):
-    """How a request ended: the first byte of an answer's payload."""
+    """How a request ended: the first byte of an answer's payload.
+
+    Attributes:
+        SERVED: The body of the answer is the result.
+        REFUSED: The request was rejected; nothing of it has run.
+        FAILED: The request has failed, and may have run.
+    """
 
     SERVED = 0
-    REFUSED = 1  # rejected
+    REFUSED = 1
     FAILED = 2
 
 
@@ -43,21 +58,23 @@
 REFUSED = AnswerCode.REFUSED
 FAILED = AnswerCode.FAILED
 
-# Bytes of the length field itself, which it does not count.
-LENGTH_SIZE = 4
-# Least value of the length field: a type and a stream, with an empty payload.
-LEAST = 5
-# Greatest value of the length field that the protocol allows, in bytes.
-MOST = 262_144
+# Size of the length field itself, which it does not count.
+LENGTH_FIELD_BYTES = 4
+# Smallest value of the length field: a type and a stream, with an empty payload.
+MIN_FRAME_LENGTH = 5
+# Largest value of the length field that the protocol allows.
+MAX_FRAME_LENGTH = 262_144
 # Length, type and stream.
 HEAD = struct.Struct(">IBI")
 # The types that a client may send.
-FROM_CLIENT = frozenset({REQUEST, ABANDON, ASK_READY})
+CLIENT_FRAME_TYPES = frozenset({REQUEST, ABANDON, ASK_READY})
+# Size of the length that precedes a field's value; a name's length takes one byte.
+VALUE_LENGTH_BYTES = 2
 # Characters of a field's name that an error text repeats.
-QUOTED_NAME_LENGTH = 40
-# The field of a rejection that says, in ms, after which time the request may come again.
+QUOTED_NAME_CHARACTERS = 40
+# The field of a rejection that holds the retry-after time in milliseconds.
 FIELD_RETRY_AFTER_MS = "pause"
-# In the payload of READY.
+# The first byte of the payload of READY; the second is the count of fields, which is 0.
 READY_YES = 0
 READY_NO = 1
 
@@ -91,108 +108,121 @@
 class FrameParser:
     """Takes bytes as they come; returns complete frames, also those before a malformed one.
 
-    Invariant: ``at`` never passes the end of ``buffer``, and no frame is skimmed twice.
+    Invariant: neither position passes the end of ``buffer``, and no frame is skimmed twice.
+
+    Attributes:
+        buffer: The bytes that have come, from the first that `feed` has not dropped.
+        read_position: Where the next frame begins; all bytes before it have been returned.
+        skim_position: Where `skim` goes on; all frames before it have been skimmed.
     """
 
     def __init__(self) -> None:
         """Begin at the start of a connection."""
         self.buffer = bytearray()
-        self.at = 0  # what lies before this has been returned
-        self.skimmed = 0  # what lies before this has been skimmed
+        self.read_position = 0
+        self.skim_position = 0
 
     def feed(self, data: bytes) -> None:
         """Add bytes, and drop those of the frames that have been returned."""
-        del self.buffer[: self.at]
-        self.skimmed = max(0, self.skimmed - self.at)
-        self.at = 0
+        del self.buffer[: self.read_position]
+        self.skim_position = max(0, self.skim_position - self.read_position)
+        self.read_position = 0
         self.buffer += data
 
-    def skim(self, most: int) -> Iterator[FrameHead]:
+    def skim(self, max_frames: int) -> Iterator[FrameHead]:
         """Yield the heads of complete frames that wait to be returned, each frame once.
 
-        At most ``most`` frames are looked at. It ends before a malformed frame, which `next` is to
-        report in its turn.
+        At most ``max_frames`` frames are looked at. It ends before a malformed frame, which `next`
+        reports in its turn.
         """
         buffer = self.buffer
-        at = max(self.at, self.skimmed)
-        for _ in range(most):
-            if len(buffer) - at < HEAD.size:
+        position = max(self.read_position, self.skim_position)
+        for _ in range(max_frames):
+            if len(buffer) - position < HEAD.size:
                 break
-            length, kind, stream = HEAD.unpack_from(buffer, at)
-            if not LEAST <= length <= MOST or len(buffer) - at < LENGTH_SIZE + length:
+            length, kind, stream = HEAD.unpack_from(buffer, position)
+            if (
+                not MIN_FRAME_LENGTH <= length <= MAX_FRAME_LENGTH
+                or len(buffer) - position < LENGTH_FIELD_BYTES + length
+            ):
                 break
-            at += LENGTH_SIZE + length
+            position += LENGTH_FIELD_BYTES + length
             yield FrameHead(kind, stream)
-        self.skimmed = at
+        self.skim_position = position
 
     def next(self) -> Frame | None:
         """Return the next complete frame, or None until more bytes have come.
 
-        A length would be believed before its bytes are there. An impossible one is therefore an
-        error at once, and what is buffered never passes the length of one frame.
+        An impossible length is an error before its bytes have come, so that the buffer never grows
+        beyond one frame of the largest length.
 
         Raises:
-            MalformedFrameError: the length or the type is none that a client may send.
+            MalformedFrameError: The length or the type is none that a client may send.
         """
         buffer = self.buffer
-        at = self.at
-        available = len(buffer) - at
-        if available < LENGTH_SIZE:
+        begin = self.read_position
+        available = len(buffer) - begin
+        if available < LENGTH_FIELD_BYTES:
             return None
-        length = int.from_bytes(buffer[at : at + LENGTH_SIZE], "big")
-        if not LEAST <= length <= MOST:
-            reason = f"length {length} is not within {LEAST} to {MOST}"
+        length = int.from_bytes(buffer[begin : begin + LENGTH_FIELD_BYTES], "big")
+        if not MIN_FRAME_LENGTH <= length <= MAX_FRAME_LENGTH:
+            reason = f"length {length} is not within {MIN_FRAME_LENGTH} to {MAX_FRAME_LENGTH}"
             raise MalformedFrameError(reason)
-        if available > LENGTH_SIZE and buffer[at + LENGTH_SIZE] not in FROM_CLIENT:
-            reason = f"type {buffer[at + LENGTH_SIZE]} is none that a client sends"
+        if (
+            available > LENGTH_FIELD_BYTES
+            and buffer[begin + LENGTH_FIELD_BYTES] not in CLIENT_FRAME_TYPES
+        ):
+            reason = f"type {buffer[begin + LENGTH_FIELD_BYTES]} is none that a client sends"
             raise MalformedFrameError(reason)
-        if available < LENGTH_SIZE + length:
+        if available < LENGTH_FIELD_BYTES + length:
             return None
-        self.at = at + LENGTH_SIZE + length
-        _, kind, stream = HEAD.unpack_from(buffer, at)
-        return Frame(kind, stream, bytes(buffer[at + HEAD.size : self.at]))
+        end = begin + LENGTH_FIELD_BYTES + length
+        self.read_position = end
+        _, kind, stream = HEAD.unpack_from(buffer, begin)
+        return Frame(kind, stream, bytes(buffer[begin + HEAD.size : end]))
 
     def buffered(self) -> int:
         """Return how many bytes are here and have not been returned yet."""
-        return len(self.buffer) - self.at
+        return len(self.buffer) - self.read_position
 
     def clear(self) -> None:
         """Drop all that is here."""
         self.buffer.clear()
-        self.at = 0
-        self.skimmed = 0
+        self.read_position = 0
+        self.skim_position = 0
 
 
 def read_fields(payload: bytes) -> FrameFields:
     """Return the fields at the head of a payload, and the body behind them.
 
     Raises:
-        MalformedFrameError: the fields are cut short, repeated or no UTF-8.
+        MalformedFrameError: The fields are cut short, repeated or no UTF-8.
     """
     fields: dict[str, str] = {}
     try:
         count = payload[0]
-        at = 1
+        position = 1
         for _ in range(count):
-            name_end = at + 1 + payload[at]
-            value_at = name_end + 2
-            value_end = value_at + int.from_bytes(payload[name_end:value_at], "big")
-            if value_end > len(payload) or value_at > len(payload):
+            name_begin = position + 1
+            name_end = name_begin + payload[position]
+            value_begin = name_end + VALUE_LENGTH_BYTES
+            value_end = value_begin + int.from_bytes(payload[name_end:value_begin], "big")
+            if value_end > len(payload) or value_begin > len(payload):
                 reason = "the fields end inside a value"
                 raise MalformedFrameError(reason)
-            name = payload[at + 1 : name_end].decode()
+            name = payload[name_begin:name_end].decode()
             if name in fields:
-                reason = f"the field {name[:QUOTED_NAME_LENGTH]!r} comes twice"
+                reason = f"the field {name[:QUOTED_NAME_CHARACTERS]!r} comes twice"
                 raise MalformedFrameError(reason)
-            fields[name] = payload[value_at:value_end].decode()
-            at = value_end
+            fields[name] = payload[value_begin:value_end].decode()
+            position = value_end
     except IndexError:
         reason = "the fields are cut short"
         raise MalformedFrameError(reason) from None
     except UnicodeDecodeError:
         reason = "a field is no text"
         raise MalformedFrameError(reason) from None
-    return FrameFields(fields, payload[at:])
+    return FrameFields(fields, payload[position:])
 
 
 def write_fields(fields: dict[str, str]) -> bytes:
@@ -203,18 +233,18 @@
         encoded_value = value.encode()
         parts.append(bytes((len(encoded_name),)))
         parts.append(encoded_name)
-        parts.append(len(encoded_value).to_bytes(2, "big"))
+        parts.append(len(encoded_value).to_bytes(VALUE_LENGTH_BYTES, "big"))
         parts.append(encoded_value)
     return b"".join(parts)
 
 
 def frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
-    """Encode one frame."""
-    return HEAD.pack(LEAST + len(payload), kind, stream) + payload
+    """Encode one frame; ``kind`` is a `FrameType`."""
+    return HEAD.pack(MIN_FRAME_LENGTH + len(payload), kind, stream) + payload
 
 
 def answer(stream: int, code: int, fields: dict[str, str], body: bytes = b"") -> bytes:
-    """Encode one complete answer as one frame."""
+    """Encode one complete answer as one frame; ``code`` is an `AnswerCode`."""
     return frame(ANSWER, stream, bytes((code,)) + write_fields(fields) + body)
 
 
@@ -223,7 +253,7 @@
     return answer(stream, REFUSED, {FIELD_RETRY_AFTER_MS: str(retry_after_ms)})
 
 
-def ready(stream: int, yes: bool) -> bytes:
+def ready(stream: int, is_ready: bool) -> bytes:
     """Encode the answer to a health check; its payload has no fields."""
-    state = READY_YES if yes else READY_NO
+    state = READY_YES if is_ready else READY_NO
     return frame(READY, stream, bytes((state, 0)))
--- a/query_broker/protocols/client_lookahead.py
+++ b/query_broker/protocols/client_lookahead.py
@@ -7,23 +7,24 @@
 from __future__ import annotations
 
 from . import client_frames as frames
-from .client_requests import MOST_OPEN, OpenRequests
+from .client_requests import MAX_OPEN_REQUESTS, OpenRequests
 
-# Frames that are looked at in one turn.
-MOST_SKIMMED = 2_048
-# Requests whose cancellation is known before they are taken.
-MOST_AHEAD = 4 * MOST_OPEN
+# Frames that one scan looks at.
+MAX_SKIMMED_FRAMES = 2_048
+# Requests whose cancellation is recognised before they are submitted.
+MAX_WAITING_STREAMS = 4 * MAX_OPEN_REQUESTS
 
 
 class CancellationLookahead:
     """Searches the frames that wait in a parser for cancellations.
 
-    ``waiting`` has the streams of requests that wait there, ``cancelled`` those of them that nobody
-    waits for any more.
+    Attributes:
+        waiting: Streams of the requests that wait in the parser.
+        cancelled: Those of them that the client has cancelled.
     """
 
     def __init__(self, parser: frames.FrameParser, requests: OpenRequests) -> None:
-        """Take where frames wait, and the requests that have been taken already."""
+        """Take the parser with the waiting frames, and the requests that have been submitted."""
         self.parser = parser
         self.requests = requests
         self.waiting: set[int] = set()
@@ -31,9 +32,9 @@
 
     def scan(self) -> None:
         """Look at frames that have not been looked at before."""
-        for head in self.parser.skim(MOST_SKIMMED):
+        for head in self.parser.skim(MAX_SKIMMED_FRAMES):
             if head.type == frames.REQUEST:
-                if len(self.waiting) < MOST_AHEAD:
+                if len(self.waiting) < MAX_WAITING_STREAMS:
                     self.waiting.add(head.stream)
             elif head.type == frames.ABANDON:
                 self._cancel(head.stream)
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -13,9 +13,9 @@
 # Frames of one connection before everybody else's turn.
 FRAMES_PER_TURN = 32
 # Bytes that are read on for cancellations where what came before them waits.
-MOST_AHEAD_BYTES = 64 * 1024
+MAX_READ_AHEAD_BYTES = 64 * 1024
 # Of the memory for incomplete frames: the part past which no connection reads ahead.
-AHEAD_DIVISOR = 2
+READ_AHEAD_DIVISOR = 2
 # The value of `DeadlineSettings.half_close` by which a client that ends its side still gets its
 # answers.
 HALF_CLOSE_ANSWERS = "answer"
@@ -252,9 +252,9 @@
     def _holds_enough(self) -> bool:
         if not self.waiting and not self.connection.paused_since_ns:
             return False
-        if self.parser.buffered() > MOST_AHEAD_BYTES:
+        if self.parser.buffered() > MAX_READ_AHEAD_BYTES:
             return True
         return (
             self.host.partial_frame_bytes
-            > self.host.dispatcher.statement_capacity_bytes // AHEAD_DIVISOR
+            > self.host.dispatcher.statement_capacity_bytes // READ_AHEAD_DIVISOR
         )
--- a/query_broker/protocols/client_request.py
+++ b/query_broker/protocols/client_request.py
@@ -30,19 +30,19 @@
     """Read the payload of a request frame.
 
     Raises:
-        MalformedFrameError: the fields cannot be read at all.
-        InvalidRequestError: a field, or the statement, cannot be used; the text says which.
+        MalformedFrameError: The fields cannot be read at all.
+        InvalidRequestError: A field, or the statement, cannot be used; the text says which.
     """
     fields, statement = read_fields(payload)
     for name in REQUIRED_FIELDS:
         if not fields.get(name):
-            raise _unusable_field(name, "is missing")
+            raise InvalidRequestError.of_field(name, "is missing")
     request_id = fields[FIELD_CLIENT_REQUEST_ID]
     if len(request_id) != REQUEST_ID_DIGITS or not HEX_DIGITS.issuperset(request_id):
-        raise _unusable_field(FIELD_CLIENT_REQUEST_ID, "is not 16 hex digits")
+        raise InvalidRequestError.of_field(FIELD_CLIENT_REQUEST_ID, "is not 16 hex digits")
     _check_statement(statement)
     if fields.get(FIELD_IS_RETRY, "1") not in ("0", "1"):
-        raise _unusable_field(FIELD_IS_RETRY, "is neither 1 nor absent")
+        raise InvalidRequestError.of_field(FIELD_IS_RETRY, "is neither 1 nor absent")
     return ParsedRequest(
         class_name=fields[FIELD_CLASS_NAME],
         client_request_id=request_id,
@@ -57,12 +57,8 @@
     )
 
 
-def _unusable_field(name: str, problem: str) -> InvalidRequestError:
-    return InvalidRequestError(f"{name}: {problem}")
-
-
 def _check_statement(statement: bytes) -> None:
-    """An engine would take a NUL for the statement's end."""
+    """Check that a statement is text; an engine would take a NUL for its end."""
     try:
         statement.decode()
     except UnicodeDecodeError:
--- a/query_broker/protocols/client_requests.py
+++ b/query_broker/protocols/client_requests.py
@@ -10,8 +10,8 @@
 from .client_frames import MalformedFrameError
 from .client_request import FIELD_CLIENT_REQUEST_ID, parse_request
 
-# Requests that may be open on one connection at once.
-MOST_OPEN = 32
+# Requests that may be open on one connection at once; also the number of ids it remembers.
+MAX_OPEN_REQUESTS = 32
 
 
 class DispatcherHost(Protocol):
@@ -23,23 +23,26 @@
 class OpenRequests:
     """Submits requests and cancels them.
 
-    ``open`` has the requests that are owed an answer, by stream. A request is None there while it
-    is being submitted.
+    Attributes:
+        client: Gets the answers.
+        open: Requests that are owed an answer, by stream; None while one is being submitted.
+        last_stream: The greatest stream so far.
+        recent_ids: The latest request ids, the oldest first.
     """
 
     def __init__(self, host: DispatcherHost, client: Client) -> None:
-        """Take whose requests these are: ``client`` gets their answers."""
+        """Begin without requests."""
         self.host = host
         self.client = client
         self.open: dict[int, ActiveRequest | None] = {}
         self.last_stream = 0
-        self.recent_ids: dict[str, None] = {}  # the oldest first
+        self.recent_ids: dict[str, None] = {}
 
     def check_stream(self, stream: int) -> None:
-        """Take note of a request's stream: each is greater than all before it.
+        """Check that a request's stream is greater than all before it, and record it.
 
         Raises:
-            MalformedFrameError: it is not.
+            MalformedFrameError: It is not.
         """
         if stream <= self.last_stream:
             reason = f"stream {stream} is not new on this connection"
@@ -50,7 +53,7 @@
         """Submit a request whose first byte came at ``received_ns``; one that is unusable fails.
 
         Raises:
-            MalformedFrameError: its fields cannot be read at all.
+            MalformedFrameError: Its fields cannot be read at all.
         """
         try:
             parsed = parse_request(payload)
@@ -73,10 +76,10 @@
             reason = f"{FIELD_CLIENT_REQUEST_ID}: is not new on this connection"
             raise InvalidRequestError(reason)
         self.recent_ids[request_id] = None
-        if len(self.recent_ids) > MOST_OPEN:
+        if len(self.recent_ids) > MAX_OPEN_REQUESTS:
             del self.recent_ids[next(iter(self.recent_ids))]
-        if len(self.open) >= MOST_OPEN:
-            reason = f"more than {MOST_OPEN} open requests on one connection"
+        if len(self.open) >= MAX_OPEN_REQUESTS:
+            reason = f"more than {MAX_OPEN_REQUESTS} open requests on one connection"
             raise InvalidRequestError(reason)
 
     def cancel(self, stream: int) -> None:
@@ -93,14 +96,14 @@
             self.host.dispatcher.cancellations.abandon(request)
 
     def submitted(self) -> list[ActiveRequest]:
-        """Return the open requests that the dispatcher has taken."""
+        """Return the open requests that the dispatcher has admitted."""
         return [request for request in self.open.values() if request is not None]
 
     def being_submitted(self) -> list[int]:
-        """Return the streams of requests that the dispatcher has not taken yet."""
+        """Return the streams of requests that are still within `Dispatcher.submit`."""
         return [stream for stream, request in self.open.items() if request is None]
 
     def set_unreadable(self, unreadable: bool) -> None:
-        """Say whether it can be known at all that their client cancels them."""
+        """Record whether a cancellation by their client would be read at all."""
         for request in self.submitted():
             request.client_unreadable = unreadable
--- a/query_broker/protocols/client_socket.py
+++ b/query_broker/protocols/client_socket.py
@@ -4,20 +4,22 @@
 
 import asyncio
 
-from .socket_state import has_ended, has_input
+from .socket_state import NO_DESCRIPTOR, has_ended, has_input
 
-# Bytes of answers that may wait for a slow reader; past this its requests are not read any more.
-HIGH_WATER = 256 * 1024
-# Bytes that are read on after the connection has ended for us: enough for what is on its way.
-MOST_DISCARDED = 1 << 20
-# In place of a descriptor: none, or one that must not be used any more.
-NO_DESCRIPTOR = -1
+# Answers that may wait for a slow reader; past this its requests are not read any more.
+WRITE_HIGH_WATER_BYTES = 256 * 1024
+# What is still read after the connection has ended for us: enough for what is in transit.
+MAX_DISCARDED_BYTES = 1 << 20
 
 
 class ClientSocket:
     """Wraps the transport, which may be absent (not connected yet, or lost) or closing.
 
-    ``output_ended``: our side has ended, and nothing more is written.
+    Attributes:
+        transport: None before the connection is made and after it is lost.
+        fd: Descriptor of the socket, or `NO_DESCRIPTOR`.
+        output_ended: Our side has ended, and nothing more is written.
+        discarded_bytes: What came after the connection had ended for us.
     """
 
     def __init__(self) -> None:
@@ -30,7 +32,7 @@
     def attach(self, transport: asyncio.Transport) -> None:
         """Take the transport of a new connection."""
         self.transport = transport
-        self.transport.set_write_buffer_limits(high=HIGH_WATER)
+        self.transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         self.fd = transport.get_extra_info("socket").fileno()
 
     def detach(self) -> None:
@@ -59,22 +61,22 @@
         """Return how many bytes of answers wait for the client to read."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
-    def set_reading(self, wanted: bool) -> None:
-        """Read on, or stop reading for now."""
+    def set_reading(self, enabled: bool) -> None:
+        """Resume reading, or pause it."""
         if self.transport is None:
             return
-        if wanted:
+        if enabled:
             self.transport.resume_reading()
         else:
             self.transport.pause_reading()
 
-    def discard(self, size: int) -> None:
-        """Count bytes that came after the end.
+    def discard(self, size_bytes: int) -> None:
+        """Count bytes that came after the end, and stop reading once they are too many.
 
-        A body of 60 MB read to its end would take the processor from everybody else.
+        To read a body of 60 MB to its end would keep the processor from all other connections.
         """
-        self.discarded_bytes += size
-        if self.discarded_bytes > MOST_DISCARDED:
+        self.discarded_bytes += size_bytes
+        if self.discarded_bytes > MAX_DISCARDED_BYTES:
             self.set_reading(False)
 
     def close(self) -> None:
--- a/query_broker/protocols/client_timeouts.py
+++ b/query_broker/protocols/client_timeouts.py
@@ -9,15 +9,15 @@
 from .client_requests import DispatcherHost
 from .client_socket import ClientSocket
 
-SECOND_NS = 1_000_000_000
+NS_PER_S = 1_000_000_000
 # From connecting until a complete frame must be here.
-FIRST_FRAME_TIMEOUT_NS = 2 * SECOND_NS
+FIRST_FRAME_TIMEOUT_NS = 2 * NS_PER_S
 # From a frame's first byte to its last, where nothing else is open.
-FRAME_TIMEOUT_NS = 2 * SECOND_NS
+FRAME_TIMEOUT_NS = 2 * NS_PER_S
 # Without a request; usual clients close after 4 s.
-IDLE_TIMEOUT_NS = 5 * SECOND_NS
+IDLE_TIMEOUT_NS = 5 * NS_PER_S
 # For which a broken connection is read on, so that the error is not lost with a reset.
-LINGER_NS = 1 * SECOND_NS
+LINGER_NS = 1 * NS_PER_S
 
 
 class WatchedConnection(Protocol):
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -79,11 +79,11 @@
             return
         fields = resp.read_pairs(answer.raw_fields)
         meter = fields.get(messages.FIELD_LOAD_REPORT, "")
-        if kind in messages.HEALTH:
-            self._take_health(tag, messages.HEALTH[kind], meter)
+        if kind in messages.HEALTH_RESULTS:
+            self._take_health(tag, messages.HEALTH_RESULTS[kind], meter)
             return
-        if kind not in messages.ANSWERS_TO_ATTEMPTS:
-            reason = f"unknown word {kind[: messages.QUOTED_KIND_LENGTH]!r}"
+        if kind not in messages.ATTEMPT_ANSWER_KINDS:
+            reason = f"unknown word {kind[: messages.QUOTED_KIND_BYTES]!r}"
             raise resp.MalformedAnswerError(reason)
         attempt = self.connection.in_flight.get(tag)
         if attempt is None:
@@ -96,7 +96,7 @@
             self._take_page(attempt, tag, fields, answer.body, now)
         else:
             # A page that its engine lost also ends here: it may have run, and is no short result.
-            result = AttemptResult.ERROR if attempt.pages else messages.FAILURES[kind]
+            result = AttemptResult.ERROR if attempt.pages else messages.FAILURE_RESULTS[kind]
             self._conclude(tag, attempt, result, meter)
 
     def _take_health(self, tag: bytes, result: AttemptResult, meter: str) -> None:
@@ -203,6 +203,6 @@
         attempt.pages[number] = body
         attempt.missing -= 1
     size = sum(len(page) for page in attempt.pages if page is not None)
-    if size > messages.MOST_RESULT:
+    if size > messages.MAX_RESULT_BYTES:
         reason = "a result larger than an answer can hold"
         raise resp.MalformedAnswerError(reason)
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -18,11 +18,10 @@
 from .engine_cancellations import CancelObserver, EngineCancellations
 from .engine_writer import EngineWriter, WriteObserver
 
-# Request ids that a connection knows to have carried: what still comes under them is told apart
-# from other attempts as long as they are here.
-MOST_CARRIED = 64
-# Within which an answer that has begun must be complete: one that stops short holds up all answers
-# behind it.
+# Request ids that a connection remembers: as long as it does, it carries no other attempt under the
+# same id, and a late answer cannot be taken for that attempt's.
+MAX_CARRIED_IDS = 64
+# From an answer's first byte to its last: an answer that stops short holds up all that follow it.
 ANSWER_TIMEOUT_NS = 500_000_000
 
 
@@ -117,7 +116,7 @@
         request_id = attempt.request.client_request_id
         self.in_flight[request_id] = attempt
         self.carried[request_id] = None
-        if len(self.carried) > MOST_CARRIED:
+        if len(self.carried) > MAX_CARRIED_IDS:
             oldest = next(iter(self.carried))
             del self.carried[oldest]
             if oldest in self.in_flight:  # one that is still open there stays
--- a/query_broker/protocols/engine_messages.py
+++ b/query_broker/protocols/engine_messages.py
@@ -14,7 +14,7 @@
 from ..dispatch.requests import Attempt
 from . import resp
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 # Commands.
 SEND = b"do"
@@ -28,13 +28,13 @@
 SERVED = b"served"
 PAGE = b"rows"
 PROGRESS = b"update"
-FAILURES = {
+FAILURE_RESULTS = {
     b"overload": AttemptResult.FULL,
     b"crashed": AttemptResult.ERROR,
     b"nobody": AttemptResult.NOT_SENT,
 }
-HEALTH = {b"green": AttemptResult.SERVED, b"red": AttemptResult.ERROR}
-ANSWERS_TO_ATTEMPTS = frozenset({SERVED, PAGE, *FAILURES})
+HEALTH_RESULTS = {b"green": AttemptResult.SERVED, b"red": AttemptResult.ERROR}
+ATTEMPT_ANSWER_KINDS = frozenset({SERVED, PAGE, *FAILURE_RESULTS})
 
 # Fields of answers.
 FIELD_LOAD_REPORT = "meter"
@@ -50,19 +50,26 @@
 
 # Tag, kind, fields and body.
 ANSWER_PARTS = 4
-# Pages of one result: memory is taken for the count before the pages are here.
-MOST_PAGES = 1_024
-# Bytes of one result: the largest that an answer to a client can hold.
-MOST_RESULT = 48_000
-# Three text columns and a line end each.
-ROWS = re.compile(rb"(?:[^\t\n\0]*\t[^\t\n\0]*\t[^\t\n\0]*\n)*")
+# Pages of one result: memory is allocated for the count before the pages are here.
+MAX_PAGES = 1_024
+# The largest result that an answer to a client can hold.
+MAX_RESULT_BYTES = 48_000
+# Rows: three text columns and a line end each.
+ROWS_PATTERN = re.compile(rb"(?:[^\t\n\0]*\t[^\t\n\0]*\t[^\t\n\0]*\n)*")
 # Bytes of an unknown kind, and characters of a count, that an error text repeats.
-QUOTED_KIND_LENGTH = 40
-QUOTED_COUNT_LENGTH = 20
+QUOTED_KIND_BYTES = 40
+QUOTED_COUNT_CHARACTERS = 20
 
 
 class EngineAnswer(NamedTuple):
-    """One answer as it came: its fields are not read yet."""
+    """One answer as it came.
+
+    Attributes:
+        tag: The id of the request, or the tag of the health check, that it answers.
+        kind: The kind of answer, in the engine's word.
+        raw_fields: The fields, not yet read.
+        body: A page, or empty.
+    """
 
     tag: bytes
     kind: bytes
@@ -79,7 +86,7 @@
     request = attempt.request
     fields: dict[str, object] = {
         "cls": request.class_name.decode(),
-        "limit": max(1, (attempt.deadline_ns - now) // MS),
+        "limit": max(1, (attempt.deadline_ns - now) // NS_PER_MS),
     }
     if request.idempotency_key is not None:
         fields["nonce"] = request.idempotency_key
@@ -95,7 +102,7 @@
     """Name the parts of an answer.
 
     Raises:
-        MalformedAnswerError: there are more or fewer of them.
+        MalformedAnswerError: There are more or fewer of them.
     """
     if len(parts) != ANSWER_PARTS:
         reason = f"{len(parts)} parts in place of {ANSWER_PARTS}"
@@ -107,14 +114,14 @@
     """Check that a page holds rows: noise in a good frame would be served as a result.
 
     Raises:
-        MalformedAnswerError: no UTF-8, or no rows of three columns.
+        MalformedAnswerError: The page is no UTF-8, or has no rows of three columns.
     """
     try:
         page.decode()
     except UnicodeDecodeError:
         reason = "a page that is no text"
         raise resp.MalformedAnswerError(reason) from None
-    if ROWS.fullmatch(page) is None:
+    if ROWS_PATTERN.fullmatch(page) is None:
         reason = "a page that is no rows of three columns"
         raise resp.MalformedAnswerError(reason)
 
@@ -123,9 +130,9 @@
     """Read a count of pages, or the number of one.
 
     Raises:
-        MalformedAnswerError: no number from 0 to `MOST_PAGES`.
+        MalformedAnswerError: The text is no number from 0 to `MAX_PAGES`.
     """
-    if not text.isdecimal() or int(text) > MOST_PAGES:
-        reason = f"{name}: {text[:QUOTED_COUNT_LENGTH]!r} is no count up to {MOST_PAGES}"
+    if not text.isdecimal() or int(text) > MAX_PAGES:
+        reason = f"{name}: {text[:QUOTED_COUNT_CHARACTERS]!r} is no count up to {MAX_PAGES}"
         raise resp.MalformedAnswerError(reason)
     return int(text)
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -13,16 +13,14 @@
 from ..dispatch.requests import Attempt
 from . import resp
 from .engine_messages import CANCEL, encode_attempt
-from .socket_state import has_ended, has_input
+from .socket_state import NO_DESCRIPTOR, has_ended, has_input
 
-# Of Linux, in case that Python's own list lacks it.
+# The socket option's number on Linux, for a Python whose `socket` module lacks it.
 NOTSENT_LOWAT = getattr(socket, "TCP_NOTSENT_LOWAT", 25)
-# Bytes that may lie unsent in the system's buffer: what lies there cannot be withdrawn.
-UNSENT = 16_384
-# Of requests to which the decisions give none, within 0 to 3.
+# What may lie unsent in the system's buffer: it cannot be withdrawn from there.
+MAX_UNSENT_BYTES = 16_384
+# Priority, within 0 to 3, of requests to which the decisions give none.
 DEFAULT_PRIORITY = 1
-# In place of a descriptor: none, or one that must not be used any more.
-NO_DESCRIPTOR = -1
 
 
 class WriteObserver(Protocol):
@@ -83,7 +81,7 @@
         self.fd = engine_socket.fileno()
         # A system that knows no such option has a somewhat larger buffer, and all else is alike.
         with contextlib.suppress(OSError):
-            engine_socket.setsockopt(socket.IPPROTO_TCP, NOTSENT_LOWAT, UNSENT)
+            engine_socket.setsockopt(socket.IPPROTO_TCP, NOTSENT_LOWAT, MAX_UNSENT_BYTES)
 
     def has_ended(self) -> bool:
         """Return whether the engine has ended the connection, perhaps unread as yet."""
--- a/query_broker/protocols/operator_answers.py
+++ b/query_broker/protocols/operator_answers.py
@@ -6,9 +6,10 @@
 
 from .errors import ProtocolError
 
-TEXT = "text/plain; charset=utf-8"
+# The content type of plain text.
+TEXT_CONTENT_TYPE = "text/plain; charset=utf-8"
 # The content type of Prometheus' text format.
-METRICS = "text/plain; version=0.0.4; charset=utf-8"
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -24,16 +25,28 @@
 
 
 class HttpAnswer(NamedTuple):
-    """One answer. ``allow`` is the method that the path allows; empty: no such header."""
+    """One answer.
+
+    Attributes:
+        status: The HTTP status, one of `REASONS`.
+        body: The complete body.
+        content_type: Value of the header ``Content-Type``.
+        allow: The method that the path allows; empty for no header ``Allow``.
+    """
 
     status: int
     body: bytes
-    content_type: str = TEXT
+    content_type: str = TEXT_CONTENT_TYPE
     allow: str = ""
 
 
 class OperatorCallError(ProtocolError):
-    """The call cannot be done: the status says why."""
+    """A call that cannot be carried out.
+
+    Attributes:
+        status: The HTTP status of the answer.
+        allow: The method that the path allows; empty for no header ``Allow``.
+    """
 
     def __init__(self, status: int, text: str, allow: str = "") -> None:
         """Take the text of the answer, and the method that the path would allow."""
@@ -42,13 +55,13 @@
         self.allow = allow
 
     def answer(self) -> HttpAnswer:
-        """Return the answer that says so."""
+        """Return the answer that reports the error."""
         return text_answer(self.status, str(self), self.allow)
 
 
 def text_answer(status: int, text: str, allow: str = "") -> HttpAnswer:
     """Return an answer of one line of text."""
-    return HttpAnswer(status, f"{text}\n".encode(), TEXT, allow)
+    return HttpAnswer(status, f"{text}\n".encode(), TEXT_CONTENT_TYPE, allow)
 
 
 def encode_answer(answer: HttpAnswer) -> bytes:
--- a/query_broker/protocols/operator_calls.py
+++ b/query_broker/protocols/operator_calls.py
@@ -5,13 +5,13 @@
 from typing import Protocol
 from urllib.parse import unquote_to_bytes
 
-from .operator_answers import METRICS, HttpAnswer, OperatorCallError, text_answer
+from .operator_answers import METRICS_CONTENT_TYPE, HttpAnswer, OperatorCallError, text_answer
 
 READY_PATH = "/ready"
 METRICS_PATH = "/metrics"
-# An endpoint's id follows these.
-DISABLE = "/data-engines/disable/"
-ENABLE = "/data-engines/enable/"
+# The uid of an endpoint follows these.
+DISABLE_PATH_PREFIX = "/data-engines/disable/"
+ENABLE_PATH_PREFIX = "/data-engines/enable/"
 
 
 class OperatorActions(Protocol):
@@ -23,8 +23,8 @@
     def metrics(self) -> bytes:
         """Return all metrics in Prometheus' text format."""
 
-    def set_endpoint_disabled(self, uid: str, out: bool) -> bool:
-        """Disable (``out``) or re-enable an endpoint by hand; return whether it is known."""
+    def set_endpoint_disabled(self, uid: str, disabled: bool) -> bool:
+        """Disable or re-enable an endpoint by hand; return whether it is known."""
 
     def call_subsystem(self, method: str, path: str) -> tuple[int, bytes, str, str] | None:
         """Answer a call of another subsystem, or return None if there is no such call.
@@ -37,12 +37,12 @@
     """Carry out a call, and return its answer.
 
     Raises:
-        OperatorCallError: there is no such call, or it cannot be done.
+        OperatorCallError: There is no such call, or it cannot be carried out.
     """
     other = actions.call_subsystem(method, path)
     if other is not None:
         return HttpAnswer(*other)
-    is_endpoint_call = path.startswith((DISABLE, ENABLE))
+    is_endpoint_call = path.startswith((DISABLE_PATH_PREFIX, ENABLE_PATH_PREFIX))
     if not is_endpoint_call and path not in (READY_PATH, METRICS_PATH):
         text = "no such call"
         raise OperatorCallError(404, text)
@@ -51,7 +51,7 @@
         text = f"this call is a {allowed}"
         raise OperatorCallError(405, text, allowed)
     if path == METRICS_PATH:
-        return HttpAnswer(200, actions.metrics(), METRICS)
+        return HttpAnswer(200, actions.metrics(), METRICS_CONTENT_TYPE)
     if is_endpoint_call:
         return _set_endpoint(actions, path)
     if not actions.ready():
@@ -61,14 +61,14 @@
 
 
 def _set_endpoint(actions: OperatorActions, path: str) -> HttpAnswer:
-    disable = path.startswith(DISABLE)
-    prefix = DISABLE if disable else ENABLE
+    disable = path.startswith(DISABLE_PATH_PREFIX)
+    prefix = DISABLE_PATH_PREFIX if disable else ENABLE_PATH_PREFIX
     try:
         uid = unquote_to_bytes(path.removeprefix(prefix)).decode()
     except UnicodeDecodeError:
         text = "the id is no text"
         raise OperatorCallError(400, text) from None
-    if not actions.set_endpoint_disabled(uid, out=disable):
+    if not actions.set_endpoint_disabled(uid, disabled=disable):
         text = "no data engine has this id"
         raise OperatorCallError(404, text)
     return text_answer(200, "done")
--- a/query_broker/protocols/operator_http.py
+++ b/query_broker/protocols/operator_http.py
@@ -11,10 +11,10 @@
 from .operator_answers import HttpAnswer, OperatorCallError, encode_answer, text_answer
 from .operator_calls import OperatorActions, answer_call
 
-# Bytes of the request line and the headers, so that one without end is not read for good.
-MOST_HEAD = 8_192
-# Bytes of a body; no call needs any.
-MOST_BODY = 16_384
+# Size of the request line and the headers together.
+MAX_HEAD_BYTES = 8_192
+# Size of a body; no call needs any.
+MAX_BODY_BYTES = 16_384
 # From connecting to the end of the connection, answered or not: few descriptors are kept for
 # operators' calls, and none may be held for longer.
 CALL_TIMEOUT_NS = 800_000_000
@@ -125,8 +125,8 @@
         self.header_bytes += len(name) + len(value)
         self._check_head(len(self.url) + self.header_bytes)
 
-    def _check_head(self, size: int) -> None:
-        if size > MOST_HEAD and not self.answered:
+    def _check_head(self, size_bytes: int) -> None:
+        if size_bytes > MAX_HEAD_BYTES and not self.answered:
             text = "the head is too long"
             raise OperatorCallError(431, text)
 
@@ -137,7 +137,7 @@
     def on_body(self, body: bytes) -> None:
         """Count a part of the body against the bound."""
         self.body_bytes += len(body)
-        if self.body_bytes > MOST_BODY:
+        if self.body_bytes > MAX_BODY_BYTES:
             text = "no call needs such a body"
             raise OperatorCallError(413, text)
 
--- a/query_broker/protocols/resp.py
+++ b/query_broker/protocols/resp.py
@@ -9,18 +9,18 @@
 
 from .errors import ProtocolError
 
-# Bytes of one bulk string: the largest result, were it one page.
-MOST_BULK = 48_000
-# Elements of an array: id, kind, fields and body.
-MOST_PARTS = 4
-# Bytes of a line that holds a length; what is longer has no end.
-MOST_LINE = 32
-# Bytes up to which copying a part costs less than a piece of its own in a vectored write.
-SMALL = 4_096
+# Largest bulk string: a result of the largest size in one page.
+MAX_BULK_BYTES = 48_000
+# Elements of an array: tag, kind, fields and body.
+MAX_ARRAY_PARTS = 4
+# Longest line that holds the length of an array or of a bulk string.
+MAX_LENGTH_LINE_BYTES = 32
+# Size below which copying a part costs less than a piece of its own in a vectored write.
+SMALL_PART_BYTES = 4_096
 # Stands in place of fields where there are none.
 NO_FIELDS = "-"
 # Characters of a peer's text that an error text repeats.
-QUOTED_LENGTH = 80
+QUOTED_CHARACTERS = 80
 
 
 class MalformedAnswerError(ProtocolError):
@@ -41,9 +41,9 @@
 
     Joined, the pieces are what `encode` returns; a large statement is not copied.
     """
-    *most, last = parts
-    head = b"".join(map(_bulk_string, most))
-    if len(last) < SMALL:
+    *first_parts, last = parts
+    head = b"".join(map(_bulk_string, first_parts))
+    if len(last) < SMALL_PART_BYTES:
         return (b"*%d\r\n%b$%d\r\n%b\r\n" % (len(parts), head, len(last), last),)
     return b"*%d\r\n%b$%d\r\n" % (len(parts), head, len(last)), last, b"\r\n"
 
@@ -51,63 +51,64 @@
 class RespParser:
     """Takes bytes as they come; returns complete arrays, also those before a malformed one.
 
-    ``at`` is where the next line begins while arrays are read; ``buffer`` begins with the first
-    array that is not complete yet.
+    Attributes:
+        buffer: The bytes from the first array on that is not complete yet.
+        position: Where the next line begins while arrays are read.
     """
 
     def __init__(self) -> None:
         """Begin at the start of a connection."""
         self.buffer = bytearray()
-        self.at = 0
+        self.position = 0
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
         """Add bytes, and yield the arrays that are complete with them.
 
         Raises:
-            MalformedAnswerError: what comes next is no array of bulk strings within the bounds.
+            MalformedAnswerError: What comes next is no array of bulk strings within the bounds.
         """
         self.buffer += data
-        self.at = 0
+        self.position = 0
         end = 0
         while (parts := self._array()) is not None:
-            end = self.at
+            end = self.position
             yield parts
         del self.buffer[:end]
 
-    def _length(self, sign: bytes, most: int) -> int | None:
+    def _length(self, sign: bytes, max_length: int) -> int | None:
         """Read a line such as ``*4`` or ``$17``; None until it is complete."""
         buffer = self.buffer
-        at = self.at
-        if at >= len(buffer):
+        begin = self.position
+        if begin >= len(buffer):
             return None
-        if buffer[at] != sign[0]:
-            reason = f"{bytes(buffer[at : at + 1])!r} stands where {sign!r} must"
+        if buffer[begin] != sign[0]:
+            reason = f"{bytes(buffer[begin : begin + 1])!r} stands where {sign!r} must"
             raise MalformedAnswerError(reason)
-        end = buffer.find(b"\r\n", at, at + MOST_LINE)
+        end = buffer.find(b"\r\n", begin, begin + MAX_LENGTH_LINE_BYTES)
         if end < 0:
-            if len(buffer) - at >= MOST_LINE:
+            if len(buffer) - begin >= MAX_LENGTH_LINE_BYTES:
                 reason = "a length without its end"
                 raise MalformedAnswerError(reason)
             return None
-        digits = bytes(buffer[at + 1 : end])
-        if not digits.isdigit() or int(digits) > most:
-            reason = f"{digits!r} is no length up to {most}"
+        digits = bytes(buffer[begin + 1 : end])
+        if not digits.isdigit() or int(digits) > max_length:
+            reason = f"{digits!r} is no length up to {max_length}"
             raise MalformedAnswerError(reason)
-        self.at = end + 2
+        self.position = end + 2
         return int(digits)
 
     def _array(self) -> list[bytes] | None:
         """Read the array that begins at the cursor; None until it is complete."""
-        count = self._length(b"*", MOST_PARTS)
+        count = self._length(b"*", MAX_ARRAY_PARTS)
         if count is None:
             return None
         buffer = self.buffer
         parts: list[bytes] = []
         for _ in range(count):
-            size = self._length(b"$", MOST_BULK)
+            size = self._length(b"$", MAX_BULK_BYTES)
             if size is None:
                 return None
-            begin = self.at
+            begin = self.position
             end = begin + size
             if len(buffer) < end + 2:
                 return None
@@ -115,15 +116,20 @@
                 reason = "a bulk string runs past its length"
                 raise MalformedAnswerError(reason)
             parts.append(bytes(buffer[begin:end]))
-            self.at = end + 2
+            self.position = end + 2
         return parts
 
 
-def read_pairs(raw: bytes, between: str = ",", equals: str = "=") -> dict[str, str]:
+def read_pairs(raw: bytes, separator: str = ",", equals: str = "=") -> dict[str, str]:
     """Read fields such as ``name=value,name=value``, or ``-`` for none.
 
+    Args:
+        raw: The encoded fields.
+        separator: The sign between two fields.
+        equals: The sign between the name and the value of a field.
+
     Raises:
-        MalformedAnswerError: no UTF-8, or a part without a name or without the sign between.
+        MalformedAnswerError: The bytes are no UTF-8, or a field has no name or no ``equals``.
     """
     try:
         text = raw.decode()
@@ -133,10 +139,10 @@
     if text in (NO_FIELDS, ""):
         return {}
     fields: dict[str, str] = {}
-    for part in text.split(between):
+    for part in text.split(separator):
         name, sign, value = part.partition(equals)
         if not name or sign != equals:
-            reason = f"{text[:QUOTED_LENGTH]!r} is no list of name{equals}value"
+            reason = f"{text[:QUOTED_CHARACTERS]!r} is no list of name{equals}value"
             raise MalformedAnswerError(reason)
         fields[name] = value
     return fields
@@ -152,10 +158,10 @@
     """Read a load report, such as ``inflight:7;util:0.61``.
 
     Raises:
-        MalformedAnswerError: it is no list of ``name:value``, or a value is no number.
+        MalformedAnswerError: The text is no list of ``name:value``, or a value is no number.
     """
     try:
         return {name: float(value) for name, value in read_pairs(raw.encode(), ";", ":").items()}
     except ValueError:
-        reason = f"meter {raw[:QUOTED_LENGTH]!r} holds no numbers"
+        reason = f"meter {raw[:QUOTED_CHARACTERS]!r} holds no numbers"
         raise MalformedAnswerError(reason) from None
--- a/query_broker/protocols/socket_state.py
+++ b/query_broker/protocols/socket_state.py
@@ -7,6 +7,8 @@
 
 import select
 
+# In place of a descriptor: none, or one that must not be used any more.
+NO_DESCRIPTOR = -1
 # The other end has closed or reset the connection. Not every system knows POLLRDHUP.
 PEER_CLOSED = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
@@ -14,14 +16,14 @@
 def has_ended(fd: int) -> bool:
     """Return whether the other end has closed, or reset, the connection.
 
-    Its end stands behind all that it sent, so that whoever reads in order, and in turns, would
-    learn of it late.
+    The end of the stream is read only after all that was sent before it, so that a reader that
+    takes turns would learn of it late.
     """
     return _is_signalled(fd, PEER_CLOSED)
 
 
 def has_input(fd: int) -> bool:
-    """Return whether bytes, or at a listening socket connections, wait to be taken."""
+    """Return whether bytes wait to be read, or connections at a listening socket."""
     return _is_signalled(fd, select.POLLIN)
 
 
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -73,13 +73,13 @@
         """Return the metrics in the text format of Prometheus."""
         return self.node.dispatcher.metrics()
 
-    def set_endpoint_disabled(self, uid: str, out: bool) -> bool:
-        """Disable an endpoint (``out``) or enable it again; False where the uid is not known."""
-        done = self.node.dispatcher.set_endpoint_disabled(uid, out)
+    def set_endpoint_disabled(self, uid: str, disabled: bool) -> bool:
+        """Disable or enable an endpoint by hand; False where the uid is not known."""
+        done = self.node.dispatcher.set_endpoint_disabled(uid, disabled)
         if done and self.node.peer_processes is not None:
             # Once the caller has its answer, the call holds at the other process as well.
             self.node.peer_processes.publish_status()
-        action = "out" if out else "back"
+        action = "out" if disabled else "back"
         result = "done" if done else "is not known"
         self.log("operator", f"{action}: {uid[:MAX_LOGGED_UID_LENGTH]!r} {result}")
         return done
--- a/tests/server/test_admin_api.py
+++ b/tests/server/test_admin_api.py
@@ -12,7 +12,7 @@
 from query_broker.discovery.event_codec import parse_event
 from query_broker.metrics import ERROR, SUCCESS, Metrics, escape_label
 from query_broker.protocols import client_frames as frames
-from query_broker.protocols.operator_http import MOST_BODY, MOST_HEAD
+from query_broker.protocols.operator_http import MAX_BODY_BYTES, MAX_HEAD_BYTES
 
 from ..support.sockets import (
     Engine,
@@ -40,11 +40,11 @@
     (b"POST /data-engines/disable/%ff HTTP/1.1\r\n\r\n", 400),
     (b"hello\r\n\r\n", 400),
     (b"\0\1\2\3", 400),
-    (b"GET /ready HTTP/1.1\r\nA: " + b"a" * MOST_HEAD + b"\r\n\r\n", 431),
+    (b"GET /ready HTTP/1.1\r\nA: " + b"a" * MAX_HEAD_BYTES + b"\r\n\r\n", 431),
     (b"GET /" + b"a" * 40_000, 431),
     (
         b"POST /data-engines/enable/s-1 HTTP/1.1\r\nContent-Length: 99999\r\n\r\n"
-        + b"a" * (MOST_BODY + 1),
+        + b"a" * (MAX_BODY_BYTES + 1),
         413,
     ),
     (b"POST /data-engines/%64isable/s%2D1 HTTP/1.1\r\n\r\n", 404),
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -69,20 +69,20 @@
     config = make_config(target_entry("s-1", await engine.start()), operator=True)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with co_process(config, listener, tmp_path) as old:
-            assert old.node.admin_api.set_endpoint_disabled("s-1", out=True)
+            assert old.node.admin_api.set_endpoint_disabled("s-1", disabled=True)
             async with co_process(config, listener, tmp_path) as new:
                 assert new.node.dispatcher.administrative_states.is_disabled(
                     "s-1"
                 )  # before it serves anybody
                 assert new.node.dispatcher.facade.avoided_endpoints() == 1
                 await meet(old, new)
-                assert new.node.admin_api.set_endpoint_disabled("s-1", out=False)
+                assert new.node.admin_api.set_endpoint_disabled("s-1", disabled=False)
                 await until(
                     lambda: not old.node.dispatcher.administrative_states.is_disabled("s-1")
                 )
                 (known,) = old.node.dispatcher.facade.controller.endpoints.values()
                 assert known.warmup_ends_ns > old.node.clock.now()
-                assert old.node.admin_api.set_endpoint_disabled("s-1", out=True)
+                assert old.node.admin_api.set_endpoint_disabled("s-1", disabled=True)
                 await until(lambda: new.node.dispatcher.administrative_states.is_disabled("s-1"))
 
 
@@ -238,7 +238,7 @@
             (file,) = tmp_path.glob("*.json")
             inode = file.stat().st_ino
             name = file.name.removesuffix(".json")
-            assert rig.node.admin_api.set_endpoint_disabled("s-1", out=True)
+            assert rig.node.admin_api.set_endpoint_disabled("s-1", disabled=True)
             long = file.read_bytes()
             status = ours.files.read(name)
             assert status is not None
