--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -48,21 +48,21 @@
         self,
         host: PoolHost,
         *,
-        streams: int,
-        connect_timeout: int,
-        conn_idle: int,
-        unsent: UnsentObserver,
-        may_go: HandOverGate,
+        max_streams: int,
+        connect_timeout_ns: int,
+        endpoint_idle_timeout_ns: int,
+        report_unsent: UnsentObserver,
+        may_hand_over: HandOverGate,
     ) -> None:
         """Start without connections; see `ConnectionPools` for the arguments besides ``host``."""
         super().__init__(
             host.connection_events,
             host.log,
-            streams=streams,
-            connect_timeout=connect_timeout,
-            conn_idle=conn_idle,
-            unsent=unsent,
-            may_go=may_go,
+            max_streams=max_streams,
+            connect_timeout_ns=connect_timeout_ns,
+            endpoint_idle_timeout_ns=endpoint_idle_timeout_ns,
+            report_unsent=report_unsent,
+            may_hand_over=may_hand_over,
         )
         self._host = host
         self.ledger = Ledger()
@@ -184,7 +184,7 @@
         return any(
             self._host.accounting.is_firm(attempt.request)
             for attempt in connection.in_flight.values()
-            if attempt.wanted()
+            if attempt.is_wanted()
         )
 
 
@@ -195,5 +195,5 @@
 
 def _call_in_order(connection: EngineConnection) -> tuple[int, int]:
     """Rank connections by their attempts that are still wanted, then by their last use."""
-    wanted = sum(attempt.wanted() for attempt in connection.in_flight.values())
+    wanted = sum(attempt.is_wanted() for attempt in connection.in_flight.values())
     return wanted, connection.last_sent_ns
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -92,11 +92,11 @@
         config = self.config
         self.cell_pools = CelledPools(
             self,
-            streams=config.streams_per_connection,
-            connect_timeout=config.connect_timeout_ns,
-            conn_idle=config.connection_idle_ns,
-            unsent=self.outcomes.end,
-            may_go=self.gate.may_go,
+            max_streams=config.streams_per_connection,
+            connect_timeout_ns=config.connect_timeout_ns,
+            endpoint_idle_timeout_ns=config.connection_idle_ns,
+            report_unsent=self.outcomes.end,
+            may_hand_over=self.gate.may_proceed,
         )
         return self.cell_pools
 
--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -15,9 +15,9 @@
 from .request_table import RequestTable
 from .requests import Attempt
 
-# Ticks before an attempt's deadline at which what has not left is taken back. The decisions answer
-# one tick before the deadline, and the report needs one itself.
-TAKE_BACK_TICKS = 3
+# Ticks before its deadline at which an attempt that has not left is withdrawn. The decisions give
+# the final answer one tick before the deadline, and the report takes a tick itself.
+WITHDRAW_TICKS = 3
 
 
 class AttemptDispatcher:
@@ -62,12 +62,12 @@
         if request is None:
             return
         attempt = Attempt(
-            request,
-            order.attempt,
-            order.endpoint,
-            now_ns,
-            now_ns + order.timeout_ns,
-            order.latest_start_ns,
+            request=request,
+            number=order.attempt,
+            endpoint=order.endpoint,
+            dispatched_ns=now_ns,
+            deadline_ns=now_ns + order.timeout_ns,
+            latest_start_ns=order.latest_start_ns,
         )
         request.attempts[attempt.number] = attempt
         if self._table.closing or request.closing or request.client_unreadable:
@@ -79,8 +79,8 @@
             self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
             return
         attempt.timer = self._timers.set_timer(
-            attempt.deadline_ns - TAKE_BACK_TICKS * self._timers.tick_ns,
-            partial(self._take_back_before_deadline, attempt),
+            attempt.deadline_ns - WITHDRAW_TICKS * self._timers.tick_ns,
+            partial(self._withdraw_before_deadline, attempt),
         )
         pool = self._context.pools.get(order.endpoint)
         if pool is not None:
@@ -89,7 +89,10 @@
             self._outcomes.end_next_tick(attempt, AttemptResult.CONNECT_FAILED)
 
     def _is_within_budget(self, budget: RetryBudget, attempt: Attempt) -> bool:
-        """Pay for a retry; cut a first attempt short where it can be made again."""
+        """Spend a token on a retry, and limit the attempt's time; False where no token is left.
+
+        A first attempt spends none; its time is cut short where the request may be retried.
+        """
         request = attempt.request
         class_name = request.class_name.decode()
         remaining_ns = attempt.deadline_ns - attempt.dispatched_ns
@@ -97,8 +100,8 @@
         allowed_ns = attempt_time(remaining_ns, attempt.number, idempotent, budget.settings)
         attempt.deadline_ns = attempt.dispatched_ns + allowed_ns
         if attempt.number:
-            attempt.budgeted = budget.try_spend(class_name, request.tenant)
-            return attempt.budgeted
+            attempt.holds_retry_token = budget.try_spend(class_name, request.tenant)
+            return attempt.holds_retry_token
         budget.record_first_attempt(class_name, request.tenant)
         return True
 
@@ -108,11 +111,11 @@
                 return spec.effect is Effect.IDEMPOTENT
         return False
 
-    def _take_back_before_deadline(self, attempt: Attempt) -> None:
-        """End an attempt that has not left; else wait for its deadline.
+    def _withdraw_before_deadline(self, attempt: Attempt) -> None:
+        """Withdraw an attempt that has not left; else wait for its deadline.
 
-        The decisions answer a tick before the deadline. What has not left by then would be answered
-        as if it had: it is taken back while there is time to say so.
+        The decisions give the final answer a tick before the deadline. Without an earlier report
+        they would take an attempt that never left for one that may have run.
         """
         if attempt.write_started:
             attempt.timer = self._timers.set_timer(
@@ -124,12 +127,12 @@
         self._outcomes.end(attempt, AttemptResult.CONNECT_FAILED)
 
     def _time_out(self, attempt: Attempt) -> None:
-        """End an attempt whose deadline has passed, cancelling it where engines honour that."""
+        """End an attempt whose deadline has passed; cancel it where endpoints support that."""
         if attempt.concluded:
-            return  # its report follows
+            return  # its report is deferred already
         connection = attempt.connection
-        honoured = self._context.config.settings.limits.cancellation
-        if connection is not None and not attempt.reported and honoured:
+        may_cancel = self._context.config.settings.limits.cancellation
+        if connection is not None and not attempt.reported and may_cancel:
             self._outcomes.cancel_in_flight(attempt, connection)
             attempt.concluded = True
             self._outcomes.end_next_tick(attempt, AttemptResult.TIMEOUT)
--- a/query_broker/dispatch/attempt_outcomes.py
+++ b/query_broker/dispatch/attempt_outcomes.py
@@ -11,13 +11,13 @@
 from .observers import DispatchExtensions
 from .requests import Attempt, AttemptConnection
 
-# How long a cancellation takes to an endpoint. What follows it goes another way, so that it leaves
-# only after this time.
+# How long a cancellation may take to reach an endpoint. The next attempt may use another connection
+# and overtake it, so that it leaves only after this time.
 CANCEL_TRANSIT_NS = 10 * NS_PER_MS
 
 
 class DeferredOutcome(NamedTuple):
-    """An attempt that is over, with its report still to be made."""
+    """An attempt that has ended, with its report still to be made."""
 
     attempt: Attempt
     result: AttemptResult
@@ -58,7 +58,7 @@
             attempt.timer.cancel()
         request = attempt.request
         request.attempts.pop(attempt.number, None)
-        if attempt.budgeted and not attempt.write_started:
+        if attempt.holds_retry_token and not attempt.write_started:
             self._refund(attempt)
         for observer in self._extensions.observers:
             observer.attempt_ended(attempt.endpoint, result)
@@ -77,7 +77,7 @@
         self._context.release(request)
 
     def _refund(self, attempt: Attempt) -> None:
-        """Give a retry's token back, since it never left."""
+        """Give back the token of a retry that never left."""
         budget = self._controls.retry_budget
         if budget is not None:
             budget.refund(attempt.request.class_name.decode(), attempt.request.tenant)
@@ -88,7 +88,7 @@
         self._timers.wake_next_tick()
 
     def cancel_in_flight(self, attempt: Attempt, connection: AttemptConnection) -> None:
-        """Tell the endpoint to stop; only where the settings allow cancellation."""
+        """Cancel an attempt at its endpoint; only where the settings allow cancellation."""
         connection.cancel(attempt)
         self.delay_report(attempt)
         self._controls.statistics.cancels_sent += 1
@@ -96,20 +96,20 @@
     def delay_report(self, attempt: Attempt) -> None:
         """Report the attempt only when its cancellation, or its connection's end, has arrived.
 
-        That and the attempt that follows go two ways and nothing orders them. Where hedging is
-        allowed, two attempts may be in flight anyway.
+        The next attempt may reach the endpoint first, on another connection. Where hedging is
+        allowed, two attempts may be in flight anyway, and nothing is delayed.
         """
         if not self._context.config.settings.limits.hedging:
             attempt.report_after_ns = self._clock.now() + CANCEL_TRANSIT_NS
 
     def report_deferred(self) -> None:
-        """Report what is deferred and may be reported now."""
+        """Report the deferred outcomes, except those that must still be delayed."""
         now_ns = self._clock.now()
         delayed: list[DeferredOutcome] = []
         while self.deferred:  # a report may lead to an order that defers another one
-            due = self.deferred
+            outcomes = self.deferred
             self.deferred = []
-            for outcome in due:
+            for outcome in outcomes:
                 if self._may_be_reported(outcome.attempt, now_ns):
                     self.end(outcome.attempt, outcome.result)
                 else:
@@ -119,7 +119,7 @@
             self._timers.wake_next_tick()
 
     def _may_be_reported(self, attempt: Attempt, now_ns: int) -> bool:
-        """False while its cancellation is under way: the next attempt may leave with the report."""
+        """Return False while its cancellation is in transit: the report may start an attempt."""
         connection = attempt.connection
         request_id = attempt.request.client_request_id
         if connection is not None and request_id in connection.cancels_in_transit:
--- a/query_broker/dispatch/cancellation.py
+++ b/query_broker/dispatch/cancellation.py
@@ -1,7 +1,7 @@
-"""Cancellation: what is not wanted any more goes no further, or is undone where that is possible.
+"""Cancellation: attempts that are not wanted any more are stopped, withdrawn or cancelled.
 
 `HandOverGate` stops attempts on their way to an endpoint. `RequestCancellation` ends all that is
-under way for a request whose client has gone or has its answer.
+under way for a request that has been answered or abandoned.
 """
 
 from __future__ import annotations
@@ -47,18 +47,18 @@
         controls: DeadlineControls,
         outcomes: AttemptOutcomes,
     ) -> None:
-        """Take what the checks look at, and where stopped attempts are reported."""
+        """Take the collaborators: the state that the checks read, and the report of outcomes."""
         self._clock = clock
         self._endpoints = endpoints
         self._administrative_states = administrative_states
         self._controls = controls
         self._outcomes = outcomes
 
-    def may_go(self, attempt: Attempt, hand_over: HandOver) -> bool:
-        """Whether the attempt goes on; if not, it is reported as never sent with the next tick.
+    def may_proceed(self, attempt: Attempt, hand_over: HandOver) -> bool:
+        """Return whether the attempt goes on; if not, it is reported as not sent at the next tick.
 
-        One that was taken back while it waited, its report still to follow, would run at the same
-        time as the next one.
+        One that was withdrawn while it waited has its report deferred: it must not go on, since it
+        would run at the same time as the next one.
         """
         if attempt.reported or attempt.concluded:
             return False
@@ -73,24 +73,24 @@
         return False
 
     def _facts(self, attempt: Attempt, hand_over: HandOver, now_ns: int) -> HandOverCheck:
-        """What the check of a hand-over looks at."""
+        """Return the facts that the check of a hand-over reads."""
         request = attempt.request
-        known = self._endpoints.by_number.get(attempt.endpoint)
+        endpoint = self._endpoints.by_number.get(attempt.endpoint)
         stages = self._controls.stages
         fastest_ns = 0
         if stages is not None:
             remaining = REMAINING_STAGES[hand_over]
             fastest_ns = stages.fastest(request.class_name.decode(), now_ns, *remaining)
-        disabled = False
-        if known is not None and self._administrative_states.states:
-            disabled = self._administrative_states.is_disabled(known.target.uid)
-        draining = known is None or known.target.state is not EndpointState.READY
+        is_disabled = False
+        if endpoint is not None and self._administrative_states.states:
+            is_disabled = self._administrative_states.is_disabled(endpoint.target.uid)
+        is_ready = endpoint is not None and endpoint.target.state is EndpointState.READY
         return HandOverCheck(
-            request.client is not None and not request.client_unreadable,
-            min(attempt.deadline_ns, request.deadline_ns, attempt.latest_start_ns),
-            fastest_ns,
-            disabled,
-            now_ns if draining else 0,
+            wanted=request.client is not None and not request.client_unreadable,
+            deadline_ns=min(attempt.deadline_ns, request.deadline_ns, attempt.latest_start_ns),
+            fastest_ns=fastest_ns,
+            disabled=is_disabled,
+            drained_at_ns=0 if is_ready else now_ns,
         )
 
 
@@ -113,7 +113,7 @@
         self._outcomes = outcomes
 
     def abandon(self, request: ActiveRequest) -> None:
-        """End a request whose client has gone; no answer is owed."""
+        """End a request that its client has cancelled or left; no answer is owed."""
         if request.client is None:
             return
         request.client = None
@@ -126,24 +126,24 @@
         self._context.release(request)
 
     def close_out_all(self) -> None:
-        """Answer all requests as the rules allow, since the process is about to end."""
+        """Give all requests their final answer, since the process is about to end."""
         self._table.closing = True
-        self._take_back_unsent(self._table.by_id.values())
+        self._withdraw_unsent(self._table.by_id.values())
         self._context.report_event(CloseRequests())
 
     def close_out(self, requests: Sequence[ActiveRequest]) -> None:
-        """Answer these requests as the rules allow, since their client can't be read any more."""
+        """Give these requests their final answer, since nothing more is read from their client."""
         if not requests:
             return
         for request in requests:
             request.closing = True
-        self._take_back_unsent(requests)
+        self._withdraw_unsent(requests)
         self._context.report_event(CloseRequests(frozenset(request.id for request in requests)))
 
-    def _take_back_unsent(self, requests: Iterable[ActiveRequest]) -> None:
-        """Take back what has not left, before its request is answered.
+    def _withdraw_unsent(self, requests: Iterable[ActiveRequest]) -> None:
+        """Withdraw the attempts that have not left, before their requests are answered.
 
-        Else it would be answered as if it may have run.
+        Otherwise the requests would be answered as if the attempts may have run.
         """
         attempts = [attempt for request in requests for attempt in request.attempts.values()]
         for attempt in attempts:
@@ -155,22 +155,22 @@
         self._outcomes.report_deferred()
 
     def end_scope(self, request: ActiveRequest) -> None:
-        """End all that is under way for a request that nobody waits for any more.
+        """End all that is under way for a request that has been answered or abandoned.
 
-        Nothing unsent of it leaves, what is in flight is cancelled where engines honour that, and
-        no more pages are wanted.
+        What has not left is withdrawn, what is in flight is cancelled where endpoints support that,
+        and no more pages are fetched.
         """
         if not request.attempts:
             return
-        honoured = self._context.config.settings.limits.cancellation
-        for action, scope in request.scope().end(honoured):
+        may_cancel = self._context.config.settings.limits.cancellation
+        for action, scope in request.scope().end(may_cancel):
             if isinstance(scope.name, Attempt):
                 self._apply(action, scope.name)
 
     def cancel_attempt(self, order: CancelAttempt) -> None:
         """Cancel one attempt by order of the decisions.
 
-        Nothing happens where the settings forbid cancellation: engines there do not know it.
+        Nothing happens where the settings forbid cancellation: endpoints there don't support it.
         """
         if not self._context.config.settings.limits.cancellation:
             return
@@ -195,7 +195,7 @@
         self._outcomes.end_next_tick(attempt, result)
 
     def _result_of(self, action: CancelAction, attempt: Attempt) -> AttemptResult | None:
-        """Carry out an action and return how the attempt ended; None: it goes on."""
+        """Carry out an action and return how the attempt ended, or None where it goes on."""
         connection = attempt.connection
         match action:
             case CancelAction.WITHDRAW if connection is None:
@@ -210,6 +210,6 @@
                 self._outcomes.cancel_in_flight(attempt, connection)
                 return AttemptResult.CANCELLED
             case CancelAction.DISCARD_PAGES if connection is not None:
-                connection.forget(attempt)  # it has run; only its pages are left
+                connection.forget(attempt)  # it has run; only the rest of its pages is declined
                 return AttemptResult.SERVED
         return None
--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -1,4 +1,4 @@
-"""What connections to endpoints report, handed to the part that it concerns."""
+"""Events of the connections to endpoints, each handed to the part that handles it."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from .requests import Attempt
 from .stage_timing import StageTimer
 
-# Between two progress notes of one kind that are taken of an attempt. Engines send one a second; a
-# flood of them would be a flood of events.
-PROGRESS_GAP_NS = 100 * NS_PER_MS
+# Least time between two progress notes of one kind that are reported of an attempt. Endpoints send
+# one a second; each would be an event for the decisions.
+PROGRESS_INTERVAL_NS = 100 * NS_PER_MS
 
 
 class ConnectionEvents:
     """The owner of all connections to endpoints: implements `engine_connection.Owner`.
 
     Attributes:
-        blocked: Connections whose sockets took no more, to be flushed with the next tick.
+        blocked: Connections to be flushed with the next tick, in the order in which they blocked.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         health_checks: HealthChecks,
         stage_timer: StageTimer,
     ) -> None:
-        """Take the parts that the events are for."""
+        """Take the parts that handle the events."""
         self._context = context
         self._clock = clock
         self._timers = timers
@@ -61,29 +61,29 @@
 
     # --- writing ---
 
-    def may_go(self, attempt: Attempt) -> bool:
+    def may_proceed(self, attempt: Attempt) -> bool:
         """Whether the first byte of the attempt may leave."""
-        return self._gate.may_go(attempt, HandOver.SOCKET)
+        return self._gate.may_proceed(attempt, HandOver.SOCKET)
 
     def attempt_written_at_once(self) -> None:
-        """An attempt has left completely as it was handed to its connection."""
+        """Count an attempt that left completely in the call that handed it to its connection."""
         self._metrics.dispatches += 1
 
     def attempt_written(self, attempt: Attempt) -> None:
-        """The last byte of an attempt has left."""
+        """Record that the last byte of a queued attempt has left."""
         self._metrics.dispatches += 1
         attempt.written_ns = self._clock.now()
-        if not attempt.wanted():  # it was half written when its request ended: the rest followed
+        if not attempt.is_wanted():  # it was half written when its request ended: the rest followed
             reason = StopReason.LEFT if attempt.request.abandoned else StopReason.PAST
             self._controls.statistics.begun_after[reason] += 1
 
     def socket_blocked(self, connection: EngineConnection) -> None:
-        """The socket takes no more: it is flushed with the next tick."""
+        """Have a connection flushed with the next tick: its socket accepts no more bytes."""
         self.blocked[connection] = None
         self._timers.wake_next_tick()
 
     def flush_blocked(self) -> None:
-        """Write on where sockets took no more."""
+        """Flush the connections whose sockets accepted no more bytes."""
         blocked = self.blocked
         self.blocked = {}
         for connection in blocked:
@@ -92,7 +92,7 @@
     # --- answers ---
 
     def answer_completed(self, attempt: Attempt, load_text: str) -> None:
-        """Every page is here: the answer leaves as one frame, if somebody still waits for it."""
+        """Answer the client, if it still waits, with all pages of the result in one frame."""
         request = attempt.request
         if request.client is not None:
             body = b"".join(page for page in attempt.pages if page is not None)
@@ -106,11 +106,11 @@
         self._cancellations.end_scope(request)
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult, load_text: str) -> None:
-        """The endpoint has ended the attempt otherwise."""
+        """End an attempt that the endpoint has ended without a result."""
         self._outcomes.end(attempt, result, parse_load_report(load_text, self._context.log))
 
     def late_answer_received(self, attempt: Attempt, load_text: str) -> None:
-        """An answer that nobody waits for is dropped; its load report is as good as any."""
+        """Drop an answer that came too late, but report its load report to the decisions."""
         self._controls.statistics.late_answers += 1
         load = parse_load_report(load_text, self._context.log)
         if load is not None:
@@ -119,43 +119,45 @@
             )
 
     def progress_noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
-        """The attempt is still running; of each kind, one note is taken at a time."""
+        """Report the progress of an attempt, at most one note of each kind in an interval."""
         now_ns = self._clock.now()
-        if now_ns - attempt.progress_ns.get(kind, -PROGRESS_GAP_NS) >= PROGRESS_GAP_NS:
+        if now_ns - attempt.progress_ns.get(kind, -PROGRESS_INTERVAL_NS) >= PROGRESS_INTERVAL_NS:
             attempt.progress_ns[kind] = now_ns
             self._context.report_event(
                 AttemptProgress(attempt.request.id, attempt.number, attempt.endpoint, kind, amount)
             )
 
     def health_check_ended(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
-        """A health check has its outcome."""
+        """Report the outcome of a health check."""
         self._health_checks.end(tag, result, load_text)
 
     def cancellations_ended(self, outcome: CancelOutcome, count: int) -> None:
-        """So many cancelled attempts have come to this outcome."""
+        """Count the outcomes of cancelled attempts."""
         if outcome is CancelOutcome.WENT_ON:
             self._controls.statistics.answered_after_cancel += count
         else:
             self._controls.statistics.stopped_after_cancel += count
 
     def carried_elsewhere(self, connection: EngineConnection, request_id: bytes) -> bool:
-        """Whether another connection to the endpoint has carried this client's id of late."""
+        """Return whether another connection to the endpoint has lately carried this request id."""
         pool = self._context.pools.get(connection.endpoint)
         if pool is None:
             return False
         return any(
-            request_id in other.carried for other in pool.connections if other is not connection
+            request_id in other.carried_ids for other in pool.connections if other is not connection
         )
 
     # --- the end of a connection ---
 
-    def connection_lost(self, connection: EngineConnection, why: str, spoilt: bool) -> None:
-        """The connection has ended; what was in flight on it may have run.
+    def connection_lost(
+        self, connection: EngineConnection, reason: str, ended_by_broker: bool
+    ) -> None:
+        """End all that was in flight on a lost connection; it may have run.
 
         Args:
             connection: The connection.
-            why: The reason, for the log.
-            spoilt: A malformed answer made us end it. That says nothing of the endpoint's health:
+            reason: Why it ended, for the log.
+            ended_by_broker: Whether this broker ended it. That is no sign of the endpoint's health:
                 what was in flight is reported as cancelled, not as reset.
         """
         self._context.pools.connection_lost(connection)
@@ -163,20 +165,20 @@
         connection.in_flight = {}
         if attempts:
             self._context.log(
-                "engine", f"connection with {len(attempts)} open attempts ended: {why}"
+                "engine", f"connection with {len(attempts)} open attempts ended: {reason}"
             )
         for attempt in attempts:
-            self._end_lost(attempt, spoilt)
+            self._end_lost(attempt, ended_by_broker)
         for tag in connection.health_checks:
             self._health_checks.end(tag, AttemptResult.RESET, "")
 
-    def _end_lost(self, attempt: Attempt, spoilt: bool) -> None:
+    def _end_lost(self, attempt: Attempt, ended_by_broker: bool) -> None:
         """End an attempt whose connection has ended; what had not left never ran."""
         if not attempt.write_started:
             self._outcomes.end(attempt, AttemptResult.NOT_SENT)
-        elif spoilt and not attempt.reported:
-            # The end is ours and has not reached the endpoint yet: what follows may not be there
-            # first.
+        elif ended_by_broker and not attempt.reported:
+            # The end of the connection has not reached the endpoint yet, and the next attempt must
+            # not overtake it.
             attempt.concluded = True
             self._outcomes.delay_report(attempt)
             self._outcomes.end_next_tick(attempt, AttemptResult.CANCELLED)
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -125,11 +125,11 @@
         return ConnectionPools(
             self.connection_events,
             self.log,
-            streams=self.config.streams_per_connection,
-            connect_timeout=self.config.connect_timeout_ns,
-            conn_idle=self.config.connection_idle_ns,
-            unsent=self.outcomes.end,
-            may_go=self.gate.may_go,
+            max_streams=self.config.streams_per_connection,
+            connect_timeout_ns=self.config.connect_timeout_ns,
+            endpoint_idle_timeout_ns=self.config.connection_idle_ns,
+            report_unsent=self.outcomes.end,
+            may_hand_over=self.gate.may_proceed,
         )
 
     def divide(self, processes: int, clients: int) -> None:
--- a/query_broker/dispatch/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -14,7 +14,7 @@
 
 
 class Client(Protocol):
-    """Whoever waits for a request: a connection of any client protocol.
+    """The sender of a request: a connection of any client protocol.
 
     Each request gets exactly one of the three answers. ``stream`` is the client's number of the
     request on its connection.
@@ -38,17 +38,17 @@
 
     Attributes:
         in_flight: Attempts that are not answered, by the client's request id.
-        cancels_in_transit: Cancelled ids of which the endpoint can't have heard yet.
+        cancels_in_transit: Request ids whose cancellation can't have reached the endpoint yet.
     """
 
     in_flight: dict[bytes, Attempt]
     cancels_in_transit: set[bytes]
 
     def raise_priority(self, attempt: Attempt, level: int) -> None:
-        """Tell the endpoint the new priority level of the attempt."""
+        """Give the attempt another priority level."""
 
     def withdraw(self, attempt: Attempt) -> bool:
-        """Take the attempt back; True: no byte of it has left, and none will."""
+        """Withdraw the attempt; return whether no byte of it has left, so that none will."""
 
     def cancel(self, attempt: Attempt) -> None:
         """Tell the endpoint to stop the attempt."""
@@ -68,15 +68,16 @@
         client_request_id: The client's id.
         class_name: The request class.
         statement: The statement, passed on unread.
-        client: Who waits for it; None once it is answered or its client has gone.
+        client: Gets the answer; None once it is answered or abandoned.
         stream: The client's number of the request on its connection.
         deadline_ns: When its answer must be on its way.
         tenant: The tenant, empty where the client named none.
         received_ns: When its first byte was read.
         accepted_ns: When it was admitted.
-        abandoned: Its client has gone before its answer.
+        abandoned: Its client has cancelled it or disconnected before the answer.
         closing: It gets its final answer now: no attempt is dispatched for it any more.
-        client_unreadable: Whether its client still waits can't be heard: no further attempt begins.
+        client_unreadable: A cancellation by its client would not be read: no further attempt
+            begins.
         priority: Level that the decisions gave it; None before the first order.
         memory_mb: Memory that the decisions gave it, in megabytes.
         idempotency_key: The client's idempotency key, None where it gave none.
@@ -102,7 +103,7 @@
     attempts: dict[int, Attempt] = field(default_factory=dict)
 
     def scope(self) -> CancelScope:
-        """All that is under way for it.
+        """Return the scope of all that is under way for it.
 
         Made only when it is to be ended, since most requests end by themselves.
         """
@@ -117,30 +118,30 @@
 class Attempt:
     """One dispatch of a request to an endpoint.
 
-    It outlives its report: an answer that comes later is known by it, and dropped. Times are Unix
-    nanoseconds, 0 while they are not known.
+    It stays in flight at its connection after its report, so that a later answer is recognised and
+    dropped. Times are Unix nanoseconds, 0 while they are not known.
 
     Attributes:
         request: The request.
         number: Its number among the attempts of the request, from 0.
         endpoint: Number of the endpoint.
         dispatched_ns: When it was ordered.
-        deadline_ns: How long the broker waits for its answer.
+        deadline_ns: When the broker stops waiting for its answer.
         latest_start_ns: When its first byte must have left.
-        timer: Its time-out.
+        timer: Ends it when it runs out of time.
         connection: The connection that it was assigned; None while it waits for one.
-        budgeted: A token of the retry budget has been paid for it.
-        concluded: Taken back, cancelled or given up by the broker; its report follows.
+        holds_retry_token: A token of the retry budget has been spent on it.
+        concluded: Withdrawn, cancelled or given up by the broker; its report follows.
         write_started: A byte of it has left for the endpoint, so that it may have run.
         assigned_ns: When it got its connection.
         written_ns: When its last byte left.
         reported: Its end has been reported to the decisions.
         pages: Pages of its result, None while they are missing.
-        missing: How many pages are missing.
+        missing_pages: How many pages are missing.
         answered_ns: When the first page came.
-        progress_ns: When the last progress note of each kind was taken.
-        report_after_ns: Its end is not reported before: the endpoint may not have heard of its
-            cancellation yet.
+        progress_ns: When the last progress note of each kind was reported.
+        report_after_ns: Its end is not reported before this: its cancellation may not have reached
+            the endpoint yet.
     """
 
     request: ActiveRequest
@@ -151,26 +152,26 @@
     latest_start_ns: int
     timer: Timer | None = None
     connection: AttemptConnection | None = None
-    budgeted: bool = False
+    holds_retry_token: bool = False
     concluded: bool = False
     write_started: bool = False
     assigned_ns: int = 0
     written_ns: int = 0
     reported: bool = False
     pages: list[bytes | None] = field(default_factory=list)
-    missing: int = 0
+    missing_pages: int = 0
     answered_ns: int = 0
     progress_ns: dict[ProgressKind, int] = field(default_factory=dict)
     report_after_ns: int = 0
 
     def scope(self, parent: CancelScope) -> CancelScope:
-        """It, and the pages that belong to it, below the scope of its request."""
+        """Return its scope, with that of its missing pages, below the scope of its request."""
         scope = parent.open(ScopeKind.ATTEMPT, self)
         scope.write_started = self.write_started
-        if self.missing:
+        if self.missing_pages:
             scope.open(ScopeKind.PAGE, self)
         return scope
 
-    def wanted(self) -> bool:
-        """Whether somebody still waits for its result."""
+    def is_wanted(self) -> bool:
+        """Return whether a client still waits for its result."""
         return not self.reported and self.request.client is not None
--- a/query_broker/endpoints/connection_choice.py
+++ b/query_broker/endpoints/connection_choice.py
@@ -43,7 +43,7 @@
     while True:
         usable = usable_connections(connections, now)
         connection = least_loaded(usable, request_id, max_streams)
-        if connection is None or connection.jammed or not connection.ended_by_engine():
+        if connection is None or connection.is_blocked or not connection.ended_by_engine():
             return connection
         connection.retired = True
 
@@ -59,23 +59,23 @@
     its write queue is full.
     """
     best = None
-    jammed = None
+    blocked = None
     fewest_streams = max_streams
     for connection in connections:
         streams = len(connection.in_flight)
-        if connection.cancelled:
-            streams += len(connection.cancelled)
-        if streams >= max_streams or request_id in connection.carried:
+        if connection.cancelled_ids:  # seldom, and this is on the path of every request
+            streams += len(connection.cancelled_ids)
+        if streams >= max_streams or request_id in connection.carried_ids:
             continue
-        if connection.jammed:
+        if connection.is_blocked:
             if not connection.write_queue.full():
-                jammed = connection
+                blocked = connection
         elif streams < fewest_streams:
             best = connection
             fewest_streams = streams
             if not streams:
                 break
-    return jammed if best is None else best
+    return blocked if best is None else best
 
 
 def has_full_queue(
@@ -83,10 +83,10 @@
 ) -> bool:
     """Return whether a connection would take the request but for its full write queue."""
     for connection in connections:
-        streams = len(connection.in_flight) + len(connection.cancelled)
-        if streams >= max_streams or request_id in connection.carried:
+        streams = len(connection.in_flight) + len(connection.cancelled_ids)
+        if streams >= max_streams or request_id in connection.carried_ids:
             continue
-        if connection.jammed and connection.write_queue.full():
+        if connection.is_blocked and connection.write_queue.full():
             return True
     return False
 
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -36,7 +36,7 @@
         owner: Whom the connections report to.
         log: Writes a line to the log.
         report_unsent: Notified of attempts that end before they have left.
-        may_hand_over: Asked before an attempt that waited is given to a connection.
+        may_hand_over: Called before an attempt that waited is given to a connection.
         max_streams: Attempts that one connection may carry at a time.
         connect_timeout_ns: How long a connection may take to come up.
         idle_timeout_ns: How long a connection without work is kept.
@@ -59,7 +59,7 @@
         """Return how many connections this pool may open for attempts of their own."""
 
     def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
-        """Return whether the budget has a descriptor for one more of these."""
+        """Return whether the budget has a descriptor for one more dedicated connection."""
 
     def reserve_descriptor(self, pool: ConnectionPool) -> bool:
         """Return whether the connection that is opening has its descriptor."""
@@ -85,9 +85,10 @@
 
     Attributes:
         number: The endpoint's number in the table.
-        target: What the endpoint list said of it last.
+        target: The endpoint's latest entry in the list.
         connections: All that are open, retired ones too.
-        waiting: Attempts that wait for a connection to come up; no byte of them has left.
+        waiting_attempts: Attempts that wait for a connection to come up; no byte of them has left.
+        waiting_health_checks: Tags of the health checks that wait for it.
         opening: The task that opens a connection, if there is one.
     """
 
@@ -101,7 +102,7 @@
         self.waiting_health_checks: list[bytes] = []
         self.opening: asyncio.Task[None] | None = None
 
-    def send(self, attempt: Attempt, now: int, dial: bool = True) -> None:
+    def send(self, attempt: Attempt, now: int, may_connect: bool = True) -> None:
         """Give an attempt to a connection, or let it wait for a new one.
 
         A malformed answer or a reset ends its connection with all that is open there. So each
@@ -111,27 +112,30 @@
         Args:
             attempt: No byte of it has left.
             now: Unix nanoseconds.
-            dial: Whether a new connection may be opened for it. Without one, an attempt that no
-                connection takes is reported as not sent.
+            may_connect: Whether a new connection may be opened for it. Where not, an attempt that
+                no connection takes is reported as not sent.
         """
         request_id = attempt.request.client_request_id
         max_streams = self.pools.max_streams
         connection = choose_connection(self.connections, request_id, max_streams, now)
         if connection is None:
-            # Where the sockets of this endpoint are jammed, only one more connection would help.
-            is_jammed = has_full_queue(self._usable(now), request_id, max_streams)
-            if (is_jammed and not self._may_grow()) or not dial:
+            # Where the write queues to this endpoint are full, only one more connection would help.
+            is_full = has_full_queue(self._usable(now), request_id, max_streams)
+            if (is_full and not self._may_grow()) or not may_connect:
                 self.pools.report_unsent(attempt, AttemptResult.NOT_SENT)
             else:
                 self._wait_for_connection(attempt)
         elif (
-            dial and connection.in_flight and self.pools.dedicated_connections and self._may_grow()
+            may_connect
+            and connection.in_flight
+            and self.pools.dedicated_connections
+            and self._may_grow()
         ):
             self._wait_for_connection(attempt)
         else:
             attempt.connection = connection
             attempt.assigned_ns = now
-            connection.carry(attempt)
+            connection.register(attempt)
             connection.send(attempt, now)
 
     def send_health_check(self, tag: bytes, now: int) -> None:
@@ -163,25 +167,25 @@
     def retire_connections(self) -> None:
         """Retire all connections.
 
-        Called where the endpoint may have restarted, perhaps without a word on the old ones.
+        Called where the endpoint may have restarted, perhaps without having closed the old ones.
         """
         for connection in self.connections:
             connection.retired = True
 
     def update_target(self, target: ListedEndpoint) -> None:
-        """Take what the endpoint list says now.
+        """Replace the endpoint's entry of the list.
 
         An endpoint at a new address, or one that has restarted, gets nothing more on the old
         connections.
         """
-        before = self.target
+        previous = self.target
         self.target = target
-        has_moved = not _listens_at(target, Address(before.host, before.port))
-        if has_moved or target.started_ns > before.started_ns:
+        has_moved = not _listens_at(target, Address(previous.host, previous.port))
+        if has_moved or target.started_ns > previous.started_ns:
             self.retire_connections()
 
     def sweep(self, now: int) -> None:
-        """Close what is idle, and what can't bring an answer any more."""
+        """Close the connections that are idle or on which no answer is expected any more."""
         for connection in list(self.connections):
             connection.check(now)
             idle_ns = now - max(connection.last_sent_ns, connection.last_received_ns)
@@ -195,9 +199,9 @@
         return usable_connections(self.connections, now)
 
     def _may_grow(self) -> bool:
-        return len(self.connections) < self.pools.dedicated_limit(
-            self
-        ) and self.pools.has_dedicated_capacity(self)
+        if len(self.connections) >= self.pools.dedicated_limit(self):
+            return False
+        return self.pools.has_dedicated_capacity(self)
 
     # --- connects ---
 
@@ -216,13 +220,13 @@
             await asyncio.sleep(pacing(self.number) / NS_PER_S)
         started_ns = self.pools.owner.now()
         try:
-            connection = await self._dial(Address(self.target.host, self.target.port))
+            connection = await self._open_connection(Address(self.target.host, self.target.port))
         except ConnectError as error:
             self._connect_failed(error, started_ns)
         else:
             self._connected(connection)
 
-    async def _dial(self, address: Address) -> EngineConnection:
+    async def _open_connection(self, address: Address) -> EngineConnection:
         if not self.pools.reserve_descriptor(self):
             raise NoDescriptorError(address)
         make_connection = partial(EngineConnection, self.pools.owner, self.number)
@@ -241,7 +245,7 @@
         self.connections.append(connection)
         for tag in waiting.health_checks:
             connection.send_health_check(tag)
-        self._send_all(waiting.attempts, now, dial=True)
+        self._send_all(waiting.attempts, now, may_connect=True)
 
     def _connect_failed(self, error: ConnectError, started_ns: int) -> None:
         waiting = self._end_opening()
@@ -252,7 +256,7 @@
             # An endpoint that has sent something meanwhile isn't down because one connect was late.
             for tag in waiting.health_checks:
                 self.send_health_check(tag, now)
-            self._send_all(waiting.attempts, now, dial=False)
+            self._send_all(waiting.attempts, now, may_connect=False)
             return
         if error.result is AttemptResult.CONNECT_FAILED:
             retire_silent(self.connections, now)
@@ -268,10 +272,10 @@
         self.waiting_health_checks = []
         return waiting
 
-    def _send_all(self, attempts: list[Attempt], now: int, dial: bool) -> None:
+    def _send_all(self, attempts: list[Attempt], now: int, may_connect: bool) -> None:
         for attempt in attempts:
             if self.pools.may_hand_over(attempt, HandOver.CONNECTION):
-                self.send(attempt, now, dial)
+                self.send(attempt, now, may_connect)
 
 
 def _listens_at(target: ListedEndpoint, address: Address) -> bool:
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -29,52 +29,54 @@
         owner: Owner,
         log: LogWriter,
         *,
-        streams: int,
-        connect_timeout: int,
-        conn_idle: int,
-        unsent: UnsentObserver,
-        may_go: HandOverGate,
+        max_streams: int,
+        connect_timeout_ns: int,
+        endpoint_idle_timeout_ns: int,
+        report_unsent: UnsentObserver,
+        may_hand_over: HandOverGate,
     ) -> None:
         """Start without pools, and without a budget until `set_max_connections` gives one.
 
         Args:
             owner: Whom the connections report to.
             log: Writes a line to the log.
-            streams: See `apply_settings`.
-            connect_timeout: See `apply_settings`.
-            conn_idle: See `apply_settings`.
-            unsent: Notified of attempts that end before they have left.
-            may_go: Asked before an attempt that waited is given to a connection.
+            max_streams: See `apply_settings`.
+            connect_timeout_ns: See `apply_settings`.
+            endpoint_idle_timeout_ns: See `apply_settings`.
+            report_unsent: Notified of attempts that end before they have left.
+            may_hand_over: Called before an attempt that waited is given to a connection.
         """
         self.owner = owner
         self.log = log
-        self.report_unsent = unsent
-        self.may_hand_over = may_go
+        self.report_unsent = report_unsent
+        self.may_hand_over = may_hand_over
         self.max_connections = 0
         self.dedicated_connections = True
         self.connect_pacing: ConnectPacing | None = None
         self.by_number: dict[int, ConnectionPool] = {}
-        self.apply_settings(streams, connect_timeout, conn_idle)
+        self.apply_settings(max_streams, connect_timeout_ns, endpoint_idle_timeout_ns)
 
-    def apply_settings(self, streams: int, connect_timeout: int, conn_idle: int) -> None:
+    def apply_settings(
+        self, max_streams: int, connect_timeout_ns: int, endpoint_idle_timeout_ns: int
+    ) -> None:
         """Apply settings, for all connections from now on.
 
         Args:
-            streams: Attempts that one connection may carry at a time.
-            connect_timeout: Nanoseconds in which a connection has to come up.
-            conn_idle: Nanoseconds after which endpoints close a connection without work.
+            max_streams: Attempts that one connection may carry at a time.
+            connect_timeout_ns: How long a connection may take to come up.
+            endpoint_idle_timeout_ns: After how long endpoints close a connection without work.
         """
-        self.max_streams = streams
-        self.connect_timeout_ns = connect_timeout
+        self.max_streams = max_streams
+        self.connect_timeout_ns = connect_timeout_ns
         # What is sent as the endpoint closes an idle connection is lost: close it long before.
-        self.idle_timeout_ns = conn_idle // 2
+        self.idle_timeout_ns = endpoint_idle_timeout_ns // 2
 
-    def set_max_connections(self, most: int) -> None:
+    def set_max_connections(self, max_connections: int) -> None:
         """Set the budget, and close idle connections that are beyond it."""
-        self.max_connections = most
+        self.max_connections = max_connections
         # A closed connection reports its loss later, so that a loop which waited for the count to
         # fall would never end.
-        excess = max(0, self._count_connections() - most)
+        excess = max(0, self._count_connections() - max_connections)
         for connection in self._idle_connections()[:excess]:
             connection.close()
 
@@ -98,7 +100,7 @@
         return max(1, int(self.max_connections * DEDICATED_FRACTION) // max(1, listed))
 
     def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
-        """Return whether the budget has a descriptor for one more of these."""
+        """Return whether the budget has a descriptor for one more dedicated connection."""
         return self._count_connections() < self.max_connections * DEDICATED_FRACTION
 
     def reserve_descriptor(self, pool: ConnectionPool) -> bool:
@@ -107,9 +109,8 @@
         Where the budget is spent, an idle connection is closed for it. Beyond the budget clients
         would find no descriptor left for them.
         """
-        if (
-            self._count_connections() <= self.max_connections
-        ):  # the one that is opening counts already
+        # The connection that is being opened is counted already.
+        if self._count_connections() <= self.max_connections:
             return True
         idle = self._idle_connections()
         if not idle:
@@ -124,7 +125,7 @@
             pool.connections.remove(connection)
 
     def sweep(self, now: int) -> None:
-        """Close what is idle or over, and drop the pools of removed endpoints once empty."""
+        """Sweep each pool, and drop the pools of removed endpoints once they are empty."""
         for number, pool in list(self.by_number.items()):
             pool.sweep(now)
             is_empty = not pool.connections and pool.opening is None
--- a/query_broker/endpoints/endpoint_table.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -24,7 +24,7 @@
 
     Attributes:
         number: The number that stands for its uid; it never changes while the endpoint is known.
-        target: What the endpoint list said of it last.
+        target: Its latest entry in the endpoint list.
     """
 
     number: int
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -23,17 +23,17 @@
     """The side of the broker that admits clients."""
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Take a new connection, or return False if there is no place for it."""
+        """Admit a new connection, or return False if there is no capacity for it."""
 
     def release(self, connection: ClientConnection) -> None:
-        """Take note that a connection is lost."""
+        """Record that a connection is lost."""
 
 
 class LostConnection:
-    """What the parts of a lost connection refer to in its place.
+    """Null object that the parts of a lost connection refer to in place of the connection.
 
-    Parts and connection refer to each other: only the cyclic garbage collector would free them, and
-    thousands of clients that come and go would stay in memory until it runs.
+    The parts and the connection refer to each other: only the cyclic garbage collector would free
+    them, and thousands of lost connections would stay in memory until it runs.
     """
 
     broken = True
@@ -41,7 +41,7 @@
     last_used_ns = 0
     paused_since_ns = 0
 
-    def break_off(self, why: str) -> None:
+    def break_off(self, reason: str) -> None:
         """Do nothing: the connection has ended."""
 
     def close(self) -> None:
@@ -51,13 +51,13 @@
         """Do nothing: the connection has ended."""
 
     def served(self, stream: int, body: bytes) -> None:
-        """Drop the answer: nobody waits for it."""
+        """Drop the answer: its client has disconnected."""
 
     def rejected(self, stream: int, pause_ms: int) -> None:
-        """Drop the answer: nobody waits for it."""
+        """Drop the answer: its client has disconnected."""
 
     def failed(self, stream: int, reason: str) -> None:
-        """Drop the answer: nobody waits for it."""
+        """Drop the answer: its client has disconnected."""
 
     def unread(self) -> int:
         """Return that no answer waits to be read."""
@@ -68,12 +68,13 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection, and what others know of it.
+    """One client connection.
 
     Nothing raises out of a callback.
 
     Attributes:
-        broken: Nothing more is read; it is about to end.
+        transport: None before the connection is made and after it is lost.
+        broken: No further request is read; the connection is about to end.
         half_closed: The client has ended its side and waits for its answers.
         has_sent_frame: A complete frame has come.
         last_used_ns: When something was last received or answered.
@@ -82,7 +83,12 @@
     """
 
     def __init__(self, host: ClientHost, limits: ReadingLimits | None = None) -> None:
-        """Take who admits clients, and the limits beyond the connection's own, if any."""
+        """Make the protocol of a connection that is being accepted.
+
+        Args:
+            host: Admits clients.
+            limits: Limits beyond the connection's own, such as a cell's; None where there are none.
+        """
         self.host = host
         self.transport: asyncio.Transport | None = None
         self.broken = False
@@ -99,7 +105,7 @@
     # --- from the socket ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin, or end at once if there is no place."""
+        """Start to serve the client, or end the connection if it is not admitted."""
         self.transport = cast(asyncio.Transport, transport)
         self.socket.attach(self.transport)
         if self.host.admit(self):
@@ -109,7 +115,7 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Read what has come; nothing of it once the connection is broken."""
+        """Read the bytes; discard them once the connection is broken."""
         if self.broken:
             self.socket.discard(len(data))
             return
@@ -117,10 +123,10 @@
         self.reader.receive(data)
 
     def eof_received(self) -> bool:
-        """Take a client that ends its side as one that has left.
+        """Cancel the client's requests, since it has ended its side of the connection.
 
-        Operators may say that it may still wait for answers; then its side alone is ended. Frames
-        that wait for their turn are complete; a part of one cannot become complete any more.
+        Where operators have set that it still gets its answers, the connection stays open until the
+        last of them, unless an incomplete frame is left, which cannot become complete any more.
         """
         frames_wait = self.reader.waiting or self.paused_since_ns
         incomplete = self.reader.parser.buffered() and not frames_wait
@@ -139,7 +145,7 @@
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up all that the connection holds, and cancel its requests."""
+        """Release all that the connection holds, and cancel its requests."""
         self.broken = True
         self.transport = None
         self.socket.detach()
@@ -153,9 +159,9 @@
         self.requests.client = LOST_CONNECTION
 
     def pause_writing(self) -> None:
-        """Read on only for cancellations.
+        """Take no further requests, and read on only for cancellations.
 
-        A client that does not read while it requests would fill our memory with its answers.
+        The answers to a client that sends requests and does not read would fill the memory.
         """
         self.paused_since_ns = self.host.dispatcher.now()
         self.reader.read_if_wanted()
@@ -172,7 +178,7 @@
         self._answer(stream, frames.answer(stream, frames.SERVED, {}, body))
 
     def rejected(self, stream: int, pause_ms: int) -> None:
-        """Reject a request, which may come again after the pause."""
+        """Reject a request; the client may retry it after the pause."""
         self._answer(stream, frames.rejection(stream, pause_ms))
 
     def failed(self, stream: int, reason: str) -> None:
@@ -182,8 +188,8 @@
     def _answer(self, stream: int, data: bytes) -> None:
         """Write an answer: one write of one complete frame.
 
-        Idle time counted from the request would end the connection right under a late answer: it
-        counts from here.
+        The idle time counts from here: if it counted from the request, the connection could end
+        right after a late answer.
         """
         self.open.pop(stream, None)
         self.last_used_ns = self.host.dispatcher.now()
@@ -198,17 +204,17 @@
         self.socket.write(frames.frame(frames.NO_MORE, NO_STREAM))
 
     def defer_reading(self) -> None:
-        """Keep what comes unread until `resume_reading`."""
+        """Take no frames until `resume_reading` is called."""
         self.reader.waiting = True
 
     def resume_reading(self) -> None:
-        """Read: the connection's turn has come."""
+        """Take the frames that wait."""
         if not self.broken:
             self.reader.resume()
-            self.reader.count_partial()
+            self.reader.account_partial_frames()
 
     def idle(self) -> bool:
-        """Return whether nothing is owed to the client."""
+        """Return whether no request is open and no answer waits to be read."""
         return not self.open and self.unread() == 0
 
     def unread(self) -> int:
@@ -224,25 +230,25 @@
         """End the connection at once."""
         self.socket.abort()
 
-    def break_off(self, why: str) -> None:
+    def break_off(self, reason: str) -> None:
         """End the connection with an error that belongs to no request.
 
-        Nothing more on it can be read. What was taken before gets its answer first.
+        Nothing more on it can be read. The open requests get their answers first.
         """
         dispatcher = self.host.dispatcher
-        dispatcher.log("client", f"broken connection: {why}")
+        dispatcher.log("client", f"broken connection: {reason}")
         self.broken = True
-        for stream in self.requests.being_submitted():  # a fault while it was being submitted
-            self.failed(stream, why)
+        for stream in self.requests.being_submitted():  # the fault occurred in their submission
+            self.failed(stream, reason)
         dispatcher.cancellations.close_out(self.requests.submitted())
-        self.socket.write(frames.answer(NO_STREAM, frames.FAILED, {}, why.encode()))
-        self.shut()
+        self.socket.write(frames.answer(NO_STREAM, frames.FAILED, {}, reason.encode()))
+        self.close_gracefully()
 
-    def shut(self) -> None:
-        """End the connection; nothing that comes from now on is read as a request.
+    def close_gracefully(self) -> None:
+        """End our side of the connection, and discard what still comes until a timeout.
 
-        To close with bytes unread resets the connection, and that can destroy what was written
-        last: only our side is ended, after all of that, and the other read on within bounds.
+        To close a socket with bytes unread resets the connection, and the client could lose what
+        was written last.
         """
         self.broken = True
         self.reader.clear()
--- a/query_broker/protocols/client_lookahead.py
+++ b/query_broker/protocols/client_lookahead.py
@@ -19,33 +19,33 @@
     """Searches the frames that wait in a parser for cancellations.
 
     Attributes:
-        waiting: Streams of the requests that wait in the parser.
-        cancelled: Those of them that the client has cancelled.
+        waiting_streams: Streams of the requests that wait in the parser.
+        cancelled_streams: Those of them that the client has cancelled.
     """
 
     def __init__(self, parser: frames.FrameParser, requests: OpenRequests) -> None:
         """Take the parser with the waiting frames, and the requests that have been submitted."""
         self.parser = parser
         self.requests = requests
-        self.waiting: set[int] = set()
-        self.cancelled: set[int] = set()
+        self.waiting_streams: set[int] = set()
+        self.cancelled_streams: set[int] = set()
 
     def scan(self) -> None:
         """Look at frames that have not been looked at before."""
         for head in self.parser.skim(MAX_SKIMMED_FRAMES):
             if head.type == frames.REQUEST:
-                if len(self.waiting) < MAX_WAITING_STREAMS:
-                    self.waiting.add(head.stream)
+                if len(self.waiting_streams) < MAX_WAITING_STREAMS:
+                    self.waiting_streams.add(head.stream)
             elif head.type == frames.ABANDON:
                 self._cancel(head.stream)
 
     def _cancel(self, stream: int) -> None:
         if stream in self.requests.open:
             self.requests.cancel(stream)
-        elif stream in self.waiting:
-            self.cancelled.add(stream)
+        elif stream in self.waiting_streams:
+            self.cancelled_streams.add(stream)
 
     def clear(self) -> None:
         """Forget the streams: no frame waits any more."""
-        self.waiting.clear()
-        self.cancelled.clear()
+        self.waiting_streams.clear()
+        self.cancelled_streams.clear()
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -10,11 +10,11 @@
 from .client_requests import DispatcherHost, OpenRequests
 from .client_socket import ClientSocket
 
-# Frames of one connection before everybody else's turn.
+# Frames that one connection may take in a turn, before the other connections have theirs.
 FRAMES_PER_TURN = 32
-# Bytes that are read on for cancellations where what came before them waits.
+# What may be read ahead, in search of cancellations, while earlier frames wait.
 MAX_READ_AHEAD_BYTES = 64 * 1024
-# Of the memory for incomplete frames: the part past which no connection reads ahead.
+# Divides the memory for incomplete frames: past this part of it no connection reads ahead.
 READ_AHEAD_DIVISOR = 2
 # The value of `DeadlineSettings.half_close` by which a client that ends its side still gets its
 # answers.
@@ -23,7 +23,7 @@
 
 
 class ReadingHost(DispatcherHost, Protocol):
-    """What reading needs of the side that admits clients.
+    """What a reader needs of the side that admits clients.
 
     Attributes:
         partial_frame_bytes: Bytes of incomplete frames on all connections.
@@ -32,18 +32,18 @@
     partial_frame_bytes: int
 
     def ready(self) -> bool:
-        """Return whether requests are served; a client's health check asks for it."""
+        """Return whether requests are served: the answer to a client's health check."""
 
 
 class ReadingConnection(Protocol):
-    """The state of the connection that reading goes by, and sets."""
+    """The state of the connection that a reader reads and sets."""
 
     broken: bool
     has_sent_frame: bool
     last_used_ns: int
     paused_since_ns: int
 
-    def break_off(self, why: str) -> None:
+    def break_off(self, reason: str) -> None:
         """End the connection with an error that belongs to no request."""
 
     def drop(self) -> None:
@@ -57,9 +57,9 @@
         """Return whether a turn may begin now; if not, the connection is resumed later."""
 
     def end_turn(self) -> None:
-        """Take note that the turn is over."""
+        """End the turn that `begin_turn` allowed."""
 
-    def may_buffer(self, size: int) -> bool:
+    def may_buffer(self, size_bytes: int) -> bool:
         """Return whether the connection may hold so many bytes of incomplete frames."""
 
 
@@ -68,10 +68,10 @@
 
     Attributes:
         waiting: Complete frames wait for this connection's next turn.
-        unreadable: So much waits that what the client says from now on is not read.
+        unreadable: So much waits that nothing more is read, so that no cancellation is seen.
         frame_begun_ns: When the first byte of the frame that is incomplete now came.
-        received_ns: The same of the frame that was taken last.
-        partial: Bytes held of frames that have not been taken.
+        received_ns: When the first byte of the frame that was taken last came.
+        partial_frame_bytes: Bytes that have come of frames not taken yet; part of the host's sum.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self.lookahead = CancellationLookahead(self.parser, requests)
         self.frame_begun_ns = connection.last_used_ns
         self.received_ns = connection.last_used_ns
-        self.partial = 0
+        self.partial_frame_bytes = 0
         self.waiting = False
         self.unreadable = False
 
@@ -105,27 +105,27 @@
             self.look_ahead()
         else:
             self.read_turn()
-        self.count_partial()
+        self.account_partial_frames()
         if (
             self.host.partial_frame_bytes > self.host.dispatcher.statement_capacity_bytes
             and not self.connection.broken
         ):
             self.connection.break_off(NO_CAPACITY)
 
-    def count_partial(self) -> None:
-        """Account for the bytes that are held now, and end the connection if they are too many."""
+    def account_partial_frames(self) -> None:
+        """Account for the bytes in the parser, and end the connection if they are too many."""
         buffered = self.parser.buffered()
-        self.host.partial_frame_bytes += buffered - self.partial
-        self.partial = buffered
+        self.host.partial_frame_bytes += buffered - self.partial_frame_bytes
+        self.partial_frame_bytes = buffered
         if self.limits is None:
             return
         if not self.limits.may_buffer(buffered) and not self.connection.broken:
             self.connection.break_off(NO_CAPACITY)
 
     def clear(self) -> None:
-        """Drop what is held."""
+        """Drop what is in the parser."""
         self.parser.clear()
-        self.count_partial()
+        self.account_partial_frames()
 
     def has_work(self) -> bool:
         """Return whether an answer is owed, or bytes wait to be taken."""
@@ -136,8 +136,8 @@
     def read_turn(self) -> None:
         """Take the frames of one turn.
 
-        A chunk can hold 25,000 frames; all other connections would stand still until the last is
-        answered.
+        One chunk of bytes can hold 25,000 frames; without turns all other connections would wait
+        until the last of them is answered.
         """
         if self.limits is None:
             self._take_turn()
@@ -149,16 +149,16 @@
             self.read_if_wanted()
 
     def resume(self) -> None:
-        """Go on with the next turn."""
+        """Take the next turn."""
         self.read_turn()
         self.read_if_wanted()
 
     def resume_writing(self) -> None:
-        """Go on after the client has read its answers."""
+        """Resume after the client has read its answers."""
         if not self.waiting:
             self.read_turn()
         self.read_if_wanted()
-        self.count_partial()
+        self.account_partial_frames()
 
     def _take_turn(self) -> None:
         self.waiting = False
@@ -187,7 +187,7 @@
                 return False
             if frame.type == frames.REQUEST and not checked_peer:
                 checked_peer = True
-                if self._end_if_peer_left():
+                if self._end_if_peer_closed():
                     return False
             self.received_ns = self.frame_begun_ns
             self.connection.has_sent_frame = True
@@ -198,7 +198,7 @@
     def _take_frame(self, frame: frames.Frame) -> None:
         if frame.type == frames.REQUEST:
             self.requests.check_stream(frame.stream)
-            if frame.stream not in self.lookahead.cancelled:
+            if frame.stream not in self.lookahead.cancelled_streams:
                 self.requests.submit(frame.stream, frame.payload, self.received_ns)
         elif frame.type == frames.ABANDON:
             self.requests.cancel(frame.stream)
@@ -206,11 +206,11 @@
             frames.read_fields(frame.payload)
             self.socket.write(frames.ready(frame.stream, self.host.ready()))
 
-    def _end_if_peer_left(self) -> bool:
-        """Return whether the client has left.
+    def _end_if_peer_closed(self) -> bool:
+        """End the connection if the client has closed it; return whether that was so.
 
-        Who sends much and leaves has left before the last of it is read, and nothing of it may
-        begin then.
+        A client may close the connection long before all that it sent has been read; no request
+        of it may begin after that.
         """
         if self.host.dispatcher.deadline_controls.settings.half_close == HALF_CLOSE_ANSWERS:
             return False
@@ -228,7 +228,7 @@
     # --- back-pressure ---
 
     def look_ahead(self) -> None:
-        """Search what waits for cancellations."""
+        """Search the frames that wait for cancellations."""
         try:
             self.lookahead.scan()
         except Exception as error:  # no input may raise out of a callback
@@ -236,10 +236,10 @@
         self.read_if_wanted()
 
     def read_if_wanted(self) -> None:
-        """Read on, unless enough waits for its turn, or for answers to be read.
+        """Resume reading, or pause it where enough waits for a turn or for answers to be read.
 
-        Behind more than that no cancellation can be known: no further attempt begins for the open
-        requests until then.
+        While reading is paused no cancellation is seen, and no further attempt begins for the open
+        requests.
         """
         if not self.socket.is_open():
             return
--- a/query_broker/protocols/client_timeouts.py
+++ b/query_broker/protocols/client_timeouts.py
@@ -1,4 +1,4 @@
-"""When a client connection that says nothing, or too little, is ended."""
+"""Timeouts of a client connection: first frame, incomplete frame, idle time and linger."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from .client_socket import ClientSocket
 
 NS_PER_S = 1_000_000_000
-# From connecting until a complete frame must be here.
+# From the connection's start to its first complete frame.
 FIRST_FRAME_TIMEOUT_NS = 2 * NS_PER_S
 # From a frame's first byte to its last, where nothing else is open.
 FRAME_TIMEOUT_NS = 2 * NS_PER_S
-# Without a request; usual clients close after 4 s.
+# Without an open request; common clients close after 4 s.
 IDLE_TIMEOUT_NS = 5 * NS_PER_S
-# For which a broken connection is read on, so that the error is not lost with a reset.
+# How long a broken connection is still read, so that a reset does not destroy the error.
 LINGER_NS = 1 * NS_PER_S
 
 
 class WatchedConnection(Protocol):
-    """The state of the connection that its timeouts go by."""
+    """The state of the connection that its timeouts depend on."""
 
     has_sent_frame: bool
     last_used_ns: int
 
-    def break_off(self, why: str) -> None:
+    def break_off(self, reason: str) -> None:
         """End the connection with an error that belongs to no request."""
 
     def close(self) -> None:
@@ -39,8 +39,8 @@
 class ClientTimeouts:
     """The one timer of a connection.
 
-    Who says nothing, stops in the middle of a frame or stays for good after one request holds a
-    descriptor that usual clients need. It looks again when that may be due.
+    A client that sends nothing, stops in the middle of a frame or stays after its last request
+    holds a descriptor that other clients need. The timer fires when the next timeout may expire.
     """
 
     def __init__(
@@ -58,33 +58,34 @@
         self.timer: Timer | None = None
 
     def start(self) -> None:
-        """Watch a new connection."""
+        """Start the timer of a new connection."""
         self._check_at(self.connection.last_used_ns + FIRST_FRAME_TIMEOUT_NS)
 
     def stop(self) -> None:
-        """Watch it no longer."""
+        """Stop the timer."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def drop_after_linger(self) -> None:
-        """End the connection once the client has had time to read the last of it."""
+        """End the connection once the client has had time to read the last bytes."""
         due_ns = self.host.dispatcher.now() + LINGER_NS
         self.timer = self.host.dispatcher.timers.set_timer(due_ns, self.connection.drop)
 
     def check(self) -> None:
-        """End the connection if it is due, else look again when it may be."""
+        """End the connection if a timeout has expired, else set the timer anew."""
         now = self.host.dispatcher.now()
         incomplete = self.reader.parser.buffered() > 0
-        due_ns = self._due(now, incomplete)
-        if due_ns > now:
-            self._check_at(due_ns)
+        expiry_ns = self._expiry_ns(now, incomplete)
+        if expiry_ns > now:
+            self._check_at(expiry_ns)
         elif self.connection.has_sent_frame and not incomplete:
             self.connection.close()
         else:
             self.connection.break_off("no whole frame in time")
 
-    def _due(self, now: int, incomplete: bool) -> int:
+    def _expiry_ns(self, now: int, incomplete: bool) -> int:
+        """Return when the next timeout expires; ``incomplete``: a part of a frame has come."""
         if self._has_work():
             return now + FRAME_TIMEOUT_NS
         if incomplete:
@@ -96,8 +97,8 @@
     def _has_work(self) -> bool:
         """Return whether the connection is in use.
 
-        A process that stood still, or was kept from its core, has not read what came meanwhile: a
-        close over it would reset the connection, and lose requests that came long before.
+        After a stall of this process requests may lie unread in the system's buffer: to close the
+        connection then would reset it and lose them.
         """
         if self.reader.requests.open or self.reader.waiting:
             return True
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -15,21 +15,21 @@
 
 
 class AnswerObserver(Protocol):
-    """Who is notified of answers. ``meter`` is the answer's load report, empty if it has none."""
+    """Is notified of answers; ``load_text`` is an answer's load report, empty if it has none."""
 
-    def answer_completed(self, attempt: Attempt, meter: str) -> None:
+    def answer_completed(self, attempt: Attempt, load_text: str) -> None:
         """Take an attempt's complete result: every page is in ``attempt.pages``."""
 
-    def attempt_ended(self, attempt: Attempt, result: AttemptResult, meter: str) -> None:
+    def attempt_ended(self, attempt: Attempt, result: AttemptResult, load_text: str) -> None:
         """Take note that an attempt has ended without a result."""
 
     def progress_noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """Take note of the progress of an attempt that goes on."""
 
-    def health_check_ended(self, tag: bytes, result: AttemptResult, meter: str) -> None:
+    def health_check_ended(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
         """Take note of the answer to a health check."""
 
-    def late_answer_received(self, attempt: Attempt, meter: str) -> None:
+    def late_answer_received(self, attempt: Attempt, load_text: str) -> None:
         """Take note of the answer to an attempt that had been reported before."""
 
 
@@ -52,24 +52,29 @@
         observer: AnswerObserver,
         writer: EngineWriter,
         cancellations: EngineCancellations,
-        used_elsewhere: Callable[[bytes], bool],
+        is_id_used_elsewhere: Callable[[bytes], bool],
     ) -> None:
         """Take the connection's other parts.
 
-        ``used_elsewhere`` says whether the same request id has lately gone to the same engine on
-        another connection too.
+        Args:
+            connection: What is open.
+            observer: Notified of answers.
+            writer: Sends the commands that fetch or decline pages.
+            cancellations: Notified of answers to attempts that are not in flight.
+            is_id_used_elsewhere: Returns whether another connection has lately carried a request
+                id to the same engine.
         """
         self.connection = connection
         self.observer = observer
         self.writer = writer
         self.cancellations = cancellations
-        self.used_elsewhere = used_elsewhere
+        self.is_id_used_elsewhere = is_id_used_elsewhere
 
     def take(self, parts: list[bytes], now: int) -> None:
         """Take one answer, which has come at ``now``.
 
         Raises:
-            MalformedAnswerError: no answer of the protocol, or not one to what was sent.
+            MalformedAnswerError: It is no answer of the protocol, or none to what was sent.
         """
         answer = messages.read_answer(parts)
         tag = answer.tag
@@ -78,37 +83,38 @@
             self._take_progress(answer)
             return
         fields = resp.read_pairs(answer.raw_fields)
-        meter = fields.get(messages.FIELD_LOAD_REPORT, "")
+        load_text = fields.get(messages.FIELD_LOAD_REPORT, "")
         if kind in messages.HEALTH_RESULTS:
-            self._take_health(tag, messages.HEALTH_RESULTS[kind], meter)
+            self._take_health(tag, messages.HEALTH_RESULTS[kind], load_text)
             return
         if kind not in messages.ATTEMPT_ANSWER_KINDS:
             reason = f"unknown word {kind[: messages.QUOTED_KIND_BYTES]!r}"
             raise resp.MalformedAnswerError(reason)
         attempt = self.connection.in_flight.get(tag)
         if attempt is None:
-            # The same answer once more, or more than was requested: it belongs to nothing that is
-            # open here. Or it crossed the cancellation.
+            # A repeated or unsolicited answer, which belongs to nothing that is open here, or one
+            # that crossed the cancellation.
             self.cancellations.answered(tag)
         elif kind == messages.SERVED:
             self._take_first_page(attempt, tag, fields, answer.body, now)
         elif kind == messages.PAGE:
             self._take_page(attempt, tag, fields, answer.body, now)
         else:
-            # A page that its engine lost also ends here: it may have run, and is no short result.
+            # Also where the engine has lost a page: the attempt may have run, and the pages that
+            # have come are no complete result.
             result = AttemptResult.ERROR if attempt.pages else messages.FAILURE_RESULTS[kind]
-            self._conclude(tag, attempt, result, meter)
+            self._conclude(tag, attempt, result, load_text)
 
-    def _take_health(self, tag: bytes, result: AttemptResult, meter: str) -> None:
+    def _take_health(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
         if tag in self.connection.health_checks:
             self.connection.health_checks.discard(tag)
-            self.observer.health_check_ended(tag, result, meter)
+            self.observer.health_check_ended(tag, result, load_text)
 
     def _take_progress(self, answer: messages.EngineAnswer) -> None:
-        """The frame is complete, so that nothing behind it is lost.
+        """Take a progress note.
 
-        A note that can't be read, or of an attempt that is over or cancelled, therefore ends
-        nothing.
+        One that can't be read is ignored, like that of an attempt which has ended: its frame is
+        complete, so that the next answer can be read.
         """
         attempt = self.connection.in_flight.get(answer.tag)
         if attempt is None or attempt.reported:
@@ -125,29 +131,28 @@
     def _take_first_page(
         self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now: int
     ) -> None:
-        """Page 0 says how many there are; the others are fetched."""
+        """Take page 0, which holds the number of pages, and fetch the others."""
         if attempt.pages:
             return  # the same answer once more
-        meter = fields.get(messages.FIELD_LOAD_REPORT, "")
+        load_text = fields.get(messages.FIELD_LOAD_REPORT, "")
         page_count = messages.read_count(
             fields.get(messages.FIELD_PAGE_COUNT, "1"), messages.FIELD_PAGE_COUNT
         )
         messages.check_rows(body)
-        if not attempt.wanted():
-            # Answered elsewhere, timed out, or the client left: the pages behind this one are not
-            # wanted.
+        if not attempt.is_wanted():
+            # Answered elsewhere, timed out, or abandoned: no further page is wanted.
             if page_count > 1:
                 self.writer.send_command(now, messages.FORGET, tag)
-            self._conclude(tag, attempt, AttemptResult.SERVED, meter)
+            self._conclude(tag, attempt, AttemptResult.SERVED, load_text)
             return
         attempt.answered_ns = now
         attempt.pages = [body, *([None] * (page_count - 1))]
-        attempt.missing = max(0, page_count - 1)
-        if attempt.missing == 0:
+        attempt.missing_pages = max(0, page_count - 1)
+        if attempt.missing_pages == 0:
             del self.connection.in_flight[tag]
-            self.observer.answer_completed(attempt, meter)
-        elif self.used_elsewhere(tag):
-            self._give_up_mixed_pages(tag, attempt, meter, now)
+            self.observer.answer_completed(attempt, load_text)
+        elif self.is_id_used_elsewhere(tag):
+            self._give_up_mixed_pages(tag, attempt, load_text, now)
         else:
             for number in range(1, page_count):
                 self.writer.send_command(now, messages.FETCH_PAGE, tag, b"%d" % number)
@@ -155,7 +160,7 @@
     def _take_page(
         self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now: int
     ) -> None:
-        meter = fields.get(messages.FIELD_LOAD_REPORT, "")
+        load_text = fields.get(messages.FIELD_LOAD_REPORT, "")
         number = messages.read_count(
             fields.get(messages.FIELD_PAGE_NUMBER, ""), messages.FIELD_PAGE_NUMBER
         )
@@ -165,44 +170,46 @@
                 raise resp.MalformedAnswerError(reason)
             return
         messages.check_rows(body)
-        if not attempt.wanted():
+        if not attempt.is_wanted():
             self.writer.send_command(now, messages.FORGET, tag)
-            self._conclude(tag, attempt, AttemptResult.SERVED, meter)
+            self._conclude(tag, attempt, AttemptResult.SERVED, load_text)
             return
         _add_page(attempt, number, body)
-        if attempt.missing:
+        if attempt.missing_pages:
             return
-        if self.used_elsewhere(tag):
-            self._give_up_mixed_pages(tag, attempt, meter, now)
+        if self.is_id_used_elsewhere(tag):
+            self._give_up_mixed_pages(tag, attempt, load_text, now)
             return
         del self.connection.in_flight[tag]
         self.writer.send_command(now, messages.FORGET, tag)
-        self.observer.answer_completed(attempt, meter)
+        self.observer.answer_completed(attempt, load_text)
 
-    def _give_up_mixed_pages(self, tag: bytes, attempt: Attempt, meter: str, now: int) -> None:
-        """End an attempt whose pages may be another query's.
+    def _give_up_mixed_pages(self, tag: bytes, attempt: Attempt, load_text: str, now: int) -> None:
+        """End an attempt whose pages may belong to another query.
 
-        The engine runs, or has run, another query under this id, and knows pages by the id alone:
-        those that it sends may be of either, also when the other one has just been answered.
+        The engine runs, or has run, another query under the same id, and identifies pages by the
+        id alone, so that a page may belong to either query.
         """
         self.writer.send_command(now, messages.FORGET, tag)
         attempt.pages = []
-        self._conclude(tag, attempt, AttemptResult.ERROR, meter)
+        self._conclude(tag, attempt, AttemptResult.ERROR, load_text)
 
-    def _conclude(self, tag: bytes, attempt: Attempt, result: AttemptResult, meter: str) -> None:
+    def _conclude(
+        self, tag: bytes, attempt: Attempt, result: AttemptResult, load_text: str
+    ) -> None:
         del self.connection.in_flight[tag]
         if attempt.reported:
-            self.observer.late_answer_received(attempt, meter)
+            self.observer.late_answer_received(attempt, load_text)
         else:
-            self.observer.attempt_ended(attempt, result, meter)
+            self.observer.attempt_ended(attempt, result, load_text)
 
 
 def _add_page(attempt: Attempt, number: int, body: bytes) -> None:
     """Add a page to a result; a page that is there already is kept as it is."""
     if attempt.pages[number] is None:
         attempt.pages[number] = body
-        attempt.missing -= 1
-    size = sum(len(page) for page in attempt.pages if page is not None)
-    if size > messages.MAX_RESULT_BYTES:
+        attempt.missing_pages -= 1
+    size_bytes = sum(len(page) for page in attempt.pages if page is not None)
+    if size_bytes > messages.MAX_RESULT_BYTES:
         reason = "a result larger than an answer can hold"
         raise resp.MalformedAnswerError(reason)
--- a/query_broker/protocols/engine_cancellations.py
+++ b/query_broker/protocols/engine_cancellations.py
@@ -1,8 +1,8 @@
 """The cancelled attempts of one connection to a data engine.
 
-A cancelled attempt holds its stream until the engine has been silent about it for long enough, or
-has answered it all the same: an answer that crosses the cancellation must be known, so that it can
-be dropped.
+A cancelled attempt holds its stream until the engine has answered it all the same, or has sent
+nothing about it for long enough: an answer that crosses the cancellation must be recognised, so
+that it can be dropped.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 
 class CancelObserver(Protocol):
-    """Who is notified of what became of cancelled attempts."""
+    """Is notified of the outcomes of cancellations."""
 
     def cancellations_ended(self, outcome: CancelOutcome, count: int) -> None:
-        """Take note that so many cancellations have had this outcome."""
+        """Count cancellations that have had this outcome."""
 
 
 class EngineCancellations:
-    """Sends cancellations, repeats those that nothing answers, and knows what crosses them."""
+    """Sends cancellations, repeats unanswered ones, and recognises the answers that cross them."""
 
     def __init__(self, observer: CancelObserver, writer: EngineWriter) -> None:
-        """Take whom to notify, and where cancellations are written."""
+        """Begin without cancellations; ``writer`` sends them."""
         self.observer = observer
         self.writer = writer
         self.undoing = Undoing()
@@ -36,7 +36,7 @@
         self.writer.send_cancel(now, request_id)
 
     def check(self, now: int) -> None:
-        """Repeat what may not have been heard, and report what counts as stopped."""
+        """Repeat unanswered cancellations, and report the attempts that count as stopped."""
         unanswered, stopped = self.undoing.due(now)
         for request_id in unanswered:
             self.writer.send_command(now, CANCEL, request_id)
@@ -44,13 +44,13 @@
             self.observer.cancellations_ended(CancelOutcome.STOPPED, len(stopped))
 
     def answered(self, request_id: bytes) -> None:
-        """Take note of an answer to no attempt that is in flight: it may be a cancelled one's."""
+        """Handle an answer to no attempt in flight: it may be that of a cancelled one."""
         outcome = self.undoing.answered(request_id)
         if outcome is not None:
             self.observer.cancellations_ended(outcome, 1)
 
     def connection_ended(self) -> None:
-        """Report those that were not known to have stopped."""
+        """Report the attempts that had not stopped when the connection ended as lost."""
         lost = self.undoing.lost()
         if lost:
             self.observer.cancellations_ended(CancelOutcome.LOST, lost)
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -26,62 +26,69 @@
 
 
 class Owner(AnswerObserver, CancelObserver, WriteObserver, Protocol):
-    """Who has opened the connection, and is notified of all that happens on it."""
-
-    def connection_lost(self, connection: EngineConnection, why: str, spoilt: bool) -> None:
-        """Take note that a connection has ended.
-
-        ``spoilt``: it is we who ended it, since its bytes could not be trusted any more, or had to
-        give it up.
+    """The owner of connections: is notified of all that happens on them."""
+
+    def connection_lost(
+        self, connection: EngineConnection, reason: str, ended_by_broker: bool
+    ) -> None:
+        """Handle the end of a connection.
+
+        Args:
+            connection: The connection.
+            reason: Why it ended, for the log.
+            ended_by_broker: Whether this broker ended it, because of a malformed answer or because
+                its descriptor was needed; the endpoint may be well.
         """
 
     def socket_blocked(self, connection: EngineConnection) -> None:
-        """Flush this connection at the next tick: its socket takes no more for now."""
+        """Flush this connection at the next tick: its socket accepts no more bytes for now."""
 
-    def carried_elsewhere(self, connection: EngineConnection, trace: bytes) -> bool:
-        """Return whether the same id has lately gone to the same engine elsewhere too."""
+    def carried_elsewhere(self, connection: EngineConnection, request_id: bytes) -> bool:
+        """Return whether another connection has lately carried this id to the same engine."""
 
 
 class EngineConnection(asyncio.Protocol):
     """One connection to a data engine.
 
-    Its life goes one way: ``retired``, ``ending``, ``closed``; each implies those before it.
+    Its states follow each other: ``retired``, ``ending``, ``closed``; each implies those before it.
     Nothing raises out of a callback.
 
     Attributes:
+        endpoint: Number of the endpoint.
         in_flight: Attempts until the engine has answered them, also those that nobody waits for:
             they hold their stream, and their answer must be known to be dropped.
-        carried: The request ids under which something may still come, the newest last.
+        carried_ids: The request ids under which something may still come, the newest last.
         health_checks: The tags of health checks.
-        cancelled: The ids of cancelled attempts.
+        cancelled_ids: The request ids of cancelled attempts, each of which still holds its stream.
         retired: It takes no further attempts.
-        ending: It was closed by us, its loss not reported yet.
+        ending: This broker has closed it; its loss may not have been reported yet.
         closed: Its loss has been reported.
         last_received_ns: When the engine's last bytes came.
+        answer_begun_ns: When the first byte of the answer that is incomplete now came.
     """
 
-    def __init__(self, owner: Owner, engine: int) -> None:
+    def __init__(self, owner: Owner, endpoint: int) -> None:
         """Take whom to notify, and the number of the endpoint."""
         self.owner = owner
-        self.endpoint = engine
+        self.endpoint = endpoint
         self.transport: asyncio.Transport | None = None
         self.parser = resp.RespParser()
         self.in_flight: dict[bytes, Attempt] = {}
-        self.carried: dict[bytes, None] = {}
+        self.carried_ids: dict[bytes, None] = {}
         self.health_checks: set[bytes] = set()
         now = owner.now()
         self.last_received_ns = now
-        self.answer_begun_ns = now  # when the answer that is incomplete now began
+        self.answer_begun_ns = now
         self.retired = False
         self.ending = False
         self.closed = False
         self.writer = EngineWriter(
-            owner, partial(owner.socket_blocked, self), partial(self._end, spoilt=False)
+            owner, partial(owner.socket_blocked, self), partial(self._end, ended_by_broker=False)
         )
         self.write_queue = self.writer.write_queue
         self.cancels_in_transit = self.writer.cancels_in_transit
         self.cancellations = EngineCancellations(owner, self.writer)
-        self.cancelled = self.cancellations.undoing.waiting
+        self.cancelled_ids = self.cancellations.undoing.waiting
         self.answers = EngineAnswers(
             self, owner, self.writer, self.cancellations, partial(owner.carried_elsewhere, self)
         )
@@ -89,9 +96,9 @@
     # --- what is open on it ---
 
     @property
-    def jammed(self) -> bool:
-        """Whether its socket took no more, and frames wait."""
-        return self.writer.jammed
+    def is_blocked(self) -> bool:
+        """Whether frames wait because its socket accepted no more bytes (backpressure)."""
+        return self.writer.is_blocked
 
     @property
     def last_sent_ns(self) -> int:
@@ -99,11 +106,11 @@
         return self.writer.last_used_ns
 
     def is_idle(self) -> bool:
-        """Return whether nothing is open on it, and nothing of it is waited for."""
-        return not (self.in_flight or self.health_checks or self.cancelled)
+        """Return whether nothing is open on it."""
+        return not (self.in_flight or self.health_checks or self.cancelled_ids)
 
     def ended_by_engine(self) -> bool:
-        """Return whether its end has come, perhaps unread as yet.
+        """Return whether the engine has closed it; the transport may not have reported that yet.
 
         What would be written now cannot run.
         """
@@ -111,23 +118,23 @@
 
     # --- from the dispatcher ---
 
-    def carry(self, attempt: Attempt) -> None:
-        """Take an attempt, which `do` then sends."""
+    def register(self, attempt: Attempt) -> None:
+        """Register an attempt as in flight here; `send` then sends it."""
         request_id = attempt.request.client_request_id
         self.in_flight[request_id] = attempt
-        self.carried[request_id] = None
-        if len(self.carried) > MAX_CARRIED_IDS:
-            oldest = next(iter(self.carried))
-            del self.carried[oldest]
-            if oldest in self.in_flight:  # one that is still open there stays
-                self.carried[oldest] = None
+        self.carried_ids[request_id] = None
+        if len(self.carried_ids) > MAX_CARRIED_IDS:
+            oldest = next(iter(self.carried_ids))
+            del self.carried_ids[oldest]
+            if oldest in self.in_flight:  # an attempt that is still open keeps its id here
+                self.carried_ids[oldest] = None
 
     def send(self, attempt: Attempt, now: int) -> None:
         """Send an attempt."""
         self.writer.send(attempt, now)
 
     def raise_priority(self, attempt: Attempt, level: int) -> None:
-        """Give an attempt another priority, here or at the engine."""
+        """Give an attempt another priority: in the write queue, or at the engine if it has left."""
         request_id = attempt.request.client_request_id
         if not self.writer.raise_priority(request_id, level):
             now = self.owner.now()
@@ -142,7 +149,10 @@
         return True
 
     def cancel(self, attempt: Attempt) -> None:
-        """Cancel an attempt of which a byte may have left; it holds its stream for a while."""
+        """Cancel an attempt of which a byte may have left.
+
+        It holds its stream until the engine has answered it or has been silent for long enough.
+        """
         now = self.owner.now()
         request_id = attempt.request.client_request_id
         self.in_flight.pop(request_id, None)
@@ -155,7 +165,7 @@
             self.writer.send_command(self.owner.now(), messages.FORGET, request_id)
 
     def send_health_check(self, tag: bytes, command: bytes = messages.HEALTH_CHECK) -> None:
-        """Send a health check; its answer comes under the same tag."""
+        """Send a health check; its answer has the same tag."""
         self.health_checks.add(tag)
         self.writer.send_command(self.owner.now(), command, tag)
 
@@ -166,23 +176,24 @@
     def check(self, now: int) -> None:
         """Repeat cancellations, and end the connection if an answer stopped short on it.
 
-        Such an answer swallows all answers behind it, and what is sent there later is never heard
-        of again. Where this process stood still, its rest lies here unread.
+        All later answers would be read as parts of it, so that nothing that is sent later would be
+        answered. After a stall of this process the rest of the answer may lie unread in the
+        system's buffer: then the connection stays.
         """
         self.cancellations.check(now)
         if not self.parser.buffer or now - self.answer_begun_ns <= ANSWER_TIMEOUT_NS:
             return
-        stood_still = now - self.last_received_ns > ANSWER_TIMEOUT_NS
-        if stood_still and self.writer.has_input():
+        was_stalled = now - self.last_received_ns > ANSWER_TIMEOUT_NS
+        if was_stalled and self.writer.has_input():
             return
-        self._end("an answer stopped short", spoilt=True)
+        self._end("an answer stopped short", ended_by_broker=True)
 
-    def give_up(self, why: str) -> None:
-        """End it with all that is open there; no fault of the engine's."""
-        self._end(why, spoilt=True)
+    def give_up(self, reason: str) -> None:
+        """End it with all that is open on it, for a reason that is no fault of the engine."""
+        self._end(reason, ended_by_broker=True)
 
     def close(self) -> None:
-        """End it; its loss is reported once the transport says so."""
+        """End it; its loss is reported once the transport reports it."""
         self.retired = True
         self.ending = True
         self.writer.close()
@@ -215,15 +226,15 @@
                 if self.closed:
                     return
         except resp.MalformedAnswerError as error:
-            self._end(f"malformed answer: {error}", spoilt=True)
+            self._end(f"malformed answer: {error}", ended_by_broker=True)
         except Exception as error:  # no input may raise out of a callback
-            self._end(f"{type(error).__name__} while reading: {error}", spoilt=True)
+            self._end(f"{type(error).__name__} while reading: {error}", ended_by_broker=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the loss, unless it was reported as we ended the connection."""
-        self._end("closed by the engine" if exc is None else str(exc), spoilt=False)
+        self._end("closed by the engine" if exc is None else str(exc), ended_by_broker=False)
 
-    def _end(self, why: str, spoilt: bool) -> None:
+    def _end(self, reason: str, ended_by_broker: bool) -> None:
         if self.closed:
             return
         self.closed = True
@@ -232,4 +243,4 @@
         self.writer.abandon()
         self.cancellations.connection_ended()
         self.close()
-        self.owner.connection_lost(self, why, spoilt)
+        self.owner.connection_lost(self, reason, ended_by_broker)
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -24,7 +24,7 @@
 
 
 class WriteObserver(Protocol):
-    """Who is notified of what leaves."""
+    """Is notified of what leaves."""
 
     def now(self) -> int:
         """Return the time in ns."""
@@ -35,7 +35,7 @@
     def attempt_written_at_once(self) -> None:
         """Take note that an attempt has left complete, without being queued."""
 
-    def may_go(self, attempt: Attempt) -> bool:
+    def may_proceed(self, attempt: Attempt) -> bool:
         """Return whether an attempt may still begin; called before its first byte leaves.
 
         False: it is withdrawn, and never ran.
@@ -48,28 +48,37 @@
     It writes to the descriptor itself and gives the transport nothing: what the transport's own
     buffer holds cannot be withdrawn. How much has left is known to the byte.
 
-    ``jammed``: the socket took no more, and frames wait. ``cancels_in_transit``: ids of cancelled
-    attempts whose cancellation has not left yet, so that the engine cannot have read it.
+    Attributes:
+        transport: None until the connection is up.
+        fd: Descriptor of the socket, or `NO_DESCRIPTOR`.
+        write_queue: Frames that have not left completely.
+        is_blocked: Frames wait because the socket accepted no more bytes.
+        last_used_ns: When something was last sent or queued.
+        cancels_in_transit: Request ids of cancelled attempts whose cancellation has not left yet,
+            so that the engine cannot have read it.
     """
 
     def __init__(
         self,
         observer: WriteObserver,
-        blocked: Callable[[], None],
-        failed: Callable[[str], None],
+        on_blocked: Callable[[], None],
+        on_failed: Callable[[str], None],
     ) -> None:
-        """Take whom to notify.
+        """Begin without a socket; `attach` gives it one.
 
-        ``blocked`` is called when the socket takes no more, so that `flush` is called again at the
-        next tick; ``failed`` when a write fails, with the system's text.
+        Args:
+            observer: Notified of what leaves.
+            on_blocked: Called when the socket accepts no more bytes, so that `flush` is called
+                again at the next tick.
+            on_failed: Called with the system's error text when a write fails.
         """
         self.observer = observer
-        self.blocked = blocked
-        self.failed = failed
+        self.on_blocked = on_blocked
+        self.on_failed = on_failed
         self.transport: asyncio.Transport | None = None
         self.fd = NO_DESCRIPTOR
         self.write_queue = WriteQueue(self._pieces_of, self._write_started, self._written)
-        self.jammed = False
+        self.is_blocked = False
         self.last_used_ns = observer.now()
         self.cancels_in_transit: set[bytes] = set()
 
@@ -115,7 +124,7 @@
         if (
             len(pieces) == 1
             and self.fd >= 0
-            and not self.jammed
+            and not self.is_blocked
             and self.transport is not None
             and not self.transport.is_closing()
         ):
@@ -133,8 +142,8 @@
             pieces = (pieces[0][written:],)
         request = attempt.request
         priority = DEFAULT_PRIORITY if request.priority is None else request.priority
-        size = sum(map(len, pieces))
-        frame = Frame(pieces, request.client_request_id, priority, size, attempt)
+        size_bytes = sum(map(len, pieces))
+        frame = Frame(pieces, request.client_request_id, priority, size_bytes, attempt)
         frame.begun = attempt.write_started
         self._enqueue(now, frame)
 
@@ -167,13 +176,13 @@
             except BlockingIOError:
                 written = 0
             except OSError as error:
-                self.failed(str(error))
+                self.on_failed(str(error))
                 return
             if not self.write_queue.wrote(written):
-                self.jammed = True
-                self.blocked()
+                self.is_blocked = True
+                self.on_blocked()
                 return
-        self.jammed = False
+        self.is_blocked = False
 
     def _is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
@@ -190,7 +199,7 @@
         attempt = frame.about
         if not isinstance(attempt, Attempt):
             return frame.pieces
-        if not self.observer.may_go(attempt):
+        if not self.observer.may_proceed(attempt):
             return None
         return encode_attempt(attempt, self.observer.now())
 
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -152,7 +152,7 @@
         self._ended_at_ns = self.node.clock.now()
         self.node.dispatcher.request_table.closing = True
         for client in list(self.node.clients):
-            client.shut()
+            client.close_gracefully()
         self._await_disconnects()
 
     def _await_disconnects(self) -> None:
--- a/tests/deadlines/test_sockets.py
+++ b/tests/deadlines/test_sockets.py
@@ -203,7 +203,7 @@
         assert limit <= 3_800
         attempt.deadline_ns = rig.node.dispatcher.now()
         attempt.reported = False
-        assert not rig.node.dispatcher.connection_events.may_go(attempt)
+        assert not rig.node.dispatcher.connection_events.may_proceed(attempt)
         assert tally(rig, HandOver.SOCKET, StopReason.PAST) == 1
     slow.close()
 
--- a/tests/decisions/test_deployments.py
+++ b/tests/decisions/test_deployments.py
@@ -312,7 +312,7 @@
             self.connect(pool)
             waiting, pool.waiting_attempts = pool.waiting_attempts, []
             for attempt in waiting:
-                if self.broker.gate.may_go(attempt, HandOver.CONNECTION):
+                if self.broker.gate.may_proceed(attempt, HandOver.CONNECTION):
                     pool.send(attempt, self.clock.time)
         self.broker.tick()
 
--- a/tests/golden/client_wire/conftest.py
+++ b/tests/golden/client_wire/conftest.py
@@ -22,7 +22,7 @@
     far_socket.setblocking(False)
     owner = create_autospec(Owner, instance=True)
     owner.now.return_value = NOW
-    owner.may_go.return_value = True
+    owner.may_proceed.return_value = True
     owner.carried_elsewhere.return_value = False
     connection = EngineConnection(cast(Owner, owner), ENDPOINT)
     connection.connection_made(SocketTransport(near_socket))
--- a/tests/golden/client_wire/engine_connections.py
+++ b/tests/golden/client_wire/engine_connections.py
@@ -44,7 +44,7 @@
 
     def send(self, attempt: Attempt) -> None:
         """Send an attempt on the connection."""
-        self.connection.carry(attempt)
+        self.connection.register(attempt)
         self.connection.send(attempt, NOW)
 
     def read(self) -> bytes:
