--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -11,6 +11,7 @@
 from ..dispatch.requests import ActiveRequest, Client
 from ..dispatch.validation import ParsedRequest
 from ..endpoints.connection_pools import ConnectionPools
+from ..metrics import ReplyStatus
 from ..timer_wheel import Clock
 from .borrowing import Ledger
 from .cell_metrics import ReplyKey, render_cell_metrics
@@ -100,14 +101,14 @@
         )
         return self.cell_pools
 
-    def divide(self, processes: int, clients: int) -> None:
+    def divide(self, processes: int, other_clients: int) -> None:
         """Take this process's part of the limits and divide it among the cells."""
-        super().divide(processes, clients)
+        super().divide(processes, other_clients)
         self._divide_among_cells()
 
-    def apply_settings(self, read: Config) -> None:
+    def apply_settings(self, config: Config) -> None:
         """Put another configuration in force."""
-        super().apply_settings(read)
+        super().apply_settings(config)
         self.accounting.set_firm_classes(self.config.settings)
 
     # --- cells ---
@@ -194,7 +195,7 @@
             return False
         return True
 
-    def begin_answer(self, request: ActiveRequest, status: int) -> Client:
+    def begin_answer(self, request: ActiveRequest, status: ReplyStatus) -> Client:
         """Take the client that gets its final answer now, and count it for its cell."""
         routed = self.router.requests.get(request.id)
         cell = ""
--- a/query_broker/dispatch/assembly.py
+++ b/query_broker/dispatch/assembly.py
@@ -37,7 +37,7 @@
         metrics: Metrics,
         numbers: Iterator[int],
     ) -> None:
-        """Make the parts; ``numbers`` is the count that requests' ids come from too."""
+        """Make the parts; ``numbers`` is the sequence that request ids are drawn from too."""
         self.stage_timer = StageTimer(clock, timers, controls)
         self.outcomes = AttemptOutcomes(context, clock, timers, extensions, controls)
         self.attempts = AttemptDispatcher(context, timers, table, controls, self.outcomes)
--- a/query_broker/dispatch/capacity.py
+++ b/query_broker/dispatch/capacity.py
@@ -8,14 +8,14 @@
 
 # Connections to endpoints that are kept whatever the limit, so that a misconfigured process serves.
 MIN_ENDPOINT_CONNECTIONS = 4
-# Operators' calls at once. Their descriptors are reserved, so that a flood of clients does not keep
-# the operators out.
+# Concurrent calls of operators. Their descriptors are reserved, so that they can connect while
+# clients use up all others.
 MAX_OPERATOR_CALLS = 12
-# Descriptors for the listener, the endpoint watch and the log, and a few to spare: an eighth of the
+# Descriptors for the listener, the endpoint watch and the log, and some spare: an eighth of the
 # limit, within these bounds.
 MIN_RESERVED_DESCRIPTORS = 24
 MAX_RESERVED_DESCRIPTORS = 96
-# What the process takes with nothing in flight, and some to spare.
+# What an idle process takes, with a margin.
 BASE_MEMORY_MB = 24
 # Memory for statements that is kept whatever the limit, so that a small process serves at all.
 MIN_STATEMENT_BYTES = 2 << 20
@@ -28,8 +28,8 @@
     Attributes:
         client_connections: Connections of clients.
         endpoint_connections: Connections to endpoints.
-        statement_bytes: Statements of open requests, in bytes. Partial frames and answers that wait
-            for their reader may take as much each.
+        statement_bytes: Size of the statements of open requests. Partial frames and unread answers
+            may take as much each.
     """
 
     client_connections: int
@@ -40,10 +40,10 @@
 def divide_capacity(config: Config, processes: int, other_clients: int) -> Capacity:
     """Divide the limits of the configuration among the processes of this broker.
 
-    Endpoints get three eighths of the descriptors, since most attempts have a connection of their
-    own. Clients get at least a third, and all that is left, since many send one request and stay a
-    while. A quarter each of the memory goes to statements, partial frames and unread answers: past
-    its memory the process is killed, with all that it had admitted.
+    Endpoints get three eighths of the descriptors, since most attempts have a dedicated connection.
+    Clients get at least a third and all that remain, since many send one request and stay connected
+    for a while. Statements, partial frames and unread answers get a quarter each of the memory: a
+    process that exceeds its memory is killed, and its admitted requests are lost.
 
     Args:
         config: Limits of the whole broker.
@@ -51,13 +51,15 @@
         other_clients: Clients that the other processes hold.
     """
     sockets = config.sockets
-    reserved = min(MAX_RESERVED_DESCRIPTORS, max(MIN_RESERVED_DESCRIPTORS, sockets // 8))
+    reserved_descriptors = min(
+        MAX_RESERVED_DESCRIPTORS, max(MIN_RESERVED_DESCRIPTORS, sockets // 8)
+    )
     if config.admin_address is not None:
-        reserved += MAX_OPERATOR_CALLS + 1  # and their listener
-    reserved *= processes
-    left_by_clients = sockets - sockets // 3 - reserved
-    for_endpoints = max(MIN_ENDPOINT_CONNECTIONS, min(sockets * 3 // 8, left_by_clients))
-    for_clients = sockets - for_endpoints - reserved
+        reserved_descriptors += MAX_OPERATOR_CALLS + 1  # and their listener
+    reserved_descriptors *= processes
+    max_for_endpoints = sockets - sockets // 3 - reserved_descriptors
+    for_endpoints = max(MIN_ENDPOINT_CONNECTIONS, min(sockets * 3 // 8, max_for_endpoints))
+    for_clients = sockets - for_endpoints - reserved_descriptors
     memory_mb = config.memory_mb // processes - BASE_MEMORY_MB
     return Capacity(
         client_connections=max(sockets // 3 // processes, for_clients - other_clients),
--- a/query_broker/dispatch/client_answers.py
+++ b/query_broker/dispatch/client_answers.py
@@ -21,14 +21,14 @@
         extensions: DispatchExtensions,
         cancellations: RequestCancellation,
     ) -> None:
-        """Take the open requests, and what ends that is under way for them."""
+        """Take the collaborators."""
         self._context = context
         self._table = table
         self._extensions = extensions
         self._cancellations = cancellations
 
     def deliver(self, order: Reject | Fail) -> None:
-        """Give a request its final answer; nothing happens where none is owed any more."""
+        """Give a request its final answer, unless it has been answered or abandoned."""
         request = self._table.by_id.get(order.request_id)
         if request is None or request.client is None:
             return
@@ -41,7 +41,7 @@
         self._context.release(request)
 
     def _retry_after_ms(self, retry_after_ns: int) -> int:
-        """The pause as the client is told it, rounded up to milliseconds."""
+        """Return the pause that the client is asked to keep, rounded up to milliseconds."""
         policy = self._extensions.retry_after_policy
         if policy is not None:
             retry_after_ns = policy(retry_after_ns)
--- a/query_broker/dispatch/context.py
+++ b/query_broker/dispatch/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a dispatcher know of the dispatcher itself."""
+"""The interface of the dispatcher towards its own parts."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 from ..config import Config
 from ..decisions.facade import Event
 from ..endpoints.connection_pools import ConnectionPools
+from ..metrics import ReplyStatus
 from .requests import ActiveRequest, Client
 
 
 class DispatchContext(Protocol):
     """The dispatcher, as its parts see it.
 
-    Events lead to orders and orders to further events, so that each part must reach the decisions
-    again. This is the only way back from a part to the dispatcher. `pools` is there before the
-    first event.
+    Events lead to orders and orders to further events, so that each part must be able to report to
+    the decisions. This is the only reference from a part to the dispatcher. `pools` is set before
+    the first event.
     """
 
     @property
@@ -34,8 +35,8 @@
     def report_event(self, event: Event) -> None:
         """Report an event to the decisions and carry out their orders."""
 
-    def begin_answer(self, request: ActiveRequest, status: int) -> Client:
-        """Take the client that gets its final answer now."""
+    def begin_answer(self, request: ActiveRequest, status: ReplyStatus) -> Client:
+        """Return the client, which the caller must now give the final answer."""
 
     def release(self, request: ActiveRequest) -> None:
-        """Forget the request if nothing of it is open any more."""
+        """Remove the request from the table if it is answered and no attempt is open."""
--- a/query_broker/dispatch/deadline_controls.py
+++ b/query_broker/dispatch/deadline_controls.py
@@ -1,4 +1,4 @@
-"""What operators set about deadlines, and the statistics of it, for one dispatcher."""
+"""The operators' deadline settings and the statistics of hand-over checks, of one dispatcher."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from ..deadlines.stage_latencies import StageLatencies
 
 NS_PER_MS = 1_000_000
-# Kept of a request's timeout for its way here and the answer's way back, where it is not learned.
+# Part of a request's timeout that is reserved for the network, where it is not learned.
 DEFAULT_ANSWER_MARGIN_NS = 10 * NS_PER_MS
 
 
@@ -20,11 +20,12 @@
     """Deadline settings in force; replaced at a reload, read for each request.
 
     Attributes:
-        settings: As operators have set them.
-        margin_ns: Kept of each request's timeout for the way here and back.
+        settings: The deadline settings of the operators.
+        margin_ns: Part of each request's timeout that is reserved for the network, to the broker
+            and back to the client.
         stages: Latencies of each stage; None where operators neither see nor learn from them.
         retry_budget: Bounds retries; None where operators set no bound.
-        statistics: What hand-over checks have stopped and cancellation has come to.
+        statistics: Counts of what hand-over checks have stopped and of cancellations' outcomes.
     """
 
     def __init__(self) -> None:
@@ -38,11 +39,11 @@
     def timeout_ns(
         self, stated_ms: float, class_deadline_ns: int, received_ns: int, now_ns: int
     ) -> int:
-        """How long the broker may take for a request that is admitted now.
+        """Return how long the broker may take for a request that is admitted now, in nanoseconds.
 
         Args:
-            stated_ms: The client's timeout. Accounts are kept for as long, so that the deadline of
-                the class bounds it.
+            stated_ms: The client's timeout. A request is accounted for until then, so that the
+                deadline of the class bounds it.
             class_deadline_ns: The deadline of its class.
             received_ns: When its first byte was read, 0 where that is not known. The time since
                 then counts only where operators let a timeout begin with the first byte.
@@ -55,7 +56,7 @@
         return timeout_ns
 
     def metrics_text(self) -> bytes:
-        """Lines of the Prometheus text format; empty where stages are not recorded."""
+        """Return lines of the Prometheus text format; empty where stages are not recorded."""
         if self.stages is None:
             return b""
         # Imported here: the module needs an optional package, which `run` must not load.
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -1,8 +1,8 @@
 """The dispatcher: from a client's request through the decisions to an endpoint, and back.
 
-It knows no client protocol. Whatever speaks with clients turns a request into a `ParsedRequest`,
+It depends on no client protocol: a client connection parses a request into a `ParsedRequest`,
 submits it and gets the one final answer through the methods of `Client`. It decides nothing either:
-it reports events to the decisions, carries out their orders and reports what became of them.
+it reports events to the decisions, carries out their orders and reports the outcomes.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from ..endpoints.administrative_state import AdministrativeState, AdministrativeStates
 from ..endpoints.connection_pools import ConnectionPools
 from ..endpoints.endpoint_table import EndpointTable
-from ..metrics import ERROR, OVERLOAD, Metrics
+from ..metrics import ERROR, OVERLOAD, Metrics, ReplyStatus
 from ..timer_wheel import Clock, TimerWheel
 from .assembly import DispatchParts
 from .capacity import divide_capacity
@@ -37,19 +37,19 @@
 from .requests import ActiveRequest, Client
 from .validation import InvalidRequestError, ParsedRequest, RequestValidator
 
-# The pause for a client whose statement finds no memory: time for open requests to end.
-NO_MEMORY_PAUSE_MS = 1_000
-# Attempts get connections of their own where a handshake costs at most this part of a request:
-# about one connection in a hundred ends together with what else is on it.
+# The `retry_after` of a request whose statement finds no memory: time for open requests to end.
+NO_MEMORY_RETRY_AFTER_MS = 1_000
+# Attempts get dedicated connections where a handshake costs at most this fraction of a request:
+# about one connection in a hundred ends, with all attempts that are in flight on it.
 MAX_HANDSHAKE_PRICE = 0.01
-# Ten minutes, after which it is of no use any more that an endpoint was re-enabled.
-REENABLED_KEPT_NS = 600_000 * NS_PER_MS
+# How long it is remembered that an endpoint was re-enabled: ten minutes.
+REENABLED_RETENTION_NS = 600_000 * NS_PER_MS
 # The endings by the statuses of `metrics`: success, overload, error.
 ENDING_OF_STATUS = (RequestEnding.SUCCESS, RequestEnding.OVERLOAD, RequestEnding.ERROR)
 
 
 class Dispatcher:
-    """Wires the parts that carry requests, and is their way back to the decisions.
+    """Wires the parts that carry requests, and reports their events to the decisions.
 
     Extension points, which `query_broker.cells` overrides to divide the broker among parts of its
     traffic: `make_facade` and `make_connection_pools` (called once, by the constructor), `divide`,
@@ -65,8 +65,8 @@
         requests: The map of `request_table` by the broker's id.
         extensions: Observers and policies that other parts have registered.
         deadline_controls: What operators set about deadlines.
-        cancellations: Ends requests before their time; clients that go call it.
-        health_checks: Starts health checks beside those that the decisions order.
+        cancellations: Ends requests early; client connections call it when a client disconnects.
+        health_checks: Starts health checks, also others than those that the decisions order.
         connection_events: The owner of the connections to endpoints.
         pools: Connections to endpoints.
         statement_capacity_bytes: Bytes that statements of open requests may take.
@@ -132,14 +132,14 @@
             may_hand_over=self.gate.may_proceed,
         )
 
-    def divide(self, processes: int, clients: int) -> None:
+    def divide(self, processes: int, other_clients: int) -> None:
         """Take this process's part of the limits.
 
         Args:
             processes: Processes of this broker, this one included.
-            clients: Clients that the other processes hold.
+            other_clients: Clients that the other processes hold.
         """
-        capacity = divide_capacity(self.config, processes, clients)
+        capacity = divide_capacity(self.config, processes, other_clients)
         self.max_clients = capacity.client_connections
         self.pools.set_max_connections(capacity.endpoint_connections)
         self.statement_capacity_bytes = capacity.statement_bytes
@@ -147,7 +147,7 @@
     def admit(
         self, client: Client, stream: int, parsed: ParsedRequest, received_ns: int = 0
     ) -> ActiveRequest:
-        """Make a valid request an open one and let the decisions have it; see `submit`."""
+        """Admit a valid request to the table and report it to the decisions; see `submit`."""
         now_ns = self.now()
         class_deadline_ns = self.validator.class_deadlines_ns[parsed.class_name]
         timeout_ns = self.deadline_controls.timeout_ns(
@@ -156,28 +156,28 @@
         for observer in self.extensions.observers:
             observer.request_arrived(parsed, now_ns)
         request = ActiveRequest(
-            str(next(self._request_numbers)),
-            parsed.client_request_id.encode(),
-            parsed.class_name.encode(),
-            parsed.statement,
-            client,
-            stream,
-            now_ns + timeout_ns,
-            parsed.tenant or "",
-            received_ns or now_ns,
-            now_ns,
+            id=str(next(self._request_numbers)),
+            client_request_id=parsed.client_request_id.encode(),
+            class_name=parsed.class_name.encode(),
+            statement=parsed.statement,
+            client=client,
+            stream=stream,
+            deadline_ns=now_ns + timeout_ns,
+            tenant=parsed.tenant or "",
+            received_ns=received_ns or now_ns,
+            accepted_ns=now_ns,
             idempotency_key=parsed.idempotency_key,
         )
         self.request_table.unanswered_count += 1
         if not self.has_statement_capacity(request):
             self.log("client", "no room for another statement: refused")
-            self.begin_answer(request, OVERLOAD).rejected(stream, NO_MEMORY_PAUSE_MS)
+            self.begin_answer(request, OVERLOAD).rejected(stream, NO_MEMORY_RETRY_AFTER_MS)
             return request
         self.request_table.add(request)
         try:
             orders = self.facade.pick(now_ns, _arrival(request.id, parsed, timeout_ns))
         except Exception:
-            # A fault in the decisions must cost this request alone, and even that gets its answer.
+            # A fault in the decisions must affect this request alone, which still gets its answer.
             self.log("fault", traceback.format_exc())
             self.begin_answer(request, ERROR).failed(stream, "internal error")
             self.release(request)
@@ -186,24 +186,24 @@
         return request
 
     def has_statement_capacity(self, request: ActiveRequest) -> bool:
-        """Whether the statement of one more request may be kept.
+        """Return whether there is memory for the statement of one more request.
 
-        A flood of large ones would end the process for lack of memory, with all that it had
-        admitted.
+        Without this bound a flood of large statements would end the process for lack of memory, and
+        with it all admitted requests.
         """
         return (
             self.request_table.statement_bytes + len(request.statement)
             <= self.statement_capacity_bytes
         )
 
-    def begin_answer(self, request: ActiveRequest, status: int) -> Client:
-        """Take the client that gets its final answer now.
+    def begin_answer(self, request: ActiveRequest, status: ReplyStatus) -> Client:
+        """Return the client, which the caller must now give the final answer.
 
-        Every answer passes here, so that each request is counted exactly once.
+        Every final answer passes here, so that each request is counted exactly once.
 
         Args:
             request: The request; its client is still waiting.
-            status: `metrics.SUCCESS`, `OVERLOAD` or `ERROR`.
+            status: How it is answered.
         """
         client = request.client
         request.client = None
@@ -226,7 +226,7 @@
     def submit(
         self, client: Client, stream: int, parsed: ParsedRequest, received_ns: int = 0
     ) -> ActiveRequest:
-        """Take a request that a client protocol has read.
+        """Validate and admit a request that a client protocol has parsed.
 
         Args:
             client: Who gets the answer.
@@ -235,7 +235,7 @@
             received_ns: When its first byte was read; 0 where that is not known.
 
         Raises:
-            InvalidRequestError: It cannot be used; the caller gives the one failed answer.
+            InvalidRequestError: It is invalid; the caller gives the one failed answer.
         """
         try:
             self.validator.check(parsed)
@@ -246,30 +246,30 @@
 
     # --- settings and observers ---
 
-    def apply_settings(self, read: Config) -> None:
-        """Take other settings in one step, for all requests that come from now on."""
+    def apply_settings(self, config: Config) -> None:
+        """Put the settings of another configuration in force, for all requests from now on."""
         now_ns = self.now()
         # The timer wheel turns by the tick of the start.
-        settings = replace(read.settings, tick_ns=self.config.tick_ns)
+        settings = replace(config.settings, tick_ns=self.config.tick_ns)
         adjusted = self.extensions.adjusted(settings)
         self.carry_out(now_ns, self.facade.report(now_ns, SettingsChanged(adjusted)))
         self.config = replace(
             self.config,
             settings=settings,
-            source=read.source,
-            streams_per_connection=read.streams_per_connection,
-            connect_timeout_ns=read.connect_timeout_ns,
-            connection_idle_ns=read.connection_idle_ns,
+            source=config.source,
+            streams_per_connection=config.streams_per_connection,
+            connect_timeout_ns=config.connect_timeout_ns,
+            connection_idle_ns=config.connection_idle_ns,
         )
-        self.validator.apply_settings(read.settings)
+        self.validator.apply_settings(config.settings)
         self.metrics_counts.add_classes(self.validator.class_deadlines_ns)
         self.pools.apply_settings(
-            read.streams_per_connection, read.connect_timeout_ns, read.connection_idle_ns
+            config.streams_per_connection, config.connect_timeout_ns, config.connection_idle_ns
         )
         self.pools.dedicated_connections = settings.handshake_price <= MAX_HANDSHAKE_PRICE
 
     def refresh_settings(self) -> None:
-        """Let the decisions have what a settings adjuster has changed."""
+        """Report the settings to the decisions again, after a settings adjuster has changed."""
         self.report_event(SettingsChanged(self.extensions.adjusted(self.config.settings)))
 
     def add_observer(self, observer: DispatchObserver) -> None:
@@ -279,15 +279,15 @@
     # --- endpoints ---
 
     def endpoint_list_changed(self, event: EndpointListEvent) -> None:
-        """Take a change of the endpoint list, or all of it."""
+        """Apply an event of the endpoint list: a change of it, or the complete list."""
         entries = self.endpoint_table.apply_event(event)
         for entry in entries:
             self.pools.update_target(
                 entry.endpoint, self.endpoint_table.by_number[entry.endpoint].target
             )
         if event.full:
-            for known in self.endpoint_table.by_number.values():
-                self.pools.update_target(known.number, known.target)
+            for endpoint in self.endpoint_table.by_number.values():
+                self.pools.update_target(endpoint.number, endpoint.target)
         kind = ListUpdateKind.FULL if event.full else ListUpdateKind.CHANGES
         self.report_event(EndpointListUpdate(kind, entries))
         self.endpoint_table.forget_removed()
@@ -295,7 +295,8 @@
     def set_endpoint_disabled(self, uid: str, disabled: bool) -> bool:
         """Disable or re-enable an endpoint by an operator's call; False if none has this uid.
 
-        One that restarts while it is disabled may be missing from the list when it is re-enabled.
+        An endpoint that restarts while it is disabled may be missing from the list when it is
+        re-enabled: a disabled uid is known as well.
         """
         was_disabled = self.administrative_states.is_disabled(uid)
         if uid not in self.endpoint_table.by_uid and not was_disabled:
@@ -307,17 +308,17 @@
         return True
 
     def apply_administrative_state(self, uid: str, state: AdministrativeState) -> None:
-        """Take an operator's state of an endpoint, set here or at another process."""
+        """Apply an operator's directive on an endpoint, given to this process or to another one."""
         if not self.administrative_states.record(uid, state):
             return
-        self.administrative_states.forget(self.now() - REENABLED_KEPT_NS)
+        self.administrative_states.forget(self.now() - REENABLED_RETENTION_NS)
         number = self.endpoint_table.number(uid)
         self.report_event(AdministrativeChange(number, state.disabled, state.at_ns))
         pool = self.pools.get(number)
         if pool is None:
             return
         if state.disabled:
-            # What still waits for a connection would leave after the operator has his answer.
+            # Attempts that wait for a connection would leave after the operator's call is answered.
             pool.withdraw_waiting()
         else:
             pool.retire_connections()
@@ -325,13 +326,13 @@
     # --- decisions and time ---
 
     def now(self) -> int:
-        """The time, in Unix nanoseconds."""
+        """Return the time in Unix nanoseconds."""
         return self.clock.now()
 
     def report_event(self, event: Event) -> None:
         """Report an event to the decisions and carry out their orders.
 
-        A fault in the decisions is logged: it must not cost more than this event.
+        A fault in the decisions is logged; it must affect nothing but this event.
         """
         now_ns = self.now()
         try:
@@ -353,7 +354,7 @@
             self.health_checks.start(now_ns, check.endpoint)
 
     def tick(self) -> None:
-        """Fire timers that are due, and do what was put off to this tick."""
+        """Fire the timers that are due, then do what was deferred to this tick."""
         now_ns = self.now()
         self.timers.advance(now_ns)
         while self.facade.due:
@@ -370,7 +371,7 @@
             self.timers.wake_next_tick()
 
     def metrics(self) -> bytes:
-        """The metrics page, in the Prometheus text format."""
+        """Return the metrics page, in the Prometheus text format."""
         own = self.metrics_counts.text(
             self.request_table.unanswered_count,
             len(self.endpoint_table.by_uid),
@@ -380,15 +381,14 @@
 
 
 def _arrival(request_id: str, parsed: ParsedRequest, timeout_ns: int) -> RequestArrived:
-    """The event of a request that has been admitted."""
+    """Return the event of a request that has been admitted."""
     return RequestArrived(
-        request_id,
-        parsed.class_name,
-        timeout_ns,
-        parsed.tenant or None,
-        None,
-        int(parsed.estimate_ms * NS_PER_MS),
-        parsed.memory_mb,
-        parsed.data_set,
-        parsed.is_retry,
+        request_id=request_id,
+        class_name=parsed.class_name,
+        timeout_ns=timeout_ns,
+        tenant=parsed.tenant or None,
+        estimate_ns=int(parsed.estimate_ms * NS_PER_MS),
+        memory_mb=parsed.memory_mb,
+        data_set=parsed.data_set,
+        is_retry=parsed.is_retry,
     )
--- a/query_broker/dispatch/health_checks.py
+++ b/query_broker/dispatch/health_checks.py
@@ -12,16 +12,19 @@
 from .load_reports import parse_load_report
 from .observers import DispatchExtensions
 
+# The tag of a health check on the wire; the endpoint repeats it in its answer.
+TAG_FORMAT = b"probe-%d"
+
 
 class PendingCheck(NamedTuple):
-    """A health check that has no outcome yet."""
+    """A health check that has no outcome yet; the start is in Unix nanoseconds."""
 
     endpoint: int
     started_ns: int
 
 
 class HealthChecks:
-    """Starts health checks and reports what becomes of them.
+    """Starts health checks and reports their outcomes.
 
     Attributes:
         pending: Health checks without an outcome, by the tag that the endpoint repeats.
@@ -35,7 +38,10 @@
         extensions: DispatchExtensions,
         numbers: Iterator[int],
     ) -> None:
-        """Take ``numbers``, which requests' ids come from too: no tag may equal an id."""
+        """Begin without health checks.
+
+        ``numbers`` is the sequence that request ids are drawn from too, so that no tag equals one.
+        """
         self._context = context
         self._clock = clock
         self._timers = timers
@@ -44,8 +50,8 @@
         self.pending: dict[bytes, PendingCheck] = {}
 
     def start(self, now_ns: int, endpoint: int) -> None:
-        """Check one endpoint; it has as long as a connection may take to come up."""
-        tag = b"probe-%d" % next(self._numbers)
+        """Send a health check to an endpoint; its timeout is that of a connect."""
+        tag = TAG_FORMAT % next(self._numbers)
         self.pending[tag] = PendingCheck(endpoint, now_ns)
         self._timers.set_timer(
             now_ns + self._context.config.connect_timeout_ns, partial(self._time_out, endpoint, tag)
--- a/query_broker/dispatch/load_reports.py
+++ b/query_broker/dispatch/load_reports.py
@@ -7,7 +7,7 @@
 from ..decisions.facade import LoadReport
 from ..protocols import resp
 
-# The names that data engines use, and the fields of `LoadReport` that they mean.
+# The fields of `LoadReport` by the names that data engines use.
 FIELD_OF_NAME = {
     "busy": "utilisation",
     "util": "utilisation",
@@ -21,9 +21,9 @@
 
 
 def parse_load_report(text: str, log: Callable[[str, str], None]) -> LoadReport | None:
-    """Read the report of an endpoint; None where it is empty, malformed or of unknown names.
+    """Read the load report of an endpoint; None where it is empty, malformed or of unknown names.
 
-    A malformed one is logged: it spoils nothing else of its answer.
+    A malformed report is logged; the answer that it came with remains valid.
     """
     if not text:
         return None
@@ -32,5 +32,5 @@
     except resp.MalformedAnswerError as error:
         log("engine", str(error))
         return None
-    known = {FIELD_OF_NAME[name]: value for name, value in values.items() if name in FIELD_OF_NAME}
-    return LoadReport(**known) if known else None
+    fields = {FIELD_OF_NAME[name]: value for name, value in values.items() if name in FIELD_OF_NAME}
+    return LoadReport(**fields) if fields else None
--- a/query_broker/dispatch/observers.py
+++ b/query_broker/dispatch/observers.py
@@ -20,7 +20,7 @@
     SUCCESS = "success"
     OVERLOAD = "overload"
     ERROR = "error"
-    ABANDONED = "left"  # its client had gone before the answer
+    ABANDONED = "left"  # its client cancelled it or disconnected before the answer
 
 
 class DispatchObserver:
@@ -31,33 +31,33 @@
     """
 
     def request_arrived(self, parsed: ParsedRequest, now_ns: int) -> None:
-        """A valid request has come; it has not been decided on."""
+        """Called when a valid request has come, before the decisions get their event."""
 
     def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
-        """A request gets its final answer now, or its client has gone."""
+        """Called when a request gets its final answer, or when its client abandons it."""
 
     def attempt_ended(self, endpoint: int, result: AttemptResult) -> None:
-        """An attempt has ended at this endpoint; the decisions get their event afterwards."""
+        """Called when an attempt has ended, before the decisions get their event."""
 
     def health_check_ended(self, endpoint: int, result: AttemptResult) -> None:
-        """A health check has ended; the decisions have got their event."""
+        """Called when a health check has ended, after the decisions got their event."""
 
     def endpoint_administered(self, uid: str, disabled: bool) -> None:
-        """An operator has disabled or re-enabled an endpoint at this process."""
+        """Called when an operator has disabled or re-enabled an endpoint at this process."""
 
 
 class SettingsAdjuster(Protocol):
-    """Replaces parts of the settings that the decisions go by, beside the files."""
+    """Replaces parts of the settings of the files, before the decisions get them."""
 
     def __call__(self, settings: Settings, /) -> Settings:
         """Return the settings with this part's values."""
 
 
 class RetryAfterPolicy(Protocol):
-    """Widens the pause that a rejected client is asked to keep."""
+    """Replaces the `retry_after` of a rejection."""
 
     def __call__(self, retry_after_ns: int, /) -> int:
-        """Return the pause, in nanoseconds, in place of the decided one."""
+        """Return the pause that the client is asked to keep, given the decided one."""
 
 
 class MetricsSource(Protocol):
@@ -86,12 +86,12 @@
         self.retry_after_policy: RetryAfterPolicy | None = None
 
     def add_observer(self, observer: DispatchObserver) -> None:
-        """Register an observer behind those that are there."""
+        """Register an observer after the present ones."""
         self.observers = (*self.observers, observer)
 
     def remove_observer(self, observer: DispatchObserver) -> None:
         """Remove an observer; nothing happens where it is not registered."""
-        self.observers = tuple(known for known in self.observers if known is not observer)
+        self.observers = tuple(other for other in self.observers if other is not observer)
 
     def adjusted(self, settings: Settings) -> Settings:
         """Return the settings after all adjusters."""
--- a/query_broker/dispatch/request_table.py
+++ b/query_broker/dispatch/request_table.py
@@ -14,8 +14,8 @@
     Attributes:
         by_id: Open requests by the broker's id.
         by_client_id: The same requests by the client's id, which may come twice.
-        unanswered_count: Requests taken that have no final answer and whose client has not left.
-            A request that is rejected for lack of memory counts for a moment without being open.
+        unanswered_count: Requests that have neither been answered nor abandoned. One that is
+            rejected for lack of memory counts until its answer without being open.
         statement_bytes: Size of the statements of all open requests.
         closing: The process is about to end: no attempt is dispatched any more.
     """
--- a/query_broker/dispatch/stage_timing.py
+++ b/query_broker/dispatch/stage_timing.py
@@ -1,4 +1,4 @@
-"""How long each stage of a served request took, where operators want to know."""
+"""The latency of each stage of served requests, where operators have it recorded."""
 
 from __future__ import annotations
 
@@ -23,11 +23,10 @@
 class StageTimer:
     """Records the stages of served requests.
 
-    The stage of the answer is known only once its last byte has left, so that answers are looked at
-    until then.
+    The answer's stage ends once its last byte has left; answers are checked each tick until then.
 
     Attributes:
-        waiting: Answers that were unread at the last look.
+        waiting: Answers that had not left completely at the last check.
     """
 
     def __init__(self, clock: Clock, timers: TimerWheel, controls: DeadlineControls) -> None:
@@ -53,7 +52,7 @@
             attempt.written_ns,
             now_ns,
         )
-        # One stage more than there are marks: that of the answer follows.
+        # The last stage, that of the answer, has no end yet.
         for stage, (begin_ns, end_ns) in zip(LatencyStage, pairwise(marks_ns), strict=False):
             stages.add(class_name, stage, end_ns - begin_ns, now_ns)
         self.waiting.append(WaitingAnswer(client, class_name, now_ns))
@@ -64,8 +63,8 @@
     def check_waiting(self) -> None:
         """Record the answers that have left.
 
-        One that lies unread for longer than a slow reader may take is recorded as it is: a client
-        that never reads would keep it here for good.
+        One that has waited for its reader for longer than the limit for slow readers is recorded at
+        its present age, so that a client that never reads does not keep it here for good.
         """
         now_ns = self._clock.now()
         answers = self.waiting
--- a/query_broker/dispatch/validation.py
+++ b/query_broker/dispatch/validation.py
@@ -13,7 +13,7 @@
 from ..errors import QueryBrokerError
 from .request_table import RequestTable
 
-# The longest wait that a client may state: one hour. The deadline of its class bounds it further.
+# The longest timeout that a client may state, one hour; the deadline of its class is a bound too.
 MAX_TIMEOUT_MS = 3_600_000.0
 # The largest estimate of work (milliseconds, nearly three hours) or memory (megabytes, ten
 # terabytes): a bound against nonsense, far above what one request may be given.
@@ -103,7 +103,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Validate by other settings from now on."""
+        """Put other settings in force."""
         self.class_deadlines_ns = {spec.name: spec.deadline_ns for spec in settings.classes}
         self.tenants = {tenant.name for tenant in settings.tenants}
         self._classes_with_key = frozenset(
@@ -111,7 +111,7 @@
         )
 
     def check(self, parsed: ParsedRequest) -> None:
-        """Check a request; nothing malformed may reach an engine or the decisions.
+        """Check a request; nothing malformed may reach an endpoint or the decisions.
 
         Raises:
             InvalidRequestError: The first fault found.
@@ -133,10 +133,10 @@
         key = parsed.idempotency_key
         if key is None:
             if parsed.class_name in self._classes_with_key:
-                # Without its key no engine recognises a repeat, and it would run twice.
+                # Without its key an endpoint would not recognise a retry and would run it twice.
                 raise InvalidRequestError.of_field("nonce", "is missing")
         elif not key or "," in key:
-            # An engine would read the rest of it as a field of its own.
+            # An endpoint would read what follows the comma as another field.
             raise InvalidRequestError.of_field(
                 "nonce", "is empty or holds a comma: no engine can be told it"
             )
@@ -148,7 +148,8 @@
                 or other.statement != parsed.statement
                 or other.idempotency_key != parsed.idempotency_key
             ):
-                # An engine takes both for one, and answers one of them with the other's rows.
+                # An endpoint identifies requests by this id, and would answer one with the other's
+                # rows.
                 raise InvalidRequestError.of_field(
                     "trace", "is open with another statement or nonce"
                 )
--- a/query_broker/metrics.py
+++ b/query_broker/metrics.py
@@ -1,4 +1,4 @@
-"""Counts since the start of the process, and their text at ``/metrics``.
+"""Counters since the start of the process, and their text at ``/metrics``.
 
 Performs no I/O. The text follows the Prometheus exposition format, version 0.0.4.
 """
@@ -53,7 +53,7 @@
 
 
 class Metrics:
-    """The counts of one process.
+    """The counters of one process.
 
     Attributes:
         replies: For each request class the number of replies, indexed by `ReplyStatus`.
@@ -79,8 +79,8 @@
         for name in classes:
             self.replies.setdefault(name, [0] * len(ReplyStatus))
 
-    def count_reply(self, class_name: str, status: int) -> None:
-        """Count one reply; ``status`` is a `ReplyStatus`.
+    def count_reply(self, class_name: str, status: ReplyStatus) -> None:
+        """Count one reply.
 
         Classes that no configuration has named are not counted: clients name any class they like,
         and a series for each would grow without bound.
@@ -126,6 +126,6 @@
 def escape_label(value: str) -> str:
     """Return a label's value with backslashes, quotes and line ends escaped.
 
-    One bare quote or line end in the name of a class would make the complete text unreadable.
+    A bare quote or line end in the name of a class would make the complete text unreadable.
     """
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
