--- a/query_broker/discovery/event_codec.py
+++ b/query_broker/discovery/event_codec.py
@@ -3,8 +3,8 @@
 Performs no I/O. An event is an object with its ``offset``, the number of the event; where it has a
 ``topology``, that names endpoints. A heartbeat is the bare offset of the latest event.
 
-The discovery service and the configuration file (under ``known``) use the same form. Their words
-stand here alone, beside the terms that the rest of the program uses for them.
+The discovery service and the configuration file (under ``known``) use the same form. This module
+maps its words to the terms of the rest of the program.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-#: Bytes that may come without a line end. A mebibyte: a list of thousands of endpoints fits, and a
-#: service that never ends a line doesn't fill the memory.
+#: Longest line. A mebibyte: a list of thousands of endpoints fits, and a service that never ends a
+#: line doesn't fill the memory.
 MAX_LINE_BYTES = 1 << 20
 #: Bytes of an unreadable line that the log quotes.
 QUOTED_BYTES = 80
 NS_PER_MS = 1_000_000
-END_OF_PORTS = 65_536
+MAX_PORT = 65_535
 
 #: The offset of the latest event that there is, as a heartbeat names it.
 Heartbeat = NewType("Heartbeat", int)
@@ -55,23 +55,23 @@
     port: int
 
 
-#: Of a removed endpoint whose event names no address: nothing connects to it any more.
+#: Address of a removed endpoint whose event names none: nothing connects to it any more.
 NO_ADDRESS = Address("", 0)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One endpoint as the list has it.
+    """One endpoint of the list.
 
     Attributes:
-        uid: Names it, whatever its address.
-        host: Where it listens.
-        port: Where it listens.
+        uid: Its identity, whatever its address.
+        host: The host name or IP address at which it listens.
+        port: The TCP port at which it listens.
         zone: The availability zone, empty if unknown.
         kind: The model of the machine, empty if unknown.
         cell: The number of the pod group that it belongs to.
         state: Whether it takes new work.
-        weight: Its capacity in proportion to others.
+        weight: Its capacity relative to other endpoints.
         started_ns: When it started, in Unix nanoseconds; 0 if that is unknown or long ago.
     """
 
@@ -91,9 +91,9 @@
     """One change of the endpoint list.
 
     Attributes:
-        offset: Its number; the next event has the next one.
-        full: Whether ``targets`` is the complete list, so that what it lacks has been removed.
-        targets: The endpoints that it names.
+        offset: Its number; the next event has the next number.
+        full: Whether ``targets`` is the complete list, so that any other endpoint has been removed.
+        targets: The endpoints that are new or have changed, or the complete list.
     """
 
     offset: int
@@ -108,15 +108,15 @@
         InvalidEventError: The text isn't in that form.
     """
     host, colon, port = str(text).rpartition(":")
-    if not colon or not host or not port.isdecimal() or not 0 < int(port) < END_OF_PORTS:
+    if not colon or not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise InvalidEventError(problem=f"{text!r} is no address host:port")
     return Address(host.strip("[]"), int(port))
 
 
 def parse_event(raw: Any) -> EndpointListEvent:
-    """Read one event, as it comes over the watch and stands under ``known``.
+    """Read one event of the watch or of the configuration's ``known``.
 
-    An event without a topology is about something else: only its number counts.
+    An event without a topology concerns no endpoint: only its offset counts.
 
     Raises:
         InvalidEventError: The value isn't in the form of an event.
@@ -150,7 +150,7 @@
 
 
 class LineParser:
-    """Cuts a stream of bytes into lines.
+    """Splits a stream of bytes into lines.
 
     Attributes:
         buffer: The beginning of a line whose end hasn't come yet.
@@ -161,9 +161,9 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes as they come, and return the complete lines without their ends.
+        """Add bytes, and return the lines that are complete with them, without their ends.
 
-        Blank lines are left out.
+        Blank lines are omitted.
 
         Raises:
             InvalidEventError: A line grows beyond `MAX_LINE_BYTES`.
--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -14,34 +14,35 @@
 from .event_codec import EndpointListEvent, Heartbeat, InvalidEventError, parse_line
 from .watch_connection import WatchConnection
 
-#: Nanoseconds without a byte after which a connection is given up. A heartbeat comes every second,
-#: and after a stop an event counts as notified 4 s later: a heartbeat may be late, and the next
-#: connection has time to come up.
+#: Nanoseconds without a byte after which a connection is dropped. A heartbeat comes every second,
+#: and after an interruption events must have been applied 4 s later: that leaves time for a late
+#: heartbeat and for the next connection to come up.
 SILENCE_LIMIT_NS = 1_700_000_000
-#: Seconds before the first attempt to reconnect, and the most that the doubled wait may reach.
-#: After a break an event counts as notified 2 s later: several attempts fit.
+#: Seconds before the first attempt to reconnect, and the upper bound of the doubled backoff. After
+#: a disconnection events must have been applied 2 s later: that leaves time for several attempts.
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.4
-#: The part of the backoff that isn't drawn: the wait lies between it and the backoff itself.
-FIXED_BACKOFF_PART = 0.5
+#: The fraction of the backoff without jitter: the wait is drawn between it and the full backoff.
+FIXED_BACKOFF_FRACTION = 0.5
 #: Seconds in which a connection has to come up.
 CONNECT_TIMEOUT_S = 0.5
-#: Heartbeats in turn that name a lower offset than is known, after which the numbering has begun
-#: anew. One alone may be a replica's that lags.
+#: Successive heartbeats with a lower offset than the latest known after which the service counts as
+#: having restarted its numbering. A single one may come from a lagging replica.
 HEARTBEATS_OF_NEW_NUMBERING = 2
 
+#: In place of an offset: none.
 NO_OFFSET = -1
 
 
 class EventHandler(Protocol):
-    """Takes the events of the endpoint list."""
+    """Handles the events of the endpoint list."""
 
     def __call__(self, event: EndpointListEvent, /) -> None:
         """Apply one event; each comes once, in the order of the offsets."""
 
 
 class ReconnectPacing(Protocol):
-    """When to connect, and how long to wait, where a complete fleet watches one service.
+    """When to connect, and which timeouts hold, where a large fleet watches one service.
 
     Attributes:
         first_wait_s: Seconds to the first attempt to connect.
@@ -59,7 +60,7 @@
         """Return the nanoseconds without a byte after which a connection is given up."""
 
     def list_confirmed(self) -> None:
-        """Take note that the service has sent, or confirmed, the latest event that it has."""
+        """Record that the service has sent, or confirmed, the latest event that it has."""
 
 
 class WatchClient:
@@ -68,7 +69,7 @@
     Attributes:
         address: Where the service listens.
         last_offset: The offset of the latest event that is known.
-        on_event: Takes the events.
+        on_event: Called with each event, in the order of the offsets.
         pacing: Paces the connects of a fleet; None where the service takes any number of clients.
         connection: The connection in use, None while there is none.
         backoff_s: The present backoff.
@@ -78,40 +79,40 @@
     def __init__(
         self,
         address: tuple[str, int],
-        last: int,
-        take: EventHandler,
+        last_offset: int,
+        on_event: EventHandler,
         now: Callable[[], int],
         log: Callable[[str, str], None],
         draw: Callable[[], float],
-        pace: ReconnectPacing | None = None,
+        pacing: ReconnectPacing | None = None,
     ) -> None:
-        """Make a client that `start` sets to work.
+        """Make a client; `start` connects it.
 
         Args:
             address: Host and port of the service.
-            last: The offset of the latest event that is known.
-            take: Takes the events.
-            now: Gives the time in Unix nanoseconds.
-            log: Writes a line to the log, of a kind.
+            last_offset: The offset of the latest event that is known.
+            on_event: Called with each event.
+            now: Returns the time in Unix nanoseconds.
+            log: Writes a line to the log, given its kind and its text.
             draw: Draws a number from 0 to 1 for the jitter of the backoff.
-            pace: See the attribute; it may be set until `start` is called.
+            pacing: See the attribute; it may be set until `start` is called.
         """
         self.address = address
-        self.last_offset = last
-        self.on_event = take
+        self.last_offset = last_offset
+        self.on_event = on_event
         self.now = now
         self.log = log
         self.draw = draw
-        self.pacing = pace
+        self.pacing = pacing
         self.connection: WatchConnection | None = None
         self.backoff_s = FIRST_BACKOFF_S
         self.last_received_ns = now()
         self._connecting: asyncio.Task[None] | None = None
-        self._lower_heartbeats = 0  # in turn
-        self._unreadable_after = NO_OFFSET  # the latest event when a line could not be read
+        self._lower_heartbeats = 0  # how many in succession
+        self._unreadable_after = NO_OFFSET  # the last offset before a line that could not be read
 
     def start(self) -> None:
-        """Connect, after the wait that the pacing asks for."""
+        """Connect, after the wait of the pacing."""
         self._connect_after(0.0 if self.pacing is None else self.pacing.first_wait_s)
 
     def stop(self) -> None:
@@ -124,8 +125,8 @@
     def change_address(self, address: tuple[str, int]) -> None:
         """Connect to another address at once.
 
-        The old connection stays until the new one has come up, since it may still bring what the
-        new one, not yet there, can't. Events are known by their number, so that none counts twice.
+        The old connection stays until the new one has come up, since it may still receive events.
+        Events are identified by their offset, so that none is applied twice.
         """
         if address != self.address:
             self.address = address
@@ -135,7 +136,8 @@
     def drop_if_silent(self, now: int) -> None:
         """Drop the connection if the service has been silent; called every tick.
 
-        A service that is cut off sends nothing, and its events count as notified all the same.
+        A service that is cut off by a network partition sends nothing, and its events still have to
+        be applied in time.
         """
         if self.connection is None:
             return
@@ -149,18 +151,18 @@
 
     def connection_up(self, connection: WatchConnection) -> None:
         """Use a connection that has come up in place of the old one."""
-        if connection.address != self.address:  # moved again while it was coming up
+        if connection.address != self.address:  # the address changed again while it came up
             connection.drop()
             return
         self._connecting = None
         self.last_received_ns = self.now()
-        before = self.connection
+        previous = self.connection
         self.connection = connection
-        if before is not None:
-            before.drop()
+        if previous is not None:
+            previous.drop()
 
     def connection_lost(self, connection: WatchConnection) -> None:
-        """Reconnect, unless another connection has taken its place or is on its way."""
+        """Reconnect, unless another connection is in use or is being opened."""
         if connection is not self.connection:
             return
         self.connection = None
@@ -169,7 +171,7 @@
             self._reconnect()
 
     def bytes_received(self) -> None:
-        """Note that the service is there."""
+        """Record that the service has sent something."""
         self.last_received_ns = self.now()
 
     def line_rejected(self, reason: str) -> None:
@@ -177,10 +179,10 @@
         self.log("bus", reason)
 
     def line_received(self, line: bytes) -> None:
-        """Take one line.
+        """Handle one line.
 
-        A line that can't be read may have been damaged on its way: it is asked for again on a new
-        connection. If it can't be read then either, it is passed over.
+        A line that can't be read may have been damaged in transit: it is requested again on a new
+        connection. If it can't be read then either, it is skipped.
 
         Raises:
             InvalidEventError: Events are missing before the line, or it can't be read for the
@@ -207,15 +209,15 @@
         if event.offset > self.last_offset:
             self.last_offset = event.offset
             self.on_event(event)
-        self._confirmed()
+        self._list_confirmed()
 
     def _heartbeat_received(self, offset: Heartbeat) -> None:
         self._require_no_gap(offset, self.last_offset)
         self.backoff_s = FIRST_BACKOFF_S
         if self.pacing is not None and offset < self.last_offset:
-            self._numbered_lower(offset)
+            self._lower_offset_received(offset)
         else:
-            self._confirmed()
+            self._list_confirmed()
 
     def _require_no_gap(self, offset: int, highest: int) -> None:
         """Reject a gap in the events, which is expected only past an unreadable line."""
@@ -224,15 +226,15 @@
                 problem=f"events after {self.last_offset} are missing before {offset}"
             )
 
-    def _confirmed(self) -> None:
+    def _list_confirmed(self) -> None:
         if self.pacing is not None:
             self._lower_heartbeats = 0
             self.pacing.list_confirmed()
 
-    def _numbered_lower(self, offset: int) -> None:
-        """Ask for the complete list once the service has begun its numbers anew.
+    def _lower_offset_received(self, offset: int) -> None:
+        """Request the complete list once the service has restarted its numbering.
 
-        A fleet that knows larger numbers would take no event of it again. One lower heartbeat isn't
+        Brokers that know larger offsets would apply no event of it again. One lower heartbeat isn't
         enough, since the complete list costs the service more than an event.
         """
         self._lower_heartbeats += 1
@@ -270,10 +272,10 @@
     def _reconnect(self) -> None:
         """Reconnect after the backoff.
 
-        All brokers lose the service at one moment: without jitter they would come back together.
+        All brokers lose the service at the same time: without jitter they would reconnect together.
         """
         if self.pacing is None:
-            jitter = FIXED_BACKOFF_PART + self.draw() / 2
+            jitter = FIXED_BACKOFF_FRACTION + self.draw() / 2
             self._connect_after(self.backoff_s * jitter)
         else:
             self._connect_after(self.pacing.next_wait_s())
--- a/query_broker/discovery/watch_connection.py
+++ b/query_broker/discovery/watch_connection.py
@@ -12,7 +12,7 @@
 
 
 class WatchConnectionOwner(Protocol):
-    """Whom a connection reports to.
+    """The owner of a connection, which the connection reports to.
 
     Attributes:
         last_offset: The offset of the latest event that is known.
@@ -21,13 +21,13 @@
     last_offset: int
 
     def connection_up(self, connection: WatchConnection) -> None:
-        """Take a connection that has come up and has sent its request."""
+        """Use a connection that has come up and has sent its request."""
 
     def bytes_received(self) -> None:
-        """Note that the service is there: some bytes have come, perhaps no complete line yet."""
+        """Record that some bytes have come, perhaps no complete line yet."""
 
     def line_received(self, line: bytes) -> None:
-        """Take one complete line without its end.
+        """Handle one complete line without its end.
 
         Raises:
             InvalidEventError: The line can't be used; the connection is dropped.
@@ -37,11 +37,11 @@
         """Log why a connection is dropped."""
 
     def connection_lost(self, connection: WatchConnection) -> None:
-        """Take note that a connection has ended."""
+        """Handle the end of a connection."""
 
 
 class WatchConnection(asyncio.Protocol):
-    """One connection; it asks for the events after the latest one that is known.
+    """One connection; it requests the events after the latest one that is known.
 
     Attributes:
         address: Host and port that it was opened to.
@@ -57,7 +57,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request: which event was the latest."""
+        """Send the request, with the offset of the latest known event."""
         # uvloop's transports are no subclass of asyncio's: a check by isinstance would drop every
         # write.
         self.transport = cast(asyncio.Transport, transport)
@@ -65,7 +65,7 @@
         self.owner.connection_up(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hand on the lines that are complete; drop the connection where one can't be used."""
+        """Report the complete lines; drop the connection where one can't be used."""
         self.owner.bytes_received()
         try:
             for line in self.parser.feed(data):
@@ -78,7 +78,7 @@
             self.drop()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end, whoever ended it."""
+        """Report the end, whichever side ended it."""
         self.transport = None
         self.owner.connection_lost(self)
 
--- a/query_broker/simulator_adapter.py
+++ b/query_broker/simulator_adapter.py
@@ -1,7 +1,8 @@
 """The simulator's wire on standard input and output, with one controller for each instance.
 
-The adapter translates and decides nothing; the wire's words stand here beside the terms that they
-map to. Malformed input ends the process with one line on standard error and exit code 2.
+The adapter only translates between the words of the wire and the terms of the decisions; the tables
+here map one to the other. Malformed input ends the process with one line on standard error and exit
+code 2.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import sys
 import traceback
 from collections.abc import Callable
-from typing import Any, TextIO
+from typing import Any, NamedTuple, TextIO
 
 from . import decisions as api
 from .config import parse_settings
@@ -41,23 +42,33 @@
     "not_sent": api.AttemptResult.NOT_SENT,
 }
 REPORT_FIELDS = {"busy": "utilisation", "q": "queue", "x0": "memory", "x1": "disk"}
-NO_TENANT = "0"  # the group of a user who belongs to none
+#: The group of a user who belongs to none.
+NO_TENANT = "0"
 EMPTY_PAYLOAD = "-"
-# What a fault is about where it is no field.
+#: Subjects of a `WireError` that is not about a field.
 A_LINE = "a line"
 THE_INPUT = "the input"
 A_BATCH = "a batch"
 EXIT_BAD_INPUT = 2
 
+#: The fields of a line, by name.
 Fields = dict[str, str]
-Lists = dict[int, tuple[api.EndpointEntry, ...]]  # endpoint lists by their number on the wire
+#: Endpoint lists by their number on the wire.
+Lists = dict[int, tuple[api.EndpointEntry, ...]]
+
+
+class WireLine(NamedTuple):
+    """One line of the wire: its name and its fields."""
+
+    name: str
+    fields: Fields
 
 
 class WireError(QueryBrokerError):
-    """Input that does not keep to the wire.
+    """Input that violates the wire format.
 
     Attributes:
-        subject: The field, or what else does not keep to it.
+        subject: The field, line or batch at fault.
         problem: What is wrong with it.
     """
 
@@ -68,9 +79,10 @@
         self.problem = problem
 
 
-def _pick(table: dict[str, Any], value: str, what: str) -> Any:
+def _pick(table: dict[str, Any], value: str, field: str) -> Any:
+    """Return the term that a word of the wire stands for."""
     if value not in table:
-        raise WireError(what, f"unknown value {value!r}")
+        raise WireError(field, f"unknown value {value!r}")
     return table[value]
 
 
@@ -80,15 +92,17 @@
     return fields[name]
 
 
-def _number(fields: Fields, name: str, kind: Callable[[str], Any], default: Any = None) -> Any:
+def _number(
+    fields: Fields, name: str, number_type: Callable[[str], Any], default: Any = None
+) -> Any:
     """Return a number of the line; without a default the field must be there."""
     if name not in fields and default is not None:
         return default
     value = _text(fields, name)
     try:
-        return kind(value)
+        return number_type(value)
     except ValueError:
-        raise WireError(name, f"{value!r} is no {kind.__name__}") from None
+        raise WireError(name, f"{value!r} is no {number_type.__name__}") from None
 
 
 def _flag(fields: Fields, name: str) -> bool:
@@ -111,10 +125,19 @@
 
 
 class Instance:
-    """One simulated broker: its controller and the order of its load report's fields."""
+    """One simulated broker.
+
+    Attributes:
+        report_fields: The names of a load report's values, in their order on the wire.
+        controller: The decisions of this broker.
+    """
 
     def __init__(self, fields: Fields, now: int) -> None:
-        """Start a controller with the settings of a BEGIN line."""
+        """Start a controller with the settings of a BEGIN line.
+
+        Raises:
+            WireError: The line has no settings, or they are no JSON object.
+        """
         try:
             facts = json.loads(_text(fields, "facts"))
         except json.JSONDecodeError as error:
@@ -128,19 +151,21 @@
 
     def report(self, fields: Fields) -> api.LoadReport | None:
         """Return the load report of a line, or None where it has none."""
-        row = fields.get("report")
-        if not row or not self.report_fields:
+        report_text = fields.get("report")
+        if not report_text or not self.report_fields:
             return None
         try:
-            values = [float(value) for value in row.split(",")]
+            values = [float(value) for value in report_text.split(",")]
         except ValueError:
-            raise WireError("report", f"{row!r} holds no numbers") from None
+            raise WireError("report", f"{report_text!r} holds no numbers") from None
         pairs = zip(self.report_fields, values, strict=False)
-        known = {REPORT_FIELDS[name]: value for name, value in pairs if name in REPORT_FIELDS}
-        return api.LoadReport(**known)
+        values_by_field = {
+            REPORT_FIELDS[name]: value for name, value in pairs if name in REPORT_FIELDS
+        }
+        return api.LoadReport(**values_by_field)
 
     def event(self, name: str, fields: Fields, lists: Lists) -> api.Event | None:
-        """Return the event of a line, or None for a message that is not known."""
+        """Return the event of a line; None for an unknown message or kind of progress."""
         read = EVENT_READERS.get(name)
         return None if read is None else read(self, fields, lists)
 
@@ -187,14 +212,14 @@
 def _attempt_progress(
     instance: Instance, fields: Fields, lists: Lists
 ) -> api.AttemptProgress | None:
-    what = _number(fields, "what", int)
-    if what not in {kind.value for kind in api.ProgressKind}:
+    kind = _number(fields, "what", int)
+    if kind not in {known_kind.value for known_kind in api.ProgressKind}:
         return None
     return api.AttemptProgress(
         request_id=_text(fields, "req"),
         attempt=_number(fields, "n", int),
         endpoint=_number(fields, "engine", int),
-        kind=api.ProgressKind(what),
+        kind=api.ProgressKind(kind),
         value=_number(fields, "level", float, 0.0),
     )
 
@@ -225,7 +250,7 @@
     return api.PeerMessage(_number(fields, "neighbour", int), payload)
 
 
-#: What reads the event of each message of the wire.
+#: The function that reads the event of each message of the wire.
 EVENT_READERS: dict[str, Callable[[Instance, Fields, Lists], api.Event | None]] = {
     "TARGETS": _endpoint_list_update,
     "INGRESS": _request_arrived,
@@ -238,33 +263,44 @@
 }
 
 
-def _render(inst: str, order: api.Order) -> str:
+def _render(instance_id: str, order: api.Order) -> str:
     """Return the line of the wire for an order of an instance."""
     match order:
-        case api.Dispatch(request, _, engine, timeout, _):
-            return f"FORWARD\ti={inst}\treq={request}\tengine={engine}\tallow_for={timeout}\n"
-        case api.Reject(request, retry_after):
-            return f"DENY\ti={inst}\treq={request}\twait={retry_after}\n"
+        case api.Dispatch(request, _, endpoint, timeout_ns, _):
+            return (
+                f"FORWARD\ti={instance_id}\treq={request}\t"
+                f"engine={endpoint}\tallow_for={timeout_ns}\n"
+            )
+        case api.Reject(request, retry_after_ns):
+            return f"DENY\ti={instance_id}\treq={request}\twait={retry_after_ns}\n"
         case api.Fail(request):
-            return f"GIVE_UP\ti={inst}\treq={request}\n"
+            return f"GIVE_UP\ti={instance_id}\treq={request}\n"
         case api.CancelAttempt(request, attempt):
-            return f"DROP_ATTEMPT\ti={inst}\treq={request}\tn={attempt}\n"
-        case api.SetTimer(at, token):
-            return f"SET_ALARM\ti={inst}\tfire_at={at}\tnonce={token}\n"
-        case api.HealthCheck(engine):
-            return f"ASK_LOAD\ti={inst}\tengine={engine}\n"
-        case api.DispatchOptions(request, priority, memory):
+            return f"DROP_ATTEMPT\ti={instance_id}\treq={request}\tn={attempt}\n"
+        case api.SetTimer(due_ns, token):
+            return f"SET_ALARM\ti={instance_id}\tfire_at={due_ns}\tnonce={token}\n"
+        case api.HealthCheck(endpoint):
+            return f"ASK_LOAD\ti={instance_id}\tengine={endpoint}\n"
+        case api.DispatchOptions(request, priority, memory_mb):
             return (
-                f"RESOURCES\ti={inst}\treq={request}\t"
-                f"importance={priority}\tallot_mb={memory:.3f}\n"
+                f"RESOURCES\ti={instance_id}\treq={request}\t"
+                f"importance={priority}\tallot_mb={memory_mb:.3f}\n"
             )
 
 
 class Adapter:
-    """Reads batches, hands events to the instances and writes one reply for each batch."""
+    """Reads batches, hands events to the instances and writes one reply for each batch.
+
+    Attributes:
+        source: Where batches are read.
+        sink: Where replies are written.
+        instances: The simulated brokers, by their id on the wire.
+        lists: The endpoint lists so far.
+        frame: Number of the last batch; None before the first.
+    """
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        """Serve the batches of a source; `run` does so until its end."""
+        """Begin without instances; `run` serves the batches."""
         self.source = source
         self.sink = sink
         self.instances: dict[str, Instance] = {}
@@ -272,13 +308,17 @@
         self.frame: int | None = None
 
     def run(self) -> None:
-        """Serve batches until the input ends; WireError where it does not keep to the wire."""
+        """Serve batches until the input ends.
+
+        Raises:
+            WireError: The input violates the wire format.
+        """
         while line := self.source.readline():
             if line.strip():
-                self._batch(line)
+                self._serve_batch(line)
 
-    def _split(self, line: str) -> tuple[str, Fields]:
-        name, *parts = line.rstrip("\n").split("\t")
+    def _parse_line(self, text: str) -> WireLine:
+        name, *parts = text.rstrip("\n").split("\t")
         if not name or "=" in name:
             raise WireError(A_LINE, "without its name", " ")
         fields = {}
@@ -287,62 +327,68 @@
             if not equals:
                 raise WireError(name, f"{part!r} is no name=value pair")
             fields[key] = value
-        return name, fields
+        return WireLine(name, fields)
 
-    def _next(self) -> tuple[str, Fields]:
-        line = self.source.readline()
-        if not line:
+    def _read_line(self) -> WireLine:
+        """Read the next line of a batch."""
+        text = self.source.readline()
+        if not text:
             raise WireError(THE_INPUT, "ends inside a batch", " ")
-        return self._split(line)
-
-    def _batch(self, first: str) -> None:
-        name, fields = self._split(first)
-        if name != "TURN":
-            raise WireError(A_BATCH, f"begins with {name}, not with TURN", " ")
-        self.frame = _number(fields, "frame", int)
-        now = _number(fields, "clock", int)
-        out: list[str] = []
-        while True:
-            name, fields = self._next()
-            if name == "FLUSH":
-                break
-            if name == "TABLE":
-                rows = [self._next() for _ in range(_number(fields, "members_list", int))]
-                if any(row_name != "ROW" for row_name, _ in rows):
-                    raise WireError("TABLE", "a line that is no ROW among its entries")
-                self.lists[_number(fields, "list", int)] = tuple(_entry(row) for _, row in rows)
+        return self._parse_line(text)
+
+    def _serve_batch(self, first_line: str) -> None:
+        first = self._parse_line(first_line)
+        if first.name != "TURN":
+            raise WireError(A_BATCH, f"begins with {first.name}, not with TURN", " ")
+        self.frame = _number(first.fields, "frame", int)
+        now = _number(first.fields, "clock", int)
+        reply: list[str] = []
+        while (line := self._read_line()).name != "FLUSH":
+            if line.name == "TABLE":
+                self._read_list(line.fields)
             else:
-                self._dispatch(now, name, fields, out)
-        out.append(f"READY\tframe={self.frame}\n")
-        self.sink.write("".join(out))
+                reply += self._serve_line(now, line)
+        reply.append(f"READY\tframe={self.frame}\n")
+        self.sink.write("".join(reply))
         self.sink.flush()
 
-    def _dispatch(self, now: int, name: str, fields: Fields, out: list[str]) -> None:
-        inst = fields.get("i")
-        if inst is None:
-            return
-        if name == "CRASH_NOW":
-            self.instances.pop(inst, None)
-            return
+    def _read_list(self, fields: Fields) -> None:
+        """Read the rows of an endpoint list, which follow its TABLE line."""
+        rows = [self._read_line() for _ in range(_number(fields, "members_list", int))]
+        if any(row.name != "ROW" for row in rows):
+            raise WireError("TABLE", "a line that is no ROW among its entries")
+        self.lists[_number(fields, "list", int)] = tuple(_entry(row.fields) for row in rows)
+
+    def _serve_line(self, now: int, line: WireLine) -> list[str]:
+        """Carry out a line and return the lines of its reply.
+
+        A fault of the decisions is reported as a line of the reply, since it concerns one instance
+        alone.
+        """
+        instance_id = line.fields.get("i")
+        if instance_id is None:
+            return []
+        if line.name == "CRASH_NOW":
+            self.instances.pop(instance_id, None)
+            return []
         try:
-            orders = self._handle(now, name, inst, fields)
+            orders = self._handle(now, instance_id, line)
         except WireError as error:
-            raise WireError(name, str(error)) from None
+            raise WireError(line.name, str(error)) from None
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
             text = f"{type(error).__name__}: {error}".replace("\n", " ").replace("\t", " ")
-            out.append(f"BUG\ti={inst}\tbody_text={text}\n")
-            return
-        out.extend(_render(inst, order) for order in orders)
+            return [f"BUG\ti={instance_id}\tbody_text={text}\n"]
+        return [_render(instance_id, order) for order in orders]
 
-    def _handle(self, now: int, name: str, inst: str, fields: Fields) -> list[api.Order]:
-        if name == "BEGIN":
-            self.instances[inst] = Instance(fields, now)
+    def _handle(self, now: int, instance_id: str, line: WireLine) -> list[api.Order]:
+        if line.name == "BEGIN":
+            self.instances[instance_id] = Instance(line.fields, now)
             return []
-        instance = self.instances.get(inst)
+        instance = self.instances.get(instance_id)
         if instance is None:
-            raise WireError(name, f"for {inst}, which never began", " ")
-        event = instance.event(name, fields, self.lists)
+            raise WireError(line.name, f"for {instance_id}, which never began", " ")
+        event = instance.event(line.name, line.fields, self.lists)
         return [] if event is None else instance.controller.handle(now, event)
 
 
@@ -352,8 +398,8 @@
     try:
         adapter.run()
     except (WireError, UnicodeDecodeError) as error:
-        where = "before the first frame" if adapter.frame is None else f"frame {adapter.frame}"
-        print(f"benchlink: {where}: {error}", file=sys.stderr)
+        position = "before the first frame" if adapter.frame is None else f"frame {adapter.frame}"
+        print(f"benchlink: {position}: {error}", file=sys.stderr)
         return EXIT_BAD_INPUT
     return 0
 
