--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -6,7 +6,7 @@
 
 from ..endpoints.connection_pool import ConnectionPool
 from ..endpoints.connection_pools import DEDICATED_FRACTION, ConnectionPools
-from ..endpoints.pool_interfaces import HandOverGate, LogWriter, UnsentObserver
+from ..endpoints.pool_interfaces import HandOverPolicy, LogWriter, UnsentObserver
 from ..protocols.engine_connection import EngineConnection, Owner
 from .borrowing import RESERVED_FRACTION, Account, Ledger
 from .request_accounting import RequestAccounting
@@ -52,7 +52,7 @@
         connect_timeout_ns: int,
         endpoint_idle_timeout_ns: int,
         report_unsent: UnsentObserver,
-        may_hand_over: HandOverGate,
+        may_hand_over: HandOverPolicy,
     ) -> None:
         """Start without connections; see `ConnectionPools` for the arguments besides ``host``."""
         super().__init__(
--- a/query_broker/endpoints/administrative_state.py
+++ b/query_broker/endpoints/administrative_state.py
@@ -42,10 +42,10 @@
         """Record a directive unless the same one or a later one is known.
 
         Returns:
-            Whether the directive was news.
+            Whether the directive was recorded.
         """
-        known = self.states.get(uid)
-        if known is not None and known.at_ns >= state.at_ns:
+        latest = self.states.get(uid)
+        if latest is not None and latest.at_ns >= state.at_ns:
             return False
         self.states[uid] = state
         return True
--- a/query_broker/endpoints/connect.py
+++ b/query_broker/endpoints/connect.py
@@ -19,15 +19,15 @@
     """No connection came up.
 
     Attributes:
-        result: What the attempts that waited for the connection end with.
-        address: Where the endpoint listens, as far as it was known.
-        reason: What was wrong, as the log has it.
+        result: The result of the attempts that waited for the connection.
+        address: The address that was connected to.
+        reason: Why it failed, for the log.
     """
 
     result: ClassVar[AttemptResult] = AttemptResult.CONNECT_FAILED
 
     def __init__(self, address: Address, reason: str) -> None:
-        """Keep what was wrong, and where."""
+        """Compose the text from the address and the reason."""
         super().__init__(f"{address.host}:{address.port}: {reason}")
         self.address = address
         self.reason = reason
@@ -36,14 +36,14 @@
 class NoDescriptorError(ConnectError):
     """The budget of descriptors is spent.
 
-    That is no fault of the endpoint: reported as a failed connect it would eject the busiest
-    endpoints.
+    That is no fault of the endpoint: if it were reported as a failed connect, the busiest endpoints
+    would be ejected as outliers.
     """
 
     result = AttemptResult.NOT_SENT
 
     def __init__(self, address: Address) -> None:
-        """Give the reason in the words of the system's own error."""
+        """Use the text of the system's own error as the reason."""
         error = OSError(errno.EMFILE, "no descriptor is left for engines")
         super().__init__(address, str(error))
 
@@ -59,8 +59,8 @@
         timeout_ns: How long the connection may take to come up.
 
     Raises:
-        ConnectError: It didn't come up, or the attempt was cancelled; a cancelled attempt is over
-            like a failed one, so that whatever waits for it is reported.
+        ConnectError: The connection didn't come up, or the task was cancelled: a cancelled connect
+            counts as failed, so that the attempts which wait for it are reported.
     """
     loop = asyncio.get_running_loop()
     try:
--- a/query_broker/endpoints/connection_choice.py
+++ b/query_broker/endpoints/connection_choice.py
@@ -1,7 +1,7 @@
 """Which connection of an endpoint takes the next attempt.
 
-All of it is on the path of every request. Nothing is read or written; `choose_connection` asks the
-system whether the endpoint has closed the connection that it is about to return.
+This is on the path of every request. Performs no reads or writes; `choose_connection` checks with
+the system whether the endpoint has closed the connection that it is about to return.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 
 from ..protocols.engine_connection import EngineConnection
 
-#: Nanoseconds without a byte from an endpoint that owes answers, after which it counts as silent.
-#: One second: little is sent to an endpoint that is cut off, and a mistake costs one connect.
+#: Time without a byte from an endpoint that owes answers, after which it counts as silent. One
+#: second: few attempts are sent to an endpoint that is cut off, and a mistake costs one connect.
 SILENCE_LIMIT_NS = 1_000_000_000
 
 
 def usable_connections(connections: Iterable[EngineConnection], now: int) -> list[EngineConnection]:
     """Return the connections to one endpoint that new work may go to.
 
-    An endpoint that is cut off sends nothing and keeps its connections open: where it owes answers
-    and has been silent, none is usable until a new connection has come up.
+    An endpoint that is cut off by a network partition sends nothing, and its connections stay
+    open: where it owes answers and has been silent, none is usable until a new connection is up.
     """
     live = [connection for connection in connections if not connection.retired]
     dispatched_ns = [
@@ -37,8 +37,8 @@
 ) -> EngineConnection | None:
     """Return the connection that takes a request, or None if none can.
 
-    What is sent as the endpoint closes its connection may have run, for all that can be known
-    afterwards: a connection that has been closed is retired, and another one chosen.
+    An attempt that is sent while the endpoint closes the connection counts as one that may have
+    run: a connection that has been closed is therefore retired, and another one is chosen.
     """
     while True:
         usable = usable_connections(connections, now)
@@ -53,10 +53,10 @@
 ) -> EngineConnection | None:
     """Return the connection with the fewest open streams, or None if none has a free one.
 
-    Answers come under the client's request id, also twice, and pages late: nothing else under this
-    id, of this request or of one that comes again, uses a connection that carried it. A connection
-    whose socket takes no more (backpressure) is chosen only where there is no other, and not once
-    its write queue is full.
+    Answers are identified by the client's request id, and may come twice or late: a connection that
+    has lately carried an id gets no other attempt under the same id. A connection whose socket
+    accepts no more bytes (backpressure) is chosen only where there is no other, and not once its
+    write queue is full.
     """
     best = None
     blocked = None
@@ -92,7 +92,7 @@
 
 
 def retire_silent(connections: Iterable[EngineConnection], now: int) -> None:
-    """Retire the connections that owe answers and have been silent."""
+    """Retire the connections on which answers are owed and nothing has come for too long."""
     for connection in connections:
         if connection.in_flight and now - connection.last_received_ns > SILENCE_LIMIT_NS:
             connection.retired = True
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -18,14 +18,14 @@
     retire_silent,
     usable_connections,
 )
-from .pool_interfaces import ConnectPacing, HandOverGate, LogWriter, UnsentObserver
+from .pool_interfaces import ConnectPacing, HandOverPolicy, LogWriter, UnsentObserver
 
-#: Nanoseconds without a byte from an endpoint that the list says has been removed, after which its
-#: connections are closed. Longer than for an endpoint that counts as silent, since this gives up
-#: the answers that are still open there.
+#: Time without a byte from an endpoint that the list marks as removed, after which its connections
+#: are closed. Longer than the limit for a silent endpoint, since the attempts that are still in
+#: flight are lost with them.
 REMOVED_SILENCE_LIMIT_NS = 3_000_000_000
-#: Nanoseconds after an attempt's deadline in which its answer may still come. Half a minute, since
-#: to expect it no more retires the connection.
+#: Time after an attempt's deadline in which its answer may still come. Half a minute, since the
+#: connection is retired once the answer is not expected any more.
 LATE_ANSWER_NS = 30_000_000_000
 
 
@@ -33,7 +33,7 @@
     """What one pool needs of the set of pools that it belongs to.
 
     Attributes:
-        owner: Whom the connections report to.
+        owner: The owner of the connections, which they report to.
         log: Writes a line to the log.
         report_unsent: Notified of attempts that end before they have left.
         may_hand_over: Called before an attempt that waited is given to a connection.
@@ -48,7 +48,7 @@
     owner: Owner
     log: LogWriter
     report_unsent: UnsentObserver
-    may_hand_over: HandOverGate
+    may_hand_over: HandOverPolicy
     max_streams: int
     connect_timeout_ns: int
     idle_timeout_ns: int
@@ -105,9 +105,9 @@
     def send(self, attempt: Attempt, now: int, may_connect: bool = True) -> None:
         """Give an attempt to a connection, or let it wait for a new one.
 
-        A malformed answer or a reset ends its connection with all that is open there. So each
-        attempt gets a connection of its own while this endpoint's part of the descriptors lasts,
-        where handshakes are cheap; after that attempts share connections.
+        A malformed answer or a reset ends its connection with all attempts in flight on it. So each
+        attempt gets a dedicated connection where handshakes are cheap, while this endpoint's quota
+        of descriptors lasts; beyond that attempts share connections.
 
         Args:
             attempt: No byte of it has left.
@@ -148,9 +148,9 @@
             self._open()
 
     def forget_health_check(self, tag: bytes) -> None:
-        """Expect no answer to a health check any more.
+        """Stop waiting for the answer to a health check.
 
-        One whose answer never comes would keep its connection from ever being idle.
+        A health check whose answer never comes would keep its connection from being idle.
         """
         for connection in self.connections:
             connection.health_checks.discard(tag)
@@ -234,7 +234,7 @@
         if connection.closed:
             raise ConnectError(address, "lost as it came up")
         if not _listens_at(self.target, address):
-            # Another endpoint may listen there by now; nothing meant for this one may reach it.
+            # Another endpoint may listen there by now, which must not get this endpoint's attempts.
             connection.close()
             raise ConnectError(address, "it has moved meanwhile")
         return connection
@@ -253,7 +253,7 @@
         address = f"{self.target.host}:{self.target.port}"
         self.pools.log("engine", f"{self.target.uid} at {address}: {error.reason}")
         if any(connection.last_received_ns >= started_ns for connection in self._usable(now)):
-            # An endpoint that has sent something meanwhile isn't down because one connect was late.
+            # An endpoint that has sent something since then isn't down because one connect failed.
             for tag in waiting.health_checks:
                 self.send_health_check(tag, now)
             self._send_all(waiting.attempts, now, may_connect=False)
@@ -285,13 +285,13 @@
 
 
 def _close_unanswered(connection: EngineConnection, target: ListedEndpoint, now: int) -> None:
-    """Close a connection whose answers can't come any more."""
+    """Close a connection on which no answer is expected any more."""
     overdue = [
         now > attempt.deadline_ns + LATE_ANSWER_NS for attempt in connection.in_flight.values()
     ]
     if any(overdue):
-        # An answer that never comes would hold its stream for good. The connection ends once no
-        # answer on it is still expected: to close it sooner would give that one up.
+        # An answer that never comes would hold its stream for good. The connection is closed only
+        # once no answer on it is expected any more.
         connection.retired = True
         if all(overdue):
             connection.close()
@@ -299,8 +299,8 @@
         target.state is EndpointState.REMOVED
         and now - connection.last_received_ns > REMOVED_SILENCE_LIMIT_NS
     ):
-        # A machine that vanished resets nothing: what is open there would be held until its
-        # deadline although no answer can come any more. It may have run.
+        # A machine that has failed resets no connection: the attempts in flight would stay open
+        # until their deadlines although no answer can come. They may have run.
         connection.close()
 
 
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -6,10 +6,10 @@
 from ..discovery.event_codec import ListedEndpoint
 from ..protocols.engine_connection import EngineConnection, Owner
 from .connection_pool import ConnectionPool
-from .pool_interfaces import ConnectPacing, HandOverGate, LogWriter, UnsentObserver
+from .pool_interfaces import ConnectPacing, HandOverPolicy, LogWriter, UnsentObserver
 
-#: The fraction of the budget that attempts may take for connections of their own. The rest is for
-#: what must have a new connection: an endpoint without one, or one that has been silent.
+#: The fraction of the budget that dedicated connections may take. The rest is reserved for
+#: endpoints that need a new connection: those without one, and those that have been silent.
 DEDICATED_FRACTION = 3 / 4
 
 
@@ -33,12 +33,12 @@
         connect_timeout_ns: int,
         endpoint_idle_timeout_ns: int,
         report_unsent: UnsentObserver,
-        may_hand_over: HandOverGate,
+        may_hand_over: HandOverPolicy,
     ) -> None:
         """Start without pools, and without a budget until `set_max_connections` gives one.
 
         Args:
-            owner: Whom the connections report to.
+            owner: The owner of the connections, which they report to.
             log: Writes a line to the log.
             max_streams: See `apply_settings`.
             connect_timeout_ns: See `apply_settings`.
@@ -68,14 +68,14 @@
         """
         self.max_streams = max_streams
         self.connect_timeout_ns = connect_timeout_ns
-        # What is sent as the endpoint closes an idle connection is lost: close it long before.
+        # An attempt that is sent while the endpoint closes an idle connection is lost: the broker
+        # closes idle connections long before.
         self.idle_timeout_ns = endpoint_idle_timeout_ns // 2
 
     def set_max_connections(self, max_connections: int) -> None:
         """Set the budget, and close idle connections that are beyond it."""
         self.max_connections = max_connections
-        # A closed connection reports its loss later, so that a loop which waited for the count to
-        # fall would never end.
+        # A closed connection reports its loss later: the count does not fall within this call.
         excess = max(0, self._count_connections() - max_connections)
         for connection in self._idle_connections()[:excess]:
             connection.close()
@@ -85,7 +85,7 @@
         return self.by_number.get(number)
 
     def update_target(self, number: int, target: ListedEndpoint) -> None:
-        """Take what the endpoint list says of an endpoint now."""
+        """Apply the latest entry of an endpoint in the list; a new endpoint gets its pool."""
         pool = self.by_number.get(number)
         if pool is not None:
             pool.update_target(target)
@@ -93,11 +93,11 @@
             self.by_number[number] = ConnectionPool(self, number, target)
 
     def dedicated_limit(self, pool: ConnectionPool) -> int:
-        """Return how many connections ``pool`` may open for attempts of their own."""
-        listed = sum(
+        """Return how many dedicated connections ``pool`` may open."""
+        listed_count = sum(
             other.target.state is not EndpointState.REMOVED for other in self.by_number.values()
         )
-        return max(1, int(self.max_connections * DEDICATED_FRACTION) // max(1, listed))
+        return max(1, int(self.max_connections * DEDICATED_FRACTION) // max(1, listed_count))
 
     def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
         """Return whether the budget has a descriptor for one more dedicated connection."""
@@ -106,8 +106,8 @@
     def reserve_descriptor(self, pool: ConnectionPool) -> bool:
         """Return whether the connection that ``pool`` is opening has its descriptor.
 
-        Where the budget is spent, an idle connection is closed for it. Beyond the budget clients
-        would find no descriptor left for them.
+        Where the budget is spent, an idle connection is closed for it. Connections beyond the
+        budget would take the descriptors that are reserved for clients.
         """
         # The connection that is being opened is counted already.
         if self._count_connections() <= self.max_connections:
--- a/query_broker/endpoints/endpoint_table.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -34,7 +34,7 @@
 class EndpointTable:
     """The endpoints of the list, by uid and by number.
 
-    Endpoints are known by uid alone, since a new endpoint may take the address of a removed one.
+    An endpoint's identity is its uid, since a new endpoint may get the address of a removed one.
     The number is a hash of the uid, so that all brokers rank endpoints alike without exchanging
     anything.
     """
@@ -82,23 +82,23 @@
         endpoint keeps what it needs until the last answer; should the uid come again, its hash
         gives it the same number.
         """
-        for uid, known in list(self.by_uid.items()):
-            if known.target.state is EndpointState.REMOVED:
+        for uid, endpoint in list(self.by_uid.items()):
+            if endpoint.target.state is EndpointState.REMOVED:
                 del self.by_uid[uid]
-                del self.by_number[known.number]
+                del self.by_number[endpoint.number]
 
     def _remove_unlisted(self, listed_uids: set[str]) -> None:
-        for known in self.by_uid.values():
-            if known.target.uid not in listed_uids:
-                known.target = _removed(known.target)
+        for endpoint in self.by_uid.values():
+            if endpoint.target.uid not in listed_uids:
+                endpoint.target = _removed(endpoint.target)
 
     def _displaced(
         self, targets: Iterable[ListedEndpoint], listed_uids: set[str]
     ) -> list[ListedEndpoint]:
-        """Return, as removed, the endpoints whose address another one has taken.
+        """Return, marked as removed, the endpoints at whose address another endpoint now listens.
 
-        Whatever listens at that address now is another endpoint, so that the one which had it must
-        have ended, although the event doesn't say so.
+        Two endpoints can't listen at one address, so that the former one must have ended, although
+        the event doesn't name it.
         """
         listeners = {
             (target.host, target.port): target.uid
@@ -106,8 +106,8 @@
             if target.state is not EndpointState.REMOVED
         }
         displaced = []
-        for known in self.by_uid.values():
-            target = known.target
+        for endpoint in self.by_uid.values():
+            target = endpoint.target
             if target.uid in listed_uids or target.state is EndpointState.REMOVED:
                 continue
             if listeners.get((target.host, target.port), target.uid) != target.uid:
@@ -116,17 +116,17 @@
 
     def _entry(self, target: ListedEndpoint) -> EndpointEntry:
         """Enter one endpoint in the table; a uid that is known keeps its number."""
-        known = KnownEndpoint(self.number(target.uid), target)
-        self.by_uid[target.uid] = known
-        self.by_number[known.number] = known
+        endpoint = KnownEndpoint(self.number(target.uid), target)
+        self.by_uid[target.uid] = endpoint
+        self.by_number[endpoint.number] = endpoint
         return EndpointEntry(
-            known.number,
-            target.state,
-            target.zone,
-            target.kind,
-            target.cell,
-            target.weight,
-            target.started_ns,
+            endpoint=endpoint.number,
+            state=target.state,
+            zone=target.zone,
+            kind=target.kind,
+            cell=target.cell,
+            weight=target.weight,
+            started_ns=target.started_ns,
         )
 
 
--- a/query_broker/endpoints/pool_interfaces.py
+++ b/query_broker/endpoints/pool_interfaces.py
@@ -1,6 +1,6 @@
-"""What the connection pools ask of the dispatcher and of the services around it.
+"""The callables that connection pools need from the dispatcher and from other services.
 
-Each of these protocols is a call: bound methods satisfy them.
+Each protocol is satisfied by a function or a bound method.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     """Writes one line to the log."""
 
     def __call__(self, kind: str, text: str, /) -> None:
-        """Write ``text`` under ``kind``, the part of the program that it is about."""
+        """Write a line; ``kind`` names the part of the program that it is about."""
 
 
 class UnsentObserver(Protocol):
@@ -26,11 +26,11 @@
         """End the attempt with this result; its endpoint never ran it."""
 
 
-class HandOverGate(Protocol):
-    """Decides whether an attempt is still wanted as it is handed on."""
+class HandOverPolicy(Protocol):
+    """Decides at a hand-over whether an attempt is still wanted."""
 
     def __call__(self, attempt: Attempt, hand_over: HandOver, /) -> bool:
-        """Return whether it may go on; where not, the gate has seen to its report."""
+        """Return whether it may go on; if not, its end has been or will be reported."""
 
 
 class ConnectPacing(Protocol):
