--- a/query_broker/decisions/__init__.py
+++ b/query_broker/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision on endpoints, retries and rejections. Performs no I/O."""
+"""The decisions of a broker: endpoint selection, retries, hedges, rejections. Performs no I/O."""
 
 from .controller import AdmissionController
 from .events import (
--- a/query_broker/decisions/accounting.py
+++ b/query_broker/decisions/accounting.py
@@ -1,6 +1,6 @@
-"""Attempts, sliding sums and fading means: what the decisions are counted with.
+"""Attempts, sliding sums and fading means: the accounting of the decisions.
 
-Nothing here decides, and nothing performs I/O. Times and durations are integer nanoseconds.
+Performs no I/O. Times and durations are integer nanoseconds.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
         endpoint: Number of the endpoint.
         dispatched_ns: When it was dispatched.
         backlog_ns: What it added to the endpoint's backlog, in thread-nanoseconds.
-        uncontended: Dispatched below pressure, so that its latency may teach what the request
-            costs by itself.
+        uncontended: Dispatched without pressure, so that its latency shows what the request costs
+            by itself.
         is_trial: Dispatched to an ejected endpoint.
     """
 
@@ -33,7 +33,13 @@
 
 
 class SlidingSum:
-    """Sum of the amounts added within the last ``span_ns``; with a span of 0 nothing is kept."""
+    """Sum of the amounts added within the last ``span_ns``; with a span of 0 it stays 0.
+
+    Attributes:
+        items: The time in nanoseconds and the amount of each addition within the span.
+        span_ns: The span.
+        total: Sum of the amounts in ``items``.
+    """
 
     __slots__ = ("items", "span_ns", "total")
 
@@ -50,7 +56,7 @@
             self.total += amount
 
     def at(self, now: int) -> int:
-        """Return the sum at a time and forget what has left the span."""
+        """Return the sum at a time, and forget the amounts that are older than the span."""
         while self.items and self.items[0][0] <= now - self.span_ns:
             self.total -= self.items.popleft()[1]
         return self.total
@@ -59,7 +65,11 @@
 class FadingMean:
     """Mean over time of a value that holds until the next is recorded.
 
-    The past fades exponentially with the time constant ``memory_ns``.
+    Attributes:
+        mean: The mean at ``recorded_ns``.
+        memory_ns: Time constant with which the past fades exponentially.
+        recorded_ns: When the value was recorded.
+        value: The value that holds since then.
     """
 
     __slots__ = ("mean", "memory_ns", "recorded_ns", "value")
--- a/query_broker/decisions/active_settings.py
+++ b/query_broker/decisions/active_settings.py
@@ -6,15 +6,15 @@
 
 
 class ActiveSettings:
-    """The settings in force and what follows from them.
+    """The settings in force and values derived from them.
 
     The controller's parts share one object and read it at each decision, so that a change of the
     settings reaches all of them at once.
 
     Attributes:
         settings: The settings as given.
-        contract: Their figures of the rules.
-        limits: Their limits.
+        contract: Their parameters of the rules.
+        limits: Their limits on what the broker may do.
         longest_objective_ns: The longest latency objective of a class.
         shortest_objective_ns: The shortest latency objective of a class.
         widest_threads: The most threads of a class.
--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -1,4 +1,4 @@
-"""The way of a request from its arrival to its final answer. Performs no I/O."""
+"""Requests from their arrival to their final answer. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
 
     Attributes:
         requests: Requests that are open, by id. One stays until its last outcome.
+        keys_in_service: Keys that `_serve_key` is serving, so that it is not entered again.
     """
 
     __slots__ = (
@@ -64,7 +65,7 @@
         self.keys_in_service: set[str] = set()
 
     def apply_settings(self, now: int) -> None:
-        """Take over classes, tenants and the retry budget of the settings in force."""
+        """Apply the classes, the tenants and the retry budget of the settings in force."""
         settings = self.active.settings
         self.classes.apply(settings.classes)
         self.quotas.apply(now, settings)
@@ -124,7 +125,7 @@
         self.end(now, request)
 
     def end(self, now: int, request: Request) -> None:
-        """End a request without an answer of our own: it was answered, or its client has left."""
+        """End a request that has been answered or abandoned, without ordering an answer."""
         if request.finished:
             return
         request.finished = True
@@ -134,7 +135,7 @@
         self.settle(now, request)
 
     def settle(self, now: int, request: Request) -> None:
-        """Forget a request that has ended and has nothing in flight; its key is free."""
+        """Forget a request that has ended and has nothing in flight, and serve its key."""
         if not request.finished or request.in_flight:
             return
         if self.requests.pop(request.id, None) is None:
@@ -144,16 +145,16 @@
             self._serve_key(now, request.key)
 
     def abandon(self, now: int, event: RequestAbandoned) -> None:
-        """End a request whose client has left; an unknown one is ignored."""
+        """End a request that its client has abandoned; an unknown one is ignored."""
         request = self.requests.get(event.request_id)
         if request is not None:
             self.end(now, request)
 
     def close(self, now: int, event: CloseRequests) -> None:
         """Give open requests their final answers now: the named ones, or all."""
-        named = event.request_ids
+        request_ids = event.request_ids
         for request in list(self.requests.values()):
-            if named is None or request.id in named:
+            if request_ids is None or request.id in request_ids:
                 self.finish(now, request)
 
     def _open(self, now: int, statistics: ClassStatistics, event: RequestArrived) -> Request:
@@ -181,8 +182,8 @@
     def _serve_key(self, now: int, key: str) -> None:
         """Dispatch the oldest request of a key, if the key is free (rule 5).
 
-        A rejection frees the key for the next request: that call returns at once, and the loop
-        here goes on, so that a long queue needs no deep recursion.
+        A rejection frees the key for the next request and calls this again: that call returns at
+        once and the loop here continues, so that a long queue needs no deep recursion.
         """
         if key in self.keys_in_service:
             return
@@ -198,7 +199,7 @@
 
 
 def _is_harmless_to_repeat(request: Request) -> bool:
-    """Whether a client may send a request again, whatever became of its attempts."""
+    """Whether a client may send a request again, whatever the outcomes of its attempts."""
     spec = request.spec
     if not request.maybe_executed or spec.effect is Effect.IDEMPOTENT:
         return True
--- a/query_broker/decisions/capacity_check.py
+++ b/query_broker/decisions/capacity_check.py
@@ -9,7 +9,8 @@
 
 # Fraction of the bound, under pressure, for traffic that exceeds its tenant's quota.
 OVER_QUOTA_FACTOR = 0.25
-# Divides the pool's bound at the most: a class that is rejected more often may use more of it.
+# Smallest divisor of the pool's bound: the more of a class is rejected, the more of the bound
+# it may use, up to this.
 MIN_ADMITTED = 0.2
 # Weight of one dispatch in the mean priority weight and work.
 MEAN_LEARNING_RATE = 0.02
@@ -29,14 +30,14 @@
         """Take the collaborators; the means begin with the first dispatches."""
         self.pool = pool
         self.slow_start = slow_start
-        # Small enough to be no figure of any deployment, and not 0, since it divides.
+        # Smaller than any weight of a deployment, and not 0, since it is a divisor.
         self.mean_priority_weight = 1e-9
         self.mean_work_ns = 1.0
 
     def record(self, request: Request) -> None:
-        """Take a first attempt into the means.
+        """Record a first attempt in the means.
 
-        Only dispatched requests count: one that never fits must not move what others are
+        Only dispatched requests count: a request that never fits must not change what others are
         compared with.
         """
         weight = request.spec.priority_weight
@@ -46,9 +47,9 @@
     def fits(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
         """Whether a request fits the bounds.
 
-        A large request would shut out small ones that earn more for their work, so each sees the
-        bound in proportion to its priority weight per work. What exceeds its tenant's quota sees
-        a smaller one, under pressure only.
+        A large request would take the capacity of small ones that have more priority weight for
+        their work, so the bound of each is in proportion to its priority weight per work. The bound
+        of a request that exceeds its tenant's quota is smaller. Bounds apply only under pressure.
         """
         pool = self.pool
         spec = request.spec
--- a/query_broker/decisions/concurrency_limit.py
+++ b/query_broker/decisions/concurrency_limit.py
@@ -20,32 +20,33 @@
 CEILING_MULTIPLE = 4
 # Largest step of one period as a fraction of the ceiling; from the design page.
 LARGEST_STEP_FRACTION = 1 / 8
-# Fraction of the way back to its start that the bound goes in a period that taught nothing.
+# Fraction of its distance to the start that the bound moves back in a period without feedback.
 EMPTY_PERIOD_STEP = 1 / 8
 # Slowdown against the endpoint's own best that counts as pressure ("latency far above its best").
 PRESSURE_SLOWDOWN = 2.0
-# Exponent by which the bound shrinks once our threads exceed our quota: delays show that late.
+# Exponent with which the bound shrinks once our threads exceed our quota: delays show
+# an overload late.
 CROWDING_EXPONENT = 4
 # Weight of one answer in a geometric mean of slowdowns: the last ten answers count.
 LEARNING_RATE = 0.1
-# Part of the gap by which the best slowdown rises each period, so that a lucky one is forgotten.
+# Fraction of the gap by which the best slowdown rises each period, so that an outlier is forgotten.
 BEST_SLOWDOWN_DRIFT = 0.01
 
 
 @dataclass(slots=True, kw_only=True)
 class ConcurrencyLimit:
-    """A fuzzy control loop: the bound on this broker's outstanding work and what moves it.
+    """A fuzzy control loop: the bound on this broker's outstanding work, and its state.
 
     Attributes:
         initial_bound_ns: Where the bound begins, in thread-nanoseconds.
         delay_objective: The wanted mean delay S_t of the paper, in latency objectives.
-        thread_quota: Threads of ours above this are pressure by themselves.
+        thread_quota: More threads of ours than this count as pressure.
         bound_ns: The bound d_t(k), in thread-nanoseconds.
         backlog_ns: Outstanding work, in thread-nanoseconds.
         threads_in_flight: Threads of the outstanding work.
         delays: Delays of this period, in latency objectives.
-        last_error: The error of the period before, or None where it taught nothing.
-        bound_used: Something was tested against the bound in this period.
+        last_error: The error of the period before, or None where it had no feedback.
+        bound_used: Whether a request was tested against the bound in this period.
         slowdown: Geometric mean of latency over expected run time.
         best_slowdown: The lowest slowdown, drifting up.
         full_until_ns: Until when a rejection for lack of capacity counts as pressure, in ns.
@@ -77,7 +78,7 @@
     def is_pressed(self, now: int) -> bool:
         """Whether answers, a rejection or our own threads show pressure.
 
-        Answers show a jam only after it; so our own threads count as well.
+        Answers show an overload only after it; so our own threads count as well.
         """
         return (
             self.slowdown > PRESSURE_SLOWDOWN * self.best_slowdown
@@ -107,10 +108,10 @@
         return self.backlog_ns + backlog_ns <= self.bound_ns * bound_factor / shrinkage
 
     def learn(self, ratio: float) -> None:
-        """Take the ratio of a latency to its expectation into the slowdown.
+        """Update the slowdown with the ratio of a latency to its expectation.
 
-        The mean is geometric: estimates scatter, and the few that are far too low would make every
-        endpoint look slow in an arithmetic one.
+        The mean is geometric: estimates scatter, and in an arithmetic mean the few that are far too
+        low would make every endpoint look slow.
         """
         self.slowdown *= (ratio / self.slowdown) ** LEARNING_RATE
         self.best_slowdown = max(1.0, min(self.best_slowdown, self.slowdown))
@@ -118,8 +119,8 @@
     def end_period(self) -> None:
         """Move the bound by the fuzzy step of this period and begin the next.
 
-        A period in which nothing was tested against the bound moves it back towards its start:
-        otherwise good delays would raise it without limit and let the next jump in traffic pass.
+        A period in which no request was tested against the bound moves it back towards its start:
+        otherwise low delays would raise it to its ceiling, and the next surge would be admitted.
         """
         self.best_slowdown += BEST_SLOWDOWN_DRIFT * (self.slowdown - self.best_slowdown)
         if self.delays and self.bound_used:
@@ -143,11 +144,11 @@
 class PoolConcurrencyLimit(ConcurrencyLimit):
     """The bound over all endpoints together.
 
-    A broker of a large fleet has few threads out, and those exceed its quota by chance; so the mean
-    over some seconds is compared with the quota.
+    A broker of a large fleet has few threads in flight, whose number exceeds its quota by chance;
+    so the mean over some seconds is compared with the quota.
 
     Attributes:
-        mean_threads: Fading mean of the threads out.
+        mean_threads: Fading mean of the threads in flight.
     """
 
     mean_threads: FadingMean
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -73,19 +73,19 @@
         orders = OrderBuffer()
         clock = PeriodClock(now)
         draws = random.Random(seed)
-        # What is known of the endpoints.
+        # The state of the endpoints.
         pool = EndpointPool(active, now)
         slow_start = SlowStart(active, pool)
         outliers = OutlierDetector(active, pool, clock, orders, draws)
         affinity = DataSetAffinity(active, pool.endpoints)
-        # Where a request may go, and where it goes.
+        # The selection of an endpoint.
         queues = KeyQueues(active)
         budget = RetryBudget(active)
         rules = Eligibility(active, pool, slow_start, outliers, queues, budget)
         capacity = CapacityCheck(pool, slow_start)
         balancer = LoadBalancer(active, pool, slow_start, outliers, affinity, draws)
         selector = EndpointSelector(pool, balancer, rules, capacity)
-        # The way of a request.
+        # The life of a request.
         dispatcher = AttemptDispatcher(active, pool, rules, capacity, affinity, orders)
         retries = RetryPolicy(active, pool, slow_start, outliers, selector, dispatcher, orders)
         classes = RequestClasses()
@@ -146,11 +146,11 @@
         return orders
 
     def outstanding(self, now: int) -> dict[int, OutstandingWork]:
-        """Return what this process has out on each endpoint, for others of this broker."""
+        """Return this process's outstanding work by endpoint, for the broker's other processes."""
         return self.pool.outstanding(now)
 
     def avoided(self) -> int:
-        """Count the listed endpoints that get nothing, by hand or by choice."""
+        """Count the listed endpoints that are administratively disabled or ejected."""
         return self.pool.avoided()
 
     def _handler_table(self) -> dict[type, Callable[[int, Any], None]]:
--- a/query_broker/decisions/data_set_affinity.py
+++ b/query_broker/decisions/data_set_affinity.py
@@ -9,16 +9,16 @@
 from .settings import RequestClass
 from .tracked_endpoint import TrackedEndpoint
 
-# The part of the endpoints that a data set's loads go to and that its readers avoid; where no
-# class loads, the part that keeps the data set warm.
+# The fraction of the endpoints that the loads of a data set go to and its readers avoid; where no
+# class loads, the fraction that keeps the data set cached.
 HOME_FRACTION = 1 / 3
 # Weight of an endpoint on the wrong side of that partition.
 WRONG_SIDE_WEIGHT = 0.1
-# Weight of an endpoint that does not keep the data set warm, where no class loads.
+# Weight of an endpoint that does not keep the data set cached, where no class loads.
 COLD_DATA_SET_WEIGHT = 0.5
-# Weight where a load of ours holds the data set that the request uses.
+# Weight of an endpoint where a load of ours blocks the data set that the request uses.
 BLOCKED_WEIGHT = 0.05
-# Data sets whose order of endpoints is cached; a client can name any number of them.
+# Data sets whose ranking of endpoints is cached; clients can name any number of data sets.
 MAX_CACHED_RANKS = 1_000
 
 
@@ -30,8 +30,8 @@
 
     Attributes:
         endpoints: Numbers of the known endpoints.
-        ranks: Place of each endpoint in the order of a data set, from 0 to below 1; a cache.
-        loads_in_flight: Our loads by endpoint and data set; entries of 0 are dropped.
+        ranks: Cache of `rank` for each endpoint, by data set.
+        loads_in_flight: Number of our loads by endpoint and data set; entries of 0 are dropped.
     """
 
     __slots__ = ("active", "endpoints", "loads_in_flight", "ranks")
@@ -58,22 +58,22 @@
 
     def add_loads(self, endpoint: TrackedEndpoint, data_set: int, count: int) -> None:
         """Count loads of a data set that begin, or with a negative count end."""
-        place = (endpoint.entry.endpoint, data_set)
-        loads = self.loads_in_flight.get(place, 0) + count
-        if loads > 0:
-            self.loads_in_flight[place] = loads
+        load_key = (endpoint.entry.endpoint, data_set)
+        load_count = self.loads_in_flight.get(load_key, 0) + count
+        if load_count > 0:
+            self.loads_in_flight[load_key] = load_count
         else:
-            self.loads_in_flight.pop(place, None)
+            self.loads_in_flight.pop(load_key, None)
 
     def rank(self, data_set: int, number: int) -> float:
-        """Return the place of an endpoint in the order of a data set, from 0 to below 1."""
+        """Return the rank of an endpoint in the order of a data set, from 0 to below 1."""
         ranks = self.ranks.get(data_set)
         if ranks is None:
             ranks = self._rank_all(data_set)
         return ranks.get(number, 0.0)
 
     def forget_ranks(self) -> None:
-        """Drop the cached orders, since the endpoints have changed."""
+        """Drop the cached ranks, since the endpoints have changed."""
         self.ranks.clear()
 
     def _rank_all(self, data_set: int) -> dict[int, float]:
--- a/query_broker/decisions/delay_feedback.py
+++ b/query_broker/decisions/delay_feedback.py
@@ -1,4 +1,4 @@
-"""What latencies teach the control loops and the classes of requests. Performs no I/O."""
+"""Feedback of latencies to the control loops and the request classes. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from .slow_start import SlowStart
 from .tracked_endpoint import TrackedEndpoint
 
-# What a time-out counts for in the mean delay, in latency objectives; from the design page.
+# Delay that a timeout counts as in the mean, in latency objectives; from the design page.
 TIMEOUT_DELAY = 2.0
-# The least ratio of a latency to its expectation: one estimate that is far too high must not make
-# an endpoint look fast.
+# Smallest ratio of a latency to its expectation that counts: one estimate that is far too high must
+# not make an endpoint look fast.
 MIN_LATENCY_RATIO = 1 / 6
 
 NO_ANSWER = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET})
@@ -41,8 +41,8 @@
     ) -> None:
         """Learn from the outcome of an attempt.
 
-        An answer that came while this process stood still teaches nothing: its latency holds that
-        time.
+        Nothing is learned from an answer that came during a stall of this process, since its
+        latency includes the stall.
         """
         if event.result in NO_ANSWER:
             endpoint.delays.append(TIMEOUT_DELAY)
--- a/query_broker/decisions/dispatching.py
+++ b/query_broker/decisions/dispatching.py
@@ -1,4 +1,4 @@
-"""Dispatch of an attempt: its orders, and its entry in all accounts. Performs no I/O."""
+"""Dispatch of an attempt: its orders, and its accounting. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .settings import Effect
 from .tracked_endpoint import TrackedEndpoint
 
-# Load in threads a core below which a latency teaches what a request costs by itself.
+# Load in threads a core below which a latency shows what a request costs by itself.
 UNCONTENDED_LOAD = 1.0
 # Multiple of the estimated memory that is granted; more would make other requests spill.
 MEMORY_GRANT_MARGIN = 1.2
@@ -28,7 +28,7 @@
 
 
 class AttemptDispatcher:
-    """Starts attempts and ends them in the accounts."""
+    """Orders attempts, and accounts for them from their dispatch to their end."""
 
     __slots__ = ("active", "affinity", "capacity", "eligibility", "orders", "pool")
 
@@ -50,10 +50,10 @@
         self.orders = orders
 
     def dispatch(self, now: int, request: Request, endpoint: TrackedEndpoint) -> Attempt | None:
-        """Order an attempt and enter it in the accounts of request, endpoint and pool.
+        """Order an attempt and account for it at the request, the endpoint and the pool.
 
-        The rules are applied here once more, so that nothing is dispatched past them, whatever
-        chose the endpoint; the result is None where they forbid it.
+        The rules are checked here once more, so that nothing is dispatched against them, however
+        the endpoint was chosen; returns None where they forbid it.
         """
         if not self.eligibility.allows(now, request, endpoint):
             return None
@@ -68,7 +68,7 @@
     def release(
         self, now: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
     ) -> None:
-        """Take an attempt that has ended out of the accounts of endpoint and pool."""
+        """Release what an attempt that has ended had reserved at the endpoint and the pool."""
         spec = request.spec
         del endpoint.in_flight[request.id, attempt.number]
         self.pool.add_outstanding(now, endpoint, -attempt.backlog_ns, -spec.threads)
@@ -102,7 +102,7 @@
         spec = request.spec
         endpoint.in_flight[request.id, attempt.number] = attempt
         if len(endpoint.in_flight) == 1:
-            # It owed nothing until now: its silence counts from here.
+            # It owed no answer until now: the time of its silence begins here.
             endpoint.last_activity_ns = max(endpoint.last_activity_ns, now)
         self.pool.add_outstanding(now, endpoint, attempt.backlog_ns, spec.threads)
         if spec.is_load:
@@ -131,7 +131,7 @@
 
 
 def _latest_start(request: Request) -> int:
-    """Return when an attempt's first byte must have left: rule 2 counts from what leaves."""
+    """Return when an attempt's first byte must have left, since rule 2 counts from then."""
     if request.maybe_executed and request.spec.effect is Effect.IDEMPOTENCY_KEY:
         return request.maybe_executed[0].dispatched_ns + request.spec.idempotency_window_ns
     return request.deadline_ns
--- a/query_broker/decisions/eligibility.py
+++ b/query_broker/decisions/eligibility.py
@@ -1,4 +1,4 @@
-"""Which endpoints a request may be dispatched to at all: rules 2 to 7 and the endpoint's health.
+"""Eligibility of an endpoint for a request: rules 2 to 7 and the endpoint's health.
 
 Performs no I/O.
 """
@@ -16,8 +16,8 @@
 from .slow_start import SlowStart
 from .tracked_endpoint import TrackedEndpoint
 
-# Ticks before the end of an idempotency window from which no repeat is dispatched any more: its
-# first byte has to leave in time.
+# Ticks before the end of an idempotency window from which no retry is dispatched any more, so that
+# its first byte leaves in time.
 WINDOW_MARGIN_TICKS = 2
 
 
@@ -38,7 +38,7 @@
         self.retries = SlidingSum(active.contract.retry_budget_window_ns)
 
     def apply_settings(self) -> None:
-        """Take over the window of the settings in force."""
+        """Apply the window of the settings in force."""
         window_ns = self.active.contract.retry_budget_window_ns
         self.arrivals.span_ns = window_ns
         self.retries.span_ns = window_ns
@@ -90,7 +90,7 @@
         )
 
     def record_retry(self, now: int) -> None:
-        """Take an attempt after the first from the retry budget (rule 7)."""
+        """Count an attempt after the first against the retry budget (rule 7)."""
         self.retry_budget.retries.add(now)
 
     def _effect_allows(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
@@ -105,7 +105,7 @@
         return self._may_repeat(now, request, endpoint)
 
     def _may_repeat(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
-        """Whether the idempotency key of a request that may have run is still known there."""
+        """Whether the endpoint still knows the idempotency key of a request that may have run."""
         spec = request.spec
         if spec.effect is Effect.NON_IDEMPOTENT:
             return False
--- a/query_broker/decisions/endpoint_pool.py
+++ b/query_broker/decisions/endpoint_pool.py
@@ -22,17 +22,17 @@
 from .period_clock import PERIOD_NS
 from .tracked_endpoint import NO_OUTSTANDING_WORK, TrackedEndpoint
 
-# Wanted mean delay of the pool, in latency objectives: an overrun by all brokers together shows
-# itself late, so the pool's objective is below that of an endpoint.
+# Wanted mean delay of the pool, in latency objectives: an overload by all brokers together shows in
+# the delays late, so the pool's objective is below that of an endpoint.
 POOL_DELAY_OBJECTIVE = 0.5
-# Threads a core of the pool's quota; below an endpoint's, since the pool does not see what runs on
-# after its time is up.
+# Threads a core of the pool's quota; below an endpoint's, since the pool does not count attempts
+# that still run at an endpoint after their timeout.
 POOL_THREADS_PER_CORE = 1.5
 # Time constant of the pool's mean of our threads: several run times.
 POOL_MEMORY_NS = 3 * PERIOD_NS
-# Endpoints that one broker of a large fleet uses: few, so that it meets each of them often.
+# Endpoints that one broker of a large fleet uses: few, so that it has many outcomes of each.
 SUBSET_SIZE = 10
-# Fractional parts of its multiples lie evenly between 0 and 1, for any number of brokers.
+# The fractional parts of its multiples are spread evenly from 0 to 1, for any number of brokers.
 GOLDEN_RATIO_CONJUGATE = (5**0.5 - 1) / 2
 # Lists that name every endpoint there is; what they leave out has been removed.
 COMPLETE_LISTS = frozenset({ListUpdateKind.FULL, ListUpdateKind.CACHED})
@@ -47,10 +47,11 @@
         limit: The bound over all endpoints, which counts in a large fleet.
         subset: Endpoints that this broker uses; all that are not warming up in a small fleet.
         warming: Endpoints in warm-up, which a large fleet uses in turns.
-        turn_owners: Brokers that a turn on an endpoint in warm-up belongs to.
-        large_fleet: The quota of an average endpoint is less than one request of the widest class.
-        ejects_by_health_check: In a large fleet, and where health checks are allowed, these take
-            the place of trials by request.
+        turn_owners: Number of brokers that share a turn on an endpoint in warm-up.
+        large_fleet: Whether the quota at an average endpoint is less than one request of the class
+            with the most threads.
+        ejects_by_health_check: Whether health checks take the place of trial requests: in a large
+            fleet, where the settings allow health checks.
     """
 
     __slots__ = (
@@ -88,7 +89,7 @@
         return entry.state is EndpointState.READY and entry.endpoint not in self.disabled
 
     def update(self, now: int, event: EndpointListUpdate) -> None:
-        """Take over an update of the endpoint list."""
+        """Apply an update of the endpoint list."""
         for entry in event.entries:
             self._update_entry(now, entry)
         if event.kind in COMPLETE_LISTS:
@@ -109,7 +110,7 @@
     def set_administrative_state(self, now: int, event: AdministrativeChange) -> None:
         """Disable an endpoint by hand, or enable it again.
 
-        One that is enabled counts as restarted: the list shows that late, or not at all.
+        An endpoint that is enabled counts as restarted: the list may show a restart late or never.
         """
         if event.disabled:
             self.disabled.add(event.endpoint)
@@ -121,10 +122,10 @@
         self.refresh(now)
 
     def set_co_process_load(self, event: CoProcessLoad) -> None:
-        """Count what other processes of this broker have out as ours.
+        """Count the outstanding work of this broker's other processes as our own.
 
-        Two processes that each used the quota in full would overrun endpoints, those in warm-up
-        first.
+        Two processes that each used the full quota would overload endpoints, first those in
+        warm-up.
         """
         for number, endpoint in self.endpoints.items():
             previous = endpoint.co_process_work
@@ -145,7 +146,7 @@
         limit.mean_threads.record(now, limit.threads_in_flight)
 
     def outstanding(self, now: int) -> dict[int, OutstandingWork]:
-        """Return what this process alone has out on each endpoint."""
+        """Return the outstanding work of this process alone, by endpoint."""
         return {
             number: OutstandingWork(
                 endpoint.threads_in_flight - endpoint.co_process_work.threads,
@@ -170,11 +171,11 @@
         self.refresh(now)
 
     def refresh(self, now: int) -> None:
-        """Work out anew what follows from the state of all endpoints together.
+        """Recompute what follows from the state of all endpoints together.
 
-        In a large fleet a quota is less than one request, and no endpoint's own loop sees enough
-        outcomes to act on; the pool's does. Work that vanished with an endpoint, or that runs on
-        one that drains or warms up, must not shut work out of the others.
+        In a large fleet a quota is less than one request, and no endpoint's own control loop gets
+        enough outcomes; the pool's does. Work on an endpoint that has been removed, is draining or
+        is warming up must not count against the pool's limit.
         """
         open_endpoints = [
             endpoint for endpoint in self.endpoints.values() if self.is_open(endpoint)
@@ -191,7 +192,7 @@
         cores = [endpoint.cores for endpoint in open_endpoints] or [0]
         mean_threads = THREADS_PER_CORE * sum(cores) / len(cores)
         self.large_fleet = 0 < mean_threads < self.active.widest_threads * fleet_size
-        # In a large fleet trials by request add up and jam an endpoint.
+        # In a large fleet the trial requests of all brokers add up and overload an endpoint.
         self.ejects_by_health_check = self.large_fleet and self.active.limits.health_checks
         self.turn_owners = max(1, round(fleet_size / max(1, len(open_endpoints))))
 
@@ -213,9 +214,9 @@
     def _choose_subset(self, open_endpoints: list[TrackedEndpoint]) -> None:
         """Choose the endpoints that this broker uses.
 
-        Many brokers that use all endpoints meet each one seldom, and each broker loses requests on
-        each bad one. So each uses a few, and one more for each that is ejected, from places spread
-        evenly over an order that all brokers share.
+        If many brokers used all endpoints, each would have few outcomes of each endpoint, and would
+        lose requests at every faulty one. So each uses a few, and one more for each that is
+        ejected, beginning at positions spread evenly over an order that all brokers share.
         """
         ordered = sorted(open_endpoints, key=lambda endpoint: endpoint.entry.endpoint)
         place = self.active.settings.broker_index * GOLDEN_RATIO_CONJUGATE % 1
@@ -257,14 +258,14 @@
         fleet_size = self.active.settings.fleet_size
         threads = THREADS_PER_CORE * endpoint.cores / fleet_size
         endpoint.rescale(threads * self.active.longest_objective_ns)
-        # Brokers seldom peak together; so each may have one request more than its part.
+        # Brokers seldom peak at the same time: each may exceed its part by one request.
         endpoint.thread_quota = threads + (1 - 1 / fleet_size) * self.active.widest_threads
         endpoint.warmup_work.span_ns = self.active.contract.overload_window_ns
 
     def _restart(self, now: int, endpoint: TrackedEndpoint, started_ns: int) -> None:
-        """Note that another process runs under the same number.
+        """Reset the endpoint, since another process runs under its number.
 
-        It is cold, and nothing that was learned of the last one holds.
+        It is in warm-up, and nothing that was learned of the previous process applies.
         """
         endpoint.ejected = False
         endpoint.slowdown = 1.0
--- a/query_broker/decisions/endpoint_selection.py
+++ b/query_broker/decisions/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""The choice of the endpoint of an attempt: eligible, with capacity, and drawn by weight.
+"""The selection of an endpoint for an attempt: eligible, with capacity, and drawn by weight.
 
 Performs no I/O.
 """
@@ -12,7 +12,7 @@
 from .open_requests import Request
 from .tracked_endpoint import TrackedEndpoint
 
-# Endpoints that answer a request with an error before it is taken to be at fault itself.
+# Endpoints that may answer a request with an error before the request itself is assumed faulty.
 MAX_ERROR_ENDPOINTS = 2
 
 
@@ -39,20 +39,20 @@
         allows = self.eligibility.allows
         candidates = self.balancer.candidates(now)
         eligible = [endpoint for endpoint in candidates if allows(now, request, endpoint)]
-        # What can't be over in time is all waste.
+        # A request that can't end in time would waste the endpoint's capacity.
         if not _has_time_to_run(now, request):
             return None
         fits = self.capacity.fits
         fitting = [endpoint for endpoint in eligible if fits(now, request, endpoint)]
-        # Endpoints in warm-up come first: what our turn there leaves unused is lost.
+        # Endpoints in warm-up come first: capacity that our turn there leaves unused is lost.
         warming = [endpoint for endpoint in fitting if not (endpoint.in_pool or endpoint.ejected)]
         return self._draw(request, warming or fitting)
 
     def for_retry(self, now: int, request: Request) -> TrackedEndpoint | None:
         """Draw the endpoint of a retry or a hedge; None where there should be none.
 
-        Retries feed the jam that caused them: there is none under pressure, none that can't be
-        over in time, and none of what two endpoints answered with an error.
+        Retries increase the overload that caused them: there is none under pressure, none that
+        can't end in time, and none of a request that two endpoints answered with an error.
         """
         errors = request.error_endpoints
         eligible = [
--- a/query_broker/decisions/events.py
+++ b/query_broker/decisions/events.py
@@ -19,7 +19,7 @@
     Attributes:
         READY: Takes requests.
         DRAINING: Finishes what it has; nothing new may be sent (rule 3).
-        REMOVED: Is no longer there.
+        REMOVED: No longer exists.
     """
 
     READY = "ready"
@@ -33,7 +33,7 @@
     Attributes:
         CHANGES: The entries that changed.
         FULL: Every entry.
-        CACHED: Every entry of the last list that was seen, at the start.
+        CACHED: Every entry of the stored list of an earlier run, at the start.
         FAILED: Nothing: the list could not be read.
     """
 
@@ -77,9 +77,9 @@
     """What an endpoint reports of an attempt that runs.
 
     Attributes:
-        PROGRESS: How far it is.
+        PROGRESS: How much of it is done.
         SPILLING: It spills to disk for lack of memory.
-        WAITING: It waits for others.
+        WAITING: It is queued behind others.
     """
 
     PROGRESS = 1
@@ -147,15 +147,15 @@
     """A client's request has arrived.
 
     Attributes:
-        request_id: Its name, unique among the open requests.
+        request_id: Its id, unique among the open requests.
         class_name: Its class in the settings.
-        timeout_ns: When its client gives up, from now.
+        timeout_ns: How long its client waits, from now.
         tenant: Its tenant, if any.
         key: Its key, which counts in classes that keep the order by key (rule 5).
         estimate_ns: The client's estimate of its work, in thread-nanoseconds.
-        memory_mb: The client's estimate of its memory.
+        memory_mb: The client's estimate of its memory, in megabytes.
         data_set: Number of the data set that it reads or loads.
-        is_retry: The client marks it as a repeat of a rejected request.
+        is_retry: Whether the client marks it as the retry of a rejected request.
     """
 
     request_id: str
@@ -201,7 +201,7 @@
         attempt: Number of the attempt.
         endpoint: Its endpoint.
         kind: What is reported.
-        value: How far, or how much, by kind.
+        value: The reported amount, whose meaning depends on the kind.
     """
 
     request_id: str
@@ -213,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """The client of a request has left; it needs no answer any more."""
+    """A client has cancelled its request or disconnected; it needs no answer any more."""
 
     request_id: str
 
@@ -222,11 +222,11 @@
 class AdministrativeChange:
     """Operators have disabled an endpoint, whatever the list says, or enabled it again.
 
-    One that is enabled counts as restarted: it is cold.
+    An endpoint that is enabled counts as restarted, and is in warm-up.
 
     Attributes:
         endpoint: Number of the endpoint.
-        disabled: It is disabled from now on, else enabled.
+        disabled: Whether it is disabled, or else enabled.
         at_ns: When that was decided.
     """
 
@@ -241,7 +241,8 @@
     Attributes:
         threads: Threads of the outstanding requests.
         backlog_ns: Their expected work, in thread-nanoseconds.
-        warmup_ns: Work dispatched lately while the endpoint was warming up, in thread-nanoseconds.
+        warmup_ns: Work dispatched within the window of rule 4 while the endpoint was warming up, in
+            thread-nanoseconds.
     """
 
     threads: int
@@ -251,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoProcessLoad:
-    """Load of the other processes of this broker, which use one quota with this one.
+    """Load of the other processes of this broker, which share one quota with this one.
 
     Attributes:
         outstanding: What they have outstanding, by endpoint.
@@ -306,7 +307,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another broker has sent a message; the decisions use none."""
+    """Another broker has sent a message; the decisions ignore it."""
 
     sender: int
     payload: bytes
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -1,8 +1,10 @@
-"""The decisions in blocking style: `pick`, `report` and `tick` take an event and return orders.
+"""The interface of the decisions for the network code.
 
-The network code sees the decisions through this module alone; it takes the types of events, orders
-and settings from here too. Performs no I/O and decides nothing: it groups the controller's orders
-and keeps its timers on the caller's timer wheel.
+`Facade.pick`, `Facade.report` and `Facade.tick` take an event and return orders. The network code
+imports the types of events, orders and settings from here too, and uses no other module of this
+package.
+Performs no I/O and decides nothing: it groups the controller's orders by type and sets its timers
+on the caller's timer wheel.
 """
 
 from __future__ import annotations
@@ -73,10 +75,10 @@
 
 @dataclass(slots=True)
 class OrderBatch:
-    """What the network is to do, each list in its sequence.
+    """The orders that follow from one event, by type; each list is in the order of the decisions.
 
     Attributes:
-        options: Options of dispatches; carried out before these.
+        options: Options of dispatches; to be carried out before the dispatches.
         dispatches: Attempts to start.
         answers: Final answers.
         cancellations: Attempts to cancel.
@@ -91,17 +93,23 @@
 
 
 class Facade:
-    """One controller, with its timers on the timer wheel of the caller.
+    """A controller whose timers are on the timer wheel of the caller.
 
     Attributes:
         controller: The controller.
         timer_wheel: The caller's timer wheel.
-        due: Tokens of the controller's timers that the wheel has found due, to be handled by
-            `tick`.
+        due: Tokens of the controller's timers that have fired, to be handled by `tick`.
     """
 
     def __init__(self, settings: Settings, seed: int, now: int, wheel: TimerWheel) -> None:
-        """Make the controller; the parameters are its own."""
+        """Make the controller.
+
+        Args:
+            settings: The settings to begin with.
+            seed: Seed of the controller's draws.
+            now: The time in nanoseconds.
+            wheel: The timer wheel that the controller's timers are set on.
+        """
         self.controller = AdmissionController(settings, seed, now)
         self.timer_wheel = wheel
         self.due: deque[int] = deque()
@@ -115,22 +123,22 @@
         return self._handle(now, event)
 
     def tick(self, now: int) -> OrderBatch:
-        """Handle the first of the timers that are due.
+        """Handle the first of the timers that have fired.
 
-        Each is taken out first and handled alone: a fault in one must not cost the others, among
+        Each is removed first and handled alone: a fault in one must not affect the others, among
         them those that guarantee a final answer (rule 1).
         """
         return self._handle(now, TimerFired(self.due.popleft()))
 
     def forget(self, request: str) -> None:
-        """Note that the network has nothing of this request any more; does nothing."""
+        """Called when the network has nothing open of a request any more; does nothing here."""
 
     def avoided_endpoints(self) -> int:
-        """Count the listed endpoints that get nothing, by hand or by choice."""
+        """Count the listed endpoints that are administratively disabled or ejected."""
         return self.controller.avoided()
 
     def outstanding(self, now: int) -> dict[int, OutstandingWork]:
-        """Return what this process has outstanding, for others of this broker."""
+        """Return this process's outstanding work by endpoint, for the broker's other processes."""
         return self.controller.outstanding(now)
 
     def quotas_and_bounds(self) -> dict[int, tuple[float, float]]:
@@ -139,10 +147,13 @@
         The bound is in thread-nanoseconds.
         """
         endpoints = self.controller.endpoints
-        return {number: (known.thread_quota, known.bound_ns) for number, known in endpoints.items()}
+        return {
+            number: (endpoint.thread_quota, endpoint.bound_ns)
+            for number, endpoint in endpoints.items()
+        }
 
     def widest_request_threads(self) -> int:
-        """Return the threads of the widest class."""
+        """Return the most threads that a request of any class takes."""
         return self.controller.active.widest_threads
 
     def _timer_callback(self, token: int) -> Callable[[], None]:
--- a/query_broker/decisions/key_ordering.py
+++ b/query_broker/decisions/key_ordering.py
@@ -11,8 +11,8 @@
 class KeyQueues:
     """The open requests of each key in the order of their arrival.
 
-    Only the oldest may be in flight. After an attempt whose end at the endpoint is unknown, a key
-    rests before its next request is dispatched.
+    Only the oldest may be in flight. After an attempt that may still run at its endpoint, a key
+    rests for a time before its next request is dispatched.
 
     Attributes:
         queues: Open requests by key.
@@ -32,7 +32,7 @@
         self.queues.setdefault(key, deque()).append(request)
 
     def remove(self, key: str, request: Request) -> None:
-        """Take a request out of its queue."""
+        """Remove a request from its queue."""
         self.queues[key].remove(request)
 
     def rest(self, now: int, key: str) -> None:
@@ -52,21 +52,21 @@
         return None if oldest.finished or oldest.attempts_started > 0 else oldest
 
     def may_dispatch(self, now: int, key: str, request: Request) -> bool:
-        """Whether a request of a key is the oldest and, at its first attempt, the key rests not."""
+        """Whether a request is the oldest of its key and, at its first attempt, no rest remains."""
         if self.queues[key][0] is not request:
             return False
         return request.attempts_started > 0 or now >= self.rests_until(key)
 
     def waits_too_long(self, now: int, key: str, request: Request) -> bool:
-        """Whether the queue with this request in it exceeds the request's latency objective.
+        """Whether the expected wait in the queue exceeds the request's latency objective.
 
-        A queue longer than the objective would make all of its requests late.
+        In a longer queue all requests would be late.
         """
         queue = self.queues[key]
         if len(queue) <= 1:
             return False
-        expected_wait = sum(_remaining_time(now, queued) for queued in queue)
-        return request.latency_objective() < expected_wait
+        expected_wait_ns = sum(_remaining_time(now, queued) for queued in queue)
+        return request.latency_objective() < expected_wait_ns
 
     def discard_if_idle(self, now: int, key: str) -> None:
         """Forget a key that has no requests, and its rest once it is over."""
@@ -78,8 +78,8 @@
 
 
 def _remaining_time(now: int, request: Request) -> float:
-    """Return the expected time to the answer, less the age of the oldest attempt in flight."""
-    ages = (now - attempt.dispatched_ns for attempt in request.in_flight.values())
-    oldest_age = max(ages, default=0)
-    expected = request.statistics.expected_latency(request.work_ns)
-    return max(0.0, expected - oldest_age)
+    """Return the expected time to the answer in ns, less the age of the oldest attempt."""
+    ages_ns = (now - attempt.dispatched_ns for attempt in request.in_flight.values())
+    oldest_age_ns = max(ages_ns, default=0)
+    expected_ns = request.statistics.expected_latency(request.work_ns)
+    return max(0.0, expected_ns - oldest_age_ns)
--- a/query_broker/decisions/load_balancing.py
+++ b/query_broker/decisions/load_balancing.py
@@ -18,13 +18,14 @@
 
 # Exponent of the load in the draw; a higher one comes nearer to "least loaded".
 LOAD_EXPONENT = 3
-# Threads a core added to every load, so that an idle endpoint does not get all requests.
+# Threads a core that are added to every load, so that an idle endpoint does not get all requests.
 IDLE_LOAD = 0.15
-# A point of the price of crossing zones divides the weight of an endpoint elsewhere by 1 + this.
+# The weight of an endpoint in another zone is divided by 1 + this times the price of crossing
+# zones.
 CROSS_ZONE_PENALTY = 25
 # Weight of an endpoint that has already been tried for this request.
 TRIED_WEIGHT = 0.1
-# The least weight: a draw needs a positive sum.
+# Smallest weight of an endpoint: a draw needs a positive sum.
 MIN_WEIGHT = 1e-9
 
 
@@ -69,7 +70,7 @@
         slowdown = endpoint.slowdown
         weight /= max(1.0, slowdown / endpoint.best_slowdown) * slowdown
         if spec.effect is Effect.NON_IDEMPOTENT:
-            # It can't be tried again: where it fails it is lost.
+            # It can't be retried: a failure loses the request.
             weight *= healthy**LOAD_EXPONENT
         if endpoint.entry.zone != settings.zone:
             weight /= 1 + CROSS_ZONE_PENALTY * settings.cross_zone_price
--- a/query_broker/decisions/load_shedding.py
+++ b/query_broker/decisions/load_shedding.py
@@ -13,9 +13,9 @@
     """Counts arrivals and rejections of a period.
 
     Attributes:
-        arrivals: Of this period.
-        rejections: Of this period.
-        last_fraction: Rejected fraction of the period before.
+        arrivals: Requests that have arrived in this period.
+        rejections: Requests that have been rejected in this period.
+        last_fraction: Fraction of the requests that were rejected in the period before.
     """
 
     __slots__ = ("active", "arrivals", "last_fraction", "rejections")
@@ -31,7 +31,7 @@
         """Count a rejection and return its `retry_after` in nanoseconds.
 
         It is the rejected fraction times one period, as on the design page; 0 where the settings
-        have none.
+        allow none.
         """
         self.rejections += 1
         limits = self.active.limits
--- a/query_broker/decisions/open_requests.py
+++ b/query_broker/decisions/open_requests.py
@@ -1,6 +1,6 @@
-"""Requests that have no final answer yet, and what outcomes have taught of their classes.
+"""Open requests, and the statistics of the request classes.
 
-Performs no I/O. Works are in thread-nanoseconds: run time times threads.
+Performs no I/O. Work is in thread-nanoseconds: run time times threads.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 @dataclass(slots=True)
 class ClassStatistics:
-    """What outcomes have taught of a request class.
+    """The statistics of a request class, learned from outcomes.
 
     Attributes:
         spec: The class as the settings describe it.
         log_bias: Natural logarithm of true work over estimated work.
-        answers: Number of uncontended answers that it was learned from.
+        answers: Number of uncontended answers that bias and mean were learned from.
         mean_work_ns: Mean work of a request, in thread-nanoseconds.
         slowdown: Geometric mean of latency over expected run time, over all endpoints.
         admitted: Fading fraction of the requests within their tenants' quotas that were dispatched.
@@ -45,8 +45,8 @@
     def expected_work(self, estimate_ns: int | None) -> int:
         """Return the expected work in thread-nanoseconds, at least 1.
 
-        It is the estimate corrected from outcomes; without an estimate the class mean, and before
-        the first answer what fills the latency objective at half a thread a core.
+        It is the estimate corrected by the bias; without an estimate the mean of the class, and
+        before the first answer half of its threads for the length of the latency objective.
         """
         if estimate_ns is not None and estimate_ns > 0:
             return max(1, int(estimate_ns * math.exp(self.log_bias)))
@@ -73,19 +73,19 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request that was admitted or is to be: its terms, its attempts and what became of them.
+    """A request on which the decisions were made or are to be made, with its attempts.
 
     Attributes:
-        id: The caller's name of the request.
-        statistics: Of its class as it was when the request came; a request under way must not
-            change its terms when the settings change, above all whether it may run twice.
+        id: The caller's id of the request.
+        statistics: Those of its class when the request arrived; the class of an open request must
+            not change with the settings, above all whether the request may run twice.
         deadline_ns: When the client gives up.
         work_ns: Expected work, in thread-nanoseconds.
         estimate_ns: The client's estimate of the work, in thread-nanoseconds.
         data_set: Number of the data set that it reads or loads, or `NO_DATA_SET`.
         key: Its key, in classes that keep the order by key (rule 5), else None.
         over_quota: It exceeds its tenant's quota.
-        memory_mb: Estimated memory.
+        memory_mb: Estimated memory, in megabytes.
         attempts_started: Number of attempts so far.
         in_flight: Attempts without an outcome, by number.
         tried_endpoints: Endpoints of its attempts, in their order.
@@ -120,7 +120,7 @@
         return self.work_ns // self.spec.threads
 
     def latency_objective(self) -> int:
-        """Return the latency that this request is to be answered within, in nanoseconds."""
+        """Return the latency objective of this request, in nanoseconds."""
         spec = self.spec
         return spec.latency_objective_ns + int(spec.objective_stretch * self.run_time())
 
@@ -135,12 +135,12 @@
         self.by_name: dict[str, ClassStatistics] = {}
 
     def apply(self, classes: tuple[RequestClass, ...]) -> None:
-        """Take over the classes of other settings; classes that stay keep what was learned.
+        """Apply the classes of other settings; classes that remain keep what was learned.
 
-        The statistics are copied: a request under way keeps those that it came with.
+        The statistics are copied: an open request keeps those that it arrived with.
         """
-        known = self.by_name
+        previous = self.by_name
         self.by_name = {}
         for spec in classes:
-            statistics = known.get(spec.name, ClassStatistics(spec))
+            statistics = previous.get(spec.name, ClassStatistics(spec))
             self.by_name[spec.name] = replace(statistics, spec=spec)
--- a/query_broker/decisions/order_buffer.py
+++ b/query_broker/decisions/order_buffer.py
@@ -1,4 +1,4 @@
-"""The orders that one event gives rise to, and the timers that wait to fire.
+"""The orders that follow from one event, and the timers that have not fired.
 
 Performs no I/O: the caller carries the orders out and reports the timers that are due.
 """
@@ -10,7 +10,7 @@
 
 from .orders import Order, SetTimer
 
-#: What a timer calls when it fires, and the arguments that follow the time.
+#: The function that a timer calls when it fires, and its arguments after the time.
 TimerCallback = tuple[Callable[..., None], tuple[Any, ...]]
 
 
--- a/query_broker/decisions/orders.py
+++ b/query_broker/decisions/orders.py
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer a request: rejected; it is harmless to send it again.
+    """Reject a request; its client may send it again.
 
     Attributes:
         request_id: The request.
-        retry_after_ns: How long its client should wait, 0 for no time.
+        retry_after_ns: How long its client should wait before that; 0 for not at all.
     """
 
     request_id: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer a request: failed; it may have run, and must not be sent again."""
+    """Answer that a request has failed; it may have run, and must not be sent again."""
 
     request_id: str
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Report `TimerFired` with this token at a time, or soon after it."""
+    """Report `TimerFired` with this token at ``due_ns`` or soon after it."""
 
     due_ns: int
     token: int
@@ -77,8 +77,8 @@
 
     Attributes:
         request_id: The request.
-        priority: From 0 to 3; the higher, the larger its part of a short resource.
-        memory_mb: Memory to grant; 0 leaves it to the endpoint.
+        priority: From 0 to 3; the higher, the larger its part of a scarce resource.
+        memory_mb: Memory to grant, in megabytes; 0 leaves it to the endpoint.
     """
 
     request_id: str
--- a/query_broker/decisions/outcomes.py
+++ b/query_broker/decisions/outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from the outcome of an attempt. Performs no I/O."""
+"""The handling of an attempt's outcome. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from .retries import RetryPolicy
 from .tracked_endpoint import TrackedEndpoint
 
-# Results after which the endpoint may still be running the attempt, so that its key must rest.
+# Results after which the endpoint may still run the attempt, so that its key must rest.
 MAY_STILL_RUN = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED})
 
 
 class AttemptOutcomes:
-    """Takes outcomes: accounts, health, learning, and what the request does next."""
+    """Handles outcomes: accounting, outlier detection, learning, and the request's next step."""
 
     __slots__ = (
         "admission",
@@ -51,7 +51,7 @@
         self.admission = admission
 
     def take(self, now: int, event: AttemptEnded) -> None:
-        """Take the outcome of an attempt; one that is not in flight is ignored."""
+        """Handle the outcome of an attempt; one that is not in flight is ignored."""
         request = self.admission.requests.get(event.request_id)
         if request is None:
             return
@@ -79,9 +79,9 @@
         attempt: Attempt,
         event: AttemptEnded,
     ) -> None:
-        """Take an outcome into the accounts and the judgement of its endpoint."""
+        """Release what the attempt had reserved, and learn from its outcome."""
         self.dispatcher.release(now, request, endpoint, attempt)
-        # What was dispatched to an earlier process teaches nothing of this one.
+        # The outcome of an attempt that went to an earlier process says nothing of this one.
         if attempt.dispatched_ns >= endpoint.process_started_ns:
             if event.load_report is not None:
                 endpoint.take_report(event.load_report)
--- a/query_broker/decisions/outlier_detection.py
+++ b/query_broker/decisions/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection of outliers: endpoints that fail, fall silent, are full, or are reported jammed.
+"""Ejection of outliers: endpoints that fail, are silent, are full, or report an overload.
 
 Performs no I/O.
 """
@@ -26,13 +26,16 @@
 
 # Weight of one outcome in the fading fractions of failures and errors.
 FAILURE_LEARNING_RATE = 0.2
-# Failure fraction above what one reset adds; a second one soon after shows a dead process.
+# Failure fraction that one reset alone does not exceed; a second soon after it shows a dead
+# process.
 SINGLE_RESET = 0.3
-# An endpoint that owes answers and gives none for this multiple of the shortest objective is out.
+# An endpoint that owes answers and sends none for this multiple of the shortest latency objective
+# is ejected.
 SILENCE_MULTIPLE = 1.0
-# Between single trials of an ejected or full endpoint; so long a rejection counts as pressure.
+# Time between single trials of an ejected or full endpoint; a rejection counts as pressure as long.
 TRIAL_INTERVAL_NS = PERIOD_NS
-# Times its failure fraction, the most that is added to that, so that brokers don't try in step.
+# Upper bound of the jitter that is added to it, times the failure fraction, so that brokers
+# don't try at the same time.
 TRIAL_JITTER_NS = 8 * PERIOD_NS
 # Multiple of its expected latency from which an answer is no sign that the endpoint is well.
 LATE_MULTIPLE = 3.0
@@ -43,12 +46,12 @@
 class OutlierDetector:
     """Judges endpoints by their outcomes, their silence and their health checks.
 
-    An ejected endpoint gets one trial at a time by an idempotent request; in a large fleet that
-    may use health checks it gets these instead. Never are all open endpoints left out.
+    An ejected endpoint gets one trial at a time, an idempotent request; in a large fleet that may
+    use health checks it gets these instead. Where all open endpoints are ejected, all are used.
 
     Attributes:
-        group_failures: Fading fraction of failures by zone and by kind; a zone or a kind is lost
-            at once, and the failures of a few endpoints foretell those of the others.
+        group_failures: Fading fraction of failures by zone and by kind: the endpoints of a zone or
+            of a kind often fail together.
     """
 
     __slots__ = ("active", "clock", "group_failures", "orders", "pool", "random")
@@ -72,8 +75,8 @@
     def allows(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
         """Whether the endpoint's health lets this request be dispatched to it."""
         self._check_silence(now, endpoint)
-        # With nothing of ours in flight everything fits: a full endpoint would admit, reject and
-        # be tried again without end.
+        # With no backlog of ours every request fits the bound: without this, requests would be sent
+        # to a full endpoint and rejected there without pause.
         if endpoint.backlog_ns == 0 and now < endpoint.full_until_ns:
             return now >= endpoint.next_trial_ns
         if not endpoint.ejected or self._all_ejected():
@@ -86,7 +89,7 @@
         )
 
     def record(self, endpoint: TrackedEndpoint, failed: bool) -> None:
-        """Take an outcome into the failures of an endpoint, of its zone and of its kind."""
+        """Record an outcome in the failure fractions of an endpoint, its zone and its kind."""
         endpoint.failure_rate += FAILURE_LEARNING_RATE * (failed - endpoint.failure_rate)
         groups = self.group_failures
         for group in (endpoint.entry.zone, endpoint.entry.kind):
@@ -94,19 +97,19 @@
             groups[group] = failures + FAILURE_LEARNING_RATE * (failed - failures)
 
     def failure_rate(self, endpoint: TrackedEndpoint) -> float:
-        """Return the greatest of the rates at which an endpoint fails, for the draw.
+        """Return the highest of the failure and error fractions of an endpoint, for the draw.
 
-        In a large fleet each endpoint is met too seldom, so its zone and kind count as well.
+        In a large fleet each endpoint has too few outcomes, so its zone and kind count as well.
         """
-        own = max(endpoint.failure_rate, endpoint.error_rate)
+        endpoint_rate = max(endpoint.failure_rate, endpoint.error_rate)
         if not self.pool.large_fleet:
-            return own
+            return endpoint_rate
         groups = self.group_failures
         entry = endpoint.entry
-        return max(own, groups.get(entry.zone, 0.0), groups.get(entry.kind, 0.0))
+        return max(endpoint_rate, groups.get(entry.zone, 0.0), groups.get(entry.kind, 0.0))
 
     def set_ejected(self, now: int, endpoint: TrackedEndpoint, ejected: bool) -> None:
-        """Eject an endpoint, keep it ejected, or take it back into use."""
+        """Eject an endpoint, prolong its ejection, or return it to use."""
         if ejected or endpoint.ejected:
             endpoint.ejected = ejected
             jitter_ns = int(TRIAL_JITTER_NS * endpoint.failure_rate * self.random.random())
@@ -122,24 +125,24 @@
     def take_health_check(self, now: int, event: HealthCheckResult) -> None:
         """Judge an endpoint by the result of a health check.
 
-        One that answers while it holds more than it can run is jammed; taken back into use it
-        would be given more.
+        An endpoint that answers but has more requests in flight than it can run is overloaded, and
+        stays ejected.
         """
         endpoint = self.pool.endpoints.get(event.endpoint)
         if endpoint is None:
             return
-        inflight = 0.0
+        reported_inflight = 0.0
         if event.load_report is not None:
             endpoint.take_report(event.load_report)
-            inflight = event.load_report.inflight or 0.0
+            reported_inflight = event.load_report.inflight or 0.0
         if self.pool.ejects_by_health_check:
-            is_jammed = inflight > THREADS_PER_CORE * endpoint.cores
-            failed = event.result is not AttemptResult.SERVED or is_jammed
+            is_overloaded = reported_inflight > THREADS_PER_CORE * endpoint.cores
+            failed = event.result is not AttemptResult.SERVED or is_overloaded
             self.record(endpoint, failed)
             self.set_ejected(now, endpoint, failed)
 
     def take_progress(self, now: int, event: AttemptProgress) -> None:
-        """Note a sign of life; what it says of progress is not used."""
+        """Record that the endpoint is alive; the reported progress is not used."""
         endpoint = self.pool.endpoints.get(event.endpoint)
         if endpoint is not None:
             endpoint.last_activity_ns = now
@@ -149,8 +152,8 @@
     ) -> None:
         """Judge an endpoint by the outcome of an attempt.
 
-        An endpoint that fails fast looks idle, and without this judgement it would be given most
-        of the requests.
+        An endpoint that fails fast looks idle, and would get most of the requests if it were not
+        judged by its outcomes.
         """
         result = event.result
         connection_failed = result in CONNECTION_FAILURES
@@ -177,7 +180,7 @@
         if not self.pool.ejects_by_health_check:
             return
         for endpoint in self.pool.endpoints.values():
-            # Nothing renews the report, and our dispatches since would add up for good.
+            # No answer renews the report, and the dispatches since it would add up for good.
             endpoint.load_report = None
             if not endpoint.ejected or now < endpoint.next_trial_ns:
                 continue
@@ -187,9 +190,9 @@
                 self.set_ejected(now, endpoint, False)
 
     def _take_rejection(self, now: int, endpoint: TrackedEndpoint) -> None:
-        full_until = now + TRIAL_INTERVAL_NS
-        endpoint.full_until_ns = full_until
-        self.pool.limit.full_until_ns = full_until
+        full_until_ns = now + TRIAL_INTERVAL_NS
+        endpoint.full_until_ns = full_until_ns
+        self.pool.limit.full_until_ns = full_until_ns
         ejected = endpoint.ejected or self.pool.ejects_by_health_check
         self.set_ejected(now, endpoint, ejected)
 
@@ -203,8 +206,9 @@
         self, now: int, endpoint: TrackedEndpoint, request: Request, latency_ns: int
     ) -> None:
         if self.pool.ejects_by_health_check:
-            # What another endpoint serves, the one that erred could have: here endpoints are many,
-            # and the half of its work that succeeds isn't missed.
+            # Another endpoint has served the request, so the error was the endpoint's fault. In a
+            # large fleet the capacity of an endpoint that fails a part of its requests isn't
+            # needed.
             for other in request.error_endpoints:
                 self.record(other, True)
                 ejected = other.ejected or other.failure_rate > SINGLE_RESET
@@ -216,7 +220,7 @@
         self.set_ejected(now, endpoint, ejected)
 
     def _check_silence(self, now: int, endpoint: TrackedEndpoint) -> None:
-        """Eject an endpoint that takes work and answers nothing, before the list shows it."""
+        """Eject an endpoint that takes work and sends no answers, before the list marks it."""
         limit_ns = SILENCE_MULTIPLE * self.active.shortest_objective_ns
         last_activity_ns = max(endpoint.last_activity_ns, self.clock.stalled_at_ns)
         if endpoint.ejected or now - last_activity_ns <= limit_ns:
--- a/query_broker/decisions/period_clock.py
+++ b/query_broker/decisions/period_clock.py
@@ -1,22 +1,23 @@
-"""The control period, and the detection of times at which this process stood still.
+"""The control period, and the detection of stalls of this process.
 
 Performs no I/O and reads no clock: the time of each event is the caller's.
 """
 
 from __future__ import annotations
 
-# The paper's controller runs once a second; the unit of `retry_after` as well.
+# Control period of the paper's controller; also the unit of `retry_after`.
 PERIOD_NS = 1_000_000_000
-# A period timer that is this late shows that this process stood still; usual delays are shorter.
+# A period timer that is later than this shows a stall of this process; usual delays are shorter.
 STALL_NS = PERIOD_NS // 4
 
 
 class PeriodClock:
-    """Knows when the period ends and when a stall of this process was last noticed.
+    """Records when the period ends and when a stall of this process was last detected.
 
     Attributes:
+        period_due_ns: When the present period ends.
         stalled_at_ns: Time of the last event that came after a stall, or -1. Endpoints must not be
-            judged by what this process did not read in time.
+            judged by answers that this process did not read in time.
     """
 
     __slots__ = ("period_due_ns", "stalled_at_ns")
@@ -27,7 +28,7 @@
         self.stalled_at_ns = -1
 
     def observe(self, now: int) -> None:
-        """Note the time of an event; it is a stall where the period timer is far overdue."""
+        """Record the time of an event; it shows a stall where the period timer is far overdue."""
         if now > self.period_due_ns + STALL_NS:
             self.stalled_at_ns = now
 
--- a/query_broker/decisions/retries.py
+++ b/query_broker/decisions/retries.py
@@ -19,17 +19,17 @@
 from .slow_start import SlowStart
 from .tracked_endpoint import TrackedEndpoint
 
-# Multiple of its expected latency after which an attempt is hedged, where that is harmless.
+# Multiple of its expected latency after which an attempt of an idempotent request is hedged.
 HEDGE_MULTIPLE = 3.0
-# Multiple of its expected run time after which an attempt is taken to have a bad plan, to be lost
-# or to be crowded out.
+# Multiple of its expected run time after which an attempt is assumed to have a bad query plan, to
+# be lost or to be starved of resources.
 REVIEW_MULTIPLE = 6.0
-# By which that multiple grows from attempt to attempt: the next one may need the longer time.
+# Factor by which that multiple grows with each attempt: the next one may need more time.
 REVIEW_BACKOFF = 2
 
 
 class RetryPolicy:
-    """Starts each attempt of a request and follows it until its outcome."""
+    """Starts the attempts of a request, and hedges or cancels those that are late."""
 
     __slots__ = (
         "active",
@@ -61,12 +61,12 @@
         self.orders = orders
 
     def first_attempt(self, now: int, request: Request) -> bool:
-        """Dispatch a request where it fits; returns whether that was done."""
+        """Start the first attempt where the request fits; return whether one was started."""
         endpoint = self.selector.for_first_attempt(now, request)
         return endpoint is not None and self._attempt(now, request, endpoint)
 
     def retry(self, now: int, request: Request) -> bool:
-        """Start another attempt where the rules allow; returns whether that was done."""
+        """Start another attempt where the rules allow it; return whether one was started."""
         endpoint = self.selector.for_retry(now, request)
         return endpoint is not None and self._attempt(now, request, endpoint)
 
@@ -94,9 +94,10 @@
             self.orders.set_timer(due_ns, self._cancel_if_overdue, request, attempt.number)
 
     def _hedge_if_late(self, now: int, request: Request, number: int) -> None:
-        """Timer: the answer of an attempt was lost, or its endpoint is jammed.
+        """Timer: hedge a late attempt, whose answer may be lost or whose endpoint overloaded.
 
-        Each of many brokers notices that late by itself, so the endpoint's health is checked.
+        In a large fleet the outcomes of one broker would show that late, so a health check of the
+        endpoint is ordered as well.
         """
         attempt = request.in_flight.get(number)
         if attempt is None:
@@ -104,14 +105,14 @@
         endpoint = self.pool.endpoints.get(attempt.endpoint)
         if endpoint is None:
             return
-        unchecked_ns = now - endpoint.health_check_requested_ns
-        if self.pool.ejects_by_health_check and not endpoint.ejected and unchecked_ns > PERIOD_NS:
+        since_check_ns = now - endpoint.health_check_requested_ns
+        if self.pool.ejects_by_health_check and not endpoint.ejected and since_check_ns > PERIOD_NS:
             self.outliers.request_health_check(now, endpoint)
         if number == 0:
             self.retry(now, request)
 
     def _cancel_if_overdue(self, now: int, request: Request, number: int) -> None:
-        """Timer: cancel an attempt far past its expected time, so that it is tried anew."""
+        """Timer: cancel an attempt far past its expected time, so that it is retried."""
         if (
             number in request.in_flight
             and not request.finished
--- a/query_broker/decisions/slow_start.py
+++ b/query_broker/decisions/slow_start.py
@@ -7,21 +7,21 @@
 from .endpoint_pool import EndpointPool
 from .tracked_endpoint import TrackedEndpoint
 
-# Divides the budget of an endpoint in warm-up: estimates may be this far too low.
+# Divides the budget of an endpoint in warm-up: estimates may be too low by this factor.
 ESTIMATE_SAFETY = 3.0
-# The same for a whole turn of one broker of a large fleet: errors of its requests even out.
+# The same for a complete turn in a large fleet, over which the errors of estimates average out.
 TURN_ESTIMATE_SAFETY = 1.5
-# Windows of the contract to a turn. In the last nobody dispatches, so that no window of the
-# contract meets two turns.
+# Windows of the contract in a turn. In the last of them no broker dispatches, so that no window of
+# the contract overlaps two turns.
 WINDOWS_PER_TURN = 4
 
 
 class SlowStart:
     """Limits what is dispatched to endpoints in warm-up.
 
-    An endpoint that is sent more than its contract allows while it is cold falls over and stays
-    down. Each broker uses its part of the budget in any window; in a large fleet, where that part
-    is less than a request, brokers take turns and use the budget in full.
+    An endpoint that gets more work than its contract allows while it warms up fails and does not
+    recover. Each broker uses its part of the budget in any window; in a large fleet, where that
+    part is less than a request, brokers take turns and use the full budget.
     """
 
     __slots__ = ("active", "pool")
@@ -32,13 +32,13 @@
         self.pool = pool
 
     def capacity_fraction(self, now: int, endpoint: TrackedEndpoint) -> float:
-        """Return the assumed fraction of an endpoint's capacity, 1 once it is warm.
+        """Return the assumed fraction of an endpoint's capacity, 1 after its warm-up.
 
-        The shape of the ramp is not known; a square makes it late.
+        The shape of the ramp is not known; a quadratic one errs on the low side.
         """
         contract = self.active.contract
-        warmup_left = max(0, endpoint.warmup_ends_ns - now) / max(1, contract.warmup_ns)
-        ramp = max(0.0, 1 - warmup_left) ** 2
+        remaining_fraction = max(0, endpoint.warmup_ends_ns - now) / max(1, contract.warmup_ns)
+        ramp = max(0.0, 1 - remaining_fraction) ** 2
         initial_capacity = contract.warmup_initial_capacity
         return initial_capacity + (1 - initial_capacity) * ramp
 
@@ -48,17 +48,17 @@
         settings = self.active.settings
         turn_owners = self.pool.turn_owners
         number = endpoint.entry.endpoint
-        # The number of the endpoint is added, so that not all endpoints change turns in step.
+        # The number of the endpoint is added, so that not all endpoints change turns at once.
         turn, time_in_turn = divmod(now + number, WINDOWS_PER_TURN * window_ns)
         place = (turn * turn_owners + number - settings.broker_index) % settings.fleet_size
         return time_in_turn < (WINDOWS_PER_TURN - 1) * window_ns and place < turn_owners
 
     def allows(self, now: int, endpoint: TrackedEndpoint, work_ns: int) -> bool:
-        """Whether a work, in thread-nanoseconds, stays within the budget of the warm-up."""
+        """Whether an amount of work, in thread-nanoseconds, stays within the warm-up's budget."""
         contract = self.active.contract
         if now >= endpoint.warmup_ends_ns or contract.overload_window_ns <= 0:
             return True
-        budget = (
+        budget_ns = (
             endpoint.cores
             * contract.overload_window_ns
             * contract.overload_multiple
@@ -70,12 +70,12 @@
         else:
             fraction = 1 / ESTIMATE_SAFETY / self.active.settings.fleet_size
         used_ns = endpoint.warmup_work.at(now) + endpoint.co_process_work.warmup_ns
-        return used_ns + work_ns <= budget * fraction
+        return used_ns + work_ns <= budget_ns * fraction
 
     def fits_in_turn(self, now: int, endpoint: TrackedEndpoint, threads: int) -> bool:
         """Whether an endpoint in warm-up has capacity for a request in our turn.
 
-        The usual quota would waste the turn: its owners have the endpoint to themselves.
+        The usual quota would waste the turn, in which no other brokers use the endpoint.
         """
         if endpoint.backlog_ns == 0:
             return True
--- a/query_broker/decisions/tenants.py
+++ b/query_broker/decisions/tenants.py
@@ -5,7 +5,7 @@
 from .settings import Settings
 
 NANOSECONDS_PER_SECOND = 1_000_000_000
-# Seconds of its quota that a tenant may save up: short bursts of an even tenant stay within it.
+# Seconds of its quota that a tenant may accumulate, so that short bursts stay within the quota.
 BURST_S = 2.0
 
 
@@ -14,7 +14,7 @@
 
     Args:
         rate: Tokens a nanosecond.
-        capacity: The most tokens that are saved up.
+        capacity: Upper bound of the tokens.
         now: The time.
         previous: The bucket that this one replaces; its tokens are kept.
     """
@@ -24,7 +24,7 @@
     def __init__(
         self, rate: float, capacity: float, now: int, previous: TokenBucket | None = None
     ) -> None:
-        """Fill the bucket, or take over the tokens of its predecessor."""
+        """Fill the bucket, or keep the tokens of its predecessor."""
         self.rate = rate
         self.capacity = capacity
         self.refilled_ns = now
@@ -43,7 +43,7 @@
 
 
 class TenantQuotas:
-    """Tells which requests exceed their tenant's quota.
+    """Determines which requests exceed their tenant's quota.
 
     Attributes:
         buckets: By tenant; a tenant that is not in the settings has no limit.
@@ -59,7 +59,7 @@
         self.accepting_processes = 1
 
     def apply(self, now: int, settings: Settings) -> None:
-        """Take over the tenants of other settings; those that stay keep their tokens."""
+        """Apply the tenants of other settings; those that remain keep their tokens."""
         previous = self.buckets
         self.buckets = {}
         for tenant in settings.tenants:
--- a/query_broker/decisions/tracked_endpoint.py
+++ b/query_broker/decisions/tracked_endpoint.py
@@ -13,7 +13,7 @@
 
 # Reported utilisation, memory or disk fraction of an endpoint that counts as busy.
 BUSY_UTILISATION = 0.9
-# What a co-process has out on an endpoint that it does not mention.
+# The outstanding work of a co-process on an endpoint that it does not mention.
 NO_OUTSTANDING_WORK = OutstandingWork(0, 0, 0)
 
 
@@ -31,12 +31,12 @@
         threads_since_report: Threads dispatched since that report.
         warmup_ends_ns: When its warm-up ends, in ns (rule 4).
         warmup_work: Work dispatched to it while it warms up, over the window of rule 4.
-        last_activity_ns: When it last showed that it lives.
+        last_activity_ns: When it last answered or reported progress, or got its first attempt.
         co_process_work: What other processes of this broker have in flight on it; included in
             backlog and threads.
-        process_started_ns: What was dispatched earlier went to another process.
-        ejected: It is ejected as an outlier.
-        in_pool: Its work counts in the limit of the pool.
+        process_started_ns: When its process started; earlier attempts went to another process.
+        ejected: Whether it is ejected as an outlier.
+        in_pool: Whether its work counts in the limit of the pool.
         next_trial_ns: When an ejected or full endpoint may next be tried, in ns.
         health_check_requested_ns: When a health check was last ordered.
     """
@@ -59,7 +59,7 @@
     health_check_requested_ns: int = 0
 
     def utilisation(self) -> float:
-        """Return the scarcest of what the endpoint reports, 0 without a report.
+        """Return the highest utilisation of a resource in its load report, 0 without a report.
 
         A queue for memory means that all memory is granted.
         """
@@ -75,14 +75,14 @@
         )
 
     def load(self) -> float:
-        """Return the load in threads a core: reported and dispatched since, at least our own."""
+        """Return the load in threads a core: reported plus dispatched since, at least our own."""
         if self.load_report is None:
             return self.threads_in_flight / self.cores
         reported_threads = self.utilisation() * self.cores + self.threads_since_report
         return max(self.threads_in_flight, reported_threads) / self.cores
 
     def backlog_of(self, work_ns: int) -> int:
-        """Return the thread-nanoseconds that a work takes here, at the slowdown seen so far."""
+        """Return the thread-nanoseconds that an amount of work takes at the present slowdown."""
         return int(work_ns * max(1.0, self.slowdown))
 
     def is_pressed(self, now: int) -> bool:
