--- a/query_broker/decisions/outlier_detection.py
+++ b/query_broker/decisions/outlier_detection.py
@@ -180,7 +180,7 @@
         if not self.pool.ejects_by_health_check:
             return
         for endpoint in self.pool.endpoints.values():
-            # No answer renews the report, and the dispatches since it would add up for good.
+            # No answer renews the report, and the dispatches since it would add up without end.
             endpoint.load_report = None
             if not endpoint.ejected or now < endpoint.next_trial_ns:
                 continue
--- a/query_broker/decisions/settings.py
+++ b/query_broker/decisions/settings.py
@@ -11,12 +11,13 @@
 
 
 class Effect(Enum):
-    """What a request does when it runs more than once (rule 2).
+    """The effect of running a request more than once (rule 2).
 
     Attributes:
-        IDEMPOTENT: Nothing that running once would not do.
-        IDEMPOTENCY_KEY: Nothing, where the endpoint still remembers its idempotency key.
-        NON_IDEMPOTENT: Its effect happens twice; it must not be repeated once it may have run.
+        IDEMPOTENT: The same as running it once.
+        IDEMPOTENCY_KEY: The same as running it once, while the endpoint remembers its idempotency
+            key.
+        NON_IDEMPOTENT: Its effect happens twice; it must not be retried once it may have run.
     """
 
     IDEMPOTENT = "safe"
@@ -25,7 +26,13 @@
 
 
 class IdempotencyScope(Enum):
-    """The endpoints that share their memory of idempotency keys."""
+    """The endpoints that share their memory of idempotency keys.
+
+    Attributes:
+        ALL: All endpoints.
+        ZONE: The endpoints of one zone.
+        CELL: The endpoints of one cell.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -40,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: what its clients want and what the rules let happen to it.
+    """A class of requests: the objectives of its clients and the restrictions of the rules.
 
     Attributes:
         name: Its name, unique among the classes.
         latency_objective_ns: Latency within which an answer earns its full weight.
-        deadline_ns: When its clients give up, from the arrival.
+        deadline_ns: How long its clients wait at most, from the arrival.
         priority_weight: What an answer within the objective earns.
-        effect: What running more than once does.
+        effect: The effect of running a request more than once.
         late_priority_weight: What an answer after the objective earns.
         objective_stretch: Multiple of the request's run time that is added to the objective.
         idempotency_scope: Endpoints that share their memory of its idempotency keys.
@@ -57,7 +64,7 @@
         allowed_kinds: Kinds of endpoints where it may run; all if empty.
         threads: Threads of a request.
         is_load: It loads a data set, and blocks the readers of it on its endpoint meanwhile.
-        blocked_by_loads: It reads a data set, and stands still while a load holds that.
+        blocked_by_loads: It reads a data set, and is blocked while that is being loaded.
     """
 
     name: str
@@ -105,15 +112,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """The figures of the rules.
+    """The parameters of the rules.
 
     Attributes:
         answer_slack_ns: How late a final answer may be (rule 1).
-        drain_grace_ns: How long after a drain was made known something may be sent (rule 3).
+        drain_grace_ns: How long after a drain was announced attempts may still be sent (rule 3).
         warmup_initial_capacity: Fraction of its capacity that an endpoint starts with (rule 4).
         warmup_ns: Duration of the warm-up (rule 4).
         overload_window_ns: Window over which work is counted against a warm-up; 0: no limit.
-        overload_multiple: Multiple of its capacity over a window that fells a cold endpoint.
+        overload_multiple: Multiple of its capacity over a window at which an endpoint in warm-up
+            fails.
         key_rest_ns: Rest of a key after an attempt that may still run (rule 5).
         retry_budget_window_ns: Window of the retry budget; 0: no limit (rule 7).
         retry_budget_free: Retries within the window that are always allowed.
@@ -149,16 +157,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the endpoints' protocol and the rules let a broker do.
+    """What the endpoints' protocol and the rules allow a broker to do.
 
     Attributes:
         cancellation: Attempts may be cancelled.
         health_checks: Endpoints may be sent health checks.
-        peer_messages: Brokers may send each other messages; the decisions use none.
-        hedging: A second attempt may run beside the first, where the class is idempotent.
+        peer_messages: Brokers may send each other messages; the decisions ignore them.
+        hedging: A second attempt may run while the first does, where the class is idempotent.
         retry_after: A rejection may name a time to wait.
-        max_attempts: Attempts for a request.
-        max_retry_after_ns: The longest time to wait that a rejection may name.
+        max_attempts: Upper bound of the attempts of a request.
+        max_retry_after_ns: Upper bound of the time to wait that a rejection names.
     """
 
     cancellation: bool = False
@@ -184,13 +192,14 @@
         tick_ns: Resolution of timers.
         broker_index: Place of this broker among them, from 0.
         zone: Zone of this broker.
-        contract: The figures of the rules.
+        contract: The parameters of the rules.
         limits: What a broker may do.
         tenants: Tenants with a quota; others have no limit.
         kind_cores: Cores by kind of endpoint; other kinds have their weight in the list.
-        cross_zone_price: Part of a request's weight that is lost when it crosses zones.
-        handshake_price: Part of a request's weight that a new connection to an endpoint costs.
-        over_quota_weight: Factor of the weight of what exceeds its tenant's quota.
+        cross_zone_price: Fraction of a request's priority weight that crossing zones costs.
+        handshake_price: Fraction of a request's priority weight that a new connection costs.
+        over_quota_weight: Factor of the priority weight of requests that exceed their tenant's
+            quota.
         memory_grants: Dispatches may grant memory.
         priorities: Dispatches may set a priority.
     """
--- a/query_broker/dispatch/capacity.py
+++ b/query_broker/dispatch/capacity.py
@@ -46,7 +46,7 @@
     process that exceeds its memory is killed, and its admitted requests are lost.
 
     Args:
-        config: Limits of the whole broker.
+        config: Limits of the complete broker, all processes together.
         processes: Processes of this broker, this one included.
         other_clients: Clients that the other processes hold.
     """
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -229,7 +229,7 @@
         """Validate and admit a request that a client protocol has parsed.
 
         Args:
-            client: Who gets the answer.
+            client: Gets the answer.
             stream: The client's number of the request on its connection.
             parsed: The request, not yet validated.
             received_ns: When its first byte was read; 0 where that is not known.
--- a/query_broker/dispatch/stage_timing.py
+++ b/query_broker/dispatch/stage_timing.py
@@ -64,7 +64,7 @@
         """Record the answers that have left.
 
         One that has waited for its reader for longer than the limit for slow readers is recorded at
-        its present age, so that a client that never reads does not keep it here for good.
+        its present age, so that a client that never reads does not keep it here forever.
         """
         now_ns = self._clock.now()
         answers = self.waiting
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -290,7 +290,7 @@
         now > attempt.deadline_ns + LATE_ANSWER_NS for attempt in connection.in_flight.values()
     ]
     if any(overdue):
-        # An answer that never comes would hold its stream for good. The connection is closed only
+        # An answer that never comes would hold its stream forever. The connection is closed only
         # once no answer on it is expected any more.
         connection.retired = True
         if all(overdue):
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -1,7 +1,7 @@
 """One client connection in the binary protocol: requests in, complete answers out.
 
-Its parts: `ClientReader` takes frames in turns and applies back-pressure, `OpenRequests` submits
-and cancels requests, `ClientTimeouts` ends idle peers, `ClientSocket` writes.
+Its parts: `ClientReader` takes frames in turns and applies backpressure, `OpenRequests` submits and
+cancels requests, `ClientTimeouts` ends idle connections, `ClientSocket` writes.
 """
 
 from __future__ import annotations
@@ -79,7 +79,7 @@
         has_sent_frame: A complete frame has come.
         last_used_ns: When something was last received or answered.
         paused_since_ns: Since when the client has read its answers too slowly; 0 if it does not.
-        open: The requests that are owed an answer, by stream.
+        open_requests: The requests that are owed an answer, by stream.
     """
 
     def __init__(self, host: ClientHost, limits: ReadingLimits | None = None) -> None:
@@ -98,7 +98,7 @@
         self.paused_since_ns = 0
         self.socket = ClientSocket()
         self.requests = OpenRequests(host, self)
-        self.open = self.requests.open
+        self.open_requests = self.requests.by_stream
         self.reader = ClientReader(host, self, self.requests, self.socket, limits)
         self.timeouts = ClientTimeouts(host, self, self.reader, self.socket)
 
@@ -191,7 +191,7 @@
         The idle time counts from here: if it counted from the request, the connection could end
         right after a late answer.
         """
-        self.open.pop(stream, None)
+        self.open_requests.pop(stream, None)
         self.last_used_ns = self.host.dispatcher.now()
         self.socket.write(data)
         if self.half_closed and not self.reader.has_work():
@@ -215,7 +215,7 @@
 
     def idle(self) -> bool:
         """Return whether no request is open and no answer waits to be read."""
-        return not self.open and self.unread() == 0
+        return not self.open_requests and self.unread() == 0
 
     def unread(self) -> int:
         """Return how many bytes of answers wait for the client to read."""
--- a/query_broker/protocols/client_lookahead.py
+++ b/query_broker/protocols/client_lookahead.py
@@ -1,7 +1,7 @@
-"""Cancellations that lie behind frames which wait for their turn. Performs no I/O.
+"""Search for cancellations among the frames that wait for their turn. Performs no I/O.
 
-A client that stops waiting says so behind all that it requested before. While that waits for its
-turn, or for answers to be read, attempts would begin for nobody.
+A cancellation is sent after all earlier requests. While those wait for their turn, or for answers
+to be read, attempts would begin for requests that the client has cancelled already.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
                 self._cancel(head.stream)
 
     def _cancel(self, stream: int) -> None:
-        if stream in self.requests.open:
+        if stream in self.requests.by_stream:
             self.requests.cancel(stream)
         elif stream in self.waiting_streams:
             self.cancelled_streams.add(stream)
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -1,4 +1,4 @@
-"""Reading one client connection: turns, back-pressure, and the bound of incomplete frames."""
+"""Reading one client connection: turns, backpressure, and the bound of incomplete frames."""
 
 from __future__ import annotations
 
@@ -129,7 +129,7 @@
 
     def has_work(self) -> bool:
         """Return whether an answer is owed, or bytes wait to be taken."""
-        return bool(self.requests.open) or self.parser.buffered() > 0
+        return bool(self.requests.by_stream) or self.parser.buffered() > 0
 
     # --- turns ---
 
@@ -225,7 +225,7 @@
         self.host.dispatcher.log("client", f"{type(error).__name__}: {error}")
         self.connection.break_off("internal error")
 
-    # --- back-pressure ---
+    # --- backpressure ---
 
     def look_ahead(self) -> None:
         """Search the frames that wait for cancellations."""
--- a/query_broker/protocols/client_requests.py
+++ b/query_broker/protocols/client_requests.py
@@ -15,7 +15,7 @@
 
 
 class DispatcherHost(Protocol):
-    """Who knows the dispatcher that takes requests."""
+    """Has the dispatcher that requests are submitted to."""
 
     dispatcher: Dispatcher
 
@@ -25,7 +25,7 @@
 
     Attributes:
         client: Gets the answers.
-        open: Requests that are owed an answer, by stream; None while one is being submitted.
+        by_stream: Requests that are owed an answer, by stream; None while one is being submitted.
         last_stream: The greatest stream so far.
         recent_ids: The latest request ids, the oldest first.
     """
@@ -34,7 +34,7 @@
         """Begin without requests."""
         self.host = host
         self.client = client
-        self.open: dict[int, ActiveRequest | None] = {}
+        self.by_stream: dict[int, ActiveRequest | None] = {}
         self.last_stream = 0
         self.recent_ids: dict[str, None] = {}
 
@@ -58,19 +58,19 @@
         try:
             parsed = parse_request(payload)
             self._check_may_open(parsed.client_request_id)
-            self.open[stream] = None
+            self.by_stream[stream] = None
             request = self.host.dispatcher.submit(self.client, stream, parsed, received_ns)
         except InvalidRequestError as error:
             self.host.dispatcher.log("client", f"unusable request: {error}")
             self.client.failed(stream, str(error))
             return
-        if stream in self.open:  # it may have been answered at once
-            self.open[stream] = request
+        if stream in self.by_stream:  # it may have been answered at once
+            self.by_stream[stream] = request
 
     def _check_may_open(self, request_id: str) -> None:
         """Check that the id is new, and that there is a place for one more request.
 
-        The same frame hundreds of times over would take a tenant's quota from its others.
+        The same frame, sent hundreds of times, would use up the quota of its tenant.
         """
         if request_id in self.recent_ids:
             reason = f"{FIELD_CLIENT_REQUEST_ID}: is not new on this connection"
@@ -78,30 +78,30 @@
         self.recent_ids[request_id] = None
         if len(self.recent_ids) > MAX_OPEN_REQUESTS:
             del self.recent_ids[next(iter(self.recent_ids))]
-        if len(self.open) >= MAX_OPEN_REQUESTS:
+        if len(self.by_stream) >= MAX_OPEN_REQUESTS:
             reason = f"more than {MAX_OPEN_REQUESTS} open requests on one connection"
             raise InvalidRequestError(reason)
 
     def cancel(self, stream: int) -> None:
         """Cancel a request on behalf of its client, if it is open."""
-        request = self.open.pop(stream, None)
+        request = self.by_stream.pop(stream, None)
         if request is not None:
             self.host.dispatcher.cancellations.abandon(request)
 
     def cancel_all(self) -> None:
-        """Cancel all requests, since their client has left."""
+        """Cancel all requests, since their client has disconnected."""
         requests = self.submitted()
-        self.open.clear()
+        self.by_stream.clear()
         for request in requests:
             self.host.dispatcher.cancellations.abandon(request)
 
     def submitted(self) -> list[ActiveRequest]:
         """Return the open requests that the dispatcher has admitted."""
-        return [request for request in self.open.values() if request is not None]
+        return [request for request in self.by_stream.values() if request is not None]
 
     def being_submitted(self) -> list[int]:
         """Return the streams of requests that are still within `Dispatcher.submit`."""
-        return [stream for stream, request in self.open.items() if request is None]
+        return [stream for stream, request in self.by_stream.items() if request is None]
 
     def set_unreadable(self, unreadable: bool) -> None:
         """Record whether a cancellation by their client would be read at all."""
--- a/query_broker/protocols/client_timeouts.py
+++ b/query_broker/protocols/client_timeouts.py
@@ -100,7 +100,7 @@
         After a stall of this process requests may lie unread in the system's buffer: to close the
         connection then would reset it and lose them.
         """
-        if self.reader.requests.open or self.reader.waiting:
+        if self.reader.requests.by_stream or self.reader.waiting:
             return True
         return self.socket.unread() > 0 or self.socket.has_input()
 
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -1,4 +1,4 @@
-"""What a data engine answers on one connection: pages are put together, the rest is passed on."""
+"""The answers of a data engine on one connection: pages are assembled, the rest is reported."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     """Is notified of answers; ``load_text`` is an answer's load report, empty if it has none."""
 
     def answer_completed(self, attempt: Attempt, load_text: str) -> None:
-        """Take an attempt's complete result: every page is in ``attempt.pages``."""
+        """Called with an attempt's complete result: every page is in ``attempt.pages``."""
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult, load_text: str) -> None:
-        """Take note that an attempt has ended without a result."""
+        """Called when an attempt has ended without a result."""
 
     def progress_noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
-        """Take note of the progress of an attempt that goes on."""
+        """Called with a progress note of a running attempt."""
 
     def health_check_ended(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
-        """Take note of the answer to a health check."""
+        """Called with the answer to a health check."""
 
     def late_answer_received(self, attempt: Attempt, load_text: str) -> None:
-        """Take note of the answer to an attempt that had been reported before."""
+        """Called with the answer to an attempt whose end had been reported before."""
 
 
 class OpenOnConnection(Protocol):
@@ -43,7 +43,8 @@
 class EngineAnswers:
     """Assigns each answer to what it answers, and assembles results of several pages.
 
-    An attempt leaves ``in_flight`` with its last answer, also where nobody waits for it any more.
+    An attempt leaves ``in_flight`` with its last answer, also where no client waits for it any
+    more.
     """
 
     def __init__(
@@ -133,7 +134,7 @@
     ) -> None:
         """Take page 0, which holds the number of pages, and fetch the others."""
         if attempt.pages:
-            return  # the same answer once more
+            return  # a repeated answer
         load_text = fields.get(messages.FIELD_LOAD_REPORT, "")
         page_count = messages.read_count(
             fields.get(messages.FIELD_PAGE_COUNT, "1"), messages.FIELD_PAGE_COUNT
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -1,8 +1,8 @@
 """One connection to a data engine, which carries many attempts at once.
 
-Its parts: `EngineWriter` writes, `EngineAnswers` takes answers and assembles results,
-`EngineCancellations` knows the cancelled attempts. The connection itself knows what is open on it,
-and ends when the engine's bytes cannot be trusted any more.
+Its parts: `EngineWriter` writes, `EngineAnswers` handles answers and assembles results,
+`EngineCancellations` tracks the cancelled attempts. The connection itself holds what is open on it,
+and ends after a malformed answer.
 """
 
 from __future__ import annotations
@@ -55,8 +55,8 @@
 
     Attributes:
         endpoint: Number of the endpoint.
-        in_flight: Attempts until the engine has answered them, also those that nobody waits for:
-            they hold their stream, and their answer must be known to be dropped.
+        in_flight: Attempts that the engine has not answered, by request id; also those that no
+            client waits for, which hold their stream until their answer has come and is dropped.
         carried_ids: The request ids under which something may still come, the newest last.
         health_checks: The tags of health checks.
         cancelled_ids: The request ids of cancelled attempts, each of which still holds its stream.
@@ -68,7 +68,12 @@
     """
 
     def __init__(self, owner: Owner, endpoint: int) -> None:
-        """Take whom to notify, and the number of the endpoint."""
+        """Make the protocol of a connection that is being opened.
+
+        Args:
+            owner: Notified of all that happens on the connection.
+            endpoint: Number of the endpoint.
+        """
         self.owner = owner
         self.endpoint = endpoint
         self.transport: asyncio.Transport | None = None
@@ -170,7 +175,7 @@
         self.writer.send_command(self.owner.now(), command, tag)
 
     def flush(self) -> None:
-        """Write what waits, until the socket takes no more."""
+        """Write the frames that wait, until the socket accepts no more bytes."""
         self.writer.flush()
 
     def check(self, now: int) -> None:
--- a/query_broker/protocols/engine_messages.py
+++ b/query_broker/protocols/engine_messages.py
@@ -1,6 +1,6 @@
-"""What goes over the wire to a data engine and comes back, in RESP. Performs no I/O.
+"""The messages of the data engines' protocol, in RESP. Performs no I/O.
 
-The wire's own words stand here alone, beside this program's terms: ``do`` sends an attempt,
+This module maps the words of the wire to the terms of the program: ``do`` sends an attempt,
 ``undo`` cancels it, ``forget`` says that no more pages are wanted, ``bump`` raises a priority,
 ``top`` is a health check.
 """
@@ -80,8 +80,8 @@
 def encode_attempt(attempt: Attempt, now: int) -> tuple[bytes, ...]:
     """Return the pieces that send an attempt.
 
-    Class, idempotency key and statement go on as they came; only our own fields are written anew.
-    The time that the engine is given is what is left of the attempt's at ``now``, in ms.
+    Class, idempotency key and statement are forwarded unchanged. The time limit is the remaining
+    time of the attempt at ``now``, in milliseconds.
     """
     request = attempt.request
     fields: dict[str, object] = {
@@ -111,7 +111,7 @@
 
 
 def check_rows(page: bytes) -> None:
-    """Check that a page holds rows: noise in a good frame would be served as a result.
+    """Check that a page holds rows, since a damaged page would be served as a result.
 
     Raises:
         MalformedAnswerError: The page is no UTF-8, or has no rows of three columns.
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -1,4 +1,4 @@
-"""Writing to a data engine: what is small leaves at once, the rest waits in a write queue."""
+"""Writing to a data engine: small attempts are written at once, the rest waits in a write queue."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
         """Return the time in ns."""
 
     def attempt_written(self, attempt: Attempt) -> None:
-        """Take note that the last byte of a queued attempt has left."""
+        """Called when the last byte of a queued attempt has left."""
 
     def attempt_written_at_once(self) -> None:
-        """Take note that an attempt has left complete, without being queued."""
+        """Called when an attempt has left completely without being queued."""
 
     def may_proceed(self, attempt: Attempt) -> bool:
         """Return whether an attempt may still begin; called before its first byte leaves.
@@ -45,8 +45,8 @@
 class EngineWriter:
     """The sending side of one connection.
 
-    It writes to the descriptor itself and gives the transport nothing: what the transport's own
-    buffer holds cannot be withdrawn. How much has left is known to the byte.
+    It writes to the descriptor itself and nothing to the transport, since what the transport's own
+    buffer holds cannot be withdrawn. So it is known exactly which bytes have left.
 
     Attributes:
         transport: None until the connection is up.
@@ -88,7 +88,7 @@
         self.last_used_ns = now
         engine_socket = transport.get_extra_info("socket")
         self.fd = engine_socket.fileno()
-        # A system that knows no such option has a somewhat larger buffer, and all else is alike.
+        # Where the system has no such option, only more bytes may lie unsent in its buffer.
         with contextlib.suppress(OSError):
             engine_socket.setsockopt(socket.IPPROTO_TCP, NOTSENT_LOWAT, MAX_UNSENT_BYTES)
 
@@ -166,7 +166,7 @@
         return self.write_queue.raise_priority(request_id, priority)
 
     def flush(self) -> None:
-        """Write what waits, until the socket takes no more."""
+        """Write the frames that wait, until the socket accepts no more bytes."""
         while self.fd >= 0 and self._is_open():
             pieces = self.write_queue.next()
             if not pieces:
--- a/query_broker/protocols/operator_http.py
+++ b/query_broker/protocols/operator_http.py
@@ -15,8 +15,8 @@
 MAX_HEAD_BYTES = 8_192
 # Size of a body; no call needs any.
 MAX_BODY_BYTES = 16_384
-# From connecting to the end of the connection, answered or not: few descriptors are kept for
-# operators' calls, and none may be held for longer.
+# From connecting to the end of the connection, answered or not: few descriptors are reserved for
+# operators' calls.
 CALL_TIMEOUT_NS = 800_000_000
 
 
@@ -29,10 +29,10 @@
         """Return the time in ns."""
 
     def admit(self, caller: OperatorConnection) -> None:
-        """Take note of a new connection."""
+        """Register a new connection."""
 
     def release(self, caller: OperatorConnection) -> None:
-        """Take note that a connection has ended."""
+        """Remove a connection that has ended."""
 
     def log(self, kind: str, text: str) -> None:
         """Write a log line."""
@@ -41,11 +41,20 @@
 class OperatorConnection(asyncio.Protocol):
     """One connection: reads one call, answers it, and ends.
 
-    Nothing raises out of a callback. Once ``answered`` is true, what comes is read and dropped.
+    Nothing raises out of a callback.
+
+    Attributes:
+        url: The request's target as far as it has come.
+        received_bytes: All bytes that have come.
+        header_bytes: Size of the complete headers.
+        body_bytes: Size of the body as far as it has come.
+        headers_complete: Whether only a body may follow.
+        answered: Whether the answer has been written; what comes later is read and dropped.
+        timer: Ends the connection.
     """
 
     def __init__(self, operations: Operations) -> None:
-        """Take the side that answers the calls."""
+        """Make the protocol of a connection that is being accepted."""
         self.operations = operations
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
@@ -60,9 +69,9 @@
     # --- from the socket ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Give the connection its time.
+        """Start the timeout of the connection.
 
-        Callers that say nothing, or half a call, must neither pile up nor stay.
+        Callers that send nothing, or an incomplete call, must not hold descriptors.
         """
         self.transport = cast(asyncio.Transport, transport)
         due_ns = self.operations.now() + CALL_TIMEOUT_NS
@@ -70,13 +79,13 @@
         self.operations.admit(self)
 
     def data_received(self, data: bytes) -> None:
-        """Give the bytes to the parser, and answer what cannot be read."""
+        """Feed the parser, and answer a call that cannot be read."""
         if self.answered:
             return  # read on, so that no reset destroys the answer on its way
         try:
             self.received_bytes += len(data)
             self.parser.feed_data(data)
-            # The parser calls back for complete headers only: one without end would pass.
+            # The parser reports complete headers only: an endless one would not be counted.
             self._check_head(0 if self.headers_complete else self.received_bytes)
         except httptools.HttpParserUpgrade:
             pass  # the call is complete; nothing else is spoken here
@@ -94,13 +103,13 @@
             self._write(text_answer(500, "internal error"))
 
     def eof_received(self) -> bool:
-        """Let a caller end its side first and still wait for the answer."""
+        """Answer an incomplete call; a caller may end its side and still get the answer."""
         if not self.answered:
             self._write(text_answer(400, "the call is not whole"))
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up the connection's timer and place."""
+        """Release the connection's timer and its place among the operators' connections."""
         self.transport = None
         self.answered = True
         if self.timer is not None:
@@ -131,7 +140,7 @@
             raise OperatorCallError(431, text)
 
     def on_headers_complete(self) -> None:
-        """Take note that only a body may follow."""
+        """Record that only a body may follow."""
         self.headers_complete = True
 
     def on_body(self, body: bytes) -> None:
@@ -157,9 +166,9 @@
     # --- to the caller ---
 
     def _write(self, answer: HttpAnswer) -> None:
-        """Write one complete answer, the first alone.
+        """Write one complete answer; only the first one is written.
 
-        Only our side is ended: to close over unread bytes would destroy the answer.
+        Only our side is ended: to close a socket with bytes unread would destroy the answer.
         """
         if self.transport is None or self.answered:
             return
--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -404,14 +404,14 @@
         ready = frames.frame(frames.ASK_READY, 0, b"\0") * FRAMES_PER_TURN
         connection.data_received(ready + asked(1) + ready)
         assert connection.reader.waiting
-        assert not connection.open
+        assert not connection.open_requests
         connection.reader.read_turn()
         assert connection.reader.waiting
-        request = connection.open[1]
+        request = connection.open_requests[1]
         assert request is not None
         connection.data_received(frames.frame(frames.ABANDON, 1))
         assert request.abandoned
-        assert not connection.open
+        assert not connection.open_requests
         client.writer.close()
 
 
