--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -7,7 +7,7 @@
 from ..endpoints.connection_pool import ConnectionPool
 from ..endpoints.connection_pools import DEDICATED_FRACTION, ConnectionPools
 from ..endpoints.pool_interfaces import HandOverPolicy, LogWriter, UnsentObserver
-from ..protocols.engine_connection import EngineConnection, Owner
+from ..protocols.engine_connection import EngineConnection, EngineConnectionOwner
 from .borrowing import RESERVED_FRACTION, Account, Ledger
 from .request_accounting import RequestAccounting
 from .router import CellRouter
@@ -22,7 +22,7 @@
     accounting: RequestAccounting
 
     @property
-    def connection_events(self) -> Owner:
+    def connection_events(self) -> EngineConnectionOwner:
         """The owner of the connections."""
 
     @property
--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -43,7 +43,7 @@
         readers = self._readers(now_ns)
         used = dict.fromkeys(ledger.accounts, 0)
         for cell, clients in readers.items():
-            used[cell] = sum(client.unread() for client in clients)
+            used[cell] = sum(client.unread_bytes() for client in clients)
         for cell, unread_bytes in used.items():
             ledger.set_used(cell, unread_bytes)
             # An owner that uses much of its own part reclaims it by this call.
@@ -153,14 +153,14 @@
             assert isinstance(client, CelledConnection)
             if client.paused_since_ns and now_ns - client.paused_since_ns > max_pause_ns:
                 self.drop_slow_reader(client)
-            elif client.unread():
+            elif client.unread_bytes():
                 readers.setdefault(client.cell, []).append(client)
         return readers
 
     def _drop_slowest(self, clients: list[CelledConnection], amount: int) -> None:
         """Drop the clients with the most unread answers until these bytes are free."""
-        for client in sorted(clients, key=ClientConnection.unread, reverse=True):
+        for client in sorted(clients, key=ClientConnection.unread_bytes, reverse=True):
             if amount <= 0:
                 break
-            amount -= client.unread()
+            amount -= client.unread_bytes()
             self.drop_slow_reader(client)
--- a/query_broker/dispatch/assembly.py
+++ b/query_broker/dispatch/assembly.py
@@ -48,14 +48,14 @@
         self.client_answers = ClientAnswers(context, table, extensions, self.cancellations)
         self.health_checks = HealthChecks(context, clock, timers, extensions, numbers)
         self.connection_events = ConnectionEvents(
-            context,
-            clock,
-            timers,
-            metrics,
-            controls,
-            self.outcomes,
-            self.gate,
-            self.cancellations,
-            self.health_checks,
-            self.stage_timer,
+            context=context,
+            clock=clock,
+            timers=timers,
+            metrics=metrics,
+            controls=controls,
+            outcomes=self.outcomes,
+            gate=self.gate,
+            cancellations=self.cancellations,
+            health_checks=self.health_checks,
+            stage_timer=self.stage_timer,
         )
--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -23,7 +23,7 @@
 
 
 class ConnectionEvents:
-    """The owner of all connections to endpoints: implements `engine_connection.Owner`.
+    """The owner of all connections to endpoints: implements `EngineConnectionOwner`.
 
     Attributes:
         blocked: Connections to be flushed with the next tick, in the order in which they blocked.
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -91,16 +91,16 @@
         self.deadline_controls = DeadlineControls()
         self._request_numbers = itertools.count(1)
         parts = DispatchParts(
-            self,
-            clock,
-            self.timers,
-            self.request_table,
-            self.endpoint_table,
-            self.administrative_states,
-            self.extensions,
-            self.deadline_controls,
-            self.metrics_counts,
-            self._request_numbers,
+            context=self,
+            clock=clock,
+            timers=self.timers,
+            table=self.request_table,
+            endpoints=self.endpoint_table,
+            administrative_states=self.administrative_states,
+            extensions=self.extensions,
+            controls=self.deadline_controls,
+            metrics=self.metrics_counts,
+            numbers=self._request_numbers,
         )
         self.stage_timer = parts.stage_timer
         self.outcomes = parts.outcomes
--- a/query_broker/dispatch/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -29,7 +29,7 @@
     def failed(self, stream: int, reason: str) -> None:
         """Answer that the request has failed, and may have run."""
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Bytes of answers that wait for the client to read them."""
 
 
--- a/query_broker/dispatch/stage_timing.py
+++ b/query_broker/dispatch/stage_timing.py
@@ -71,7 +71,7 @@
         self.waiting = []
         for answer in answers:
             age_ns = now_ns - answer.answered_ns
-            if answer.client.unread() and age_ns < self._controls.settings.slow_reader:
+            if answer.client.unread_bytes() and age_ns < self._controls.settings.slow_reader:
                 self.waiting.append(answer)
             elif self._controls.stages is not None:
                 self._controls.stages.add(answer.class_name, LatencyStage.ANSWER, age_ns, now_ns)
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -10,7 +10,7 @@
 from ..decisions.facade import AttemptResult, EndpointState
 from ..discovery.event_codec import Address, ListedEndpoint
 from ..dispatch.requests import Attempt
-from ..protocols.engine_connection import EngineConnection, Owner
+from ..protocols.engine_connection import EngineConnection, EngineConnectionOwner
 from .connect import NS_PER_S, ConnectError, NoDescriptorError, connect
 from .connection_choice import (
     choose_connection,
@@ -45,7 +45,7 @@
         connect_pacing: Delays connects, or None where they needn't wait.
     """
 
-    owner: Owner
+    owner: EngineConnectionOwner
     log: LogWriter
     report_unsent: UnsentObserver
     may_hand_over: HandOverPolicy
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -4,7 +4,7 @@
 
 from ..decisions.facade import EndpointState
 from ..discovery.event_codec import ListedEndpoint
-from ..protocols.engine_connection import EngineConnection, Owner
+from ..protocols.engine_connection import EngineConnection, EngineConnectionOwner
 from .connection_pool import ConnectionPool
 from .pool_interfaces import ConnectPacing, HandOverPolicy, LogWriter, UnsentObserver
 
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        owner: Owner,
+        owner: EngineConnectionOwner,
         log: LogWriter,
         *,
         max_streams: int,
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -59,7 +59,7 @@
     def failed(self, stream: int, reason: str) -> None:
         """Drop the answer: its client has disconnected."""
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Return that no answer waits to be read."""
         return 0
 
@@ -129,7 +129,7 @@
         last of them, unless an incomplete frame is left, which cannot become complete any more.
         """
         frames_wait = self.reader.waiting or self.paused_since_ns
-        incomplete = self.reader.parser.buffered() and not frames_wait
+        incomplete = self.reader.parser.buffered_bytes() and not frames_wait
         if (
             self.host.dispatcher.deadline_controls.settings.half_close != HALF_CLOSE_ANSWERS
             or self.broken
@@ -215,11 +215,11 @@
 
     def idle(self) -> bool:
         """Return whether no request is open and no answer waits to be read."""
-        return not self.open_requests and self.unread() == 0
+        return not self.open_requests and self.unread_bytes() == 0
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Return how many bytes of answers wait for the client to read."""
-        return self.socket.unread()
+        return self.socket.unread_bytes()
 
     def close(self) -> None:
         """End an idle connection; what has been written still leaves."""
--- a/query_broker/protocols/client_frames.py
+++ b/query_broker/protocols/client_frames.py
@@ -181,7 +181,7 @@
         _, kind, stream = HEAD.unpack_from(buffer, begin)
         return Frame(kind, stream, bytes(buffer[begin + HEAD.size : end]))
 
-    def buffered(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return how many bytes are here and have not been returned yet."""
         return len(self.buffer) - self.read_position
 
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -98,7 +98,7 @@
 
     def receive(self, data: bytes) -> None:
         """Take bytes, which have come now."""
-        if not self.parser.buffered():
+        if not self.parser.buffered_bytes():
             self.frame_begun_ns = self.connection.last_used_ns
         self.parser.feed(data)
         if self.waiting:
@@ -114,7 +114,7 @@
 
     def account_partial_frames(self) -> None:
         """Account for the bytes in the parser, and end the connection if they are too many."""
-        buffered = self.parser.buffered()
+        buffered = self.parser.buffered_bytes()
         self.host.partial_frame_bytes += buffered - self.partial_frame_bytes
         self.partial_frame_bytes = buffered
         if self.limits is None:
@@ -129,7 +129,7 @@
 
     def has_work(self) -> bool:
         """Return whether an answer is owed, or bytes wait to be taken."""
-        return bool(self.requests.by_stream) or self.parser.buffered() > 0
+        return bool(self.requests.by_stream) or self.parser.buffered_bytes() > 0
 
     # --- turns ---
 
@@ -252,7 +252,7 @@
     def _holds_enough(self) -> bool:
         if not self.waiting and not self.connection.paused_since_ns:
             return False
-        if self.parser.buffered() > MAX_READ_AHEAD_BYTES:
+        if self.parser.buffered_bytes() > MAX_READ_AHEAD_BYTES:
             return True
         return (
             self.host.partial_frame_bytes
--- a/query_broker/protocols/client_socket.py
+++ b/query_broker/protocols/client_socket.py
@@ -57,7 +57,7 @@
         self.transport.write_eof()
         return True
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Return how many bytes of answers wait for the client to read."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
--- a/query_broker/protocols/client_timeouts.py
+++ b/query_broker/protocols/client_timeouts.py
@@ -75,7 +75,7 @@
     def check(self) -> None:
         """End the connection if a timeout has expired, else set the timer anew."""
         now = self.host.dispatcher.now()
-        incomplete = self.reader.parser.buffered() > 0
+        incomplete = self.reader.parser.buffered_bytes() > 0
         expiry_ns = self._expiry_ns(now, incomplete)
         if expiry_ns > now:
             self._check_at(expiry_ns)
@@ -102,7 +102,7 @@
         """
         if self.reader.requests.by_stream or self.reader.waiting:
             return True
-        return self.socket.unread() > 0 or self.socket.has_input()
+        return self.socket.unread_bytes() > 0 or self.socket.has_input()
 
     def _check_at(self, due_ns: int) -> None:
         self.timer = self.host.dispatcher.timers.set_timer(due_ns, self.check)
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -25,7 +25,7 @@
 ANSWER_TIMEOUT_NS = 500_000_000
 
 
-class Owner(AnswerObserver, CancelObserver, WriteObserver, Protocol):
+class EngineConnectionOwner(AnswerObserver, CancelObserver, WriteObserver, Protocol):
     """The owner of connections: is notified of all that happens on them."""
 
     def connection_lost(
@@ -67,7 +67,7 @@
         answer_begun_ns: When the first byte of the answer that is incomplete now came.
     """
 
-    def __init__(self, owner: Owner, endpoint: int) -> None:
+    def __init__(self, owner: EngineConnectionOwner, endpoint: int) -> None:
         """Make the protocol of a connection that is being opened.
 
         Args:
--- a/query_broker/server/client_admission.py
+++ b/query_broker/server/client_admission.py
@@ -75,8 +75,8 @@
         dispatcher = self.node.dispatcher
         timeout_ns = dispatcher.deadline_controls.settings.slow_reader
         unread = 0  # bytes
-        for client in sorted(self.connections, key=ClientConnection.unread):
-            unread += client.unread()
+        for client in sorted(self.connections, key=ClientConnection.unread_bytes):
+            unread += client.unread_bytes()
             is_stuck = client.paused_since_ns and now_ns - client.paused_since_ns > timeout_ns
             if unread > dispatcher.statement_capacity_bytes or is_stuck:
                 self.drop_slow_reader(client)
--- a/tests/cells/test_sockets.py
+++ b/tests/cells/test_sockets.py
@@ -453,7 +453,7 @@
             ask(slow, stream, "acme") if stream < 3 else None
         await until(lambda: sum(node(rig).celled.replies.values()) == 34)
         by_cell = {c.cell: c for c in rig.node.clients if isinstance(c, CelledConnection)}
-        unread = {cell: by_cell[cell].unread() for cell in ("a", "b")}
+        unread = {cell: by_cell[cell].unread_bytes() for cell in ("a", "b")}
         node(rig).celled.answers.divide(
             max(1, unread["b"] // 2), node(rig).celled.cell_weights_with_anteroom()
         )
--- a/tests/dispatch/test_crossings.py
+++ b/tests/dispatch/test_crossings.py
@@ -362,7 +362,7 @@
         connection = next(iter(rig.node.clients))
         assert connection.transport is not None
         client.reader._transport.pause_reading()  # type: ignore[attr-defined]
-        while connection.unread() < 1 << 20:  # more than the system takes
+        while connection.unread_bytes() < 1 << 20:  # more than the system takes
             connection.transport.write(b"\0" * (1 << 20))
         (request,) = rig.node.dispatcher.requests.values()
         client.writer.write_eof()
@@ -525,7 +525,7 @@
     def failed(self, stream: int, reason: str) -> None:
         self.told.put_nowait("failed")
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         return 0
 
 
--- a/tests/dispatch/test_dispatch_parts.py
+++ b/tests/dispatch/test_dispatch_parts.py
@@ -85,7 +85,7 @@
     def failed(self, stream: int, reason: str) -> None:
         self.answers.append(("failed", stream))
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         return 0
 
 
--- a/tests/golden/client_wire/conftest.py
+++ b/tests/golden/client_wire/conftest.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from query_broker.protocols.engine_connection import EngineConnection, Owner
+from query_broker.protocols.engine_connection import EngineConnection, EngineConnectionOwner
 
 from .engine_connections import ENDPOINT, NOW, ConnectedEngine, SocketTransport
 
@@ -20,11 +20,11 @@
     near_socket, far_socket = socket.socketpair()
     near_socket.setblocking(False)
     far_socket.setblocking(False)
-    owner = create_autospec(Owner, instance=True)
+    owner = create_autospec(EngineConnectionOwner, instance=True)
     owner.now.return_value = NOW
     owner.may_proceed.return_value = True
     owner.carried_elsewhere.return_value = False
-    connection = EngineConnection(cast(Owner, owner), ENDPOINT)
+    connection = EngineConnection(cast(EngineConnectionOwner, owner), ENDPOINT)
     connection.connection_made(SocketTransport(near_socket))
     yield ConnectedEngine(connection, far_socket)
     near_socket.close()
--- a/tests/protocols/test_engine_sockets.py
+++ b/tests/protocols/test_engine_sockets.py
@@ -488,7 +488,7 @@
     def failed(self, stream: int, reason: str) -> None:
         self.answers.append("failed")
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         return 0
 
 
