--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -101,17 +101,17 @@
         due: Tokens of the controller's timers that have fired, to be handled by `tick`.
     """
 
-    def __init__(self, settings: Settings, seed: int, now: int, wheel: TimerWheel) -> None:
+    def __init__(self, settings: Settings, seed: int, now: int, timer_wheel: TimerWheel) -> None:
         """Make the controller.
 
         Args:
             settings: The settings to begin with.
             seed: Seed of the controller's draws.
             now: The time in nanoseconds.
-            wheel: The timer wheel that the controller's timers are set on.
+            timer_wheel: The timer wheel that the controller's timers are set on.
         """
         self.controller = AdmissionController(settings, seed, now)
-        self.timer_wheel = wheel
+        self.timer_wheel = timer_wheel
         self.due: deque[int] = deque()
 
     def pick(self, now: int, arrival: RequestArrived) -> OrderBatch:
--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -31,7 +31,7 @@
         controls: DeadlineControls,
         outcomes: AttemptOutcomes,
     ) -> None:
-        """Take what attempts are made from and reported to."""
+        """Take the collaborators."""
         self._context = context
         self._timers = timers
         self._table = table
@@ -106,6 +106,7 @@
         return True
 
     def _is_idempotent(self, class_name: str) -> bool:
+        """Return whether requests of a class are idempotent; False for an unknown class."""
         for spec in self._context.config.settings.classes:
             if spec.name == class_name:
                 return spec.effect is Effect.IDEMPOTENT
--- a/query_broker/dispatch/cancellation.py
+++ b/query_broker/dispatch/cancellation.py
@@ -47,7 +47,7 @@
         controls: DeadlineControls,
         outcomes: AttemptOutcomes,
     ) -> None:
-        """Take the collaborators: the state that the checks read, and the report of outcomes."""
+        """Take the collaborators."""
         self._clock = clock
         self._endpoints = endpoints
         self._administrative_states = administrative_states
@@ -105,7 +105,7 @@
         controls: DeadlineControls,
         outcomes: AttemptOutcomes,
     ) -> None:
-        """Take the open requests, and where the ends of their attempts are reported."""
+        """Take the collaborators."""
         self._context = context
         self._table = table
         self._extensions = extensions
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -313,7 +313,7 @@
             return
         self.administrative_states.forget(self.now() - REENABLED_RETENTION_NS)
         number = self.endpoint_table.number(uid)
-        self.report_event(AdministrativeChange(number, state.disabled, state.at_ns))
+        self.report_event(AdministrativeChange(number, state.disabled, state.given_ns))
         pool = self.pools.get(number)
         if pool is None:
             return
--- a/query_broker/endpoints/administrative_state.py
+++ b/query_broker/endpoints/administrative_state.py
@@ -13,11 +13,11 @@
     """The operators' latest directive on one endpoint.
 
     Attributes:
-        at_ns: When the directive was given, in Unix nanoseconds.
+        given_ns: When the directive was given, in Unix nanoseconds.
         disabled: Whether the endpoint takes no requests until it is enabled again.
     """
 
-    at_ns: int
+    given_ns: int
     disabled: bool
 
 
@@ -45,7 +45,7 @@
             Whether the directive was recorded.
         """
         latest = self.states.get(uid)
-        if latest is not None and latest.at_ns >= state.at_ns:
+        if latest is not None and latest.given_ns >= state.given_ns:
             return False
         self.states[uid] = state
         return True
@@ -59,5 +59,5 @@
         self.states = {
             uid: state
             for uid, state in self.states.items()
-            if state.disabled or state.at_ns > before_ns
+            if state.disabled or state.given_ns > before_ns
         }
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -269,9 +269,9 @@
         was_disabled = known is not None and known.disabled
         if is_disabled == was_disabled:
             return
-        at_ns = now_ns if known is None else max(now_ns, known.at_ns + 1)
+        given_ns = now_ns if known is None else max(now_ns, known.given_ns + 1)
         self.host.dispatcher.apply_administrative_state(
-            override.uid, AdministrativeState(at_ns, is_disabled)
+            override.uid, AdministrativeState(given_ns, is_disabled)
         )
 
     def _end_ejections(self, uid: str) -> None:
--- a/query_broker/server/process_status.py
+++ b/query_broker/server/process_status.py
@@ -100,8 +100,8 @@
             accepting=bool(fields.get(KEY_ACCEPTING, False)),
             clients=int(fields.get(KEY_CLIENTS, 0)),
             administrative_states={
-                str(uid): AdministrativeState(int(at_ns), bool(disabled))
-                for uid, (at_ns, disabled) in states
+                str(uid): AdministrativeState(int(given_ns), bool(disabled))
+                for uid, (given_ns, disabled) in states
             },
             outstanding_work={
                 int(number): OutstandingWork(*map(int, amounts)) for number, amounts in work
