--- a/query_broker/dispatch/client_answers.py
+++ b/query_broker/dispatch/client_answers.py
@@ -33,8 +33,8 @@
         if request is None or request.client is None:
             return
         if isinstance(order, Reject):
-            pause_ms = self._retry_after_ms(order.retry_after_ns)
-            self._context.begin_answer(request, OVERLOAD).rejected(request.stream, pause_ms)
+            retry_after_ms = self._retry_after_ms(order.retry_after_ns)
+            self._context.begin_answer(request, OVERLOAD).rejected(request.stream, retry_after_ms)
         else:
             self._context.begin_answer(request, ERROR).failed(request.stream, "")
         self._cancellations.end_scope(request)
--- a/query_broker/dispatch/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -1,6 +1,6 @@
-"""Open requests and their attempts.
+"""Open requests, their attempts, and the interfaces of the connections at both ends.
 
-Nothing here decides, and nothing here knows a client's protocol. Performs no I/O.
+Independent of the clients' protocols. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
     def served(self, stream: int, body: bytes) -> None:
         """Answer with the complete result."""
 
-    def rejected(self, stream: int, pause_ms: int) -> None:
-        """Answer that nothing has run and that the client may retry after so many milliseconds."""
+    def rejected(self, stream: int, retry_after_ms: int) -> None:
+        """Answer that nothing has run, and that the client may retry after this time."""
 
     def failed(self, stream: int, reason: str) -> None:
         """Answer that the request has failed, and may have run."""
 
     def unread_bytes(self) -> int:
-        """Bytes of answers that wait for the client to read them."""
+        """Return the size of the answers that wait for the client to read them."""
 
 
 class AttemptConnection(Protocol):
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -53,7 +53,7 @@
     def served(self, stream: int, body: bytes) -> None:
         """Drop the answer: its client has disconnected."""
 
-    def rejected(self, stream: int, pause_ms: int) -> None:
+    def rejected(self, stream: int, retry_after_ms: int) -> None:
         """Drop the answer: its client has disconnected."""
 
     def failed(self, stream: int, reason: str) -> None:
@@ -177,9 +177,9 @@
         """Answer a request with its result."""
         self._answer(stream, frames.answer(stream, frames.SERVED, {}, body))
 
-    def rejected(self, stream: int, pause_ms: int) -> None:
+    def rejected(self, stream: int, retry_after_ms: int) -> None:
         """Reject a request; the client may retry it after the pause."""
-        self._answer(stream, frames.rejection(stream, pause_ms))
+        self._answer(stream, frames.rejection(stream, retry_after_ms))
 
     def failed(self, stream: int, reason: str) -> None:
         """Answer a request that has failed."""
