--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -55,7 +55,7 @@
         ledger = self._dispatcher.answers
         unread_by_cell = dict.fromkeys(ledger.accounts, 0)
         for cell, clients in readers.items():
-            unread_by_cell[cell] = sum(client.unread() for client in clients)
+            unread_by_cell[cell] = sum(client.unread_bytes() for client in clients)
         for cell, unread_bytes in unread_by_cell.items():
             ledger.set_in_use(cell, unread_bytes)
             # An owner that uses much of its own quota reclaims it by this call.
@@ -158,14 +158,14 @@
             assert isinstance(client, CelledConnection)
             if client.paused_since_ns and now_ns - client.paused_since_ns > timeout_ns:
                 self.drop_slow_reader(client)
-            elif client.unread():
+            elif client.unread_bytes():
                 readers.setdefault(client.cell, []).append(client)
         return readers
 
     def _drop_slowest(self, clients: list[CelledConnection], amount_bytes: int) -> None:
         """Drop the clients with the most unread answers until these bytes are free."""
-        for client in sorted(clients, key=ClientConnection.unread, reverse=True):
+        for client in sorted(clients, key=ClientConnection.unread_bytes, reverse=True):
             if amount_bytes <= 0:
                 break
-            amount_bytes -= client.unread()
+            amount_bytes -= client.unread_bytes()
             self.drop_slow_reader(client)
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -11,6 +11,7 @@
 from ..dispatch.validation import ParsedRequest
 from ..endpoints.connection_pools import ConnectionPools
 from ..log import LogWriter
+from ..metrics import ReplyStatus
 from ..timer_wheel import Clock
 from .borrowing import Ledger
 from .cell_metrics import ReplyKey, render_cell_metrics
@@ -92,22 +93,22 @@
         config = self.config
         self.cell_pools = CelledPools(
             self,
-            streams=config.streams_per_connection,
-            connect_timeout=config.connect_timeout_ns,
-            conn_idle=config.connection_idle_ns,
-            unsent=self.outcomes.end,
-            may_go=self.gate.may_go,
+            max_streams=config.streams_per_connection,
+            connect_timeout_ns=config.connect_timeout_ns,
+            endpoint_idle_timeout_ns=config.connection_idle_ns,
+            report_unsent=self.outcomes.end,
+            may_hand_over=self.gate.may_proceed,
         )
         return self.cell_pools
 
-    def divide(self, processes: int, clients: int) -> None:
+    def divide(self, processes: int, other_clients: int) -> None:
         """Set this process's quota of the limits and divide it among the cells."""
-        super().divide(processes, clients)
+        super().divide(processes, other_clients)
         self._divide_among_cells()
 
-    def apply_settings(self, read: Config) -> None:
+    def apply_settings(self, config: Config) -> None:
         """Put another configuration in force."""
-        super().apply_settings(read)
+        super().apply_settings(config)
         self.accounting.set_firm_classes(self.config.settings)
 
     # --- cells ---
@@ -194,7 +195,7 @@
             return False
         return True
 
-    def begin_answer(self, request: ActiveRequest, status: int) -> Client:
+    def begin_answer(self, request: ActiveRequest, status: ReplyStatus) -> Client:
         """Take the client that gets its final answer now, and count it for its cell."""
         routed = self.router.requests.get(request.id)
         cell = ""
--- a/query_broker/dispatch/assembly.py
+++ b/query_broker/dispatch/assembly.py
@@ -37,7 +37,7 @@
         metrics: Metrics,
         numbers: Iterator[int],
     ) -> None:
-        """Make the parts; ``numbers`` is the count that requests' ids come from too."""
+        """Make the parts; ``numbers`` is the sequence that request ids are drawn from too."""
         self.stage_timer = StageTimer(clock, timer_wheel, controls)
         self.outcomes = AttemptOutcomes(context, clock, timer_wheel, extensions, controls)
         self.attempts = AttemptDispatcher(context, timer_wheel, table, controls, self.outcomes)
@@ -48,14 +48,14 @@
         self.client_answers = ClientAnswers(context, table, extensions, self.cancellations)
         self.health_checks = HealthChecks(context, clock, timer_wheel, extensions, numbers)
         self.connection_events = ConnectionEvents(
-            context,
-            clock,
-            timer_wheel,
-            metrics,
-            controls,
-            self.outcomes,
-            self.gate,
-            self.cancellations,
-            self.health_checks,
-            self.stage_timer,
+            context=context,
+            clock=clock,
+            timer_wheel=timer_wheel,
+            metrics=metrics,
+            controls=controls,
+            outcomes=self.outcomes,
+            gate=self.gate,
+            cancellations=self.cancellations,
+            health_checks=self.health_checks,
+            stage_timer=self.stage_timer,
         )
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -11,7 +11,7 @@
 from ..discovery.event_codec import Address, ListedEndpoint
 from ..dispatch.requests import Attempt
 from ..log import LogWriter
-from ..protocols.engine_connection import EngineConnection, Owner
+from ..protocols.engine_connection import EngineConnection, EngineConnectionOwner
 from .connect import NS_PER_S, ConnectError, NoDescriptorError, connect
 from .connection_choice import (
     choose_connection,
@@ -19,14 +19,14 @@
     retire_silent,
     usable_connections,
 )
-from .pool_interfaces import ConnectPacing, HandOverGate, UnsentObserver
+from .pool_interfaces import ConnectPacing, HandOverPolicy, UnsentObserver
 
-#: Nanoseconds without a byte from an endpoint that the list says has been removed, after which its
-#: connections are closed. Longer than for an endpoint that counts as silent, since this gives up
-#: the answers that are still open there.
+#: Time without a byte from an endpoint that the list marks as removed, after which its connections
+#: are closed. Longer than the limit for a silent endpoint, since the attempts that are still in
+#: flight are lost with them.
 REMOVED_SILENCE_LIMIT_NS = 3_000_000_000
-#: Nanoseconds after an attempt's deadline in which its answer may still come. Half a minute, since
-#: to expect it no more retires the connection.
+#: Time after an attempt's deadline in which its answer may still come. Half a minute, since the
+#: connection is retired once the answer is not expected any more.
 LATE_ANSWER_NS = 30_000_000_000
 
 
@@ -34,10 +34,10 @@
     """What one pool needs of the set of pools that it belongs to.
 
     Attributes:
-        owner: Whom the connections report to.
+        owner: The owner of the connections, which they report to.
         log: Writes a line to the log.
         report_unsent: Notified of attempts that end before they have left.
-        may_hand_over: Asked before an attempt that waited is given to a connection.
+        may_hand_over: Called before an attempt that waited is given to a connection.
         max_streams: Attempts that one connection may carry at a time.
         connect_timeout_ns: How long a connection may take to come up.
         idle_timeout_ns: How long a connection without work is kept.
@@ -46,10 +46,10 @@
         connect_pacing: Delays connects, or None where they needn't wait.
     """
 
-    owner: Owner
+    owner: EngineConnectionOwner
     log: LogWriter
     report_unsent: UnsentObserver
-    may_hand_over: HandOverGate
+    may_hand_over: HandOverPolicy
     max_streams: int
     connect_timeout_ns: int
     idle_timeout_ns: int
@@ -60,7 +60,7 @@
         """Return how many connections this pool may open for attempts of their own."""
 
     def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
-        """Return whether the budget has a descriptor for one more of these."""
+        """Return whether the budget has a descriptor for one more dedicated connection."""
 
     def reserve_descriptor(self, pool: ConnectionPool) -> bool:
         """Return whether the connection that is opening has its descriptor."""
@@ -86,9 +86,10 @@
 
     Attributes:
         number: The endpoint's number in the table.
-        target: What the endpoint list said of it last.
+        target: The endpoint's latest entry in the list.
         connections: All that are open, retired ones too.
         waiting_attempts: Attempts that wait for a connection to come up; no byte of them has left.
+        waiting_health_checks: Tags of the health checks that wait for it.
         opening: The task that opens a connection, if there is one.
     """
 
@@ -102,37 +103,40 @@
         self.waiting_health_checks: list[bytes] = []
         self.opening: asyncio.Task[None] | None = None
 
-    def send(self, attempt: Attempt, now: int, dial: bool = True) -> None:
+    def send(self, attempt: Attempt, now: int, may_connect: bool = True) -> None:
         """Give an attempt to a connection, or let it wait for a new one.
 
-        A malformed answer or a reset ends its connection with all that is open there. So each
-        attempt gets a connection of its own while this endpoint's part of the descriptors lasts,
-        where handshakes are cheap; after that attempts share connections.
+        A malformed answer or a reset ends its connection with all attempts in flight on it. So each
+        attempt gets a dedicated connection where handshakes are cheap, while this endpoint's quota
+        of descriptors lasts; beyond that attempts share connections.
 
         Args:
             attempt: No byte of it has left.
             now: Unix nanoseconds.
-            dial: Whether a new connection may be opened for it. Without one, an attempt that no
-                connection takes is reported as not sent.
+            may_connect: Whether a new connection may be opened for it. Where not, an attempt that
+                no connection takes is reported as not sent.
         """
         request_id = attempt.request.client_request_id
         max_streams = self.pools.max_streams
         connection = choose_connection(self.connections, request_id, max_streams, now)
         if connection is None:
-            # Where the sockets of this endpoint are jammed, only one more connection would help.
-            is_jammed = has_full_queue(self._usable(now), request_id, max_streams)
-            if (is_jammed and not self._may_grow()) or not dial:
+            # Where the write queues to this endpoint are full, only one more connection would help.
+            is_full = has_full_queue(self._usable(now), request_id, max_streams)
+            if (is_full and not self._may_grow()) or not may_connect:
                 self.pools.report_unsent(attempt, AttemptResult.NOT_SENT)
             else:
                 self._wait_for_connection(attempt)
         elif (
-            dial and connection.in_flight and self.pools.dedicated_connections and self._may_grow()
+            may_connect
+            and connection.in_flight
+            and self.pools.dedicated_connections
+            and self._may_grow()
         ):
             self._wait_for_connection(attempt)
         else:
             attempt.connection = connection
             attempt.assigned_ns = now
-            connection.carry(attempt)
+            connection.register(attempt)
             connection.send(attempt, now)
 
     def send_health_check(self, tag: bytes, now: int) -> None:
@@ -145,9 +149,9 @@
             self._open()
 
     def forget_health_check(self, tag: bytes) -> None:
-        """Expect no answer to a health check any more.
+        """Stop waiting for the answer to a health check.
 
-        One whose answer never comes would keep its connection from ever being idle.
+        A health check whose answer never comes would keep its connection from being idle.
         """
         for connection in self.connections:
             connection.health_checks.discard(tag)
@@ -164,25 +168,25 @@
     def retire_connections(self) -> None:
         """Retire all connections.
 
-        Called where the endpoint may have restarted, perhaps without a word on the old ones.
+        Called where the endpoint may have restarted, perhaps without having closed the old ones.
         """
         for connection in self.connections:
             connection.retired = True
 
     def update_target(self, target: ListedEndpoint) -> None:
-        """Take what the endpoint list says now.
+        """Replace the endpoint's entry of the list.
 
         An endpoint at a new address, or one that has restarted, gets nothing more on the old
         connections.
         """
-        before = self.target
+        previous = self.target
         self.target = target
-        has_moved = not _listens_at(target, Address(before.host, before.port))
-        if has_moved or target.started_ns > before.started_ns:
+        has_moved = not _listens_at(target, Address(previous.host, previous.port))
+        if has_moved or target.started_ns > previous.started_ns:
             self.retire_connections()
 
     def sweep(self, now: int) -> None:
-        """Close what is idle, and what can't bring an answer any more."""
+        """Close the connections that are idle or on which no answer is expected any more."""
         for connection in list(self.connections):
             connection.check(now)
             idle_ns = now - max(connection.last_sent_ns, connection.last_received_ns)
@@ -196,9 +200,9 @@
         return usable_connections(self.connections, now)
 
     def _may_grow(self) -> bool:
-        return len(self.connections) < self.pools.dedicated_limit(
-            self
-        ) and self.pools.has_dedicated_capacity(self)
+        if len(self.connections) >= self.pools.dedicated_limit(self):
+            return False
+        return self.pools.has_dedicated_capacity(self)
 
     # --- connects ---
 
@@ -217,13 +221,13 @@
             await asyncio.sleep(pacing(self.number) / NS_PER_S)
         started_ns = self.pools.owner.now()
         try:
-            connection = await self._dial(Address(self.target.host, self.target.port))
+            connection = await self._open_connection(Address(self.target.host, self.target.port))
         except ConnectError as error:
             self._connect_failed(error, started_ns)
         else:
             self._connected(connection)
 
-    async def _dial(self, address: Address) -> EngineConnection:
+    async def _open_connection(self, address: Address) -> EngineConnection:
         if not self.pools.reserve_descriptor(self):
             raise NoDescriptorError(address)
         make_connection = partial(EngineConnection, self.pools.owner, self.number)
@@ -231,7 +235,7 @@
         if connection.closed:
             raise ConnectError(address, "lost as it came up")
         if not _listens_at(self.target, address):
-            # Another endpoint may listen there by now; nothing meant for this one may reach it.
+            # Another endpoint may listen there by now, which must not get this endpoint's attempts.
             connection.close()
             raise ConnectError(address, "it has moved meanwhile")
         return connection
@@ -242,7 +246,7 @@
         self.connections.append(connection)
         for tag in waiting.health_checks:
             connection.send_health_check(tag)
-        self._send_all(waiting.attempts, now, dial=True)
+        self._send_all(waiting.attempts, now, may_connect=True)
 
     def _connect_failed(self, error: ConnectError, started_ns: int) -> None:
         waiting = self._end_opening()
@@ -250,10 +254,10 @@
         address = f"{self.target.host}:{self.target.port}"
         self.pools.log("engine", f"{self.target.uid} at {address}: {error.reason}")
         if any(connection.last_received_ns >= started_ns for connection in self._usable(now)):
-            # An endpoint that has sent something meanwhile isn't down because one connect was late.
+            # An endpoint that has sent something since then isn't down because one connect failed.
             for tag in waiting.health_checks:
                 self.send_health_check(tag, now)
-            self._send_all(waiting.attempts, now, dial=False)
+            self._send_all(waiting.attempts, now, may_connect=False)
             return
         if error.result is AttemptResult.CONNECT_FAILED:
             retire_silent(self.connections, now)
@@ -269,10 +273,10 @@
         self.waiting_health_checks = []
         return waiting
 
-    def _send_all(self, attempts: list[Attempt], now: int, dial: bool) -> None:
+    def _send_all(self, attempts: list[Attempt], now: int, may_connect: bool) -> None:
         for attempt in attempts:
             if self.pools.may_hand_over(attempt, HandOver.CONNECTION):
-                self.send(attempt, now, dial)
+                self.send(attempt, now, may_connect)
 
 
 def _listens_at(target: ListedEndpoint, address: Address) -> bool:
@@ -282,13 +286,13 @@
 
 
 def _close_unanswered(connection: EngineConnection, target: ListedEndpoint, now: int) -> None:
-    """Close a connection whose answers can't come any more."""
+    """Close a connection on which no answer is expected any more."""
     overdue = [
         now > attempt.deadline_ns + LATE_ANSWER_NS for attempt in connection.in_flight.values()
     ]
     if any(overdue):
-        # An answer that never comes would hold its stream for good. The connection ends once no
-        # answer on it is still expected: to close it sooner would give that one up.
+        # An answer that never comes would hold its stream forever. The connection is closed only
+        # once no answer on it is expected any more.
         connection.retired = True
         if all(overdue):
             connection.close()
@@ -296,8 +300,8 @@
         target.state is EndpointState.REMOVED
         and now - connection.last_received_ns > REMOVED_SILENCE_LIMIT_NS
     ):
-        # A machine that vanished resets nothing: what is open there would be held until its
-        # deadline although no answer can come any more. It may have run.
+        # A machine that has failed resets no connection: the attempts in flight would stay open
+        # until their deadlines although no answer can come. They may have run.
         connection.close()
 
 
--- a/query_broker/protocols/client_lookahead.py
+++ b/query_broker/protocols/client_lookahead.py
@@ -1,50 +1,51 @@
-"""Cancellations that lie behind frames which wait for their turn. Performs no I/O.
+"""Search for cancellations among the frames that wait for their turn. Performs no I/O.
 
-A client that stops waiting says so behind all that it requested before. While that waits for its
-turn, or for answers to be read, attempts would begin for nobody.
+A cancellation is sent after all earlier requests. While those wait for their turn, or for answers
+to be read, attempts would begin for requests that the client has cancelled already.
 """
 
 from __future__ import annotations
 
 from . import client_frames as frames
-from .client_requests import MOST_OPEN, OpenRequests
+from .client_requests import MAX_OPEN_REQUESTS, OpenRequests
 
-# Frames that are looked at in one turn.
-MOST_SKIMMED = 2_048
-# Requests whose cancellation is known before they are taken.
-MOST_AHEAD = 4 * MOST_OPEN
+# Frames that one scan looks at.
+MAX_SKIMMED_FRAMES = 2_048
+# Requests whose cancellation is recognised before they are submitted.
+MAX_WAITING_STREAMS = 4 * MAX_OPEN_REQUESTS
 
 
 class CancellationLookahead:
     """Searches the frames that wait in a parser for cancellations.
 
-    ``waiting`` has the streams of requests that wait there, ``cancelled`` those of them that nobody
-    waits for any more.
+    Attributes:
+        waiting_streams: Streams of the requests that wait in the parser.
+        cancelled_streams: Those of them that the client has cancelled.
     """
 
     def __init__(self, parser: frames.FrameParser, requests: OpenRequests) -> None:
-        """Take where frames wait, and the requests that have been taken already."""
+        """Take the parser with the waiting frames, and the requests that have been submitted."""
         self.parser = parser
         self.requests = requests
-        self.waiting: set[int] = set()
-        self.cancelled: set[int] = set()
+        self.waiting_streams: set[int] = set()
+        self.cancelled_streams: set[int] = set()
 
     def scan(self) -> None:
         """Look at frames that have not been looked at before."""
-        for head in self.parser.skim(MOST_SKIMMED):
+        for head in self.parser.skim(MAX_SKIMMED_FRAMES):
             if head.type == frames.REQUEST:
-                if len(self.waiting) < MOST_AHEAD:
-                    self.waiting.add(head.stream)
+                if len(self.waiting_streams) < MAX_WAITING_STREAMS:
+                    self.waiting_streams.add(head.stream)
             elif head.type == frames.ABANDON:
                 self._cancel(head.stream)
 
     def _cancel(self, stream: int) -> None:
-        if stream in self.requests.open:
+        if stream in self.requests.by_stream:
             self.requests.cancel(stream)
-        elif stream in self.waiting:
-            self.cancelled.add(stream)
+        elif stream in self.waiting_streams:
+            self.cancelled_streams.add(stream)
 
     def clear(self) -> None:
         """Forget the streams: no frame waits any more."""
-        self.waiting.clear()
-        self.cancelled.clear()
+        self.waiting_streams.clear()
+        self.cancelled_streams.clear()
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -1,4 +1,4 @@
-"""Reading one client connection: turns, back-pressure, and the bound of incomplete frames."""
+"""Reading one client connection: turns, backpressure, and the bound of incomplete frames."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from .client_requests import DispatcherHost, OpenRequests
 from .client_socket import ClientSocket
 
-# Frames of one connection before everybody else's turn.
+# Frames that one connection may take in a turn, before the other connections have theirs.
 FRAMES_PER_TURN = 32
-# Bytes that are read on for cancellations where what came before them waits.
-MOST_AHEAD_BYTES = 64 * 1024
-# Of the memory for incomplete frames: the part past which no connection reads ahead.
-AHEAD_DIVISOR = 2
+# What may be read ahead, in search of cancellations, while earlier frames wait.
+MAX_READ_AHEAD_BYTES = 64 * 1024
+# Divides the memory for incomplete frames: past this part of it no connection reads ahead.
+READ_AHEAD_DIVISOR = 2
 NO_CAPACITY = "no room for more frames that are not whole"
 
 
 class ReadingHost(DispatcherHost, Protocol):
-    """What reading needs of the side that admits clients.
+    """What a reader needs of the side that admits clients.
 
     ``partial_frame_bytes``: bytes of incomplete frames on all connections.
     """
@@ -29,18 +29,18 @@
     partial_frame_bytes: int
 
     def ready(self) -> bool:
-        """Return whether requests are served; a client's health check asks for it."""
+        """Return whether requests are served: the answer to a client's health check."""
 
 
 class ReadingConnection(Protocol):
-    """The state of the connection that reading goes by, and sets."""
+    """The state of the connection that a reader reads and sets."""
 
     broken: bool
     has_sent_frame: bool
     last_used_ns: int
     paused_since_ns: int
 
-    def break_off(self, why: str) -> None:
+    def break_off(self, reason: str) -> None:
         """End the connection with an error that belongs to no request."""
 
     def drop(self) -> None:
@@ -54,19 +54,21 @@
         """Return whether a turn may begin now; if not, the connection is resumed later."""
 
     def end_turn(self) -> None:
-        """Take note that the turn is over."""
+        """End the turn that `begin_turn` allowed."""
 
-    def may_buffer(self, size: int) -> bool:
+    def may_buffer(self, size_bytes: int) -> bool:
         """Return whether the connection may hold so many bytes of incomplete frames."""
 
 
 class ClientReader:
     """Takes frames in turns, and reads no more than it can use.
 
-    ``waiting``: complete frames wait for this connection's next turn. ``unreadable``: so much waits
-    that what the client says from now on is not read. ``frame_begun_ns``: when the first byte of
-    the frame that is incomplete now came; ``received_ns``: the same of the frame that was taken
-    last. ``partial``: bytes held of frames that have not been taken.
+    Attributes:
+        waiting: Complete frames wait for this connection's next turn.
+        unreadable: So much waits that nothing more is read, so that no cancellation is seen.
+        frame_begun_ns: When the first byte of the frame that is incomplete now came.
+        received_ns: When the first byte of the frame that was taken last came.
+        partial_frame_bytes: Bytes that have come of frames not taken yet; part of the host's sum.
     """
 
     def __init__(
@@ -87,52 +89,52 @@
         self.lookahead = CancellationLookahead(self.parser, requests)
         self.frame_begun_ns = connection.last_used_ns
         self.received_ns = connection.last_used_ns
-        self.partial = 0
+        self.partial_frame_bytes = 0
         self.waiting = False
         self.unreadable = False
 
     def receive(self, data: bytes) -> None:
         """Take bytes, which have come now."""
-        if not self.parser.buffered():
+        if not self.parser.buffered_bytes():
             self.frame_begun_ns = self.connection.last_used_ns
         self.parser.feed(data)
         if self.waiting:
             self.look_ahead()
         else:
             self.read_turn()
-        self.count_partial()
+        self.account_partial_frames()
         if (
             self.host.partial_frame_bytes > self.host.dispatcher.statement_capacity_bytes
             and not self.connection.broken
         ):
             self.connection.break_off(NO_CAPACITY)
 
-    def count_partial(self) -> None:
-        """Account for the bytes that are held now, and end the connection if they are too many."""
-        buffered = self.parser.buffered()
-        self.host.partial_frame_bytes += buffered - self.partial
-        self.partial = buffered
+    def account_partial_frames(self) -> None:
+        """Account for the bytes in the parser, and end the connection if they are too many."""
+        buffered = self.parser.buffered_bytes()
+        self.host.partial_frame_bytes += buffered - self.partial_frame_bytes
+        self.partial_frame_bytes = buffered
         if self.limits is None:
             return
         if not self.limits.may_buffer(buffered) and not self.connection.broken:
             self.connection.break_off(NO_CAPACITY)
 
     def clear(self) -> None:
-        """Drop what is held."""
+        """Drop what is in the parser."""
         self.parser.clear()
-        self.count_partial()
+        self.account_partial_frames()
 
     def has_work(self) -> bool:
         """Return whether an answer is owed, or bytes wait to be taken."""
-        return bool(self.requests.open) or self.parser.buffered() > 0
+        return bool(self.requests.by_stream) or self.parser.buffered_bytes() > 0
 
     # --- turns ---
 
     def read_turn(self) -> None:
         """Take the frames of one turn.
 
-        A chunk can hold 25,000 frames; all other connections would stand still until the last is
-        answered.
+        One chunk of bytes can hold 25,000 frames; without turns all other connections would wait
+        until the last of them is answered.
         """
         if self.limits is None:
             self._take_turn()
@@ -144,16 +146,16 @@
             self.read_if_wanted()
 
     def resume(self) -> None:
-        """Go on with the next turn."""
+        """Take the next turn."""
         self.read_turn()
         self.read_if_wanted()
 
     def resume_writing(self) -> None:
-        """Go on after the client has read its answers."""
+        """Resume after the client has read its answers."""
         if not self.waiting:
             self.read_turn()
         self.read_if_wanted()
-        self.count_partial()
+        self.account_partial_frames()
 
     def _take_turn(self) -> None:
         self.waiting = False
@@ -182,7 +184,7 @@
                 return False
             if frame.type == frames.REQUEST and not checked_peer:
                 checked_peer = True
-                if self._end_if_peer_left():
+                if self._end_if_peer_closed():
                     return False
             self.received_ns = self.frame_begun_ns
             self.connection.has_sent_frame = True
@@ -193,7 +195,7 @@
     def _take_frame(self, frame: frames.Frame) -> None:
         if frame.type == frames.REQUEST:
             self.requests.check_stream(frame.stream)
-            if frame.stream not in self.lookahead.cancelled:
+            if frame.stream not in self.lookahead.cancelled_streams:
                 self.requests.submit(frame.stream, frame.payload, self.received_ns)
         elif frame.type == frames.ABANDON:
             self.requests.cancel(frame.stream)
@@ -201,11 +203,11 @@
             frames.read_fields(frame.payload)
             self.socket.write(frames.ready(frame.stream, self.host.ready()))
 
-    def _end_if_peer_left(self) -> bool:
-        """Return whether the client has left.
+    def _end_if_peer_closed(self) -> bool:
+        """End the connection if the client has closed it; return whether that was so.
 
-        Who sends much and leaves has left before the last of it is read, and nothing of it may
-        begin then.
+        A client may close the connection long before all that it sent has been read; no request
+        of it may begin after that.
         """
         policy = self.host.dispatcher.deadline_controls.settings.half_close
         if policy is HalfClosePolicy.AWAIT_ANSWERS:
@@ -221,10 +223,10 @@
         self.host.dispatcher.log("client", f"{type(error).__name__}: {error}")
         self.connection.break_off("internal error")
 
-    # --- back-pressure ---
+    # --- backpressure ---
 
     def look_ahead(self) -> None:
-        """Search what waits for cancellations."""
+        """Search the frames that wait for cancellations."""
         try:
             self.lookahead.scan()
         except Exception as error:  # no input may raise out of a callback
@@ -232,10 +234,10 @@
         self.read_if_wanted()
 
     def read_if_wanted(self) -> None:
-        """Read on, unless enough waits for its turn, or for answers to be read.
+        """Resume reading, or pause it where enough waits for a turn or for answers to be read.
 
-        Behind more than that no cancellation can be known: no further attempt begins for the open
-        requests until then.
+        While reading is paused no cancellation is seen, and no further attempt begins for the open
+        requests.
         """
         if not self.socket.is_open():
             return
@@ -248,9 +250,9 @@
     def _holds_enough(self) -> bool:
         if not self.waiting and not self.connection.paused_since_ns:
             return False
-        if self.parser.buffered() > MOST_AHEAD_BYTES:
+        if self.parser.buffered_bytes() > MAX_READ_AHEAD_BYTES:
             return True
         return (
             self.host.partial_frame_bytes
-            > self.host.dispatcher.statement_capacity_bytes // AHEAD_DIVISOR
+            > self.host.dispatcher.statement_capacity_bytes // READ_AHEAD_DIVISOR
         )
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -1,4 +1,4 @@
-"""Writing to a data engine: what is small leaves at once, the rest waits in a write queue."""
+"""Writing to a data engine: small attempts are written at once, the rest waits in a write queue."""
 
 from __future__ import annotations
 
@@ -12,31 +12,29 @@
 from ..dispatch.requests import Attempt
 from . import resp
 from .engine_messages import CANCEL, encode_attempt
-from .socket_state import has_ended, has_input
+from .socket_state import NO_DESCRIPTOR, has_ended, has_input
 
-# Of Linux, in case that Python's own list lacks it.
+# The socket option's number on Linux, for a Python whose `socket` module lacks it.
 NOTSENT_LOWAT = getattr(socket, "TCP_NOTSENT_LOWAT", 25)
-# Bytes that may lie unsent in the system's buffer: what lies there cannot be withdrawn.
-UNSENT = 16_384
-# Of requests to which the decisions give none, within 0 to 3.
+# What may lie unsent in the system's buffer: it cannot be withdrawn from there.
+MAX_UNSENT_BYTES = 16_384
+# Priority, within 0 to 3, of requests to which the decisions give none.
 DEFAULT_PRIORITY = 1
-# In place of a descriptor: none, or one that must not be used any more.
-NO_DESCRIPTOR = -1
 
 
 class WriteObserver(Protocol):
-    """Who is notified of what leaves."""
+    """Is notified of what leaves."""
 
     def now(self) -> int:
         """Return the time in ns."""
 
     def attempt_written(self, attempt: Attempt) -> None:
-        """Take note that the last byte of a queued attempt has left."""
+        """Called when the last byte of a queued attempt has left."""
 
     def attempt_written_at_once(self) -> None:
-        """Take note that an attempt has left complete, without being queued."""
+        """Called when an attempt has left completely without being queued."""
 
-    def may_go(self, attempt: Attempt) -> bool:
+    def may_proceed(self, attempt: Attempt) -> bool:
         """Return whether an attempt may still begin; called before its first byte leaves.
 
         False: it is withdrawn, and never ran.
@@ -60,24 +58,40 @@
 class EngineWriter:
     """The sending side of one connection.
 
-    It writes to the descriptor itself and gives the transport nothing: what the transport's own
-    buffer holds cannot be withdrawn. How much has left is known to the byte.
-
-    ``jammed``: the socket took no more, and frames wait. ``cancels_in_transit``: ids of cancelled
-    attempts whose cancellation has not left yet, so that the engine cannot have read it.
+    It writes to the descriptor itself and nothing to the transport, since what the transport's own
+    buffer holds cannot be withdrawn. So it is known exactly which bytes have left.
+
+    Attributes:
+        transport: None until the connection is up.
+        fd: Descriptor of the socket, or `NO_DESCRIPTOR`.
+        write_queue: Frames that have not left completely.
+        is_blocked: Frames wait because the socket accepted no more bytes.
+        last_used_ns: When something was last sent or queued.
+        cancels_in_transit: Request ids of cancelled attempts whose cancellation has not left yet,
+            so that the engine cannot have read it.
     """
 
     def __init__(
-        self, observer: WriteObserver, blocked: BlockedListener, failed: WriteFailureListener
+        self,
+        observer: WriteObserver,
+        blocked: BlockedListener,
+        failed: WriteFailureListener,
     ) -> None:
-        """Take whom to notify."""
+        """Begin without a socket; `attach` gives it one.
+
+        Args:
+            observer: Notified of what leaves.
+            blocked: Called when the socket accepts no more bytes, so that `flush` is called again
+                at the next tick.
+            failed: Called with the system's error text when a write fails.
+        """
         self.observer = observer
         self.report_blocked = blocked
         self.report_failure = failed
         self.transport: asyncio.Transport | None = None
         self.fd = NO_DESCRIPTOR
         self.write_queue = WriteQueue(self)
-        self.jammed = False
+        self.is_blocked = False
         self.last_used_ns = observer.now()
         self.cancels_in_transit: set[bytes] = set()
 
@@ -87,9 +101,9 @@
         self.last_used_ns = now
         engine_socket = transport.get_extra_info("socket")
         self.fd = engine_socket.fileno()
-        # A system that knows no such option has a somewhat larger buffer, and all else is alike.
+        # Where the system has no such option, only more bytes may lie unsent in its buffer.
         with contextlib.suppress(OSError):
-            engine_socket.setsockopt(socket.IPPROTO_TCP, NOTSENT_LOWAT, UNSENT)
+            engine_socket.setsockopt(socket.IPPROTO_TCP, NOTSENT_LOWAT, MAX_UNSENT_BYTES)
 
     def has_ended(self) -> bool:
         """Return whether the engine has ended the connection, perhaps unread as yet."""
@@ -123,7 +137,7 @@
         if (
             len(pieces) == 1
             and self.fd >= 0
-            and not self.jammed
+            and not self.is_blocked
             and self.transport is not None
             and not self.transport.is_closing()
         ):
@@ -141,8 +155,8 @@
             pieces = (pieces[0][written:],)
         request = attempt.request
         priority = DEFAULT_PRIORITY if request.priority is None else request.priority
-        size = sum(map(len, pieces))
-        frame = Frame(pieces, request.client_request_id, priority, size, attempt)
+        size_bytes = sum(map(len, pieces))
+        frame = Frame(pieces, request.client_request_id, priority, size_bytes, attempt)
         frame.begun = attempt.write_started
         self._enqueue(now, frame)
 
@@ -165,7 +179,7 @@
         return self.write_queue.raise_priority(request_id, priority)
 
     def flush(self) -> None:
-        """Write what waits, until the socket takes no more."""
+        """Write the frames that wait, until the socket accepts no more bytes."""
         while self.fd >= 0 and self._is_open():
             pieces = self.write_queue.next()
             if not pieces:
@@ -178,10 +192,10 @@
                 self.report_failure(str(error))
                 return
             if not self.write_queue.wrote(written):
-                self.jammed = True
+                self.is_blocked = True
                 self.report_blocked()
                 return
-        self.jammed = False
+        self.is_blocked = False
 
     def _is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
@@ -198,7 +212,7 @@
         attempt = frame.about
         if not isinstance(attempt, Attempt):
             return frame.pieces
-        if not self.observer.may_go(attempt):
+        if not self.observer.may_proceed(attempt):
             return None
         return encode_attempt(attempt, self.observer.now())
 
--- a/query_broker/server/client_admission.py
+++ b/query_broker/server/client_admission.py
@@ -76,8 +76,8 @@
         dispatcher = self.node.dispatcher
         timeout_ns = dispatcher.deadline_controls.settings.slow_reader_timeout_ns
         unread_bytes = 0
-        for client in sorted(self.connections, key=ClientConnection.unread):
-            unread_bytes += client.unread()
+        for client in sorted(self.connections, key=ClientConnection.unread_bytes):
+            unread_bytes += client.unread_bytes()
             is_stuck = client.paused_since_ns and now_ns - client.paused_since_ns > timeout_ns
             if unread_bytes > dispatcher.statement_capacity_bytes or is_stuck:
                 self.drop_slow_reader(client)
--- a/tests/cells/test_tenant_isolation.py
+++ b/tests/cells/test_tenant_isolation.py
@@ -195,7 +195,7 @@
                 send_request(slow_client, stream, "acme")
         await until(lambda: sum(cell_node(rig).celled.replies.values()) == 34)
         by_cell = {connection.cell: connection for connection in celled_connections(rig)}
-        unread = {cell: by_cell[cell].unread() for cell in ("a", "b")}
+        unread = {cell: by_cell[cell].unread_bytes() for cell in ("a", "b")}
         cell_node(rig).celled.answers.divide(
             max(1, unread["b"] // 2), cell_node(rig).celled.cell_weights_with_unassigned()
         )
--- a/tests/deadlines/test_queued_requests.py
+++ b/tests/deadlines/test_queued_requests.py
@@ -99,7 +99,7 @@
         assert int(fields[b"limit"]) <= 3_800
         attempt.deadline_ns = rig.node.dispatcher.now()
         attempt.reported = False
-        assert not rig.node.dispatcher.connection_events.may_go(attempt)
+        assert not rig.node.dispatcher.connection_events.may_proceed(attempt)
         assert stopped_count(rig, HandOver.SOCKET, StopReason.DEADLINE_PASSED) == 1
         client.writer.close()  # it must have waited until here
 
--- a/tests/dispatch/recording_client.py
+++ b/tests/dispatch/recording_client.py
@@ -50,7 +50,7 @@
         """Record that the request has failed."""
         self._record(Answer(Outcome.FAILED))
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Return 0: nothing waits to be read."""
         return 0
 
--- a/tests/dispatch/test_client_races.py
+++ b/tests/dispatch/test_client_races.py
@@ -181,7 +181,7 @@
         connection = next(iter(rig.node.clients))
         assert connection.transport is not None
         client.reader._transport.pause_reading()  # type: ignore[attr-defined]
-        while connection.unread() < 1 << 20:  # more than the system takes
+        while connection.unread_bytes() < 1 << 20:  # more than the system takes
             connection.transport.write(b"\0" * (1 << 20))
         (request,) = rig.node.dispatcher.requests.values()
         client.writer.write_eof()
@@ -225,14 +225,14 @@
         ready = frames.frame(frames.ASK_READY, 0, b"\0") * FRAMES_PER_TURN
         connection.data_received(ready + request_frame(1) + ready)
         assert connection.reader.waiting
-        assert not connection.open
+        assert not connection.open_requests
         connection.reader.read_turn()
         assert connection.reader.waiting
-        request = connection.open[1]
+        request = connection.open_requests[1]
         assert request is not None
         connection.data_received(frames.frame(frames.ABANDON, 1))
         assert request.abandoned
-        assert not connection.open
+        assert not connection.open_requests
         client.writer.close()
 
 
