--- /dev/null
+++ b/tests/decisions/dispatcher_harness.py
@@ -0,0 +1,322 @@
+"""A dispatcher before emulated data engines, on a stopped clock and without sockets.
+
+What it writes to its engines and what it answers to its client is recorded; a test lets events
+happen in an order of its choice.
+"""
+
+from __future__ import annotations
+
+import enum
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from types import SimpleNamespace
+from typing import Any, cast
+
+import pytest
+
+from query_broker.config import parse
+from query_broker.deadlines.handover_checks import HandOver
+from query_broker.discovery.event_codec import parse_event
+from query_broker.dispatch.dispatcher import Dispatcher
+from query_broker.dispatch.requests import ActiveRequest
+from query_broker.dispatch.requests import Client as RequestClient
+from query_broker.dispatch.validation import ParsedRequest
+from query_broker.endpoints.connection_pool import ConnectionPool
+from query_broker.protocols import resp
+from query_broker.protocols.engine_connection import EngineConnection
+from query_broker.timer_wheel import Clock
+
+from ..support.deployments import MS, S
+from ..support.sockets import STATEMENT, target_entry, topology_event
+
+IDEMPOTENCY_KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+CLIENT_REQUEST_ID = "9" * 16
+FIRST_DESCRIPTOR = 1_000
+RESULT_BODY = b"a\tb\tc\n"
+
+
+class StoppedClock(Clock):
+    """A clock that a test advances."""
+
+    def __init__(self) -> None:
+        self.time_ns = 100 * S
+
+    def now(self) -> int:
+        return self.time_ns
+
+
+class RecordingClient:
+    """A client that records its answers."""
+
+    def __init__(self) -> None:
+        self.answers: list[str] = []
+
+    def served(self, stream: int, body: bytes) -> None:
+        self.answers.append("served")
+
+    def rejected(self, stream: int, pause_ms: int) -> None:
+        self.answers.append("rejected")
+
+    def failed(self, stream: int, reason: str) -> None:
+        self.answers.append("failed")
+
+
+@dataclass
+class EngineSide:
+    """The data engine's end of a connection.
+
+    Attributes:
+        connection: The broker's end.
+        in_flight: The ids of attempts that have left completely, and of which neither an answer
+            nor an `undo` nor the end of the connection has come since.
+        is_jammed: Whether the socket takes no more bytes.
+    """
+
+    connection: EngineConnection
+    in_flight: set[bytes] = field(default_factory=set)
+    is_jammed: bool = False
+    parser: resp.RespParser = field(default_factory=resp.RespParser)
+
+
+class EmulatedTransport:
+    """A transport whose end is the end of all attempts in flight on it."""
+
+    def __init__(self, engine_side: EngineSide, descriptor: int) -> None:
+        self.engine_side = engine_side
+        self.descriptor = descriptor
+        self.closing = False
+
+    def get_extra_info(self, name: str) -> Any:
+        return SimpleNamespace(fileno=lambda: self.descriptor, setsockopt=lambda *_: None)
+
+    def is_closing(self) -> bool:
+        return self.closing
+
+    def abort(self) -> None:
+        self.closing = True
+        self.engine_side.in_flight.clear()
+
+
+class Occurrence(enum.Enum):
+    """What may happen to a request that is in flight."""
+
+    TICK = "tick"
+    ATTEMPT_REVIEWED = "attempt reviewed"
+    DEADLINE_PASSED = "deadline passed"
+    FIRST_ATTEMPT_SERVED = "first attempt served"
+    CLIENT_LEFT = "client left"
+    ENGINES_DRAINING = "engines draining"
+    SOCKETS_WRITABLE = "sockets writable"
+    SERVED = "served"
+    CRASHED = "crashed"
+    OVERLOADED = "overload"
+    PROGRESS = "update"
+    CONNECTION_RESET = "connection reset"
+    PROTOCOL_ERROR = "protocol error"
+    SOCKET_JAMMED = "socket jammed"
+
+
+class DispatcherHarness:
+    """A dispatcher before three data engines, with two connections to each.
+
+    Attributes:
+        engine_sides: The data engines' ends of all connections, by file descriptor.
+        dispatch_count: How many attempts have left completely.
+        most_in_flight: How many of them were in flight at once.
+        first_descriptor: The connection of the first attempt; 0 before it.
+        faults: The faults that the dispatcher has logged.
+    """
+
+    def __init__(self, settings: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+        emulated_os = SimpleNamespace(
+            write=self._write,
+            writev=lambda descriptor, pieces: self._write(descriptor, b"".join(map(bytes, pieces))),
+        )
+        monkeypatch.setattr("query_broker.protocols.engine_writer.os", emulated_os)
+        monkeypatch.setattr(ConnectionPool, "_open", lambda pool: self._opening.append(pool))
+        self.clock = StoppedClock()
+        self.client = RecordingClient()
+        self.faults: list[str] = []
+        self.engine_sides: dict[int, EngineSide] = {}
+        self.dispatch_count = 0
+        self.most_in_flight = 0
+        self.first_descriptor = 0
+        self._opening: list[ConnectionPool] = []
+        self._actions = self._actions_by_occurrence()
+        config = parse({"listen": "127.0.0.1:1", "settings": settings, "seed": "7"}, {})
+        self.dispatcher = Dispatcher(config, self.clock, self._log)
+        targets = [target_entry(f"s-{number}", number, az="east") for number in (1, 2, 3)]
+        event = parse_event(topology_event(1, *targets, full=True))
+        self.dispatcher.endpoint_list_changed(event)
+        self.dispatcher.pools.set_max_connections(100)
+        for pool in [*self.dispatcher.pools.by_number.values()] * 2:
+            self._connect(pool)
+
+    def _log(self, kind: str, text: str) -> None:
+        if kind == "fault":
+            self.faults.append(text)
+
+    def _connect(self, pool: ConnectionPool) -> None:
+        descriptor = FIRST_DESCRIPTOR + len(self.engine_sides)
+        connection = EngineConnection(self.dispatcher.connection_events, pool.number)
+        engine_side = EngineSide(connection)
+        self.engine_sides[descriptor] = engine_side
+        connection.connection_made(cast(Any, EmulatedTransport(engine_side, descriptor)))
+        pool.connections.append(connection)
+
+    def _write(self, descriptor: int, data: bytes) -> int:
+        """Read, as the data engine, what the broker writes to a socket."""
+        engine_side = self.engine_sides[descriptor]
+        if engine_side.is_jammed:
+            raise BlockingIOError
+        for parts in engine_side.parser.feed(bytes(data)):
+            if parts[0] == b"do":
+                engine_side.in_flight.add(parts[1])
+                self._record_dispatch(descriptor)
+            elif parts[0] == b"undo":
+                engine_side.in_flight.discard(parts[1])
+        return len(data)
+
+    def _record_dispatch(self, descriptor: int) -> None:
+        self.first_descriptor = self.first_descriptor or descriptor
+        self.dispatch_count += 1
+        in_flight = sum(len(side.in_flight) for side in self.engine_sides.values())
+        self.most_in_flight = max(self.most_in_flight, in_flight)
+
+    # --- the client's side ---
+
+    def parsed_request(
+        self, class_name: str, idempotency_key: str | None = IDEMPOTENCY_KEY
+    ) -> ParsedRequest:
+        """Return a request; only one of the class "load" has an idempotency key."""
+        return ParsedRequest(
+            class_name,
+            CLIENT_REQUEST_ID,
+            "acme",
+            1e5,
+            100.0,
+            1.0,
+            False,
+            3,
+            STATEMENT,
+            idempotency_key if class_name == "load" else None,
+        )
+
+    def submit(self, class_name: str) -> ActiveRequest:
+        client = cast(RequestClient, self.client)
+        self.request = self.dispatcher.submit(client, 1, self.parsed_request(class_name))
+        return self.request
+
+    # --- occurrences ---
+
+    def _actions_by_occurrence(self) -> dict[Occurrence, Callable[[], None]]:
+        return {
+            Occurrence.TICK: lambda: self._advance(1, 5 * MS),
+            # An attempt is reviewed; it times out only at the end.
+            Occurrence.ATTEMPT_REVIEWED: lambda: self._advance(3, S),
+            # Past the deadline of every class.
+            Occurrence.DEADLINE_PASSED: lambda: self._advance(9, 3 * S),
+            Occurrence.FIRST_ATTEMPT_SERVED: self._serve_first_attempt,
+            Occurrence.CLIENT_LEFT: self._abandon,
+            Occurrence.ENGINES_DRAINING: self._drain_two_engines,
+            Occurrence.SOCKETS_WRITABLE: self._make_sockets_writable,
+            Occurrence.SERVED: lambda: self._answer_last_attempt(b"served", RESULT_BODY),
+            Occurrence.CRASHED: lambda: self._answer_last_attempt(b"crashed"),
+            Occurrence.OVERLOADED: lambda: self._answer_last_attempt(b"overload"),
+            Occurrence.PROGRESS: self._report_progress,
+            Occurrence.CONNECTION_RESET: self._reset_connection,
+            Occurrence.PROTOCOL_ERROR: self._break_protocol,
+            Occurrence.SOCKET_JAMMED: self._jam_socket,
+        }
+
+    def let_happen(self, occurrence: Occurrence) -> None:
+        self._actions[occurrence]()
+
+    def let_all_end(self) -> None:
+        """Let time pass until nothing can happen any more."""
+        self._clear_jams()
+        self._advance(7, 4 * S)
+
+    def _advance(self, ticks: int, step_ns: int) -> None:
+        for _ in range(ticks):
+            self.clock.time_ns += step_ns
+            self._tick()
+
+    def _tick(self) -> None:
+        """Run one tick; connections that were being opened are open by then."""
+        opening = self._opening
+        self._opening = []
+        for pool in opening:
+            self._connect(pool)
+            self._send_waiting(pool)
+        self.dispatcher.tick()
+
+    def _send_waiting(self, pool: ConnectionPool) -> None:
+        waiting = pool.waiting_attempts
+        pool.waiting_attempts = []
+        for attempt in waiting:
+            if self.dispatcher.gate.may_go(attempt, HandOver.CONNECTION):
+                pool.send(attempt, self.clock.time_ns)
+
+    def _clear_jams(self) -> None:
+        for engine_side in self.engine_sides.values():
+            engine_side.is_jammed = False
+
+    def _make_sockets_writable(self) -> None:
+        self._clear_jams()
+        self._tick()
+
+    def _serve_first_attempt(self) -> None:
+        """Answer the first attempt, whatever has become of it."""
+        engine_side = self.engine_sides[self.first_descriptor]
+        if not engine_side.connection.closed:
+            self._answer(engine_side, b"served", RESULT_BODY)
+
+    def _abandon(self) -> None:
+        self.dispatcher.cancellations.abandon(self.request)
+
+    def _drain_two_engines(self) -> None:
+        for uid in list(self.dispatcher.endpoint_table.by_uid)[:2]:
+            event = topology_event(2, target_entry(uid, 1, "terminating"))
+            self.dispatcher.endpoint_list_changed(parse_event(event))
+
+    def _last_attempt_side(self) -> EngineSide | None:
+        """Return the connection of the last attempt that is in flight."""
+        for attempt in reversed(self.request.attempts.values()):
+            for engine_side in self.engine_sides.values():
+                connection = engine_side.connection
+                if connection is attempt.connection and not connection.closed:
+                    return engine_side
+        return None
+
+    def _answer_last_attempt(self, result: bytes, body: bytes = b"") -> None:
+        engine_side = self._last_attempt_side()
+        if engine_side is not None:
+            self._answer(engine_side, result, body)
+
+    def _answer(self, engine_side: EngineSide, result: bytes, body: bytes) -> None:
+        attempt_id = CLIENT_REQUEST_ID.encode()
+        engine_side.in_flight.discard(attempt_id)
+        engine_side.connection.data_received(resp.encode(attempt_id, result, b"-", body))
+
+    def _report_progress(self) -> None:
+        engine_side = self._last_attempt_side()
+        if engine_side is not None:
+            message = resp.encode(CLIENT_REQUEST_ID.encode(), b"update", b"-", b"")
+            engine_side.connection.data_received(message)
+
+    def _reset_connection(self) -> None:
+        engine_side = self._last_attempt_side()
+        if engine_side is not None:
+            engine_side.in_flight.clear()
+            engine_side.connection.connection_lost(ConnectionResetError())
+
+    def _break_protocol(self) -> None:
+        engine_side = self._last_attempt_side()
+        if engine_side is not None:
+            engine_side.connection.data_received(b"noise\r\n")
+
+    def _jam_socket(self) -> None:
+        engine_side = self._last_attempt_side()
+        if engine_side is not None:
+            engine_side.is_jammed = True
