--- a/tests/quotas/test_pure.py
+++ b/tests/quotas/test_leases.py
@@ -1,44 +1,30 @@
-"""Shared limits: fair allocation, leases, usage counters, settings; on a simulated clock."""
+"""Leases of a limit under faults and partitions, on a simulated clock."""
 
 from __future__ import annotations
 
-import ast
 import random
 from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 
 from query_broker.emulator.quota_simulation import (
-    BEGIN_NS,
     FaultInjector,
     QuotaSimulation,
     SimulatedConditions,
-    max_concurrent_leases_per_s,
 )
-from query_broker.operator_config.script import OperatorFileError, run_script
 from query_broker.quotas import leadership, voting
-from query_broker.quotas.counters import UsageCounters
-from query_broker.quotas.fair_allocation import DemandForecast, max_min_fair
 from query_broker.quotas.leadership import LeaderElection
-from query_broker.quotas.lease_log import LeaseRecord
-from query_broker.quotas.leases import LeaseManager
-from query_broker.quotas.messages import UsageReport, UsageReports
 from query_broker.quotas.settings import (
     NS_PER_S,
     LimitSettings,
     QuotaKind,
     QuotaSettings,
-    describe,
     expiry_wait_ns,
     holder_duration_ns,
     max_overshoot_per_s,
 )
 from query_broker.quotas.sharding import preferred_leader
 
-from ..support.quota_model import PropertyViolatedError, explore, replay
-
 SETTINGS = QuotaSettings(
     limits=(
         LimitSettings("a", rate=100.0),
@@ -50,37 +36,6 @@
 ROUNDING_ERROR = 1e-6
 
 
-# --- fair allocation ---
-
-
-@given(st.lists(st.floats(0, 100), min_size=1, max_size=20), st.floats(0, 500))
-def test_allocation_meets_demands_up_to_a_common_level(
-    demands: list[float], capacity: float
-) -> None:
-    allocation = max_min_fair(
-        {str(position): demand for position, demand in enumerate(demands)}, capacity
-    )
-    assert sum(allocation.values()) <= capacity + 1e-6
-    assert sum(allocation.values()) == pytest.approx(min(capacity, sum(demands)))
-    level = max(allocation.values())
-    for position, demand in enumerate(demands):
-        allocated = allocation[str(position)]
-        assert allocated <= demand + 1e-9
-        assert allocated >= min(demand, level) - 1e-6
-
-
-def test_forecast_rises_at_once_and_falls_slowly() -> None:
-    forecast = DemandForecast()
-    for demand_per_s in (0, 0, 100):
-        forecast.record(demand_per_s)
-    assert forecast.predicted_per_s() >= 125
-    forecast.record(0)
-    assert 0 < forecast.predicted_per_s() < 100
-
-
-# --- leases ---
-
-
 def settled_simulation(count: int = 10) -> QuotaSimulation:
     """Return brokers with uneven demand for "a", after leaders were elected and have granted."""
     simulation = QuotaSimulation(count, SETTINGS, LIMITS, 1, SimulatedConditions(0.01))
@@ -275,140 +230,3 @@
     remaining = tuple(member for member in members if member != before[0])
     after = {shard: preferred_leader(shard, remaining) for shard in range(8)}
     assert all(after[shard] == before[shard] or before[shard] == before[0] for shard in before)
-
-
-# --- the model checker ---
-
-
-def test_every_order_of_events_among_three_brokers_keeps_two_tokens() -> None:
-    assert explore(3) > 1_000
-
-
-def test_model_checker_finds_a_holder_that_ignores_its_clock(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    def amount_per_s(self: LeaseManager, limit: str, now_ns: int) -> float:
-        lease = self.holder.leases.get(limit)
-        return 0.0 if lease is None else lease.amount_per_s
-
-    monkeypatch.setattr(LeaseManager, "amount_per_s", amount_per_s)
-    with pytest.raises(PropertyViolatedError, match="replay") as violation:
-        explore(3)
-    schedule = ast.literal_eval(str(violation.value).split("replay(", 1)[1][:-1])
-    with pytest.raises(PropertyViolatedError):
-        replay(schedule)
-
-
-@pytest.mark.parametrize(
-    ("other_record", "most_per_s"),
-    [
-        pytest.param(
-            [LeaseRecord(60, "a", 3.0, 80), LeaseRecord(10, "b", 100.0, 500)],
-            5.0,
-            id="after the first was reduced",
-        ),
-        pytest.param([LeaseRecord(40, "a", 3.0, 80)], 8.0, id="while the first is in force"),
-    ],
-)
-def test_records_of_processes_are_added_up_by_time(
-    other_record: list[LeaseRecord], most_per_s: float
-) -> None:
-    record = [
-        LeaseRecord(0, "a", 5.0, 100),
-        LeaseRecord(50, "a", 2.0, 90),
-        LeaseRecord(95, "a", 4.0, 200),
-    ]
-    assert max_concurrent_leases_per_s([record, other_record], "a") == most_per_s
-
-
-# --- usage counters ---
-
-BROKERS = [f"m{number}" for number in range(4)]
-
-
-@pytest.fixture
-def counters() -> UsageCounters:
-    """Return counters that received three reports of each other broker, shuffled and twice."""
-    draw = random.Random(3)
-    counters = UsageCounters("m0", NS_PER_S, draw.random)
-    reports = [
-        UsageReport(broker, version, 0, (("f", float(10 * version)),))
-        for broker in BROKERS[1:]
-        for version in (1, 2, 3)
-    ]
-    draw.shuffle(reports)
-    for report in [*reports, *reports]:
-        counters.receive(BEGIN_NS, UsageReports((report,)), BROKERS)
-    return counters
-
-
-def test_usage_reports_merge_in_any_order(counters: UsageCounters) -> None:
-    assert {known.report.version for known in counters.reports.values()} == {3}
-
-
-def test_even_part_is_ours_whatever_others_use(counters: UsageCounters) -> None:
-    assert counters.quota(BEGIN_NS, "f", 100.0, 4, BROKERS) == (25.0, 0)  # others use 90
-
-
-def test_quota_is_twice_the_own_use_until_reports_are_stale(counters: UsageCounters) -> None:
-    reports = tuple(UsageReport(broker, 4, 0, (("f", 5.0),)) for broker in BROKERS[1:])
-    counters.receive(BEGIN_NS, UsageReports(reports), BROKERS)
-    counters.next_round(BEGIN_NS, {"f": 40.0}, BROKERS)
-    assert counters.quota(BEGIN_NS, "f", 100.0, 4, BROKERS)[0] == 80.0
-    later_ns = BEGIN_NS + 4 * NS_PER_S
-    assert counters.quota(later_ns, "f", 100.0, 4, BROKERS)[0] == 25.0
-
-
-def test_reports_of_strangers_or_of_negative_age_are_ignored(counters: UsageCounters) -> None:
-    newest = tuple(UsageReport(broker, 4, 0, (("f", 5.0),)) for broker in BROKERS[1:])
-    counters.receive(BEGIN_NS, UsageReports(newest), BROKERS)
-    invalid = (UsageReport("stranger", 1, 0, (("f", 0.0),)), UsageReport("m1", 9, -5, ()))
-    counters.receive(BEGIN_NS, UsageReports(invalid), BROKERS)
-    assert "stranger" not in counters.reports
-    assert counters.reports["m1"].report.version == 4
-
-
-# --- the operators' file ---
-
-MEMBERS = 'members(address = "127.0.0.1:1", key_file = "/k", installation = "x")\n'
-
-
-@pytest.mark.parametrize(
-    ("text", "key"),
-    [
-        ('limit("a")', "limit"),
-        ("verdicts()", "verdicts"),
-        (MEMBERS + 'limit("a")\nlimit("a")', "limit.name"),
-        (MEMBERS + 'limit("a", kind = "odd")', "limit.kind"),
-        (MEMBERS + 'limit("f", kind = "further")', "limit.rate"),
-        (MEMBERS + 'limit("w", kind = "work", rate = 1)', "limit.rate"),
-        (MEMBERS + "limits(drift = 0)", "limits.drift"),
-        (MEMBERS + "limits(lease = 0)", "limits.lease"),
-        (MEMBERS + "limits(guaranteed = 0)", "limits.guaranteed"),
-        (MEMBERS + "verdicts(observers = 1)", "verdicts.observers"),
-        (MEMBERS + "verdicts(part = 2)", "verdicts.part"),
-    ],
-    ids=[
-        "limit without members",
-        "verdicts without members",
-        "limit twice",
-        "unknown kind",
-        "retries without a rate",
-        "work with a rate",
-        "no drift",
-        "no lease",
-        "nothing guaranteed",
-        "one observer",
-        "more than all of a zone",
-    ],
-)
-def test_invalid_directive_names_its_key(text: str, key: str) -> None:
-    with pytest.raises(OperatorFileError) as error:
-        run_script("ops.star", text, lambda: False)
-    assert f": {key}: " in str(error.value)
-
-
-def test_check_config_describes_the_bounds_of_each_limit() -> None:
-    text = "\n".join(describe(SETTINGS, 24))
-    assert "0 while clocks differ by less than 1.0%" in text
-    assert "0.96 of it, once" in text
