--- a/tests/membership/test_broker.py
+++ b/tests/membership/test_broker.py
@@ -18,8 +18,8 @@
 )
 from query_broker.emulator.machine import Machine
 from query_broker.membership.messages import Identity
+from query_broker.membership.settings import NS_PER_S
 from query_broker.membership.views import (
-    MembershipView,
     Observation,
     PlacedMember,
     ViewSettings,
@@ -27,31 +27,19 @@
 )
 
 from ..support.sockets import MS, Engine, make_config, on_uvloop, running, target_entry
+from .recording_observer import RecordingObserver
 
 pytestmark = pytest.mark.real_time
 
-S = 1_000 * MS
 BROKERS = 10
-WARM_UP_NS = 12 * S
+WARM_UP_NS = 12 * NS_PER_S
 LOOKUP = "glance"
 REPORT = "report"
 CLASSES = (
-    RequestClass(LOOKUP, S, 5 * S, 1.0),
-    RequestClass(REPORT, 3 * S // 2, 20 * S, 10.0, threads=4),
+    RequestClass(LOOKUP, NS_PER_S, 5 * NS_PER_S, 1.0),
+    RequestClass(REPORT, 3 * NS_PER_S // 2, 20 * NS_PER_S, 10.0, threads=4),
 )
-VIEW_SETTINGS = ViewSettings(max_lost_fraction=1 / 3, settle_ns=5 * S, batch_ns=S)
-
-
-class IgnoringObserver:
-    """Takes no note of views: the test reads them itself."""
-
-    def view_changed(
-        self,
-        view: MembershipView,
-        joined: tuple[Identity, ...],
-        departed: tuple[Identity, ...],
-    ) -> None:
-        pass
+VIEW_SETTINGS = ViewSettings(max_lost_fraction=1 / 3, settle_ns=5 * NS_PER_S, batch_ns=NS_PER_S)
 
 
 class WrongViews:
@@ -73,7 +61,7 @@
         self._engines = engines
         self._broker = broker
         self._own = PlacedMember(index, Identity(f"own{index}:1", b""))
-        self._tracker = ViewTracker(BROKERS, index, VIEW_SETTINGS, IgnoringObserver())
+        self._tracker = ViewTracker(BROKERS, index, VIEW_SETTINGS, RecordingObserver())
         self.sizes = sizes
 
     def publish(self) -> None:
@@ -94,7 +82,7 @@
             self._broker.settings, fleet_size=view.effective_size, broker_index=view.effective_index
         )
         self._broker.report(SettingsChanged(settings))
-        self._sim.call_at(self._sim.now_ns + S, self.publish)
+        self._sim.call_at(self._sim.now_ns + NS_PER_S, self.publish)
 
     def _is_engine_warming_up(self) -> bool:
         started = [engine.machine.started_ns for engine in self._engines.values()]
@@ -104,7 +92,9 @@
 def make_engines(sim: Simulation) -> dict[int, SimulatedEngine]:
     """Return four engines that have just started, and two that start later."""
     return {
-        number: SimulatedEngine(sim, number, Machine(started_ns=BEGIN_NS + (number > 3) * 15 * S))
+        number: SimulatedEngine(
+            sim, number, Machine(started_ns=BEGIN_NS + (number > 3) * 15 * NS_PER_S)
+        )
         for number in range(6)
     }
 
@@ -116,7 +106,7 @@
         broker_index=index,
         tick_ns=25 * MS,
         kind_cores=(("std", 8),),
-        limits=Limits(health_checks=True, max_attempts=3, max_retry_after_ns=2 * S),
+        limits=Limits(health_checks=True, max_attempts=3, max_retry_after_ns=2 * NS_PER_S),
         contract=Contract(
             warmup_initial_capacity=0.36,
             warmup_ns=WARM_UP_NS,
@@ -133,13 +123,13 @@
     def arrive() -> None:
         sim.call_at(sim.now_ns + int(sim.random.expovariate(1) * 8 * MS), arrive)
         is_report = sim.random.random() < 0.1
-        work = sim.random.uniform(0.5, 1.5) * (4 * S if is_report else S // 5)
+        work = sim.random.uniform(0.5, 1.5) * (4 * NS_PER_S if is_report else NS_PER_S // 5)
         broker = sim.random.choice(brokers)
         request_id = str(next(count))
         if is_report:
-            broker.send_request(request_id, REPORT, work, 4, 20 * S)
+            broker.send_request(request_id, REPORT, work, 4, 20 * NS_PER_S)
         else:
-            broker.send_request(request_id, LOOKUP, work, 1, 5 * S)
+            broker.send_request(request_id, LOOKUP, work, 1, 5 * NS_PER_S)
 
     arrive()
 
@@ -163,7 +153,7 @@
     sim.run(40)
     assert not [number for number, engine in engines.items() if engine.machine.crashed]
     requests = [request for broker in brokers for request in broker.requests.values()]
-    due = [request for request in requests if request[0] < sim.now_ns - 21 * S]
+    due = [request for request in requests if request[0] < sim.now_ns - 21 * NS_PER_S]
     assert len(due) > 500
     assert all(answer for _, _, answer, _ in due)
     assert sum(is_served for _, _, _, is_served in due) > 0.2 * len(due)
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -56,7 +56,7 @@
     return detection_bounds(SETTINGS, size).removed.worst_s
 
 
-def is_held_by_any(identity: Identity, members: Iterable[SimulatedMember]) -> bool:
+def is_present_at_any(identity: Identity, members: Iterable[SimulatedMember]) -> bool:
     return any(identity in member.detector.present() for member in members)
 
 
@@ -93,7 +93,7 @@
             cluster.restart(number, seeds)
         assert cluster.run(30, cluster.agree), first
         for identity in former:
-            assert not is_held_by_any(identity, cluster.members)
+            assert not is_present_at_any(identity, cluster.members)
 
 
 def test_another_process_at_an_address_replaces_the_former_before_its_suspicion_ends() -> None:
@@ -105,7 +105,7 @@
     assert successor.address == former.address
     assert successor != former
     cluster.run(5)
-    assert not is_held_by_any(former, cluster.living())
+    assert not is_present_at_any(former, cluster.living())
     for member in cluster.living():
         assert successor in {*member.detector.present(), member.detector.me}
 
@@ -203,7 +203,7 @@
     assert late == []
 
 
-def test_a_member_that_nobody_hears_is_removed_and_returns() -> None:
+def test_a_member_that_no_other_hears_is_removed_and_returns() -> None:
     cluster = start_cluster(loss=cut_between(10, 50, lambda sender, receiver: sender == 3))
     others = [member for member in cluster.members if member.number != 3]
     cluster.run(40)
@@ -225,15 +225,15 @@
     )
     cluster.run(60)
     for member in cluster.members:
-        held = {identity.address for identity in member.detector.present()}
+        present = {identity.address for identity in member.detector.present()}
         reachable = {
             other.address
             for other in cluster.members
             if side(other.number) == side(member.number) and other is not member
         }
-        assert held >= reachable
+        assert present >= reachable
         # Few that hear few doubt themselves first, and are slow to accuse.
-        assert len(reachable) < 7 or held == reachable
+        assert len(reachable) < 7 or present == reachable
     messages_before = cluster.messages
     healed_ns = cluster.now
     assert cluster.run(60, cluster.agree)
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize(("paused", "seconds"), PAUSES.values(), ids=PAUSES)
-def test_members_that_were_paused_accuse_nobody_when_they_wake(
+def test_members_that_were_paused_accuse_no_other_when_they_wake(
     paused: Iterable[int], seconds: float
 ) -> None:
     cluster = start_cluster()
@@ -312,7 +312,7 @@
     )
 
 
-def test_a_member_that_lies_about_all_others_removes_and_revives_nobody() -> None:
+def test_a_member_that_lies_about_all_others_removes_and_revives_no_member() -> None:
     size = 12
     cluster = start_cluster(size)
     cluster.kill([5])
@@ -324,7 +324,7 @@
         cluster.run(1)
     cluster.run(evidence_limit_ns(SETTINGS.interval_ns, size) / NS_PER_S)
     assert not wrong_removals(cluster)
-    assert not is_held_by_any(dead.me, cluster.living())
+    assert not is_present_at_any(dead.me, cluster.living())
 
 
 def test_a_message_to_the_former_process_says_nothing_of_its_sender() -> None:
@@ -344,7 +344,7 @@
     assert answer.responder == receiver.me
 
 
-def test_members_that_are_gone_are_forgotten() -> None:
+def test_members_that_have_ended_are_forgotten() -> None:
     detector = make_detector("h:1")
     for number in range(300):
         chain = IncarnationChain(b"%d" % number, CHECKPOINT_INTERVAL)
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -3,9 +3,13 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from pathlib import Path
 
 import pytest
+from click.testing import CliRunner
 
+from query_broker.cli.main import main
+from query_broker.emulator.cluster import platform_settings as cluster_settings
 from query_broker.membership.settings import NS_PER_S
 from query_broker.membership.timing import (
     describe_bounds,
@@ -15,7 +19,9 @@
 )
 from query_broker.operator_config.script import OperatorFileError, run_script
 
+from ..support.member_processes import members_directive
 from ..support.members_support import SETTINGS
+from ..support.sockets import write_config
 
 SIZES = (3, 24, 1_000)
 GOOD = 'members(address = "127.0.0.1:7000", key_file = "/k", installation = "x"'
@@ -71,3 +77,13 @@
 
 def test_bounds_are_described_to_operators() -> None:
     assert any("uncertain" in line for line in describe_bounds(SETTINGS, 24))
+
+
+def test_check_config_prints_the_bounds(tmp_path: Path) -> None:
+    env = write_config(tmp_path, settings={**cluster_settings(), "fleet_size": 24})
+    script = tmp_path / "ops.star"
+    script.write_text(members_directive(0, 7000, "127.0.0.1:7001", tmp_path / "keys", []))
+    result = CliRunner().invoke(main, ["check-config", "--operator-file", str(script)], env=env)
+    assert result.exit_code == 0
+    assert "removed by all after" in result.output
+    assert "uncertain" in result.output
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -19,22 +19,9 @@
     ViewTracker,
 )
 
-VIEW_SETTINGS = ViewSettings(max_lost_fraction=1 / 3, settle_ns=5 * NS_PER_S, batch_ns=NS_PER_S)
-
-
-class RecordingObserver:
-    """Records the published views."""
+from .recording_observer import RecordingObserver
 
-    def __init__(self) -> None:
-        self.views: list[MembershipView] = []
-
-    def view_changed(
-        self,
-        view: MembershipView,
-        joined: tuple[Identity, ...],
-        departed: tuple[Identity, ...],
-    ) -> None:
-        self.views.append(view)
+VIEW_SETTINGS = ViewSettings(max_lost_fraction=1 / 3, settle_ns=5 * NS_PER_S, batch_ns=NS_PER_S)
 
 
 def make_tracker(configured_size: int, configured_index: int = 0) -> ViewTracker:
--- a/tests/quotas/test_limits_between_processes.py
+++ b/tests/quotas/test_limits_between_processes.py
@@ -30,7 +30,6 @@
 
 pytestmark = pytest.mark.real_time
 
-
 LEASED_PER_S = 100.0 * 0.8
 BUSY = 0
 
