--- /dev/null
+++ b/tests/decisions/harness_steps.py
@@ -0,0 +1,17 @@
+"""Set-up and events that the tests of the rules share."""
+
+from __future__ import annotations
+
+from query_broker import decisions as api
+
+from ..support.helpers import Harness, make_settings, query_class
+
+
+def change_list(harness: Harness, *entries: api.EndpointEntry) -> None:
+    """Let the endpoint list report changed entries."""
+    harness.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, entries))
+
+
+def non_idempotent_harness(*entries: api.EndpointEntry) -> Harness:
+    """Return a harness whose one request class must not run twice."""
+    return Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), *entries)
--- a/tests/decisions/test_fuzzy_control.py
+++ b/tests/decisions/test_fuzzy_control.py
@@ -24,14 +24,15 @@
 """
 
 
-def test_rule_base_is_table_2() -> None:
+def test_rule_base_is_table_2_of_the_paper() -> None:
     rows = [line.split() for line in TABLE_2.strip().splitlines()]
-    for e, row in enumerate(rows):
-        for c, name in enumerate(row):
-            assert NAMES[output_level(e - 4, c - 4) + 4] == name, (NAMES[e], NAMES[c])
+    for error, row in enumerate(rows):
+        for change, name in enumerate(row):
+            level = output_level(error - 4, change - 4)
+            assert NAMES[level + 4] == name, (NAMES[error], NAMES[change])
 
 
-def test_paper_example() -> None:
+def test_step_is_that_of_the_papers_example() -> None:
     """Section 5.1: e = -0.2 s and change = -0.4 s over +-1 s give -57.15, centres up to 100."""
     assert dict(memberships(-0.2, 4)) == pytest.approx({-1: 0.8, 0: 0.2})
     assert dict(memberships(-0.4, 4)) == pytest.approx({-2: 0.6, -1: 0.4})
@@ -62,7 +63,7 @@
     engine.bound_used = True
     engine.delays = [0.1]
     harness.pass_time(S)
-    # PVL with ZE gives PL
+    # PVL with ZE gives PL.
     assert engine.bound_ns - start == pytest.approx(
         start * CEILING_MULTIPLE * LARGEST_STEP_FRACTION * 3 / 4
     )
@@ -79,7 +80,7 @@
 
 
 @pytest.mark.parametrize("factor", [0.0, 4.0])
-def test_empty_period_steps_toward_the_start(factor: float) -> None:
+def test_empty_period_moves_the_bound_toward_its_initial_value(factor: float) -> None:
     harness, _ = one_engine()
     engine = harness.controller.endpoints[1]
     start = engine.bound_ns
@@ -89,9 +90,7 @@
 
 
 def test_quiet_periods_do_not_wind_the_bound_up() -> None:
-    """Prevents: good delays without pressure would raise the bound to its ceiling before a
-    traffic jump.
-    """
+    """Good delays without pressure would raise the bound to its ceiling before a traffic jump."""
     harness, _ = one_engine()
     engine = harness.controller.endpoints[1]
     start = engine.bound_ns
@@ -118,7 +117,7 @@
     assert harness.backlog() == 0
 
 
-def test_backlog_after_departure_and_repeated_outcome() -> None:
+def test_backlog_is_empty_after_an_abandoned_request_and_a_repeated_outcome() -> None:
     harness, _ = one_engine()
     harness.arrive("r", estimate_ns=80 * MS)
     actions = harness.do(api.RequestAbandoned("r"))
@@ -129,21 +128,21 @@
     assert not harness.answers("r")
 
 
-def crowd(harness: Harness, count: int, estimate: int) -> None:
+def send_crowd(harness: Harness, count: int, estimate: int) -> None:
     for index in range(count):
         harness.arrive(f"c{index}", estimate_ns=estimate)
 
 
-def test_fits_and_misfits() -> None:
+def test_request_that_does_not_fit_is_rejected_under_pressure_only() -> None:
     harness, _ = one_engine()
-    crowd(harness, 6, estimate=100 * MS)
+    send_crowd(harness, 6, estimate=100 * MS)
     engine = harness.controller.endpoints[1]
     engine.full_until_ns = harness.now + S
     harness.arrive("fits", estimate_ns=100 * MS)
     assert harness.sends("fits")
     harness.arrive("misfit", estimate_ns=60 * S, patience=99 * S)
     (answer,) = harness.answers("misfit")
-    # one of eight arrivals refused
+    # One of eight arrivals is rejected.
     assert isinstance(answer, api.Reject)
     assert answer.retry_after_ns == S // 8
     engine.full_until_ns = 0
@@ -151,15 +150,15 @@
     assert harness.sends("no pressure")
 
 
-def test_own_threads_past_two_a_core_are_pressure() -> None:
-    """Prevents: a jam shows in delays only after it; the thread count shows it before."""
+def test_own_threads_past_two_a_core_count_as_pressure() -> None:
+    """An overload shows in delays only after it; the thread count shows it before."""
     harness, _ = one_engine()
-    crowd(harness, 40, estimate=300 * MS)
-    taken = sum(1 for index in range(40) if harness.sends(f"c{index}"))
-    assert 8 <= taken < 16
+    send_crowd(harness, 40, estimate=300 * MS)
+    admitted = sum(1 for index in range(40) if harness.sends(f"c{index}"))
+    assert 8 <= admitted < 16
 
 
-def test_nothing_outstanding_admits_whatever_the_bound() -> None:
+def test_request_is_admitted_with_nothing_in_flight_whatever_the_bound() -> None:
     harness, _ = one_engine()
     harness.controller.endpoints[1].bound_ns = 0.0
     harness.controller.endpoints[1].full_until_ns = harness.now + S
@@ -168,26 +167,28 @@
 
 
 @pytest.mark.parametrize("entries", [(), (entry(1, state=api.EndpointState.DRAINING),)])
-def test_no_engine_is_refused_at_once(entries: tuple[api.EndpointEntry, ...]) -> None:
+def test_request_without_a_ready_engine_is_rejected_at_once(
+    entries: tuple[api.EndpointEntry, ...],
+) -> None:
     harness = Harness(make_settings(), *entries)
     harness.arrive("r")
     assert isinstance(harness.answers("r")[0], api.Reject)
 
 
-def test_estimates_learn_from_calm_sends_only() -> None:
-    """Prevents: a jam's latencies make every query look large, its aim too, and the bound stays
-    open.
+def test_estimates_learn_from_calm_dispatches_only() -> None:
+    """The latencies of an overload would make every query look large, its latency objective too,
+    and the bound would stay open.
     """
     harness, _ = one_engine()
     view = harness.controller.admission.classes.by_name["short"]
-    crowd(harness, 8, estimate=100 * MS)
+    send_crowd(harness, 8, estimate=100 * MS)
     for index in range(8):
         harness.end(f"c{index}", api.AttemptResult.SERVED, latency=4 * S)
-    calm = view.answers
-    assert 0 < calm < 8
+    calm_answers = view.answers
+    assert 0 < calm_answers < 8
 
 
-def test_over_share_traffic_is_refused_first_under_pressure() -> None:
+def test_over_quota_traffic_is_rejected_first_under_pressure() -> None:
     harness, _ = one_engine(tenants=(api.Tenant("x", 2.0), api.Tenant("y", 2.0)))
     engine = harness.controller.endpoints[1]
     for index in range(8):
@@ -199,7 +200,7 @@
     assert harness.sends("first y")
 
 
-def test_slow_and_failing_engines_draw_less() -> None:
+def test_failing_engine_gets_fewer_requests() -> None:
     harness = Harness(make_settings(), entry(1), entry(2))
     harness.controller.endpoints[1].failure_rate = 0.9
     for index in range(40):
@@ -209,19 +210,20 @@
 
 
 def test_loads_keep_apart_from_readers() -> None:
-    """Prevents: a load stops the readers of its data set on its engine."""
+    """A load stops the readers of its data set on its engine."""
     load = query_class("load", is_load=True)
     reader = query_class("short", blocked_by_loads=True)
     harness = Harness(make_settings(reader, load), *(entry(index) for index in range(6)))
-    where: dict[str, list[int]] = {"load": [], "short": []}
+    endpoints: dict[str, list[int]] = {"load": [], "short": []}
     for index in range(160):
         name = "load" if index % 2 else "short"
         harness.arrive(f"r{index}", name, data_set=3, estimate_ns=10 * MS)
-        where[name].append(harness.sends(f"r{index}")[0].endpoint)
+        endpoints[name].append(harness.sends(f"r{index}")[0].endpoint)
         harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
-    homes = sorted(set(where["load"]), key=where["load"].count)[-2:]
-    assert sum(e in homes for e in where["load"]) > 56
-    assert sum(e in homes for e in where["short"]) < 18
+    load_endpoints = endpoints["load"]
+    homes = sorted(set(load_endpoints), key=load_endpoints.count)[-2:]
+    assert sum(endpoint in homes for endpoint in endpoints["load"]) > 56
+    assert sum(endpoint in homes for endpoint in endpoints["short"]) < 18
 
 
 def test_readers_avoid_an_engine_where_our_load_runs() -> None:
@@ -232,23 +234,19 @@
     for index in range(20):
         harness.arrive(f"r{index}", data_set=3, estimate_ns=10 * MS)
         harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
-    assert (
-        sum(
-            harness.sends(f"r{index}")[0].endpoint == harness.sends("load")[0].endpoint
-            for index in range(20)
-        )
-        < 6
-    )
+    load_endpoint = harness.sends("load")[0].endpoint
+    reader_endpoints = [harness.sends(f"r{index}")[0].endpoint for index in range(20)]
+    assert reader_endpoints.count(load_endpoint) < 6
 
 
-def test_classes_need_a_known_name() -> None:
+def test_request_of_an_unknown_class_is_rejected_by_name() -> None:
     harness = Harness(make_settings(query_class("short")), entry(1))
     with pytest.raises(ValueError, match="class_name"):
         harness.arrive("r", "unheard")
 
 
-def test_marked_retries_take_no_tokens_of_the_share() -> None:
-    """Prevents: refused excess comes back and takes the tokens of new requests within the share."""
+def test_marked_retries_take_no_tokens_of_the_quota() -> None:
+    """Rejected excess would come back and take the tokens of new requests within the quota."""
     harness, _ = one_engine(tenants=(api.Tenant("x", 4.0),))
     for index in range(30):
         harness.arrive(f"again{index}", tenant="x", estimate_ns=MS, is_retry=True)
@@ -257,12 +255,12 @@
     assert not harness.controller.requests["new"].over_quota
 
 
-def test_grants_of_queries_that_fit_by_estimate_leave_room_for_each_other() -> None:
-    """Prevents: a pool of engines whose memory is granted twice over makes every second query
-    spill.
-    """
+def test_grants_of_queries_that_fit_by_estimate_leave_memory_for_each_other() -> None:
+    """Engines whose memory is granted twice over would make every second query spill."""
     harness = Harness(make_settings(memory_grants=True), entry(1))
     harness.arrive("r", estimate_ns=MS, memory_mb=100.0)
-    granted = [a.memory_mb for _, a in harness.log if isinstance(a, api.DispatchOptions)]
+    granted = [
+        order.memory_mb for _, order in harness.log if isinstance(order, api.DispatchOptions)
+    ]
     assert len(granted) == 1
     assert 100.0 < granted[0] <= 130.0
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""Engines that answer nothing, are out of reach, or ran past what is plausible."""
+"""Outliers: engines that answer nothing, are out of reach, or fail; and what is no evidence."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 
 
 def drive(harness: Harness, count: int, silent: int, prefix: str = "r") -> list[int]:
-    """Send queries 50 ms apart; only the engine that is not silent answers. Returns where they
-    went.
+    """Send queries 50 ms apart, which all engines but the silent one answer.
+
+    Returns the endpoint of each attempt.
     """
-    went = []
+    endpoints = []
     for index in range(count):
         name = f"{prefix}{index}"
         harness.arrive(name, estimate_ns=40 * MS, patience=60 * S)
-        for send in harness.sends(name):
-            went.append(send.endpoint)
-            if send.endpoint != silent:
+        for dispatch in harness.sends(name):
+            endpoints.append(dispatch.endpoint)
+            if dispatch.endpoint != silent:
                 harness.end(name, api.AttemptResult.SERVED, latency=40 * MS)
         harness.pass_time(50 * MS)
-    return went
+    return endpoints
 
 
 def test_silent_engine_gets_single_trials_only() -> None:
-    """Prevents: an engine takes work and answers nothing; without a judgement half of all work
-    goes there.
+    """An engine takes work and answers nothing; were it not ejected, half of all work would go
+    there.
     """
     harness = two_engines()
     drive(harness, 20, silent=1)
@@ -38,15 +39,15 @@
     assert later.count(1) <= 5
 
 
-def test_one_answer_is_the_way_back() -> None:
+def test_one_answer_readmits_an_ejected_engine() -> None:
     harness = two_engines()
-    went = drive(harness, 40, silent=1)
+    endpoints = drive(harness, 40, silent=1)
     assert harness.controller.endpoints[1].ejected
-    harness.end(f"r{went.index(1)}", api.AttemptResult.SERVED, latency=2 * S)
+    harness.end(f"r{endpoints.index(1)}", api.AttemptResult.SERVED, latency=2 * S)
     assert not harness.controller.endpoints[1].ejected
 
 
-def test_never_judge_all_engines_unfit() -> None:
+def test_request_is_dispatched_even_if_all_engines_are_ejected() -> None:
     harness = two_engines()
     for engine in harness.controller.endpoints.values():
         engine.ejected = True
@@ -55,19 +56,17 @@
     assert harness.sends("r")
 
 
-def test_refused_connection_is_a_quick_sign() -> None:
+def test_refused_connection_ejects_an_engine_at_once() -> None:
     harness = two_engines()
     harness.arrive("r", estimate_ns=40 * MS)
     harness.end("r", api.AttemptResult.CONNECT_FAILED)
-    first, second = (s.endpoint for s in harness.sends("r"))
+    first, second = (dispatch.endpoint for dispatch in harness.sends("r"))
     assert first != second
     assert harness.controller.endpoints[first].ejected
 
 
-def test_one_reset_excludes_no_engine_a_second_soon_after_does() -> None:
-    """Prevents: connections are reset for many reasons; each would cost the pool an engine for
-    a second.
-    """
+def test_one_reset_ejects_no_engine_a_second_soon_after_does() -> None:
+    """Connections are reset for many reasons; each would cost the pool an engine for a second."""
     harness = Harness(make_settings(), entry(1))
     harness.arrive("a", estimate_ns=40 * MS)
     harness.arrive("b", estimate_ns=40 * MS)
@@ -77,21 +76,19 @@
     assert harness.controller.endpoints[1].ejected
 
 
-def test_errors_weigh_in_the_draw_and_hold_no_engine_out() -> None:
-    """Prevents: an engine that fails fast looks idle and draws nearly all; held out, its good
-    half is lost.
+def test_errors_lower_an_engines_part_and_eject_none() -> None:
+    """An engine that fails fast looks idle and would get nearly all; were it ejected, its good
+    half would be lost.
     """
     harness = two_engines()
     bad = harness.controller.endpoints[1]
     for index in range(200):
         harness.arrive(f"r{index}", estimate_ns=40 * MS)
-        errs = harness.sends(f"r{index}")[-1].endpoint == 1 and index % 3 > 0
-        harness.end(f"r{index}", api.AttemptResult.ERROR if errs else api.AttemptResult.SERVED)
-        if errs:
-            assert [s.endpoint for s in harness.sends(f"r{index}")] == [
-                1,
-                2,
-            ]  # never again where it erred
+        fails = harness.sends(f"r{index}")[-1].endpoint == 1 and index % 3 > 0
+        harness.end(f"r{index}", api.AttemptResult.ERROR if fails else api.AttemptResult.SERVED)
+        if fails:
+            endpoints = [dispatch.endpoint for dispatch in harness.sends(f"r{index}")]
+            assert endpoints == [1, 2]  # no attempt is retried where it failed
             harness.end(f"r{index}", api.AttemptResult.SERVED)
     first = [harness.sends(f"r{index}")[0].endpoint for index in range(100, 200)].count(1)
     assert 0 < first < 25
@@ -99,57 +96,58 @@
     assert not bad.ejected
 
 
-def test_what_no_engine_can_read_makes_none_look_worse_than_the_others() -> None:
-    """Prevents: what a client sends and no engine can read would make every engine look as if
-    it failed.
-    """
+def test_request_that_no_engine_can_read_makes_none_look_worse_than_the_others() -> None:
+    """What a client sends and no engine can read would make every engine look as if it failed."""
     harness = two_engines()
     for index in range(20):
         harness.arrive(f"bad{index}", estimate_ns=40 * MS)
         while not harness.answers(f"bad{index}"):
             harness.end(f"bad{index}", api.AttemptResult.ERROR)
-        assert len(harness.sends(f"bad{index}")) == 2  # a second error ends it
+        assert len(harness.sends(f"bad{index}")) == 2  # no retry follows a second error
     one, other = harness.controller.endpoints.values()
     assert one.failure_rate == other.failure_rate == 0.0
     assert abs(one.error_rate - other.error_rate) < 1e-9
 
 
-def test_unsafe_work_keeps_away_from_an_engine_that_errs() -> None:
-    """Prevents: an error there may have run: it is lost, where safe work goes on elsewhere."""
+def test_non_idempotent_work_avoids_an_engine_that_fails() -> None:
+    """What fails there may have run and is lost, where idempotent work is retried elsewhere."""
     load = query_class("load", effect=api.Effect.NON_IDEMPOTENT)
     harness = Harness(make_settings(query_class(), load), entry(1), entry(2))
     harness.controller.endpoints[1].error_rate = 0.5
-    went: dict[str, int] = {}
+    dispatches_to_failing = {"short": 0, "load": 0}
     for name in ("short", "load"):
         for index in range(300):
             harness.arrive(f"{name}{index}", name, estimate_ns=10 * MS)
-            went[name] = went.get(name, 0) + (harness.sends(f"{name}{index}")[0].endpoint == 1)
+            is_to_failing = harness.sends(f"{name}{index}")[0].endpoint == 1
+            dispatches_to_failing[name] += is_to_failing
             harness.end(f"{name}{index}", api.AttemptResult.CANCELLED, finished=True)
-    assert went["load"] < went["short"] / 3
+    assert dispatches_to_failing["load"] < dispatches_to_failing["short"] / 3
 
 
-def test_what_is_refused_at_once_moves_no_mean_and_is_not_kept() -> None:
-    """Prevents: a client's figure of 10^7 ms moved the mean work, and with it every bound:
-    engines jammed.
-    """
-    harness = two_engines()
-    before = (
-        harness.controller.selector.capacity.mean_work_ns,
-        harness.controller.selector.capacity.mean_priority_weight,
+def means_and_timers(harness: Harness) -> tuple[float, float, int]:
+    """Return the mean work, the mean priority weight, and the number of timers."""
+    capacity = harness.controller.selector.capacity
+    return (
+        capacity.mean_work_ns,
+        capacity.mean_priority_weight,
         len(harness.controller.orders.timers),
     )
+
+
+def test_request_rejected_at_once_moves_no_mean_and_leaves_no_record() -> None:
+    """A client's estimate of 10^7 ms would move the mean work, and with it every bound, and
+    engines would be overloaded.
+    """
+    harness = two_engines()
+    before = means_and_timers(harness)
     for index in range(50):
         harness.arrive(f"r{index}", estimate_ns=10_000 * S)
         assert isinstance(harness.answers(f"r{index}")[0], api.Reject)
-    assert (
-        harness.controller.selector.capacity.mean_work_ns,
-        harness.controller.selector.capacity.mean_priority_weight,
-        len(harness.controller.orders.timers),
-    ) == before
+    assert means_and_timers(harness) == before
     assert not harness.controller.requests
 
 
-def test_books_of_data_sets_are_bounded() -> None:
+def test_records_of_data_sets_are_bounded() -> None:
     load = query_class(is_load=True, deadline_ns=60 * S)
     harness = Harness(
         make_settings(load, query_class("reader", blocked_by_loads=True)), entry(1), entry(2)
@@ -161,7 +159,7 @@
     assert not harness.controller.affinity.loads_in_flight
 
 
-def test_unsafe_work_is_no_trial() -> None:
+def test_non_idempotent_work_is_no_trial_of_an_ejected_engine() -> None:
     harness = Harness(
         make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1), entry(2)
     )
@@ -172,7 +170,7 @@
     assert all(harness.sends(f"r{index}")[0].endpoint == 2 for index in range(20))
 
 
-def test_a_note_is_a_sign_of_life() -> None:
+def test_a_progress_message_counts_as_activity() -> None:
     harness = Harness(make_settings(), entry(1))
     harness.arrive("r", estimate_ns=2 * S)
     harness.now += 2 * S
@@ -180,7 +178,7 @@
     assert harness.controller.endpoints[1].last_activity_ns == harness.now
 
 
-def test_no_cancel_where_it_is_not_heeded() -> None:
+def test_no_attempt_is_cancelled_where_engines_do_not_honour_it() -> None:
     limits = api.Limits(cancellation=False, max_attempts=4)
     harness = Harness(make_settings(limits=limits), entry(1), entry(2))
     harness.arrive("r", estimate_ns=2 * S)
@@ -189,11 +187,11 @@
         api.AttemptProgress("r", 0, harness.sends("r")[0].endpoint, api.ProgressKind.PROGRESS, 0.1)
     )
     harness.pass_time(9 * S)
-    assert not [a for _, a in harness.log if isinstance(a, api.CancelAttempt)]
+    assert not [order for _, order in harness.log if isinstance(order, api.CancelAttempt)]
 
 
-def test_key_queue_longer_than_the_aim_is_refused_at_once() -> None:
-    """Prevents: a hot key's queue makes all of it late and sends the last with no time left."""
+def test_key_queue_longer_than_the_latency_objective_is_rejected_at_once() -> None:
+    """A hot key's queue would make all of it late, and dispatch the last with no time left."""
     harness = Harness(make_settings(query_class(ordered_by_key=True, deadline_ns=60 * S)), entry(1))
     for index in range(6):
         harness.arrive(f"r{index}", key="k", estimate_ns=200 * MS, patience=60 * S)
@@ -202,8 +200,8 @@
     assert isinstance(harness.answers("r5")[0], api.Reject)
 
 
-def test_full_engine_with_nothing_of_ours_is_tried_once_a_second() -> None:
-    """Prevents: it admits, turns away and is asked again without end, which feeds the jam."""
+def test_full_engine_with_nothing_in_flight_from_here_is_tried_once_a_second() -> None:
+    """It would be tried and reject again without end, which feeds the overload."""
     harness = Harness(make_settings(), entry(1))
     for index in range(50):
         harness.arrive(f"r{index}", estimate_ns=MS)
--- a/tests/decisions/test_many_brokers.py
+++ b/tests/decisions/test_many_brokers.py
@@ -1,6 +1,4 @@
-"""Many gateways: the departures that act where one gateway's share of an engine is under one
-query.
-"""
+"""Many brokers: what acts only where one broker's quota of an engine is less than one query."""
 
 from __future__ import annotations
 
@@ -13,11 +11,11 @@
 from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
 
 
-def many(count: int = 8, fleet: int = 100, seed: int = 7, **more: Any) -> Harness:
+def many_brokers(count: int = 8, fleet: int = 100, seed: int = 7, **more: Any) -> Harness:
     classes = more.pop("classes", (query_class(deadline_ns=60 * S),))
     kinds = more.pop("kinds", ["box"])
     settings = make_settings(
-        *classes, fleet_size=fleet, kind_cores=tuple((k, 4) for k in kinds), **more
+        *classes, fleet_size=fleet, kind_cores=tuple((kind, 4) for kind in kinds), **more
     )
     return Harness(
         settings,
@@ -26,26 +24,24 @@
     )
 
 
-def fill(harness: Harness, count: int) -> None:
+def fill_engines(harness: Harness, count: int) -> None:
     for index in range(count):
-        harness.arrive(f"fill{index}", estimate_ns=400 * MS, patience=60 * S)
+        harness.arrive(f"fill_engines{index}", estimate_ns=400 * MS, patience=60 * S)
 
 
-def test_pool_bound_refuses_where_no_engine_of_its_own_would() -> None:
-    """Prevents: with many gateways nothing is outstanding on most engines, and all would be let
-    in.
-    """
-    harness = many()
-    fill(harness, 3)
+def test_pool_bound_rejects_where_no_bound_of_an_engine_would() -> None:
+    """With many brokers nothing is in flight on most engines, and all would be admitted."""
+    harness = many_brokers()
+    fill_engines(harness, 3)
     harness.controller.pool.limit.full_until_ns = harness.now + S
     harness.controller.pool.limit.bound_ns = 0.0
     harness.arrive("r", estimate_ns=400 * MS)
     assert isinstance(harness.answers("r")[0], api.Reject)
 
 
-def test_pool_stands_aside_with_one_gateway() -> None:
-    harness = many(fleet=1)
-    fill(harness, 3)
+def test_pool_bound_is_not_used_with_one_broker() -> None:
+    harness = many_brokers(fleet=1)
+    fill_engines(harness, 3)
     harness.controller.pool.limit.full_until_ns = harness.now + S
     harness.controller.pool.limit.bound_ns = 0.0
     harness.arrive("r", estimate_ns=400 * MS)
@@ -53,8 +49,8 @@
     assert harness.sends("r")
 
 
-def test_pool_follows_the_list() -> None:
-    harness = many(count=8)
+def test_pool_bound_follows_the_endpoint_list() -> None:
+    harness = many_brokers(count=8)
     before = harness.controller.pool.limit.initial_bound_ns
     harness.do(
         api.EndpointListUpdate(
@@ -67,20 +63,20 @@
     )
 
 
-def test_chance_is_no_crowd_but_lasting_threads_are() -> None:
-    """Prevents: few threads pass one gateway's share by chance; their mean over seconds tells."""
-    harness = many()
-    fill(harness, 3)
+def test_threads_in_flight_by_chance_are_no_crowd_but_lasting_ones_are() -> None:
+    """Few threads exceed one broker's quota by chance; their mean over seconds shows it."""
+    harness = many_brokers()
+    fill_engines(harness, 3)
     pool = harness.controller.pool.limit
     assert pool.threads_in_flight > pool.thread_quota
     assert pool.crowding(harness.now, 0) < 1
     assert pool.crowding(harness.now + 20 * S, 0) > 1
 
 
-def test_under_pressure_worth_per_work_decides() -> None:
-    """Prevents: large queries fill the bound and small ones of the same worth are refused."""
-    harness = many()
-    fill(harness, 4)
+def test_under_pressure_priority_weight_per_work_decides() -> None:
+    """Large queries would fill the bound, and small ones of the same weight be rejected."""
+    harness = many_brokers()
+    fill_engines(harness, 4)
     pool = harness.controller.pool.limit
     pool.full_until_ns = harness.now + S
     pool.bound_ns = pool.backlog_ns + 1.0 * MS
@@ -90,9 +86,9 @@
     assert harness.answers("large")
 
 
-def test_stall_of_the_gateway_is_no_engines_silence_or_delay() -> None:
-    """Prevents: a gateway stands still, then finds every engine silent and every answer late."""
-    harness = many(count=2, fleet=1)
+def test_stall_of_the_broker_is_no_engines_silence_or_delay() -> None:
+    """A broker that stood still would find every engine silent and every answer late."""
+    harness = many_brokers(count=2, fleet=1)
     harness.arrive("r", estimate_ns=40 * MS, patience=60 * S)
     engine = harness.controller.endpoints[harness.sends("r")[0].endpoint]
     harness.now += 3 * S  # no timer fired meanwhile
@@ -103,48 +99,48 @@
     assert not engine.delays
 
 
-def test_overdue_safe_query_gets_a_second_copy_and_the_loser_is_cancelled() -> None:
-    """Prevents: the work ran but its answer is lost; the engine shows no sign."""
+def test_overdue_idempotent_query_is_hedged_and_the_loser_is_cancelled() -> None:
+    """The work ran but its answer is lost, and the engine shows no fault."""
     limits = api.Limits(cancellation=True, hedging=True, max_attempts=3)
-    harness = many(count=3, fleet=1, limits=limits)
+    harness = many_brokers(count=3, fleet=1, limits=limits)
     harness.arrive("r", estimate_ns=40 * MS, patience=60 * S)
     harness.pass_time(200 * MS)
-    assert len({s.endpoint for s in harness.sends("r")}) == 2
+    assert len({dispatch.endpoint for dispatch in harness.sends("r")}) == 2
     assert api.CancelAttempt("r", 0) in harness.end("r", api.AttemptResult.SERVED, attempt=1)
 
 
 def test_unknown_event_is_a_type_error() -> None:
     with pytest.raises(TypeError, match="str"):
-        many().controller.handle(0, "hello")  # type: ignore[arg-type]
+        many_brokers().controller.handle(0, "hello")  # type: ignore[arg-type]
 
 
-def test_failures_of_a_few_foretell_their_kind() -> None:
-    """Prevents: a room or a kind is lost at once and each engine is met too seldom to tell."""
-    harness = many(kinds=["good", "bad"])  # engines 2, 4 .. are good, 1, 3 .. bad
+def test_failures_of_a_few_count_against_their_kind() -> None:
+    """A zone or a kind may be lost at once, with too few attempts at each engine to tell."""
+    harness = many_brokers(kinds=["good", "bad"])  # engines 2, 4 .. are good, 1, 3 .. are bad
     for engine in (1, 3):
         for _ in range(3):
             harness.controller.outliers.record(harness.controller.endpoints[engine], True)
     for engine in (2, 4, 2, 4, 2, 4):
         harness.controller.outliers.record(harness.controller.endpoints[engine], False)
-    went = []
+    endpoints = []
     for index in range(60):
         harness.arrive(f"r{index}", estimate_ns=MS)
-        went.append(harness.sends(f"r{index}")[0].endpoint)
+        endpoints.append(harness.sends(f"r{index}")[0].endpoint)
         harness.end(f"r{index}", api.AttemptResult.CANCELLED, finished=True)
-    assert sum(engine % 2 for engine in went) < len(went) / 4
-    # nothing has been seen of these two
-    assert sum(engine in (5, 7) for engine in went) < len(went) / 8
+    assert sum(endpoint % 2 for endpoint in endpoints) < len(endpoints) / 4
+    # Nothing has been observed of these two.
+    assert sum(endpoint in (5, 7) for endpoint in endpoints) < len(endpoints) / 8
 
 
-def test_books_do_not_grow_with_time() -> None:
-    harness = many(count=3)
+def test_accounting_does_not_grow_with_time() -> None:
+    harness = many_brokers(count=3)
     for index in range(300):
         harness.arrive(f"r{index}", estimate_ns=MS)
         for _ in harness.sends(f"r{index}"):
             harness.end(f"r{index}", api.AttemptResult.SERVED, latency=MS)
         harness.pass_time(50 * MS)
     harness.pass_time(10 * S)
-    gateway = harness.controller
-    assert not gateway.requests
-    assert not gateway.admission.retry_budget.arrivals.items
-    assert len(gateway.orders.timers) <= 1
+    controller = harness.controller
+    assert not controller.requests
+    assert not controller.admission.retry_budget.arrivals.items
+    assert len(controller.orders.timers) <= 1
