--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -4,6 +4,7 @@
 
 import copy
 import json
+from collections.abc import Sequence
 from pathlib import Path
 from typing import Any
 
@@ -53,13 +54,14 @@
         ("10.2.0.1", 7070),
         3,
     )
-    assert [t.uid for t in config.known_events[0].targets] == ["s-1"]
+    assert [target.uid for target in config.known_events[0].targets] == ["s-1"]
     assert (
         config.connect_timeout_ns,
         config.connection_idle_ns,
         config.streams_per_connection,
     ) == (250 * MS, 30_000 * MS, 32)
-    assert [c.effect for c in config.settings.classes] == [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT]
+    effects = [request_class.effect for request_class in config.settings.classes]
+    assert effects == [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT]
     assert config.settings.classes[1].threads == 2
 
 
@@ -81,45 +83,50 @@
     )
 
 
-@pytest.mark.parametrize(
-    ("path", "value", "key"),
-    [
-        ("listen", None, "listen"),
-        ("listen", "10.0.0.4", "listen"),
-        ("listen", "h:0", "listen"),
-        ("seed", "g", "seed"),
-        ("seed", 5, "seed"),
-        ("bus", "x", "bus"),
-        ("limits", 4, "limits"),
-        ("limits.sockets", 1, "limits.sockets"),
-        ("known.offset", 1.5, "known.offset"),
-        ("known.batch", [{}], "known.batch"),
-        ("settings", None, "settings"),
-        ("settings.tick", "5", "settings.tick"),
-        ("settings.tick", 0, "settings.tick"),
-        ("settings.fleet_size", True, "settings.fleet_size"),
-        ("settings.fleet_size", 0, "settings.fleet_size"),
-        ("settings.fleet_size", -3, "settings.fleet_size"),
-        ("settings.me", 0.5, "settings.me"),
-        ("settings.classes", [], "settings.classes"),
-        ("settings.classes.0.aim", None, "settings.classes.aim"),
-        ("settings.classes.0.worth", float("nan"), "settings.classes.worth"),
-        ("settings.classes.1.effect", "odd", "settings.classes.effect"),
-        ("settings.classes", [3], "settings.classes[0]"),
-        ("settings.classes.1.name", "glance", "settings.classes.name"),
-        ("settings.contract.start_capacity", 2, "settings.contract.start_capacity"),
-        ("settings.policy_limits.cancel", "no", "settings.policy_limits.cancel"),
-        ("settings.policy_limits.conn_idle", 0, "settings.policy_limits.conn_idle"),
-        ("settings.specifics.parallelism", [0], "settings.specifics.parallelism"),
-        ("settings.specifics.size_cores", ["8"], "settings.specifics.size_cores"),
-        ("settings.tenants", [{}], "settings.tenants.name"),
-        *[
-            ("settings.charges", {"handshake": price}, "settings.charges.handshake")
-            for price in (-0.01, float("nan"), float("inf"), "0.1", True)
-        ],
-        ("settings.charges", {"cross_zone": -1}, "settings.charges.cross_zone"),
+FAULTY_VALUES: list[tuple[str, Any, str]] = [
+    ("listen", None, "listen"),
+    ("listen", "10.0.0.4", "listen"),
+    ("listen", "h:0", "listen"),
+    ("seed", "g", "seed"),
+    ("seed", 5, "seed"),
+    ("bus", "x", "bus"),
+    ("limits", 4, "limits"),
+    ("limits.sockets", 1, "limits.sockets"),
+    ("known.offset", 1.5, "known.offset"),
+    ("known.batch", [{}], "known.batch"),
+    ("settings", None, "settings"),
+    ("settings.tick", "5", "settings.tick"),
+    ("settings.tick", 0, "settings.tick"),
+    ("settings.fleet_size", True, "settings.fleet_size"),
+    ("settings.fleet_size", 0, "settings.fleet_size"),
+    ("settings.fleet_size", -3, "settings.fleet_size"),
+    ("settings.me", 0.5, "settings.me"),
+    ("settings.classes", [], "settings.classes"),
+    ("settings.classes.0.aim", None, "settings.classes.aim"),
+    ("settings.classes.0.worth", float("nan"), "settings.classes.worth"),
+    ("settings.classes.1.effect", "odd", "settings.classes.effect"),
+    ("settings.classes", [3], "settings.classes[0]"),
+    ("settings.classes.1.name", "glance", "settings.classes.name"),
+    ("settings.contract.start_capacity", 2, "settings.contract.start_capacity"),
+    ("settings.policy_limits.cancel", "no", "settings.policy_limits.cancel"),
+    ("settings.policy_limits.conn_idle", 0, "settings.policy_limits.conn_idle"),
+    ("settings.specifics.parallelism", [0], "settings.specifics.parallelism"),
+    ("settings.specifics.size_cores", ["8"], "settings.specifics.size_cores"),
+    ("settings.tenants", [{}], "settings.tenants.name"),
+    *[
+        ("settings.charges", {"handshake": price}, "settings.charges.handshake")
+        for price in (-0.01, float("nan"), float("inf"), "0.1", True)
     ],
-)
+    ("settings.charges", {"cross_zone": -1}, "settings.charges.cross_zone"),
+]
+
+
+def table_ids(table: Sequence[tuple[Any, ...]]) -> list[str]:
+    """Return an id for each row of a table that begins with a path and its value."""
+    return [f"{path} is {value!r}" for path, value, *_ in table]
+
+
+@pytest.mark.parametrize(("path", "value", "key"), FAULTY_VALUES, ids=table_ids(FAULTY_VALUES))
 def test_the_faulty_key_is_named(path: str, value: Any, key: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse(changed(path, value), {})
@@ -127,43 +134,63 @@
 
 
 @pytest.mark.parametrize(
-    ("me", "fleet", "taken"), [(0, 1, 0), (199, 200, 199), (200, 200, 0), (-1, 9, 8)]
+    ("configured_index", "fleet_size", "index"),
+    [(0, 1, 0), (199, 200, 199), (200, 200, 0), (-1, 9, 8)],
+    ids=["only one", "last one", "past the last", "negative"],
 )
-def test_a_place_outside_the_fleet_is_taken_within_it(me: int, fleet: int, taken: int) -> None:
+def test_an_index_outside_the_fleet_is_wrapped_into_it(
+    configured_index: int, fleet_size: int, index: int
+) -> None:
     """A fleet that grows or shrinks may give its size and the places in it at different times."""
-    raw = changed("settings.fleet_size", fleet)
-    raw["settings"]["me"] = me
+    raw = changed("settings.fleet_size", fleet_size)
+    raw["settings"]["me"] = configured_index
     config = parse(raw, {})
-    assert config.settings.broker_index == taken
-    assert len(config.remarks()) == (me != taken)
+    assert config.settings.broker_index == index
+    assert len(config.remarks()) == (configured_index != index)
     assert all("settings.me" in line for line in config.remarks())
 
 
 def test_an_absent_price_is_zero() -> None:
     assert parse(RAW, {}).settings.handshake_price == 0.0
-    assert (
-        parse(changed("settings.charges", {"handshake": 0.08}), {}).settings.handshake_price == 0.08
-    )
+    priced = parse(changed("settings.charges", {"handshake": 0.08}), {})
+    assert priced.settings.handshake_price == 0.08
+
+
+UNUSABLE_FILES = {
+    "absent": None,
+    "cut off": "{",
+    "no object": "[]",
+    "no UTF-8": "\ud800",
+}
 
 
-def test_the_file_is_read_and_an_unusable_one_is_named(tmp_path: Path) -> None:
+@pytest.mark.parametrize("text", UNUSABLE_FILES.values(), ids=UNUSABLE_FILES)
+def test_an_unusable_file_is_named(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "c.json"
-    for text in (None, "{", "[]", "\ud800"):
-        if text is not None:
-            path.write_bytes(text.encode("utf-8", "surrogatepass"))
-        with pytest.raises(ConfigError, match="^PROXY_CONFIG: "):
-            load({"PROXY_CONFIG": str(path)})
+    if text is not None:
+        path.write_bytes(text.encode("utf-8", "surrogatepass"))
+    with pytest.raises(ConfigError, match="^PROXY_CONFIG: "):
+        load({"PROXY_CONFIG": str(path)})
+
+
+def test_an_unset_file_is_named() -> None:
     with pytest.raises(ConfigError, match="^PROXY_CONFIG: is not set"):
         load({})
+
+
+def test_the_file_is_read(tmp_path: Path) -> None:
+    path = tmp_path / "c.json"
     path.write_text(json.dumps(RAW))
     assert load({"PROXY_CONFIG": str(path)}).name == "n3"
 
 
-class Watched(dict[str, Any]):
+class RecordingObject(dict[str, Any]):
     """An object that records which of its keys are read."""
 
     def __init__(self, content: dict[str, Any], part: str, read: dict[str, set[str]]) -> None:
-        super().__init__({key: watched(value, part or key, read) for key, value in content.items()})
+        super().__init__(
+            {key: recording(value, part or key, read) for key, value in content.items()}
+        )
         self.part = part
         self.read = read
 
@@ -172,12 +199,12 @@
         return super().get(key, default)
 
 
-def watched(value: Any, part: str, read: dict[str, set[str]]) -> Any:
+def recording(value: Any, part: str, read: dict[str, set[str]]) -> Any:
     """A JSON value all of whose objects record what is read of them."""
     if isinstance(value, dict):
-        return Watched(value, part, read)
+        return RecordingObject(value, part, read)
     if isinstance(value, list):
-        return [watched(entry, part, read) for entry in value]
+        return [recording(entry, part, read) for entry in value]
     return value
 
 
@@ -203,28 +230,27 @@
 
 
 def test_every_documented_key_is_read_or_named_as_not_needed() -> None:
-    """A key of the second deployment that nothing read was found only by the day that it spoilt."""
+    """A key of the second deployment that nothing read was once found by an incident only."""
     read: dict[str, set[str]] = {}
     for deployment in deployments.ALL.values():
         complete = {**deployment, "charges": {"cross_zone": 0.1, "handshake": 0.0}}
-        parse({"listen": "127.0.0.1:1", "settings": watched(complete, "", read)}, {})
+        parse({"listen": "127.0.0.1:1", "settings": recording(complete, "", read)}, {})
     assert read == SETTINGS_KEYS
     for part, names in DOCUMENTED.items():
-        assert set(names.split()) == SETTINGS_KEYS[part] | IGNORED_SETTINGS_KEYS.get(
-            part, set()
-        ), part
-        assert not SETTINGS_KEYS[part] & IGNORED_SETTINGS_KEYS.get(part, set())
+        ignored = IGNORED_SETTINGS_KEYS.get(part, set())
+        assert set(names.split()) == SETTINGS_KEYS[part] | ignored, part
+        assert not SETTINGS_KEYS[part] & ignored
 
 
-@pytest.mark.parametrize(
-    ("path", "value", "named"),
-    [
-        ("settings.fairness", 1, "settings.fairness"),
-        ("settings.contract.never_twice", 5, "settings.contract.never_twice"),
-        ("settings.classes.0.priority", 3, "settings.classes.priority"),
-        ("settings.report.fields", ["q", "warmth"], "'warmth'"),
-    ],
-)
+UNKNOWN_KEYS: list[tuple[str, Any, str]] = [
+    ("settings.fairness", 1, "settings.fairness"),
+    ("settings.contract.never_twice", 5, "settings.contract.never_twice"),
+    ("settings.classes.0.priority", 3, "settings.classes.priority"),
+    ("settings.report.fields", ["q", "warmth"], "'warmth'"),
+]
+
+
+@pytest.mark.parametrize(("path", "value", "named"), UNKNOWN_KEYS, ids=table_ids(UNKNOWN_KEYS))
 def test_an_unknown_key_is_named_in_one_remark(path: str, value: Any, named: str) -> None:
     (line,) = parse(changed(path, value), {}).remarks()
     assert named in line
@@ -232,16 +258,16 @@
     assert parse(RAW, {}).remarks() == []
 
 
-@pytest.mark.parametrize(
-    ("path", "value"),
-    [
-        ("settings.classes.0.effect", "twice"),
-        ("settings.classes.0.group", "planet"),
-        ("settings.report.fields", [1]),
-        ("settings.report", 3),
-        ("settings.specifics.lanes_count", "yes"),
-    ],
-)
+UNKNOWN_NAMES: list[tuple[str, Any]] = [
+    ("settings.classes.0.effect", "twice"),
+    ("settings.classes.0.group", "planet"),
+    ("settings.report.fields", [1]),
+    ("settings.report", 3),
+    ("settings.specifics.lanes_count", "yes"),
+]
+
+
+@pytest.mark.parametrize(("path", "value"), UNKNOWN_NAMES, ids=table_ids(UNKNOWN_NAMES))
 def test_an_unknown_effect_scope_or_kind_is_a_faulty_key(path: str, value: Any) -> None:
     with pytest.raises(ConfigError, match=path.replace(".0.", ".").split(".")[-1]):
         parse(changed(path, value), {})
