--- a/tests/decisions/dispatcher_harness.py
+++ b/tests/decisions/dispatcher_harness.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-import enum
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from types import SimpleNamespace
 from typing import Any, cast
@@ -26,13 +24,12 @@
 from query_broker.protocols.engine_connection import EngineConnection
 from query_broker.timer_wheel import Clock
 
-from ..support.deployments import MS, S
+from ..support.deployments import S
 from ..support.sockets import STATEMENT, target_entry, topology_event
 
 IDEMPOTENCY_KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 CLIENT_REQUEST_ID = "9" * 16
 FIRST_DESCRIPTOR = 1_000
-RESULT_BODY = b"a\tb\tc\n"
 
 
 class StoppedClock(Clock):
@@ -77,6 +74,12 @@
     is_jammed: bool = False
     parser: resp.RespParser = field(default_factory=resp.RespParser)
 
+    def answer(self, result: bytes, body: bytes = b"") -> None:
+        """End the attempt with an answer."""
+        attempt_id = CLIENT_REQUEST_ID.encode()
+        self.in_flight.discard(attempt_id)
+        self.connection.data_received(resp.encode(attempt_id, result, b"-", body))
+
 
 class EmulatedTransport:
     """A transport whose end is the end of all attempts in flight on it."""
@@ -97,25 +100,6 @@
         self.engine_side.in_flight.clear()
 
 
-class Occurrence(enum.Enum):
-    """What may happen to a request that is in flight."""
-
-    TICK = "tick"
-    ATTEMPT_REVIEWED = "attempt reviewed"
-    DEADLINE_PASSED = "deadline passed"
-    FIRST_ATTEMPT_SERVED = "first attempt served"
-    CLIENT_LEFT = "client left"
-    ENGINES_DRAINING = "engines draining"
-    SOCKETS_WRITABLE = "sockets writable"
-    SERVED = "served"
-    CRASHED = "crashed"
-    OVERLOADED = "overload"
-    PROGRESS = "update"
-    CONNECTION_RESET = "connection reset"
-    PROTOCOL_ERROR = "protocol error"
-    SOCKET_JAMMED = "socket jammed"
-
-
 class DispatcherHarness:
     """A dispatcher before three data engines, with two connections to each.
 
@@ -142,7 +126,6 @@
         self.most_in_flight = 0
         self.first_descriptor = 0
         self._opening: list[ConnectionPool] = []
-        self._actions = self._actions_by_occurrence()
         config = parse({"listen": "127.0.0.1:1", "settings": settings, "seed": "7"}, {})
         self.dispatcher = Dispatcher(config, self.clock, self._log)
         targets = [target_entry(f"s-{number}", number, az="east") for number in (1, 2, 3)]
@@ -207,42 +190,18 @@
         self.request = self.dispatcher.submit(client, 1, self.parsed_request(class_name))
         return self.request
 
-    # --- occurrences ---
-
-    def _actions_by_occurrence(self) -> dict[Occurrence, Callable[[], None]]:
-        return {
-            Occurrence.TICK: lambda: self._advance(1, 5 * MS),
-            # An attempt is reviewed; it times out only at the end.
-            Occurrence.ATTEMPT_REVIEWED: lambda: self._advance(3, S),
-            # Past the deadline of every class.
-            Occurrence.DEADLINE_PASSED: lambda: self._advance(9, 3 * S),
-            Occurrence.FIRST_ATTEMPT_SERVED: self._serve_first_attempt,
-            Occurrence.CLIENT_LEFT: self._abandon,
-            Occurrence.ENGINES_DRAINING: self._drain_two_engines,
-            Occurrence.SOCKETS_WRITABLE: self._make_sockets_writable,
-            Occurrence.SERVED: lambda: self._answer_last_attempt(b"served", RESULT_BODY),
-            Occurrence.CRASHED: lambda: self._answer_last_attempt(b"crashed"),
-            Occurrence.OVERLOADED: lambda: self._answer_last_attempt(b"overload"),
-            Occurrence.PROGRESS: self._report_progress,
-            Occurrence.CONNECTION_RESET: self._reset_connection,
-            Occurrence.PROTOCOL_ERROR: self._break_protocol,
-            Occurrence.SOCKET_JAMMED: self._jam_socket,
-        }
-
-    def let_happen(self, occurrence: Occurrence) -> None:
-        self._actions[occurrence]()
+    def abandon(self) -> None:
+        """Let the client leave."""
+        self.dispatcher.cancellations.abandon(self.request)
 
-    def let_all_end(self) -> None:
-        """Let time pass until nothing can happen any more."""
-        self._clear_jams()
-        self._advance(7, 4 * S)
+    # --- time ---
 
-    def _advance(self, ticks: int, step_ns: int) -> None:
+    def advance(self, ticks: int, step_ns: int) -> None:
         for _ in range(ticks):
             self.clock.time_ns += step_ns
-            self._tick()
+            self.tick()
 
-    def _tick(self) -> None:
+    def tick(self) -> None:
         """Run one tick; connections that were being opened are open by then."""
         opening = self._opening
         self._opening = []
@@ -258,29 +217,18 @@
             if self.dispatcher.gate.may_go(attempt, HandOver.CONNECTION):
                 pool.send(attempt, self.clock.time_ns)
 
-    def _clear_jams(self) -> None:
-        for engine_side in self.engine_sides.values():
-            engine_side.is_jammed = False
-
-    def _make_sockets_writable(self) -> None:
-        self._clear_jams()
-        self._tick()
-
-    def _serve_first_attempt(self) -> None:
-        """Answer the first attempt, whatever has become of it."""
-        engine_side = self.engine_sides[self.first_descriptor]
-        if not engine_side.connection.closed:
-            self._answer(engine_side, b"served", RESULT_BODY)
+    def let_all_end(self) -> None:
+        """Let time pass until nothing can happen any more."""
+        self.make_sockets_writable()
+        self.advance(7, 4 * S)
 
-    def _abandon(self) -> None:
-        self.dispatcher.cancellations.abandon(self.request)
+    # --- the engines' side ---
 
-    def _drain_two_engines(self) -> None:
-        for uid in list(self.dispatcher.endpoint_table.by_uid)[:2]:
-            event = topology_event(2, target_entry(uid, 1, "terminating"))
-            self.dispatcher.endpoint_list_changed(parse_event(event))
+    def make_sockets_writable(self) -> None:
+        for engine_side in self.engine_sides.values():
+            engine_side.is_jammed = False
 
-    def _last_attempt_side(self) -> EngineSide | None:
+    def last_attempt_side(self) -> EngineSide | None:
         """Return the connection of the last attempt that is in flight."""
         for attempt in reversed(self.request.attempts.values()):
             for engine_side in self.engine_sides.values():
@@ -288,35 +236,3 @@
                 if connection is attempt.connection and not connection.closed:
                     return engine_side
         return None
-
-    def _answer_last_attempt(self, result: bytes, body: bytes = b"") -> None:
-        engine_side = self._last_attempt_side()
-        if engine_side is not None:
-            self._answer(engine_side, result, body)
-
-    def _answer(self, engine_side: EngineSide, result: bytes, body: bytes) -> None:
-        attempt_id = CLIENT_REQUEST_ID.encode()
-        engine_side.in_flight.discard(attempt_id)
-        engine_side.connection.data_received(resp.encode(attempt_id, result, b"-", body))
-
-    def _report_progress(self) -> None:
-        engine_side = self._last_attempt_side()
-        if engine_side is not None:
-            message = resp.encode(CLIENT_REQUEST_ID.encode(), b"update", b"-", b"")
-            engine_side.connection.data_received(message)
-
-    def _reset_connection(self) -> None:
-        engine_side = self._last_attempt_side()
-        if engine_side is not None:
-            engine_side.in_flight.clear()
-            engine_side.connection.connection_lost(ConnectionResetError())
-
-    def _break_protocol(self) -> None:
-        engine_side = self._last_attempt_side()
-        if engine_side is not None:
-            engine_side.connection.data_received(b"noise\r\n")
-
-    def _jam_socket(self) -> None:
-        engine_side = self._last_attempt_side()
-        if engine_side is not None:
-            engine_side.is_jammed = True
--- a/tests/decisions/test_event_orders.py
+++ b/tests/decisions/test_event_orders.py
@@ -9,7 +9,8 @@
 import pytest
 
 from ..support.deployments import ALL
-from .dispatcher_harness import DispatcherHarness, Occurrence
+from .dispatcher_harness import DispatcherHarness
+from .occurrences import Occurrence, let_happen
 
 EventOrder = tuple[Occurrence, ...]
 
@@ -79,6 +80,6 @@
         harness = DispatcherHarness(settings, monkeypatch)
         harness.submit(route)
         for occurrence in order:
-            harness.let_happen(occurrence)
+            let_happen(harness, occurrence)
         harness.let_all_end()
         assert_rules_hold(harness, order, settings["policy_limits"], request_class["effect"])
