--- a/tests/decisions/harness_steps.py
+++ b/tests/decisions/harness_steps.py
@@ -4,7 +4,7 @@
 
 from query_broker import decisions as api
 
-from ..support.helpers import Harness, make_settings, query_class
+from ..support.helpers import Harness, entry, make_settings, query_class
 
 
 def change_list(harness: Harness, *entries: api.EndpointEntry) -> None:
@@ -15,3 +15,8 @@
 def non_idempotent_harness(*entries: api.EndpointEntry) -> Harness:
     """Return a harness whose one request class must not run twice."""
     return Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), *entries)
+
+
+def one_engine_harness(**changes: object) -> Harness:
+    """Return a harness with one endpoint."""
+    return Harness(make_settings(**changes), entry(1))
--- a/tests/decisions/test_idempotency_keys.py
+++ b/tests/decisions/test_idempotency_keys.py
@@ -45,7 +45,9 @@
 
 
 @pytest.mark.parametrize("name", ["warehouse", "bound"])
-@pytest.mark.parametrize(("part", "sends"), [(0.5, 2), (1.0, 1), (1.2, 1)])
+@pytest.mark.parametrize(
+    ("part", "sends"), [(0.5, 2), (1.0, 1), (1.2, 1)], ids=["within", "at its end", "after"]
+)
 def test_no_keyed_attempt_after_its_window(name: str, part: float, sends: int) -> None:
     """Past the window no engine knows the key, and the load would run twice."""
     settings = parse_settings(ALL[name])
--- a/tests/decisions/test_settings_bounds.py
+++ b/tests/decisions/test_settings_bounds.py
@@ -17,6 +17,7 @@
         ("tick", {"tick_ns": 0}),
         ("kind_cores", {"kind_cores": (("box", 0),)}),
     ],
+    ids=["no class", "no broker", "no tick", "no cores"],
 )
 def test_impossible_settings_name_their_key(key: str, change: dict[str, object]) -> None:
     with pytest.raises(ValueError, match=key):
@@ -28,7 +29,7 @@
         query_class(deadline_ns=0)
 
 
-@pytest.mark.parametrize("estimate", [None, 0, -7])
+@pytest.mark.parametrize("estimate", [None, 0, -7], ids=["none", "zero", "negative"])
 def test_request_without_an_estimate_counts_with_the_class_mean(estimate: int | None) -> None:
     harness = Harness(make_settings(kind_cores=()), entry(1))
     harness.arrive("r", estimate_ns=estimate)
--- a/tests/server/test_lifecycle.py
+++ b/tests/server/test_lifecycle.py
@@ -48,6 +48,7 @@
         ({"bus": "b"}, "bus"),
         ({"limits": {"sockets": "many"}}, "limits.sockets"),
     ],
+    ids=["address", "seed", "no classes", "no tick", "bus address", "limit"],
 )
 def test_bad_configuration_is_one_line_that_names_the_key(
     tmp_path: Path, changes: Any, key: str
--- a/tests/server/test_process_status.py
+++ b/tests/server/test_process_status.py
@@ -82,6 +82,7 @@
         {"out": {"1": [1]}},
         {"clients": None},
     ],
+    ids=["no object", "words", "a word", "too much work", "too little work", "clients"],
 )
 def test_a_status_file_of_another_program_is_rejected(raw: Any) -> None:
     with pytest.raises(StatusFormatError):
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -93,7 +93,9 @@
 
 
 @pytest.mark.parametrize(
-    "value", [0, -5, float("nan"), float("inf"), True, "5000000000", 10**400, [], 1e300]
+    "value",
+    [0, -5, float("nan"), float("inf"), True, "5000000000", 10**400, [], 1e300],
+    ids=["0", "negative", "NaN", "infinite", "true", "string", "10**400", "list", "1e300"],
 )
 @pytest.mark.parametrize(
     ("path", "key"),
@@ -101,6 +103,7 @@
         ("settings.classes.0.deadline", "settings.classes.deadline"),
         ("settings.policy_limits.send_cap", "settings.policy_limits.send_cap"),
     ],
+    ids=["deadline", "attempts"],
 )
 def test_a_deadline_or_attempts_that_are_no_number_above_0_are_rejected(
     tmp_path: Path, path: str, key: str, value: Any
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -188,7 +188,9 @@
         await until(lambda: pools._count_connections() == 2)
 
 
-@pytest.mark.parametrize("descriptor", ["x", "-1", "99", "1"])
+@pytest.mark.parametrize(
+    "descriptor", ["x", "-1", "99", "1"], ids=["no number", "negative", "not open", "no socket"]
+)
 def test_a_descriptor_that_is_no_listening_socket_is_a_faulty_key(
     tmp_path: Path, descriptor: str
 ) -> None:
