--- a/tests/decisions/test_fuzzy_control.py
+++ b/tests/decisions/test_fuzzy_control.py
@@ -12,7 +12,6 @@
 
 NAMES = "NVL NL NM NS ZE PS PM PL PVL".split()
 
-
 TABLE_2 = """
 NVL NVL NVL NL NL NL NM NS ZE
 NVL NVL NL NL NL NM NS ZE PS
--- a/tests/outlier_consensus/test_ejections.py
+++ b/tests/outlier_consensus/test_ejections.py
@@ -20,16 +20,12 @@
 
 BEGIN_NS = 1_000 * NS_PER_S
 
-
 SETTINGS = OutlierConsensusSettings(observers=3, failures=2)
 
-
 FAILING = Endpoint("e1", 5)
 
-
 MEMBERS = [f"{zone}{number}" for zone in "xy" for number in range(5)]
 
-
 ZONES = {Endpoint(f"e{number}", 5): "x" if number < 5 else "y" for number in range(10)}
 
 
--- a/tests/quotas/test_directives.py
+++ b/tests/quotas/test_directives.py
@@ -23,7 +23,6 @@
     )
 )
 
-
 MEMBERS = 'members(address = "127.0.0.1:1", key_file = "/k", installation = "x")\n'
 
 
