--- a/tests/cells/test_cell_admin_api.py
+++ b/tests/cells/test_cell_admin_api.py
@@ -10,7 +10,7 @@
 
 from query_broker.cli.main import main
 
-from ..server.test_admin_api import admin_call
+from ..server.admin_calls import admin_call
 from ..support.sockets import (
     Engine,
     make_config,
--- a/tests/cells/test_live_migrations.py
+++ b/tests/cells/test_live_migrations.py
@@ -15,7 +15,7 @@
 from query_broker.emulator.data_engine import statements_run_twice
 from query_broker.protocols import client_frames as frames
 
-from ..server.test_admin_api import admin_call
+from ..server.admin_calls import admin_call
 from ..support.sockets import (
     MS,
     Engine,
--- a/tests/cells/test_tenant_isolation.py
+++ b/tests/cells/test_tenant_isolation.py
@@ -16,7 +16,7 @@
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 
-from ..server.test_admin_api import admin_call
+from ..server.admin_calls import admin_call
 from ..support.sockets import (
     Engine,
     Rig,
--- a/tests/deadlines/test_operator_options.py
+++ b/tests/deadlines/test_operator_options.py
@@ -21,7 +21,7 @@
 from query_broker.protocols import resp
 from query_broker.server.node import Node
 
-from ..server.test_admin_api import admin_call
+from ..server.admin_calls import admin_call
 from ..support.sockets import (
     MS,
     Engine,
--- a/tests/deadlines/test_queued_requests.py
+++ b/tests/deadlines/test_queued_requests.py
@@ -12,7 +12,7 @@
 from query_broker.deadlines.handover_checks import HandOver, StopReason
 from query_broker.protocols import client_frames as frames
 
-from ..server.test_upgrade import co_process, meet
+from ..server.co_processes import co_process, meet
 from ..support.sockets import (
     Client,
     Engine,
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -19,22 +19,9 @@
     ViewTracker,
 )
 
-VIEW_SETTINGS = ViewSettings(max_lost_fraction=1 / 3, settle_ns=5 * NS_PER_S, batch_ns=NS_PER_S)
-
-
-class RecordingObserver:
-    """Records the published views."""
+from .recording_observer import RecordingObserver
 
-    def __init__(self) -> None:
-        self.views: list[MembershipView] = []
-
-    def view_changed(
-        self,
-        view: MembershipView,
-        joined: tuple[Identity, ...],
-        departed: tuple[Identity, ...],
-    ) -> None:
-        self.views.append(view)
+VIEW_SETTINGS = ViewSettings(max_lost_fraction=1 / 3, settle_ns=5 * NS_PER_S, batch_ns=NS_PER_S)
 
 
 def make_tracker(configured_size: int, configured_index: int = 0) -> ViewTracker:
@@ -139,7 +126,9 @@
 
 
 @pytest.mark.parametrize(
-    ("warming_up", "smallest"), [(False, 4), (True, 10)], ids=["all warm", "one warming up"]
+    ("warming_up", "smallest"),
+    [(False, 4), (True, 10)],
+    ids=["all warm", "one warming up"],
 )
 def test_a_view_that_is_wrong_each_second_keeps_the_size_within_its_bounds(
     warming_up: bool, smallest: int
