--- a/query_broker/clickhouse/sessions.py
+++ b/query_broker/clickhouse/sessions.py
@@ -55,9 +55,9 @@
         """Return what identifies the session."""
         return SessionKey(self.user, self.session_id)
 
-    def has_expired(self, now: int) -> bool:
+    def has_expired(self, now_ns: int) -> bool:
         """Return whether it was idle for too long; one with a running request never was."""
-        return not self.running and now - self.last_used_ns >= self.timeout_ns
+        return not self.running and now_ns - self.last_used_ns >= self.timeout_ns
 
 
 @dataclass(slots=True)
@@ -73,14 +73,20 @@
     by_engine: dict[int, set[SessionKey]] = field(default_factory=dict)
 
     def begin(
-        self, user: str, session_id: str, now: int, *, must_exist: bool = False, timeout_ns: int = 0
+        self,
+        user: str,
+        session_id: str,
+        now_ns: int,
+        *,
+        must_exist: bool = False,
+        timeout_ns: int = 0,
     ) -> Session:
         """Begin a request of the session and return it.
 
         Args:
             user: The user.
             session_id: The id that the client has chosen.
-            now: The time.
+            now_ns: The time.
             must_exist: Whether the session must exist already.
             timeout_ns: How long the session lives without a request; 0 for the default.
 
@@ -89,24 +95,24 @@
         """
         _check_arguments(session_id, timeout_ns)
         key = SessionKey(user, session_id)
-        session = self._current(key, now)
+        session = self._current(key, now_ns)
         if session is None:
             if must_exist:
                 raise QueryError(SESSION_NOT_FOUND, f"session {session_id} is not found")
-            self._make_space(now)
-            session = Session(user, session_id, timeout_ns or DEFAULT_TIMEOUT_NS, now)
+            self._make_space(now_ns)
+            session = Session(user, session_id, timeout_ns or DEFAULT_TIMEOUT_NS, now_ns)
             self.by_key[key] = session
         elif session.running:
             raise QueryError(
                 SESSION_IS_LOCKED, f"session {session_id} is locked by a running query"
             )
         session.running = True
-        session.last_used_ns = now
+        session.last_used_ns = now_ns
         if timeout_ns:
             session.timeout_ns = timeout_ns
         return session
 
-    def _current(self, key: SessionKey, now: int) -> Session | None:
+    def _current(self, key: SessionKey, now_ns: int) -> Session | None:
         """Return the session if there is one; drop it if it has expired or is lost.
 
         Raises:
@@ -115,7 +121,7 @@
         session = self.by_key.get(key)
         if session is None:
             return None
-        if session.has_expired(now):
+        if session.has_expired(now_ns):
             self._drop(key)
             return None
         if session.lost:
@@ -138,10 +144,10 @@
             self.by_engine.setdefault(engine, set()).add(session.key())
         session.has_state = session.has_state or leaves_state
 
-    def end(self, session: Session, now: int) -> None:
+    def end(self, session: Session, now_ns: int) -> None:
         """Note that the request under way has ended."""
         session.running = False
-        session.last_used_ns = now
+        session.last_used_ns = now_ns
 
     def engine_removed(self, engine: int) -> list[Session]:
         """Release the sessions of an engine that was removed or restarted; return the lost ones.
@@ -160,9 +166,9 @@
                 session.engine = None
         return lost
 
-    def expire(self, now: int) -> int:
+    def expire(self, now_ns: int) -> int:
         """Drop the sessions that have expired and return how many there were."""
-        expired = [key for key, session in self.by_key.items() if session.has_expired(now)]
+        expired = [key for key, session in self.by_key.items() if session.has_expired(now_ns)]
         for key in expired:
             self._drop(key)
         return len(expired)
@@ -178,7 +184,7 @@
         if not keys:
             del self.by_engine[session.engine]
 
-    def _make_space(self, now: int) -> None:
+    def _make_space(self, now_ns: int) -> None:
         """Bound the number of sessions, since clients name any session that they like.
 
         The session that was idle for longest is dropped, among those without state.
@@ -188,7 +194,7 @@
         """
         if len(self.by_key) < MAX_SESSIONS:
             return
-        self.expire(now)
+        self.expire(now_ns)
         if len(self.by_key) < MAX_SESSIONS:
             return
         droppable = [
--- a/query_broker/deadlines/cancel_scopes.py
+++ b/query_broker/deadlines/cancel_scopes.py
@@ -169,9 +169,9 @@
 
     by_id: dict[bytes, PendingCancel] = field(default_factory=dict)
 
-    def begin(self, request_id: bytes, now: int) -> None:
+    def begin(self, request_id: bytes, now_ns: int) -> None:
         """Record that the attempt under this id is being cancelled."""
-        self.by_id.setdefault(request_id, PendingCancel(now, now))
+        self.by_id.setdefault(request_id, PendingCancel(now_ns, now_ns))
 
     def resolve_by_answer(self, request_id: bytes) -> CancelOutcome | None:
         """Record an answer under the id and return the outcome; None if it was not cancelled."""
@@ -179,17 +179,20 @@
             return None
         return CancelOutcome.ANSWERED
 
-    def check(self, now: int) -> CancelCheck:
+    def check(self, now_ns: int) -> CancelCheck:
         """Return what is to be cancelled again and what has stopped, which is then forgotten."""
         to_resend: list[bytes] = []
         stopped: list[bytes] = []
         for request_id, pending in list(self.by_id.items()):
-            if now - pending.first_sent_ns >= CONFIRMATION_NS:
+            if now_ns - pending.first_sent_ns >= CONFIRMATION_NS:
                 stopped.append(request_id)
                 del self.by_id[request_id]
-            elif now - pending.last_sent_ns >= RESEND_INTERVAL_NS and pending.resends < MAX_RESENDS:
+            elif (
+                now_ns - pending.last_sent_ns >= RESEND_INTERVAL_NS
+                and pending.resends < MAX_RESENDS
+            ):
                 pending.resends += 1
-                pending.last_sent_ns = now
+                pending.last_sent_ns = now_ns
                 to_resend.append(request_id)
         return CancelCheck(to_resend, stopped)
 
--- a/query_broker/deadlines/handover_checks.py
+++ b/query_broker/deadlines/handover_checks.py
@@ -50,7 +50,7 @@
     draining_since_ns: int = 0
 
 
-def reason_to_stop(now: int, state: HandOverState) -> StopReason | None:
+def reason_to_stop(now_ns: int, state: HandOverState) -> StopReason | None:
     """Return the first reason against going on; None if there is none.
 
     The order of the reasons matters: a request whose client has left says nothing about its
@@ -58,13 +58,13 @@
     """
     if not state.answer_wanted:
         return StopReason.CLIENT_LEFT
-    if now >= state.deadline_ns:
+    if now_ns >= state.deadline_ns:
         return StopReason.DEADLINE_PASSED
     if state.disabled:
         return StopReason.ENDPOINT_DISABLED
-    if state.draining_since_ns and now >= state.draining_since_ns:
+    if state.draining_since_ns and now_ns >= state.draining_since_ns:
         return StopReason.ENDPOINT_DRAINING
-    if state.min_latency_ns and state.deadline_ns - now < state.min_latency_ns:
+    if state.min_latency_ns and state.deadline_ns - now_ns < state.min_latency_ns:
         return StopReason.INSUFFICIENT_TIME
     return None
 
--- a/query_broker/deadlines/stage_latencies.py
+++ b/query_broker/deadlines/stage_latencies.py
@@ -75,30 +75,30 @@
     sum_ns: int = 0
     count: int = 0
 
-    def add(self, latency_ns: int, now: int) -> None:
+    def add(self, latency_ns: int, now_ns: int) -> None:
         """Add one latency."""
         self.bucket_counts[bisect_left(BUCKET_BOUNDS_NS, latency_ns)] += 1
         self.sum_ns += latency_ns
         self.count += 1
         self.batch_ns.append(float(latency_ns))
         if len(self.batch_ns) >= DIGEST_BATCH_SIZE:
-            self._flush_batch(now)
+            self._flush_batch(now_ns)
 
-    def _flush_batch(self, now: int) -> None:
+    def _flush_batch(self, now_ns: int) -> None:
         """Add the collected latencies to the digest, after a change of generations if it is due."""
-        age_ns = now - self.generation_start_ns
+        age_ns = now_ns - self.generation_start_ns
         if age_ns >= GENERATION_NS:
             # After a long time without latencies both generations are out of date.
             self.older = self.newer if age_ns < 2 * GENERATION_NS else TDigest()
             self.newer = TDigest()
-            self.generation_start_ns = now
+            self.generation_start_ns = now_ns
         if self.batch_ns:
             self.newer.batch_update(self.batch_ns)
             self.batch_ns = []
 
-    def quantile(self, quantile: float, now: int) -> int | None:
+    def quantile(self, quantile: float, now_ns: int) -> int | None:
         """Return a quantile in nanoseconds, or None where there are fewer than `MIN_SAMPLES`."""
-        self._flush_batch(now)
+        self._flush_batch(now_ns)
         digest = self.older + self.newer
         if digest.n_values < MIN_SAMPLES:
             return None
@@ -124,24 +124,24 @@
         }
         self.margin_ns = margin.initial_ns
 
-    def add(self, class_name: str, stage: LatencyStage, latency_ns: int, now: int) -> None:
+    def add(self, class_name: str, stage: LatencyStage, latency_ns: int, now_ns: int) -> None:
         """Add how long a request of this class spent in a stage."""
         latency_ns = max(0, latency_ns)
         latencies = self.by_class.get((class_name, stage))
         if latencies is None:
-            latencies = Quantiles(now)
+            latencies = Quantiles(now_ns)
             self.by_class[class_name, stage] = latencies
-        latencies.add(latency_ns, now)
-        self.by_stage[stage].add(latency_ns, now)
+        latencies.add(latency_ns, now_ns)
+        self.by_stage[stage].add(latency_ns, now_ns)
 
-    def learn_margin(self, now: int) -> int:
+    def learn_margin(self, now_ns: int) -> int:
         """Adapt the margin to the latencies and return it, in nanoseconds.
 
         One step changes it by a quarter at most, so that a single unusual second has little effect.
         """
         settings = self.settings
-        decide_ns = self.by_stage[LatencyStage.DECIDE].quantile(settings.quantile, now)
-        answer_ns = self.by_stage[LatencyStage.ANSWER].quantile(settings.quantile, now)
+        decide_ns = self.by_stage[LatencyStage.DECIDE].quantile(settings.quantile, now_ns)
+        answer_ns = self.by_stage[LatencyStage.ANSWER].quantile(settings.quantile, now_ns)
         if decide_ns is None or answer_ns is None:
             return self.margin_ns
         target_ns = self._bounded(decide_ns + answer_ns + TRANSIT_ALLOWANCE_NS)
@@ -153,7 +153,7 @@
     def _bounded(self, margin_ns: int) -> int:
         return max(self.settings.min_ns, min(self.settings.max_ns, margin_ns))
 
-    def min_latency_ns(self, class_name: str, now: int, *stages: LatencyStage) -> int:
+    def min_latency_ns(self, class_name: str, now_ns: int, *stages: LatencyStage) -> int:
         """Return the shortest time that these stages take together for requests of a class.
 
         Without a stage it is that of the endpoint. A stage with too few latencies counts as 0.
@@ -162,7 +162,7 @@
         for stage in stages or (LatencyStage.ENGINE,):
             latencies = self.by_class.get((class_name, stage))
             if latencies is not None:
-                total_ns += latencies.quantile(MIN_LATENCY_QUANTILE, now) or 0
+                total_ns += latencies.quantile(MIN_LATENCY_QUANTILE, now_ns) or 0
         return total_ns
 
     def metrics_lines(self, prefix: str) -> list[str]:
--- a/query_broker/decisions/accounting.py
+++ b/query_broker/decisions/accounting.py
@@ -49,15 +49,15 @@
         self.total = 0
         self.items: deque[tuple[int, int]] = deque()
 
-    def add(self, now: int, amount: int = 1) -> None:
+    def add(self, now_ns: int, amount: int = 1) -> None:
         """Add an amount at a time that is not before that of the last one."""
         if self.span_ns > 0:
-            self.items.append((now, amount))
+            self.items.append((now_ns, amount))
             self.total += amount
 
-    def at(self, now: int) -> int:
+    def at(self, now_ns: int) -> int:
         """Return the sum at a time, and forget the amounts that are older than the span."""
-        while self.items and self.items[0][0] <= now - self.span_ns:
+        while self.items and self.items[0][0] <= now_ns - self.span_ns:
             self.total -= self.items.popleft()[1]
         return self.total
 
@@ -74,20 +74,20 @@
 
     __slots__ = ("mean", "memory_ns", "recorded_ns", "value")
 
-    def __init__(self, memory_ns: int, now: int) -> None:
+    def __init__(self, memory_ns: int, now_ns: int) -> None:
         """Begin with a value and a mean of 0."""
         self.memory_ns = memory_ns
         self.value = 0.0
         self.mean = 0.0
-        self.recorded_ns = now
+        self.recorded_ns = now_ns
 
-    def record(self, now: int, value: float) -> None:
+    def record(self, now_ns: int, value: float) -> None:
         """Record the value that holds from now on."""
-        self.mean = self.at(now)
+        self.mean = self.at(now_ns)
         self.value = value
-        self.recorded_ns = now
+        self.recorded_ns = now_ns
 
-    def at(self, now: int) -> float:
+    def at(self, now_ns: int) -> float:
         """Return the mean at a time that is not before that of the last value."""
-        weight = -math.expm1((self.recorded_ns - now) / self.memory_ns)
+        weight = -math.expm1((self.recorded_ns - now_ns) / self.memory_ns)
         return self.mean + (self.value - self.mean) * weight
--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -73,11 +73,11 @@
         self.requests: dict[str, Request] = {}
         self.keys_in_service: set[str] = set()
 
-    def apply_settings(self, now: int) -> None:
+    def apply_settings(self, now_ns: int) -> None:
         """Apply the classes, the tenants and the retry budget of the settings in force."""
         settings = self.active.settings
         self.classes.apply(settings.classes)
-        self.quotas.apply(now, settings)
+        self.quotas.apply(now_ns, settings)
         self.retry_budget.apply_settings()
 
     def set_accepting_processes(self, accepting_processes: int) -> None:
@@ -88,7 +88,7 @@
         """Begin the next period of the rejection rate."""
         self.rejections.end_period()
 
-    def arrive(self, now: int, event: RequestArrived) -> None:
+    def arrive(self, now_ns: int, event: RequestArrived) -> None:
         """Decide on a request that has arrived: dispatch, queue behind its key, or reject.
 
         Raises:
@@ -98,25 +98,25 @@
         if statistics is None:
             raise UnknownRequestClassError(event.class_name)
         self.rejections.arrivals += 1
-        self.retry_budget.arrivals.add(now)
-        request = self._open(now, statistics, event)
+        self.retry_budget.arrivals.add(now_ns)
+        request = self._open(now_ns, statistics, event)
         self.requests[request.id] = request
         key = request.key
         if key is not None:
             self.key_queues.append(key, request)
         tick_ns = self.active.settings.tick_ns
         if event.timeout_ns <= MIN_TIMEOUT_TICKS * tick_ns:
-            self.finish(now, request)
+            self.finish(now_ns, request)
         elif key is None:
-            self._admit(now, request)
-        elif self.key_queues.waits_too_long(now, key, request):
-            self.finish(now, request)
+            self._admit(now_ns, request)
+        elif self.key_queues.waits_too_long(now_ns, key, request):
+            self.finish(now_ns, request)
         else:
-            self._serve_key(now, key)
+            self._serve_key(now_ns, key)
         if not request.finished:  # rule 1: a final answer a tick before the client gives up
             self.orders.set_timer(request.deadline_ns - tick_ns, self.finish, request)
 
-    def finish(self, now: int, request: Request) -> None:
+    def finish(self, now_ns: int, request: Request) -> None:
         """Give a request its final answer, unless it has one (rule 1).
 
         It is rejected where a client's retry is harmless, else it has failed (the end of rule 2).
@@ -128,9 +128,9 @@
             self.orders.add(Reject(request.id, self.rejections.reject()))
         else:
             self.orders.add(Fail(request.id))
-        self.end(now, request)
+        self.end(now_ns, request)
 
-    def end(self, now: int, request: Request) -> None:
+    def end(self, now_ns: int, request: Request) -> None:
         """End a request that has been answered or abandoned, without ordering an answer."""
         if request.finished:
             return
@@ -138,9 +138,9 @@
         if self.active.limits.cancellation:
             for number in request.in_flight:
                 self.orders.add(CancelAttempt(request.id, number))
-        self.settle(now, request)
+        self.settle(now_ns, request)
 
-    def settle(self, now: int, request: Request) -> None:
+    def settle(self, now_ns: int, request: Request) -> None:
         """Forget a request that has ended and has nothing in flight, and serve its key."""
         if not request.finished or request.in_flight:
             return
@@ -148,44 +148,44 @@
             return
         if request.key is not None:
             self.key_queues.remove(request.key, request)
-            self._serve_key(now, request.key)
+            self._serve_key(now_ns, request.key)
 
-    def abandon(self, now: int, event: RequestAbandoned) -> None:
+    def abandon(self, now_ns: int, event: RequestAbandoned) -> None:
         """End a request that its client has abandoned; an unknown one is ignored."""
         request = self.requests.get(event.request_id)
         if request is not None:
-            self.end(now, request)
+            self.end(now_ns, request)
 
-    def close(self, now: int, event: CloseRequests) -> None:
+    def close(self, now_ns: int, event: CloseRequests) -> None:
         """Give open requests their final answers now: the named ones, or all."""
         request_ids = event.request_ids
         for request in list(self.requests.values()):
             if request_ids is None or request.id in request_ids:
-                self.finish(now, request)
+                self.finish(now_ns, request)
 
-    def _open(self, now: int, statistics: ClassStatistics, event: RequestArrived) -> Request:
+    def _open(self, now_ns: int, statistics: ClassStatistics, event: RequestArrived) -> Request:
         return Request(
             id=event.request_id,
             statistics=statistics,
-            deadline_ns=now + event.timeout_ns,
+            deadline_ns=now_ns + event.timeout_ns,
             work_ns=statistics.expected_work(event.estimate_ns),
             estimate_ns=event.estimate_ns,
             data_set=NO_DATA_SET if event.data_set is None else event.data_set,
             key=event.key if statistics.spec.ordered_by_key else None,
-            over_quota=self.quotas.is_exceeded(now, event.tenant, event.is_retry),
+            over_quota=self.quotas.is_exceeded(now_ns, event.tenant, event.is_retry),
             memory_mb=max(0.0, event.memory_mb or 0.0),
         )
 
-    def _admit(self, now: int, request: Request) -> None:
+    def _admit(self, now_ns: int, request: Request) -> None:
         """Dispatch a request, or reject it at once."""
-        admitted = self.retries.first_attempt(now, request)
+        admitted = self.retries.first_attempt(now_ns, request)
         if not request.over_quota:
             statistics = request.statistics
             statistics.admitted += ADMISSION_LEARNING_RATE * (admitted - statistics.admitted)
         if not admitted:
-            self.finish(now, request)
+            self.finish(now_ns, request)
 
-    def _serve_key(self, now: int, key: str) -> None:
+    def _serve_key(self, now_ns: int, key: str) -> None:
         """Dispatch the oldest request of a key, if the key is free (rule 5).
 
         A rejection frees the key for the next request and calls this again: that call returns at
@@ -196,12 +196,12 @@
         self.keys_in_service.add(key)
         rest_until_ns = self.key_queues.rests_until(key)
         while (request := self.key_queues.next_waiting(key)) is not None:
-            if now < rest_until_ns:
+            if now_ns < rest_until_ns:
                 self.orders.set_timer(rest_until_ns, self._serve_key, key)
                 break
-            self._admit(now, request)
+            self._admit(now_ns, request)
         self.keys_in_service.discard(key)
-        self.key_queues.discard_if_idle(now, key)
+        self.key_queues.discard_if_idle(now_ns, key)
 
 
 def _is_harmless_to_repeat(request: Request) -> bool:
--- a/query_broker/decisions/capacity_check.py
+++ b/query_broker/decisions/capacity_check.py
@@ -44,7 +44,7 @@
         self.mean_priority_weight += MEAN_LEARNING_RATE * (weight - self.mean_priority_weight)
         self.mean_work_ns += MEAN_LEARNING_RATE * (request.work_ns - self.mean_work_ns)
 
-    def fits(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
+    def fits(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> bool:
         """Whether a request fits the bounds.
 
         A large request would take the capacity of small ones that have more priority weight for
@@ -54,16 +54,16 @@
         pool = self.pool
         spec = request.spec
         if pool.large_fleet and not endpoint.in_pool:
-            return self.slow_start.fits_in_turn(now, endpoint, spec.threads)
+            return self.slow_start.fits_in_turn(now_ns, endpoint, spec.threads)
         backlog_ns = endpoint.backlog_of(request.work_ns)
         bound_factor = (
             spec.priority_weight / request.work_ns * self.mean_work_ns / self.mean_priority_weight
         )
         if request.over_quota:
             bound_factor *= OVER_QUOTA_FACTOR
-        if not endpoint.fits(now, backlog_ns, spec.threads, bound_factor):
+        if not endpoint.fits(now_ns, backlog_ns, spec.threads, bound_factor):
             return False
         if not pool.large_fleet:
             return True
         pool_factor = bound_factor / max(MIN_ADMITTED, request.statistics.admitted)
-        return pool.limit.fits(now, backlog_ns, spec.threads, pool_factor)
+        return pool.limit.fits(now_ns, backlog_ns, spec.threads, pool_factor)
--- a/query_broker/decisions/concurrency_limit.py
+++ b/query_broker/decisions/concurrency_limit.py
@@ -71,37 +71,37 @@
         self.bound_ns = ratio * initial_bound
         self.initial_bound_ns = initial_bound
 
-    def crowding(self, now: int, extra_threads: int) -> float:
+    def crowding(self, now_ns: int, extra_threads: int) -> float:
         """Return our threads, with so many more, as a multiple of our quota."""
         return (self.threads_in_flight + extra_threads) / self.thread_quota
 
-    def is_pressed(self, now: int) -> bool:
+    def is_pressed(self, now_ns: int) -> bool:
         """Whether answers, a rejection or our own threads show pressure.
 
         Answers show an overload only after it; so our own threads count as well.
         """
         return (
             self.slowdown > PRESSURE_SLOWDOWN * self.best_slowdown
-            or now < self.full_until_ns
-            or self.crowding(now, 0) > 1
+            or now_ns < self.full_until_ns
+            or self.crowding(now_ns, 0) > 1
         )
 
-    def fits(self, now: int, backlog_ns: int, threads: int, bound_factor: float) -> bool:
+    def fits(self, now_ns: int, backlog_ns: int, threads: int, bound_factor: float) -> bool:
         """Apply the design's admission test to a request.
 
         Without pressure, or with nothing outstanding, everything fits; else backlog and request
         together must not exceed the bound.
 
         Args:
-            now: The time.
+            now_ns: The time.
             backlog_ns: What the request would add to the backlog, in thread-nanoseconds.
             threads: Its threads.
             bound_factor: What the bound is multiplied by for this request.
         """
         if self.backlog_ns == 0:
             return True
-        crowding = self.crowding(now, threads)
-        if not (crowding > 1 or self.is_pressed(now)):
+        crowding = self.crowding(now_ns, threads)
+        if not (crowding > 1 or self.is_pressed(now_ns)):
             return True
         self.bound_used = True
         shrinkage = max(1.0, crowding) ** CROWDING_EXPONENT
@@ -153,6 +153,6 @@
 
     mean_threads: FadingMean
 
-    def crowding(self, now: int, extra_threads: int) -> float:
+    def crowding(self, now_ns: int, extra_threads: int) -> float:
         """Return the mean of our threads as a multiple of our quota."""
-        return self.mean_threads.at(now) / self.thread_quota
+        return self.mean_threads.at(now_ns) / self.thread_quota
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -73,17 +73,17 @@
     Args:
         settings: The settings to begin with.
         seed: Seed of the draws; the same events then give the same orders.
-        now: The time, in nanoseconds of any clock that the caller keeps to.
+        now_ns: The time, in nanoseconds of any clock that the caller keeps to.
     """
 
-    def __init__(self, settings: Settings, seed: int, now: int) -> None:
+    def __init__(self, settings: Settings, seed: int, now_ns: int) -> None:
         """Wire the parts, each with what it needs, and put the settings into force."""
         active = ActiveSettings(settings)
         orders = OrderBuffer()
-        clock = PeriodClock(now)
+        clock = PeriodClock(now_ns)
         draws = random.Random(seed)
         # The state of the endpoints.
-        pool = EndpointPool(active, now)
+        pool = EndpointPool(active, now_ns)
         slow_start = SlowStart(active, pool)
         outliers = OutlierDetector(active, pool, clock, orders, draws)
         affinity = DataSetAffinity(active, pool.endpoints)
@@ -112,7 +112,7 @@
         self.selector = selector
         self.admission = admission
         self.outcomes = outcomes
-        self._apply_settings(now)
+        self._apply_settings(now_ns)
         self._handlers = self._handler_table()
 
     @property
@@ -130,11 +130,11 @@
         """The requests without a final answer, or with an attempt in flight, by id."""
         return self.admission.requests
 
-    def handle(self, now: int, event: Event) -> list[Order]:
+    def handle(self, now_ns: int, event: Event) -> list[Order]:
         """Take an event and return the orders that follow from it, in their sequence.
 
         Args:
-            now: The time in nanoseconds; not before that of the last event.
+            now_ns: The time in nanoseconds; not before that of the last event.
             event: What has happened.
 
         Raises:
@@ -146,14 +146,14 @@
             raise UnknownEventError(event)
         orders = self.orders.begin()
         if self.orders.next_token == 0:
-            self.orders.set_timer(now + PERIOD_NS, self._end_period)
-        self.clock.observe(now)
-        handler(now, event)
+            self.orders.set_timer(now_ns + PERIOD_NS, self._end_period)
+        self.clock.observe(now_ns)
+        handler(now_ns, event)
         return orders
 
-    def outstanding(self, now: int) -> dict[int, OutstandingWork]:
+    def outstanding(self, now_ns: int) -> dict[int, OutstandingWork]:
         """Return this process's outstanding work by endpoint, for the broker's other processes."""
-        return self.pool.outstanding(now)
+        return self.pool.outstanding(now_ns)
 
     def avoided(self) -> int:
         """Count the listed endpoints that are administratively disabled or ejected."""
@@ -175,36 +175,36 @@
             PeerMessage: _ignore,
         }
 
-    def _end_period(self, now: int) -> None:
+    def _end_period(self, now_ns: int) -> None:
         """Timer: end a period of the control loops and begin the next."""
-        self.orders.set_timer(now + PERIOD_NS, self._end_period)
-        self.clock.start_period(now)
+        self.orders.set_timer(now_ns + PERIOD_NS, self._end_period)
+        self.clock.start_period(now_ns)
         self.admission.end_period()
-        self.pool.refresh(now)  # endpoints may have warmed up by now
-        self.outliers.end_period(now)
+        self.pool.refresh(now_ns)  # endpoints may have warmed up by now
+        self.outliers.end_period(now_ns)
         for endpoint in self.pool.endpoints.values():
             endpoint.end_period()
         self.pool.limit.end_period()
 
-    def _change_settings(self, now: int, event: SettingsChanged) -> None:
+    def _change_settings(self, now_ns: int, event: SettingsChanged) -> None:
         self.active.replace(event.settings)
-        self._apply_settings(now)
+        self._apply_settings(now_ns)
 
-    def _apply_settings(self, now: int) -> None:
-        self.admission.apply_settings(now)
-        self.pool.apply_settings(now)
+    def _apply_settings(self, now_ns: int) -> None:
+        self.admission.apply_settings(now_ns)
+        self.pool.apply_settings(now_ns)
 
-    def _update_endpoints(self, now: int, event: EndpointListUpdate) -> None:
+    def _update_endpoints(self, now_ns: int, event: EndpointListUpdate) -> None:
         self.affinity.forget_ranks()
-        self.pool.update(now, event)
+        self.pool.update(now_ns, event)
 
-    def _take_co_process_load(self, now: int, event: CoProcessLoad) -> None:
+    def _take_co_process_load(self, now_ns: int, event: CoProcessLoad) -> None:
         self.admission.set_accepting_processes(event.accepting_processes)
         self.pool.set_co_process_load(event)
 
-    def _fire_timer(self, now: int, event: TimerFired) -> None:
-        self.orders.fire(now, event.token)
+    def _fire_timer(self, now_ns: int, event: TimerFired) -> None:
+        self.orders.fire(now_ns, event.token)
 
 
-def _ignore(now: int, event: PeerMessage) -> None:
+def _ignore(now_ns: int, event: PeerMessage) -> None:
     """Brokers decide without each other; nothing of a peer's message is used."""
--- a/query_broker/decisions/delay_feedback.py
+++ b/query_broker/decisions/delay_feedback.py
@@ -33,7 +33,7 @@
 
     def take_outcome(
         self,
-        now: int,
+        now_ns: int,
         endpoint: TrackedEndpoint,
         request: Request,
         attempt: Attempt,
@@ -47,18 +47,18 @@
         if event.result in NO_ANSWER:
             endpoint.delays.append(TIMEOUT_DELAY)
             self.pool.limit.delays.append(TIMEOUT_DELAY)
-        if event.result is AttemptResult.SERVED and now != self.clock.stalled_at_ns:
-            self._learn(now, endpoint, request, attempt, event.latency_ns)
+        if event.result is AttemptResult.SERVED and now_ns != self.clock.stalled_at_ns:
+            self._learn(now_ns, endpoint, request, attempt, event.latency_ns)
 
     def _learn(
         self,
-        now: int,
+        now_ns: int,
         endpoint: TrackedEndpoint,
         request: Request,
         attempt: Attempt,
         latency_ns: int,
     ) -> None:
-        warm_latency_ns = latency_ns * self.slow_start.capacity_fraction(now, endpoint)
+        warm_latency_ns = latency_ns * self.slow_start.capacity_fraction(now_ns, endpoint)
         ratio = max(MIN_LATENCY_RATIO, warm_latency_ns / max(1, request.run_time()))
         delay = latency_ns / max(1, request.latency_objective())
         limit = self.pool.limit
--- a/query_broker/decisions/dispatching.py
+++ b/query_broker/decisions/dispatching.py
@@ -49,45 +49,45 @@
         self.affinity = affinity
         self.orders = orders
 
-    def dispatch(self, now: int, request: Request, endpoint: TrackedEndpoint) -> Attempt | None:
+    def dispatch(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> Attempt | None:
         """Order an attempt and account for it at the request, the endpoint and the pool.
 
         The rules are checked here once more, so that nothing is dispatched against them, however
         the endpoint was chosen; returns None where they forbid it.
         """
-        if not self.eligibility.allows(now, request, endpoint):
+        if not self.eligibility.allows(now_ns, request, endpoint):
             return None
         if request.attempts_started > 0:
-            self.eligibility.record_retry(now)
+            self.eligibility.record_retry(now_ns)
         else:
             self.capacity.record(request)
-        attempt = self._start(now, request, endpoint)
-        self._reserve(now, request, endpoint, attempt)
+        attempt = self._start(now_ns, request, endpoint)
+        self._reserve(now_ns, request, endpoint, attempt)
         return attempt
 
     def release(
-        self, now: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
+        self, now_ns: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
     ) -> None:
         """Release what an attempt that has ended had reserved at the endpoint and the pool."""
         spec = request.spec
         del endpoint.in_flight[request.id, attempt.number]
-        self.pool.add_outstanding(now, endpoint, -attempt.backlog_ns, -spec.threads)
+        self.pool.add_outstanding(now_ns, endpoint, -attempt.backlog_ns, -spec.threads)
         if spec.is_load:
             self.affinity.add_loads(endpoint, request.data_set, -1)
 
-    def _start(self, now: int, request: Request, endpoint: TrackedEndpoint) -> Attempt:
+    def _start(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> Attempt:
         number = endpoint.entry.endpoint
         attempt = Attempt(
             request.attempts_started,
             number,
-            now,
+            now_ns,
             endpoint.backlog_of(request.work_ns),
-            endpoint.load() < UNCONTENDED_LOAD and not endpoint.is_pressed(now),
+            endpoint.load() < UNCONTENDED_LOAD and not endpoint.is_pressed(now_ns),
             endpoint.ejected,
         )
         if attempt.number == 0:
             self._order_options(request)
-        timeout_ns = request.deadline_ns - now
+        timeout_ns = request.deadline_ns - now_ns
         latest_start_ns = _latest_start(request)
         self.orders.add(Dispatch(request.id, attempt.number, number, timeout_ns, latest_start_ns))
         request.attempts_started += 1
@@ -97,20 +97,20 @@
         return attempt
 
     def _reserve(
-        self, now: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
+        self, now_ns: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
     ) -> None:
         spec = request.spec
         endpoint.in_flight[request.id, attempt.number] = attempt
         if len(endpoint.in_flight) == 1:
             # It owed no answer until now: the time of its silence begins here.
-            endpoint.last_activity_ns = max(endpoint.last_activity_ns, now)
-        self.pool.add_outstanding(now, endpoint, attempt.backlog_ns, spec.threads)
+            endpoint.last_activity_ns = max(endpoint.last_activity_ns, now_ns)
+        self.pool.add_outstanding(now_ns, endpoint, attempt.backlog_ns, spec.threads)
         if spec.is_load:
             self.affinity.add_loads(endpoint, request.data_set, 1)
         endpoint.threads_since_report += spec.threads
-        endpoint.next_trial_ns = now + TRIAL_INTERVAL_NS
-        if now < endpoint.warmup_ends_ns:
-            endpoint.warmup_work.add(now, request.work_ns)
+        endpoint.next_trial_ns = now_ns + TRIAL_INTERVAL_NS
+        if now_ns < endpoint.warmup_ends_ns:
+            endpoint.warmup_work.add(now_ns, request.work_ns)
 
     def _order_options(self, request: Request) -> None:
         settings = self.active.settings
--- a/query_broker/decisions/eligibility.py
+++ b/query_broker/decisions/eligibility.py
@@ -43,12 +43,12 @@
         self.arrivals.span_ns = window_ns
         self.retries.span_ns = window_ns
 
-    def allows(self, now: int) -> bool:
+    def allows(self, now_ns: int) -> bool:
         """Whether another attempt stays within the budget; without a window there is no limit."""
         contract = self.active.contract
         budget = contract.retry_budget_free
-        budget += contract.retry_budget_ratio * self.arrivals.at(now)
-        return contract.retry_budget_window_ns <= 0 or self.retries.at(now) + 1 <= budget
+        budget += contract.retry_budget_ratio * self.arrivals.at(now_ns)
+        return contract.retry_budget_window_ns <= 0 or self.retries.at(now_ns) + 1 <= budget
 
 
 class Eligibility:
@@ -73,7 +73,7 @@
         self.key_queues = key_queues
         self.retry_budget = retry_budget
 
-    def allows(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
+    def allows(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> bool:
         """Whether a request may be dispatched to an endpoint now, whatever the load there."""
         attempts = request.attempts_started
         key = request.key
@@ -81,19 +81,19 @@
             not request.finished
             and self.pool.is_open(endpoint)  # rule 3, drains
             and attempts < self.active.limits.max_attempts
-            and self._effect_allows(now, request, endpoint)  # rule 2
+            and self._effect_allows(now_ns, request, endpoint)  # rule 2
             and _is_placed(request.spec, endpoint.entry)  # rule 6
-            and (key is None or self.key_queues.may_dispatch(now, key, request))  # rule 5
-            and (attempts == 0 or self.retry_budget.allows(now))  # rule 7
-            and self.slow_start.allows(now, endpoint, request.work_ns)  # rule 4
-            and self.outliers.allows(now, request, endpoint)
+            and (key is None or self.key_queues.may_dispatch(now_ns, key, request))  # rule 5
+            and (attempts == 0 or self.retry_budget.allows(now_ns))  # rule 7
+            and self.slow_start.allows(now_ns, endpoint, request.work_ns)  # rule 4
+            and self.outliers.allows(now_ns, request, endpoint)
         )
 
-    def record_retry(self, now: int) -> None:
+    def record_retry(self, now_ns: int) -> None:
         """Count an attempt after the first against the retry budget (rule 7)."""
-        self.retry_budget.retries.add(now)
+        self.retry_budget.retries.add(now_ns)
 
-    def _effect_allows(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
+    def _effect_allows(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> bool:
         """Rule 2: whether a request may run at an endpoint after its earlier attempts."""
         is_idempotent = request.spec.effect is Effect.IDEMPOTENT
         if request.in_flight:
@@ -102,16 +102,16 @@
                 return False
         if is_idempotent or not request.maybe_executed:
             return True
-        return self._may_repeat(now, request, endpoint)
+        return self._may_repeat(now_ns, request, endpoint)
 
-    def _may_repeat(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
+    def _may_repeat(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> bool:
         """Whether the endpoint still knows the idempotency key of a request that may have run."""
         spec = request.spec
         if spec.effect is Effect.NON_IDEMPOTENT:
             return False
         first = request.maybe_executed[0]
         margin_ns = WINDOW_MARGIN_TICKS * self.active.settings.tick_ns
-        if now - first.dispatched_ns >= spec.idempotency_window_ns - margin_ns:
+        if now_ns - first.dispatched_ns >= spec.idempotency_window_ns - margin_ns:
             return False
         if spec.idempotency_scope is IdempotencyScope.ALL:
             return True
--- a/query_broker/decisions/endpoint_pool.py
+++ b/query_broker/decisions/endpoint_pool.py
@@ -66,13 +66,13 @@
         "warming",
     )
 
-    def __init__(self, active: ActiveSettings, now: int) -> None:
+    def __init__(self, active: ActiveSettings, now_ns: int) -> None:
         """Begin without endpoints."""
         self.active = active
         self.endpoints: dict[int, TrackedEndpoint] = {}
         self.disabled: set[int] = set()
         self.limit = PoolConcurrencyLimit(
-            mean_threads=FadingMean(POOL_MEMORY_NS, now), delay_objective=POOL_DELAY_OBJECTIVE
+            mean_threads=FadingMean(POOL_MEMORY_NS, now_ns), delay_objective=POOL_DELAY_OBJECTIVE
         )
         self.subset: list[TrackedEndpoint] = []
         self.warming: list[TrackedEndpoint] = []
@@ -88,15 +88,15 @@
         entry = endpoint.entry
         return entry.state is EndpointState.READY and entry.endpoint not in self.disabled
 
-    def update(self, now: int, event: EndpointListUpdate) -> None:
+    def update(self, now_ns: int, event: EndpointListUpdate) -> None:
         """Apply an update of the endpoint list."""
         for entry in event.entries:
-            self._update_entry(now, entry)
+            self._update_entry(now_ns, entry)
         if event.kind in COMPLETE_LISTS:
             listed = {entry.endpoint for entry in event.entries}
             for number in self.endpoints.keys() - listed:
                 self.remove(number)
-        self.refresh(now)
+        self.refresh(now_ns)
 
     def remove(self, number: int) -> None:
         """Dispatch no more to an endpoint, and forget it once nothing is in flight."""
@@ -107,7 +107,7 @@
         if not endpoint.in_flight:
             del self.endpoints[number]
 
-    def set_administrative_state(self, now: int, event: AdministrativeChange) -> None:
+    def set_administrative_state(self, now_ns: int, event: AdministrativeChange) -> None:
         """Disable an endpoint by hand, or enable it again.
 
         An endpoint that is enabled counts as restarted: the list may show a restart late or never.
@@ -118,8 +118,8 @@
             self.disabled.discard(event.endpoint)
             endpoint = self.endpoints.get(event.endpoint)
             if endpoint is not None:
-                self._restart(now, endpoint, event.at_ns)
-        self.refresh(now)
+                self._restart(now_ns, endpoint, event.at_ns)
+        self.refresh(now_ns)
 
     def set_co_process_load(self, event: CoProcessLoad) -> None:
         """Count the outstanding work of this broker's other processes as our own.
@@ -134,7 +134,7 @@
             endpoint.backlog_ns += endpoint.co_process_work.backlog_ns - previous.backlog_ns
 
     def add_outstanding(
-        self, now: int, endpoint: TrackedEndpoint, backlog_ns: int, threads: int
+        self, now_ns: int, endpoint: TrackedEndpoint, backlog_ns: int, threads: int
     ) -> None:
         """Add to the outstanding work of an endpoint and of the pool; negative where it ends."""
         limit = self.limit
@@ -143,15 +143,15 @@
         if endpoint.in_pool:
             limit.backlog_ns += backlog_ns
             limit.threads_in_flight += threads
-        limit.mean_threads.record(now, limit.threads_in_flight)
+        limit.mean_threads.record(now_ns, limit.threads_in_flight)
 
-    def outstanding(self, now: int) -> dict[int, OutstandingWork]:
+    def outstanding(self, now_ns: int) -> dict[int, OutstandingWork]:
         """Return the outstanding work of this process alone, by endpoint."""
         return {
             number: OutstandingWork(
                 endpoint.threads_in_flight - endpoint.co_process_work.threads,
                 endpoint.backlog_ns - endpoint.co_process_work.backlog_ns,
-                endpoint.warmup_work.at(now),
+                endpoint.warmup_work.at(now_ns),
             )
             for number, endpoint in self.endpoints.items()
         }
@@ -164,13 +164,13 @@
             if endpoint.entry.state is not EndpointState.REMOVED
         )
 
-    def apply_settings(self, now: int) -> None:
+    def apply_settings(self, now_ns: int) -> None:
         """Rescale all bounds to the settings in force."""
         for endpoint in self.endpoints.values():
             self._rescale(endpoint)
-        self.refresh(now)
+        self.refresh(now_ns)
 
-    def refresh(self, now: int) -> None:
+    def refresh(self, now_ns: int) -> None:
         """Recompute what follows from the state of all endpoints together.
 
         In a large fleet a quota is less than one request, and no endpoint's own control loop gets
@@ -182,9 +182,9 @@
         ]
         self._measure_fleet(open_endpoints)
         for endpoint in self.endpoints.values():
-            is_warming = self.large_fleet and now < endpoint.warmup_ends_ns
+            is_warming = self.large_fleet and now_ns < endpoint.warmup_ends_ns
             endpoint.in_pool = self.is_open(endpoint) and not (endpoint.ejected or is_warming)
-        self._measure_limit(now, [endpoint for endpoint in open_endpoints if endpoint.in_pool])
+        self._measure_limit(now_ns, [endpoint for endpoint in open_endpoints if endpoint.in_pool])
         self._choose_subset(open_endpoints)
 
     def _measure_fleet(self, open_endpoints: list[TrackedEndpoint]) -> None:
@@ -196,7 +196,7 @@
         self.ejects_by_health_check = self.large_fleet and self.active.limits.health_checks
         self.turn_owners = max(1, round(fleet_size / max(1, len(open_endpoints))))
 
-    def _measure_limit(self, now: int, members: list[TrackedEndpoint]) -> None:
+    def _measure_limit(self, now_ns: int, members: list[TrackedEndpoint]) -> None:
         fleet_size = self.active.settings.fleet_size
         limit = self.limit
         limit.rescale(sum(endpoint.initial_bound_ns for endpoint in members))
@@ -209,7 +209,7 @@
         limit.threads_in_flight = sum(
             member.threads_in_flight - member.co_process_work.threads for member in members
         )
-        limit.mean_threads.record(now, limit.threads_in_flight)
+        limit.mean_threads.record(now_ns, limit.threads_in_flight)
 
     def _choose_subset(self, open_endpoints: list[TrackedEndpoint]) -> None:
         """Choose the endpoints that this broker uses.
@@ -231,23 +231,23 @@
             endpoint for endpoint in open_endpoints if not (endpoint.in_pool or endpoint.ejected)
         ]
 
-    def _update_entry(self, now: int, entry: EndpointEntry) -> None:
+    def _update_entry(self, now_ns: int, entry: EndpointEntry) -> None:
         if entry.state is EndpointState.REMOVED:
             self.remove(entry.endpoint)
             return
         endpoint = self.endpoints.get(entry.endpoint)
         if endpoint is None:
-            endpoint = self._add(now, entry)
+            endpoint = self._add(now_ns, entry)
         if entry.started_ns > endpoint.entry.started_ns:
-            self._restart(now, endpoint, entry.started_ns)
+            self._restart(now_ns, endpoint, entry.started_ns)
         endpoint.entry = entry
 
-    def _add(self, now: int, entry: EndpointEntry) -> TrackedEndpoint:
+    def _add(self, now_ns: int, entry: EndpointEntry) -> TrackedEndpoint:
         cores_by_kind = dict(self.active.settings.kind_cores)
         endpoint = TrackedEndpoint(
             entry=replace(entry, started_ns=0),
             cores=cores_by_kind.get(entry.kind) or max(1, round(entry.weight)),
-            last_activity_ns=now,
+            last_activity_ns=now_ns,
             warmup_work=SlidingSum(0),
         )
         self.endpoints[entry.endpoint] = endpoint
@@ -262,7 +262,7 @@
         endpoint.thread_quota = threads + (1 - 1 / fleet_size) * self.active.widest_threads
         endpoint.warmup_work.span_ns = self.active.contract.overload_window_ns
 
-    def _restart(self, now: int, endpoint: TrackedEndpoint, started_ns: int) -> None:
+    def _restart(self, now_ns: int, endpoint: TrackedEndpoint, started_ns: int) -> None:
         """Reset the endpoint, since another process runs under its number.
 
         It is in warm-up, and nothing that was learned of the previous process applies.
@@ -274,7 +274,7 @@
         endpoint.error_rate = 0.0
         endpoint.load_report = None
         endpoint.full_until_ns = 0
-        endpoint.process_started_ns = min(now, started_ns)
+        endpoint.process_started_ns = min(now_ns, started_ns)
         endpoint.last_activity_ns = max(endpoint.last_activity_ns, endpoint.process_started_ns)
         warm_ns = started_ns + self.active.contract.warmup_ns
         endpoint.warmup_ends_ns = max(endpoint.warmup_ends_ns, warm_ns)
--- a/query_broker/decisions/endpoint_selection.py
+++ b/query_broker/decisions/endpoint_selection.py
@@ -34,21 +34,21 @@
         self.eligibility = eligibility
         self.capacity = capacity
 
-    def for_first_attempt(self, now: int, request: Request) -> TrackedEndpoint | None:
+    def for_first_attempt(self, now_ns: int, request: Request) -> TrackedEndpoint | None:
         """Draw among the endpoints where a request fits; None where it fits nowhere."""
         allows = self.eligibility.allows
-        candidates = self.balancer.candidates(now)
-        eligible = [endpoint for endpoint in candidates if allows(now, request, endpoint)]
+        candidates = self.balancer.candidates(now_ns)
+        eligible = [endpoint for endpoint in candidates if allows(now_ns, request, endpoint)]
         # A request that can't end in time would waste the endpoint's capacity.
-        if not _has_time_to_run(now, request):
+        if not _has_time_to_run(now_ns, request):
             return None
         fits = self.capacity.fits
-        fitting = [endpoint for endpoint in eligible if fits(now, request, endpoint)]
+        fitting = [endpoint for endpoint in eligible if fits(now_ns, request, endpoint)]
         # Endpoints in warm-up come first: capacity that our turn there leaves unused is lost.
         warming = [endpoint for endpoint in fitting if not (endpoint.in_pool or endpoint.ejected)]
         return self._draw(request, warming or fitting)
 
-    def for_retry(self, now: int, request: Request) -> TrackedEndpoint | None:
+    def for_retry(self, now_ns: int, request: Request) -> TrackedEndpoint | None:
         """Draw the endpoint of a retry or a hedge; None where there should be none.
 
         Retries increase the overload that caused them: there is none under pressure, none that
@@ -57,10 +57,10 @@
         errors = request.error_endpoints
         eligible = [
             endpoint
-            for endpoint in self.balancer.candidates(now)
-            if self._may_retry_at(now, request, endpoint)
+            for endpoint in self.balancer.candidates(now_ns)
+            if self._may_retry_at(now_ns, request, endpoint)
         ]
-        if len(errors) >= MAX_ERROR_ENDPOINTS or not _has_time_to_run(now, request):
+        if len(errors) >= MAX_ERROR_ENDPOINTS or not _has_time_to_run(now_ns, request):
             return None
         tried = request.tried_endpoints
         untried = [endpoint for endpoint in eligible if endpoint.entry.endpoint not in tried]
@@ -68,16 +68,16 @@
             return self._draw(request, untried)
         return self._draw(request, eligible)
 
-    def _may_retry_at(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
-        if not self.eligibility.allows(now, request, endpoint):
+    def _may_retry_at(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> bool:
+        if not self.eligibility.allows(now_ns, request, endpoint):
             return False
         if self.pool.large_fleet or request.error_endpoints:
-            return self.capacity.fits(now, request, endpoint)
-        return not endpoint.is_pressed(now)
+            return self.capacity.fits(now_ns, request, endpoint)
+        return not endpoint.is_pressed(now_ns)
 
     def _draw(self, request: Request, endpoints: list[TrackedEndpoint]) -> TrackedEndpoint | None:
         return self.balancer.draw(request, endpoints) if endpoints else None
 
 
-def _has_time_to_run(now: int, request: Request) -> bool:
-    return request.deadline_ns - now > request.run_time()
+def _has_time_to_run(now_ns: int, request: Request) -> bool:
+    return request.deadline_ns - now_ns > request.run_time()
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -101,34 +101,34 @@
         due: Tokens of the controller's timers that have fired, to be handled by `tick`.
     """
 
-    def __init__(self, settings: Settings, seed: int, now: int, timer_wheel: TimerWheel) -> None:
+    def __init__(self, settings: Settings, seed: int, now_ns: int, timer_wheel: TimerWheel) -> None:
         """Make the controller.
 
         Args:
             settings: The settings to begin with.
             seed: Seed of the controller's draws.
-            now: The time in nanoseconds.
+            now_ns: The time in nanoseconds.
             timer_wheel: The timer wheel that the controller's timers are set on.
         """
-        self.controller = AdmissionController(settings, seed, now)
+        self.controller = AdmissionController(settings, seed, now_ns)
         self.timer_wheel = timer_wheel
         self.due: deque[int] = deque()
 
-    def pick(self, now: int, arrival: RequestArrived) -> OrderBatch:
+    def pick(self, now_ns: int, arrival: RequestArrived) -> OrderBatch:
         """Decide on a request that has arrived: where it is dispatched, or that it is rejected."""
-        return self._handle(now, arrival)
+        return self._handle(now_ns, arrival)
 
-    def report(self, now: int, event: Event) -> OrderBatch:
+    def report(self, now_ns: int, event: Event) -> OrderBatch:
         """Report any other event."""
-        return self._handle(now, event)
+        return self._handle(now_ns, event)
 
-    def tick(self, now: int) -> OrderBatch:
+    def tick(self, now_ns: int) -> OrderBatch:
         """Handle the first of the timers that have fired.
 
         Each is removed first and handled alone: a fault in one must not affect the others, among
         them those that guarantee a final answer (rule 1).
         """
-        return self._handle(now, TimerFired(self.due.popleft()))
+        return self._handle(now_ns, TimerFired(self.due.popleft()))
 
     def forget(self, request: str) -> None:
         """Called when the network has nothing open of a request any more; does nothing here."""
@@ -137,9 +137,9 @@
         """Count the listed endpoints that are administratively disabled or ejected."""
         return self.controller.avoided()
 
-    def outstanding(self, now: int) -> dict[int, OutstandingWork]:
+    def outstanding(self, now_ns: int) -> dict[int, OutstandingWork]:
         """Return this process's outstanding work by endpoint, for the broker's other processes."""
-        return self.controller.outstanding(now)
+        return self.controller.outstanding(now_ns)
 
     def quotas_and_bounds(self) -> dict[int, tuple[float, float]]:
         """Return the thread quota of each endpoint and the bound on its outstanding work.
@@ -159,9 +159,9 @@
     def _timer_callback(self, token: int) -> Callable[[], None]:
         return lambda: self.due.append(token)
 
-    def _handle(self, now: int, event: Event) -> OrderBatch:
+    def _handle(self, now_ns: int, event: Event) -> OrderBatch:
         batch = OrderBatch()
-        for order in self.controller.handle(now, event):
+        for order in self.controller.handle(now_ns, event):
             match order:
                 case SetTimer(due_ns, token):
                     self.timer_wheel.set_timer(due_ns, self._timer_callback(token))
--- a/query_broker/decisions/key_ordering.py
+++ b/query_broker/decisions/key_ordering.py
@@ -35,9 +35,9 @@
         """Remove a request from its queue."""
         self.queues[key].remove(request)
 
-    def rest(self, now: int, key: str) -> None:
+    def rest(self, now_ns: int, key: str) -> None:
         """Let a key rest from now on, for the time of the contract."""
-        self.rest_until_ns[key] = now + self.active.contract.key_rest_ns
+        self.rest_until_ns[key] = now_ns + self.active.contract.key_rest_ns
 
     def rests_until(self, key: str) -> int:
         """Return when the rest of a key ends, 0 where it does not rest."""
@@ -51,13 +51,13 @@
         oldest = queue[0]
         return None if oldest.finished or oldest.attempts_started > 0 else oldest
 
-    def may_dispatch(self, now: int, key: str, request: Request) -> bool:
+    def may_dispatch(self, now_ns: int, key: str, request: Request) -> bool:
         """Whether a request is the oldest of its key and, at its first attempt, no rest remains."""
         if self.queues[key][0] is not request:
             return False
-        return request.attempts_started > 0 or now >= self.rests_until(key)
+        return request.attempts_started > 0 or now_ns >= self.rests_until(key)
 
-    def waits_too_long(self, now: int, key: str, request: Request) -> bool:
+    def waits_too_long(self, now_ns: int, key: str, request: Request) -> bool:
         """Whether the expected wait in the queue exceeds the request's latency objective.
 
         In a longer queue all requests would be late.
@@ -65,21 +65,21 @@
         queue = self.queues[key]
         if len(queue) <= 1:
             return False
-        expected_wait_ns = sum(_remaining_time(now, queued) for queued in queue)
+        expected_wait_ns = sum(_remaining_time(now_ns, queued) for queued in queue)
         return request.latency_objective() < expected_wait_ns
 
-    def discard_if_idle(self, now: int, key: str) -> None:
+    def discard_if_idle(self, now_ns: int, key: str) -> None:
         """Forget a key that has no requests, and its rest once it is over."""
         if self.queues.get(key):
             return
         self.queues.pop(key, None)
-        if self.rests_until(key) <= now:
+        if self.rests_until(key) <= now_ns:
             self.rest_until_ns.pop(key, None)
 
 
-def _remaining_time(now: int, request: Request) -> float:
+def _remaining_time(now_ns: int, request: Request) -> float:
     """Return the expected time to the answer in ns, less the age of the oldest attempt."""
-    ages_ns = (now - attempt.dispatched_ns for attempt in request.in_flight.values())
+    ages_ns = (now_ns - attempt.dispatched_ns for attempt in request.in_flight.values())
     oldest_age_ns = max(ages_ns, default=0)
     expected_ns = request.statistics.expected_latency(request.work_ns)
     return max(0.0, expected_ns - oldest_age_ns)
--- a/query_broker/decisions/load_balancing.py
+++ b/query_broker/decisions/load_balancing.py
@@ -51,10 +51,10 @@
         self.affinity = affinity
         self.random = random_source
 
-    def candidates(self, now: int) -> list[TrackedEndpoint]:
+    def candidates(self, now_ns: int) -> list[TrackedEndpoint]:
         """Return the endpoints in use, and those in warm-up whose turn is ours."""
         is_our_turn = self.slow_start.is_our_turn
-        ours = [endpoint for endpoint in self.pool.warming if is_our_turn(now, endpoint)]
+        ours = [endpoint for endpoint in self.pool.warming if is_our_turn(now_ns, endpoint)]
         return self.pool.subset + ours
 
     def draw(self, request: Request, endpoints: list[TrackedEndpoint]) -> TrackedEndpoint:
--- a/query_broker/decisions/order_buffer.py
+++ b/query_broker/decisions/order_buffer.py
@@ -47,9 +47,9 @@
         self.orders.append(SetTimer(due_ns, token))
         self.next_token = token + 1
 
-    def fire(self, now: int, token: int) -> None:
+    def fire(self, now_ns: int, token: int) -> None:
         """Run the callback of a timer; an unknown token is ignored."""
         timer = self.timers.pop(token, None)
         if timer is not None:
             callback, arguments = timer
-            callback(now, *arguments)
+            callback(now_ns, *arguments)
--- a/query_broker/decisions/outcomes.py
+++ b/query_broker/decisions/outcomes.py
@@ -50,7 +50,7 @@
         self.retries = retries
         self.admission = admission
 
-    def take(self, now: int, event: AttemptEnded) -> None:
+    def take(self, now_ns: int, event: AttemptEnded) -> None:
         """Handle the outcome of an attempt; one that is not in flight is ignored."""
         request = self.admission.requests.get(event.request_id)
         if request is None:
@@ -62,30 +62,34 @@
             request.maybe_executed.remove(attempt)
         endpoint = self.pool.endpoints.get(event.endpoint)
         if endpoint is not None:
-            self._account(now, endpoint, request, attempt, event)
+            self._account(now_ns, endpoint, request, attempt, event)
         if request.key is not None and event.result in MAY_STILL_RUN:
-            self.key_queues.rest(now, request.key)
+            self.key_queues.rest(now_ns, request.key)
         if event.finished:
-            self.admission.end(now, request)
-        if not request.finished and not request.in_flight and not self.retries.retry(now, request):
-            self.admission.finish(now, request)
-        self.admission.settle(now, request)
+            self.admission.end(now_ns, request)
+        if (
+            not request.finished
+            and not request.in_flight
+            and not self.retries.retry(now_ns, request)
+        ):
+            self.admission.finish(now_ns, request)
+        self.admission.settle(now_ns, request)
 
     def _account(
         self,
-        now: int,
+        now_ns: int,
         endpoint: TrackedEndpoint,
         request: Request,
         attempt: Attempt,
         event: AttemptEnded,
     ) -> None:
         """Release what the attempt had reserved, and learn from its outcome."""
-        self.dispatcher.release(now, request, endpoint, attempt)
+        self.dispatcher.release(now_ns, request, endpoint, attempt)
         # The outcome of an attempt that went to an earlier process says nothing of this one.
         if attempt.dispatched_ns >= endpoint.process_started_ns:
             if event.load_report is not None:
                 endpoint.take_report(event.load_report)
-            self.outliers.take_outcome(now, endpoint, request, event)
-            self.feedback.take_outcome(now, endpoint, request, attempt, event)
+            self.outliers.take_outcome(now_ns, endpoint, request, event)
+            self.feedback.take_outcome(now_ns, endpoint, request, attempt, event)
         if endpoint.entry.state is EndpointState.REMOVED:
             self.pool.remove(event.endpoint)
--- a/query_broker/decisions/outlier_detection.py
+++ b/query_broker/decisions/outlier_detection.py
@@ -72,17 +72,17 @@
         self.random = random_source
         self.group_failures: dict[str, float] = {}
 
-    def allows(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
+    def allows(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> bool:
         """Whether the endpoint's health lets this request be dispatched to it."""
-        self._check_silence(now, endpoint)
+        self._check_silence(now_ns, endpoint)
         # With no backlog of ours every request fits the bound: without this, requests would be sent
         # to a full endpoint and rejected there without pause.
-        if endpoint.backlog_ns == 0 and now < endpoint.full_until_ns:
-            return now >= endpoint.next_trial_ns
+        if endpoint.backlog_ns == 0 and now_ns < endpoint.full_until_ns:
+            return now_ns >= endpoint.next_trial_ns
         if not endpoint.ejected or self._all_ejected():
             return True
         return (
-            now >= endpoint.next_trial_ns
+            now_ns >= endpoint.next_trial_ns
             and request.spec.effect is Effect.IDEMPOTENT
             and not self.pool.ejects_by_health_check
             and not any(attempt.is_trial for attempt in endpoint.in_flight.values())
@@ -108,21 +108,21 @@
         entry = endpoint.entry
         return max(endpoint_rate, groups.get(entry.zone, 0.0), groups.get(entry.kind, 0.0))
 
-    def set_ejected(self, now: int, endpoint: TrackedEndpoint, ejected: bool) -> None:
+    def set_ejected(self, now_ns: int, endpoint: TrackedEndpoint, ejected: bool) -> None:
         """Eject an endpoint, prolong its ejection, or return it to use."""
         if ejected or endpoint.ejected:
             endpoint.ejected = ejected
             jitter_ns = int(TRIAL_JITTER_NS * endpoint.failure_rate * self.random.random())
-            endpoint.next_trial_ns = now + TRIAL_INTERVAL_NS + jitter_ns
-            self.pool.refresh(now)
+            endpoint.next_trial_ns = now_ns + TRIAL_INTERVAL_NS + jitter_ns
+            self.pool.refresh(now_ns)
 
-    def request_health_check(self, now: int, endpoint: TrackedEndpoint) -> None:
+    def request_health_check(self, now_ns: int, endpoint: TrackedEndpoint) -> None:
         """Order a health check."""
-        endpoint.next_trial_ns = now + TRIAL_INTERVAL_NS
-        endpoint.health_check_requested_ns = now
+        endpoint.next_trial_ns = now_ns + TRIAL_INTERVAL_NS
+        endpoint.health_check_requested_ns = now_ns
         self.orders.add(HealthCheck(endpoint.entry.endpoint))
 
-    def take_health_check(self, now: int, event: HealthCheckResult) -> None:
+    def take_health_check(self, now_ns: int, event: HealthCheckResult) -> None:
         """Judge an endpoint by the result of a health check.
 
         An endpoint that answers but has more requests in flight than it can run is overloaded, and
@@ -139,16 +139,16 @@
             is_overloaded = reported_inflight > THREADS_PER_CORE * endpoint.cores
             failed = event.result is not AttemptResult.SERVED or is_overloaded
             self.record(endpoint, failed)
-            self.set_ejected(now, endpoint, failed)
+            self.set_ejected(now_ns, endpoint, failed)
 
-    def take_progress(self, now: int, event: AttemptProgress) -> None:
+    def take_progress(self, now_ns: int, event: AttemptProgress) -> None:
         """Record that the endpoint is alive; the reported progress is not used."""
         endpoint = self.pool.endpoints.get(event.endpoint)
         if endpoint is not None:
-            endpoint.last_activity_ns = now
+            endpoint.last_activity_ns = now_ns
 
     def take_outcome(
-        self, now: int, endpoint: TrackedEndpoint, request: Request, event: AttemptEnded
+        self, now_ns: int, endpoint: TrackedEndpoint, request: Request, event: AttemptEnded
     ) -> None:
         """Judge an endpoint by the outcome of an attempt.
 
@@ -165,13 +165,13 @@
         if result is AttemptResult.ERROR:
             request.error_endpoints.append(endpoint)
         elif result is AttemptResult.FULL:
-            self._take_rejection(now, endpoint)
+            self._take_rejection(now_ns, endpoint)
         elif connection_failed:
-            self._take_connection_failure(now, endpoint, result)
+            self._take_connection_failure(now_ns, endpoint, result)
         elif result is AttemptResult.SERVED:
-            self._take_answer(now, endpoint, request, event.latency_ns)
+            self._take_answer(now_ns, endpoint, request, event.latency_ns)
 
-    def end_period(self, now: int) -> None:
+    def end_period(self, now_ns: int) -> None:
         """Check ejected endpoints that are in use, and end the ejection of the others.
 
         An endpoint that is not in use would get no check and stay ejected.
@@ -182,28 +182,28 @@
         for endpoint in self.pool.endpoints.values():
             # No answer renews the report, and the dispatches since it would add up without end.
             endpoint.load_report = None
-            if not endpoint.ejected or now < endpoint.next_trial_ns:
+            if not endpoint.ejected or now_ns < endpoint.next_trial_ns:
                 continue
             if endpoint.entry.endpoint in used:
-                self.request_health_check(now, endpoint)
+                self.request_health_check(now_ns, endpoint)
             else:
-                self.set_ejected(now, endpoint, False)
+                self.set_ejected(now_ns, endpoint, False)
 
-    def _take_rejection(self, now: int, endpoint: TrackedEndpoint) -> None:
-        full_until_ns = now + TRIAL_INTERVAL_NS
+    def _take_rejection(self, now_ns: int, endpoint: TrackedEndpoint) -> None:
+        full_until_ns = now_ns + TRIAL_INTERVAL_NS
         endpoint.full_until_ns = full_until_ns
         self.pool.limit.full_until_ns = full_until_ns
         ejected = endpoint.ejected or self.pool.ejects_by_health_check
-        self.set_ejected(now, endpoint, ejected)
+        self.set_ejected(now_ns, endpoint, ejected)
 
     def _take_connection_failure(
-        self, now: int, endpoint: TrackedEndpoint, result: AttemptResult
+        self, now_ns: int, endpoint: TrackedEndpoint, result: AttemptResult
     ) -> None:
         if result is AttemptResult.CONNECT_FAILED or endpoint.failure_rate > SINGLE_RESET:
-            self.set_ejected(now, endpoint, True)
+            self.set_ejected(now_ns, endpoint, True)
 
     def _take_answer(
-        self, now: int, endpoint: TrackedEndpoint, request: Request, latency_ns: int
+        self, now_ns: int, endpoint: TrackedEndpoint, request: Request, latency_ns: int
     ) -> None:
         if self.pool.ejects_by_health_check:
             # Another endpoint has served the request, so the error was the endpoint's fault. In a
@@ -212,25 +212,25 @@
             for other in request.error_endpoints:
                 self.record(other, True)
                 ejected = other.ejected or other.failure_rate > SINGLE_RESET
-                self.set_ejected(now, other, ejected)
-        endpoint.last_activity_ns = now
+                self.set_ejected(now_ns, other, ejected)
+        endpoint.last_activity_ns = now_ns
         expected_ns = request.statistics.expected_latency(request.work_ns)
         is_late = latency_ns > LATE_MULTIPLE * expected_ns
         ejected = endpoint.ejected and self.pool.ejects_by_health_check and is_late
-        self.set_ejected(now, endpoint, ejected)
+        self.set_ejected(now_ns, endpoint, ejected)
 
-    def _check_silence(self, now: int, endpoint: TrackedEndpoint) -> None:
+    def _check_silence(self, now_ns: int, endpoint: TrackedEndpoint) -> None:
         """Eject an endpoint that takes work and sends no answers, before the list marks it."""
         limit_ns = SILENCE_MULTIPLE * self.active.shortest_objective_ns
         last_activity_ns = max(endpoint.last_activity_ns, self.clock.stalled_at_ns)
-        if endpoint.ejected or now - last_activity_ns <= limit_ns:
+        if endpoint.ejected or now_ns - last_activity_ns <= limit_ns:
             return
         if any(
-            _is_unanswered(now, attempt, limit_ns, endpoint.process_started_ns)
+            _is_unanswered(now_ns, attempt, limit_ns, endpoint.process_started_ns)
             for attempt in endpoint.in_flight.values()
         ):
             self.record(endpoint, True)
-            self.set_ejected(now, endpoint, True)
+            self.set_ejected(now_ns, endpoint, True)
 
     def _all_ejected(self) -> bool:
         pool = self.pool
@@ -239,7 +239,7 @@
         )
 
 
-def _is_unanswered(now: int, attempt: Attempt, limit_ns: float, process_started_ns: int) -> bool:
-    age_ns = now - attempt.dispatched_ns
+def _is_unanswered(now_ns: int, attempt: Attempt, limit_ns: float, process_started_ns: int) -> bool:
+    age_ns = now_ns - attempt.dispatched_ns
     is_overdue = age_ns > max(limit_ns, attempt.backlog_ns)
     return is_overdue and attempt.dispatched_ns >= process_started_ns
--- a/query_broker/decisions/period_clock.py
+++ b/query_broker/decisions/period_clock.py
@@ -22,16 +22,16 @@
 
     __slots__ = ("period_due_ns", "stalled_at_ns")
 
-    def __init__(self, now: int) -> None:
+    def __init__(self, now_ns: int) -> None:
         """Begin the first period."""
-        self.period_due_ns = now + PERIOD_NS
+        self.period_due_ns = now_ns + PERIOD_NS
         self.stalled_at_ns = -1
 
-    def observe(self, now: int) -> None:
+    def observe(self, now_ns: int) -> None:
         """Record the time of an event; it shows a stall where the period timer is far overdue."""
-        if now > self.period_due_ns + STALL_NS:
-            self.stalled_at_ns = now
+        if now_ns > self.period_due_ns + STALL_NS:
+            self.stalled_at_ns = now_ns
 
-    def start_period(self, now: int) -> None:
+    def start_period(self, now_ns: int) -> None:
         """Begin the next period."""
-        self.period_due_ns = now + PERIOD_NS
+        self.period_due_ns = now_ns + PERIOD_NS
--- a/query_broker/decisions/retries.py
+++ b/query_broker/decisions/retries.py
@@ -60,40 +60,40 @@
         self.dispatcher = dispatcher
         self.orders = orders
 
-    def first_attempt(self, now: int, request: Request) -> bool:
+    def first_attempt(self, now_ns: int, request: Request) -> bool:
         """Start the first attempt where the request fits; return whether one was started."""
-        endpoint = self.selector.for_first_attempt(now, request)
-        return endpoint is not None and self._attempt(now, request, endpoint)
+        endpoint = self.selector.for_first_attempt(now_ns, request)
+        return endpoint is not None and self._attempt(now_ns, request, endpoint)
 
-    def retry(self, now: int, request: Request) -> bool:
+    def retry(self, now_ns: int, request: Request) -> bool:
         """Start another attempt where the rules allow it; return whether one was started."""
-        endpoint = self.selector.for_retry(now, request)
-        return endpoint is not None and self._attempt(now, request, endpoint)
+        endpoint = self.selector.for_retry(now_ns, request)
+        return endpoint is not None and self._attempt(now_ns, request, endpoint)
 
-    def _attempt(self, now: int, request: Request, endpoint: TrackedEndpoint) -> bool:
-        attempt = self.dispatcher.dispatch(now, request, endpoint)
+    def _attempt(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> bool:
+        attempt = self.dispatcher.dispatch(now_ns, request, endpoint)
         if attempt is None:
             return False
-        self._set_timers(now, request, endpoint, attempt)
+        self._set_timers(now_ns, request, endpoint, attempt)
         return True
 
     def _set_timers(
-        self, now: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
+        self, now_ns: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
     ) -> None:
         limits = self.active.limits
         may_hedge = limits.hedging and request.spec.effect is Effect.IDEMPOTENT
         if self.pool.ejects_by_health_check or may_hedge:
             expected_ns = request.statistics.expected_latency(request.work_ns)
-            expected_ns /= self.slow_start.capacity_fraction(now, endpoint)
-            due_ns = now + int(HEDGE_MULTIPLE * expected_ns)
+            expected_ns /= self.slow_start.capacity_fraction(now_ns, endpoint)
+            due_ns = now_ns + int(HEDGE_MULTIPLE * expected_ns)
             self.orders.set_timer(due_ns, self._hedge_if_late, request, attempt.number)
         if limits.cancellation:
             multiple = REVIEW_MULTIPLE * REVIEW_BACKOFF**attempt.number
             wait_ns = int(multiple * request.run_time() * max(1.0, endpoint.slowdown))
-            due_ns = now + max(wait_ns, self.active.shortest_objective_ns)
+            due_ns = now_ns + max(wait_ns, self.active.shortest_objective_ns)
             self.orders.set_timer(due_ns, self._cancel_if_overdue, request, attempt.number)
 
-    def _hedge_if_late(self, now: int, request: Request, number: int) -> None:
+    def _hedge_if_late(self, now_ns: int, request: Request, number: int) -> None:
         """Timer: hedge a late attempt, whose answer may be lost or whose endpoint overloaded.
 
         In a large fleet the outcomes of one broker would show that late, so a health check of the
@@ -105,19 +105,19 @@
         endpoint = self.pool.endpoints.get(attempt.endpoint)
         if endpoint is None:
             return
-        since_check_ns = now - endpoint.health_check_requested_ns
+        since_check_ns = now_ns - endpoint.health_check_requested_ns
         if self.pool.ejects_by_health_check and not endpoint.ejected and since_check_ns > PERIOD_NS:
-            self.outliers.request_health_check(now, endpoint)
+            self.outliers.request_health_check(now_ns, endpoint)
         if number == 0:
-            self.retry(now, request)
+            self.retry(now_ns, request)
 
-    def _cancel_if_overdue(self, now: int, request: Request, number: int) -> None:
+    def _cancel_if_overdue(self, now_ns: int, request: Request, number: int) -> None:
         """Timer: cancel an attempt far past its expected time, so that it is retried."""
         if (
             number in request.in_flight
             and not request.finished
             and request.spec.effect is not Effect.NON_IDEMPOTENT
             and request.attempts_started < self.active.limits.max_attempts
-            and request.deadline_ns - now >= request.run_time()
+            and request.deadline_ns - now_ns >= request.run_time()
         ):
             self.orders.add(CancelAttempt(request.id, number))
--- a/query_broker/decisions/tenants.py
+++ b/query_broker/decisions/tenants.py
@@ -15,27 +15,27 @@
     Args:
         rate: Tokens a nanosecond.
         capacity: Upper bound of the tokens.
-        now: The time.
+        now_ns: The time.
         previous: The bucket that this one replaces; its tokens are kept.
     """
 
     __slots__ = ("capacity", "rate", "refilled_ns", "tokens")
 
     def __init__(
-        self, rate: float, capacity: float, now: int, previous: TokenBucket | None = None
+        self, rate: float, capacity: float, now_ns: int, previous: TokenBucket | None = None
     ) -> None:
         """Fill the bucket, or keep the tokens of its predecessor."""
         self.rate = rate
         self.capacity = capacity
-        self.refilled_ns = now
+        self.refilled_ns = now_ns
         self.tokens = capacity
-        if previous is not None and previous.take(now, 0.0):
+        if previous is not None and previous.take(now_ns, 0.0):
             self.tokens = min(capacity, previous.tokens)
 
-    def take(self, now: int, tokens: float = 1.0) -> bool:
+    def take(self, now_ns: int, tokens: float = 1.0) -> bool:
         """Take tokens if there are enough of them, else none; returns whether they were taken."""
-        self.tokens = min(self.capacity, self.tokens + self.rate * (now - self.refilled_ns))
-        self.refilled_ns = now
+        self.tokens = min(self.capacity, self.tokens + self.rate * (now_ns - self.refilled_ns))
+        self.refilled_ns = now_ns
         if self.tokens < tokens:
             return False
         self.tokens -= tokens
@@ -58,7 +58,7 @@
         self.buckets: dict[str, TokenBucket] = {}
         self.accepting_processes = 1
 
-    def apply(self, now: int, settings: Settings) -> None:
+    def apply(self, now_ns: int, settings: Settings) -> None:
         """Apply the tenants of other settings; those that remain keep their tokens."""
         previous = self.buckets
         self.buckets = {}
@@ -67,11 +67,11 @@
             self.buckets[tenant.name] = TokenBucket(
                 rate_per_s / NANOSECONDS_PER_SECOND,
                 rate_per_s * BURST_S,
-                now,
+                now_ns,
                 previous.get(tenant.name),
             )
 
-    def is_exceeded(self, now: int, tenant: str | None, is_retry: bool) -> bool:
+    def is_exceeded(self, now_ns: int, tenant: str | None, is_retry: bool) -> bool:
         """Take the tokens of a request and return whether it exceeds the quota of its tenant.
 
         A request that is marked as a client's retry always does, and takes no tokens: rejected
@@ -80,4 +80,4 @@
         bucket = self.buckets.get(tenant or "")
         if bucket is None:
             return False
-        return is_retry or not bucket.take(now, self.accepting_processes)
+        return is_retry or not bucket.take(now_ns, self.accepting_processes)
--- a/query_broker/decisions/tracked_endpoint.py
+++ b/query_broker/decisions/tracked_endpoint.py
@@ -85,10 +85,10 @@
         """Return the thread-nanoseconds that an amount of work takes at the present slowdown."""
         return int(work_ns * max(1.0, self.slowdown))
 
-    def is_pressed(self, now: int) -> bool:
+    def is_pressed(self, now_ns: int) -> bool:
         """Whether its report, answers, a rejection or our own threads show pressure."""
         # Not super(): a slotted dataclass is another class than the one that super() refers to.
-        return self.utilisation() > BUSY_UTILISATION or ConcurrencyLimit.is_pressed(self, now)
+        return self.utilisation() > BUSY_UTILISATION or ConcurrencyLimit.is_pressed(self, now_ns)
 
     def take_report(self, report: LoadReport) -> None:
         """Replace the load report."""
--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -135,7 +135,7 @@
             self.backoff_s = FIRST_BACKOFF_S
             self._connect_after(0.0)
 
-    def drop_if_silent(self, now: int) -> None:
+    def drop_if_silent(self, now_ns: int) -> None:
         """Drop the connection if the service has been silent; called every tick.
 
         A service that is cut off by a network partition sends nothing, and its events still have to
@@ -144,9 +144,9 @@
         if self.connection is None:
             return
         limit_ns = SILENCE_LIMIT_NS if self.pacing is None else self.pacing.silence_limit_ns()
-        if now - self.last_received_ns > limit_ns:
+        if now_ns - self.last_received_ns > limit_ns:
             self.log("bus", "no beat: connecting anew")
-            self.last_received_ns = now
+            self.last_received_ns = now_ns
             self.connection.drop()
 
     # --- reports of the connection ---
--- a/query_broker/emulator/membership_simulation.py
+++ b/query_broker/emulator/membership_simulation.py
@@ -97,9 +97,9 @@
         self.queued_datagrams: list[Datagram] = []
         self.changes: list[ObservedChange] = []
 
-    def can_receive(self, now: int) -> bool:
+    def can_receive(self, now_ns: int) -> bool:
         """Return whether it runs and is not paused."""
-        return self.is_running and now >= self.paused_until_ns
+        return self.is_running and now_ns >= self.paused_until_ns
 
 
 class SimulatedClock:
--- a/query_broker/endpoints/connection_choice.py
+++ b/query_broker/endpoints/connection_choice.py
@@ -15,7 +15,9 @@
 SILENCE_LIMIT_NS = 1_000_000_000
 
 
-def usable_connections(connections: Iterable[EngineConnection], now: int) -> list[EngineConnection]:
+def usable_connections(
+    connections: Iterable[EngineConnection], now_ns: int
+) -> list[EngineConnection]:
     """Return the connections to one endpoint that new work may go to.
 
     An endpoint that is cut off by a network partition sends nothing, and its connections stay
@@ -29,11 +31,11 @@
         return live
     last_received_ns = max([connection.last_received_ns for connection in live])
     silent_since_ns = max(min(dispatched_ns), last_received_ns)
-    return [] if now - silent_since_ns > SILENCE_LIMIT_NS else live
+    return [] if now_ns - silent_since_ns > SILENCE_LIMIT_NS else live
 
 
 def choose_connection(
-    connections: list[EngineConnection], request_id: bytes, max_streams: int, now: int
+    connections: list[EngineConnection], request_id: bytes, max_streams: int, now_ns: int
 ) -> EngineConnection | None:
     """Return the connection that takes a request, or None if none can.
 
@@ -41,7 +43,7 @@
     run: a connection that has been closed is therefore retired, and another one is chosen.
     """
     while True:
-        usable = usable_connections(connections, now)
+        usable = usable_connections(connections, now_ns)
         connection = least_loaded(usable, request_id, max_streams)
         if connection is None or connection.is_blocked or not connection.ended_by_engine():
             return connection
@@ -91,8 +93,8 @@
     return False
 
 
-def retire_silent(connections: Iterable[EngineConnection], now: int) -> None:
+def retire_silent(connections: Iterable[EngineConnection], now_ns: int) -> None:
     """Retire the connections on which answers are owed and nothing has come for too long."""
     for connection in connections:
-        if connection.in_flight and now - connection.last_received_ns > SILENCE_LIMIT_NS:
+        if connection.in_flight and now_ns - connection.last_received_ns > SILENCE_LIMIT_NS:
             connection.retired = True
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -103,7 +103,7 @@
         self.waiting_health_checks: list[bytes] = []
         self.opening: asyncio.Task[None] | None = None
 
-    def send(self, attempt: Attempt, now: int, may_connect: bool = True) -> None:
+    def send(self, attempt: Attempt, now_ns: int, may_connect: bool = True) -> None:
         """Give an attempt to a connection, or let it wait for a new one.
 
         A malformed answer or a reset ends its connection with all attempts in flight on it. So each
@@ -112,16 +112,16 @@
 
         Args:
             attempt: No byte of it has left.
-            now: Unix nanoseconds.
+            now_ns: Unix nanoseconds.
             may_connect: Whether a new connection may be opened for it. Where not, an attempt that
                 no connection takes is reported as not sent.
         """
         request_id = attempt.request.client_request_id
         max_streams = self.pools.max_streams
-        connection = choose_connection(self.connections, request_id, max_streams, now)
+        connection = choose_connection(self.connections, request_id, max_streams, now_ns)
         if connection is None:
             # Where the write queues to this endpoint are full, only one more connection would help.
-            is_full = has_full_queue(self._usable(now), request_id, max_streams)
+            is_full = has_full_queue(self._usable(now_ns), request_id, max_streams)
             if (is_full and not self._may_grow()) or not may_connect:
                 self.pools.report_unsent(attempt, AttemptResult.NOT_SENT)
             else:
@@ -135,13 +135,13 @@
             self._wait_for_connection(attempt)
         else:
             attempt.connection = connection
-            attempt.assigned_ns = now
+            attempt.assigned_ns = now_ns
             connection.register(attempt)
-            connection.send(attempt, now)
+            connection.send(attempt, now_ns)
 
-    def send_health_check(self, tag: bytes, now: int) -> None:
+    def send_health_check(self, tag: bytes, now_ns: int) -> None:
         """Send a health check on the least loaded connection, or on a new one if there is none."""
-        usable = self._usable(now)
+        usable = self._usable(now_ns)
         if usable:
             min(usable, key=_attempts_in_flight).send_health_check(tag)
         else:
@@ -185,19 +185,19 @@
         if has_moved or target.started_ns > previous.started_ns:
             self.retire_connections()
 
-    def sweep(self, now: int) -> None:
+    def sweep(self, now_ns: int) -> None:
         """Close the connections that are idle or on which no answer is expected any more."""
         for connection in list(self.connections):
-            connection.check(now)
-            idle_ns = now - max(connection.last_sent_ns, connection.last_received_ns)
+            connection.check(now_ns)
+            idle_ns = now_ns - max(connection.last_sent_ns, connection.last_received_ns)
             is_stale = connection.retired or idle_ns > self.pools.idle_timeout_ns
             if connection.is_idle() and is_stale:
                 connection.close()
             else:
-                _close_unanswered(connection, self.target, now)
+                _close_unanswered(connection, self.target, now_ns)
 
-    def _usable(self, now: int) -> list[EngineConnection]:
-        return usable_connections(self.connections, now)
+    def _usable(self, now_ns: int) -> list[EngineConnection]:
+        return usable_connections(self.connections, now_ns)
 
     def _may_grow(self) -> bool:
         if len(self.connections) >= self.pools.dedicated_limit(self):
@@ -242,25 +242,25 @@
 
     def _connected(self, connection: EngineConnection) -> None:
         waiting = self._end_opening()
-        now = self.pools.owner.now()
+        now_ns = self.pools.owner.now()
         self.connections.append(connection)
         for tag in waiting.health_checks:
             connection.send_health_check(tag)
-        self._send_all(waiting.attempts, now, may_connect=True)
+        self._send_all(waiting.attempts, now_ns, may_connect=True)
 
     def _connect_failed(self, error: ConnectError, started_ns: int) -> None:
         waiting = self._end_opening()
-        now = self.pools.owner.now()
+        now_ns = self.pools.owner.now()
         address = f"{self.target.host}:{self.target.port}"
         self.pools.log("engine", f"{self.target.uid} at {address}: {error.reason}")
-        if any(connection.last_received_ns >= started_ns for connection in self._usable(now)):
+        if any(connection.last_received_ns >= started_ns for connection in self._usable(now_ns)):
             # An endpoint that has sent something since then isn't down because one connect failed.
             for tag in waiting.health_checks:
-                self.send_health_check(tag, now)
-            self._send_all(waiting.attempts, now, may_connect=False)
+                self.send_health_check(tag, now_ns)
+            self._send_all(waiting.attempts, now_ns, may_connect=False)
             return
         if error.result is AttemptResult.CONNECT_FAILED:
-            retire_silent(self.connections, now)
+            retire_silent(self.connections, now_ns)
         for tag in waiting.health_checks:
             self.pools.owner.health_check_ended(tag, error.result, "")
         for attempt in waiting.attempts:
@@ -273,10 +273,10 @@
         self.waiting_health_checks = []
         return waiting
 
-    def _send_all(self, attempts: list[Attempt], now: int, may_connect: bool) -> None:
+    def _send_all(self, attempts: list[Attempt], now_ns: int, may_connect: bool) -> None:
         for attempt in attempts:
             if self.pools.may_hand_over(attempt, HandOver.CONNECTION):
-                self.send(attempt, now, may_connect)
+                self.send(attempt, now_ns, may_connect)
 
 
 def _listens_at(target: ListedEndpoint, address: Address) -> bool:
@@ -285,10 +285,10 @@
     return address == (target.host, target.port)
 
 
-def _close_unanswered(connection: EngineConnection, target: ListedEndpoint, now: int) -> None:
+def _close_unanswered(connection: EngineConnection, target: ListedEndpoint, now_ns: int) -> None:
     """Close a connection on which no answer is expected any more."""
     overdue = [
-        now > attempt.deadline_ns + LATE_ANSWER_NS for attempt in connection.in_flight.values()
+        now_ns > attempt.deadline_ns + LATE_ANSWER_NS for attempt in connection.in_flight.values()
     ]
     if any(overdue):
         # An answer that never comes would hold its stream forever. The connection is closed only
@@ -298,7 +298,7 @@
             connection.close()
     elif (
         target.state is EndpointState.REMOVED
-        and now - connection.last_received_ns > REMOVED_SILENCE_LIMIT_NS
+        and now_ns - connection.last_received_ns > REMOVED_SILENCE_LIMIT_NS
     ):
         # A machine that has failed resets no connection: the attempts in flight would stay open
         # until their deadlines although no answer can come. They may have run.
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -125,10 +125,10 @@
         if pool is not None and connection in pool.connections:
             pool.connections.remove(connection)
 
-    def sweep(self, now: int) -> None:
+    def sweep(self, now_ns: int) -> None:
         """Sweep each pool, and drop the pools of removed endpoints once they are empty."""
         for number, pool in list(self.by_number.items()):
-            pool.sweep(now)
+            pool.sweep(now_ns)
             is_empty = not pool.connections and pool.opening is None
             if is_empty and pool.target.state is EndpointState.REMOVED:
                 del self.by_number[number]
--- a/query_broker/protocols/client_timeouts.py
+++ b/query_broker/protocols/client_timeouts.py
@@ -74,20 +74,20 @@
 
     def check(self) -> None:
         """End the connection if a timeout has expired, else set the timer anew."""
-        now = self.host.dispatcher.now()
+        now_ns = self.host.dispatcher.now()
         incomplete = self.reader.parser.buffered_bytes() > 0
-        expiry_ns = self._expiry_ns(now, incomplete)
-        if expiry_ns > now:
+        expiry_ns = self._expiry_ns(now_ns, incomplete)
+        if expiry_ns > now_ns:
             self._check_at(expiry_ns)
         elif self.connection.has_sent_frame and not incomplete:
             self.connection.close()
         else:
             self.connection.break_off("no whole frame in time")
 
-    def _expiry_ns(self, now: int, incomplete: bool) -> int:
+    def _expiry_ns(self, now_ns: int, incomplete: bool) -> int:
         """Return when the next timeout expires; ``incomplete``: a part of a frame has come."""
         if self._has_work():
-            return now + FRAME_TIMEOUT_NS
+            return now_ns + FRAME_TIMEOUT_NS
         if incomplete:
             return self.reader.frame_begun_ns + FRAME_TIMEOUT_NS
         if self.connection.has_sent_frame:
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -77,8 +77,8 @@
         self.cancellations = cancellations
         self.carried_elsewhere = carried_elsewhere
 
-    def take(self, parts: list[bytes], now: int) -> None:
-        """Take one answer, which has come at ``now``.
+    def take(self, parts: list[bytes], now_ns: int) -> None:
+        """Take one answer, which has come at ``now_ns``.
 
         Raises:
             MalformedAnswerError: It is no answer of the protocol, or none to what was sent.
@@ -103,9 +103,9 @@
             # that crossed the cancellation.
             self.cancellations.answered(tag)
         elif kind == messages.SERVED:
-            self._take_first_page(attempt, tag, fields, answer.body, now)
+            self._take_first_page(attempt, tag, fields, answer.body, now_ns)
         elif kind == messages.PAGE:
-            self._take_page(attempt, tag, fields, answer.body, now)
+            self._take_page(attempt, tag, fields, answer.body, now_ns)
         else:
             # Also where the engine has lost a page: the attempt may have run, and the pages that
             # have come are no complete result.
@@ -136,7 +136,7 @@
             self.observer.progress_noted(attempt, kind, amount)
 
     def _take_first_page(
-        self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now: int
+        self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now_ns: int
     ) -> None:
         """Take page 0, which holds the number of pages, and fetch the others."""
         if attempt.pages:
@@ -149,23 +149,23 @@
         if not attempt.is_wanted():
             # Answered elsewhere, timed out, or abandoned: no further page is wanted.
             if page_count > 1:
-                self.writer.send_command(now, messages.FORGET, tag)
+                self.writer.send_command(now_ns, messages.FORGET, tag)
             self._conclude(tag, attempt, AttemptResult.SERVED, load_text)
             return
-        attempt.answered_ns = now
+        attempt.answered_ns = now_ns
         attempt.pages = [body, *([None] * (page_count - 1))]
         attempt.missing_pages = max(0, page_count - 1)
         if attempt.missing_pages == 0:
             del self.connection.in_flight[tag]
             self.observer.answer_completed(attempt, load_text)
         elif self.carried_elsewhere(tag):
-            self._give_up_mixed_pages(tag, attempt, load_text, now)
+            self._give_up_mixed_pages(tag, attempt, load_text, now_ns)
         else:
             for number in range(1, page_count):
-                self.writer.send_command(now, messages.FETCH_PAGE, tag, b"%d" % number)
+                self.writer.send_command(now_ns, messages.FETCH_PAGE, tag, b"%d" % number)
 
     def _take_page(
-        self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now: int
+        self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now_ns: int
     ) -> None:
         load_text = fields.get(messages.FIELD_LOAD_REPORT, "")
         number = messages.read_count(
@@ -178,26 +178,28 @@
             return
         messages.check_rows(body)
         if not attempt.is_wanted():
-            self.writer.send_command(now, messages.FORGET, tag)
+            self.writer.send_command(now_ns, messages.FORGET, tag)
             self._conclude(tag, attempt, AttemptResult.SERVED, load_text)
             return
         _add_page(attempt, number, body)
         if attempt.missing_pages:
             return
         if self.carried_elsewhere(tag):
-            self._give_up_mixed_pages(tag, attempt, load_text, now)
+            self._give_up_mixed_pages(tag, attempt, load_text, now_ns)
             return
         del self.connection.in_flight[tag]
-        self.writer.send_command(now, messages.FORGET, tag)
+        self.writer.send_command(now_ns, messages.FORGET, tag)
         self.observer.answer_completed(attempt, load_text)
 
-    def _give_up_mixed_pages(self, tag: bytes, attempt: Attempt, load_text: str, now: int) -> None:
+    def _give_up_mixed_pages(
+        self, tag: bytes, attempt: Attempt, load_text: str, now_ns: int
+    ) -> None:
         """End an attempt whose pages may belong to another query.
 
         The engine runs, or has run, another query under the same id, and identifies pages by the
         id alone, so that a page may belong to either query.
         """
-        self.writer.send_command(now, messages.FORGET, tag)
+        self.writer.send_command(now_ns, messages.FORGET, tag)
         attempt.pages = []
         self._conclude(tag, attempt, AttemptResult.ERROR, load_text)
 
--- a/query_broker/protocols/engine_cancellations.py
+++ b/query_broker/protocols/engine_cancellations.py
@@ -30,16 +30,16 @@
         self.writer = writer
         self.pending = PendingCancels()
 
-    def begin(self, request_id: bytes, now: int) -> None:
+    def begin(self, request_id: bytes, now_ns: int) -> None:
         """Cancel the attempt under this id."""
-        self.pending.begin(request_id, now)
-        self.writer.send_cancel(now, request_id)
+        self.pending.begin(request_id, now_ns)
+        self.writer.send_cancel(now_ns, request_id)
 
-    def check(self, now: int) -> None:
+    def check(self, now_ns: int) -> None:
         """Repeat unanswered cancellations, and report the attempts that count as stopped."""
-        found = self.pending.check(now)
+        found = self.pending.check(now_ns)
         for request_id in found.to_resend:
-            self.writer.send_command(now, CANCEL, request_id)
+            self.writer.send_command(now_ns, CANCEL, request_id)
         if found.stopped:
             self.observer.cancellations_ended(CancelOutcome.STOPPED, len(found.stopped))
 
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -81,9 +81,9 @@
         self.in_flight: dict[bytes, Attempt] = {}
         self.carried_ids: dict[bytes, None] = {}
         self.health_checks: set[bytes] = set()
-        now = owner.now()
-        self.last_received_ns = now
-        self.answer_begun_ns = now
+        now_ns = owner.now()
+        self.last_received_ns = now_ns
+        self.answer_begun_ns = now_ns
         self.retired = False
         self.ending = False
         self.closed = False
@@ -134,16 +134,16 @@
             if oldest in self.in_flight:  # an attempt that is still open keeps its id here
                 self.carried_ids[oldest] = None
 
-    def send(self, attempt: Attempt, now: int) -> None:
+    def send(self, attempt: Attempt, now_ns: int) -> None:
         """Send an attempt."""
-        self.writer.send(attempt, now)
+        self.writer.send(attempt, now_ns)
 
     def raise_priority(self, attempt: Attempt, level: int) -> None:
         """Give an attempt another priority: in the write queue, or at the engine if it has left."""
         request_id = attempt.request.client_request_id
         if not self.writer.raise_priority(request_id, level):
-            now = self.owner.now()
-            self.writer.send_command(now, messages.RAISE_PRIORITY, request_id, b"%d" % level)
+            now_ns = self.owner.now()
+            self.writer.send_command(now_ns, messages.RAISE_PRIORITY, request_id, b"%d" % level)
 
     def withdraw(self, attempt: Attempt) -> bool:
         """Take an attempt back; return whether no byte of it has left, so that none will."""
@@ -158,10 +158,10 @@
 
         It holds its stream until the engine has answered it or has been silent for long enough.
         """
-        now = self.owner.now()
+        now_ns = self.owner.now()
         request_id = attempt.request.client_request_id
         self.in_flight.pop(request_id, None)
-        self.cancellations.begin(request_id, now)
+        self.cancellations.begin(request_id, now_ns)
 
     def forget(self, attempt: Attempt) -> None:
         """Tell the engine that no more pages of an attempt are wanted."""
@@ -178,17 +178,17 @@
         """Write the frames that wait, until the socket accepts no more bytes."""
         self.writer.flush()
 
-    def check(self, now: int) -> None:
+    def check(self, now_ns: int) -> None:
         """Repeat cancellations, and end the connection if an answer stopped short on it.
 
         All later answers would be read as parts of it, so that nothing that is sent later would be
         answered. After a stall of this process the rest of the answer may lie unread in the
         system's buffer: then the connection stays.
         """
-        self.cancellations.check(now)
-        if not self.parser.buffer or now - self.answer_begun_ns <= ANSWER_TIMEOUT_NS:
+        self.cancellations.check(now_ns)
+        if not self.parser.buffer or now_ns - self.answer_begun_ns <= ANSWER_TIMEOUT_NS:
             return
-        was_stalled = now - self.last_received_ns > ANSWER_TIMEOUT_NS
+        was_stalled = now_ns - self.last_received_ns > ANSWER_TIMEOUT_NS
         if was_stalled and self.writer.has_input():
             return
         self._end("an answer stopped short", ended_by_broker=True)
@@ -207,10 +207,10 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to send and to read."""
-        now = self.owner.now()
-        self.last_received_ns = now
+        now_ns = self.owner.now()
+        self.last_received_ns = now_ns
         self.transport = cast(asyncio.Transport, transport)
-        self.writer.attach(self.transport, now)
+        self.writer.attach(self.transport, now_ns)
 
     def data_received(self, data: bytes) -> None:
         """Take the answers that are complete.
@@ -220,14 +220,14 @@
         """
         if self.closed:
             return
-        now = self.owner.now()
-        self.last_received_ns = now
+        now_ns = self.owner.now()
+        self.last_received_ns = now_ns
         if not self.parser.buffer:
-            self.answer_begun_ns = now
+            self.answer_begun_ns = now_ns
         try:
             for parts in self.parser.feed(data):
-                self.answer_begun_ns = now
-                self.answers.take(parts, now)
+                self.answer_begun_ns = now_ns
+                self.answers.take(parts, now_ns)
                 if self.closed:
                     return
         except resp.MalformedAnswerError as error:
--- a/query_broker/protocols/engine_messages.py
+++ b/query_broker/protocols/engine_messages.py
@@ -77,16 +77,16 @@
     body: bytes
 
 
-def encode_attempt(attempt: Attempt, now: int) -> tuple[bytes, ...]:
+def encode_attempt(attempt: Attempt, now_ns: int) -> tuple[bytes, ...]:
     """Return the pieces that send an attempt.
 
     Class, idempotency key and statement are forwarded unchanged. The time limit is the remaining
-    time of the attempt at ``now``, in milliseconds.
+    time of the attempt at ``now_ns``, in milliseconds.
     """
     request = attempt.request
     fields: dict[str, object] = {
         "cls": request.class_name.decode(),
-        "limit": max(1, (attempt.deadline_ns - now) // NS_PER_MS),
+        "limit": max(1, (attempt.deadline_ns - now_ns) // NS_PER_MS),
     }
     if request.idempotency_key is not None:
         fields["nonce"] = request.idempotency_key
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -95,10 +95,10 @@
         self.last_used_ns = observer.now()
         self.cancels_in_transit: set[bytes] = set()
 
-    def attach(self, transport: asyncio.Transport, now: int) -> None:
+    def attach(self, transport: asyncio.Transport, now_ns: int) -> None:
         """Begin to write to the socket of this transport."""
         self.transport = transport
-        self.last_used_ns = now
+        self.last_used_ns = now_ns
         engine_socket = transport.get_extra_info("socket")
         self.fd = engine_socket.fileno()
         # Where the system has no such option, only more bytes may lie unsent in its buffer.
@@ -131,9 +131,9 @@
 
     # --- sending ---
 
-    def send(self, attempt: Attempt, now: int) -> None:
+    def send(self, attempt: Attempt, now_ns: int) -> None:
         """Send an attempt that has just been decided on: at once if the socket takes it."""
-        pieces = encode_attempt(attempt, now)
+        pieces = encode_attempt(attempt, now_ns)
         if (
             len(pieces) == 1
             and self.fd >= 0
@@ -148,8 +148,8 @@
             if written:
                 self.frame_started(attempt)
             if written == len(pieces[0]):
-                self.last_used_ns = now
-                attempt.written_ns = now
+                self.last_used_ns = now_ns
+                attempt.written_ns = now_ns
                 self.observer.attempt_written_at_once()
                 return
             pieces = (pieces[0][written:],)
@@ -158,17 +158,17 @@
         size_bytes = sum(map(len, pieces))
         frame = Frame(pieces, request.client_request_id, priority, size_bytes, attempt)
         frame.begun = attempt.write_started
-        self._enqueue(now, frame)
+        self._enqueue(now_ns, frame)
 
-    def send_command(self, now: int, *parts: bytes) -> None:
+    def send_command(self, now_ns: int, *parts: bytes) -> None:
         """Send a command; it goes before attempts that wait."""
-        self._enqueue(now, _control_frame(parts))
+        self._enqueue(now_ns, _control_frame(parts))
 
-    def send_cancel(self, now: int, request_id: bytes) -> None:
+    def send_cancel(self, now_ns: int, request_id: bytes) -> None:
         """Send a cancellation, and remember its id until its last byte has left."""
         if self._is_open():
             self.cancels_in_transit.add(request_id)
-            self._enqueue(now, _control_frame((CANCEL, request_id), request_id))
+            self._enqueue(now_ns, _control_frame((CANCEL, request_id), request_id))
 
     def withdraw(self, request_id: bytes) -> bool:
         """Return whether a queued attempt was withdrawn: no byte of it has left, and none will."""
@@ -200,8 +200,8 @@
     def _is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
-    def _enqueue(self, now: int, frame: Frame) -> None:
-        self.last_used_ns = now
+    def _enqueue(self, now_ns: int, frame: Frame) -> None:
+        self.last_used_ns = now_ns
         if self._is_open() and self.write_queue.enqueue(frame):
             self.flush()
 
--- a/query_broker/simulator_adapter.py
+++ b/query_broker/simulator_adapter.py
@@ -138,7 +138,7 @@
         controller: The decisions of this broker.
     """
 
-    def __init__(self, fields: Fields, now: int) -> None:
+    def __init__(self, fields: Fields, now_ns: int) -> None:
         """Start a controller with the settings of a BEGIN line.
 
         Raises:
@@ -152,7 +152,7 @@
             raise WireError("facts", "no JSON object")
         self.report_fields = list((facts.get("report") or {}).get("fields") or ())
         self.controller = AdmissionController(
-            parse_settings(facts), _number(fields, "nonce64", int), now
+            parse_settings(facts), _number(fields, "nonce64", int), now_ns
         )
 
     def report(self, fields: Fields) -> api.LoadReport | None:
@@ -347,13 +347,13 @@
         if first.name != "TURN":
             raise WireError(A_BATCH, f"begins with {first.name}, not with TURN", " ")
         self.frame = _number(first.fields, "frame", int)
-        now = _number(first.fields, "clock", int)
+        now_ns = _number(first.fields, "clock", int)
         reply: list[str] = []
         while (line := self._read_line()).name != "FLUSH":
             if line.name == "TABLE":
                 self._read_list(line.fields)
             else:
-                reply += self._serve_line(now, line)
+                reply += self._serve_line(now_ns, line)
         reply.append(f"READY\tframe={self.frame}\n")
         self.sink.write("".join(reply))
         self.sink.flush()
@@ -365,7 +365,7 @@
             raise WireError("TABLE", "a line that is no ROW among its entries")
         self.lists[_number(fields, "list", int)] = tuple(_entry(row.fields) for row in rows)
 
-    def _serve_line(self, now: int, line: WireLine) -> list[str]:
+    def _serve_line(self, now_ns: int, line: WireLine) -> list[str]:
         """Carry out a line and return the lines of its reply.
 
         A fault of the decisions is reported as a line of the reply, since it concerns one instance
@@ -378,7 +378,7 @@
             self.instances.pop(instance_id, None)
             return []
         try:
-            orders = self._handle(now, instance_id, line)
+            orders = self._handle(now_ns, instance_id, line)
         except WireError as error:
             raise WireError(line.name, str(error)) from None
         except Exception as error:
@@ -388,15 +388,15 @@
             return [f"BUG\ti={instance_id}\tbody_text={text}\n"]
         return [_render(instance_id, order) for order in orders]
 
-    def _handle(self, now: int, instance_id: str, line: WireLine) -> list[api.Order]:
+    def _handle(self, now_ns: int, instance_id: str, line: WireLine) -> list[api.Order]:
         if line.name == "BEGIN":
-            self.instances[instance_id] = Instance(line.fields, now)
+            self.instances[instance_id] = Instance(line.fields, now_ns)
             return []
         instance = self.instances.get(instance_id)
         if instance is None:
             raise WireError(line.name, f"for {instance_id}, which never began", " ")
         event = instance.event(line.name, line.fields, self.lists)
-        return [] if event is None else instance.controller.handle(now, event)
+        return [] if event is None else instance.controller.handle(now_ns, event)
 
 
 def main() -> int:
--- a/query_broker/startup/admission_ramp.py
+++ b/query_broker/startup/admission_ramp.py
@@ -63,23 +63,23 @@
         ramps_per_period = STEP_PERIOD_NS / max(STEP_PERIOD_NS, self.settings.ramp_ns)
         return float((1 / initial) ** ramps_per_period)
 
-    def step(self, now: int, successes: int, failures: int) -> float:
+    def step(self, now_ns: int, successes: int, failures: int) -> float:
         """Take a step if a period is over, and return the open part from now on.
 
         Args:
-            now: The time in nanoseconds.
+            now_ns: The time in nanoseconds.
             successes: Successful answers since the last step.
             failures: Failed answers since the last step.
         """
-        if now - self.stepped_at_ns < STEP_PERIOD_NS:
+        if now_ns - self.stepped_at_ns < STEP_PERIOD_NS:
             return self.open_fraction
-        self.stepped_at_ns = now
+        self.stepped_at_ns = now_ns
         if failures <= MAX_FAILED_FRACTION * (successes + failures):
             growth = self.growth
             if successes:
                 growth = max(GROWTH_WITH_SUCCESSES, growth)
             self.open_fraction *= growth
-        overdue = now - self.started_ns >= MAX_RAMPS * self.settings.ramp_ns
+        overdue = now_ns - self.started_ns >= MAX_RAMPS * self.settings.ramp_ns
         if overdue or self.open_fraction > 1 - ROUNDING:
             self.open_fraction = 1.0
         return self.open_fraction
--- a/query_broker/startup/client_gate.py
+++ b/query_broker/startup/client_gate.py
@@ -18,16 +18,16 @@
         self._limiter = limiter
         self._deferred: dict[ClientConnection, None] = {}  # an ordered set
 
-    def connected(self, client: ClientConnection, now: int) -> None:
+    def connected(self, client: ClientConnection, now_ns: int) -> None:
         """Read a new client at once, or defer it."""
-        if not self._deferred and self._limiter.try_acquire(now):
+        if not self._deferred and self._limiter.try_acquire(now_ns):
             return
         client.defer_reading()
         self._deferred[client] = None
 
-    def release_due(self, now: int) -> None:
+    def release_due(self, now_ns: int) -> None:
         """Read as many deferred clients as the rate allows now."""
-        while self._deferred and self._limiter.try_acquire(now):
+        while self._deferred and self._limiter.try_acquire(now_ns):
             self._release_next()
 
     def release_all(self) -> None:
--- a/query_broker/startup/dispatcher_hooks.py
+++ b/query_broker/startup/dispatcher_hooks.py
@@ -58,9 +58,9 @@
         self._dispatcher.pools.connect_pacing = None
         self._dispatcher.extensions.retry_after_policy = None
 
-    def health_check(self, now: int, endpoint: int) -> None:
+    def health_check(self, now_ns: int, endpoint: int) -> None:
         """Begin a health check of an endpoint."""
-        self._dispatcher.health_checks.start(now, endpoint)
+        self._dispatcher.health_checks.start(now_ns, endpoint)
 
     def account_assumed_work(self, open_fraction: float) -> None:
         """Account what is not open as the work of another process of this broker."""
--- a/query_broker/startup/endpoint_snapshot.py
+++ b/query_broker/startup/endpoint_snapshot.py
@@ -90,13 +90,13 @@
     return f"{MAGIC} {FORMAT_VERSION} {_checksum(body)}\n{body}\n"
 
 
-def decode(text: str, installation: str, now: int, max_age_ns: int) -> EndpointSnapshot:
+def decode(text: str, installation: str, now_ns: int, max_age_ns: int) -> EndpointSnapshot:
     """Read the text of a file.
 
     Args:
         text: The content of the file.
         installation: Name of this installation.
-        now: Unix time in nanoseconds.
+        now_ns: Unix time in nanoseconds.
         max_age_ns: Age up to which a snapshot is used, in nanoseconds.
 
     Raises:
@@ -106,10 +106,10 @@
     if snapshot.installation != installation:
         found = repr(snapshot.installation[:MAX_QUOTED_CHARACTERS])
         raise UnusableSnapshotError("is of installation " + found)
-    if snapshot.saved_at_ns > now + MAX_CLOCK_SETBACK_NS:
+    if snapshot.saved_at_ns > now_ns + MAX_CLOCK_SETBACK_NS:
         problem = "is from the future: the clock has been set back, its age is not known"
         raise UnusableSnapshotError(problem)
-    age_ns = now - snapshot.saved_at_ns
+    age_ns = now_ns - snapshot.saved_at_ns
     if age_ns > max_age_ns:
         problem = f"is {age_ns / NS_PER_SECOND:.0f} s old"
         raise UnusableSnapshotError(problem)
--- a/query_broker/startup/first_contact.py
+++ b/query_broker/startup/first_contact.py
@@ -32,11 +32,13 @@
         if result is not AttemptResult.TIMEOUT:
             self._answered.add(endpoint)
 
-    def probe_due(self, now: int, endpoints: Collection[int], place: int, fleet_size: int) -> None:
+    def probe_due(
+        self, now_ns: int, endpoints: Collection[int], place: int, fleet_size: int
+    ) -> None:
         """Probe the endpoints whose slots have come.
 
         Args:
-            now: The time in nanoseconds.
+            now_ns: The time in nanoseconds.
             endpoints: The numbers of those that are ready.
             place: Place of this broker in the fleet.
             fleet_size: Number of brokers.
@@ -44,11 +46,11 @@
         for endpoint in endpoints:
             if endpoint not in self._probe_slots_ns:
                 self._probe_slots_ns[endpoint] = probe_slot_ns(
-                    now, endpoint, place, fleet_size, self._probes_per_s
+                    now_ns, endpoint, place, fleet_size, self._probes_per_s
                 )
-            if 0 <= self._probe_slots_ns[endpoint] <= now:
+            if 0 <= self._probe_slots_ns[endpoint] <= now_ns:
                 self._probe_slots_ns[endpoint] = PROBED
-                self._hooks.health_check(now, endpoint)
+                self._hooks.health_check(now_ns, endpoint)
 
     def count_answered(self, endpoints: Collection[int]) -> int:
         """Return how many of these endpoints have answered."""
--- a/query_broker/startup/initial_list.py
+++ b/query_broker/startup/initial_list.py
@@ -46,31 +46,31 @@
         self._snapshot = snapshot
         self._unconfirmed = False
 
-    def begin(self, now: int) -> None:
+    def begin(self, now_ns: int) -> None:
         """End the stage of the settings, and use the list of the snapshot or the configuration."""
         snapshot = self._snapshot
         if snapshot is None:
-            self._stages.settings_read(now, None)
+            self._stages.settings_read(now_ns, None)
         else:
             age_ns = max(0, self._node.clock.now() - snapshot.saved_at_ns)
-            self._stages.settings_read(now, age_ns)
+            self._stages.settings_read(now_ns, age_ns)
             self._connect_to(snapshot)
         if self._node.config.known_events:
-            self._stages.list_received(now, ListSource.KNOWN, 0)
+            self._stages.list_received(now_ns, ListSource.KNOWN, 0)
 
     def resume(self, client: WatchClient) -> None:
         """Let the discovery client ask only for the events after the snapshot."""
         if self._snapshot is not None:
             client.last_offset = self._snapshot.offset
 
-    def tick(self, now: int) -> None:
+    def tick(self, now_ns: int) -> None:
         """Use the snapshot if the discovery service is silent; log if there is no list."""
-        if self._stages.snapshot_due(now):
+        if self._stages.snapshot_due(now_ns):
             self._node.endpoint_list_known = True
             if self._snapshot is not None:
-                self._stages.snapshot_age_ns = max(0, now - self._snapshot.saved_at_ns)
-            self._stages.list_received(now, ListSource.DISK, self._ready_count())
-        if self._stages.list_overdue(now):
+                self._stages.snapshot_age_ns = max(0, now_ns - self._snapshot.saved_at_ns)
+            self._stages.list_received(now_ns, ListSource.DISK, self._ready_count())
+        if self._stages.list_overdue(now_ns):
             self._stages.delay_logged = True
             self._node.log(
                 "start", "no list from the bus and none on disk: still asking, not ready"
--- a/query_broker/startup/pacing.py
+++ b/query_broker/startup/pacing.py
@@ -30,21 +30,21 @@
     return max(MIN_WINDOW_NS, int(max(1, fleet_size) / calls_per_s * NS_PER_SECOND))
 
 
-def next_slot_ns(now: int, place: int, fleet_size: int, calls_per_s: float, draw: float) -> int:
+def next_slot_ns(now_ns: int, place: int, fleet_size: int, calls_per_s: float, draw: float) -> int:
     """Return the first moment from now on that lies in the slot of a place.
 
     Args:
-        now: Unix time in nanoseconds, as is the answer.
+        now_ns: Unix time in nanoseconds, as is the answer.
         place: Place of the broker in the fleet; places past its end count modulo its size.
         fleet_size: Number of brokers.
         calls_per_s: Calls of the whole fleet.
         draw: Position within the slot, from 0 to 1.
     """
     window_ns = call_window_ns(fleet_size, calls_per_s)
-    window_start_ns = now - now % window_ns
+    window_start_ns = now_ns - now_ns % window_ns
     offset_ns = int((place % max(1, fleet_size) + draw) / calls_per_s * NS_PER_SECOND)
     slot_ns = window_start_ns + offset_ns
-    return slot_ns if slot_ns >= now else slot_ns + window_ns
+    return slot_ns if slot_ns >= now_ns else slot_ns + window_ns
 
 
 @dataclass(slots=True)
@@ -65,19 +65,19 @@
     draw: Callable[[], float]
     failure_count: int = 0
 
-    def first_call_ns(self, now: int) -> int:
+    def first_call_ns(self, now_ns: int) -> int:
         """Return when to call for the first time, in Unix nanoseconds."""
-        return self._next_slot_ns(now)
+        return self._next_slot_ns(now_ns)
 
-    def retry_ns(self, now: int) -> int:
+    def retry_ns(self, now_ns: int) -> int:
         """Count a call that failed, and return when to call again, in Unix nanoseconds."""
         self.failure_count += 1
         possible_skips = min(MAX_SKIPPED_WINDOWS, 1 << min(self.failure_count, MAX_DOUBLINGS))
         skipped_windows = int(self.draw() * possible_skips)
         window_ns = call_window_ns(self.fleet_size, self.calls_per_s)
-        slot_ns = self._next_slot_ns(now)
+        slot_ns = self._next_slot_ns(now_ns)
         # What is left of the present slot would be a second call in the same window.
-        if slot_ns - now < window_ns // 2:
+        if slot_ns - now_ns < window_ns // 2:
             skipped_windows += 1
         return slot_ns + skipped_windows * window_ns
 
@@ -85,8 +85,8 @@
         """Count a call that succeeded: the next failure is the first again."""
         self.failure_count = 0
 
-    def _next_slot_ns(self, now: int) -> int:
-        return next_slot_ns(now, self.place, self.fleet_size, self.calls_per_s, self.draw())
+    def _next_slot_ns(self, now_ns: int) -> int:
+        return next_slot_ns(now_ns, self.place, self.fleet_size, self.calls_per_s, self.draw())
 
 
 @dataclass(slots=True)
@@ -101,14 +101,14 @@
     rate_per_s: float
     next_admission_ns: int
 
-    def try_acquire(self, now: int) -> bool:
+    def try_acquire(self, now_ns: int) -> bool:
         """Return whether one may pass, and count it if so.
 
         What was not used is saved up for a second at most.
         """
-        if now < self.next_admission_ns:
+        if now_ns < self.next_admission_ns:
             return False
-        earliest_ns = max(self.next_admission_ns, now - NS_PER_SECOND)
+        earliest_ns = max(self.next_admission_ns, now_ns - NS_PER_SECOND)
         self.next_admission_ns = earliest_ns + int(NS_PER_SECOND / self.rate_per_s)
         return True
 
@@ -122,17 +122,19 @@
     return min(max_timeout_ns, min_timeout_ns << min(failure_count, MAX_DOUBLINGS))
 
 
-def probe_slot_ns(now: int, endpoint: int, place: int, fleet_size: int, probes_per_s: float) -> int:
+def probe_slot_ns(
+    now_ns: int, endpoint: int, place: int, fleet_size: int, probes_per_s: float
+) -> int:
     """Return when the broker of a place probes an endpoint, in Unix nanoseconds.
 
     Places are rotated by the endpoint's number: the probes of many endpoints by one broker are
     spread as well as those of one endpoint by many brokers.
 
     Args:
-        now: Unix time in nanoseconds.
+        now_ns: Unix time in nanoseconds.
         endpoint: Number of the endpoint.
         place: Place of the broker in the fleet.
         fleet_size: Number of brokers.
         probes_per_s: Probes of one endpoint by the whole fleet.
     """
-    return next_slot_ns(now, place + endpoint, fleet_size, probes_per_s, 0.0)
+    return next_slot_ns(now_ns, place + endpoint, fleet_size, probes_per_s, 0.0)
--- a/query_broker/startup/recovery_ramp.py
+++ b/query_broker/startup/recovery_ramp.py
@@ -23,23 +23,23 @@
     """Steps the admission ramp, and accounts what is not open yet as work in flight."""
 
     def __init__(
-        self, host: NodeContext, settings: StartupSettings, hooks: DispatcherHooks, now: int
+        self, host: NodeContext, settings: StartupSettings, hooks: DispatcherHooks, now_ns: int
     ) -> None:
         """Begin the ramp now."""
         self._host = host
         self._hooks = hooks
-        self._ramp = AdmissionRamp(settings, now)
-        self._ends_at_ns = now + settings.ramp_ns
+        self._ramp = AdmissionRamp(settings, now_ns)
+        self._ends_at_ns = now_ns + settings.ramp_ns
         self._counts_at_step = AnswerCounts()
         self._is_accounted = False
 
-    def advance(self, now: int) -> float:
+    def advance(self, now_ns: int) -> float:
         """Take a step if it is time, and return the open part of the admission."""
         counts = self._answer_counts()
         fraction_before = self._ramp.open_fraction
         stepped_before_ns = self._ramp.stepped_at_ns
         open_fraction = self._ramp.step(
-            now,
+            now_ns,
             counts.successes - self._counts_at_step.successes,
             counts.failures - self._counts_at_step.failures,
         )
@@ -52,11 +52,11 @@
             self._hooks.account_assumed_work(open_fraction)
         return open_fraction
 
-    def retry_after_ns(self, proposed_ns: int, now: int, draw: float) -> int:
+    def retry_after_ns(self, proposed_ns: int, now_ns: int, draw: float) -> int:
         """Return the backoff that a rejected client is asked for, in nanoseconds."""
         limits = self._host.config.settings.limits
         max_ns = limits.max_retry_after_ns if limits.retry_after else 0
-        return retry_after_ns(proposed_ns, max(0, self._ends_at_ns - now), max_ns, draw)
+        return retry_after_ns(proposed_ns, max(0, self._ends_at_ns - now_ns), max_ns, draw)
 
     def _answer_counts(self) -> AnswerCounts:
         replies = self._host.dispatcher.metrics_counts.replies.values()
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -39,20 +39,20 @@
         self._place = node.config.settings.broker_index
         self._fleet_size = node.config.settings.fleet_size
         self._draw = random.Random(node.config.seed ^ SEED_MASK).random
-        now = node.clock.now()
-        self._stages = StartupStages(_contact_settings(node, settings), now)
+        now_ns = node.clock.now()
+        self._stages = StartupStages(_contact_settings(node, settings), now_ns)
         self._logged_stages = 0
         self._ramp: RecoveryRamp | None = None
         self._watch_client: WatchClient | None = None
         self._pace: DiscoveryPace | None = None
         self._hooks = DispatcherHooks(node.dispatcher)
         self._contact = FirstContact(self._hooks, settings.endpoint_probes_per_s)
-        self._clients = ClientGate(RateLimiter(settings.accepts_per_s, now))
+        self._clients = ClientGate(RateLimiter(settings.accepts_per_s, now_ns))
         table = node.dispatcher.endpoint_table
         self._store = SnapshotStore(settings, node.clock, node.log, table)
         snapshot = None if node.config.known_events else self._store.read()
         self._list = InitialList(node, self._hooks, self._stages, snapshot)
-        self._list.begin(now)
+        self._list.begin(now_ns)
         self._hooks.register(self)
 
     # --- calls of the node ---
@@ -87,20 +87,20 @@
         if self._stages.stage is not Stage.FULL:
             self._clients.connected(client, self._node.clock.now())
 
-    def tick(self, now: int) -> None:
+    def tick(self, now_ns: int) -> None:
         """Do what is due."""
-        self._list.tick(now)
+        self._list.tick(now_ns)
         if self._stages.stage is Stage.CONTACT:
-            self._advance_contact(now)
+            self._advance_contact(now_ns)
         if self._stages.stage is Stage.RAMP:
-            self._advance_ramp(now)
+            self._advance_ramp(now_ns)
         if self._stages.stage is Stage.FULL:
             self._clients.release_all()
         else:
-            self._clients.release_due(now)
+            self._clients.release_due(now_ns)
         self._log_completed_stages()
         offset = 0 if self._watch_client is None else self._watch_client.last_offset
-        self._store.save_if_due(now, offset, self._stages.confirmed())
+        self._store.save_if_due(now_ns, offset, self._stages.confirmed())
         if self._stages.stage is not Stage.FULL:
             self._node.dispatcher.timer_wheel.wake_next_tick()
 
@@ -113,9 +113,9 @@
         """Answer a call on the operators' address; None if it is not about the start."""
         if path != PATH:
             return None
-        now = self._node.clock.now()
+        now_ns = self._node.clock.now()
         position = {"place": self._place, "fleet": self._fleet_size}
-        return status_answer(method, {**position, **self._stages.status(now)})
+        return status_answer(method, {**position, **self._stages.status(now_ns)})
 
     # --- the observer of the dispatcher ---
 
@@ -128,15 +128,15 @@
 
         Hundreds of brokers that open connections to one endpoint in a second overload it.
         """
-        now = self._node.clock.now()
+        now_ns = self._node.clock.now()
         slot_ns = next_slot_ns(
-            now,
+            now_ns,
             self._place + endpoint,
             self._fleet_size,
             self._settings.endpoint_connects_per_s,
             self._draw(),
         )
-        return slot_ns - now
+        return slot_ns - now_ns
 
     def metrics(self) -> bytes:
         """Return the lines for the metrics."""
@@ -148,28 +148,28 @@
         processes = self._node.peer_processes
         return processes is not None and bool(processes.others)
 
-    def _skip(self, now: int) -> None:
-        self._stages.skip(now, "another process of this broker serves beside it")
+    def _skip(self, now_ns: int) -> None:
+        self._stages.skip(now_ns, "another process of this broker serves beside it")
         self._hooks.end_ramp()
 
-    def _advance_contact(self, now: int) -> None:
+    def _advance_contact(self, now_ns: int) -> None:
         if self._another_process_serves():
-            self._skip(now)
+            self._skip(now_ns)
             return
         endpoints = self._list.ready_endpoints()
-        self._contact.probe_due(now, endpoints, self._place, self._fleet_size)
+        self._contact.probe_due(now_ns, endpoints, self._place, self._fleet_size)
         answered = self._contact.count_answered(endpoints)
-        self._stages.endpoints_contacted(now, answered, len(endpoints))
+        self._stages.endpoints_contacted(now_ns, answered, len(endpoints))
 
-    def _advance_ramp(self, now: int) -> None:
+    def _advance_ramp(self, now_ns: int) -> None:
         if self._another_process_serves():
-            self._skip(now)
+            self._skip(now_ns)
             return
         self._hooks.reuse_connections()
         if self._ramp is None:
-            self._ramp = RecoveryRamp(self._node, self._settings, self._hooks, now)
+            self._ramp = RecoveryRamp(self._node, self._settings, self._hooks, now_ns)
             self._hooks.begin_ramp(self._retry_after_ns)
-        self._stages.ramp_advanced(now, self._ramp.advance(now))
+        self._stages.ramp_advanced(now_ns, self._ramp.advance(now_ns))
         if self._stages.stage is Stage.FULL:
             self._hooks.end_ramp()
 
--- a/query_broker/startup/snapshot_store.py
+++ b/query_broker/startup/snapshot_store.py
@@ -112,21 +112,21 @@
             self._log_problem(f"{self._path}: {error}")
         return None
 
-    def save_if_due(self, now: int, offset: int, confirmed: bool) -> None:
+    def save_if_due(self, now_ns: int, offset: int, confirmed: bool) -> None:
         """Begin to save the list if the interval is over and the list has changed.
 
         Args:
-            now: The time in nanoseconds.
+            now_ns: The time in nanoseconds.
             offset: Number of the last watch event that the list includes.
             confirmed: Whether the list is from another source than the snapshot.
         """
-        if not self._path or now - self._last_check_ns < SAVE_INTERVAL_NS:
+        if not self._path or now_ns - self._last_check_ns < SAVE_INTERVAL_NS:
             return
-        self._last_check_ns = now
+        self._last_check_ns = now_ns
         if self._saving or not confirmed or offset == self._saved_offset:
             return
         self._saving = True
-        text = self._encoded(offset, now)
+        text = self._encoded(offset, now_ns)
         loop = asyncio.get_running_loop()
         future = loop.run_in_executor(None, write_atomically, self._path, text)
         future.add_done_callback(partial(self._saved, offset=offset))
@@ -154,9 +154,9 @@
         except OSError as error:
             self._log_problem(f"{self._path}: {error}")
 
-    def _encoded(self, offset: int, now: int) -> str:
+    def _encoded(self, offset: int, now_ns: int) -> str:
         return encode(
-            EndpointSnapshot(self._installation, offset, now, listed_targets(self._table))
+            EndpointSnapshot(self._installation, offset, now_ns, listed_targets(self._table))
         )
 
     def _saved(self, future: asyncio.Future[None], offset: int) -> None:
--- a/query_broker/startup/stages.py
+++ b/query_broker/startup/stages.py
@@ -97,70 +97,70 @@
         """Begin the first stage."""
         self.stage_started_ns = self.started_ns
 
-    def settings_read(self, now: int, usable_snapshot_age_ns: int | None) -> None:
+    def settings_read(self, now_ns: int, usable_snapshot_age_ns: int | None) -> None:
         """The configuration has been read.
 
         Args:
-            now: The time in nanoseconds.
+            now_ns: The time in nanoseconds.
             usable_snapshot_age_ns: Age of the snapshot; None if there is none that may be used.
         """
         if self.stage is Stage.SETTINGS:
             self.usable_snapshot_age_ns = usable_snapshot_age_ns
-            self._complete(now, Stage.LIST, "read")
+            self._complete(now_ns, Stage.LIST, "read")
 
-    def list_received(self, now: int, source: ListSource, listed_count: int) -> None:
+    def list_received(self, now_ns: int, source: ListSource, listed_count: int) -> None:
         """A complete list, or a change of it, has come from this source."""
         if source.value > self.source.value:
             self.source = source
         self.listed_count = listed_count
         if self.stage is Stage.LIST:
-            self._complete(now, Stage.CONTACT, f"told by the {source.label}")
+            self._complete(now_ns, Stage.CONTACT, f"told by the {source.label}")
 
-    def endpoints_contacted(self, now: int, contacted_count: int, listed_count: int) -> None:
+    def endpoints_contacted(self, now_ns: int, contacted_count: int, listed_count: int) -> None:
         """Update how many of the listed endpoints have answered since the start, or rejected."""
         self.contacted_count = contacted_count
         self.listed_count = listed_count
-        self.tick(now)
+        self.tick(now_ns)
 
-    def snapshot_due(self, now: int) -> bool:
+    def snapshot_due(self, now_ns: int) -> bool:
         """Whether the discovery service has been silent for so long that the snapshot is used."""
         return (
             self.stage is Stage.LIST
             and self.usable_snapshot_age_ns is not None
-            and now - self.stage_started_ns >= self.settings.list_wait_ns
+            and now_ns - self.stage_started_ns >= self.settings.list_wait_ns
         )
 
-    def list_overdue(self, now: int) -> bool:
+    def list_overdue(self, now_ns: int) -> bool:
         """Whether the absence of any list is to be logged: it lasts, and is not logged yet."""
         return (
             self.stage is Stage.LIST
             and not self.delay_logged
-            and now - self.stage_started_ns >= self.settings.list_wait_ns
+            and now_ns - self.stage_started_ns >= self.settings.list_wait_ns
         )
 
-    def tick(self, now: int) -> None:
+    def tick(self, now_ns: int) -> None:
         """End the stage of contact if enough endpoints have answered, or its time is over."""
         if self.stage is not Stage.CONTACT:
             return
         required = self.settings.contact_fraction * self.listed_count
         counts = f"heard of {self.contacted_count} of {self.listed_count}"
         if self.listed_count and self.contacted_count >= required:
-            self._complete(now, Stage.RAMP, counts)
-        elif now - self.stage_started_ns >= self.settings.contact_wait_ns:
-            self._complete(now, Stage.RAMP, f"time-out: {counts} only")
+            self._complete(now_ns, Stage.RAMP, counts)
+        elif now_ns - self.stage_started_ns >= self.settings.contact_wait_ns:
+            self._complete(now_ns, Stage.RAMP, f"time-out: {counts} only")
 
-    def ramp_advanced(self, now: int, open_fraction: float) -> None:
+    def ramp_advanced(self, now_ns: int, open_fraction: float) -> None:
         """Update the part of the admission that is open, from 0 to 1."""
         self.open_fraction = open_fraction
         if self.stage is Stage.RAMP and open_fraction >= 1.0:
-            duration_s = (now - self.stage_started_ns) / NS_PER_SECOND
-            self._complete(now, Stage.FULL, f"whole share after {duration_s:.1f} s")
+            duration_s = (now_ns - self.stage_started_ns) / NS_PER_SECOND
+            self._complete(now_ns, Stage.FULL, f"whole share after {duration_s:.1f} s")
 
-    def skip(self, now: int, reason: str) -> None:
+    def skip(self, now_ns: int, reason: str) -> None:
         """Go to the last stage: another process of this broker serves already."""
         if self.stage in (Stage.CONTACT, Stage.RAMP):
             self.open_fraction = 1.0
-            self._complete(now, Stage.FULL, reason)
+            self._complete(now_ns, Stage.FULL, reason)
 
     def ready(self) -> bool:
         """Whether the broker may be given requests."""
@@ -190,11 +190,11 @@
             case Stage.FULL:
                 return "nothing"
 
-    def status(self, now: int) -> dict[str, Any]:
+    def status(self, now_ns: int) -> dict[str, Any]:
         """The answer for operators; durations in seconds."""
         return {
             "stage": self.stage.value,
-            "for": (now - self.stage_started_ns) / NS_PER_SECOND,
+            "for": (now_ns - self.stage_started_ns) / NS_PER_SECOND,
             "waits_for": self.waits_for(),
             "ready": self.ready(),
             "list": self.source.label,
@@ -213,7 +213,7 @@
             ],
         }
 
-    def _complete(self, now: int, following: Stage, reason: str) -> None:
-        self.completed.append(CompletedStage(self.stage, now - self.stage_started_ns, reason))
+    def _complete(self, now_ns: int, following: Stage, reason: str) -> None:
+        self.completed.append(CompletedStage(self.stage, now_ns - self.stage_started_ns, reason))
         self.stage = following
-        self.stage_started_ns = now
+        self.stage_started_ns = now_ns
--- a/query_broker/startup/status_report.py
+++ b/query_broker/startup/status_report.py
@@ -23,10 +23,10 @@
     return json_answer(status)
 
 
-def metrics_text(stages: StartupStages, now: int) -> bytes:
+def metrics_text(stages: StartupStages, now_ns: int) -> bytes:
     """Return the metrics: seconds in each stage so far, and the open part of the admission."""
     durations_ns = {completed.stage: completed.duration_ns for completed in stages.completed}
-    durations_ns[stages.stage] = now - stages.stage_started_ns
+    durations_ns[stages.stage] = now_ns - stages.stage_started_ns
     lines = [
         "# HELP edge_proxy_start_seconds Time in each stage of the start.",
         "# TYPE edge_proxy_start_seconds gauge",
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -69,11 +69,11 @@
     #: looked at once a turn.
     SLOTS = 1_024
 
-    def __init__(self, tick_ns: int, now: int) -> None:
-        """Make an empty wheel whose tick 0 is ``now``."""
+    def __init__(self, tick_ns: int, now_ns: int) -> None:
+        """Make an empty wheel whose tick 0 is ``now_ns``."""
         self.tick_ns = tick_ns
         self.on_earlier_timer: EarlierTimerListener = _nothing
-        self._origin_ns = now
+        self._origin_ns = now_ns
         self._current_tick = 0
         self._slots: list[list[Timer]] = [[] for _ in range(self.SLOTS)]
         self._wake_tick = 0  # the tick at which the owner calls `advance` next
@@ -93,31 +93,31 @@
         """Make the next tick come: something waits for it that isn't a timer."""
         self.set_timer(0, lambda: None)
 
-    def idle_ns(self, now: int, longest_ns: int) -> int:
+    def idle_ns(self, now_ns: int, longest_ns: int) -> int:
         """Return for how long nothing is due: ``longest_ns`` at most, one tick at least.
 
         A wheel that turned at every tick would wake an idle broker 200 times a second.
         """
         last_tick = max(
-            self._current_tick + 1, (now + longest_ns - self._origin_ns) // self.tick_ns
+            self._current_tick + 1, (now_ns + longest_ns - self._origin_ns) // self.tick_ns
         )
         self._wake_tick = last_tick
         for tick in range(self._current_tick + 1, last_tick):
             if self._is_due(tick):
                 self._wake_tick = tick
                 break
-        return self.ns_until_wake(now)
+        return self.ns_until_wake(now_ns)
 
-    def ns_until_wake(self, now: int) -> int:
+    def ns_until_wake(self, now_ns: int) -> int:
         """Return the time that is left to the tick which `idle_ns` has named."""
-        return max(0, self._origin_ns + self._wake_tick * self.tick_ns - now)
+        return max(0, self._origin_ns + self._wake_tick * self.tick_ns - now_ns)
 
-    def advance(self, now: int) -> None:
+    def advance(self, now_ns: int) -> None:
         """Fire what is due, tick by tick.
 
         Each slot is emptied before its timers fire, since their calls may set new ones.
         """
-        target_tick = (now - self._origin_ns) // self.tick_ns
+        target_tick = (now_ns - self._origin_ns) // self.tick_ns
         while self._current_tick < target_tick:
             self._current_tick += 1
             index = self._current_tick % self.SLOTS
--- a/tests/decisions/test_deployments.py
+++ b/tests/decisions/test_deployments.py
@@ -118,7 +118,7 @@
         counts[type(event).__name__] += 1
         return handle(now_ns, event)
 
-    controller.handle = count_and_handle  # type: ignore[assignment, method-assign]
+    controller.handle = count_and_handle  # type: ignore[method-assign]
     return counts
 
 
--- a/tests/startup/test_endpoint_snapshot.py
+++ b/tests/startup/test_endpoint_snapshot.py
@@ -49,8 +49,8 @@
     ("change", "reason"),
     [
         pytest.param({"installation": "mombasa"}, "installation", id="of another installation"),
-        pytest.param({"now": 5_000 * NS_PER_SECOND}, "old", id="too old"),
-        pytest.param({"now": 900 * NS_PER_SECOND}, "clock", id="of the future"),
+        pytest.param({"now_ns": 5_000 * NS_PER_SECOND}, "old", id="too old"),
+        pytest.param({"now_ns": 900 * NS_PER_SECOND}, "clock", id="of the future"),
     ],
 )
 def test_a_foreign_an_old_and_a_future_snapshot_are_named(
@@ -58,7 +58,7 @@
 ) -> None:
     given: dict[str, Any] = {
         "installation": "atlanta",
-        "now": READ_AT_NS,
+        "now_ns": READ_AT_NS,
         "max_age_ns": MAX_AGE_NS,
         **change,
     }
--- a/tests/test_docstrings.py
+++ b/tests/test_docstrings.py
@@ -110,6 +110,21 @@
             assert listed - parameter_names(node) == set(), f"{node.name}, line {node.lineno}"
 
 
+@pytest.mark.parametrize("module", MODULES, ids=lambda module: module.name)
+def test_each_argument_that_a_class_lists_is_a_parameter_of_its_constructor(
+    module: Module,
+) -> None:
+    for node in ast.walk(module.tree):
+        if not isinstance(node, ast.ClassDef):
+            continue
+        parameters = attribute_names(node)  # those of a dataclass are its fields
+        for child in node.body:
+            if isinstance(child, ast.FunctionDef) and child.name == "__init__":
+                parameters = parameter_names(child)
+        listed = set(entries(ast.get_docstring(node), "Args"))
+        assert listed - parameters == set(), f"{node.name}, line {node.lineno}"
+
+
 @pytest.mark.parametrize("module", MODULES, ids=lambda module: module.name)
 def test_each_exception_that_a_docstring_lists_is_a_class(module: Module) -> None:
     for node in ast.walk(module.tree):
