--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -144,7 +144,7 @@
         except (CellMapError, ValueError, TypeError, KeyError, AttributeError) as error:
             self.log(
                 "cells",
-                f"what another process tells cannot be read: {type(error).__name__}: {error}",
+                f"the status of another process cannot be read: {type(error).__name__}: {error}",
             )
             return None
 
@@ -153,7 +153,7 @@
         if peer.newer_map is not None and peer.epoch > self.map.epoch:
             self.log(
                 "cells",
-                f"another process has the map of epoch {peer.epoch}: taken from there",
+                f"another process has the map of epoch {peer.epoch}: adopted",
             )
             self.apply_map(peer.newer_map)
         elif peer.epoch == self.map.epoch and peer.digest != self.digest:
--- a/query_broker/cells/request_call_in.py
+++ b/query_broker/cells/request_call_in.py
@@ -39,7 +39,9 @@
             if not request_ids:
                 continue
             called_in += len(request_ids)
-            host.log("cells", f"{len(request_ids)} requests on loan to {cell!r} are called in")
+            host.log(
+                "cells", f"{len(request_ids)} requests on borrowed capacity, of {cell!r}, are ended"
+            )
             host.report_event(CloseRequests(frozenset(request_ids)))
             _free_statements(host, request_ids)
     return called_in
--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -145,7 +145,7 @@
             return
         limit_ns = SILENCE_LIMIT_NS if self.pacing is None else self.pacing.silence_limit_ns()
         if now_ns - self.last_received_ns > limit_ns:
-            self.log("bus", "no beat: connecting anew")
+            self.log("bus", "no heartbeat: reconnecting")
             self.last_received_ns = now_ns
             self.connection.drop()
 
@@ -196,7 +196,7 @@
             if self._unreadable_after != self.last_offset:
                 self._unreadable_after = self.last_offset
                 raise
-            self.log("bus", f"read past a line after event {self.last_offset}: {error}")
+            self.log("bus", f"skipped a line after event {self.last_offset}: {error}")
             return
         if isinstance(event, EndpointListEvent):
             self._event_received(event)
@@ -244,7 +244,7 @@
             return
         self.log(
             "bus",
-            f"the numbers begin anew: {offset} after {self.last_offset}, asking for the whole list",
+            f"event numbers restarted: {offset} after {self.last_offset}, polling the full list",
         )
         self.last_offset = 0
         self._lower_heartbeats = 0
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -170,7 +170,7 @@
         )
         self.request_table.unanswered_count += 1
         if not self.has_statement_capacity(request):
-            self.log("client", "no room for another statement: refused")
+            self.log("client", "no memory left for another statement: rejected")
             self.begin_answer(request, OVERLOAD).rejected(stream, NO_MEMORY_RETRY_AFTER_MS)
             return request
         self.request_table.add(request)
--- a/query_broker/membership/claim_merge.py
+++ b/query_broker/membership/claim_merge.py
@@ -161,7 +161,7 @@
             record.status = Status.ALIVE
         self._table.enter_ping_order(claim.member)
         self._gossip.add(record.claim(Status.ALIVE))
-        self._table.record_change(record, "has come")
+        self._table.record_change(record, "joined")
         if claim.status is Status.SUSPECT:
             self._suspicions.suspect(now_ns, record, claim.reporter)
 
--- a/query_broker/membership/suspicion.py
+++ b/query_broker/membership/suspicion.py
@@ -102,7 +102,7 @@
             self._statistics[name] += 1
             record.reporter = ""
             self._count_false_suspicion(now_ns, record)
-            self._set_status(now_ns, record, Status.ALIVE, "is there after all")
+            self._set_status(now_ns, record, Status.ALIVE, "is alive after all")
         self._gossip.add(record.claim(Status.ALIVE))
 
     def remove(self, now_ns: int, record: MemberRecord, reporter: str, reason: str = "") -> None:
@@ -117,7 +117,7 @@
     def accept_leave(self, now_ns: int, record: MemberRecord, claim: Claim) -> None:
         """Record a leave whose secret has been verified, and pass the claim on."""
         record.leave_proof = claim.leave_proof
-        self._set_status(now_ns, record, Status.LEFT, "by its own word")
+        self._set_status(now_ns, record, Status.LEFT, "left")
         self._gossip.add(claim)
 
     def deadline_ns(self, identity: Identity) -> int:
--- a/query_broker/membership/view_publisher.py
+++ b/query_broker/membership/view_publisher.py
@@ -98,9 +98,9 @@
     ) -> None:
         """Log a published view and pass it on."""
         self._host.log(
-            f"view {view.epoch} ({view.digest.hex()}): {view.member_count} there, {view.reason}; "
+            f"view {view.epoch} ({view.digest.hex()}): {view.member_count} alive, {view.reason}; "
             f"limits by {view.effective_size}, place {view.effective_index}"
-            f"{_listing('came', joined)}{_listing('went', departed)}"
+            f"{_listing('joined', joined)}{_listing('left', departed)}"
         )
         self._listener(view)
 
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -211,7 +211,7 @@
             self._log_ejection(now_ns, ejection)
             self.ejections.eject(now_ns, ejection.endpoint, len(members))
         for endpoint in change.readmitted:
-            self.host.log("verdicts", f"{endpoint.uid[:MAX_LOGGED_UID_LENGTH]}: let in again")
+            self.host.log("verdicts", f"{endpoint.uid[:MAX_LOGGED_UID_LENGTH]}: admitted again")
             self.ejections.readmit(endpoint)
 
     def _log_ejection(self, now_ns: int, ejection: Ejection) -> None:
@@ -219,7 +219,7 @@
         self.host.log(
             "verdicts",
             f"{ejection.endpoint.uid[:MAX_LOGGED_UID_LENGTH]}: {ejection.scope.value}, by "
-            f"{len(ejection.observers)} observers, held out for {duration_s:.0f} s at least",
+            f"{len(ejection.observers)} observers, ejected for {duration_s:.0f} s at least",
         )
 
     # --- messages ---
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -17,7 +17,7 @@
 MAX_READ_AHEAD_BYTES = 64 * 1024
 # Divides the memory for incomplete frames: past this part of it no connection reads ahead.
 READ_AHEAD_DIVISOR = 2
-NO_CAPACITY = "no room for more frames that are not whole"
+NO_CAPACITY = "no memory left for incomplete frames"
 
 
 class ReadingHost(DispatcherHost, Protocol):
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -199,7 +199,7 @@
         for breach in self.tracker.update(now_ns, self._available_cores):
             self.host.log(
                 "limits",
-                f"{breach.limit}: {breach.total_per_s:.1f} a second were let pass, "
+                f"{breach.limit}: {breach.total_per_s:.1f} a second were admitted, "
                 f"{breach.overshoot_per_s:.1f} over; {breach.promised_per_s:.1f} are promised at "
                 "the most",
             )
--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -76,7 +76,7 @@
         if done and self.node.peer_processes is not None:
             # Once the caller has its answer, the call holds at the other process as well.
             self.node.peer_processes.publish_status()
-        action = "out" if disabled else "back"
+        action = "disable" if disabled else "enable"
         result = "done" if done else "is not known"
         self.log("operator", f"{action}: {uid[:MAX_LOGGED_UID_LENGTH]!r} {result}")
         return done
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -85,10 +85,10 @@
         if peer_processes is not None:
             peer_processes.poll()
         if peer_processes is not None and peer_processes.has_successor():
-            self.node.log("stop", "SIGTERM: another process takes what comes, draining")
+            self.node.log("stop", "SIGTERM: another process accepts new clients, draining")
             self._announce_leaving(HANDOVER_LINGER_S)
         else:
-            self.node.log("stop", "SIGTERM: going on, then draining")
+            self.node.log("stop", "SIGTERM: still serving, then draining")
             _call_later(GRACE_PERIOD_S, self._announce_leaving)
 
     def _announce_leaving(self, linger_s: float = LINGER_S) -> None:
--- a/query_broker/server/tick_loop.py
+++ b/query_broker/server/tick_loop.py
@@ -74,7 +74,7 @@
     def _log_lag(self, now_ns: int) -> None:
         late_ns = now_ns - self._due_ns
         if late_ns > self.node.config.settings.tick_ns + MAX_LAG_NS:
-            self.node.log("lag", f"the loop stood still for {late_ns / NS_PER_MS:.0f} ms")
+            self.node.log("lag", f"the event loop was blocked for {late_ns / NS_PER_MS:.0f} ms")
 
     def _run_due_work(self, now_ns: int) -> None:
         self.node.dispatcher.tick()
--- a/query_broker/startup/initial_list.py
+++ b/query_broker/startup/initial_list.py
@@ -73,7 +73,8 @@
         if self._stages.list_overdue(now_ns):
             self._stages.delay_logged = True
             self._node.log(
-                "start", "no list from the bus and none on disk: still asking, not ready"
+                "start",
+                "no endpoint list from discovery and no snapshot on disk: still polling, not ready",
             )
 
     def event_received(self) -> None:
@@ -85,7 +86,7 @@
         if self._unconfirmed:
             self._unconfirmed = False
             self._node.dispatcher.refresh_settings()
-            self._node.log("start", "the bus has confirmed the last list")
+            self._node.log("start", "discovery has confirmed the endpoint snapshot")
         source = self._stages.source
         if source is ListSource.BUS:
             return
--- a/query_broker/startup/snapshot_store.py
+++ b/query_broker/startup/snapshot_store.py
@@ -170,7 +170,7 @@
             self._log_problem(f"not kept: {error}")
 
     def _log_problem(self, problem: str) -> None:
-        self._log("start", f"last list: {problem}")
+        self._log("start", f"endpoint snapshot: {problem}")
 
 
 def write_atomically(path: str, text: str) -> None:
--- a/tests/golden/operators/test_log_lines.py
+++ b/tests/golden/operators/test_log_lines.py
@@ -20,8 +20,8 @@
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("time.time", lambda: 1_700_000_000.25)
-    Log("n0")("bus", "no beat: connecting anew")
-    assert capsys.readouterr().err == "1700000000.250 n0 bus: no beat: connecting anew\n"
+    Log("n0")("bus", "no heartbeat: reconnecting")
+    assert capsys.readouterr().err == "1700000000.250 n0 bus: no heartbeat: reconnecting\n"
 
 
 def test_json_log_line(capsys: pytest.CaptureFixture[str]) -> None:
