--- a/query_broker/emulator/clients.py
+++ b/query_broker/emulator/clients.py
@@ -150,6 +150,12 @@
         record.retry_after_ms = int(fields.get("pause", 0))
 
 
+def _statement(number: int, work_ms: float, threads: int, rows: int, table_group: int) -> bytes:
+    """Return a statement whose comment says to the emulated engine how to run it."""
+    hints = f"id={number} work={work_ms:.0f} threads={threads} rows={rows}"
+    return f"SELECT * FROM sales_{table_group}.orders /* {hints} */".encode()
+
+
 class RequestLog:
     """Every request sent to one address, over as many connections as it takes.
 
@@ -214,15 +220,11 @@
         now_ns = time.time_ns()
         record = RequestRecord(request_id, tenant, request_class, now_ns, timeout_ns)
         record.idempotency_key = idempotency_key
-        statement = (
-            f"SELECT * FROM sales_{table_group}.orders /* id={number} work={work_ms:.0f} "
-            f"threads={threads} rows={rows} */"
-        ).encode()
+        statement = _statement(number, work_ms, threads, rows, table_group)
         client = await self._find_client()
-        if client is not None:
-            record.sent_ns = time.time_ns()
         self.records.append(record)
         if client is not None:
+            record.sent_ns = time.time_ns()
             estimate_ms = work_ms if estimated_work_ms is None else estimated_work_ms
             client.send_request(record, statement, estimate_ms)
         return record
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -58,6 +58,19 @@
         return self._membership.names()
 
 
+def create_leases(
+    host: QuotaHost, membership: QuotaMembership, settings: QuotaSettings, now_ns: int
+) -> LeaseManager:
+    """Create the leases; unused capacity for work is requested even without demand."""
+    draw = membership.detector.draw.random
+    fleet_size = host.config.settings.fleet_size
+    leases = LeaseManager(membership.name, settings, fleet_size, now_ns, draw)
+    leases.holder.always_requested = frozenset(
+        limit.name for limit in settings.limits if limit.kind == QuotaKind.WORK
+    )
+    return leases
+
+
 class QuotaService(DispatchObserver):
     """One broker's part in the shared limits.
 
@@ -84,7 +97,7 @@
         self.settings = settings
         now_ns = host.clock.now()
         draw = membership.detector.draw.random
-        self.leases = self._create_leases(now_ns)
+        self.leases = create_leases(host, membership, settings, now_ns)
         self.counters = UsageCounters(membership.name, settings.gossip_interval_ns, draw)
         self.rates = QuotaRates(
             settings, NodeEnvironment(host, membership), self.leases, self.counters
@@ -109,17 +122,6 @@
         self.configure()
         host.dispatcher.timer_wheel.set_timer(now_ns + TICK_NS, self._tick)
 
-    def _create_leases(self, now_ns: int) -> LeaseManager:
-        """Create the leases; unused capacity for work is requested even without demand."""
-        name = self.membership.name
-        draw = self.membership.detector.draw.random
-        fleet_size = self.host.config.settings.fleet_size
-        leases = LeaseManager(name, self.settings, fleet_size, now_ns, draw)
-        leases.holder.always_requested = frozenset(
-            limit.name for limit in self.settings.limits if limit.kind == QuotaKind.WORK
-        )
-        return leases
-
     def _attach(self) -> None:
         self.membership.subscribe(TOPIC, self._receive)
         dispatcher = self.host.dispatcher
