--- a/query_broker/emulator/clients.py
+++ b/query_broker/emulator/clients.py
@@ -199,7 +199,7 @@
         table_group: int = 1,
         idempotency_key: str = "",
     ) -> RequestRecord:
-        """Send a request on a connection with capacity or a new one.
+        """Send a request on a connection with capacity or a new one, and return its record.
 
         Args:
             tenant: Its tenant; empty names none.
@@ -211,9 +211,6 @@
             rows: Rows of the result.
             table_group: Number of the group of tables that it reads.
             idempotency_key: The key of an idempotent write; empty without one.
-
-        Returns:
-            Its record, which gets the outcome when the answer comes.
         """
         number = next(self.ids)
         request_id = f"{number:016x}"
