--- a/query_broker/emulator/processes.py
+++ b/query_broker/emulator/processes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import http.client
 import json
 import os
@@ -31,6 +30,13 @@
 HIDDEN_VARIABLES = ("OPERATOR_FILE", "OPERATOR", "LISTEN", "ACCEPT_FD", "NAME")
 
 
+class ReservedPort(NamedTuple):
+    """A port of this process's blocks, and from when on it may be given out."""
+
+    port: int
+    available_at_s: float
+
+
 class PortAllocator:
     """Allocates ports to listen on that no other process allocates.
 
@@ -40,20 +46,23 @@
 
     Attributes:
         reservations: The sockets bound to the first ports of this process's blocks.
-        ports: The ports of these blocks; the first one is given out next.
+        ports: The ports of these blocks with the time from which each may be given out; the first
+            one is tried next.
     """
 
     #: Below the ports that the system gives to connections (from 32,768 on Linux).
     PORT_RANGE = range(10_000, 32_000)
     #: A test takes some tens of ports at the most.
     BLOCK_SIZE = 100
-    #: Ports that are reserved for each one that is requested, since some may be in use.
-    SPARE_FACTOR = 4
+    #: Time within which a port that has been given out is not given out again: whoever has it may
+    #: not listen on it yet. The starts of the tests take some seconds.
+    REUSE_DELAY_S = 60.0
 
-    def __init__(self) -> None:
+    def __init__(self, now_s: Callable[[], float] = time.monotonic) -> None:
         """Create an allocator that has reserved nothing yet."""
         self.reservations: list[socket.socket] = []
-        self.ports: deque[int] = deque()
+        self.ports: deque[ReservedPort] = deque()
+        self._now_s = now_s
 
     def reserve_block(self) -> None:
         """Reserve another block, drawn at random.
@@ -71,32 +80,42 @@
                 reservation.close()
                 continue
             self.reservations.append(reservation)
-            self.ports.extend(range(start + 1, start + self.BLOCK_SIZE))
+            for port in range(start + 1, start + self.BLOCK_SIZE):
+                self.ports.appendleft(ReservedPort(port, 0.0))
             return
         problem = "no block of ports is left"
         raise OSError(problem)
 
     def allocate(self, count: int) -> list[int]:
-        """Return free ports.
-
-        They are given out in turn, so that one is not given out again before it is listened on.
-        That fails where many of the ports cannot be bound and the turn comes round (known fault).
+        """Return free ports, none of which has been given out within `REUSE_DELAY_S`.
 
         Raises:
             OSError: Too many ports are in use.
         """
-        while len(self.ports) < self.SPARE_FACTOR * count:
-            self.reserve_block()
         found: list[int] = []
-        for port in list(self.ports):
-            self.ports.rotate(-1)
-            with socket.socket() as probe, contextlib.suppress(OSError):  # in use
-                probe.bind((HOST, port))
+        while len(found) < count:
+            port = self._next_port()
+            if _can_be_bound(port):
                 found.append(port)
-            if len(found) == count:
-                return found
-        problem = "too many ports are in use"
-        raise OSError(problem)
+        return found
+
+    def _next_port(self) -> int:
+        """Return a port that may be given out, and put it last."""
+        now_s = self._now_s()
+        if not self.ports or self.ports[0].available_at_s > now_s:
+            self.reserve_block()
+        port = self.ports.popleft().port
+        self.ports.append(ReservedPort(port, now_s + self.REUSE_DELAY_S))
+        return port
+
+
+def _can_be_bound(port: int) -> bool:
+    with socket.socket() as probe:
+        try:
+            probe.bind((HOST, port))
+        except OSError:  # in use
+            return False
+    return True
 
 
 PORT_ALLOCATOR = PortAllocator()
