--- a/query_broker/deadlines/retry_budget.py
+++ b/query_broker/deadlines/retry_budget.py
@@ -59,6 +59,10 @@
     refused: int = 0
     gate: RetryGate | None = None
 
+    def set_gate(self, gate: RetryGate) -> None:
+        """Register a limit that brokers share, which each retry must pass as well."""
+        self.gate = gate
+
     def _key(self, route: str, tenant: str) -> tuple[str, str]:
         return route, tenant if self.settings.by_tenant else ""
 
--- a/query_broker/dispatch/client_answers.py
+++ b/query_broker/dispatch/client_answers.py
@@ -44,5 +44,5 @@
         """Return the pause that the client is asked to keep, rounded up to milliseconds."""
         policy = self._extensions.retry_after_policy
         if policy is not None:
-            retry_after_ns = policy(retry_after_ns)
+            retry_after_ns = policy.retry_after_ns(retry_after_ns)
         return -(-retry_after_ns // NS_PER_MS)
--- a/query_broker/dispatch/observers.py
+++ b/query_broker/dispatch/observers.py
@@ -57,7 +57,7 @@
 class RetryAfterPolicy(Protocol):
     """Replaces the `retry_after` of a rejection."""
 
-    def __call__(self, retry_after_ns: int, /) -> int:
+    def retry_after_ns(self, decided_ns: int, /) -> int:
         """Return the pause that the client is asked to keep, given the decided one."""
 
 
@@ -92,6 +92,10 @@
         """Remove an observer; nothing happens where it is not registered."""
         self.observers = tuple(other for other in self.observers if other is not observer)
 
+    def set_retry_after_policy(self, policy: RetryAfterPolicy | None) -> None:
+        """Register what replaces the `retry_after` of rejections; None removes it."""
+        self.retry_after_policy = policy
+
     def add_settings_adjuster(self, adjuster: SettingsAdjuster) -> None:
         """Register an adjuster, which gets the settings after those that are there."""
         self._settings_adjusters.append(adjuster)
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -218,7 +218,7 @@
         """Open a connection, then send what has waited for it or report why it can't be sent."""
         pacing = self.pools.connect_pacing
         if pacing is not None:
-            await asyncio.sleep(pacing(self.number) / NS_PER_S)
+            await asyncio.sleep(pacing.connect_delay_ns(self.number) / NS_PER_S)
         started_ns = self.pools.owner.now()
         try:
             connection = await self._open_connection(Address(self.target.host, self.target.port))
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -73,6 +73,10 @@
         # closes idle connections long before.
         self.idle_timeout_ns = endpoint_idle_timeout_ns // 2
 
+    def set_connect_pacing(self, pacing: ConnectPacing | None) -> None:
+        """Register what delays connects to endpoints; None removes it."""
+        self.connect_pacing = pacing
+
     def set_max_connections(self, max_connections: int) -> None:
         """Set the budget, and close idle connections that are beyond it."""
         self.max_connections = max_connections
--- a/query_broker/endpoints/pool_interfaces.py
+++ b/query_broker/endpoints/pool_interfaces.py
@@ -29,5 +29,5 @@
 class ConnectPacing(Protocol):
     """Spreads the connects of many brokers to one endpoint over time."""
 
-    def __call__(self, endpoint: int, /) -> int:
+    def connect_delay_ns(self, endpoint: int, /) -> int:
         """Return the nanoseconds that the next connect to this endpoint has to wait."""
--- a/query_broker/operator_config/apply.py
+++ b/query_broker/operator_config/apply.py
@@ -57,7 +57,7 @@
     """Connect the shared limit on retries to the retry budget, if both exist."""
     budget = controls.retry_budget
     if budget is not None and quota_service is not None and quota_service.has_retry_limit:
-        budget.gate = quota_service
+        budget.set_gate(quota_service)
 
 
 class LogFormat:
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -129,7 +129,7 @@
         dispatcher.extensions.add_settings_adjuster(self)
         dispatcher.extensions.add_metrics_source(self)
         if QuotaKind.CONNECTS in self.rates.limits_by_kind:
-            dispatcher.pools.connect_pacing = self._connect_wait_ns
+            dispatcher.pools.set_connect_pacing(self)
 
     # --- settings ---
 
@@ -180,7 +180,8 @@
         self.tracker.count(limit.name)
         return self._bucket.try_take(now_ns, quota_per_s)
 
-    def _connect_wait_ns(self, endpoint: int) -> int:
+    def connect_delay_ns(self, endpoint: int) -> int:
+        """Return how long a new connection has to wait, by the limit on connections."""
         limit = self.rates.limits_by_kind[QuotaKind.CONNECTS]
         now_ns = self.host.clock.now()
         quota_per_s = self.rates.quota_per_s(limit, now_ns)
--- a/query_broker/server/tick_loop.py
+++ b/query_broker/server/tick_loop.py
@@ -55,7 +55,7 @@
         now_ns = self.node.clock.now()
         self._due_ns = now_ns
         self._last_sweep_ns = now_ns
-        self.node.dispatcher.timer_wheel.on_earlier_timer = self._wake
+        self.node.dispatcher.timer_wheel.set_owner(self)
         self._tick()
 
     def _tick(self) -> None:
@@ -92,7 +92,7 @@
         loop = asyncio.get_running_loop()
         self._next_tick = loop.call_later(rest_ms / MS_PER_S, self._tick)
 
-    def _wake(self) -> None:
+    def wake(self) -> None:
         """Bring the next tick forward, since a timer falls due before it."""
         if self._next_tick is None:
             return
--- a/query_broker/startup/dispatcher_hooks.py
+++ b/query_broker/startup/dispatcher_hooks.py
@@ -34,7 +34,7 @@
         """Register the observer of a start."""
         self._dispatcher.add_observer(observer)
         self._dispatcher.extensions.add_metrics_source(observer)
-        self._dispatcher.pools.connect_pacing = observer.connect_delay_ns
+        self._dispatcher.pools.set_connect_pacing(observer)
 
     def register_adjuster(self, adjuster: SettingsAdjuster) -> None:
         """Let this part adjust the settings of the decisions, from now on."""
@@ -43,7 +43,7 @@
 
     def begin_ramp(self, policy: RetryAfterPolicy) -> None:
         """Let this policy lengthen the backoff that rejections ask for."""
-        self._dispatcher.extensions.retry_after_policy = policy
+        self._dispatcher.extensions.set_retry_after_policy(policy)
 
     def reuse_connections(self) -> None:
         """Let attempts share connections to endpoints, until the ramp has ended.
@@ -55,8 +55,8 @@
     def end_ramp(self) -> None:
         """Restore what the start has changed."""
         self._dispatcher.pools.dedicated_connections = self._dedicated_connections_after_ramp
-        self._dispatcher.pools.connect_pacing = None
-        self._dispatcher.extensions.retry_after_policy = None
+        self._dispatcher.pools.set_connect_pacing(None)
+        self._dispatcher.extensions.set_retry_after_policy(None)
 
     def health_check(self, now_ns: int, endpoint: int) -> None:
         """Begin a health check of an endpoint."""
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -168,12 +168,13 @@
         self._hooks.reuse_connections()
         if self._ramp is None:
             self._ramp = RecoveryRamp(self._node, self._settings, self._hooks, now_ns)
-            self._hooks.begin_ramp(self._retry_after_ns)
+            self._hooks.begin_ramp(self)
         self._stages.ramp_advanced(now_ns, self._ramp.advance(now_ns))
         if self._stages.stage is Stage.FULL:
             self._hooks.end_ramp()
 
-    def _retry_after_ns(self, proposed_ns: int) -> int:
+    def retry_after_ns(self, proposed_ns: int) -> int:
+        """Return the pause of a rejection, lengthened while the ramp goes on, in nanoseconds."""
         if self._ramp is None:
             return proposed_ns
         return self._ramp.retry_after_ns(proposed_ns, self._node.clock.now(), self._draw())
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -47,11 +47,11 @@
     """Do nothing: what a cancelled timer calls."""
 
 
-class EarlierTimerListener(Protocol):
-    """Wakes up the owner of a wheel, who rests until the tick that `idle_ns` has named."""
+class TimerWheelOwner(Protocol):
+    """Advances a timer wheel, and rests until the tick that `idle_ns` has named."""
 
-    def __call__(self) -> None:
-        """Take note that a timer has been set that is due before that tick."""
+    def wake(self) -> None:
+        """Called when a timer has been set that is due before that tick."""
 
 
 class TimerWheel:
@@ -62,7 +62,6 @@
 
     Attributes:
         tick_ns: The length of a tick.
-        on_earlier_timer: Its owner sets it before the first rest; until then it does nothing.
     """
 
     #: Slots of the wheel. With ticks of 5 ms it turns once in 5 s; a timer that is due later is
@@ -72,12 +71,16 @@
     def __init__(self, tick_ns: int, now_ns: int) -> None:
         """Make an empty wheel whose tick 0 is ``now_ns``."""
         self.tick_ns = tick_ns
-        self.on_earlier_timer: EarlierTimerListener = _nothing
+        self._owner: TimerWheelOwner | None = None
         self._origin_ns = now_ns
         self._current_tick = 0
         self._slots: list[list[Timer]] = [[] for _ in range(self.SLOTS)]
         self._wake_tick = 0  # the tick at which the owner calls `advance` next
 
+    def set_owner(self, owner: TimerWheelOwner) -> None:
+        """Register who advances the wheel, before its first rest."""
+        self._owner = owner
+
     def set_timer(self, when: int, call: Callable[[], None]) -> Timer:
         """Set a timer for the first tick at or after ``when``, the next one at the earliest."""
         # The double negation rounds up.
@@ -86,7 +89,8 @@
         self._slots[due_tick % self.SLOTS].append(timer)
         if due_tick < self._wake_tick:
             self._wake_tick = due_tick
-            self.on_earlier_timer()
+            if self._owner is not None:
+                self._owner.wake()
         return timer
 
     def wake_next_tick(self) -> None:
--- a/tests/dispatch/test_policies.py
+++ b/tests/dispatch/test_policies.py
@@ -28,6 +28,16 @@
         return replace(given, fleet_size=given.fleet_size * 2)
 
 
+class ConstantRetryAfter:
+    """States the same pause each time."""
+
+    def __init__(self, pause_ns: int) -> None:
+        self.pause_ns = pause_ns
+
+    def retry_after_ns(self, decided_ns: int) -> int:
+        return self.pause_ns
+
+
 class ConstantMetrics:
     """A source of the same lines each time."""
 
@@ -62,7 +72,7 @@
 ) -> None:
     dispatcher = make_dispatcher()
     client = RecordingClient()
-    dispatcher.extensions.retry_after_policy = lambda retry_after_ns: widened_ns
+    dispatcher.extensions.set_retry_after_policy(ConstantRetryAfter(widened_ns))
     # No endpoint is known: the request waits, then it is rejected.
     dispatcher.submit(client, 1, parsed_request("glance"))
     dispatcher.cancellations.close_out_all()
--- a/tests/dispatch/test_timer_wheel.py
+++ b/tests/dispatch/test_timer_wheel.py
@@ -42,11 +42,22 @@
     assert fired == [10 * MS, 0, 1, 30 * MS, 7 * S]
 
 
+class RecordingOwner:
+    """Records how long it may rest, each time that it is woken."""
+
+    def __init__(self, timers: TimerWheel, woken: list[int | None]) -> None:
+        self.timers = timers
+        self.woken = woken
+
+    def wake(self) -> None:
+        self.woken.append(self.timers.ns_until_wake(0))
+
+
 def test_timers_are_idle_until_the_next_is_due_and_an_earlier_one_wakes_them() -> None:
     """Advancing at every tick would wake each of 200 idle brokers 200 times a second."""
     timers = TimerWheel(5 * MS, 0)
     woken: list[int | None] = []
-    timers.on_earlier_timer = lambda: woken.append(timers.ns_until_wake(0))
+    timers.set_owner(RecordingOwner(timers, woken))
     assert timers.idle_ns(0, 250 * MS) == 250 * MS
     timers.set_timer(400 * MS, lambda: None)
     assert not woken
