--- a/benchmarks/cell_migrations.py
+++ b/benchmarks/cell_migrations.py
@@ -195,7 +195,7 @@
         name: Tenant(name, (CELL_NAMES[number % len(CELL_NAMES)],))
         for number, name in enumerate(TENANT_NAMES)
     }
-    cells = tuple(Cell(name, least=2) for name in CELL_NAMES)
+    cells = tuple(Cell(name, min_endpoints=2) for name in CELL_NAMES)
     return CellMap(1, cells, CELL_NAMES[0], tenants, TIMEOUTS)
 
 
--- a/query_broker/cells/admin.py
+++ b/query_broker/cells/admin.py
@@ -97,7 +97,7 @@
             "default": cell.name == self._node.map.default,
             "ready": fleet.ready_count,
             "cold": fleet.warming_count,
-            "short": fleet.ready_count < cell.least,
+            "short": fleet.ready_count < cell.min_endpoints,
             "cores": sum(known[number].cores for number in facade.endpoints if number in known),
             "open": facade.open_count,
             "lent": dispatcher.request_ledger.borrowed(cell.name),
--- a/query_broker/cells/model.py
+++ b/query_broker/cells/model.py
@@ -2,7 +2,7 @@
 
 It is built from the operators' file, passed between processes as plain JSON objects, and never
 changed in place. The keys of its stored form are the names of the fields, but for the timeouts,
-which `TIMEOUT_FIELDS` maps, and `Cell.capacity_weight`, which is `share` there. Performs no I/O.
+which `TIMEOUT_FIELDS` maps, and some of a cell's, which `CELL_KEYS` maps. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 DIGEST_BYTES = 8
 #: Fields of `Cell` that pin endpoints to it.
 PIN_FIELDS = ("engines", "zones", "models")
-#: `Cell.capacity_weight` in the stored form.
-CAPACITY_WEIGHT_KEY = "share"
+#: Keys of the stored form by the field of `Cell`, where the two differ.
+CELL_KEYS = {"min_endpoints": "least", "max_endpoints": "most", "capacity_weight": "share"}
 SPREAD_FIELDS = ("", "route", "data_set")
 Key = Literal["", "route", "data_set"]
 
@@ -57,8 +57,8 @@
         engines: Uids of endpoints that are pinned to the cell.
         zones: Zones whose endpoints are pinned to the cell.
         models: Hardware models whose endpoints are pinned to the cell.
-        least: How many ready endpoints the cell should have.
-        most: How many ready endpoints it may have; 0 sets no bound.
+        min_endpoints: How many ready endpoints the cell should have.
+        max_endpoints: How many ready endpoints it may have; 0 sets no bound.
         capacity_weight: Its part of the broker's capacity; 0 takes the weight in its place.
     """
 
@@ -67,8 +67,8 @@
     engines: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
     models: tuple[str, ...] = ()
-    least: int = 1
-    most: int = 0
+    min_endpoints: int = 1
+    max_endpoints: int = 0
     capacity_weight: float = 0.0
 
     def part(self) -> float:
@@ -251,8 +251,12 @@
         raise CellMapError("cell.weight", f"of {cell.name!r} must be above 0")
     if not (math.isfinite(cell.capacity_weight) and cell.capacity_weight >= 0):
         raise CellMapError("cell.share", f"of {cell.name!r} must not be negative")
-    if cell.least < 0 or cell.most < 0 or (cell.most and cell.most < cell.least):
-        raise CellMapError("cell.most", f"of {cell.name!r} must be 0 or at least {cell.least}")
+    is_bounded = cell.max_endpoints > 0
+    below_minimum = is_bounded and cell.max_endpoints < cell.min_endpoints
+    if cell.min_endpoints < 0 or cell.max_endpoints < 0 or below_minimum:
+        raise CellMapError(
+            "cell.most", f"of {cell.name!r} must be 0 or at least {cell.min_endpoints}"
+        )
 
 
 def _check_pinned_once(cells: Collection[Cell], pin_field: str) -> None:
@@ -315,16 +319,13 @@
 
 
 def _plain_cell(cell: Cell) -> dict[str, Any]:
-    plain = asdict(cell)
-    plain[CAPACITY_WEIGHT_KEY] = plain.pop("capacity_weight")
-    return plain
+    return {CELL_KEYS.get(name, name): value for name, value in asdict(cell).items()}
 
 
 def _read_cell(raw: Mapping[str, Any]) -> Cell:
     pins = {pin_field: tuple(raw.get(pin_field, ())) for pin_field in PIN_FIELDS}
-    values = {**raw, **pins}
-    capacity_weight = values.pop(CAPACITY_WEIGHT_KEY, 0.0)
-    return Cell(**values, capacity_weight=capacity_weight)
+    fields = {key: name for name, key in CELL_KEYS.items()}
+    return Cell(**{fields.get(key, key): value for key, value in {**raw, **pins}.items()})
 
 
 def _read_tenant(raw: Mapping[str, Any]) -> Tenant:
--- a/query_broker/cells/placement.py
+++ b/query_broker/cells/placement.py
@@ -127,7 +127,7 @@
 
     def _unseat_excess(self, cell: Cell) -> None:
         """Bring a cell down to its upper bound; those that suit it least go first."""
-        excess = self.size(cell.name) - cell.most if cell.most else 0
+        excess = self.size(cell.name) - cell.max_endpoints if cell.max_endpoints else 0
         if excess <= 0:
             return
         removable = [
@@ -168,7 +168,7 @@
         Only a new map may do so; an update of the endpoint list moves no endpoint.
         """
         for cell in self.map.cells:
-            while (size := self.size(cell.name)) < cell.least:
+            while (size := self.size(cell.name)) < cell.min_endpoints:
                 uid = self._best_for(cell, size)
                 if uid is None:
                     break
@@ -177,7 +177,9 @@
     def _best_for(self, short: Cell, size: int) -> str | None:
         """Return the endpoint to seat in a cell that is short; None where none may be moved."""
         spare = {
-            cell.name for cell in self.map.cells if self.size(cell.name) > max(cell.least, size + 1)
+            cell.name
+            for cell in self.map.cells
+            if self.size(cell.name) > max(cell.min_endpoints, size + 1)
         }
         candidates = [
             uid
@@ -211,7 +213,9 @@
             return pinned
         sizes = self._sizes()
         candidates = [
-            cell for cell in self.map.cells if not cell.most or sizes[cell.name] < cell.most
+            cell
+            for cell in self.map.cells
+            if not cell.max_endpoints or sizes[cell.name] < cell.max_endpoints
         ]
         if not candidates:
             return None
@@ -233,6 +237,6 @@
 
 def _missing_fraction(cell: Cell, size: int) -> float:
     """Return which part of its lower bound the cell lacks."""
-    if not cell.least:
+    if not cell.min_endpoints:
         return 0.0
-    return max(0.0, 1 - size / cell.least)
+    return max(0.0, 1 - size / cell.min_endpoints)
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -112,8 +112,8 @@
         engines=check_texts(engines, "cell.engines"),
         zones=check_texts(zones, "cell.zones"),
         models=check_texts(models, "cell.models"),
-        least=min_endpoints,
-        most=max_endpoints,
+        min_endpoints=min_endpoints,
+        max_endpoints=max_endpoints,
         capacity_weight=check_number(share, "cell.share"),
     )
     return str(name)
--- a/tests/cells/test_cell_map.py
+++ b/tests/cells/test_cell_map.py
@@ -35,7 +35,9 @@
         ),
         pytest.param({"default": "c"}, "default_cell", id="unknown default cell"),
         pytest.param(
-            {"cells": (Cell("a", least=2, most=1),)}, "cell.most", id="more than the most"
+            {"cells": (Cell("a", min_endpoints=2, max_endpoints=1),)},
+            "cell.most",
+            id="more than the most",
         ),
         pytest.param(
             {"cells": (Cell("a", zones=("z",)), Cell("b", zones=("z",)))},
@@ -65,7 +67,7 @@
     """A map with every kind of key."""
     return CellMap(
         3,
-        (Cell("a", 2.0, ("s-1",), most=4), Cell("b", zones=("z",))),
+        (Cell("a", 2.0, ("s-1",), max_endpoints=4), Cell("b", zones=("z",))),
         "b",
         {"x": Tenant("x", ("a", "b"), "route")},
         MigrationTimeouts(warming_ns=5),
--- a/tests/cells/test_live_migrations.py
+++ b/tests/cells/test_live_migrations.py
@@ -104,7 +104,10 @@
     await cluster.start("a-1", "a-2", "b-1", "b-2", cores=4)
     cell_map = CellMap(
         1,
-        (Cell("a", engines=("a-1", "a-2"), least=2), Cell("b", engines=("b-1", "b-2"), least=2)),
+        (
+            Cell("a", engines=("a-1", "a-2"), min_endpoints=2),
+            Cell("b", engines=("b-1", "b-2"), min_endpoints=2),
+        ),
         "a",
         {"acme": Tenant("acme", ("a",)), "beta": Tenant("beta", ("b",))},
         FAST_TIMING,
--- a/tests/cells/test_placement.py
+++ b/tests/cells/test_placement.py
@@ -21,7 +21,13 @@
 @given(st.lists(st.integers(0, 40), unique=True, min_size=1), st.integers(0, 40))
 def test_an_engine_that_joins_or_leaves_moves_no_other(numbers: list[int], other: int) -> None:
     bounded = CellMap(
-        1, (Cell("a", 2.0, most=8), Cell("b", least=3), Cell("c", least=0, most=5)), "a"
+        1,
+        (
+            Cell("a", 2.0, max_endpoints=8),
+            Cell("b", min_endpoints=3),
+            Cell("c", min_endpoints=0, max_endpoints=5),
+        ),
+        "a",
     )
     placement = Placement(bounded)
     placement.apply_list_update(endpoints_seen(*numbered(numbers)))
@@ -40,14 +46,16 @@
 
 
 def test_seats_go_by_weight() -> None:
-    placement = Placement(CellMap(1, (Cell("a", 3.0, least=0), Cell("b", 1.0, least=0)), "a"))
+    placement = Placement(
+        CellMap(1, (Cell("a", 3.0, min_endpoints=0), Cell("b", 1.0, min_endpoints=0)), "a")
+    )
     placement.apply_list_update(endpoints_seen(*numbered(range(1_000))))
     assert 700 < placement.size("a") < 800
 
 
 def test_seats_go_by_pins_and_what_a_cell_lacks() -> None:
     pinned = Placement(
-        CellMap(1, (Cell("a", least=2), Cell("b", engines=("s-1",), zones=("y",))), "a")
+        CellMap(1, (Cell("a", min_endpoints=2), Cell("b", engines=("s-1",), zones=("y",))), "a")
     )
     pinned.apply_list_update(
         [*endpoints_seen("s-1"), *endpoints_seen("s-2", zone="y"), *endpoints_seen("s-3", "s-4")]
@@ -56,7 +64,9 @@
 
 
 def test_draining_engines_do_not_hold_the_seats_of_their_successors() -> None:
-    placement = Placement(CellMap(1, tuple(Cell(name, least=3, most=3) for name in "ab"), "a"))
+    placement = Placement(
+        CellMap(1, tuple(Cell(name, min_endpoints=3, max_endpoints=3) for name in "ab"), "a")
+    )
     placement.apply_list_update(endpoints_seen(*numbered(range(6))))
     for number in range(6):
         old = f"s-{number}"
@@ -81,7 +91,9 @@
         uid for uid, cell in before.items() if cell == "c"
     }
     assert all(change.new_cell in ("a", "b") for change in changes)
-    placement.apply_map(CellMap(3, (Cell("a"), Cell("b", most=4), Cell("d", least=5)), "a"))
+    placement.apply_map(
+        CellMap(3, (Cell("a"), Cell("b", max_endpoints=4), Cell("d", min_endpoints=5)), "a")
+    )
     assert placement.size("b") <= 4
     assert placement.size("d") >= 5
     assert None not in placement.seats.values()
--- a/tests/cells/test_tenant_isolation.py
+++ b/tests/cells/test_tenant_isolation.py
@@ -114,8 +114,8 @@
     engine_of_b = Engine()
     async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
         broker = cell_node(rig).celled
-        pools: Any = broker.pools
-        pools.most = 8
+        pools = broker.cell_pools
+        pools.max_connections = 8
         pools.ledger.divide(8, broker.cell_weights())
         client = await rig.client()
         other_client = await rig.client()
