--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 from ..deadlines.handover_checks import HandOver, StopReason
-from ..deadlines.retry_budget import RetryBudget, attempt_time
+from ..deadlines.retry_budget import RetryBudget, attempt_time_ns
 from ..decisions.facade import AttemptResult, Dispatch, DispatchOptions, Effect
 from ..timer_wheel import TimerWheel
 from .attempt_outcomes import AttemptOutcomes
@@ -98,7 +98,7 @@
         class_name = request.class_name.decode()
         remaining_ns = attempt.deadline_ns - attempt.dispatched_ns
         idempotent = self._is_idempotent(class_name)
-        allowed_ns = attempt_time(remaining_ns, attempt.number, idempotent, budget.settings)
+        allowed_ns = attempt_time_ns(remaining_ns, attempt.number, idempotent, budget.settings)
         attempt.deadline_ns = attempt.dispatched_ns + allowed_ns
         if attempt.number:
             attempt.holds_retry_token = budget.try_spend(class_name, request.tenant)
--- a/query_broker/operator_config/codec.py
+++ b/query_broker/operator_config/codec.py
@@ -15,7 +15,7 @@
 from typing import Any, TypeVar
 
 from ..cells.model import read_cell_map
-from ..deadlines.retry_budget import RetryBudgetSettings
+from ..deadlines.retry_budget import ClassRate, RetryBudgetSettings
 from ..deadlines.settings import (
     DeadlineSettings,
     HalfClosePolicy,
@@ -34,7 +34,12 @@
 
 #: Keys of this form by the field of the settings, where the two differ.
 LOGS_KEYS = {"traced_fraction": "stories"}
-RETRY_BUDGET_KEYS = {"tokens_per_attempt": "share"}
+RETRY_BUDGET_KEYS = {
+    "tokens_per_attempt": "share",
+    "class_rates": "classes",
+    "first_attempt_fraction": "first",
+    "min_attempt_ns": "least",
+}
 
 
 def build_config(draft: ConfigDraft) -> OperatorConfig:
@@ -143,8 +148,9 @@
 
 
 def _decode_retry_budget(raw: dict[str, Any]) -> RetryBudgetSettings:
-    classes = tuple(tuple(request_class) for request_class in raw["classes"])
-    return RetryBudgetSettings(**{**_from_form(raw, RETRY_BUDGET_KEYS), "classes": classes})
+    class_rates = tuple(ClassRate(*rate) for rate in raw["classes"])
+    fields = _from_form(raw, RETRY_BUDGET_KEYS)
+    return RetryBudgetSettings(**{**fields, "class_rates": class_rates})
 
 
 def _decode_deadlines(raw: dict[str, Any]) -> DeadlineSettings:
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -29,7 +29,7 @@
 from typing import Any
 
 from ..cells.model import SPREAD_FIELDS, TIMEOUT_FIELDS, Cell, Tenant, timeouts_of
-from ..deadlines.retry_budget import RetryBudgetSettings
+from ..deadlines.retry_budget import ClassRate, RetryBudgetSettings
 from ..deadlines.settings import (
     DeadlineSettings,
     HalfClosePolicy,
@@ -213,8 +213,8 @@
         tokens_per_attempt=check_number(share, "further_attempts.share"),
         burst=check_number(burst, "further_attempts.burst", 1),
         by_tenant=check_flag(by_tenant, "further_attempts.by_tenant"),
-        first=first,
-        least=milliseconds_to_ns(least_ms, "further_attempts.least_ms"),
+        first_attempt_fraction=first,
+        min_attempt_ns=milliseconds_to_ns(least_ms, "further_attempts.least_ms"),
     )
 
 
@@ -222,10 +222,10 @@
     """Give one request class a retry budget of its own."""
     name = check_text(name, "further_class.name")
     draft.declare("further_class", name, draft.retry_budget_classes)
-    draft.retry_budget_classes[name] = (
-        name,
-        check_number(share, "further_class.share"),
-        check_number(burst, "further_class.burst", 1),
+    draft.retry_budget_classes[name] = ClassRate(
+        class_name=name,
+        tokens_per_attempt=check_number(share, "further_class.share"),
+        burst=check_number(burst, "further_class.burst", 1),
     )
 
 
--- a/query_broker/operator_config/draft.py
+++ b/query_broker/operator_config/draft.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ..cells.model import Cell, CellMap, CellMapError, MigrationTimeouts, Tenant
-from ..deadlines.retry_budget import RetryBudgetSettings
+from ..deadlines.retry_budget import ClassRate, RetryBudgetSettings
 from ..deadlines.settings import DeadlineSettings, Logs
 from ..membership.settings import MembershipSettings
 from ..outlier_consensus.settings import OutlierConsensusSettings
@@ -38,7 +38,7 @@
         single_directives: The directives of that kind which were called.
         deadlines: Deadlines, without the retry budget.
         retry_budget: The retry budget, without the classes that have their own.
-        retry_budget_classes: Name, tokens earned by a first attempt and burst of each such class.
+        retry_budget_classes: What counts for each request class with values of its own.
         logs: Format of the log, and sampling of traces.
         startup: How a broker starts in a fleet that starts.
         membership: How brokers find each other.
@@ -57,7 +57,7 @@
     single_directives: set[str] = field(default_factory=set)
     deadlines: DeadlineSettings | None = None
     retry_budget: RetryBudgetSettings | None = None
-    retry_budget_classes: dict[str, tuple[str, float, float]] = field(default_factory=dict)
+    retry_budget_classes: dict[str, ClassRate] = field(default_factory=dict)
     logs: Logs | None = None
     startup: StartupSettings | None = None
     membership: MembershipSettings | None = None
@@ -110,8 +110,8 @@
             return None
         retry_budget = self.retry_budget
         if retry_budget is not None:
-            classes = tuple(self.retry_budget_classes.values())
-            retry_budget = replace(retry_budget, classes=classes)
+            class_rates = tuple(self.retry_budget_classes.values())
+            retry_budget = replace(retry_budget, class_rates=class_rates)
         return replace(self.deadlines or DeadlineSettings(), retry_budget=retry_budget)
 
     def build_cell_map(self) -> CellMap | None:
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -157,7 +157,7 @@
         priority = DEFAULT_PRIORITY if request.priority is None else request.priority
         size_bytes = sum(map(len, pieces))
         frame = Frame(pieces, request.client_request_id, priority, size_bytes, attempt)
-        frame.begun = attempt.write_started
+        frame.has_begun = attempt.write_started
         self._enqueue(now_ns, frame)
 
     def send_command(self, now_ns: int, *parts: bytes) -> None:
@@ -209,7 +209,7 @@
 
     def release_frame(self, frame: Frame) -> tuple[bytes, ...] | None:
         """Return what to write of a frame that has waited; None if it may not go any more."""
-        attempt = frame.about
+        attempt = frame.subject
         if not isinstance(attempt, Attempt):
             return frame.pieces
         if not self.observer.may_proceed(attempt):
--- a/tests/deadlines/deadline_brokers.py
+++ b/tests/deadlines/deadline_brokers.py
@@ -77,7 +77,7 @@
 
 async def wait_for_queued_request(rig: Rig) -> None:
     """A request waits in the write queue of the first connection."""
-    await until(lambda: engine_connections(rig)[0].write_queue.keyed)
+    await until(lambda: engine_connections(rig)[0].write_queue.by_key)
 
 
 async def client_with_queued_request(rig: Rig, **fields: Any) -> Client:
--- a/tests/deadlines/test_directives.py
+++ b/tests/deadlines/test_directives.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from query_broker.deadlines.retry_budget import RetryBudgetSettings
+from query_broker.deadlines.retry_budget import ClassRate, RetryBudgetSettings
 from query_broker.deadlines.settings import DeadlineSettings, HalfClosePolicy, Logs
 from query_broker.operator_config.script import OperatorFileError, evaluate, run_script
 
@@ -60,7 +60,7 @@
     assert config.deadlines.learn_margin
     assert config.deadlines.half_close is HalfClosePolicy.AWAIT_ANSWERS
     assert config.deadlines.retry_budget == RetryBudgetSettings(
-        0.2, 10, (("report", 0.1, 2.0),), True, 0.7
+        0.2, 10, (ClassRate("report", 0.1, 2.0),), True, 0.7
     )
     assert config.logs == Logs("json", 0.01)
     assert DeadlineSettings().retry_budget is None
--- a/tests/deadlines/test_queued_requests.py
+++ b/tests/deadlines/test_queued_requests.py
@@ -91,7 +91,7 @@
     async with slow_engine() as slow, broker_before(slow.port) as rig:
         client = await client_with_queued_request(rig, patience="4000")
         (attempt,) = (
-            frame.about for frame in engine_connections(rig)[0].write_queue.keyed.values()
+            frame.subject for frame in engine_connections(rig)[0].write_queue.by_key.values()
         )
         await asyncio.sleep(0.2)
         await slow.read_until(lambda: len(slow.requests()) == 2)
@@ -145,7 +145,7 @@
         assert codes.count(frames.SERVED) >= 10
         assert len(codes) == 30
         queues = [connection.write_queue for connection in engine_connections(rig)]
-        assert all(len(queue.heap) <= queue.most for queue in queues)
+        assert all(len(queue.heap) <= queue.max_frames for queue in queues)
 
 
 @on_uvloop
--- a/tests/deadlines/test_retry_budget.py
+++ b/tests/deadlines/test_retry_budget.py
@@ -7,14 +7,21 @@
 from hypothesis import strategies as st
 
 from query_broker.deadlines import retry_budget
-from query_broker.deadlines.retry_budget import RetryBudget, RetryBudgetSettings, attempt_time
+from query_broker.deadlines.retry_budget import (
+    ClassRate,
+    RetryBudget,
+    RetryBudgetSettings,
+    attempt_time_ns,
+)
 
 MS = 1_000_000
 
 
 def test_a_budget_allows_a_fraction_of_first_attempts_and_a_burst() -> None:
     budget = RetryBudget(
-        RetryBudgetSettings(tokens_per_attempt=0.2, burst=3.0, classes=(("load", 0.0, 1.0),))
+        RetryBudgetSettings(
+            tokens_per_attempt=0.2, burst=3.0, class_rates=(ClassRate("load", 0.0, 1.0),)
+        )
     )
     assert [budget.try_spend("glance", "x") for _ in range(4)] == [True, True, True, False]
     assert budget.try_spend("glance", "y")  # another tenant has its own
@@ -53,10 +60,10 @@
 
 def test_the_accounting_of_many_tenants_is_bounded() -> None:
     budget = RetryBudget(RetryBudgetSettings())
-    for number in range(3 * retry_budget.MOST_KEPT):
+    for number in range(3 * retry_budget.MAX_BUCKETS):
         budget.try_spend("glance", f"t{number}")
         budget.record_first_attempt("glance", f"t{number}")
-    assert len(budget.tokens) <= retry_budget.MOST_KEPT + 1
+    assert len(budget.tokens) <= retry_budget.MAX_BUCKETS + 1
 
 
 @pytest.mark.parametrize(
@@ -72,6 +79,6 @@
 def test_a_first_attempt_that_can_be_made_again_may_be_cut_short(
     number: int, idempotent: bool, first: float, expected_ms: int
 ) -> None:
-    terms = RetryBudgetSettings(first=first)
-    assert attempt_time(1_000 * MS, number, idempotent, terms) == expected_ms * MS
-    assert attempt_time(50 * MS, number, idempotent, terms) <= 50 * MS
+    terms = RetryBudgetSettings(first_attempt_fraction=first)
+    assert attempt_time_ns(1_000 * MS, number, idempotent, terms) == expected_ms * MS
+    assert attempt_time_ns(50 * MS, number, idempotent, terms) <= 50 * MS
--- a/tests/deadlines/test_write_queue.py
+++ b/tests/deadlines/test_write_queue.py
@@ -30,7 +30,7 @@
 
     def release_frame(self, frame: Frame) -> tuple[bytes, ...] | None:
         """Return what to send of a frame; None if it is stopped."""
-        return None if frame.about in self.stopped else frame.pieces
+        return None if frame.subject in self.stopped else frame.pieces
 
     def frame_started(self, about: object) -> None:
         """Record a frame whose first byte has left."""
@@ -102,7 +102,7 @@
     connection.stopped = {"a", "c"}
     connection.flush(100)
     assert connection.written == ["b"]
-    assert not connection.queue.keyed
+    assert not connection.queue.by_key
     connection.enqueue("c")  # under its key again: the one that was stopped has left the queue
     assert connection.queue.withdraw(b"c")
 
@@ -154,7 +154,7 @@
             connection.stopped.add(name)
         elif action == "level":
             queue.raise_priority(name.encode(), number % 4)
-        assert queue.waiting_bytes == sum(frame.size for frame in queue.keyed.values())
+        assert queue.waiting_bytes == sum(frame.size_bytes for frame in queue.by_key.values())
     connection.flush(1 << 20)
     assert queue.empty()
     assert not withdrawn & set(connection.begun)
