--- a/tests/startup/test_discovery_faults.py
+++ b/tests/startup/test_discovery_faults.py
@@ -39,7 +39,7 @@
     assert not status["ready"]
     assert status["list"] == "none"
     assert status["waits_for"] == "the bus"
-    await until(lambda: "still asking, not ready" in broker.log())
+    await until(lambda: "still polling, not ready" in broker.log())
 
 
 @on_uvloop
