--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from query_broker import decisions as api
@@ -62,9 +62,19 @@
 )
 
 
+# On this day a retry with an idempotency key would leave after its window (commit fa8de10).
+DAY_WITH_A_LATE_RETRY: list[tuple[object, ...]] = [
+    ("arrive", 1, "k", 1026),
+    ("end", 0, api.AttemptResult.FULL, 1),
+    ("wait", 1000),
+    ("end", 0, api.AttemptResult.ERROR, 1),
+]
+
+
 @pytest.mark.parametrize("name", SETTINGS)
 @settings(derandomize=True, max_examples=250, deadline=None)
 @given(steps=st.lists(STEP, max_size=60))
+@example(steps=DAY_WITH_A_LATE_RETRY)
 def test_rules_hold_on_arbitrary_days(name: str, steps: list[tuple[object, ...]]) -> None:
     ledger = Ledger(SETTINGS[name])
     classes = ledger.settings.classes
