--- a/query_broker/decisions/active_settings.py
+++ b/query_broker/decisions/active_settings.py
@@ -1,4 +1,4 @@
-"""The settings in force, shared by all parts of the controller. Performs no I/O."""
+"""The current settings, shared by all parts of the controller. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class ActiveSettings:
-    """The settings in force and values derived from them.
+    """The current settings and values derived from them.
 
-    The controller's parts share one object and read it at each decision, so that a change of the
-    settings reaches all of them at once.
+    The controller's parts share one object and read it at each decision, so that a change of
+    the settings applies to all parts at once.
 
     Attributes:
-        settings: The settings as given.
-        contract: Their parameters of the rules.
-        limits: Their limits on what the broker may do.
-        longest_objective_ns: The longest latency objective of a class.
-        shortest_objective_ns: The shortest latency objective of a class.
-        widest_threads: The most threads of a class.
-        has_load_class: Whether some class loads data sets.
+        settings: The current settings.
+        contract: The contract in the settings.
+        limits: The limits in the settings.
+        longest_objective_ns: The longest latency objective of any class.
+        shortest_objective_ns: The shortest latency objective of any class.
+        max_request_threads: Threads of the class with the most threads.
+        has_load_class: Whether any class loads data sets.
     """
 
     __slots__ = (
@@ -28,7 +28,7 @@
         "longest_objective_ns",
         "settings",
         "shortest_objective_ns",
-        "widest_threads",
+        "max_request_threads",
     )
 
     settings: Settings
@@ -36,16 +36,16 @@
     limits: Limits
 
     def __init__(self, settings: Settings) -> None:
-        """Put the first settings into force."""
+        """Apply the initial settings."""
         self.replace(settings)
 
     def replace(self, settings: Settings) -> None:
-        """Put other settings into force."""
+        """Apply new settings."""
         classes = settings.classes
         self.settings = settings
         self.contract = settings.contract
         self.limits = settings.limits
         self.longest_objective_ns = max(spec.latency_objective_ns for spec in classes)
         self.shortest_objective_ns = min(spec.latency_objective_ns for spec in classes)
-        self.widest_threads = max(spec.threads for spec in classes)
+        self.max_request_threads = max(spec.threads for spec in classes)
         self.has_load_class = any(spec.is_load for spec in classes)
--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -15,26 +15,26 @@
 from .settings import Effect, IdempotencyScope
 from .tenants import TenantQuotas
 
-# Ticks that a client's timeout must exceed: one to dispatch the request, one to answer it.
+# A client's timeout must exceed this: one tick to dispatch the request, one to answer it.
 MIN_TIMEOUT_TICKS = 2
-# Weight of one request in the fading fraction of a class's admitted requests.
+# Weight of one request in the exponentially weighted admission rate of its class.
 ADMISSION_LEARNING_RATE = 0.2
 
 
 class UnknownRequestClassError(QueryBrokerError, ValueError):
-    """A request names a class that the settings do not have."""
+    """The settings have no class of the name in a request."""
 
     def __init__(self, class_name: str) -> None:
-        """Name the class."""
+        """Build a message with the class name."""
         super().__init__(f"class_name: {class_name!r} is not in the settings")
 
 
 class Admission:
-    """Admits requests, serves them in the order of their keys, and gives their final answers.
+    """Admits requests, keeps the order of requests with one key, and orders their final answers.
 
     Attributes:
-        requests: Requests that are open, by id. One stays until its last outcome.
-        keys_in_service: Keys that `_serve_key` is serving, so that it is not entered again.
+        requests: Open requests, by id. A request stays until the outcome of its last attempt.
+        keys_in_service: Keys that `_serve_key` is serving; a nested call for one returns at once.
     """
 
     __slots__ = (
@@ -44,7 +44,7 @@
         "keys_in_service",
         "orders",
         "quotas",
-        "rejections",
+        "rejection_rate",
         "requests",
         "retries",
         "retry_budget",
@@ -58,23 +58,23 @@
         key_queues: KeyQueues,
         retry_budget: RetryBudget,
         retries: RetryPolicy,
-        rejections: RejectionRate,
+        rejection_rate: RejectionRate,
         orders: OrderBuffer,
     ) -> None:
-        """Take the collaborators; no request is open."""
+        """Store the collaborators; no request is open."""
         self.active = active
         self.classes = classes
         self.quotas = quotas
         self.key_queues = key_queues
         self.retry_budget = retry_budget
         self.retries = retries
-        self.rejections = rejections
+        self.rejection_rate = rejection_rate
         self.orders = orders
         self.requests: dict[str, Request] = {}
         self.keys_in_service: set[str] = set()
 
     def apply_settings(self, now_ns: int) -> None:
-        """Apply the classes, the tenants and the retry budget of the settings in force."""
+        """Apply the classes, the tenants and the retry budget of the current settings."""
         settings = self.active.settings
         self.classes.apply(settings.classes)
         self.quotas.apply(now_ns, settings)
@@ -85,19 +85,19 @@
         self.quotas.accepting_processes = accepting_processes
 
     def end_period(self) -> None:
-        """Begin the next period of the rejection rate."""
-        self.rejections.end_period()
+        """Start the next period of the rejection rate."""
+        self.rejection_rate.end_period()
 
-    def arrive(self, now_ns: int, event: RequestArrived) -> None:
-        """Decide on a request that has arrived: dispatch, queue behind its key, or reject.
+    def handle_arrival(self, now_ns: int, event: RequestArrived) -> None:
+        """Dispatch, queue or reject a request that has arrived.
 
         Raises:
-            UnknownRequestClassError: The settings have no class of that name.
+            UnknownRequestClassError: The settings have no class of the name in the request.
         """
         statistics = self.classes.by_name.get(event.class_name)
         if statistics is None:
             raise UnknownRequestClassError(event.class_name)
-        self.rejections.arrivals += 1
+        self.rejection_rate.arrival_count += 1
         self.retry_budget.arrivals.add(now_ns)
         request = self._open(now_ns, statistics, event)
         self.requests[request.id] = request
@@ -106,42 +106,42 @@
             self.key_queues.append(key, request)
         tick_ns = self.active.settings.tick_ns
         if event.timeout_ns <= MIN_TIMEOUT_TICKS * tick_ns:
-            self.finish(now_ns, request)
+            self.reject_or_fail(now_ns, request)
         elif key is None:
             self._admit(now_ns, request)
         elif self.key_queues.waits_too_long(now_ns, key, request):
-            self.finish(now_ns, request)
+            self.reject_or_fail(now_ns, request)
         else:
             self._serve_key(now_ns, key)
-        if not request.finished:  # rule 1: a final answer a tick before the client gives up
-            self.orders.set_timer(request.deadline_ns - tick_ns, self.finish, request)
+        if not request.finished:  # the final answer must come a tick before the client gives up
+            self.orders.set_timer(request.deadline_ns - tick_ns, self.reject_or_fail, request)
 
-    def finish(self, now_ns: int, request: Request) -> None:
-        """Give a request its final answer, unless it has one (rule 1).
+    def reject_or_fail(self, now_ns: int, request: Request) -> None:
+        """Order the final answer of a request without a served attempt, unless it has an answer.
 
-        It is rejected where a client's retry is harmless, else it has failed (the end of rule 2).
-        Attempts in flight are cancelled.
+        The request is rejected if its client may send it again without a double effect; otherwise
+        it fails. Attempts in flight are cancelled.
         """
         if request.finished:
             return
         if _is_harmless_to_repeat(request):
-            self.orders.add(Reject(request.id, self.rejections.reject()))
+            self.orders.add(Reject(request.id, self.rejection_rate.count_rejection()))
         else:
             self.orders.add(Fail(request.id))
-        self.end(now_ns, request)
+        self.end_request(now_ns, request)
 
-    def end(self, now_ns: int, request: Request) -> None:
-        """End a request that has been answered or abandoned, without ordering an answer."""
+    def end_request(self, now_ns: int, request: Request) -> None:
+        """End a request that has been answered or abandoned; cancel its attempts in flight."""
         if request.finished:
             return
         request.finished = True
         if self.active.limits.cancellation:
             for number in request.in_flight:
                 self.orders.add(CancelAttempt(request.id, number))
-        self.settle(now_ns, request)
+        self.remove_if_settled(now_ns, request)
 
-    def settle(self, now_ns: int, request: Request) -> None:
-        """Forget a request that has ended and has nothing in flight, and serve its key."""
+    def remove_if_settled(self, now_ns: int, request: Request) -> None:
+        """Remove a request that has ended and has no attempt in flight, and serve its key."""
         if not request.finished or request.in_flight:
             return
         if self.requests.pop(request.id, None) is None:
@@ -150,18 +150,18 @@
             self.key_queues.remove(request.key, request)
             self._serve_key(now_ns, request.key)
 
-    def abandon(self, now_ns: int, event: RequestAbandoned) -> None:
-        """End a request that its client has abandoned; an unknown one is ignored."""
+    def handle_abandonment(self, now_ns: int, event: RequestAbandoned) -> None:
+        """End a request that its client has abandoned; ignore an unknown request."""
         request = self.requests.get(event.request_id)
         if request is not None:
-            self.end(now_ns, request)
+            self.end_request(now_ns, request)
 
-    def close(self, now_ns: int, event: CloseRequests) -> None:
-        """Give open requests their final answers now: the named ones, or all."""
+    def handle_close(self, now_ns: int, event: CloseRequests) -> None:
+        """Order the final answers of the given open requests, or of all, now."""
         request_ids = event.request_ids
         for request in list(self.requests.values()):
             if request_ids is None or request.id in request_ids:
-                self.finish(now_ns, request)
+                self.reject_or_fail(now_ns, request)
 
     def _open(self, now_ns: int, statistics: ClassStatistics, event: RequestArrived) -> Request:
         return Request(
@@ -178,26 +178,28 @@
 
     def _admit(self, now_ns: int, request: Request) -> None:
         """Dispatch a request, or reject it at once."""
-        admitted = self.retries.first_attempt(now_ns, request)
+        admitted = self.retries.start_first_attempt(now_ns, request)
         if not request.over_quota:
             statistics = request.statistics
-            statistics.admitted += ADMISSION_LEARNING_RATE * (admitted - statistics.admitted)
+            statistics.admission_rate += ADMISSION_LEARNING_RATE * (
+                admitted - statistics.admission_rate
+            )
         if not admitted:
-            self.finish(now_ns, request)
+            self.reject_or_fail(now_ns, request)
 
     def _serve_key(self, now_ns: int, key: str) -> None:
-        """Dispatch the oldest request of a key, if the key is free (rule 5).
+        """Dispatch the oldest request of a key if no other request of the key is in flight.
 
-        A rejection frees the key for the next request and calls this again: that call returns at
-        once and the loop here continues, so that a long queue needs no deep recursion.
+        The rejection of a request calls this method again for the next one of the key. The nested
+        call returns at once and the loop here continues: recursion would be as deep as the queue.
         """
         if key in self.keys_in_service:
             return
         self.keys_in_service.add(key)
-        rest_until_ns = self.key_queues.rests_until(key)
+        cooldown_ends_ns = self.key_queues.cooldown_end(key)
         while (request := self.key_queues.next_waiting(key)) is not None:
-            if now_ns < rest_until_ns:
-                self.orders.set_timer(rest_until_ns, self._serve_key, key)
+            if now_ns < cooldown_ends_ns:
+                self.orders.set_timer(cooldown_ends_ns, self._serve_key, key)
                 break
             self._admit(now_ns, request)
         self.keys_in_service.discard(key)
@@ -205,7 +207,7 @@
 
 
 def _is_harmless_to_repeat(request: Request) -> bool:
-    """Whether a client may send a request again, whatever the outcomes of its attempts."""
+    """Whether a client may send a request again without a double effect."""
     spec = request.spec
     if not request.maybe_executed or spec.effect is Effect.IDEMPOTENT:
         return True
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -1,14 +1,16 @@
-"""One broker's decisions: takes events and returns orders. Performs no I/O and reads no clock.
+"""The controller of one broker: it handles events and returns orders.
 
-The parts, each in its module, get their collaborators from the constructor here:
+It performs no I/O and reads no clock. Its constructor creates the parts and passes each one its
+collaborators:
 
-- `Admission` (a request from arrival to answer), `AttemptOutcomes` (an attempt's end);
-- `RetryPolicy` (first attempts, retries, hedges), `AttemptDispatcher` (orders and accounts);
-- `EndpointSelector` (the choice of an endpoint) over `Eligibility` (the rules), `CapacityCheck`
-  (the bounds) and `LoadBalancer` (the draw);
-- `EndpointPool` (the endpoints), `OutlierDetector` (their health), `SlowStart` (their warm-up).
+- `Admission`: requests from arrival to final answer; `AttemptOutcomes`: the end of attempts;
+- `RetryPolicy`: first attempts, retries and hedges; `AttemptDispatcher`: dispatch orders and the
+  accounting of outstanding work;
+- `EndpointSelector`: the choice of an endpoint, by `Eligibility` (the rules of the contract),
+  `CapacityCheck` (the bounds) and `LoadBalancer` (a weighted random choice);
+- `EndpointPool`: the endpoints; `OutlierDetector`: their health; `SlowStart`: their warm-up.
 
-All of them share one `ActiveSettings`, one `OrderBuffer` and one source of random numbers.
+All parts share one `ActiveSettings`, one `OrderBuffer` and one source of random numbers.
 """
 
 from __future__ import annotations
@@ -51,7 +53,7 @@
 from .orders import Order
 from .outcomes import AttemptOutcomes
 from .outlier_detection import OutlierDetector
-from .period_clock import PERIOD_NS, PeriodClock
+from .period_clock import CONTROL_PERIOD_NS, PeriodClock
 from .retries import RetryPolicy
 from .settings import Settings
 from .slow_start import SlowStart
@@ -60,10 +62,10 @@
 
 
 class UnknownEventError(QueryBrokerError, TypeError):
-    """An event of a type that the controller does not take."""
+    """The controller does not handle events of this type."""
 
     def __init__(self, event: object) -> None:
-        """Name the type of the event."""
+        """Build a message with the type of the event."""
         super().__init__(f"event: {type(event).__name__} is none of the interface's events")
 
 
@@ -71,36 +73,38 @@
     """The decisions of one broker.
 
     Args:
-        settings: The settings to begin with.
-        seed: Seed of the draws; the same events then give the same orders.
-        now_ns: The time, in nanoseconds of any clock that the caller keeps to.
+        settings: The initial settings.
+        seed: Seed of the random numbers; equal seeds and events give equal orders.
+        now_ns: The time in nanoseconds, on the clock that the caller uses for all events.
     """
 
     def __init__(self, settings: Settings, seed: int, now_ns: int) -> None:
-        """Wire the parts, each with what it needs, and put the settings into force."""
+        """Create the parts, connect them, and apply the settings."""
         active = ActiveSettings(settings)
         orders = OrderBuffer()
         clock = PeriodClock(now_ns)
-        draws = random.Random(seed)
+        random_source = random.Random(seed)
         # The state of the endpoints.
         pool = EndpointPool(active, now_ns)
         slow_start = SlowStart(active, pool)
-        outliers = OutlierDetector(active, pool, clock, orders, draws)
+        outliers = OutlierDetector(active, pool, clock, orders, random_source)
         affinity = DataSetAffinity(active, pool.endpoints)
         # The selection of an endpoint.
         queues = KeyQueues(active)
         budget = RetryBudget(active)
         rules = Eligibility(active, pool, slow_start, outliers, queues, budget)
         capacity = CapacityCheck(pool, slow_start)
-        balancer = LoadBalancer(active, pool, slow_start, outliers, affinity, draws)
+        balancer = LoadBalancer(active, pool, slow_start, outliers, affinity, random_source)
         selector = EndpointSelector(pool, balancer, rules, capacity)
         # The life of a request.
         dispatcher = AttemptDispatcher(active, pool, rules, capacity, affinity, orders)
         retries = RetryPolicy(active, pool, slow_start, outliers, selector, dispatcher, orders)
         classes = RequestClasses()
         quotas = TenantQuotas()
-        rejections = RejectionRate(active)
-        admission = Admission(active, classes, quotas, queues, budget, retries, rejections, orders)
+        rejection_rate = RejectionRate(active)
+        admission = Admission(
+            active, classes, quotas, queues, budget, retries, rejection_rate, orders
+        )
         feedback = DelayFeedback(pool, slow_start, clock)
         outcomes = AttemptOutcomes(pool, outliers, feedback, dispatcher, queues, retries, admission)
         self.active = active
@@ -113,16 +117,16 @@
         self.admission = admission
         self.outcomes = outcomes
         self._apply_settings(now_ns)
-        self._handlers = self._handler_table()
+        self._handlers = self._event_handlers()
 
     @property
     def settings(self) -> Settings:
-        """The settings in force."""
+        """The current settings."""
         return self.active.settings
 
     @property
     def endpoints(self) -> dict[int, TrackedEndpoint]:
-        """The known endpoints, by number."""
+        """The tracked endpoints, by number."""
         return self.pool.endpoints
 
     @property
@@ -131,23 +135,23 @@
         return self.admission.requests
 
     def handle(self, now_ns: int, event: Event) -> list[Order]:
-        """Take an event and return the orders that follow from it, in their sequence.
+        """Handle an event and return the resulting orders, in the sequence of their execution.
 
         Args:
-            now_ns: The time in nanoseconds; not before that of the last event.
-            event: What has happened.
+            now_ns: The time in nanoseconds; not earlier than the time of the previous event.
+            event: The event.
 
         Raises:
-            UnknownEventError: The event is of no known type.
-            UnknownRequestClassError: A request names a class that the settings don't have.
+            UnknownEventError: The type of the event is unknown.
+            UnknownRequestClassError: The settings have no class of the name in the request.
         """
         handler = self._handlers.get(type(event))
         if handler is None:
             raise UnknownEventError(event)
-        orders = self.orders.begin()
+        orders = self.orders.begin_event()
         if self.orders.next_token == 0:
-            self.orders.set_timer(now_ns + PERIOD_NS, self._end_period)
-        self.clock.observe(now_ns)
+            self.orders.set_timer(now_ns + CONTROL_PERIOD_NS, self._end_period)
+        self.clock.detect_stall(now_ns)
         handler(now_ns, event)
         return orders
 
@@ -159,28 +163,28 @@
         """Count the listed endpoints that are administratively disabled or ejected."""
         return self.pool.avoided()
 
-    def _handler_table(self) -> dict[type, Callable[[int, Any], None]]:
+    def _event_handlers(self) -> dict[type, Callable[[int, Any], None]]:
         return {
-            RequestArrived: self.admission.arrive,
-            RequestAbandoned: self.admission.abandon,
-            CloseRequests: self.admission.close,
-            AttemptEnded: self.outcomes.take,
-            AttemptProgress: self.outliers.take_progress,
-            HealthCheckResult: self.outliers.take_health_check,
+            RequestArrived: self.admission.handle_arrival,
+            RequestAbandoned: self.admission.handle_abandonment,
+            CloseRequests: self.admission.handle_close,
+            AttemptEnded: self.outcomes.handle_attempt_ended,
+            AttemptProgress: self.outliers.handle_progress,
+            HealthCheckResult: self.outliers.handle_health_check,
             EndpointListUpdate: self._update_endpoints,
             AdministrativeChange: self.pool.set_administrative_state,
-            CoProcessLoad: self._take_co_process_load,
+            CoProcessLoad: self._handle_co_process_load,
             SettingsChanged: self._change_settings,
             TimerFired: self._fire_timer,
-            PeerMessage: _ignore,
+            PeerMessage: _ignore_peer_message,
         }
 
     def _end_period(self, now_ns: int) -> None:
-        """Timer: end a period of the control loops and begin the next."""
-        self.orders.set_timer(now_ns + PERIOD_NS, self._end_period)
+        """Timer: end a control period and start the next one."""
+        self.orders.set_timer(now_ns + CONTROL_PERIOD_NS, self._end_period)
         self.clock.start_period(now_ns)
         self.admission.end_period()
-        self.pool.refresh(now_ns)  # endpoints may have warmed up by now
+        self.pool.refresh(now_ns)  # some endpoints may have finished their warm-up
         self.outliers.end_period(now_ns)
         for endpoint in self.pool.endpoints.values():
             endpoint.end_period()
@@ -198,13 +202,13 @@
         self.affinity.forget_ranks()
         self.pool.update(now_ns, event)
 
-    def _take_co_process_load(self, now_ns: int, event: CoProcessLoad) -> None:
+    def _handle_co_process_load(self, now_ns: int, event: CoProcessLoad) -> None:
         self.admission.set_accepting_processes(event.accepting_processes)
         self.pool.set_co_process_load(event)
 
     def _fire_timer(self, now_ns: int, event: TimerFired) -> None:
-        self.orders.fire(now_ns, event.token)
+        self.orders.fire_timer(now_ns, event.token)
 
 
-def _ignore(now_ns: int, event: PeerMessage) -> None:
-    """Brokers decide without each other; nothing of a peer's message is used."""
+def _ignore_peer_message(now_ns: int, event: PeerMessage) -> None:
+    """Ignore a message of a peer: each broker decides on its own state alone."""
--- a/query_broker/decisions/data_set_affinity.py
+++ b/query_broker/decisions/data_set_affinity.py
@@ -9,55 +9,60 @@
 from .settings import RequestClass
 from .tracked_endpoint import TrackedEndpoint
 
-# The fraction of the endpoints that the loads of a data set go to and its readers avoid; where no
-# class loads, the fraction that keeps the data set cached.
-HOME_FRACTION = 1 / 3
-# Weight of an endpoint on the wrong side of that partition.
-WRONG_SIDE_WEIGHT = 0.1
-# Weight of an endpoint that does not keep the data set cached, where no class loads.
-COLD_DATA_SET_WEIGHT = 0.5
-# Weight of an endpoint where a load of ours blocks the data set that the request uses.
-BLOCKED_WEIGHT = 0.05
-# Data sets whose ranking of endpoints is cached; clients can name any number of data sets.
+# Fraction of the endpoints that the loads of a data set go to and its readers avoid. If no class
+# loads data sets, the fraction of the endpoints that keep the data set cached.
+DATA_SET_PARTITION_FRACTION = 1 / 3
+# Weight of an endpoint in the other part: for a load the readers' part, for a reader the loads'.
+WRONG_PARTITION_WEIGHT = 0.1
+# Weight of an endpoint that does not keep the data set cached, if no class loads data sets.
+UNCACHED_DATA_SET_WEIGHT = 0.5
+# Weight of an endpoint where a load from this broker blocks the data set of the request.
+BLOCKED_DATA_SET_WEIGHT = 0.05
+# Limit on the data sets whose ranks are cached: clients can name any number of data sets.
 MAX_CACHED_RANKS = 1_000
 
 
 class DataSetAffinity:
-    """Keeps the loads of a data set apart from its readers.
+    """Separates the loads of a data set from its readers.
 
-    A load blocks the readers of its data set on its endpoint. All brokers rank the endpoints of a
-    data set alike, by a hash: loads go to the last ones and readers to the others.
+    A load blocks the readers of its data set on its endpoint. For each data set a hash ranks the
+    endpoints, equally on all brokers: loads prefer the endpoints with the highest ranks, readers
+    the others.
 
     Attributes:
         endpoints: Numbers of the known endpoints.
         ranks: Cache of `rank` for each endpoint, by data set.
-        loads_in_flight: Number of our loads by endpoint and data set; entries of 0 are dropped.
+        loads_in_flight: Number of this broker's loads by endpoint and data set; zeros are left out.
     """
 
     __slots__ = ("active", "endpoints", "loads_in_flight", "ranks")
 
     def __init__(self, active: ActiveSettings, endpoints: Collection[int]) -> None:
-        """Take the settings and the live collection of endpoint numbers."""
+        """Store the settings and the live collection of endpoint numbers."""
         self.active = active
         self.endpoints = endpoints
         self.ranks: dict[int, dict[int, float]] = {}
         self.loads_in_flight: dict[tuple[int, int], int] = {}
 
     def weight(self, spec: RequestClass, data_set: int, endpoint: TrackedEndpoint) -> float:
-        """Return the factor of an endpoint's weight for a request that uses a data set."""
+        """Return the factor on an endpoint's weight for a request that uses a data set."""
         number = endpoint.entry.endpoint
         rank = self.rank(data_set, number)
         if not self.active.has_load_class:
-            return 1.0 if rank < HOME_FRACTION else COLD_DATA_SET_WEIGHT
-        is_home = rank >= 1 - HOME_FRACTION
-        is_wrong_side = not is_home if spec.is_load else is_home and spec.blocked_by_loads
-        factor = WRONG_SIDE_WEIGHT if is_wrong_side else 1.0
+            return 1.0 if rank < DATA_SET_PARTITION_FRACTION else UNCACHED_DATA_SET_WEIGHT
+        is_in_load_partition = rank >= 1 - DATA_SET_PARTITION_FRACTION
+        is_wrong_partition = (
+            not is_in_load_partition
+            if spec.is_load
+            else is_in_load_partition and spec.blocked_by_loads
+        )
+        factor = WRONG_PARTITION_WEIGHT if is_wrong_partition else 1.0
         if (spec.is_load or spec.blocked_by_loads) and (number, data_set) in self.loads_in_flight:
-            factor *= BLOCKED_WEIGHT
+            factor *= BLOCKED_DATA_SET_WEIGHT
         return factor
 
     def add_loads(self, endpoint: TrackedEndpoint, data_set: int, count: int) -> None:
-        """Count loads of a data set that begin, or with a negative count end."""
+        """Add to the count of loads in flight; a negative count is for loads that have ended."""
         load_key = (endpoint.entry.endpoint, data_set)
         load_count = self.loads_in_flight.get(load_key, 0) + count
         if load_count > 0:
@@ -66,7 +71,7 @@
             self.loads_in_flight.pop(load_key, None)
 
     def rank(self, data_set: int, number: int) -> float:
-        """Return the rank of an endpoint in the order of a data set, from 0 to below 1."""
+        """Return the rank of an endpoint for a data set: at least 0 and less than 1."""
         ranks = self.ranks.get(data_set)
         if ranks is None:
             ranks = self._rank_all(data_set)
--- a/query_broker/decisions/delay_feedback.py
+++ b/query_broker/decisions/delay_feedback.py
@@ -11,27 +11,27 @@
 from .slow_start import SlowStart
 from .tracked_endpoint import TrackedEndpoint
 
-# Delay that a timeout counts as in the mean, in latency objectives; from the design page.
-TIMEOUT_DELAY = 2.0
-# Smallest ratio of a latency to its expectation that counts: one estimate that is far too high must
-# not make an endpoint look fast.
+# An attempt without an answer counts as this delay in the mean; from the design page.
+TIMEOUT_DELAY_OBJECTIVES = 2.0
+# Lower limit of the ratio of a latency to the expected run time: one estimate that is far too high
+# must not make an endpoint look fast.
 MIN_LATENCY_RATIO = 1 / 6
 
-NO_ANSWER = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET})
+NO_ANSWER_RESULTS = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET})
 
 
 class DelayFeedback:
-    """Feeds the outcomes of attempts to the loops of endpoint and pool, and to their class."""
+    """Passes the latencies of attempts to the loops of endpoint and pool, and to the class."""
 
     __slots__ = ("clock", "pool", "slow_start")
 
     def __init__(self, pool: EndpointPool, slow_start: SlowStart, clock: PeriodClock) -> None:
-        """Take the collaborators."""
+        """Store the collaborators."""
         self.pool = pool
         self.slow_start = slow_start
         self.clock = clock
 
-    def take_outcome(
+    def learn_from_outcome(
         self,
         now_ns: int,
         endpoint: TrackedEndpoint,
@@ -41,14 +41,14 @@
     ) -> None:
         """Learn from the outcome of an attempt.
 
-        Nothing is learned from an attempt that was in flight during a stall of this process: its
-        latency includes the stall, whenever its answer is read. Learned as the cost of a request,
-        it would raise the estimates of all that follow, and reject them under pressure.
+        Nothing is learned from an answer to an attempt that was in flight during a stall of this
+        process: its latency includes the stall, whenever the answer is read. Such latencies would
+        raise the estimates of later requests, which would then be rejected under pressure.
         """
-        if event.result in NO_ANSWER:
-            endpoint.delays.append(TIMEOUT_DELAY)
-            self.pool.limit.delays.append(TIMEOUT_DELAY)
-        was_stalled = attempt.dispatched_ns < self.clock.stalled_at_ns
+        if event.result in NO_ANSWER_RESULTS:
+            endpoint.delays.append(TIMEOUT_DELAY_OBJECTIVES)
+            self.pool.limit.delays.append(TIMEOUT_DELAY_OBJECTIVES)
+        was_stalled = attempt.dispatched_ns < self.clock.last_stall_ns
         if event.result is AttemptResult.SERVED and not was_stalled:
             self._learn(now_ns, endpoint, request, attempt, event.latency_ns)
 
@@ -65,10 +65,10 @@
         delay = latency_ns / max(1, request.latency_objective())
         limit = self.pool.limit
         endpoint.delays.append(delay)
-        endpoint.learn(ratio)
+        endpoint.update_slowdown(ratio)
         limit.delays.append(delay)
-        limit.learn(ratio)
+        limit.update_slowdown(ratio)
         statistics = request.statistics
         statistics.slowdown *= (ratio / statistics.slowdown) ** LEARNING_RATE
         if attempt.uncontended:
-            statistics.learn(request.estimate_ns, latency_ns)
+            statistics.record_uncontended_latency(request.estimate_ns, latency_ns)
--- a/query_broker/decisions/dispatching.py
+++ b/query_broker/decisions/dispatching.py
@@ -1,4 +1,4 @@
-"""Dispatch of an attempt: its orders, and its accounting. Performs no I/O."""
+"""Dispatch of attempts: their orders and the accounting of their work. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from .settings import Effect
 from .tracked_endpoint import TrackedEndpoint
 
-# Load in threads a core below which a latency shows what a request costs by itself.
-UNCONTENDED_LOAD = 1.0
-# Multiple of the estimated memory that is granted; more would make other requests spill.
-MEMORY_GRANT_MARGIN = 1.2
-# Priorities of the endpoints' protocol: the shortest requests, those up to the longest objective,
-# the others, and what exceeds its tenant's quota.
+# Below this load a latency is the run time of the request without contention.
+UNCONTENDED_THREADS_PER_CORE = 1.0
+# A dispatch grants this multiple of the estimated memory; more would make other requests spill.
+MEMORY_GRANT_FACTOR = 1.2
+# Priorities of the endpoints' protocol, by run time: below the shortest latency objective of any
+# class, below the longest, and above. The lowest is for requests that exceed a tenant's quota.
 HIGH_PRIORITY = 3
 MEDIUM_PRIORITY = 2
 LOW_PRIORITY = 1
@@ -28,7 +28,7 @@
 
 
 class AttemptDispatcher:
-    """Orders attempts, and accounts for them from their dispatch to their end."""
+    """Orders attempts, and accounts for their work from dispatch to end."""
 
     __slots__ = ("active", "affinity", "capacity", "eligibility", "orders", "pool")
 
@@ -41,7 +41,7 @@
         affinity: DataSetAffinity,
         orders: OrderBuffer,
     ) -> None:
-        """Take the collaborators."""
+        """Store the collaborators."""
         self.active = active
         self.pool = pool
         self.eligibility = eligibility
@@ -52,15 +52,15 @@
     def dispatch(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> Attempt | None:
         """Order an attempt and account for it at the request, the endpoint and the pool.
 
-        The rules are checked here once more, so that nothing is dispatched against them, however
-        the endpoint was chosen; returns None where they forbid it.
+        The eligibility is checked here once more, so that no attempt breaks the contract, however
+        the endpoint was chosen. Returns None if the endpoint is not eligible.
         """
         if not self.eligibility.allows(now_ns, request, endpoint):
             return None
         if request.attempts_started > 0:
             self.eligibility.record_retry(now_ns)
         else:
-            self.capacity.record(request)
+            self.capacity.record_first_attempt(request)
         attempt = self._start(now_ns, request, endpoint)
         self._reserve(now_ns, request, endpoint, attempt)
         return attempt
@@ -68,7 +68,7 @@
     def release(
         self, now_ns: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
     ) -> None:
-        """Release what an attempt that has ended had reserved at the endpoint and the pool."""
+        """Remove the work of an attempt that has ended from the endpoint and the pool."""
         spec = request.spec
         del endpoint.in_flight[request.id, attempt.number]
         self.pool.add_outstanding(now_ns, endpoint, -attempt.backlog_ns, -spec.threads)
@@ -82,7 +82,8 @@
             number,
             now_ns,
             endpoint.backlog_of(request.work_ns),
-            endpoint.load() < UNCONTENDED_LOAD and not endpoint.is_pressed(now_ns),
+            endpoint.load() < UNCONTENDED_THREADS_PER_CORE
+            and not endpoint.is_under_pressure(now_ns),
             endpoint.ejected,
         )
         if attempt.number == 0:
@@ -93,7 +94,7 @@
         request.attempts_started += 1
         request.tried_endpoints.append(number)
         request.in_flight[attempt.number] = attempt
-        request.maybe_executed.append(attempt)  # until an outcome proves that it never ran
+        request.maybe_executed.append(attempt)  # until its result proves that it did not run
         return attempt
 
     def _reserve(
@@ -102,7 +103,7 @@
         spec = request.spec
         endpoint.in_flight[request.id, attempt.number] = attempt
         if len(endpoint.in_flight) == 1:
-            # It owed no answer until now: the time of its silence begins here.
+            # No answer was due until now: the time without an answer begins here.
             endpoint.last_activity_ns = max(endpoint.last_activity_ns, now_ns)
         self.pool.add_outstanding(now_ns, endpoint, attempt.backlog_ns, spec.threads)
         if spec.is_load:
@@ -115,11 +116,11 @@
     def _order_options(self, request: Request) -> None:
         settings = self.active.settings
         if settings.priorities or settings.memory_grants:
-            memory_mb = MEMORY_GRANT_MARGIN * request.memory_mb
+            memory_mb = MEMORY_GRANT_FACTOR * request.memory_mb
             self.orders.add(DispatchOptions(request.id, self._priority(request), memory_mb))
 
     def _priority(self, request: Request) -> int:
-        """Return the priority of a request: the shorter its run time, the higher."""
+        """Return the priority of a request; shorter requests have a higher priority."""
         if request.over_quota:
             return OVER_QUOTA_PRIORITY
         run_time_ns = request.run_time()
@@ -131,7 +132,10 @@
 
 
 def _latest_start(request: Request) -> int:
-    """Return when an attempt's first byte must have left, since rule 2 counts from then."""
+    """Return when the first byte of an attempt must have left.
+
+    For a retry with an idempotency key, this is when the endpoints forget the key.
+    """
     if request.maybe_executed and request.spec.effect is Effect.IDEMPOTENCY_KEY:
         return request.maybe_executed[0].dispatched_ns + request.spec.idempotency_window_ns
     return request.deadline_ns
--- a/query_broker/decisions/endpoint_pool.py
+++ b/query_broker/decisions/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The endpoints that this broker knows, their limit together, and the subset that it uses.
+"""The endpoints that this broker tracks, their common limit, and the subset that it uses.
 
 Performs no I/O.
 """
@@ -7,7 +7,7 @@
 
 from dataclasses import replace
 
-from .accounting import FadingMean, SlidingSum
+from .accounting import DecayingMean, SlidingSum
 from .active_settings import ActiveSettings
 from .concurrency_limit import THREADS_PER_CORE, PoolConcurrencyLimit
 from .events import (
@@ -19,71 +19,73 @@
     ListUpdateKind,
     OutstandingWork,
 )
-from .period_clock import PERIOD_NS
+from .period_clock import CONTROL_PERIOD_NS
 from .tracked_endpoint import NO_OUTSTANDING_WORK, TrackedEndpoint
 
-# Wanted mean delay of the pool, in latency objectives: an overload by all brokers together shows in
-# the delays late, so the pool's objective is below that of an endpoint.
+# Target of the pool's mean delay, in latency objectives. It is below that of an endpoint, since the
+# delays show an overload by all brokers together late.
 POOL_DELAY_OBJECTIVE = 0.5
-# Threads a core of the pool's quota; below an endpoint's, since the pool does not count attempts
-# that still run at an endpoint after their timeout.
+# Threads a core in the pool's quota. It is below that of an endpoint, since the pool does not count
+# attempts that still run at an endpoint after their timeout.
 POOL_THREADS_PER_CORE = 1.5
-# Time constant of the pool's mean of our threads: several run times.
-POOL_MEMORY_NS = 3 * PERIOD_NS
-# Endpoints that one broker of a large fleet uses: few, so that it has many outcomes of each.
+# Time constant of the mean of the threads in flight: several run times of a request.
+POOL_MEAN_TIME_CONSTANT_NS = 3 * CONTROL_PERIOD_NS
+# Number of endpoints that one broker of a large fleet uses: few, so that it has many outcomes of
+# each.
 SUBSET_SIZE = 10
 # The fractional parts of its multiples are spread evenly from 0 to 1, for any number of brokers.
 GOLDEN_RATIO_CONJUGATE = (5**0.5 - 1) / 2
-# Lists that name every endpoint there is; what they leave out has been removed.
-COMPLETE_LISTS = frozenset({ListUpdateKind.FULL, ListUpdateKind.CACHED})
+# Updates that contain every endpoint; an endpoint that is missing from one has been removed.
+COMPLETE_LIST_KINDS = frozenset({ListUpdateKind.FULL, ListUpdateKind.CACHED})
 
 
 class EndpointPool:
-    """The table of endpoints, with what follows from all of them together.
+    """The table of endpoints, and the values that depend on all of them.
 
     Attributes:
-        endpoints: By number. One that the list has removed stays until its last outcome.
-        disabled: Endpoints that operators have disabled, whatever the list says.
-        limit: The bound over all endpoints, which counts in a large fleet.
-        subset: Endpoints that this broker uses; all that are not warming up in a small fleet.
-        warming: Endpoints in warm-up, which a large fleet uses in turns.
-        turn_owners: Number of brokers that share a turn on an endpoint in warm-up.
+        endpoints: The endpoints by number. A removed one stays until its last outcome.
+        disabled: Numbers of the endpoints that operators have disabled.
+        limit: The bound over all endpoints, which applies in a large fleet.
+        subset: Endpoints that this broker uses; in a small fleet all that are open.
+        warming_endpoints: Endpoints in warm-up, which the brokers of a large fleet use in turns.
+        brokers_per_turn: Number of brokers that share a turn at an endpoint in warm-up.
         large_fleet: Whether the quota at an average endpoint is less than one request of the class
             with the most threads.
-        ejects_by_health_check: Whether health checks take the place of trial requests: in a large
-            fleet, where the settings allow health checks.
+        health_checks_replace_trials: Whether ejected endpoints get health checks instead of trial
+            requests: in a large fleet whose settings allow health checks.
     """
 
     __slots__ = (
         "active",
         "disabled",
-        "ejects_by_health_check",
+        "health_checks_replace_trials",
         "endpoints",
         "large_fleet",
         "limit",
         "subset",
-        "turn_owners",
-        "warming",
+        "brokers_per_turn",
+        "warming_endpoints",
     )
 
     def __init__(self, active: ActiveSettings, now_ns: int) -> None:
-        """Begin without endpoints."""
+        """Start without endpoints."""
         self.active = active
         self.endpoints: dict[int, TrackedEndpoint] = {}
         self.disabled: set[int] = set()
         self.limit = PoolConcurrencyLimit(
-            mean_threads=FadingMean(POOL_MEMORY_NS, now_ns), delay_objective=POOL_DELAY_OBJECTIVE
+            mean_threads=DecayingMean(POOL_MEAN_TIME_CONSTANT_NS, now_ns),
+            delay_objective=POOL_DELAY_OBJECTIVE,
         )
         self.subset: list[TrackedEndpoint] = []
-        self.warming: list[TrackedEndpoint] = []
-        self.turn_owners = 1
+        self.warming_endpoints: list[TrackedEndpoint] = []
+        self.brokers_per_turn = 1
         self.large_fleet = False
-        self.ejects_by_health_check = False
+        self.health_checks_replace_trials = False
 
     def is_open(self, endpoint: TrackedEndpoint) -> bool:
-        """Whether list and operators let an endpoint take requests (rule 3).
+        """Whether an endpoint is ready in the endpoint list and not disabled by operators.
 
-        The list may call an endpoint ready that operators have disabled; no update lifts that.
+        An update of the endpoint list does not enable an endpoint that operators have disabled.
         """
         entry = endpoint.entry
         return entry.state is EndpointState.READY and entry.endpoint not in self.disabled
@@ -92,14 +94,14 @@
         """Apply an update of the endpoint list."""
         for entry in event.entries:
             self._update_entry(now_ns, entry)
-        if event.kind in COMPLETE_LISTS:
+        if event.kind in COMPLETE_LIST_KINDS:
             listed = {entry.endpoint for entry in event.entries}
             for number in self.endpoints.keys() - listed:
                 self.remove(number)
         self.refresh(now_ns)
 
     def remove(self, number: int) -> None:
-        """Dispatch no more to an endpoint, and forget it once nothing is in flight."""
+        """Mark an endpoint as removed, and drop it if no attempt is in flight there."""
         endpoint = self.endpoints.get(number)
         if endpoint is None:
             return
@@ -108,9 +110,10 @@
             del self.endpoints[number]
 
     def set_administrative_state(self, now_ns: int, event: AdministrativeChange) -> None:
-        """Disable an endpoint by hand, or enable it again.
+        """Disable an endpoint on behalf of operators, or enable it again.
 
-        An endpoint that is enabled counts as restarted: the list may show a restart late or never.
+        An endpoint that is enabled again is treated as restarted, since the endpoint list may show
+        a restart late or never.
         """
         if event.disabled:
             self.disabled.add(event.endpoint)
@@ -122,9 +125,9 @@
         self.refresh(now_ns)
 
     def set_co_process_load(self, event: CoProcessLoad) -> None:
-        """Count the outstanding work of this broker's other processes as our own.
+        """Add the outstanding work of the broker's other processes to that of this process.
 
-        Two processes that each used the full quota would overload endpoints, first those in
+        Two processes that each used the full quota would overload endpoints, above all endpoints in
         warm-up.
         """
         for number, endpoint in self.endpoints.items():
@@ -136,7 +139,7 @@
     def add_outstanding(
         self, now_ns: int, endpoint: TrackedEndpoint, backlog_ns: int, threads: int
     ) -> None:
-        """Add to the outstanding work of an endpoint and of the pool; negative where it ends."""
+        """Add to the outstanding work of an endpoint and the pool; negative values subtract."""
         limit = self.limit
         endpoint.backlog_ns += backlog_ns
         endpoint.threads_in_flight += threads
@@ -146,12 +149,12 @@
         limit.mean_threads.record(now_ns, limit.threads_in_flight)
 
     def outstanding(self, now_ns: int) -> dict[int, OutstandingWork]:
-        """Return the outstanding work of this process alone, by endpoint."""
+        """Return the outstanding work of this process, without the other processes, by endpoint."""
         return {
             number: OutstandingWork(
                 endpoint.threads_in_flight - endpoint.co_process_work.threads,
                 endpoint.backlog_ns - endpoint.co_process_work.backlog_ns,
-                endpoint.warmup_work.at(now_ns),
+                endpoint.warmup_work.sum_at(now_ns),
             )
             for number, endpoint in self.endpoints.items()
         }
@@ -165,69 +168,72 @@
         )
 
     def apply_settings(self, now_ns: int) -> None:
-        """Rescale all bounds to the settings in force."""
+        """Rescale all bounds to the current settings."""
         for endpoint in self.endpoints.values():
             self._rescale(endpoint)
         self.refresh(now_ns)
 
     def refresh(self, now_ns: int) -> None:
-        """Recompute what follows from the state of all endpoints together.
+        """Recompute the values that depend on the state of all endpoints.
 
-        In a large fleet a quota is less than one request, and no endpoint's own control loop gets
-        enough outcomes; the pool's does. Work on an endpoint that has been removed, is draining or
-        is warming up must not count against the pool's limit.
+        In a large fleet a broker's quota of an endpoint is less than one request, and the control
+        loop of one endpoint gets too few outcomes; that of the pool gets enough. Work at an
+        endpoint that is removed, draining or warming up does not count against the pool's limit.
         """
         open_endpoints = [
             endpoint for endpoint in self.endpoints.values() if self.is_open(endpoint)
         ]
-        self._measure_fleet(open_endpoints)
+        self._classify_fleet(open_endpoints)
         for endpoint in self.endpoints.values():
             is_warming = self.large_fleet and now_ns < endpoint.warmup_ends_ns
             endpoint.in_pool = self.is_open(endpoint) and not (endpoint.ejected or is_warming)
-        self._measure_limit(now_ns, [endpoint for endpoint in open_endpoints if endpoint.in_pool])
+        self._recompute_limit(now_ns, [endpoint for endpoint in open_endpoints if endpoint.in_pool])
         self._choose_subset(open_endpoints)
 
-    def _measure_fleet(self, open_endpoints: list[TrackedEndpoint]) -> None:
+    def _classify_fleet(self, open_endpoints: list[TrackedEndpoint]) -> None:
         fleet_size = self.active.settings.fleet_size
         cores = [endpoint.cores for endpoint in open_endpoints] or [0]
         mean_threads = THREADS_PER_CORE * sum(cores) / len(cores)
-        self.large_fleet = 0 < mean_threads < self.active.widest_threads * fleet_size
-        # In a large fleet the trial requests of all brokers add up and overload an endpoint.
-        self.ejects_by_health_check = self.large_fleet and self.active.limits.health_checks
-        self.turn_owners = max(1, round(fleet_size / max(1, len(open_endpoints))))
+        self.large_fleet = 0 < mean_threads < self.active.max_request_threads * fleet_size
+        # In a large fleet the trial requests of all brokers together would overload an endpoint.
+        self.health_checks_replace_trials = self.large_fleet and self.active.limits.health_checks
+        self.brokers_per_turn = max(1, round(fleet_size / max(1, len(open_endpoints))))
 
-    def _measure_limit(self, now_ns: int, members: list[TrackedEndpoint]) -> None:
+    def _recompute_limit(self, now_ns: int, pool_endpoints: list[TrackedEndpoint]) -> None:
         fleet_size = self.active.settings.fleet_size
         limit = self.limit
-        limit.rescale(sum(endpoint.initial_bound_ns for endpoint in members))
-        cores = sum(endpoint.cores for endpoint in members)
+        limit.rescale(sum(endpoint.initial_bound_ns for endpoint in pool_endpoints))
+        cores = sum(endpoint.cores for endpoint in pool_endpoints)
         quota = POOL_THREADS_PER_CORE * cores / fleet_size
-        limit.thread_quota = quota or self.active.widest_threads
+        limit.thread_quota = quota or self.active.max_request_threads
         limit.backlog_ns = sum(
-            member.backlog_ns - member.co_process_work.backlog_ns for member in members
+            pool_endpoint.backlog_ns - pool_endpoint.co_process_work.backlog_ns
+            for pool_endpoint in pool_endpoints
         )
         limit.threads_in_flight = sum(
-            member.threads_in_flight - member.co_process_work.threads for member in members
+            pool_endpoint.threads_in_flight - pool_endpoint.co_process_work.threads
+            for pool_endpoint in pool_endpoints
         )
         limit.mean_threads.record(now_ns, limit.threads_in_flight)
 
     def _choose_subset(self, open_endpoints: list[TrackedEndpoint]) -> None:
         """Choose the endpoints that this broker uses.
 
-        If many brokers used all endpoints, each would have few outcomes of each endpoint, and would
-        lose requests at every faulty one. So each uses a few, and one more for each that is
-        ejected, beginning at positions spread evenly over an order that all brokers share.
+        If every broker of a large fleet used all endpoints, it would have few outcomes of each, and
+        would lose requests at every faulty one. So each broker uses a few endpoints, and one more
+        for each of them that is ejected. All brokers sort the endpoints in the same order; their
+        subsets start at positions that are spread evenly over that order.
         """
         ordered = sorted(open_endpoints, key=lambda endpoint: endpoint.entry.endpoint)
-        place = self.active.settings.broker_index * GOLDEN_RATIO_CONJUGATE % 1
-        first = int(place * len(ordered))
-        missing = SUBSET_SIZE if self.large_fleet else len(ordered)
+        start_fraction = self.active.settings.broker_index * GOLDEN_RATIO_CONJUGATE % 1
+        start_index = int(start_fraction * len(ordered))
+        missing_count = SUBSET_SIZE if self.large_fleet else len(ordered)
         self.subset = []
-        for endpoint in ordered[first:] + ordered[:first]:
-            if missing > 0 and (endpoint.in_pool or endpoint.ejected):
+        for endpoint in ordered[start_index:] + ordered[:start_index]:
+            if missing_count > 0 and (endpoint.in_pool or endpoint.ejected):
                 self.subset.append(endpoint)
-                missing -= endpoint.in_pool
-        self.warming = [
+                missing_count -= endpoint.in_pool
+        self.warming_endpoints = [
             endpoint for endpoint in open_endpoints if not (endpoint.in_pool or endpoint.ejected)
         ]
 
@@ -258,14 +264,14 @@
         fleet_size = self.active.settings.fleet_size
         threads = THREADS_PER_CORE * endpoint.cores / fleet_size
         endpoint.rescale(threads * self.active.longest_objective_ns)
-        # Brokers seldom peak at the same time: each may exceed its part by one request.
-        endpoint.thread_quota = threads + (1 - 1 / fleet_size) * self.active.widest_threads
+        # Brokers seldom peak at the same time: each may exceed its share by one request.
+        endpoint.thread_quota = threads + (1 - 1 / fleet_size) * self.active.max_request_threads
         endpoint.warmup_work.span_ns = self.active.contract.overload_window_ns
 
     def _restart(self, now_ns: int, endpoint: TrackedEndpoint, started_ns: int) -> None:
-        """Reset the endpoint, since another process runs under its number.
+        """Reset the state of an endpoint whose process has been replaced.
 
-        It is in warm-up, and nothing that was learned of the previous process applies.
+        Its warm-up begins, and what was learned about the previous process no longer applies.
         """
         endpoint.ejected = False
         endpoint.slowdown = 1.0
--- a/query_broker/decisions/endpoint_selection.py
+++ b/query_broker/decisions/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""The selection of an endpoint for an attempt: eligible, with capacity, and drawn by weight.
+"""The selection of an endpoint for an attempt, among the eligible ones with capacity.
 
 Performs no I/O.
 """
@@ -12,7 +12,7 @@
 from .open_requests import Request
 from .tracked_endpoint import TrackedEndpoint
 
-# Endpoints that may answer a request with an error before the request itself is assumed faulty.
+# A request that this many endpoints answered with an error is assumed to be faulty itself.
 MAX_ERROR_ENDPOINTS = 2
 
 
@@ -28,14 +28,14 @@
         eligibility: Eligibility,
         capacity: CapacityCheck,
     ) -> None:
-        """Take the collaborators."""
+        """Store the collaborators."""
         self.pool = pool
         self.balancer = balancer
         self.eligibility = eligibility
         self.capacity = capacity
 
-    def for_first_attempt(self, now_ns: int, request: Request) -> TrackedEndpoint | None:
-        """Draw among the endpoints where a request fits; None where it fits nowhere."""
+    def select_for_first_attempt(self, now_ns: int, request: Request) -> TrackedEndpoint | None:
+        """Choose an endpoint with capacity for the request; None if there is none."""
         allows = self.eligibility.allows
         candidates = self.balancer.candidates(now_ns)
         eligible = [endpoint for endpoint in candidates if allows(now_ns, request, endpoint)]
@@ -44,15 +44,15 @@
             return None
         fits = self.capacity.fits
         fitting = [endpoint for endpoint in eligible if fits(now_ns, request, endpoint)]
-        # Endpoints in warm-up come first: capacity that our turn there leaves unused is lost.
+        # Endpoints in warm-up come first: capacity that stays unused in this broker's turn is lost.
         warming = [endpoint for endpoint in fitting if not (endpoint.in_pool or endpoint.ejected)]
         return self._draw(request, warming or fitting)
 
-    def for_retry(self, now_ns: int, request: Request) -> TrackedEndpoint | None:
-        """Draw the endpoint of a retry or a hedge; None where there should be none.
+    def select_for_retry(self, now_ns: int, request: Request) -> TrackedEndpoint | None:
+        """Choose the endpoint of a retry or a hedge; None if there should be no further attempt.
 
-        Retries increase the overload that caused them: there is none under pressure, none that
-        can't end in time, and none of a request that two endpoints answered with an error.
+        Retries increase the overload that caused them. So there is none under pressure, none that
+        can't end in time, and none for a request that two endpoints answered with an error.
         """
         errors = request.error_endpoints
         eligible = [
@@ -73,7 +73,7 @@
             return False
         if self.pool.large_fleet or request.error_endpoints:
             return self.capacity.fits(now_ns, request, endpoint)
-        return not endpoint.is_pressed(now_ns)
+        return not endpoint.is_under_pressure(now_ns)
 
     def _draw(self, request: Request, endpoints: list[TrackedEndpoint]) -> TrackedEndpoint | None:
         return self.balancer.draw(request, endpoints) if endpoints else None
--- a/query_broker/decisions/events.py
+++ b/query_broker/decisions/events.py
@@ -1,6 +1,6 @@
-"""Events that the admission controller takes.
+"""Events that the admission controller handles.
 
-Times and durations are integer nanoseconds, works thread-nanoseconds. Performs no I/O.
+Times and durations are integer nanoseconds; work is in thread-nanoseconds. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
     """State of an endpoint in the endpoint list.
 
     Attributes:
-        READY: Takes requests.
-        DRAINING: Finishes what it has; nothing new may be sent (rule 3).
+        READY: Accepts requests.
+        DRAINING: Finishes its attempts; no new attempt may be dispatched to it.
         REMOVED: No longer exists.
     """
 
@@ -28,13 +28,13 @@
 
 
 class ListUpdateKind(Enum):
-    """What an update of the endpoint list holds.
+    """What an update of the endpoint list contains.
 
     Attributes:
-        CHANGES: The entries that changed.
+        CHANGES: The entries that have changed.
         FULL: Every entry.
-        CACHED: Every entry of the stored list of an earlier run, at the start.
-        FAILED: Nothing: the list could not be read.
+        CACHED: Every entry of the list that an earlier run stored; used at startup.
+        FAILED: No entries: the list could not be read.
     """
 
     CHANGES = "changes"
@@ -49,12 +49,12 @@
     Attributes:
         SERVED: The endpoint answered.
         ERROR: The endpoint answered with an error.
-        FULL: The endpoint rejected it for lack of capacity.
-        TIMEOUT: No answer came in time; it may have run, or still run.
-        CONNECT_FAILED: No connection came about.
-        RESET: The connection ended before the answer; it may have run.
-        CANCELLED: It was cancelled; it may have run.
-        NOT_SENT: It never left this broker.
+        FULL: The endpoint rejected the attempt for lack of capacity.
+        TIMEOUT: No answer came in time; the attempt may have run or may still run.
+        CONNECT_FAILED: The connection could not be opened.
+        RESET: The connection ended before the answer; the attempt may have run.
+        CANCELLED: The broker cancelled the attempt; it may have run.
+        NOT_SENT: The attempt never left this broker.
     """
 
     SERVED = "served"
@@ -67,19 +67,19 @@
     NOT_SENT = "not_sent"
 
 
-#: Results that prove that the attempt never ran.
+#: Results which prove that the attempt did not run.
 NEVER_EXECUTED = frozenset(
     {AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT}
 )
 
 
 class ProgressKind(Enum):
-    """What an endpoint reports of an attempt that runs.
+    """What an endpoint reports about a running attempt.
 
     Attributes:
-        PROGRESS: How much of it is done.
-        SPILLING: It spills to disk for lack of memory.
-        WAITING: It is queued behind others.
+        PROGRESS: The completed part of the attempt.
+        SPILLING: The attempt spills to disk for lack of memory.
+        WAITING: The attempt is queued behind others.
     """
 
     PROGRESS = 1
@@ -95,10 +95,10 @@
         endpoint: Number of the endpoint.
         state: Its state.
         zone: Its zone.
-        kind: Its kind of machine.
-        cell: Its cell, within which idempotency keys may be shared.
-        weight: Its relative capacity, where its kind has no cores in the settings.
-        started_ns: When its process started, 0 when that is long ago.
+        kind: Its kind of engine.
+        cell: Its cell; the endpoints of a cell may share their memory of idempotency keys.
+        weight: Its relative capacity, used if the settings give no cores for its kind.
+        started_ns: When its process started; 0 if the start was long ago.
     """
 
     endpoint: int
@@ -112,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint reports of its load; None where it does not report.
+    """The load that an endpoint reports; a value that it does not report is None.
 
     Attributes:
-        utilisation: Fraction of its cores that is busy.
-        queue: Requests that wait for memory.
-        memory: Fraction of its memory that is granted.
-        disk: Fraction of its disks that is busy.
-        inflight: Requests that it has accepted and not answered.
+        utilisation: Busy fraction of its cores.
+        queue: Number of requests that wait for memory.
+        memory: Granted fraction of its memory.
+        disk: Busy fraction of its disks.
+        inflight: Number of requests that it has accepted and not answered.
     """
 
     utilisation: float | None = None
@@ -134,7 +134,7 @@
     """The endpoint list has changed, was read in full, or could not be read.
 
     Attributes:
-        kind: What the entries are.
+        kind: What the update contains.
         entries: The entries.
     """
 
@@ -149,13 +149,13 @@
     Attributes:
         request_id: Its id, unique among the open requests.
         class_name: Its class in the settings.
-        timeout_ns: How long its client waits, from now.
+        timeout_ns: How long its client waits, from the time of this event.
         tenant: Its tenant, if any.
-        key: Its key, which counts in classes that keep the order by key (rule 5).
+        key: Its ordering key; used only in classes whose requests are ordered by key.
         estimate_ns: The client's estimate of its work, in thread-nanoseconds.
         memory_mb: The client's estimate of its memory, in megabytes.
         data_set: Number of the data set that it reads or loads.
-        is_retry: Whether the client marks it as the retry of a rejected request.
+        is_retry: Whether the client marks it as a retry of a rejected request.
     """
 
     request_id: str
@@ -178,9 +178,9 @@
         attempt: Number of the attempt.
         endpoint: Its endpoint.
         result: How it ended.
-        latency_ns: From its dispatch to its end.
-        finished: The request has its final answer by this.
-        load_report: What the endpoint reported with it, if anything.
+        latency_ns: Time from its dispatch to its end.
+        finished: Whether the request now has its final answer.
+        load_report: The load report that came with its answer, if any.
     """
 
     request_id: str
@@ -194,14 +194,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """An endpoint has reported on an attempt that runs.
+    """An endpoint has reported the progress of a running attempt.
 
     Attributes:
         request_id: The request.
         attempt: Number of the attempt.
         endpoint: Its endpoint.
-        kind: What is reported.
-        value: The reported amount, whose meaning depends on the kind.
+        kind: What the endpoint reports.
+        value: The reported amount; its meaning depends on the kind.
     """
 
     request_id: str
@@ -213,21 +213,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """A client has cancelled its request or disconnected; it needs no answer any more."""
+    """A client has cancelled its request or disconnected; the request needs no answer."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AdministrativeChange:
-    """Operators have disabled an endpoint, whatever the list says, or enabled it again.
+    """Operators have disabled an endpoint or enabled it again, independently of the endpoint list.
 
-    An endpoint that is enabled counts as restarted, and is in warm-up.
+    An endpoint that is enabled again is treated as restarted: its warm-up begins.
 
     Attributes:
         endpoint: Number of the endpoint.
-        disabled: Whether it is disabled, or else enabled.
-        at_ns: When that was decided.
+        disabled: True if the endpoint is disabled, False if it is enabled.
+        at_ns: When the operators made the change.
     """
 
     endpoint: int
@@ -236,13 +236,13 @@
 
 
 class OutstandingWork(NamedTuple):
-    """What one process of a broker has outstanding on an endpoint.
+    """The outstanding work of one process of a broker at an endpoint.
 
     Attributes:
         threads: Threads of the outstanding requests.
-        backlog_ns: Their expected work, in thread-nanoseconds.
-        warmup_ns: Work dispatched within the window of rule 4 while the endpoint was warming up, in
-            thread-nanoseconds.
+        backlog_ns: Expected work of the outstanding requests, in thread-nanoseconds.
+        warmup_ns: Work dispatched within the contract's overload window while the endpoint was
+            warming up, in thread-nanoseconds.
     """
 
     threads: int
@@ -252,11 +252,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CoProcessLoad:
-    """Load of the other processes of this broker, which share one quota with this one.
+    """Load of the broker's other processes; all processes of a broker share one quota.
 
     Attributes:
-        outstanding: What they have outstanding, by endpoint.
-        accepting_processes: How many processes, with this one, accept requests.
+        outstanding: Outstanding work of the other processes, by endpoint.
+        accepting_processes: Number of processes that accept requests, including this one.
     """
 
     outstanding: Mapping[int, OutstandingWork]
@@ -265,14 +265,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """The settings have changed, for all requests that come from now on."""
+    """The settings have changed; the new ones apply to all requests that arrive later."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class CloseRequests:
-    """Open requests are to get their final answers now.
+    """Open requests must get their final answers now.
 
     Attributes:
         request_ids: The requests, or None for all.
@@ -283,7 +283,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer is due; ``token`` is that of its order."""
+    """A timer is due; ``token`` is the one in its `SetTimer` order."""
 
     token: int
 
@@ -295,8 +295,8 @@
     Attributes:
         endpoint: Number of the endpoint.
         result: How it ended.
-        latency_ns: From its start to its end.
-        load_report: What the endpoint reported, if anything.
+        latency_ns: Time from its start to its end.
+        load_report: The load report that came with the answer, if any.
     """
 
     endpoint: int
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -1,10 +1,10 @@
 """The interface of the decisions for the network code.
 
-`Facade.pick`, `Facade.report` and `Facade.tick` take an event and return orders. The network code
-imports the types of events, orders and settings from here too, and uses no other module of this
-package.
-Performs no I/O and decides nothing: it groups the controller's orders by type and sets its timers
-on the caller's timer wheel.
+`Facade.pick` and `Facade.report` handle an event and `Facade.tick` handles a due timer; each
+returns orders. The network code also imports the types of events, orders and settings from here,
+and uses no other module of this package.
+The facade performs no I/O and makes no decisions: it groups the controller's orders by type and
+sets the controller's timers on the caller's timer wheel.
 """
 
 from __future__ import annotations
@@ -75,10 +75,10 @@
 
 @dataclass(slots=True)
 class OrderBatch:
-    """The orders that follow from one event, by type; each list is in the order of the decisions.
+    """The orders that result from one event, by type; each list is in the sequence of decision.
 
     Attributes:
-        options: Options of dispatches; to be carried out before the dispatches.
+        options: Options of dispatches; they must be carried out before the dispatches.
         dispatches: Attempts to start.
         answers: Final answers.
         cancellations: Attempts to cancel.
@@ -93,20 +93,20 @@
 
 
 class Facade:
-    """A controller whose timers are on the timer wheel of the caller.
+    """A controller whose timers run on the timer wheel of the caller.
 
     Attributes:
         controller: The controller.
         timer_wheel: The caller's timer wheel.
-        due: Tokens of the controller's timers that have fired, to be handled by `tick`.
+        due: Tokens of the controller's timers that are due; `tick` handles them.
     """
 
     def __init__(self, settings: Settings, seed: int, now_ns: int, timer_wheel: TimerWheel) -> None:
-        """Make the controller.
+        """Create the controller.
 
         Args:
-            settings: The settings to begin with.
-            seed: Seed of the controller's draws.
+            settings: The initial settings.
+            seed: Seed of the controller's random numbers.
             now_ns: The time in nanoseconds.
             timer_wheel: The timer wheel that the controller's timers are set on.
         """
@@ -115,23 +115,26 @@
         self.due: deque[int] = deque()
 
     def pick(self, now_ns: int, arrival: RequestArrived) -> OrderBatch:
-        """Decide on a request that has arrived: where it is dispatched, or that it is rejected."""
+        """Dispatch, queue or reject a request that has arrived."""
         return self._handle(now_ns, arrival)
 
     def report(self, now_ns: int, event: Event) -> OrderBatch:
-        """Report any other event."""
+        """Handle any event other than the arrival of a request or a due timer."""
         return self._handle(now_ns, event)
 
     def tick(self, now_ns: int) -> OrderBatch:
-        """Handle the first of the timers that have fired.
+        """Handle the first due timer.
 
-        Each is removed first and handled alone: a fault in one must not affect the others, among
-        them those that guarantee a final answer (rule 1).
+        Its token is removed first, and each call handles one timer: an error in one timer must not
+        affect the others, some of which guarantee a final answer before the deadline.
         """
         return self._handle(now_ns, TimerFired(self.due.popleft()))
 
     def forget(self, request: str) -> None:
-        """Called when the network has nothing open of a request any more; does nothing here."""
+        """Do nothing: the controller itself forgets requests that have ended.
+
+        The network code calls this once it has no state of a request left.
+        """
 
     def avoided_endpoints(self) -> int:
         """Count the listed endpoints that are administratively disabled or ejected."""
@@ -153,8 +156,8 @@
         }
 
     def widest_request_threads(self) -> int:
-        """Return the most threads that a request of any class takes."""
-        return self.controller.active.widest_threads
+        """Return the thread count of the request class with the most threads."""
+        return self.controller.active.max_request_threads
 
     def _timer_callback(self, token: int) -> Callable[[], None]:
         return lambda: self.due.append(token)
--- a/query_broker/decisions/load_balancing.py
+++ b/query_broker/decisions/load_balancing.py
@@ -1,4 +1,4 @@
-"""The choice among the endpoints that a request may go to: a draw weighted by load and health.
+"""Load balancing: a random choice of an endpoint, weighted by load and health.
 
 Performs no I/O.
 """
@@ -16,21 +16,20 @@
 from .slow_start import SlowStart
 from .tracked_endpoint import TrackedEndpoint
 
-# Exponent of the load in the draw; a higher one comes nearer to "least loaded".
+# Exponent of the load in a weight; a higher one is closer to "least loaded".
 LOAD_EXPONENT = 3
-# Threads a core that are added to every load, so that an idle endpoint does not get all requests.
-IDLE_LOAD = 0.15
-# The weight of an endpoint in another zone is divided by 1 + this times the price of crossing
-# zones.
+# Added to the load of each endpoint, so that an idle endpoint does not get all requests.
+BASE_THREADS_PER_CORE = 0.15
+# The weight of an endpoint in another zone is divided by 1 + this x the price of crossing zones.
 CROSS_ZONE_PENALTY = 25
-# Weight of an endpoint that has already been tried for this request.
+# Factor on the weight of an endpoint that has already had an attempt of the request.
 TRIED_WEIGHT = 0.1
-# Smallest weight of an endpoint: a draw needs a positive sum.
+# Lower limit of a weight: the random choice needs a positive sum.
 MIN_WEIGHT = 1e-9
 
 
 class LoadBalancer:
-    """Draws the endpoint of an attempt."""
+    """Chooses the endpoint of an attempt at random, by weight."""
 
     __slots__ = ("active", "affinity", "outliers", "pool", "random", "slow_start")
 
@@ -43,7 +42,7 @@
         affinity: DataSetAffinity,
         random_source: random.Random,
     ) -> None:
-        """Take the collaborators and the source of random numbers."""
+        """Store the collaborators and the source of random numbers."""
         self.active = active
         self.pool = pool
         self.slow_start = slow_start
@@ -52,26 +51,31 @@
         self.random = random_source
 
     def candidates(self, now_ns: int) -> list[TrackedEndpoint]:
-        """Return the endpoints in use, and those in warm-up whose turn is ours."""
-        is_our_turn = self.slow_start.is_our_turn
-        ours = [endpoint for endpoint in self.pool.warming if is_our_turn(now_ns, endpoint)]
-        return self.pool.subset + ours
+        """Return the endpoints in use, and those in warm-up where this broker has the turn."""
+        has_turn = self.slow_start.has_turn
+        warming_in_turn = [
+            endpoint for endpoint in self.pool.warming_endpoints if has_turn(now_ns, endpoint)
+        ]
+        return self.pool.subset + warming_in_turn
 
     def draw(self, request: Request, endpoints: list[TrackedEndpoint]) -> TrackedEndpoint:
-        """Draw one of at least one endpoint."""
+        """Choose one of the endpoints; there must be at least one."""
         weights = [self._weight(request, endpoint) for endpoint in endpoints]
         return self.random.choices(endpoints, weights)[0]
 
     def _weight(self, request: Request, endpoint: TrackedEndpoint) -> float:
         spec = request.spec
         settings = self.active.settings
-        healthy = 1 - self.outliers.failure_rate(endpoint)
-        weight = endpoint.cores * (healthy / (IDLE_LOAD + endpoint.load())) ** LOAD_EXPONENT
+        success_rate = 1 - self.outliers.failure_rate(endpoint)
+        weight = (
+            endpoint.cores
+            * (success_rate / (BASE_THREADS_PER_CORE + endpoint.load())) ** LOAD_EXPONENT
+        )
         slowdown = endpoint.slowdown
         weight /= max(1.0, slowdown / endpoint.best_slowdown) * slowdown
         if spec.effect is Effect.NON_IDEMPOTENT:
-            # It can't be retried: a failure loses the request.
-            weight *= healthy**LOAD_EXPONENT
+            # Such a request can't be retried: a failure loses it.
+            weight *= success_rate**LOAD_EXPONENT
         if endpoint.entry.zone != settings.zone:
             weight /= 1 + CROSS_ZONE_PENALTY * settings.cross_zone_price
         if request.data_set >= 0:
--- a/query_broker/decisions/load_shedding.py
+++ b/query_broker/decisions/load_shedding.py
@@ -1,4 +1,4 @@
-"""The fraction of requests that are rejected, and the `retry_after` that follows from it.
+"""The fraction of requests that are rejected, and the `retry_after` derived from it.
 
 Performs no I/O.
 """
@@ -6,45 +6,45 @@
 from __future__ import annotations
 
 from .active_settings import ActiveSettings
-from .period_clock import PERIOD_NS
+from .period_clock import CONTROL_PERIOD_NS
 
 
 class RejectionRate:
-    """Counts arrivals and rejections of a period.
+    """Counts the arrivals and rejections of a control period.
 
     Attributes:
-        arrivals: Requests that have arrived in this period.
-        rejections: Requests that have been rejected in this period.
-        last_fraction: Fraction of the requests that were rejected in the period before.
+        arrival_count: Number of requests that have arrived in this period.
+        rejection_count: Number of requests that have been rejected in this period.
+        previous_rejected_fraction: Rejected fraction of the requests of the previous period.
     """
 
-    __slots__ = ("active", "arrivals", "last_fraction", "rejections")
+    __slots__ = ("active", "arrival_count", "previous_rejected_fraction", "rejection_count")
 
     def __init__(self, active: ActiveSettings) -> None:
-        """Begin the first period."""
+        """Start the first period."""
         self.active = active
-        self.arrivals = 0
-        self.rejections = 0
-        self.last_fraction = 0.0
+        self.arrival_count = 0
+        self.rejection_count = 0
+        self.previous_rejected_fraction = 0.0
 
-    def reject(self) -> int:
+    def count_rejection(self) -> int:
         """Count a rejection and return its `retry_after` in nanoseconds.
 
-        It is the rejected fraction times one period, as on the design page; 0 where the settings
-        allow none.
+        It is the rejected fraction times one period, as the design page defines; 0 if the settings
+        do not allow a `retry_after`.
         """
-        self.rejections += 1
+        self.rejection_count += 1
         limits = self.active.limits
         if not limits.retry_after:
             return 0
-        fraction = max(self.last_fraction, self._fraction())
-        return min(int(fraction * PERIOD_NS), limits.max_retry_after_ns)
+        fraction = max(self.previous_rejected_fraction, self._rejected_fraction())
+        return min(int(fraction * CONTROL_PERIOD_NS), limits.max_retry_after_ns)
 
     def end_period(self) -> None:
-        """Begin the next period."""
-        self.last_fraction = self._fraction()
-        self.arrivals = 0
-        self.rejections = 0
+        """Start the next period."""
+        self.previous_rejected_fraction = self._rejected_fraction()
+        self.arrival_count = 0
+        self.rejection_count = 0
 
-    def _fraction(self) -> float:
-        return min(1.0, self.rejections / max(1, self.arrivals))
+    def _rejected_fraction(self) -> float:
+        return min(1.0, self.rejection_count / max(1, self.arrival_count))
--- a/query_broker/decisions/orders.py
+++ b/query_broker/decisions/orders.py
@@ -1,4 +1,4 @@
-"""Orders that the admission controller returns, to be carried out in their sequence.
+"""Orders that the admission controller returns; the caller carries them out in sequence.
 
 Times and durations are integer nanoseconds. Performs no I/O.
 """
@@ -14,11 +14,11 @@
 
     Attributes:
         request_id: The request.
-        attempt: Number of the attempt, from 0 in the order of the request's dispatches.
+        attempt: Number of the attempt among those of the request, from 0.
         endpoint: Number of the endpoint.
         timeout_ns: How long to wait for the answer.
-        latest_start_ns: When its first byte must have left. Past that it must not run any more,
-            and is reported as not sent.
+        latest_start_ns: When its first byte must have left. A later attempt must not be sent, and
+            is reported as not sent.
     """
 
     request_id: str
@@ -34,7 +34,7 @@
 
     Attributes:
         request_id: The request.
-        retry_after_ns: How long its client should wait before that; 0 for not at all.
+        retry_after_ns: How long its client should wait before the retry; 0 for no wait.
     """
 
     request_id: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer that a request has failed; it may have run, and must not be sent again."""
+    """Answer that a request has failed; it may have run, so its client must not send it again."""
 
     request_id: str
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Report `TimerFired` with this token at ``due_ns`` or soon after it."""
+    """Report `TimerFired` with this token at or soon after ``due_ns``."""
 
     due_ns: int
     token: int
@@ -73,12 +73,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchOptions:
-    """Set the options of all dispatches of a request; comes before the first of them.
+    """Set the options of all dispatches of a request; precedes the first dispatch.
 
     Attributes:
         request_id: The request.
-        priority: From 0 to 3; the higher, the larger its part of a scarce resource.
-        memory_mb: Memory to grant, in megabytes; 0 leaves it to the endpoint.
+        priority: From 0 to 3; a higher priority gets a larger share of a scarce resource.
+        memory_mb: Memory to grant, in megabytes; 0 lets the endpoint choose.
     """
 
     request_id: str
--- a/query_broker/decisions/outcomes.py
+++ b/query_broker/decisions/outcomes.py
@@ -14,12 +14,14 @@
 from .retries import RetryPolicy
 from .tracked_endpoint import TrackedEndpoint
 
-# Results after which the endpoint may still run the attempt, so that its key must rest.
-MAY_STILL_RUN = frozenset({AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED})
+# After these the endpoint may still run the attempt, so its ordering key needs a cool-down.
+MAY_STILL_RUN_RESULTS = frozenset(
+    {AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED}
+)
 
 
 class AttemptOutcomes:
-    """Handles outcomes: accounting, outlier detection, learning, and the request's next step."""
+    """Handles outcomes: accounting, outlier detection, feedback, and the retry or final answer."""
 
     __slots__ = (
         "admission",
@@ -41,7 +43,7 @@
         retries: RetryPolicy,
         admission: Admission,
     ) -> None:
-        """Take the collaborators."""
+        """Store the collaborators."""
         self.pool = pool
         self.outliers = outliers
         self.feedback = feedback
@@ -50,8 +52,8 @@
         self.retries = retries
         self.admission = admission
 
-    def take(self, now_ns: int, event: AttemptEnded) -> None:
-        """Handle the outcome of an attempt; one that is not in flight is ignored."""
+    def handle_attempt_ended(self, now_ns: int, event: AttemptEnded) -> None:
+        """Handle the outcome of an attempt; ignore an attempt that is not in flight."""
         request = self.admission.requests.get(event.request_id)
         if request is None:
             return
@@ -63,17 +65,17 @@
         endpoint = self.pool.endpoints.get(event.endpoint)
         if endpoint is not None:
             self._account(now_ns, endpoint, request, attempt, event)
-        if request.key is not None and event.result in MAY_STILL_RUN:
-            self.key_queues.rest(now_ns, request.key)
+        if request.key is not None and event.result in MAY_STILL_RUN_RESULTS:
+            self.key_queues.start_cooldown(now_ns, request.key)
         if event.finished:
-            self.admission.end(now_ns, request)
+            self.admission.end_request(now_ns, request)
         if (
             not request.finished
             and not request.in_flight
-            and not self.retries.retry(now_ns, request)
+            and not self.retries.start_retry(now_ns, request)
         ):
-            self.admission.finish(now_ns, request)
-        self.admission.settle(now_ns, request)
+            self.admission.reject_or_fail(now_ns, request)
+        self.admission.remove_if_settled(now_ns, request)
 
     def _account(
         self,
@@ -83,13 +85,13 @@
         attempt: Attempt,
         event: AttemptEnded,
     ) -> None:
-        """Release what the attempt had reserved, and learn from its outcome."""
+        """Remove the attempt's work from the accounting, and learn from its outcome."""
         self.dispatcher.release(now_ns, request, endpoint, attempt)
-        # The outcome of an attempt that went to an earlier process says nothing of this one.
+        # Ignore the outcome of an attempt at an earlier process of the endpoint.
         if attempt.dispatched_ns >= endpoint.process_started_ns:
             if event.load_report is not None:
-                endpoint.take_report(event.load_report)
-            self.outliers.take_outcome(now_ns, endpoint, request, event)
-            self.feedback.take_outcome(now_ns, endpoint, request, attempt, event)
+                endpoint.update_load_report(event.load_report)
+            self.outliers.handle_outcome(now_ns, endpoint, request, event)
+            self.feedback.learn_from_outcome(now_ns, endpoint, request, attempt, event)
         if endpoint.entry.state is EndpointState.REMOVED:
             self.pool.remove(event.endpoint)
--- a/query_broker/decisions/settings.py
+++ b/query_broker/decisions/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the admission controller; they are checked when they are made.
+"""Settings of the admission controller, validated on construction.
 
-Times and durations are integer nanoseconds. An impossible value raises a ValueError with the
-operators' key and what is wrong. Performs no I/O.
+Times and durations are integer nanoseconds. An invalid value raises a ValueError with the key that
+operators use and the problem. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class Effect(Enum):
-    """The effect of running a request more than once (rule 2).
+    """The effect of running a request more than once.
 
     Attributes:
         IDEMPOTENT: The same as running it once.
-        IDEMPOTENCY_KEY: The same as running it once, while the endpoint remembers its idempotency
-            key.
-        NON_IDEMPOTENT: Its effect happens twice; it must not be retried once it may have run.
+        IDEMPOTENCY_KEY: The same as running it once, as long as the endpoint remembers its
+            idempotency key.
+        NON_IDEMPOTENT: The effect happens again; a request that may have run must not be retried.
     """
 
     IDEMPOTENT = "safe"
@@ -42,39 +42,41 @@
 
 
 class InvalidSettingsError(QueryBrokerError, ValueError):
-    """A value that the decisions cannot go by."""
+    """A setting has an invalid value."""
 
     def __init__(self, key: str, problem: str) -> None:
-        """Name the key, as operators write it, and what is wrong with its value."""
+        """Build a message with the key, as operators write it, and the problem."""
         super().__init__(f"{key}: {problem}")
 
 
 def _require(ok: bool, key: str, problem: str) -> None:
-    """Raise InvalidSettingsError with the key unless a value is possible."""
+    """Raise InvalidSettingsError with the key unless the value is valid."""
     if not ok:
         raise InvalidSettingsError(key, problem)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: the objectives of its clients and the restrictions of the rules.
+    """A request class: its objectives, and what the contract lets a broker do with its requests.
 
     Attributes:
         name: Its name, unique among the classes.
-        latency_objective_ns: Latency within which an answer earns its full weight.
-        deadline_ns: How long its clients wait at most, from the arrival.
-        priority_weight: What an answer within the objective earns.
+        latency_objective_ns: Latency within which an answer has its full priority weight.
+        deadline_ns: Longest time that its clients wait, from the arrival.
+        priority_weight: Value of an answer within the objective.
         effect: The effect of running a request more than once.
-        late_priority_weight: What an answer after the objective earns.
+        late_priority_weight: Value of an answer after the objective.
         objective_stretch: Multiple of the request's run time that is added to the objective.
         idempotency_scope: Endpoints that share their memory of its idempotency keys.
         idempotency_window_ns: How long an endpoint remembers an idempotency key.
-        ordered_by_key: Requests of one key run one at a time, in the order of their arrival.
+        ordered_by_key: Requests with the same ordering key run one at a time, in the order of
+            their arrival.
         allowed_zones: Zones where it may run; all if empty.
         allowed_kinds: Kinds of endpoints where it may run; all if empty.
         threads: Threads of a request.
-        is_load: It loads a data set, and blocks the readers of it on its endpoint meanwhile.
-        blocked_by_loads: It reads a data set, and is blocked while that is being loaded.
+        is_load: It loads a data set, and meanwhile blocks the readers of the data set on its
+            endpoint.
+        blocked_by_loads: It reads a data set, and is blocked while the data set is being loaded.
     """
 
     name: str
@@ -122,20 +124,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """The parameters of the rules.
+    """The parameters of the contract between broker, clients and endpoints.
 
     Attributes:
-        answer_slack_ns: How late a final answer may be (rule 1).
-        drain_grace_ns: How long after a drain was announced attempts may still be sent (rule 3).
-        warmup_initial_capacity: Fraction of its capacity that an endpoint starts with (rule 4).
-        warmup_ns: Duration of the warm-up (rule 4).
-        overload_window_ns: Window over which work is counted against a warm-up; 0: no limit.
-        overload_multiple: Multiple of its capacity over a window at which an endpoint in warm-up
-            fails.
-        key_rest_ns: Rest of a key after an attempt that may still run (rule 5).
-        retry_budget_window_ns: Window of the retry budget; 0: no limit (rule 7).
-        retry_budget_free: Retries within the window that are always allowed.
-        retry_budget_ratio: Retries within the window for each arrival within it.
+        answer_slack_ns: How long after the deadline a final answer is still in time.
+        drain_grace_ns: How long after the announcement of a drain attempts may still be sent.
+        warmup_initial_capacity: Fraction of its capacity that an endpoint starts with.
+        warmup_ns: Duration of the warm-up.
+        overload_window_ns: Window over which the work at an endpoint in warm-up is limited; 0 for
+            no limit.
+        overload_multiple: An endpoint in warm-up fails if the work of a window exceeds its capacity
+            by this factor.
+        key_rest_ns: Cool-down of an ordering key after an attempt that may still run.
+        retry_budget_window_ns: Window of the retry budget; 0 for no limit.
+        retry_budget_free: Retries that are allowed in any window.
+        retry_budget_ratio: Further retries that are allowed for each arrival in the window.
     """
 
     answer_slack_ns: int = 0
@@ -167,16 +170,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the endpoints' protocol and the rules allow a broker to do.
+    """What the endpoints' protocol and the contract allow a broker to do.
 
     Attributes:
         cancellation: Attempts may be cancelled.
         health_checks: Endpoints may be sent health checks.
         peer_messages: Brokers may send each other messages; the decisions ignore them.
-        hedging: A second attempt may run while the first does, where the class is idempotent.
-        retry_after: A rejection may name a time to wait.
+        hedging: In an idempotent class, a second attempt may run at the same time as the first.
+        retry_after: A rejection may tell the client how long to wait before a retry.
         max_attempts: Upper bound of the attempts of a request.
-        max_retry_after_ns: Upper bound of the time to wait that a rejection names.
+        max_retry_after_ns: Upper bound of that wait.
     """
 
     cancellation: bool = False
@@ -197,15 +200,15 @@
     """All settings of the admission controller.
 
     Attributes:
-        classes: At least one class, each with its own name.
+        classes: The request classes; at least one, each with a unique name.
         fleet_size: Number of brokers; the quotas of endpoints and tenants are divided by it.
         tick_ns: Resolution of timers.
-        broker_index: Place of this broker among them, from 0.
+        broker_index: Index of this broker in the fleet, from 0.
         zone: Zone of this broker.
         contract: The parameters of the rules.
         limits: What a broker may do.
-        tenants: Tenants with a quota; others have no limit.
-        kind_cores: Cores by kind of endpoint; other kinds have their weight in the list.
+        tenants: Tenants with a quota; other tenants have no limit.
+        kind_cores: Cores of an endpoint by kind; for other kinds its weight in the list counts.
         cross_zone_price: Fraction of a request's priority weight that crossing zones costs.
         handshake_price: Fraction of a request's priority weight that a new connection costs.
         over_quota_weight: Factor of the priority weight of requests that exceed their tenant's
--- a/query_broker/decisions/tracked_endpoint.py
+++ b/query_broker/decisions/tracked_endpoint.py
@@ -1,4 +1,4 @@
-"""What this broker knows of one endpoint: its list entry, load, health and outstanding work.
+"""The state that this broker tracks of one endpoint: list entry, load, health, outstanding work.
 
 Performs no I/O.
 """
@@ -11,34 +11,35 @@
 from .concurrency_limit import THREADS_PER_CORE, ConcurrencyLimit
 from .events import EndpointEntry, LoadReport, OutstandingWork
 
-# Reported utilisation, memory or disk fraction of an endpoint that counts as busy.
+# A reported utilisation, memory or disk fraction above this counts as pressure.
 BUSY_UTILISATION = 0.9
-# The outstanding work of a co-process on an endpoint that it does not mention.
+# The outstanding work of the broker's other processes at an endpoint that they do not mention.
 NO_OUTSTANDING_WORK = OutstandingWork(0, 0, 0)
 
 
 @dataclass(slots=True, kw_only=True)
 class TrackedEndpoint(ConcurrencyLimit):
-    """An endpoint of the list, with the control loop over this broker's work on it.
+    """An endpoint of the list, with the control loop for this broker's work at it.
 
     Attributes:
         entry: Its last entry in the endpoint list.
-        cores: Its cores, from its kind or its weight.
+        cores: Number of its cores, from its kind or its weight.
         in_flight: Attempts without an outcome, by request id and attempt number.
-        failure_rate: Fading fraction of failed connections among its outcomes.
-        error_rate: Fading fraction of errors among its answers.
+        failure_rate: Exponentially weighted fraction of failed connections among its outcomes.
+        error_rate: Exponentially weighted fraction of errors among its answers.
         load_report: Its last load report.
-        threads_since_report: Threads dispatched since that report.
-        warmup_ends_ns: When its warm-up ends, in ns (rule 4).
-        warmup_work: Work dispatched to it while it warms up, over the window of rule 4.
-        last_activity_ns: When it last answered or reported progress, or got its first attempt.
-        co_process_work: What other processes of this broker have in flight on it; included in
-            backlog and threads.
+        threads_since_report: Threads dispatched to it since that report.
+        warmup_ends_ns: When its warm-up ends, in ns.
+        warmup_work: Work dispatched to it during its warm-up, over the contract's overload window.
+        last_activity_ns: When it last answered or reported progress, or got an attempt while it had
+            none in flight.
+        co_process_work: Outstanding work of the broker's other processes at it; included in
+            `backlog_ns` and `threads_in_flight`.
         process_started_ns: When its process started; earlier attempts went to another process.
         ejected: Whether it is ejected as an outlier.
-        in_pool: Whether its work counts in the limit of the pool.
-        next_trial_ns: When an ejected or full endpoint may next be tried, in ns.
-        health_check_requested_ns: When a health check was last ordered.
+        in_pool: Whether its work counts against the limit of the pool.
+        next_trial_ns: When it may next get a trial if it is ejected or full, in ns.
+        health_check_requested_ns: When a health check was last ordered, in ns.
     """
 
     entry: EndpointEntry
@@ -59,9 +60,9 @@
     health_check_requested_ns: int = 0
 
     def utilisation(self) -> float:
-        """Return the highest utilisation of a resource in its load report, 0 without a report.
+        """Return the highest utilisation of any resource in its load report; 0 without a report.
 
-        A queue for memory means that all memory is granted.
+        A queue for memory counts as full utilisation, since all memory is granted.
         """
         report = self.load_report
         if report is None:
@@ -75,7 +76,11 @@
         )
 
     def load(self) -> float:
-        """Return the load in threads a core: reported plus dispatched since, at least our own."""
+        """Return the load in threads a core.
+
+        It is the reported load plus the threads dispatched since, but no less than the threads that
+        this broker has in flight.
+        """
         if self.load_report is None:
             return self.threads_in_flight / self.cores
         reported_threads = self.utilisation() * self.cores + self.threads_since_report
@@ -85,12 +90,14 @@
         """Return the thread-nanoseconds that an amount of work takes at the present slowdown."""
         return int(work_ns * max(1.0, self.slowdown))
 
-    def is_pressed(self, now_ns: int) -> bool:
-        """Whether its report, answers, a rejection or our own threads show pressure."""
-        # Not super(): a slotted dataclass is another class than the one that super() refers to.
-        return self.utilisation() > BUSY_UTILISATION or ConcurrencyLimit.is_pressed(self, now_ns)
+    def is_under_pressure(self, now_ns: int) -> bool:
+        """Whether its load report, answers, a rejection or the threads in flight show pressure."""
+        # super() fails here: with slots=True the dataclass decorator creates a new class.
+        return self.utilisation() > BUSY_UTILISATION or ConcurrencyLimit.is_under_pressure(
+            self, now_ns
+        )
 
-    def take_report(self, report: LoadReport) -> None:
+    def update_load_report(self, report: LoadReport) -> None:
         """Replace the load report."""
         self.load_report = report
         self.threads_since_report = 0
--- a/tests/decisions/fleet/test_pool_capacity.py
+++ b/tests/decisions/fleet/test_pool_capacity.py
@@ -59,7 +59,7 @@
     harness = make_broker(endpoint_numbers(30))
     pool = harness.controller.pool.limit
     before = pool.bound_ns
-    pool.bound_used = True
+    pool.bound_was_tested = True
     pool.delays = [0.8]
     pool.end_period()
     assert pool.bound_ns < before
@@ -89,10 +89,10 @@
     controller.selector.capacity.mean_priority_weight = 10.0
     pool.full_until_ns = harness.now + 99 * S
     pool.bound_ns = pool.backlog_ns * 1.5
-    report_class.admitted = admitted_fraction
+    report_class.admission_rate = admitted_fraction
     harness.arrive("r", "report", patience=20 * S, estimate_ns=2 * S)
     assert bool(harness.sends("r")) is is_admitted
-    assert (report_class.admitted > admitted_fraction) is is_admitted
+    assert (report_class.admission_rate > admitted_fraction) is is_admitted
 
 
 def test_what_is_beyond_a_tenants_quota_moves_no_class_s_quota() -> None:
@@ -103,7 +103,7 @@
     for index in range(30):
         harness.arrive(f"r{index}", "glance", estimate_ns=200 * MS, tenant="acme")
     assert any(harness.answers(f"r{index}") for index in range(30))
-    assert harness.controller.admission.classes.by_name["glance"].admitted == 1.0
+    assert harness.controller.admission.classes.by_name["glance"].admission_rate == 1.0
 
 
 def test_what_is_ejected_and_used_no_more_is_not_ejected_for_good() -> None:
--- a/tests/decisions/fleet/test_warmup_turns.py
+++ b/tests/decisions/fleet/test_warmup_turns.py
@@ -23,10 +23,10 @@
 )
 
 
-def is_our_turn(controller: AdmissionController, now: int, number: int) -> bool:
+def has_turn(controller: AdmissionController, now: int, number: int) -> bool:
     """Whether this broker may use this endpoint, which warms up, at this moment."""
     slow_start = controller.selector.balancer.slow_start
-    return slow_start.is_our_turn(now, controller.endpoints[number])
+    return slow_start.has_turn(now, controller.endpoints[number])
 
 
 class DispatchedWork(NamedTuple):
@@ -154,7 +154,7 @@
     fleet = make_fleet(endpoints)
     now = fleet[0].now
     owner_counts = [
-        sum(is_our_turn(broker.controller, now, endpoint) for broker in fleet)
+        sum(has_turn(broker.controller, now, endpoint) for broker in fleet)
         for endpoint in endpoints[:15]
     ]
     assert all(count <= 1 for count in owner_counts)
@@ -174,8 +174,8 @@
     def endpoints_in_turn() -> list[TrackedEndpoint]:
         return [
             endpoint
-            for endpoint in controller.pool.warming
-            if is_our_turn(controller, harness.now, endpoint.entry.endpoint)
+            for endpoint in controller.pool.warming_endpoints
+            if has_turn(controller, harness.now, endpoint.entry.endpoint)
         ]
 
     while not endpoints_in_turn():
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -94,11 +94,11 @@
     and the bound would stay open.
     """
     harness = one_engine_harness()
-    view = harness.controller.admission.classes.by_name["short"]
+    statistics = harness.controller.admission.classes.by_name["short"]
     send_crowd(harness, 8, estimate=100 * MS)
     for index in range(8):
         harness.end(f"c{index}", api.AttemptResult.SERVED, latency=4 * S)
-    calm_answers = view.answers
+    calm_answers = statistics.uncontended_answer_count
     assert 0 < calm_answers < 8
 
 
--- a/tests/decisions/test_endpoint_states.py
+++ b/tests/decisions/test_endpoint_states.py
@@ -85,7 +85,7 @@
             harness.arrive(f"r{index}", estimate_ns=10 * MS)
             if harness.sends(f"r{index}"):
                 harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
-        admitted_work.append(engine.warmup_work.at(harness.now))
+        admitted_work.append(engine.warmup_work.sum_at(harness.now))
         assert (
             2 * admitted_work[-1]
             <= rules.overload_multiple * engine.cores * rules.overload_window_ns / 3
--- a/tests/decisions/test_fuzzy_control.py
+++ b/tests/decisions/test_fuzzy_control.py
@@ -57,7 +57,7 @@
     latency_objective_ns = make_settings().classes[0].latency_objective_ns
     start = 2 * 4 * latency_objective_ns
     assert engine.bound_ns == start
-    engine.bound_used = True
+    engine.bound_was_tested = True
     engine.delays = [0.1]
     harness.pass_time(S)
     # PVL with ZE gives PL.
@@ -65,12 +65,12 @@
         start * CEILING_MULTIPLE * LARGEST_STEP_FRACTION * 3 / 4
     )
     for _ in range(20):
-        engine.bound_used = True
+        engine.bound_was_tested = True
         engine.delays = [0.1]
         harness.pass_time(S)
     assert engine.bound_ns == CEILING_MULTIPLE * start
     for _ in range(40):
-        engine.bound_used = True
+        engine.bound_was_tested = True
         engine.delays = [9.0]
         harness.pass_time(S)
     assert engine.bound_ns == 0.0
--- a/tests/decisions/test_many_brokers.py
+++ b/tests/decisions/test_many_brokers.py
@@ -69,8 +69,8 @@
     fill_engines(harness, 3)
     pool = harness.controller.pool.limit
     assert pool.threads_in_flight > pool.thread_quota
-    assert pool.crowding(harness.now, 0) < 1
-    assert pool.crowding(harness.now + 20 * S, 0) > 1
+    assert pool.quota_ratio(harness.now, 0) < 1
+    assert pool.quota_ratio(harness.now + 20 * S, 0) > 1
 
 
 def test_under_pressure_priority_weight_per_work_decides() -> None:
@@ -119,9 +119,9 @@
     harness = many_brokers(kinds=["good", "bad"])  # engines 2, 4 .. are good, 1, 3 .. are bad
     for engine in (1, 3):
         for _ in range(3):
-            harness.controller.outliers.record(harness.controller.endpoints[engine], True)
+            harness.controller.outliers.record_outcome(harness.controller.endpoints[engine], True)
     for engine in (2, 4, 2, 4, 2, 4):
-        harness.controller.outliers.record(harness.controller.endpoints[engine], False)
+        harness.controller.outliers.record_outcome(harness.controller.endpoints[engine], False)
     endpoints = []
     for index in range(60):
         harness.arrive(f"r{index}", estimate_ns=MS)
@@ -142,5 +142,5 @@
     harness.pass_time(10 * S)
     controller = harness.controller
     assert not controller.requests
-    assert not controller.admission.retry_budget.arrivals.items
+    assert not controller.admission.retry_budget.arrivals.additions
     assert len(controller.orders.timers) <= 1
