--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -38,7 +38,7 @@
     """
 
     __slots__ = (
-        "active",
+        "active_settings",
         "classes",
         "key_queues",
         "keys_in_service",
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        active: ActiveSettings,
+        active_settings: ActiveSettings,
         classes: RequestClasses,
         quotas: TenantQuotas,
         key_queues: KeyQueues,
@@ -62,7 +62,7 @@
         orders: OrderBuffer,
     ) -> None:
         """Store the collaborators; no request is open."""
-        self.active = active
+        self.active_settings = active_settings
         self.classes = classes
         self.quotas = quotas
         self.key_queues = key_queues
@@ -75,7 +75,7 @@
 
     def apply_settings(self, now_ns: int) -> None:
         """Apply the classes, the tenants and the retry budget of the current settings."""
-        settings = self.active.settings
+        settings = self.active_settings.settings
         self.classes.apply(settings.classes)
         self.quotas.apply(now_ns, settings)
         self.retry_budget.apply_settings()
@@ -104,7 +104,7 @@
         key = request.key
         if key is not None:
             self.key_queues.append(key, request)
-        tick_ns = self.active.settings.tick_ns
+        tick_ns = self.active_settings.settings.tick_ns
         if event.timeout_ns <= MIN_TIMEOUT_TICKS * tick_ns:
             self.reject_or_fail(now_ns, request)
         elif key is None:
@@ -135,7 +135,7 @@
         if request.finished:
             return
         request.finished = True
-        if self.active.limits.cancellation:
+        if self.active_settings.limits.cancellation:
             for number in request.in_flight:
                 self.orders.add(CancelAttempt(request.id, number))
         self.remove_if_settled(now_ns, request)
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -66,7 +66,7 @@
 
     def __init__(self, event: object) -> None:
         """Build a message with the type of the event."""
-        super().__init__(f"event: {type(event).__name__} is none of the interface's events")
+        super().__init__(f"event: {type(event).__name__} is not an event type of the controller")
 
 
 class AdmissionController:
@@ -80,34 +80,38 @@
 
     def __init__(self, settings: Settings, seed: int, now_ns: int) -> None:
         """Create the parts, connect them, and apply the settings."""
-        active = ActiveSettings(settings)
+        active_settings = ActiveSettings(settings)
         orders = OrderBuffer()
         clock = PeriodClock(now_ns)
         random_source = random.Random(seed)
         # The state of the endpoints.
-        pool = EndpointPool(active, now_ns)
-        slow_start = SlowStart(active, pool)
-        outliers = OutlierDetector(active, pool, clock, orders, random_source)
-        affinity = DataSetAffinity(active, pool.endpoints)
+        pool = EndpointPool(active_settings, now_ns)
+        slow_start = SlowStart(active_settings, pool)
+        outliers = OutlierDetector(active_settings, pool, clock, orders, random_source)
+        affinity = DataSetAffinity(active_settings, pool.endpoints)
         # The selection of an endpoint.
-        queues = KeyQueues(active)
-        budget = RetryBudget(active)
-        rules = Eligibility(active, pool, slow_start, outliers, queues, budget)
+        queues = KeyQueues(active_settings)
+        budget = RetryBudget(active_settings)
+        rules = Eligibility(active_settings, pool, slow_start, outliers, queues, budget)
         capacity = CapacityCheck(pool, slow_start)
-        balancer = LoadBalancer(active, pool, slow_start, outliers, affinity, random_source)
+        balancer = LoadBalancer(
+            active_settings, pool, slow_start, outliers, affinity, random_source
+        )
         selector = EndpointSelector(pool, balancer, rules, capacity)
         # The life of a request.
-        dispatcher = AttemptDispatcher(active, pool, rules, capacity, affinity, orders)
-        retries = RetryPolicy(active, pool, slow_start, outliers, selector, dispatcher, orders)
+        dispatcher = AttemptDispatcher(active_settings, pool, rules, capacity, affinity, orders)
+        retries = RetryPolicy(
+            active_settings, pool, slow_start, outliers, selector, dispatcher, orders
+        )
         classes = RequestClasses()
         quotas = TenantQuotas()
-        rejection_rate = RejectionRate(active)
+        rejection_rate = RejectionRate(active_settings)
         admission = Admission(
-            active, classes, quotas, queues, budget, retries, rejection_rate, orders
+            active_settings, classes, quotas, queues, budget, retries, rejection_rate, orders
         )
         feedback = DelayFeedback(pool, slow_start, clock)
         outcomes = AttemptOutcomes(pool, outliers, feedback, dispatcher, queues, retries, admission)
-        self.active = active
+        self.active_settings = active_settings
         self.orders = orders
         self.clock = clock
         self.pool = pool
@@ -122,7 +126,7 @@
     @property
     def settings(self) -> Settings:
         """The current settings."""
-        return self.active.settings
+        return self.active_settings.settings
 
     @property
     def endpoints(self) -> dict[int, TrackedEndpoint]:
@@ -191,7 +195,7 @@
         self.pool.limit.end_period()
 
     def _change_settings(self, now_ns: int, event: SettingsChanged) -> None:
-        self.active.replace(event.settings)
+        self.active_settings.replace(event.settings)
         self._apply_settings(now_ns)
 
     def _apply_settings(self, now_ns: int) -> None:
--- a/query_broker/decisions/data_set_affinity.py
+++ b/query_broker/decisions/data_set_affinity.py
@@ -35,11 +35,11 @@
         loads_in_flight: Number of this broker's loads by endpoint and data set; zeros are left out.
     """
 
-    __slots__ = ("active", "endpoints", "loads_in_flight", "ranks")
+    __slots__ = ("active_settings", "endpoints", "loads_in_flight", "ranks")
 
-    def __init__(self, active: ActiveSettings, endpoints: Collection[int]) -> None:
+    def __init__(self, active_settings: ActiveSettings, endpoints: Collection[int]) -> None:
         """Store the settings and the live collection of endpoint numbers."""
-        self.active = active
+        self.active_settings = active_settings
         self.endpoints = endpoints
         self.ranks: dict[int, dict[int, float]] = {}
         self.loads_in_flight: dict[tuple[int, int], int] = {}
@@ -48,7 +48,7 @@
         """Return the factor on an endpoint's weight for a request that uses a data set."""
         number = endpoint.entry.endpoint
         rank = self.rank(data_set, number)
-        if not self.active.has_load_class:
+        if not self.active_settings.has_load_class:
             return 1.0 if rank < DATA_SET_PARTITION_FRACTION else UNCACHED_DATA_SET_WEIGHT
         is_in_load_partition = rank >= 1 - DATA_SET_PARTITION_FRACTION
         is_wrong_partition = (
--- a/query_broker/decisions/dispatching.py
+++ b/query_broker/decisions/dispatching.py
@@ -30,11 +30,11 @@
 class AttemptDispatcher:
     """Orders attempts, and accounts for their work from dispatch to end."""
 
-    __slots__ = ("active", "affinity", "capacity", "eligibility", "orders", "pool")
+    __slots__ = ("active_settings", "affinity", "capacity", "eligibility", "orders", "pool")
 
     def __init__(
         self,
-        active: ActiveSettings,
+        active_settings: ActiveSettings,
         pool: EndpointPool,
         eligibility: Eligibility,
         capacity: CapacityCheck,
@@ -42,7 +42,7 @@
         orders: OrderBuffer,
     ) -> None:
         """Store the collaborators."""
-        self.active = active
+        self.active_settings = active_settings
         self.pool = pool
         self.eligibility = eligibility
         self.capacity = capacity
@@ -114,7 +114,7 @@
             endpoint.warmup_work.add(now_ns, request.work_ns)
 
     def _order_options(self, request: Request) -> None:
-        settings = self.active.settings
+        settings = self.active_settings.settings
         if settings.priorities or settings.memory_grants:
             memory_mb = MEMORY_GRANT_FACTOR * request.memory_mb
             self.orders.add(DispatchOptions(request.id, self._priority(request), memory_mb))
@@ -124,9 +124,9 @@
         if request.over_quota:
             return OVER_QUOTA_PRIORITY
         run_time_ns = request.run_time()
-        if run_time_ns < self.active.shortest_objective_ns:
+        if run_time_ns < self.active_settings.shortest_objective_ns:
             return HIGH_PRIORITY
-        if run_time_ns < self.active.longest_objective_ns:
+        if run_time_ns < self.active_settings.longest_objective_ns:
             return MEDIUM_PRIORITY
         return LOW_PRIORITY
 
--- a/query_broker/decisions/eligibility.py
+++ b/query_broker/decisions/eligibility.py
@@ -29,23 +29,23 @@
         retries: Attempts after the first within the window.
     """
 
-    __slots__ = ("active", "arrivals", "retries")
+    __slots__ = ("active_settings", "arrivals", "retries")
 
-    def __init__(self, active: ActiveSettings) -> None:
+    def __init__(self, active_settings: ActiveSettings) -> None:
         """Start with an empty window."""
-        self.active = active
-        self.arrivals = SlidingSum(active.contract.retry_budget_window_ns)
-        self.retries = SlidingSum(active.contract.retry_budget_window_ns)
+        self.active_settings = active_settings
+        self.arrivals = SlidingSum(active_settings.contract.retry_budget_window_ns)
+        self.retries = SlidingSum(active_settings.contract.retry_budget_window_ns)
 
     def apply_settings(self) -> None:
         """Apply the window of the current settings."""
-        window_ns = self.active.contract.retry_budget_window_ns
+        window_ns = self.active_settings.contract.retry_budget_window_ns
         self.arrivals.span_ns = window_ns
         self.retries.span_ns = window_ns
 
     def allows(self, now_ns: int) -> bool:
         """Whether the budget allows one more retry; without a window there is no limit."""
-        contract = self.active.contract
+        contract = self.active_settings.contract
         budget = contract.retry_budget_free
         budget += contract.retry_budget_ratio * self.arrivals.sum_at(now_ns)
         return contract.retry_budget_window_ns <= 0 or self.retries.sum_at(now_ns) + 1 <= budget
@@ -54,11 +54,11 @@
 class Eligibility:
     """Decides whether a request may be dispatched to an endpoint, without regard to load."""
 
-    __slots__ = ("active", "key_queues", "outliers", "pool", "retry_budget", "slow_start")
+    __slots__ = ("active_settings", "key_queues", "outliers", "pool", "retry_budget", "slow_start")
 
     def __init__(
         self,
-        active: ActiveSettings,
+        active_settings: ActiveSettings,
         pool: EndpointPool,
         slow_start: SlowStart,
         outliers: OutlierDetector,
@@ -66,7 +66,7 @@
         retry_budget: RetryBudget,
     ) -> None:
         """Store the collaborators."""
-        self.active = active
+        self.active_settings = active_settings
         self.pool = pool
         self.slow_start = slow_start
         self.outliers = outliers
@@ -80,12 +80,12 @@
         return (
             not request.finished
             and self.pool.is_open(endpoint)  # ready in the list and not disabled
-            and attempts < self.active.limits.max_attempts
+            and attempts < self.active_settings.limits.max_attempts
             and self._effect_allows(now_ns, request, endpoint)  # no double effect
             and _placement_allows(request.spec, endpoint.entry)  # zones and kinds
-            and (key is None or self.key_queues.may_dispatch(now_ns, key, request))  # order by key
-            and (attempts == 0 or self.retry_budget.allows(now_ns))  # retry budget
-            and self.slow_start.allows(now_ns, endpoint, request.work_ns)  # slow start
+            and (key is None or self.key_queues.may_dispatch(now_ns, key, request))
+            and (attempts == 0 or self.retry_budget.allows(now_ns))
+            and self.slow_start.allows(now_ns, endpoint, request.work_ns)
             and self.outliers.allows(now_ns, request, endpoint)
         )
 
@@ -97,7 +97,7 @@
         """Whether a request may run at an endpoint after its earlier attempts."""
         is_idempotent = request.spec.effect is Effect.IDEMPOTENT
         if request.in_flight:
-            may_hedge = self.active.limits.hedging and is_idempotent
+            may_hedge = self.active_settings.limits.hedging and is_idempotent
             if not may_hedge or len(request.in_flight) != 1:
                 return False
         if is_idempotent or not request.maybe_executed:
@@ -110,7 +110,7 @@
         if spec.effect is Effect.NON_IDEMPOTENT:
             return False
         first_attempt = request.maybe_executed[0]
-        margin_ns = IDEMPOTENCY_MARGIN_TICKS * self.active.settings.tick_ns
+        margin_ns = IDEMPOTENCY_MARGIN_TICKS * self.active_settings.settings.tick_ns
         if now_ns - first_attempt.dispatched_ns >= spec.idempotency_window_ns - margin_ns:
             return False
         if spec.idempotency_scope is IdempotencyScope.ALL:
--- a/query_broker/decisions/endpoint_pool.py
+++ b/query_broker/decisions/endpoint_pool.py
@@ -56,7 +56,7 @@
     """
 
     __slots__ = (
-        "active",
+        "active_settings",
         "disabled",
         "health_checks_replace_trials",
         "endpoints",
@@ -67,9 +67,9 @@
         "warming_endpoints",
     )
 
-    def __init__(self, active: ActiveSettings, now_ns: int) -> None:
+    def __init__(self, active_settings: ActiveSettings, now_ns: int) -> None:
         """Start without endpoints."""
-        self.active = active
+        self.active_settings = active_settings
         self.endpoints: dict[int, TrackedEndpoint] = {}
         self.disabled: set[int] = set()
         self.limit = PoolConcurrencyLimit(
@@ -191,21 +191,23 @@
         self._choose_subset(open_endpoints)
 
     def _classify_fleet(self, open_endpoints: list[TrackedEndpoint]) -> None:
-        fleet_size = self.active.settings.fleet_size
+        fleet_size = self.active_settings.settings.fleet_size
         cores = [endpoint.cores for endpoint in open_endpoints] or [0]
         mean_threads = THREADS_PER_CORE * sum(cores) / len(cores)
-        self.large_fleet = 0 < mean_threads < self.active.max_request_threads * fleet_size
+        self.large_fleet = 0 < mean_threads < self.active_settings.max_request_threads * fleet_size
         # In a large fleet the trial requests of all brokers together would overload an endpoint.
-        self.health_checks_replace_trials = self.large_fleet and self.active.limits.health_checks
+        self.health_checks_replace_trials = (
+            self.large_fleet and self.active_settings.limits.health_checks
+        )
         self.brokers_per_turn = max(1, round(fleet_size / max(1, len(open_endpoints))))
 
     def _recompute_limit(self, now_ns: int, pool_endpoints: list[TrackedEndpoint]) -> None:
-        fleet_size = self.active.settings.fleet_size
+        fleet_size = self.active_settings.settings.fleet_size
         limit = self.limit
         limit.rescale(sum(endpoint.initial_bound_ns for endpoint in pool_endpoints))
         cores = sum(endpoint.cores for endpoint in pool_endpoints)
         quota = POOL_THREADS_PER_CORE * cores / fleet_size
-        limit.thread_quota = quota or self.active.max_request_threads
+        limit.thread_quota = quota or self.active_settings.max_request_threads
         limit.backlog_ns = sum(
             pool_endpoint.backlog_ns - pool_endpoint.co_process_work.backlog_ns
             for pool_endpoint in pool_endpoints
@@ -225,7 +227,7 @@
         subsets start at positions that are spread evenly over that order.
         """
         ordered = sorted(open_endpoints, key=lambda endpoint: endpoint.entry.endpoint)
-        start_fraction = self.active.settings.broker_index * GOLDEN_RATIO_CONJUGATE % 1
+        start_fraction = self.active_settings.settings.broker_index * GOLDEN_RATIO_CONJUGATE % 1
         start_index = int(start_fraction * len(ordered))
         missing_count = SUBSET_SIZE if self.large_fleet else len(ordered)
         self.subset = []
@@ -249,7 +251,7 @@
         endpoint.entry = entry
 
     def _add(self, now_ns: int, entry: EndpointEntry) -> TrackedEndpoint:
-        cores_by_kind = dict(self.active.settings.kind_cores)
+        cores_by_kind = dict(self.active_settings.settings.kind_cores)
         endpoint = TrackedEndpoint(
             entry=replace(entry, started_ns=0),
             cores=cores_by_kind.get(entry.kind) or max(1, round(entry.weight)),
@@ -261,12 +263,14 @@
         return endpoint
 
     def _rescale(self, endpoint: TrackedEndpoint) -> None:
-        fleet_size = self.active.settings.fleet_size
+        fleet_size = self.active_settings.settings.fleet_size
         threads = THREADS_PER_CORE * endpoint.cores / fleet_size
-        endpoint.rescale(threads * self.active.longest_objective_ns)
+        endpoint.rescale(threads * self.active_settings.longest_objective_ns)
         # Brokers seldom peak at the same time: each may exceed its share by one request.
-        endpoint.thread_quota = threads + (1 - 1 / fleet_size) * self.active.max_request_threads
-        endpoint.warmup_work.span_ns = self.active.contract.overload_window_ns
+        endpoint.thread_quota = (
+            threads + (1 - 1 / fleet_size) * self.active_settings.max_request_threads
+        )
+        endpoint.warmup_work.span_ns = self.active_settings.contract.overload_window_ns
 
     def _restart(self, now_ns: int, endpoint: TrackedEndpoint, started_ns: int) -> None:
         """Reset the state of an endpoint whose process has been replaced.
@@ -282,5 +286,5 @@
         endpoint.full_until_ns = 0
         endpoint.process_started_ns = min(now_ns, started_ns)
         endpoint.last_activity_ns = max(endpoint.last_activity_ns, endpoint.process_started_ns)
-        warm_ns = started_ns + self.active.contract.warmup_ns
+        warm_ns = started_ns + self.active_settings.contract.warmup_ns
         endpoint.warmup_ends_ns = max(endpoint.warmup_ends_ns, warm_ns)
--- a/query_broker/decisions/endpoint_selection.py
+++ b/query_broker/decisions/endpoint_selection.py
@@ -46,7 +46,7 @@
         fitting = [endpoint for endpoint in eligible if fits(now_ns, request, endpoint)]
         # Endpoints in warm-up come first: capacity that stays unused in this broker's turn is lost.
         warming = [endpoint for endpoint in fitting if not (endpoint.in_pool or endpoint.ejected)]
-        return self._draw(request, warming or fitting)
+        return self._choose(request, warming or fitting)
 
     def select_for_retry(self, now_ns: int, request: Request) -> TrackedEndpoint | None:
         """Choose the endpoint of a retry or a hedge; None if there should be no further attempt.
@@ -65,8 +65,8 @@
         tried = request.tried_endpoints
         untried = [endpoint for endpoint in eligible if endpoint.entry.endpoint not in tried]
         if untried or errors:
-            return self._draw(request, untried)
-        return self._draw(request, eligible)
+            return self._choose(request, untried)
+        return self._choose(request, eligible)
 
     def _may_retry_at(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> bool:
         if not self.eligibility.allows(now_ns, request, endpoint):
@@ -75,8 +75,8 @@
             return self.capacity.fits(now_ns, request, endpoint)
         return not endpoint.is_under_pressure(now_ns)
 
-    def _draw(self, request: Request, endpoints: list[TrackedEndpoint]) -> TrackedEndpoint | None:
-        return self.balancer.draw(request, endpoints) if endpoints else None
+    def _choose(self, request: Request, endpoints: list[TrackedEndpoint]) -> TrackedEndpoint | None:
+        return self.balancer.choose(request, endpoints) if endpoints else None
 
 
 def _has_time_to_run(now_ns: int, request: Request) -> bool:
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -157,7 +157,7 @@
 
     def widest_request_threads(self) -> int:
         """Return the thread count of the request class with the most threads."""
-        return self.controller.active.max_request_threads
+        return self.controller.active_settings.max_request_threads
 
     def _timer_callback(self, token: int) -> Callable[[], None]:
         return lambda: self.due.append(token)
--- a/query_broker/decisions/key_ordering.py
+++ b/query_broker/decisions/key_ordering.py
@@ -19,11 +19,11 @@
         cooldown_ends_ns: When the cool-down ends, by key.
     """
 
-    __slots__ = ("active", "queues", "cooldown_ends_ns")
+    __slots__ = ("active_settings", "queues", "cooldown_ends_ns")
 
-    def __init__(self, active: ActiveSettings) -> None:
+    def __init__(self, active_settings: ActiveSettings) -> None:
         """Start without requests."""
-        self.active = active
+        self.active_settings = active_settings
         self.queues: dict[str, deque[Request]] = {}
         self.cooldown_ends_ns: dict[str, int] = {}
 
@@ -37,7 +37,7 @@
 
     def start_cooldown(self, now_ns: int, key: str) -> None:
         """Start the cool-down of a key; the contract sets its duration."""
-        self.cooldown_ends_ns[key] = now_ns + self.active.contract.key_rest_ns
+        self.cooldown_ends_ns[key] = now_ns + self.active_settings.contract.key_rest_ns
 
     def cooldown_end(self, key: str) -> int:
         """Return when the cool-down of a key ends; 0 if it has none."""
--- a/query_broker/decisions/load_balancing.py
+++ b/query_broker/decisions/load_balancing.py
@@ -31,11 +31,11 @@
 class LoadBalancer:
     """Chooses the endpoint of an attempt at random, by weight."""
 
-    __slots__ = ("active", "affinity", "outliers", "pool", "random", "slow_start")
+    __slots__ = ("active_settings", "affinity", "outliers", "pool", "random_source", "slow_start")
 
     def __init__(
         self,
-        active: ActiveSettings,
+        active_settings: ActiveSettings,
         pool: EndpointPool,
         slow_start: SlowStart,
         outliers: OutlierDetector,
@@ -43,12 +43,12 @@
         random_source: random.Random,
     ) -> None:
         """Store the collaborators and the source of random numbers."""
-        self.active = active
+        self.active_settings = active_settings
         self.pool = pool
         self.slow_start = slow_start
         self.outliers = outliers
         self.affinity = affinity
-        self.random = random_source
+        self.random_source = random_source
 
     def candidates(self, now_ns: int) -> list[TrackedEndpoint]:
         """Return the endpoints in use, and those in warm-up where this broker has the turn."""
@@ -58,14 +58,14 @@
         ]
         return self.pool.subset + warming_in_turn
 
-    def draw(self, request: Request, endpoints: list[TrackedEndpoint]) -> TrackedEndpoint:
+    def choose(self, request: Request, endpoints: list[TrackedEndpoint]) -> TrackedEndpoint:
         """Choose one of the endpoints; there must be at least one."""
         weights = [self._weight(request, endpoint) for endpoint in endpoints]
-        return self.random.choices(endpoints, weights)[0]
+        return self.random_source.choices(endpoints, weights)[0]
 
     def _weight(self, request: Request, endpoint: TrackedEndpoint) -> float:
         spec = request.spec
-        settings = self.active.settings
+        settings = self.active_settings.settings
         success_rate = 1 - self.outliers.failure_rate(endpoint)
         weight = (
             endpoint.cores
--- a/query_broker/decisions/load_shedding.py
+++ b/query_broker/decisions/load_shedding.py
@@ -18,11 +18,16 @@
         previous_rejected_fraction: Rejected fraction of the requests of the previous period.
     """
 
-    __slots__ = ("active", "arrival_count", "previous_rejected_fraction", "rejection_count")
-
-    def __init__(self, active: ActiveSettings) -> None:
+    __slots__ = (
+        "active_settings",
+        "arrival_count",
+        "previous_rejected_fraction",
+        "rejection_count",
+    )
+
+    def __init__(self, active_settings: ActiveSettings) -> None:
         """Start the first period."""
-        self.active = active
+        self.active_settings = active_settings
         self.arrival_count = 0
         self.rejection_count = 0
         self.previous_rejected_fraction = 0.0
@@ -34,7 +39,7 @@
         do not allow a `retry_after`.
         """
         self.rejection_count += 1
-        limits = self.active.limits
+        limits = self.active_settings.limits
         if not limits.retry_after:
             return 0
         fraction = max(self.previous_rejected_fraction, self._rejected_fraction())
--- a/query_broker/decisions/outcomes.py
+++ b/query_broker/decisions/outcomes.py
@@ -87,7 +87,7 @@
     ) -> None:
         """Remove the attempt's work from the accounting, and learn from its outcome."""
         self.dispatcher.release(now_ns, request, endpoint, attempt)
-        # Ignore the outcome of an attempt at an earlier process of the endpoint.
+        # Attempts at an earlier process of the endpoint do not count.
         if attempt.dispatched_ns >= endpoint.process_started_ns:
             if event.load_report is not None:
                 endpoint.update_load_report(event.load_report)
--- a/query_broker/decisions/outlier_detection.py
+++ b/query_broker/decisions/outlier_detection.py
@@ -55,22 +55,29 @@
             of a zone or of a kind often fail together.
     """
 
-    __slots__ = ("active", "clock", "group_failure_rates", "orders", "pool", "random")
+    __slots__ = (
+        "active_settings",
+        "clock",
+        "group_failure_rates",
+        "orders",
+        "pool",
+        "random_source",
+    )
 
     def __init__(
         self,
-        active: ActiveSettings,
+        active_settings: ActiveSettings,
         pool: EndpointPool,
         clock: PeriodClock,
         orders: OrderBuffer,
         random_source: random.Random,
     ) -> None:
         """Store the collaborators and the source of random numbers."""
-        self.active = active
+        self.active_settings = active_settings
         self.pool = pool
         self.clock = clock
         self.orders = orders
-        self.random = random_source
+        self.random_source = random_source
         self.group_failure_rates: dict[str, float] = {}
 
     def allows(self, now_ns: int, request: Request, endpoint: TrackedEndpoint) -> bool:
@@ -94,8 +101,8 @@
         endpoint.failure_rate += FAILURE_LEARNING_RATE * (failed - endpoint.failure_rate)
         rates = self.group_failure_rates
         for group in (endpoint.entry.zone, endpoint.entry.kind):
-            failures = rates.get(group, 0.0)
-            rates[group] = failures + FAILURE_LEARNING_RATE * (failed - failures)
+            group_rate = rates.get(group, 0.0)
+            rates[group] = group_rate + FAILURE_LEARNING_RATE * (failed - group_rate)
 
     def failure_rate(self, endpoint: TrackedEndpoint) -> float:
         """Return the higher of the failure and error rates of an endpoint.
@@ -114,7 +121,9 @@
         """Eject an endpoint, prolong its ejection, or end its ejection."""
         if ejected or endpoint.ejected:
             endpoint.ejected = ejected
-            jitter_ns = int(MAX_TRIAL_JITTER_NS * endpoint.failure_rate * self.random.random())
+            jitter_ns = int(
+                MAX_TRIAL_JITTER_NS * endpoint.failure_rate * self.random_source.random()
+            )
             endpoint.next_trial_ns = now_ns + TRIAL_INTERVAL_NS + jitter_ns
             self.pool.refresh(now_ns)
 
@@ -230,7 +239,7 @@
 
         The endpoint list may not show such a fault, or only later.
         """
-        limit_ns = SILENCE_MULTIPLE * self.active.shortest_objective_ns
+        limit_ns = SILENCE_MULTIPLE * self.active_settings.shortest_objective_ns
         last_activity_ns = max(endpoint.last_activity_ns, self.clock.last_stall_ns)
         if endpoint.ejected or now_ns - last_activity_ns <= limit_ns:
             return
--- a/query_broker/decisions/retries.py
+++ b/query_broker/decisions/retries.py
@@ -36,7 +36,7 @@
     """Starts the attempts of a request, and hedges or cancels late attempts."""
 
     __slots__ = (
-        "active",
+        "active_settings",
         "dispatcher",
         "orders",
         "outliers",
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        active: ActiveSettings,
+        active_settings: ActiveSettings,
         pool: EndpointPool,
         slow_start: SlowStart,
         outliers: OutlierDetector,
@@ -56,7 +56,7 @@
         orders: OrderBuffer,
     ) -> None:
         """Store the collaborators."""
-        self.active = active
+        self.active_settings = active_settings
         self.pool = pool
         self.slow_start = slow_start
         self.outliers = outliers
@@ -84,7 +84,7 @@
     def _set_timers(
         self, now_ns: int, request: Request, endpoint: TrackedEndpoint, attempt: Attempt
     ) -> None:
-        limits = self.active.limits
+        limits = self.active_settings.limits
         may_hedge = limits.hedging and request.spec.effect is Effect.IDEMPOTENT
         if self.pool.health_checks_replace_trials or may_hedge:
             expected_ns = request.statistics.expected_latency(request.work_ns)
@@ -94,7 +94,7 @@
         if limits.cancellation:
             multiple = CANCEL_RUN_TIME_MULTIPLE * CANCEL_BACKOFF_FACTOR**attempt.number
             wait_ns = int(multiple * request.run_time() * max(1.0, endpoint.slowdown))
-            due_ns = now_ns + max(wait_ns, self.active.shortest_objective_ns)
+            due_ns = now_ns + max(wait_ns, self.active_settings.shortest_objective_ns)
             self._set_review(due_ns, self._cancel_if_overdue, request, attempt.number)
 
     def _set_review(
@@ -120,7 +120,7 @@
         answer is still unread would be cancelled and, under pressure, not retried, so that its
         request would be rejected. By the next tick the answers have been read.
         """
-        tick_ns = self.active.settings.tick_ns
+        tick_ns = self.active_settings.settings.tick_ns
         if now_ns - due_ns > MAX_TIMER_DELAY_TICKS * tick_ns:
             self.orders.set_timer(now_ns + tick_ns, review, request, attempt_number)
         else:
@@ -154,7 +154,7 @@
             attempt_number in request.in_flight
             and not request.finished
             and request.spec.effect is not Effect.NON_IDEMPOTENT
-            and request.attempts_started < self.active.limits.max_attempts
+            and request.attempts_started < self.active_settings.limits.max_attempts
             and request.deadline_ns - now_ns >= request.run_time()
         ):
             self.orders.add(CancelAttempt(request.id, attempt_number))
--- a/query_broker/decisions/slow_start.py
+++ b/query_broker/decisions/slow_start.py
@@ -25,11 +25,11 @@
     fleet that share is less than one request, so the brokers take turns with the full budget.
     """
 
-    __slots__ = ("active", "pool")
+    __slots__ = ("active_settings", "pool")
 
-    def __init__(self, active: ActiveSettings, pool: EndpointPool) -> None:
+    def __init__(self, active_settings: ActiveSettings, pool: EndpointPool) -> None:
         """Store the collaborators."""
-        self.active = active
+        self.active_settings = active_settings
         self.pool = pool
 
     def capacity_fraction(self, now_ns: int, endpoint: TrackedEndpoint) -> float:
@@ -37,7 +37,7 @@
 
         The true shape of the ramp is not known; a quadratic one underestimates the capacity.
         """
-        contract = self.active.contract
+        contract = self.active_settings.contract
         remaining_fraction = max(0, endpoint.warmup_ends_ns - now_ns) / max(1, contract.warmup_ns)
         ramp = max(0.0, 1 - remaining_fraction) ** 2
         initial_capacity = contract.warmup_initial_capacity
@@ -45,8 +45,8 @@
 
     def has_turn(self, now_ns: int, endpoint: TrackedEndpoint) -> bool:
         """Whether this broker has its turn at an endpoint in warm-up now, in a large fleet."""
-        window_ns = self.active.contract.overload_window_ns
-        settings = self.active.settings
+        window_ns = self.active_settings.contract.overload_window_ns
+        settings = self.active_settings.settings
         brokers_per_turn = self.pool.brokers_per_turn
         number = endpoint.entry.endpoint
         # The endpoint number shifts the start, so that the turns of all endpoints do not coincide.
@@ -56,7 +56,7 @@
 
     def allows(self, now_ns: int, endpoint: TrackedEndpoint, work_ns: int) -> bool:
         """Whether an amount of work, in thread-nanoseconds, stays within the warm-up budget."""
-        contract = self.active.contract
+        contract = self.active_settings.contract
         if now_ns >= endpoint.warmup_ends_ns or contract.overload_window_ns <= 0:
             return True
         budget_ns = (
@@ -69,7 +69,7 @@
             has_turn = self.has_turn(now_ns, endpoint)
             fraction = has_turn / TURN_ESTIMATE_SAFETY_FACTOR / self.pool.brokers_per_turn
         else:
-            fraction = 1 / ESTIMATE_SAFETY_FACTOR / self.active.settings.fleet_size
+            fraction = 1 / ESTIMATE_SAFETY_FACTOR / self.active_settings.settings.fleet_size
         used_ns = endpoint.warmup_work.sum_at(now_ns) + endpoint.co_process_work.warmup_ns
         return used_ns + work_ns <= budget_ns * fraction
 
--- a/tests/decisions/dispatcher_harness.py
+++ b/tests/decisions/dispatcher_harness.py
@@ -1,7 +1,7 @@
-"""A dispatcher before emulated data engines, on a stopped clock and without sockets.
+"""A harness for a dispatcher with emulated data engines, a manual clock and no sockets.
 
-What it writes to its engines and what it answers to its client is recorded; a test lets events
-happen in an order of its choice.
+It records what the dispatcher writes to the engines and answers to the client. A test triggers
+events in any order.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 FIRST_DESCRIPTOR = 1_000
 
 
-class StoppedClock(Clock):
-    """A clock that a test advances."""
+class ManualClock(Clock):
+    """A clock whose time a test sets."""
 
     def __init__(self) -> None:
         self.time_ns = 100 * S
@@ -64,25 +64,25 @@
 
     Attributes:
         connection: The broker's end.
-        in_flight: The ids of attempts that have left completely, and of which neither an answer
-            nor an `undo` nor the end of the connection has come since.
-        is_jammed: Whether the socket takes no more bytes.
+        in_flight: Ids of the attempts that were sent completely and have not ended since by an
+            answer, an `undo` or the end of the connection.
+        is_blocked: Whether the socket accepts no more bytes.
     """
 
     connection: EngineConnection
     in_flight: set[bytes] = field(default_factory=set)
-    is_jammed: bool = False
+    is_blocked: bool = False
     parser: resp.RespParser = field(default_factory=resp.RespParser)
 
     def answer(self, result: bytes, body: bytes = b"") -> None:
-        """End the attempt with an answer."""
+        """Answer the attempt, which ends it."""
         attempt_id = CLIENT_REQUEST_ID.encode()
         self.in_flight.discard(attempt_id)
         self.connection.data_received(resp.encode(attempt_id, result, b"-", body))
 
 
 class EmulatedTransport:
-    """A transport whose end is the end of all attempts in flight on it."""
+    """A transport; if it is aborted, all attempts in flight on its connection end."""
 
     def __init__(self, engine_side: EngineSide, descriptor: int) -> None:
         self.engine_side = engine_side
@@ -101,13 +101,13 @@
 
 
 class DispatcherHarness:
-    """A dispatcher before three data engines, with two connections to each.
+    """A dispatcher with three emulated data engines and two connections to each.
 
     Attributes:
         engine_sides: The data engines' ends of all connections, by file descriptor.
-        dispatch_count: How many attempts have left completely.
-        most_in_flight: How many of them were in flight at once.
-        first_descriptor: The connection of the first attempt; 0 before it.
+        dispatch_count: Number of attempts that were sent completely.
+        max_in_flight: Largest number of them in flight at the same time.
+        first_descriptor: File descriptor of the first attempt's connection; 0 before the attempt.
         faults: The faults that the dispatcher has logged.
     """
 
@@ -117,15 +117,15 @@
             writev=lambda descriptor, pieces: self._write(descriptor, b"".join(map(bytes, pieces))),
         )
         monkeypatch.setattr("query_broker.protocols.engine_writer.os", emulated_os)
-        monkeypatch.setattr(ConnectionPool, "_open", lambda pool: self._opening.append(pool))
-        self.clock = StoppedClock()
+        monkeypatch.setattr(ConnectionPool, "_open", lambda pool: self._opening_pools.append(pool))
+        self.clock = ManualClock()
         self.client = RecordingClient()
         self.faults: list[str] = []
         self.engine_sides: dict[int, EngineSide] = {}
         self.dispatch_count = 0
-        self.most_in_flight = 0
+        self.max_in_flight = 0
         self.first_descriptor = 0
-        self._opening: list[ConnectionPool] = []
+        self._opening_pools: list[ConnectionPool] = []
         config = parse({"listen": "127.0.0.1:1", "settings": settings, "seed": "7"}, {})
         self.dispatcher = Dispatcher(config, self.clock, self._log)
         targets = [target_entry(f"s-{number}", number, az="east") for number in (1, 2, 3)]
@@ -148,9 +148,9 @@
         pool.connections.append(connection)
 
     def _write(self, descriptor: int, data: bytes) -> int:
-        """Read, as the data engine, what the broker writes to a socket."""
+        """Parse, in place of the data engine, what the broker writes to a socket."""
         engine_side = self.engine_sides[descriptor]
-        if engine_side.is_jammed:
+        if engine_side.is_blocked:
             raise BlockingIOError
         for parts in engine_side.parser.feed(bytes(data)):
             if parts[0] == b"do":
@@ -164,14 +164,12 @@
         self.first_descriptor = self.first_descriptor or descriptor
         self.dispatch_count += 1
         in_flight = sum(len(side.in_flight) for side in self.engine_sides.values())
-        self.most_in_flight = max(self.most_in_flight, in_flight)
-
-    # --- the client's side ---
+        self.max_in_flight = max(self.max_in_flight, in_flight)
 
     def parsed_request(
         self, class_name: str, idempotency_key: str | None = IDEMPOTENCY_KEY
     ) -> ParsedRequest:
-        """Return a request; only one of the class "load" has an idempotency key."""
+        """Return a request; it has an idempotency key only in the class "load"."""
         return ParsedRequest(
             class_name,
             CLIENT_REQUEST_ID,
@@ -191,20 +189,18 @@
         return self.request
 
     def abandon(self) -> None:
-        """Let the client leave."""
+        """Abandon the request, as its client would."""
         self.dispatcher.cancellations.abandon(self.request)
 
-    # --- time ---
-
     def advance(self, ticks: int, step_ns: int) -> None:
         for _ in range(ticks):
             self.clock.time_ns += step_ns
             self.tick()
 
     def tick(self) -> None:
-        """Run one tick; connections that were being opened are open by then."""
-        opening = self._opening
-        self._opening = []
+        """Run one tick, after opening the connections that were requested before it."""
+        opening = self._opening_pools
+        self._opening_pools = []
         for pool in opening:
             self._connect(pool)
             self._send_waiting(pool)
@@ -217,19 +213,17 @@
             if self.dispatcher.gate.may_proceed(attempt, HandOver.CONNECTION):
                 pool.send(attempt, self.clock.time_ns)
 
-    def let_all_end(self) -> None:
-        """Let time pass until nothing can happen any more."""
+    def run_until_idle(self) -> None:
+        """Unblock the sockets and advance the clock past the last possible timer."""
         self.make_sockets_writable()
         self.advance(7, 4 * S)
 
-    # --- the engines' side ---
-
     def make_sockets_writable(self) -> None:
         for engine_side in self.engine_sides.values():
-            engine_side.is_jammed = False
+            engine_side.is_blocked = False
 
-    def last_attempt_side(self) -> EngineSide | None:
-        """Return the connection of the last attempt that is in flight."""
+    def engine_side_of_last_attempt(self) -> EngineSide | None:
+        """Return the engine's end of the connection of the last attempt in flight."""
         for attempt in reversed(self.request.attempts.values()):
             for engine_side in self.engine_sides.values():
                 connection = engine_side.connection
--- a/tests/decisions/fleet/fleet_brokers.py
+++ b/tests/decisions/fleet/fleet_brokers.py
@@ -1,4 +1,4 @@
-"""Brokers of one fleet that share nothing, each with a harness of its own."""
+"""Brokers of one fleet that share no state, each with a separate harness."""
 
 from __future__ import annotations
 
@@ -40,19 +40,19 @@
 
 
 def endpoint_numbers(count: int, seed: int = 5) -> list[int]:
-    """So many numbers of endpoints, the same for the same seed."""
+    """Return random endpoint numbers; equal seeds give equal numbers."""
     return random.Random(seed).sample(range(1 << 32), count)
 
 
 def entries_in_two_zones(endpoints: list[int]) -> list[api.EndpointEntry]:
-    """The endpoints in turn in zones a and b."""
+    """Return list entries of the endpoints, alternately in zones a and b."""
     return [entry(endpoint, zone="ab"[place % 2]) for place, endpoint in enumerate(endpoints)]
 
 
 def fleet_settings(
     *classes: api.RequestClass, fleet_size: int = FLEET_SIZE, **changes: Any
 ) -> api.Settings:
-    """The settings of a broker of a fleet of this size."""
+    """Return the settings of a broker in a fleet of this size."""
     return make_settings(
         *classes,
         fleet_size=fleet_size,
@@ -65,23 +65,23 @@
 def make_broker(
     endpoints: list[int], index: int = 0, fleet_size: int = FLEET_SIZE, **changes: Any
 ) -> Harness:
-    """The broker at this place of the fleet; its place is its seed as well."""
+    """Return the broker with this index in the fleet; the index is also its seed."""
     settings = fleet_settings(*CLASSES, fleet_size=fleet_size, broker_index=index, **changes)
     return Harness(settings, *entries_in_two_zones(endpoints), seed=index)
 
 
 def make_fleet(endpoints: list[int], fleet_size: int = FLEET_SIZE, **changes: Any) -> list[Harness]:
-    """All brokers of the fleet."""
+    """Return all brokers of the fleet."""
     return [make_broker(endpoints, index, fleet_size, **changes) for index in range(fleet_size)]
 
 
 def change_list(harness: Harness, *entries: api.EndpointEntry) -> None:
-    """The discovery service tells the broker of these changes."""
+    """Report changed entries of the endpoint list to the broker."""
     harness.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, entries))
 
 
 def answer_health_check(harness: Harness, endpoint: TrackedEndpoint, **load_report: float) -> None:
-    """The endpoint answers a health check at once, with this load."""
+    """Report a successful health check of the endpoint with this load report."""
     harness.do(
         api.HealthCheckResult(
             endpoint.entry.endpoint, api.AttemptResult.SERVED, MS, api.LoadReport(**load_report)
@@ -90,5 +90,5 @@
 
 
 def endpoints_checked(harness: Harness) -> list[int]:
-    """The endpoint of each health check that the broker has made, in order."""
+    """Return the endpoint of each health check that the broker has ordered, in sequence."""
     return [action.endpoint for _, action in harness.log if isinstance(action, api.HealthCheck)]
--- a/tests/decisions/fleet/test_endpoint_subsets.py
+++ b/tests/decisions/fleet/test_endpoint_subsets.py
@@ -18,7 +18,7 @@
 
 
 def subset_of(broker: Harness) -> list[int]:
-    """The numbers of the endpoints that this broker uses."""
+    """Return the numbers of the endpoints that this broker uses."""
     return [endpoint.entry.endpoint for endpoint in broker.controller.pool.subset]
 
 
@@ -27,10 +27,10 @@
     [(30, 40), (60, 40), (80, 200)],
     ids=["30 endpoints", "60 endpoints", "80 endpoints and 200 brokers"],
 )
-def test_each_broker_uses_a_subset_and_each_engine_is_used_by_as_many(
+def test_each_broker_uses_a_subset_and_all_endpoints_are_used_evenly(
     listed: int, brokers: int
 ) -> None:
-    """Forty brokers that each use all endpoints would each lose a query to learn of an outlier."""
+    """If all brokers used all endpoints, each broker would lose a request at every outlier."""
     fleet = make_fleet(endpoint_numbers(listed), brokers)
     used = Counter(number for broker in fleet for number in subset_of(broker))
     subset_sizes = {len(subset_of(broker)) for broker in fleet}
@@ -41,7 +41,7 @@
     assert max(used.values()) <= 1.3 * mean
 
 
-def test_an_ejected_endpoint_brings_one_more_into_use_and_few_others_change() -> None:
+def test_ejection_adds_one_endpoint_to_the_subset_and_removal_changes_few() -> None:
     endpoints = endpoint_numbers(30)
     harness = make_broker(endpoints, index=7)
     controller = harness.controller
@@ -53,14 +53,14 @@
     assert len(set(subset_of(harness)) & set(before)) >= 8
 
 
-def test_few_brokers_use_all_engines() -> None:
+def test_brokers_of_a_small_fleet_use_all_endpoints() -> None:
     harness = make_broker(endpoint_numbers(8), index=1, fleet_size=3)
     assert not harness.controller.pool.large_fleet
     assert len(harness.controller.pool.subset) == 8
 
 
 @pytest.mark.parametrize("listed", [30, 60, 240])
-def test_work_of_an_arrival_does_not_grow_with_the_engines(listed: int) -> None:
-    """The work is a count of the endpoints that are examined, not a time."""
+def test_candidates_for_a_request_do_not_grow_with_the_endpoint_list(listed: int) -> None:
+    """The test counts the endpoints that are examined for a request; it measures no time."""
     harness = make_broker(endpoint_numbers(listed), index=3)
     assert len(harness.controller.selector.balancer.candidates(harness.now)) <= 10
--- a/tests/decisions/fleet/test_fleet_scenarios.py
+++ b/tests/decisions/fleet/test_fleet_scenarios.py
@@ -1,4 +1,4 @@
-"""Long scenarios: an outage of a zone, a new endpoint list, brokers that return together."""
+"""Long scenarios: an outage of a zone, a new endpoint list, a restart of most brokers."""
 
 from __future__ import annotations
 
@@ -28,31 +28,31 @@
 
 
 class PlannedEnd(NamedTuple):
-    """When an attempt ends, and how."""
+    """The step in which an attempt ends, and its result."""
 
     step: int
     result: api.AttemptResult
 
 
 class ZoneOutage:
-    """A broker's requests, a new one each step, while the endpoints of a zone may be silent."""
+    """Requests of one broker while the endpoints of a zone may not answer."""
 
-    def __init__(self, harness: Harness, zone: set[int], draw: random.Random) -> None:
+    def __init__(self, harness: Harness, zone: set[int], random_source: random.Random) -> None:
         self.harness = harness
         self.zone = zone
-        self.draw = draw
+        self.random_source = random_source
         self.class_by_request: dict[str, str] = {}
         self.served: set[str] = set()
         self.ends: dict[tuple[str, int], PlannedEnd] = {}
 
     def arrive(self, step: int) -> None:
-        """A request of any class."""
-        class_name = self.draw.choice(["glance", "glance", "report", "load"])
+        """Let a request of a random class arrive."""
+        class_name = self.random_source.choice(["glance", "glance", "report", "load"])
         self.class_by_request[f"r{step}"] = class_name
         self.harness.arrive(f"r{step}", class_name, patience=5 * S, estimate_ns=300 * MS)
 
     def plan_ends(self, step: int, zone_is_silent: bool) -> None:
-        """New attempts are served in 0.3 s; on a silent endpoint they time out in 5 s."""
+        """Plan the end of new attempts: served after 0.3 s, or a timeout after 5 s if silent."""
         for name in self.class_by_request:
             for number, attempt in enumerate(self.harness.sends(name)):
                 if zone_is_silent and attempt.endpoint in self.zone:
@@ -62,7 +62,7 @@
                 self.ends.setdefault((name, number), end)
 
     def end_due(self, step: int) -> None:
-        """The attempts that end in this step do so."""
+        """End the attempts that are planned to end in this step."""
         for (name, number), end in list(self.ends.items()):
             if end.step != step:
                 continue
@@ -77,10 +77,10 @@
             )
 
 
-def test_a_zone_goes_silent_and_comes_back_cold() -> None:
-    """The zone is found out, then in use again.
+def test_silent_zone_is_ejected_and_used_again_after_its_restart() -> None:
+    """The zone is ejected while it does not answer, and used again after its restart.
 
-    Each request has one final answer, and no non-idempotent one is dispatched twice.
+    Each request gets one final answer, and no non-idempotent request is dispatched twice.
     """
     endpoints = endpoint_numbers(30)
     settings = fleet_settings(*CLASSES, NON_IDEMPOTENT_LOAD, broker_index=3, limits=LIMITS)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 500])
-def test_a_complete_list_of_any_length_in_mid_service(count: int) -> None:
+def test_full_list_of_any_length_is_applied_while_a_request_is_open(count: int) -> None:
     harness = make_broker(endpoint_numbers(30))
     harness.arrive("open", "report", patience=20 * S, estimate_ns=S)
     new_list = endpoint_numbers(count, seed=8)
@@ -141,7 +141,7 @@
 
 @dataclass(order=True)
 class RunningAttempt:
-    """An attempt on an endpoint that shares its cores among all its threads."""
+    """An attempt at an endpoint that shares its cores among all its threads."""
 
     ends_at: int
     sequence: int
@@ -153,7 +153,7 @@
 
 
 class SharedEndpoints:
-    """Endpoints that run what the brokers dispatch, also that of brokers which have died."""
+    """Endpoints that run the attempts of all brokers, also of brokers that have crashed."""
 
     def __init__(self) -> None:
         self.running: list[RunningAttempt] = []
@@ -161,14 +161,14 @@
         self.started_count = 0
 
     def start(self, now: int, harness: Harness, dispatch: api.Dispatch) -> None:
-        """Run the attempt, the slower the more threads its endpoint has."""
+        """Start the attempt; it is slower if its endpoint runs more threads than it has cores."""
         request = harness.controller.requests[dispatch.request_id]
         threads = request.spec.threads
         self.threads_by_endpoint[dispatch.endpoint] += threads
-        crowding = max(1.0, self.threads_by_endpoint[dispatch.endpoint] / CORES_PER_ENDPOINT)
+        slowdown = max(1.0, self.threads_by_endpoint[dispatch.endpoint] / CORES_PER_ENDPOINT)
         self.started_count += 1
         attempt = RunningAttempt(
-            now + int(request.run_time() * crowding),
+            now + int(request.run_time() * slowdown),
             self.started_count,
             threads,
             harness,
@@ -179,7 +179,7 @@
         heapq.heappush(self.running, attempt)
 
     def end_due(self, now: int, fleet: list[Harness]) -> None:
-        """End the attempts that are due; only a broker that lives is answered."""
+        """End the attempts that are due; only brokers that have not crashed get the answers."""
         while self.running and self.running[0].ends_at <= now:
             attempt = heapq.heappop(self.running)
             self.threads_by_endpoint[attempt.dispatch.endpoint] -= attempt.threads
@@ -192,21 +192,21 @@
                 )
 
 
-def arrive_sometimes(harness: Harness, name: str, draw: random.Random) -> None:
-    """In a quarter of the steps a lookup or a report arrives."""
-    if draw.random() >= 0.25:
+def arrive_at_random(harness: Harness, name: str, random_source: random.Random) -> None:
+    """Let a lookup or a report arrive with a probability of one quarter."""
+    if random_source.random() >= 0.25:
         return
-    is_report = draw.random() < 0.15
+    is_report = random_source.random() < 0.15
     class_name = "report" if is_report else "glance"
     mean_work_ns = 2 * S if is_report else 200 * MS
-    work_ns = int(mean_work_ns * draw.uniform(0.5, 1.5))
+    work_ns = int(mean_work_ns * random_source.uniform(0.5, 1.5))
     harness.arrive(name, class_name, patience=20 * S, estimate_ns=work_ns)
 
 
-def test_seven_in_ten_brokers_return_with_empty_accounting_and_overload_no_endpoint() -> None:
-    """They know nothing of what the dead have in flight, and all start at one moment."""
+def test_restart_of_most_brokers_at_once_overloads_no_endpoint() -> None:
+    """The restarted brokers don't know the attempts of their predecessors, which still run."""
     endpoints = endpoint_numbers(80)
-    draw = random.Random(4)
+    random_source = random.Random(4)
     fleet = make_fleet(endpoints, 200, limits=LIMITS)
     read_up_to = [0] * len(fleet)
     shared = SharedEndpoints()
@@ -216,14 +216,14 @@
     restart_step = 80
     for step in range(150):
         if step == restart_step:
-            for index in draw.sample(range(200), 140):
+            for index in random_source.sample(range(200), 140):
                 fleet[index] = make_broker(endpoints, index, 200, limits=LIMITS)
                 read_up_to[index] = 0
         now = began + step * 100 * MS
         shared.end_due(now, fleet)
         for index, harness in enumerate(fleet):
             harness.pass_time(now - harness.now)
-            arrive_sometimes(harness, f"{step}", draw)
+            arrive_at_random(harness, f"{step}", random_source)
             for _, action in harness.log[read_up_to[index] :]:
                 if isinstance(action, api.Dispatch):
                     shared.start(now, harness, action)
@@ -232,7 +232,7 @@
         thread_peaks.append(max(shared.threads_by_endpoint.values()))
     usual = sum(thread_sums[60:restart_step]) / (restart_step - 60)
     all_cores = len(endpoints) * CORES_PER_ENDPOINT
-    assert 0.2 * all_cores < usual < all_cores  # there is load, and no overload
-    assert max(thread_sums[restart_step:]) < 1.5 * usual  # nor any when they return
+    assert 0.2 * all_cores < usual < all_cores  # there is load but no overload
+    assert max(thread_sums[restart_step:]) < 1.5 * usual  # and none after the restart
     assert max(thread_peaks[restart_step:]) < 4 * CORES_PER_ENDPOINT
-    assert sum(thread_sums[-20:]) / 20 < 1.2 * usual  # five seconds later it is as before
+    assert sum(thread_sums[-20:]) / 20 < 1.2 * usual  # after five seconds the load is as before
--- a/tests/decisions/fleet/test_health_checks.py
+++ b/tests/decisions/fleet/test_health_checks.py
@@ -1,4 +1,4 @@
-"""When the brokers of a fleet make health checks, and what the load reports count for."""
+"""When the brokers of a fleet order health checks, and the effect of the load reports."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 )
 
 
-def test_trials_of_many_brokers_are_health_checks_with_rests() -> None:
-    """Queries as trials would keep a jammed endpoint jammed, and each be late for its client."""
+def test_large_fleet_tries_an_ejected_endpoint_by_infrequent_health_checks() -> None:
+    """Requests as trials would prolong the overload of an endpoint, and each would be late."""
     harness = make_broker(endpoint_numbers(30), limits=LIMITS)
     endpoint = harness.controller.pool.subset[0]
     harness.controller.outliers.set_ejected(harness.now, endpoint, True)
@@ -35,13 +35,13 @@
                 api.HealthCheckResult(endpoint.entry.endpoint, api.AttemptResult.TIMEOUT, 250 * MS)
             )
     check_count = endpoints_checked(harness).count(endpoint.entry.endpoint)
-    assert 5 <= check_count <= 20  # in 30 s: seldom, and ever more so
+    assert 5 <= check_count <= 20  # within 30 s, at increasing intervals
     answer_health_check(harness, endpoint, memory=0.1)
     assert not endpoint.ejected
     assert endpoint.in_pool
 
 
-def test_rests_of_many_brokers_are_not_in_step() -> None:
+def test_trial_times_of_the_brokers_of_a_fleet_are_spread() -> None:
     fleet = make_fleet(endpoint_numbers(30), limits=LIMITS)
     due = set()
     for harness in fleet:
@@ -53,7 +53,7 @@
     assert max(due) - min(due) > 3 * S
 
 
-def test_few_brokers_try_by_query_and_make_no_health_check() -> None:
+def test_small_fleet_tries_an_ejected_endpoint_by_requests() -> None:
     harness = make_broker(endpoint_numbers(4), fleet_size=2, limits=LIMITS)
     endpoint = harness.controller.pool.subset[0]
     harness.controller.outliers.set_ejected(harness.now, endpoint, True)
@@ -65,8 +65,8 @@
     assert not endpoint.ejected
 
 
-def test_an_engine_whose_answer_is_overdue_is_asked_for_its_load_report() -> None:
-    """A non-idempotent query that a jammed endpoint took is never answered, nor are the next."""
+def test_overdue_attempt_in_a_large_fleet_causes_a_health_check() -> None:
+    """An overloaded endpoint would answer neither this non-idempotent request nor the next ones."""
     harness = Harness(
         fleet_settings(*CLASSES, NON_IDEMPOTENT_LOAD, fleet_size=200, limits=LIMITS),
         *(entry(number, zone="ab"[number % 2]) for number in endpoint_numbers(80)),
@@ -80,7 +80,7 @@
     assert len(harness.sends("r0")) == 1
 
 
-def test_load_reports_are_dropped_while_attempts_add_up_on_them() -> None:
+def test_load_report_from_an_earlier_period_is_dropped() -> None:
     harness = make_broker(endpoint_numbers(80), fleet_size=200, limits=LIMITS)
     endpoint = harness.controller.pool.subset[0]
     answer_health_check(harness, endpoint, memory=0.9)
--- a/tests/decisions/fleet/test_outlier_ejection.py
+++ b/tests/decisions/fleet/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Which endpoints a broker of a fleet ejects, and for what."""
+"""Which endpoints a broker of a fleet ejects, and why."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 def fail_requests(harness: Harness, number: int, times: int) -> None:
-    """Requests that this endpoint answers with an error and another one serves.
+    """Run requests that this endpoint answers with an error and another endpoint serves.
 
-    While a request arrives all others seem to drain, so that it goes to this endpoint first.
+    At each arrival all other endpoints are marked as draining, so that the request is dispatched to
+    this endpoint first.
     """
     endpoints = harness.controller.endpoints.values()
     for index in range(times):
@@ -33,8 +34,8 @@
         harness.end(name, api.AttemptResult.SERVED, latency=MS)
 
 
-def test_an_engine_that_fails_what_others_serve_is_ejected() -> None:
-    """It fails fast, looks idle, and would draw three times as much as the others."""
+def test_endpoint_that_fails_requests_which_others_serve_is_ejected() -> None:
+    """It fails fast, looks idle, and would get three times as many requests as the others."""
     harness = make_broker(endpoint_numbers(30), limits=LIMITS)
     endpoint = harness.controller.pool.subset[0]
     fail_requests(harness, endpoint.entry.endpoint, 1)
@@ -43,8 +44,8 @@
     assert endpoint.ejected
 
 
-def test_what_no_engine_can_read_ejects_none() -> None:
-    """One client's statements would otherwise eject every endpoint."""
+def test_requests_that_every_endpoint_fails_eject_none() -> None:
+    """Otherwise the faulty statements of one client would eject every endpoint."""
     harness = make_broker(endpoint_numbers(30), limits=LIMITS)
     for index in range(40):
         harness.arrive(f"bad{index}", "glance", estimate_ns=MS)
@@ -53,8 +54,8 @@
     assert not any(endpoint.ejected for endpoint in harness.controller.endpoints.values())
 
 
-def test_engines_with_full_tables_are_tried_seldom_while_others_have_capacity() -> None:
-    """A rejected connect of each of 40 brokers for each request would keep the tables full."""
+def test_endpoints_that_refuse_connections_are_tried_once() -> None:
+    """Connection attempts of 40 brokers for each request would keep the connection tables full."""
     endpoints = endpoint_numbers(30)
     harness = make_broker(endpoints, limits=LIMITS)
     full = set(endpoints[::2])
@@ -67,11 +68,11 @@
             harness.end(name, api.AttemptResult.CONNECT_FAILED)
         harness.end(name, api.AttemptResult.SERVED, latency=MS)
         harness.pass_time(100 * MS)
-    assert 0 < attempts <= len(full)  # once each: from then on by health checks
+    assert 0 < attempts <= len(full)  # one request each; later trials are health checks
 
 
-def test_a_full_engine_is_ejected_and_checked_before_it_gets_more() -> None:
-    """Fifty brokers with nothing in flight there would each dispatch one query, again and again."""
+def test_full_endpoint_stays_ejected_until_a_health_check_shows_capacity() -> None:
+    """Otherwise brokers without an attempt at the endpoint would go on dispatching to it."""
     harness = make_broker(endpoint_numbers(80), fleet_size=200, limits=LIMITS)
     harness.arrive("r0", "glance", estimate_ns=MS)
     endpoint = harness.controller.endpoints[harness.sends("r0")[0].endpoint]
@@ -79,13 +80,13 @@
     assert endpoint.ejected
     assert harness.sends("r0")[-1].endpoint != endpoint.entry.endpoint
     answer_health_check(harness, endpoint, inflight=30.0)
-    assert endpoint.ejected  # it lives, and is jammed
+    assert endpoint.ejected  # it answers, but is overloaded
     answer_health_check(harness, endpoint, inflight=3.0)
     assert not endpoint.ejected
     assert endpoint.in_pool
 
 
-def test_an_answer_that_was_late_does_not_clear_a_jammed_engine() -> None:
+def test_late_answer_does_not_end_the_ejection_of_an_overloaded_endpoint() -> None:
     harness = make_broker(endpoint_numbers(80), fleet_size=200, limits=LIMITS)
     harness.arrive("r0", "glance", patience=20 * S, estimate_ns=100 * MS)
     endpoint = harness.controller.endpoints[harness.sends("r0")[0].endpoint]
--- a/tests/decisions/fleet/test_pool_capacity.py
+++ b/tests/decisions/fleet/test_pool_capacity.py
@@ -1,4 +1,4 @@
-"""What a broker of a fleet counts as its quota of the pool, and which class gets it."""
+"""A fleet broker's quota of the pool, and how much of the bound each class may use."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 )
 
 
-def test_what_vanished_with_a_zone_leaves_capacity_for_the_rest() -> None:
-    """Attempts on endpoints that died in silence stay in flight until their timeout.
+def test_attempts_at_ejected_endpoints_do_not_count_against_the_pool() -> None:
+    """Attempts at endpoints that crashed without notice stay in flight until their timeout.
 
-    Accounted to the pool, they would keep new work from endpoints that idle.
+    If they counted against the pool, idle endpoints would get no requests.
     """
     harness = make_broker(endpoint_numbers(30))
     controller = harness.controller
@@ -36,14 +36,14 @@
     assert lost_threads > 0
     assert pool.threads_in_flight == before - lost_threads
     assert pool.thread_quota == pytest.approx(1.5 * CORES_PER_ENDPOINT * 25 / FLEET_SIZE)
-    # An attempt that ends at last is not subtracted twice.
+    # The end of an attempt does not subtract its threads again.
     request_id, attempt_number = next(iter(lost[0].in_flight))
     harness.end(request_id, api.AttemptResult.TIMEOUT, attempt=attempt_number)
     in_pool = [endpoint for endpoint in controller.endpoints.values() if endpoint.in_pool]
     assert pool.threads_in_flight == sum(endpoint.threads_in_flight for endpoint in in_pool)
 
 
-def test_what_drains_takes_no_capacity_of_the_pool() -> None:
+def test_attempts_at_a_draining_endpoint_do_not_count_against_the_pool() -> None:
     harness = make_broker(endpoint_numbers(30))
     for index in range(10):
         harness.arrive(f"r{index}", "report", patience=20 * S, estimate_ns=S)
@@ -54,8 +54,8 @@
     assert controller.pool.limit.threads_in_flight == before - endpoint.threads_in_flight
 
 
-def test_the_pool_wants_less_delay_than_the_complete_latency_objective() -> None:
-    """With the objective as the mean delay, half of the lookups would miss it."""
+def test_delay_objective_of_the_pool_is_below_that_of_an_endpoint() -> None:
+    """If the mean delay were at the latency objective, half of the lookups would miss it."""
     harness = make_broker(endpoint_numbers(30))
     pool = harness.controller.pool.limit
     before = pool.bound_ns
@@ -75,16 +75,16 @@
         pytest.param(0.4, True, id="rejected more often"),
     ],
 )
-def test_a_class_that_is_rejected_more_often_sees_more_of_the_pool(
+def test_class_with_a_lower_admission_rate_may_use_more_of_the_pool_bound(
     admitted_fraction: float, is_admitted: bool
 ) -> None:
-    """Large work that must not run twice was rejected three times as often as lookups."""
+    """Large non-idempotent requests were rejected three times as often as lookups."""
     harness = make_broker(endpoint_numbers(30))
     controller = harness.controller
     report_class = controller.admission.classes.by_name["report"]
     pool = controller.pool.limit
     harness.arrive("out", "report", patience=20 * S, estimate_ns=2 * S)
-    # A report is as the mean.
+    # A report has exactly the mean work and the mean priority weight.
     controller.selector.capacity.mean_work_ns = 2.0 * S
     controller.selector.capacity.mean_priority_weight = 10.0
     pool.full_until_ns = harness.now + 99 * S
@@ -95,8 +95,8 @@
     assert (report_class.admission_rate > admitted_fraction) is is_admitted
 
 
-def test_what_is_beyond_a_tenants_quota_moves_no_class_s_quota() -> None:
-    """A flood that is rejected would otherwise win capacity for its class."""
+def test_requests_over_quota_do_not_change_the_admission_rate_of_their_class() -> None:
+    """Otherwise a rejected flood of requests would gain capacity for its class."""
     harness = make_broker(endpoint_numbers(30), tenants=(api.Tenant("acme", 0.0),))
     harness.controller.pool.limit.full_until_ns = harness.now + 99 * S
     harness.controller.pool.limit.bound_ns = 0.0
@@ -106,11 +106,11 @@
     assert harness.controller.admission.classes.by_name["glance"].admission_rate == 1.0
 
 
-def test_what_is_ejected_and_used_no_more_is_not_ejected_for_good() -> None:
-    """While most endpoints warm up, all brokers use all warm ones.
+def test_ejection_of_an_unused_endpoint_ends_without_a_health_check() -> None:
+    """While most endpoints warm up, all brokers use all warm endpoints.
 
-    Those that were ejected then stayed so, with no health check, and out of the pool's quota: 20
-    of 72 endpoints idled for the rest of a day.
+    Endpoints that were ejected in that time and left the subset later got no health check and
+    stayed ejected, outside the pool's quota: 20 of 72 endpoints idled for the rest of a day.
     """
     harness = make_broker(endpoint_numbers(80), fleet_size=200, limits=LIMITS)
     controller = harness.controller
--- a/tests/decisions/fleet/test_warmup_turns.py
+++ b/tests/decisions/fleet/test_warmup_turns.py
@@ -1,4 +1,4 @@
-"""The turns in which the brokers of a fleet use endpoints that warm up."""
+"""The turns in which the brokers of a fleet use endpoints in warm-up."""
 
 from __future__ import annotations
 
@@ -24,37 +24,37 @@
 
 
 def has_turn(controller: AdmissionController, now: int, number: int) -> bool:
-    """Whether this broker may use this endpoint, which warms up, at this moment."""
+    """Return whether this broker has the turn at an endpoint in warm-up."""
     slow_start = controller.selector.balancer.slow_start
     return slow_start.has_turn(now, controller.endpoints[number])
 
 
 class DispatchedWork(NamedTuple):
-    """An attempt that a broker made, and the work that it takes."""
+    """The time and the work of a dispatched attempt."""
 
     at_ns: int
     work_ns: int
 
 
 def dispatch_while_warming_up(
-    fleet: list[Harness], warming: set[int], draw: random.Random
+    fleet: list[Harness], warming: set[int], random_source: random.Random
 ) -> dict[int, list[DispatchedWork]]:
-    """Twelve seconds of requests while these endpoints warm up, and what each of them got.
+    """Run requests for twelve seconds while these endpoints warm up; return the work of each.
 
-    The brokers hear of the new endpoints within two seconds. In a large fleet a tenth of them
-    are down, and each of the others has fewer requests.
+    The brokers are notified of the new endpoints within two seconds. In a large fleet a tenth of
+    the brokers are down, and each of the others has fewer requests.
     """
     is_large = len(fleet) > FLEET_SIZE
     began = fleet[0].now
     new_entries = [entry(endpoint, started_ns=began) for endpoint in sorted(warming)]
-    notified_at = [began + draw.randrange(2 * S) for _ in fleet]
-    absent = set(draw.sample(range(len(fleet)), len(fleet) // 10)) if is_large else set()
+    notified_at = [began + random_source.randrange(2 * S) for _ in fleet]
+    absent = set(random_source.sample(range(len(fleet)), len(fleet) // 10)) if is_large else set()
     dispatched: dict[int, list[DispatchedWork]] = {endpoint: [] for endpoint in warming}
     for step in range(120):
         for index, harness in enumerate(fleet):
             if index in absent:
                 continue
-            if is_large and draw.random() > 0.4:
+            if is_large and random_source.random() > 0.4:
                 continue
             harness.pass_time(began + step * 100 * MS - harness.now)
             if harness.now < notified_at[index]:
@@ -62,21 +62,21 @@
             if notified_at[index]:
                 change_list(harness, *new_entries)
                 notified_at[index] = 0
-            serve_one_request(harness, f"r{step}", draw, dispatched)
+            serve_one_request(harness, f"r{step}", random_source, dispatched)
     return dispatched
 
 
 def serve_one_request(
     harness: Harness,
     name: str,
-    draw: random.Random,
+    random_source: random.Random,
     dispatched: dict[int, list[DispatchedWork]],
 ) -> None:
-    """A report or a lookup arrives and is served at once."""
-    is_report = draw.random() < 0.2
+    """Let a report or a lookup arrive and serve it at once."""
+    is_report = random_source.random() < 0.2
     class_name = "report" if is_report else "glance"
     mean_work_ns = 2 * S if is_report else 200 * MS
-    work_ns = int(mean_work_ns * draw.uniform(0.5, 1.5))
+    work_ns = int(mean_work_ns * random_source.uniform(0.5, 1.5))
     harness.arrive(name, class_name, estimate_ns=work_ns)
     for attempt in harness.sends(name):
         if attempt.endpoint in dispatched:
@@ -85,7 +85,7 @@
 
 
 def warmup_budget_ns(age_ns: int) -> float:
-    """The work that an endpoint of this age may get within one overload window."""
+    """Return the work that an endpoint of this age may get within one overload window."""
     initial = CONTRACT.warmup_initial_capacity
     warmed_up = min(1.0, age_ns / CONTRACT.warmup_ns)
     capacity = initial + (1 - initial) * warmed_up
@@ -108,10 +108,10 @@
 def test_the_sum_of_all_brokers_keeps_the_warmup_budget(
     listed: int, fresh: int, brokers: int
 ) -> None:
-    """The budget holds for the sum of brokers that each know only what they dispatch themselves.
+    """Brokers that each know only their own attempts must together stay within the budget.
 
-    Equal quotas would be under one query each and leave the endpoint idle; quotas that each
-    broker draws for itself might all be large at once.
+    Equal quotas would be less than one request each and leave the endpoint idle; random quotas
+    could be large on all brokers at once.
     """
     endpoints = endpoint_numbers(listed)
     warming = set(endpoints[:fresh])
@@ -133,8 +133,8 @@
     assert cores_used > 0.3 * initial_cores
 
 
-def test_turns_on_different_engines_are_not_in_step() -> None:
-    """In step, all new endpoints would idle at the same moments, and the others get everything."""
+def test_turns_at_different_endpoints_do_not_coincide() -> None:
+    """Otherwise all new endpoints would idle at the same time, and the others get all requests."""
     endpoints = endpoint_numbers(30)
     warming = endpoints[:15]
     harness = make_broker(endpoints)
@@ -149,7 +149,7 @@
     assert max(open_counts) <= 12
 
 
-def test_at_most_one_broker_has_its_turn_on_an_endpoint() -> None:
+def test_at_most_one_broker_has_the_turn_at_an_endpoint() -> None:
     endpoints = endpoint_numbers(30)
     fleet = make_fleet(endpoints)
     now = fleet[0].now
@@ -161,10 +161,10 @@
     assert any(owner_counts)
 
 
-def test_a_turn_is_not_cut_short_by_the_usual_quota() -> None:
-    """A broker's quota of a warm endpoint is a query or two; a turn is all that the endpoint has.
+def test_the_quota_of_a_warm_endpoint_does_not_limit_a_turn() -> None:
+    """A broker's quota of a warm endpoint is one or two requests; in a turn it gets all capacity.
 
-    And no more: all that the contract allows, dispatched by one broker, would jam it.
+    But no more: the complete overload budget, dispatched by one broker, would overload it.
     """
     endpoints = endpoint_numbers(30)
     harness = make_broker(endpoints)
--- a/tests/decisions/harness_steps.py
+++ b/tests/decisions/harness_steps.py
@@ -1,4 +1,4 @@
-"""Set-up and events that the tests of the rules share."""
+"""Harnesses and events that several tests of the decisions use."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def change_list(harness: Harness, *entries: api.EndpointEntry) -> None:
-    """Let the endpoint list report changed entries."""
+    """Report changed entries of the endpoint list."""
     harness.do(api.EndpointListUpdate(api.ListUpdateKind.CHANGES, entries))
 
 
 def non_idempotent_harness(*entries: api.EndpointEntry) -> Harness:
-    """Return a harness whose one request class must not run twice."""
+    """Return a harness with one request class, which is not idempotent."""
     return Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), *entries)
 
 
--- a/tests/decisions/ledger.py
+++ b/tests/decisions/ledger.py
@@ -1,4 +1,4 @@
-"""A ledger of what a caller could see of the decisions, and the rules that hold in it."""
+"""A ledger of the events and orders of a controller, which checks the rules of the contract."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 ENGINES = (1, 2, 3)
 KINDS = {1: "big", 2: "box", 3: "box"}
 ZONES = {1: "east", 2: "east", 3: "north"}
-#: After these the engine may still be at work on the attempt, and the ordering key rests.
+#: After these the engine may still run the attempt, so its ordering key has a cool-down.
 OUTCOME_UNKNOWN = (
     api.AttemptResult.TIMEOUT,
     api.AttemptResult.RESET,
@@ -20,14 +20,14 @@
 
 
 class Ledger:
-    """Requests, attempts and the endpoint list as the decisions were notified of them.
+    """Requests, attempts and the endpoint list, as the controller was notified of them.
 
     Attributes:
-        harness: Drives the decisions.
-        order: The names of all requests, as they arrived.
-        over: When each request had its final answer, or its client left.
-        out: When each attempt in flight was dispatched, by request and number.
-        listed: The state of each engine on the endpoint list.
+        harness: The harness of the controller.
+        order: The names of all requests, in the order of arrival.
+        over: When each request got its final answer or was abandoned, by name.
+        out: When each attempt in flight was dispatched, by request and attempt number.
+        listed: The state of each engine in the endpoint list.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -44,9 +44,9 @@
         self._attempt_counts: dict[str, int] = {}
         self._may_have_run_since_ns: dict[str, int] = {}
         self._first_endpoints: dict[str, int] = {}
-        # Requests of which an attempt has ended that may have run.
-        self._executed: set[str] = set()
-        self._keys_rest_until_ns: dict[str, int] = {}
+        # Requests with an attempt that has ended and may have run.
+        self._maybe_executed_names: set[str] = set()
+        self._key_cooldown_ends_ns: dict[str, int] = {}
         self._arrivals_ns: list[int] = []
         self._retries_ns: list[int] = []
         self._checked_orders = 0
@@ -56,7 +56,7 @@
         return entry(engine, kind=KINDS[engine], zone=ZONES[engine], **more)
 
     def check(self) -> None:
-        """Check all that the decisions ordered since the last check."""
+        """Check all orders since the last check."""
         for now_ns, order in self.harness.log[self._checked_orders :]:
             if isinstance(order, api.Dispatch):
                 self._check_dispatch(now_ns, order)
@@ -66,16 +66,14 @@
                 self.over[order.request_id] = now_ns
         self._checked_orders = len(self.harness.log)
 
-    # --- dispatches ---
-
     def _check_dispatch(self, now_ns: int, dispatch: api.Dispatch) -> None:
         name = dispatch.request_id
         request_class = self._classes[name]
         attempt_number = self._attempt_counts.get(name, 0)
-        assert name not in self.over, "sent after its end"
+        assert name not in self.over, "dispatched after its end"
         self._check_endpoint(request_class, dispatch.endpoint)
         hedging = self.settings.limits.hedging and request_class.effect is api.Effect.IDEMPOTENT
-        assert self._attempts_in_flight(name) <= hedging, "too many attempts at once"
+        assert self._attempts_in_flight(name) <= hedging, "too many attempts in flight"
         assert attempt_number < self.settings.limits.max_attempts
         self._check_execution(now_ns, dispatch, request_class)
         if request_class.ordered_by_key:
@@ -87,7 +85,7 @@
         return sum(request == name for request, _ in self.out)
 
     def _check_endpoint(self, request_class: api.RequestClass, endpoint: int) -> None:
-        assert self.listed[endpoint] is api.EndpointState.READY, "sent to a draining engine"
+        assert self.listed[endpoint] is api.EndpointState.READY, "endpoint is not ready"
         assert not request_class.allowed_kinds or KINDS[endpoint] in request_class.allowed_kinds
         assert not request_class.allowed_zones or ZONES[endpoint] in request_class.allowed_zones
 
@@ -96,7 +94,7 @@
     ) -> None:
         name = dispatch.request_id
         if request_class.effect is api.Effect.NON_IDEMPOTENT:
-            assert name not in self._may_have_run_since_ns, "unsafe work repeated"
+            assert name not in self._may_have_run_since_ns, "non-idempotent request repeated"
         if request_class.effect is not api.Effect.IDEMPOTENCY_KEY:
             return
         if name not in self._may_have_run_since_ns:
@@ -109,10 +107,10 @@
         key = self._keys[name]
         for other in self.order[: self.order.index(name)]:
             if self._keys.get(other) == key and self._classes[other].ordered_by_key:
-                assert other in self.over, "out of turn"
-                assert not self._attempts_in_flight(other), "out of turn"
-        is_key_at_rest = now_ns < self._keys_rest_until_ns.get(key, 0)
-        assert attempt_number > 0 or not is_key_at_rest, "the key rests"
+                assert other in self.over, "out of key order"
+                assert not self._attempts_in_flight(other), "out of key order"
+        is_key_cooling_down = now_ns < self._key_cooldown_ends_ns.get(key, 0)
+        assert attempt_number > 0 or not is_key_cooling_down, "key is cooling down"
 
     def _check_retry_budget(self, now_ns: int) -> None:
         contract = self.settings.contract
@@ -135,18 +133,16 @@
             self._may_have_run_since_ns[name] = now_ns
             self._first_endpoints[name] = dispatch.endpoint
 
-    # --- answers ---
-
     def _check_answer(self, now_ns: int, answer: api.Reject | api.Fail) -> None:
         name = answer.request_id
         assert name not in self.over, "answered twice"
         latest_ns = max(self._deadlines_ns[name], self._arrived_ns[name])
         assert now_ns <= latest_ns, "answered too late"
         if isinstance(answer, api.Reject) and self._must_not_be_retried(name):
-            assert name not in self._may_have_run_since_ns, "refused although it may have run"
+            assert name not in self._may_have_run_since_ns, "rejected although it may have run"
 
     def _must_not_be_retried(self, name: str) -> bool:
-        """Return whether a client must not retry the request where it may have run."""
+        """Return whether a client must not retry the request if it may have run."""
         request_class = self._classes[name]
         if request_class.effect is api.Effect.NON_IDEMPOTENT:
             return True
@@ -155,8 +151,6 @@
             and request_class.idempotency_scope is not api.IdempotencyScope.ALL
         )
 
-    # --- events ---
-
     def arrive(self, request_class: api.RequestClass, key: str, timeout_ms: int) -> None:
         now_ns = self.harness.now
         name = f"r{len(self.order)}"
@@ -178,21 +172,21 @@
         )
 
     def end(self, index: int, result: api.AttemptResult, latency_ms: int) -> None:
-        """Let one of the attempts in flight end."""
+        """End one of the attempts in flight."""
         if not self.out:
             return
         name, attempt_number = sorted(self.out)[index % len(self.out)]
         del self.out[(name, attempt_number)]
         self._record_execution(name, result)
         if result in OUTCOME_UNKNOWN and self._classes[name].ordered_by_key:
-            rest_ns = self.settings.contract.key_rest_ns
-            self._keys_rest_until_ns[self._keys[name]] = self.harness.now + rest_ns
+            cooldown_ns = self.settings.contract.key_rest_ns
+            self._key_cooldown_ends_ns[self._keys[name]] = self.harness.now + cooldown_ns
         if result is api.AttemptResult.SERVED:
             self.over.setdefault(name, self.harness.now)
         self.harness.end(name, result, attempt_number, latency_ms * MS, finished=name in self.over)
 
     def _record_execution(self, name: str, result: api.AttemptResult) -> None:
         if result not in api.NEVER_EXECUTED or self._attempts_in_flight(name):
-            self._executed.add(name)
-        elif name not in self._executed:
+            self._maybe_executed_names.add(name)
+        elif name not in self._maybe_executed_names:
             self._may_have_run_since_ns.pop(name, None)
--- a/tests/decisions/occurrences.py
+++ b/tests/decisions/occurrences.py
@@ -1,4 +1,4 @@
-"""What may happen to a request that is in flight, for tests that try orders of events."""
+"""Occurrences that may affect a request in flight, for tests of all orders of them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Occurrence(enum.Enum):
-    """What may happen to a request that is in flight."""
+    """Something that may affect a request in flight."""
 
     TICK = "tick"
     ATTEMPT_REVIEWED = "attempt reviewed"
@@ -31,24 +31,24 @@
     PROGRESS = "update"
     CONNECTION_RESET = "connection reset"
     PROTOCOL_ERROR = "protocol error"
-    SOCKET_JAMMED = "socket jammed"
+    SOCKET_BLOCKED = "socket blocked"
 
 
-def let_happen(harness: DispatcherHarness, occurrence: Occurrence) -> None:
-    """Let one thing happen.
+def apply_occurrence(harness: DispatcherHarness, occurrence: Occurrence) -> None:
+    """Trigger one occurrence.
 
-    What happens to an attempt happens to the last one in flight, if there is any.
+    An occurrence that affects an attempt affects the last attempt in flight, if there is any.
     """
     if occurrence in ACTIONS:
         ACTIONS[occurrence](harness)
         return
-    engine_side = harness.last_attempt_side()
+    engine_side = harness.engine_side_of_last_attempt()
     if engine_side is not None:
         ATTEMPT_ACTIONS[occurrence](engine_side)
 
 
 def _serve_first_attempt(harness: DispatcherHarness) -> None:
-    """Answer the first attempt, whatever has become of it."""
+    """Answer the first attempt, even if it is no longer in flight."""
     engine_side = harness.engine_sides[harness.first_descriptor]
     if not engine_side.connection.closed:
         engine_side.answer(b"served", RESULT_BODY)
@@ -68,7 +68,7 @@
 
 ACTIONS: dict[Occurrence, Callable[[DispatcherHarness], None]] = {
     Occurrence.TICK: lambda harness: harness.advance(1, 5 * MS),
-    # An attempt is reviewed; it times out only at the end.
+    # Late enough for the review of an attempt, too early for its timeout.
     Occurrence.ATTEMPT_REVIEWED: lambda harness: harness.advance(3, S),
     # Past the deadline of every class.
     Occurrence.DEADLINE_PASSED: lambda harness: harness.advance(9, 3 * S),
@@ -93,8 +93,8 @@
     engine_side.connection.data_received(b"noise\r\n")
 
 
-def _jam_socket(engine_side: EngineSide) -> None:
-    engine_side.is_jammed = True
+def _block_socket(engine_side: EngineSide) -> None:
+    engine_side.is_blocked = True
 
 
 ATTEMPT_ACTIONS: dict[Occurrence, Callable[[EngineSide], None]] = {
@@ -104,5 +104,5 @@
     Occurrence.PROGRESS: _report_progress,
     Occurrence.CONNECTION_RESET: _reset_connection,
     Occurrence.PROTOCOL_ERROR: _break_protocol,
-    Occurrence.SOCKET_JAMMED: _jam_socket,
+    Occurrence.SOCKET_BLOCKED: _block_socket,
 }
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("result", list(api.AttemptResult))
-def test_backlog_enters_once_and_leaves_once(result: api.AttemptResult) -> None:
+def test_backlog_counts_the_work_of_each_attempt_once(result: api.AttemptResult) -> None:
     harness = one_engine_harness()
     harness.arrive("r", estimate_ns=80 * MS)
     assert harness.backlog() == 80 * MS
@@ -38,37 +38,37 @@
     assert not harness.answers("r")
 
 
-def send_crowd(harness: Harness, count: int, estimate: int) -> None:
+def send_requests(harness: Harness, count: int, estimate: int) -> None:
     for index in range(count):
         harness.arrive(f"c{index}", estimate_ns=estimate)
 
 
 def test_request_that_does_not_fit_is_rejected_under_pressure_only() -> None:
     harness = one_engine_harness()
-    send_crowd(harness, 6, estimate=100 * MS)
-    engine = harness.controller.endpoints[1]
-    engine.full_until_ns = harness.now + S
+    send_requests(harness, 6, estimate=100 * MS)
+    endpoint = harness.controller.endpoints[1]
+    endpoint.full_until_ns = harness.now + S
     harness.arrive("fits", estimate_ns=100 * MS)
     assert harness.sends("fits")
-    harness.arrive("misfit", estimate_ns=60 * S, patience=99 * S)
-    (answer,) = harness.answers("misfit")
+    harness.arrive("too large", estimate_ns=60 * S, patience=99 * S)
+    (answer,) = harness.answers("too large")
     # One of eight arrivals is rejected.
     assert isinstance(answer, api.Reject)
     assert answer.retry_after_ns == S // 8
-    engine.full_until_ns = 0
+    endpoint.full_until_ns = 0
     harness.arrive("no pressure", estimate_ns=60 * S, patience=99 * S)
     assert harness.sends("no pressure")
 
 
-def test_own_threads_past_two_a_core_count_as_pressure() -> None:
-    """An overload shows in delays only after it; the thread count shows it before."""
+def test_more_than_two_threads_in_flight_per_core_count_as_pressure() -> None:
+    """Delays show an overload only after it has begun; the thread count shows it earlier."""
     harness = one_engine_harness()
-    send_crowd(harness, 40, estimate=300 * MS)
+    send_requests(harness, 40, estimate=300 * MS)
     admitted = sum(1 for index in range(40) if harness.sends(f"c{index}"))
     assert 8 <= admitted < 16
 
 
-def test_request_is_admitted_with_nothing_in_flight_whatever_the_bound() -> None:
+def test_request_is_admitted_at_an_idle_endpoint_regardless_of_the_bound() -> None:
     harness = one_engine_harness()
     harness.controller.endpoints[1].bound_ns = 0.0
     harness.controller.endpoints[1].full_until_ns = harness.now + S
@@ -81,7 +81,7 @@
     [(), (entry(1, state=api.EndpointState.DRAINING),)],
     ids=["empty list", "draining"],
 )
-def test_request_without_a_ready_engine_is_rejected_at_once(
+def test_request_without_a_ready_endpoint_is_rejected_at_once(
     entries: tuple[api.EndpointEntry, ...],
 ) -> None:
     harness = Harness(make_settings(), *entries)
@@ -89,32 +89,32 @@
     assert isinstance(harness.answers("r")[0], api.Reject)
 
 
-def test_estimates_learn_from_calm_dispatches_only() -> None:
-    """The latencies of an overload would make every query look large, its latency objective too,
-    and the bound would stay open.
+def test_estimates_are_corrected_by_uncontended_attempts_only() -> None:
+    """With the latencies of an overload every request would seem to have more work and a longer
+    latency objective, so that the bound would not limit the overload.
     """
     harness = one_engine_harness()
     statistics = harness.controller.admission.classes.by_name["short"]
-    send_crowd(harness, 8, estimate=100 * MS)
+    send_requests(harness, 8, estimate=100 * MS)
     for index in range(8):
         harness.end(f"c{index}", api.AttemptResult.SERVED, latency=4 * S)
-    calm_answers = statistics.uncontended_answer_count
-    assert 0 < calm_answers < 8
+    uncontended_answers = statistics.uncontended_answer_count
+    assert 0 < uncontended_answers < 8
 
 
 def test_over_quota_traffic_is_rejected_first_under_pressure() -> None:
     harness = one_engine_harness(tenants=(api.Tenant("x", 2.0), api.Tenant("y", 2.0)))
-    engine = harness.controller.endpoints[1]
+    endpoint = harness.controller.endpoints[1]
     for index in range(8):
         harness.arrive(f"x{index}", tenant="x", estimate_ns=200 * MS)
-    engine.full_until_ns = harness.now + S
+    endpoint.full_until_ns = harness.now + S
     harness.arrive("more x", tenant="x", estimate_ns=200 * MS)
     harness.arrive("first y", tenant="y", estimate_ns=200 * MS)
     assert not harness.sends("more x")
     assert harness.sends("first y")
 
 
-def test_failing_engine_gets_fewer_requests() -> None:
+def test_endpoint_with_failures_gets_fewer_requests() -> None:
     harness = Harness(make_settings(), entry(1), entry(2))
     harness.controller.endpoints[1].failure_rate = 0.9
     for index in range(40):
@@ -123,8 +123,8 @@
     assert sum(harness.sends(f"r{index}")[0].endpoint == 2 for index in range(40)) > 35
 
 
-def test_loads_keep_apart_from_readers() -> None:
-    """A load stops the readers of its data set on its engine."""
+def test_loads_and_readers_of_a_data_set_use_different_endpoints() -> None:
+    """A load blocks the readers of its data set on its endpoint."""
     load = query_class("load", is_load=True)
     reader = query_class("short", blocked_by_loads=True)
     harness = Harness(make_settings(reader, load), *(entry(index) for index in range(6)))
@@ -135,12 +135,12 @@
         endpoints[name].append(harness.sends(f"r{index}")[0].endpoint)
         harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
     load_endpoints = endpoints["load"]
-    homes = sorted(set(load_endpoints), key=load_endpoints.count)[-2:]
-    assert sum(endpoint in homes for endpoint in endpoints["load"]) > 56
-    assert sum(endpoint in homes for endpoint in endpoints["short"]) < 18
+    load_partition = sorted(set(load_endpoints), key=load_endpoints.count)[-2:]
+    assert sum(endpoint in load_partition for endpoint in endpoints["load"]) > 56
+    assert sum(endpoint in load_partition for endpoint in endpoints["short"]) < 18
 
 
-def test_readers_avoid_an_engine_where_our_load_runs() -> None:
+def test_readers_avoid_an_endpoint_that_runs_a_load_of_their_data_set() -> None:
     load = query_class("load", is_load=True)
     reader = query_class("short", blocked_by_loads=True)
     harness = Harness(make_settings(reader, load), entry(1), entry(2))
@@ -153,14 +153,14 @@
     assert reader_endpoints.count(load_endpoint) < 6
 
 
-def test_request_of_an_unknown_class_is_rejected_by_name() -> None:
+def test_request_of_an_unknown_class_raises_an_error_that_names_the_key() -> None:
     harness = Harness(make_settings(query_class("short")), entry(1))
     with pytest.raises(ValueError, match="class_name"):
-        harness.arrive("r", "unheard")
+        harness.arrive("r", "unknown")
 
 
 def test_marked_retries_take_no_tokens_of_the_quota() -> None:
-    """Rejected excess would come back and take the tokens of new requests within the quota."""
+    """Retries of rejected requests would take the tokens of new requests within the quota."""
     harness = one_engine_harness(tenants=(api.Tenant("x", 4.0),))
     for index in range(30):
         harness.arrive(f"again{index}", tenant="x", estimate_ns=MS, is_retry=True)
@@ -169,8 +169,8 @@
     assert not harness.controller.requests["new"].over_quota
 
 
-def test_grants_of_queries_that_fit_by_estimate_leave_memory_for_each_other() -> None:
-    """Engines whose memory is granted twice over would make every second query spill."""
+def test_memory_grant_is_slightly_above_the_estimate() -> None:
+    """With grants of twice the estimate an engine would make every second query spill."""
     harness = Harness(make_settings(memory_grants=True), entry(1))
     harness.arrive("r", estimate_ns=MS, memory_mb=100.0)
     granted = [
--- a/tests/decisions/test_deployments.py
+++ b/tests/decisions/test_deployments.py
@@ -1,4 +1,4 @@
-"""What differs between deployments, on real sockets: idempotency keys and progress messages."""
+"""Features of single deployments, on real sockets: idempotency keys and progress messages."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 @on_uvloop
-async def test_a_key_reaches_the_engine_with_every_attempt_and_is_absent_where_none_came() -> None:
+async def test_idempotency_key_is_sent_with_every_attempt_and_only_if_the_client_sent_one() -> None:
     one = Engine(crash_first_attempt)
     other = Engine()
     targets = [target_entry("s-1", await one.start()), target_entry("s-2", await other.start())]
@@ -70,7 +70,7 @@
         attempts = one.commands_named(b"do") + other.commands_named(b"do")
         for attempt in attempts:
             assert resp.read_pairs(attempt[2])["nonce"] == IDEMPOTENCY_KEY
-        assert len(attempts) == stream + 1  # one of them was retried, under its key
+        assert len(attempts) == stream + 1  # one of them was retried, with the same key
         client.ask(stream=50, customer=None, trace="a" * 16)
         assert (await client.answer())[1] == frames.SERVED
         commands = one.commands + other.commands
@@ -79,9 +79,7 @@
 
 
 @on_uvloop
-async def test_a_keyed_request_without_a_usable_key_gets_one_answer_and_harms_nothing_else() -> (
-    None
-):
+async def test_request_with_an_invalid_idempotency_key_fails_without_harm_to_the_next() -> None:
     engine = Engine()
     config = make_config(target_entry("s-1", await engine.start()), **deployments.WAREHOUSE)
     async with running(config) as rig:
@@ -109,7 +107,7 @@
 
 
 def count_events(rig: Rig) -> Counter[str]:
-    """Count the events that reach the decisions of a node from now on, by their type."""
+    """Count the events that a node's controller handles from now on, by type."""
     counts: Counter[str] = Counter()
     controller = rig.node.dispatcher.facade.controller
     handle = controller.handle
@@ -123,7 +121,7 @@
 
 
 @on_uvloop
-async def test_progress_messages_of_every_kind_end_nothing_and_cost_little() -> None:
+async def test_progress_messages_end_no_attempt_and_reach_the_decisions_at_a_limited_rate() -> None:
     engine = Engine(lambda *_: None)
     config = make_config(target_entry("s-1", await engine.start()), **deployments.WAREHOUSE)
     async with running(config) as rig:
@@ -137,7 +135,7 @@
             writer.write(resp.encode(do[1], b"update", message, b""))
         for _ in range(1_000):
             writer.write(resp.encode(do[1], b"update", b"tell=pct,amount=0.5", b""))
-        # One about an attempt that has ended.
+        # A progress message about an attempt that has ended.
         writer.write(resp.encode(b"f" * 16, b"update", b"tell=pct,amount=0.5", b""))
         engine.answer_served(do, writer)
         assert (await client.answer())[1] == frames.SERVED
@@ -169,8 +167,8 @@
 
 
 @on_uvloop
-async def test_keyed_loads_run_once_to_their_end_while_engines_fail_drain_and_plan_badly() -> None:
-    """All that the second deployment's engines do, together; the engines' ledgers show it."""
+async def test_loads_with_keys_run_once_while_engines_fail_drain_and_run_slowly() -> None:
+    """Combines all engine features of the second deployment; the engines' ledgers are checked."""
     cluster = EmulatedCluster(
         honours_cancel=True,
         key_store=IdempotencyKeyStore(20 * S),
--- a/tests/decisions/test_endpoint_states.py
+++ b/tests/decisions/test_endpoint_states.py
@@ -1,4 +1,4 @@
-"""Draining, slow start and placement: which endpoint may get a request, and how much."""
+"""Draining, slow start and placement: which endpoints may get a request, and how much work."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
-def test_no_dispatch_once_notified(state: api.EndpointState) -> None:
+def test_no_dispatch_to_a_draining_or_removed_endpoint(state: api.EndpointState) -> None:
     harness = Harness(make_settings(query_class(ordered_by_key=True)), entry(1))
     harness.arrive("first", key="k")
     harness.arrive("queued", key="k")
@@ -25,7 +25,7 @@
     assert len(harness.answers("queued")) == 1
 
 
-def test_engine_missing_from_a_full_list_is_removed() -> None:
+def test_endpoint_missing_from_a_full_list_is_removed() -> None:
     harness = Harness(make_settings(), entry(1), entry(2))
     harness.arrive("busy")
     harness.do(api.EndpointListUpdate(api.ListUpdateKind.FULL, ()))
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("fleet_size", [1, 3])
-def test_slow_start_budget_over_any_window(fleet_size: int) -> None:
+def test_work_in_any_window_stays_within_the_slow_start_budget(fleet_size: int) -> None:
     settings = make_settings(fleet_size=fleet_size)
     started_ns = 99 * S
     harness = Harness(settings, entry(1, started_ns=started_ns))
@@ -57,7 +57,7 @@
     for end_ns in dispatch_times:
         begin_ns = end_ns - rules.overload_window_ns
         work_in_window = sum(work_ns for at_ns in dispatch_times if begin_ns < at_ns <= end_ns)
-        assert work_in_window <= initial * budget  # however late its ramp
+        assert work_in_window <= initial * budget  # even if the ramp has not begun
         ramp = initial + (1 - initial) * (end_ns - started_ns) / rules.warmup_ns
         assert work_in_window * 2 <= ramp * budget
 
@@ -72,23 +72,24 @@
     assert harness.sends("later")
 
 
-def test_the_budget_of_an_engine_in_slow_start_follows_its_ramp() -> None:
-    """A release would leave engines half warm and idle while every request is rejected; but no
-    window may hold more than a third of the contract of what it can do, however late the ramp is.
+def test_slow_start_budget_grows_during_the_warmup() -> None:
+    """While all engines warm up after a release, a constant budget would leave them idle.
+
+    The work of a window must also stay below a sixth of the limit of a warm endpoint.
     """
     admitted_work = []
     for age in (0, 5 * S, 9 * S):
         harness = Harness(make_settings(fleet_size=2), entry(1, started_ns=100 * S - age))
-        engine = harness.controller.endpoints[1]
-        rules = harness.controller.active.contract
+        endpoint = harness.controller.endpoints[1]
+        rules = harness.controller.active_settings.contract
         for index in range(2_000):
             harness.arrive(f"r{index}", estimate_ns=10 * MS)
             if harness.sends(f"r{index}"):
                 harness.end(f"r{index}", api.AttemptResult.SERVED, latency=10 * MS)
-        admitted_work.append(engine.warmup_work.sum_at(harness.now))
+        admitted_work.append(endpoint.warmup_work.sum_at(harness.now))
         assert (
             2 * admitted_work[-1]
-            <= rules.overload_multiple * engine.cores * rules.overload_window_ns / 3
+            <= rules.overload_multiple * endpoint.cores * rules.overload_window_ns / 3
         )
     assert admitted_work[0] < admitted_work[1] < admitted_work[2]
     assert admitted_work[2] > 2 * admitted_work[0]
@@ -102,6 +103,6 @@
     harness.end("r", api.AttemptResult.CONNECT_FAILED)
     assert all(dispatch.endpoint == 1 for dispatch in harness.sends("r"))
     change_list(harness, entry(1, kind="big", state=api.EndpointState.REMOVED))
-    harness.arrive("homeless", "bound")
-    assert not harness.sends("homeless")
-    assert harness.answers("homeless")
+    harness.arrive("unplaced", "bound")
+    assert not harness.sends("unplaced")
+    assert harness.answers("unplaced")
--- a/tests/decisions/test_event_orders.py
+++ b/tests/decisions/test_event_orders.py
@@ -1,4 +1,4 @@
-"""Orders of events, exhaustively: a request keeps the rules of its deployment in each of them."""
+"""Exhaustive orders of events: a request must keep the rules of its deployment in each of them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from ..support.deployments import ALL
 from .dispatcher_harness import DispatcherHarness
-from .occurrences import Occurrence, let_happen
+from .occurrences import Occurrence, apply_occurrence
 
 EventOrder = tuple[Occurrence, ...]
 
-#: Tried in every order; at its review the attempt is cancelled.
+#: These are tried in every order. The review of an attempt cancels it.
 PERMUTED = (
     Occurrence.DEADLINE_PASSED,
     Occurrence.ATTEMPT_REVIEWED,
@@ -36,29 +36,29 @@
     Occurrence.PROGRESS,
     Occurrence.CONNECTION_RESET,
     Occurrence.PROTOCOL_ERROR,
-    Occurrence.SOCKET_JAMMED,
+    Occurrence.SOCKET_BLOCKED,
 )
-#: After these even a request that must not run twice may be dispatched again.
+#: After these even a non-idempotent request may be dispatched again.
 NEVER_EXECUTED = {
     Occurrence.OVERLOADED,
-    Occurrence.SOCKET_JAMMED,
+    Occurrence.SOCKET_BLOCKED,
     Occurrence.ENGINES_DRAINING,
 }
 
 
 def orders_of_events(deployment: str) -> Iterator[EventOrder]:
-    """Yield all orders for one deployment in full, and shorter ones for the others."""
-    is_tried_in_full = deployment == "warehouse"
-    yield from itertools.product(REPEATABLE, repeat=3 if is_tried_in_full else 2)
-    yield from itertools.permutations(PERMUTED, len(PERMUTED) if is_tried_in_full else 3)
+    """Yield full-length orders for one deployment, and shorter orders for the others."""
+    is_exhaustive = deployment == "warehouse"
+    yield from itertools.product(REPEATABLE, repeat=3 if is_exhaustive else 2)
+    yield from itertools.permutations(PERMUTED, len(PERMUTED) if is_exhaustive else 3)
 
 
-def assert_rules_hold(
+def assert_contract_holds(
     harness: DispatcherHarness, order: EventOrder, limits: dict[str, Any], effect: str
 ) -> None:
     may_hedge = limits["second_copies"] and effect == "read_like"
     answers = harness.client.answers
-    assert harness.most_in_flight <= (2 if may_hedge else 1), order
+    assert harness.max_in_flight <= (2 if may_hedge else 1), order
     assert harness.dispatch_count <= limits["send_cap"], order
     assert len(answers) <= 1, order
     assert answers or Occurrence.CLIENT_LEFT in order, order
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("name", ALL)
 @pytest.mark.parametrize("route", ["glance", "load"])
-def test_no_order_of_events_breaks_a_rule(
+def test_requests_keep_the_contract_in_every_order_of_events(
     name: str, route: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     settings = ALL[name]
@@ -80,6 +80,6 @@
         harness = DispatcherHarness(settings, monkeypatch)
         harness.submit(route)
         for occurrence in order:
-            let_happen(harness, occurrence)
-        harness.let_all_end()
-        assert_rules_hold(harness, order, settings["policy_limits"], request_class["effect"])
+            apply_occurrence(harness, occurrence)
+        harness.run_until_idle()
+        assert_contract_holds(harness, order, settings["policy_limits"], request_class["effect"])
--- a/tests/decisions/test_final_answers.py
+++ b/tests/decisions/test_final_answers.py
@@ -8,7 +8,7 @@
 from .harness_steps import non_idempotent_harness
 
 
-def test_hanging_attempt_is_answered_before_its_deadline() -> None:
+def test_request_with_a_hanging_attempt_is_answered_before_its_deadline() -> None:
     harness = non_idempotent_harness(entry(1))
     harness.arrive("r", patience=2 * S)
     start = harness.now
--- a/tests/decisions/test_fuzzy_control.py
+++ b/tests/decisions/test_fuzzy_control.py
@@ -1,4 +1,4 @@
-"""The fuzzy step against the paper, and the bound of an endpoint that it moves."""
+"""The fuzzy step compared with the paper, and its effect on the bound of an endpoint."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 """
 
 
-def test_rule_base_is_table_2_of_the_paper() -> None:
+def test_output_levels_match_table_2_of_the_paper() -> None:
     rows = [line.split() for line in TABLE_2.strip().splitlines()]
     for error, row in enumerate(rows):
         for change, name in enumerate(row):
@@ -33,7 +33,7 @@
             assert NAMES[level + 4] == name, (NAMES[error], NAMES[change])
 
 
-def test_step_is_that_of_the_papers_example() -> None:
+def test_step_matches_the_example_of_the_paper() -> None:
     """Section 5.1: e = -0.2 s and change = -0.4 s over +-1 s give -57.15, centres up to 100."""
     assert dict(memberships(-0.2, 4)) == pytest.approx({-1: 0.8, 0: 0.2})
     assert dict(memberships(-0.4, 4)) == pytest.approx({-2: 0.6, -1: 0.4})
@@ -53,45 +53,45 @@
 
 def test_bound_is_clamped_and_steps_as_designed() -> None:
     harness = one_engine_harness()
-    engine = harness.controller.endpoints[1]
+    endpoint = harness.controller.endpoints[1]
     latency_objective_ns = make_settings().classes[0].latency_objective_ns
     start = 2 * 4 * latency_objective_ns
-    assert engine.bound_ns == start
-    engine.bound_was_tested = True
-    engine.delays = [0.1]
+    assert endpoint.bound_ns == start
+    endpoint.bound_was_tested = True
+    endpoint.delays = [0.1]
     harness.pass_time(S)
     # PVL with ZE gives PL.
-    assert engine.bound_ns - start == pytest.approx(
+    assert endpoint.bound_ns - start == pytest.approx(
         start * CEILING_MULTIPLE * LARGEST_STEP_FRACTION * 3 / 4
     )
     for _ in range(20):
-        engine.bound_was_tested = True
-        engine.delays = [0.1]
+        endpoint.bound_was_tested = True
+        endpoint.delays = [0.1]
         harness.pass_time(S)
-    assert engine.bound_ns == CEILING_MULTIPLE * start
+    assert endpoint.bound_ns == CEILING_MULTIPLE * start
     for _ in range(40):
-        engine.bound_was_tested = True
-        engine.delays = [9.0]
+        endpoint.bound_was_tested = True
+        endpoint.delays = [9.0]
         harness.pass_time(S)
-    assert engine.bound_ns == 0.0
+    assert endpoint.bound_ns == 0.0
 
 
 @pytest.mark.parametrize("factor", [0.0, 4.0])
 def test_empty_period_moves_the_bound_toward_its_initial_value(factor: float) -> None:
     harness = one_engine_harness()
-    engine = harness.controller.endpoints[1]
-    start = engine.bound_ns
-    engine.bound_ns = factor * start
+    endpoint = harness.controller.endpoints[1]
+    start = endpoint.bound_ns
+    endpoint.bound_ns = factor * start
     harness.pass_time(S)
-    assert abs(engine.bound_ns - start) < abs(factor * start - start)
+    assert abs(endpoint.bound_ns - start) < abs(factor * start - start)
 
 
-def test_quiet_periods_do_not_wind_the_bound_up() -> None:
-    """Good delays without pressure would raise the bound to its ceiling before a traffic jump."""
+def test_low_delays_without_pressure_do_not_raise_the_bound() -> None:
+    """Otherwise the bound would be at its upper limit when a surge of requests begins."""
     harness = one_engine_harness()
-    engine = harness.controller.endpoints[1]
-    start = engine.bound_ns
+    endpoint = harness.controller.endpoints[1]
+    start = endpoint.bound_ns
     for _ in range(5):
-        engine.delays = [0.1]
+        endpoint.delays = [0.1]
         harness.pass_time(S)
-    assert engine.bound_ns == start
+    assert endpoint.bound_ns == start
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -1,4 +1,4 @@
-"""Outliers: engines that answer nothing, are out of reach, or fail; and what is no evidence."""
+"""Outlier detection: endpoints without answers, unreachable or failing, and faults of others."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
 
 
-def two_engines() -> Harness:
+def two_endpoint_harness() -> Harness:
     return Harness(make_settings(query_class(deadline_ns=60 * S)), entry(1), entry(2))
 
 
-def drive(harness: Harness, count: int, silent: int, prefix: str = "r") -> list[int]:
-    """Send queries 50 ms apart, which all engines but the silent one answer.
+def run_requests(
+    harness: Harness, count: int, silent_endpoint: int, prefix: str = "r"
+) -> list[int]:
+    """Send requests 50 ms apart, which all endpoints but the silent one answer.
 
     Returns the endpoint of each attempt.
     """
@@ -22,42 +24,42 @@
         harness.arrive(name, estimate_ns=40 * MS, patience=60 * S)
         for dispatch in harness.sends(name):
             endpoints.append(dispatch.endpoint)
-            if dispatch.endpoint != silent:
+            if dispatch.endpoint != silent_endpoint:
                 harness.end(name, api.AttemptResult.SERVED, latency=40 * MS)
         harness.pass_time(50 * MS)
     return endpoints
 
 
-def test_silent_engine_gets_single_trials_only() -> None:
-    """An engine takes work and answers nothing; were it not ejected, half of all work would go
-    there.
+def test_endpoint_without_answers_is_ejected_and_gets_few_trials() -> None:
+    """The endpoint accepts attempts and never answers; without ejection it would get half of all
+    requests.
     """
-    harness = two_engines()
-    drive(harness, 20, silent=1)
-    later = drive(harness, 100, silent=1, prefix="s")
+    harness = two_endpoint_harness()
+    run_requests(harness, 20, silent_endpoint=1)
+    later = run_requests(harness, 100, silent_endpoint=1, prefix="s")
     assert harness.controller.endpoints[1].ejected
     assert later.count(1) <= 5
 
 
-def test_one_answer_readmits_an_ejected_engine() -> None:
-    harness = two_engines()
-    endpoints = drive(harness, 40, silent=1)
+def test_one_answer_readmits_an_ejected_endpoint() -> None:
+    harness = two_endpoint_harness()
+    endpoints = run_requests(harness, 40, silent_endpoint=1)
     assert harness.controller.endpoints[1].ejected
     harness.end(f"r{endpoints.index(1)}", api.AttemptResult.SERVED, latency=2 * S)
     assert not harness.controller.endpoints[1].ejected
 
 
-def test_request_is_dispatched_even_if_all_engines_are_ejected() -> None:
-    harness = two_engines()
-    for engine in harness.controller.endpoints.values():
-        engine.ejected = True
-        engine.next_trial_ns = harness.now + 99 * S
+def test_request_is_dispatched_even_if_all_endpoints_are_ejected() -> None:
+    harness = two_endpoint_harness()
+    for endpoint in harness.controller.endpoints.values():
+        endpoint.ejected = True
+        endpoint.next_trial_ns = harness.now + 99 * S
     harness.arrive("r", estimate_ns=MS)
     assert harness.sends("r")
 
 
-def test_refused_connection_ejects_an_engine_at_once() -> None:
-    harness = two_engines()
+def test_refused_connection_ejects_an_endpoint_at_once() -> None:
+    harness = two_endpoint_harness()
     harness.arrive("r", estimate_ns=40 * MS)
     harness.end("r", api.AttemptResult.CONNECT_FAILED)
     first, second = (dispatch.endpoint for dispatch in harness.sends("r"))
@@ -65,8 +67,8 @@
     assert harness.controller.endpoints[first].ejected
 
 
-def test_one_reset_ejects_no_engine_a_second_soon_after_does() -> None:
-    """Connections are reset for many reasons; each would cost the pool an engine for a second."""
+def test_second_reset_ejects_an_endpoint_and_the_first_does_not() -> None:
+    """Connections are reset for many reasons; each reset would cost an endpoint for a second."""
     harness = Harness(make_settings(), entry(1))
     harness.arrive("a", estimate_ns=40 * MS)
     harness.arrive("b", estimate_ns=40 * MS)
@@ -76,11 +78,11 @@
     assert harness.controller.endpoints[1].ejected
 
 
-def test_errors_lower_an_engines_part_and_eject_none() -> None:
-    """An engine that fails fast looks idle and would get nearly all; were it ejected, its good
-    half would be lost.
+def test_errors_lower_the_share_of_an_endpoint_without_ejecting_it() -> None:
+    """An endpoint that fails fast looks idle and would get nearly all requests. If it were ejected,
+    the capacity for the requests that it serves would be lost.
     """
-    harness = two_engines()
+    harness = two_endpoint_harness()
     bad = harness.controller.endpoints[1]
     for index in range(200):
         harness.arrive(f"r{index}", estimate_ns=40 * MS)
@@ -88,7 +90,7 @@
         harness.end(f"r{index}", api.AttemptResult.ERROR if fails else api.AttemptResult.SERVED)
         if fails:
             endpoints = [dispatch.endpoint for dispatch in harness.sends(f"r{index}")]
-            assert endpoints == [1, 2]  # no attempt is retried where it failed
+            assert endpoints == [1, 2]  # no retry at the endpoint of the error
             harness.end(f"r{index}", api.AttemptResult.SERVED)
     first = [harness.sends(f"r{index}")[0].endpoint for index in range(100, 200)].count(1)
     assert 0 < first < 25
@@ -96,9 +98,9 @@
     assert not bad.ejected
 
 
-def test_request_that_no_engine_can_read_makes_none_look_worse_than_the_others() -> None:
-    """What a client sends and no engine can read would make every engine look as if it failed."""
-    harness = two_engines()
+def test_requests_that_every_endpoint_fails_leave_their_error_rates_equal() -> None:
+    """Requests that no engine can read would make every endpoint look faulty."""
+    harness = two_endpoint_harness()
     for index in range(20):
         harness.arrive(f"bad{index}", estimate_ns=40 * MS)
         while not harness.answers(f"bad{index}"):
@@ -109,19 +111,19 @@
     assert abs(one.error_rate - other.error_rate) < 1e-9
 
 
-def test_non_idempotent_work_avoids_an_engine_that_fails() -> None:
-    """What fails there may have run and is lost, where idempotent work is retried elsewhere."""
+def test_non_idempotent_requests_avoid_a_failing_endpoint_more_than_others() -> None:
+    """A failed non-idempotent request is lost, while an idempotent one is retried elsewhere."""
     load = query_class("load", effect=api.Effect.NON_IDEMPOTENT)
     harness = Harness(make_settings(query_class(), load), entry(1), entry(2))
     harness.controller.endpoints[1].error_rate = 0.5
-    dispatches_to_failing = {"short": 0, "load": 0}
+    dispatch_counts = {"short": 0, "load": 0}
     for name in ("short", "load"):
         for index in range(300):
             harness.arrive(f"{name}{index}", name, estimate_ns=10 * MS)
-            is_to_failing = harness.sends(f"{name}{index}")[0].endpoint == 1
-            dispatches_to_failing[name] += is_to_failing
+            is_to_failing_endpoint = harness.sends(f"{name}{index}")[0].endpoint == 1
+            dispatch_counts[name] += is_to_failing_endpoint
             harness.end(f"{name}{index}", api.AttemptResult.CANCELLED, finished=True)
-    assert dispatches_to_failing["load"] < dispatches_to_failing["short"] / 3
+    assert dispatch_counts["load"] < dispatch_counts["short"] / 3
 
 
 def means_and_timers(harness: Harness) -> tuple[float, float, int]:
@@ -134,11 +136,11 @@
     )
 
 
-def test_request_rejected_at_once_moves_no_mean_and_leaves_no_record() -> None:
-    """A client's estimate of 10^7 ms would move the mean work, and with it every bound, and
-    engines would be overloaded.
+def test_rejected_request_changes_no_mean_and_leaves_no_state() -> None:
+    """A client's estimate of 10^7 ms would raise the mean work and with it the bound of every
+    request, which would overload the endpoints.
     """
-    harness = two_engines()
+    harness = two_endpoint_harness()
     before = means_and_timers(harness)
     for index in range(50):
         harness.arrive(f"r{index}", estimate_ns=10_000 * S)
@@ -147,7 +149,7 @@
     assert not harness.controller.requests
 
 
-def test_records_of_data_sets_are_bounded() -> None:
+def test_state_per_data_set_is_bounded() -> None:
     load = query_class(is_load=True, deadline_ns=60 * S)
     harness = Harness(
         make_settings(load, query_class("reader", blocked_by_loads=True)), entry(1), entry(2)
@@ -159,7 +161,7 @@
     assert not harness.controller.affinity.loads_in_flight
 
 
-def test_non_idempotent_work_is_no_trial_of_an_ejected_engine() -> None:
+def test_non_idempotent_requests_are_no_trials_of_an_ejected_endpoint() -> None:
     harness = Harness(
         make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), entry(1), entry(2)
     )
@@ -178,7 +180,7 @@
     assert harness.controller.endpoints[1].last_activity_ns == harness.now
 
 
-def test_no_attempt_is_cancelled_where_engines_do_not_honour_it() -> None:
+def test_no_attempt_is_cancelled_if_the_limits_forbid_cancellation() -> None:
     limits = api.Limits(cancellation=False, max_attempts=4)
     harness = Harness(make_settings(limits=limits), entry(1), entry(2))
     harness.arrive("r", estimate_ns=2 * S)
@@ -190,8 +192,8 @@
     assert not [order for _, order in harness.log if isinstance(order, api.CancelAttempt)]
 
 
-def test_key_queue_longer_than_the_latency_objective_is_rejected_at_once() -> None:
-    """A hot key's queue would make all of it late, and dispatch the last with no time left."""
+def test_request_whose_wait_for_its_key_exceeds_the_latency_objective_is_rejected() -> None:
+    """Otherwise all requests of a hot key would be late, and the last would have no time left."""
     harness = Harness(make_settings(query_class(ordered_by_key=True, deadline_ns=60 * S)), entry(1))
     for index in range(6):
         harness.arrive(f"r{index}", key="k", estimate_ns=200 * MS, patience=60 * S)
@@ -200,8 +202,8 @@
     assert isinstance(harness.answers("r5")[0], api.Reject)
 
 
-def test_full_engine_with_nothing_in_flight_from_here_is_tried_once_a_second() -> None:
-    """It would be tried and reject again without end, which feeds the overload."""
+def test_full_endpoint_without_backlog_is_tried_once_a_second() -> None:
+    """Otherwise it would get and reject requests without a pause, which adds to its overload."""
     harness = Harness(make_settings(), entry(1))
     for index in range(50):
         harness.arrive(f"r{index}", estimate_ns=MS)
--- a/tests/decisions/test_hedges.py
+++ b/tests/decisions/test_hedges.py
@@ -1,8 +1,9 @@
-"""Hedges: where the second attempt of a late request goes.
+"""Hedges: the endpoint of the second attempt of a late request.
 
-Where all other engines are excluded, the second attempt goes to the engine that runs the first. The
-engine knows both by the request's id alone; a result in pages is then answered as an error. Known
-and not mended: to leave such engines out in the decisions costs 0.06 on the simulator's days.
+Known fault: if no other endpoint is eligible, the hedge goes to the engine that runs the first
+attempt. The engine identifies both attempts by the id of the request alone, so that a result in
+pages is answered as an error. To exclude this endpoint in the decisions costs 0.06 on the
+simulator's days, so it is not done.
 """
 
 from __future__ import annotations
--- a/tests/decisions/test_idempotency_keys.py
+++ b/tests/decisions/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: their spelling to the engine, their uniqueness, and how long they protect."""
+"""Idempotency keys: forwarding to the engine, uniqueness, and the idempotency window."""
 
 from __future__ import annotations
 
@@ -35,8 +35,10 @@
     }
 
 
-def test_an_open_id_with_another_key_is_unusable(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The engine would take it for the open one, and drop it or answer both with one result."""
+def test_request_with_the_id_of_an_open_request_and_another_key_is_invalid(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The engine would confuse the two requests, and drop one or answer both with one result."""
     harness = DispatcherHarness(deployments.WAREHOUSE, monkeypatch)
     harness.submit("load")
     other = harness.parsed_request("load", idempotency_key="f" * 32)
@@ -48,14 +50,16 @@
 @pytest.mark.parametrize(
     ("part", "sends"), [(0.5, 2), (1.0, 1), (1.2, 1)], ids=["within", "at its end", "after"]
 )
-def test_no_keyed_attempt_after_its_window(name: str, part: float, sends: int) -> None:
-    """Past the window no engine knows the key, and the load would run twice."""
+def test_no_retry_with_a_key_after_the_idempotency_window(
+    name: str, part: float, sends: int
+) -> None:
+    """After the window no engine remembers the key, and the load would run twice."""
     settings = parse_settings(ALL[name])
     load_class = next(entry for entry in settings.classes if entry.name == "load")
     window_ns = load_class.idempotency_window_ns
     harness = Harness(settings, *(entry(number, zone="east") for number in (1, 2, 3)))
     harness.arrive("r", "load", 10 * window_ns, estimate_ns=MS, tenant="acme")
-    # Its timers don't fire: nothing else ends the first attempt.
+    # No timer fires, so that nothing else ends the first attempt.
     harness.now += int(part * window_ns)
     harness.end("r", AttemptResult.ERROR)
     assert len(harness.sends("r")) == sends
--- a/tests/decisions/test_key_order.py
+++ b/tests/decisions/test_key_order.py
@@ -1,4 +1,4 @@
-"""Requests of one ordering key run one at a time, in the order admitted."""
+"""Requests with one ordering key run one at a time, in the order of arrival."""
 
 from __future__ import annotations
 
@@ -39,7 +39,9 @@
 @pytest.mark.parametrize(
     "result", [api.AttemptResult.TIMEOUT, api.AttemptResult.RESET, api.AttemptResult.CANCELLED]
 )
-def test_abandoned_request_blocks_its_key_until_outcome_and_rest(result: api.AttemptResult) -> None:
+def test_abandoned_request_blocks_its_key_until_its_outcome_and_the_cooldown(
+    result: api.AttemptResult,
+) -> None:
     harness = ordered_harness()
     harness.arrive("a", key="k")
     harness.arrive("b", key="k")
@@ -53,7 +55,7 @@
     assert harness.sends("b")
 
 
-def test_a_key_left_empty_still_rests() -> None:
+def test_cooldown_also_applies_to_a_key_without_queued_requests() -> None:
     harness = ordered_harness()
     harness.arrive("a", key="k")
     harness.do(api.RequestAbandoned("a"))
@@ -65,7 +67,7 @@
 
 
 def test_a_long_key_queue_is_rejected_without_deep_recursion() -> None:
-    """With hundreds queued behind one key and then no engine left, each rejection leads to the
+    """With hundreds of queued requests of a key and no endpoint left, each rejection leads to the
     next one.
     """
     harness = Harness(
@@ -85,15 +87,15 @@
     )
 
 
-def test_eligibility_itself_keeps_the_order() -> None:
-    """The queue serves its head only; the check of eligibility must reject the others whoever
-    calls it.
+def test_only_the_oldest_request_of_a_key_is_eligible() -> None:
+    """Admission dispatches only the oldest request of a key, but the check of eligibility must not
+    depend on its caller.
     """
     harness = ordered_harness()
     harness.arrive("a", key="k")
     harness.arrive("b", key="k")
     second = harness.controller.requests["b"]
-    engine = harness.controller.endpoints[2]
-    assert not harness.controller.selector.eligibility.allows(harness.now, second, engine)
+    endpoint = harness.controller.endpoints[2]
+    assert not harness.controller.selector.eligibility.allows(harness.now, second, endpoint)
     harness.end("a", api.AttemptResult.SERVED)
     assert len(harness.sends("b")) == 1
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal event sequences against a ledger of what was dispatched, with no engines."""
+"""Random valid sequences of events, checked by a ledger of the orders, without engines."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def own_settings() -> api.Settings:
-    """Strict order, placement and a budget, with short times."""
+    """Return settings with ordering by key, placement and a retry budget, and short durations."""
     base = make_settings(*CLASSES)
     contract = dataclasses.replace(
         base.contract, retry_budget_window_ns=2 * S, retry_budget_free=2.0, retry_budget_ratio=0.2
@@ -62,7 +62,7 @@
 )
 
 
-# On this day a retry with an idempotency key would leave after its window (commit fa8de10).
+# With these steps a retry with an idempotency key left after its window (commit fa8de10).
 DAY_WITH_A_LATE_RETRY: list[tuple[object, ...]] = [
     ("arrive", 1, "k", 1026),
     ("end", 0, api.AttemptResult.FULL, 1),
--- a/tests/decisions/test_repeated_execution.py
+++ b/tests/decisions/test_repeated_execution.py
@@ -1,4 +1,4 @@
-"""No effect happens twice, and retries stay within their budget."""
+"""No request has a double effect, and retries stay within their budget."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         api.AttemptResult.CANCELLED,
     ],
 )
-def test_non_idempotent_work_that_may_have_run_is_failed(result: api.AttemptResult) -> None:
+def test_non_idempotent_request_that_may_have_run_fails(result: api.AttemptResult) -> None:
     harness = non_idempotent_harness(entry(1), entry(2))
     harness.arrive("r")
     harness.end("r", result)
@@ -35,33 +35,33 @@
 @pytest.mark.parametrize(
     "result", [api.AttemptResult.FULL, api.AttemptResult.CONNECT_FAILED, api.AttemptResult.NOT_SENT]
 )
-def test_non_idempotent_work_that_never_ran_is_retried(result: api.AttemptResult) -> None:
+def test_non_idempotent_request_that_did_not_run_is_retried(result: api.AttemptResult) -> None:
     harness = non_idempotent_harness(entry(1), entry(2))
     harness.arrive("r")
     harness.end("r", result)
     assert len(harness.sends("r")) == 2
 
 
-def test_non_idempotent_work_is_rejected_only_when_nothing_ran() -> None:
+def test_non_idempotent_request_without_an_attempt_is_rejected() -> None:
     harness = non_idempotent_harness()
     harness.arrive("r")
     assert isinstance(harness.answers("r")[0], api.Reject)
 
 
-def test_keyed_retry_only_within_the_window_of_the_first_dispatch() -> None:
+def test_retry_with_a_key_is_dispatched_only_within_the_window_of_the_first_attempt() -> None:
     harness = Harness(make_settings(query_class(**KEYED)), entry(1), entry(2))
     harness.arrive("early")
     harness.now += S
     harness.end("early", api.AttemptResult.ERROR)
     assert len(harness.sends("early")) == 2
-    harness.now += 2 * S + 500 * MS  # counted from the first send, not the last
+    harness.now += 2 * S + 500 * MS  # the window is counted from the first dispatch, not the last
     harness.end("early", api.AttemptResult.ERROR)
     assert len(harness.sends("early")) == 2
     assert isinstance(harness.answers("early")[0], api.Reject)
 
 
 @pytest.mark.parametrize("scope", [api.IdempotencyScope.ZONE, api.IdempotencyScope.CELL])
-def test_keyed_retry_stays_in_its_scope(scope: api.IdempotencyScope) -> None:
+def test_retry_with_a_key_stays_in_its_idempotency_scope(scope: api.IdempotencyScope) -> None:
     harness = Harness(
         make_settings(query_class(idempotency_scope=scope, **KEYED)), entry(1, zone="a", cell=1)
     )
@@ -70,11 +70,11 @@
     change_list(harness, entry(1, cell=1, state=api.EndpointState.DRAINING))
     harness.end("r", api.AttemptResult.ERROR)
     assert len(harness.sends("r")) == 1
-    # A rejection is only allowed where the scope is all.
+    # A rejection is only allowed with the scope ALL.
     assert isinstance(harness.answers("r")[0], api.Fail)
 
 
-def test_never_two_attempts_at_once_without_hedging() -> None:
+def test_no_two_attempts_run_at_once_without_hedging() -> None:
     harness = Harness(make_settings(), entry(1), entry(2))
     harness.arrive("r", estimate_ns=10 * MS)
     harness.pass_time(4 * S)
@@ -84,7 +84,7 @@
     assert len(harness.sends("r")) == 2
 
 
-def test_retry_budget_over_its_window() -> None:
+def test_retries_stay_within_the_budget_of_a_window() -> None:
     settings = make_settings()
     contract = dataclasses.replace(
         settings.contract,
--- a/tests/decisions/test_settings_bounds.py
+++ b/tests/decisions/test_settings_bounds.py
@@ -1,4 +1,4 @@
-"""Impossible settings name their key; a request without an estimate has a default."""
+"""Errors of invalid settings name the key; a request without an estimate has a default."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     ],
     ids=["no class", "no broker", "no tick", "no cores"],
 )
-def test_impossible_settings_name_their_key(key: str, change: dict[str, object]) -> None:
+def test_error_of_invalid_settings_names_the_key(key: str, change: dict[str, object]) -> None:
     with pytest.raises(ValueError, match=key):
         dataclasses.replace(make_settings(), **change)  # type: ignore[arg-type]
 
 
-def test_impossible_class_names_its_key() -> None:
+def test_error_of_an_invalid_class_names_the_key() -> None:
     with pytest.raises(ValueError, match="deadline"):
         query_class(deadline_ns=0)
 
--- a/tests/decisions/test_stalls.py
+++ b/tests/decisions/test_stalls.py
@@ -1,10 +1,9 @@
-"""Stalls of this process: its timers are due before the answers that came meanwhile are read.
+"""Stalls of this process: its timers fire before it reads the answers that came meanwhile.
 
-`test_half_of_them_killed_in_the_ramp_and_a_paused_one_that_wakes_all_get_there` failed now and then
-on a busy machine: one of 30 lookups was rejected. With a broker paused for 1.3 s among 30 lookups
-the trace shows why: `outcome ... CANCELLED`, then `reject ... attempts=1`, of lookups whose answers
-lay unread. They had been dispatched over a second ago, so that the review of overdue attempts
-cancelled them at the first tick, and there is no retry under pressure.
+After a pause of 1.3 s the first tick reviewed attempts that were over a second old and cancelled
+them, although their answers were waiting in the sockets. Under pressure there is no retry, so that
+some requests were rejected: one of 30 lookups in
+`test_half_of_them_killed_in_the_ramp_and_a_paused_one_that_wakes_all_get_there`.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 def stalled_harness() -> Harness:
-    """Return a broker that stood still with a request in flight, and has fired its timers since."""
+    """Return a broker that stalled with a request in flight and has fired its due timers."""
     harness = Harness(make_settings(query_class()), entry(1), entry(2))
     harness.arrive("a", estimate_ns=2 * MS)
     assert len(harness.sends("a")) == 1
@@ -29,31 +28,31 @@
     return harness
 
 
-def cancels(harness: Harness) -> list[api.CancelAttempt]:
+def cancel_orders(harness: Harness) -> list[api.CancelAttempt]:
     return [order for _, order in harness.log if isinstance(order, api.CancelAttempt)]
 
 
 def test_an_answer_that_came_during_a_stall_is_read_before_its_attempt_is_cancelled() -> None:
     harness = stalled_harness()
-    assert not cancels(harness)
+    assert not cancel_orders(harness)
     harness.end("a", api.AttemptResult.SERVED, latency=STALL_NS)
     harness.pass_time(10 * TICK)
-    assert not cancels(harness)
+    assert not cancel_orders(harness)
     assert len(harness.sends("a")) == 1
 
 
 def test_an_attempt_without_an_answer_is_cancelled_soon_after_the_stall() -> None:
     harness = stalled_harness()
     harness.pass_time(2 * TICK)
-    assert [order.request_id for order in cancels(harness)] == ["a"]
+    assert [order.request_id for order in cancel_orders(harness)] == ["a"]
 
 
-def test_nothing_is_learned_from_an_answer_that_waited_out_a_stall() -> None:
-    """A paused broker took the pause for the cost of its requests, and rejected what followed.
+def test_nothing_is_learned_from_an_answer_that_a_stall_delayed() -> None:
+    """A paused broker counted the pause as run time of its requests, and rejected later ones.
 
-    With lookups of 2 ms and pauses of 0.35 s the trace shows `work=2000000` rise to
-    `work=19461363` over 60 rounds, and up to 14 of 30 lookups rejected without an attempt. Only an
-    answer reported in the very event that showed the stall was left out, and that event is a timer.
+    With lookups of 2 ms and pauses of 0.35 s the estimated work rose from 2000000 ns to 19461363 ns
+    over 60 rounds, and up to 14 of 30 lookups were rejected without an attempt. The cause: only an
+    answer in the event that showed the stall was ignored, but that event is always a timer.
     """
     harness = stalled_harness()
     statistics = harness.controller.admission.classes.by_name["short"]
@@ -66,4 +65,4 @@
     harness.arrive("b", estimate_ns=2 * MS)
     harness.now += 40 * MS
     harness.end("b", api.AttemptResult.SERVED, latency=40 * MS)
-    assert statistics.slowdown > 1.0  # it learns again
+    assert statistics.slowdown > 1.0  # learning continues after the stall
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-written transcripts of the simulator's wire."""
+"""The simulator adapter, run on hand-written input in the simulator's wire format."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
 
 
 def batch(number: int, body: str = "", clock_ns: int = S) -> str:
-    """Return the lines of a batch; the wire calls it a frame."""
+    """Return the lines of a batch, which the wire format calls a frame."""
     return f"TURN\tclock={clock_ns}\tframe={number}\n{body}FLUSH\n"
 
 
 def run_adapter(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
-    """Run the adapter on this input to its end."""
+    """Run the adapter on this input until it exits."""
     return subprocess.run(
         [sys.executable, "-m", "query_broker.simulator_adapter"],
         input=text,
@@ -89,14 +89,14 @@
     assert lines[-1] == "READY\tframe=4"
 
 
-def test_the_actions_are_the_same_whatever_the_hash_seed() -> None:
+def test_the_output_does_not_depend_on_the_hash_seed() -> None:
     text = batch(1, BEGIN + ENDPOINT_LIST) + "".join(
         batch(number, ARRIVAL.replace("r-1", f"r-{number}")) for number in range(2, 40)
     )
     assert run_adapter(text, "1").stdout == run_adapter(text, "2").stdout
 
 
-def test_a_crash_forgets_the_instance() -> None:
+def test_a_crash_removes_the_instance() -> None:
     process = run_adapter(
         batch(1, BEGIN + ENDPOINT_LIST) + batch(2, "CRASH_NOW\ti=gateway/0\n") + batch(3, ARRIVAL)
     )
@@ -124,7 +124,7 @@
         "settings cut",
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(body: str, reason: str) -> None:
+def test_malformed_input_ends_with_a_one_line_error(body: str, reason: str) -> None:
     process = run_adapter(batch(7, body))
     assert process.returncode == 2
     assert len(process.stderr.splitlines()) == 1
@@ -136,7 +136,7 @@
     assert run_adapter("TURN\tclock=1\tframe=1\n").returncode == 2
 
 
-def test_a_fault_of_the_decisions_is_declared() -> None:
+def test_an_error_in_the_decisions_is_reported_as_a_bug() -> None:
     process = run_adapter(
         batch(1, BEGIN + ENDPOINT_LIST + ARRIVAL.replace("kind=short", "kind=unheard"))
     )
@@ -145,8 +145,8 @@
     assert "Traceback" in process.stderr
 
 
-def test_each_error_of_the_decisions_goes_by_its_built_in_type() -> None:
-    """Prevents: a typed error changes the line that the simulator reads."""
+def test_each_error_of_the_decisions_is_reported_under_its_built_in_type() -> None:
+    """The simulator reads the names of the built-in types, not those of the project's errors."""
     typed = {
         error
         for error in vars(decisions).values()
