--- a/query_broker/decisions/admission.py
+++ b/query_broker/decisions/admission.py
@@ -120,7 +120,7 @@
         """Order the final answer of a request without a served attempt, unless it has an answer.
 
         The request is rejected if its client may send it again without a double effect; otherwise
-        it fails. Attempts in flight are cancelled.
+        it fails.
         """
         if request.finished:
             return
@@ -131,7 +131,10 @@
         self.end_request(now_ns, request)
 
     def end_request(self, now_ns: int, request: Request) -> None:
-        """End a request that has been answered or abandoned; cancel its attempts in flight."""
+        """End a request that has been answered or abandoned.
+
+        Its attempts in flight are cancelled if the limits allow cancellation.
+        """
         if request.finished:
             return
         request.finished = True
@@ -211,5 +214,5 @@
     spec = request.spec
     if not request.maybe_executed or spec.effect is Effect.IDEMPOTENT:
         return True
-    is_known_everywhere = spec.idempotency_scope is IdempotencyScope.ALL
-    return spec.effect is Effect.IDEMPOTENCY_KEY and is_known_everywhere
+    keys_are_shared_by_all = spec.idempotency_scope is IdempotencyScope.ALL
+    return spec.effect is Effect.IDEMPOTENCY_KEY and keys_are_shared_by_all
--- a/query_broker/decisions/concurrency_limit.py
+++ b/query_broker/decisions/concurrency_limit.py
@@ -19,9 +19,9 @@
 # Half width of the fuzzy universe of the error, in latency objectives; from the design page.
 ERROR_HALF_WIDTH = 0.5
 # Upper limit of the bound, as a multiple of the initial bound; from the design page.
-CEILING_MULTIPLE = 4
+MAX_BOUND_MULTIPLE = 4
 # Largest step of one period, as a fraction of that upper limit; from the design page.
-LARGEST_STEP_FRACTION = 1 / 8
+MAX_STEP_FRACTION = 1 / 8
 # In a period without feedback the bound moves this fraction of the way back to the initial bound.
 EMPTY_PERIOD_STEP_FRACTION = 1 / 8
 # A slowdown above this multiple of the best slowdown counts as pressure.
@@ -138,11 +138,11 @@
     def _step(self) -> None:
         error = self.delay_objective - sum(self.delays) / len(self.delays)
         change = 0.0 if self.last_error is None else error - self.last_error
-        largest_step = LARGEST_STEP_FRACTION * CEILING_MULTIPLE * self.initial_bound_ns
+        max_step = MAX_STEP_FRACTION * MAX_BOUND_MULTIPLE * self.initial_bound_ns
         bound = self.bound_ns + fuzzy_step(
-            error / ERROR_HALF_WIDTH, change / ERROR_HALF_WIDTH, largest_step
+            error / ERROR_HALF_WIDTH, change / ERROR_HALF_WIDTH, max_step
         )
-        self.bound_ns = max(0.0, min(CEILING_MULTIPLE * self.initial_bound_ns, bound))
+        self.bound_ns = max(0.0, min(MAX_BOUND_MULTIPLE * self.initial_bound_ns, bound))
         self.last_error = error
 
 
--- a/query_broker/decisions/fuzzy_control.py
+++ b/query_broker/decisions/fuzzy_control.py
@@ -51,7 +51,7 @@
     return max(-LARGE_LEVEL, min(LARGE_LEVEL, total))
 
 
-def fuzzy_step(error: float, change: float, largest_step: float) -> float:
+def fuzzy_step(error: float, change: float, max_step: float) -> float:
     """Return the change of the bound for one period.
 
     The strength of a rule is the minimum of its degrees; the result is the centre of gravity.
@@ -59,13 +59,13 @@
     Args:
         error: Target delay minus measured delay, in half widths of the fuzzy universe.
         change: The error minus that of the previous period, in the same unit.
-        largest_step: The step at the level "positive very large"; the result has the same unit.
+        max_step: The step at the level "positive very large"; the result has the same unit.
     """
     weighted_sum = 0.0
     total_strength = 0.0
     for error_level, error_degree in memberships(error, MAX_LEVEL):
         for change_level, change_degree in memberships(change, MAX_LEVEL):
-            centre = output_level(error_level, change_level) / MAX_LEVEL * largest_step
+            centre = output_level(error_level, change_level) / MAX_LEVEL * max_step
             strength = min(error_degree, change_degree)
             weighted_sum += centre * strength
             total_strength += strength
--- a/query_broker/decisions/settings.py
+++ b/query_broker/decisions/settings.py
@@ -205,7 +205,7 @@
         tick_ns: Resolution of timers.
         broker_index: Index of this broker in the fleet, from 0.
         zone: Zone of this broker.
-        contract: The parameters of the rules.
+        contract: The parameters of the contract.
         limits: What a broker may do.
         tenants: Tenants with a quota; other tenants have no limit.
         kind_cores: Cores of an endpoint by kind; for other kinds its weight in the list counts.
--- a/tests/decisions/harness_steps.py
+++ b/tests/decisions/harness_steps.py
@@ -17,6 +17,6 @@
     return Harness(make_settings(query_class(effect=api.Effect.NON_IDEMPOTENT)), *entries)
 
 
-def one_engine_harness(**changes: object) -> Harness:
+def one_endpoint_harness(**changes: object) -> Harness:
     """Return a harness with one endpoint."""
     return Harness(make_settings(**changes), entry(1))
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -7,12 +7,12 @@
 from query_broker import decisions as api
 
 from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
-from .harness_steps import one_engine_harness
+from .harness_steps import one_endpoint_harness
 
 
 @pytest.mark.parametrize("result", list(api.AttemptResult))
 def test_backlog_counts_the_work_of_each_attempt_once(result: api.AttemptResult) -> None:
-    harness = one_engine_harness()
+    harness = one_endpoint_harness()
     harness.arrive("r", estimate_ns=80 * MS)
     assert harness.backlog() == 80 * MS
     harness.end("r", result)
@@ -28,7 +28,7 @@
 
 
 def test_backlog_is_empty_after_an_abandoned_request_and_a_repeated_outcome() -> None:
-    harness = one_engine_harness()
+    harness = one_endpoint_harness()
     harness.arrive("r", estimate_ns=80 * MS)
     actions = harness.do(api.RequestAbandoned("r"))
     assert api.CancelAttempt("r", 0) in actions
@@ -44,7 +44,7 @@
 
 
 def test_request_that_does_not_fit_is_rejected_under_pressure_only() -> None:
-    harness = one_engine_harness()
+    harness = one_endpoint_harness()
     send_requests(harness, 6, estimate=100 * MS)
     endpoint = harness.controller.endpoints[1]
     endpoint.full_until_ns = harness.now + S
@@ -62,14 +62,14 @@
 
 def test_more_than_two_threads_in_flight_per_core_count_as_pressure() -> None:
     """Delays show an overload only after it has begun; the thread count shows it earlier."""
-    harness = one_engine_harness()
+    harness = one_endpoint_harness()
     send_requests(harness, 40, estimate=300 * MS)
     admitted = sum(1 for index in range(40) if harness.sends(f"c{index}"))
     assert 8 <= admitted < 16
 
 
 def test_request_is_admitted_at_an_idle_endpoint_regardless_of_the_bound() -> None:
-    harness = one_engine_harness()
+    harness = one_endpoint_harness()
     harness.controller.endpoints[1].bound_ns = 0.0
     harness.controller.endpoints[1].full_until_ns = harness.now + S
     harness.arrive("r", estimate_ns=60 * S, patience=99 * S)
@@ -93,7 +93,7 @@
     """With the latencies of an overload every request would seem to have more work and a longer
     latency objective, so that the bound would not limit the overload.
     """
-    harness = one_engine_harness()
+    harness = one_endpoint_harness()
     statistics = harness.controller.admission.classes.by_name["short"]
     send_requests(harness, 8, estimate=100 * MS)
     for index in range(8):
@@ -103,7 +103,7 @@
 
 
 def test_over_quota_traffic_is_rejected_first_under_pressure() -> None:
-    harness = one_engine_harness(tenants=(api.Tenant("x", 2.0), api.Tenant("y", 2.0)))
+    harness = one_endpoint_harness(tenants=(api.Tenant("x", 2.0), api.Tenant("y", 2.0)))
     endpoint = harness.controller.endpoints[1]
     for index in range(8):
         harness.arrive(f"x{index}", tenant="x", estimate_ns=200 * MS)
@@ -161,7 +161,7 @@
 
 def test_marked_retries_take_no_tokens_of_the_quota() -> None:
     """Retries of rejected requests would take the tokens of new requests within the quota."""
-    harness = one_engine_harness(tenants=(api.Tenant("x", 4.0),))
+    harness = one_endpoint_harness(tenants=(api.Tenant("x", 4.0),))
     for index in range(30):
         harness.arrive(f"again{index}", tenant="x", estimate_ns=MS, is_retry=True)
     harness.arrive("new", tenant="x", estimate_ns=MS)
--- a/tests/decisions/test_fuzzy_control.py
+++ b/tests/decisions/test_fuzzy_control.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from query_broker.decisions.concurrency_limit import CEILING_MULTIPLE, LARGEST_STEP_FRACTION
+from query_broker.decisions.concurrency_limit import MAX_BOUND_MULTIPLE, MAX_STEP_FRACTION
 from query_broker.decisions.fuzzy_control import fuzzy_step, memberships, output_level
 
 from ..support.helpers import S, make_settings
-from .harness_steps import one_engine_harness
+from .harness_steps import one_endpoint_harness
 
 NAMES = "NVL NL NM NS ZE PS PM PL PVL".split()
 
@@ -52,7 +52,7 @@
 
 
 def test_bound_is_clamped_and_steps_as_designed() -> None:
-    harness = one_engine_harness()
+    harness = one_endpoint_harness()
     endpoint = harness.controller.endpoints[1]
     latency_objective_ns = make_settings().classes[0].latency_objective_ns
     start = 2 * 4 * latency_objective_ns
@@ -62,13 +62,13 @@
     harness.pass_time(S)
     # PVL with ZE gives PL.
     assert endpoint.bound_ns - start == pytest.approx(
-        start * CEILING_MULTIPLE * LARGEST_STEP_FRACTION * 3 / 4
+        start * MAX_BOUND_MULTIPLE * MAX_STEP_FRACTION * 3 / 4
     )
     for _ in range(20):
         endpoint.bound_was_tested = True
         endpoint.delays = [0.1]
         harness.pass_time(S)
-    assert endpoint.bound_ns == CEILING_MULTIPLE * start
+    assert endpoint.bound_ns == MAX_BOUND_MULTIPLE * start
     for _ in range(40):
         endpoint.bound_was_tested = True
         endpoint.delays = [9.0]
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("factor", [0.0, 4.0])
 def test_empty_period_moves_the_bound_toward_its_initial_value(factor: float) -> None:
-    harness = one_engine_harness()
+    harness = one_endpoint_harness()
     endpoint = harness.controller.endpoints[1]
     start = endpoint.bound_ns
     endpoint.bound_ns = factor * start
@@ -88,7 +88,7 @@
 
 def test_low_delays_without_pressure_do_not_raise_the_bound() -> None:
     """Otherwise the bound would be at its upper limit when a surge of requests begins."""
-    harness = one_engine_harness()
+    harness = one_endpoint_harness()
     endpoint = harness.controller.endpoints[1]
     start = endpoint.bound_ns
     for _ in range(5):
