--- a/query_broker/dispatch/assembly.py
+++ b/query_broker/dispatch/assembly.py
@@ -1,4 +1,4 @@
-"""Assembly of the parts of one dispatcher."""
+"""Construction of the parts of one dispatcher."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class DispatchParts:
-    """Makes the parts of a dispatcher, each with the collaborators that it needs."""
+    """Creates the parts of a dispatcher and passes to each the other parts that it uses."""
 
     def __init__(
         self,
@@ -35,9 +35,9 @@
         extensions: DispatchExtensions,
         controls: DeadlineControls,
         metrics: Metrics,
-        numbers: Iterator[int],
+        id_sequence: Iterator[int],
     ) -> None:
-        """Make the parts; ``numbers`` is the sequence that request ids are drawn from too."""
+        """Create the parts; ``id_sequence`` also numbers the requests."""
         self.stage_timer = StageTimer(clock, timer_wheel, controls)
         self.outcomes = AttemptOutcomes(context, clock, timer_wheel, extensions, controls)
         self.attempts = AttemptDispatcher(context, timer_wheel, table, controls, self.outcomes)
@@ -46,7 +46,7 @@
             context, table, extensions, controls, self.outcomes
         )
         self.client_answers = ClientAnswers(context, table, extensions, self.cancellations)
-        self.health_checks = HealthChecks(context, clock, timer_wheel, extensions, numbers)
+        self.health_checks = HealthChecks(context, clock, timer_wheel, extensions, id_sequence)
         self.connection_events = ConnectionEvents(
             context=context,
             clock=clock,
--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of attempts to their endpoints, and their time-outs."""
+"""Dispatch of attempts to their endpoints, and their timeouts."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from .request_table import RequestTable
 from .requests import Attempt
 
-# Ticks before its deadline at which an attempt that has not left is withdrawn. The decisions give
-# the final answer one tick before the deadline, and the report takes a tick itself.
-WITHDRAW_TICKS = 3
+# An attempt of which no byte has been sent is withdrawn this many ticks before its deadline. The
+# decisions give the final answer one tick before the deadline, and the report takes another tick.
+WITHDRAWAL_LEAD_TICKS = 3
 
 
 class AttemptDispatcher:
-    """Carries out the orders to dispatch attempts, and ends those that run out of time."""
+    """Carries out the orders to dispatch attempts, and ends attempts at their deadlines."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         controls: DeadlineControls,
         outcomes: AttemptOutcomes,
     ) -> None:
-        """Take the collaborators."""
+        """Store the other parts that dispatching uses."""
         self._context = context
         self._timer_wheel = timer_wheel
         self._table = table
@@ -55,8 +55,8 @@
     def dispatch(self, now_ns: int, order: Dispatch) -> None:
         """Hand a new attempt to the connection pool of its endpoint.
 
-        Where that is not possible, its end is reported with the next tick: an order's failure must
-        not come before the order has been carried out.
+        If the attempt can't be handed over, its end is reported at the next tick: the decisions
+        must not receive the outcome of an order that is still being carried out.
         """
         request = self._table.by_id.get(order.request_id)
         if request is None:
@@ -74,13 +74,13 @@
             self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
             return
         budget = self._controls.retry_budget
-        if budget is not None and not self._is_within_budget(budget, attempt):
+        if budget is not None and not self._apply_retry_budget(budget, attempt):
             stop_counts = self._controls.statistics.stop_counts
             stop_counts[HandOver.POOL, StopReason.RETRY_BUDGET_EXHAUSTED] += 1
             self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
             return
         attempt.timer = self._timer_wheel.set_timer(
-            attempt.deadline_ns - WITHDRAW_TICKS * self._timer_wheel.tick_ns,
+            attempt.deadline_ns - WITHDRAWAL_LEAD_TICKS * self._timer_wheel.tick_ns,
             partial(self._withdraw_before_deadline, attempt),
         )
         pool = self._context.pools.get(order.endpoint)
@@ -89,10 +89,10 @@
         else:
             self._outcomes.end_next_tick(attempt, AttemptResult.CONNECT_FAILED)
 
-    def _is_within_budget(self, budget: RetryBudget, attempt: Attempt) -> bool:
-        """Spend a token on a retry, and limit the attempt's time; False where no token is left.
+    def _apply_retry_budget(self, budget: RetryBudget, attempt: Attempt) -> bool:
+        """Spend a token on a retry and limit the attempt's time; return False without a token.
 
-        A first attempt spends none; its time is cut short where the request may be retried.
+        A first attempt spends no token; its time is limited if the request may be retried.
         """
         request = attempt.request
         class_name = request.class_name.decode()
@@ -114,10 +114,10 @@
         return False
 
     def _withdraw_before_deadline(self, attempt: Attempt) -> None:
-        """Withdraw an attempt that has not left; else wait for its deadline.
+        """Withdraw an attempt of which no byte has been sent; else set a timer for its deadline.
 
         The decisions give the final answer a tick before the deadline. Without an earlier report
-        they would take an attempt that never left for one that may have run.
+        they would assume that the attempt may have run, although it was never sent.
         """
         if attempt.write_started:
             attempt.timer = self._timer_wheel.set_timer(
@@ -129,14 +129,14 @@
         self._outcomes.end(attempt, AttemptResult.CONNECT_FAILED)
 
     def _time_out(self, attempt: Attempt) -> None:
-        """End an attempt whose deadline has passed; cancel it where endpoints support that."""
-        if attempt.concluded:
-            return  # its report is deferred already
+        """End an attempt whose deadline has passed; cancel it if endpoints support cancellation."""
+        if attempt.stopped_by_broker:
+            return  # its report is already deferred
         connection = attempt.connection
         may_cancel = self._context.config.settings.limits.cancellation
         if connection is not None and not attempt.reported and may_cancel:
             self._outcomes.cancel_in_flight(attempt, connection)
-            attempt.concluded = True
+            attempt.stopped_by_broker = True
             self._outcomes.end_next_tick(attempt, AttemptResult.TIMEOUT)
         else:
             self._outcomes.end(attempt, AttemptResult.TIMEOUT)
--- a/query_broker/dispatch/attempt_outcomes.py
+++ b/query_broker/dispatch/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""How attempts end: each is reported to the decisions once, at once or with a later tick."""
+"""Reports of ended attempts to the decisions: one per attempt, immediate or at a later tick."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .requests import Attempt, AttemptConnection
 
 # How long a cancellation may take to reach an endpoint. The next attempt may use another connection
-# and overtake it, so that it leaves only after this time.
+# and overtake the cancellation, so the cancelled attempt is reported only after this time.
 CANCEL_TRANSIT_NS = 10 * NS_PER_MS
 
 
 class DeferredOutcome(NamedTuple):
-    """An attempt that has ended, with its report still to be made."""
+    """The result of an ended attempt that has not been reported yet."""
 
     attempt: Attempt
     result: AttemptResult
@@ -26,11 +26,11 @@
 class AttemptOutcomes:
     """Reports the end of attempts.
 
-    An outcome that an order itself causes is deferred to the next tick: it must not be reported
+    An outcome that an order causes directly is deferred to the next tick: it must not be reported
     before the order has been carried out.
 
     Attributes:
-        deferred: Outcomes to be reported with a later tick, in their order.
+        deferred: Outcomes to report at a later tick, in the order in which the attempts ended.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         extensions: DispatchExtensions,
         controls: DeadlineControls,
     ) -> None:
-        """Begin with nothing deferred."""
+        """Start without deferred outcomes."""
         self._context = context
         self._clock = clock
         self._timer_wheel = timer_wheel
@@ -50,7 +50,7 @@
         self.deferred: list[DeferredOutcome] = []
 
     def end(self, attempt: Attempt, result: AttemptResult, load: LoadReport | None = None) -> None:
-        """Report the end of an attempt now; nothing happens if it has been reported."""
+        """Report the end of an attempt now, unless it has already been reported."""
         if attempt.reported:
             return
         attempt.reported = True
@@ -59,7 +59,7 @@
         request = attempt.request
         request.attempts.pop(attempt.number, None)
         if attempt.holds_retry_token and not attempt.write_started:
-            self._refund(attempt)
+            self._refund_retry_token(attempt)
         for observer in self._extensions.observers:
             observer.attempt_ended(attempt.endpoint, result)
         latency_ns = (attempt.answered_ns or self._clock.now()) - attempt.dispatched_ns
@@ -76,37 +76,37 @@
         )
         self._context.release(request)
 
-    def _refund(self, attempt: Attempt) -> None:
-        """Give back the token of a retry that never left."""
+    def _refund_retry_token(self, attempt: Attempt) -> None:
+        """Return the retry budget's token of a retry that was never sent."""
         budget = self._controls.retry_budget
         if budget is not None:
             budget.refund(attempt.request.class_name.decode(), attempt.request.tenant)
 
     def end_next_tick(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Report the end of an attempt with the next tick."""
+        """Report the end of an attempt at the next tick."""
         self.deferred.append(DeferredOutcome(attempt, result))
         self._timer_wheel.wake_next_tick()
 
     def cancel_in_flight(self, attempt: Attempt, connection: AttemptConnection) -> None:
-        """Cancel an attempt at its endpoint; only where the settings allow cancellation."""
+        """Cancel an attempt at its endpoint; the settings must allow cancellation."""
         connection.cancel(attempt)
         self.delay_report(attempt)
         self._controls.statistics.cancels_sent += 1
 
     def delay_report(self, attempt: Attempt) -> None:
-        """Report the attempt only when its cancellation, or its connection's end, has arrived.
+        """Delay the report until the endpoint has the cancellation or the connection's end.
 
-        The next attempt may reach the endpoint first, on another connection. Where hedging is
-        allowed, two attempts may be in flight anyway, and nothing is delayed.
+        Otherwise the next attempt could reach the endpoint first, on another connection. Where
+        hedging is allowed, two attempts may be in flight anyway, and nothing is delayed.
         """
         if not self._context.config.settings.limits.hedging:
             attempt.report_after_ns = self._clock.now() + CANCEL_TRANSIT_NS
 
     def report_deferred(self) -> None:
-        """Report the deferred outcomes, except those that must still be delayed."""
+        """Report the deferred outcomes, except those whose delay has not passed."""
         now_ns = self._clock.now()
         delayed: list[DeferredOutcome] = []
-        while self.deferred:  # a report may lead to an order that defers another one
+        while self.deferred:  # a report may lead to an order that defers another outcome
             outcomes = self.deferred
             self.deferred = []
             for outcome in outcomes:
@@ -119,7 +119,7 @@
             self._timer_wheel.wake_next_tick()
 
     def _may_be_reported(self, attempt: Attempt, now_ns: int) -> bool:
-        """Return False while its cancellation is in transit: the report may start an attempt."""
+        """Return False while the cancellation is in transit: the report may start a new attempt."""
         connection = attempt.connection
         request_id = attempt.request.client_request_id
         if connection is not None and request_id in connection.cancels_in_transit:
--- a/query_broker/dispatch/cancellation.py
+++ b/query_broker/dispatch/cancellation.py
@@ -1,7 +1,7 @@
-"""Cancellation: attempts that are not wanted any more are stopped, withdrawn or cancelled.
+"""Cancellation: stops, withdraws or cancels attempts that are no longer wanted.
 
-`HandOverGate` stops attempts on their way to an endpoint. `RequestCancellation` ends all that is
-under way for a request that has been answered or abandoned.
+`HandOverGate` stops attempts on their way to an endpoint. `RequestCancellation` ends the attempts
+of a request that has been answered or abandoned.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from .request_table import RequestTable
 from .requests import ActiveRequest, Attempt
 
-# The stages that still lie before a request at each hand-over.
+# The stages that a request has not gone through yet at each hand-over.
 REMAINING_STAGES = {
     HandOver.POOL: (LatencyStage.CONNECT, LatencyStage.WRITE, LatencyStage.ENGINE),
     HandOver.CONNECTION: (LatencyStage.WRITE, LatencyStage.ENGINE),
@@ -37,7 +37,7 @@
 
 
 class HandOverGate:
-    """Decides at each hand-over whether an attempt still goes on to its endpoint."""
+    """Checks at each hand-over whether an attempt may proceed to its endpoint."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         controls: DeadlineControls,
         outcomes: AttemptOutcomes,
     ) -> None:
-        """Take the collaborators."""
+        """Store the other parts that the checks use."""
         self._clock = clock
         self._endpoints = endpoints
         self._administrative_states = administrative_states
@@ -55,15 +55,15 @@
         self._outcomes = outcomes
 
     def may_proceed(self, attempt: Attempt, hand_over: HandOver) -> bool:
-        """Return whether the attempt goes on; if not, it is reported as not sent at the next tick.
+        """Return whether the attempt proceeds; else report it as not sent at the next tick.
 
-        One that was withdrawn while it waited has its report deferred: it must not go on, since it
-        would run at the same time as the next one.
+        An attempt that was withdrawn while it waited may still have a deferred report. It must not
+        proceed, since it would run concurrently with the next attempt.
         """
-        if attempt.reported or attempt.concluded:
+        if attempt.reported or attempt.stopped_by_broker:
             return False
         now_ns = self._clock.now()
-        reason = reason_to_stop(now_ns, self._state(attempt, hand_over, now_ns))
+        reason = reason_to_stop(now_ns, self._hand_over_state(attempt, hand_over, now_ns))
         if reason is None:
             return True
         self._controls.statistics.stop_counts[hand_over, reason] += 1
@@ -72,8 +72,8 @@
         self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
         return False
 
-    def _state(self, attempt: Attempt, hand_over: HandOver, now_ns: int) -> HandOverState:
-        """Return what the check of a hand-over looks at."""
+    def _hand_over_state(self, attempt: Attempt, hand_over: HandOver, now_ns: int) -> HandOverState:
+        """Return the state of the attempt that the check at a hand-over needs."""
         request = attempt.request
         endpoint = self._endpoints.by_number.get(attempt.endpoint)
         stages = self._controls.stages
@@ -95,7 +95,7 @@
 
 
 class RequestCancellation:
-    """Ends requests before their time, and cancels attempts."""
+    """Ends requests early, and cancels attempts."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         controls: DeadlineControls,
         outcomes: AttemptOutcomes,
     ) -> None:
-        """Take the collaborators."""
+        """Store the other parts that cancelling uses."""
         self._context = context
         self._table = table
         self._extensions = extensions
@@ -113,7 +113,7 @@
         self._outcomes = outcomes
 
     def abandon(self, request: ActiveRequest) -> None:
-        """End a request that its client has cancelled or left; no answer is owed."""
+        """End a request without an answer: its client has cancelled it or disconnected."""
         if request.client is None:
             return
         request.client = None
@@ -132,7 +132,7 @@
         self._context.report_event(CloseRequests())
 
     def close_out(self, requests: Sequence[ActiveRequest]) -> None:
-        """Give these requests their final answer, since nothing more is read from their client."""
+        """Give these requests their final answer: nothing more will be read from their client."""
         if not requests:
             return
         for request in requests:
@@ -141,9 +141,9 @@
         self._context.report_event(CloseRequests(frozenset(request.id for request in requests)))
 
     def _withdraw_unsent(self, requests: Iterable[ActiveRequest]) -> None:
-        """Withdraw the attempts that have not left, before their requests are answered.
+        """Withdraw the attempts that have not been sent, before their requests are answered.
 
-        Otherwise the requests would be answered as if the attempts may have run.
+        Otherwise the requests would be answered as if these attempts might have run.
         """
         attempts = [attempt for request in requests for attempt in request.attempts.values()]
         for attempt in attempts:
@@ -155,10 +155,10 @@
         self._outcomes.report_deferred()
 
     def end_scope(self, request: ActiveRequest) -> None:
-        """End all that is under way for a request that has been answered or abandoned.
+        """End the attempts of a request that has been answered or abandoned.
 
-        What has not left is withdrawn, what is in flight is cancelled where endpoints support that,
-        and no more pages are fetched.
+        Unsent attempts are withdrawn, attempts in flight are cancelled if endpoints support
+        cancellation, and no more pages are fetched.
         """
         if not request.attempts:
             return
@@ -168,9 +168,9 @@
                 self._apply(action, scope.work)
 
     def cancel_attempt(self, order: CancelAttempt) -> None:
-        """Cancel one attempt by order of the decisions.
+        """Cancel one attempt that the decisions have ordered to cancel.
 
-        Nothing happens where the settings forbid cancellation: endpoints there don't support it.
+        Does nothing if the settings say that endpoints don't support cancellation.
         """
         if not self._context.config.settings.limits.cancellation:
             return
@@ -185,17 +185,17 @@
             self._apply(action, attempt)
 
     def _apply(self, action: CancelAction, attempt: Attempt) -> None:
-        """Carry out one action; the end of the attempt is reported with the next tick."""
-        if attempt.reported or attempt.concluded:
+        """Carry out one action; if it ends the attempt, the end is reported at the next tick."""
+        if attempt.reported or attempt.stopped_by_broker:
             return
-        result = self._result_of(action, attempt)
+        result = self._perform_action(action, attempt)
         if result is None:
             return
-        attempt.concluded = True
+        attempt.stopped_by_broker = True
         self._outcomes.end_next_tick(attempt, result)
 
-    def _result_of(self, action: CancelAction, attempt: Attempt) -> AttemptResult | None:
-        """Carry out an action and return how the attempt ended, or None where it goes on."""
+    def _perform_action(self, action: CancelAction, attempt: Attempt) -> AttemptResult | None:
+        """Carry out an action and return how the attempt ended, or None if it goes on."""
         connection = attempt.connection
         match action:
             case CancelAction.WITHDRAW if connection is None:
@@ -210,6 +210,6 @@
                 self._outcomes.cancel_in_flight(attempt, connection)
                 return AttemptResult.CANCELLED
             case CancelAction.DISCARD_PAGES if connection is not None:
-                connection.forget(attempt)  # it has run; only the rest of its pages is declined
+                connection.forget(attempt)  # the query has run; its remaining pages are declined
                 return AttemptResult.SERVED
         return None
--- a/query_broker/dispatch/client_answers.py
+++ b/query_broker/dispatch/client_answers.py
@@ -1,4 +1,4 @@
-"""Answers to clients that the decisions order: rejections and failures."""
+"""Delivery of the rejections and failures that the decisions order."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ClientAnswers:
-    """Carries out the orders to answer a request without a result."""
+    """Carries out the orders to reject or fail a request."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         extensions: DispatchExtensions,
         cancellations: RequestCancellation,
     ) -> None:
-        """Take the collaborators."""
+        """Store the other parts that answering uses."""
         self._context = context
         self._table = table
         self._extensions = extensions
@@ -41,7 +41,7 @@
         self._context.release(request)
 
     def _retry_after_ms(self, retry_after_ns: int) -> int:
-        """Return the pause that the client is asked to keep, rounded up to milliseconds."""
+        """Return how long the client is asked to wait before a retry, rounded up to ms."""
         policy = self._extensions.retry_after_policy
         if policy is not None:
             retry_after_ns = policy.retry_after_ns(retry_after_ns)
--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -1,4 +1,4 @@
-"""Events of the connections to endpoints, each handed to the part that handles it."""
+"""Handling of the events on connections to endpoints."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from .requests import Attempt
 from .stage_timing import StageTimer
 
-# Least time between two progress notes of one kind that are reported of an attempt. Endpoints send
-# one a second; each would be an event for the decisions.
-PROGRESS_INTERVAL_NS = 100 * NS_PER_MS
+# Minimum time between two reported progress notes of the same kind for one attempt. Endpoints send
+# one per second, and each reported note is an event that the decisions must handle.
+MIN_PROGRESS_INTERVAL_NS = 100 * NS_PER_MS
 
 
 class ConnectionEvents:
     """The owner of all connections to endpoints: implements `EngineConnectionOwner`.
 
     Attributes:
-        blocked: Connections to be flushed with the next tick, in the order in which they blocked.
+        blocked: Connections to flush at the next tick, in the order in which their sockets blocked.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         health_checks: HealthChecks,
         stage_timer: StageTimer,
     ) -> None:
-        """Take the parts that handle the events."""
+        """Store the parts that handle the events."""
         self._context = context
         self._clock = clock
         self._timer_wheel = timer_wheel
@@ -56,45 +56,43 @@
         self.blocked: dict[EngineConnection, None] = {}
 
     def now(self) -> int:
-        """The time, in Unix nanoseconds."""
+        """Return the time in Unix nanoseconds."""
         return self._clock.now()
 
-    # --- writing ---
-
     def may_proceed(self, attempt: Attempt) -> bool:
-        """Whether the first byte of the attempt may leave."""
+        """Return whether the first byte of the attempt may be sent."""
         return self._gate.may_proceed(attempt, HandOver.SOCKET)
 
     def attempt_written_at_once(self) -> None:
-        """Count an attempt that left completely in the call that handed it to its connection."""
+        """Count an attempt that was sent completely by the call that handed it to a connection."""
         self._metrics.dispatches += 1
 
     def attempt_written(self, attempt: Attempt) -> None:
-        """Record that the last byte of a queued attempt has left."""
+        """Record that the last byte of a queued attempt has been sent."""
         self._metrics.dispatches += 1
         attempt.written_ns = self._clock.now()
-        if not attempt.is_wanted():  # it was half written when its request ended: the rest followed
+        if (
+            not attempt.is_wanted()
+        ):  # partly written when its request ended, then written to the end
             reason = StopReason.DEADLINE_PASSED
             if attempt.request.abandoned:
                 reason = StopReason.CLIENT_LEFT
             self._controls.statistics.partial_write_counts[reason] += 1
 
     def socket_blocked(self, connection: EngineConnection) -> None:
-        """Have a connection flushed with the next tick: its socket accepts no more bytes."""
+        """Flush a connection at the next tick: its socket accepts no more bytes for now."""
         self.blocked[connection] = None
         self._timer_wheel.wake_next_tick()
 
     def flush_blocked(self) -> None:
-        """Flush the connections whose sockets accepted no more bytes."""
+        """Flush the connections whose sockets had accepted no more bytes."""
         blocked = self.blocked
         self.blocked = {}
         for connection in blocked:
             connection.flush()
 
-    # --- answers ---
-
     def answer_completed(self, attempt: Attempt, load_text: str) -> None:
-        """Answer the client, if it still waits, with all pages of the result in one frame."""
+        """Send the client, if it still waits, all pages of the result in one frame."""
         request = attempt.request
         if request.client is not None:
             body = b"".join(page for page in attempt.pages if page is not None)
@@ -112,7 +110,7 @@
         self._outcomes.end(attempt, result, parse_load_report(load_text, self._context.log))
 
     def late_answer_received(self, attempt: Attempt, load_text: str) -> None:
-        """Drop an answer that came too late, but report its load report to the decisions."""
+        """Drop an answer that arrived too late, but pass its load report to the decisions."""
         self._controls.statistics.late_answers += 1
         load = parse_load_report(load_text, self._context.log)
         if load is not None:
@@ -121,9 +119,12 @@
             )
 
     def progress_noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
-        """Report the progress of an attempt, at most one note of each kind in an interval."""
+        """Report the progress of an attempt, at most one note of each kind per interval."""
         now_ns = self._clock.now()
-        if now_ns - attempt.progress_ns.get(kind, -PROGRESS_INTERVAL_NS) >= PROGRESS_INTERVAL_NS:
+        if (
+            now_ns - attempt.progress_ns.get(kind, -MIN_PROGRESS_INTERVAL_NS)
+            >= MIN_PROGRESS_INTERVAL_NS
+        ):
             attempt.progress_ns[kind] = now_ns
             self._context.report_event(
                 AttemptProgress(attempt.request.id, attempt.number, attempt.endpoint, kind, amount)
@@ -141,7 +142,7 @@
             self._controls.statistics.cancels_confirmed += count
 
     def carried_elsewhere(self, connection: EngineConnection, request_id: bytes) -> bool:
-        """Return whether another connection to the endpoint has lately carried this request id."""
+        """Return whether another connection to the endpoint has recently carried this request."""
         pool = self._context.pools.get(connection.endpoint)
         if pool is None:
             return False
@@ -149,18 +150,16 @@
             request_id in other.carried_ids for other in pool.connections if other is not connection
         )
 
-    # --- the end of a connection ---
-
     def connection_lost(
         self, connection: EngineConnection, reason: str, ended_by_broker: bool
     ) -> None:
-        """End all that was in flight on a lost connection; it may have run.
+        """End the attempts in flight on a lost connection; they may have run.
 
         Args:
             connection: The connection.
-            reason: Why it ended, for the log.
-            ended_by_broker: Whether this broker ended it. That is no sign of the endpoint's health:
-                what was in flight is reported as cancelled, not as reset.
+            reason: Why the connection ended, for the log.
+            ended_by_broker: Whether this broker ended the connection. That says nothing about the
+                endpoint's health, so attempts in flight are reported as cancelled, not as reset.
         """
         self._context.pools.connection_lost(connection)
         attempts = list(connection.in_flight.values())
@@ -170,18 +169,17 @@
                 "engine", f"connection with {len(attempts)} open attempts ended: {reason}"
             )
         for attempt in attempts:
-            self._end_lost(attempt, ended_by_broker)
+            self._end_lost_attempt(attempt, ended_by_broker)
         for tag in connection.health_checks:
             self._health_checks.end(tag, AttemptResult.RESET, "")
 
-    def _end_lost(self, attempt: Attempt, ended_by_broker: bool) -> None:
-        """End an attempt whose connection has ended; what had not left never ran."""
+    def _end_lost_attempt(self, attempt: Attempt, ended_by_broker: bool) -> None:
+        """End an attempt whose connection has ended; it never ran if no byte was sent."""
         if not attempt.write_started:
             self._outcomes.end(attempt, AttemptResult.NOT_SENT)
         elif ended_by_broker and not attempt.reported:
-            # The end of the connection has not reached the endpoint yet, and the next attempt must
-            # not overtake it.
-            attempt.concluded = True
+            # The next attempt must not reach the endpoint before the end of this connection does.
+            attempt.stopped_by_broker = True
             self._outcomes.delay_report(attempt)
             self._outcomes.end_next_tick(attempt, AttemptResult.CANCELLED)
         else:
--- a/query_broker/dispatch/context.py
+++ b/query_broker/dispatch/context.py
@@ -1,4 +1,4 @@
-"""The interface of the dispatcher towards its own parts."""
+"""The interface of the dispatcher that its own parts use."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class DispatchContext(Protocol):
-    """The dispatcher, as its parts see it.
+    """The members of the dispatcher that its parts use.
 
-    Events lead to orders and orders to further events, so that each part must be able to report to
-    the decisions. This is the only reference from a part to the dispatcher. `pools` is set before
-    the first event.
+    Events lead to orders and orders to further events, so each part must be able to report events
+    to the decisions. A part has no other reference to the dispatcher. `pools` is set before the
+    first event.
     """
 
     @property
@@ -26,7 +26,7 @@
 
     @property
     def log(self) -> LogWriter:
-        """Where log lines go: takes the kind of a line and its text."""
+        """The function that writes a log line, given the kind of the line and its text."""
 
     @property
     def pools(self) -> ConnectionPools:
@@ -36,7 +36,7 @@
         """Report an event to the decisions and carry out their orders."""
 
     def begin_answer(self, request: ActiveRequest, status: ReplyStatus) -> Client:
-        """Return the client, which the caller must now give the final answer."""
+        """Return the client, to which the caller must now give the final answer."""
 
     def release(self, request: ActiveRequest) -> None:
         """Remove the request from the table if it is answered and no attempt is open."""
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -1,8 +1,9 @@
 """The dispatcher: from a client's request through the decisions to an endpoint, and back.
 
-It depends on no client protocol: a client connection parses a request into a `ParsedRequest`,
-submits it and gets the one final answer through the methods of `Client`. It decides nothing either:
-it reports events to the decisions, carries out their orders and reports the outcomes.
+The dispatcher is independent of client protocols: a client connection parses a request into a
+`ParsedRequest`, submits it and receives the final answer through the methods of `Client`. The
+dispatcher makes no decisions: it reports events to the decisions, carries out their orders and
+reports the outcomes.
 """
 
 from __future__ import annotations
@@ -37,40 +38,41 @@
 from .requests import ActiveRequest, Client
 from .validation import InvalidRequestError, ParsedRequest, RequestValidator
 
-# The `retry_after` of a request whose statement finds no memory: time for open requests to end.
+# The `retry_after` of a request rejected for lack of statement memory: gives open requests time to
+# end.
 NO_MEMORY_RETRY_AFTER_MS = 1_000
-# Attempts get dedicated connections where a handshake costs at most this fraction of a request:
-# about one connection in a hundred ends, with all attempts that are in flight on it.
-MAX_HANDSHAKE_PRICE = 0.01
-# How long it is remembered that an endpoint was re-enabled: ten minutes.
+# Attempts get dedicated connections if a handshake costs at most this fraction of a request's
+# priority weight. About one connection in a hundred is lost, with all attempts in flight on it.
+MAX_HANDSHAKE_COST_FRACTION = 0.01
+# How long the re-enabling of an endpoint is remembered: ten minutes.
 REENABLED_RETENTION_NS = 600_000 * NS_PER_MS
-# The endings by the statuses of `metrics`: success, overload, error.
-ENDING_OF_STATUS = (RequestEnding.SUCCESS, RequestEnding.OVERLOAD, RequestEnding.ERROR)
+# The ending for each reply status of `metrics`, which is its index: success, overload, error.
+ENDING_BY_STATUS = (RequestEnding.SUCCESS, RequestEnding.OVERLOAD, RequestEnding.ERROR)
 
 
 class Dispatcher:
-    """Wires the parts that carry requests, and reports their events to the decisions.
+    """Wires the parts that handle requests, and reports their events to the decisions.
 
-    Extension points, which `query_broker.cells` overrides to divide the broker among parts of its
-    traffic: `make_facade` and `make_connection_pools` (called once, by the constructor), `divide`,
-    and in the order of a request's life `admit`, `has_statement_capacity`, `begin_answer` and
-    `release`. An override of the last five calls the one of this class, except for
-    `has_statement_capacity`.
+    Extension points, which `query_broker.cells` overrides to divide the broker into cells:
+    `make_facade` and `make_connection_pools` (called once, by the constructor), `divide`, and, in
+    the order in which a request passes them, `admit`, `has_statement_capacity`, `begin_answer` and
+    `release`. Overrides of `divide`, `admit`, `begin_answer` and `release` call the method of this
+    class; an override of `has_statement_capacity` does not.
 
     Attributes:
         config: The configuration in force.
-        timer_wheel: Turns by the tick of the start.
+        timer_wheel: The timers; the tick stays the one configured at the start.
         facade: The decisions.
         request_table: The open requests.
         requests: The map of `request_table` by the broker's id.
-        extensions: Observers and policies that other parts have registered.
-        deadline_controls: What operators set about deadlines.
+        extensions: Observers and policies that other packages have registered.
+        deadline_controls: The deadline settings of the operators.
         cancellations: Ends requests early; client connections call it when a client disconnects.
-        health_checks: Starts health checks, also others than those that the decisions order.
+        health_checks: Starts health checks, including those that the decisions have not ordered.
         connection_events: The owner of the connections to endpoints.
-        pools: Connections to endpoints.
-        statement_capacity_bytes: Bytes that statements of open requests may take.
-        max_clients: Connections that clients may have.
+        pools: The connections to endpoints.
+        statement_capacity_bytes: Limit on the total size of the statements of open requests.
+        max_clients: Limit on the number of client connections.
     """
 
     def __init__(self, config: Config, clock: Clock, log: LogWriter) -> None:
@@ -89,7 +91,7 @@
         self.metrics_counts = Metrics(self.validator.class_deadlines_ns)
         self.extensions = DispatchExtensions()
         self.deadline_controls = DeadlineControls()
-        self._request_numbers = itertools.count(1)
+        self._id_sequence = itertools.count(1)
         parts = DispatchParts(
             context=self,
             clock=clock,
@@ -100,7 +102,7 @@
             extensions=self.extensions,
             controls=self.deadline_controls,
             metrics=self.metrics_counts,
-            numbers=self._request_numbers,
+            id_sequence=self._id_sequence,
         )
         self.stage_timer = parts.stage_timer
         self.outcomes = parts.outcomes
@@ -111,17 +113,17 @@
         self.health_checks = parts.health_checks
         self.connection_events = parts.connection_events
         self.pools = self.make_connection_pools()
-        self.pools.dedicated_connections = config.settings.handshake_price <= MAX_HANDSHAKE_PRICE
+        self.pools.dedicated_connections = (
+            config.settings.handshake_price <= MAX_HANDSHAKE_COST_FRACTION
+        )
         self.divide(1, 0)
 
-    # --- extension points ---
-
     def make_facade(self, now_ns: int) -> Facade:
-        """Make the decisions; the constructor calls it before any other part is there."""
+        """Create the decisions; the constructor calls this before the other parts exist."""
         return Facade(self.config.settings, self.config.seed, now_ns, self.timer_wheel)
 
     def make_connection_pools(self) -> ConnectionPools:
-        """Make the pools; the constructor calls it once all other parts are there."""
+        """Create the connection pools; the constructor calls this after the other parts exist."""
         return ConnectionPools(
             self.connection_events,
             self.log,
@@ -133,11 +135,11 @@
         )
 
     def divide(self, processes: int, other_clients: int) -> None:
-        """Take this process's part of the limits.
+        """Apply this process's share of the limits.
 
         Args:
-            processes: Processes of this broker, this one included.
-            other_clients: Clients that the other processes hold.
+            processes: Number of processes of this broker, including this one.
+            other_clients: Number of clients connected to the other processes.
         """
         capacity = divide_capacity(self.config, processes, other_clients)
         self.max_clients = capacity.client_connections
@@ -147,7 +149,7 @@
     def admit(
         self, client: Client, stream: int, parsed: ParsedRequest, received_ns: int = 0
     ) -> ActiveRequest:
-        """Admit a valid request to the table and report it to the decisions; see `submit`."""
+        """Add a valid request to the table and report it to the decisions; see `submit`."""
         now_ns = self.now()
         class_deadline_ns = self.validator.class_deadlines_ns[parsed.class_name]
         timeout_ns = self.deadline_controls.timeout_ns(
@@ -156,7 +158,7 @@
         for observer in self.extensions.observers:
             observer.request_arrived(parsed, now_ns)
         request = ActiveRequest(
-            id=str(next(self._request_numbers)),
+            id=str(next(self._id_sequence)),
             client_request_id=parsed.client_request_id.encode(),
             class_name=parsed.class_name.encode(),
             statement=parsed.statement,
@@ -175,9 +177,9 @@
             return request
         self.request_table.add(request)
         try:
-            orders = self.facade.pick(now_ns, _arrival(request.id, parsed, timeout_ns))
+            orders = self.facade.pick(now_ns, _arrival_event(request.id, parsed, timeout_ns))
         except Exception:
-            # A fault in the decisions must affect this request alone, which still gets its answer.
+            # An error in the decisions must affect this request alone, which still gets an answer.
             self.log("fault", traceback.format_exc())
             self.begin_answer(request, ERROR).failed(stream, "internal error")
             self.release(request)
@@ -188,8 +190,8 @@
     def has_statement_capacity(self, request: ActiveRequest) -> bool:
         """Return whether there is memory for the statement of one more request.
 
-        Without this bound a flood of large statements would end the process for lack of memory, and
-        with it all admitted requests.
+        Without this bound a flood of large statements would make the process run out of memory, and
+        all admitted requests would be lost.
         """
         return (
             self.request_table.statement_bytes + len(request.statement)
@@ -197,45 +199,43 @@
         )
 
     def begin_answer(self, request: ActiveRequest, status: ReplyStatus) -> Client:
-        """Return the client, which the caller must now give the final answer.
+        """Return the client, to which the caller must now give the final answer.
 
-        Every final answer passes here, so that each request is counted exactly once.
+        Called for every final answer, so that each request is counted exactly once.
 
         Args:
             request: The request; its client is still waiting.
-            status: How it is answered.
+            status: The status of the final answer.
         """
         client = request.client
         request.client = None
-        assert client is not None, "a second answer"
+        assert client is not None, "the request has already been answered or abandoned"
         self.request_table.unanswered_count -= 1
         self.metrics_counts.count_reply(request.class_name.decode(), status)
         for observer in self.extensions.observers:
-            observer.request_ended(request, ENDING_OF_STATUS[status])
+            observer.request_ended(request, ENDING_BY_STATUS[status])
         return client
 
     def release(self, request: ActiveRequest) -> None:
-        """Forget the request if it has its answer and no attempt is left to be reported."""
+        """Forget the request if no client waits for it and all its attempts are reported."""
         if request.client is not None or request.attempts:
             return
         if self.request_table.remove(request):
             self.facade.forget(request.id)
 
-    # --- requests ---
-
     def submit(
         self, client: Client, stream: int, parsed: ParsedRequest, received_ns: int = 0
     ) -> ActiveRequest:
         """Validate and admit a request that a client protocol has parsed.
 
         Args:
-            client: Gets the answer.
-            stream: The client's number of the request on its connection.
+            client: The client that gets the answer.
+            stream: The client's number for the request on its connection.
             parsed: The request, not yet validated.
-            received_ns: When its first byte was read; 0 where that is not known.
+            received_ns: When its first byte was read; 0 if that is not known.
 
         Raises:
-            InvalidRequestError: It is invalid; the caller gives the one failed answer.
+            InvalidRequestError: The request is invalid; the caller answers that it failed.
         """
         try:
             self.validator.check(parsed)
@@ -244,12 +244,10 @@
             raise
         return self.admit(client, stream, parsed, received_ns)
 
-    # --- settings and observers ---
-
     def apply_settings(self, config: Config) -> None:
-        """Put the settings of another configuration in force, for all requests from now on."""
+        """Apply the settings of another configuration to all requests from now on."""
         now_ns = self.now()
-        # The timer wheel turns by the tick of the start.
+        # The timer wheel keeps the tick configured at the start.
         settings = replace(config.settings, tick_ns=self.config.tick_ns)
         adjusted = self.extensions.adjusted(settings)
         self.carry_out(now_ns, self.facade.report(now_ns, SettingsChanged(adjusted)))
@@ -266,20 +264,18 @@
         self.pools.apply_settings(
             config.streams_per_connection, config.connect_timeout_ns, config.connection_idle_ns
         )
-        self.pools.dedicated_connections = settings.handshake_price <= MAX_HANDSHAKE_PRICE
+        self.pools.dedicated_connections = settings.handshake_price <= MAX_HANDSHAKE_COST_FRACTION
 
     def refresh_settings(self) -> None:
-        """Report the settings to the decisions again, after a settings adjuster has changed."""
+        """Report the settings to the decisions again after a settings adjuster has changed."""
         self.report_event(SettingsChanged(self.extensions.adjusted(self.config.settings)))
 
     def add_observer(self, observer: DispatchObserver) -> None:
         """Register an observer of requests, attempts, health checks and administrative changes."""
         self.extensions.add_observer(observer)
 
-    # --- endpoints ---
-
     def endpoint_list_changed(self, event: EndpointListEvent) -> None:
-        """Apply an event of the endpoint list: a change of it, or the complete list."""
+        """Apply a watch event: changes to the endpoint list, or the complete list."""
         entries = self.endpoint_table.apply_event(event)
         for entry in entries:
             self.pools.update_target(
@@ -293,10 +289,10 @@
         self.endpoint_table.forget_removed()
 
     def set_endpoint_disabled(self, uid: str, disabled: bool) -> bool:
-        """Disable or re-enable an endpoint by an operator's call; False if none has this uid.
+        """Disable or re-enable an endpoint for an operator; return False for an unknown uid.
 
-        An endpoint that restarts while it is disabled may be missing from the list when it is
-        re-enabled: a disabled uid is known as well.
+        A disabled uid counts as known even if it is not listed: an endpoint that restarts while it
+        is disabled may be missing from the list when it is re-enabled.
         """
         was_disabled = self.administrative_states.is_disabled(uid)
         if uid not in self.endpoint_table.by_uid and not was_disabled:
@@ -308,7 +304,7 @@
         return True
 
     def apply_administrative_state(self, uid: str, state: AdministrativeState) -> None:
-        """Apply an operator's directive on an endpoint, given to this process or to another one."""
+        """Apply an operator's call on an endpoint, made to this process or to another one."""
         if not self.administrative_states.record(uid, state):
             return
         self.administrative_states.forget(self.now() - REENABLED_RETENTION_NS)
@@ -318,13 +314,11 @@
         if pool is None:
             return
         if state.disabled:
-            # Attempts that wait for a connection would leave after the operator's call is answered.
+            # Attempts that wait for a connection would be sent after the operator's call returns.
             pool.withdraw_waiting()
         else:
             pool.retire_connections()
 
-    # --- decisions and time ---
-
     def now(self) -> int:
         """Return the time in Unix nanoseconds."""
         return self.clock.now()
@@ -332,7 +326,7 @@
     def report_event(self, event: Event) -> None:
         """Report an event to the decisions and carry out their orders.
 
-        A fault in the decisions is logged; it must affect nothing but this event.
+        An error in the decisions is logged; it must affect nothing but this event.
         """
         now_ns = self.now()
         try:
@@ -341,7 +335,7 @@
             self.log("fault", traceback.format_exc())
 
     def carry_out(self, now_ns: int, orders: OrderBatch) -> None:
-        """Carry out orders, options before the dispatches that they are for."""
+        """Carry out orders; the options of a request are applied before its dispatch."""
         for options in orders.options:
             self.attempts.apply_options(options)
         for dispatch in orders.dispatches:
@@ -354,7 +348,7 @@
             self.health_checks.start(now_ns, check.endpoint)
 
     def tick(self) -> None:
-        """Fire the timers that are due, then do what was deferred to this tick."""
+        """Fire the timers that are due, then do the work that was deferred to this tick."""
         now_ns = self.now()
         self.timer_wheel.advance(now_ns)
         while self.facade.due:
@@ -362,26 +356,30 @@
                 self.carry_out(now_ns, self.facade.tick(now_ns))
             except Exception:
                 self.log("fault", traceback.format_exc())
-        if self.stage_timer.waiting:
-            self.stage_timer.check_waiting()
+        if self.stage_timer.unsent_answers:
+            self.stage_timer.check_unsent_answers()
         if self.connection_events.blocked:
             self.connection_events.flush_blocked()
         self.outcomes.report_deferred()
-        if self.stage_timer.waiting or self.connection_events.blocked:
+        if self.stage_timer.unsent_answers or self.connection_events.blocked:
             self.timer_wheel.wake_next_tick()
 
     def metrics(self) -> bytes:
         """Return the metrics page, in the Prometheus text format."""
-        own = self.metrics_counts.text(
+        dispatcher_metrics = self.metrics_counts.text(
             self.request_table.unanswered_count,
             len(self.endpoint_table.by_uid),
             self.facade.avoided_endpoints(),
         )
-        return own + self.extensions.metrics_text() + self.deadline_controls.metrics_text()
+        return (
+            dispatcher_metrics
+            + self.extensions.metrics_text()
+            + self.deadline_controls.metrics_text()
+        )
 
 
-def _arrival(request_id: str, parsed: ParsedRequest, timeout_ns: int) -> RequestArrived:
-    """Return the event of a request that has been admitted."""
+def _arrival_event(request_id: str, parsed: ParsedRequest, timeout_ns: int) -> RequestArrived:
+    """Return the event that reports the arrival of a request to the decisions."""
     return RequestArrived(
         request_id=request_id,
         class_name=parsed.class_name,
--- a/query_broker/dispatch/health_checks.py
+++ b/query_broker/dispatch/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of endpoints, and their time-outs."""
+"""Health checks of endpoints, and their timeouts."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 # The tag of a health check on the wire; the endpoint repeats it in its answer.
 TAG_FORMAT = b"probe-%d"
-# A timer that fires later than this shows a stall of this process.
-STALL_NS = 50_000_000
-# Time in which the event loop comes to its sockets after a stall.
-AFTER_STALL_NS = 20_000_000
+# A timer that fires later than this after its due time indicates a stall of this process.
+STALL_THRESHOLD_NS = 50_000_000
+# Time that the event loop gets to read its sockets after a stall.
+READ_TIME_AFTER_STALL_NS = 20_000_000
 
 
 class PendingCheck(NamedTuple):
-    """A health check that has no outcome yet; the start is in Unix nanoseconds."""
+    """A health check without an outcome; ``started_ns`` is in Unix nanoseconds."""
 
     endpoint: int
     started_ns: int
@@ -31,7 +31,7 @@
     """Starts health checks and reports their outcomes.
 
     Attributes:
-        pending: Health checks without an outcome, by the tag that the endpoint repeats.
+        pending: Health checks without an outcome, by tag.
     """
 
     def __init__(
@@ -40,22 +40,22 @@
         clock: Clock,
         timer_wheel: TimerWheel,
         extensions: DispatchExtensions,
-        numbers: Iterator[int],
+        id_sequence: Iterator[int],
     ) -> None:
-        """Begin without health checks.
+        """Start without health checks.
 
-        ``numbers`` is the sequence that request ids are drawn from too, so that no tag equals one.
+        ``id_sequence`` also numbers the requests, so that no tag equals a request id.
         """
         self._context = context
         self._clock = clock
         self._timer_wheel = timer_wheel
         self._extensions = extensions
-        self._numbers = numbers
+        self._id_sequence = id_sequence
         self.pending: dict[bytes, PendingCheck] = {}
 
     def start(self, now_ns: int, endpoint: int) -> None:
-        """Send a health check to an endpoint; its timeout is that of a connect."""
-        tag = TAG_FORMAT % next(self._numbers)
+        """Send a health check to an endpoint; its timeout is the connect timeout."""
+        tag = TAG_FORMAT % next(self._id_sequence)
         self.pending[tag] = PendingCheck(endpoint, now_ns)
         self._set_timer(now_ns + self._context.config.connect_timeout_ns, endpoint, tag)
         pool = self._context.pools.get(endpoint)
@@ -66,14 +66,14 @@
         self._timer_wheel.set_timer(due_ns, partial(self._time_out, endpoint, tag, due_ns))
 
     def _time_out(self, endpoint: int, tag: bytes, due_ns: int) -> None:
-        """End a health check without an answer.
+        """End a health check that has not been answered in time.
 
-        After a stall of this process the timer is due before the loop comes to the sockets, where
-        the answer may lie: to time out then would eject an endpoint that is well.
+        After a stall of this process the timer fires before the event loop reads the sockets, where
+        the answer may already wait. A timeout would then eject a healthy endpoint.
         """
         now_ns = self._clock.now()
-        if tag in self.pending and now_ns - due_ns > STALL_NS:
-            self._set_timer(now_ns + AFTER_STALL_NS, endpoint, tag)
+        if tag in self.pending and now_ns - due_ns > STALL_THRESHOLD_NS:
+            self._set_timer(now_ns + READ_TIME_AFTER_STALL_NS, endpoint, tag)
             return
         pool = self._context.pools.get(endpoint)
         if pool is not None:
@@ -81,7 +81,7 @@
         self.end(tag, AttemptResult.TIMEOUT, "")
 
     def end(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
-        """Report the outcome of a health check; nothing happens if it has one already."""
+        """Report the outcome of a health check, unless it has already been reported."""
         check = self.pending.pop(tag, None)
         if check is None:
             return
--- a/query_broker/dispatch/load_reports.py
+++ b/query_broker/dispatch/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of endpoints, as they come with answers and health checks. Performs no I/O."""
+"""Parsing of load reports, which arrive with answers and health checks. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from ..log import LogWriter
 from ..protocols import resp
 
-# The fields of `LoadReport` by the names that data engines use.
-FIELD_OF_NAME = {
+# The fields of `LoadReport` by the names that data engines use on the wire.
+FIELD_BY_WIRE_NAME = {
     "busy": "utilisation",
     "util": "utilisation",
     "q": "queue",
@@ -20,9 +20,9 @@
 
 
 def parse_load_report(text: str, log: LogWriter) -> LoadReport | None:
-    """Read the load report of an endpoint; None where it is empty, malformed or of unknown names.
+    """Parse the load report of an endpoint; None if it is empty, malformed or has no known name.
 
-    A malformed report is logged; the answer that it came with remains valid.
+    A malformed report is logged; the answer that carried it remains valid.
     """
     if not text:
         return None
@@ -31,5 +31,9 @@
     except resp.MalformedAnswerError as error:
         log("engine", str(error))
         return None
-    fields = {FIELD_OF_NAME[name]: value for name, value in values.items() if name in FIELD_OF_NAME}
+    fields = {
+        FIELD_BY_WIRE_NAME[name]: value
+        for name, value in values.items()
+        if name in FIELD_BY_WIRE_NAME
+    }
     return LoadReport(**fields) if fields else None
--- a/query_broker/dispatch/observers.py
+++ b/query_broker/dispatch/observers.py
@@ -1,8 +1,8 @@
-"""What other parts register at the dispatcher: observers, and policies that change its work.
+"""Observers of the dispatcher, and policies that change its behaviour.
 
-An observer implements the methods it needs; the base class does nothing. Adjusters and metrics
-sources are registered as the objects that have the method; the policy is one callable. Without any,
-requests pass empty tuples.
+An observer overrides the methods that it needs; those of the base class do nothing. Adjusters,
+metrics sources and the `retry_after` policy are objects that implement their protocol. A dispatcher
+without registrations only iterates over empty collections.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RequestEnding(Enum):
-    """How a request ended for its client; the values stand in the log lines."""
+    """How a request ended for its client; the values appear in log lines."""
 
     SUCCESS = "success"
     OVERLOAD = "overload"
@@ -27,12 +27,12 @@
 class DispatchObserver:
     """Observes requests, attempts, health checks and administrative changes.
 
-    Methods are called in the order of registration, within the dispatcher's own call: they must not
-    block, nor raise.
+    Observers are called synchronously, in the order of their registration. Their methods must
+    neither block nor raise.
     """
 
     def request_arrived(self, parsed: ParsedRequest, now_ns: int) -> None:
-        """Called when a valid request has come, before the decisions get their event."""
+        """Called when a valid request has arrived, before the decisions get their event."""
 
     def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
         """Called when a request gets its final answer, or when its client abandons it."""
@@ -44,21 +44,21 @@
         """Called when a health check has ended, after the decisions got their event."""
 
     def endpoint_administered(self, uid: str, disabled: bool) -> None:
-        """Called when an operator has disabled or re-enabled an endpoint at this process."""
+        """Called when an operator has disabled or re-enabled an endpoint in this process."""
 
 
 class SettingsAdjuster(Protocol):
-    """Replaces parts of the settings of the files, before the decisions get them."""
+    """Replaces parts of the settings read from files, before the decisions get them."""
 
     def adjust(self, settings: Settings, /) -> Settings:
-        """Return the settings with this part's values."""
+        """Return the settings with the values that this adjuster replaces."""
 
 
 class RetryAfterPolicy(Protocol):
     """Replaces the `retry_after` of a rejection."""
 
-    def retry_after_ns(self, decided_ns: int, /) -> int:
-        """Return the pause that the client is asked to keep, given the decided one."""
+    def retry_after_ns(self, original_ns: int, /) -> int:
+        """Return how long the client is asked to wait, given the value from the decisions."""
 
 
 class MetricsSource(Protocol):
@@ -69,43 +69,43 @@
 
 
 class DispatchExtensions:
-    """All that is registered at one dispatcher.
+    """The observers and policies that are registered at one dispatcher.
 
     Attributes:
-        observers: In the order of registration. A tuple, so that an observer may leave while the
-            others are called.
-        retry_after_policy: None where rejections state the decided pause.
+        observers: In the order of registration. A tuple, so that an observer may be removed while
+            the observers are being called.
+        retry_after_policy: None if rejections carry the `retry_after` of the decisions.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing registered."""
+        """Start without registrations."""
         self.observers: tuple[DispatchObserver, ...] = ()
         self.retry_after_policy: RetryAfterPolicy | None = None
         self._settings_adjusters: list[SettingsAdjuster] = []
         self._metrics_sources: list[MetricsSource] = []
 
     def add_observer(self, observer: DispatchObserver) -> None:
-        """Register an observer after the present ones."""
+        """Register an observer, which is called after the present ones."""
         self.observers = (*self.observers, observer)
 
     def remove_observer(self, observer: DispatchObserver) -> None:
-        """Remove an observer; nothing happens where it is not registered."""
+        """Remove an observer; does nothing if it is not registered."""
         self.observers = tuple(other for other in self.observers if other is not observer)
 
     def set_retry_after_policy(self, policy: RetryAfterPolicy | None) -> None:
-        """Register what replaces the `retry_after` of rejections; None removes it."""
+        """Set the policy that replaces the `retry_after` of rejections; None removes it."""
         self.retry_after_policy = policy
 
     def add_settings_adjuster(self, adjuster: SettingsAdjuster) -> None:
-        """Register an adjuster, which gets the settings after those that are there."""
+        """Register an adjuster, which is applied after the present ones."""
         self._settings_adjusters.append(adjuster)
 
     def add_metrics_source(self, source: MetricsSource) -> None:
-        """Register a source, whose lines follow the dispatcher's own and those that are there."""
+        """Register a source; its lines follow those of the dispatcher and the present sources."""
         self._metrics_sources.append(source)
 
     def adjusted(self, settings: Settings) -> Settings:
-        """Return the settings after all adjusters."""
+        """Return the settings after applying all adjusters."""
         for adjuster in self._settings_adjusters:
             settings = adjuster.adjust(settings)
         return settings
--- a/query_broker/dispatch/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -1,6 +1,6 @@
-"""Open requests, their attempts, and the interfaces of the connections at both ends.
+"""Open requests, their attempts, and the interfaces of connections to clients and endpoints.
 
-Independent of the clients' protocols. Performs no I/O.
+Independent of client protocols. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 class Client(Protocol):
     """The sender of a request: a connection of any client protocol.
 
-    Each request gets exactly one of the three answers. ``stream`` is the client's number of the
+    Each request gets exactly one of the three answers. ``stream`` is the client's number for the
     request on its connection.
     """
 
@@ -24,20 +24,20 @@
         """Answer with the complete result."""
 
     def rejected(self, stream: int, retry_after_ms: int) -> None:
-        """Answer that nothing has run, and that the client may retry after this time."""
+        """Answer that the request has not run and that the client may retry after this time."""
 
     def failed(self, stream: int, reason: str) -> None:
-        """Answer that the request has failed, and may have run."""
+        """Answer that the request has failed; it may have run."""
 
     def unread_bytes(self) -> int:
         """Return the size of the answers that wait for the client to read them."""
 
 
 class AttemptConnection(Protocol):
-    """A connection to an endpoint, as far as an attempt knows it.
+    """The members of a connection to an endpoint that attempts use.
 
     Attributes:
-        in_flight: Attempts that are not answered, by the client's request id.
+        in_flight: Unanswered attempts, by the client's request id.
         cancels_in_transit: Request ids whose cancellation can't have reached the endpoint yet.
     """
 
@@ -48,13 +48,13 @@
         """Give the attempt another priority level."""
 
     def withdraw(self, attempt: Attempt) -> bool:
-        """Withdraw the attempt; return whether no byte of it has left, so that none will."""
+        """Withdraw the attempt; return whether no byte of it was sent, so that none will be."""
 
     def cancel(self, attempt: Attempt) -> None:
         """Tell the endpoint to stop the attempt."""
 
     def forget(self, attempt: Attempt) -> None:
-        """Tell the endpoint that no more pages of the attempt are wanted."""
+        """Tell the endpoint that no more pages of the result are wanted."""
 
 
 @dataclass(slots=True)
@@ -64,23 +64,23 @@
     Times are Unix nanoseconds.
 
     Attributes:
-        id: The broker's id. The client's may come twice.
-        client_request_id: The client's id.
+        id: The broker's id, which is unique.
+        client_request_id: The client's id, which several open requests may share.
         class_name: The request class.
         statement: The statement, passed on unread.
-        client: Gets the answer; None once it is answered or abandoned.
-        stream: The client's number of the request on its connection.
-        deadline_ns: When its answer must be on its way.
-        tenant: The tenant, empty where the client named none.
-        received_ns: When its first byte was read.
-        accepted_ns: When it was admitted.
-        abandoned: Its client has cancelled it or disconnected before the answer.
-        closing: It gets its final answer now: no attempt is dispatched for it any more.
-        client_unreadable: A cancellation by its client would not be read: no further attempt
-            begins.
-        priority: Level that the decisions gave it; None before the first order.
-        memory_mb: Memory that the decisions gave it, in megabytes.
-        idempotency_key: The client's idempotency key, None where it gave none.
+        client: Gets the answer; None once the request is answered or abandoned.
+        stream: The client's number for the request on its connection.
+        deadline_ns: When the answer must have been sent.
+        tenant: The tenant, empty if the client named none.
+        received_ns: When the first byte of the request was read.
+        accepted_ns: When the request was admitted.
+        abandoned: The client has cancelled the request or disconnected before the answer.
+        closing: The request is getting its final answer: no more attempts are dispatched.
+        client_unreadable: The broker would not read a cancellation by the client, so no more
+            attempts are dispatched.
+        priority: Priority level set by the decisions; None before their first order.
+        memory_mb: Memory granted by the decisions, in megabytes.
+        idempotency_key: The client's idempotency key, None if it sent none.
         attempts: Attempts whose end has not been reported, by number.
     """
 
@@ -103,13 +103,13 @@
     attempts: dict[int, Attempt] = field(default_factory=dict)
 
     def scope(self) -> CancelScope:
-        """Return the scope of all that is under way for it.
+        """Return the cancel scope of the request, with its attempts below it.
 
-        Made only when it is to be ended, since most requests end by themselves.
+        The scope is only created to end the request early, since most requests end by themselves.
         """
         scope = CancelScope(ScopeKind.REQUEST, self)
         for attempt in self.attempts.values():
-            if not attempt.concluded:
+            if not attempt.stopped_by_broker:
                 attempt.scope(scope)
         return scope
 
@@ -118,30 +118,31 @@
 class Attempt:
     """One dispatch of a request to an endpoint.
 
-    It stays in flight at its connection after its report, so that a later answer is recognised and
-    dropped. Times are Unix nanoseconds, 0 while they are not known.
+    An attempt stays in flight at its connection after its end was reported, so that a late answer
+    is recognised and dropped. Times are Unix nanoseconds, 0 while they are not known.
 
     Attributes:
         request: The request.
-        number: Its number among the attempts of the request, from 0.
+        number: The number of the attempt among those of the request, from 0.
         endpoint: Number of the endpoint.
-        dispatched_ns: When it was ordered.
-        deadline_ns: When the broker stops waiting for its answer.
-        latest_start_ns: When its first byte must have left.
-        timer: Ends it when it runs out of time.
-        connection: The connection that it was assigned; None while it waits for one.
-        holds_retry_token: A token of the retry budget has been spent on it.
-        concluded: Withdrawn, cancelled or given up by the broker; its report follows.
-        write_started: A byte of it has left for the endpoint, so that it may have run.
-        assigned_ns: When it got its connection.
-        written_ns: When its last byte left.
-        reported: Its end has been reported to the decisions.
-        pages: Pages of its result, None while they are missing.
+        dispatched_ns: When the attempt was ordered.
+        deadline_ns: When the broker stops waiting for the answer.
+        latest_start_ns: When the first byte must have been sent.
+        timer: Ends the attempt when its time is up.
+        connection: The connection that the attempt was assigned to; None while it waits for one.
+        holds_retry_token: A token of the retry budget has been spent on the attempt.
+        stopped_by_broker: The broker has stopped waiting for the attempt, for example after a
+            cancellation or a timeout; the report follows.
+        write_started: A byte has been sent to the endpoint, so that the attempt may have run.
+        assigned_ns: When the attempt was assigned to its connection.
+        written_ns: When the last byte was sent.
+        reported: The end of the attempt has been reported to the decisions.
+        pages: Pages of the result, None while they are missing.
         missing_pages: How many pages are missing.
-        answered_ns: When the first page came.
+        answered_ns: When the first page arrived.
         progress_ns: When the last progress note of each kind was reported.
-        report_after_ns: Its end is not reported before this: its cancellation may not have reached
-            the endpoint yet.
+        report_after_ns: Earliest time for the report of the end: until then a cancellation may not
+            have reached the endpoint.
     """
 
     request: ActiveRequest
@@ -153,7 +154,7 @@
     timer: Timer | None = None
     connection: AttemptConnection | None = None
     holds_retry_token: bool = False
-    concluded: bool = False
+    stopped_by_broker: bool = False
     write_started: bool = False
     assigned_ns: int = 0
     written_ns: int = 0
@@ -165,7 +166,7 @@
     report_after_ns: int = 0
 
     def scope(self, parent: CancelScope) -> CancelScope:
-        """Return its scope, with that of its missing pages, below the scope of its request."""
+        """Return the cancel scope of the attempt and its missing pages, below its request's."""
         scope = parent.open(ScopeKind.ATTEMPT, self)
         scope.write_started = self.write_started
         if self.missing_pages:
@@ -173,5 +174,5 @@
         return scope
 
     def is_wanted(self) -> bool:
-        """Return whether a client still waits for its result."""
+        """Return whether a client still waits for the result."""
         return not self.reported and self.request.client is not None
--- a/query_broker/dispatch/validation.py
+++ b/query_broker/dispatch/validation.py
@@ -1,6 +1,6 @@
-"""Validation of parsed requests, before anything of them reaches the decisions or an engine.
+"""Validation of parsed requests, before any part of them reaches the decisions or an engine.
 
-The texts of the errors are part of the client protocol and keep its words (``nonce``, ``trace``,
+The error texts are part of the client protocol and use its terms (``nonce``, ``trace``,
 ``customer``). Performs no I/O.
 """
 
@@ -13,50 +13,52 @@
 from ..errors import QueryBrokerError
 from .request_table import RequestTable
 
-# The longest timeout that a client may state, one hour; the deadline of its class is a bound too.
+# The longest timeout that a client may state: one hour. The deadline of the request class is an
+# upper bound as well.
 MAX_TIMEOUT_MS = 3_600_000.0
 # The largest estimate of work (milliseconds, nearly three hours) or memory (megabytes, ten
-# terabytes): a bound against nonsense, far above what one request may be given.
+# terabytes). Only rejects nonsensical values: one request never gets nearly as much.
 MAX_ESTIMATE = 1e7
-# The protocol's names of the two estimates, which share one bound.
+# The protocol's names for the two estimates, which share one upper bound.
 ESTIMATE_FIELDS = "weight or ram"
-# How much of a client's text an error quotes, so that a log line stays short.
-QUOTED_CHARACTERS = 40
-# A number as the protocol writes it: bounded in length, since the digits come from outside.
+# How much of a client's text an error quotes, so that log lines stay short.
+MAX_QUOTED_CHARACTERS = 40
+# A number in the notation of the protocol. Its length is limited, since clients are not trusted.
 NUMBER_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?")
 
 
 class DispatchError(QueryBrokerError):
-    """Base of the errors that the dispatcher raises."""
+    """Base class of the errors that the dispatcher raises."""
 
 
 class InvalidRequestError(DispatchError):
-    """A request whose frame can be read but whose content cannot be used.
+    """A request whose frame is readable but whose content is invalid.
 
-    Its text names the field and the fault in one line. The client gets one failed answer.
+    The message names the field and the fault in one line. The client is told that the request has
+    failed.
     """
 
     @classmethod
     def of_field(cls, field: str, fault: str) -> InvalidRequestError:
-        """The error of one field, named as the client protocol names it."""
+        """Return the error for one field, given by its name in the client protocol."""
         return cls(f"{field}: {fault}")
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """A request as a client protocol has read it, not yet admitted.
+    """A request that a client protocol has parsed and that has not been admitted yet.
 
     Attributes:
-        class_name: Request class; decides deadline, priority weight and effect.
-        client_request_id: The client's id of the request; may come again.
-        tenant: The paying tenant, None where the client names none.
+        class_name: Request class; determines deadline, priority weight and effect.
+        client_request_id: The client's id for the request, which several requests may share.
+        tenant: The paying tenant, None if the client names none.
         timeout_ms: How long the client waits for the answer.
         estimate_ms: The client's estimate of the work, in milliseconds of one thread.
         memory_mb: The client's estimate of the memory, in megabytes.
-        is_retry: The client has sent the same request before.
+        is_retry: Whether the client has sent the same request before.
         data_set: Number of the data set that the statement reads.
         statement: The statement, passed on unread.
-        idempotency_key: The client's idempotency key, None where it gave none.
+        idempotency_key: The client's idempotency key, None if it sent none.
     """
 
     class_name: str
@@ -72,19 +74,19 @@
 
 
 def read_number(text: str, name: str) -> float:
-    """Read a number of a client's text.
+    """Parse a non-negative number that a client has sent.
 
-    `float` alone also takes signs, NaN, infinity, underscores and the digits of other scripts.
+    `float` alone would also accept signs, NaN, infinity, underscores and digits of other scripts.
 
     Args:
-        text: What the client wrote.
-        name: The field, for the error.
+        text: The text that the client has sent.
+        name: The name of the field, for the error.
 
     Raises:
-        InvalidRequestError: The text is no number from 0 up.
+        InvalidRequestError: The text is not a non-negative number.
     """
     if NUMBER_PATTERN.fullmatch(text) is None:
-        fault = f"{text[:QUOTED_CHARACTERS]!r} is no number from 0 up"
+        fault = f"{text[:MAX_QUOTED_CHARACTERS]!r} is no number from 0 up"
         raise InvalidRequestError.of_field(name, fault)
     return float(text)
 
@@ -94,16 +96,16 @@
 
     Attributes:
         class_deadlines_ns: Deadline of each request class, in nanoseconds.
-        tenants: Names of the configured tenants; empty where any name is accepted.
+        tenants: Names of the configured tenants; empty if any name is accepted.
     """
 
     def __init__(self, settings: Settings, table: RequestTable) -> None:
-        """Take the settings in force and the table of open requests."""
+        """Start with the settings in force and the table of open requests."""
         self._table = table
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put other settings in force."""
+        """Apply other settings."""
         self.class_deadlines_ns = {spec.name: spec.deadline_ns for spec in settings.classes}
         self.tenants = {tenant.name for tenant in settings.tenants}
         self._classes_with_key = frozenset(
@@ -111,20 +113,20 @@
         )
 
     def check(self, parsed: ParsedRequest) -> None:
-        """Check a request; nothing malformed may reach an endpoint or the decisions.
+        """Check a request; no invalid request may reach an endpoint or the decisions.
 
         Raises:
-            InvalidRequestError: The first fault found.
+            InvalidRequestError: The request is invalid; names the first fault found.
         """
         if parsed.class_name not in self.class_deadlines_ns:
-            quoted = parsed.class_name[:QUOTED_CHARACTERS]
+            quoted = parsed.class_name[:MAX_QUOTED_CHARACTERS]
             raise InvalidRequestError.of_field("route", f"{quoted!r} is no class of the settings")
         if not 1 <= parsed.timeout_ms <= MAX_TIMEOUT_MS:
             raise InvalidRequestError.of_field("patience", f"must be 1 to {MAX_TIMEOUT_MS:.0f} ms")
         if max(parsed.estimate_ms, parsed.memory_mb) > MAX_ESTIMATE:
             raise InvalidRequestError.of_field(ESTIMATE_FIELDS, "is out of range")
         if self.tenants and parsed.tenant not in self.tenants:
-            quoted = (parsed.tenant or "")[:QUOTED_CHARACTERS]
+            quoted = (parsed.tenant or "")[:MAX_QUOTED_CHARACTERS]
             raise InvalidRequestError.of_field("customer", f"{quoted!r} is none of the settings")
         self._check_idempotency_key(parsed)
         self._check_open_requests(parsed)
@@ -133,10 +135,10 @@
         key = parsed.idempotency_key
         if key is None:
             if parsed.class_name in self._classes_with_key:
-                # Without its key an endpoint would not recognise a retry and would run it twice.
+                # Without the key an endpoint would not recognise a retry and would run it again.
                 raise InvalidRequestError.of_field("nonce", "is missing")
         elif not key or "," in key:
-            # An endpoint would read what follows the comma as another field.
+            # An endpoint would parse the text after the comma as another field.
             raise InvalidRequestError.of_field(
                 "nonce", "is empty or holds a comma: no engine can be told it"
             )
@@ -148,8 +150,8 @@
                 or other.statement != parsed.statement
                 or other.idempotency_key != parsed.idempotency_key
             ):
-                # An endpoint identifies requests by this id, and would answer one with the other's
-                # rows.
+                # An endpoint identifies requests by this id, and would answer one of them with the
+                # rows of the other.
                 raise InvalidRequestError.of_field(
                     "trace", "is open with another statement or nonce"
                 )
--- a/tests/dispatch/test_attempt_races.py
+++ b/tests/dispatch/test_attempt_races.py
@@ -41,7 +41,7 @@
         await until(lambda: any(engine.commands_named(b"undo") for engine in engines))
         broker.outcomes.report_deferred()
         assert list(request.attempts) == [0]
-        assert request.attempts[0].concluded
+        assert request.attempts[0].stopped_by_broker
         now_ns += CANCEL_TRANSIT_NS
         broker.outcomes.report_deferred()
         assert list(request.attempts) == [1]
--- a/tests/dispatch/test_deadline_controls.py
+++ b/tests/dispatch/test_deadline_controls.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("timeout_start", "stated_ms", "received_ns", "expected_ns"),
+    ("timeout_start", "client_timeout_ms", "received_ns", "expected_ns"),
     [
         pytest.param(LAST_BYTE, 4_000.0, 0, 3_990 * MS, id="stated"),
         pytest.param(LAST_BYTE, 90_000.0, 0, 19_990 * MS, id="deadline of the class"),
@@ -28,8 +28,8 @@
     ],
 )
 def test_the_timeout_of_a_request_counts_from_its_first_or_last_sending(
-    timeout_start: TimeoutStart, stated_ms: float, received_ns: int, expected_ns: int
+    timeout_start: TimeoutStart, client_timeout_ms: float, received_ns: int, expected_ns: int
 ) -> None:
     controls = DeadlineControls()
     controls.settings = replace(DeadlineSettings(), timeout_start=timeout_start)
-    assert controls.timeout_ns(stated_ms, 20 * S, received_ns, 8 * S) == expected_ns
+    assert controls.timeout_ns(client_timeout_ms, 20 * S, received_ns, 8 * S) == expected_ns
