--- a/query_broker/deadlines/__init__.py
+++ b/query_broker/deadlines/__init__.py
@@ -1,6 +1,6 @@
-"""Deadlines carried end to end.
+"""Enforcement of deadlines on the whole path of a request.
 
-Checks at each hand-over, the queue of frames to write and its order, cancel scopes,
-learned margins and budgets for retries. Performs no I/O and reads no clock. Times are integer
+Contains the checks at each hand-over, the priority queue of frames to write, cancel scopes, the
+learned margin and the retry budget. Performs no I/O and reads no clock. Times are integer
 nanoseconds on the caller's clock.
 """
--- a/query_broker/deadlines/cancel_scopes.py
+++ b/query_broker/deadlines/cancel_scopes.py
@@ -1,9 +1,10 @@
-"""Cancel scopes: ending a request ends its attempts, ending an attempt ends its pages, in order.
+"""Cancel scopes: ending a request ends its attempts, ending an attempt ends its pages.
 
-Performs no I/O. After trio's cancel scopes: an end goes down the tree, children first, once. What
-ending an attempt means depends on how far it has come. An attempt that was not sent is withdrawn.
-One that was sent is cancelled where endpoints support that, and tracked until it counts as stopped
-or has answered nevertheless; elsewhere it is left running and its answer is dropped.
+Performs no I/O. Modelled on trio's cancel scopes: ending a scope ends its whole subtree once,
+children before their parents. What ending an attempt means depends on its progress. An attempt that
+was not sent is withdrawn. An attempt that was sent is cancelled if endpoints support cancellation,
+and is tracked until it counts as stopped or is answered nevertheless. Otherwise it is left running
+and its answer is dropped.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from typing import NamedTuple
 
 NS_PER_MS = 1_000_000
-#: How long a cancelled attempt must be silent until it counts as stopped.
-CONFIRMATION_NS = 1_000 * NS_PER_MS
-#: How long after a cancellation it is sent again if nothing has answered it.
+#: A cancelled attempt counts as stopped once it has been silent for this long.
+CONFIRMATION_DELAY_NS = 1_000 * NS_PER_MS
+#: A cancellation without an answer is sent again after this time.
 RESEND_INTERVAL_NS = 250 * NS_PER_MS
-MAX_RESENDS = 2
+MAX_RESEND_COUNT = 2
 
 
 class ScopeKind(Enum):
-    """What a scope stands for."""
+    """The kind of work that a scope represents."""
 
     REQUEST = "request"
     ATTEMPT = "attempt"
@@ -37,11 +38,11 @@
     CANCEL = "cancel"
     DISCARD_PAGES = "discard pages"
     LET_RUN = "let run"
-    END_REQUEST = "end request"  # its client is owed nothing more
+    END_REQUEST = "end request"  # the client gets nothing more
 
 
 class ScopeEnd(NamedTuple):
-    """A scope that has ended, and what the caller has to do for it."""
+    """A scope that has ended, and the action that the caller has to take for it."""
 
     action: CancelAction
     scope: CancelScope
@@ -49,15 +50,15 @@
 
 @dataclass(slots=True)
 class CancelScope:
-    """A request, attempt, page or health check under way, and the scopes that belong to it.
+    """A request, attempt, page or health check in progress, and the scopes that belong to it.
 
-    A scope ends once; what is added to a scope that has ended has ended too.
+    A scope ends once; a scope added to one that has ended has ended from the start.
 
     Attributes:
-        kind: What the scope stands for.
-        work: The request, the attempt or what else it is, as the caller knows it.
-        parent: The scope that it belongs to; None for a request.
-        children: The scopes below it that have not ended.
+        kind: The kind of work.
+        work: The caller's object for the work, such as a request or an attempt.
+        parent: The scope that this one belongs to; None for a request.
+        children: The scopes directly below this one that have not ended.
         write_started: Whether a byte of the attempt has been written to the endpoint.
         ended: Whether the scope has ended, by itself or by `end`.
     """
@@ -69,7 +70,7 @@
     write_started: bool = False
     ended: bool = False
 
-    def open(self, kind: ScopeKind, work: object) -> CancelScope:
+    def open_child(self, kind: ScopeKind, work: object) -> CancelScope:
         """Return a new scope below this one."""
         child = CancelScope(kind, work, self, ended=self.ended)
         if not self.ended:
@@ -77,7 +78,7 @@
         return child
 
     def close(self) -> None:
-        """Close the scope because its work has ended by itself; its children close with it."""
+        """Close the scope and its children, because the work has ended by itself."""
         self.ended = True
         for child in self.children:
             child.ended = True
@@ -86,13 +87,13 @@
             self.parent.children.remove(self)
 
     def end(self, cancellation_supported: bool) -> list[ScopeEnd]:
-        """End the scope and return what is to be done, children before their parents.
+        """End the scope and return the actions to take, children before their parents.
 
-        A second call returns nothing.
+        Returns an empty list if the scope has already ended.
 
         Args:
             cancellation_supported: Whether the endpoints support cancellation (`undo` on the
-                wire); where they do not, none may ever be sent.
+                wire); if they do not, no cancellation may ever be sent.
         """
         if self.ended:
             return []
@@ -122,11 +123,11 @@
 
 
 class CancelOutcome(Enum):
-    """What became of a cancelled attempt."""
+    """The outcome of a cancellation."""
 
-    STOPPED = "stopped"  # silent for `CONFIRMATION_NS`
-    ANSWERED = "answered"  # it answered after the cancellation
-    CONNECTION_LOST = "connection lost"  # its connection ended first
+    STOPPED = "stopped"  # the attempt was silent for `CONFIRMATION_DELAY_NS`
+    ANSWERED = "answered"  # the attempt was answered after the cancellation
+    CONNECTION_LOST = "connection lost"  # the connection ended first
 
 
 @dataclass(slots=True)
@@ -134,22 +135,22 @@
     """A cancellation that was sent and has no outcome yet.
 
     Attributes:
-        first_sent_ns: When it was first sent.
-        last_sent_ns: When it was last sent.
-        resends: How often it was sent again.
+        first_sent_ns: When the cancellation was first sent.
+        last_sent_ns: When the cancellation was last sent.
+        resend_count: How often the cancellation was sent again.
     """
 
     first_sent_ns: int
     last_sent_ns: int
-    resends: int = 0
+    resend_count: int = 0
 
 
 class CancelCheck(NamedTuple):
-    """What a check of the pending cancellations found.
+    """The result of a check of the pending cancellations.
 
     Attributes:
-        to_resend: The ids whose cancellation is to be sent again.
-        stopped: The ids of the attempts that count as stopped from now on.
+        to_resend: The request ids whose cancellation is to be sent again.
+        stopped: The request ids of the attempts that count as stopped from now on.
     """
 
     to_resend: list[bytes]
@@ -158,46 +159,46 @@
 
 @dataclass(slots=True)
 class PendingCancels:
-    """The cancelled attempts of one connection, until each has its outcome.
+    """The cancellations on one connection that have no outcome yet.
 
-    An attempt holds its stream until then: an answer that crosses the cancellation must be
-    recognised, so that it can be dropped.
+    A cancelled attempt holds its stream until the outcome is known: an answer that crosses the
+    cancellation must be recognised, so that it can be dropped.
 
     Attributes:
-        by_id: The pending cancellations by the id of the attempt on the wire.
+        by_id: The pending cancellations by the request id that the attempt has on the wire.
     """
 
     by_id: dict[bytes, PendingCancel] = field(default_factory=dict)
 
     def begin(self, request_id: bytes, now_ns: int) -> None:
-        """Record that the attempt under this id is being cancelled."""
+        """Record that the attempt with this id is being cancelled."""
         self.by_id.setdefault(request_id, PendingCancel(now_ns, now_ns))
 
     def resolve_by_answer(self, request_id: bytes) -> CancelOutcome | None:
-        """Record an answer under the id and return the outcome; None if it was not cancelled."""
+        """Record an answer with this id; return the outcome, or None without a cancellation."""
         if self.by_id.pop(request_id, None) is None:
             return None
         return CancelOutcome.ANSWERED
 
     def check(self, now_ns: int) -> CancelCheck:
-        """Return what is to be cancelled again and what has stopped, which is then forgotten."""
+        """Return the cancellations to resend and those that are confirmed, which are removed."""
         to_resend: list[bytes] = []
         stopped: list[bytes] = []
         for request_id, pending in list(self.by_id.items()):
-            if now_ns - pending.first_sent_ns >= CONFIRMATION_NS:
+            if now_ns - pending.first_sent_ns >= CONFIRMATION_DELAY_NS:
                 stopped.append(request_id)
                 del self.by_id[request_id]
             elif (
                 now_ns - pending.last_sent_ns >= RESEND_INTERVAL_NS
-                and pending.resends < MAX_RESENDS
+                and pending.resend_count < MAX_RESEND_COUNT
             ):
-                pending.resends += 1
+                pending.resend_count += 1
                 pending.last_sent_ns = now_ns
                 to_resend.append(request_id)
         return CancelCheck(to_resend, stopped)
 
     def clear(self) -> int:
-        """Forget all, since the connection has ended; return how many there were."""
+        """Remove all cancellations, since the connection has ended; return their number."""
         count = len(self.by_id)
         self.by_id.clear()
         return count
--- a/query_broker/deadlines/handover_checks.py
+++ b/query_broker/deadlines/handover_checks.py
@@ -1,8 +1,8 @@
-"""Checks at each hand-over: whether an attempt still goes on to its endpoint. Performs no I/O.
+"""Checks at each hand-over whether an attempt may proceed to its endpoint. Performs no I/O.
 
-An attempt is checked wherever it changes hands before a byte of it is written to an endpoint: on
-its way into a connection pool, from the pool to a connection, from the write queue to the socket.
-An attempt that is stopped there was never executed.
+An attempt is checked at each hand-over before any byte of it is written to an endpoint: to a
+connection pool, from the pool to a connection, and from the write queue to the socket. An attempt
+that is stopped at a hand-over has never run.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class StopReason(Enum):
-    """Why an attempt does not go on; the values are labels of metrics."""
+    """Why an attempt is stopped; the values are metric labels."""
 
-    CLIENT_LEFT = "left"  # or it has its answer already
+    CLIENT_LEFT = "left"  # or the client already has its answer
     DEADLINE_PASSED = "past"
-    INSUFFICIENT_TIME = "too late"  # the attempt cannot complete before the deadline any more
-    ENDPOINT_DISABLED = "out"  # administratively
-    ENDPOINT_DRAINING = "drained"  # or the endpoint list does not name it any more
+    INSUFFICIENT_TIME = "too late"  # the attempt can no longer complete before the deadline
+    ENDPOINT_DISABLED = "out"  # by an operator
+    ENDPOINT_DRAINING = "drained"  # or no longer in the endpoint list
     RETRY_BUDGET_EXHAUSTED = "budget"
 
 
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOverState:
-    """What a check looks at; times are on the caller's clock.
+    """The state of an attempt at a hand-over; times are on the caller's clock.
 
     Attributes:
         answer_wanted: Whether a client still waits for the answer.
-        deadline_ns: By when the answer must be here.
-        min_latency_ns: The shortest time that the endpoint takes; 0 if that is not known.
-        disabled: Whether the endpoint is administratively disabled.
-        draining_since_ns: Since when the endpoint is draining; 0 if it is not.
+        deadline_ns: When the answer must have arrived.
+        min_latency_ns: The shortest time until the answer arrives; 0 if that is not known.
+        disabled: Whether an operator has disabled the endpoint.
+        draining_since_ns: When the endpoint started to drain; 0 if it is not draining.
     """
 
     answer_wanted: bool
@@ -51,10 +51,10 @@
 
 
 def reason_to_stop(now_ns: int, state: HandOverState) -> StopReason | None:
-    """Return the first reason against going on; None if there is none.
+    """Return the first reason to stop the attempt; None if it may proceed.
 
-    The order of the reasons matters: a request whose client has left says nothing about its
-    endpoint and must not be counted as if it did.
+    The order of the reasons matters: an attempt whose client has left says nothing about the
+    endpoint and must not be counted against it.
     """
     if not state.answer_wanted:
         return StopReason.CLIENT_LEFT
@@ -74,13 +74,13 @@
     """Counts of attempts that were stopped or cancelled.
 
     Attributes:
-        stop_counts: Attempts that were stopped at a hand-over, so that no byte was written.
+        stop_counts: Attempts that were stopped at a hand-over, before any byte was written.
         partial_write_counts: Attempts that were partly written when their request ended, and were
-            written to their end.
+            then written completely.
         cancels_sent: Attempts in flight that were cancelled.
         cancels_confirmed: Cancelled attempts that have been silent since.
         cancels_answered: Cancelled attempts that were answered nevertheless.
-        late_answers: Answers that came when no client waited for them.
+        late_answers: Answers that arrived when no client waited for them any more.
     """
 
     stop_counts: Counter[tuple[HandOver, StopReason]] = field(default_factory=Counter)
--- a/query_broker/deadlines/metrics.py
+++ b/query_broker/deadlines/metrics.py
@@ -1,6 +1,6 @@
 """Metrics of deadlines in the Prometheus text format. Performs no I/O.
 
-The names, labels and help texts are read by dashboards and stay as they are, in the older terms.
+Dashboards depend on the names, labels and help texts, which therefore keep their older terms.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
     """Return the lines of all metrics of deadlines.
 
     Args:
-        statistics: What hand-over checks and cancellations have counted.
+        statistics: The counts of hand-over checks and cancellations.
         stages: The latencies of each stage.
         margin_ns: The margin in force.
-        budget: The retry budget; None where operators set none.
+        budget: The retry budget; None if operators set none.
     """
     lines = [
         *_hand_over_lines(statistics),
--- a/query_broker/deadlines/retry_budget.py
+++ b/query_broker/deadlines/retry_budget.py
@@ -1,11 +1,11 @@
-"""Retries: a budget for each class and tenant, and the time that an attempt gets.
+"""A retry budget for each request class and tenant, and the time limit of an attempt.
 
 Performs no I/O.
 
-The decisions choose whether and where to try again; this gate only bounds how often, where
-operators say so. A token bucket whose refill is a share of first attempts (as Finagle's retry
-budgets): trouble everywhere then adds at most that share to the load, while a few failures in calm
-times are all retried.
+The decisions choose whether and where to retry; the budget only limits the number of retries, if
+operators configure it. It is a token bucket that each first attempt refills by a fraction of a
+token, like Finagle's retry budgets. During a widespread failure retries add at most that fraction
+to the load, while occasional failures are all retried.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple, Protocol
 
-#: Buckets that are kept.
-MAX_BUCKETS = 4_096
+#: The number of token buckets above which some are evicted.
+MAX_BUCKET_COUNT = 4_096
 
 
 class ClassRate(NamedTuple):
-    """What first attempts of one request class earn, and how many of these tokens are kept."""
+    """The tokens that a first attempt of one request class earns, and the size of the bucket."""
 
     class_name: str
     tokens_per_attempt: float
@@ -31,12 +31,12 @@
 
     Attributes:
         tokens_per_attempt: Tokens that a first attempt earns.
-        burst: Tokens that are kept at the most.
-        class_rates: Both for the request classes that have values of their own.
-        by_tenant: Whether each tenant has tokens of its own.
-        first_attempt_fraction: The part of the remaining time that the first attempt of an
+        burst: The size of a bucket, in tokens.
+        class_rates: Separate values of these two for some request classes.
+        by_tenant: Whether each tenant has its own buckets.
+        first_attempt_fraction: The fraction of the remaining time that the first attempt of an
             idempotent class gets.
-        min_attempt_ns: No attempt is cut shorter than that.
+        min_attempt_ns: The minimum to which the time of a first attempt is cut.
     """
 
     tokens_per_attempt: float = 0.2
@@ -46,8 +46,8 @@
     first_attempt_fraction: float = 1.0
     min_attempt_ns: int = 100_000_000
 
-    def rate_of(self, class_name: str) -> ClassRate:
-        """Return what counts for a request class."""
+    def rate_for_class(self, class_name: str) -> ClassRate:
+        """Return the values in force for a request class."""
         for rate in self.class_rates:
             if rate.class_name == class_name:
                 return rate
@@ -55,7 +55,7 @@
 
 
 class RetryGate(Protocol):
-    """A limit on retries that all brokers share."""
+    """A limit on retries that is shared by all brokers."""
 
     def admit_retry(self) -> bool:
         """Return whether one more retry is within the limit, and count it."""
@@ -63,13 +63,13 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Tokens by class and tenant; a new bucket is full, so that a start is not held back.
+    """Token buckets by class and tenant; a new bucket is full, so that retries work from the start.
 
     Attributes:
-        settings: What a first attempt earns.
-        tokens: The tokens by class and tenant.
-        refused: Retries that the budget did not allow.
-        gate: Where brokers share a limit on retries, what each retry must pass as well.
+        settings: The tokens that a first attempt earns, and the sizes of the buckets.
+        tokens: The tokens in each bucket, by class and tenant.
+        refused: The number of retries that the budget did not allow.
+        gate: The limit on retries that all brokers share; None if there is none.
     """
 
     settings: RetryBudgetSettings
@@ -78,36 +78,36 @@
     gate: RetryGate | None = None
 
     def set_gate(self, gate: RetryGate) -> None:
-        """Register a limit that brokers share, which each retry must pass as well."""
+        """Set a limit that all brokers share and that each retry must pass as well."""
         self.gate = gate
 
-    def _key(self, class_name: str, tenant: str) -> tuple[str, str]:
+    def _bucket_key(self, class_name: str, tenant: str) -> tuple[str, str]:
         return class_name, tenant if self.settings.by_tenant else ""
 
     def record_first_attempt(self, class_name: str, tenant: str) -> None:
-        """Earn part of a token, as a first attempt has been sent."""
-        key = self._key(class_name, tenant)
-        rate = self.settings.rate_of(class_name)
+        """Add the tokens that a first attempt earns."""
+        key = self._bucket_key(class_name, tenant)
+        rate = self.settings.rate_for_class(class_name)
         tokens = self.tokens.get(key, rate.burst)
         self.tokens[key] = min(rate.burst, tokens + rate.tokens_per_attempt)
-        # Where no tenants are set, clients name any they like: the table is bounded.
-        if len(self.tokens) > MAX_BUCKETS:
-            self._evict()
+        # The table is bounded because clients may name any tenant if none are configured.
+        if len(self.tokens) > MAX_BUCKET_COUNT:
+            self._evict_buckets()
 
-    def _evict(self) -> None:
-        """Drop the full buckets, which say nothing; else the older half."""
-        full = [
+    def _evict_buckets(self) -> None:
+        """Drop all full buckets, which equal new ones; if there are none, the older half."""
+        full_bucket_keys = [
             key
             for key, tokens in self.tokens.items()
-            if tokens >= self.settings.rate_of(key[0]).burst
+            if tokens >= self.settings.rate_for_class(key[0]).burst
         ]
-        for key in full or list(self.tokens)[: MAX_BUCKETS // 2]:
+        for key in full_bucket_keys or list(self.tokens)[: MAX_BUCKET_COUNT // 2]:
             del self.tokens[key]
 
     def try_spend(self, class_name: str, tenant: str) -> bool:
-        """Return whether one more attempt may be made, and pay for it."""
-        key = self._key(class_name, tenant)
-        tokens = self.tokens.get(key, self.settings.rate_of(class_name).burst)
+        """Spend a token on a retry; return False if the retry is not allowed."""
+        key = self._bucket_key(class_name, tenant)
+        tokens = self.tokens.get(key, self.settings.rate_for_class(class_name).burst)
         if tokens < 1 or self.gate is not None and not self.gate.admit_retry():
             self.refused += 1
             return False
@@ -115,10 +115,10 @@
         return True
 
     def refund(self, class_name: str, tenant: str) -> None:
-        """Return the token of an attempt that never left."""
-        key = self._key(class_name, tenant)
+        """Return the token of a retry that was never sent."""
+        key = self._bucket_key(class_name, tenant)
         self.tokens[key] = min(
-            self.settings.rate_of(class_name).burst, self.tokens.get(key, 0.0) + 1
+            self.settings.rate_for_class(class_name).burst, self.tokens.get(key, 0.0) + 1
         )
 
 
@@ -127,14 +127,14 @@
 ) -> int:
     """Return how long an attempt may take.
 
-    What may not be repeated gains nothing from being cut short and would lose its answer: it gets
-    all the time there is.
+    An attempt of a request that must not be repeated gets all the remaining time: no retry could
+    follow an early timeout, which would only lose the answer.
 
     Args:
-        remaining_ns: The time that is left to the request.
+        remaining_ns: The time that remains for the request.
         number: Number of the attempt, 0 for the first.
         is_idempotent: Whether the request may be repeated.
-        settings: The part of the time that a first attempt gets.
+        settings: The fraction of the time that a first attempt gets, and its minimum.
     """
     fraction = settings.first_attempt_fraction
     if number or not is_idempotent or fraction >= 1:
--- a/query_broker/deadlines/settings.py
+++ b/query_broker/deadlines/settings.py
@@ -1,6 +1,6 @@
-"""What operators may set about deadlines; the defaults are the behaviour without any setting.
+"""The operators' settings of deadlines and logs; the defaults apply without any setting.
 
-The names that these settings have in the operators' file stand in `operator_config.directives`.
+`operator_config.directives` defines the names of these settings in the operators' file.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
 class LatencyStage(Enum):
     """The stages of a request, in the order in which it goes through them."""
 
-    READ = "read"  # from its first byte to its last
+    READ = "read"  # from the first byte of the request to the last
     DECIDE = "decide"
     CONNECT = "connect"  # waiting for a connection
-    WRITE = "write"  # waiting in the outbox and going out
-    ENGINE = "engine"  # from its last byte out to its answer in
-    ANSWER = "answer"  # from the answer to its last byte out
+    WRITE = "write"  # waiting in the write queue and being written
+    ENGINE = "engine"  # from the last byte written to the engine to its answer
+    ANSWER = "answer"  # from the engine's answer to the last byte sent to the client
 
 
 class TimeoutStart(StrEnum):
-    """From when the timeout of a request counts; the values are those of the operators' file."""
+    """When the timeout of a request starts; the values are those of the operators' file."""
 
     FIRST_BYTE = "first"
     LAST_BYTE = "last"
 
 
 class HalfClosePolicy(StrEnum):
-    """What it means that a client ends its side; the values are those of the operators' file."""
+    """The effect of a client closing its sending side; values are those of the operators' file."""
 
     CLIENT_LEFT = "left"
-    AWAIT_ANSWERS = "answer"  # it still gets the answers to its open requests
+    AWAIT_ANSWERS = "answer"  # the client still gets the answers to its open requests
 
 
 @dataclass(frozen=True, slots=True)
 class MarginSettings:
     """The margin that is deducted from each timeout, and how it is learned.
 
-    The margin is for the way back of the answer, so that it reaches the client in time.
+    The margin leaves time for the answer to reach the client before the client's timeout.
 
     Attributes:
         initial_ns: The margin before anything is learned.
@@ -66,10 +66,10 @@
     Attributes:
         learn_margin: Whether stages are measured and the margin is learned from them.
         margin: The bounds of the learned margin.
-        timeout_start: From when a request's timeout counts.
-        half_close: What it means that a client ends its side.
-        slow_reader_timeout_ns: How long answers may lie unread.
-        retry_budget: The bound on retries; None sets none.
+        timeout_start: When the timeout of a request starts.
+        half_close: The effect of a client closing its sending side.
+        slow_reader_timeout_ns: How long answers may remain unread by the client.
+        retry_budget: The limit on retries; None for no limit.
     """
 
     learn_margin: bool = False
@@ -82,10 +82,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Logs:
-    """The format of the log, and which requests get a line of their own.
+    """The format of the log, and which requests are traced in a separate line.
 
-    ``traced_fraction``: the part of the requests that are traced; those that ended past their
-    deadline always are.
+    ``traced_fraction``: the fraction of requests that are traced; requests that ended after their
+    deadline are always traced.
     """
 
     format: Literal["plain", "text", "json"] = "plain"
--- a/query_broker/deadlines/stage_latencies.py
+++ b/query_broker/deadlines/stage_latencies.py
@@ -1,8 +1,8 @@
-"""Latencies of each stage, as quantiles that age, and the margin learned from them.
+"""Latencies of each stage over a recent time window, and the margin learned from them.
 
-Performs no I/O. Quantiles are t-digests (fastdigest) in two generations: a query is answered from
-both, and the older one is dropped when the newer one has reached its age. Histograms with fixed
-bounds are kept besides, for the metrics.
+Performs no I/O. Quantiles are computed from t-digests (fastdigest) of two generations together; the
+older generation is dropped when the newer one reaches `GENERATION_AGE_NS`. Histograms with fixed
+bounds are kept as well, for the metrics.
 """
 
 from __future__ import annotations
@@ -38,30 +38,31 @@
 )
 #: The inclusive upper bounds of the histogram's buckets; one more bucket is unbounded.
 BUCKET_BOUNDS_NS = tuple(int(bound_ms * NS_PER_MS) for bound_ms in BUCKET_BOUNDS_MS)
-#: The age at which a digest becomes the older generation.
-GENERATION_NS = 30 * NS_PER_S
-#: How many latencies are collected before they are added to the digest together.
-DIGEST_BATCH_SIZE = 64
-#: With fewer latencies than this a quantile is unknown.
-MIN_SAMPLES = 50
+#: The age at which the newer digest becomes the older generation.
+GENERATION_AGE_NS = 30 * NS_PER_S
+#: The number of latencies that are added to the digest in one batch.
+DIGEST_BATCH_COUNT = 64
+#: A quantile of fewer latencies than this counts as unknown.
+MIN_SAMPLE_COUNT = 50
 #: The quantile that counts as the shortest time that a stage takes.
 MIN_LATENCY_QUANTILE = 0.01
-#: The part of the answer's way back that the broker cannot measure.
+#: Allowance for the time that the answer takes from the broker's socket to the client, which the
+#: broker can't measure.
 TRANSIT_ALLOWANCE_NS = 2 * NS_PER_MS
-#: How far the margin moves at most in one step, as factors of its value.
-MAX_MARGIN_DECREASE = 0.75
-MAX_MARGIN_INCREASE = 1.25
+#: The bounds on the change of the margin in one step, as factors.
+MIN_MARGIN_STEP_FACTOR = 0.75
+MAX_MARGIN_STEP_FACTOR = 1.25
 
 
 @dataclass(slots=True)
-class Quantiles:
-    """Quantiles and histogram of one latency, over the last half to one minute.
+class LatencyDistribution:
+    """The latencies of one stage: quantiles of the last half to one minute, and a histogram.
 
     Attributes:
         generation_start_ns: When the newer generation began.
-        batch_ns: Latencies that are not in the digest yet.
-        newer: The digest of the present generation.
-        older: The digest of the generation before it.
+        batch_ns: Latencies that are not in a digest yet.
+        newer_digest: The digest of the present generation.
+        older_digest: The digest of the previous generation.
         bucket_counts: The number of latencies in each bucket of the histogram.
         sum_ns: The sum of all latencies.
         count: The number of all latencies.
@@ -69,8 +70,8 @@
 
     generation_start_ns: int = 0
     batch_ns: list[float] = field(default_factory=list)
-    newer: TDigest = field(default_factory=TDigest)
-    older: TDigest = field(default_factory=TDigest)
+    newer_digest: TDigest = field(default_factory=TDigest)
+    older_digest: TDigest = field(default_factory=TDigest)
     bucket_counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKET_BOUNDS_NS) + 1))
     sum_ns: int = 0
     count: int = 0
@@ -81,26 +82,26 @@
         self.sum_ns += latency_ns
         self.count += 1
         self.batch_ns.append(float(latency_ns))
-        if len(self.batch_ns) >= DIGEST_BATCH_SIZE:
+        if len(self.batch_ns) >= DIGEST_BATCH_COUNT:
             self._flush_batch(now_ns)
 
     def _flush_batch(self, now_ns: int) -> None:
-        """Add the collected latencies to the digest, after a change of generations if it is due."""
+        """Start a new generation if one is due, then add the collected latencies to its digest."""
         age_ns = now_ns - self.generation_start_ns
-        if age_ns >= GENERATION_NS:
+        if age_ns >= GENERATION_AGE_NS:
             # After a long time without latencies both generations are out of date.
-            self.older = self.newer if age_ns < 2 * GENERATION_NS else TDigest()
-            self.newer = TDigest()
+            self.older_digest = self.newer_digest if age_ns < 2 * GENERATION_AGE_NS else TDigest()
+            self.newer_digest = TDigest()
             self.generation_start_ns = now_ns
         if self.batch_ns:
-            self.newer.batch_update(self.batch_ns)
+            self.newer_digest.batch_update(self.batch_ns)
             self.batch_ns = []
 
     def quantile(self, quantile: float, now_ns: int) -> int | None:
-        """Return a quantile in nanoseconds, or None where there are fewer than `MIN_SAMPLES`."""
+        """Return a quantile in nanoseconds, or None below `MIN_SAMPLE_COUNT` latencies."""
         self._flush_batch(now_ns)
-        digest = self.older + self.newer
-        if digest.n_values < MIN_SAMPLES:
+        digest = self.older_digest + self.newer_digest
+        if digest.n_values < MIN_SAMPLE_COUNT:
             return None
         return int(digest.quantile(quantile))
 
@@ -112,15 +113,15 @@
         settings: The bounds of the margin.
         by_class: The latencies of each request class and stage.
         by_stage: The latencies of each stage, over all request classes.
-        margin_ns: The margin that was learned last.
+        margin_ns: The most recently learned margin.
     """
 
     def __init__(self, margin: MarginSettings) -> None:
-        """Start with the margin of the settings and without latencies."""
+        """Start with the initial margin of the settings and without latencies."""
         self.settings = margin
-        self.by_class: dict[tuple[str, LatencyStage], Quantiles] = {}
-        self.by_stage: dict[LatencyStage, Quantiles] = {
-            stage: Quantiles() for stage in LatencyStage
+        self.by_class: dict[tuple[str, LatencyStage], LatencyDistribution] = {}
+        self.by_stage: dict[LatencyStage, LatencyDistribution] = {
+            stage: LatencyDistribution() for stage in LatencyStage
         }
         self.margin_ns = margin.initial_ns
 
@@ -129,7 +130,7 @@
         latency_ns = max(0, latency_ns)
         latencies = self.by_class.get((class_name, stage))
         if latencies is None:
-            latencies = Quantiles(now_ns)
+            latencies = LatencyDistribution(now_ns)
             self.by_class[class_name, stage] = latencies
         latencies.add(latency_ns, now_ns)
         self.by_stage[stage].add(latency_ns, now_ns)
@@ -137,26 +138,28 @@
     def learn_margin(self, now_ns: int) -> int:
         """Adapt the margin to the latencies and return it, in nanoseconds.
 
-        One step changes it by a quarter at most, so that a single unusual second has little effect.
+        One step changes the margin by a quarter at most, so that a brief disturbance has little
+        effect.
         """
         settings = self.settings
         decide_ns = self.by_stage[LatencyStage.DECIDE].quantile(settings.quantile, now_ns)
         answer_ns = self.by_stage[LatencyStage.ANSWER].quantile(settings.quantile, now_ns)
         if decide_ns is None or answer_ns is None:
             return self.margin_ns
-        target_ns = self._bounded(decide_ns + answer_ns + TRANSIT_ALLOWANCE_NS)
-        lower_ns = int(self.margin_ns * MAX_MARGIN_DECREASE)
-        upper_ns = int(self.margin_ns * MAX_MARGIN_INCREASE)
-        self.margin_ns = self._bounded(max(lower_ns, min(upper_ns, target_ns)))
+        target_ns = self._clamp_margin(decide_ns + answer_ns + TRANSIT_ALLOWANCE_NS)
+        lower_ns = int(self.margin_ns * MIN_MARGIN_STEP_FACTOR)
+        upper_ns = int(self.margin_ns * MAX_MARGIN_STEP_FACTOR)
+        self.margin_ns = self._clamp_margin(max(lower_ns, min(upper_ns, target_ns)))
         return self.margin_ns
 
-    def _bounded(self, margin_ns: int) -> int:
+    def _clamp_margin(self, margin_ns: int) -> int:
         return max(self.settings.min_ns, min(self.settings.max_ns, margin_ns))
 
     def min_latency_ns(self, class_name: str, now_ns: int, *stages: LatencyStage) -> int:
         """Return the shortest time that these stages take together for requests of a class.
 
-        Without a stage it is that of the endpoint. A stage with too few latencies counts as 0.
+        Without stages this is the time of the `ENGINE` stage. A stage with too few latencies counts
+        as 0.
         """
         total_ns = 0
         for stage in stages or (LatencyStage.ENGINE,):
@@ -166,7 +169,7 @@
         return total_ns
 
     def metrics_lines(self, prefix: str) -> list[str]:
-        """Return lines of the Prometheus text format, in seconds."""
+        """Return the histograms as lines of the Prometheus text format, in seconds."""
         name = f"{prefix}stage_seconds"
         lines = metric_header(name, "Time that requests spent in each stage.", "histogram")
         for class_name, stage in sorted(self.by_class, key=lambda key: (key[0], key[1].value)):
@@ -175,7 +178,7 @@
         return lines
 
 
-def _histogram_lines(name: str, labels: str, latencies: Quantiles) -> list[str]:
+def _histogram_lines(name: str, labels: str, latencies: LatencyDistribution) -> list[str]:
     lines = []
     cumulative_count = 0
     for bound_ns, count in zip(BUCKET_BOUNDS_NS, latencies.bucket_counts, strict=False):
--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -1,8 +1,8 @@
-"""The frames that wait to be written on one connection, by priority, and what of them has left.
+"""The priority queue of the frames to write on one connection.
 
-Performs no I/O. A frame of which no byte has left can be withdrawn; one of which a byte has left
-may have run, and is written to its end before anything else. Frames are kept as the pieces that
-they are made of: nothing is joined or copied here.
+Performs no I/O. A frame can be withdrawn until its first byte has been written. After that, its
+request may run, so the frame is written completely before any other. Frames are stored as the
+pieces that they consist of, which are neither joined nor copied.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-#: Priority of commands, above those of queries, 0 to 3.
+#: Priority of control commands, above the priorities 0 to 3 of queries.
 CONTROL = 4
-#: Pieces that one vectored write is given; the system's own limit lies at 1,024.
-MAX_PIECES = 64
-#: In place of the number of bytes that have left: the frame has been withdrawn.
+#: Maximum number of pieces in one vectored write; the limit of the system is 1,024.
+MAX_PIECES_PER_WRITE = 64
+#: The value of `Frame.written_bytes` after the frame has been withdrawn.
 WITHDRAWN = -1
 
 
 @dataclass(slots=True)
 class Frame:
-    """One frame, as the pieces that a vectored write takes.
+    """One frame, as the pieces for a vectored write.
 
     Attributes:
-        pieces: The bytes, in their order.
-        key: By which the frame can be withdrawn; None where it never is.
-        priority: The frames of the highest priority leave first.
-        size_bytes: The length of all pieces.
-        subject: Passed to the queue's observer.
-        written_bytes: Bytes that have left, or `WITHDRAWN`.
-        has_begun: Bytes before these pieces have left already.
+        pieces: The bytes of the frame, in order.
+        key: The key for withdrawing the frame; None if it is never withdrawn.
+        priority: Frames with the highest priority are written first.
+        size_bytes: The total length of the pieces.
+        subject: The object that the frame belongs to, passed to the queue's observer.
+        written_bytes: The number of bytes written, or `WITHDRAWN`.
+        has_begun: Whether bytes that precede these pieces have already been written.
     """
 
     pieces: tuple[bytes, ...]
@@ -44,35 +44,36 @@
 
 
 class FrameObserver(Protocol):
-    """Releases the frames of a queue, and is notified of what of them has left."""
+    """Releases the frames of a queue for writing, and is notified of their progress."""
 
     def release_frame(self, frame: Frame, /) -> tuple[bytes, ...] | None:
-        """Return what to write of a frame that has waited; None if it may not go any more.
+        """Return the pieces to write for a frame that has waited; None to drop the frame.
 
-        Called before its first byte leaves: the time that its pieces tell has run on meanwhile.
+        Called before the first byte is written: the remaining time that the pieces state has become
+        shorter while the frame waited.
         """
 
     def frame_started(self, subject: object, /) -> None:
-        """Take note that the first byte of a frame has left."""
+        """Called when the first byte of a frame has been written."""
 
     def frame_written(self, subject: object, /) -> None:
-        """Take note that the last byte of a frame has left."""
+        """Called when the last byte of a frame has been written."""
 
 
 @dataclass(slots=True)
 class WriteQueue:
-    """A priority queue of frames, of which at most one is half written.
+    """A priority queue of frames, of which at most one is partly written.
 
     Attributes:
-        observer: Releases frames and is notified of what has left.
-        max_frames: Frames that may wait before the queue is full.
-        max_bytes: Bytes of frames that may wait before the queue is full.
-        heap: The frames that wait, by priority and order.
-        by_key: Those of them that can be withdrawn.
-        current: The frame that `next` has given out, or that is half written.
-        waiting_bytes: Bytes of the frames that wait.
-        last_order: Order of the frame that was queued last.
-        first_order: Order of the frame that was put back last, in front of all others.
+        observer: Releases frames and is notified of their progress.
+        max_frames: Number of waiting frames at which the queue is full.
+        max_bytes: Number of waiting bytes at which the queue is full.
+        heap: The waiting frames, by priority and sequence number.
+        by_key: The waiting frames that can be withdrawn, by key.
+        current: The frame that `next` has returned, or that is partly written.
+        waiting_bytes: Total size of the waiting frames.
+        last_sequence: Sequence number of the frame that was queued last.
+        first_sequence: Sequence number of the frame that was put back last, before all others.
     """
 
     observer: FrameObserver
@@ -82,40 +83,40 @@
     by_key: dict[bytes, Frame] = field(default_factory=dict)
     current: Frame | None = None
     waiting_bytes: int = 0
-    last_order: int = 0
-    first_order: int = 0
+    last_sequence: int = 0
+    first_sequence: int = 0
 
     def empty(self) -> bool:
-        """Return whether nothing waits and nothing is half written."""
+        """Return whether no frame waits or is partly written."""
         return self.current is None and not self.heap
 
     def full(self) -> bool:
-        """Return whether no further frame should be queued."""
+        """Return whether no more frames should be queued."""
         return len(self.heap) >= self.max_frames or self.waiting_bytes >= self.max_bytes
 
     def enqueue(self, frame: Frame) -> bool:
-        """Queue a frame; return True if nothing waits before it and the caller writes now.
+        """Queue a frame; return True if no other frame comes first and the caller writes it now.
 
-        The observer is not asked to release it in that case: it has just been decided to send the
-        frame.
+        In that case the observer is not asked to release the frame: the decision to send it has
+        just been made.
         """
         if self.current is None and not self.heap:
             self.current = frame
             return True
-        self.last_order += 1
-        self._wait(frame, self.last_order)
+        self.last_sequence += 1
+        self._push(frame, self.last_sequence)
         return False
 
-    def _wait(self, frame: Frame, order: int) -> None:
+    def _push(self, frame: Frame, sequence: int) -> None:
         if frame.key is not None:
-            # Two frames under one key could not both be withdrawn.
-            assert frame.key not in self.by_key, "a frame under this key waits already"
+            # Only one of two frames with the same key could be withdrawn.
+            assert frame.key not in self.by_key, "a frame with this key is already waiting"
             self.by_key[frame.key] = frame
-        heapq.heappush(self.heap, (-frame.priority, order, frame))
+        heapq.heappush(self.heap, (-frame.priority, sequence, frame))
         self.waiting_bytes += frame.size_bytes
 
     def withdraw(self, key: bytes) -> bool:
-        """Withdraw a frame; return whether none of its bytes has left, so that none will."""
+        """Withdraw a frame; return whether no byte of it was written, so that none will be."""
         frame = self.by_key.pop(key, None)
         if frame is None:
             return False
@@ -123,29 +124,31 @@
         return True
 
     def _drop(self, frame: Frame) -> None:
-        frame.written_bytes = WITHDRAWN  # it stays in the heap until it comes up
+        frame.written_bytes = WITHDRAWN  # the frame stays in the heap until it reaches the top
         self.waiting_bytes -= frame.size_bytes
         while self.heap and self.heap[0][2].written_bytes < 0:
             heapq.heappop(self.heap)
 
     def raise_priority(self, key: bytes, priority: int) -> bool:
-        """Give a waiting frame another priority; return False if it does not wait."""
+        """Give a waiting frame another priority; return False if no such frame waits."""
         frame = self.by_key.get(key)
         if frame is None:
             return False
         if frame.priority != priority:
             self.withdraw(key)
-            self.last_order += 1
-            self._wait(
-                Frame(frame.pieces, key, priority, frame.size_bytes, frame.subject), self.last_order
+            self.last_sequence += 1
+            self._push(
+                Frame(frame.pieces, key, priority, frame.size_bytes, frame.subject),
+                self.last_sequence,
             )
         return True
 
     def next(self) -> Sequence[bytes]:
-        """Return the pieces to write now; none if nothing may go.
+        """Return the pieces to write now; empty if there is no frame to write.
 
-        They are the rest of the frame that is half written, else the first frame that may go. What
-        the observer does not release is dropped here, before a byte of it leaves.
+        Returns the rest of the partly written frame, else the first frame that the observer
+        releases. Frames that the observer does not release are dropped, before any byte of them is
+        written.
         """
         while self.current is None:
             if not self.heap:
@@ -160,21 +163,21 @@
                 frame.pieces = pieces
                 frame.size_bytes = sum(map(len, pieces))
                 self.current = frame
-        return rest(self.current.pieces, self.current.written_bytes)
+        return remaining_pieces(self.current.pieces, self.current.written_bytes)
 
     def wrote(self, size_bytes: int) -> bool:
-        """Take note that so many bytes of what `next` returned have left.
+        """Record that this many bytes of the pieces returned by `next` have been written.
 
-        Returns False where the socket takes no more for now. Where no byte has left, the frame goes
-        back to its place and may still be withdrawn.
+        Returns False if the socket accepts no more bytes for now. A frame of which no byte has been
+        written goes back to its place and may still be withdrawn.
         """
         frame = self.current
-        assert frame is not None, "nothing was given out"
+        assert frame is not None, "no frame is being written"
         if frame.written_bytes == 0 and not frame.has_begun:
             if size_bytes == 0:
                 self.current = None
-                self.first_order -= 1
-                self._wait(frame, self.first_order)
+                self.first_sequence -= 1
+                self._push(frame, self.first_sequence)
                 return False
             self.observer.frame_started(frame.subject)
         frame.written_bytes += size_bytes
@@ -185,24 +188,24 @@
         return True
 
     def abandon(self) -> None:
-        """Drop everything, as the connection has ended."""
+        """Drop all frames, since the connection has ended."""
         self.heap.clear()
         self.by_key.clear()
         self.current = None
         self.waiting_bytes = 0
 
 
-def rest(pieces: Sequence[bytes], left: int) -> Sequence[bytes]:
-    """Return the pieces without their first ``left`` bytes, as views and not as copies."""
-    if not left:
-        return pieces[:MAX_PIECES]
+def remaining_pieces(pieces: Sequence[bytes], bytes_to_skip: int) -> Sequence[bytes]:
+    """Return the pieces without their first bytes, as views instead of copies."""
+    if not bytes_to_skip:
+        return pieces[:MAX_PIECES_PER_WRITE]
     remaining: list[bytes] = []
     for piece in pieces:
-        if left >= len(piece):
-            left -= len(piece)
-        elif left:
-            remaining.append(memoryview(piece)[left:])
-            left = 0
+        if bytes_to_skip >= len(piece):
+            bytes_to_skip -= len(piece)
+        elif bytes_to_skip:
+            remaining.append(memoryview(piece)[bytes_to_skip:])
+            bytes_to_skip = 0
         else:
             remaining.append(piece)
-    return remaining[:MAX_PIECES]
+    return remaining[:MAX_PIECES_PER_WRITE]
--- a/query_broker/dispatch/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -167,10 +167,10 @@
 
     def scope(self, parent: CancelScope) -> CancelScope:
         """Return the cancel scope of the attempt and its missing pages, below its request's."""
-        scope = parent.open(ScopeKind.ATTEMPT, self)
+        scope = parent.open_child(ScopeKind.ATTEMPT, self)
         scope.write_started = self.write_started
         if self.missing_pages:
-            scope.open(ScopeKind.PAGE, self)
+            scope.open_child(ScopeKind.PAGE, self)
         return scope
 
     def is_wanted(self) -> bool:
--- a/tests/deadlines/test_cancel_scopes.py
+++ b/tests/deadlines/test_cancel_scopes.py
@@ -30,11 +30,11 @@
 def tree() -> RequestTree:
     """None of its scopes has ended."""
     request = CancelScope(ScopeKind.REQUEST, "r")
-    unsent = request.open(ScopeKind.ATTEMPT, 0)
-    sent = request.open(ScopeKind.ATTEMPT, 1)
+    unsent = request.open_child(ScopeKind.ATTEMPT, 0)
+    sent = request.open_child(ScopeKind.ATTEMPT, 1)
     sent.write_started = True
-    page = sent.open(ScopeKind.PAGE, "p")
-    health_check = sent.open(ScopeKind.HEALTH_CHECK, "q")
+    page = sent.open_child(ScopeKind.PAGE, "p")
+    health_check = sent.open_child(ScopeKind.HEALTH_CHECK, "q")
     return RequestTree(request, unsent, sent, page, health_check)
 
 
@@ -58,7 +58,7 @@
     ]
     assert request.end(honoured) == []
     assert tree.sent.end(honoured) == []
-    late = request.open(ScopeKind.ATTEMPT, 2)
+    late = request.open_child(ScopeKind.ATTEMPT, 2)
     assert late.ended
     assert late.end(True) == []
 
@@ -82,7 +82,7 @@
     assert cancels.resolve_by_answer(b"a") is None
     assert cancels.check(2 * scopes.RESEND_INTERVAL_NS) == ([b"b"], [])
     assert cancels.check(3 * scopes.RESEND_INTERVAL_NS) == ([], [])
-    assert cancels.check(scopes.CONFIRMATION_NS) == ([], [b"b"])
+    assert cancels.check(scopes.CONFIRMATION_DELAY_NS) == ([], [b"b"])
     assert cancels.clear() == 0
     cancels.begin(b"c", 0)
     assert cancels.clear() == 1
--- a/tests/deadlines/test_retry_budget.py
+++ b/tests/deadlines/test_retry_budget.py
@@ -60,10 +60,10 @@
 
 def test_the_accounting_of_many_tenants_is_bounded() -> None:
     budget = RetryBudget(RetryBudgetSettings())
-    for number in range(3 * retry_budget.MAX_BUCKETS):
+    for number in range(3 * retry_budget.MAX_BUCKET_COUNT):
         budget.try_spend("glance", f"t{number}")
         budget.record_first_attempt("glance", f"t{number}")
-    assert len(budget.tokens) <= retry_budget.MAX_BUCKETS + 1
+    assert len(budget.tokens) <= retry_budget.MAX_BUCKET_COUNT + 1
 
 
 @pytest.mark.parametrize(
--- a/tests/deadlines/test_stage_latencies.py
+++ b/tests/deadlines/test_stage_latencies.py
@@ -5,14 +5,18 @@
 import pytest
 
 from query_broker.deadlines.settings import LatencyStage, MarginSettings
-from query_broker.deadlines.stage_latencies import GENERATION_NS, Quantiles, StageLatencies
+from query_broker.deadlines.stage_latencies import (
+    GENERATION_AGE_NS,
+    LatencyDistribution,
+    StageLatencies,
+)
 from query_broker.timer_wheel import Clock
 
 MS = 1_000_000
 
 
 def test_quantiles_follow_and_forget() -> None:
-    latencies = Quantiles()
+    latencies = LatencyDistribution()
     assert latencies.quantile(0.5, 0) is None
     for number in range(1_000):
         latencies.add(number * MS, 0)
@@ -20,10 +24,10 @@
     assert median is not None
     assert abs(median - 500 * MS) < 20 * MS
     for number in range(1_000):
-        latencies.add(MS, GENERATION_NS + number)
+        latencies.add(MS, GENERATION_AGE_NS + number)
     for number in range(1_000):
-        latencies.add(MS, 2 * GENERATION_NS + 2_000 + number)
-    latest = latencies.quantile(0.99, 2 * GENERATION_NS + 4_000)
+        latencies.add(MS, 2 * GENERATION_AGE_NS + 2_000 + number)
+    latest = latencies.quantile(0.99, 2 * GENERATION_AGE_NS + 4_000)
     assert latest is not None
     assert latest <= 2 * MS
     assert sum(latencies.bucket_counts) == latencies.count == 3_000
--- a/tests/deadlines/test_write_queue.py
+++ b/tests/deadlines/test_write_queue.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from query_broker.deadlines.write_queue import CONTROL, Frame, WriteQueue, rest
+from query_broker.deadlines.write_queue import CONTROL, Frame, WriteQueue, remaining_pieces
 from query_broker.protocols import resp
 
 
@@ -73,7 +73,7 @@
     connection.flush(3)
     assert connection.begun == ["d"]
     assert connection.sent == b"ddd"
-    connection.enqueue("f", CONTROL)  # not before the rest of what has begun
+    connection.enqueue("f", CONTROL)  # not before the rest of the frame that has begun
     connection.flush(1_000)
     assert connection.written == ["d", "f", "c", "e", "a", "b"]
 
@@ -170,6 +170,6 @@
     assert any(piece is statement for piece in pieces)
     assert b"".join(pieces) == resp.encode(b"do", b"1", b"-", statement)
     assert resp.pieces(b"do", b"1") == (resp.encode(b"do", b"1"),)
-    views = rest(pieces, len(pieces[0]) + 10)
+    views = remaining_pieces(pieces, len(pieces[0]) + 10)
     assert b"".join(views) == b"".join(pieces)[len(pieces[0]) + 10 :]
     assert any(getattr(view, "obj", None) is statement for view in views)
