--- a/tests/dispatch/recording_client.py
+++ b/tests/dispatch/recording_client.py
@@ -1,4 +1,4 @@
-"""A client without a connection, and requests as its protocol would have parsed them."""
+"""A client without a connection, and requests as a client protocol would have parsed them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Outcome(Enum):
-    """Which of the three answers a request has got."""
+    """Which of the three possible answers a request got."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -21,17 +21,17 @@
 
 
 class Answer(NamedTuple):
-    """An answer, and the pause that it asks for."""
+    """An answer, with its `retry_after`."""
 
     outcome: Outcome
-    pause_ms: int = 0
+    retry_after_ms: int = 0
 
 
 class RecordingClient:
-    """Implements the dispatcher's `Client` without a socket, so that a test chooses the moment.
+    """Implements the dispatcher's `Client` without a socket and records the answers.
 
     Attributes:
-        answers: All answers, in their order.
+        answers: All answers, in the order of their arrival.
     """
 
     def __init__(self) -> None:
@@ -42,16 +42,16 @@
         """Record that the request was served."""
         self._record(Answer(Outcome.SERVED))
 
-    def rejected(self, stream: int, pause_ms: int) -> None:
+    def rejected(self, stream: int, retry_after_ms: int) -> None:
         """Record that the request was rejected."""
-        self._record(Answer(Outcome.REJECTED, pause_ms))
+        self._record(Answer(Outcome.REJECTED, retry_after_ms))
 
     def failed(self, stream: int, reason: str) -> None:
-        """Record that the request has failed."""
+        """Record that the request failed."""
         self._record(Answer(Outcome.FAILED))
 
     def unread_bytes(self) -> int:
-        """Return 0: nothing waits to be read."""
+        """Return 0, as if all answers had been read."""
         return 0
 
     def _record(self, answer: Answer) -> None:
@@ -59,7 +59,7 @@
         self._answered.set()
 
     async def first_outcome(self) -> Outcome:
-        """Wait for the first answer."""
+        """Wait for the first answer and return its outcome."""
         await within(self._answered.wait())
         return self.answers[0].outcome
 
@@ -69,7 +69,7 @@
     client_request_id: str = "a" * 16,
     idempotency_key: str | None = None,
 ) -> ParsedRequest:
-    """Return a valid request with a deadline of 4 s."""
+    """Return a valid request with a timeout of 4 s."""
     return ParsedRequest(
         class_name,
         client_request_id,
--- a/tests/dispatch/request_frames.py
+++ b/tests/dispatch/request_frames.py
@@ -1,4 +1,4 @@
-"""Frames of requests as bytes, and what comes back on a raw socket."""
+"""Request frames as bytes, and reading of answers from a raw socket."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def request_frame(stream: int = 1, **fields: str) -> bytes:
-    """Return the frame of a request; its id is made from the stream."""
+    """Return the frame of a request, whose id is derived from the stream number."""
     default_fields = {
         "route": "glance",
         "trace": f"{stream:016x}",
@@ -25,28 +25,28 @@
     return frames.frame(frames.REQUEST, stream, payload)
 
 
-HALF_A_REQUEST = request_frame(3)[:20]
+PARTIAL_REQUEST = request_frame(3)[:20]
 
 
 async def receive(connection: socket.socket) -> bytes:
-    """Return what the peer sends next, nothing once it has ended its side."""
+    """Return the next bytes from the peer; empty once the peer has closed its sending side."""
     connection.setblocking(False)
     loop = asyncio.get_running_loop()
     return await within(loop.sock_recv(connection, READ_SIZE_BYTES))
 
 
 async def read_to_end(connection: socket.socket) -> bytes:
-    """Return all that the peer sends until it ends its side."""
+    """Return all bytes from the peer until it closes its sending side."""
     received = b""
     while part := await receive(connection):
         received += part
     return received
 
 
-async def read_to_the_end_of(connection: socket.socket, last: bytes) -> None:
-    """Read until these bytes have come; the peer must not end its side before."""
+async def read_until_suffix(connection: socket.socket, suffix: bytes) -> None:
+    """Read until the received bytes end with the suffix; the peer must not close before that."""
     received = b""
-    while not received.endswith(last):
+    while not received.endswith(suffix):
         part = await receive(connection)
-        assert part, "closed over the request"
+        assert part, "the connection was closed before the request was answered"
         received += part
--- a/tests/dispatch/test_capacity.py
+++ b/tests/dispatch/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity for clients, endpoints and statements, from the limits of the process."""
+"""Division of the limits of a process among clients, endpoints and statements."""
 
 from __future__ import annotations
 
--- a/tests/dispatch/test_draining_endpoints.py
+++ b/tests/dispatch/test_draining_endpoints.py
@@ -7,8 +7,11 @@
 from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
 
 
-def test_with_every_open_engine_ejected_a_draining_one_keeps_none_of_them_shut() -> None:
-    """Where all are ejected, all get trials; a draining endpoint in good health can't get any."""
+def test_ejected_endpoints_get_trials_beside_a_healthy_draining_endpoint() -> None:
+    """If all endpoints are ejected, all of them get trials.
+
+    A healthy draining endpoint must not prevent that, since it gets no requests itself.
+    """
     harness = Harness(make_settings(query_class(deadline_ns=60 * S)), entry(1), entry(2), entry(3))
     harness.do(
         api.EndpointListUpdate(
--- a/tests/dispatch/test_endpoint_table.py
+++ b/tests/dispatch/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""Endpoints that come, move and go: their numbers, and what remains of them."""
+"""Endpoints that are added, moved and removed: their numbers and their table entries."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from .dispatchers import make_dispatcher
 
 
-def test_an_endpoint_s_number_follows_its_uid_whatever_its_address() -> None:
+def test_an_endpoint_number_depends_on_the_uid_and_not_on_the_address() -> None:
     table = EndpointTable()
     other_table = EndpointTable()
     listed = table.apply_event(
         parse_event(topology_event(1, target_entry("a", 1), target_entry("b", 2), full=True))
     )
     other_table.apply_event(parse_event(topology_event(1, target_entry("b", 2), full=True)))
-    assert other_table.number("b") == listed[1].endpoint  # all brokers number them alike
+    assert other_table.number("b") == listed[1].endpoint  # all brokers give the same number
     moved = table.apply_event(
         parse_event(topology_event(2, target_entry("c", 1, boot_ms=9), target_entry("b", 3)))
     )
@@ -35,30 +35,30 @@
     assert table.by_uid["b"].target.state is EndpointState.REMOVED
 
 
-def test_endpoints_that_come_and_go_all_day_leave_nothing_behind() -> None:
-    broker = make_dispatcher()
+def test_removed_endpoints_are_forgotten() -> None:
+    dispatcher = make_dispatcher()
     for generation in range(2, 400):
         targets = [
             target_entry(f"s-{generation}", 1 + generation % 2),
             target_entry(f"s-{generation - 1}", 1, "terminated"),
         ]
-        # half are never listed as terminated
-        broker.endpoint_list_changed(
+        # Half of the endpoints are never listed as terminated.
+        dispatcher.endpoint_list_changed(
             parse_event(topology_event(generation, *targets[: 1 + generation % 2]))
         )
-        broker.pools.sweep(broker.now())
+        dispatcher.pools.sweep(dispatcher.now())
     for table in (
-        broker.endpoint_table.by_uid,
-        broker.endpoint_table.by_number,
-        broker.pools.by_number,
-        broker.facade.controller.endpoints,
+        dispatcher.endpoint_table.by_uid,
+        dispatcher.endpoint_table.by_number,
+        dispatcher.pools.by_number,
+        dispatcher.facade.controller.endpoints,
     ):
         assert 1 <= len(table) <= 2
-    number = broker.endpoint_table.number("s-399")
-    broker.endpoint_list_changed(
+    number = dispatcher.endpoint_table.number("s-399")
+    dispatcher.endpoint_list_changed(
         parse_event(topology_event(400, target_entry("s-399", 1, "terminated")))
     )
-    assert "s-399" not in broker.endpoint_table.by_uid
-    broker.endpoint_list_changed(parse_event(topology_event(401, target_entry("s-399", 1))))
-    # the same as every other broker gives it
-    assert broker.endpoint_table.by_uid["s-399"].number == number
+    assert "s-399" not in dispatcher.endpoint_table.by_uid
+    dispatcher.endpoint_list_changed(parse_event(topology_event(401, target_entry("s-399", 1))))
+    # An endpoint that is listed again gets its former number.
+    assert dispatcher.endpoint_table.by_uid["s-399"].number == number
--- a/tests/dispatch/test_engine_connection_races.py
+++ b/tests/dispatch/test_engine_connection_races.py
@@ -1,4 +1,4 @@
-"""Connections to engines that close, come up late or change just as they are needed."""
+"""Connections to engines that close, open late or change just when they are needed."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 pytestmark = pytest.mark.real_time
 
-# Long enough that a busy machine does not pass for a late connect.
+# Long enough that a connect on a busy machine does not count as late.
 LIMITS_WITH_LONG_CONNECT_TIMEOUT = {
     **platform_settings()["policy_limits"],
     "connect_timeout": 800 * MS,
@@ -44,8 +44,9 @@
 
 
 class EngineWithFullQueue:
-    """An engine that accepts connections one at a time, by hand, and whose queue can be filled so
-    that the next connect does not complete.
+    """An engine whose connections the test accepts one at a time.
+
+    Its accept queue can be filled, so that the next connect does not complete.
     """
 
     def __init__(self) -> None:
@@ -56,18 +57,18 @@
         self.port = int(self.listener.getsockname()[1])
 
     async def accept(self) -> Client:
-        """Accept the next connection; the client's streams serve the engine's side as well."""
+        """Accept the next connection; a `Client` provides its streams."""
         accepted, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         return Client(*await asyncio.open_connection(sock=accepted))
 
     def fill(self) -> socket.socket:
-        """Fill the queue with one more connection, until that is closed."""
+        """Fill the accept queue with one more connection, until that connection is closed."""
         return socket.create_connection(("127.0.0.1", self.port))
 
 
 @pytest.fixture
 def engine_listener() -> Iterator[EngineWithFullQueue]:
-    """An engine that is closed once the test is over."""
+    """An engine that is closed after the test."""
     engine = EngineWithFullQueue()
     yield engine
     engine.listener.close()
@@ -75,44 +76,46 @@
 
 @asynccontextmanager
 async def broker_with_late_connects(engine_listener: EngineWithFullQueue) -> AsyncIterator[Rig]:
-    """Run a broker that waits long for connects to this engine."""
+    """Run a broker with a long connect timeout for this engine."""
     target = target_entry("s-1", engine_listener.port)
     config = make_config(target, policy_limits=LIMITS_WITH_LONG_CONNECT_TIMEOUT)
-    async with running(config) as rig:
-        yield rig
+    async with running(config) as broker:
+        yield broker
 
 
 @on_uvloop
-async def test_a_broker_that_stood_still_reads_the_rest_of_an_answer_before_calling_it_cut() -> (
-    None
-):
+async def test_after_a_stall_the_rest_of_an_answer_is_read_before_it_times_out() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.ask(route="stock-add", patience="20000")
         await until(lambda: engine.commands_named(b"do"))
         answer = resp.encode(TRACE.encode(), b"served", b"chunks=1", b"a\tb\tc\n")
         engine.writers[0].write(answer[:20])
-        (connection,) = first_pool(rig).connections
+        (connection,) = first_pool(broker).connections
         await until(lambda: connection.parser.buffer)
         descriptor = engine.writers[0].transport.get_extra_info("socket").fileno()
         os.write(descriptor, answer[20:])
-        rig.node.clock.anchor += 2 * ANSWER_TIMEOUT_NS
-        connection.check(rig.node.clock.now())  # the loop has had no turn since
+        broker.node.clock.anchor += 2 * ANSWER_TIMEOUT_NS
+        connection.check(broker.node.clock.now())  # the event loop has not run since
         assert (await client.answer())[:2] == (1, frames.SERVED)
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["end", "reset"])
 @pytest.mark.parametrize("busy", [False, True], ids=["idle", "busy"])
 @on_uvloop
-async def test_a_dispatch_that_meets_an_engine_s_close_never_ran(reset: bool, busy: bool) -> None:
-    """The close has arrived, unread, when the request is decided on: the order proves that nothing
-    ran. ``busy``: another attempt is in flight on the connection.
+async def test_an_attempt_that_meets_a_closed_connection_is_sent_on_a_new_one(
+    reset: bool, busy: bool
+) -> None:
+    """The engine has closed the connection before the attempt is sent, so the attempt never ran.
+
+    The close is still unread when the decisions order the attempt. ``busy``: another attempt is in
+    flight on the connection.
     """
     engine = Engine()
-    async with broker_with_engines(engine) as rig:
-        rig.node.dispatcher.pools.dedicated_connections = not busy
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        broker.node.dispatcher.pools.dedicated_connections = not busy
+        client = await broker.client()
         client.ask()
         assert (await client.answer())[1] == frames.SERVED
         if busy:
@@ -128,7 +131,7 @@
                 await until(lambda: engine.writers[0].transport.is_closing())
             engine_side.shutdown(socket.SHUT_RDWR)
         recorder = RecordingClient()
-        rig.node.dispatcher.submit(recorder, 1, parsed_request())
+        broker.node.dispatcher.submit(recorder, 1, parsed_request())
         assert await recorder.first_outcome() is Outcome.SERVED
         assert [do[1] for do in engine.commands_named(b"do")].count(b"a" * 16) == 1
         assert len(engine.writers) == 2
@@ -137,18 +140,18 @@
 
 
 @on_uvloop
-async def test_a_connect_that_comes_up_late_ejects_no_engine(
+async def test_a_late_connect_does_not_eject_an_engine_that_answers(
     engine_listener: EngineWithFullQueue,
 ) -> None:
-    """The engine has answered meanwhile on its other connection: what waited goes there."""
-    async with broker_with_late_connects(engine_listener) as rig:
-        client = await rig.client()
+    """The engine answers on its other connection meanwhile, which the waiting attempt then uses."""
+    async with broker_with_late_connects(engine_listener) as broker:
+        client = await broker.client()
         client.ask(1, trace="1" * 16)
         engine = await within(engine_listener.accept())
         await within(engine.reader.readuntil(STATEMENT))
         with engine_listener.fill():
             client.ask(2, trace="2" * 16)
-            pool = first_pool(rig)
+            pool = first_pool(broker)
             await until(lambda: pool.waiting_attempts)
             engine.writer.write(resp.encode(b"1" * 16, b"update", b"tell=pct,amount=0.5", b""))
             assert b"2" * 16 in await within(engine.reader.readuntil(STATEMENT))
@@ -158,21 +161,21 @@
                 (1, frames.SERVED),
                 (2, frames.SERVED),
             }
-        assert not next(iter(rig.node.dispatcher.facade.controller.endpoints.values())).ejected
+        assert not next(iter(broker.node.dispatcher.facade.controller.endpoints.values())).ejected
 
 
 @on_uvloop
-async def test_a_connect_that_fails_at_a_silent_engine_still_counts_against_it(
+async def test_a_failed_connect_ejects_an_engine_that_is_silent(
     engine_listener: EngineWithFullQueue,
 ) -> None:
-    async with broker_with_late_connects(engine_listener) as rig:
-        client = await rig.client()
+    async with broker_with_late_connects(engine_listener) as broker:
+        client = await broker.client()
         client.ask(1, trace="1" * 16)
         engine = await within(engine_listener.accept())
         with engine_listener.fill():
             client.ask(2, trace="2" * 16)
             assert (await client.answer())[:2] == (2, frames.REFUSED)
-        assert next(iter(rig.node.dispatcher.facade.controller.endpoints.values())).ejected
+        assert next(iter(broker.node.dispatcher.facade.controller.endpoints.values())).ejected
         engine.writer.close()
 
 
@@ -180,12 +183,12 @@
 async def test_a_new_incarnation_of_an_engine_at_its_old_address_gets_new_connections() -> None:
     engine = Engine()
     port = await engine.start()
-    async with running(make_config(target_entry("s-1", port))) as rig:
-        client = await rig.client()
+    async with running(make_config(target_entry("s-1", port))) as broker:
+        client = await broker.client()
         client.ask(1, trace="1" * 16)
         assert (await client.answer())[1] == frames.SERVED
-        started_ms = rig.node.dispatcher.now() // MS - 60_000
-        rig.node.dispatcher.endpoint_list_changed(
+        started_ms = broker.node.dispatcher.now() // MS - 60_000
+        broker.node.dispatcher.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-1", port, boot_ms=started_ms)))
         )
         client.ask(2, trace="2" * 16)
--- a/tests/dispatch/test_facade.py
+++ b/tests/dispatch/test_facade.py
@@ -1,4 +1,4 @@
-"""The facade of the decisions: what it orders, and when its timers fire."""
+"""The facade of the decisions: its orders, and its timers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def facade_with_one_endpoint(settings: Settings, timers: TimerWheel) -> Facade:
-    """Return the decisions of a broker whose list holds endpoint 9 alone."""
+    """Return the decisions of a broker whose endpoint list contains only endpoint 9."""
     facade = Facade(settings, 7, 0, timers)
     entry = EndpointEntry(9, EndpointState.READY, "a", "box")
     facade.report(0, EndpointListUpdate(ListUpdateKind.FULL, (entry,)))
@@ -46,11 +46,11 @@
     ]
 
 
-def test_a_load_without_an_answer_at_its_deadline_has_failed_and_gets_no_other_answer() -> None:
+def test_a_non_idempotent_request_without_an_answer_fails_once_at_its_deadline() -> None:
     timers = TimerWheel(5 * MS, 0)
     facade = facade_with_one_endpoint(LOAD_SETTINGS, timers)
     facade.pick(0, LOAD)
-    assert not facade.due  # before the timers say so
+    assert not facade.due  # no timer has fired yet
     timers.advance(2 * S)
     answers = [answer for _ in range(len(facade.due)) for answer in facade.tick(2 * S).answers]
     assert answers == [Fail("1")]  # it may have run: failed, not rejected
@@ -59,7 +59,7 @@
     assert not late.answers
 
 
-def test_closing_fails_what_may_have_run_and_answers_it_once() -> None:
+def test_closing_fails_a_request_that_may_have_run_and_answers_it_once() -> None:
     settings = make_settings(query_class(effect=Effect.NON_IDEMPOTENT))
     facade = facade_with_one_endpoint(settings, TimerWheel(5 * MS, 0))
     facade.pick(0, RequestArrived("1", "short", 5 * S, None, None, 0, 0.0, -1, False))
--- a/tests/dispatch/test_log_limits.py
+++ b/tests/dispatch/test_log_limits.py
@@ -1,4 +1,4 @@
-"""The limit of log lines of a kind."""
+"""The rate limit on log lines of each kind."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from query_broker import log
 
 
-def test_the_lines_of_a_kind_are_limited_and_the_others_are_counted(
+def test_log_lines_of_one_kind_are_limited_and_the_rest_are_counted(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now_s = 50.0
--- a/tests/dispatch/test_observers.py
+++ b/tests/dispatch/test_observers.py
@@ -1,4 +1,4 @@
-"""Observers of the dispatcher: when they are called, and in which order."""
+"""When, and in which order, observers of the dispatcher are called."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RecordedCall(NamedTuple):
-    """A call of an observer, with what it was called for."""
+    """A call of an observer: its event, and the subject of the event."""
 
     observer: str
     event: str
@@ -31,7 +31,7 @@
 
 
 class RecordingObserver(DispatchObserver):
-    """Records each call under its own name."""
+    """Records each call together with the name of the observer."""
 
     def __init__(self, name: str, calls: list[RecordedCall]) -> None:
         self.name = name
@@ -79,14 +79,14 @@
     dispatcher.add_observer(RecordingObserver("", calls))
     report = dispatcher.facade.report
 
-    def recorded(now_ns: int, reported: Event) -> OrderBatch:
-        calls.append(RecordedCall("", "decisions", type(reported)))
-        return report(now_ns, reported)
+    def record_and_report(now_ns: int, event: Event) -> OrderBatch:
+        calls.append(RecordedCall("", "decisions", type(event)))
+        return report(now_ns, event)
 
-    monkeypatch.setattr(dispatcher.facade, "report", recorded)
+    monkeypatch.setattr(dispatcher.facade, "report", record_and_report)
     request = dispatcher.submit(RecordingClient(), 1, parsed_request("glance"))
     dispatcher.cancellations.abandon(request)
-    dispatcher.cancellations.abandon(request)  # its client has gone already
+    dispatcher.cancellations.abandon(request)  # has no effect the second time
     dispatcher.outcomes.report_deferred()
     assert calls == [
         RecordedCall("", "arrived", "glance"),
@@ -107,7 +107,7 @@
     for observer in observers:
         extensions.add_observer(observer)
     extensions.remove_observer(observers[1])
-    extensions.remove_observer(observers[1])  # nothing happens
+    extensions.remove_observer(observers[1])  # has no effect the second time
     assert extensions.observers == (observers[0], observers[2])
     for remaining in extensions.observers:
         remaining.endpoint_administered("s-1", True)
--- a/tests/dispatch/test_policies.py
+++ b/tests/dispatch/test_policies.py
@@ -1,4 +1,4 @@
-"""Policies that change the work of the dispatcher: settings, metrics and `retry_after`."""
+"""Policies that change the behaviour of the dispatcher: settings, metrics and `retry_after`."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 class ConstantRetryAfter:
-    """States the same pause each time."""
+    """Returns the same `retry_after` for each rejection."""
 
-    def __init__(self, pause_ns: int) -> None:
-        self.pause_ns = pause_ns
+    def __init__(self, constant_ns: int) -> None:
+        self.constant_ns = constant_ns
 
-    def retry_after_ns(self, decided_ns: int) -> int:
-        return self.pause_ns
+    def retry_after_ns(self, original_ns: int) -> int:
+        return self.constant_ns
 
 
 class ConstantMetrics:
-    """A source of the same lines each time."""
+    """Returns the same lines each time."""
 
     def __init__(self, lines: bytes) -> None:
         self.lines = lines
@@ -48,7 +48,7 @@
         return self.lines
 
 
-def test_settings_adjusters_are_applied_one_after_the_other() -> None:
+def test_settings_adjusters_are_applied_in_the_order_of_registration() -> None:
     extensions = DispatchExtensions()
     settings = make_config().settings
     extensions.add_settings_adjuster(IncrementFleetSize())
@@ -56,24 +56,24 @@
     assert extensions.adjusted(settings).fleet_size == (settings.fleet_size + 1) * 2
 
 
-def test_metrics_sources_follow_the_dispatcher_s_own_lines() -> None:
+def test_lines_of_metrics_sources_follow_those_of_the_dispatcher() -> None:
     dispatcher = make_dispatcher()
-    own = dispatcher.metrics()
+    dispatcher_lines = dispatcher.metrics()
     dispatcher.extensions.add_metrics_source(ConstantMetrics(b"one 1\n"))
     dispatcher.extensions.add_metrics_source(ConstantMetrics(b"two 2\n"))
-    assert dispatcher.metrics() == own + b"one 1\ntwo 2\n"
+    assert dispatcher.metrics() == dispatcher_lines + b"one 1\ntwo 2\n"
 
 
 @pytest.mark.parametrize(
-    ("widened_ns", "pause_ms"), [(7_000_001, 8), (7_000_000, 7)], ids=["rounded", "exact"]
+    ("policy_ns", "retry_after_ms"), [(7_000_001, 8), (7_000_000, 7)], ids=["rounded", "exact"]
 )
 def test_the_retry_after_policy_is_rounded_up_to_milliseconds(
-    widened_ns: int, pause_ms: int
+    policy_ns: int, retry_after_ms: int
 ) -> None:
     dispatcher = make_dispatcher()
     client = RecordingClient()
-    dispatcher.extensions.set_retry_after_policy(ConstantRetryAfter(widened_ns))
-    # No endpoint is known: the request waits, then it is rejected.
+    dispatcher.extensions.set_retry_after_policy(ConstantRetryAfter(policy_ns))
+    # Without an endpoint the request waits until the close-out rejects it.
     dispatcher.submit(client, 1, parsed_request("glance"))
     dispatcher.cancellations.close_out_all()
-    assert client.answers == [Answer(Outcome.REJECTED, pause_ms)]
+    assert client.answers == [Answer(Outcome.REJECTED, retry_after_ms)]
--- a/tests/dispatch/test_rejected_settings.py
+++ b/tests/dispatch/test_rejected_settings.py
@@ -1,4 +1,4 @@
-"""Settings files that the start and a reload reject."""
+"""Settings files that are rejected at the start and at a reload."""
 
 from __future__ import annotations
 
@@ -52,15 +52,15 @@
 
 
 def write_changed_class(folder: Path, change: dict[str, Any]) -> dict[str, str]:
-    """Write settings with the changed class; None takes a key out. Return the environment."""
-    claim = {**VALID_CLASS, **change}
-    stated = {key: value for key, value in claim.items() if value is not None}
-    return write_config(folder, settings=platform_settings(classes=[stated]))
+    """Write settings with the changed class and return the environment; None removes a key."""
+    changed_class = {**VALID_CLASS, **change}
+    written_class = {key: value for key, value in changed_class.items() if value is not None}
+    return write_config(folder, settings=platform_settings(classes=[written_class]))
 
 
 @UNUSABLE_CLASSES
 @on_uvloop
-async def test_settings_that_leave_a_retry_to_a_guess_end_the_start(
+async def test_settings_with_an_unusable_class_end_the_start(
     tmp_path: Path, change: dict[str, Any], line: str
 ) -> None:
     environ = write_changed_class(tmp_path, change)
@@ -71,26 +71,26 @@
         assert output[1].decode() == f"larchhall: {complete_line}\n"
         assert broker.returncode == 2
     finally:
-        if broker.returncode is None:  # it serves
+        if broker.returncode is None:  # the broker has accepted the settings
             broker.kill()
             await broker.wait()
 
 
 @UNUSABLE_CLASSES
 @on_uvloop
-async def test_settings_that_leave_a_retry_to_a_guess_change_nothing_on_a_reload(
+async def test_settings_with_an_unusable_class_change_nothing_on_a_reload(
     tmp_path: Path, change: dict[str, Any], line: str
 ) -> None:
     environ = write_changed_class(tmp_path, change)
-    async with running(make_config(classes=[VALID_CLASS]), environ) as rig:
-        before = rig.node.config
-        rig.node.reload()
-        assert rig.node.config is before
-        assert rig.node.dispatcher.config.settings is before.settings
-        assert any(line in logged for logged in rig.logged), rig.logged
+    async with running(make_config(classes=[VALID_CLASS]), environ) as broker:
+        config_before = broker.node.config
+        broker.node.reload()
+        assert broker.node.config is config_before
+        assert broker.node.dispatcher.config.settings is config_before.settings
+        assert any(line in logged for logged in broker.logged), broker.logged
 
 
-def test_a_number_of_any_length_is_rejected_in_one_line(tmp_path: Path) -> None:
+def test_a_number_with_too_many_digits_is_rejected_in_one_line(tmp_path: Path) -> None:
     env = write_config(tmp_path)
     (tmp_path / "config.json").write_text('{"seed": ' + "9" * 5_000 + "}")
     process = subprocess.run(
--- a/tests/dispatch/test_signal_races.py
+++ b/tests/dispatch/test_signal_races.py
@@ -1,4 +1,4 @@
-"""Signals while the process starts, and while its interpreter ends."""
+"""Signals during the start of the process, and during the shutdown of the interpreter."""
 
 from __future__ import annotations
 
@@ -29,19 +29,21 @@
 pytestmark = pytest.mark.real_time
 
 
-def write_to_pipe(path: Path, text: str, hang_up: asyncio.subprocess.Process | None = None) -> None:
-    """Write the text into the pipe once the broker has opened it, and hang up just before."""
+def write_to_pipe(
+    path: Path, text: str, sighup_receiver: asyncio.subprocess.Process | None = None
+) -> None:
+    """Write the text to the pipe once the broker has opened it; send SIGHUP just before."""
     with open(path, "w") as pipe:
-        if hang_up is not None:
-            hang_up.send_signal(signal.SIGHUP)
+        if sighup_receiver is not None:
+            sighup_receiver.send_signal(signal.SIGHUP)
         pipe.write(text)
 
 
 @on_uvloop
-async def test_a_sighup_that_comes_while_the_settings_are_read_is_taken_after_the_start(
+async def test_a_sighup_received_while_settings_are_read_is_handled_after_the_start(
     tmp_path: Path,
 ) -> None:
-    """The file is a pipe, so that the process waits in the middle of reading it."""
+    """The settings file is a pipe, so that the process waits while it reads the file."""
     port = free_port()
     path = tmp_path / "config.json"
     env = write_config(
@@ -54,12 +56,12 @@
     os.mkfifo(path)
     broker = await start_broker(env, stderr=asyncio.subprocess.DEVNULL)
     try:
-        await within(asyncio.to_thread(write_to_pipe, path, text, hang_up=broker))
-        client = await within(connect(port))  # it listens: the first reading is over
-        # it is read again: the signal was not lost
+        await within(asyncio.to_thread(write_to_pipe, path, text, sighup_receiver=broker))
+        client = await within(connect(port))  # the broker listens once it has read the settings
+        # The settings are read again, so the signal was not lost.
         await within(asyncio.to_thread(write_to_pipe, path, json.dumps(changed)))
         client.ask(route="peek")
-        # no engine is there; the class is
+        # The class is known now; the request is rejected because no engine is reachable.
         assert (await client.answer())[:2] == (1, frames.REFUSED)
     finally:
         broker.kill()
@@ -67,8 +69,9 @@
 
 
 def test_signals_while_the_interpreter_ends_are_ignored() -> None:
-    """The interpreter restores the system's handlers before its last objects are freed; an end by a
-    signal would be an exit code other than 0.
+    """The interpreter restores the default handlers before it frees the last objects.
+
+    A signal in between would end the process with an exit code other than 0.
     """
     program = (
         "import os, signal\n"
--- a/tests/dispatch/test_timer_wheel.py
+++ b/tests/dispatch/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel, on a time that the tests state."""
+"""The timer wheel, with times that the tests supply."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     assert 100 + delay_ns <= fired[0] <= 100 + max(delay_ns, 1) + 6 * MS
 
 
-def test_timers_that_are_overdue_fire_in_order_and_no_cancelled_one() -> None:
+def test_overdue_timers_fire_in_order_and_cancelled_timers_do_not() -> None:
     timers = TimerWheel(5 * MS, 0)
     fired: list[int] = []
     for due_ns in (7 * S, 30 * MS, 10 * MS):
@@ -43,7 +43,7 @@
 
 
 class RecordingOwner:
-    """Records how long it may rest, each time that it is woken."""
+    """Records how long it may sleep, each time that it is woken."""
 
     def __init__(self, timers: TimerWheel, woken: list[int | None]) -> None:
         self.timers = timers
@@ -53,7 +53,7 @@
         self.woken.append(self.timers.ns_until_wake(0))
 
 
-def test_timers_are_idle_until_the_next_is_due_and_an_earlier_one_wakes_them() -> None:
+def test_an_idle_timer_wheel_sleeps_until_its_next_timer_and_is_woken_by_an_earlier_one() -> None:
     """Advancing at every tick would wake each of 200 idle brokers 200 times a second."""
     timers = TimerWheel(5 * MS, 0)
     woken: list[int | None] = []
@@ -63,14 +63,14 @@
     assert not woken
     timers.set_timer(101 * MS, lambda: None).cancel()
     assert woken == [105 * MS]
-    assert timers.idle_ns(0, 250 * MS) == 250 * MS  # what was cancelled wakes nothing
+    assert timers.idle_ns(0, 250 * MS) == 250 * MS  # the cancelled timer has no effect
     timers.set_timer(150 * MS, lambda: None)
     timers.wake_next_tick()
     assert woken == [105 * MS, 150 * MS, 5 * MS]
     timers.advance(149 * MS)
     assert timers.idle_ns(149 * MS, 250 * MS) == MS
     timers.advance(150 * MS)
-    assert timers.idle_ns(150 * MS, 0) == 5 * MS  # a tick at the least, where every one is wanted
+    assert timers.idle_ns(150 * MS, 0) == 5 * MS  # one tick is the minimum
     assert timers.idle_ns(150 * MS, 500 * MS) == 250 * MS
 
 
@@ -78,7 +78,7 @@
 def test_idle_timers_fire_what_timers_fire_that_advance_at_every_tick(
     plan: list[tuple[int, int]],
 ) -> None:
-    """Timers are set at any moment of an idle span; times in milliseconds."""
+    """Timers are set at any time while the wheel is idle; times are in milliseconds."""
     timers = TimerWheel(5 * MS, 0)
     due = list[int]()
     late = list[int]()
@@ -97,8 +97,8 @@
     assert all(0 <= delay <= 10 for delay in late)
 
 
-def test_an_error_in_one_timer_takes_no_other_timer_with_it() -> None:
-    """The timers of the same tick that came after it were lost, timeouts of attempts among them."""
+def test_an_error_in_one_timer_does_not_drop_other_timers() -> None:
+    """An error in one timer dropped the later timers of its tick, including attempt timeouts."""
     timers = TimerWheel(5 * MS, 0)
     fired: list[str] = []
 
@@ -107,11 +107,11 @@
 
     timers.set_timer(10 * MS, partial(fired.append, "before"))
     timers.set_timer(10 * MS, fail)
-    timers.set_timer(10 * MS, partial(fired.append, "behind"))
+    timers.set_timer(10 * MS, partial(fired.append, "after"))
     cancelled = timers.set_timer(10 * MS, partial(fired.append, "cancelled"))
     timers.set_timer(15 * MS, partial(fired.append, "later"))
     with pytest.raises(LookupError):
         timers.advance(10 * MS)
     cancelled.cancel()
     timers.advance(15 * MS)
-    assert fired == ["before", "later", "behind"]
+    assert fired == ["before", "later", "after"]
--- a/tests/dispatch/test_validation.py
+++ b/tests/dispatch/test_validation.py
@@ -1,4 +1,4 @@
-"""Requests that are rejected before the decisions see them."""
+"""Validation of requests before they reach the decisions."""
 
 from __future__ import annotations
 
@@ -59,8 +59,8 @@
     table = RequestTable()
     table.add(ActiveRequest("1", b"b" * 16, b"glance", STATEMENT, RecordingClient(), 1, S))
     classes = [*make_config().settings.classes]
-    keyed = make_config(classes=[idempotent_class(deadline_ns=20 * S)]).settings.classes
-    settings = replace(make_config().settings, classes=(*classes, *keyed))
+    classes_with_key = make_config(classes=[idempotent_class(deadline_ns=20 * S)]).settings.classes
+    settings = replace(make_config().settings, classes=(*classes, *classes_with_key))
     validator = RequestValidator(settings, table)
     validator.check(VALID)
     validator.check(replace(VALID, client_request_id="b" * 16))  # the same statement again
