--- a/tests/deadlines/deadline_brokers.py
+++ b/tests/deadlines/deadline_brokers.py
@@ -1,4 +1,4 @@
-"""Brokers on real sockets whose hand-over checks and cancellations are watched."""
+"""Helpers for tests of hand-over checks and cancellations with brokers on real sockets."""
 
 from __future__ import annotations
 
@@ -26,43 +26,43 @@
     until,
 )
 
-#: So long that a part of it stays in the broker when the engine doesn't read.
+#: Long enough that a part of it stays in the broker when the engine doesn't read.
 LARGE_STATEMENT = b"SELECT 1 FROM sales_17.orders /* " + b"x" * 200_000 + b" */"
 
 
-def deadline_controls(rig: Rig) -> DeadlineControls:
-    """The node's hand-over checks, cancellations and retry budget."""
-    return rig.node.dispatcher.deadline_controls
+def deadline_controls(broker: Rig) -> DeadlineControls:
+    """Return the deadline settings and statistics of the broker."""
+    return broker.node.dispatcher.deadline_controls
 
 
-def statistics(rig: Rig) -> HandOverStatistics:
-    """What the node has counted of them."""
-    return deadline_controls(rig).statistics
+def statistics(broker: Rig) -> HandOverStatistics:
+    """Return the broker's counts of stopped and cancelled attempts."""
+    return deadline_controls(broker).statistics
 
 
-def stopped_count(rig: Rig, hand_over: HandOver, reason: StopReason) -> int:
-    """How many attempts this hand-over has stopped for this reason."""
-    return statistics(rig).stop_counts[hand_over, reason]
+def stopped_count(broker: Rig, hand_over: HandOver, reason: StopReason) -> int:
+    """Return how many attempts were stopped at this hand-over for this reason."""
+    return statistics(broker).stop_counts[hand_over, reason]
 
 
 def request_id(number: int) -> str:
-    """The id of a test's request."""
+    """Return the request id for a number."""
     return f"{number:016x}"
 
 
-def engine_connections(rig: Rig) -> list[Any]:
-    """The node's connections to engines."""
+def engine_connections(broker: Rig) -> list[Any]:
+    """Return the broker's connections to engines."""
     return [
         connection
-        for pool in rig.node.dispatcher.pools.by_number.values()
+        for pool in broker.node.dispatcher.pools.by_number.values()
         for connection in pool.connections
     ]
 
 
-async def client_with_half_written_request(rig: Rig, max_connections: int = 1) -> Client:
-    """Its first request, a large one, is half written to an engine that does not read."""
-    rig.node.dispatcher.pools.max_connections = max_connections
-    client = await rig.client()
+async def client_with_half_written_request(broker: Rig, max_connections: int = 1) -> Client:
+    """Return a client whose first request is large and partly written to an engine."""
+    broker.node.dispatcher.pools.max_connections = max_connections
+    client = await broker.client()
     client.ask(
         1,
         body=LARGE_STATEMENT,
@@ -71,48 +71,48 @@
         route="stock-add",
         weight="1.0",
     )
-    await until(lambda: rig.node.dispatcher.connection_events.blocked)
+    await until(lambda: broker.node.dispatcher.connection_events.blocked)
     return client
 
 
-async def wait_for_queued_request(rig: Rig) -> None:
-    """A request waits in the write queue of the first connection."""
-    await until(lambda: engine_connections(rig)[0].write_queue.by_key)
+async def wait_for_queued_request(broker: Rig) -> None:
+    """Wait until a request waits in the write queue of the first connection."""
+    await until(lambda: engine_connections(broker)[0].write_queue.by_key)
 
 
-async def client_with_queued_request(rig: Rig, **fields: Any) -> Client:
-    """Behind its half-written first request, its second one waits in the write queue."""
-    client = await client_with_half_written_request(rig)
+async def client_with_queued_request(broker: Rig, **fields: Any) -> Client:
+    """Return a client whose second request waits in the write queue behind a partly written one."""
+    client = await client_with_half_written_request(broker)
     client.ask(2, trace=request_id(2), **{"weight": "1.0", **fields})
-    await wait_for_queued_request(rig)
+    await wait_for_queued_request(broker)
     return client
 
 
-def change_endpoint(rig: Rig, offset: int, target: dict[str, Any]) -> None:
-    """The discovery service tells of this endpoint in the event with this offset."""
+def change_endpoint(broker: Rig, offset: int, target: dict[str, Any]) -> None:
+    """Apply a watch event with this offset that changes this endpoint."""
     event = parse_event(topology_event(offset, target))
-    rig.node.dispatcher.endpoint_list_changed(event)
+    broker.node.dispatcher.endpoint_list_changed(event)
 
 
 def configured_node(**options: Any) -> Callable[[Config, Mapping[str, str]], Node]:
-    """Makes a node with these parts of an operators' file."""
+    """Return a function that creates a node with these parts of an operators' file."""
     return lambda config, environ: ConfiguredNode(config, OperatorConfig(**options), "", environ)
 
 
 @asynccontextmanager
-async def broker_before(
+async def broker_with_engine_ports(
     *ports: int,
     make: Callable[[Config, Mapping[str, str]], Node] = Node,
     **changes: Any,
 ) -> AsyncIterator[Rig]:
-    """A broker before engines s-1, s-2, ... on these ports."""
+    """Run a broker with the engines s-1, s-2, ... on these ports."""
     targets = [target_entry(f"s-{number}", port) for number, port in enumerate(ports, 1)]
-    async with running(make_config(*targets, **changes), os.environ, make) as rig:
-        yield rig
+    async with running(make_config(*targets, **changes), os.environ, make) as broker:
+        yield broker
 
 
 def shrink_buffers(transport: Any) -> None:
-    """So few bytes fit between client and broker that an unread answer stays with the broker."""
+    """Shrink the socket buffers, so that unread answers stay in the broker."""
     connection = transport.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8_192)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8_192)
--- a/tests/deadlines/slow_engine.py
+++ b/tests/deadlines/slow_engine.py
@@ -1,4 +1,4 @@
-"""An engine that reads only when it is told to, so that frames wait in the broker."""
+"""An engine that only reads when the test tells it to, so that frames wait in the broker."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from contextlib import asynccontextmanager
 from typing import NamedTuple
 
-READ_BYTES = 65_536
+READ_SIZE_BYTES = 65_536
 UNLIMITED_BYTES = 1 << 30
-ROUND_S = 0.005
+ROUND_INTERVAL_S = 0.005
 
 
 class ParsedCommand(NamedTuple):
-    """A command, and how many bytes of the buffer it takes."""
+    """A command, and its size in the buffer."""
 
     parts: list[bytes]
-    length: int
+    size_bytes: int
 
 
 def parse_command(buffer: bytearray) -> ParsedCommand | None:
-    """The command at the buffer's start; None while it is incomplete.
+    """Return the command at the start of the buffer; None while it is incomplete.
 
-    The broker's own parser is made for answers, and statements may be longer than those.
+    The broker's own parser can't be used: it is made for answers, and statements may be longer.
     """
     header_end = buffer.find(b"\r\n")
     if not buffer.startswith(b"*") or header_end < 0:
@@ -45,7 +45,7 @@
 
 
 class SlowEngine:
-    """An engine that reads only when it is told to, from a small buffer."""
+    """An engine that only reads when the test tells it to, from a small buffer."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -55,22 +55,22 @@
         self.buffers: dict[socket.socket, bytearray] = {}
         self.commands: list[list[bytes]] = []
 
-    async def read(self, most_bytes: int = UNLIMITED_BYTES) -> None:
-        """Read all that has come, or so many bytes of each connection."""
+    async def read(self, max_bytes: int = UNLIMITED_BYTES) -> None:
+        """Read all bytes that have arrived, or at most this many from each connection."""
         await self._accept()
         for connection in self.buffers:
-            self._read_connection(connection, most_bytes)
+            self._read_connection(connection, max_bytes)
 
     async def read_until(self, condition: Callable[[], object], rounds: int = 400) -> None:
-        """Read all that comes until the condition holds, for so many rounds at the most."""
+        """Read until the condition holds, for at most this many rounds."""
         for _ in range(rounds):
             await self.read()
             if condition():
                 break
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(ROUND_INTERVAL_S)
 
     async def read_rounds(self, rounds: int) -> None:
-        """Read all that comes in so many rounds."""
+        """Read for this many rounds."""
         await self.read_until(lambda: False, rounds)
 
     async def _accept(self) -> None:
@@ -84,12 +84,12 @@
             connection.setblocking(False)
             self.buffers[connection] = bytearray()
 
-    def _read_connection(self, connection: socket.socket, most_bytes: int) -> None:
+    def _read_connection(self, connection: socket.socket, max_bytes: int) -> None:
         buffer = self.buffers[connection]
-        bytes_left = most_bytes
+        bytes_left = max_bytes
         while bytes_left > 0:
             try:
-                data = connection.recv(min(bytes_left, READ_BYTES))
+                data = connection.recv(min(bytes_left, READ_SIZE_BYTES))
             except (BlockingIOError, ConnectionError):
                 break
             if not data:
@@ -98,25 +98,25 @@
             buffer += data
             while (command := parse_command(buffer)) is not None:
                 self.commands.append(command.parts)
-                del buffer[: command.length]
+                del buffer[: command.size_bytes]
 
     def requests(self) -> list[list[bytes]]:
-        """The requests that it has read completely."""
+        """Return the requests that the engine has read completely."""
         return [parts for parts in self.commands if parts[0] == b"do"]
 
     def request_ids(self) -> list[bytes]:
-        """The ids of these requests."""
+        """Return the ids of the requests that the engine has read completely."""
         return [parts[1] for parts in self.requests()]
 
     def close(self) -> None:
         """Close all sockets."""
-        for opened in [self.listener, *self.buffers]:
-            opened.close()
+        for open_socket in [self.listener, *self.buffers]:
+            open_socket.close()
 
 
 @asynccontextmanager
 async def slow_engine() -> AsyncIterator[SlowEngine]:
-    """An engine that listens, and is closed with the test."""
+    """Run an engine that is closed after the test."""
     engine = SlowEngine()
     try:
         yield engine
--- a/tests/deadlines/test_cancel_scopes.py
+++ b/tests/deadlines/test_cancel_scopes.py
@@ -1,4 +1,4 @@
-"""What ends with a request, in which order, and when a cancel is said again."""
+"""The order in which scopes end, and the resending of cancellations."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RequestTree(NamedTuple):
-    """A request with an attempt that has not left, and one that has, with a page and a check."""
+    """A request with an unsent attempt, and a sent attempt that has a page and a health check."""
 
     request: CancelScope
     unsent: CancelScope
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def tree() -> RequestTree:
-    """None of its scopes has ended."""
+    """A request whose scopes have not ended."""
     request = CancelScope(ScopeKind.REQUEST, "r")
     unsent = request.open_child(ScopeKind.ATTEMPT, 0)
     sent = request.open_child(ScopeKind.ATTEMPT, 1)
@@ -39,31 +39,31 @@
 
 
 @pytest.mark.parametrize(
-    ("honoured", "action"),
+    ("supported", "action"),
     [
-        pytest.param(True, CancelAction.CANCEL, id="engines honour cancels"),
-        pytest.param(False, CancelAction.LET_RUN, id="engines honour no cancel"),
+        pytest.param(True, CancelAction.CANCEL, id="engines support cancellation"),
+        pytest.param(False, CancelAction.LET_RUN, id="engines do not support cancellation"),
     ],
 )
 def test_ending_a_scope_ends_all_below_it_children_first_and_once(
-    tree: RequestTree, honoured: bool, action: CancelAction
+    tree: RequestTree, supported: bool, action: CancelAction
 ) -> None:
     request = tree.request
-    assert request.end(honoured) == [
+    assert request.end(supported) == [
         (CancelAction.WITHDRAW, tree.unsent),
         (CancelAction.DISCARD_PAGES, tree.page),
         (CancelAction.LET_RUN, tree.health_check),
         (action, tree.sent),
         (CancelAction.END_REQUEST, request),
     ]
-    assert request.end(honoured) == []
-    assert tree.sent.end(honoured) == []
-    late = request.open_child(ScopeKind.ATTEMPT, 2)
-    assert late.ended
-    assert late.end(True) == []
+    assert request.end(supported) == []
+    assert tree.sent.end(supported) == []
+    late_attempt = request.open_child(ScopeKind.ATTEMPT, 2)
+    assert late_attempt.ended
+    assert late_attempt.end(True) == []
 
 
-def test_a_scope_that_is_over_by_itself_is_not_ended_with_the_rest(tree: RequestTree) -> None:
+def test_a_closed_scope_is_not_ended_with_its_parent(tree: RequestTree) -> None:
     tree.sent.close()
     assert tree.page.ended
     assert tree.request.end(True) == [
@@ -72,7 +72,7 @@
     ]
 
 
-def test_a_cancel_is_said_again_within_bounds_and_ends_by_silence_or_answer() -> None:
+def test_a_cancellation_is_resent_at_most_twice_and_resolved_by_silence_or_an_answer() -> None:
     cancels = PendingCancels()
     cancels.begin(b"a", 0)
     cancels.begin(b"b", 0)
--- a/tests/deadlines/test_directives.py
+++ b/tests/deadlines/test_directives.py
@@ -54,7 +54,7 @@
         run_script("ops.star", text, lambda: False)
 
 
-def test_the_example_of_the_deployment_is_read() -> None:
+def test_the_example_operators_file_of_the_deployment_is_read() -> None:
     config = evaluate(str(ROOT / "deploy" / "operators.star"))
     assert config.deadlines is not None
     assert config.deadlines.learn_margin
--- a/tests/deadlines/test_handover_checks.py
+++ b/tests/deadlines/test_handover_checks.py
@@ -1,4 +1,4 @@
-"""The first reason against a hand-over."""
+"""The reasons to stop an attempt at a hand-over, in their order."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 @pytest.mark.parametrize(
-    ("check", "reason"),
+    ("state", "reason"),
     [
-        pytest.param(HandOverState(True, 10), None, id="nothing"),
+        pytest.param(HandOverState(True, 10), None, id="no reason"),
         pytest.param(HandOverState(False, 10), StopReason.CLIENT_LEFT, id="the client has left"),
         pytest.param(HandOverState(True, 5), StopReason.DEADLINE_PASSED, id="the deadline is now"),
         pytest.param(
@@ -24,7 +24,7 @@
         pytest.param(
             HandOverState(True, 10, draining_since_ns=5),
             StopReason.ENDPOINT_DRAINING,
-            id="the endpoint drains",
+            id="the endpoint is draining",
         ),
         pytest.param(
             HandOverState(True, 10, draining_since_ns=6), None, id="the endpoint will drain"
@@ -39,15 +39,15 @@
             None,
             id="just in time for the fastest answer",
         ),
-        # No client wants it: that says nothing of the endpoint.
+        # A client that has left says nothing about the endpoint, so this reason comes first.
         pytest.param(
             HandOverState(False, 4, 9, True, 1),
             StopReason.CLIENT_LEFT,
-            id="the client has left, first of all",
+            id="the client has left, among other reasons",
         ),
     ],
 )
-def test_a_hand_over_check_tells_the_first_reason_against_it(
-    check: HandOverState, reason: StopReason | None
+def test_a_hand_over_check_returns_the_first_reason_to_stop(
+    state: HandOverState, reason: StopReason | None
 ) -> None:
-    assert reason_to_stop(5, check) is reason
+    assert reason_to_stop(5, state) is reason
--- a/tests/deadlines/test_queued_requests.py
+++ b/tests/deadlines/test_queued_requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait in the write queue of an engine which does not read."""
+"""Requests that wait in the write queue of a connection whose engine does not read."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 from .deadline_brokers import (
     LARGE_STATEMENT,
-    broker_before,
+    broker_with_engine_ports,
     change_endpoint,
     client_with_half_written_request,
     client_with_queued_request,
@@ -44,7 +44,7 @@
 
 
 async def codes_of_two_answers(client: Client) -> dict[int, int]:
-    """The codes of the next two answers, by stream."""
+    """Return the codes of the next two answers, by stream."""
     codes = {}
     for _ in range(2):
         stream, code, _, _ = await client.answer()
@@ -53,55 +53,57 @@
 
 
 @on_uvloop
-async def test_a_client_that_leaves_takes_its_unsent_request_back_completely() -> None:
-    async with slow_engine() as slow, broker_before(slow.port) as rig:
-        client = await client_with_half_written_request(rig)
+async def test_only_the_unsent_request_is_withdrawn_when_the_client_cancels() -> None:
+    async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
+        client = await client_with_half_written_request(broker)
         for number in (2, 3):
             client.ask(number, trace=request_id(number), weight="1.0")
-        await wait_for_queued_request(rig)
+        await wait_for_queued_request(broker)
         client.send(frames.ABANDON, 2)
-        await until(lambda: stopped_count(rig, HandOver.SOCKET, StopReason.CLIENT_LEFT) == 1)
-        await until(lambda: ID_2 not in engine_connections(rig)[0].in_flight)
-        client.send(frames.ABANDON, 1)  # half of it has left: the rest must follow
+        await until(lambda: stopped_count(broker, HandOver.SOCKET, StopReason.CLIENT_LEFT) == 1)
+        await until(lambda: ID_2 not in engine_connections(broker)[0].in_flight)
+        client.send(frames.ABANDON, 1)  # partly written: the rest of the frame must follow
         await slow.read_until(lambda: len(slow.requests()) == 2)
         assert slow.request_ids() == [ID_1, ID_3]
         assert slow.requests()[0][3] == LARGE_STATEMENT
-        assert statistics(rig).partial_write_counts == {StopReason.CLIENT_LEFT: 1}
+        assert statistics(broker).partial_write_counts == {StopReason.CLIENT_LEFT: 1}
 
 
 @on_uvloop
-async def test_a_deadline_that_passes_while_the_frame_is_half_written() -> None:
-    async with slow_engine() as slow, broker_before(slow.port) as rig:
-        rig.node.dispatcher.pools.max_connections = 1
-        client = await rig.client()
+async def test_at_the_deadline_a_partly_written_request_fails_and_an_unsent_one_is_rejected() -> (
+    None
+):
+    async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
+        broker.node.dispatcher.pools.max_connections = 1
+        client = await broker.client()
         fields: dict[str, Any] = {"patience": "300", "route": "stock-add", "weight": "1.0"}
         client.ask(1, body=LARGE_STATEMENT, trace=request_id(1), **fields)
         client.ask(2, trace=request_id(2), **fields)
         codes = await codes_of_two_answers(client)
-        # The first may run, so it failed; of the second no byte had left, so a retry is harmless.
+        # The first may run, so it fails. No byte of the second was sent, so it can be retried.
         assert codes == {1: frames.FAILED, 2: frames.REFUSED}
         await slow.read_rounds(100)
         assert slow.request_ids() == [ID_1]
-        assert statistics(rig).partial_write_counts == {StopReason.DEADLINE_PASSED: 1}
+        assert statistics(broker).partial_write_counts == {StopReason.DEADLINE_PASSED: 1}
 
 
 @on_uvloop
-async def test_what_has_waited_tells_the_time_that_is_left_and_none_goes_without_any() -> None:
-    """A deadline that passes in transit: the engine would get less than nothing to work with."""
-    async with slow_engine() as slow, broker_before(slow.port) as rig:
-        client = await client_with_queued_request(rig, patience="4000")
+async def test_a_queued_request_states_its_remaining_time_and_is_not_sent_without_any() -> None:
+    """If the deadline passes while a request is queued, the engine would get a negative time."""
+    async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
+        client = await client_with_queued_request(broker, patience="4000")
         (attempt,) = (
-            frame.subject for frame in engine_connections(rig)[0].write_queue.by_key.values()
+            frame.subject for frame in engine_connections(broker)[0].write_queue.by_key.values()
         )
         await asyncio.sleep(0.2)
         await slow.read_until(lambda: len(slow.requests()) == 2)
         fields = dict(field.split(b"=") for field in slow.requests()[1][2].split(b","))
         assert int(fields[b"limit"]) <= 3_800
-        attempt.deadline_ns = rig.node.dispatcher.now()
+        attempt.deadline_ns = broker.node.dispatcher.now()
         attempt.reported = False
-        assert not rig.node.dispatcher.connection_events.may_proceed(attempt)
-        assert stopped_count(rig, HandOver.SOCKET, StopReason.DEADLINE_PASSED) == 1
-        client.writer.close()  # it must have waited until here
+        assert not broker.node.dispatcher.connection_events.may_proceed(attempt)
+        assert stopped_count(broker, HandOver.SOCKET, StopReason.DEADLINE_PASSED) == 1
+        client.writer.close()  # the client must stay connected until here
 
 
 @pytest.mark.parametrize(
@@ -110,33 +112,33 @@
     ids=["disabled", "drained"],
 )
 @on_uvloop
-async def test_an_engine_disabled_or_drained_meanwhile_gets_nothing_that_waited(
+async def test_a_queued_request_is_not_sent_to_a_disabled_or_draining_engine(
     reason: StopReason,
 ) -> None:
     other = Engine()
     other_port = await other.start()
-    async with slow_engine() as slow, broker_before(slow.port) as rig:
-        client = await client_with_queued_request(rig, route="stock-add")
-        rig.node.dispatcher.pools.max_connections = 8
-        change_endpoint(rig, 2, target_entry("s-2", other_port))
+    async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
+        client = await client_with_queued_request(broker, route="stock-add")
+        broker.node.dispatcher.pools.max_connections = 8
+        change_endpoint(broker, 2, target_entry("s-2", other_port))
         if reason is StopReason.ENDPOINT_DISABLED:
-            rig.node.dispatcher.set_endpoint_disabled("s-1", True)
+            broker.node.dispatcher.set_endpoint_disabled("s-1", True)
         else:
-            change_endpoint(rig, 3, target_entry("s-1", slow.port, "terminating"))
+            change_endpoint(broker, 3, target_entry("s-1", slow.port, "terminating"))
         await slow.read_until(lambda: other.commands_named(b"do"))
-        # Not idempotent, and dispatched elsewhere all the same: it never left for the first engine.
+        # The request is not idempotent, but may go elsewhere: the first engine never got it.
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert slow.request_ids() == [ID_1]
-        assert stopped_count(rig, HandOver.SOCKET, reason) == 1
+        assert stopped_count(broker, HandOver.SOCKET, reason) == 1
 
 
 @on_uvloop
-async def test_an_engine_that_reads_a_byte_at_a_time_holds_up_no_other() -> None:
+async def test_an_engine_that_reads_one_byte_at_a_time_does_not_delay_another_engine() -> None:
     other = Engine()
-    async with slow_engine() as slow, broker_before(slow.port) as rig:
-        client = await client_with_half_written_request(rig, max_connections=2)
-        change_endpoint(rig, 2, target_entry("s-2", await other.start()))
-        rig.node.dispatcher.pools.max_connections = 16
+    async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
+        client = await client_with_half_written_request(broker, max_connections=2)
+        change_endpoint(broker, 2, target_entry("s-2", await other.start()))
+        broker.node.dispatcher.pools.max_connections = 16
         for number in range(2, 32):
             await slow.read(1)
             client.ask(number, trace=request_id(number), weight="1.0", patience="400")
@@ -144,42 +146,43 @@
         codes = [(await client.answer())[1] for _ in range(30)]
         assert codes.count(frames.SERVED) >= 10
         assert len(codes) == 30
-        queues = [connection.write_queue for connection in engine_connections(rig)]
+        queues = [connection.write_queue for connection in engine_connections(broker)]
         assert all(len(queue.heap) <= queue.max_frames for queue in queues)
 
 
 @on_uvloop
-async def test_a_retry_keeps_its_class_s_rule() -> None:
-    """The first attempt of one may have begun, of the other it has not left: only the latter goes
-    again.
+async def test_after_a_reset_a_non_idempotent_request_is_retried_only_if_it_was_not_sent() -> None:
+    """The first attempt of one request may have run, that of the other was not sent.
+
+    Only the latter may be retried.
     """
     other = Engine()
     other_port = await other.start()
-    async with slow_engine() as slow, broker_before(slow.port) as rig:
-        client = await client_with_queued_request(rig, route="stock-add")
-        rig.node.dispatcher.pools.max_connections = 8
-        change_endpoint(rig, 2, target_entry("s-2", other_port))
-        engine_connections(rig)[0].transport.abort()  # as if the engine had reset it
+    async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
+        client = await client_with_queued_request(broker, route="stock-add")
+        broker.node.dispatcher.pools.max_connections = 8
+        change_endpoint(broker, 2, target_entry("s-2", other_port))
+        engine_connections(broker)[0].transport.abort()  # as if the engine had reset it
         codes = await codes_of_two_answers(client)
         assert codes == {1: frames.FAILED, 2: frames.SERVED}
         assert [command[1] for command in other.commands_named(b"do")] == [ID_2]
 
 
 @on_uvloop
-async def test_what_has_not_left_when_all_is_closed_out_is_rejected() -> None:
+async def test_unsent_requests_are_rejected_at_the_close_out() -> None:
     other = Engine()
     other_port = await other.start()
-    async with slow_engine() as slow, broker_before(slow.port) as rig:
-        client = await client_with_queued_request(rig, route="stock-add")
-        change_endpoint(rig, 2, target_entry("s-2", other_port))
-        rig.node.dispatcher.cancellations.close_out_all()
+    async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
+        client = await client_with_queued_request(broker, route="stock-add")
+        change_endpoint(broker, 2, target_entry("s-2", other_port))
+        broker.node.dispatcher.cancellations.close_out_all()
         codes = await codes_of_two_answers(client)
         assert codes == {1: frames.FAILED, 2: frames.REFUSED}
         assert not other.commands_named(b"do")
 
 
 @on_uvloop
-async def test_a_successor_takes_over_while_frames_wait_in_the_write_queue(tmp_path: Path) -> None:
+async def test_a_queued_request_is_rejected_when_a_peer_process_takes_over(tmp_path: Path) -> None:
     async with slow_engine() as slow:
         config = make_config(target_entry("s-1", slow.port))
         with socket.create_server(("127.0.0.1", 0)) as listening:
@@ -191,7 +194,7 @@
                     await meet(old, new)
                     old.node.shutdown.begin()
                     assert (await client.frame())[0] == frames.NO_MORE
-                    assert (await client.answer())[:2] == (2, frames.REFUSED)  # it never left
+                    assert (await client.answer())[:2] == (2, frames.REFUSED)  # it was not sent
                     client.send(frames.ABANDON, 1)
                     await within(old.node.stopped.wait())
                     await slow.read_rounds(50)
--- a/tests/deadlines/test_requests_without_connection.py
+++ b/tests/deadlines/test_requests_without_connection.py
@@ -1,4 +1,4 @@
-"""Requests whose client leaves before there is a connection for them."""
+"""Requests whose client cancels or disconnects before they have a connection."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
     target_entry,
     until,
 )
-from .deadline_brokers import broker_before, request_id, stopped_count
+from .deadline_brokers import broker_with_engine_ports, request_id, stopped_count
 
 pytestmark = pytest.mark.real_time
 
 
 @on_uvloop
-async def test_a_client_that_leaves_between_the_decision_and_the_connection(
+async def test_a_request_cancelled_before_it_has_a_connection_is_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     engine = Engine()
     gate, _ = gated(monkeypatch)
-    async with broker_before(await engine.start()) as rig:
-        dispatcher = rig.node.dispatcher
-        client = await rig.client()
+    async with broker_with_engine_ports(await engine.start()) as broker:
+        dispatcher = broker.node.dispatcher
+        client = await broker.client()
         client.ask(1, trace=request_id(1), weight="1.0")
         client.ask(2, trace=request_id(2), weight="1.0")
         await until(lambda: len(dispatcher.requests) == 2)
         client.send(frames.ABANDON, 1)
         await until(
             lambda: (
-                stopped_count(rig, HandOver.POOL, StopReason.CLIENT_LEFT) == 1
+                stopped_count(broker, HandOver.POOL, StopReason.CLIENT_LEFT) == 1
                 and len(dispatcher.requests) == 1
             )
         )
@@ -49,18 +49,21 @@
 
 
 @on_uvloop
-async def test_five_hundred_clients_that_leave_at_once_begin_nothing(
+async def test_requests_of_500_clients_that_disconnect_at_once_are_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     engine = Engine()
     gate, _ = gated(monkeypatch)
-    large_engine = {"size_cores": [4_000], "parallelism": [1, 2]}  # so that all are admitted
+    large_engine = {
+        "size_cores": [4_000],
+        "parallelism": [1, 2],
+    }  # large enough to admit all requests
     config = make_config(
         target_entry("s-1", await engine.start()), tenants=[], specifics=large_engine
     )
-    async with running(replace(config, sockets=2_048, memory_mb=256)) as rig:
-        dispatcher = rig.node.dispatcher
-        clients = [await rig.client() for _ in range(500)]
+    async with running(replace(config, sockets=2_048, memory_mb=256)) as broker:
+        dispatcher = broker.node.dispatcher
+        clients = [await broker.client() for _ in range(500)]
         for number, client in enumerate(clients, 100):
             client.ask(1, trace=request_id(number), weight="0.1", customer=None)
         await until(lambda: dispatcher.request_table.unanswered_count == 500)
@@ -69,9 +72,9 @@
         await until(
             lambda: not dispatcher.request_table.unanswered_count and not dispatcher.requests
         )
-        assert stopped_count(rig, HandOver.POOL, StopReason.CLIENT_LEFT) == 500
+        assert stopped_count(broker, HandOver.POOL, StopReason.CLIENT_LEFT) == 500
         gate.set()
-        last_client = await rig.client()
+        last_client = await broker.client()
         last_client.ask(1, trace=request_id(1), weight="0.1", customer=None)
         assert (await last_client.answer())[1] == frames.SERVED
         received = [command[1] for command in engine.commands_named(b"do")]
--- a/tests/deadlines/test_retry_budget.py
+++ b/tests/deadlines/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""How many retries a budget allows, and how long a first attempt may take."""
+"""The number of retries that a budget allows, and the time that a first attempt gets."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
         )
     )
     assert [budget.try_spend("glance", "x") for _ in range(4)] == [True, True, True, False]
-    assert budget.try_spend("glance", "y")  # another tenant has its own
+    assert budget.try_spend("glance", "y")  # another tenant has its own bucket
     for _ in range(5):
         budget.record_first_attempt("glance", "x")
     assert budget.try_spend("glance", "x")
     assert not budget.try_spend("glance", "x")
     assert budget.refused == 2
-    budget.refund("glance", "x")  # it never left
+    budget.refund("glance", "x")  # as if the retry was never sent
     assert budget.try_spend("glance", "x")
     assert budget.try_spend("load", "x")
     assert not budget.try_spend("load", "x")
 
 
-def test_a_budget_may_be_one_for_all_tenants() -> None:
+def test_a_budget_can_be_shared_by_all_tenants() -> None:
     budget = RetryBudget(RetryBudgetSettings(burst=1.0, by_tenant=False))
     assert budget.try_spend("glance", "x")
     assert not budget.try_spend("glance", "y")
@@ -58,7 +58,7 @@
         assert retries <= burst + fraction * first_attempts + 1e-6
 
 
-def test_the_accounting_of_many_tenants_is_bounded() -> None:
+def test_the_number_of_token_buckets_is_bounded() -> None:
     budget = RetryBudget(RetryBudgetSettings())
     for number in range(3 * retry_budget.MAX_BUCKET_COUNT):
         budget.try_spend("glance", f"t{number}")
@@ -67,18 +67,18 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "idempotent", "first", "expected_ms"),
+    ("number", "idempotent", "fraction", "expected_ms"),
     [
         pytest.param(0, True, 0.5, 500, id="half of the time"),
         pytest.param(1, True, 0.5, 1_000, id="a retry"),
         pytest.param(0, False, 0.5, 1_000, id="not idempotent"),
         pytest.param(0, True, 1.0, 1_000, id="all of the time"),
-        pytest.param(0, True, 0.01, 100, id="the least"),
+        pytest.param(0, True, 0.01, 100, id="minimum"),
     ],
 )
-def test_a_first_attempt_that_can_be_made_again_may_be_cut_short(
-    number: int, idempotent: bool, first: float, expected_ms: int
+def test_only_a_first_attempt_that_can_be_retried_is_cut_short(
+    number: int, idempotent: bool, fraction: float, expected_ms: int
 ) -> None:
-    terms = RetryBudgetSettings(first_attempt_fraction=first)
-    assert attempt_time_ns(1_000 * MS, number, idempotent, terms) == expected_ms * MS
-    assert attempt_time_ns(50 * MS, number, idempotent, terms) <= 50 * MS
+    settings = RetryBudgetSettings(first_attempt_fraction=fraction)
+    assert attempt_time_ns(1_000 * MS, number, idempotent, settings) == expected_ms * MS
+    assert attempt_time_ns(50 * MS, number, idempotent, settings) <= 50 * MS
--- a/tests/deadlines/test_stage_latencies.py
+++ b/tests/deadlines/test_stage_latencies.py
@@ -1,4 +1,4 @@
-"""Latencies by stage, and the margin that is learned from them."""
+"""Latencies of each stage, and the margin learned from them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 MS = 1_000_000
 
 
-def test_quantiles_follow_and_forget() -> None:
+def test_quantiles_follow_recent_latencies_and_drop_old_ones() -> None:
     latencies = LatencyDistribution()
     assert latencies.quantile(0.5, 0) is None
     for number in range(1_000):
@@ -33,15 +33,15 @@
     assert sum(latencies.bucket_counts) == latencies.count == 3_000
 
 
-def test_the_margin_starts_as_today_moves_slowly_and_stays_within_bounds() -> None:
+def test_the_margin_starts_at_its_initial_value_moves_slowly_and_stays_within_bounds() -> None:
     stages = StageLatencies(MarginSettings(max_ns=40 * MS))
     assert stages.learn_margin(0) == 10 * MS
     for slow_ns in (30 * MS, 500 * MS):
-        before = stages.margin_ns
+        margin_before_ns = stages.margin_ns
         for number in range(200):
             stages.add("glance", LatencyStage.DECIDE, MS, number)
             stages.add("glance", LatencyStage.ANSWER, slow_ns, number)
-        assert before < stages.learn_margin(1_000) <= before * 1.25
+        assert margin_before_ns < stages.learn_margin(1_000) <= margin_before_ns * 1.25
     for _ in range(50):
         assert 2 * MS <= stages.learn_margin(2_000) <= 40 * MS
     assert stages.margin_ns == 40 * MS
@@ -53,8 +53,10 @@
     assert 'x_stage_seconds_bucket{type="glance",stage="answer",le="+Inf"} 400' in text
 
 
-def test_the_clock_goes_on_when_the_machine_s_is_set_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_does_not_go_back_when_the_system_clock_is_set_back(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     clock = Clock()
-    before = clock.now()
+    before_ns = clock.now()
     monkeypatch.setattr("time.time_ns", lambda: 0)
-    assert clock.now() >= before
+    assert clock.now() >= before_ns
--- a/tests/deadlines/test_structured_log.py
+++ b/tests/deadlines/test_structured_log.py
@@ -1,4 +1,4 @@
-"""Structured log lines: their rate, and the traces of requests."""
+"""Structured log lines: their rate limit, and the traces of requests."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class StoppedClock(Clock):
-    """A clock that stands still."""
+    """A clock that always returns the same time."""
 
     def __init__(self, now_ns: int) -> None:
         super().__init__()
         self.now_ns = now_ns
 
     def now(self) -> int:
-        """Return the time at which it stands still."""
+        """Return the time that the test has set."""
         return self.now_ns
 
 
 def answered_request(number: int, deadline_ns: int) -> ActiveRequest:
-    """A request that arrived at 1 s, with one attempt that was written after 3 ms."""
+    """Return a request that arrived at 1 s, with one attempt that was written 3 ms later."""
     trace = b"%016x" % number
     request = ActiveRequest(
         f"{number}",
@@ -59,7 +59,10 @@
 
 
 def logged_lines(settings: Logs, capsys: pytest.CaptureFixture[str]) -> list[str]:
-    """The log of a request in time and a late one, both answered at 2 s, and of thirty lines."""
+    """Return the log lines of two requests answered at 2 s, and of thirty more lines.
+
+    The first request is answered before its deadline, the second one after it.
+    """
     log = Log("n0")
     structured_log = StructuredLog("n0", settings)
     log.sink = structured_log
@@ -77,20 +80,20 @@
 ) -> None:
     lines = [json.loads(line) for line in logged_lines(Logs("json"), capsys)]
     assert [line["kind"] for line in lines] == ["late", *["engine"] * 20]
-    late = lines[0]
-    assert late["trace"] == "0" * 15 + "1"
-    assert late["total_ms"] == 1_000.0
-    assert late["left_ms"] == -1_000.0
-    assert late["read_ms"] == 1.0
-    assert late["decide_ms"] == 1.0
-    assert late["connect_ms"] == 0.0
-    assert late["write_ms"] == 1.0
-    assert late["broker"] == "n0"
-    assert late["engine_ms"] == 997.0
-    assert "timestamp" in late
-
-
-def test_all_requests_are_traced_in_text_where_that_is_set(
+    late_trace = lines[0]
+    assert late_trace["trace"] == "0" * 15 + "1"
+    assert late_trace["total_ms"] == 1_000.0
+    assert late_trace["left_ms"] == -1_000.0
+    assert late_trace["read_ms"] == 1.0
+    assert late_trace["decide_ms"] == 1.0
+    assert late_trace["connect_ms"] == 0.0
+    assert late_trace["write_ms"] == 1.0
+    assert late_trace["broker"] == "n0"
+    assert late_trace["engine_ms"] == 997.0
+    assert "timestamp" in late_trace
+
+
+def test_all_requests_are_traced_in_text_if_so_configured(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     lines = logged_lines(Logs("text", traced_fraction=1.0), capsys)
@@ -100,7 +103,7 @@
     assert "customer=acme" in lines[0]
 
 
-def test_the_same_requests_are_sampled_everywhere() -> None:
+def test_sampling_depends_only_on_the_request_id_and_the_fraction() -> None:
     sampled = [number for number in range(10_000) if is_sampled(b"%016x" % number, 0.1)]
     assert 800 < len(sampled) < 1_200
     assert not is_sampled(b"x", 0.0)
--- a/tests/deadlines/test_write_queue.py
+++ b/tests/deadlines/test_write_queue.py
@@ -1,4 +1,4 @@
-"""The write queue of a connection: what leaves first, what is withdrawn, what stays complete."""
+"""The write queue of a connection: the order of frames, and their withdrawal."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class WriteQueueSocket:
-    """A write queue, and a socket that takes as many bytes as it is told to.
+    """A write queue, and a socket that accepts as many bytes as the test tells it to.
 
     Attributes:
-        begun: The frames whose first byte has left, in their order.
-        written: The frames that have left completely, in their order.
+        begun: The frames whose first byte was written, in order.
+        written: The frames that were written completely, in order.
         stopped: The frames that the check before the first byte stops.
         content: The bytes of each frame.
     """
@@ -29,19 +29,19 @@
         self.content: dict[object, bytes] = {}
 
     def release_frame(self, frame: Frame) -> tuple[bytes, ...] | None:
-        """Return what to send of a frame; None if it is stopped."""
+        """Return the pieces to write for a frame; None if the frame is stopped."""
         return None if frame.subject in self.stopped else frame.pieces
 
-    def frame_started(self, about: object) -> None:
-        """Record a frame whose first byte has left."""
-        self.begun.append(about)
+    def frame_started(self, subject: object) -> None:
+        """Record a frame whose first byte was written."""
+        self.begun.append(subject)
 
-    def frame_written(self, about: object) -> None:
-        """Record a frame that has left completely."""
-        self.written.append(about)
+    def frame_written(self, subject: object) -> None:
+        """Record a frame that was written completely."""
+        self.written.append(subject)
 
     def enqueue(self, name: str, level: int = 1, size: int = 10) -> None:
-        """Enqueue a frame of two pieces, which begins with the first letter of its name."""
+        """Enqueue a frame of two pieces that repeat the first letter of its name."""
         lower = name[:1].encode() * (size // 2)
         upper = name[:1].upper().encode() * (size - size // 2)
         pieces = (lower, upper)
@@ -49,9 +49,9 @@
         if self.queue.enqueue(Frame(pieces, name.encode(), level, size, name)):
             self.flush(0)
 
-    def flush(self, most_bytes: int) -> None:
-        """The socket takes so many bytes in all."""
-        bytes_left = most_bytes
+    def flush(self, max_bytes: int) -> None:
+        """Write frames until the socket has accepted this many bytes."""
+        bytes_left = max_bytes
         while pieces := self.queue.next():
             data = b"".join(pieces)[:bytes_left]
             bytes_left -= len(data)
@@ -62,11 +62,13 @@
 
 @pytest.fixture
 def connection() -> WriteQueueSocket:
-    """A connection with nothing in its write queue."""
+    """A connection with an empty write queue."""
     return WriteQueueSocket()
 
 
-def test_frames_leave_by_priority_and_what_has_begun_first(connection: WriteQueueSocket) -> None:
+def test_frames_are_written_by_priority_after_the_partly_written_frame(
+    connection: WriteQueueSocket,
+) -> None:
     levels = {"a": 1, "b": 0, "c": 3, "d": CONTROL, "e": 3}
     for name, level in levels.items():
         connection.enqueue(name, level)
@@ -78,7 +80,7 @@
     assert connection.written == ["d", "f", "c", "e", "a", "b"]
 
 
-def test_what_has_not_begun_is_withdrawn_completely_and_what_has_is_not(
+def test_a_frame_can_be_withdrawn_only_before_its_first_byte(
     connection: WriteQueueSocket,
 ) -> None:
     for name in "abc":
@@ -103,11 +105,11 @@
     connection.flush(100)
     assert connection.written == ["b"]
     assert not connection.queue.by_key
-    connection.enqueue("c")  # under its key again: the one that was stopped has left the queue
+    connection.enqueue("c")  # the key can be used again: the stopped frame has left the queue
     assert connection.queue.withdraw(b"c")
 
 
-def test_a_write_queue_that_is_full_says_so(connection: WriteQueueSocket) -> None:
+def test_a_write_queue_is_full_at_its_frame_limit(connection: WriteQueueSocket) -> None:
     for number in range(64):
         connection.enqueue(f"{number}")
     assert connection.queue.full()
@@ -119,7 +121,7 @@
     assert not connection.queue.next()
 
 
-def test_another_priority_holds_for_what_waits(connection: WriteQueueSocket) -> None:
+def test_the_priority_of_a_waiting_frame_can_be_changed(connection: WriteQueueSocket) -> None:
     for name in "abc":
         connection.enqueue(name)
     assert connection.queue.raise_priority(b"c", 3)
