--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -43,10 +43,10 @@
         request = self._table.by_id.get(options.request_id)
         if request is None:
             return
-        changed = request.priority is not None and request.priority != options.priority
+        priority_changed = request.priority is not None and request.priority != options.priority
         request.priority = options.priority
         request.memory_mb = math.ceil(options.memory_mb)
-        if not changed:
+        if not priority_changed:
             return
         for attempt in request.attempts.values():
             if attempt.connection is not None:
--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -71,9 +71,7 @@
         """Record that the last byte of a queued attempt has been sent."""
         self._metrics.dispatches += 1
         attempt.written_ns = self._clock.now()
-        if (
-            not attempt.is_wanted()
-        ):  # partly written when its request ended, then written to the end
+        if not attempt.is_wanted():  # partly written when the request ended; the rest followed
             reason = StopReason.DEADLINE_PASSED
             if attempt.request.abandoned:
                 reason = StopReason.CLIENT_LEFT
--- a/tests/deadlines/deadline_brokers.py
+++ b/tests/deadlines/deadline_brokers.py
@@ -59,7 +59,7 @@
     ]
 
 
-async def client_with_half_written_request(broker: Rig, max_connections: int = 1) -> Client:
+async def client_with_partly_written_request(broker: Rig, max_connections: int = 1) -> Client:
     """Return a client whose first request is large and partly written to an engine."""
     broker.node.dispatcher.pools.max_connections = max_connections
     client = await broker.client()
@@ -82,7 +82,7 @@
 
 async def client_with_queued_request(broker: Rig, **fields: Any) -> Client:
     """Return a client whose second request waits in the write queue behind a partly written one."""
-    client = await client_with_half_written_request(broker)
+    client = await client_with_partly_written_request(broker)
     client.ask(2, trace=request_id(2), **{"weight": "1.0", **fields})
     await wait_for_queued_request(broker)
     return client
--- a/tests/deadlines/test_queued_requests.py
+++ b/tests/deadlines/test_queued_requests.py
@@ -26,7 +26,7 @@
     LARGE_STATEMENT,
     broker_with_engine_ports,
     change_endpoint,
-    client_with_half_written_request,
+    client_with_partly_written_request,
     client_with_queued_request,
     engine_connections,
     request_id,
@@ -55,7 +55,7 @@
 @on_uvloop
 async def test_only_the_unsent_request_is_withdrawn_when_the_client_cancels() -> None:
     async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
-        client = await client_with_half_written_request(broker)
+        client = await client_with_partly_written_request(broker)
         for number in (2, 3):
             client.ask(number, trace=request_id(number), weight="1.0")
         await wait_for_queued_request(broker)
@@ -136,7 +136,7 @@
 async def test_an_engine_that_reads_one_byte_at_a_time_does_not_delay_another_engine() -> None:
     other = Engine()
     async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
-        client = await client_with_half_written_request(broker, max_connections=2)
+        client = await client_with_partly_written_request(broker, max_connections=2)
         change_endpoint(broker, 2, target_entry("s-2", await other.start()))
         broker.node.dispatcher.pools.max_connections = 16
         for number in range(2, 32):
