--- a/query_broker/errors.py
+++ b/query_broker/errors.py
@@ -2,7 +2,7 @@
 
 
 class QueryBrokerError(Exception):
-    """A fault that the package describes itself: what was wrong and where.
+    """An error whose text says what was wrong and where.
 
-    Where callers expect a built-in type, a subclass derives from that one as well.
+    Where callers expect a built-in exception type, a subclass derives from that type as well.
     """
--- a/query_broker/metrics.py
+++ b/query_broker/metrics.py
@@ -1,4 +1,6 @@
-"""Counters since the start of the process, and their text at ``/metrics``.
+"""The broker's own metrics, and their text at ``/metrics``.
+
+Counters count from the start of the process.
 
 Performs no I/O. The text follows the Prometheus exposition format, version 0.0.4.
 """
@@ -9,12 +11,12 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-#: Starts the name of every metric that stands here. Dashboards know the names: they never change.
+#: Prefix of the metric names of this module. Dashboards use the names, so they must not change.
 PREFIX = "edge_proxy_"
 
 
 class ReplyStatus(IntEnum):
-    """How a request was answered; the value indexes the counts of its class."""
+    """How a request was answered; the value is the index into the counts of the request class."""
 
     SUCCESS = 0
     OVERLOAD = 1
@@ -25,19 +27,19 @@
 OVERLOAD = ReplyStatus.OVERLOAD
 ERROR = ReplyStatus.ERROR
 
-#: The label ``status`` of each reply status, in the order of their values.
+#: Values of the label ``status``, indexed by `ReplyStatus`.
 STATUS_LABELS = ("success", "overload", "error")
 
 
 class MetricFamily(NamedTuple):
-    """The head of one metric: its name without the prefix, its Prometheus type and help text."""
+    """A metric's name without the prefix, its Prometheus type and its help text."""
 
     name: str
-    kind: str
+    metric_type: str
     help_text: str
 
 
-FAMILIES = (
+METRIC_FAMILIES = (
     MetricFamily(
         "replies_total", "counter", "Requests answered, by class: served, refused, failed."
     ),
@@ -63,7 +65,7 @@
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """Start every series of these request classes at 0."""
+        """Start the time series of these request classes at 0."""
         self.replies: dict[str, list[int]] = {}
         self.dispatches = 0
         self.reloads_applied = 0
@@ -71,10 +73,10 @@
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Add the request classes of a configuration; every series is there from 0 on.
+        """Add the request classes of a configuration; the time series of new ones start at 0.
 
-        A class that a new file drops keeps its counts: whoever scrapes them would see a counter
-        run backwards otherwise.
+        A class that a new configuration drops keeps its counts, so that no counter decreases
+        between two scrapes.
         """
         for name in classes:
             self.replies.setdefault(name, [0] * len(ReplyStatus))
@@ -82,8 +84,8 @@
     def count_reply(self, class_name: str, status: ReplyStatus) -> None:
         """Count one reply.
 
-        Classes that no configuration has named are not counted: clients name any class they like,
-        and a series for each would grow without bound.
+        Replies of unconfigured classes are not counted: clients may send any class name, and a
+        time series for each would make the number of series unbounded.
         """
         counts = self.replies.get(class_name)
         if counts is not None:
@@ -95,7 +97,8 @@
         Args:
             concurrent: Requests that have no final answer yet.
             targets: Endpoints in the list.
-            disabled: Listed endpoints that take no requests, for whatever reason.
+            disabled: Listed endpoints that get no requests, whether disabled by an operator or by
+                the broker.
         """
         values = {
             "dispatches_total": self.dispatches,
@@ -106,26 +109,26 @@
             "reload_failure_total": self.reloads_rejected,
         }
         lines: list[str] = []
-        for family in FAMILIES:
-            name = PREFIX + family.name
-            lines.append(f"# HELP {name} {family.help_text}")
-            lines.append(f"# TYPE {name} {family.kind}")
+        for family in METRIC_FAMILIES:
+            metric_name = PREFIX + family.name
+            lines.append(f"# HELP {metric_name} {family.help_text}")
+            lines.append(f"# TYPE {metric_name} {family.metric_type}")
             if family.name in values:
-                lines.append(f"{name} {values[family.name]}")
+                lines.append(f"{metric_name} {values[family.name]}")
             else:
-                lines += self._reply_lines(name)
+                lines += self._reply_lines(metric_name)
         return ("\n".join(lines) + "\n").encode()
 
-    def _reply_lines(self, name: str) -> Iterable[str]:
+    def _reply_lines(self, metric_name: str) -> Iterable[str]:
         for class_name, counts in self.replies.items():
             label = escape_label(class_name)
             for status, count in zip(STATUS_LABELS, counts, strict=True):
-                yield f'{name}{{type="{label}",status="{status}"}} {count}'
+                yield f'{metric_name}{{type="{label}",status="{status}"}} {count}'
 
 
 def escape_label(value: str) -> str:
-    """Return a label's value with backslashes, quotes and line ends escaped.
+    """Return a label value with backslashes, double quotes and line feeds escaped.
 
-    A bare quote or line end in the name of a class would make the complete text unreadable.
+    An unescaped quote or line feed in a class name would make the complete text unparsable.
     """
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/query_broker/prometheus_text.py
+++ b/query_broker/prometheus_text.py
@@ -16,11 +16,11 @@
 
 
 def event_counter(name: str, help_text: str, counts: Mapping[str, int]) -> list[str]:
-    """Return the lines of a counter with one time series an event."""
+    """Return the lines of a counter that has one time series for each event."""
     samples = [f'{name}{{event="{event}"}} {count}' for event, count in counts.items()]
     return [*metric_header(name, help_text, "counter"), *samples]
 
 
 def metrics_page(lines: Iterable[str]) -> bytes:
-    """Join lines into a part of the metrics page."""
+    """Join lines into a section of the metrics page."""
     return ("\n".join(lines) + "\n").encode()
--- a/query_broker/text_table.py
+++ b/query_broker/text_table.py
@@ -8,22 +8,22 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Return a table whose columns are as wide as they need to be, with numbers to the right.
+    """Return a table whose columns fit their widest cell; numbers are right-aligned.
 
     Args:
         head: The titles of the columns.
-        rows: The cells of each row, as many as there are titles.
+        rows: The cells of each row, one for each column.
     """
-    lines = [list(head), *map(list, rows)]
-    widths = [max(len(line[column]) for line in lines) for column in range(len(head))]
-    return "\n".join(_row(line, widths) for line in lines)
+    all_rows = [list(head), *map(list, rows)]
+    widths = [max(len(row[column]) for row in all_rows) for column in range(len(head))]
+    return "\n".join(_format_row(row, widths) for row in all_rows)
 
 
-def _row(line: Sequence[str], widths: Sequence[int]) -> str:
-    texts = []
-    for text, width in zip(line, widths, strict=True):
-        texts.append(text.rjust(width) if _is_number(text) else text.ljust(width))
-    return COLUMN_GAP.join(texts).rstrip()
+def _format_row(row: Sequence[str], widths: Sequence[int]) -> str:
+    cells = []
+    for cell, width in zip(row, widths, strict=True):
+        cells.append(cell.rjust(width) if _is_number(cell) else cell.ljust(width))
+    return COLUMN_GAP.join(cells).rstrip()
 
 
 def _is_number(text: str) -> bool:
--- a/query_broker/token_bucket.py
+++ b/query_broker/token_bucket.py
@@ -4,17 +4,17 @@
 
 NS_PER_S = 1_000_000_000
 
-#: Tokens that a bucket holds at the most where its rate is below one a second.
+#: Capacity of a bucket whose rate is below one token per second.
 MIN_CAPACITY_TOKENS = 1.0
-#: Stands for a lower rate, so that the wait for a reserved token stays finite.
+#: Lower bound of the rate for reservations, so that the wait for a reserved token stays finite.
 MIN_RATE_PER_S = 1e-3
 
 
 class TokenBucket:
-    """Holds at most the tokens of one second, or one token if the rate is lower.
+    """A token bucket; its capacity is the tokens of one second, and at least one token.
 
     Attributes:
-        tokens: The present tokens; below 0 while some that are to come have been reserved.
+        tokens: The current number of tokens; negative while future tokens are reserved.
         refilled_at_ns: When tokens were last added.
     """
 
@@ -25,13 +25,13 @@
 
     @classmethod
     def full(cls, now_ns: int) -> TokenBucket:
-        """Return a bucket that holds the tokens of one second at its first use."""
+        """Return a bucket that contains the tokens of one second at its first use."""
         bucket = cls(now_ns - NS_PER_S)
         bucket.tokens = 0.0
         return bucket
 
     def try_take(self, now_ns: int, rate_per_s: float) -> bool:
-        """Take a token; return False if there is none."""
+        """Take a token; return False if none is available."""
         self._refill(now_ns, rate_per_s)
         if self.tokens < 1:
             return False
@@ -39,7 +39,7 @@
         return True
 
     def reserve_ns(self, now_ns: int, rate_per_s: float) -> int:
-        """Take a token in advance if need be; return the wait for it in nanoseconds."""
+        """Take a token, or reserve a future one; return the wait for it in nanoseconds."""
         rate_per_s = max(MIN_RATE_PER_S, rate_per_s)
         self._refill(now_ns, rate_per_s)
         self.tokens -= 1
