--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -1,4 +1,4 @@
-"""The answers of a data engine on one connection: pages are assembled, the rest is reported."""
+"""Handles a data engine's answers on one connection: assembles pages and reports results."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class AnswerObserver(Protocol):
-    """Is notified of answers; ``load_text`` is an answer's load report, empty if it has none."""
+    """Is notified of answers; ``load_text`` is the answer's load report, or empty."""
 
     def answer_completed(self, attempt: Attempt, load_text: str) -> None:
-        """Called with an attempt's complete result: every page is in ``attempt.pages``."""
+        """Called when an attempt's result is complete: ``attempt.pages`` holds every page."""
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult, load_text: str) -> None:
         """Called when an attempt has ended without a result."""
@@ -29,47 +29,47 @@
         """Called with the answer to a health check."""
 
     def late_answer_received(self, attempt: Attempt, load_text: str) -> None:
-        """Called with the answer to an attempt whose end had been reported before."""
+        """Called with the answer to an attempt whose end has already been reported."""
 
 
 class CarriedElsewhere(Protocol):
-    """Knows what has lately gone to the same engine on other connections."""
+    """Checks which request ids were recently sent to the same engine on other connections."""
 
     def __call__(self, request_id: bytes, /) -> bool:
-        """Return whether the request id has gone there too."""
+        """Return whether another connection recently carried this request id."""
 
 
-class OpenOnConnection(Protocol):
-    """What is open on a connection: attempts by request id, health checks by tag."""
+class InFlightState(Protocol):
+    """What is unanswered on a connection: attempts by request id, health checks by tag."""
 
     in_flight: dict[bytes, Attempt]
     health_checks: set[bytes]
 
 
 class EngineAnswers:
-    """Assigns each answer to what it answers, and assembles results of several pages.
+    """Matches answers to attempts and health checks, and assembles results of several pages.
 
-    An attempt leaves ``in_flight`` with its last answer, also where no client waits for it any
+    An attempt stays in ``in_flight`` until its last answer, even if no client waits for it any
     more.
     """
 
     def __init__(
         self,
-        connection: OpenOnConnection,
+        connection: InFlightState,
         observer: AnswerObserver,
         writer: EngineWriter,
         cancellations: EngineCancellations,
         carried_elsewhere: CarriedElsewhere,
     ) -> None:
-        """Take the connection's other parts.
+        """Connect the handler to the other parts of the connection.
 
         Args:
-            connection: What is open.
+            connection: Its unanswered attempts and health checks.
             observer: Notified of answers.
             writer: Sends the commands that fetch or decline pages.
             cancellations: Notified of answers to attempts that are not in flight.
-            carried_elsewhere: Returns whether another connection has lately carried a request id
-                to the same engine.
+            carried_elsewhere: Returns whether another connection recently carried a request id to
+                the same engine.
         """
         self.connection = connection
         self.observer = observer
@@ -78,50 +78,49 @@
         self.carried_elsewhere = carried_elsewhere
 
     def take(self, parts: list[bytes], now_ns: int) -> None:
-        """Take one answer, which has come at ``now_ns``.
+        """Handle one answer, received at ``now_ns``.
 
         Raises:
-            MalformedAnswerError: It is no answer of the protocol, or none to what was sent.
+            MalformedAnswerError: The answer violates the protocol, or answers no sent command.
         """
         answer = messages.read_answer(parts)
         tag = answer.tag
         kind = answer.kind
         if kind == messages.PROGRESS:
-            self._take_progress(answer)
+            self._handle_progress(answer)
             return
         fields = resp.read_pairs(answer.raw_fields)
         load_text = fields.get(messages.FIELD_LOAD_REPORT, "")
         if kind in messages.HEALTH_RESULTS:
-            self._take_health(tag, messages.HEALTH_RESULTS[kind], load_text)
+            self._handle_health_answer(tag, messages.HEALTH_RESULTS[kind], load_text)
             return
         if kind not in messages.ATTEMPT_ANSWER_KINDS:
-            reason = f"unknown word {kind[: messages.QUOTED_KIND_BYTES]!r}"
+            reason = f"unknown kind of answer {kind[: messages.QUOTED_KIND_BYTES]!r}"
             raise resp.MalformedAnswerError(reason)
         attempt = self.connection.in_flight.get(tag)
         if attempt is None:
-            # A repeated or unsolicited answer, which belongs to nothing that is open here, or one
-            # that crossed the cancellation.
+            # A repeated or unsolicited answer, or one that crossed the cancellation.
             self.cancellations.answered(tag)
         elif kind == messages.SERVED:
-            self._take_first_page(attempt, tag, fields, answer.body, now_ns)
+            self._handle_first_page(attempt, tag, fields, answer.body, now_ns)
         elif kind == messages.PAGE:
-            self._take_page(attempt, tag, fields, answer.body, now_ns)
+            self._handle_page(attempt, tag, fields, answer.body, now_ns)
         else:
-            # Also where the engine has lost a page: the attempt may have run, and the pages that
-            # have come are no complete result.
+            # With pages received, the engine has lost one of the others: the attempt may have run,
+            # and the received pages are not a complete result.
             result = AttemptResult.ERROR if attempt.pages else messages.FAILURE_RESULTS[kind]
-            self._conclude(tag, attempt, result, load_text)
+            self._end_attempt(tag, attempt, result, load_text)
 
-    def _take_health(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
+    def _handle_health_answer(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
         if tag in self.connection.health_checks:
             self.connection.health_checks.discard(tag)
             self.observer.health_check_ended(tag, result, load_text)
 
-    def _take_progress(self, answer: messages.EngineAnswer) -> None:
-        """Take a progress note.
+    def _handle_progress(self, answer: messages.EngineAnswer) -> None:
+        """Handle a progress note.
 
-        One that can't be read is ignored, like that of an attempt which has ended: its frame is
-        complete, so that the next answer can be read.
+        A malformed note is ignored, and so is the note of an attempt that has ended: the frame is
+        complete, so the next answer can still be parsed.
         """
         attempt = self.connection.in_flight.get(answer.tag)
         if attempt is None or attempt.reported:
@@ -135,22 +134,22 @@
         if kind is not None and math.isfinite(amount):
             self.observer.progress_noted(attempt, kind, amount)
 
-    def _take_first_page(
+    def _handle_first_page(
         self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now_ns: int
     ) -> None:
-        """Take page 0, which holds the number of pages, and fetch the others."""
+        """Handle page 0, which states the number of pages, and fetch the others."""
         if attempt.pages:
-            return  # a repeated answer
+            return  # repeated answer
         load_text = fields.get(messages.FIELD_LOAD_REPORT, "")
         page_count = messages.read_count(
             fields.get(messages.FIELD_PAGE_COUNT, "1"), messages.FIELD_PAGE_COUNT
         )
         messages.check_rows(body)
         if not attempt.is_wanted():
-            # Answered elsewhere, timed out, or abandoned: no further page is wanted.
+            # Answered elsewhere, timed out or abandoned: no further page is needed.
             if page_count > 1:
                 self.writer.send_command(now_ns, messages.FORGET, tag)
-            self._conclude(tag, attempt, AttemptResult.SERVED, load_text)
+            self._end_attempt(tag, attempt, AttemptResult.SERVED, load_text)
             return
         attempt.answered_ns = now_ns
         attempt.pages = [body, *([None] * (page_count - 1))]
@@ -159,12 +158,12 @@
             del self.connection.in_flight[tag]
             self.observer.answer_completed(attempt, load_text)
         elif self.carried_elsewhere(tag):
-            self._give_up_mixed_pages(tag, attempt, load_text, now_ns)
+            self._fail_mixed_pages(tag, attempt, load_text, now_ns)
         else:
             for number in range(1, page_count):
                 self.writer.send_command(now_ns, messages.FETCH_PAGE, tag, b"%d" % number)
 
-    def _take_page(
+    def _handle_page(
         self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now_ns: int
     ) -> None:
         load_text = fields.get(messages.FIELD_LOAD_REPORT, "")
@@ -173,37 +172,35 @@
         )
         if not attempt.pages or not 0 < number < len(attempt.pages):
             if not attempt.reported:
-                reason = f"page {number} was not asked for"
+                reason = f"page {number} was not requested"
                 raise resp.MalformedAnswerError(reason)
             return
         messages.check_rows(body)
         if not attempt.is_wanted():
             self.writer.send_command(now_ns, messages.FORGET, tag)
-            self._conclude(tag, attempt, AttemptResult.SERVED, load_text)
+            self._end_attempt(tag, attempt, AttemptResult.SERVED, load_text)
             return
         _add_page(attempt, number, body)
         if attempt.missing_pages:
             return
         if self.carried_elsewhere(tag):
-            self._give_up_mixed_pages(tag, attempt, load_text, now_ns)
+            self._fail_mixed_pages(tag, attempt, load_text, now_ns)
             return
         del self.connection.in_flight[tag]
         self.writer.send_command(now_ns, messages.FORGET, tag)
         self.observer.answer_completed(attempt, load_text)
 
-    def _give_up_mixed_pages(
-        self, tag: bytes, attempt: Attempt, load_text: str, now_ns: int
-    ) -> None:
-        """End an attempt whose pages may belong to another query.
+    def _fail_mixed_pages(self, tag: bytes, attempt: Attempt, load_text: str, now_ns: int) -> None:
+        """Fail an attempt whose pages may belong to another query.
 
-        The engine runs, or has run, another query under the same id, and identifies pages by the
-        id alone, so that a page may belong to either query.
+        The engine is running, or has run, another query under the same request id, and it
+        identifies pages by this id alone, so a page may belong to either query.
         """
         self.writer.send_command(now_ns, messages.FORGET, tag)
         attempt.pages = []
-        self._conclude(tag, attempt, AttemptResult.ERROR, load_text)
+        self._end_attempt(tag, attempt, AttemptResult.ERROR, load_text)
 
-    def _conclude(
+    def _end_attempt(
         self, tag: bytes, attempt: Attempt, result: AttemptResult, load_text: str
     ) -> None:
         del self.connection.in_flight[tag]
@@ -214,11 +211,11 @@
 
 
 def _add_page(attempt: Attempt, number: int, body: bytes) -> None:
-    """Add a page to a result; a page that is there already is kept as it is."""
+    """Add a page to a result; a repeated page is ignored."""
     if attempt.pages[number] is None:
         attempt.pages[number] = body
         attempt.missing_pages -= 1
     size_bytes = sum(len(page) for page in attempt.pages if page is not None)
     if size_bytes > messages.MAX_RESULT_BYTES:
-        reason = "a result larger than an answer can hold"
+        reason = "result is larger than an answer to a client can be"
         raise resp.MalformedAnswerError(reason)
--- a/query_broker/protocols/engine_cancellations.py
+++ b/query_broker/protocols/engine_cancellations.py
@@ -1,8 +1,8 @@
 """The cancelled attempts of one connection to a data engine.
 
-A cancelled attempt holds its stream until the engine has answered it all the same, or has sent
-nothing about it for long enough: an answer that crosses the cancellation must be recognised, so
-that it can be dropped.
+A cancelled attempt keeps its stream until the engine has answered it nevertheless, or has sent
+nothing for it for long enough: an answer that crosses the cancellation must be recognised, so that
+it can be dropped.
 """
 
 from __future__ import annotations
@@ -22,35 +22,35 @@
 
 
 class EngineCancellations:
-    """Sends cancellations, repeats unanswered ones, and recognises the answers that cross them."""
+    """Sends cancellations, repeats unanswered ones, and recognises answers that cross them."""
 
     def __init__(self, observer: CancelObserver, writer: EngineWriter) -> None:
-        """Begin without cancellations; ``writer`` sends them."""
+        """Start without cancellations; ``writer`` sends them."""
         self.observer = observer
         self.writer = writer
         self.pending = PendingCancels()
 
     def begin(self, request_id: bytes, now_ns: int) -> None:
-        """Cancel the attempt under this id."""
+        """Cancel the attempt with this request id."""
         self.pending.begin(request_id, now_ns)
         self.writer.send_cancel(now_ns, request_id)
 
     def check(self, now_ns: int) -> None:
         """Repeat unanswered cancellations, and report the attempts that count as stopped."""
-        found = self.pending.check(now_ns)
-        for request_id in found.to_resend:
+        due = self.pending.check(now_ns)
+        for request_id in due.to_resend:
             self.writer.send_command(now_ns, CANCEL, request_id)
-        if found.stopped:
-            self.observer.cancellations_ended(CancelOutcome.STOPPED, len(found.stopped))
+        if due.stopped:
+            self.observer.cancellations_ended(CancelOutcome.STOPPED, len(due.stopped))
 
     def answered(self, request_id: bytes) -> None:
-        """Handle an answer to no attempt in flight: it may be that of a cancelled one."""
+        """Handle an answer to an attempt that is not in flight; it may have been cancelled."""
         outcome = self.pending.resolve_by_answer(request_id)
         if outcome is not None:
             self.observer.cancellations_ended(outcome, 1)
 
     def connection_ended(self) -> None:
-        """Report the attempts that had not stopped when the connection ended as lost."""
-        lost = self.pending.clear()
-        if lost:
-            self.observer.cancellations_ended(CancelOutcome.CONNECTION_LOST, lost)
+        """Report as lost the cancellations that are unresolved when the connection ends."""
+        lost_count = self.pending.clear()
+        if lost_count:
+            self.observer.cancellations_ended(CancelOutcome.CONNECTION_LOST, lost_count)
--- a/query_broker/protocols/engine_messages.py
+++ b/query_broker/protocols/engine_messages.py
@@ -1,8 +1,8 @@
 """The messages of the data engines' protocol, in RESP. Performs no I/O.
 
-This module maps the words of the wire to the terms of the program: ``do`` sends an attempt,
-``undo`` cancels it, ``forget`` says that no more pages are wanted, ``bump`` raises a priority,
-``top`` is a health check.
+This module maps the protocol's names to the terms of the program: ``do`` sends an attempt,
+``undo`` cancels it, ``forget`` tells the engine that no more pages are needed, ``bump`` raises a
+priority, ``top`` is a health check.
 """
 
 from __future__ import annotations
@@ -50,24 +50,24 @@
 
 # Tag, kind, fields and body.
 ANSWER_PARTS = 4
-# Pages of one result: memory is allocated for the count before the pages are here.
+# Most pages of one result: memory is allocated for the stated count before the pages arrive.
 MAX_PAGES = 1_024
-# The largest result that an answer to a client can hold.
+# Largest result that fits into an answer to a client.
 MAX_RESULT_BYTES = 48_000
-# Rows: three text columns and a line end each.
+# A page: rows of three tab-separated text columns, each row ended by a line feed.
 ROWS_PATTERN = re.compile(rb"(?:[^\t\n\0]*\t[^\t\n\0]*\t[^\t\n\0]*\n)*")
-# Bytes of an unknown kind, and characters of a count, that an error text repeats.
+# Bytes of an unknown kind, and characters of a count, that an error message quotes.
 QUOTED_KIND_BYTES = 40
 QUOTED_COUNT_CHARACTERS = 20
 
 
 class EngineAnswer(NamedTuple):
-    """One answer as it came.
+    """One answer of an engine, before its fields are parsed.
 
     Attributes:
-        tag: The id of the request, or the tag of the health check, that it answers.
-        kind: The kind of answer, in the engine's word.
-        raw_fields: The fields, not yet read.
+        tag: Request id of the attempt, or tag of the health check, that the answer belongs to.
+        kind: The kind of answer, by its name in the protocol.
+        raw_fields: The encoded fields.
         body: A page, or empty.
     """
 
@@ -78,7 +78,7 @@
 
 
 def encode_attempt(attempt: Attempt, now_ns: int) -> tuple[bytes, ...]:
-    """Return the pieces that send an attempt.
+    """Return the encoded attempt, in pieces for a vectored write.
 
     Class, idempotency key and statement are forwarded unchanged. The time limit is the remaining
     time of the attempt at ``now_ns``, in milliseconds.
@@ -99,40 +99,41 @@
 
 
 def read_answer(parts: list[bytes]) -> EngineAnswer:
-    """Name the parts of an answer.
+    """Return the parts of an answer by name.
 
     Raises:
-        MalformedAnswerError: There are more or fewer of them.
+        MalformedAnswerError: The number of parts is not `ANSWER_PARTS`.
     """
     if len(parts) != ANSWER_PARTS:
-        reason = f"{len(parts)} parts in place of {ANSWER_PARTS}"
+        reason = f"answer has {len(parts)} parts instead of {ANSWER_PARTS}"
         raise resp.MalformedAnswerError(reason)
     return EngineAnswer(*parts)
 
 
 def check_rows(page: bytes) -> None:
-    """Check that a page holds rows, since a damaged page would be served as a result.
+    """Check that a page consists of rows, since a damaged page would be served as a result.
 
     Raises:
-        MalformedAnswerError: The page is no UTF-8, or has no rows of three columns.
+        MalformedAnswerError: The page is not valid UTF-8, or does not consist of rows of three
+            columns.
     """
     try:
         page.decode()
     except UnicodeDecodeError:
-        reason = "a page that is no text"
+        reason = "page is not valid UTF-8"
         raise resp.MalformedAnswerError(reason) from None
     if ROWS_PATTERN.fullmatch(page) is None:
-        reason = "a page that is no rows of three columns"
+        reason = "page does not consist of rows of three columns"
         raise resp.MalformedAnswerError(reason)
 
 
 def read_count(text: str, name: str) -> int:
-    """Read a count of pages, or the number of one.
+    """Read the number of pages, or the index of a page.
 
     Raises:
-        MalformedAnswerError: The text is no number from 0 to `MAX_PAGES`.
+        MalformedAnswerError: The text is not a number from 0 to `MAX_PAGES`.
     """
     if not text.isdecimal() or int(text) > MAX_PAGES:
-        reason = f"{name}: {text[:QUOTED_COUNT_CHARACTERS]!r} is no count up to {MAX_PAGES}"
+        reason = f"{name}: {text[:QUOTED_COUNT_CHARACTERS]!r} is not a number from 0 to {MAX_PAGES}"
         raise resp.MalformedAnswerError(reason)
     return int(text)
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -1,4 +1,4 @@
-"""Writing to a data engine: small attempts are written at once, the rest waits in a write queue."""
+"""Writing to a data engine: small attempts are written at once, other frames use a write queue."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 # The socket option's number on Linux, for a Python whose `socket` module lacks it.
 NOTSENT_LOWAT = getattr(socket, "TCP_NOTSENT_LOWAT", 25)
-# What may lie unsent in the system's buffer: it cannot be withdrawn from there.
+# Limit of the unsent bytes in the system's buffer, from which nothing can be withdrawn.
 MAX_UNSENT_BYTES = 16_384
-# Priority, within 0 to 3, of requests to which the decisions give none.
+# Priority, from 0 to 3, of requests to which the decisions assign none.
 DEFAULT_PRIORITY = 1
 
 
 class WriteObserver(Protocol):
-    """Is notified of what leaves."""
+    """Is notified of attempts that leave."""
 
     def now(self) -> int:
         """Return the time in ns."""
@@ -35,37 +35,37 @@
         """Called when an attempt has left completely without being queued."""
 
     def may_proceed(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may still begin; called before its first byte leaves.
+        """Return whether an attempt may still be sent; called before its first byte leaves.
 
-        False: it is withdrawn, and never ran.
+        If not, the attempt is withdrawn, and has never run.
         """
 
 
 class BlockedListener(Protocol):
-    """Is notified that the socket takes no more for now."""
+    """Is notified that the socket currently accepts no more bytes."""
 
     def __call__(self) -> None:
-        """Have `EngineWriter.flush` called at the next tick."""
+        """Schedule `EngineWriter.flush` for the next tick."""
 
 
 class WriteFailureListener(Protocol):
-    """Is notified that the socket cannot be written to any more."""
+    """Is notified that a write has failed."""
 
     def __call__(self, reason: str, /) -> None:
-        """End the connection; the reason is the system's text."""
+        """End the connection; ``reason`` is the system's error text."""
 
 
 class EngineWriter:
     """The sending side of one connection.
 
-    It writes to the descriptor itself and nothing to the transport, since what the transport's own
-    buffer holds cannot be withdrawn. So it is known exactly which bytes have left.
+    It writes directly to the descriptor instead of the transport, whose buffer does not allow
+    withdrawal. So it is known exactly which bytes have left.
 
     Attributes:
-        transport: None until the connection is up.
+        transport: None until the connection is established.
         fd: Descriptor of the socket, or `NO_DESCRIPTOR`.
         write_queue: Frames that have not left completely.
-        is_blocked: Frames wait because the socket accepted no more bytes.
+        is_blocked: Whether frames wait because the socket accepted no more bytes.
         last_used_ns: When something was last sent or queued.
         cancels_in_transit: Request ids of cancelled attempts whose cancellation has not left yet,
             so that the engine cannot have read it.
@@ -74,20 +74,20 @@
     def __init__(
         self,
         observer: WriteObserver,
-        blocked: BlockedListener,
-        failed: WriteFailureListener,
+        on_blocked: BlockedListener,
+        on_write_failure: WriteFailureListener,
     ) -> None:
-        """Begin without a socket; `attach` gives it one.
+        """Start without a socket; `attach` provides it.
 
         Args:
-            observer: Notified of what leaves.
-            blocked: Called when the socket accepts no more bytes, so that `flush` is called again
-                at the next tick.
-            failed: Called with the system's error text when a write fails.
+            observer: Notified of attempts that leave.
+            on_blocked: Called when the socket accepts no more bytes, so that `flush` is called
+                again at the next tick.
+            on_write_failure: Called with the system's error text when a write fails.
         """
         self.observer = observer
-        self.report_blocked = blocked
-        self.report_failure = failed
+        self.on_blocked = on_blocked
+        self.on_write_failure = on_write_failure
         self.transport: asyncio.Transport | None = None
         self.fd = NO_DESCRIPTOR
         self.write_queue = WriteQueue(self)
@@ -96,43 +96,41 @@
         self.cancels_in_transit: set[bytes] = set()
 
     def attach(self, transport: asyncio.Transport, now_ns: int) -> None:
-        """Begin to write to the socket of this transport."""
+        """Start to write to the socket of this transport."""
         self.transport = transport
         self.last_used_ns = now_ns
         engine_socket = transport.get_extra_info("socket")
         self.fd = engine_socket.fileno()
-        # Where the system has no such option, only more bytes may lie unsent in its buffer.
+        # Without this option, more unsent bytes may accumulate in the system's buffer.
         with contextlib.suppress(OSError):
             engine_socket.setsockopt(socket.IPPROTO_TCP, NOTSENT_LOWAT, MAX_UNSENT_BYTES)
 
     def has_ended(self) -> bool:
-        """Return whether the engine has ended the connection, perhaps unread as yet."""
+        """Return whether the engine has ended the connection, even if that is not read yet."""
         return self.fd >= 0 and has_ended(self.fd)
 
     def has_input(self) -> bool:
-        """Return whether bytes of the engine lie unread in the system's buffer."""
+        """Return whether bytes from the engine lie unread in the system's buffer."""
         return self.fd >= 0 and has_input(self.fd)
 
     def close(self) -> None:
         """End the connection at once.
 
-        The number of a descriptor that has been closed is soon another connection's: it is given up
-        first.
+        The descriptor is reset first, since the system soon reuses the number of a closed one for
+        another connection.
         """
         self.fd = NO_DESCRIPTOR
         if self.transport is not None:
             self.transport.abort()
 
     def abandon(self) -> None:
-        """Drop all that waits: the connection has ended, and with it all that was open there."""
+        """Drop all queued frames, since the connection has ended."""
         self.fd = NO_DESCRIPTOR
         self.write_queue.abandon()
         self.cancels_in_transit.clear()
 
-    # --- sending ---
-
     def send(self, attempt: Attempt, now_ns: int) -> None:
-        """Send an attempt that has just been decided on: at once if the socket takes it."""
+        """Send an attempt that has just been dispatched: at once if the socket accepts it."""
         pieces = encode_attempt(attempt, now_ns)
         if (
             len(pieces) == 1
@@ -142,17 +140,17 @@
             and not self.transport.is_closing()
         ):
             try:
-                written = os.write(self.fd, pieces[0])
+                written_bytes = os.write(self.fd, pieces[0])
             except OSError:
-                written = 0  # reported, or attempted again, by the flush below
-            if written:
+                written_bytes = 0  # the flush below retries the write, or reports the error
+            if written_bytes:
                 self.frame_started(attempt)
-            if written == len(pieces[0]):
+            if written_bytes == len(pieces[0]):
                 self.last_used_ns = now_ns
                 attempt.written_ns = now_ns
                 self.observer.attempt_written_at_once()
                 return
-            pieces = (pieces[0][written:],)
+            pieces = (pieces[0][written_bytes:],)
         request = attempt.request
         priority = DEFAULT_PRIORITY if request.priority is None else request.priority
         size_bytes = sum(map(len, pieces))
@@ -161,7 +159,7 @@
         self._enqueue(now_ns, frame)
 
     def send_command(self, now_ns: int, *parts: bytes) -> None:
-        """Send a command; it goes before attempts that wait."""
+        """Send a command, ahead of queued attempts."""
         self._enqueue(now_ns, _control_frame(parts))
 
     def send_cancel(self, now_ns: int, request_id: bytes) -> None:
@@ -171,11 +169,11 @@
             self._enqueue(now_ns, _control_frame((CANCEL, request_id), request_id))
 
     def withdraw(self, request_id: bytes) -> bool:
-        """Return whether a queued attempt was withdrawn: no byte of it has left, and none will."""
+        """Withdraw a queued attempt if none of its bytes has left; return whether it was."""
         return self.write_queue.withdraw(request_id)
 
     def raise_priority(self, request_id: bytes, priority: int) -> bool:
-        """Give an attempt that is still queued a priority; return False if it is not."""
+        """Change the priority of a queued attempt; return False if it is not queued."""
         return self.write_queue.raise_priority(request_id, priority)
 
     def flush(self) -> None:
@@ -185,15 +183,15 @@
             if not pieces:
                 break
             try:
-                written = os.writev(self.fd, pieces)
+                written_bytes = os.writev(self.fd, pieces)
             except BlockingIOError:
-                written = 0
+                written_bytes = 0
             except OSError as error:
-                self.report_failure(str(error))
+                self.on_write_failure(str(error))
                 return
-            if not self.write_queue.wrote(written):
+            if not self.write_queue.wrote(written_bytes):
                 self.is_blocked = True
-                self.report_blocked()
+                self.on_blocked()
                 return
         self.is_blocked = False
 
@@ -205,10 +203,10 @@
         if self._is_open() and self.write_queue.enqueue(frame):
             self.flush()
 
-    # --- from the write queue ---
+    # Called by the write queue.
 
     def release_frame(self, frame: Frame) -> tuple[bytes, ...] | None:
-        """Return what to write of a frame that has waited; None if it may not go any more."""
+        """Return the current pieces of a frame that was queued; None if it may not be sent."""
         attempt = frame.subject
         if not isinstance(attempt, Attempt):
             return frame.pieces
@@ -216,19 +214,19 @@
             return None
         return encode_attempt(attempt, self.observer.now())
 
-    def frame_started(self, about: object) -> None:
-        """Mark an attempt of which a byte has left: it may run."""
-        if isinstance(about, Attempt):
-            about.write_started = True
+    def frame_started(self, subject: object) -> None:
+        """Mark an attempt whose first byte has left, so that it may run."""
+        if isinstance(subject, Attempt):
+            subject.write_started = True
 
-    def frame_written(self, about: object) -> None:
-        """Report an attempt that has left, or forget a cancellation that waited to leave."""
-        if isinstance(about, Attempt):
-            self.observer.attempt_written(about)
-        elif isinstance(about, bytes):
-            self.cancels_in_transit.discard(about)
+    def frame_written(self, subject: object) -> None:
+        """Report an attempt that has left completely, or forget a cancellation that has."""
+        if isinstance(subject, Attempt):
+            self.observer.attempt_written(subject)
+        elif isinstance(subject, bytes):
+            self.cancels_in_transit.discard(subject)
 
 
-def _control_frame(parts: tuple[bytes, ...], about: object = None) -> Frame:
+def _control_frame(parts: tuple[bytes, ...], subject: object = None) -> Frame:
     pieces = resp.pieces(*parts)
-    return Frame(pieces, None, CONTROL, sum(map(len, pieces)), about)
+    return Frame(pieces, None, CONTROL, sum(map(len, pieces)), subject)
--- a/query_broker/protocols/resp.py
+++ b/query_broker/protocols/resp.py
@@ -1,4 +1,4 @@
-"""The data engines' RESP: arrays of bulk strings, and the ``name=value`` fields within them.
+"""RESP as the data engines use it: arrays of bulk strings, and ``name=value`` fields in them.
 
 Performs no I/O.
 """
@@ -10,22 +10,22 @@
 
 from .errors import ProtocolError
 
-# Largest bulk string: a result of the largest size in one page.
+# Largest bulk string: the largest result, in one page.
 MAX_BULK_BYTES = 48_000
-# Elements of an array: tag, kind, fields and body.
+# Most elements of an array: tag, kind, fields and body.
 MAX_ARRAY_PARTS = 4
 # Longest line that holds the length of an array or of a bulk string.
 MAX_LENGTH_LINE_BYTES = 32
-# Size below which copying a part costs less than a piece of its own in a vectored write.
-SMALL_PART_BYTES = 4_096
-# Stands in place of fields where there are none.
+# Below this size, copying a part costs less than a separate piece in a vectored write.
+MIN_SEPARATE_PART_BYTES = 4_096
+# Encoding of an empty list of fields.
 NO_FIELDS = "-"
-# Characters of a peer's text that an error text repeats.
+# Characters of the engine's text that an error message quotes.
 QUOTED_CHARACTERS = 80
 
 
 class MalformedAnswerError(ProtocolError):
-    """Bytes that hold no RESP array; nothing after them on this connection can be trusted."""
+    """Bytes that are no valid answer; nothing after them on this connection can be trusted."""
 
 
 def _bulk_string(part: bytes) -> bytes:
@@ -38,75 +38,82 @@
 
 
 def pieces(*parts: bytes) -> tuple[bytes, ...]:
-    """Encode one array, with a large last part in a piece of its own.
+    """Encode one array, with a large last part as a separate piece.
 
-    Joined, the pieces are what `encode` returns; a large statement is not copied.
+    The joined pieces equal the result of `encode`; a large statement is not copied.
     """
-    *first_parts, last = parts
-    head = b"".join(map(_bulk_string, first_parts))
-    if len(last) < SMALL_PART_BYTES:
-        return (b"*%d\r\n%b$%d\r\n%b\r\n" % (len(parts), head, len(last), last),)
-    return b"*%d\r\n%b$%d\r\n" % (len(parts), head, len(last)), last, b"\r\n"
+    *first_parts, last_part = parts
+    encoded_first_parts = b"".join(map(_bulk_string, first_parts))
+    if len(last_part) < MIN_SEPARATE_PART_BYTES:
+        return (
+            b"*%d\r\n%b$%d\r\n%b\r\n"
+            % (len(parts), encoded_first_parts, len(last_part), last_part),
+        )
+    return (
+        b"*%d\r\n%b$%d\r\n" % (len(parts), encoded_first_parts, len(last_part)),
+        last_part,
+        b"\r\n",
+    )
 
 
 class RespParser:
-    """Takes bytes as they come; returns complete arrays, also those before a malformed one.
+    """An incremental parser; it returns complete arrays, including those before a malformed one.
 
     Attributes:
-        buffer: The bytes from the first array on that is not complete yet.
-        position: Where the next line begins while arrays are read.
+        buffer: The received bytes, from the start of the first incomplete array.
+        position: Offset in the buffer of the next line to parse.
     """
 
     def __init__(self) -> None:
-        """Begin at the start of a connection."""
+        """Start with an empty buffer."""
         self.buffer = bytearray()
         self.position = 0
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
-        """Add bytes, and yield the arrays that are complete with them.
+        """Add bytes, and yield the arrays that have become complete.
 
         Raises:
-            MalformedAnswerError: What comes next is no array of bulk strings within the bounds.
+            MalformedAnswerError: The next bytes are not an array of bulk strings within the limits.
         """
         self.buffer += data
         self.position = 0
         end = 0
-        while (parts := self._array()) is not None:
+        while (parts := self._read_array()) is not None:
             end = self.position
             yield parts
         del self.buffer[:end]
 
-    def _length(self, sign: bytes, max_length: int) -> int | None:
-        """Read a line such as ``*4`` or ``$17``; None until it is complete."""
+    def _read_length(self, sign: bytes, max_length: int) -> int | None:
+        """Read a length line such as ``*4`` or ``$17``; return None until it is complete."""
         buffer = self.buffer
         begin = self.position
         if begin >= len(buffer):
             return None
         if buffer[begin] != sign[0]:
-            reason = f"{bytes(buffer[begin : begin + 1])!r} stands where {sign!r} must"
+            reason = f"found {bytes(buffer[begin : begin + 1])!r} instead of {sign!r}"
             raise MalformedAnswerError(reason)
         end = buffer.find(b"\r\n", begin, begin + MAX_LENGTH_LINE_BYTES)
         if end < 0:
             if len(buffer) - begin >= MAX_LENGTH_LINE_BYTES:
-                reason = "a length without its end"
+                reason = "length line is too long"
                 raise MalformedAnswerError(reason)
             return None
         digits = bytes(buffer[begin + 1 : end])
         if not digits.isdigit() or int(digits) > max_length:
-            reason = f"{digits!r} is no length up to {max_length}"
+            reason = f"length {digits!r} is not a number from 0 to {max_length}"
             raise MalformedAnswerError(reason)
         self.position = end + 2
         return int(digits)
 
-    def _array(self) -> list[bytes] | None:
-        """Read the array that begins at the cursor; None until it is complete."""
-        count = self._length(b"*", MAX_ARRAY_PARTS)
+    def _read_array(self) -> list[bytes] | None:
+        """Read the array that begins at ``position``; return None until it is complete."""
+        count = self._read_length(b"*", MAX_ARRAY_PARTS)
         if count is None:
             return None
         buffer = self.buffer
         parts: list[bytes] = []
         for _ in range(count):
-            size = self._length(b"$", MAX_BULK_BYTES)
+            size = self._read_length(b"$", MAX_BULK_BYTES)
             if size is None:
                 return None
             begin = self.position
@@ -114,7 +121,7 @@
             if len(buffer) < end + 2:
                 return None
             if buffer[end : end + 2] != b"\r\n":
-                reason = "a bulk string runs past its length"
+                reason = "bulk string is longer than its stated length"
                 raise MalformedAnswerError(reason)
             parts.append(bytes(buffer[begin:end]))
             self.position = end + 2
@@ -126,16 +133,17 @@
 
     Args:
         raw: The encoded fields.
-        separator: The sign between two fields.
-        equals: The sign between the name and the value of a field.
+        separator: The character between two fields.
+        equals: The character between the name and the value of a field.
 
     Raises:
-        MalformedAnswerError: The bytes are no UTF-8, or a field has no name or no ``equals``.
+        MalformedAnswerError: The bytes are not valid UTF-8, or a field lacks its name or
+            ``equals``.
     """
     try:
         text = raw.decode()
     except UnicodeDecodeError:
-        reason = "fields that are no text"
+        reason = "fields are not valid UTF-8"
         raise MalformedAnswerError(reason) from None
     if text in (NO_FIELDS, ""):
         return {}
@@ -143,14 +151,14 @@
     for part in text.split(separator):
         name, sign, value = part.partition(equals)
         if not name or sign != equals:
-            reason = f"{text[:QUOTED_CHARACTERS]!r} is no list of name{equals}value"
+            reason = f"{text[:QUOTED_CHARACTERS]!r} is not a list of name{equals}value fields"
             raise MalformedAnswerError(reason)
         fields[name] = value
     return fields
 
 
 def write_pairs(pairs: dict[str, object]) -> bytes:
-    """Encode fields; the counterpart of `read_pairs` with its default signs."""
+    """Encode fields; the inverse of `read_pairs` with its default separators."""
     text = ",".join(f"{name}={value}" for name, value in pairs.items())
     return text.encode() or NO_FIELDS.encode()
 
@@ -158,13 +166,14 @@
 def read_load_report(raw: str) -> dict[str, float]:
     """Read a load report, such as ``inflight:7;util:0.61``.
 
-    A value that is not finite is none: an infinite load would count as pressure on an endpoint that
-    may be idle.
+    Values that are not finite are rejected: an infinite load would count as pressure on an endpoint
+    that may be idle.
 
     Raises:
-        MalformedAnswerError: The text is no list of ``name:value``, or a value is no finite number.
+        MalformedAnswerError: The text is not a list of ``name:value`` fields, or a value is not a
+            finite number.
     """
-    reason = f"meter {raw[:QUOTED_CHARACTERS]!r} holds no numbers"
+    reason = f"load report {raw[:QUOTED_CHARACTERS]!r} has a value that is not a finite number"
     try:
         report = {name: float(value) for name, value in read_pairs(raw.encode(), ";", ":").items()}
     except ValueError:
