--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -1,7 +1,7 @@
-"""One client connection in the binary protocol: requests in, complete answers out.
+"""One client connection in the binary protocol.
 
-Its parts: `ClientReader` takes frames in turns and applies backpressure, `OpenRequests` submits and
-cancels requests, `ClientTimeouts` ends idle connections, `ClientSocket` writes.
+Its parts: `ClientReader` handles frames in turns and applies backpressure, `OpenRequests` submits
+and cancels requests, `ClientTimeouts` ends idle connections, `ClientSocket` writes.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .client_socket import ClientSocket
 from .client_timeouts import ClientTimeouts
 
-# The stream of answers that belong to no request.
+# The stream of frames that belong to no request.
 NO_STREAM = 0
 
 
@@ -31,10 +31,11 @@
 
 
 class LostConnection:
-    """Null object that the parts of a lost connection refer to in place of the connection.
+    """Null object that replaces the connection in the parts of a lost connection.
 
-    The parts and the connection refer to each other: only the cyclic garbage collector would free
-    them, and thousands of lost connections would stay in memory until it runs.
+    The parts and the connection refer to each other. Without the replacement, only the cyclic
+    garbage collector would free them, and thousands of lost connections would stay in memory until
+    it runs.
     """
 
     broken = True
@@ -42,7 +43,7 @@
     last_used_ns = 0
     paused_since_ns = 0
 
-    def break_off(self, reason: str) -> None:
+    def end_with_error(self, reason: str) -> None:
         """Do nothing: the connection has ended."""
 
     def close(self) -> None:
@@ -61,7 +62,7 @@
         """Drop the answer: its client has disconnected."""
 
     def unread_bytes(self) -> int:
-        """Return that no answer waits to be read."""
+        """Return 0: no answer waits to be read."""
         return 0
 
 
@@ -71,24 +72,25 @@
 class ClientConnection(asyncio.Protocol):
     """One client connection.
 
-    Nothing raises out of a callback.
+    No callback raises an exception.
 
     Attributes:
-        transport: None before the connection is made and after it is lost.
-        broken: No further request is read; the connection is about to end.
-        half_closed: The client has ended its side and waits for its answers.
-        has_sent_frame: A complete frame has come.
+        transport: None before the connection is established and after it is lost.
+        broken: Whether no further request is read, since the connection is about to end.
+        half_closed: Whether the client has ended its side and waits for its answers.
+        has_sent_frame: Whether the client has sent a complete frame.
         last_used_ns: When something was last received or answered.
-        paused_since_ns: Since when the client has read its answers too slowly; 0 if it does not.
-        open_requests: The requests that are owed an answer, by stream.
+        paused_since_ns: Since when the write buffer has been over its high-water mark, because the
+            client reads its answers too slowly; 0 while it is not.
+        open_requests: The unanswered requests, by stream.
     """
 
     def __init__(self, host: ClientHost, limits: ReadingLimits | None = None) -> None:
-        """Make the protocol of a connection that is being accepted.
+        """Create the protocol object of a connection that is being accepted.
 
         Args:
             host: Admits clients.
-            limits: Limits beyond the connection's own, such as a cell's; None where there are none.
+            limits: Limits in addition to the connection's own, such as those of a cell, if any.
         """
         self.host = host
         self.transport: asyncio.Transport | None = None
@@ -103,7 +105,7 @@
         self.reader = ClientReader(host, self, self.requests, self.socket, limits)
         self.timeouts = ClientTimeouts(host, self, self.reader, self.socket)
 
-    # --- from the socket ---
+    # Called by the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start to serve the client, or end the connection if it is not admitted."""
@@ -116,7 +118,7 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Read the bytes; discard them once the connection is broken."""
+        """Read the bytes, or discard them if the connection is broken."""
         if self.broken:
             self.socket.discard(len(data))
             return
@@ -124,16 +126,17 @@
         self.reader.receive(data)
 
     def eof_received(self) -> bool:
-        """Cancel the client's requests, since it has ended its side of the connection.
+        """Handle the client's half-close: cancel its requests, or answer them first.
 
-        Where operators have set that it still gets its answers, the connection stays open until the
-        last of them, unless an incomplete frame is left, which cannot become complete any more.
+        If the half-close policy lets the client wait for its answers, the connection stays open
+        until the last answer, unless an incomplete frame is left, which can no longer become
+        complete.
         """
         frames_wait = self.reader.waiting or self.paused_since_ns
-        incomplete = self.reader.parser.buffered_bytes() and not frames_wait
+        has_partial_frame = self.reader.parser.buffered_bytes() and not frames_wait
         policy = self.host.dispatcher.deadline_controls.settings.half_close
-        if policy is HalfClosePolicy.CLIENT_LEFT or self.broken or incomplete:
-            # Where answers are still unread, the transport reports the loss only after them.
+        if policy is HalfClosePolicy.CLIENT_LEFT or self.broken or has_partial_frame:
+            # While answers are unread, the transport reports the loss only after they are read.
             self.broken = True
             self.requests.cancel_all()
             return False
@@ -143,7 +146,7 @@
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release all that the connection holds, and cancel its requests."""
+        """Release the resources of the connection, and cancel its requests."""
         self.broken = True
         self.transport = None
         self.socket.detach()
@@ -157,26 +160,26 @@
         self.requests.client = LOST_CONNECTION
 
     def pause_writing(self) -> None:
-        """Take no further requests, and read on only for cancellations.
+        """Stop taking requests; the client's frames are read only to find cancellations.
 
         The answers to a client that sends requests and does not read would fill the memory.
         """
         self.paused_since_ns = self.host.dispatcher.now()
-        self.reader.read_if_wanted()
+        self.reader.pause_or_resume_reading()
 
     def resume_writing(self) -> None:
         """Take requests again."""
         self.paused_since_ns = 0
         self.reader.resume_writing()
 
-    # --- from the dispatcher ---
+    # Called by the dispatcher.
 
     def served(self, stream: int, body: bytes) -> None:
         """Answer a request with its result."""
         self._answer(stream, frames.answer(stream, frames.SERVED, {}, body))
 
     def rejected(self, stream: int, retry_after_ms: int) -> None:
-        """Reject a request; the client may retry it after the pause."""
+        """Reject a request; the client may retry it after ``retry_after_ms``."""
         self._answer(stream, frames.rejection(stream, retry_after_ms))
 
     def failed(self, stream: int, reason: str) -> None:
@@ -186,8 +189,8 @@
     def _answer(self, stream: int, data: bytes) -> None:
         """Write an answer: one write of one complete frame.
 
-        The idle time counts from here: if it counted from the request, the connection could end
-        right after a late answer.
+        The idle timeout counts from the answer: if it counted from the request, the connection
+        could end right after a late answer.
         """
         self.open_requests.pop(stream, None)
         self.last_used_ns = self.host.dispatcher.now()
@@ -195,18 +198,18 @@
         if self.half_closed and not self.reader.has_work():
             self.close()
 
-    # --- from the side that admits clients ---
+    # Called by the host.
 
     def announce_shutdown(self) -> None:
-        """Tell the client to send no new request on this connection."""
+        """Tell the client to send no new requests on this connection."""
         self.socket.write(frames.frame(frames.NO_MORE, NO_STREAM))
 
     def defer_reading(self) -> None:
-        """Take no frames until `resume_reading` is called."""
+        """Handle no frames until `resume_reading` is called."""
         self.reader.waiting = True
 
     def resume_reading(self) -> None:
-        """Take the frames that wait."""
+        """Handle the frames that wait."""
         if not self.broken:
             self.reader.resume()
             self.reader.account_partial_frames()
@@ -220,15 +223,15 @@
         return self.socket.unread_bytes()
 
     def has_unread_input(self) -> bool:
-        """Return whether the client has sent what this process has not read yet.
+        """Return whether the client has sent bytes that this process has not read yet.
 
-        False once nothing that is read is used any more; the end of a half-closed connection stays
-        readable, and is nothing that the client has sent.
+        False if the connection is broken, since further input is discarded, and if it is
+        half-closed: its end of stream stays readable, but is no input.
         """
         return not (self.broken or self.half_closed) and self.socket.has_input()
 
     def close(self) -> None:
-        """End an idle connection; what has been written still leaves."""
+        """End an idle connection after its written data has been sent."""
         self.broken = True
         self.socket.close()
 
@@ -236,25 +239,25 @@
         """End the connection at once."""
         self.socket.abort()
 
-    def break_off(self, reason: str) -> None:
+    def end_with_error(self, reason: str) -> None:
         """End the connection with an error that belongs to no request.
 
-        Nothing more on it can be read. The open requests get their answers first.
+        No further frames are read. The open requests are answered first.
         """
         dispatcher = self.host.dispatcher
-        dispatcher.log("client", f"broken connection: {reason}")
+        dispatcher.log("client", f"ending the connection: {reason}")
         self.broken = True
-        for stream in self.requests.being_submitted():  # the fault occurred in their submission
+        for stream in self.requests.being_submitted():  # the error occurred while submitting them
             self.failed(stream, reason)
         dispatcher.cancellations.close_out(self.requests.submitted())
         self.socket.write(frames.answer(NO_STREAM, frames.FAILED, {}, reason.encode()))
         self.close_gracefully()
 
     def close_gracefully(self) -> None:
-        """End our side of the connection, and discard what still comes until a timeout.
+        """Half-close the connection, and discard further input until a timeout.
 
-        To close a socket with bytes unread resets the connection, and the client could lose what
-        was written last.
+        Closing a socket with unread bytes resets the connection, and the client could lose the last
+        bytes written to it.
         """
         self.broken = True
         self.reader.clear()
--- a/query_broker/protocols/client_frames.py
+++ b/query_broker/protocols/client_frames.py
@@ -1,7 +1,7 @@
-"""The clients' binary frames: an incremental parser and the encoders.
+"""The frames of the clients' binary protocol: an incremental parser and the encoders.
 
-A frame is a length (4 bytes, of all that follows), a type (1 byte), a stream (4 bytes) and a
-payload; integers are big-endian. Performs no I/O.
+A frame consists of a length (4 bytes; the size of the rest of the frame), a type (1 byte), a stream
+(4 bytes) and a payload; integers are big-endian. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class FrameType(IntEnum):
-    """The type of a frame, as it stands on the wire.
+    """The type of a frame, by its value on the wire.
 
     Attributes:
         REQUEST: A client's request.
@@ -23,7 +23,7 @@
         ABANDON: The client cancels a request.
         ASK_READY: A client's health check.
         READY: The answer to a health check.
-        NO_MORE: Graceful shutdown: the client sends no new request on this connection.
+        NO_MORE: Graceful shutdown: the client must send no new request on this connection.
     """
 
     REQUEST = 2
@@ -35,11 +35,11 @@
 
 
 class AnswerCode(IntEnum):
-    """How a request ended: the first byte of an answer's payload.
+    """The kind of final answer: the first byte of an answer's payload.
 
     Attributes:
         SERVED: The body of the answer is the result.
-        REFUSED: The request was rejected; nothing of it has run.
+        REFUSED: The request was rejected and has not run.
         FAILED: The request has failed, and may have run.
     """
 
@@ -58,7 +58,7 @@
 REFUSED = AnswerCode.REFUSED
 FAILED = AnswerCode.FAILED
 
-# Size of the length field itself, which it does not count.
+# Size of the length field, which its value does not include.
 LENGTH_FIELD_BYTES = 4
 # Smallest value of the length field: a type and a stream, with an empty payload.
 MIN_FRAME_LENGTH = 5
@@ -70,7 +70,7 @@
 CLIENT_FRAME_TYPES = frozenset({REQUEST, ABANDON, ASK_READY})
 # Size of the length that precedes a field's value; a name's length takes one byte.
 VALUE_LENGTH_BYTES = 2
-# Characters of a field's name that an error text repeats.
+# Characters of a field's name that an error message quotes.
 QUOTED_NAME_CHARACTERS = 40
 # The field of a rejection that holds the retry-after time in milliseconds.
 FIELD_RETRY_AFTER_MS = "pause"
@@ -80,7 +80,7 @@
 
 
 class MalformedFrameError(ProtocolError):
-    """Bytes that hold no frame; nothing after them on this connection can be trusted."""
+    """Bytes that are no valid frame; nothing after them on this connection can be trusted."""
 
 
 class Frame(NamedTuple):
@@ -92,32 +92,32 @@
 
 
 class FrameHead(NamedTuple):
-    """Type and stream of a frame that still waits in the parser."""
+    """Type and stream of a complete frame that is still in the parser."""
 
     type: int
     stream: int
 
 
 class FrameFields(NamedTuple):
-    """A payload's fields, and the body behind them."""
+    """The fields of a payload, and the body after them."""
 
     fields: dict[str, str]
     body: bytes
 
 
 class FrameParser:
-    """Takes bytes as they come; returns complete frames, also those before a malformed one.
+    """An incremental parser; it returns complete frames, including those before a malformed one.
 
     Invariant: neither position passes the end of ``buffer``, and no frame is skimmed twice.
 
     Attributes:
-        buffer: The bytes that have come, from the first that `feed` has not dropped.
-        read_position: Where the next frame begins; all bytes before it have been returned.
-        skim_position: Where `skim` goes on; all frames before it have been skimmed.
+        buffer: The received bytes that `feed` has not dropped.
+        read_position: Offset of the next frame; all frames before it have been returned.
+        skim_position: Offset where `skim` continues; all frames before it have been skimmed.
     """
 
     def __init__(self) -> None:
-        """Begin at the start of a connection."""
+        """Start with an empty buffer."""
         self.buffer = bytearray()
         self.read_position = 0
         self.skim_position = 0
@@ -130,10 +130,10 @@
         self.buffer += data
 
     def skim(self, max_frames: int) -> Iterator[FrameHead]:
-        """Yield the heads of complete frames that wait to be returned, each frame once.
+        """Yield the heads of complete frames that `next` has not returned, each frame once.
 
-        At most ``max_frames`` frames are looked at. It ends before a malformed frame, which `next`
-        reports in its turn.
+        At most ``max_frames`` heads are yielded. The iteration ends before a malformed frame, which
+        `next` reports later.
         """
         buffer = self.buffer
         position = max(self.read_position, self.skim_position)
@@ -151,13 +151,13 @@
         self.skim_position = position
 
     def next(self) -> Frame | None:
-        """Return the next complete frame, or None until more bytes have come.
+        """Return the next frame, or None while it is incomplete.
 
-        An impossible length is an error before its bytes have come, so that the buffer never grows
-        beyond one frame of the largest length.
+        A length out of range raises before the rest of the frame has arrived, so that the buffer
+        never grows beyond one frame of the largest length.
 
         Raises:
-            MalformedFrameError: The length or the type is none that a client may send.
+            MalformedFrameError: The length is out of range, or clients may not send this type.
         """
         buffer = self.buffer
         begin = self.read_position
@@ -182,7 +182,7 @@
         return Frame(kind, stream, bytes(buffer[begin + HEAD.size : end]))
 
     def holds_more_than_one_frame(self) -> bool:
-        """Return whether bytes have come that lie behind the next frame."""
+        """Return whether the buffer holds bytes beyond the next frame."""
         begin = self.read_position
         available = len(self.buffer) - begin
         if available <= HEAD.size:
@@ -191,21 +191,21 @@
         return available > LENGTH_FIELD_BYTES + length
 
     def buffered_bytes(self) -> int:
-        """Return how many bytes are here and have not been returned yet."""
+        """Return the number of received bytes whose frames have not been returned yet."""
         return len(self.buffer) - self.read_position
 
     def clear(self) -> None:
-        """Drop all that is here."""
+        """Drop all buffered bytes."""
         self.buffer.clear()
         self.read_position = 0
         self.skim_position = 0
 
 
 def read_fields(payload: bytes) -> FrameFields:
-    """Return the fields at the head of a payload, and the body behind them.
+    """Return the fields at the start of a payload, and the body after them.
 
     Raises:
-        MalformedFrameError: The fields are cut short, repeated or no UTF-8.
+        MalformedFrameError: The fields are truncated, repeated or not valid UTF-8.
     """
     fields: dict[str, str] = {}
     try:
--- a/query_broker/protocols/client_lookahead.py
+++ b/query_broker/protocols/client_lookahead.py
@@ -1,7 +1,7 @@
 """Search for cancellations among the frames that wait for their turn. Performs no I/O.
 
-A cancellation is sent after all earlier requests. While those wait for their turn, or for answers
-to be read, attempts would begin for requests that the client has cancelled already.
+A cancellation arrives after all earlier requests. While these requests wait for their turn, or for
+the client to read its answers, attempts would begin for requests that are cancelled already.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 from . import client_frames as frames
 from .client_requests import MAX_OPEN_REQUESTS, OpenRequests
 
-# Frames that one scan looks at.
+# Most frames that one scan examines.
 MAX_SKIMMED_FRAMES = 2_048
-# Requests whose cancellation is recognised before they are submitted.
+# Most requests whose cancellation is recognised before they are submitted.
 MAX_WAITING_STREAMS = 4 * MAX_OPEN_REQUESTS
 
 
@@ -20,18 +20,18 @@
 
     Attributes:
         waiting_streams: Streams of the requests that wait in the parser.
-        cancelled_streams: Those of them that the client has cancelled.
+        cancelled_streams: Streams of the waiting requests that the client has cancelled.
     """
 
     def __init__(self, parser: frames.FrameParser, requests: OpenRequests) -> None:
-        """Take the parser with the waiting frames, and the requests that have been submitted."""
+        """Search the frames in ``parser``; ``requests`` are those already submitted."""
         self.parser = parser
         self.requests = requests
         self.waiting_streams: set[int] = set()
         self.cancelled_streams: set[int] = set()
 
     def scan(self) -> None:
-        """Look at frames that have not been looked at before."""
+        """Examine the frames that have not been examined before."""
         for head in self.parser.skim(MAX_SKIMMED_FRAMES):
             if head.type == frames.REQUEST:
                 if len(self.waiting_streams) < MAX_WAITING_STREAMS:
@@ -46,6 +46,6 @@
             self.cancelled_streams.add(stream)
 
     def clear(self) -> None:
-        """Forget the streams: no frame waits any more."""
+        """Forget the streams, since no frame waits any more."""
         self.waiting_streams.clear()
         self.cancelled_streams.clear()
--- a/query_broker/protocols/client_request.py
+++ b/query_broker/protocols/client_request.py
@@ -1,7 +1,7 @@
-"""A client's request: its fields and statement, read into a `ParsedRequest`. Performs no I/O.
+"""Parses a client's request, its fields and statement, into a `ParsedRequest`. Performs no I/O.
 
-The names of the fields are the wire's, and stand here alone; error texts repeat them, since they
-are what the client knows.
+This module alone defines the field names of the wire protocol. Error texts use these names, since
+the client knows the fields by them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from .client_frames import read_fields
 from .statement import table_group
 
-# Fields of the wire, by the terms of this program.
+# Field names of the wire protocol.
 FIELD_CLASS_NAME = "route"
 FIELD_CLIENT_REQUEST_ID = "trace"
 FIELD_TENANT = "customer"
@@ -21,17 +21,17 @@
 FIELD_IDEMPOTENCY_KEY = "nonce"
 
 REQUIRED_FIELDS = (FIELD_CLASS_NAME, FIELD_CLIENT_REQUEST_ID, FIELD_TIMEOUT_MS)
-# Digits of a request id: 64 bits in hexadecimal.
+# Length of a request id: 64 bits in hexadecimal digits.
 REQUEST_ID_DIGITS = 16
 HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 
 
 def parse_request(payload: bytes) -> ParsedRequest:
-    """Read the payload of a request frame.
+    """Parse the payload of a request frame.
 
     Raises:
-        MalformedFrameError: The fields cannot be read at all.
-        InvalidRequestError: A field, or the statement, cannot be used; the text says which.
+        MalformedFrameError: The encoding of the fields is malformed.
+        InvalidRequestError: A field or the statement is invalid; the text says which.
     """
     fields, statement = read_fields(payload)
     for name in REQUIRED_FIELDS:
@@ -58,7 +58,7 @@
 
 
 def _check_statement(statement: bytes) -> None:
-    """Check that a statement is text; an engine would take a NUL for its end."""
+    """Check that a statement is text; an engine would take a NUL as the end of the statement."""
     try:
         statement.decode()
     except UnicodeDecodeError:
--- a/query_broker/protocols/client_requests.py
+++ b/query_broker/protocols/client_requests.py
@@ -10,7 +10,7 @@
 from .client_frames import MalformedFrameError
 from .client_request import FIELD_CLIENT_REQUEST_ID, parse_request
 
-# Requests that may be open on one connection at once; also the number of ids it remembers.
+# Requests that may be open on one connection at once; also the number of remembered request ids.
 MAX_OPEN_REQUESTS = 32
 
 
@@ -24,14 +24,15 @@
     """Submits requests and cancels them.
 
     Attributes:
-        client: Gets the answers.
-        by_stream: Requests that are owed an answer, by stream; None while one is being submitted.
+        client: Receives the answers.
+        by_stream: Unanswered requests by stream; the value is None while a request is being
+            submitted.
         last_stream: The greatest stream so far.
         recent_ids: The latest request ids, the oldest first.
     """
 
     def __init__(self, host: DispatcherHost, client: Client) -> None:
-        """Begin without requests."""
+        """Start without requests."""
         self.host = host
         self.client = client
         self.by_stream: dict[int, ActiveRequest | None] = {}
@@ -39,10 +40,10 @@
         self.recent_ids: dict[str, None] = {}
 
     def check_stream(self, stream: int) -> None:
-        """Check that a request's stream is greater than all before it, and record it.
+        """Check that a request's stream is greater than all before it, and record the stream.
 
         Raises:
-            MalformedFrameError: It is not.
+            MalformedFrameError: The stream is not greater.
         """
         if stream <= self.last_stream:
             reason = f"stream {stream} is not new on this connection"
@@ -50,27 +51,30 @@
         self.last_stream = stream
 
     def submit(self, stream: int, payload: bytes, received_ns: int) -> None:
-        """Submit a request whose first byte came at ``received_ns``; one that is unusable fails.
+        """Submit a request whose first byte was received at ``received_ns``.
+
+        An invalid request is answered as failed.
 
         Raises:
-            MalformedFrameError: Its fields cannot be read at all.
+            MalformedFrameError: The encoding of the request's fields is malformed.
         """
         try:
             parsed = parse_request(payload)
-            self._check_may_open(parsed.client_request_id)
+            self._check_new_request(parsed.client_request_id)
             self.by_stream[stream] = None
             request = self.host.dispatcher.submit(self.client, stream, parsed, received_ns)
         except InvalidRequestError as error:
-            self.host.dispatcher.log("client", f"unusable request: {error}")
+            self.host.dispatcher.log("client", f"invalid request: {error}")
             self.client.failed(stream, str(error))
             return
-        if stream in self.by_stream:  # it may have been answered at once
+        if stream in self.by_stream:  # not if the request was answered at once
             self.by_stream[stream] = request
 
-    def _check_may_open(self, request_id: str) -> None:
-        """Check that the id is new, and that there is a place for one more request.
+    def _check_new_request(self, request_id: str) -> None:
+        """Check that the request id is new, and that one more request may be open.
 
-        The same frame, sent hundreds of times, would use up the quota of its tenant.
+        Without the check of the id, one frame that is sent hundreds of times would use up the quota
+        of its tenant.
         """
         if request_id in self.recent_ids:
             reason = f"{FIELD_CLIENT_REQUEST_ID}: is not new on this connection"
@@ -83,7 +87,7 @@
             raise InvalidRequestError(reason)
 
     def cancel(self, stream: int) -> None:
-        """Cancel a request on behalf of its client, if it is open."""
+        """Cancel a request for its client, if the request is open."""
         request = self.by_stream.pop(stream, None)
         if request is not None:
             self.host.dispatcher.cancellations.abandon(request)
@@ -100,10 +104,10 @@
         return [request for request in self.by_stream.values() if request is not None]
 
     def being_submitted(self) -> list[int]:
-        """Return the streams of requests that are still within `Dispatcher.submit`."""
+        """Return the streams of the requests for which `Dispatcher.submit` has not returned."""
         return [stream for stream, request in self.by_stream.items() if request is None]
 
     def set_unreadable(self, unreadable: bool) -> None:
-        """Record whether a cancellation by their client would be read at all."""
+        """Record in the requests whether their client's cancellations are currently not read."""
         for request in self.submitted():
             request.client_unreadable = unreadable
--- a/query_broker/protocols/client_socket.py
+++ b/query_broker/protocols/client_socket.py
@@ -1,4 +1,4 @@
-"""The socket of one client connection: writing, ending, and what the system knows of its peer."""
+"""The socket of one client connection: writing, closing, and the state of the client's end."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from .socket_state import NO_DESCRIPTOR, has_ended, has_input
 
-# Answers that may wait for a slow reader; past this its requests are not read any more.
+# Unread answers beyond which no further requests of the client are taken.
 WRITE_HIGH_WATER_BYTES = 256 * 1024
-# What is still read after the connection has ended for us: enough for what is in transit.
+# Bytes that are still read from a broken connection: enough for the data in transit.
 MAX_DISCARDED_BYTES = 1 << 20
 
 
@@ -16,27 +16,27 @@
     """Wraps the transport, which may be absent (not connected yet, or lost) or closing.
 
     Attributes:
-        transport: None before the connection is made and after it is lost.
+        transport: None before the connection is established and after it is lost.
         fd: Descriptor of the socket, or `NO_DESCRIPTOR`.
-        output_ended: Our side has ended, and nothing more is written.
-        discarded_bytes: What came after the connection had ended for us.
+        output_ended: Whether this side has ended, so that nothing more is written.
+        discarded_bytes: Bytes received since the connection is broken.
     """
 
     def __init__(self) -> None:
-        """Begin before the connection is made."""
+        """Start without a transport; `attach` provides it."""
         self.transport: asyncio.Transport | None = None
         self.fd = NO_DESCRIPTOR
         self.output_ended = False
         self.discarded_bytes = 0
 
     def attach(self, transport: asyncio.Transport) -> None:
-        """Take the transport of a new connection."""
+        """Use the transport of a new connection."""
         self.transport = transport
         self.transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         self.fd = transport.get_extra_info("socket").fileno()
 
     def detach(self) -> None:
-        """Give the transport up: the connection is lost."""
+        """Release the transport, since the connection is lost."""
         self.transport = None
         self.fd = NO_DESCRIPTOR
 
@@ -45,12 +45,12 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def write(self, data: bytes) -> None:
-        """Write a complete frame; the transport keeps what the system does not take."""
+        """Write a complete frame; the transport buffers what the system does not accept."""
         if self.transport is not None and not self.output_ended and not self.transport.is_closing():
             self.transport.write(data)
 
     def end_output(self) -> bool:
-        """End our side, after what has been written; return whether that was done now."""
+        """Half-close the connection after the data written so far; return whether it was open."""
         if self.transport is None or self.output_ended or self.transport.is_closing():
             return False
         self.output_ended = True
@@ -62,7 +62,7 @@
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
     def set_reading(self, enabled: bool) -> None:
-        """Resume reading, or pause it."""
+        """Resume or pause reading."""
         if self.transport is None:
             return
         if enabled:
@@ -71,16 +71,16 @@
             self.transport.pause_reading()
 
     def discard(self, size_bytes: int) -> None:
-        """Count bytes that came after the end, and stop reading once they are too many.
+        """Count bytes received on a broken connection, and stop reading once they are too many.
 
-        To read a body of 60 MB to its end would keep the processor from all other connections.
+        Reading a body of 60 MB to its end would take processor time from all other connections.
         """
         self.discarded_bytes += size_bytes
         if self.discarded_bytes > MAX_DISCARDED_BYTES:
             self.set_reading(False)
 
     def close(self) -> None:
-        """End the connection after what has been written."""
+        """End the connection after the data written so far has been sent."""
         self.fd = NO_DESCRIPTOR
         if self.transport is not None:
             self.transport.close()
@@ -88,17 +88,17 @@
     def abort(self) -> None:
         """End the connection at once.
 
-        The number of a descriptor that is closed is soon another connection's: it is given up
-        first.
+        The descriptor is reset first, since the system soon reuses the number of a closed one for
+        another connection.
         """
         self.fd = NO_DESCRIPTOR
         if self.transport is not None:
             self.transport.abort()
 
     def has_ended(self) -> bool:
-        """Return whether the client has ended the connection, perhaps unread as yet."""
+        """Return whether the client has ended the connection, even if that is not read yet."""
         return self.fd >= 0 and has_ended(self.fd)
 
     def has_input(self) -> bool:
-        """Return whether bytes of the client lie unread in the system's buffer."""
+        """Return whether bytes from the client lie unread in the system's buffer."""
         return self.fd >= 0 and has_input(self.fd)
--- a/query_broker/protocols/client_timeouts.py
+++ b/query_broker/protocols/client_timeouts.py
@@ -10,23 +10,23 @@
 from .client_socket import ClientSocket
 
 NS_PER_S = 1_000_000_000
-# From the connection's start to its first complete frame.
+# From the start of the connection to its first complete frame.
 FIRST_FRAME_TIMEOUT_NS = 2 * NS_PER_S
-# From a frame's first byte to its last, where nothing else is open.
+# From a frame's first byte to its last, while no request is open.
 FRAME_TIMEOUT_NS = 2 * NS_PER_S
-# Without an open request; common clients close after 4 s.
+# Time without an open request; common clients close idle connections after 4 s.
 IDLE_TIMEOUT_NS = 5 * NS_PER_S
-# How long a broken connection is still read, so that a reset does not destroy the error.
+# How long input of a broken connection is still read: a reset could destroy the error frame.
 LINGER_NS = 1 * NS_PER_S
 
 
 class WatchedConnection(Protocol):
-    """The state of the connection that its timeouts depend on."""
+    """The part of the connection that its timeouts use."""
 
     has_sent_frame: bool
     last_used_ns: int
 
-    def break_off(self, reason: str) -> None:
+    def end_with_error(self, reason: str) -> None:
         """End the connection with an error that belongs to no request."""
 
     def close(self) -> None:
@@ -37,10 +37,11 @@
 
 
 class ClientTimeouts:
-    """The one timer of a connection.
+    """Applies the timeouts of a connection with a single timer.
 
-    A client that sends nothing, stops in the middle of a frame or stays after its last request
-    holds a descriptor that other clients need. The timer fires when the next timeout may expire.
+    A client that sends nothing, stops in the middle of a frame or stays connected after its last
+    request holds a descriptor that other clients need. The timer fires when the next timeout may
+    expire.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         reader: ClientReader,
         client_socket: ClientSocket,
     ) -> None:
-        """Take the connection's other parts; `start` begins to watch."""
+        """Connect the timeouts to the other parts of the connection; `start` sets the timer."""
         self.host = host
         self.connection = connection
         self.reader = reader
@@ -73,32 +74,32 @@
         self.timer = self.host.dispatcher.timer_wheel.set_timer(due_ns, self.connection.drop)
 
     def check(self) -> None:
-        """End the connection if a timeout has expired, else set the timer anew."""
+        """End the connection if a timeout has expired, otherwise set the timer again."""
         now_ns = self.host.dispatcher.now()
-        incomplete = self.reader.parser.buffered_bytes() > 0
-        expiry_ns = self._expiry_ns(now_ns, incomplete)
+        has_partial_frame = self.reader.parser.buffered_bytes() > 0
+        expiry_ns = self._expiry_ns(now_ns, has_partial_frame)
         if expiry_ns > now_ns:
             self._check_at(expiry_ns)
-        elif self.connection.has_sent_frame and not incomplete:
+        elif self.connection.has_sent_frame and not has_partial_frame:
             self.connection.close()
         else:
-            self.connection.break_off("no whole frame in time")
+            self.connection.end_with_error("no whole frame in time")
 
-    def _expiry_ns(self, now_ns: int, incomplete: bool) -> int:
-        """Return when the next timeout expires; ``incomplete``: a part of a frame has come."""
-        if self._has_work():
+    def _expiry_ns(self, now_ns: int, has_partial_frame: bool) -> int:
+        """Return when the next timeout expires."""
+        if self._is_in_use():
             return now_ns + FRAME_TIMEOUT_NS
-        if incomplete:
-            return self.reader.frame_begun_ns + FRAME_TIMEOUT_NS
+        if has_partial_frame:
+            return self.reader.frame_started_ns + FRAME_TIMEOUT_NS
         if self.connection.has_sent_frame:
             return self.connection.last_used_ns + IDLE_TIMEOUT_NS
-        return self.reader.frame_begun_ns + FIRST_FRAME_TIMEOUT_NS
+        return self.reader.frame_started_ns + FIRST_FRAME_TIMEOUT_NS
 
-    def _has_work(self) -> bool:
+    def _is_in_use(self) -> bool:
         """Return whether the connection is in use.
 
-        After a stall of this process requests may lie unread in the system's buffer: to close the
-        connection then would reset it and lose them.
+        After a stall of this process, requests may lie unread in the system's buffer. Closing the
+        connection would reset it and lose these requests.
         """
         if self.reader.requests.by_stream or self.reader.waiting:
             return True
--- a/query_broker/protocols/socket_state.py
+++ b/query_broker/protocols/socket_state.py
@@ -1,29 +1,29 @@
-"""What the system already knows of a connection's other end, before what it sent has been read.
+"""The state of a connection as the system reports it, before its input has been read.
 
-Performs no reads or writes: one call of ``poll`` that does not wait.
+Performs no reads or writes: one call of ``poll`` that does not block.
 """
 
 from __future__ import annotations
 
 import select
 
-# In place of a descriptor: none, or one that must not be used any more.
+# Used instead of a descriptor that does not exist or must no longer be used.
 NO_DESCRIPTOR = -1
-# The other end has closed or reset the connection. Not every system knows POLLRDHUP.
+# The peer has closed or reset the connection. Not every system has POLLRDHUP.
 PEER_CLOSED = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
 def has_ended(fd: int) -> bool:
-    """Return whether the other end has closed, or reset, the connection.
+    """Return whether the peer has closed or reset the connection.
 
-    The end of the stream is read only after all that was sent before it, so that a reader that
-    takes turns would learn of it late.
+    The end of the stream is read only after all data before it, so a reader that takes turns would
+    notice it late.
     """
     return _is_signalled(fd, PEER_CLOSED)
 
 
 def has_input(fd: int) -> bool:
-    """Return whether bytes wait to be read, or connections at a listening socket."""
+    """Return whether bytes wait to be read, or connections to be accepted on a listening socket."""
     return _is_signalled(fd, select.POLLIN)
 
 
