--- a/query_broker/protocols/errors.py
+++ b/query_broker/protocols/errors.py
@@ -1,4 +1,4 @@
-"""The base of all errors that are raised for bytes no protocol allows."""
+"""The base class of errors about input that violates a protocol."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class ProtocolError(QueryBrokerError):
-    """Bytes that a peer may not send; the text says what is wrong with them."""
+    """The peer has sent bytes that the protocol does not allow; the text says what is wrong."""
--- a/query_broker/protocols/operator_answers.py
+++ b/query_broker/protocols/operator_answers.py
@@ -1,4 +1,4 @@
-"""The answers to the operators' HTTP calls, and how they are encoded. Performs no I/O."""
+"""The answers of the admin API, and their encoding in HTTP. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 # The content type of plain text.
 TEXT_CONTENT_TYPE = "text/plain; charset=utf-8"
-# The content type of Prometheus' text format.
+# The content type of the Prometheus text format.
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 REASONS = {
     200: "OK",
@@ -25,13 +25,13 @@
 
 
 class HttpAnswer(NamedTuple):
-    """The answer to one operators' call, whichever subsystem gives it.
+    """The answer to one call of the admin API, from the broker or a subsystem.
 
     Attributes:
-        status: Status of HTTP; `REASONS` has it.
-        body: All of the body.
+        status: The HTTP status, which must be a key of `REASONS`.
+        body: The complete body.
         content_type: Value of the Content-Type header.
-        allow: The method that the path allows; empty to leave the header out.
+        allow: Value of the Allow header: the method that the path allows; empty to omit the header.
     """
 
     status: int
@@ -45,11 +45,11 @@
 
     Attributes:
         status: The HTTP status of the answer.
-        allow: The method that the path allows; empty for no header ``Allow``.
+        allow: Value of the Allow header: the method that the path allows; empty to omit the header.
     """
 
     def __init__(self, status: int, text: str, allow: str = "") -> None:
-        """Take the text of the answer, and the method that the path would allow."""
+        """Create the error with the status, text and Allow header of its answer."""
         super().__init__(text)
         self.status = status
         self.allow = allow
@@ -65,7 +65,7 @@
 
 
 def encode_answer(answer: HttpAnswer) -> bytes:
-    """Encode one complete answer, after which the connection ends."""
+    """Encode one complete answer; the connection ends after it."""
     lines = [
         f"HTTP/1.1 {answer.status} {REASONS[answer.status]}",
         f"Content-Type: {answer.content_type}",
--- a/query_broker/protocols/operator_http.py
+++ b/query_broker/protocols/operator_http.py
@@ -1,4 +1,4 @@
-"""A connection of the operators' HTTP, with one call on it."""
+"""A connection of the admin API over HTTP, which carries one call."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from .operator_answers import HttpAnswer, OperatorCallError, encode_answer, text_answer
 from .operator_calls import OperatorActions, answer_call
 
-# Size of the request line and the headers together.
+# Limit of the request line and the headers together.
 MAX_HEAD_BYTES = 8_192
-# Size of a body; no call needs any.
+# Limit of the body; no call needs one.
 MAX_BODY_BYTES = 16_384
-# From connecting to the end of the connection, answered or not: few descriptors are reserved for
-# operators' calls.
+# From the start of the connection to its end, answered or not: only a few descriptors are reserved
+# for the admin API.
 CALL_TIMEOUT_NS = 800_000_000
 
 
-class Operations(OperatorActions, Protocol):
-    """What a connection needs of the side that has opened the address."""
+class OperatorHost(OperatorActions, Protocol):
+    """The host that has opened the address of the admin API."""
 
     timer_wheel: TimerWheel
 
@@ -42,21 +42,21 @@
 class OperatorConnection(asyncio.Protocol):
     """One connection: reads one call, answers it, and ends.
 
-    Nothing raises out of a callback.
+    No callback raises an exception.
 
     Attributes:
-        url: The request's target as far as it has come.
-        received_bytes: All bytes that have come.
+        url: The received part of the request target.
+        received_bytes: Number of all received bytes.
         header_bytes: Size of the complete headers.
-        body_bytes: Size of the body as far as it has come.
+        body_bytes: Size of the received part of the body.
         headers_complete: Whether only a body may follow.
-        answered: Whether the answer has been written; what comes later is read and dropped.
-        timer: Ends the connection.
+        answered: Whether the answer has been written; later input is read and dropped.
+        timer: Ends the connection after `CALL_TIMEOUT_NS`.
     """
 
-    def __init__(self, operations: Operations) -> None:
-        """Make the protocol of a connection that is being accepted."""
-        self.operations = operations
+    def __init__(self, host: OperatorHost) -> None:
+        """Create the protocol object of a connection that is being accepted."""
+        self.host = host
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
@@ -67,7 +67,7 @@
         self.answered = False
         self.timer: Timer | None = None
 
-    # --- from the socket ---
+    # Called by the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the timeout of the connection.
@@ -75,25 +75,25 @@
         Callers that send nothing, or an incomplete call, must not hold descriptors.
         """
         self.transport = cast(asyncio.Transport, transport)
-        due_ns = self.operations.now() + CALL_TIMEOUT_NS
-        self.timer = self.operations.timer_wheel.set_timer(due_ns, self._out_of_time)
-        self.operations.admit(self)
+        due_ns = self.host.now() + CALL_TIMEOUT_NS
+        self.timer = self.host.timer_wheel.set_timer(due_ns, self._on_timeout)
+        self.host.admit(self)
 
     def data_received(self, data: bytes) -> None:
         """Feed the parser, and answer a call that cannot be read."""
         if self.answered:
-            return  # read on, so that no reset destroys the answer on its way
+            return  # the input is still read: a reset could destroy the answer in transit
         try:
             self.received_bytes += len(data)
             self.parser.feed_data(data)
-            # The parser reports complete headers only: an endless one would not be counted.
+            # The parser reports only complete headers, so an endless header would not be counted.
             self._check_head(0 if self.headers_complete else self.received_bytes)
         except httptools.HttpParserUpgrade:
-            pass  # the call is complete; nothing else is spoken here
+            pass  # the call is complete; upgrades to another protocol are not supported
         except OperatorCallError as error:
             self._write(error.answer())
         except httptools.HttpParserCallbackError as error:
-            # The parser wraps what our own callbacks raise.
+            # The parser wraps the exceptions of the callbacks in this class.
             self._answer_callback_error(error.__context__)
         except httptools.HttpParserError:
             self._write(text_answer(400, "this is no call in HTTP/1.1"))
@@ -101,46 +101,46 @@
             self._answer_callback_error(error)
 
     def _answer_callback_error(self, error: BaseException | None) -> None:
-        """Answer a call that cannot be carried out, or one in which the program has a fault.
+        """Answer a call that cannot be carried out, or whose handling raised an unexpected error.
 
-        A fault is not the caller's: answered with 400 and not logged, it would be looked for at the
-        caller.
+        An unexpected error is logged and answered with 500: with 400, its cause would be sought in
+        the call.
         """
         if isinstance(error, OperatorCallError):
             self._write(error.answer())
             return
-        self.operations.log("fault", "".join(traceback.format_exception(error)))
+        self.host.log("fault", "".join(traceback.format_exception(error)))
         self._write(text_answer(500, "internal error"))
 
     def eof_received(self) -> bool:
-        """Answer an incomplete call; a caller may end its side and still get the answer."""
+        """Answer an incomplete call; a caller that half-closes still gets its answer."""
         if not self.answered:
             self._write(text_answer(400, "the call is not whole"))
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release the connection's timer and its place among the operators' connections."""
+        """Cancel the timer, and release the connection's slot at the host."""
         self.transport = None
         self.answered = True
         if self.timer is not None:
             self.timer.cancel()
-        self.operations.release(self)
+        self.host.release(self)
 
-    def _out_of_time(self) -> None:
+    def _on_timeout(self) -> None:
         if not self.answered and self.received_bytes:
             self._write(text_answer(408, "no whole call in time"))
             self.close()
         else:
             self.drop()
 
-    # --- from the parser ---
+    # Called by the parser.
 
     def on_url(self, url: bytes) -> None:
-        """Add a part of the request's target."""
+        """Add a part of the request target."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Count a header against the bound."""
+        """Count a header against `MAX_HEAD_BYTES`."""
         self.header_bytes += len(name) + len(value)
         self._check_head(len(self.url) + self.header_bytes)
 
@@ -150,11 +150,11 @@
             raise OperatorCallError(431, text)
 
     def on_headers_complete(self) -> None:
-        """Record that only a body may follow."""
+        """Record that the headers are complete, so that only a body may follow."""
         self.headers_complete = True
 
     def on_body(self, body: bytes) -> None:
-        """Count a part of the body against the bound."""
+        """Count a part of the body against `MAX_BODY_BYTES`."""
         self.body_bytes += len(body)
         if self.body_bytes > MAX_BODY_BYTES:
             text = "no call needs such a body"
@@ -164,7 +164,7 @@
         """Carry out the call."""
         if not self.answered:
             method = self.parser.get_method().decode()
-            self._write(answer_call(self.operations, method, self._path()))
+            self._write(answer_call(self.host, method, self._path()))
 
     def _path(self) -> str:
         try:
@@ -173,12 +173,11 @@
             text = "the path cannot be read"
             raise OperatorCallError(400, text) from None
 
-    # --- to the caller ---
-
     def _write(self, answer: HttpAnswer) -> None:
-        """Write one complete answer; only the first one is written.
+        """Write one complete answer, unless one has been written.
 
-        Only our side is ended: to close a socket with bytes unread would destroy the answer.
+        The connection is only half-closed: closing a socket with unread bytes resets the
+        connection, and the caller could lose the answer.
         """
         if self.transport is None or self.answered:
             return
@@ -188,7 +187,7 @@
             self.transport.write_eof()
 
     def close(self) -> None:
-        """End the connection after what has been written."""
+        """End the connection after the written data has been sent."""
         if self.transport is not None:
             self.transport.close()
 
