--- a/query_broker/protocols/client_frames.py
+++ b/query_broker/protocols/client_frames.py
@@ -140,14 +140,14 @@
         for _ in range(max_frames):
             if len(buffer) - position < HEAD.size:
                 break
-            length, kind, stream = HEAD.unpack_from(buffer, position)
+            length, frame_type, stream = HEAD.unpack_from(buffer, position)
             if (
                 not MIN_FRAME_LENGTH <= length <= MAX_FRAME_LENGTH
                 or len(buffer) - position < LENGTH_FIELD_BYTES + length
             ):
                 break
             position += LENGTH_FIELD_BYTES + length
-            yield FrameHead(kind, stream)
+            yield FrameHead(frame_type, stream)
         self.skim_position = position
 
     def next(self) -> Frame | None:
@@ -178,8 +178,8 @@
             return None
         end = begin + LENGTH_FIELD_BYTES + length
         self.read_position = end
-        _, kind, stream = HEAD.unpack_from(buffer, begin)
-        return Frame(kind, stream, bytes(buffer[begin + HEAD.size : end]))
+        _, frame_type, stream = HEAD.unpack_from(buffer, begin)
+        return Frame(frame_type, stream, bytes(buffer[begin + HEAD.size : end]))
 
     def holds_more_than_one_frame(self) -> bool:
         """Return whether the buffer holds bytes beyond the next frame."""
@@ -247,9 +247,9 @@
     return b"".join(parts)
 
 
-def frame(kind: int, stream: int, payload: bytes = b"") -> bytes:
-    """Encode one frame; ``kind`` is a `FrameType`."""
-    return HEAD.pack(MIN_FRAME_LENGTH + len(payload), kind, stream) + payload
+def frame(frame_type: int, stream: int, payload: bytes = b"") -> bytes:
+    """Encode one frame; ``frame_type`` is a `FrameType`."""
+    return HEAD.pack(MIN_FRAME_LENGTH + len(payload), frame_type, stream) + payload
 
 
 def answer(stream: int, code: int, fields: dict[str, str], body: bytes = b"") -> bytes:
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -122,12 +122,12 @@
 
     def account_partial_frames(self) -> None:
         """Account for the bytes in the parser; end the connection if its limits are exceeded."""
-        buffered = self.parser.buffered_bytes()
-        self.host.partial_frame_bytes += buffered - self.partial_frame_bytes
-        self.partial_frame_bytes = buffered
+        buffered_bytes = self.parser.buffered_bytes()
+        self.host.partial_frame_bytes += buffered_bytes - self.partial_frame_bytes
+        self.partial_frame_bytes = buffered_bytes
         if self.limits is None:
             return
-        if not self.limits.may_buffer(buffered) and not self.connection.broken:
+        if not self.limits.may_buffer(buffered_bytes) and not self.connection.broken:
             self.connection.end_with_error(FRAME_MEMORY_EXHAUSTED)
 
     def clear(self) -> None:
--- a/query_broker/protocols/resp.py
+++ b/query_broker/protocols/resp.py
@@ -83,14 +83,14 @@
             yield parts
         del self.buffer[:end]
 
-    def _read_length(self, sign: bytes, max_length: int) -> int | None:
+    def _read_length(self, type_byte: bytes, max_length: int) -> int | None:
         """Read a length line such as ``*4`` or ``$17``; return None until it is complete."""
         buffer = self.buffer
         begin = self.position
         if begin >= len(buffer):
             return None
-        if buffer[begin] != sign[0]:
-            reason = f"found {bytes(buffer[begin : begin + 1])!r} instead of {sign!r}"
+        if buffer[begin] != type_byte[0]:
+            reason = f"found {bytes(buffer[begin : begin + 1])!r} instead of {type_byte!r}"
             raise MalformedAnswerError(reason)
         end = buffer.find(b"\r\n", begin, begin + MAX_LENGTH_LINE_BYTES)
         if end < 0:
@@ -149,8 +149,8 @@
         return {}
     fields: dict[str, str] = {}
     for part in text.split(separator):
-        name, sign, value = part.partition(equals)
-        if not name or sign != equals:
+        name, delimiter, value = part.partition(equals)
+        if not name or delimiter != equals:
             reason = f"{text[:QUOTED_CHARACTERS]!r} is not a list of name{equals}value fields"
             raise MalformedAnswerError(reason)
         fields[name] = value
