--- a/tests/decoders/hostile_values.py
+++ b/tests/decoders/hostile_values.py
@@ -1,4 +1,4 @@
-"""JSON values that a decoder may meet and that no process of this program writes."""
+"""JSON values that a decoder may receive, although no broker process writes them."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     | st.dictionaries(st.text(max_size=4), inner, max_size=3),
     max_leaves=6,
 )
-#: Nested more deeply than a reader that calls itself can follow.
-DEEP = "[" * 100_000
+#: Nested more deeply than a recursive decoder can read.
+DEEPLY_NESTED_JSON = "[" * 100_000
 
 
 def paths_of(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Return the path to each value within a JSON value, the outermost first."""
+    """Return the path to each value in a JSON value, with outer values before inner ones."""
     paths = [path]
     if isinstance(value, dict):
         for key, inner in value.items():
@@ -34,7 +34,7 @@
 
 
 def replaced(value: Any, path: tuple[Any, ...], other: Any) -> Any:
-    """Return a copy of a JSON value with another one at this path."""
+    """Return a copy of a JSON value in which the value at ``path`` is replaced."""
     if not path:
         return other
     copy = json.loads(json.dumps(value))
--- a/tests/decoders/test_endpoint_list.py
+++ b/tests/decoders/test_endpoint_list.py
@@ -1,7 +1,8 @@
-"""Lines of the discovery service with any values: an event, or rejected with one error.
+"""Lines of the discovery service with arbitrary values are parsed or rejected with one error class.
 
-An event with `"capacity_hint": NaN` passed the codec and raised in the decisions, after its number
-counted as the latest one that is known: the connection was dropped and the event never came again.
+An event with `"capacity_hint": NaN` passed the codec and raised an exception in the decisions,
+after its number had been recorded as the latest known one. The connection was dropped, and the
+event was never sent again.
 """
 
 from __future__ import annotations
--- a/tests/decoders/test_process_status.py
+++ b/tests/decoders/test_process_status.py
@@ -1,7 +1,7 @@
-"""Status files of other processes with any values: read, or rejected with one error.
+"""Status files of other processes with arbitrary values are read or rejected with one error class.
 
-A file with `"clients": Infinity` raised OverflowError out of the poll, which is a timer, ten times
-a second: a `fault` line each time, and the timers of the same tick that came after it never fired.
+A file with `"clients": Infinity` raised OverflowError in the timer that polls the files ten times a
+second. Each time a `fault` line was logged, and the later timers of the same tick never fired.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from query_broker.server.process_status import StatusFormatError, checksum, decode_status
 
-from .hostile_values import DEEP, VALUES, paths_of, replaced
+from .hostile_values import DEEPLY_NESTED_JSON, VALUES, paths_of, replaced
 
 STATUS: dict[str, Any] = {
     "accepting": True,
@@ -26,7 +26,7 @@
 
 
 def encoded(fields: Any) -> str:
-    """Return the text of a file, whose checksum is right where it can have one."""
+    """Return the text of a file, with a valid checksum if the value can have one."""
     if not isinstance(fields, dict):
         return json.dumps(fields)
     return json.dumps({**fields, "sum": checksum(fields)})
@@ -67,9 +67,9 @@
 @pytest.mark.parametrize(
     "text",
     [
-        pytest.param(DEEP, id="deep nesting"),
+        pytest.param(DEEPLY_NESTED_JSON, id="deep nesting"),
         pytest.param('{"clients": 1, "clients": 2}', id="a key twice"),
-        pytest.param('{"clients": ' + "9" * 5_000 + "}", id="a number without end"),
+        pytest.param('{"clients": ' + "9" * 5_000 + "}", id="a number of 5,000 digits"),
     ],
 )
 def test_a_text_that_no_process_writes_is_rejected(text: str) -> None:
--- a/tests/protocols/conftest.py
+++ b/tests/protocols/conftest.py
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def closed_ports() -> Iterator[ClosedPorts]:
-    """Ports that refuse connects until the test is over."""
+    """Ports that refuse connects until the end of the test."""
     ports = ClosedPorts()
     yield ports
     ports.release()
--- a/tests/protocols/parsing.py
+++ b/tests/protocols/parsing.py
@@ -1,4 +1,4 @@
-"""Drives the parsers of all wires with data that comes in pieces."""
+"""Feeds the incremental parsers of all protocols with data in pieces."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def parse_piece(parser: Any, data: bytes, parsed: list[Any]) -> None:
-    """Append what the parser returns for the piece: what comes before an error counts as well."""
+    """Feed one piece, and append the parsed items, including those before an error."""
     if isinstance(parser, frames.FrameParser):
         parser.feed(data)
         while (frame := parser.next()) is not None:
@@ -19,7 +19,7 @@
 
 
 def parse_in_steps(parser: Any, data: bytes, step: int) -> list[Any]:
-    """Return all that the parser returns, where each piece has so many bytes."""
+    """Feed data in pieces of ``step`` bytes, and return all parsed items."""
     parsed: list[Any] = []
     for start in range(0, len(data), step):
         parse_piece(parser, data[start : start + step], parsed)
--- a/tests/protocols/scripted_engines.py
+++ b/tests/protocols/scripted_engines.py
@@ -1,4 +1,4 @@
-"""Data engines with scripted answers, and brokers whose endpoint list holds them."""
+"""Data engines with scripted answers, and brokers whose endpoint list contains them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def silent_engine() -> Engine:
-    """Return an engine that answers nothing by itself."""
+    """Return an engine that sends no answers by itself."""
     return Engine(lambda *_: None)
 
 
@@ -39,12 +39,15 @@
 
 
 def engine_with_pages(*bodies: bytes, stated_pages: int = 0) -> Engine:
-    """Return an engine that serves a result in pages and knows no page without a body."""
+    """Return an engine that serves a result in pages.
+
+    If ``stated_pages`` exceeds the number of bodies, the missing pages are answered with an error.
+    """
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
         if parts[0] == b"do":
-            chunks = b"chunks=%d" % (stated_pages or len(bodies))
-            writer.write(resp.encode(parts[1], b"served", chunks, bodies[0]))
+            page_count = b"chunks=%d" % (stated_pages or len(bodies))
+            writer.write(resp.encode(parts[1], b"served", page_count, bodies[0]))
         elif parts[0] == b"page" and int(parts[2]) < len(bodies):
             writer.write(resp.encode(parts[1], b"rows", b"at=" + parts[2], bodies[int(parts[2])]))
         elif parts[0] == b"page":
@@ -57,7 +60,7 @@
 async def broker_with_engines(
     *engines: Engine, first_number: int = 1, **changes: Any
 ) -> AsyncIterator[Rig]:
-    """Start the engines and run a broker whose endpoint list holds them as s-1, s-2 and so on."""
+    """Start the engines and a broker whose endpoint list contains them as s-1, s-2 and so on."""
     targets = [
         target_entry(f"s-{number}", await engine.start())
         for number, engine in enumerate(engines, first_number)
--- a/tests/protocols/test_attempt_results.py
+++ b/tests/protocols/test_attempt_results.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt at an engine means for its request: rejected, failed or retried."""
+"""How the result of an attempt decides whether its request is rejected, failed or retried."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @on_uvloop
-async def test_a_refused_connect_never_ran_so_even_a_load_is_rejected(
+async def test_a_load_is_rejected_if_the_engine_refuses_the_connect(
     closed_ports: ClosedPorts,
 ) -> None:
     async with running(make_config(target_entry("s-1", closed_ports.reserve()))) as rig:
@@ -44,10 +44,13 @@
 
 
 @on_uvloop
-async def test_a_refused_connect_goes_on_to_another_engine(closed_ports: ClosedPorts) -> None:
-    good = Engine()
+async def test_a_request_is_retried_at_another_engine_after_a_refused_connect(
+    closed_ports: ClosedPorts,
+) -> None:
+    reachable_engine = Engine()
     config = make_config(
-        target_entry("s-1", await good.start()), target_entry("s-2", closed_ports.reserve())
+        target_entry("s-1", await reachable_engine.start()),
+        target_entry("s-2", closed_ports.reserve()),
     )
     async with running(config) as rig:
         client = await rig.client()
@@ -58,7 +61,7 @@
 
 @pytest.mark.parametrize("result", [b"overload", b"nobody"], ids=["overload", "nobody"])
 @on_uvloop
-async def test_a_load_that_was_answered_with_overload_or_nobody_never_ran(result: bytes) -> None:
+async def test_a_load_that_is_answered_with_overload_or_nobody_is_rejected(result: bytes) -> None:
     async with broker_with_engines(engine_that_answers(result)) as rig:
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
@@ -66,7 +69,7 @@
 
 
 async def assert_failed_and_dispatched_once(engine: Engine) -> None:
-    """Send a load to a broker whose only endpoint is this engine: it may have run there."""
+    """Check that a load fails without a retry, since it may have run at the only engine."""
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
@@ -76,7 +79,7 @@
 
 @pytest.mark.parametrize("result", [b"crashed", b"what"], ids=["crashed", "unknown"])
 @on_uvloop
-async def test_a_load_that_ended_without_success_may_have_run_and_is_failed(result: bytes) -> None:
+async def test_a_load_that_is_answered_with_crashed_or_an_unknown_kind_fails(result: bytes) -> None:
     await assert_failed_and_dispatched_once(engine_that_answers(result))
 
 
@@ -105,16 +108,16 @@
     ],
 )
 @on_uvloop
-async def test_a_load_with_a_malformed_or_no_answer_may_have_run_and_is_failed(
+async def test_a_load_with_a_malformed_or_missing_answer_fails(
     data: bytes,
 ) -> None:
     await assert_failed_and_dispatched_once(engine_that_writes_and_closes(data))
 
 
 @on_uvloop
-async def test_a_lookup_that_met_a_reset_is_served_by_another_engine() -> None:
-    closing = engine_that_writes_and_closes(b"")
-    async with broker_with_engines(closing, Engine()) as rig:
+async def test_a_lookup_is_retried_at_another_engine_after_a_lost_connection() -> None:
+    closing_engine = engine_that_writes_and_closes(b"")
+    async with broker_with_engines(closing_engine, Engine()) as rig:
         client = await rig.client()
         for stream in range(1, 9):
             client.ask(stream=stream, trace=f"{stream:016x}")
@@ -122,7 +125,7 @@
 
 
 @on_uvloop
-async def test_draining_engines_get_nothing_new() -> None:
+async def test_a_draining_engine_gets_no_new_attempts() -> None:
     engine = Engine()
     async with running(
         make_config(target_entry("s-1", await engine.start(), "terminating"))
@@ -134,7 +137,7 @@
 
 
 @on_uvloop
-async def test_with_no_descriptor_left_a_dispatch_counts_as_never_run() -> None:
+async def test_a_load_is_rejected_if_no_descriptor_is_left_for_its_connection() -> None:
     engine = Engine()
     async with broker_with_engines(engine) as rig:
         rig.node.dispatcher.pools.max_connections = -1
@@ -147,7 +150,7 @@
 
 
 @on_uvloop
-async def test_attempts_at_a_vanished_engine_end_once_it_is_listed_as_terminated() -> None:
+async def test_an_attempt_at_a_silent_engine_fails_once_it_is_listed_as_terminated() -> None:
     engine = silent_engine()
     port = await engine.start()
     async with running(make_config(target_entry("s-1", port))) as rig:
@@ -168,16 +171,16 @@
 
 
 @on_uvloop
-async def test_a_fault_in_one_timer_costs_no_other_its_answer() -> None:
+async def test_an_exception_in_one_timer_does_not_prevent_the_answers_of_others() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
         facade = rig.node.dispatcher.facade
 
-        def fault(now: int) -> None:
+        def raise_error(now_ns: int) -> None:
             raise ZeroDivisionError
 
-        facade.controller.orders.timers[-1] = (fault, ())
+        facade.controller.orders.timers[-1] = (raise_error, ())
         client.ask(patience="300")
         await until(lambda: engine.commands_named(b"do"))
         facade.due.append(-1)
@@ -186,14 +189,14 @@
 
 
 @on_uvloop
-async def test_a_connect_that_a_watch_event_overtook_dispatches_nothing_to_that_address() -> None:
+async def test_nothing_is_dispatched_to_an_address_removed_during_the_connect() -> None:
     engine = Engine()
     port = await engine.start()
     async with running(make_config(target_entry("s-1", port))) as rig:
         recorder = RecordingClient()
         load = ParsedRequest("stock-add", TRACE, "acme", 20_000, 10, 16, False, 17, b"x")
         rig.node.dispatcher.submit(recorder, 1, load)
-        # In the same turn of the loop, so that its connect is under way.
+        # In the same iteration of the event loop, so that the connect is in progress.
         rig.node.dispatcher.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-2", port, "terminating")))
         )
@@ -203,7 +206,7 @@
 
 
 @on_uvloop
-async def test_what_no_engine_has_capacity_for_is_rejected_at_once_with_a_pause(
+async def test_requests_get_a_retry_after_time_if_every_connect_is_refused(
     closed_ports: ClosedPorts,
 ) -> None:
     config = make_config(
--- a/tests/protocols/test_client_connections.py
+++ b/tests/protocols/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients: slow readers, silent clients, and what a lost one leaves."""
+"""Client connections: slow readers, silent clients, and the release of lost connections."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 @on_uvloop
-async def test_a_slow_reader_is_not_read_from_and_delays_no_other_client() -> None:
+async def test_a_slow_client_is_not_read_from_and_does_not_delay_other_clients() -> None:
     row = b"x" * 5_900 + b"\tb\tc\n"
     engine = engine_with_pages(*[row] * 8)
     async with broker_with_engines(engine) as rig:
-        slow = await rig.client()
-        quick = await rig.client()
-        transport = slow.writer.transport
+        slow_client = await rig.client()
+        other_client = await rig.client()
+        transport = slow_client.writer.transport
         transport.pause_reading()  # type: ignore[attr-defined]
         stream = 0
         while not any(connection.paused_since_ns for connection in rig.node.clients):
             stream += 1
-            slow.ask(stream=stream, trace=f"{stream:016x}")
+            slow_client.ask(stream=stream, trace=f"{stream:016x}")
             await until(lambda: len(engine.commands_named(b"forget")) == stream)  # noqa: B023
-        quick.ask()
-        assert (await quick.answer())[3] == row * 8
+        other_client.ask()
+        assert (await other_client.answer())[3] == row * 8
         transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(stream):
-            assert (await slow.answer())[3] == row * 8
+            assert (await slow_client.answer())[3] == row * 8
         assert not any(connection.paused_since_ns for connection in rig.node.clients)
 
 
@@ -48,7 +48,7 @@
     ids=["silent", "half a request", "idle after a frame", "half a second frame"],
 )
 @on_uvloop
-async def test_a_silent_incomplete_or_idle_client_is_disconnected_by_a_timer(
+async def test_a_silent_or_idle_client_or_one_with_a_partial_frame_is_timed_out(
     complete: bytes, incomplete: bytes, gets_error: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in ("FIRST_FRAME_TIMEOUT_NS", "FRAME_TIMEOUT_NS", "IDLE_TIMEOUT_NS"):
@@ -73,7 +73,7 @@
         client.ask()
         assert (await client.answer())[1] == frames.SERVED
         (connection,) = rig.node.admission.connections
-        parts: list[weakref.ref[object]] = [
+        references: list[weakref.ref[object]] = [
             weakref.ref(connection),
             weakref.ref(connection.reader),
             weakref.ref(connection.requests),
@@ -83,6 +83,6 @@
         gc.disable()
         try:
             client.writer.close()
-            await until(lambda: [part() for part in parts] == [None] * len(parts))
+            await until(lambda: [ref() for ref in references] == [None] * len(references))
         finally:
             gc.enable()
--- a/tests/protocols/test_client_frames.py
+++ b/tests/protocols/test_client_frames.py
@@ -1,4 +1,4 @@
-"""Frames of clients on real sockets: malformed, incomplete, too large or too many."""
+"""Client frames on real sockets: malformed, incomplete, too large or too many."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         pytest.param(b"\0\0\0\x04", id="length below 5"),
         pytest.param(b"\0\0\0\x05\x03\0\0\0\x01", id="a broker's type"),
         pytest.param(b"\xff\xff\xff\xff", id="length too large"),
-        pytest.param(frames.frame(frames.REQUEST, 1, b"\x01\x05r"), id="cut field"),
+        pytest.param(frames.frame(frames.REQUEST, 1, b"\x01\x05r"), id="truncated field"),
         pytest.param(frames.frame(frames.REQUEST, 0, b"\0"), id="request on stream 0"),
         pytest.param(frames.frame(frames.ASK_READY, 1, b""), id="no body"),
     ],
@@ -50,12 +50,12 @@
 
 
 @on_uvloop
-async def test_thousands_of_frames_at_once_leave_others_their_turn() -> None:
+async def test_a_client_that_sends_thousands_of_frames_does_not_delay_other_clients() -> None:
     async with running(make_config()) as rig:
-        flooding = await rig.client()
-        other = await rig.client()
-        flooding.writer.write(frames.frame(frames.ASK_READY, 1, b"\0") * 20_000)
-        other.send(frames.ASK_READY, 1, b"\0")
+        flooding_client = await rig.client()
+        other_client = await rig.client()
+        flooding_client.writer.write(frames.frame(frames.ASK_READY, 1, b"\0") * 20_000)
+        other_client.send(frames.ASK_READY, 1, b"\0")
         ready = rig.node.ready
         ready_calls = 0
 
@@ -65,14 +65,14 @@
             return ready()
 
         rig.node.ready = counted_ready  # type: ignore[method-assign]
-        assert await other.frame() == (frames.READY, 1, b"\0\0")
+        assert await other_client.frame() == (frames.READY, 1, b"\0\0")
         assert ready_calls < 10_000
         for _ in range(20_000):
-            assert await flooding.frame() == (frames.READY, 1, b"\0\0")
+            assert await flooding_client.frame() == (frames.READY, 1, b"\0\0")
 
 
 @on_uvloop
-async def test_incomplete_frames_are_bounded_in_all() -> None:
+async def test_the_incomplete_frames_of_all_clients_together_are_bounded() -> None:
     async with running(make_config()) as rig:
         rig.node.dispatcher.statement_capacity_bytes = 310_000
         clients = [await rig.client() for _ in range(3)]
@@ -88,7 +88,7 @@
 
 
 @on_uvloop
-async def test_the_error_for_a_frame_of_60_mb_arrives_although_most_of_it_is_never_read() -> None:
+async def test_the_error_for_a_frame_of_60_mb_arrives_although_most_of_it_is_unread() -> None:
     async with running(make_config()) as rig:
         client = await rig.client()
         client.writer.write((60 << 20).to_bytes(4, "big") + b"\x02" + bytes(8 << 20))
--- a/tests/protocols/test_client_requests.py
+++ b/tests/protocols/test_client_requests.py
@@ -30,16 +30,16 @@
 
 
 @on_uvloop
-async def test_a_result_in_pages_is_one_complete_answer_in_order() -> None:
+async def test_a_result_in_pages_is_sent_as_one_answer_in_page_order() -> None:
     engine = engine_with_pages(b"1\ta\tb\n", b"2\ta\tb\n", b"3\ta\tb\n")
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
         client.ask(stream=5)
         assert await client.answer() == (5, frames.SERVED, {}, b"1\ta\tb\n2\ta\tb\n3\ta\tb\n")
         await until(lambda: engine.commands_named(b"forget"))
-        do = engine.commands_named(b"do")[0]
-        fields = resp.read_pairs(do[2])
-        assert (do[1], do[3]) == (TRACE.encode(), b"SELECT 1 FROM sales_17.orders")
+        command = engine.commands_named(b"do")[0]
+        fields = resp.read_pairs(command[2])
+        assert (command[1], command[3]) == (TRACE.encode(), b"SELECT 1 FROM sales_17.orders")
         assert fields["cls"] == "glance"
         assert 3_000 < int(fields["limit"]) <= 4_000
         assert fields["reserve"] == "20"
@@ -47,7 +47,7 @@
 
 
 @on_uvloop
-async def test_a_lost_page_is_no_short_result_and_its_request_fails() -> None:
+async def test_a_request_fails_if_the_engine_has_lost_a_page_of_its_result() -> None:
     engine = engine_with_pages(b"1\ta\tb\n", stated_pages=2)
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
@@ -57,8 +57,10 @@
 
 
 @asynccontextmanager
-async def client_whose_next_request_is_served() -> AsyncIterator[Client]:
-    """Connect a client whose requests must leave nothing, and its connection usable."""
+async def client_for_invalid_requests() -> AsyncIterator[Client]:
+    """Connect a client; afterwards check that no engine got a command, that no request is open and
+    that a valid request on the same connection is served.
+    """
     engine = Engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
@@ -69,7 +71,7 @@
         assert (await client.answer())[:2] == (200, frames.SERVED)
 
 
-UNUSABLE_NUMBERS = {
+INVALID_NUMBERS = {
     "negative": "-1",
     "not a number": "nan",
     "infinite": "inf",
@@ -99,15 +101,15 @@
         *(
             pytest.param(name, value, id=f"{name}: {kind}")
             for name in ("patience", "weight", "ram")
-            for kind, value in UNUSABLE_NUMBERS.items()
+            for kind, value in INVALID_NUMBERS.items()
         ),
     ],
 )
 @on_uvloop
-async def test_an_unusable_field_gets_one_failed_answer_and_the_connection_goes_on(
+async def test_a_request_with_an_invalid_field_fails_and_its_connection_is_kept(
     name: str, value: str | None
 ) -> None:
-    async with client_whose_next_request_is_served() as client:
+    async with client_for_invalid_requests() as client:
         client.ask(1, STATEMENT, **{"trace": f"{1:016x}", name: value})
         assert (await client.answer())[:2] == (1, frames.FAILED)
 
@@ -118,38 +120,38 @@
     ids=["empty", "blank", "no UTF-8", "a NUL"],
 )
 @on_uvloop
-async def test_an_unusable_statement_gets_one_failed_answer_and_the_connection_goes_on(
+async def test_a_request_with_an_invalid_statement_fails_and_its_connection_is_kept(
     statement: bytes,
 ) -> None:
-    async with client_whose_next_request_is_served() as client:
+    async with client_for_invalid_requests() as client:
         client.ask(100, statement, trace=f"{100:016x}")
         assert (await client.answer())[:2] == (100, frames.FAILED)
 
 
 @on_uvloop
-async def test_many_unusable_requests_are_answered_each_on_one_connection() -> None:
-    async with client_whose_next_request_is_served() as client:
+async def test_many_invalid_requests_on_one_connection_are_each_answered_as_failed() -> None:
+    async with client_for_invalid_requests() as client:
         for stream in range(1, 45):
             client.ask(stream, trace=f"{stream:016x}", patience="x")
             assert (await client.answer())[:2] == (stream, frames.FAILED)
 
 
 @on_uvloop
-async def test_an_id_that_is_not_new_reaches_no_engine_with_another_statement() -> None:
+async def test_a_request_with_an_id_in_use_fails_and_is_not_dispatched() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
-        other = await rig.client()
+        other_client = await rig.client()
         client.ask(stream=1, weight="900.0")
         await until(lambda: engine.commands_named(b"do"))
-        for stream in (2, 3):  # the same frame again, as a client sends it that floods
+        for stream in (2, 3):  # repeated frames, as a flooding client sends them
             client.ask(stream=stream, weight="900.0")
             assert (await client.answer())[:2] == (stream, frames.FAILED)
         for stream, changes in enumerate(
             ({"body": b"SELECT 2 FROM sales_17.orders"}, {"route": "stock-add"}), 1
         ):
-            other.ask(stream=stream, **changes)  # type: ignore[arg-type]
-            assert (await other.answer())[:2] == (stream, frames.FAILED)
+            other_client.ask(stream=stream, **changes)  # type: ignore[arg-type]
+            assert (await other_client.answer())[:2] == (stream, frames.FAILED)
         assert len(engine.commands_named(b"do")) == 1
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
@@ -157,7 +159,7 @@
 
 
 @on_uvloop
-async def test_a_timeout_beyond_that_of_its_class_is_cut_to_it() -> None:
+async def test_a_timeout_longer_than_that_of_the_request_class_is_reduced_to_it() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
@@ -168,22 +170,22 @@
 
 
 @on_uvloop
-async def test_the_final_answer_comes_before_the_timeout() -> None:
+async def test_the_final_answer_is_sent_before_the_timeout() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
         loop = asyncio.get_running_loop()
-        sent = loop.time()
+        sent_s = loop.time()
         client.ask(patience="300")
         await until(lambda: engine.commands_named(b"do"))
         request = next(iter(rig.node.dispatcher.requests.values()))
         assert request.deadline_ns <= rig.node.clock.now() + 300 * MS - DEFAULT_ANSWER_MARGIN_NS
         assert (await client.answer())[1] == frames.REFUSED
-        assert loop.time() - sent > 0.25
+        assert loop.time() - sent_s > 0.25
 
 
 @on_uvloop
-async def test_with_no_engine_the_rejection_comes_at_once_and_carries_a_pause() -> None:
+async def test_without_engines_a_request_is_rejected_with_a_retry_after_time() -> None:
     async with running(make_config()) as rig:
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
@@ -193,31 +195,33 @@
 
 
 @on_uvloop
-async def test_an_abandoned_request_is_not_answered_and_its_pages_are_not_fetched() -> None:
+async def test_a_cancelled_request_is_not_answered_and_its_pages_are_not_fetched() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
-        other = await rig.client()
+        other_client = await rig.client()
         client.ask(stream=1, weight="900.0")
-        other.ask(stream=1, weight="900.0", trace="0" * 16)
+        other_client.ask(stream=1, weight="900.0", trace="0" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         client.send(frames.ABANDON, 1)
-        other.writer.close()
+        other_client.writer.close()
         requests = rig.node.dispatcher.requests
         await until(lambda: not any(request.client for request in requests.values()))
-        for do in engine.commands_named(b"do"):
-            engine.writer_of(do).write(resp.encode(do[1], b"served", b"chunks=3", b"1\ta\tb\n"))
+        for command in engine.commands_named(b"do"):
+            engine.writer_of(command).write(
+                resp.encode(command[1], b"served", b"chunks=3", b"1\ta\tb\n")
+            )
         await until(lambda: len(engine.commands_named(b"forget")) == 2)
         assert not engine.commands_named(b"page")
         assert not engine.commands_named(b"undo")
         assert not rig.node.dispatcher.requests
         client.send(frames.ASK_READY, 0, b"\0")
-        # the next frame: no answer went before it
+        # The next frame on the connection: no answer was sent before it.
         assert await client.frame() == (frames.READY, 0, b"\0\0")
 
 
 @on_uvloop
-async def test_a_request_beyond_32_open_ones_fails_alone() -> None:
+async def test_only_a_request_beyond_32_open_ones_fails() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine, **platform_settings(fleet_size=1)) as rig:
         client = await rig.client()
@@ -228,7 +232,7 @@
 
 
 @on_uvloop
-async def test_statements_in_memory_are_bounded_and_released() -> None:
+async def test_the_memory_of_statements_is_bounded_and_released() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         rig.node.dispatcher.statement_capacity_bytes = 100
@@ -243,7 +247,7 @@
 
 
 @on_uvloop
-async def test_a_fault_in_the_decisions_costs_one_request_and_its_answer_is_failed() -> None:
+async def test_an_exception_in_the_decisions_fails_only_the_current_request() -> None:
     engine = Engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
--- a/tests/protocols/test_data_set.py
+++ b/tests/protocols/test_data_set.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("statement", "group"),
+    ("statement", "data_set"),
     [
         pytest.param(b"SELECT * FROM sales_17.orders", 17, id="select"),
         pytest.param(b"select a.id from lake_9.events a", 9, id="lower case"),
@@ -27,6 +27,6 @@
     ],
 )
 def test_the_data_set_of_a_statement_is_read_from_its_first_table(
-    statement: bytes, group: int
+    statement: bytes, data_set: int
 ) -> None:
-    assert table_group(statement) == group
+    assert table_group(statement) == data_set
--- a/tests/protocols/test_engine_answers.py
+++ b/tests/protocols/test_engine_answers.py
@@ -1,4 +1,4 @@
-"""Answers of engines that are late, malformed, incomplete or of another attempt."""
+"""Answers of engines that are late, malformed, incomplete or belong to another attempt."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
         "a second answer",
         "an unknown id",
         "an unknown page",
-        "an unknown end",
+        "an unknown failure",
         "a health check answered twice",
     ],
 )
 @on_uvloop
-async def test_what_belongs_to_nothing_open_is_dropped_and_the_connection_lives_on(
+async def test_a_repeated_or_unsolicited_answer_is_dropped_and_its_connection_kept(
     data: bytes,
 ) -> None:
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -63,7 +63,7 @@
     ids=["in the body", "after the id", "after a byte"],
 )
 @on_uvloop
-async def test_an_answer_that_stops_short_ends_its_connection_alone_and_soon(data: bytes) -> None:
+async def test_an_incomplete_answer_ends_only_its_own_connection(data: bytes) -> None:
     received_ids: list[bytes] = []
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -74,8 +74,8 @@
             engine.answer_served(parts, writer)
 
     engines = [Engine(script), Engine(script)]
-    # The first attempt gets no answer all the while: with a shorter latency objective that alone
-    # would make its engine an outlier.
+    # The first attempt stays unanswered during the test. With a shorter latency objective, this
+    # alone would make its engine an outlier.
     slow_classes = [
         {**request_class, "aim": 5_000 * MS} for request_class in platform_settings()["classes"]
     ]
@@ -84,11 +84,11 @@
         client.ask(stream=1, route="stock-add", patience="20000", trace="1" * 16, weight="1.0")
         await until(lambda: len(received_ids) == 1)
         client.ask(stream=2, patience="4000")
-        # retried, well before its timeout
+        # The request is retried well before its timeout.
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert received_ids == [b"1" * 16, TRACE.encode(), TRACE.encode()]
         endpoints = rig.node.dispatcher.facade.controller.endpoints.values()
-        # a malformed answer is no dead process
+        # A malformed answer does not count as a failure of the engine.
         assert not any(endpoint.ejected or endpoint.failure_rate for endpoint in endpoints)
         first_engine, first_command = next(
             (engine, command)
@@ -97,11 +97,11 @@
             if command[1] == received_ids[0]
         )
         first_engine.answer_served(first_command, first_engine.writer_of(first_command))
-        assert (await client.answer())[:2] == (1, frames.SERVED)  # it had a connection of its own
+        assert (await client.answer())[:2] == (1, frames.SERVED)  # sent on another connection
 
 
 @on_uvloop
-async def test_complete_answers_before_a_malformed_one_count() -> None:
+async def test_complete_answers_before_a_malformed_one_are_used() -> None:
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
         writer.write(resp.encode(parts[1], b"served", b"chunks=1", b"1\ta\tb\n") + b"-ERR\r\n")
 
@@ -115,19 +115,19 @@
 
 
 class ReceivedCommand(NamedTuple):
-    """A command that an engine has got, and the connection that it came on."""
+    """A command that an engine has received, and the writer of the connection."""
 
     request_id: bytes
     writer: asyncio.StreamWriter
 
 
 @on_uvloop
-async def test_a_hedged_request_answers_and_the_late_first_answer_is_dropped() -> None:
+async def test_a_hedged_request_is_answered_and_the_late_first_answer_is_dropped() -> None:
     received: list[ReceivedCommand] = []
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
         received.append(ReceivedCommand(parts[1], writer))
-        if len(received) > 1:  # whichever engine is first stays silent
+        if len(received) > 1:  # the engine of the first attempt stays silent
             engine.answer_served(parts, writer)
 
     engines = [Engine(script), Engine(script)]
@@ -144,19 +144,19 @@
         assert (await client.answer())[:2] == (1, frames.SERVED)
         first = received[0]
         first.writer.write(resp.encode(first.request_id, b"served", b"chunks=2", b"late\ta\tb\n"))
-        (silent,) = (engine for engine in engines if first.writer in engine.writers[:1])
-        await until(lambda: silent.commands_named(b"forget"))
+        (first_engine,) = (engine for engine in engines if first.writer in engine.writers[:1])
+        await until(lambda: first_engine.commands_named(b"forget"))
         client.send(frames.ASK_READY, 0, b"\0")
-        assert (await client.frame())[0] == frames.READY  # no second answer went before it
+        assert (await client.frame())[0] == frames.READY  # no second answer was sent before it
         assert len(received) == 3
         assert not rig.node.dispatcher.requests
 
 
 @on_uvloop
-async def test_a_late_page_of_an_earlier_request_is_no_part_of_the_next_under_its_id() -> None:
-    """A client sends its request again at once under its id when the timeout is over; the first
-    one's page is still on its way, and would be put behind the second one's first page: a result
-    that no engine made.
+async def test_a_late_page_is_not_added_to_a_later_request_with_the_same_id() -> None:
+    """A client repeats its request with the same id right after the timeout, while a page of the
+    first run is still in transit. Appending this page to the first page of the second run would
+    produce a result that no engine has computed.
     """
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -166,8 +166,8 @@
                 resp.encode(parts[1], b"served", b"chunks=2", b"%d\trun\tpage 0\n" % len(runs))
             )
         elif parts[0] == b"page" and len(runs) == 2:
-            late = engine.writer_of(runs[0])
-            late.write(resp.encode(parts[1], b"rows", b"at=1", b"1\trun\tpage 1\n"))
+            first_run_writer = engine.writer_of(runs[0])
+            first_run_writer.write(resp.encode(parts[1], b"rows", b"at=1", b"1\trun\tpage 1\n"))
             writer.write(resp.encode(parts[1], b"rows", b"at=1", b"2\trun\tpage 1\n"))
 
     engine = Engine(script)
@@ -182,8 +182,10 @@
 
 
 @on_uvloop
-async def test_pages_of_two_runs_under_one_id_at_one_engine_are_never_one_answer() -> None:
-    """The engine knows pages by id alone: the run that ends later puts its own in their place."""
+async def test_pages_of_two_runs_with_the_same_id_are_not_mixed_in_one_answer() -> None:
+    """The engine identifies pages by the request id alone: the run that ends later overwrites the
+    pages of the other run.
+    """
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
         runs = engine.commands_named(b"do")
@@ -206,8 +208,10 @@
 
 
 @on_uvloop
-async def test_of_two_requests_under_one_id_at_one_engine_neither_takes_the_other_s_pages() -> None:
-    """As it was seen: both are answered within a millisecond, with results of different lengths."""
+async def test_two_requests_with_the_same_id_do_not_receive_each_other_s_pages() -> None:
+    """As observed: the engine answers both runs within a millisecond, with results of different
+    lengths.
+    """
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
         runs = engine.commands_named(b"do")
@@ -218,7 +222,7 @@
                         parts[1], b"served", b"chunks=%d" % chunks, b"%d\trun\tpage\n" % run
                     )
                 )
-        elif parts[0] == b"page":  # by the id alone: always the second's
+        elif parts[0] == b"page":  # found by the id alone: always a page of the second run
             writer.write(resp.encode(parts[1], b"rows", b"at=" + parts[2], b"2\trun\tpage\n"))
 
     engine = Engine(script)
--- a/tests/protocols/test_engine_connections.py
+++ b/tests/protocols/test_engine_connections.py
@@ -1,4 +1,4 @@
-"""Connections to engines: how many there are, which attempts use them and when they are closed."""
+"""Connections to engines: their number, the attempts that use them and when they are closed."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
     ("charges", "connections"), [({}, 3), ({"handshake": 0.08}, 1)], ids=["free", "charged"]
 )
 @on_uvloop
-async def test_attempts_use_one_connection_where_handshakes_are_charged(
+async def test_attempts_share_one_connection_if_handshakes_are_charged(
     charges: dict[str, float], connections: int
 ) -> None:
-    """With one for each attempt, 40 brokers would fill the engines' tables, and each handshake is
-    charged.
+    """With one connection for each attempt, 40 brokers would fill the engines' connection tables,
+    and each handshake would be charged.
     """
     engine = silent_engine()
     async with broker_with_engines(engine, charges=charges) as rig:
@@ -76,14 +76,14 @@
 
 
 @on_uvloop
-async def test_one_id_is_never_open_twice_on_a_connection() -> None:
+async def test_two_attempts_with_the_same_id_use_different_connections() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
         other_client = await rig.client()
         client.ask(stream=1)
         await until(lambda: len(engine.commands_named(b"do")) == 1)
-        # the same request, as it comes again when its connection crossed a close
+        # The same request again, as a client repeats it if its connection closed meanwhile.
         other_client.ask(stream=2)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         assert len(engine.writers) == 2
@@ -94,7 +94,7 @@
 
 
 @on_uvloop
-async def test_no_second_attempt_goes_where_a_second_answer_of_the_first_may_still_come() -> None:
+async def test_a_connection_carries_no_second_attempt_with_a_recent_request_id() -> None:
     engine = Engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
@@ -117,7 +117,7 @@
 
 
 @on_uvloop
-async def test_a_silent_engine_gets_nothing_more_until_a_new_connection_has_come_up() -> None:
+async def test_a_connection_that_is_silent_for_too_long_gets_no_further_attempts() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
@@ -130,7 +130,7 @@
 
 
 @on_uvloop
-async def test_idle_connections_are_closed_well_before_the_engine_would() -> None:
+async def test_idle_connections_are_closed_well_before_the_engine_closes_them() -> None:
     engine = Engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
@@ -145,12 +145,12 @@
 
 
 @on_uvloop
-async def test_an_answer_that_never_comes_does_not_hold_its_stream_for_good() -> None:
+async def test_a_connection_with_a_missing_answer_is_retired_and_then_closed() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
         broker = rig.node.dispatcher
-        broker.pools.max_connections = 1  # so that both use one connection
+        broker.pools.max_connections = 1  # so that both requests use one connection
         client.ask(stream=1, patience="200", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
         client.ask(stream=2, patience="20000", route="stock-add", trace="2" * 16)
@@ -168,7 +168,7 @@
 
 
 @on_uvloop
-async def test_an_engine_at_the_address_of_another_is_known_by_its_uid() -> None:
+async def test_an_engine_that_reuses_the_address_of_another_is_a_new_endpoint() -> None:
     engine = Engine()
     port = await engine.start()
     async with running(make_config(target_entry("s-1", port))) as rig:
@@ -185,7 +185,7 @@
 
 
 @on_uvloop
-async def test_attempts_reuse_connections_once_their_part_of_the_descriptors_is_taken() -> None:
+async def test_attempts_share_connections_once_their_descriptors_are_used_up() -> None:
     engine = silent_engine()
     async with broker_with_engines(engine) as rig:
         client = await rig.client()
@@ -195,14 +195,16 @@
             client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
         await until(lambda: len(engine.commands_named(b"do")) == 20)
         (pool,) = pools.by_number.values()
-        assert len(engine.writers) == 6  # the others are left for connects to other engines
+        assert len(engine.writers) == 6  # the remaining two are reserved for other engines
         assert pools.reserve_descriptor(pool)
 
 
 @pytest.mark.parametrize(
     ("sockets", "max_connections"), [(64, 19), (128, 48), (256, 96), (1024, 384)]
 )
-def test_descriptors_are_left_for_clients_and_a_reserve(sockets: int, max_connections: int) -> None:
+def test_connections_to_engines_leave_descriptors_for_clients_and_a_reserve(
+    sockets: int, max_connections: int
+) -> None:
     config = replace(make_config(), sockets=sockets)
     broker = Dispatcher(config, Clock(), lambda kind, text: None)
     assert broker.pools.max_connections == max_connections
@@ -210,24 +212,24 @@
 
 
 @on_uvloop
-async def test_a_connection_to_an_address_that_the_endpoint_has_left_gets_no_attempt(
+async def test_a_connection_to_a_former_address_of_an_endpoint_gets_no_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Past fix e317172: another endpoint may listen there by now."""
-    former, present = Engine(), Engine()
-    present_port = await present.start()
-    async with broker_with_engines(former) as rig:
+    """Guards the fix e317172: another endpoint may listen at the former address by now."""
+    former_engine, current_engine = Engine(), Engine()
+    current_port = await current_engine.start()
+    async with broker_with_engines(former_engine) as rig:
         pool = first_pool(rig)
 
         async def connect_and_move(
             make_connection: Callable[[], EngineConnection], address: Address, timeout_ns: int
         ) -> EngineConnection:
             connection = await connect(make_connection, address, timeout_ns)
-            pool.update_target(replace(pool.target, port=present_port))
+            pool.update_target(replace(pool.target, port=current_port))
             return connection
 
         monkeypatch.setattr("query_broker.endpoints.connection_pool.connect", connect_and_move)
         client = await rig.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] in (frames.SERVED, frames.REFUSED)
-        assert not former.commands_named(b"do")
+        assert not former_engine.commands_named(b"do")
--- a/tests/protocols/test_frame_codec.py
+++ b/tests/protocols/test_frame_codec.py
@@ -1,4 +1,4 @@
-"""The codec of clients' frames and their fields, on tables of cases and on any cut."""
+"""The codec of the client frames and their fields: valid, malformed and split input."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     ],
     ids=["one", "three"],
 )
-def test_frames_are_parsed_however_they_are_cut(
+def test_frames_are_parsed_from_pieces_of_any_size(
     sent: list[tuple[int, int, bytes]], step: int
 ) -> None:
     data = b"".join(frames.frame(*sent_frame) for sent_frame in sent)
@@ -75,14 +75,14 @@
     "data",
     [
         pytest.param(b"\0\0\0\x04", id="length below 5"),
-        pytest.param(b"\0\x04\0\x01", id="length above the greatest"),
-        pytest.param(b"\xff\xff\xff\xff", id="greatest number"),
+        pytest.param(b"\0\x04\0\x01", id="length above the maximum"),
+        pytest.param(b"\xff\xff\xff\xff", id="greatest length that can be encoded"),
         pytest.param(b"\0\0\0\x05\x04", id="type 4"),
         pytest.param(b"\0\0\0\x05\0", id="type 0"),
         pytest.param(b"\0\0\0\x05\x20", id="type 32"),
     ],
 )
-def test_a_malformed_frame_is_an_error_before_its_rest_has_come(data: bytes) -> None:
+def test_a_malformed_frame_raises_an_error_before_it_is_complete(data: bytes) -> None:
     with pytest.raises(frames.MalformedFrameError):
         parse_in_steps(frames.FrameParser(), data, len(data))
 
@@ -96,7 +96,9 @@
     ],
     ids=["nothing", "body alone", "fields and body"],
 )
-def test_fields_and_body_of_a_payload(payload: bytes, fields: dict[str, str], body: bytes) -> None:
+def test_the_fields_and_the_body_of_a_payload_are_read(
+    payload: bytes, fields: dict[str, str], body: bytes
+) -> None:
     assert frames.read_fields(payload) == (fields, body)
 
 
@@ -105,15 +107,15 @@
     [
         pytest.param(b"", id="no count"),
         pytest.param(b"\x01", id="no name"),
-        pytest.param(b"\x01\x05ro", id="cut name"),
-        pytest.param(b"\x01\x01a\0", id="cut length of a value"),
-        pytest.param(b"\x01\x01a\0\x02b", id="cut value"),
+        pytest.param(b"\x01\x05ro", id="truncated name"),
+        pytest.param(b"\x01\x01a\0", id="truncated length of a value"),
+        pytest.param(b"\x01\x01a\0\x02b", id="truncated value"),
         pytest.param(b"\x01\x01\xff\0\0", id="no UTF-8"),
-        pytest.param(ENCODED_FIELDS[:-1], id="cut last value"),
+        pytest.param(ENCODED_FIELDS[:-1], id="truncated last value"),
         pytest.param(b"\x02\x01a\0\x01b\x01a\0\x01c", id="a name twice"),
     ],
 )
-def test_unreadable_fields_are_an_error(payload: bytes) -> None:
+def test_malformed_fields_raise_an_error(payload: bytes) -> None:
     with pytest.raises(frames.MalformedFrameError):
         frames.read_fields(payload)
 
@@ -137,7 +139,7 @@
     ],
     ids=lambda changes: "{}: {}".format(*next(iter(changes.items()))),
 )
-def test_an_unusable_request_names_the_field(changes: dict[str, str | None]) -> None:
+def test_the_error_for_an_invalid_request_names_the_field(changes: dict[str, str | None]) -> None:
     fields = {
         "route": "glance",
         "trace": TRACE,
@@ -146,8 +148,8 @@
         "ram": "96",
         **changes,
     }
-    stated = {name: value for name, value in fields.items() if value is not None}
+    present_fields = {name: value for name, value in fields.items() if value is not None}
     with pytest.raises(InvalidRequestError) as caught:
-        parse_request(frames.write_fields(stated) + b"SELECT 1")
+        parse_request(frames.write_fields(present_fields) + b"SELECT 1")
     assert type(caught.value) is InvalidRequestError
     assert next(iter(changes)) in str(caught.value)
--- a/tests/protocols/test_health_checks.py
+++ b/tests/protocols/test_health_checks.py
@@ -17,7 +17,7 @@
 
 
 @on_uvloop
-async def test_a_health_check_and_even_a_late_answer_update_the_load_report() -> None:
+async def test_a_health_check_and_a_late_answer_update_the_load_report() -> None:
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
         if parts[0] == b"top":
             writer.write(resp.encode(parts[1], b"green", b"meter=q:2;rif:7;x1:0.5;x0:0.25", b""))
--- a/tests/protocols/test_resp_codec.py
+++ b/tests/protocols/test_resp_codec.py
@@ -1,4 +1,4 @@
-"""The codec of engines' answers, on tables of cases and on any cut."""
+"""The RESP codec of the engines' protocol: valid, malformed and split input."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
     ],
     ids=["one", "three"],
 )
-def test_resp_arrays_are_parsed_however_they_are_cut(arrays: list[list[bytes]], step: int) -> None:
+def test_resp_arrays_are_parsed_from_pieces_of_any_size(
+    arrays: list[list[bytes]], step: int
+) -> None:
     data = b"".join(resp.encode(*array) for array in arrays)
     assert parse_in_steps(resp.RespParser(), data, step) == arrays
 
@@ -37,7 +39,7 @@
         pytest.param(b"*" + b"1" * 40, id="endless length"),
     ],
 )
-def test_malformed_resp_is_an_error(data: bytes) -> None:
+def test_malformed_resp_raises_an_error(data: bytes) -> None:
     with pytest.raises(resp.MalformedAnswerError):
         parse_in_steps(resp.RespParser(), data, 1_000)
 
@@ -47,7 +49,9 @@
     [(b"-", {}), (b"", {}), (b"chunks=2", {"chunks": "2"}), (b"a=1,b=x=y", {"a": "1", "b": "x=y"})],
     ids=["dash", "nothing", "one", "two"],
 )
-def test_fields_of_an_answer_are_read_as_pairs(raw: bytes, pairs: dict[str, str]) -> None:
+def test_the_fields_of_an_answer_are_read_as_a_dictionary(
+    raw: bytes, pairs: dict[str, str]
+) -> None:
     assert resp.read_pairs(raw) == pairs
 
 
@@ -56,7 +60,7 @@
     [b"chunks", b"=2", b"a=1,,b=2", b"\xff=1"],
     ids=["no value", "no name", "an empty pair", "no UTF-8"],
 )
-def test_malformed_fields_are_an_error(raw: bytes) -> None:
+def test_malformed_fields_raise_an_error(raw: bytes) -> None:
     with pytest.raises(resp.MalformedAnswerError):
         resp.read_pairs(raw)
 
@@ -65,6 +69,6 @@
     assert resp.read_load_report("inflight:7;util:0.61") == {"inflight": 7.0, "util": 0.61}
 
 
-def test_a_load_report_that_holds_no_number_is_an_error() -> None:
+def test_a_load_report_with_a_value_that_is_not_a_number_raises_an_error() -> None:
     with pytest.raises(resp.MalformedAnswerError):
         resp.read_load_report("util:high")
