--- a/query_broker/metrics.py
+++ b/query_broker/metrics.py
@@ -1,6 +1,4 @@
-"""The broker's own metrics, and their text at ``/metrics``.
-
-Counters count from the start of the process.
+"""Metrics of the broker, counted from the start of the process, and their text at ``/metrics``.
 
 Performs no I/O. The text follows the Prometheus exposition format, version 0.0.4.
 """
--- a/query_broker/protocols/__init__.py
+++ b/query_broker/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs and connection classes of the protocols on the sockets."""
+"""Codecs and connection classes of the protocols of clients, data engines and the admin API."""
--- a/query_broker/protocols/client_connection.py
+++ b/query_broker/protocols/client_connection.py
@@ -80,8 +80,8 @@
         half_closed: Whether the client has ended its side and waits for its answers.
         has_sent_frame: Whether the client has sent a complete frame.
         last_used_ns: When something was last received or answered.
-        paused_since_ns: Since when the write buffer has been over its high-water mark, because the
-            client reads its answers too slowly; 0 while it is not.
+        paused_since_ns: When writing was paused because the client reads its answers too slowly; 0
+            while writing is not paused.
         open_requests: The unanswered requests, by stream.
     """
 
@@ -126,7 +126,7 @@
         self.reader.receive(data)
 
     def eof_received(self) -> bool:
-        """Handle the client's half-close: cancel its requests, or answer them first.
+        """Handle the client's half-close: cancel its requests, or wait for their answers.
 
         If the half-close policy lets the client wait for its answers, the connection stays open
         until the last answer, unless an incomplete frame is left, which can no longer become
--- a/query_broker/protocols/client_frames.py
+++ b/query_broker/protocols/client_frames.py
@@ -80,7 +80,7 @@
 
 
 class MalformedFrameError(ProtocolError):
-    """Bytes that are no valid frame; nothing after them on this connection can be trusted."""
+    """Bytes that are not a valid frame; nothing after them on this connection can be trusted."""
 
 
 class Frame(NamedTuple):
--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -15,8 +15,8 @@
 FRAMES_PER_TURN = 32
 # Limit of the bytes that are read ahead, to find cancellations, while earlier frames wait.
 MAX_READ_AHEAD_BYTES = 64 * 1024
-# No connection reads ahead while incomplete frames use more than this part of their memory: one
-# divided by the divisor.
+# No connection reads ahead while incomplete frames use more than this share of their memory, which
+# is given as a divisor.
 READ_AHEAD_DIVISOR = 2
 FRAME_MEMORY_EXHAUSTED = "no memory left for incomplete frames"
 
@@ -30,7 +30,7 @@
     partial_frame_bytes: int
 
     def ready(self) -> bool:
-        """Return whether requests are served, as health checks of clients are told."""
+        """Return whether requests are served; clients' health checks report it."""
 
 
 class ReadingConnection(Protocol):
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -40,7 +40,7 @@
 
 
 class InFlightState(Protocol):
-    """What is unanswered on a connection: attempts by request id, health checks by tag."""
+    """The unanswered attempts of a connection, by request id, and its health checks, by tag."""
 
     in_flight: dict[bytes, Attempt]
     health_checks: set[bytes]
@@ -77,7 +77,7 @@
         self.cancellations = cancellations
         self.carried_elsewhere = carried_elsewhere
 
-    def take(self, parts: list[bytes], now_ns: int) -> None:
+    def handle(self, parts: list[bytes], now_ns: int) -> None:
         """Handle one answer, received at ``now_ns``.
 
         Raises:
@@ -100,7 +100,7 @@
         attempt = self.connection.in_flight.get(tag)
         if attempt is None:
             # A repeated or unsolicited answer, or one that crossed the cancellation.
-            self.cancellations.answered(tag)
+            self.cancellations.handle_unmatched_answer(tag)
         elif kind == messages.SERVED:
             self._handle_first_page(attempt, tag, fields, answer.body, now_ns)
         elif kind == messages.PAGE:
--- a/query_broker/protocols/engine_cancellations.py
+++ b/query_broker/protocols/engine_cancellations.py
@@ -43,7 +43,7 @@
         if due.stopped:
             self.observer.cancellations_ended(CancelOutcome.STOPPED, len(due.stopped))
 
-    def answered(self, request_id: bytes) -> None:
+    def handle_unmatched_answer(self, request_id: bytes) -> None:
         """Handle an answer to an attempt that is not in flight; it may have been cancelled."""
         outcome = self.pending.resolve_by_answer(request_id)
         if outcome is not None:
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -60,9 +60,9 @@
         carried_ids: The request ids for which answers may still arrive, the newest last.
         health_checks: The tags of unanswered health checks.
         cancelled_ids: The request ids of cancelled attempts, each of which still has its stream.
-        retired: The connection takes no further attempts.
-        ending: This broker has closed the connection; its loss may not have been reported yet.
-        closed: The loss of the connection has been reported.
+        retired: Whether the connection takes no further attempts.
+        ending: Whether this broker has closed the connection; its loss may not be reported yet.
+        closed: Whether the loss of the connection has been reported.
         last_received_ns: When the last bytes were received from the engine.
         answer_started_ns: When the first byte of the currently incomplete answer was received.
     """
@@ -109,7 +109,7 @@
         return self.writer.last_used_ns
 
     def is_idle(self) -> bool:
-        """Return whether the connection has no unanswered attempts, cancelled or not, or checks."""
+        """Return whether no attempt, cancelled attempt or health check is unanswered."""
         return not (self.in_flight or self.health_checks or self.cancelled_ids)
 
     def ended_by_engine(self) -> bool:
@@ -226,7 +226,7 @@
         try:
             for parts in self.parser.feed(data):
                 self.answer_started_ns = now_ns
-                self.answers.take(parts, now_ns)
+                self.answers.handle(parts, now_ns)
                 if self.closed:
                     return
         except resp.MalformedAnswerError as error:
--- a/query_broker/protocols/resp.py
+++ b/query_broker/protocols/resp.py
@@ -25,7 +25,7 @@
 
 
 class MalformedAnswerError(ProtocolError):
-    """Bytes that are no valid answer; nothing after them on this connection can be trusted."""
+    """Bytes that are not a valid answer; nothing after them on this connection can be trusted."""
 
 
 def _bulk_string(part: bytes) -> bytes:
--- a/query_broker/text_table.py
+++ b/query_broker/text_table.py
@@ -7,15 +7,15 @@
 COLUMN_GAP = "  "
 
 
-def table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+def table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
     """Return a table whose columns fit their widest cell; numbers are right-aligned.
 
     Args:
-        head: The titles of the columns.
+        header: The titles of the columns.
         rows: The cells of each row, one for each column.
     """
-    all_rows = [list(head), *map(list, rows)]
-    widths = [max(len(row[column]) for row in all_rows) for column in range(len(head))]
+    all_rows = [list(header), *map(list, rows)]
+    widths = [max(len(row[column]) for row in all_rows) for column in range(len(header))]
     return "\n".join(_format_row(row, widths) for row in all_rows)
 
 
--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -113,7 +113,7 @@
         return self.ns_until_wake(now_ns)
 
     def ns_until_wake(self, now_ns: int) -> int:
-        """Return the time that is left until the wake-up that `idle_ns` has determined."""
+        """Return the time until the owner must wake, as set by `idle_ns` and later timers."""
         return max(0, self._origin_ns + self._wake_tick * self.tick_ns - now_ns)
 
     def advance(self, now_ns: int) -> None:
