--- a/query_broker/endpoints/administrative_state.py
+++ b/query_broker/endpoints/administrative_state.py
@@ -1,7 +1,6 @@
 """Which endpoints the operators have disabled by hand.
 
-Performs no I/O: the operators' HTTP interface and the other process of this broker bring the
-directives in.
+Performs no I/O: the directives come from the admin API and from the other process of this broker.
 """
 
 from __future__ import annotations
@@ -25,8 +24,8 @@
     """The administrative state of each endpoint, by uid.
 
     The uid is the key, not the endpoint's number in the table, because an endpoint may restart or
-    leave the list while it is disabled. Directives are not counted: an endpoint that was disabled
-    twice is enabled by one directive.
+    leave the list while it is disabled. Only the latest directive counts: an endpoint that was
+    disabled twice is enabled by one directive.
     """
 
     def __init__(self) -> None:
@@ -39,7 +38,7 @@
         return state is not None and state.disabled
 
     def record(self, uid: str, state: AdministrativeState) -> bool:
-        """Record a directive unless the same one or a later one is known.
+        """Record a directive unless the same or a later one has been recorded.
 
         Returns:
             Whether the directive was recorded.
@@ -53,8 +52,8 @@
     def forget(self, before_ns: int) -> None:
         """Drop the endpoints that were enabled again at ``before_ns`` (Unix time) or earlier.
 
-        Endpoints come under new uids for as long as the process runs, so that states which are
-        never dropped would grow without bound. Disabled endpoints stay.
+        New uids appear for as long as the process runs, so the table would otherwise grow without
+        bound. Disabled endpoints are kept.
         """
         self.states = {
             uid: state
--- a/query_broker/endpoints/connection_choice.py
+++ b/query_broker/endpoints/connection_choice.py
@@ -1,7 +1,7 @@
 """Which connection of an endpoint takes the next attempt.
 
-This is on the path of every request. Performs no reads or writes; `choose_connection` checks with
-the system whether the endpoint has closed the connection that it is about to return.
+This is on the path of every request. It reads and writes nothing, but `choose_connection` asks the
+operating system whether the endpoint has closed the connection that is about to be chosen.
 """
 
 from __future__ import annotations
@@ -10,18 +10,20 @@
 
 from ..protocols.engine_connection import EngineConnection
 
-#: Time without a byte from an endpoint that owes answers, after which it counts as silent. One
-#: second: few attempts are sent to an endpoint that is cut off, and a mistake costs one connect.
+#: An endpoint with attempts in flight counts as silent after this time without a received byte.
+#: Within one second few attempts are sent to an endpoint that is cut off, and a false alarm costs
+#: only one connect.
 SILENCE_LIMIT_NS = 1_000_000_000
 
 
 def usable_connections(
     connections: Iterable[EngineConnection], now_ns: int
 ) -> list[EngineConnection]:
-    """Return the connections to one endpoint that new work may go to.
+    """Return the connections to one endpoint that may take new work.
 
-    An endpoint that is cut off by a network partition sends nothing, and its connections stay
-    open: where it owes answers and has been silent, none is usable until a new connection is up.
+    An endpoint that is cut off by a network partition sends nothing, but its connections stay open.
+    If it has attempts in flight and has been silent for too long, none of its connections is usable
+    until a new one has been established.
     """
     live = [connection for connection in connections if not connection.retired]
     dispatched_ns = [
@@ -39,8 +41,8 @@
 ) -> EngineConnection | None:
     """Return the connection that takes a request, or None if none can.
 
-    An attempt that is sent while the endpoint closes the connection counts as one that may have
-    run: a connection that has been closed is therefore retired, and another one is chosen.
+    An attempt written to a connection that the endpoint has closed would count as one that may have
+    run. Such a connection is therefore retired, and another one is chosen.
     """
     while True:
         usable = usable_connections(connections, now_ns)
@@ -53,19 +55,19 @@
 def least_loaded(
     connections: Iterable[EngineConnection], request_id: bytes, max_streams: int
 ) -> EngineConnection | None:
-    """Return the connection with the fewest open streams, or None if none has a free one.
+    """Return the connection with the fewest open streams, or None if none has a free stream.
 
-    Answers are identified by the client's request id, and may come twice or late: a connection that
-    has lately carried an id gets no other attempt under the same id. A connection whose socket
-    accepts no more bytes (backpressure) is chosen only where there is no other, and not once its
-    write queue is full.
+    Answers are identified by the client's request id, and may be duplicated or late: a connection
+    that has recently carried an id gets no other attempt under the same id. A connection whose
+    socket accepts no more bytes (backpressure) is chosen only if there is no other, and never when
+    its write queue is full.
     """
     best = None
     blocked = None
     fewest_streams = max_streams
     for connection in connections:
         streams = len(connection.in_flight)
-        if connection.cancelled_ids:  # seldom, and this is on the path of every request
+        if connection.cancelled_ids:  # rare: the check saves a call on the path of every request
             streams += len(connection.cancelled_ids)
         if streams >= max_streams or request_id in connection.carried_ids:
             continue
@@ -83,7 +85,7 @@
 def has_full_queue(
     connections: Iterable[EngineConnection], request_id: bytes, max_streams: int
 ) -> bool:
-    """Return whether a connection would take the request but for its full write queue."""
+    """Return whether a full write queue is all that keeps a connection from taking the request."""
     for connection in connections:
         streams = len(connection.in_flight) + len(connection.cancelled_ids)
         if streams >= max_streams or request_id in connection.carried_ids:
@@ -94,7 +96,7 @@
 
 
 def retire_silent(connections: Iterable[EngineConnection], now_ns: int) -> None:
-    """Retire the connections on which answers are owed and nothing has come for too long."""
+    """Retire the connections that have attempts in flight and have been silent for too long."""
     for connection in connections:
         if connection.in_flight and now_ns - connection.last_received_ns > SILENCE_LIMIT_NS:
             connection.retired = True
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -21,29 +21,29 @@
 )
 from .pool_interfaces import ConnectPacing, HandOverPolicy, UnsentObserver
 
-#: Time without a byte from an endpoint that the list marks as removed, after which its connections
-#: are closed. Longer than the limit for a silent endpoint, since the attempts that are still in
-#: flight are lost with them.
+#: The connections of an endpoint that the list marks as removed are closed after this time without
+#: a received byte. Longer than the limit for other endpoints, since closing a connection loses the
+#: attempts that are still in flight on it.
 REMOVED_SILENCE_LIMIT_NS = 3_000_000_000
-#: Time after an attempt's deadline in which its answer may still come. Half a minute, since the
-#: connection is retired once the answer is not expected any more.
+#: Time after an attempt's deadline in which its answer may still arrive. Half a minute is long,
+#: since the connection is retired afterwards.
 LATE_ANSWER_NS = 30_000_000_000
 
 
 class PoolContext(Protocol):
-    """What one pool needs of the set of pools that it belongs to.
+    """What one pool needs from the set of pools that it belongs to.
 
     Attributes:
-        owner: The owner of the connections, which they report to.
+        owner: The owner of the connections, which is notified of their events.
         log: Writes a line to the log.
-        report_unsent: Notified of attempts that end before they have left.
+        report_unsent: Notified of attempts that end before any byte of them has been sent.
         may_hand_over: Called before an attempt that waited is given to a connection.
         max_streams: Attempts that one connection may carry at a time.
-        connect_timeout_ns: How long a connection may take to come up.
+        connect_timeout_ns: How long a connect may take.
         idle_timeout_ns: How long a connection without work is kept.
-        dedicated_connections: Whether an attempt gets a connection of its own while descriptors
-            last.
-        connect_pacing: Delays connects, or None where they needn't wait.
+        dedicated_connections: Whether each attempt gets a dedicated connection while descriptors
+            are available.
+        connect_pacing: Delays connects, or None if they need no delay.
     """
 
     owner: EngineConnectionOwner
@@ -57,20 +57,20 @@
     connect_pacing: ConnectPacing | None
 
     def dedicated_limit(self, pool: ConnectionPool) -> int:
-        """Return how many connections this pool may open for attempts of their own."""
+        """Return how many dedicated connections this pool may open."""
 
     def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
         """Return whether the budget has a descriptor for one more dedicated connection."""
 
     def reserve_descriptor(self, pool: ConnectionPool) -> bool:
-        """Return whether the connection that is opening has its descriptor."""
+        """Return whether there is a descriptor for the connection that is being opened."""
 
 
-class Waiting(NamedTuple):
-    """What waits for a connection to come up; none of it has left for the endpoint.
+class WaitingWork(NamedTuple):
+    """Work that waited for a new connection; nothing of it has been sent.
 
     Attributes:
-        attempts: In the order in which they came.
+        attempts: The attempts, in the order in which they came.
         health_checks: The tags of the health checks.
     """
 
@@ -82,15 +82,15 @@
     """The connections to one endpoint.
 
     At most one connection is being opened at a time. A retired connection takes no new work and is
-    closed once nothing is open on it.
+    closed once nothing is in flight on it.
 
     Attributes:
         number: The endpoint's number in the table.
         target: The endpoint's latest entry in the list.
-        connections: All that are open, retired ones too.
-        waiting_attempts: Attempts that wait for a connection to come up; no byte of them has left.
-        waiting_health_checks: Tags of the health checks that wait for it.
-        opening: The task that opens a connection, if there is one.
+        connections: All open connections, including retired ones.
+        waiting_attempts: Attempts that wait for a new connection; no byte of them has been sent.
+        waiting_health_checks: Tags of the health checks that wait for a new connection.
+        opening: The task that opens a connection, or None.
     """
 
     def __init__(self, pools: PoolContext, number: int, target: ListedEndpoint) -> None:
@@ -106,23 +106,23 @@
     def send(self, attempt: Attempt, now_ns: int, may_connect: bool = True) -> None:
         """Give an attempt to a connection, or let it wait for a new one.
 
-        A malformed answer or a reset ends its connection with all attempts in flight on it. So each
-        attempt gets a dedicated connection where handshakes are cheap, while this endpoint's quota
-        of descriptors lasts; beyond that attempts share connections.
+        A malformed answer or a reset ends the connection and fails all attempts in flight on it. If
+        handshakes are cheap, each attempt therefore gets a dedicated connection, up to this
+        endpoint's share of the descriptors; beyond that, attempts share connections.
 
         Args:
-            attempt: No byte of it has left.
+            attempt: An attempt of which no byte has been sent.
             now_ns: Unix nanoseconds.
-            may_connect: Whether a new connection may be opened for it. Where not, an attempt that
-                no connection takes is reported as not sent.
+            may_connect: Whether a new connection may be opened for the attempt. If not, an attempt
+                that no connection can take is reported as not sent.
         """
         request_id = attempt.request.client_request_id
         max_streams = self.pools.max_streams
         connection = choose_connection(self.connections, request_id, max_streams, now_ns)
         if connection is None:
-            # Where the write queues to this endpoint are full, only one more connection would help.
+            # If the write queues to this endpoint are full, only one more connection would help.
             is_full = has_full_queue(self._usable(now_ns), request_id, max_streams)
-            if (is_full and not self._may_grow()) or not may_connect:
+            if (is_full and not self._may_open_dedicated()) or not may_connect:
                 self.pools.report_unsent(attempt, AttemptResult.NOT_SENT)
             else:
                 self._wait_for_connection(attempt)
@@ -130,7 +130,7 @@
             may_connect
             and connection.in_flight
             and self.pools.dedicated_connections
-            and self._may_grow()
+            and self._may_open_dedicated()
         ):
             self._wait_for_connection(attempt)
         else:
@@ -140,7 +140,7 @@
             connection.send(attempt, now_ns)
 
     def send_health_check(self, tag: bytes, now_ns: int) -> None:
-        """Send a health check on the least loaded connection, or on a new one if there is none."""
+        """Send a health check on the least loaded connection, or on a new one if none is usable."""
         usable = self._usable(now_ns)
         if usable:
             min(usable, key=_attempts_in_flight).send_health_check(tag)
@@ -151,7 +151,8 @@
     def forget_health_check(self, tag: bytes) -> None:
         """Stop waiting for the answer to a health check.
 
-        A health check whose answer never comes would keep its connection from being idle.
+        Otherwise a health check that is never answered would keep its connection from counting as
+        idle.
         """
         for connection in self.connections:
             connection.health_checks.discard(tag)
@@ -159,7 +160,7 @@
             self.waiting_health_checks.remove(tag)
 
     def withdraw_waiting(self) -> None:
-        """Report the attempts that wait for a connection as not sent: they never ran."""
+        """Report the attempts that wait for a connection as not sent; none of them has run."""
         attempts = self.waiting_attempts
         self.waiting_attempts = []
         for attempt in attempts:
@@ -168,16 +169,15 @@
     def retire_connections(self) -> None:
         """Retire all connections.
 
-        Called where the endpoint may have restarted, perhaps without having closed the old ones.
+        Called when the endpoint may have restarted, perhaps without closing its old connections.
         """
         for connection in self.connections:
             connection.retired = True
 
     def update_target(self, target: ListedEndpoint) -> None:
-        """Replace the endpoint's entry of the list.
+        """Replace the endpoint's entry from the list.
 
-        An endpoint at a new address, or one that has restarted, gets nothing more on the old
-        connections.
+        If the endpoint has a new address or has restarted, its old connections are retired.
         """
         previous = self.target
         self.target = target
@@ -186,7 +186,7 @@
             self.retire_connections()
 
     def sweep(self, now_ns: int) -> None:
-        """Close the connections that are idle or on which no answer is expected any more."""
+        """Close the connections that are idle or on which no more answers are expected."""
         for connection in list(self.connections):
             connection.check(now_ns)
             idle_ns = now_ns - max(connection.last_sent_ns, connection.last_received_ns)
@@ -194,18 +194,16 @@
             if connection.is_idle() and is_stale:
                 connection.close()
             else:
-                _close_unanswered(connection, self.target, now_ns)
+                _close_if_unanswered(connection, self.target, now_ns)
 
     def _usable(self, now_ns: int) -> list[EngineConnection]:
         return usable_connections(self.connections, now_ns)
 
-    def _may_grow(self) -> bool:
+    def _may_open_dedicated(self) -> bool:
         if len(self.connections) >= self.pools.dedicated_limit(self):
             return False
         return self.pools.has_dedicated_capacity(self)
 
-    # --- connects ---
-
     def _wait_for_connection(self, attempt: Attempt) -> None:
         self.waiting_attempts.append(attempt)
         self._open()
@@ -215,7 +213,7 @@
             self.opening = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
-        """Open a connection, then send what has waited for it or report why it can't be sent."""
+        """Open a connection, then send the waiting work or report why it can't be sent."""
         pacing = self.pools.connect_pacing
         if pacing is not None:
             await asyncio.sleep(pacing.connect_delay_ns(self.number) / NS_PER_S)
@@ -233,11 +231,11 @@
         make_connection = partial(EngineConnection, self.pools.owner, self.number)
         connection = await connect(make_connection, address, self.pools.connect_timeout_ns)
         if connection.closed:
-            raise ConnectError(address, "lost as it came up")
+            raise ConnectError(address, "connection lost right after the connect")
         if not _listens_at(self.target, address):
-            # Another endpoint may listen there by now, which must not get this endpoint's attempts.
+            # Another endpoint may listen there by now, and must not get this endpoint's attempts.
             connection.close()
-            raise ConnectError(address, "it has moved meanwhile")
+            raise ConnectError(address, "endpoint moved or was removed during the connect")
         return connection
 
     def _connected(self, connection: EngineConnection) -> None:
@@ -254,7 +252,7 @@
         address = f"{self.target.host}:{self.target.port}"
         self.pools.log("engine", f"{self.target.uid} at {address}: {error.reason}")
         if any(connection.last_received_ns >= started_ns for connection in self._usable(now_ns)):
-            # An endpoint that has sent something since then isn't down because one connect failed.
+            # The endpoint has sent something since the connect began, so it isn't down.
             for tag in waiting.health_checks:
                 self.send_health_check(tag, now_ns)
             self._send_all(waiting.attempts, now_ns, may_connect=False)
@@ -266,8 +264,8 @@
         for attempt in waiting.attempts:
             self.pools.report_unsent(attempt, error.result)
 
-    def _end_opening(self) -> Waiting:
-        waiting = Waiting(self.waiting_attempts, self.waiting_health_checks)
+    def _end_opening(self) -> WaitingWork:
+        waiting = WaitingWork(self.waiting_attempts, self.waiting_health_checks)
         self.opening = None
         self.waiting_attempts = []
         self.waiting_health_checks = []
@@ -285,14 +283,14 @@
     return address == (target.host, target.port)
 
 
-def _close_unanswered(connection: EngineConnection, target: ListedEndpoint, now_ns: int) -> None:
-    """Close a connection on which no answer is expected any more."""
+def _close_if_unanswered(connection: EngineConnection, target: ListedEndpoint, now_ns: int) -> None:
+    """Close a connection on which no more answers are expected."""
     overdue = [
         now_ns > attempt.deadline_ns + LATE_ANSWER_NS for attempt in connection.in_flight.values()
     ]
     if any(overdue):
-        # An answer that never comes would hold its stream forever. The connection is closed only
-        # once no answer on it is expected any more.
+        # A stream whose answer never comes would stay in use forever. The connection is closed once
+        # all its attempts are overdue.
         connection.retired = True
         if all(overdue):
             connection.close()
@@ -300,8 +298,8 @@
         target.state is EndpointState.REMOVED
         and now_ns - connection.last_received_ns > REMOVED_SILENCE_LIMIT_NS
     ):
-        # A machine that has failed resets no connection: the attempts in flight would stay open
-        # until their deadlines although no answer can come. They may have run.
+        # A failed machine does not reset its connections: the attempts in flight, which may have
+        # run, would stay open until their deadlines although no answer can come.
         connection.close()
 
 
--- a/query_broker/endpoints/connection_pools.py
+++ b/query_broker/endpoints/connection_pools.py
@@ -9,8 +9,8 @@
 from .connection_pool import ConnectionPool
 from .pool_interfaces import ConnectPacing, HandOverPolicy, UnsentObserver
 
-#: The fraction of the budget that dedicated connections may take. The rest is reserved for
-#: endpoints that need a new connection: those without one, and those that have been silent.
+#: The fraction of the budget that dedicated connections may use. The rest is reserved for endpoints
+#: that need a new connection: those without any, and those that have been silent.
 DEDICATED_FRACTION = 3 / 4
 
 
@@ -18,11 +18,11 @@
     """All pools, and the number of connections that they may have together.
 
     Attributes:
-        by_number: The pool of each endpoint, by its number in the table.
-        max_connections: The budget: how many connections there may be.
-        dedicated_connections: Whether an attempt gets a connection of its own while the budget
-            lasts.
-        connect_pacing: Delays connects to endpoints, or None where they needn't wait.
+        by_number: The pool of each endpoint, by the endpoint's number in the table.
+        max_connections: The budget: how many connections all pools together may have.
+        dedicated_connections: Whether each attempt gets a dedicated connection while the budget
+            allows.
+        connect_pacing: Delays connects to endpoints, or None if they need no delay.
     """
 
     def __init__(
@@ -39,12 +39,12 @@
         """Start without pools, and without a budget until `set_max_connections` gives one.
 
         Args:
-            owner: The owner of the connections, which they report to.
+            owner: The owner of the connections, which is notified of their events.
             log: Writes a line to the log.
             max_streams: See `apply_settings`.
             connect_timeout_ns: See `apply_settings`.
             endpoint_idle_timeout_ns: See `apply_settings`.
-            report_unsent: Notified of attempts that end before they have left.
+            report_unsent: Notified of attempts that end before any byte of them has been sent.
             may_hand_over: Called before an attempt that waited is given to a connection.
         """
         self.owner = owner
@@ -60,27 +60,27 @@
     def apply_settings(
         self, max_streams: int, connect_timeout_ns: int, endpoint_idle_timeout_ns: int
     ) -> None:
-        """Apply settings, for all connections from now on.
+        """Apply settings to all connections, existing ones included.
 
         Args:
             max_streams: Attempts that one connection may carry at a time.
-            connect_timeout_ns: How long a connection may take to come up.
+            connect_timeout_ns: How long a connect may take.
             endpoint_idle_timeout_ns: After how long endpoints close a connection without work.
         """
         self.max_streams = max_streams
         self.connect_timeout_ns = connect_timeout_ns
-        # An attempt that is sent while the endpoint closes an idle connection is lost: the broker
-        # closes idle connections long before.
+        # An attempt that is sent while the endpoint closes an idle connection is lost, so the
+        # broker closes idle connections well before the endpoint does.
         self.idle_timeout_ns = endpoint_idle_timeout_ns // 2
 
     def set_connect_pacing(self, pacing: ConnectPacing | None) -> None:
-        """Register what delays connects to endpoints; None removes it."""
+        """Register the pacing that delays connects to endpoints; None removes it."""
         self.connect_pacing = pacing
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Set the budget, and close idle connections that are beyond it."""
+        """Set the budget, and close idle connections that exceed it."""
         self.max_connections = max_connections
-        # A closed connection reports its loss later: the count does not fall within this call.
+        # The excess is computed once: a closed connection leaves its pool only later.
         excess = max(0, self._count_connections() - max_connections)
         for connection in self._idle_connections()[:excess]:
             connection.close()
@@ -109,12 +109,12 @@
         return self._count_connections() < self.max_connections * DEDICATED_FRACTION
 
     def reserve_descriptor(self, pool: ConnectionPool) -> bool:
-        """Return whether the connection that ``pool`` is opening has its descriptor.
+        """Return whether there is a descriptor for the connection that ``pool`` is opening.
 
-        Where the budget is spent, an idle connection is closed for it. Connections beyond the
-        budget would take the descriptors that are reserved for clients.
+        If the budget is used up, an idle connection is closed to free one. Connections beyond the
+        budget would use the descriptors that are reserved for clients.
         """
-        # The connection that is being opened is counted already.
+        # The count includes the connection that is being opened.
         if self._count_connections() <= self.max_connections:
             return True
         idle = self._idle_connections()
@@ -146,7 +146,7 @@
                 connection.close()
 
     def _count_connections(self) -> int:
-        """Count the connections that are open or being opened, without those that are ending."""
+        """Count the connections that are open or being opened, except those that are ending."""
         count = 0
         for pool in self.by_number.values():
             count += sum(not connection.ending for connection in pool.connections)
--- a/query_broker/endpoints/endpoint_table.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -1,6 +1,6 @@
 """The endpoint table: the number of each endpoint, and where it listens.
 
-Performs no I/O. The decisions and the connection pools know an endpoint by its number alone.
+Performs no I/O. The decisions and the connection pools identify an endpoint by its number alone.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from ..decisions.facade import EndpointEntry, EndpointState
 from ..discovery.event_codec import EndpointListEvent, ListedEndpoint
 
-#: Bytes of the hash that numbers an endpoint. 32 bits hardly collide among some hundred endpoints,
-#: and a collision is resolved.
+#: Length of the hash that becomes an endpoint's number. With 32 bits, collisions among a few
+#: hundred endpoints are unlikely, and `EndpointTable.number` resolves them.
 NUMBER_BYTES = 4
-NUMBER_RANGE = 1 << (8 * NUMBER_BYTES)
+NUMBER_COUNT = 1 << (8 * NUMBER_BYTES)
 
 
 @dataclass(slots=True)
@@ -23,8 +23,9 @@
     """One endpoint of the table.
 
     Attributes:
-        number: The number that stands for its uid; it never changes while the endpoint is known.
-        target: Its latest entry in the endpoint list.
+        number: The number that stands for the endpoint's uid; constant while the endpoint is in the
+            table.
+        target: The endpoint's latest entry in the endpoint list.
     """
 
     number: int
@@ -35,8 +36,7 @@
     """The endpoints of the list, by uid and by number.
 
     An endpoint's identity is its uid, since a new endpoint may get the address of a removed one.
-    The number is a hash of the uid, so that all brokers rank endpoints alike without exchanging
-    anything.
+    The number is a hash of the uid, so that all brokers rank endpoints alike without coordination.
     """
 
     def __init__(self) -> None:
@@ -51,9 +51,9 @@
             return known.number
         digest = hashlib.blake2b(uid.encode(), digest_size=NUMBER_BYTES).digest()
         number = int.from_bytes(digest, "big")
-        # Two uids with one hash: the later one takes the next free number.
+        # Two uids have the same hash: the later one takes the next free number.
         while number in self.by_number:
-            number = (number + 1) % NUMBER_RANGE
+            number = (number + 1) % NUMBER_COUNT
         return number
 
     def apply_event(self, event: EndpointListEvent) -> tuple[EndpointEntry, ...]:
@@ -63,24 +63,24 @@
             event: The complete list, or the endpoints that have changed.
 
         Returns:
-            The event's endpoints under their numbers, as the decisions take them; before them,
-            those that a change of addresses has shown to be removed. What is missing from a
-            complete list is marked as removed in the table and isn't part of the answer.
+            The event's endpoints as entries for the decisions, preceded by the endpoints whose
+            address another endpoint has taken, as removed. Endpoints that are missing from a
+            complete list are marked as removed in the table and are not returned.
         """
         targets = list(event.targets)
         listed_uids = {target.uid for target in targets}
         if event.full:
             self._remove_unlisted(listed_uids)
         else:
-            targets = [*self._displaced(targets, listed_uids), *targets]
+            targets = [*self._displaced_targets(targets, listed_uids), *targets]
         return tuple(self._entry(target) for target in targets)
 
     def forget_removed(self) -> None:
         """Drop the removed endpoints from the table.
 
-        Endpoints come under new uids for as long as the process runs. The pool of a removed
-        endpoint keeps what it needs until the last answer; should the uid come again, its hash
-        gives it the same number.
+        New uids appear for as long as the process runs, so the table would otherwise grow without
+        bound. The pool of a removed endpoint keeps what it needs until the last answer; if the uid
+        is listed again, its hash gives it the same number.
         """
         for uid, endpoint in list(self.by_uid.items()):
             if endpoint.target.state is EndpointState.REMOVED:
@@ -90,17 +90,17 @@
     def _remove_unlisted(self, listed_uids: set[str]) -> None:
         for endpoint in self.by_uid.values():
             if endpoint.target.uid not in listed_uids:
-                endpoint.target = _removed(endpoint.target)
+                endpoint.target = _as_removed(endpoint.target)
 
-    def _displaced(
+    def _displaced_targets(
         self, targets: Iterable[ListedEndpoint], listed_uids: set[str]
     ) -> list[ListedEndpoint]:
         """Return, marked as removed, the endpoints at whose address another endpoint now listens.
 
-        Two endpoints can't listen at one address, so that the former one must have ended, although
-        the event doesn't name it.
+        Two endpoints can't listen at one address, so the former one must have ended, although the
+        event doesn't name it.
         """
-        listeners = {
+        uid_by_address = {
             (target.host, target.port): target.uid
             for target in targets
             if target.state is not EndpointState.REMOVED
@@ -110,12 +110,12 @@
             target = endpoint.target
             if target.uid in listed_uids or target.state is EndpointState.REMOVED:
                 continue
-            if listeners.get((target.host, target.port), target.uid) != target.uid:
-                displaced.append(_removed(target))
+            if uid_by_address.get((target.host, target.port), target.uid) != target.uid:
+                displaced.append(_as_removed(target))
         return displaced
 
     def _entry(self, target: ListedEndpoint) -> EndpointEntry:
-        """Enter one endpoint in the table; a uid that is known keeps its number."""
+        """Add or update one endpoint of the table; a uid that is in the table keeps its number."""
         endpoint = KnownEndpoint(self.number(target.uid), target)
         self.by_uid[target.uid] = endpoint
         self.by_number[endpoint.number] = endpoint
@@ -130,12 +130,12 @@
         )
 
 
-def _removed(target: ListedEndpoint) -> ListedEndpoint:
+def _as_removed(target: ListedEndpoint) -> ListedEndpoint:
     return replace(target, state=EndpointState.REMOVED)
 
 
 def has_warming_endpoint(table: EndpointTable, warm_up_ns: int, now_ns: int) -> bool:
-    """Return whether a ready endpoint of the table has started less than a warm-up ago."""
+    """Return whether any ready endpoint of the table is still within its warm-up time."""
     return any(
         known.target.state is EndpointState.READY and known.target.started_ns + warm_up_ns > now_ns
         for known in table.by_number.values()
