--- a/query_broker/discovery/event_codec.py
+++ b/query_broker/discovery/event_codec.py
@@ -1,10 +1,10 @@
 """The line codec of the endpoint list: watch events and heartbeats, one JSON value a line.
 
-Performs no I/O. An event is an object with its ``offset``, the number of the event; where it has a
-``topology``, that names endpoints. A heartbeat is the bare offset of the latest event.
+Performs no I/O. An event is an object with an ``offset``, the number of the event, and an optional
+``topology``, which lists endpoints. A heartbeat is just the offset of the latest event.
 
-The discovery service and the configuration file (under ``known``) use the same form. This module
-maps its words to the terms of the rest of the program.
+The discovery service and the configuration file (under ``known``) use the same format. This module
+maps the names of that format to the terms of the rest of the program.
 """
 
 from __future__ import annotations
@@ -22,44 +22,44 @@
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
 }
-#: Longest line. A mebibyte: a list of thousands of endpoints fits, and a service that never ends a
-#: line doesn't fill the memory.
+#: A list of thousands of endpoints fits in one MiB, and a service that never ends a line can't fill
+#: the memory.
 MAX_LINE_BYTES = 1 << 20
-#: Bytes of an unreadable line that the log quotes.
-QUOTED_BYTES = 80
+#: How much of an invalid line or address an error message quotes.
+MAX_QUOTED_BYTES = 80
 NS_PER_MS = 1_000_000
 MAX_PORT = 65_535
 MAX_PORT_DIGITS = 5
-#: Largest start of an endpoint, in ms; further ones are past the range of 64 bits in ns.
+#: Largest ``boot_ms``; later start times exceed 64 bits in nanoseconds.
 MAX_BOOT_MS = (1 << 63) // 1_000_000
 
-#: The offset of the latest event that there is, as a heartbeat names it.
+#: The offset of the latest event of the service, as sent in a heartbeat.
 Heartbeat = NewType("Heartbeat", int)
 
 
 class InvalidEventError(QueryBrokerError):
-    """A line of the watch, or an entry of the configuration, that isn't in the form of an event.
+    """A line of the watch, or an entry of the configuration, is not a valid event.
 
     Attributes:
-        problem: What is wrong with it.
-        uid: The endpoint that it is about, empty if that isn't known.
+        problem: What is wrong with the event.
+        uid: The uid of the invalid endpoint, empty if unknown.
     """
 
     def __init__(self, problem: str, uid: str = "") -> None:
-        """Make the message: the endpoint, if it is known, and the problem."""
+        """Compose the message from the uid, if it is known, and the problem."""
         super().__init__(f"{uid}: {problem}" if uid else problem)
         self.problem = problem
         self.uid = uid
 
 
 class Address(NamedTuple):
-    """Where something listens: a host name or an IP address without brackets, and a TCP port."""
+    """The address of a listener: a host name or an IP address without brackets, and a TCP port."""
 
     host: str
     port: int
 
 
-#: Address of a removed endpoint whose event names none: nothing connects to it any more.
+#: Address of a removed endpoint whose event has none; no connection to it is opened any more.
 NO_ADDRESS = Address("", 0)
 
 
@@ -68,7 +68,7 @@
     """One endpoint of the list.
 
     Attributes:
-        uid: Its identity, whatever its address.
+        uid: The endpoint's identity, independent of its address.
         host: The host name or IP address at which it listens.
         port: The TCP port at which it listens.
         zone: The availability zone, empty if unknown.
@@ -76,7 +76,7 @@
         cell: The number of the pod group that it belongs to.
         state: Whether it takes new work.
         weight: Its capacity relative to other endpoints.
-        started_ns: When it started, in Unix nanoseconds; 0 if that is unknown or long ago.
+        started_ns: When it started, in Unix nanoseconds; 0 if unknown or long ago.
     """
 
     uid: str
@@ -95,8 +95,8 @@
     """One change of the endpoint list.
 
     Attributes:
-        offset: Its number; the next event has the next number.
-        full: Whether ``targets`` is the complete list, so that any other endpoint has been removed.
+        offset: The number of the event; successive events have successive numbers.
+        full: Whether ``targets`` is the complete list, so that all other endpoints are removed.
         targets: The endpoints that are new or have changed, or the complete list.
     """
 
@@ -106,26 +106,26 @@
 
 
 def parse_address(text: Any) -> Address:
-    """Read ``host:port``; an IPv6 address may stand in brackets.
+    """Parse ``host:port``; an IPv6 address may be in brackets.
 
     Raises:
-        InvalidEventError: The text isn't in that form.
+        InvalidEventError: The text is not such an address.
     """
     host, colon, port = str(text).rpartition(":")
     is_number = port.isdecimal() and len(port) <= MAX_PORT_DIGITS
     if not colon or not host or not is_number or not 0 < int(port) <= MAX_PORT:
-        quoted = repr(text)[:QUOTED_BYTES]
+        quoted = repr(text)[:MAX_QUOTED_BYTES]
         raise InvalidEventError(problem=f"{quoted} is no address host:port")
     return Address(host.strip("[]"), int(port))
 
 
 def parse_event(raw: Any) -> EndpointListEvent:
-    """Read one event of the watch or of the configuration's ``known``.
+    """Parse one event of the watch or of the configuration's ``known``.
 
-    An event without a topology concerns no endpoint: only its offset counts.
+    An event without a topology changes no endpoint and only advances the offset.
 
     Raises:
-        InvalidEventError: The value isn't in the form of an event.
+        InvalidEventError: The value is not a valid event.
     """
     if not isinstance(raw, dict) or type(raw.get("offset")) is not int:
         raise InvalidEventError(problem="an event without its offset")
@@ -141,7 +141,7 @@
 
 
 def parse_line(line: bytes) -> EndpointListEvent | Heartbeat:
-    """Read one line of the watch.
+    """Parse one line of the watch.
 
     Raises:
         InvalidEventError: The line is neither an event nor a heartbeat.
@@ -149,7 +149,7 @@
     try:
         raw = json.loads(line)
     except (ValueError, RecursionError):
-        raise InvalidEventError(problem=f"{line[:QUOTED_BYTES]!r} is no JSON") from None
+        raise InvalidEventError(problem=f"{line[:MAX_QUOTED_BYTES]!r} is not JSON") from None
     if type(raw) is int:
         return Heartbeat(raw)
     return parse_event(raw)
@@ -159,7 +159,7 @@
     """Splits a stream of bytes into lines.
 
     Attributes:
-        buffer: The beginning of a line whose end hasn't come yet.
+        buffer: The received part of a line that is still incomplete.
     """
 
     def __init__(self) -> None:
@@ -167,24 +167,24 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add bytes, and return the lines that are complete with them, without their ends.
+        """Add bytes, and return the lines that they complete, without the line ends.
 
         Blank lines are omitted.
 
         Raises:
-            InvalidEventError: A line grows beyond `MAX_LINE_BYTES`.
+            InvalidEventError: An incomplete line is longer than `MAX_LINE_BYTES`.
         """
         self.buffer += data
         *lines, rest = self.buffer.split(b"\n")
         if len(rest) > MAX_LINE_BYTES:
-            raise InvalidEventError(problem="a line without end")
+            raise InvalidEventError(problem="a line exceeds the maximum length")
         self.buffer = bytearray(rest)
         return [bytes(line) for line in lines if line.strip()]
 
 
 def _parse_target(raw: Any) -> ListedEndpoint:
     if not isinstance(raw, dict):
-        raise InvalidEventError(problem="a target that is no object")
+        raise InvalidEventError(problem="a target is not an object")
     uid = raw.get("uid")
     if not isinstance(uid, str) or not uid:
         raise InvalidEventError(problem="a target without its uid")
@@ -218,11 +218,11 @@
 def _check_range(weight: float, started_ms: int) -> None:
     """Check the numbers of an endpoint.
 
-    One that is no finite number fails in the decisions, after its event counts as applied: the
-    event, perhaps a drain, would be lost.
+    The decisions would fail on a number that is not finite, but only once its event counts as
+    applied: the event, perhaps a drain, would be lost.
 
     Raises:
-        ValueError: The weight is not finite, or the start is out of range.
+        ValueError: The weight is not finite, or the start time is out of range.
     """
     if not math.isfinite(weight) or abs(started_ms) > MAX_BOOT_MS:
         problem = "capacity_hint or boot_ms is out of range"
