--- a/query_broker/server/admin_api.py
+++ b/query_broker/server/admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' address: what its calls do, and which connections it admits."""
+"""The admin API: what its calls do, and which connections are admitted."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from ..protocols.operator_http import OperatorConnection
 from .host import NodeContext
 
-# Characters of an endpoint's uid in a log line, since a caller may send kilobytes of it.
+# A caller may send a uid of several kilobytes: log lines truncate it to this many characters.
 MAX_LOGGED_UID_LENGTH = 80
 
 
 class AdminCallHandler(Protocol):
-    """A subsystem with operators' calls of its own."""
+    """A subsystem that adds calls to the admin API."""
 
     def handle_admin_call(self, method: str, path: str, /) -> HttpAnswer | None:
-        """Answer a call; None where the path is not one of the subsystem's."""
+        """Answer a call; None if the path does not belong to the subsystem."""
 
 
 class AdminApi:
-    """Serves the operators' calls.
+    """Serves the calls of the admin API.
 
     Attributes:
-        connections: The open connections, in the order in which they came.
+        connections: The open connections, in the order in which they were admitted.
     """
 
     def __init__(self, node: NodeContext) -> None:
-        """Prepare the calls; ``listen`` opens the address."""
+        """Prepare the API; ``listen`` starts to serve calls."""
         self.node = node
         self.timer_wheel = node.dispatcher.timer_wheel
         self.connections: dict[OperatorConnection, None] = {}
@@ -38,7 +38,7 @@
         self._call_handlers: list[AdminCallHandler] = []
 
     def add_call_handler(self, handler: AdminCallHandler) -> None:
-        """Register a subsystem's calls; those registered before it are asked first."""
+        """Register a subsystem's calls; handlers are tried in the order of registration."""
         self._call_handlers.append(handler)
 
     async def listen(self, listener: socket.socket) -> None:
@@ -56,8 +56,6 @@
             else:
                 connection.drop()
 
-    # --- called by the connections ---
-
     def now(self) -> int:
         """Return the time in Unix nanoseconds."""
         return self.node.clock.now()
@@ -74,7 +72,8 @@
         """Disable an endpoint or enable it again; return False if the uid is unknown."""
         done = self.node.dispatcher.set_endpoint_disabled(uid, disabled)
         if done and self.node.peer_processes is not None:
-            # Once the caller has its answer, the call holds at the other process as well.
+            # The directive takes effect at the other process as well, so it is published before the
+            # caller gets its answer.
             self.node.peer_processes.publish_status()
         action = "disable" if disabled else "enable"
         result = "done" if done else "is not known"
@@ -82,7 +81,7 @@
         return done
 
     def call_subsystem(self, method: str, path: str) -> HttpAnswer | None:
-        """Return the answer of the subsystem that serves this path; None where none does."""
+        """Return the answer of the subsystem that serves this path; None if there is none."""
         for handler in self._call_handlers:
             answer = handler.handle_admin_call(method, path)
             if answer is not None:
@@ -90,10 +89,10 @@
         return None
 
     def admit(self, connection: OperatorConnection) -> None:
-        """Admit a connection; at the limit another one is evicted for it.
+        """Admit a connection; at the limit another connection is evicted.
 
-        A flood of connections would otherwise use up the descriptors that are reserved for calls.
-        Evicted is a connection that has its answer, or else the oldest one.
+        Otherwise a flood of connections would use up the descriptors that are reserved for the
+        admin API. A connection that has its answer is evicted first, else the oldest connection.
         """
         if len(self.connections) >= MAX_OPERATOR_CALLS:
             evicted = self._eviction_candidate()
@@ -108,7 +107,7 @@
         return next(iter(self.connections))
 
     def release(self, connection: OperatorConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self.connections.pop(connection, None)
 
     def log(self, kind: str, text: str) -> None:
--- a/query_broker/server/client_admission.py
+++ b/query_broker/server/client_admission.py
@@ -1,4 +1,4 @@
-"""Admission of client connections: how many there may be, and which one is evicted."""
+"""Admission of client connections: their limit, and which connection is evicted at the limit."""
 
 from __future__ import annotations
 
@@ -8,32 +8,33 @@
 from ..protocols.client_connection import ClientConnection
 from .host import NodeContext
 
-# Connections that are looked at for one that can be evicted. In a crowd each new connection looks:
-# to look at all of them would take the time that their requests need.
-MAX_EVICTION_TRIES = 8
+# Each new connection beyond the limit looks for one to evict. During a flood of connections,
+# checking all of them each time would use the processor time that the requests need.
+MAX_EVICTION_CANDIDATES = 8
 
 
 class ClientAdmission:
     """Owns the set of client connections of a node.
 
-    A node with cells derives its own class, which accounts each connection to a cell.
+    A node with cells uses a subclass, which assigns each connection to a cell.
 
     Attributes:
         connections: The admitted connections.
-        max_connections: How many connections are admitted. The other descriptors are reserved for
-            connections to endpoints, so that a flood of clients cannot use them up.
+        max_connections: How many connections are admitted. The remaining descriptors are reserved,
+            among others for connections to endpoints, so that a flood of clients cannot use them
+            up.
     """
 
     def __init__(self, node: NodeContext) -> None:
-        """Take the maximum from the node's dispatcher."""
+        """Use the connection limit of the node's dispatcher."""
         self.node = node
         self.connections: set[ClientConnection] = set()
         self.max_connections = node.dispatcher.max_clients
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Admit a new connection; False if none can be evicted for it."""
+        """Admit a new connection; False if the limit is reached and none can be evicted."""
         if not self.has_place():
-            reason = f"more than {self.max_connections} connections: one is rejected"
+            reason = f"limit of {self.max_connections} connections reached: rejected a new one"
             self.node.log("client", reason)
             return False
         self.connections.add(connection)
@@ -42,25 +43,25 @@
         return True
 
     def has_place(self) -> bool:
-        """Extension point: whether one more connection is admitted, after an eviction if needed."""
+        """Extension point: whether there is room for one more connection, after evicting one."""
         if len(self.connections) < self.max_connections:
             return True
         return self.evict(client for client in self.connections if client.idle())
 
     def evict(self, candidates: Iterable[ClientConnection]) -> bool:
-        """End one of the candidates; False if there is none.
+        """Close one of the candidates; False if none can be closed.
 
-        Otherwise connections that never send a request, or stay open after one, would keep other
-        clients out. Broken connections are evicted first, then those without any request, then the
-        one that has been idle longest. One that seems idle may have sent a request that is still
-        unread, after a stall of this process or in a crowd: to close it would lose that request.
+        Otherwise idle connections would keep other clients out. Broken connections are evicted
+        first, then those without any request, then the one that has been idle longest. After a
+        stall of this process, or under load, a connection that appears idle may have unread input:
+        it is not evicted, since closing it would lose that request.
         """
-        first = heapq.nsmallest(
-            MAX_EVICTION_TRIES,
+        preferred = heapq.nsmallest(
+            MAX_EVICTION_CANDIDATES,
             candidates,
             key=lambda client: (not client.broken, client.has_sent_frame, client.last_used_ns),
         )
-        evicted = next((client for client in first if not client.has_unread_input()), None)
+        evicted = next((client for client in preferred if not client.has_unread_input()), None)
         if evicted is None:
             return False
         self.discard(evicted)
@@ -71,14 +72,14 @@
         return True
 
     def discard(self, connection: ClientConnection) -> None:
-        """Extension point: remove a connection that ends, if it is still admitted."""
+        """Extension point: remove a connection that ends, if it has not been removed yet."""
         self.connections.discard(connection)
 
     def close_slow_readers(self, now_ns: int) -> None:
-        """Extension point: close the connections whose unread answers use too much memory.
+        """Extension point: close the connections of clients that do not read their answers.
 
-        A connection is closed if its client has read nothing for the configured time. Beyond the
-        memory limit for unread answers, those with the most unread bytes are closed.
+        A connection is closed if its client has read nothing for the configured time. If all unread
+        answers exceed their memory limit, the connections with the most unread bytes are closed.
         """
         dispatcher = self.node.dispatcher
         timeout_ns = dispatcher.deadline_controls.settings.slow_reader_timeout_ns
@@ -91,5 +92,5 @@
 
     def drop_slow_reader(self, client: ClientConnection) -> None:
         """Drop the unread answers of a client and reset its connection."""
-        self.node.log("client", "unread answers are given up, their connection closed")
+        self.node.log("client", "slow reader: dropped its unread answers and its connection")
         client.drop()
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -1,12 +1,12 @@
 """Graceful shutdown after SIGTERM, as a sequence of timed steps.
 
-1. ``begin``: the grace period, in which nothing changes for clients. It is left out where another
-   process accepts connections.
-2. ``_announce_leaving``: the listener is closed and clients are asked to send no new requests.
-3. ``_await_requests``: requests in flight are awaited; at ``close_out_after_s`` all open ones get a
-   final answer.
-4. ``_end_connections``: this side of each connection ends.
-5. ``_await_disconnects``: the clients end theirs, and the node stops.
+1. ``begin``: starts the grace period, in which nothing changes for clients. It is skipped if
+   another process accepts connections.
+2. ``_announce_leaving``: closes the listener and asks the clients to send no new requests.
+3. ``_await_requests``: waits for the requests in flight; at ``close_out_after_s`` all open ones get
+   a final answer.
+4. ``_end_connections``: closes this side of each connection.
+5. ``_await_disconnects``: waits until the clients close their side, then stops the node.
 """
 
 from __future__ import annotations
@@ -19,49 +19,52 @@
 from .host import NodeContext
 from .running_time import RunningTime
 
-# Seconds after SIGTERM in which nothing changes: new connections come for 0.4 s more, and their
-# first requests up to 0.2 s later.
+# After SIGTERM, clients are sent here for up to 0.4 s more, and the first request on a new
+# connection comes up to 0.2 s after it. Until then nothing changes.
 GRACE_PERIOD_S = 0.65
-# Seconds after SIGTERM, where another process accepts connections, in which requests on open
-# connections are awaited.
+# If another process accepts connections: time after SIGTERM in which requests on open connections
+# are still expected.
 HANDOVER_LINGER_S = 0.7
-# Seconds after clients were asked to leave in which a request that crossed the message may come.
+# Time after the announcement in which a client that has not received it yet may send a request.
 LINGER_S = 0.1
-# More time, for the connections that the system has accepted and the event loop has not processed.
+# Extra time for connections that the system has accepted and the event loop has not processed yet.
 ACCEPT_QUEUE_TIMEOUT_NS = 50_000_000
-# The most that one turn of the event loop counts of that time: the loop then looks at the queue ten
-# times at the least.
-MAX_ACCEPT_TURN_NS = 5_000_000
-# The longest deadline of a request class counts up to this: the platform's SIGKILL waits no longer.
+# One iteration of the event loop counts at most this much towards that timeout, so that the loop
+# checks the queue at least ten times.
+MAX_ACCEPT_STEP_NS = 5_000_000
+# The platform waits at most this long for the longest deadline of a request class before SIGKILL.
 MAX_DEADLINE_S = 3.0
-# The same where the platform holds the clients' socket: it waits longer for a handover.
+# The same if the platform holds the clients' socket: it waits longer for a handover.
 MAX_DEADLINE_INHERITED_S = 5.0
-# SIGKILL comes this long after the longest deadline, at the soonest.
+# SIGKILL comes at least this long after the longest deadline.
 KILL_DELAY_S = 0.7
-# Everything open is closed out this long before SIGKILL: enough for the last answers, the end of
-# the connections and a loop that is late.
+# All open requests get a final answer this long before SIGKILL: enough to send the answers, close
+# the connections and tolerate a late event loop.
 CLOSE_OUT_MARGIN_S = 0.4
-# Time in which the answers of the close-out may leave.
+# Time for sending the final answers of the close-out.
 FLUSH_TIMEOUT_NS = 250_000_000
-# The most that the time between two checks counts of it: a stall must leave the answers some turns.
+# The time between two checks counts at most this much towards it, so that a stall leaves the loop
+# several iterations to send the answers.
 MAX_FLUSH_STEP_NS = 50_000_000
-# Time in which the clients end their side of a connection once this one has ended; the node does
-# not wait longer for a client that stays.
+# Once this side of the connections is closed, the node waits at most this long for clients to close
+# theirs.
 DISCONNECT_TIMEOUT_NS = 100_000_000
-# The most that the time between two checks counts of it.
+# The time between two checks counts at most this much towards it.
 MAX_DISCONNECT_STEP_NS = 25_000_000
-# Time between two checks of whether all is done; short compared to every timeout above.
+# Time between two checks for completion; short compared to each timeout above.
 CHECK_PERIOD_S = 0.01
 NS_PER_S = 1_000_000_000
 
 
 class GracefulShutdown:
-    """Takes a node from SIGTERM to its stop.
+    """Shuts a node down after SIGTERM.
 
     Attributes:
-        begun_at_ns: When SIGTERM came, in Unix nanoseconds; 0 before that. Where it may have come
-            during a stall of this process, the beginning of the stall: SIGKILL counts from then.
-        closed_out: The requests that were open at ``close_out_after_s`` got a final answer.
+        begun_at_ns: When SIGTERM came, in Unix nanoseconds; 0 before that. If it may have come
+            during a stall of this process, the beginning of the stall, since the time until SIGKILL
+            may run from then.
+        closed_out: Whether the requests that were open at ``close_out_after_s`` have been given a
+            final answer.
     """
 
     def __init__(self, node: NodeContext) -> None:
@@ -69,17 +72,17 @@
         self.node = node
         self.begun_at_ns = 0
         self.closed_out = False
-        self._accept_time: RunningTime | None = None  # since the listener was to be closed
+        self._accept_time: RunningTime | None = None  # since the end of the grace period
         self._flush_time: RunningTime | None = None  # since the close-out
 
     @property
     def begun(self) -> bool:
-        """SIGTERM has come."""
+        """Whether SIGTERM has come."""
         return self.begun_at_ns != 0
 
     @property
     def close_out_after_s(self) -> float:
-        """Seconds after SIGTERM at which everything open is closed out."""
+        """Seconds after SIGTERM at which all open requests get a final answer."""
         config = self.node.config
         inherited = config.accept_fd is not None
         limit_s = MAX_DEADLINE_INHERITED_S if inherited else MAX_DEADLINE_S
@@ -87,7 +90,7 @@
         return min(deadline_s, limit_s) + KILL_DELAY_S - CLOSE_OUT_MARGIN_S
 
     def begin(self) -> None:
-        """Start the shutdown at SIGTERM; further signals change nothing."""
+        """Start the shutdown at SIGTERM; further signals have no effect."""
         if self.begun:
             return
         now_ns = self.node.clock.now()
@@ -103,9 +106,9 @@
             _call_later(self._grace_period_s(now_ns), self._announce_leaving)
 
     def _grace_period_s(self, now_ns: int) -> float:
-        """Return the seconds from now in which nothing changes.
+        """Return the seconds that are left of the grace period.
 
-        After a stall during which SIGTERM may have come, less time is left until the close-out.
+        If SIGTERM may have come during a stall, less time is left until the close-out.
         """
         if self.begun_at_ns == now_ns:
             return GRACE_PERIOD_S
@@ -115,14 +118,14 @@
     def _announce_leaving(self, linger_s: float = LINGER_S) -> None:
         """Close the listener once its queue is empty, then ask the clients to leave.
 
-        To close it at once would break connections that clients are still sent here for, and reset
-        those that the system has accepted and the event loop has not processed yet.
+        Closing it with connections in the queue would reset them: the system has accepted them, and
+        the event loop has not processed them yet.
         """
         node = self.node
         if self._accept_time is None:
-            self._accept_time = RunningTime(node.clock, MAX_ACCEPT_TURN_NS)
+            self._accept_time = RunningTime(node.clock, MAX_ACCEPT_STEP_NS)
         if node.server is not None:
-            if self._accept_queue_filled(node.server, self._accept_time):
+            if self._has_queued_connections(node.server, self._accept_time):
                 asyncio.get_running_loop().call_soon(self._announce_leaving, linger_s)
                 return
             node.server.close()
@@ -134,12 +137,12 @@
             client.announce_shutdown()
         _call_later(linger_s, self._await_requests)
 
-    def _accept_queue_filled(self, server: asyncio.Server, accept_time: RunningTime) -> bool:
-        """Whether connections wait to be accepted that no other process would take.
+    def _has_queued_connections(self, server: asyncio.Server, accept_time: RunningTime) -> bool:
+        """Whether connections wait in the accept queue that no other process would accept.
 
-        The timeout bounds how long a crowd of new connections keeps the listener open. It counts
-        the turns of the loop: by the clock alone a stall would use it up before the loop had
-        accepted any of the connections that wait, and these would be reset.
+        The timeout bounds how long a flood of new connections keeps the listener open. It is
+        measured in running time: by wall-clock time a stall would use it up before the loop had
+        accepted any of the waiting connections, and they would be reset.
         """
         if self.node.config.accept_fd is not None:
             return False
@@ -148,7 +151,7 @@
         return any(has_input(listener.fileno()) for listener in server.sockets)
 
     def _await_requests(self) -> None:
-        """Wait until nothing is in flight; close out what is open when the time is up."""
+        """Wait until nothing is in flight; when the time is up, close out the open requests."""
         if self._is_idle() or self._flush_timed_out():
             self._end_connections()
             return
@@ -158,51 +161,51 @@
         _call_later(CHECK_PERIOD_S, self._await_requests)
 
     def _close_out(self) -> None:
-        """Give all requests their final answer: SIGKILL would end them without any."""
+        """Give all open requests a final answer, before SIGKILL ends them without one."""
         self.closed_out = True
-        self.node.log("stop", f"closing out {len(self.node.dispatcher.requests)} requests")
+        self.node.log("stop", f"ending {len(self.node.dispatcher.requests)} open requests")
         self.node.dispatcher.cancellations.close_out_all()
         self._flush_time = RunningTime(self.node.clock, MAX_FLUSH_STEP_NS)
 
     def _flush_timed_out(self) -> bool:
-        """Whether the answers of the close-out have had their time to leave.
+        """Whether the time for sending the answers of the close-out is up.
 
-        It begins with the close-out, not at a fixed time after SIGTERM: a process that stood still
-        over both would end the connections without any answer.
+        The time begins with the close-out, not at a fixed time after SIGTERM: otherwise a process
+        that stalls until after both would close the connections without sending any answer.
         """
         if self._flush_time is None:
             return False
         return self._flush_time.elapsed_ns() >= FLUSH_TIMEOUT_NS
 
     def _is_idle(self) -> bool:
-        """Whether every answer has been sent and no request has come, in full or in part.
+        """Whether every answer has been sent and no request is pending, not even a part of one.
 
-        A request that is read in part would be lost with its connection, and so would one that has
-        not been read: after a stall a timer is due before the loop comes to the sockets.
+        A partly read request would be lost with its connection, and so would an unread one: after a
+        stall the loop runs overdue timers before it polls the sockets.
         """
         if self.node.partial_frame_bytes:
             return False
         return all(client.idle() and not client.has_unread_input() for client in self.node.clients)
 
     def _end_connections(self) -> None:
-        """End this side of each connection, and read the other side to its end.
+        """Close this side of each connection, and read what the client still sends.
 
-        A request that is read now and dispatched would be lost with the process. To close over
-        unread bytes resets the connection, and takes what the client has not read yet with it.
+        A request that is still dispatched now would be lost with the process. Closing a connection
+        with unread bytes would reset it, and the client would lose the answers it has not read yet.
         """
         self.node.dispatcher.request_table.closing = True
         for client in list(self.node.clients):
             client.close_gracefully()
         self._await_disconnects(RunningTime(self.node.clock, MAX_DISCONNECT_STEP_NS))
 
-    def _await_disconnects(self, waited: RunningTime) -> None:
-        """Stop the node once the clients have ended their side, or when the time is up.
+    def _await_disconnects(self, disconnect_time: RunningTime) -> None:
+        """Stop the node once the clients have closed their side, or when the time is up.
 
-        The time counts the turns of the loop: what a client had sent before a stall has to be read
-        before the node stops, or the connection is reset, and its last answers with it.
+        The timeout is measured in running time: input that came before a stall has to be read
+        before the node stops, or the connection is reset and its last answers are lost.
         """
-        if self.node.clients and waited.elapsed_ns() < DISCONNECT_TIMEOUT_NS:
-            _call_later(CHECK_PERIOD_S, partial(self._await_disconnects, waited))
+        if self.node.clients and disconnect_time.elapsed_ns() < DISCONNECT_TIMEOUT_NS:
+            _call_later(CHECK_PERIOD_S, partial(self._await_disconnects, disconnect_time))
         else:
             self.node.stop()
 
--- a/query_broker/server/host.py
+++ b/query_broker/server/host.py
@@ -1,6 +1,6 @@
 """The interfaces of a node that its parts depend on.
 
-The parts depend on these protocols and not on the node itself, which is composed of them.
+The parts depend on these protocols instead of the node class, which is composed of the parts.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 class PeerProcessRegistry(Protocol):
     """The other processes of this broker, and the exchange of status with them."""
 
-    accepting: bool  # this process takes new connections
+    accepting: bool  # whether this process accepts new connections
 
     @property
     def others(self) -> Collection[str]:
@@ -30,14 +30,14 @@
         """Read the status of each other process and apply what has changed."""
 
     def has_successor(self) -> bool:
-        """Return whether another process accepts the connections that come from now on."""
+        """Return whether another process accepts new connections."""
 
     def publish_status(self) -> None:
-        """Publish the present status of this process."""
+        """Publish the current status of this process."""
 
 
 class ServiceContext(Protocol):
-    """The node, as far as a service needs it whatever its dispatcher."""
+    """The part of a node that services need, independent of its dispatcher."""
 
     @property
     def config(self) -> Config:
@@ -49,14 +49,14 @@
 
     @property
     def log(self) -> LogWriter:
-        """Writes a line: its kind, by which lines are limited, and its text."""
+        """Writes a line of a kind; the lines of each kind are rate-limited."""
 
 
 class NodeContext(ServiceContext, Protocol):
-    """The node, as far as its parts and its subsystems need it."""
+    """The part of a node that its own parts and the subsystems need."""
 
-    closing_announced: bool  # clients have been told to leave: the node is not ready any more
-    endpoint_list_known: bool  # an endpoint list has come, from the settings or the service
+    closing_announced: bool  # whether clients have been asked to leave; the node is then not ready
+    endpoint_list_known: bool  # whether the settings or the service have provided a list
 
     @property
     def dispatcher(self) -> Dispatcher:
@@ -76,7 +76,7 @@
 
     @property
     def peer_processes(self) -> PeerProcessRegistry | None:
-        """The other processes of this broker, where the clients' socket is inherited."""
+        """The other processes of this broker; None unless the clients' socket is inherited."""
 
     def ready(self) -> bool:
         """Return whether clients should send their requests here."""
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -1,7 +1,7 @@
-"""One running broker: it owns the sockets, the dispatcher and the parts that keep them going.
+"""One running broker, which owns the sockets, the dispatcher and the parts that run them.
 
-A node with an operators' file (``query_broker.operator_config``) or with cells
-(``query_broker.cells``) derives from ``Node`` and overrides its extension points.
+Nodes with an operators' file (``query_broker.operator_config``) or with cells
+(``query_broker.cells``) are subclasses of ``Node`` that override its extension points.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from .signals import handle_signals, ignore_signals, take_early_hangup
 from .tick_loop import SWEEP_PERIOD_NS, TickLoop
 
-ADMIN_KEY = "operator"  # of the settings, as a faulty address is named at the start
+ADMIN_ADDRESS_KEY = "operator"  # settings key that the message of a `ListenerError` names
 
 
 class Node:
@@ -48,17 +48,17 @@
         partial_frame_bytes: Bytes of client frames that are not complete yet, counted by the
             connections.
         server: The clients' server, once it listens.
-        admin_api: The operators' calls.
-        peer_processes: The other processes of this broker. Without an inherited socket no second
-            process can listen, and there are none.
+        admin_api: The calls for operators.
+        peer_processes: The other processes of this broker; None unless the clients' socket is
+            inherited, since otherwise no second process can listen.
         watch_client: The client of the discovery service, once one is configured.
-        endpoint_list_known: Whether an endpoint list has come, from the settings or the service.
-        closing_announced: Whether clients have been asked to leave; the node is no longer ready
-            then.
+        endpoint_list_known: Whether the settings or the service have provided an endpoint list.
+        closing_announced: Whether clients have been asked to leave; the node is then no longer
+            ready.
         stopped: Set when all resources are released.
     """
 
-    # The longest time between two ticks where nothing falls due. Extension point.
+    # The longest time between two ticks if no timer is due. Extension point.
     longest_rest_ns = SWEEP_PERIOD_NS
 
     def __init__(self, config: Config, environ: Mapping[str, str] = os.environ) -> None:
@@ -66,7 +66,7 @@
 
         Args:
             config: The configuration as it was read.
-            environ: Where a reload finds the configuration again.
+            environ: The environment from which a reload reads the configuration again.
         """
         self.config = replace(config, sockets=raise_descriptor_limit(config.sockets))
         self.log = Log(config.name)
@@ -87,7 +87,7 @@
         self.tick_loop = TickLoop(self)
         self.stopped = asyncio.Event()
 
-    # --- extension points: overridden by a node with an operators' file or with cells ---
+    # Extension points, overridden by nodes with an operators' file or with cells.
 
     def make_dispatcher(self) -> Dispatcher:
         """Build the dispatcher, from the configuration, the clock and the log."""
@@ -113,13 +113,10 @@
         )
 
     async def open_sockets(self) -> None:
-        """Open the sockets of subsystems, before the operators' and the clients' ones."""
+        """Open the sockets of subsystems, before those of the admin API and of the clients."""
 
     def apply_config(self, config: Config) -> None:
-        """Apply a configuration at a reload.
-
-        What can be rejected is rejected before anything is changed.
-        """
+        """Apply a configuration at a reload, or reject it before anything is changed."""
         self.dispatcher.apply_settings(config)
 
     def status_extension(self) -> Mapping[str, Any]:
@@ -127,12 +124,10 @@
         return {}
 
     def after_tick(self) -> None:
-        """Do the periodic work of subsystems; the next tick is scheduled by now."""
-
-    # --- the endpoint list ---
+        """Do the periodic work of subsystems; the next tick has already been scheduled."""
 
     def follow_endpoint_list(self, address: tuple[str, int]) -> None:
-        """Watch the endpoint list at this address, in place of another one if need be."""
+        """Watch the endpoint list at this address, which replaces any previous address."""
         if self.watch_client is None:
             self.watch_client = self.make_watch_client(address)
             self.watch_client.start()
@@ -140,15 +135,13 @@
             self.watch_client.change_address(address)
 
     def endpoint_list_changed(self, event: EndpointListEvent) -> None:
-        """Apply a watch event; from the first one on, this process can accept for another one."""
+        """Apply a watch event; after the first one, this process can succeed another one."""
         is_first = not self.endpoint_list_known
         self.endpoint_list_known = True
         self.dispatcher.endpoint_list_changed(event)
         if is_first and self.peer_processes is not None:
             self.peer_processes.publish_status()
 
-    # --- client connections ---
-
     @property
     def clients(self) -> set[ClientConnection]:
         """The client connections that have been admitted."""
@@ -170,10 +163,8 @@
         """Remove a connection that has ended."""
         self.admission.discard(connection)
 
-    # --- the other processes of this broker ---
-
     def apply_peer_statuses(self, others: Collection[ProcessStatus]) -> None:
-        """Divide the broker's limits with these other processes; without any, use them all."""
+        """Divide the broker's limits among this and the other processes."""
         accepting_processes = 1 + sum(other.accepting for other in others)
         self.dispatcher.report_event(
             CoProcessLoad(total_outstanding_work(others), accepting_processes)
@@ -181,16 +172,14 @@
         self.dispatcher.divide(1 + len(others), sum(other.clients for other in others))
         self.admission.max_connections = self.dispatcher.max_clients
 
-    # --- from start to stop ---
-
     async def run(self) -> None:
-        """Serve until ``stop``.
+        """Serve until ``stop`` is called.
 
         Raises:
-            ListenerError: An address cannot be listened on.
+            ListenerError: A listening socket cannot be opened.
         """
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(partial(_log_loop_fault, self))
+        loop.set_exception_handler(partial(_log_callback_error, self))
         for event in self.config.known_events:
             self.dispatcher.endpoint_list_changed(event)
             self.endpoint_list_known = True
@@ -202,12 +191,14 @@
         if self.config.discovery_address is not None:
             self.follow_endpoint_list(self.config.discovery_address)
         if self.config.admin_address is not None:
-            await self.admin_api.listen(bind_listener(ADMIN_KEY, *self.config.admin_address))
+            await self.admin_api.listen(
+                bind_listener(ADMIN_ADDRESS_KEY, *self.config.admin_address)
+            )
         self.server = await loop.create_server(
             self.make_connection, sock=client_listener(self.config), backlog=ACCEPT_BACKLOG
         )
-        # Objects that live as long as the process are excluded from garbage collection, which would
-        # stop the event loop to scan them.
+        # Objects that live as long as the process are excluded from garbage collection: scanning
+        # them would block the event loop.
         gc.collect()
         gc.freeze()
         self._log_start()
@@ -243,10 +234,10 @@
 
 
 def serve(create_node: Callable[[], Node]) -> None:
-    """Run the node that ``create_node`` builds until SIGTERM, on a loop of its own.
+    """Run the node that ``create_node`` builds on a new event loop until SIGTERM.
 
     Raises:
-        ConfigError: The node cannot be built, or an address cannot be listened on.
+        ConfigError: The node cannot be built, or a listening socket cannot be opened.
     """
 
     async def main() -> None:
@@ -256,6 +247,8 @@
     uvloop.run(main())
 
 
-def _log_loop_fault(node: Node, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log a fault that a callback raised; the loop goes on."""
+def _log_callback_error(
+    node: Node, loop: asyncio.AbstractEventLoop, context: dict[str, Any]
+) -> None:
+    """Log an exception that a callback raised; the event loop continues."""
     node.log("fault", f"{context.get('message')}: {context.get('exception')!r}")
