--- a/query_broker/server/process_status.py
+++ b/query_broker/server/process_status.py
@@ -1,6 +1,6 @@
 """The status that two processes of one broker exchange during an upgrade, and its JSON codec.
 
-The keys of the file are fixed by the versions that are in service; this module alone maps them to
+The keys of the file are fixed, since versions in service use them; only this module maps them to
 the terms of the code. Performs no I/O.
 """
 
@@ -16,34 +16,32 @@
 from ..endpoints.administrative_state import AdministrativeState
 from ..errors import QueryBrokerError
 
-# Keys of the file.
 KEY_ACCEPTING = "accepting"
 KEY_CLIENTS = "clients"
 KEY_ADMINISTRATIVE_STATES = "words"
 KEY_OUTSTANDING_WORK = "out"
 KEY_CELLS = "cells"
 KEY_CHECKSUM = "sum"
-# Largest absolute value of a number.
-MAX_INTEGER = (1 << 63) - 1
-NO_NUMBER = "a value is no number in range"
-NO_BOOLEAN = "a value is neither true nor false"
+MAX_INTEGER = (1 << 63) - 1  # the largest absolute value of a number
+NOT_A_NUMBER = "a value is not a number in range"
+NOT_A_BOOLEAN = "a value is not a boolean"
 
 
 class StatusFormatError(QueryBrokerError, ValueError):
-    """A status file that is incomplete or that no process of this broker wrote."""
+    """A status file is incomplete, or was not written by a process of this broker."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStatus:
-    """What one process publishes to the others of this broker.
+    """What one process publishes to the other processes of this broker.
 
     Attributes:
-        accepting: Whether it accepts new connections and has an endpoint list to serve them.
-        clients: Its open client connections.
-        administrative_states: The operators' last call on each endpoint, by endpoint uid.
-        outstanding_work: Its unfinished work on each endpoint, by endpoint number.
-        cells: The status of its cells, unchecked: the codec of the cells reads it. None where the
-            process has no cells.
+        accepting: Whether the process accepts new connections and has an endpoint list.
+        clients: The number of its open client connections.
+        administrative_states: The operators' last directive on each endpoint, by endpoint uid.
+        outstanding_work: Its unfinished work at each endpoint, by endpoint number.
+        cells: The status of its cells, not validated here but by the codec of the cells. None if
+            the process has no cells.
     """
 
     accepting: bool = False
@@ -57,7 +55,7 @@
     """Encode a status as JSON, followed by its checksum.
 
     Args:
-        status: The status of this process; its ``cells`` come with ``extension``.
+        status: The status of this process; its ``cells`` are ignored and come from ``extension``.
         extension: Further keys of the file with plain JSON values, from the node's subsystems.
     """
     states = status.administrative_states.items()
@@ -75,10 +73,10 @@
 def decode_status(text: str) -> ProcessStatus:
     """Decode a status file, which may be padded with spaces.
 
-    A file without a checksum is valid: versions before the checksum replaced the file in one step.
+    A file without a checksum is valid: versions before the checksum replaced the file atomically.
 
     Raises:
-        StatusFormatError: The text is no status, or only a part of one.
+        StatusFormatError: The text is not a complete status.
     """
     try:
         fields = json.loads(text, object_pairs_hook=_object_without_duplicates)
@@ -92,10 +90,10 @@
 
 
 def status_from_fields(fields: Any) -> ProcessStatus:
-    """Check the fields of a status file; an absent one takes the value of an idle process.
+    """Check the fields of a status file; absent fields get the values of an idle process.
 
     Raises:
-        StatusFormatError: A field is not of its type.
+        StatusFormatError: A field has the wrong type.
     """
     try:
         states = fields.get(KEY_ADMINISTRATIVE_STATES, {}).items()
@@ -118,10 +116,10 @@
 
 
 def _object_without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Make an object of its pairs; no process of this broker writes a key twice."""
+    """Build an object from its pairs; no process of this broker writes a duplicate key."""
     fields = dict(pairs)
     if len(fields) < len(pairs):
-        problem = "a key stands twice"
+        problem = "an object has a duplicate key"
         raise ValueError(problem)
     return fields
 
@@ -129,26 +127,26 @@
 def _integer(value: Any) -> int:
     """Return a number as an integer.
 
-    Infinity and NaN are numbers of JSON for this reader, and `int` raises another error for each;
-    the sums of such fields go into the limits of this process.
+    Python's JSON decoder accepts Infinity and NaN, for which `int` raises two different errors. The
+    range is checked because sums of such fields are used for the limits of this process.
 
     Raises:
-        TypeError: It is no number.
-        ValueError: It is not finite, or larger than any count or time.
+        TypeError: The value is not a number.
+        ValueError: The value is not finite, or larger than any count or time.
     """
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise TypeError(NO_NUMBER)
-    is_in_range = abs(value) <= MAX_INTEGER  # false of NaN too
+        raise TypeError(NOT_A_NUMBER)
+    is_in_range = abs(value) <= MAX_INTEGER  # also false for NaN
     if not is_in_range:
-        raise ValueError(NO_NUMBER)
+        raise ValueError(NOT_A_NUMBER)
     return int(value)
 
 
 def _count(value: Any) -> int:
-    """Return a number that is not negative; the errors are those of `_integer`."""
+    """Return a number as a non-negative integer; raises the errors of `_integer`."""
     count = _integer(value)
     if count < 0:
-        raise ValueError(NO_NUMBER)
+        raise ValueError(NOT_A_NUMBER)
     return count
 
 
@@ -156,20 +154,20 @@
     """Return a boolean.
 
     Raises:
-        TypeError: It is none.
+        TypeError: The value is not a boolean.
     """
     if not isinstance(value, bool):
-        raise TypeError(NO_BOOLEAN)
+        raise TypeError(NOT_A_BOOLEAN)
     return value
 
 
 def checksum(fields: Mapping[str, Any]) -> int:
-    """Return the CRC-32 of the fields as JSON text, in their order."""
+    """Return the CRC-32 of the fields' JSON text, in the order of the fields."""
     return zlib.crc32(json.dumps(fields).encode())
 
 
 def total_outstanding_work(statuses: Iterable[ProcessStatus]) -> dict[int, OutstandingWork]:
-    """Add up the unfinished work of the processes, by endpoint number."""
+    """Return the sum of the processes' unfinished work, by endpoint number."""
     total: dict[int, OutstandingWork] = {}
     for status in statuses:
         for number, work in status.outstanding_work.items():
--- a/query_broker/server/reload.py
+++ b/query_broker/server/reload.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP: the configuration is read and checked completely, then applied in one step."""
+"""Reload at SIGHUP: reads and checks the configuration completely, then applies it in one step."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class ReloadableNode(NodeContext, Protocol):
-    """What the reload needs of its node."""
+    """The part of a node that the reload needs."""
 
     config: Config
     shutdown: GracefulShutdown
 
     def apply_config(self, config: Config) -> None:
-        """Apply a configuration, or reject it before anything has changed."""
+        """Apply a configuration, or reject it before anything is changed."""
 
     def follow_endpoint_list(self, address: tuple[str, int]) -> None:
         """Watch the endpoint list at this address."""
@@ -28,37 +28,37 @@
     """Replaces the configuration of a running node, or keeps it if the new one is rejected."""
 
     def __init__(
-        self, node: ReloadableNode, started_with: Config, environ: Mapping[str, str]
+        self, node: ReloadableNode, start_config: Config, environ: Mapping[str, str]
     ) -> None:
-        """Remember what the process was started with.
+        """Create a reloader for a node.
 
         Args:
             node: The node whose configuration is replaced.
-            started_with: The configuration as it was read at the start. Some of its keys are fixed
-                until the next start; a reload names those that differ.
+            start_config: The configuration as it was read at the start. Changes to some of its keys
+                take effect only at the next start; a reload logs these keys.
             environ: Environment with the path of the file and the variables that override its keys.
         """
         self.node = node
-        self.started_with = started_with
+        self.start_config = start_config
         self.environ = environ
 
     def reload(self) -> None:
         """Read the configuration again and apply it; a faulty one is logged and counted."""
         if self.node.shutdown.begun:
-            self.node.log("reload", "SIGHUP: not during the drain")
+            self.node.log("reload", "SIGHUP ignored during the drain")
             return
         try:
             config = read_again(self.node.config, self.environ)
             self.node.apply_config(config)
         except ConfigError as error:
             self.reject(str(error))
-        except Exception as error:  # no file may end a broker that serves
+        except Exception as error:  # no file content may end a serving broker
             self.reject(f"{type(error).__name__}: {error}")
         else:
             self._adopt(config)
 
     def reject(self, reason: str) -> None:
-        """Count and log a configuration that is not applied."""
+        """Count and log a rejected configuration."""
         self.node.dispatcher.metrics_counts.reloads_rejected += 1
         self.node.log("reload", f"the configuration stays as it was: {reason}")
 
@@ -67,11 +67,11 @@
         self.node.dispatcher.metrics_counts.reloads_applied += 1
         for remark in config.remarks():
             self.node.log("config", remark)
-        fixed_keys = keys_needing_restart(self.started_with, config)
+        restart_keys = keys_needing_restart(self.start_config, config)
         self.node.config = self.node.dispatcher.config
         result = "done"
-        if fixed_keys:
-            result += f"; with the next start only: {', '.join(fixed_keys)}"
+        if restart_keys:
+            result += f"; restart required for: {', '.join(restart_keys)}"
         self.node.log("reload", result)
         if config.discovery_address is not None:
             self.node.follow_endpoint_list(config.discovery_address)
--- a/query_broker/server/running_time.py
+++ b/query_broker/server/running_time.py
@@ -1,4 +1,4 @@
-"""The time in which this process runs, for timeouts that a stall must not use up."""
+"""A stopwatch that limits how much a stall of this process counts, for use in timeouts."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class RunningTime:
-    """Adds up the time between successive calls, each step up to a maximum.
+    """Adds up the time between successive calls, where each step counts up to a maximum.
 
-    A process that is stopped, or that gets no processor for a while, does nothing of what a timeout
-    gives it time for. A stall therefore counts as one step, however long it was.
+    A process that is stopped, or gets no processor time, can't use the time that a timeout allows
+    for its work. A stall therefore counts as one step, however long it was.
     """
 
     def __init__(self, clock: Clock, max_step_ns: int) -> None:
-        """Begin at zero.
+        """Start at zero.
 
         Args:
             clock: Gives the time in Unix nanoseconds.
-            max_step_ns: The most that the time between two calls counts for.
+            max_step_ns: The largest step; a longer time between two calls counts as this much.
         """
         self._clock = clock
         self._max_step_ns = max_step_ns
@@ -25,7 +25,7 @@
         self._elapsed_ns = 0
 
     def elapsed_ns(self) -> int:
-        """Count the time since the last call, and return the sum in nanoseconds."""
+        """Add the time since the last call, and return the sum in nanoseconds."""
         now_ns = self._clock.now()
         self._elapsed_ns += min(now_ns - self._last_ns, self._max_step_ns)
         self._last_ns = now_ns
--- a/query_broker/server/signals.py
+++ b/query_broker/server/signals.py
@@ -1,4 +1,4 @@
-"""Signals: those that come before the event loop can take them, while it runs and after its end."""
+"""Signal handling before the event loop runs, while it runs and after it has ended."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from collections.abc import Callable
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-_early_hangups: list[int] = []  # the SIGHUPs that came before the event loop
+_early_hangups: list[int] = []  # the SIGHUPs received before the event loop handles signals
 
 
 def remember_early_hangups() -> None:
-    """Remember each SIGHUP from now on, until the event loop takes them.
+    """Record each SIGHUP from now on, until the event loop handles signals.
 
-    A process that has just been started gets SIGHUP for new settings like any other. Without a
-    handler the signal would end it; if ignored, the process would keep the former settings.
+    A process may be sent SIGHUP for new settings right after its start. Without a handler the
+    signal would end the process; if it were ignored, the process would keep the old settings.
     """
     signal.signal(signal.SIGHUP, lambda number, frame: _early_hangups.append(number))
 
 
 def take_early_hangup() -> bool:
-    """Return whether a SIGHUP came before the event loop; each is reported once."""
-    has_come = bool(_early_hangups)
+    """Return whether a SIGHUP was recorded, and clear the record."""
+    was_received = bool(_early_hangups)
     _early_hangups.clear()
-    return has_come
+    return was_received
 
 
 def handle_signals(
@@ -36,10 +36,10 @@
 
 
 def ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignore all handled signals, at the end of the process.
+    """Ignore all handled signals while the process exits.
 
-    The interpreter gives signals back to the system as it ends: a second SIGTERM would end by
-    signal a process that is about to exit with 0.
+    The interpreter restores the default handlers as it exits: a second SIGTERM would kill a process
+    that is about to exit with status 0.
     """
     for number in HANDLED_SIGNALS:
         loop.remove_signal_handler(number)
--- a/query_broker/server/structured_log.py
+++ b/query_broker/server/structured_log.py
@@ -1,6 +1,6 @@
-"""Structured lines on structlog, and a line with the trace of a request.
+"""The structured log based on structlog, and its lines with the trace of a request.
 
-Loaded only where the operators ask for it, since structlog is an extra.
+Imported only if the operators' file asks for it, since structlog is an optional dependency.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from ..timer_wheel import Clock
 
 NS_PER_MS = 1_000_000
-# The hash of a request id is reduced to 32 bits, enough for any fraction.
+# The hash of a request id is reduced to 32 bits, precise enough for any sampled fraction.
 HASH_RANGE = 1 << 32
 
 
@@ -41,7 +41,7 @@
     """Writes the lines of the rate-limited log in a structured format."""
 
     def __init__(self, name: str, settings: Logs) -> None:
-        """Write lines under the name of this broker, in the form of the operators' settings."""
+        """Write lines under the name of this broker, in the format of the operators' settings."""
         self.settings = settings
         self.logger = make_logger(name, settings.format)
 
@@ -51,12 +51,12 @@
 
 
 def is_sampled(request_id: bytes, fraction: float) -> bool:
-    """Return whether a request is in the sample: the same ones at every broker that they reach."""
+    """Return whether a request is sampled; all brokers sample the same request ids."""
     return xxhash.xxh3_64_intdigest(request_id) % HASH_RANGE < fraction * HASH_RANGE
 
 
 def request_trace(request: ActiveRequest, ending: str, now_ns: int) -> dict[str, Any]:
-    """Return the fields of a request's line: how it ended, and its time by stage in milliseconds.
+    """Return the fields of a request's trace: how it ended, and the milliseconds of each stage.
 
     The names of the fields are part of the log's format.
     """
@@ -100,27 +100,27 @@
 
 
 class TraceObserver(DispatchObserver):
-    """Writes a line for sampled requests and for those past their deadline.
+    """Writes a trace line for sampled requests and for those that end past their deadline.
 
-    During a fault every request may end past its deadline, so the limit of the log by kind holds
-    for these lines too.
+    During a fault every request may end past its deadline, so the log's limit of lines by kind
+    applies to trace lines too.
     """
 
-    def __init__(self, log: Log, lines: StructuredLog, clock: Clock) -> None:
-        """Write to these lines, as far as the log's limit allows."""
+    def __init__(self, log: Log, structured_log: StructuredLog, clock: Clock) -> None:
+        """Write to the structured log, subject to the line limits of ``log``."""
         self._log = log
-        self._lines = lines
+        self._structured_log = structured_log
         self._clock = clock
 
     def request_ended(self, request: ActiveRequest, ending: RequestEnding) -> None:
-        """Write the trace of a request that has ended, if it is late or in the sample."""
+        """Write the trace of a request that has ended, if it is late or sampled."""
         now_ns = self._clock.now()
         if now_ns > request.deadline_ns:
             kind = "late"
-        elif is_sampled(request.client_request_id, self._lines.settings.traced_fraction):
+        elif is_sampled(request.client_request_id, self._structured_log.settings.traced_fraction):
             kind = "story"
         else:
             return
         if self._log.allowed(kind):
             fields = request_trace(request, ending.value, now_ns)
-            self._lines.logger.info("request", kind=kind, **fields)
+            self._structured_log.logger.info("request", kind=kind, **fields)
--- a/query_broker/server/tick_loop.py
+++ b/query_broker/server/tick_loop.py
@@ -11,19 +11,19 @@
 
 NS_PER_MS = 1_000_000
 MS_PER_S = 1_000
-# Time between two sweeps of idle connections and slow readers. Their timeouts are seconds, to
-# which a quarter of a second adds little.
+# Time between two sweeps of idle connections and slow readers. Compared to their timeouts of
+# seconds, a quarter of a second is short.
 SWEEP_PERIOD_NS = 250_000_000
-# A tick that is later than this is logged. Ticks are a few milliseconds apart: one so late means
-# that the process had too little processor time.
+# Ticks later than this are logged. Ticks are a few milliseconds apart: such a delay means that the
+# process had too little processor time.
 MAX_LAG_NS = 100_000_000
-# A signal that is handled so soon after a stall may have come during it: the loop comes to the late
-# tick first, and to the signals in the same turn.
+# A signal that is handled within this time after a stall may have come during the stall: the loop
+# runs the late tick first, then the signal handlers in the same iteration.
 SIGNAL_DELAY_NS = 100_000_000
 
 
 class Stall(NamedTuple):
-    """A time in which the event loop did not run.
+    """A period in which the event loop did not run.
 
     Attributes:
         began_ns: The last tick before it.
@@ -35,13 +35,13 @@
 
 
 class TickingNode(NodeContext, Protocol):
-    """What the tick loop needs of its node."""
+    """The part of a node that the tick loop needs."""
 
-    longest_rest_ns: int  # the longest time between two ticks where nothing falls due
+    longest_rest_ns: int  # the longest time between two ticks if no timer is due
 
     @property
     def watch_client(self) -> WatchClient | None:
-        """The client of the discovery service, where one is configured."""
+        """The client of the discovery service, once one is configured."""
 
     @property
     def admission(self) -> ClientAdmission:
@@ -52,9 +52,9 @@
 
 
 class TickLoop:
-    """Runs the periodic work whenever a timer of the dispatcher's wheel falls due.
+    """Runs the periodic work whenever a timer of the dispatcher's wheel is due.
 
-    An idle broker rests up to ``longest_rest_ns``; a timer that falls due sooner wakes it.
+    An idle broker ticks every ``longest_rest_ns``; an earlier timer brings the tick forward.
     """
 
     def __init__(self, node: TickingNode) -> None:
@@ -68,7 +68,7 @@
         self._last_sweep_ns = now_ns
 
     def start(self) -> None:
-        """Run the first tick; call it on the running event loop."""
+        """Run the first tick; must be called on the running event loop."""
         now_ns = self.node.clock.now()
         self._due_ns = now_ns
         self._last_tick_ns = now_ns
@@ -85,16 +85,16 @@
             self._run_due_work(now_ns)
         finally:
             now_ns = self.node.clock.now()
-            rest_ns = self.node.dispatcher.timer_wheel.idle_ns(now_ns, self.node.longest_rest_ns)
-            self._schedule(rest_ns, now_ns)
-        # The next tick is scheduled by now, so that a timer set here can bring it forward.
+            delay_ns = self.node.dispatcher.timer_wheel.idle_ns(now_ns, self.node.longest_rest_ns)
+            self._schedule(delay_ns, now_ns)
+        # The next tick is already scheduled, so that a timer set here can bring it forward.
         self.node.after_tick()
 
     def earliest_signal_ns(self, now_ns: int) -> int:
         """Return the earliest time at which a signal that is handled now may have come.
 
-        A process that is stopped handles a signal only once it runs again, while whoever has sent
-        the signal counts from the moment of sending it.
+        A stopped process handles a signal only once it runs again, but the sender measures its
+        timeouts from the moment of sending.
         """
         stall = self._last_stall
         return stall.began_ns if now_ns - stall.ended_ns <= SIGNAL_DELAY_NS else now_ns
@@ -114,15 +114,16 @@
             self.node.dispatcher.pools.sweep(now_ns)
             self.node.admission.close_slow_readers(now_ns)
 
-    def _schedule(self, rest_ns: int, now_ns: int) -> None:
-        self._due_ns = now_ns + rest_ns
-        # The timers of the event loop go by whole milliseconds: rounded up, none fires early.
-        rest_ms = -(-rest_ns // NS_PER_MS)
+    def _schedule(self, delay_ns: int, now_ns: int) -> None:
+        self._due_ns = now_ns + delay_ns
+        # The event loop's timers have a resolution of one millisecond: rounding up keeps a tick
+        # from firing early.
+        delay_ms = -(-delay_ns // NS_PER_MS)
         loop = asyncio.get_running_loop()
-        self._next_tick = loop.call_later(rest_ms / MS_PER_S, self._tick)
+        self._next_tick = loop.call_later(delay_ms / MS_PER_S, self._tick)
 
     def wake(self) -> None:
-        """Bring the next tick forward, since a timer falls due before it."""
+        """Bring the next tick forward, since a timer is due before it."""
         if self._next_tick is None:
             return
         self._next_tick.cancel()
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -169,7 +169,7 @@
         assert "s-9" not in rig.node.dispatcher.endpoint_table.by_uid
         rig.node.shutdown.begun_at_ns = 1
         reload(rig, config_text(f"127.0.0.1:{await late.start()}"))
-        await until(lambda: any("not during the drain" in line for line in rig.logged))
+        await until(lambda: any("SIGHUP ignored during the drain" in line for line in rig.logged))
         assert not late.subscriptions
 
 
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -147,7 +147,7 @@
         client.ask(stream=1)
         await until(lambda: engine.commands_named(b"do"))
         await reload_with(rig, {**with_another_class("night"), "seed": "77"}, "reload: done")
-        assert "reload: done; with the next start only: listen, operator, seed" in rig.logged
+        assert "reload: done; restart required for: listen, operator, seed" in rig.logged
         for number in (0, -5):  # nothing of it is applied, neither its classes nor its bus
             bad = changed("settings.classes.1.deadline", number)
             bad["settings"]["classes"][0]["name"] = "glance-x"
