--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list on real sockets: events, silence, drains and new addresses."""
+"""The watch of the endpoint list over real sockets: events, silence, drains and new addresses."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 
 pytestmark = pytest.mark.real_time
 
-#: The constant of the client that the tests replace, and a limit that is never reached.
-SILENCE_LIMIT = "query_broker.discovery.watch_client.SILENCE_LIMIT_NS"
+#: Path of the constant of the watch client that the tests patch, and a limit that is never reached.
+SILENCE_LIMIT_PATH = "query_broker.discovery.watch_client.SILENCE_LIMIT_NS"
 NEVER_NS = 1 << 62
 
 
 @pytest.fixture(autouse=True)
-def _never_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Keep a slow machine from passing for a silent service."""
-    monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
+def _disable_silence_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disable the silence limit, which a slow machine could reach."""
+    monkeypatch.setattr(SILENCE_LIMIT_PATH, NEVER_NS)
 
 
 def config_text(address: str) -> str:
@@ -59,43 +59,46 @@
     )
 
 
-class LeavingAndOther(NamedTuple):
-    """Two engines, of which the first one is going to drain.
+class DrainingAndReadyEngines(NamedTuple):
+    """Two engines, the first of which is going to drain.
 
     Attributes:
-        leaving: The engine that drains.
-        other: The engine that stays.
-        targets: How the service describes them, in this order.
+        draining: The engine that drains.
+        ready: The engine that stays ready.
+        targets: The entries of both engines in the endpoint list, in this order.
     """
 
-    leaving: Engine
-    other: Engine
+    draining: Engine
+    ready: Engine
     targets: list[dict[str, Any]]
 
-    def drain(self, offset: int) -> dict[str, Any]:
+    def drain_event(self, offset: int) -> dict[str, Any]:
         """Return the event that the first engine drains."""
         return topology_event(offset, {**self.targets[0], "state": "terminating"})
 
 
-async def start_leaving_and_other() -> LeavingAndOther:
-    """Start both engines, and describe them as s-1 and s-2."""
-    leaving = Engine()
-    other = Engine()
-    targets = [target_entry("s-1", await leaving.start()), target_entry("s-2", await other.start())]
-    return LeavingAndOther(leaving, other, targets)
+async def start_draining_and_ready() -> DrainingAndReadyEngines:
+    """Start both engines, with the uids s-1 and s-2."""
+    draining = Engine()
+    ready = Engine()
+    targets = [
+        target_entry("s-1", await draining.start()),
+        target_entry("s-2", await ready.start()),
+    ]
+    return DrainingAndReadyEngines(draining, ready, targets)
 
 
-def check_after_silence(
+def check_silence_after(
     watch_client: WatchClient, silent_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Let the client check for silence, with its own limit, after so long without a byte."""
-    monkeypatch.setattr(SILENCE_LIMIT, SILENCE_LIMIT_NS)
+    """Run the client's silence check, with its real limit, after this time without a byte."""
+    monkeypatch.setattr(SILENCE_LIMIT_PATH, SILENCE_LIMIT_NS)
     watch_client.drop_if_silent(watch_client.last_received_ns + silent_ms * MS)
-    monkeypatch.setattr(SILENCE_LIMIT, NEVER_NS)
+    monkeypatch.setattr(SILENCE_LIMIT_PATH, NEVER_NS)
 
 
 @on_uvloop
-async def test_requests_the_events_it_lacks_and_resumes_after_a_cut() -> None:
+async def test_events_are_requested_from_the_known_offset_and_again_after_a_disconnection() -> None:
     service = ScriptedDiscoveryService()
     engine = Engine()
     port = await engine.start()
@@ -114,7 +117,7 @@
 
 
 @on_uvloop
-async def test_a_heartbeat_beyond_what_came_and_an_invalid_line_make_it_connect_anew() -> None:
+async def test_missing_events_or_an_invalid_line_cause_a_reconnect() -> None:
     service = ScriptedDiscoveryService()
     async with running(make_config(bus=await service.start())) as rig:
         await until(lambda: service.subscriptions)
@@ -123,7 +126,7 @@
         assert service.subscriptions[1] == b"from 1\n"
         service.publish('{"offset":2,')
         await until(lambda: len(service.subscriptions) == 3)
-        service.publish('{"offset":2,')  # again: skipped, the connection goes on
+        service.publish('{"offset":2,')  # skipped the second time, on the same connection
         service.publish(topology_event(3, target_entry("s-3", 9)))
         await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
         assert len(service.subscriptions) == 3
@@ -132,49 +135,49 @@
 
 
 @on_uvloop
-async def test_sighup_moves_to_another_service_and_keeps_the_old_one_until_it_is_up(
+async def test_sighup_changes_the_service_and_keeps_the_old_connection_until_the_new_one_is_up(
     tmp_path: Path,
 ) -> None:
     old = ScriptedDiscoveryService()
     new = ScriptedDiscoveryService()
-    late = ScriptedDiscoveryService()
+    third = ScriptedDiscoveryService()
     path = tmp_path / "config.json"
-    first = await old.start()
+    old_port = await old.start()
 
     def reload(rig: Rig, text: str) -> None:
         path.write_text(text)
         os.kill(os.getpid(), signal.SIGHUP)
 
-    config = make_config(bus=first)
+    config = make_config(bus=old_port)
     async with running(config, {"PROXY_CONFIG": str(path)}) as rig:
         await until(lambda: old.subscriptions)
-        # a faulty file changes nothing, and the key is named
+        # an invalid file changes nothing, and the log names the key
         reload(rig, config_text("127.0.0.1:x"))
         await until(lambda: any("bus: '127.0.0.1:x'" in line for line in rig.logged))
         reload(rig, "{")
         await until(lambda: sum("stays as it was" in line for line in rig.logged) == 2)
-        empty = free_port()
-        reload(rig, config_text(f"127.0.0.1:{empty}"))
+        unused_port = free_port()
+        reload(rig, config_text(f"127.0.0.1:{unused_port}"))
         await until(lambda: any("no connection" in line for line in rig.logged))
-        # nothing listens at the new address yet
+        # nothing listens at the new address: the old connection still receives events
         old.publish(topology_event(2, target_entry("s-2", 9)))
         await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
         reload(rig, config_text(f"127.0.0.1:{await new.start()}"))
         await until(lambda: new.subscriptions)
         assert new.subscriptions == [b"from 2\n"]
         assert len(old.subscriptions) == 1
-        new.publish(topology_event(2, target_entry("s-9", 9)))  # known already
+        new.publish(topology_event(2, target_entry("s-9", 9)))  # skipped: its offset is known
         new.publish(topology_event(3, target_entry("s-3", 9)))
         await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
         assert "s-9" not in rig.node.dispatcher.endpoint_table.by_uid
         rig.node.shutdown.begun_at_ns = 1
-        reload(rig, config_text(f"127.0.0.1:{await late.start()}"))
+        reload(rig, config_text(f"127.0.0.1:{await third.start()}"))
         await until(lambda: any("SIGHUP ignored during the drain" in line for line in rig.logged))
-        assert not late.subscriptions
+        assert not third.subscriptions
 
 
 @on_uvloop
-async def test_a_service_that_stops_within_an_event_is_connected_to_again_within_2_s(
+async def test_a_service_that_falls_silent_within_an_event_is_reconnected_within_2_s(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     service = ScriptedDiscoveryService()
@@ -185,10 +188,10 @@
         assert rig.node.watch_client is not None
         service.writer.write(b'{"offset":2,"topo')
         watch_client = rig.node.watch_client
-        await until_part_of_a_line_has_come(watch_client)
-        check_after_silence(watch_client, 1_500, monkeypatch)  # a heartbeat may be late
+        await until_partial_line_received(watch_client)
+        check_silence_after(watch_client, 1_500, monkeypatch)  # a heartbeat may be late
         assert not watch_client.connection.transport.is_closing()  # type: ignore[union-attr]
-        check_after_silence(watch_client, 2_000, monkeypatch)
+        check_silence_after(watch_client, 2_000, monkeypatch)
         await until(lambda: len(service.subscriptions) == 2)
         assert service.subscriptions[1] == b"from 1\n"
         service.publish(topology_event(2, target_entry("s-2", 9)))
@@ -196,66 +199,66 @@
 
 
 def record_offsets(watch_client: WatchClient) -> list[int]:
-    """Return the list to which the offset of each event is added that the client passes on."""
+    """Return a list that collects the offsets of the events that the client passes on."""
     offsets: list[int] = []
-    pass_on = watch_client.on_event
+    on_event = watch_client.on_event
 
     def record(event: EndpointListEvent) -> None:
         offsets.append(event.offset)
-        pass_on(event)
+        on_event(event)
 
     watch_client.on_event = record
     return offsets
 
 
-async def until_part_of_a_line_has_come(watch_client: WatchClient) -> None:
-    """Wait until the connection holds a line whose end has not come."""
+async def until_partial_line_received(watch_client: WatchClient) -> None:
+    """Wait until the connection has received a part of a line."""
     await until(
         lambda: watch_client.connection is not None and watch_client.connection.parser.buffer
     )
 
 
-async def assert_drained_gets_nothing(
-    client: Client, engines: LeavingAndOther, first_stream: int
+async def assert_draining_engine_gets_no_requests(
+    client: Client, engines: DrainingAndReadyEngines, first_stream: int
 ) -> None:
-    """Send eight requests: all of them go to the engine that stays."""
-    before = len(engines.leaving.commands_named(b"do"))
+    """Send eight requests, and check that all of them go to the ready engine."""
+    count_before = len(engines.draining.commands_named(b"do"))
     for stream in range(first_stream, first_stream + 8):
         client.ask(stream, trace=f"{stream:016x}")
         assert (await client.answer())[:2] == (stream, 0)
-    assert len(engines.leaving.commands_named(b"do")) == before
-    assert engines.other.commands_named(b"do")
+    assert len(engines.draining.commands_named(b"do")) == count_before
+    assert engines.ready.commands_named(b"do")
 
 
 @on_uvloop
-async def test_watches_that_fall_silent_and_drains_notified_just_after(
+async def test_a_drain_after_a_silent_connection_is_applied_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The old connection stays open and silent, in the middle of a line; what it still sends once
-    the next one is up is not read, and an event that comes twice counts once.
+    """A network partition leaves the old connection open and silent in the middle of a line. What
+    arrives on it after the reconnect is not read, and a duplicate event is applied once.
     """
     service = ScriptedDiscoveryService()
-    engines = await start_leaving_and_other()
+    engines = await start_draining_and_ready()
     async with running(make_config(*engines.targets, bus=await service.start())) as rig:
         await until(lambda: service.writer)
-        old = service.writer
+        old_writer = service.writer
         watch_client = rig.node.watch_client
-        assert old is not None
+        assert old_writer is not None
         assert watch_client is not None
         offsets = record_offsets(watch_client)
-        drain = engines.drain(2)
+        drain = engines.drain_event(2)
         line = json.dumps(drain).encode() + b"\n"
-        old.write(line[:40])
-        await until_part_of_a_line_has_come(watch_client)
-        check_after_silence(watch_client, 2_000, monkeypatch)
-        await until(lambda: len(service.subscriptions) == 2 and service.writer is not old)
+        old_writer.write(line[:40])
+        await until_partial_line_received(watch_client)
+        check_silence_after(watch_client, 2_000, monkeypatch)
+        await until(lambda: len(service.subscriptions) == 2 and service.writer is not old_writer)
         assert service.subscriptions[1] == b"from 1\n"
-        old.write(line[40:] + b'{"offset":3,"topology":{"rev":3,"all":true,"targets":[]}}\n')
+        old_writer.write(line[40:] + b'{"offset":3,"topology":{"rev":3,"all":true,"targets":[]}}\n')
         service.publish(drain)
         await until(lambda: watch_client.last_offset == 2)
         service.publish(drain)
         client = await rig.client()
-        await assert_drained_gets_nothing(client, engines, 1)
+        await assert_draining_engine_gets_no_requests(client, engines, 1)
         service.publish(topology_event(3))
         await until(lambda: watch_client.last_offset == 3)
         assert offsets == [2, 3]
@@ -263,41 +266,41 @@
 
 
 @on_uvloop
-async def test_discovery_is_back_with_drains_in_its_first_moments() -> None:
-    """It refused connects; its first lines are the drains of the time between, while requests are
-    in flight.
+async def test_drains_sent_right_after_an_outage_of_the_service_are_applied() -> None:
+    """The service refuses connects at first. The first events after its recovery are drains from
+    the time of the outage.
     """
     service = ScriptedDiscoveryService()
-    engines = await start_leaving_and_other()
+    engines = await start_draining_and_ready()
     port = free_port()
     async with running(make_config(*engines.targets, bus=port)) as rig:
         await until(lambda: any("no connection" in line for line in rig.logged))
         client = await rig.client()
         client.ask(1, trace="1" * 16)
-        assert (await client.answer())[:2] == (1, 0)  # the known endpoints serve
+        assert (await client.answer())[:2] == (1, 0)  # endpoints from the settings are in use
         service.server = await asyncio.start_server(service._serve_client, "127.0.0.1", port)
         await until(lambda: service.subscriptions)
-        # out of turn: requested again, not applied
+        # event 2 is missing: event 3 is not applied, and both are requested again
         service.publish(topology_event(3, {**engines.targets[1], "capacity_hint": 9}))
         await until(lambda: len(service.subscriptions) == 2)
         assert service.subscriptions == [b"from 1\n", b"from 1\n"]
-        service.publish(engines.drain(2))
+        service.publish(engines.drain_event(2))
         await until(
             lambda: rig.node.watch_client is not None and rig.node.watch_client.last_offset == 2
         )
-        await assert_drained_gets_nothing(client, engines, 2)
+        await assert_draining_engine_gets_no_requests(client, engines, 2)
 
 
 @on_uvloop
-async def test_a_new_address_while_the_old_connection_has_part_of_a_line(
+async def test_a_partial_line_is_discarded_when_the_address_changes(
     tmp_path: Path,
 ) -> None:
     old = ScriptedDiscoveryService()
     new = ScriptedDiscoveryService()
-    engines = await start_leaving_and_other()
+    engines = await start_draining_and_ready()
     config = make_config(*engines.targets, bus=await old.start())
-    moved = write_config(tmp_path, bus=f"127.0.0.1:{await new.start()}", limits={"sockets": 256})
-    async with running(config, moved) as rig:
+    environ = write_config(tmp_path, bus=f"127.0.0.1:{await new.start()}", limits={"sockets": 256})
+    async with running(config, environ) as rig:
         await until(lambda: old.writer)
         watch_client = rig.node.watch_client
         assert watch_client is not None
@@ -305,14 +308,14 @@
         stale_drain = topology_event(2, {**engines.targets[1], "state": "terminating"})
         line = json.dumps(stale_drain).encode() + b"\n"
         old.writer.write(line[:50])
-        await until_part_of_a_line_has_come(watch_client)
-        before = watch_client.connection
-        assert before is not None
+        await until_partial_line_received(watch_client)
+        old_connection = watch_client.connection
+        assert old_connection is not None
         rig.node.reload()
-        await until(lambda: new.subscriptions and before.transport is None)
+        await until(lambda: new.subscriptions and old_connection.transport is None)
         assert new.subscriptions == [b"from 1\n"]
-        old.writer.write(line[50:])  # late, from an address that is not in force any more
-        new.publish(engines.drain(2))
+        old.writer.write(line[50:])  # sent by the old service after the connection was dropped
+        new.publish(engines.drain_event(2))
         await until(lambda: watch_client.last_offset == 2)
-        await assert_drained_gets_nothing(await rig.client(), engines, 1)
+        await assert_draining_engine_gets_no_requests(await rig.client(), engines, 1)
         assert len(old.subscriptions) == 1
--- a/tests/discovery/test_event_codec.py
+++ b/tests/discovery/test_event_codec.py
@@ -1,4 +1,4 @@
-"""Lines of the discovery service: events, heartbeats and invalid ones."""
+"""Parsing the lines of the discovery service: events, heartbeats and invalid lines."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def event_line(target: dict[str, Any]) -> bytes:
-    """Return the line of an event with this endpoint alone."""
+    """Return the line of an event that lists only this endpoint."""
     return json.dumps(topology_event(1, target)).encode()
 
 
@@ -41,7 +41,7 @@
     assert event_codec.parse_line(b"17") == 17
 
 
-def test_lines_are_parsed_however_they_are_cut_and_an_incomplete_one_waits() -> None:
+def test_lines_are_parsed_from_chunks_of_any_size_and_a_partial_line_is_kept() -> None:
     line = event_line(target_entry("s-1", 9090))
     parser = event_codec.LineParser()
     assert parse_in_steps(parser, b"17\n" + line + b"\n18", 5) == [b"17", line]
@@ -50,20 +50,22 @@
 @pytest.mark.parametrize(
     "line",
     [
-        pytest.param(b"{", id="cut JSON"),
+        pytest.param(b"{", id="truncated JSON"),
         pytest.param(b"[]", id="a list"),
         pytest.param(b"null", id="null"),
         pytest.param(b"1.5", id="a fraction"),
         pytest.param(b"{}", id="no offset"),
         pytest.param(b'{"offset":"1"}', id="offset is a string"),
-        pytest.param(b'{"offset":1,"topology":{"targets":{}}}', id="targets are no list"),
+        pytest.param(b'{"offset":1,"topology":{"targets":{}}}', id="targets is not a list"),
         pytest.param(event_line(target_entry("", 1)), id="empty uid"),
         pytest.param(event_line(target_entry("s", 1, "asleep")), id="unknown state"),
         pytest.param(event_line(target_entry("s", 99_999)), id="port out of range"),
         pytest.param(b"[" * 100_000, id="deep nesting"),
-        pytest.param(event_line(target_entry("s", 1, boot_ms="late")), id="boot_ms is no number"),
+        pytest.param(
+            event_line(target_entry("s", 1, boot_ms="late")), id="boot_ms is not a number"
+        ),
     ],
 )
-def test_an_invalid_line_is_an_error(line: bytes) -> None:
+def test_an_invalid_line_raises_invalid_event_error(line: bytes) -> None:
     with pytest.raises(event_codec.InvalidEventError):
         event_codec.parse_line(line)
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -1,4 +1,4 @@
-"""The pause before the watch connects anew."""
+"""The backoff before the watch client reconnects."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @on_uvloop
-async def test_brokers_that_lose_the_discovery_service_together_do_not_reconnect_together() -> None:
+async def test_brokers_that_lose_the_service_at_once_reconnect_at_different_times() -> None:
     waits: list[float] = []
     for seed in range(6):
         async with running(replace(make_config(bus=free_port()), seed=seed)) as rig:
--- a/tests/server/admin_calls.py
+++ b/tests/server/admin_calls.py
@@ -1,4 +1,4 @@
-"""Calls at the operators' address of a broker under test."""
+"""Calls to the admin API of a broker under test."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def read_metrics(rig: Rig) -> dict[str, float]:
-    """Return each series with its value, without the common prefix of their names."""
+    """Return the value of each series by its name, without the common prefix of the names."""
     answer = await admin_call(rig, b"GET /metrics HTTP/1.1\r\n\r\n")
     assert answer.status == 200
     metrics = {}
@@ -41,7 +41,7 @@
     return metrics
 
 
-async def set_engine(rig: Rig, action: str, uid: str = "s-1") -> int:
-    """Disable or enable a data engine; return the status of the answer."""
+async def send_engine_action(rig: Rig, action: str, uid: str = "s-1") -> int:
+    """Disable or enable a data engine through the admin API; return the HTTP status."""
     raw = f"POST /data-engines/{action}/{uid} HTTP/1.1\r\n\r\n".encode()
     return (await admin_call(rig, raw)).status
--- a/tests/server/co_processes.py
+++ b/tests/server/co_processes.py
@@ -1,4 +1,4 @@
-"""Two processes of one broker on a socket that the platform has opened."""
+"""Processes of one broker that share an inherited listening socket."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @asynccontextmanager
 async def co_process(config: Config, listener: socket.socket, folder: Path) -> AsyncIterator[Rig]:
-    """A process of the broker on the platform's socket."""
+    """Run a node that accepts connections on the inherited socket."""
     async with running(
         replace(config, accept_fd=os.dup(listener.fileno()), folder=str(folder))
     ) as rig:
@@ -30,5 +30,5 @@
 
 
 async def meet(*rigs: Rig) -> None:
-    """Wait until each of the processes knows another one."""
+    """Wait until each process has detected another one."""
     await until(lambda: all(peer_processes(rig).others for rig in rigs))
--- a/tests/server/program.py
+++ b/tests/server/program.py
@@ -1,4 +1,4 @@
-"""Runs the real program to its end."""
+"""Runs the program as a subprocess until it exits."""
 
 from __future__ import annotations
 
--- a/tests/server/test_admin_api.py
+++ b/tests/server/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' address: calls, metrics, and endpoints that are disabled by hand."""
+"""The admin API: calls, metrics, and endpoints that are disabled by hand."""
 
 from __future__ import annotations
 
@@ -27,9 +27,7 @@
     until,
     within,
 )
-
-# The tests of cells and deadlines import this from here.
-from .admin_calls import admin_call, read_metrics, set_engine
+from .admin_calls import admin_call, read_metrics, send_engine_action
 
 pytestmark = pytest.mark.real_time
 
@@ -70,7 +68,7 @@
             assert answer.headers["connection"] == "close", raw[:60]
             allowed_method = "GET" if b"/ready" in raw else "POST"
             assert answer.headers.get("allow") == (allowed_method if status == 405 else None)
-        for split in range(1, 20):  # a call in two pieces
+        for split in range(1, 20):  # a call in two chunks
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.operator_port)
             writer.write(READY_CALL[:split])
             await asyncio.sleep(0)
@@ -80,7 +78,7 @@
 
 
 @on_uvloop
-async def test_silent_and_incomplete_calls_keep_no_other_out_and_are_ended_by_a_timer() -> None:
+async def test_silent_and_incomplete_calls_do_not_block_others_and_time_out() -> None:
     async with running(make_config(target_entry("s-1", 9), operator=True)) as rig:
         idle = [await asyncio.open_connection("127.0.0.1", rig.operator_port) for _ in range(40)]
         idle[-1][1].write(b"GET /rea")
@@ -108,7 +106,7 @@
 
 
 @on_uvloop
-async def test_the_metrics_are_those_of_the_traffic() -> None:
+async def test_the_metrics_match_the_traffic() -> None:
     engine = Engine()
     ready = target_entry("s-1", await engine.start())
     draining = target_entry("s-2", 9, "terminating")
@@ -121,7 +119,7 @@
         }
         assert_metrics(await read_metrics(rig), at_start)
         client = await rig.client()
-        await send_one_served_one_invalid_and_one_that_hangs(client, engine)
+        await send_served_invalid_and_unanswered_requests(client, engine)
         with_one_in_flight = {
             'replies_total{type="glance",status="success"}': 1,
             'replies_total{type="glance",status="error"}': 1,
@@ -130,11 +128,11 @@
             "targets_disabled": 0,
         }
         assert_metrics(await read_metrics(rig), with_one_in_flight)
-        client.send(frames.ABANDON, 3)  # ended, with its attempt still in flight
+        client.send(frames.ABANDON, 3)  # the request ends, but its attempt stays in flight
         client.ask(stream=4, trace="4" * 16, route="stock-add")
         await until(lambda: len(engine.commands_named(b"do")) == 3)
         assert (await read_metrics(rig))["concurrent"] == 1
-        assert await set_engine(rig, "disable") == 200
+        assert await send_engine_action(rig, "disable") == 200
         client.ask(stream=5, trace="5" * 16)
         stream, code, fields, _ = await client.answer()
         assert (stream, code) == (5, frames.REFUSED)
@@ -146,7 +144,7 @@
         assert_metrics(await read_metrics(rig), with_one_disabled)
 
 
-async def send_one_served_one_invalid_and_one_that_hangs(client: Client, engine: Engine) -> None:
+async def send_served_invalid_and_unanswered_requests(client: Client, engine: Engine) -> None:
     client.ask(stream=1)
     assert (await client.answer())[1] == frames.SERVED
     client.ask(stream=2, trace="2" * 16, customer="nobody")
@@ -156,10 +154,10 @@
     await until(lambda: len(engine.commands_named(b"do")) == 2)
 
 
-def test_the_text_has_help_and_type_and_its_labels_are_escaped() -> None:
+def test_the_metrics_text_has_help_and_type_lines_and_escaped_labels() -> None:
     metrics = Metrics(['a"b'])
     metrics.count_reply('a"b', SUCCESS)
-    metrics.count_reply("unheard of", ERROR)  # no series for whatever a client names
+    metrics.count_reply("unheard of", ERROR)  # clients can't add series with unknown names
     metrics.add_classes(["c"])
     text = metrics.text(1, 2, 3).decode()
     assert 'edge_proxy_replies_total{type="a\\"b",status="success"} 1\n' in text
@@ -171,7 +169,7 @@
 
 
 @on_uvloop
-async def test_an_attempt_counts_only_once_its_last_byte_has_left() -> None:
+async def test_a_dispatch_is_counted_when_its_last_byte_is_sent() -> None:
     engine = Engine(lambda *_: None)
     config = make_config(target_entry("s-1", await engine.start()), operator=True)
     async with running(config) as rig:
@@ -194,39 +192,39 @@
 
 
 @on_uvloop
-async def test_a_disabled_endpoint_gets_nothing_whatever_the_list_says_until_it_is_enabled() -> (
-    None
-):
+async def test_a_disabled_endpoint_gets_no_requests_until_enabled_even_if_listed_again() -> None:
     engines = [Engine(), Engine()]
     first = target_entry("s-1", await engines[0].start())
     second = target_entry("s-2", await engines[1].start())
     async with running(make_config(first, second, operator=True)) as rig:
         client = await rig.client()
-        # The call may come twice.
-        assert [await set_engine(rig, "disable") for _ in range(2)] == [200, 200]
-        await publish(rig, 2, {**first, "state": "terminated"})
-        assert await set_engine(rig, "disable") == 200  # known, although the list has dropped it
-        await publish(rig, 3, {**first, "boot_ms": 1_000})
+        # A repeated call has no further effect.
+        assert [await send_engine_action(rig, "disable") for _ in range(2)] == [200, 200]
+        await apply_endpoint_event(rig, 2, {**first, "state": "terminated"})
+        assert await send_engine_action(rig, "disable") == 200  # still known
+        await apply_endpoint_event(rig, 3, {**first, "boot_ms": 1_000})
         for stream in range(1, 31):
             client.ask(stream=stream, trace=f"{stream:016x}")
             assert (await client.answer())[1] == frames.SERVED
         assert not engines[0].commands_named(b"do")
         assert len(engines[1].commands_named(b"do")) == 30
-        assert await set_engine(rig, "enable") == 200
+        assert await send_engine_action(rig, "enable") == 200
         for stream in range(31, 61):
             client.ask(stream=stream, trace=f"{stream:016x}")
             await client.answer()
         assert engines[0].commands_named(b"do")
-        assert await set_engine(rig, "enable", "nobody") == 404
+        assert await send_engine_action(rig, "enable", "nobody") == 404
 
 
-async def publish(rig: Rig, offset: int, *targets: dict[str, Any]) -> None:
+async def apply_endpoint_event(rig: Rig, offset: int, *targets: dict[str, Any]) -> None:
     rig.node.dispatcher.endpoint_list_changed(parse_event(topology_event(offset, *targets)))
 
 
 @on_uvloop
-async def test_an_attempt_that_waits_for_a_connection_is_taken_back_before_the_answer() -> None:
-    """It would be written after the answer. It never ran, so another endpoint may serve it."""
+async def test_disabling_an_endpoint_withdraws_attempts_that_wait_for_a_connection() -> None:
+    """Otherwise the attempt would be sent after the request's final answer. It has not run, so
+    another endpoint could serve the request.
+    """
     other = Engine()
     port = await other.start()
     targets = (target_entry("s-1", port), target_entry("s-2", port, "terminating"))
@@ -237,25 +235,25 @@
             for pool in rig.node.dispatcher.pools.by_number.values()
             if pool.target.uid == "s-1"
         )
-        pool._open = lambda: None  # type: ignore[method-assign]  # its connection never comes up
+        pool._open = lambda: None  # type: ignore[method-assign]  # no connection is ever opened
         client.ask(route="stock-add")
         await until(lambda: pool.waiting_attempts)
-        assert await set_engine(rig, "disable") == 200
+        assert await send_engine_action(rig, "disable") == 200
         assert (await client.answer())[1] == frames.REFUSED
         assert not pool.waiting_attempts
         assert not other.commands_named(b"do")
 
 
 @on_uvloop
-async def test_an_enabled_endpoint_warms_up_and_its_old_connections_take_nothing_more() -> None:
+async def test_an_enabled_endpoint_warms_up_and_its_old_connections_are_not_reused() -> None:
     engine = Engine()
     config = make_config(target_entry("s-1", await engine.start()), operator=True)
     async with running(config) as rig:
         client = await rig.client()
         client.ask()
         await client.answer()
-        await set_engine(rig, "disable")
-        await set_engine(rig, "enable")
+        await send_engine_action(rig, "disable")
+        await send_engine_action(rig, "enable")
         (known,) = rig.node.dispatcher.facade.controller.endpoints.values()
         assert known.warmup_ends_ns > rig.node.clock.now()
         client.ask(stream=2, trace="2" * 16)
@@ -265,12 +263,11 @@
 
 
 @on_uvloop
-async def test_a_fault_in_an_operators_call_is_logged_and_answered_with_500(
+async def test_an_exception_in_an_admin_call_is_logged_and_answered_with_500(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The parser wraps what its callbacks raise: a fault of ours was answered 400, and not logged.
-
-    The operators looked for the fault in their own call.
+    """The HTTP parser wraps exceptions of its callbacks: a fault of the broker was answered with
+    400 and not logged, so operators looked for the error in their own call.
     """
     async with running(make_config(operator=True)) as rig:
 
--- a/tests/server/test_changed_settings.py
+++ b/tests/server/test_changed_settings.py
@@ -9,8 +9,8 @@
 from ..support.helpers import MS, Harness, S, entry, make_settings, query_class
 
 
-def test_a_request_in_flight_keeps_its_class_and_a_new_one_follows_the_new_effect() -> None:
-    """Otherwise an idempotent request is failed, or one that must not run twice is retried."""
+def test_requests_in_flight_keep_their_effect_and_new_requests_use_the_new_one() -> None:
+    """Otherwise an idempotent request would be failed, or a non-idempotent one retried."""
     idempotent = query_class()
     non_idempotent = query_class(effect=api.Effect.NON_IDEMPOTENT)
     for before, after in ((idempotent, non_idempotent), (non_idempotent, idempotent)):
@@ -25,7 +25,7 @@
             assert request_class is idempotent or len(harness.sends(request)) == 1
 
 
-def test_fewer_attempts_stop_retries_only_and_a_removed_class_ends_its_requests_well() -> None:
+def test_a_lower_attempt_limit_stops_retries_and_requests_of_a_removed_class_are_rejected() -> None:
     harness = Harness(make_settings(), entry(1), entry(2))
     harness.arrive("r", estimate_ns=MS)
     limits = api.Limits(max_attempts=1, max_retry_after_ns=S)
@@ -39,19 +39,19 @@
     assert harness.sends("t")
 
 
-def test_a_class_that_stays_keeps_its_estimates_and_bounds_keep_their_ratio() -> None:
+def test_a_kept_class_keeps_its_estimates_and_bounds_scale_with_the_latency_objective() -> None:
     harness = Harness(make_settings(tenants=(api.Tenant("a", 4.0),)), entry(1))
     harness.arrive("r", estimate_ns=100 * MS, tenant="a")
     harness.end("r", api.AttemptResult.SERVED, latency=300 * MS)
-    view = harness.controller.admission.classes.by_name["short"]
-    engine = harness.controller.endpoints[1]
-    learned = (view.log_bias, view.slowdown)
-    bound = engine.bound_ns
+    class_state = harness.controller.admission.classes.by_name["short"]
+    endpoint = harness.controller.endpoints[1]
+    estimates = (class_state.log_bias, class_state.slowdown)
+    bound = endpoint.bound_ns
     tokens = harness.controller.admission.quotas.buckets["a"].tokens
     tenants = (api.Tenant("a", 4.0),)
     classes = (query_class(), query_class("more", latency_objective_ns=S))
     harness.do(api.SettingsChanged(make_settings(*classes, tenants=tenants)))
-    view_after = harness.controller.admission.classes.by_name["short"]
-    assert (view_after.log_bias, view_after.slowdown) == learned
+    class_state_after = harness.controller.admission.classes.by_name["short"]
+    assert (class_state_after.log_bias, class_state_after.slowdown) == estimates
     assert harness.controller.admission.quotas.buckets["a"].tokens == tokens
-    assert engine.bound_ns == 2 * bound  # the longest latency objective has doubled
+    assert endpoint.bound_ns == 2 * bound  # the longest latency objective has doubled
