--- a/tests/server/test_lifecycle.py
+++ b/tests/server/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Start and stop of the real program."""
+"""Start and shutdown of a broker, and its behaviour when idle."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     ],
     ids=["address", "seed", "no classes", "no tick", "bus address", "limit"],
 )
-def test_bad_configuration_is_one_line_that_names_the_key(
+def test_an_invalid_configuration_prints_one_line_that_names_the_key(
     tmp_path: Path, changes: Any, key: str
 ) -> None:
     result = run_program(write_config(tmp_path, **changes), "serve")
@@ -60,7 +60,7 @@
 
 
 @on_uvloop
-async def test_after_sigterm_what_was_taken_is_finished_and_the_process_ends_with_0(
+async def test_after_sigterm_a_request_in_flight_is_served_and_the_process_exits_with_0(
     tmp_path: Path,
 ) -> None:
     engine = Engine(lambda *_: None)
@@ -77,10 +77,10 @@
 
 
 @on_uvloop
-async def test_between_sigterm_and_leaving_off_nothing_changes_for_clients(
+async def test_nothing_changes_for_clients_during_the_grace_period_after_sigterm(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for name in ("GRACE_PERIOD_S", "LINGER_S"):  # the steps are taken by hand
+    for name in ("GRACE_PERIOD_S", "LINGER_S"):  # the test runs the shutdown steps itself
         monkeypatch.setattr(f"query_broker.server.graceful_shutdown.{name}", 3_600.0)
     engine = Engine()
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
@@ -94,14 +94,14 @@
         shutdown._announce_leaving()
         assert await client.frame() == (frames.NO_MORE, 0, b"")
         client.send(frames.ASK_READY, 0, b"\0")
-        client.ask(stream=2, trace="2" * 16)  # it crossed the message to leave
+        client.ask(stream=2, trace="2" * 16)  # sent before the client received the announcement
         assert await client.frame() == (frames.READY, 0, b"\x01\0")
         assert (await client.answer())[:2] == (2, frames.SERVED)
         with pytest.raises(ConnectionRefusedError):
             await rig.client()
 
 
-def test_an_address_that_cannot_be_bound_is_a_faulty_key(tmp_path: Path) -> None:
+def test_an_address_in_use_is_reported_under_its_settings_key(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as other:
         env = write_config(tmp_path, listen=f"127.0.0.1:{other.getsockname()[1]}")
         result = run_program(env)
@@ -110,7 +110,7 @@
 
 
 @on_uvloop
-async def test_requests_open_at_the_end_of_the_drain_are_closed_out_by_the_rules() -> None:
+async def test_open_requests_get_a_final_answer_at_the_end_of_the_drain() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -126,7 +126,7 @@
 
 
 @on_uvloop
-async def test_a_request_that_comes_in_pieces_is_waited_for_at_the_end_of_the_drain(
+async def test_the_drain_waits_for_a_partly_received_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("query_broker.server.graceful_shutdown.LINGER_S", 0.0)
@@ -150,19 +150,19 @@
 
 
 @on_uvloop
-async def test_after_a_kill_it_starts_from_nothing_at_the_same_address(tmp_path: Path) -> None:
+async def test_a_broker_restarts_at_the_same_address_after_a_kill(tmp_path: Path) -> None:
     engine = Engine()
     port = free_port()
     known = make_known(target_entry("s-1", await engine.start()))
     for start in range(2):
         async with process(tmp_path, port, known=known):
-            client = await connect(port)  # left open: its end lingers at the address
+            client = await connect(port)  # left open, so that the address stays in use
             client.ask()
             assert (await client.answer())[1] == frames.SERVED, start
 
 
 @on_uvloop
-async def test_no_record_remains_of_a_client_that_has_disconnected() -> None:
+async def test_no_state_remains_of_a_disconnected_client() -> None:
     engine = Engine()
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -190,7 +190,7 @@
 
 
 @on_uvloop
-async def test_past_the_connection_limit_idle_clients_are_evicted_and_busy_ones_stay() -> None:
+async def test_at_the_connection_limit_idle_clients_are_evicted_and_busy_ones_stay() -> None:
     engine = Engine(lambda *_: None)
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         assert rig.node.admission.max_connections >= rig.node.config.sockets // 3
@@ -199,17 +199,17 @@
         silent = await rig.client()
         busy.ask()
         await until(lambda: engine.commands_named(b"do"))
-        newcomer = await rig.client()  # takes the place of the one that has said nothing
+        newcomer = await rig.client()  # evicts the connection that has sent nothing
         assert await silent.ended()
         newcomer.ask(trace="2" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
-        assert await (await rig.client()).ended()  # all are owed an answer: this one is rejected
+        assert await (await rig.client()).ended()  # rejected: all others wait for an answer
         for do, client in zip(engine.commands_named(b"do"), (busy, newcomer), strict=True):
             engine.answer_served(do, engine.writer_of(do))
             assert (await client.answer())[1] == frames.SERVED
 
 
-def test_the_descriptor_limit_of_the_system_is_planned_with(
+def test_the_descriptor_limit_is_raised_up_to_the_hard_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     limits = (30, 100)
@@ -224,10 +224,10 @@
 
 
 @pytest.mark.parametrize("inherited", [True, False], ids=["inherited", "own"])
-def test_a_start_pauses_where_another_process_of_the_broker_may_be_serving(
+def test_the_start_pauses_if_another_process_of_the_broker_may_be_serving(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, inherited: bool
 ) -> None:
-    """A start at full speed takes the core from the other process, whose loop stands still."""
+    """Starting without pauses would take the core from the other process and stall its loop."""
     steps: list[Any] = []
     monkeypatch.setattr("query_broker.cli.main.time.sleep", steps.append)
     monkeypatch.setattr(
@@ -240,8 +240,8 @@
 
 
 @on_uvloop
-async def test_an_idle_broker_rests_and_what_falls_due_sooner_wakes_it() -> None:
-    """Ticks are counted: a broker that ticked 200 times a second would fail at any speed."""
+async def test_an_idle_broker_ticks_rarely_and_an_earlier_timer_wakes_it() -> None:
+    """Counting ticks makes a broker with 200 ticks a second fail at any machine speed."""
     async with running(make_config()) as rig:
         node = rig.node
         ticks = 0
@@ -253,13 +253,13 @@
             tick()
 
         node.dispatcher.tick = count_tick  # type: ignore[method-assign]
-        begin_ns = node.clock.now()
+        start_ns = node.clock.now()
         await asyncio.sleep(1.0)
-        assert 1 <= ticks <= 10 * (node.clock.now() - begin_ns) / 1e9
-        fired: list[int] = []
+        assert 1 <= ticks <= 10 * (node.clock.now() - start_ns) / 1e9
+        ticks_when_fired: list[int] = []
         node.dispatcher.timer_wheel.set_timer(
-            node.clock.now() + 20_000_000, lambda: fired.append(ticks)
+            node.clock.now() + 20_000_000, lambda: ticks_when_fired.append(ticks)
         )
         ticks_before = ticks
-        await until(lambda: bool(fired))
-        assert fired[0] <= ticks_before + 3
+        await until(lambda: bool(ticks_when_fired))
+        assert ticks_when_fired[0] <= ticks_before + 3
--- a/tests/server/test_process_replacement.py
+++ b/tests/server/test_process_replacement.py
@@ -1,4 +1,4 @@
-"""Replacing the process, with real processes on one listening socket: no request is lost."""
+"""Replacing a broker's process, with real processes on one listening socket, loses no request."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 pytestmark = pytest.mark.real_time
 
-HANDOVERS = 2  # so that a process that has taken over is itself replaced
+HANDOVER_COUNT = 2  # so that a process that has taken over is replaced in turn
 REQUESTS_BEFORE_HANDOVER = 40
-PIPELINED = 8  # requests that a usual client sends at once
+PIPELINED_REQUEST_COUNT = 8  # as many as a typical client sends at once
 PAUSE_S = 0.02
-HALF_FRAME_LENGTH = 20  # bytes: past the head, within the payload
+PARTIAL_FRAME_BYTES = 20  # past the head, within the payload
 
 
 class Broker:
-    """Processes of one broker on the platform's socket, started one after the other."""
+    """Processes of one broker on an inherited socket, started one after the other."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def start_process(self) -> None:
-        """Start one more process, and return once it is ready."""
+        """Start one more process, and wait until it is ready."""
         port = free_port()
         raw = broker_config(self.cluster, "127.0.0.1:1", **self.settings)
         raw["operator"] = f"127.0.0.1:{port}"
@@ -68,7 +68,7 @@
                 await asyncio.sleep(PAUSE_S)
 
     async def kill(self) -> None:
-        """End what is still running."""
+        """Kill the processes that are still running."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
@@ -87,25 +87,25 @@
 
 
 class Traffic:
-    """Clients of three kinds, which send requests while a process takes over."""
+    """Three kinds of clients, which send requests while a process takes over."""
 
     def __init__(self, port: int, tenant: str | None) -> None:
         self.port = port
         self.tenant = tenant
         self.request_log = RequestLog("127.0.0.1", port)
         self.stopped = asyncio.Event()
-        self.handover_begins = asyncio.Event()
+        self.handover_begun = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin a round of traffic, which goes on until ``stop``."""
+        """Start sending requests until ``stop``."""
         self.stopped = asyncio.Event()
-        self.handover_begins = asyncio.Event()
-        kinds = (self._pipeline, self._connect_anew, self._send_half_frames)
-        self.tasks = [asyncio.create_task(kind()) for kind in kinds]
+        self.handover_begun = asyncio.Event()
+        senders = (self._send_pipelined, self._send_on_new_connections, self._send_partial_frames)
+        self.tasks = [asyncio.create_task(sender()) for sender in senders]
 
     async def stop(self) -> None:
-        """End the round; an assert that failed in a client is raised here."""
+        """Stop the clients; raises the assertion errors of their tasks."""
         self.stopped.set()
         await within(asyncio.gather(*self.tasks))
 
@@ -113,36 +113,36 @@
         for task in self.tasks:
             task.cancel()
 
-    async def _pipeline(self) -> None:
-        """Many requests at a time on lasting connections."""
+    async def _send_pipelined(self) -> None:
+        """Send batches of requests on persistent connections."""
         while not self.stopped.is_set():
-            for _ in range(PIPELINED):
+            for _ in range(PIPELINED_REQUEST_COUNT):
                 await self.request_log.send_request(self.tenant or "", "glance", 2, 4_000 * MS)
             await asyncio.sleep(PAUSE_S)
 
-    async def _connect_anew(self) -> None:
-        """A connection for each request."""
+    async def _send_on_new_connections(self) -> None:
+        """Send each request on a new connection."""
         while not self.stopped.is_set():
             client = await self._connect()
             client.writer.write(self._request(1))
             while (frame := await client.frame())[0] == frames.NO_MORE:
-                continue  # the older process took it in, and leaves
+                continue  # the old process had accepted the connection, and is shutting down
             assert frame[0] == frames.ANSWER
             assert frame[2][0] in (frames.SERVED, frames.REFUSED)
             client.writer.close()
 
-    async def _send_half_frames(self) -> None:
-        """Half a frame before the message to leave, the rest after it; and one more request that
-        crossed it.
+    async def _send_partial_frames(self) -> None:
+        """Send a part of a frame before the process announces its shutdown, and the rest after it,
+        together with one more request.
         """
         client = await self._connect()
         client.writer.write(self._request(1))
         assert (await client.answer())[1] == frames.SERVED
-        await within(self.handover_begins.wait())
+        await within(self.handover_begun.wait())
         frame = self._request(2)
-        client.writer.write(frame[:HALF_FRAME_LENGTH])
+        client.writer.write(frame[:PARTIAL_FRAME_BYTES])
         assert (await client.frame())[0] == frames.NO_MORE
-        client.writer.write(frame[HALF_FRAME_LENGTH:] + self._request(3))
+        client.writer.write(frame[PARTIAL_FRAME_BYTES:] + self._request(3))
         assert {(await client.answer())[:2] for _ in range(2)} == {
             (2, frames.SERVED),
             (3, frames.SERVED),
@@ -165,17 +165,17 @@
 
 
 async def hand_over(broker: Broker, traffic: Traffic) -> None:
-    """Start a process beside the present one, then end that with SIGTERM."""
+    """Start a second process, then end the old one with SIGTERM."""
     old = broker.processes[-1]
     await broker.start_process()
-    traffic.handover_begins.set()
-    await asyncio.sleep(0)  # half a frame is on its way
+    traffic.handover_begun.set()
+    await asyncio.sleep(0)  # lets the client send its partial frame
     old.send_signal(signal.SIGTERM)
     assert await within(old.wait()) == 0
 
 
 def check_answers(request_log: RequestLog) -> None:
-    """Each request got exactly one answer, served or rejected, and nearly all were served."""
+    """Check that each request got one answer, served or rejected, and over 90% were served."""
     assert request_log.unmatched_answers == 0
     records = request_log.records
     assert not [record for record in records if record.answer_count != 1]
@@ -197,7 +197,7 @@
         traffic = Traffic(int(listener.getsockname()[1]), tenant)
         try:
             await broker.start_process()
-            for number in range(1, HANDOVERS + 1):
+            for number in range(1, HANDOVER_COUNT + 1):
                 traffic.start()
                 wanted = REQUESTS_BEFORE_HANDOVER * number
                 await until(lambda wanted=wanted: len(traffic.request_log.records) >= wanted)  # type: ignore[misc]
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: applied in one step or rejected completely."""
+"""Settings reloaded at SIGHUP are applied in one step or rejected completely."""
 
 from __future__ import annotations
 
@@ -40,34 +40,34 @@
 }
 
 
-def changed(path: str, value: Any = None) -> dict[str, Any]:
-    """The file with one key at another value, or without it."""
+def file_with(path: str, value: Any = None) -> dict[str, Any]:
+    """Return the file with another value for one key, or without the key if the value is None."""
     raw = copy.deepcopy(FILE)
-    *folders, name = path.split(".")
-    inner: Any = raw
-    for folder in folders:
-        inner = inner[int(folder)] if isinstance(inner, list) else inner[folder]
+    *parents, name = path.split(".")
+    container: Any = raw
+    for parent in parents:
+        container = container[int(parent)] if isinstance(container, list) else container[parent]
     if value is None:
-        del inner[name]
+        del container[name]
     else:
-        inner[name] = value
+        container[name] = value
     return raw
 
 
-def with_another_class(name: str) -> dict[str, Any]:
-    """The file with one class more, and a first class whose requests must not run twice."""
-    raw = changed("settings.classes.0.effect", "non_idempotent")
+def file_with_additional_class(name: str) -> dict[str, Any]:
+    """Return the file with one more class, and with non-idempotent requests in the first class."""
+    raw = file_with("settings.classes.0.effect", "non_idempotent")
     classes = raw["settings"]["classes"]
     classes.append({**classes[1], "name": name})
     return raw
 
 
-def read_again(tmp_path: Path, text: str) -> Any:
+def reload_text(tmp_path: Path, text: str) -> Any:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(FILE))
-    running = load({"PROXY_CONFIG": str(path)})
+    running_config = load({"PROXY_CONFIG": str(path)})
     path.write_text(text)
-    return reload(running, {"PROXY_CONFIG": str(path)})
+    return reload(running_config, {"PROXY_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize(
@@ -86,10 +86,10 @@
     ],
 )
 def test_a_file_that_lacks_a_key_is_rejected(tmp_path: Path, path: str) -> None:
-    """The key would fall back to its default, in service and without a log line."""
+    """Otherwise a serving broker would silently use the default of the key."""
     key = ".".join(part for part in path.split(".") if not part.isdigit())
     with pytest.raises(ConfigError, match=f"^{key}: "):
-        read_again(tmp_path, json.dumps(changed(path)))
+        reload_text(tmp_path, json.dumps(file_with(path)))
 
 
 @pytest.mark.parametrize(
@@ -105,31 +105,35 @@
     ],
     ids=["deadline", "attempts"],
 )
-def test_a_deadline_or_attempts_that_are_no_number_above_0_are_rejected(
+def test_a_deadline_or_attempt_limit_that_is_not_a_positive_number_is_rejected(
     tmp_path: Path, path: str, key: str, value: Any
 ) -> None:
     with pytest.raises(ConfigError, match=f"^{key}: "):
-        read_again(tmp_path, json.dumps(changed(path, value)))
+        reload_text(tmp_path, json.dumps(file_with(path, value)))
 
 
-def test_a_file_that_is_empty_or_cut_anywhere_is_rejected(tmp_path: Path) -> None:
+def test_an_empty_or_truncated_file_is_rejected(tmp_path: Path) -> None:
     complete = json.dumps(FILE)
     for end in range(0, len(complete), 97):
         with pytest.raises(ConfigError, match="^PROXY_CONFIG: "):
-            read_again(tmp_path, complete[:end])
-    assert read_again(tmp_path, complete).settings.classes
+            reload_text(tmp_path, complete[:end])
+    assert reload_text(tmp_path, complete).settings.classes
 
 
-def test_classes_may_come_and_go_and_a_known_list_is_read_at_the_start_only(tmp_path: Path) -> None:
+def test_classes_may_be_added_or_removed_and_a_reloaded_file_needs_no_known_list(
+    tmp_path: Path,
+) -> None:
     raw = copy.deepcopy(FILE)
     del raw["known"]
     raw["settings"]["classes"] = [{**raw["settings"]["classes"][1], "name": "stock-add_b"}]
-    read = read_again(tmp_path, json.dumps(raw))
-    assert [request_class.name for request_class in read.settings.classes] == ["stock-add_b"]
+    reloaded_config = reload_text(tmp_path, json.dumps(raw))
+    assert [request_class.name for request_class in reloaded_config.settings.classes] == [
+        "stock-add_b"
+    ]
 
 
 @on_uvloop
-async def test_sighup_applies_new_settings_in_one_step_and_counts_what_it_rejects(
+async def test_sighup_applies_new_settings_in_one_step_and_counts_rejected_files(
     tmp_path: Path,
 ) -> None:
     engine = Engine(lambda *_: None)
@@ -146,13 +150,15 @@
         client = await rig.client()
         client.ask(stream=1)
         await until(lambda: engine.commands_named(b"do"))
-        await reload_with(rig, {**with_another_class("night"), "seed": "77"}, "reload: done")
+        await reload_with(
+            rig, {**file_with_additional_class("night"), "seed": "77"}, "reload: done"
+        )
         assert "reload: done; restart required for: listen, operator, seed" in rig.logged
-        for number in (0, -5):  # nothing of it is applied, neither its classes nor its bus
-            bad = changed("settings.classes.1.deadline", number)
-            bad["settings"]["classes"][0]["name"] = "glance-x"
+        for deadline in (0, -5):  # nothing is applied: neither the valid class nor the new bus
+            invalid = file_with("settings.classes.1.deadline", deadline)
+            invalid["settings"]["classes"][0]["name"] = "glance-x"
             await reload_with(
-                rig, {**bad, "bus": "127.0.0.1:9"}, "settings.classes.deadline: must be above 0"
+                rig, {**invalid, "bus": "127.0.0.1:9"}, "settings.classes.deadline: must be above 0"
             )
         client.ask(stream=2, trace="2" * 16, route="night")
         client.ask(stream=3, trace="3" * 16)
@@ -160,11 +166,11 @@
         metrics = await read_metrics(rig)
         assert (metrics["reload_success_total"], metrics["reload_failure_total"]) == (1, 2)
         assert metrics['replies_total{type="night",status="success"}'] == 0
-        for writer in engine.writers:  # the engine ends: all three may have run
+        for writer in engine.writers:  # the engine closes: all three requests may have run
             writer.close()
         answers = {(await client.answer())[:2] for _ in range(3)}
         assert answers == {(1, frames.REFUSED), (2, frames.FAILED), (3, frames.FAILED)}
-        await reload_with(rig, changed("settings.classes.0.name", "other"), "reload: done")
+        await reload_with(rig, file_with("settings.classes.0.name", "other"), "reload: done")
         client.ask(stream=4, trace="4" * 16)
         assert (await client.answer())[1] == frames.FAILED  # its class has been removed
         assert (await read_metrics(rig))['replies_total{type="glance",status="overload"}'] == 1
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -26,8 +26,6 @@
     within,
     write_config,
 )
-
-# The tests of deadlines import these from here.
 from .co_processes import co_process, meet, peer_processes
 from .program import run_program
 
@@ -35,7 +33,7 @@
 
 
 @on_uvloop
-async def test_an_endpoint_disabled_or_enabled_at_one_process_is_so_at_the_other(
+async def test_disabling_or_enabling_an_endpoint_applies_to_both_processes(
     tmp_path: Path,
 ) -> None:
     engine = Engine()
@@ -44,7 +42,7 @@
         async with co_process(config, listener, tmp_path) as old:
             assert old.node.admin_api.set_endpoint_disabled("s-1", disabled=True)
             async with co_process(config, listener, tmp_path) as new:
-                # Before it serves any client.
+                # Already before the new process serves any client.
                 assert new.node.dispatcher.administrative_states.is_disabled("s-1")
                 assert new.node.dispatcher.facade.avoided_endpoints() == 1
                 await meet(old, new)
@@ -59,10 +57,10 @@
 
 
 @on_uvloop
-async def test_at_sigterm_the_old_process_leaves_its_queue_and_serves_what_is_in_flight(
+async def test_at_sigterm_the_old_process_stops_accepting_and_serves_requests_in_flight(
     tmp_path: Path,
 ) -> None:
-    """A shutdown of the shared socket would end it for the new process and the platform."""
+    """Shutting the shared socket down would end it for the new process and the platform too."""
     engine = Engine(lambda *_: None)
     config = make_config(target_entry("s-1", await engine.start()))
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -74,7 +72,7 @@
                 await meet(old, new)
                 old.node.shutdown.begin()
                 assert await client.frame() == (frames.NO_MORE, 0, b"")
-                client.ask(stream=2, trace="2" * 16)  # it crossed the message to leave
+                client.ask(stream=2, trace="2" * 16)  # as if sent before the announcement came
                 await until(lambda: len(engine.commands_named(b"do")) == 2)
                 newcomers = [await new.client() for _ in range(5)]
                 await until(lambda: len(new.node.clients) == 5)
@@ -92,11 +90,11 @@
                 await until(lambda: len(engine.commands_named(b"do")) == 3)
                 await until(lambda: not peer_processes(new).others)
         assert not os.listdir(tmp_path)
-        (await asyncio.open_connection(*listener.getsockname()))[1].close()  # it listens still
+        (await asyncio.open_connection(*listener.getsockname()))[1].close()  # still listening
 
 
 @on_uvloop
-async def test_a_process_alone_on_an_inherited_socket_accepts_connections_after_sigterm(
+async def test_the_only_process_on_an_inherited_socket_still_accepts_after_sigterm(
     tmp_path: Path,
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -108,8 +106,8 @@
 
 
 @on_uvloop
-async def test_a_process_without_an_endpoint_list_is_no_successor(tmp_path: Path) -> None:
-    """The old one would leave the queue to a process that can serve none of it."""
+async def test_a_process_without_an_endpoint_list_is_not_a_successor(tmp_path: Path) -> None:
+    """Otherwise the old process would leave new connections to one that can't serve them."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as old:
             async with co_process(make_config(listed=False), listener, tmp_path) as new:
@@ -123,7 +121,7 @@
 
 
 class ProcessLimits(NamedTuple):
-    """What two processes of a broker divide."""
+    """The limits that the processes of a broker divide among them."""
 
     client_connections: int
     engine_connections: int
@@ -140,7 +138,7 @@
 
 
 @on_uvloop
-async def test_limits_are_divided_while_two_processes_are_alive_and_restored_after_that(
+async def test_limits_are_divided_while_two_processes_are_alive_and_restored_afterwards(
     tmp_path: Path,
 ) -> None:
     config = make_config(target_entry("s-1", 9), operator=True)
@@ -158,17 +156,17 @@
             dispatcher = old.node.dispatcher
             pools = dispatcher.pools
             dispatcher.divide(2, 42)
-            # Two reserves are left.
+            # What remains of the descriptors covers the reserves of two processes.
             assert dispatcher.max_clients + 42 + 2 * pools.max_connections <= config.sockets - 90
             dispatcher.config = replace(dispatcher.config, sockets=64)
-            dispatcher.divide(3, 60)  # the least limit, divided, must leave a part for clients
+            dispatcher.divide(3, 60)  # even the smallest limit must leave descriptors for clients
             assert dispatcher.max_clients >= 7
             assert pools.max_connections >= 4
 
 
 @on_uvloop
-async def test_idle_engine_connections_past_the_divided_limit_end(tmp_path: Path) -> None:
-    """They count until their loss is reported; a loop that waits for that stands still for good."""
+async def test_idle_engine_connections_beyond_the_divided_limit_are_closed(tmp_path: Path) -> None:
+    """A connection counts until its loss is reported: a loop that waited for that would hang."""
     engine = Engine(lambda *_: None)
     async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
         client = await rig.client()
@@ -182,14 +180,16 @@
         open_connections = pools._count_connections()
         assert open_connections > 4
         pools.set_max_connections(3)
-        pools.set_max_connections(2)  # those that are ending are not counted on twice
+        pools.set_max_connections(2)  # connections that are ending must not be counted again
         await until(lambda: pools._count_connections() == 2)
 
 
 @pytest.mark.parametrize(
-    "descriptor", ["x", "-1", "99", "1"], ids=["no number", "negative", "not open", "no socket"]
+    "descriptor",
+    ["x", "-1", "99", "1"],
+    ids=["not a number", "negative", "not open", "not a socket"],
 )
-def test_a_descriptor_that_is_no_listening_socket_is_a_faulty_key(
+def test_a_descriptor_that_is_not_a_listening_socket_is_reported_under_its_key(
     tmp_path: Path, descriptor: str
 ) -> None:
     env = {**write_config(tmp_path), "PROXY_ACCEPT_FD": descriptor}
