--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -110,9 +110,8 @@
         self.last_received_ns = clock.now()
         self._connect_task: asyncio.Task[None] | None = None
         self._lower_heartbeat_count = 0
-        self._offset_before_invalid_line = (
-            NO_OFFSET  # the last offset before a line that could not be parsed
-        )
+        # The latest offset when a line could not be parsed.
+        self._offset_before_invalid_line = NO_OFFSET
 
     def start(self) -> None:
         """Connect, after the initial wait if connects are paced."""
--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -70,7 +70,7 @@
     """Work that waited for a new connection; nothing of it has been sent.
 
     Attributes:
-        attempts: The attempts, in the order in which they came.
+        attempts: The attempts, in the order of their arrival.
         health_checks: The tags of the health checks.
     """
 
--- a/query_broker/server/client_admission.py
+++ b/query_broker/server/client_admission.py
@@ -20,9 +20,8 @@
 
     Attributes:
         connections: The admitted connections.
-        max_connections: How many connections are admitted. The remaining descriptors are reserved,
-            among others for connections to endpoints, so that a flood of clients cannot use them
-            up.
+        max_connections: How many connections are admitted. The other descriptors are reserved for
+            connections to endpoints, so that a flood of clients cannot use them up.
     """
 
     def __init__(self, node: NodeContext) -> None:
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -43,13 +43,13 @@
 CLOSE_OUT_MARGIN_S = 0.4
 # Time for sending the final answers of the close-out.
 FLUSH_TIMEOUT_NS = 250_000_000
-# The time between two checks counts at most this much towards it, so that a stall leaves the loop
-# several iterations to send the answers.
+# The time between two checks counts at most this much towards the flush timeout, so that a stall
+# leaves the loop several iterations to send the answers.
 MAX_FLUSH_STEP_NS = 50_000_000
 # Once this side of the connections is closed, the node waits at most this long for clients to close
 # theirs.
 DISCONNECT_TIMEOUT_NS = 100_000_000
-# The time between two checks counts at most this much towards it.
+# The time between two checks counts at most this much towards the disconnect timeout.
 MAX_DISCONNECT_STEP_NS = 25_000_000
 # Time between two checks for completion; short compared to each timeout above.
 CHECK_PERIOD_S = 0.01
@@ -118,8 +118,8 @@
     def _announce_leaving(self, linger_s: float = LINGER_S) -> None:
         """Close the listener once its queue is empty, then ask the clients to leave.
 
-        Closing it with connections in the queue would reset them: the system has accepted them, and
-        the event loop has not processed them yet.
+        Closing the listener at once would refuse clients that are still sent here, and reset the
+        connections that the system has accepted and the event loop has not processed yet.
         """
         node = self.node
         if self._accept_time is None:
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -65,7 +65,7 @@
         """Build the parts; nothing listens before ``run``.
 
         Args:
-            config: The configuration as it was read.
+            config: The configuration that was read at the start.
             environ: The environment from which a reload reads the configuration again.
         """
         self.config = replace(config, sockets=raise_descriptor_limit(config.sockets))
