--- a/query_broker/quotas/admin.py
+++ b/query_broker/quotas/admin.py
@@ -1,7 +1,7 @@
 """Operators' HTTP calls on shared limits: `/limits`, `/limits/record`, recall and lend.
 
 Performs no I/O. The keys of the JSON are read by `cli/limits.py` and by operators' scripts: "ours"
-is this broker's quota, "home" the leader of the limit's shard, "floor" the guaranteed part.
+is this broker's quota, "home" the leader of the limit's shard, and "floor" the guaranteed part.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
         self.own_address = own_address
 
     def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
-        """Answer a call; None if its path is not one of the shared limits.
+        """Answer a call; return None if its path does not belong to the shared limits.
 
         Raises:
             ValueError: A POST to `/limits/` names no action; the connection answers it with 400.
@@ -87,7 +87,7 @@
         return self._set_cap(limit, address, cap_per_s)
 
     def _set_cap(self, limit: str, address: str, cap_per_s: float) -> HttpAnswer:
-        """Cap what one holder is granted; only the leader of the limit's shard can."""
+        """Cap the lease of one holder; only the leader of the limit's shard accepts this call."""
         members = self.rates.environment.member_names()
         holder = next((name for name in members if name.startswith(f"{address}/")), "")
         if not holder:
@@ -121,9 +121,9 @@
             "hard": limit.is_hard,
             "whole": self.rates.limit_per_s(limit),
             "ours": round(self.rates.quota_per_s(limit, now_ns), 6),
-            "asked": round(self.tracker.forecasts[limit.name].last_per_s, 6),
+            "asked": round(self.tracker.forecasts[limit.name].last_demand_per_s, 6),
             "stale_s": max_staleness_s(self.rates.settings, limit),
-            "overshoot_promised": self.tracker.promised_overshoot_per_s(limit),
+            "overshoot_promised": self.tracker.overshoot_bound_per_s(limit),
         }
         if limit.is_hard:
             return status | self._hard_status(limit, now_ns)
--- a/query_broker/quotas/batching.py
+++ b/query_broker/quotas/batching.py
@@ -13,9 +13,9 @@
 def message_bodies(
     items: Sequence[Item], encode: Callable[[tuple[Item, ...]], bytes]
 ) -> Iterator[bytes]:
-    """Yield as few encoded bodies as the items fit into, in their order.
+    """Pack the items, in order, into encoded bodies of at most `MAX_BODY_BYTES` each.
 
-    An item that alone exceeds `MAX_BODY_BYTES` is left out.
+    An item that exceeds `MAX_BODY_BYTES` on its own is dropped.
     """
     batch: tuple[Item, ...] = ()
     body = b""
--- a/query_broker/quotas/broker_state.py
+++ b/query_broker/quotas/broker_state.py
@@ -1,4 +1,4 @@
-"""State that the lease roles of one broker have in common. Performs no I/O."""
+"""State shared by the lease roles of one broker. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 
 
 class LeaseEvent(StrEnum):
-    """What is counted; the values are the labels in the metrics and in the operators' JSON."""
+    """Counted events; the values are the labels in the metrics and in the operators' JSON."""
 
     REQUESTED = "asked"
     GRANTED = "granted"
-    REDUCED = "refused"  # granted less than the fair level, because others still hold the rest
+    REDUCED = (
+        "refused"  # granted less than the fair share, because other holders still use the rest
+    )
     LEADERSHIP_LOST = "homes_lost"
     EXPIRED = "ended"
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and the name of the member it is for."""
+    """A message and the name of its recipient."""
 
     recipient: str
     message: LeaseMessage
@@ -30,19 +32,19 @@
 
 @dataclass(slots=True)
 class BrokerState:
-    """What voter, candidate, grantor and holder of one broker all read.
+    """State shared by the voter, the candidate, the grantor and the holder of one broker.
 
     Attributes:
         name: Name of this broker in the membership.
         settings: Settings of the shared limits.
         fleet_size: Number of brokers according to the platform settings; a majority is more than
-            half of it, whoever is reachable.
+            half of it, however many are reachable.
         limits: The leased part of each hard limit, per second.
         members: Names of the members in the current view.
         is_view_certain: Whether the membership considers the view reliable.
-        outbox: Messages to send; emptied by whoever sends them.
+        outbox: Messages to send; cleared once they are sent.
         event_counts: How often each `LeaseEvent` happened.
-        last_sequence: Number of the last request; vote and lease requests share one sequence.
+        last_sequence: Number of the latest request; vote and lease requests share one sequence.
     """
 
     name: str
--- a/query_broker/quotas/collaborators.py
+++ b/query_broker/quotas/collaborators.py
@@ -1,6 +1,6 @@
-"""What the services of shared limits and outlier consensus need of the rest of the broker.
+"""Interfaces of the broker that the services of shared limits and outlier consensus use.
 
-Protocols only: the node, the membership and the dispatcher satisfy them by their shape.
+The node, the membership and the dispatcher implement these protocols structurally.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
     @property
     def draw(self) -> random.Random:
-        """The source of all random choices of the membership and of what it carries."""
+        """The random generator of the membership and of the services that use it."""
 
 
 class GossipMembership(Protocol):
@@ -53,13 +53,13 @@
         """Return the names of all members in the view."""
 
     def subscribe(self, topic: str, handler: TopicHandler, /) -> None:
-        """Register what receives a topic's messages."""
+        """Register the handler of a topic's messages."""
 
     def send(self, topic: str, name: str, body: bytes, /) -> None:
         """Queue a message for a member; the body must fit into a datagram."""
 
     def flush(self) -> None:
-        """Send what is queued."""
+        """Send the queued messages."""
 
 
 class MembershipView(Protocol):
@@ -79,7 +79,7 @@
 
 
 class QuotaMembership(GossipMembership, Protocol):
-    """A membership that also tells how reliable its view is."""
+    """A membership that also reports whether its view is reliable."""
 
     @property
     def views(self) -> MembershipViews:
@@ -87,7 +87,7 @@
 
 
 class QuotaDispatcher(Protocol):
-    """What shared limits use of the dispatcher."""
+    """The parts of the dispatcher that shared limits use."""
 
     extensions: DispatchExtensions
     endpoint_table: EndpointTable
@@ -98,7 +98,7 @@
         """Register an observer of requests."""
 
     def refresh_settings(self) -> None:
-        """Apply the settings again, since an adjustment has changed."""
+        """Apply the settings again after an adjustment has changed."""
 
 
 class QuotaHost(ServiceContext, Protocol):
--- a/query_broker/quotas/counters.py
+++ b/query_broker/quotas/counters.py
@@ -1,9 +1,10 @@
 """Soft limits: brokers gossip the rates they use, and each derives its quota from the reports.
 
 A report is written by its own broker alone, with a rising version; of two reports the newer
-replaces the other, so that they merge in any order and any number of times (a state-based
-counter, Shapiro et al. 2011). A report carries its age, which grows on the way. A broker without
-a recent report counts as using its even part. Performs no I/O.
+replaces the other, so that reports can be merged in any order and repeatedly (a state-based
+counter, Shapiro et al. 2011). A report carries its age, to which each forwarding broker adds the
+time it held the report. A broker without a recent report is assumed to use its equal share.
+Performs no I/O.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 MAX_REPORTS = 4_096
 MAX_REPORTS_PER_MESSAGE = 12
 MAX_LIMITS_PER_REPORT = 16
-#: Members to which a round of gossip goes.
+#: Number of members that receive the reports of one gossip round.
 FANOUT = 3
-#: A quota is at most so many times the own use, since all brokers may raise theirs at once.
+#: A quota is at most this multiple of the broker's own use: all brokers may increase at once.
 MAX_GROWTH_FACTOR = 2.0
 
 
 class UsageEvent(StrEnum):
-    """What is counted; the values are the keys in the operators' JSON."""
+    """Counted events; the values are the keys in the operators' JSON."""
 
     MERGED = "rows"
     OUTDATED = "old_rows"
@@ -46,14 +47,14 @@
 
 
 class SoftQuota(NamedTuple):
-    """This broker's part of a soft limit, and the age of the oldest report it rests on."""
+    """This broker's part of a soft limit, and the age of the oldest report it is computed from."""
 
     rate_per_s: float
     oldest_report_age_ns: int
 
 
 class AddressedReports(NamedTuple):
-    """Reports, and the name of the member that they are for."""
+    """Reports and the name of their recipient."""
 
     recipient: str
     reports: UsageReports
@@ -65,7 +66,7 @@
     Attributes:
         name: Name of this broker.
         reports: Latest report by broker.
-        own_rates_per_s: What this broker reported in the last round, by limit.
+        own_rates_per_s: Rates that this broker reported in the last round, by limit.
         version: Version of this broker's last report.
         event_counts: How often each `UsageEvent` happened.
     """
@@ -75,7 +76,7 @@
 
         Args:
             name: Name of this broker.
-            gossip_interval_ns: Time between two rounds.
+            gossip_interval_ns: Time between two gossip rounds.
             draw: Returns a random number in [0, 1).
         """
         self.name = name
@@ -89,7 +90,7 @@
     def next_round(
         self, now_ns: int, rates_per_s: dict[str, float], members: Collection[str]
     ) -> list[AddressedReports]:
-        """Report the own rates, and return the messages of this round."""
+        """Report this broker's rates, and return the messages of this gossip round."""
         self.own_rates_per_s = dict(list(rates_per_s.items())[:MAX_LIMITS_PER_REPORT])
         self.version += 1
         own_report = UsageReport(self.name, self.version, 0, tuple(self.own_rates_per_s.items()))
@@ -124,7 +125,7 @@
         )
 
     def receive(self, now_ns: int, batch: UsageReports, members: Collection[str]) -> None:
-        """Merge reports of members; those of other brokers or out of bounds are ignored."""
+        """Merge reports of members; ignore those of other brokers and those out of bounds."""
         for report in batch.reports[:MAX_REPORTS_PER_MESSAGE]:
             if not self._is_acceptable(report, members):
                 continue
@@ -152,10 +153,10 @@
     ) -> SoftQuota:
         """Return what this broker may use of a limit.
 
-        Never less than the even part, never more than `MAX_GROWTH_FACTOR` times what it used or
-        that part.
+        The quota is at least the equal share, and at most `MAX_GROWTH_FACTOR` times the greater of
+        the equal share and the broker's own use.
         """
-        even_part = limit_per_s / max(fleet_size, len(members), 1)
+        equal_share = limit_per_s / max(fleet_size, len(members), 1)
         used_by_others = 0.0
         oldest_age_ns = 0
         for member in members:
@@ -163,18 +164,18 @@
                 continue
             received = self.reports.get(member)
             if received is None or self._is_stale(received, now_ns):
-                used_by_others += even_part
+                used_by_others += equal_share
                 continue
             used_by_others += max(0.0, dict(received.report.rates_per_s).get(limit, 0.0))
             oldest_age_ns = max(oldest_age_ns, received.age_ns(now_ns))
-        remaining = max(even_part, limit_per_s - used_by_others)
-        own_rate = max(even_part, self.own_rates_per_s.get(limit, 0.0))
-        return SoftQuota(min(remaining, MAX_GROWTH_FACTOR * own_rate), oldest_age_ns)
+        remaining_per_s = max(equal_share, limit_per_s - used_by_others)
+        own_rate = max(equal_share, self.own_rates_per_s.get(limit, 0.0))
+        return SoftQuota(min(remaining_per_s, MAX_GROWTH_FACTOR * own_rate), oldest_age_ns)
 
     def _is_stale(self, received: ReceivedReport, now_ns: int) -> bool:
         return received.age_ns(now_ns) > STALE_AFTER_ROUNDS * self.gossip_interval_ns
 
     def reported_total_per_s(self, limit: str) -> float:
-        """Return what all known brokers report to use of a limit."""
-        rates = (dict(known.report.rates_per_s) for known in self.reports.values())
-        return sum(rate.get(limit, 0.0) for rate in rates)
+        """Return the sum of the rates that all known brokers report for a limit."""
+        reported_rates = (dict(known.report.rates_per_s) for known in self.reports.values())
+        return sum(rates_per_s.get(limit, 0.0) for rates_per_s in reported_rates)
--- a/query_broker/quotas/demand_tracker.py
+++ b/query_broker/quotas/demand_tracker.py
@@ -1,4 +1,4 @@
-"""Measures the demand on each limit once a second, and whether a soft limit was exceeded.
+"""Measures the demand on each limit once a second, and detects exceeded soft limits.
 
 Performs no I/O.
 """
@@ -12,34 +12,34 @@
 from .quota_rates import QuotaRates
 from .settings import NS_PER_S, LimitSettings, QuotaKind, max_overshoot_per_s
 
-#: An overshoot beyond the promised one by less than this is a rounding error.
+#: An overshoot that exceeds its bound by less than this is a rounding error.
 ROUNDING_ERROR_PER_S = 1e-9
 
 
 class Breach(NamedTuple):
-    """A soft limit was exceeded by more than its bound; rates are per second."""
+    """A soft limit was exceeded by more than the bound on its overshoot; rates are per second."""
 
     limit: str
     total_per_s: float
     overshoot_per_s: float
-    promised_per_s: float
+    bound_per_s: float
 
 
 class DemandTracker:
-    """Counts what is asked of each limit and forecasts what will be.
+    """Counts the demand on each limit and forecasts it.
 
     Attributes:
         forecasts: Forecast by limit.
-        admitted_per_s: What was admitted in the last second, by limit.
-        worst_overshoot_per_s: The most by which a soft limit was seen to be exceeded.
-        breaches: How often one was exceeded by more than its bound.
+        admitted_per_s: Rate admitted in the last second, by limit.
+        worst_overshoot_per_s: Largest observed overshoot of each soft limit, by limit.
+        breaches: How often a soft limit was exceeded by more than its bound.
     """
 
     def __init__(self, rates: QuotaRates, now_ns: int) -> None:
         """Start counting.
 
         Args:
-            rates: Quotas of this broker; its leases learn what is wanted.
+            rates: Quotas of this broker; the demand determines which leases it requests.
             now_ns: This broker's clock.
         """
         self.rates = rates
@@ -51,18 +51,18 @@
         self._second_began_at_ns = now_ns
 
     def count(self, limit: str, amount: float = 1.0) -> None:
-        """Count a demand on a limit, admitted or not."""
+        """Count demand on a limit, whether admitted or not."""
         self._demand[limit] = self._demand.get(limit, 0.0) + amount
 
     def update(self, now_ns: int, available_cores: Callable[[], int]) -> list[Breach]:
-        """Take stock if a second has passed.
+        """Measure the demand and check for overshoot, if a second has passed.
 
         Args:
             now_ns: This broker's clock.
             available_cores: Returns the cores of all ready endpoints.
 
         Returns:
-            The soft limits that were exceeded by more than their bound.
+            The soft limits that were exceeded by more than their bounds.
         """
         elapsed_ns = now_ns - self._second_began_at_ns
         if elapsed_ns < NS_PER_S:
@@ -79,20 +79,20 @@
             quota_per_s = self.rates.quota_per_s(limit, now_ns)
             self.admitted_per_s[limit.name] = min(demand_per_s, quota_per_s)
             if limit.is_hard:
-                self._want_lease(limit, now_ns)
+                self._update_wanted_amount(limit, now_ns)
                 continue
             breach = self._check_overshoot(limit)
             if breach is not None:
                 breaches.append(breach)
         return breaches
 
-    def _want_lease(self, limit: LimitSettings, now_ns: int) -> None:
+    def _update_wanted_amount(self, limit: LimitSettings, now_ns: int) -> None:
         leases = self.rates.leases
         guaranteed = leases.guaranteed_per_s(self.rates.limit_per_s(limit))
-        needed = self.forecasts[limit.name].predicted_per_s() - guaranteed
+        needed = self.forecasts[limit.name].predicted_demand_per_s() - guaranteed
         leases.holder.wanted_per_s[limit.name] = max(0.0, needed)
         if needed > leases.amount_per_s(limit.name, now_ns):
-            leases.request_soon(now_ns)
+            leases.request_at_next_tick(now_ns)
 
     def _check_overshoot(self, limit: LimitSettings) -> Breach | None:
         limit_per_s = self.rates.limit_per_s(limit)
@@ -100,14 +100,14 @@
         overshoot = total - limit_per_s
         worst = self.worst_overshoot_per_s.get(limit.name, 0.0)
         self.worst_overshoot_per_s[limit.name] = max(worst, overshoot)
-        promised = self.promised_overshoot_per_s(limit)
-        if overshoot <= promised + ROUNDING_ERROR_PER_S:
+        overshoot_bound = self.overshoot_bound_per_s(limit)
+        if overshoot <= overshoot_bound + ROUNDING_ERROR_PER_S:
             return None
         self.breaches += 1
-        return Breach(limit.name, total, overshoot, promised)
+        return Breach(limit.name, total, overshoot, overshoot_bound)
 
-    def promised_overshoot_per_s(self, limit: LimitSettings) -> float:
-        """Return by how much all brokers together can exceed a limit."""
+    def overshoot_bound_per_s(self, limit: LimitSettings) -> float:
+        """Return the most by which all brokers together can exceed a limit."""
         fleet_size = self.rates.leases.state.fleet_size
         limit_per_s = self.rates.limit_per_s(limit)
         return max_overshoot_per_s(self.rates.settings, limit, limit_per_s, fleet_size)
--- a/query_broker/quotas/leadership.py
+++ b/query_broker/quotas/leadership.py
@@ -1,8 +1,8 @@
-"""The candidate: collects the votes of a majority to lead the shards assigned to this broker.
+"""The candidate: requests the votes of a majority to lead the shards assigned to this broker.
 
-A leader may grant leases only while more than half of the configured fleet has voted for it. Two
-brokers never both have that: two majorities share a voter, and its votes follow one another (leases
-as in Gray and Cheriton 1989, terms as in Raft). Performs no I/O.
+A leader may grant leases only while it holds valid votes of more than half of the configured fleet.
+Two brokers never do so at the same time: any two majorities share a voter, and a voter votes for
+one candidate at a time (leases as in Gray and Cheriton 1989, terms as in Raft). Performs no I/O.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from .sharding import preferred_leader, shard_of
 from .voting import Voter
 
-#: Requests that a vote may answer: those before the latest so many are forgotten.
+#: A vote request is no longer open for answers once its number is further behind the latest.
 MAX_OPEN_VOTE_REQUESTS = 8
 
 
 class OutstandingGrant(NamedTuple):
-    """A granted amount, and when it ends by the leader's clock."""
+    """A granted amount, and when the grant expires by the leader's clock."""
 
     amount_per_s: float
     expires_at_ns: int
@@ -29,15 +29,15 @@
 
 @dataclass(slots=True)
 class LedgerEntry:
-    """What the leader has granted of one limit to one holder.
+    """The grants of one limit by the leader to one holder.
 
-    Several grants can be outstanding, since a response may be lost: the holder may use any of them.
+    Several grants can be outstanding, since responses may be lost: the holder may use any of them.
 
     Attributes:
         grants: Outstanding grants by number.
-        sequence: Number of the holder's latest request.
-        wanted_per_s: What that request wanted.
-        requested_at_ns: When it arrived.
+        sequence: Sequence number of the holder's latest request.
+        wanted_per_s: Amount wanted by that request.
+        requested_at_ns: When that request arrived.
     """
 
     grants: dict[int, OutstandingGrant] = field(default_factory=dict)
@@ -46,12 +46,12 @@
     requested_at_ns: int = 0
 
     def outstanding_per_s(self, now_ns: int) -> float:
-        """Return the most that the holder can be using."""
+        """Return the greatest amount that the holder may be using."""
         live = (grant for grant in self.grants.values() if grant.expires_at_ns > now_ns)
         return max((grant.amount_per_s for grant in live), default=0.0)
 
-    def discard_except(self, grant_id: int, now_ns: int) -> None:
-        """Drop all grants but the one that the holder says it uses, if that has not expired."""
+    def discard_grants_except(self, grant_id: int, now_ns: int) -> None:
+        """Drop all grants except the one that the holder reports to use, if it has not expired."""
         grant = self.grants.get(grant_id)
         self.grants = {}
         if grant is not None and grant.expires_at_ns > now_ns:
@@ -64,11 +64,11 @@
 
     Attributes:
         term: Term of the candidacy.
-        votes: By voter, when its vote expires, by this broker's clock.
-        requests_sent_ns: By number of a vote request, when it was sent.
-        elected_at_ns: Since when only this broker grants; 0 while it is not elected.
-        raises_from_ns: When all that the previous leader granted has expired; until then leases
-            are renewed, not raised.
+        votes: When each voter's vote expires by this broker's clock, by voter.
+        requests_sent_ns: When each open vote request was sent, by sequence number.
+        elected_at_ns: Since when this broker has been the only grantor; 0 while it is not elected.
+        increases_allowed_from_ns: When all grants of the previous leader have expired; until then
+            leases are renewed, but not increased.
         ledgers: Grants by limit and holder.
     """
 
@@ -76,11 +76,11 @@
     votes: dict[str, int] = field(default_factory=dict)
     requests_sent_ns: dict[int, int] = field(default_factory=dict)
     elected_at_ns: int = 0
-    raises_from_ns: int = 0
+    increases_allowed_from_ns: int = 0
     ledgers: dict[str, dict[str, LedgerEntry]] = field(default_factory=dict)
 
     def restart(self, term: int) -> None:
-        """Become a candidate without votes in another term."""
+        """Become a candidate without votes in a new term."""
         self.elected_at_ns = 0
         self.term = term
         self.votes.clear()
@@ -99,7 +99,7 @@
 
         Args:
             state: State shared with the other roles.
-            voter: This broker's own voter, which is asked first.
+            voter: This broker's own voter, whose vote is requested first.
         """
         self.state = state
         self.voter = voter
@@ -108,8 +108,8 @@
     def has_authority(self, shard: int, now_ns: int) -> bool:
         """Return whether this broker alone may grant leases in a shard at this moment.
 
-        Never while there are more members than the configured fleet size: then two candidates could
-        each have more than half of that number.
+        No broker may while there are more members than the configured fleet size: two candidates
+        could then each have the votes of more than half of the configured fleet.
         """
         leadership = self.leaderships.get(shard)
         if leadership is None or len(self.state.members) > self.state.fleet_size:
@@ -118,7 +118,7 @@
         return valid_votes * 2 > self.state.fleet_size
 
     def count_votes(self, now_ns: int, voter: str, response: VoteResponse) -> None:
-        """Take in the answer to a vote request."""
+        """Count the votes in the answer to a vote request."""
         for shard, term in response.rejected_shards:
             leadership = self.leaderships.get(shard)
             if leadership is None or term <= leadership.term:
@@ -141,8 +141,8 @@
     def update(self, now_ns: int) -> None:
         """Begin or end leaderships according to the votes that are valid now.
 
-        An authority that lapsed, however briefly, may have been another broker's meanwhile: it
-        begins again in a new term, with an empty ledger.
+        After a lapse of its authority, however short, this broker needs a new term and an empty
+        ledger: another broker may have been the leader in the meantime.
         """
         settings = self.state.settings
         for shard, leadership in self.leaderships.items():
@@ -151,7 +151,7 @@
                     leadership.elected_at_ns = now_ns
                     leadership.ledgers = {}
                     wait_ns = expiry_wait_ns(settings.lease_ns, settings.clock_drift)
-                    leadership.raises_from_ns = now_ns + wait_ns
+                    leadership.increases_allowed_from_ns = now_ns + wait_ns
             elif leadership.elected_at_ns:
                 leadership.restart(leadership.term + 1)
                 self.state.event_counts[LeaseEvent.LEADERSHIP_LOST] += 1
@@ -168,7 +168,7 @@
         if not assigned:
             return
         sequence = self.state.next_sequence()
-        candidacies = tuple(self._candidacy(now_ns, shard, sequence) for shard in assigned)
+        candidacies = tuple(self._record_candidacy(now_ns, shard, sequence) for shard in assigned)
         request = VoteRequest(sequence, candidacies)
         own_vote = self.voter.answer(now_ns, self.state.name, request)
         self.count_votes(now_ns, self.state.name, own_vote)
@@ -188,8 +188,8 @@
             and preferred_leader(shard, self.state.members) == self.state.name
         ]
 
-    def _candidacy(self, now_ns: int, shard: int, sequence: int) -> tuple[int, int, bool]:
-        """Record a vote request for a shard, and return its entry as in `VoteRequest`."""
+    def _record_candidacy(self, now_ns: int, shard: int, sequence: int) -> tuple[int, int, bool]:
+        """Record a vote request for a shard, and return its entry for the `VoteRequest`."""
         leadership = self.leaderships[shard]
         requests_sent_ns = leadership.requests_sent_ns
         requests_sent_ns[sequence] = now_ns
--- a/query_broker/quotas/lease_grantor.py
+++ b/query_broker/quotas/lease_grantor.py
@@ -1,8 +1,8 @@
 """The grantor: divides limits among their holders while this broker leads the limits' shards.
 
-A new leader does not know what the previous one granted. It renews what holders show it, if dated
-after it became the only leader, and raises nothing until all earlier leases have expired. Performs
-no I/O.
+A new leader does not know the grants of its predecessor. It renews the leases that holders report,
+provided that they know it as the elected leader, and increases no lease until all earlier ones have
+expired. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from .sharding import shard_of
 
 MAX_DEMANDS_PER_MESSAGE = 12
-#: Differences of amounts below this are rounding errors.
+#: Differences between amounts below this are rounding errors.
 ROUNDING_ERROR_PER_S = 1e-9
-#: Grant numbers start at random below this.
+#: The first grant number is drawn at random below this.
 FIRST_GRANT_ID_BOUND = 1 << 40
 
 
@@ -26,23 +26,23 @@
     """Answers lease requests.
 
     Attributes:
-        caps_per_s: By limit and holder, the most that operators let the holder have.
+        caps_per_s: The operators' cap on a holder's lease, by limit and holder.
     """
 
     def __init__(
         self, state: BrokerState, election: LeaderElection, draw: Callable[[], float]
     ) -> None:
-        """Start with grant numbers from a random one.
+        """Start with a random grant number.
 
         Args:
             state: State shared with the other roles.
-            election: Tells which shards this broker leads.
+            election: Knows which shards this broker leads.
             draw: Returns a random number in [0, 1); called once.
         """
         self.state = state
         self.election = election
         self.caps_per_s: dict[tuple[str, str], float] = {}
-        # If numbers began at 1, a grant of another leader could pass for one of ours.
+        # If numbers started at 1, another leader's grant could be mistaken for this broker's.
         self.last_grant_id = 1 + int(draw() * FIRST_GRANT_ID_BOUND)
 
     def answer(self, now_ns: int, holder: str, request: LeaseRequest) -> LeaseResponse | None:
@@ -57,7 +57,7 @@
         return LeaseResponse(request.sequence, tuple(grants))
 
     def outstanding_per_s(self, limit: str, now_ns: int) -> dict[str, float]:
-        """Return by holder what is granted of a limit."""
+        """Return the outstanding amount of a limit by holder."""
         return {
             holder: entry.outstanding_per_s(now_ns)
             for leadership in self.election.leaderships.values()
@@ -75,21 +75,21 @@
         ledger = leadership.ledgers.setdefault(demand.limit, {})
         entry = ledger.setdefault(holder, LedgerEntry())
         if sequence <= entry.sequence:
-            return None  # An older request that arrived late no longer describes its holder.
+            return None  # A delayed older request is no longer what its holder wants.
         entry.sequence = sequence
         entry.wanted_per_s = demand.wanted_per_s
         entry.requested_at_ns = now_ns
         others = (other for name, other in ledger.items() if name != holder)
-        available = capacity - sum(other.outstanding_per_s(now_ns) for other in others)
-        if now_ns < leadership.raises_from_ns:
-            amount = self._renewed_amount(now_ns, leadership, entry, demand, available)
+        available_per_s = capacity - sum(other.outstanding_per_s(now_ns) for other in others)
+        if now_ns < leadership.increases_allowed_from_ns:
+            amount = self._renewed_amount(now_ns, leadership, entry, demand, available_per_s)
         else:
-            amount = self._fair_amount(now_ns, ledger, holder, demand, available)
+            amount = self._fair_amount(now_ns, ledger, holder, demand, available_per_s)
         if amount is None:
             return None
-        # The holder accepts only the grant for its last request: all others but the one it uses
-        # are void.
-        entry.discard_except(demand.grant_id, now_ns)
+        # The holder accepts only the grant for its latest request: all earlier grants except the
+        # one it uses are void.
+        entry.discard_grants_except(demand.grant_id, now_ns)
         self.last_grant_id += 1
         expires_at_ns = now_ns + self.state.settings.lease_ns
         entry.grants[self.last_grant_id] = OutstandingGrant(amount, expires_at_ns)
@@ -106,17 +106,17 @@
     ) -> float | None:
         """Return what a new leader may grant; None if it may not answer this holder yet.
 
-        What the holders show was granted by the previous leader and is within the limit in sum;
-        nothing is raised.
+        The leases that holders report were granted by the previous leader, and their sum is within
+        the limit; none is increased.
         """
         if demand.leader_term != leadership.term:
             return None if demand.leased_per_s > 0 else 0.0
-        shown = entry.outstanding_per_s(now_ns)
+        current_per_s = entry.outstanding_per_s(now_ns)
         if demand.grant_id:
-            shown = max(demand.leased_per_s, shown)
-        retained = shown if demand.wanted_per_s >= 0 else 0.0
-        wanted = max(demand.wanted_per_s, retained)
-        return max(0.0, min(wanted, shown, available_per_s))
+            current_per_s = max(demand.leased_per_s, current_per_s)
+        retained_per_s = current_per_s if demand.wanted_per_s >= 0 else 0.0
+        wanted_per_s = max(demand.wanted_per_s, retained_per_s)
+        return max(0.0, min(wanted_per_s, current_per_s, available_per_s))
 
     def _fair_amount(
         self,
@@ -131,10 +131,10 @@
         level = allocation.get(holder, 0.0)
         is_capped = (demand.limit, holder) in self.caps_per_s
         if demand.wanted_per_s >= 0 and not is_capped:
-            # What no holder needs is divided evenly: a sudden rise finds some of it until the
+            # Unused capacity is divided equally, so that a sudden rise in demand has some until the
             # next request.
-            unused = capacity - sum(allocation.values())
-            level += unused / max(len(self.state.members), len(allocation))
+            unused_per_s = capacity - sum(allocation.values())
+            level += unused_per_s / max(len(self.state.members), len(allocation))
         amount = min(level, available_per_s)
         if amount < level - ROUNDING_ERROR_PER_S:
             self.state.event_counts[LeaseEvent.REDUCED] += 1
@@ -143,11 +143,11 @@
     def _recent_demands(
         self, now_ns: int, limit: str, ledger: dict[str, LedgerEntry]
     ) -> dict[str, float]:
-        """Return by holder what was wanted within the last lease, within the operators' caps."""
+        """Return each holder's demand of the last lease duration, limited to its cap."""
         demands: dict[str, float] = {}
         for holder, entry in ledger.items():
             if now_ns - entry.requested_at_ns >= self.state.settings.lease_ns:
                 continue
-            cap = self.caps_per_s.get((limit, holder), entry.wanted_per_s)
-            demands[holder] = max(0.0, min(entry.wanted_per_s, cap))
+            cap_per_s = self.caps_per_s.get((limit, holder), entry.wanted_per_s)
+            demands[holder] = max(0.0, min(entry.wanted_per_s, cap_per_s))
         return demands
--- a/query_broker/quotas/lease_holder.py
+++ b/query_broker/quotas/lease_holder.py
@@ -1,8 +1,8 @@
 """The holder: requests leases ahead of need and knows what this broker may use.
 
-A holder counts a lease from the moment it sent the request, for less time than the grantor does,
-and compares with its own clock at each use: a process that was paused wakes to a lease that has
-expired. Performs no I/O.
+A lease begins for the holder when the request is sent, and lasts for less time than for the
+grantor. The holder checks the expiry by its own clock at each use: after a pause of the process, a
+lease that has expired is not used. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from .sharding import shard_of
 from .voting import Voter
 
-#: In place of a wanted amount: the lease is returned.
+#: Sent as the wanted amount to return the lease.
 RETURNED_AMOUNT = -1.0
-#: In place of the number of a request that has been answered.
+#: Replaces the sequence number of a request that has been answered.
 NO_SEQUENCE = -1
 
 
@@ -28,8 +28,8 @@
     """A lease of this broker.
 
     Attributes:
-        amount_per_s: What may be used.
-        expires_at_ns: Until when it may be used, by this broker's clock.
+        amount_per_s: The amount that may be used.
+        expires_at_ns: When the lease expires, by this broker's clock.
         grant_id: Number of the grant.
         leader_term: Term of the leader that granted it.
     """
@@ -41,7 +41,7 @@
 
 
 class PendingRequest(NamedTuple):
-    """The last request for a limit; its sequence is `NO_SEQUENCE` once answered."""
+    """The latest request for a limit; its sequence is `NO_SEQUENCE` once answered."""
 
     sequence: int
     sent_at_ns: int
@@ -51,7 +51,7 @@
 
 
 class AddressedRequest(NamedTuple):
-    """A lease request, and the name of the leader that it is for."""
+    """A lease request and the name of the leader it is sent to."""
 
     leader: str
     request: LeaseRequest
@@ -62,9 +62,9 @@
 
     Attributes:
         leases: Lease by limit.
-        wanted_per_s: By limit, what is needed beyond the guaranteed part.
-        always_requested: Limits of which unused capacity is taken even without need.
-        pending_requests: Last request by limit.
+        wanted_per_s: The amount needed beyond the guaranteed part, by limit.
+        always_requested_limits: Limits whose unused capacity is requested even without demand.
+        pending_requests: Latest request by limit.
     """
 
     def __init__(self, state: BrokerState, voter: Voter) -> None:
@@ -78,7 +78,7 @@
         self.voter = voter
         self.leases: dict[str, Lease] = {}
         self.wanted_per_s: dict[str, float] = {}
-        self.always_requested: frozenset[str] = frozenset()
+        self.always_requested_limits: frozenset[str] = frozenset()
         self.pending_requests: dict[str, PendingRequest] = {}
 
     def live_lease(self, limit: str, now_ns: int) -> Lease | None:
@@ -89,19 +89,19 @@
         return lease
 
     def amount_per_s(self, limit: str, now_ns: int) -> float:
-        """Return what may be used at this moment of the leased part of a limit."""
+        """Return the amount of a limit's leased part that may be used at this moment."""
         lease = self.leases.get(limit)
         if lease is None or now_ns >= lease.expires_at_ns:
             return 0.0
         return lease.amount_per_s
 
     def first_expiry_ns(self, now_ns: int) -> int:
-        """Return when the first of the live leases expires; 0 if there is none."""
+        """Return when the first live lease expires; 0 if there is none."""
         expiries = (lease.expires_at_ns for lease in self.leases.values())
         return min((expiry for expiry in expiries if expiry > now_ns), default=0)
 
     def accept(self, response: LeaseResponse) -> None:
-        """Take the grants of a response: only those that answer the last request for the limit."""
+        """Accept the grants of a response that answer the latest request for their limit."""
         settings = self.state.settings
         duration_ns = holder_duration_ns(settings.lease_ns, settings.clock_drift)
         for grant in response.grants:
@@ -114,7 +114,7 @@
         if grant.leader_term < self.voter.highest_term(shard):
             return
         self.voter.observe_term(shard, grant.leader_term)
-        # One grant for one request: a repeated response is ignored.
+        # Each request is answered by one grant at most: a duplicated response is ignored.
         self.pending_requests[grant.limit] = PendingRequest(NO_SEQUENCE, request.sent_at_ns)
         self.leases[grant.limit] = Lease(
             grant.amount_per_s,
@@ -149,19 +149,19 @@
 
     def _demand(self, limit: str, now_ns: int) -> LeaseDemand | None:
         lease = self.live_lease(limit, now_ns)
-        wanted = self.wanted_per_s.get(limit, 0.0)
+        wanted_per_s = self.wanted_per_s.get(limit, 0.0)
         leader_term = self.voter.confirmed_term(shard_of(limit))
-        if wanted <= 0 and limit not in self.always_requested:
+        if wanted_per_s <= 0 and limit not in self.always_requested_limits:
             if lease is None:
                 return None
-            lease.expires_at_ns = now_ns  # Returned, and not used from this moment on.
+            lease.expires_at_ns = now_ns  # The lease is returned and no longer used.
             return LeaseDemand(limit, RETURNED_AMOUNT, 0.0, 0, leader_term)
         if lease is None:
-            return LeaseDemand(limit, wanted, 0.0, 0, leader_term)
-        return LeaseDemand(limit, wanted, lease.amount_per_s, lease.grant_id, leader_term)
+            return LeaseDemand(limit, wanted_per_s, 0.0, 0, leader_term)
+        return LeaseDemand(limit, wanted_per_s, lease.amount_per_s, lease.grant_id, leader_term)
 
     def discard_expired(self, now_ns: int) -> None:
-        """Forget leases that have expired."""
+        """Remove expired leases."""
         for limit, lease in list(self.leases.items()):
             if now_ns >= lease.expires_at_ns:
                 del self.leases[limit]
--- a/query_broker/quotas/lease_log.py
+++ b/query_broker/quotas/lease_log.py
@@ -1,4 +1,4 @@
-"""The record of this broker's leases, from which an auditor adds up those of all brokers.
+"""The record of this broker's leases, from which an auditor sums the leases of all brokers.
 
 Performs no I/O.
 """
@@ -10,17 +10,17 @@
 
 from .leases import LeaseManager
 
-MAX_RECORDS = 400
+MAX_LEASE_RECORDS = 400
 
 
 class LeaseRecord(NamedTuple):
-    """The beginning, change or end of a lease; in the operators' JSON a list in this order.
+    """The start, change or end of a lease; in the operators' JSON a list in this order.
 
     Attributes:
-        changed_at_ns: When, by this broker's clock.
+        changed_at_ns: When the lease changed, by this broker's clock.
         limit: Name of the limit.
-        amount_per_s: What may be used from then on.
-        expires_at_ns: Until when, by this broker's clock.
+        amount_per_s: The amount that may be used from then on.
+        expires_at_ns: When the lease expires, by this broker's clock.
     """
 
     changed_at_ns: int
@@ -30,7 +30,7 @@
 
 
 class LeaseState(NamedTuple):
-    """The amount and the end of a lease, as they were recorded last."""
+    """The amount and the expiry of a lease, as recorded last."""
 
     amount_per_s: float
     expires_at_ns: int
@@ -46,11 +46,11 @@
     def __init__(self, leases: LeaseManager) -> None:
         """Start with an empty record of the given leases."""
         self.leases = leases
-        self.records: deque[LeaseRecord] = deque(maxlen=MAX_RECORDS)
+        self.records: deque[LeaseRecord] = deque(maxlen=MAX_LEASE_RECORDS)
         self._last_states: dict[str, LeaseState] = {}
 
     def update(self, now_ns: int) -> None:
-        """Record what has changed."""
+        """Record the leases that have changed."""
         for limit in self.leases.state.limits:
             lease = self.leases.holder.leases.get(limit)
             amount_per_s = 0.0 if lease is None else lease.amount_per_s
--- a/query_broker/quotas/leases.py
+++ b/query_broker/quotas/leases.py
@@ -1,9 +1,9 @@
 """Hard limits by leases: one broker's roles in granting and holding them.
 
-Three roles are in every broker: the voter (`voting.py`), the leader of a shard, which must be
-elected (`leadership.py`) and grants leases (`lease_grantor.py`), and the holder
-(`lease_holder.py`). The sum of all valid leases never exceeds the limit, whatever is lost,
-delayed, duplicated, partitioned or restarted, while clocks keep the configured drift.
+Every broker has three roles: the voter (`voting.py`), the leader of a shard, which must be elected
+(`leadership.py`) and grants leases (`lease_grantor.py`), and the holder (`lease_holder.py`). While
+all clocks keep within the configured drift, the sum of all valid leases never exceeds the limit:
+neither lost, delayed or duplicated messages nor network partitions or restarts change that.
 
 Performs no I/O. All times are this broker's own clock in nanoseconds.
 """
@@ -27,14 +27,14 @@
 
 
 class LeaseManager:
-    """Wires the roles of one broker and runs their timers.
+    """Connects the roles of one broker and runs their timers.
 
     Attributes:
-        state: What the roles have in common: name, limits, view, outbox, event counts.
+        state: State shared by the roles: name, limits, view, outbox, event counts.
         outbox: The state's outbox.
         voter: Votes for leaders.
-        election: Leads shards.
-        grantor: Grants leases in these shards.
+        election: Gains and keeps the leadership of shards.
+        grantor: Grants leases in the shards that this broker leads.
         holder: Holds this broker's leases.
     """
 
@@ -65,11 +65,11 @@
         self.next_lease_request_ns = now_ns
 
     def amount_per_s(self, limit: str, now_ns: int) -> float:
-        """Return what this broker may use at this moment of the leased part of a limit."""
+        """Return the amount of a limit's leased part that this broker may use at this moment."""
         return self.holder.amount_per_s(limit, now_ns)
 
     def guaranteed_per_s(self, rate_per_s: float) -> float:
-        """Return what is this broker's of a rate without any communication."""
+        """Return this broker's guaranteed part of a rate, usable without any communication."""
         return rate_per_s * self.state.settings.guaranteed_fraction / self.state.fleet_size
 
     def has_authority(self, limit: str, now_ns: int) -> bool:
@@ -77,12 +77,12 @@
         return self.election.has_authority(shard_of(limit), now_ns)
 
     def set_view(self, members: Sequence[str], is_certain: bool) -> None:
-        """Take in the members, and whether the membership considers the view reliable."""
+        """Set the members, and whether the membership considers the view reliable."""
         self.state.members = tuple(members)
         self.state.is_view_certain = is_certain
 
     def receive(self, now_ns: int, sender: str, message: LeaseMessage) -> None:
-        """Handle a message of another broker; answers go to the outbox."""
+        """Handle a message of another broker; put answers into the outbox."""
         match message:
             case VoteRequest():
                 self.state.send(sender, self.voter.answer(now_ns, sender, message))
@@ -96,12 +96,12 @@
             case LeaseResponse():
                 self.holder.accept(message)
 
-    def request_soon(self, now_ns: int) -> None:
-        """Request leases at the next tick, because more is needed than held."""
+    def request_at_next_tick(self, now_ns: int) -> None:
+        """Request leases at the next tick, because the demand exceeds the leases."""
         self.next_lease_request_ns = min(self.next_lease_request_ns, now_ns)
 
     def tick(self, now_ns: int) -> None:
-        """Do what is due; to be called several times a second."""
+        """Run the timers that are due; to be called several times a second."""
         settings = self.state.settings
         self.election.update(now_ns)
         if now_ns >= self.next_vote_request_ns:
--- a/query_broker/quotas/messages.py
+++ b/query_broker/quotas/messages.py
@@ -13,9 +13,9 @@
     """Asks for a vote for the sender as leader of some shards.
 
     Attributes:
-        sequence: Number that the answer repeats.
+        sequence: Number that the answer returns.
         candidacies: For each shard its number, the term, and whether the sender is its leader in
-            this term already; if so, leases that the receiver holds from earlier are safe to renew.
+            this term already; only then may it renew leases that the receiver already holds.
     """
 
     sequence: int
@@ -28,7 +28,7 @@
     Attributes:
         sequence: Number of the request.
         granted_shards: Shards for which the sender votes for the candidate.
-        rejected_shards: Of each other shard its number and the highest term the sender has seen.
+        rejected_shards: For each other shard its number and the highest term the sender has seen.
     """
 
     sequence: int
@@ -37,13 +37,13 @@
 
 
 class LeaseDemand(msgspec.Struct, array_like=True, frozen=True):
-    """What a holder wants of one limit.
+    """A holder's demand for one limit.
 
     Attributes:
         limit: Name of the limit.
         wanted_per_s: The amount needed beyond the guaranteed part; -1 returns the lease.
         leased_per_s: The amount of the lease in force; 0 without one.
-        grant_id: The grant that lease rests on; 0 without one.
+        grant_id: Number of the grant of that lease; 0 without one.
         leader_term: Latest term in which the sender knows the shard's leader to be elected; -1 if
             none.
     """
@@ -79,10 +79,10 @@
 
 
 class UsageReport(msgspec.Struct, array_like=True, frozen=True):
-    """What one broker uses of the soft limits.
+    """The rates at which one broker uses the soft limits.
 
     Attributes:
-        broker: Name of the broker; it alone writes its report.
+        broker: Name of the broker; only this broker writes the report.
         version: Rises with each report of this broker.
         age_ms: Milliseconds since the broker measured the rates.
         rates_per_s: Pairs of a limit's name and the rate used of it.
@@ -95,7 +95,7 @@
 
 
 class UsageReports(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """One batch of gossip on soft limits: reports of the sender and of others."""
+    """A batch of usage reports of the sender and of other brokers, for gossip."""
 
     reports: tuple[UsageReport, ...]
 
--- a/query_broker/quotas/metrics.py
+++ b/query_broker/quotas/metrics.py
@@ -14,7 +14,7 @@
 
 
 class LimitGauge(NamedTuple):
-    """A gauge with one time series a limit."""
+    """A gauge with one time series per limit."""
 
     name: str
     help_text: str
@@ -32,7 +32,7 @@
         LimitGauge(
             "asked",
             "What was asked of it in the last second.",
-            lambda limit: tracker.forecasts[limit.name].last_per_s,
+            lambda limit: tracker.forecasts[limit.name].last_demand_per_s,
         ),
         LimitGauge(
             "held",
@@ -42,7 +42,7 @@
         LimitGauge(
             "overshoot_promised",
             "By how much all may be over.",
-            tracker.promised_overshoot_per_s,
+            tracker.overshoot_bound_per_s,
         ),
         LimitGauge(
             "overshoot_seen",
--- a/query_broker/quotas/quota_rates.py
+++ b/query_broker/quotas/quota_rates.py
@@ -1,4 +1,4 @@
-"""What this broker may use of each limit, and the platform settings adjusted to it.
+"""This broker's quota of each limit, and the platform settings adjusted to the quotas.
 
 Performs no I/O.
 """
@@ -13,17 +13,17 @@
 from .leases import LeaseManager
 from .settings import LimitSettings, QuotaKind, QuotaSettings
 
-#: A small lease shrinks this broker's part of the endpoints to no less than the even part divided
+#: A small lease reduces this broker's part of the endpoints to no less than the equal share divided
 #: by this factor.
-MAX_FLEET_FACTOR = 8
-#: Stands for a fraction of zero where one is divided by it.
+MAX_FLEET_SIZE_FACTOR = 8
+#: Replaces a fraction of zero as a divisor.
 MIN_WORK_FRACTION = 1e-6
-#: The "work" limit is a fraction of all that the endpoints can do.
-ALL_WORK = 1.0
+#: The "work" limit is a fraction of the capacity of all endpoints, so that all of it is 1.
+TOTAL_WORK_FRACTION = 1.0
 
 
 class QuotaEnvironment(Protocol):
-    """What changes around the shared limits."""
+    """Current platform settings and members, as the quotas use them."""
 
     def platform_settings(self) -> Settings:
         """Return the platform settings in force."""
@@ -37,7 +37,7 @@
 
     Attributes:
         tenant_limits: Limits of tenants by name.
-        limits_by_kind: The one limit of each other kind.
+        limits_by_kind: The limit of each other kind; there is at most one per kind.
     """
 
     def __init__(
@@ -52,8 +52,8 @@
         Args:
             settings: Settings of the shared limits.
             environment: Platform settings and members.
-            leases: Give the quotas of hard limits.
-            counters: Give the quotas of soft limits.
+            leases: Determine the quotas of hard limits.
+            counters: Determine the quotas of soft limits.
         """
         self.settings = settings
         self.leases = leases
@@ -77,11 +77,11 @@
         }
 
     def limit_per_s(self, limit: LimitSettings) -> float:
-        """Return the limit of all brokers together."""
+        """Return the rate of a limit for all brokers together."""
         if limit.rate:
             return limit.rate
         if limit.kind != QuotaKind.TENANT:
-            return ALL_WORK
+            return TOTAL_WORK_FRACTION
         tenants = self.environment.platform_settings().tenants
         quotas = (tenant.quota_per_s for tenant in tenants if tenant.name == limit.name)
         return next(quotas, 0.0)
@@ -94,7 +94,7 @@
         return self.soft_quota(limit, now_ns).rate_per_s
 
     def soft_quota(self, limit: LimitSettings, now_ns: int) -> SoftQuota:
-        """Return this broker's part of a soft limit and how old its basis is."""
+        """Return this broker's part of a soft limit and the age of the oldest report behind it."""
         return self.counters.quota(
             now_ns,
             limit.name,
@@ -112,10 +112,10 @@
         }
 
     def adjust(self, settings: Settings, now_ns: int, use_work_quota: bool) -> Settings:
-        """Return platform settings with leased quotas in place of even parts.
+        """Return platform settings with leased quotas in place of equal shares.
 
-        The decisions divide tenants' quotas by the fleet size, so that each is given as this
-        broker's part times that size.
+        The decisions divide tenants' quotas by the fleet size; each quota is therefore set to this
+        broker's part multiplied by the fleet size.
 
         Args:
             settings: Platform settings to adjust.
@@ -124,11 +124,11 @@
         """
         configured_size = settings.fleet_size
         fleet_size = configured_size
-        position = settings.broker_index
+        broker_index = settings.broker_index
         work_limit = self.limits_by_kind.get(QuotaKind.WORK)
         if work_limit is not None and use_work_quota:
             fleet_size = self._fleet_size_for(self.quota_per_s(work_limit, now_ns))
-            position %= fleet_size
+            broker_index %= fleet_size
         tenants = []
         for tenant in settings.tenants:
             limit = self.tenant_limits.get(tenant.name)
@@ -138,10 +138,10 @@
                 quota_per_s = self.quota_per_s(limit, now_ns)
             tenants.append(replace(tenant, quota_per_s=fleet_size * quota_per_s))
         return replace(
-            settings, fleet_size=fleet_size, broker_index=position, tenants=tuple(tenants)
+            settings, fleet_size=fleet_size, broker_index=broker_index, tenants=tuple(tenants)
         )
 
     def _fleet_size_for(self, work_fraction: float) -> int:
-        """Return the fleet size of which one even part is the given fraction of the work."""
-        max_size = MAX_FLEET_FACTOR * self.environment.platform_settings().fleet_size
+        """Return the fleet size at which the equal share is the given fraction of the work."""
+        max_size = MAX_FLEET_SIZE_FACTOR * self.environment.platform_settings().fleet_size
         return max(1, min(max_size, round(1 / max(MIN_WORK_FRACTION, work_fraction))))
--- a/query_broker/quotas/service.py
+++ b/query_broker/quotas/service.py
@@ -1,7 +1,7 @@
 """The service of shared limits: connects them to the membership, the dispatcher and the node.
 
-The one module of the package with I/O. Quotas reach the decisions as platform settings alone: the
-size of the fleet and the tenants' quotas.
+The only module of the package with I/O. Quotas reach the decisions only as platform settings: the
+fleet size and the tenants' quotas.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 TOPIC = "limits"
 TICK_NS = NS_PER_S // 4
-#: Change of a quota, as a fraction, up to which it is not applied again.
+#: Quotas are applied again only after one of them has changed by more than this fraction.
 SIGNIFICANT_CHANGE_FRACTION = 0.05
-#: Stands for a quota of zero in the comparison of changes.
+#: Replaces a quota of zero when changes are compared.
 MIN_COMPARED_QUOTA_PER_S = 1e-9
-#: Stands for the quota of a limit that has not been applied yet.
-NEVER_APPLIED = -1.0
+#: Replaces the quota of a limit that has not been applied yet.
+NEVER_APPLIED_QUOTA_PER_S = -1.0
 MS_PER_S = 1_000
 
 
@@ -61,11 +61,11 @@
 def create_leases(
     host: QuotaHost, membership: QuotaMembership, settings: QuotaSettings, now_ns: int
 ) -> LeaseManager:
-    """Create the leases; unused capacity for work is requested even without demand."""
+    """Create the lease manager; unused capacity for work is requested even without demand."""
     draw = membership.detector.draw.random
     fleet_size = host.config.settings.fleet_size
     leases = LeaseManager(membership.name, settings, fleet_size, now_ns, draw)
-    leases.holder.always_requested = frozenset(
+    leases.holder.always_requested_limits = frozenset(
         limit.name for limit in settings.limits if limit.kind == QuotaKind.WORK
     )
     return leases
@@ -76,8 +76,8 @@
 
     Attributes:
         leases: Leases of the hard limits.
-        counters: Gossip on the soft limits.
-        rates: What this broker may use of each limit.
+        counters: Usage reports on the soft limits.
+        rates: This broker's quota of each limit.
         tracker: Demand on each limit.
         admin: Answers operators' calls.
     """
@@ -103,15 +103,15 @@
             settings, NodeEnvironment(host, membership), self.leases, self.counters
         )
         self.tracker = DemandTracker(self.rates, now_ns)
-        # Looked up here once, since each request reads them.
-        self._tenant_limits = frozenset(self.rates.tenant_limits)
+        # Kept here, since each request reads them.
+        self._tenant_limit_names = frozenset(self.rates.tenant_limits)
         work_limit = self.rates.limits_by_kind.get(QuotaKind.WORK)
-        self._work_limit = "" if work_limit is None else work_limit.name
+        self._work_limit_name = "" if work_limit is None else work_limit.name
         self.lease_log = LeaseLog(self.leases)
         self.admin = QuotaAdmin(
             self.rates, self.tracker, self.lease_log, host.clock, membership.detector.me.address
         )
-        # Retries and connections draw from one bucket, each at its own rate.
+        # Retries and connections take tokens from one bucket, each at its own rate.
         self._bucket = TokenBucket(now_ns)
         self._applied_quotas_per_s: dict[str, float] = {}
         self._first_expiry_ns = 0
@@ -134,19 +134,19 @@
     # --- settings ---
 
     def configure(self) -> None:
-        """Take in the platform settings, at the start and after each reload."""
+        """Apply the platform settings, at the start and after each reload."""
         self.leases.state.fleet_size = self.host.config.settings.fleet_size
         self.leases.state.limits = self.rates.leased_limits()
 
     def adjust(self, settings: Settings) -> Settings:
-        """Return the platform settings with leased quotas in place of even parts."""
+        """Return the platform settings with leased quotas in place of equal shares."""
         use_work_quota = not self._has_warming_endpoint()
         return self.rates.adjust(settings, self.host.clock.now(), use_work_quota)
 
     def _has_warming_endpoint(self) -> bool:
         """Return whether an endpoint is still warming up.
 
-        Such an endpoint would be overloaded if several brokers used large parts of it at once.
+        It would be overloaded if several brokers used large parts of its capacity at once.
         """
         now_ns = self.host.clock.now()
         warm_up_ns = self.host.config.settings.contract.warmup_ns
@@ -155,21 +155,21 @@
     # --- requests ---
 
     def request_arrived(self, parsed: ParsedRequest, now_ns: int) -> None:
-        """Count a request before it is decided on.
+        """Count a request before the decision on it.
 
-        A process that was paused reads the requests that wait for it before any timer fires: a
-        lease that has expired meanwhile must not be used.
+        After a pause, the process reads the waiting requests before any timer fires; a lease that
+        expired during the pause must not be used for them.
         """
         if self._first_expiry_ns and now_ns >= self._first_expiry_ns:
             self._apply_quotas(now_ns)
-        if parsed.tenant in self._tenant_limits:
+        if parsed.tenant in self._tenant_limit_names:
             self.tracker.count(parsed.tenant)
-        if self._work_limit:
-            self.tracker.count(self._work_limit, parsed.estimate_ms / MS_PER_S)
+        if self._work_limit_name:
+            self.tracker.count(self._work_limit_name, parsed.estimate_ms / MS_PER_S)
 
     @property
     def has_retry_limit(self) -> bool:
-        """Whether retries are limited, so that `admit_retry` may be called."""
+        """Whether retries are limited; `admit_retry` may be called only then."""
         return QuotaKind.RETRIES in self.rates.limits_by_kind
 
     def admit_retry(self) -> bool:
@@ -181,30 +181,30 @@
         return self._bucket.try_take(now_ns, quota_per_s)
 
     def connect_delay_ns(self, endpoint: int) -> int:
-        """Return how long a new connection has to wait, by the limit on connections."""
+        """Return how long a new connection has to wait to keep the limit on connections."""
         limit = self.rates.limits_by_kind[QuotaKind.CONNECTS]
         now_ns = self.host.clock.now()
         quota_per_s = self.rates.quota_per_s(limit, now_ns)
         self.tracker.count(limit.name)
         return self._bucket.reserve_ns(now_ns, quota_per_s)
 
-    # --- time ---
+    # --- timer ---
 
     def _tick(self) -> None:
         now_ns = self.host.clock.now()
         self.host.dispatcher.timer_wheel.set_timer(now_ns + TICK_NS, self._tick)
         try:
             self._update(now_ns)
-        except Exception as error:  # a fault here must not stop the timer wheel
+        except Exception as error:  # an error here must not stop the timer wheel
             self.host.log("fault", f"limits: {type(error).__name__}: {error}")
 
     def _update(self, now_ns: int) -> None:
         for breach in self.tracker.update(now_ns, self._available_cores):
             self.host.log(
                 "limits",
-                f"{breach.limit}: {breach.total_per_s:.1f} a second were admitted, "
-                f"{breach.overshoot_per_s:.1f} over; {breach.promised_per_s:.1f} are promised at "
-                "the most",
+                f"{breach.limit}: {breach.total_per_s:.1f}/s admitted, "
+                f"{breach.overshoot_per_s:.1f}/s over the limit, beyond the allowed overshoot of "
+                f"{breach.bound_per_s:.1f}/s",
             )
         is_certain = self.membership.views.view.is_certain
         self.counters.name = self.membership.name
@@ -228,7 +228,7 @@
         return cores
 
     def _apply_quotas(self, now_ns: int) -> None:
-        """Let the decisions use the current quotas, if these have changed significantly."""
+        """Apply the current quotas to the decisions, if any has changed significantly."""
         self._first_expiry_ns = self.leases.holder.first_expiry_ns(now_ns)
         quotas_per_s = self.rates.hard_quotas(now_ns)
         if any(self._is_significant(limit, quota) for limit, quota in quotas_per_s.items()):
@@ -236,7 +236,7 @@
             self.host.dispatcher.refresh_settings()
 
     def _is_significant(self, limit: str, quota_per_s: float) -> bool:
-        change = abs(quota_per_s - self._applied_quotas_per_s.get(limit, NEVER_APPLIED))
+        change = abs(quota_per_s - self._applied_quotas_per_s.get(limit, NEVER_APPLIED_QUOTA_PER_S))
         return change > SIGNIFICANT_CHANGE_FRACTION * max(quota_per_s, MIN_COMPARED_QUOTA_PER_S)
 
     # --- messages ---
@@ -279,7 +279,7 @@
     # --- operators ---
 
     def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
-        """Answer an operators' HTTP call; None if its path is not one of this service."""
+        """Answer an operators' HTTP call; None if its path does not belong to this service."""
         return self.admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
--- a/query_broker/quotas/settings.py
+++ b/query_broker/quotas/settings.py
@@ -1,8 +1,8 @@
 """Settings of the shared limits, as the operators' file declares them, and the bounds they imply.
 
-A fraction of every hard limit is guaranteed: divided evenly by the configured fleet size, it
-belongs to each broker without any communication, and is therefore safe in any network partition.
-The rest is leased. All durations are in nanoseconds. Performs no I/O.
+A fraction of every hard limit is guaranteed: it is divided equally by the configured fleet size,
+and each broker may use its part without any communication, and so in any network partition. The
+rest is leased. All durations are in nanoseconds. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from enum import StrEnum
 
 NS_PER_S = 1_000_000_000
-#: Every limit belongs to one of so many shards; each shard has a leader of its own.
+#: Each limit belongs to one of these shards, and each shard has its own leader.
 SHARD_COUNT = 8
-#: How often a holder renews within the duration of a lease, and a leader within that of a vote.
+#: Renewals of a lease by its holder, and of a vote by the leader, within its duration.
 RENEWALS_PER_PERIOD = 4
-#: A usage report older than so many gossip intervals counts as unknown.
+#: A usage report older than this many gossip intervals is treated as missing.
 STALE_AFTER_ROUNDS = 3
 
 
 class QuotaKind(StrEnum):
-    """What a limit is about; the values are those that operators write in their file."""
+    """What a limit applies to; the values are those in the operators' file."""
 
     TENANT = "tenant"
     WORK = "work"
@@ -41,8 +41,8 @@
         name: Unique name; of a tenant's limit the name of the tenant.
         kind: What is limited.
         rate: Rate of all brokers together, per second; 0 takes it from the platform settings (the
-            tenant's quota, or the threads of the endpoints). The field keeps the operators' name,
-            under which the evaluated file hands it on.
+            tenant's quota, or the threads of the endpoints). The field has the operators' name,
+            under which the evaluated file passes it on.
     """
 
     name: str
@@ -51,7 +51,7 @@
 
     @property
     def is_hard(self) -> bool:
-        """Whether the limit is kept by leases, and so never exceeded."""
+        """Whether the limit is enforced by leases, and so never exceeded."""
         return self.kind in HARD_KINDS
 
 
@@ -63,9 +63,9 @@
         lease_ns: How long a lease lasts.
         vote_ns: How long a vote binds the broker that cast it; a leader grants only while it holds
             the votes of a majority.
-        clock_drift: By how much the rate of any clock may differ from the true one, as a fraction.
-        guaranteed_fraction: The part of each hard limit that is divided evenly and never leased.
-        gossip_interval_ns: Time between two rounds of gossip on the soft limits.
+        clock_drift: The most by which a clock's rate may differ from the true one, as a fraction.
+        guaranteed_fraction: The part of each hard limit that is divided equally and never leased.
+        gossip_interval_ns: Time between two gossip rounds on the soft limits.
         limits: The limits, in the order of the operators' file.
     """
 
@@ -80,8 +80,8 @@
 def holder_duration_ns(duration_ns: int, clock_drift: float) -> int:
     """Return how long the receiver of a lease or vote may rely on it by its own clock.
 
-    The receiver's clock may be slow by the drift and the giver's fast by it: the receiver's use
-    still ends before the giver considers the lease or vote expired.
+    For the receiver, the lease or vote expires before it expires for the broker that granted it,
+    even if the receiver's clock is slow by the drift and the other broker's clock is fast by it.
     """
     return int(duration_ns * (1 - clock_drift) / (1 + clock_drift))
 
@@ -100,9 +100,10 @@
 ) -> float:
     """Return by how much all brokers together can exceed a limit, per second.
 
-    A hard limit is never exceeded while clocks keep the configured drift. Beyond it the leased part
-    can be in use twice, for the fraction of a lease by which it lasts too long. A soft limit is
-    exceeded when all brokers raise their use at once, before any has received the others' reports.
+    A hard limit is never exceeded while clocks keep within the configured drift. Beyond that drift,
+    a holder can use a lease after the leader considers it expired: for that fraction of the lease
+    duration the leased part can be in use twice. A soft limit is exceeded if all brokers increase
+    their use at once, before any has received the others' reports.
     """
     if limit.is_hard:
         excess_drift = max(0.0, actual_drift - settings.clock_drift)
--- a/query_broker/quotas/voting.py
+++ b/query_broker/quotas/voting.py
@@ -1,7 +1,7 @@
 """The voter: votes for one leader of each shard at a time, for a limited duration.
 
-Every broker is a voter. A voter that has just started grants no vote until any vote it may have
-cast before a crash has expired, since votes are not stored. Performs no I/O.
+Every broker is a voter. Votes are not stored: after its start a voter grants no vote until every
+vote that it may have cast before a restart has expired. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class CastVote(NamedTuple):
-    """A vote and until when, by the voter's clock, it excludes other candidates."""
+    """A vote; no other candidate gets one until it expires by the voter's clock."""
 
     candidate: str
     term: int
@@ -25,14 +25,14 @@
 
     Attributes:
         votes: Latest vote by shard.
-        silent_until_ns: Until then no vote is granted.
+        silent_until_ns: Until when no vote is granted.
         highest_terms: Highest term seen by shard.
-        confirmed_terms: By shard the latest term in which a candidate that got our vote had already
-            been elected.
+        confirmed_terms: Latest term in which a candidate that got this broker's vote had already
+            been elected, by shard.
     """
 
     def __init__(self, settings: QuotaSettings, now_ns: int) -> None:
-        """Start silent, as after a restart."""
+        """Start without votes; none is granted until those from before a restart have expired."""
         self.settings = settings
         self.votes: dict[int, CastVote] = {}
         self.silent_until_ns = now_ns + expiry_wait_ns(settings.vote_ns, settings.clock_drift)
@@ -40,7 +40,7 @@
         self.confirmed_terms: dict[int, int] = {}
 
     def answer(self, now_ns: int, candidate: str, request: VoteRequest) -> VoteResponse:
-        """Vote for the candidate in each shard of the request where no other vote is in force."""
+        """Vote for the candidate in each requested shard where no other vote is in force."""
         granted: list[int] = []
         rejected: list[tuple[int, int]] = []
         for shard, term, is_elected in request.candidacies[:SHARD_COUNT]:
@@ -73,5 +73,5 @@
         self.highest_terms[shard] = term
 
     def confirmed_term(self, shard: int) -> int:
-        """Return the latest term in which the shard is known to have an elected leader, or -1."""
+        """Return the latest term in which the shard's leader is known to be elected; -1 if none."""
         return self.confirmed_terms.get(shard, -1)
--- a/tests/quotas/test_fair_allocation.py
+++ b/tests/quotas/test_fair_allocation.py
@@ -29,6 +29,6 @@
     forecast = DemandForecast()
     for demand_per_s in (0, 0, 100):
         forecast.record(demand_per_s)
-    assert forecast.predicted_per_s() >= 125
+    assert forecast.predicted_demand_per_s() >= 125
     forecast.record(0)
-    assert 0 < forecast.predicted_per_s() < 100
+    assert 0 < forecast.predicted_demand_per_s() < 100
--- a/tests/quotas/test_quota_service.py
+++ b/tests/quotas/test_quota_service.py
@@ -151,7 +151,9 @@
     quotas.counters.next_round(node.now_ns, {"again": 60.0}, (OWN_NAME,))
     node.run(1)
     assert quotas.tracker.breaches == 1
-    expected = "again: 60.0 a second were admitted, 30.0 over; 0.0 are promised at the most"
+    expected = (
+        "again: 60.0/s admitted, 30.0/s over the limit, beyond the allowed overshoot of 0.0/s"
+    )
     assert ("limits", expected) in node.lines
 
 
