--- a/query_broker/outlier_consensus/__init__.py
+++ b/query_broker/outlier_consensus/__init__.py
@@ -1,6 +1,6 @@
-"""What the brokers of an installation know together of endpoints.
+"""Outlier detection and operators' overrides that all brokers of an installation share.
 
-Observations of failures, the consensus that an endpoint is an outlier, and operators' overrides.
-`service.py` is the one module with I/O; nothing of this package is loaded unless the operators'
-file declares `verdicts`.
+Brokers exchange observations of failures and derive from them which endpoints are outliers.
+`service.py` is the only module with I/O. The package is loaded only if the operators' file declares
+`verdicts`.
 """
--- a/query_broker/outlier_consensus/admin.py
+++ b/query_broker/outlier_consensus/admin.py
@@ -1,7 +1,7 @@
 """Operators' HTTP calls on outliers: `/verdicts`, and `/verdicts/{out,clear,pin}/UID`.
 
 Performs no I/O. The keys of the JSON are read by `cli/limits.py` and by operators' scripts: "word"
-is the value of an override, "lost" holds those that did not hold.
+is the value of an override, and "lost" lists the overrides that lost against concurrent ones.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 
 class OverrideTarget(Protocol):
-    """Carries out operators' overrides."""
+    """Applies operators' overrides."""
 
     def is_known_endpoint(self, uid: str) -> bool:
-        """Return whether the endpoint is or was listed."""
+        """Return whether the endpoint is or was in the endpoint list."""
 
     def override(self, uid: str, value: OverrideValue) -> Override:
-        """Take an operator's decision, for all brokers."""
+        """Apply an operator's override at all brokers."""
 
 
 class ConsensusAdmin:
@@ -45,14 +45,14 @@
         target: OverrideTarget,
         clock: Clock,
     ) -> None:
-        """Take the sources of the answers and what carries out overrides."""
+        """Take the sources of the answers and the target that applies overrides."""
         self.consensus = consensus
         self.overrides = overrides
         self.target = target
         self.clock = clock
 
     def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
-        """Answer a call; None if its path is not one of this service."""
+        """Answer a call; return None if its path does not belong to this service."""
         parts = path.strip("/").split("/")
         if parts[0] != PATH:
             return None
--- a/query_broker/outlier_consensus/collaborators.py
+++ b/query_broker/outlier_consensus/collaborators.py
@@ -1,6 +1,6 @@
-"""What the service of the consensus on outliers needs of the node and of the dispatcher.
+"""Interfaces of the node and the dispatcher that the service of the consensus on outliers uses.
 
-Protocols only: the node and the dispatcher satisfy them by their shape.
+The node and the dispatcher implement these protocols structurally.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ConsensusDispatcher(Protocol):
-    """What the consensus on outliers uses of the dispatcher."""
+    """The parts of the dispatcher that the consensus on outliers uses."""
 
     extensions: DispatchExtensions
     endpoint_table: EndpointTable
@@ -34,10 +34,10 @@
 
     @property
     def health_checks(self) -> HealthChecks:
-        """Starts health checks."""
+        """The health checks of endpoints."""
 
     def report_event(self, event: AdministrativeChange, /) -> None:
-        """Let the decisions eject or readmit an endpoint."""
+        """Report an ejection or readmission of an endpoint to the decisions."""
 
     def add_observer(self, observer: DispatchObserver, /) -> None:
         """Register an observer of attempts, health checks and administrative changes."""
--- a/query_broker/outlier_consensus/consensus.py
+++ b/query_broker/outlier_consensus/consensus.py
@@ -1,8 +1,8 @@
 """The consensus on outliers: ejects endpoints that several brokers observe to fail.
 
-The result depends only on the observations and on earlier ejections. An ejection takes several
-distinct observers, so that a single one that is faulty, or whose network is broken, ejects nothing.
-The fraction of a zone that can be ejected is bounded. Performs no I/O.
+The result depends only on the observations and on earlier ejections. An ejection needs several
+distinct observers, so that one faulty broker, or one with a broken network, cannot eject any
+endpoint. The fraction of a zone's endpoints that can be ejected is bounded. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
 from .observations import ObservationStore, ObserverView
 from .settings import OutlierConsensusSettings
 
+#: The duration of an ejection is doubled at most this many times.
 MAX_DOUBLINGS = 10
-#: Relapses are remembered for this multiple of the longest ejection.
-RELAPSE_MEMORY_FACTOR = 10
+#: Past ejections are remembered for this multiple of the longest ejection.
+HISTORY_RETENTION_FACTOR = 10
 
 
 class OutlierScope(Enum):
-    """For whom an endpoint fails; the values appear in the log and in the operators' JSON."""
+    """The brokers for which an endpoint fails; values are in the log and the operators' JSON."""
 
     FLEET = "bad for all"
     ZONE = "out of this zone's reach"
 
 
 class ConsensusEvent(StrEnum):
-    """What is counted; the values are the labels in the metrics and in the operators' JSON."""
+    """Counted events; the values are the labels in the metrics and in the operators' JSON."""
 
     EJECTED = "verdicts"
     READMITTED = "lifted"
@@ -38,18 +39,18 @@
 
 @dataclass(slots=True)
 class Ejection:
-    """An endpoint that is ejected by consensus.
+    """The ejection of an endpoint by consensus.
 
     Attributes:
         endpoint: The endpoint.
-        scope: Whether it fails for all brokers or for this zone only.
-        zone: The zone for which it is ejected; empty for all.
-        ejected_at_ns: When it was ejected.
-        min_end_ns: Until when it stays ejected at least.
+        scope: Whether the endpoint fails for all brokers or only for those of this zone.
+        zone: The zone for which it is ejected; empty for all zones.
+        ejected_at_ns: When the endpoint was ejected.
+        min_end_ns: The earliest time at which the ejection can end.
         latest_failure_ns: When the latest failure that the ejection is based on was observed, by
             this broker's clock.
-        observers: The brokers on whose observations it is based.
-        relapses: How often the endpoint was ejected before.
+        observers: The brokers on whose observations the ejection is based.
+        relapses: Number of earlier ejections that are still remembered.
     """
 
     endpoint: Endpoint
@@ -62,18 +63,18 @@
     relapses: int = 0
 
 
-class Relapses(NamedTuple):
-    """How often an endpoint was ejected, and when for the last time."""
+class EjectionHistory(NamedTuple):
+    """How often an endpoint was ejected, and when it last was."""
 
     ejection_count: int
     last_ejected_ns: int
 
 
-NO_RELAPSES = Relapses(0, 0)
+NO_EJECTIONS = EjectionHistory(0, 0)
 
 
 class ConsensusChange(NamedTuple):
-    """The ejections that begin and the endpoints that are readmitted."""
+    """New ejections, and endpoints whose ejection has ended."""
 
     ejected: list[Ejection]
     readmitted: list[Endpoint]
@@ -83,8 +84,8 @@
     """Derives ejections from a store of observations.
 
     Attributes:
-        ejections: Ejection by endpoint.
-        relapses: Past ejections by endpoint.
+        ejections: Present ejection by endpoint.
+        ejection_histories: Past ejections by endpoint.
         event_counts: How often each `ConsensusEvent` happened.
     """
 
@@ -97,40 +98,40 @@
         self.observations = observations
         self.settings: OutlierConsensusSettings = observations.settings
         self.ejections: dict[Endpoint, Ejection] = {}
-        self.relapses: dict[Endpoint, Relapses] = {}
+        self.ejection_histories: dict[Endpoint, EjectionHistory] = {}
         self.event_counts: dict[str, int] = {event.value: 0 for event in ConsensusEvent}
 
     def evaluate(
         self, now_ns: int, members: Collection[str], zones: Mapping[Endpoint, str]
     ) -> ConsensusChange:
-        """Eject and readmit endpoints according to the present observations.
+        """Eject and readmit endpoints according to the current observations.
 
         Args:
             now_ns: This broker's clock.
-            members: Names of the members; observations of others do not count.
+            members: Names of the members; observations by other brokers do not count.
             zones: Zone of each endpoint that may be ejected.
         """
         views = self.observations.views(now_ns, members)
         readmitted = self._readmit(now_ns, zones, views)
         ejected: list[Ejection] = []
-        for endpoint, by_observer in sorted(views.items(), key=_earliest_outcome_ns):
+        for endpoint, views_by_observer in sorted(views.items(), key=_earliest_outcome_ns):
             if endpoint in self.ejections or endpoint not in zones or endpoint in readmitted:
                 continue
-            ejection = self._ejection(now_ns, endpoint, by_observer)
+            ejection = self._ejection(now_ns, endpoint, views_by_observer)
             if ejection is None:
                 continue
             if not self._may_eject_another(zones, zones[endpoint]):
                 self.event_counts[ConsensusEvent.OVER_FRACTION] += 1
                 continue
             self.ejections[endpoint] = ejection
-            self.relapses[endpoint] = Relapses(ejection.relapses + 1, now_ns)
+            self.ejection_histories[endpoint] = EjectionHistory(ejection.relapses + 1, now_ns)
             self.event_counts[ConsensusEvent.EJECTED] += 1
             ejected.append(ejection)
-        self._forget_relapses(now_ns)
+        self._forget_old_histories(now_ns)
         return ConsensusChange(ejected, readmitted)
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Drop the ejection and the own observations of an endpoint that operators override."""
+        """Drop the ejection and this broker's outcomes of an endpoint that operators override."""
         self.ejections.pop(endpoint, None)
         self.observations.own_outcomes.pop(endpoint, None)
 
@@ -151,16 +152,16 @@
         return readmitted
 
     def _may_eject_another(self, zones: Mapping[Endpoint, str], zone: str) -> bool:
-        ejected = sum(zones.get(endpoint) == zone for endpoint in self.ejections)
-        endpoints = sum(other == zone for other in zones.values())
-        return ejected + 1 <= max(self.settings.max_ejected_fraction * endpoints, 0)
-
-    def _forget_relapses(self, now_ns: int) -> None:
-        memory_ns = RELAPSE_MEMORY_FACTOR * self.settings.max_ejection_ns
-        self.relapses = {
-            endpoint: relapses
-            for endpoint, relapses in self.relapses.items()
-            if now_ns - relapses.last_ejected_ns < memory_ns
+        ejected_count = sum(zones.get(endpoint) == zone for endpoint in self.ejections)
+        endpoint_count = sum(other == zone for other in zones.values())
+        return ejected_count + 1 <= max(self.settings.max_ejected_fraction * endpoint_count, 0)
+
+    def _forget_old_histories(self, now_ns: int) -> None:
+        retention_ns = HISTORY_RETENTION_FACTOR * self.settings.max_ejection_ns
+        self.ejection_histories = {
+            endpoint: history
+            for endpoint, history in self.ejection_histories.items()
+            if now_ns - history.last_ejected_ns < retention_ns
         }
 
     def _ejection(
@@ -172,7 +173,8 @@
         scope = OutlierScope.FLEET
         zone = ""
         if len(working_zones) * 2 > len(failing):
-            # Some observers reach it. If all of them are in other zones, this zone cannot reach it.
+            # For some observers the endpoint works. If they are all in other zones, only this zone
+            # cannot reach it.
             scope = OutlierScope.ZONE
             zone = self.observations.zone
             failing = {name: view for name, view in failing.items() if view.zone == zone}
@@ -180,7 +182,7 @@
                 return None
         if len(failing) < self.settings.observers:
             return None
-        relapses = self.relapses.get(endpoint, NO_RELAPSES).ejection_count
+        relapses = self.ejection_histories.get(endpoint, NO_EJECTIONS).ejection_count
         latest_failure_ns = max(view.latest_outcome_ns for view in failing.values())
         min_end_ns = now_ns + self._duration_ns(relapses)
         return Ejection(
@@ -203,8 +205,8 @@
     ) -> bool:
         """Return whether an ejection has ended.
 
-        It ends once half as many observers as are needed for an ejection have seen newer successes,
-        or once no failure has been observed for a while.
+        It ends once half as many observers as an ejection needs have seen newer successes, or once
+        no failure has been observed for `max_age_ns`.
         """
         if now_ns < ejection.min_end_ns:
             return False
--- a/query_broker/outlier_consensus/ejection_control.py
+++ b/query_broker/outlier_consensus/ejection_control.py
@@ -1,6 +1,6 @@
 """Carries out ejections: informs the decisions and schedules health checks of ejected endpoints.
 
-Performs no I/O itself; the dispatcher sends the health checks.
+Performs no I/O; the dispatcher sends the health checks.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 @dataclass(slots=True)
 class EjectedEndpoint:
-    """Health checks of an endpoint that is ejected.
+    """Schedule of the health checks of an ejected endpoint.
 
     Attributes:
         known_to_all_at_ns: By when all members have received the observations that the ejection
             is based on.
-        next_check_at_ns: When a health check is due.
+        next_check_at_ns: When the next health check is due.
     """
 
     known_to_all_at_ns: int
@@ -37,7 +37,7 @@
     """The endpoints that this broker does not use because of an ejection.
 
     Attributes:
-        ejected_endpoints: The ejected endpoints with their health checks.
+        ejected_endpoints: Schedule of health checks by ejected endpoint.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
 
         Args:
             dispatcher: Passes ejections to the decisions and sends health checks.
-            directory: Knows the decisions' numbers of endpoints.
+            directory: Maps endpoints to the numbers by which the decisions know them.
             settings: Settings of the consensus.
         """
         self.dispatcher = dispatcher
@@ -66,7 +66,7 @@
         self._inform_decisions(endpoint, is_ejected=True, at_ns=now_ns)
 
     def readmit(self, endpoint: Endpoint) -> None:
-        """Use an endpoint again; it is as warmed up as its start says."""
+        """Use an endpoint again; its warm-up counts from its start, not from its readmission."""
         self.ejected_endpoints.pop(endpoint, None)
         started_ns = endpoint.started_ms * NS_PER_MS
         self._inform_decisions(endpoint, is_ejected=False, at_ns=started_ns)
@@ -86,33 +86,35 @@
     def counts_health_check(self, now_ns: int, endpoint: Endpoint) -> bool:
         """Return whether the outcome of a health check counts as an observation.
 
-        Only those of ejected endpoints count, since a health check is no query. And they count only
-        once all members have received the failures: an earlier success would replace, in this
-        broker's report, the failures that the others need for their own ejections.
+        Only health checks of ejected endpoints count, since a health check runs no query. They
+        count only once all members have received the failures: an earlier success would replace the
+        failures in this broker's report that the other brokers need for their own ejections.
         """
         ejected = self.ejected_endpoints.get(endpoint)
         return ejected is not None and now_ns >= ejected.known_to_all_at_ns
 
     def check_health(self, now_ns: int, members: Sequence[str], own_name: str) -> None:
-        """Check ejected endpoints, each from as many brokers in turn as must observe successes.
+        """Check ejected endpoints if it is this broker's turn.
+
+        In each interval, as many brokers check as an ejection needs observers.
 
         Args:
             now_ns: This broker's clock.
             members: Names of the members.
             own_name: Name of this broker.
         """
-        is_own_turn = self._is_own_turn(now_ns, sorted(members), own_name)
+        is_own_turn_to_check = self._is_own_turn_to_check(now_ns, sorted(members), own_name)
         for endpoint, ejected in list(self.ejected_endpoints.items()):
             number = self.directory.number(endpoint)
             if number is None or now_ns < ejected.next_check_at_ns:
                 continue
             ejected.next_check_at_ns = now_ns + HEALTH_CHECK_INTERVAL_NS
-            if is_own_turn:
+            if is_own_turn_to_check:
                 self.dispatcher.health_checks.start(now_ns, number)
 
-    def _is_own_turn(self, now_ns: int, members: Sequence[str], own_name: str) -> bool:
+    def _is_own_turn_to_check(self, now_ns: int, members: Sequence[str], own_name: str) -> bool:
         position = members.index(own_name) if own_name in members else 0
-        count = max(1, len(members))
-        observers = self.settings.observers
-        first_position = (now_ns // HEALTH_CHECK_INTERVAL_NS * observers) % count
-        return (position - first_position) % count < observers
+        member_count = max(1, len(members))
+        observer_count = self.settings.observers
+        first_position = (now_ns // HEALTH_CHECK_INTERVAL_NS * observer_count) % member_count
+        return (position - first_position) % member_count < observer_count
--- a/query_broker/outlier_consensus/endpoint_directory.py
+++ b/query_broker/outlier_consensus/endpoint_directory.py
@@ -12,19 +12,19 @@
 
 
 class EndpointDirectory:
-    """Looks endpoints up in the endpoint table."""
+    """Looks up endpoints in the endpoint table."""
 
     def __init__(self, table: EndpointTable) -> None:
         """Take the table, which changes with the endpoint list."""
         self.table = table
 
     def endpoint(self, number: int) -> Endpoint | None:
-        """Return the present incarnation of an endpoint; None if its number is unknown."""
+        """Return the current incarnation of an endpoint; None if its number is unknown."""
         listed = self.table.by_number.get(number)
         return None if listed is None else _incarnation(listed)
 
     def number(self, endpoint: Endpoint) -> int | None:
-        """Return the number of an endpoint; None if it is unknown or was restarted since."""
+        """Return the number of an endpoint; None if it is unknown or has been restarted since."""
         listed = self.table.by_uid.get(endpoint.uid)
         if listed is None or _incarnation(listed) != endpoint:
             return None
--- a/query_broker/outlier_consensus/messages.py
+++ b/query_broker/outlier_consensus/messages.py
@@ -1,4 +1,4 @@
-"""Messages between brokers on endpoints' failures.
+"""Messages between brokers on failures of endpoints and on operators' overrides.
 
 All are msgpack arrays: the names of the fields do not appear on the wire. Performs no I/O.
 """
@@ -11,15 +11,15 @@
 
 
 class OverrideValue(StrEnum):
-    """What operators decide on an endpoint; the values are those on the wire and in the JSON."""
+    """An operator's decision on an endpoint; the values are used on the wire and in the JSON."""
 
     DISABLED = "out"
     ENABLED = "back"
-    NEVER_EJECTED = "pinned"  # in use, and no consensus ejects it
+    NEVER_EJECTED = "pinned"  # enabled, and never ejected by consensus
 
 
 class Endpoint(msgspec.Struct, array_like=True, frozen=True):
-    """One incarnation of an endpoint: after a restart it is another one, without a past.
+    """One incarnation of an endpoint; a restart begins a new one, without any observations.
 
     Attributes:
         uid: Id in the endpoint list.
@@ -31,7 +31,7 @@
 
 
 class Observation(msgspec.Struct, array_like=True, frozen=True):
-    """What one observer met recently at one endpoint.
+    """The recent outcomes of one observer's attempts at one endpoint.
 
     Attributes:
         endpoint: The endpoint.
@@ -52,11 +52,11 @@
     """All observations of one broker.
 
     Attributes:
-        observer: Name of the broker; it alone writes its report.
-        zone: Its zone.
+        observer: Name of the broker; only this broker writes the report.
+        zone: Zone of the broker.
         version: Rises with each report of this broker.
         age_ms: Milliseconds since the report was written.
-        observations: The endpoints it saw fail, the latest failure first.
+        observations: Observations of endpoints that failed, latest failure first.
     """
 
     observer: str
@@ -67,7 +67,7 @@
 
 
 class ObserverReports(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """One batch of gossip: reports of the sender and of others."""
+    """A batch of reports of the sender and of other brokers, for gossip."""
 
     reports: tuple[ObserverReport, ...]
 
@@ -76,10 +76,10 @@
     """An operator's decision on an endpoint.
 
     Attributes:
-        uid: Id of the endpoint, whatever its incarnation.
-        value: One of `OverrideValue`; another one in a message is ignored.
-        version: One more than that of the override it replaces.
-        author: Address of the broker that took it.
+        uid: Id of the endpoint; the override applies to all its incarnations.
+        value: One of `OverrideValue`; messages with other values are ignored.
+        version: One more than the version of the override it replaces.
+        author: Address of the broker at which the operator set it.
         replaced: Version and author of the override it replaces; (0, "") for none.
     """
 
@@ -90,17 +90,17 @@
     replaced: tuple[int, str] = (0, "")
 
     def rank(self) -> tuple[int, bool, str]:
-        """Return what decides between two overrides of one endpoint: the greater holds."""
+        """Return the key that orders overrides of one endpoint: the greatest is in force."""
         return self.version, self.value == OverrideValue.DISABLED, self.author
 
 
 class OverrideBatch(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """One batch of gossip on overrides.
+    """A batch of overrides, for gossip.
 
     Attributes:
-        digest: Hash of all overrides of the sender, so that a receiver with others answers.
-        overrides: Some of them.
-        is_answer: Whether the message answers another with a different digest.
+        digest: Hash of all overrides of the sender; a receiver whose hash differs answers.
+        overrides: Some of the sender's overrides.
+        is_answer: Whether the message answers one with a different digest.
     """
 
     digest: bytes
--- a/query_broker/outlier_consensus/observations.py
+++ b/query_broker/outlier_consensus/observations.py
@@ -1,7 +1,7 @@
 """Observations of failing endpoints, by this broker and by others.
 
-Each broker writes its own report alone, with a rising version; of two reports the newer replaces
-the other. Reports hold observations, not opinions: every broker derives the consensus itself.
+Only the broker itself writes its report, with a rising version; of two reports the newer replaces
+the other. Reports contain observations only; each broker derives the consensus from them itself.
 Performs no I/O.
 """
 
@@ -18,20 +18,20 @@
 from .settings import OutlierConsensusSettings
 
 NS_PER_MS = 1_000_000
-#: Endpoints in one report, those with the latest failure first.
+#: Endpoints in one report; those with the latest failures are chosen.
 MAX_REPORTED_ENDPOINTS = 64
 MAX_TRACKED_ENDPOINTS = 4 * MAX_REPORTED_ENDPOINTS
-#: Outcomes of one endpoint that are kept.
-MAX_OUTCOMES = 16
+#: Latest outcomes that are kept.
+MAX_OUTCOMES_PER_ENDPOINT = 16
 MAX_OBSERVERS = 4_096
-#: In place of an age: there was no such outcome.
+#: Age of an outcome that has not occurred.
 NO_AGE_MS = -1
-#: In place of a time: there was no such outcome.
+#: Time of an outcome that has not occurred.
 NEVER_NS = -1
 
 
 class Outcome(NamedTuple):
-    """The end of one attempt."""
+    """When an attempt or a health check ended, and whether it succeeded."""
 
     ended_at_ns: int
     succeeded: bool
@@ -39,12 +39,14 @@
 
 @dataclass(slots=True)
 class EndpointOutcomes:
-    """The latest outcomes of this broker's own attempts at one endpoint."""
+    """The latest outcomes of this broker's attempts and health checks at one endpoint."""
 
-    outcomes: deque[Outcome] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
+    outcomes: deque[Outcome] = field(
+        default_factory=lambda: deque(maxlen=MAX_OUTCOMES_PER_ENDPOINT)
+    )
 
     def observation(self, endpoint: Endpoint, now_ns: int, max_age_ns: int) -> Observation:
-        """Return the outcomes that are recent enough as an observation."""
+        """Return the outcomes that are newer than `max_age_ns` as an observation."""
         recent = [outcome for outcome in self.outcomes if now_ns - outcome.ended_at_ns < max_age_ns]
         successes = sum(outcome.succeeded for outcome in recent)
         return Observation(
@@ -70,12 +72,12 @@
 
 
 class ObserverView(NamedTuple):
-    """What one observer's latest outcomes show of an endpoint.
+    """The state of an endpoint according to one observer's latest outcomes.
 
     Attributes:
         zone: Zone of the observer.
-        is_failing: Whether the endpoint fails for it.
-        latest_outcome_ns: When it observed the latest outcome, by this broker's clock.
+        is_failing: Whether the endpoint fails for the observer.
+        latest_outcome_ns: When the latest outcome was observed, by this broker's clock.
     """
 
     zone: str
@@ -88,10 +90,10 @@
 
     Attributes:
         name: Name of this broker.
-        zone: Its zone.
+        zone: Zone of this broker.
         settings: Settings of the consensus.
-        own_outcomes: Outcomes of this broker's own attempts, by endpoint.
-        reported_failing_ns: Endpoints that another broker reported as failing, and when.
+        own_outcomes: Outcomes observed by this broker, by endpoint.
+        reported_failing_at_ns: When another broker last reported a failure, by endpoint.
         reports: Latest report by observer.
     """
 
@@ -101,18 +103,18 @@
         self.zone = zone
         self.settings = settings
         self.own_outcomes: dict[Endpoint, EndpointOutcomes] = {}
-        self.reported_failing_ns: dict[Endpoint, int] = {}
+        self.reported_failing_at_ns: dict[Endpoint, int] = {}
         self.reports: dict[str, ReceivedReport] = {}
         self.version = 0
 
     def record(self, now_ns: int, endpoint: Endpoint, succeeded: bool) -> None:
-        """Take in the outcome of an attempt or health check of this broker.
+        """Record the outcome of an attempt or health check of this broker.
 
-        Successes are of interest only for endpoints that failed here or elsewhere.
+        Successes are recorded only for endpoints that have failed for this or another broker.
         """
         tracked = self.own_outcomes.get(endpoint)
         if tracked is None:
-            if succeeded and endpoint not in self.reported_failing_ns:
+            if succeeded and endpoint not in self.reported_failing_at_ns:
                 return
             if len(self.own_outcomes) >= MAX_TRACKED_ENDPOINTS:
                 self.own_outcomes.pop(next(iter(self.own_outcomes)))
@@ -121,7 +123,7 @@
         tracked.outcomes.append(Outcome(now_ns, succeeded))
 
     def write_report(self, now_ns: int) -> ObserverReport:
-        """Write this broker's next report, and drop outcomes that are too old."""
+        """Write this broker's next report, and drop outdated outcomes."""
         self._forget_old(now_ns)
         self.version += 1
         max_age_ns = self.settings.max_age_ns
@@ -141,12 +143,12 @@
         for endpoint, tracked in list(self.own_outcomes.items()):
             if now_ns - tracked.outcomes[-1].ended_at_ns > max_age_ns:
                 del self.own_outcomes[endpoint]
-        for endpoint, reported_at_ns in list(self.reported_failing_ns.items()):
+        for endpoint, reported_at_ns in list(self.reported_failing_at_ns.items()):
             if now_ns - reported_at_ns > max_age_ns:
-                del self.reported_failing_ns[endpoint]
+                del self.reported_failing_at_ns[endpoint]
 
     def newest_reports(self, now_ns: int, count: int) -> list[ObserverReport]:
-        """Return the newest reports with observations, the own one first, with present ages."""
+        """Return this broker's report and the newest ones with observations, with current ages."""
         candidates = [
             received
             for received in self.reports.values()
@@ -166,15 +168,15 @@
         return is_other, report.age_ms - received.received_at_ns // NS_PER_MS
 
     def receive(self, now_ns: int, batch: ObserverReports, members: Collection[str]) -> None:
-        """Merge reports; those of other senders, outdated or out of bounds are ignored."""
+        """Merge reports of members; ignore outdated ones and those out of bounds."""
         for report in batch.reports:
             if not self._is_acceptable(report, members):
                 continue
             self.reports[report.observer] = ReceivedReport(report, now_ns)
             for observation in report.observations:
-                is_full = len(self.reported_failing_ns) >= MAX_TRACKED_ENDPOINTS
+                is_full = len(self.reported_failing_at_ns) >= MAX_TRACKED_ENDPOINTS
                 if observation.failures and not is_full:
-                    self.reported_failing_ns[observation.endpoint] = now_ns
+                    self.reported_failing_at_ns[observation.endpoint] = now_ns
 
     def _is_acceptable(self, report: ObserverReport, members: Collection[str]) -> bool:
         if report.observer == self.name or report.observer not in members:
@@ -189,7 +191,7 @@
     def views(
         self, now_ns: int, members: Collection[str]
     ) -> dict[Endpoint, dict[str, ObserverView]]:
-        """Return by endpoint and observer what the recent outcomes show.
+        """Return the observers' views by endpoint and observer.
 
         Reports of brokers that are no longer members are dropped.
         """
@@ -207,11 +209,11 @@
     def _view(
         self, now_ns: int, received: ReceivedReport, observation: Observation
     ) -> ObserverView | None:
-        """Return what an observation shows; None if it is undecided or too old."""
+        """Return the view of an observation; None if it is inconclusive or too old."""
         report = received.report
         written_at_ns = received.received_at_ns - report.age_ms * NS_PER_MS
-        failed_at_ns = _time_of(written_at_ns, observation.failure_age_ms)
-        succeeded_at_ns = _time_of(written_at_ns, observation.success_age_ms)
+        failed_at_ns = _outcome_time_ns(written_at_ns, observation.failure_age_ms)
+        succeeded_at_ns = _outcome_time_ns(written_at_ns, observation.success_age_ms)
         latest_outcome_ns = max(failed_at_ns, succeeded_at_ns)
         if latest_outcome_ns < 0 or now_ns - latest_outcome_ns > self.settings.max_age_ns:
             return None
@@ -230,5 +232,5 @@
     return observation.failure_age_ms < 0, observation.failure_age_ms
 
 
-def _time_of(written_at_ns: int, age_ms: int) -> int:
+def _outcome_time_ns(written_at_ns: int, age_ms: int) -> int:
     return written_at_ns - age_ms * NS_PER_MS if age_ms >= 0 else NEVER_NS
--- a/query_broker/outlier_consensus/overrides.py
+++ b/query_broker/outlier_consensus/overrides.py
@@ -1,10 +1,11 @@
-"""Operators' overrides on endpoints, in an order that survives network partitions.
-
-An override has a version, one more than the last that its author knew, and names the override it
-replaces. The higher version holds; of two with the same version, or of which neither author knew
-the other, the later by version, then `out` before the others, then the greater address. So every
-broker comes to the same result in whatever order it receives them. The one that did not hold is
-kept for display, so that the operator who took it can see that. Performs no I/O.
+"""Operators' overrides of endpoints, merged to the same result on both sides of a partition.
+
+An override has a version, one more than the latest that its author knew, and names the override it
+replaces. The override with the higher version is in force; of two with the same version, `out`
+takes precedence over other values, then the greater author address. All brokers therefore reach the
+same result, in whatever order they receive overrides. If neither author knew the other's override,
+the one that lost is kept for display, so that its operator can see that it is not in force.
+Performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 MAX_OVERRIDES = 4_096
 DIGEST_BYTES = 8
 NO_REPLACED_OVERRIDE = (0, "")
-#: Versions that lie further apart than this are not of concurrent overrides.
+#: Overrides whose versions differ by at least this much are not concurrent.
 CONCURRENT_VERSION_DISTANCE = 2
 OVERRIDE_VALUES = tuple(value.value for value in OverrideValue)
 
@@ -26,10 +27,10 @@
     """The overrides in force, those that were superseded, and what is still to be sent.
 
     Attributes:
-        own_address: Address of this broker, the author of the overrides taken here.
+        own_address: Address of this broker, the author of the overrides set here.
         overrides: The override in force, by endpoint id.
-        superseded: By endpoint id, the last override that lost against a concurrent one.
-        remaining_sends: By endpoint id, in how many more batches its override is sent.
+        superseded: The latest override that lost against a concurrent one, by endpoint id.
+        remaining_sends: In how many more batches the override is sent, by endpoint id.
     """
 
     def __init__(self, own_address: str) -> None:
@@ -66,11 +67,11 @@
         return override
 
     def merge(self, overrides: Iterable[Override], send_count: int) -> list[Override]:
-        """Merge overrides of other brokers; return those that are in force from now on.
+        """Merge overrides of other brokers; return those that have come into force.
 
         Args:
-            overrides: As received; invalid ones are ignored.
-            send_count: In how many batches each new one is passed on.
+            overrides: The overrides as received; invalid ones are ignored.
+            send_count: In how many batches each accepted override is forwarded.
         """
         accepted: list[Override] = []
         for override in overrides:
@@ -110,7 +111,7 @@
 
 
 def _are_concurrent(winner: Override, loser: Override) -> bool:
-    """Return whether the winner's author did not know the loser."""
+    """Return whether the author of the override that won did not know the one that lost."""
     if winner.replaced == (loser.version, loser.author):
         return False
     return winner.version - loser.version < CONCURRENT_VERSION_DISTANCE
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -1,6 +1,6 @@
 """The service of the consensus on outliers: connects it to membership, dispatcher and node.
 
-The one module of the package with I/O. Ejections and operators' overrides reach the decisions as
+The only module of the package with I/O. Ejections and operators' overrides reach the decisions as
 events on endpoints.
 """
 
@@ -34,16 +34,16 @@
 
 TOPIC = "verdicts"
 TICK_NS = NS_PER_S // 4
-SUCCESSES = frozenset({AttemptResult.SERVED})
-FAILURES = frozenset(
+SUCCESS_RESULTS = frozenset({AttemptResult.SERVED})
+FAILURE_RESULTS = frozenset(
     {AttemptResult.ERROR, AttemptResult.TIMEOUT, AttemptResult.CONNECT_FAILED, AttemptResult.RESET}
 )
-#: Time between two answers to the same broker, each with all overrides.
-ANSWER_INTERVAL_NS = NS_PER_S
+#: Minimum time between two answers to the same broker; each answer contains all overrides.
+MIN_ANSWER_INTERVAL_NS = NS_PER_S
 MAX_REPORTS_PER_ROUND = 16
 MAX_OVERRIDES_PER_ROUND = 8
-#: Probability with which a broker without overrides asks another for its own in a round.
-QUERY_PROBABILITY = 0.25
+#: Probability per round that a broker without overrides requests them from another broker.
+OVERRIDE_REQUEST_PROBABILITY = 0.25
 MAX_LOGGED_UID_LENGTH = 80
 
 
@@ -56,7 +56,7 @@
         observations: ObservationStore,
         overrides: OverrideStore,
     ) -> None:
-        """Take the membership, which carries the messages, and what is sent."""
+        """Take the membership, which carries the messages, and the sources of the messages."""
         self.membership = membership
         self.observations = observations
         self.overrides = overrides
@@ -77,8 +77,8 @@
             self._send_reports(recipient, reports)
             if self.overrides.overrides or overrides.overrides:
                 self._send(recipient, overrides)
-        # A broker that has just joined queries another for overrides.
-        if not self.overrides.overrides and others and draw.random() < QUERY_PROBABILITY:
+        # A broker that has just joined has no overrides: its batch makes the other broker answer.
+        if not self.overrides.overrides and others and draw.random() < OVERRIDE_REQUEST_PROBABILITY:
             self._send(draw.choice(others), overrides)
         self.membership.flush()
 
@@ -86,17 +86,17 @@
         """Send all overrides to a broker whose digest differs from this broker's."""
         if batch.digest == self.overrides.digest():
             return
-        if now_ns - self._answered_at_ns.get(sender, 0) < ANSWER_INTERVAL_NS:
+        if now_ns - self._answered_at_ns.get(sender, 0) < MIN_ANSWER_INTERVAL_NS:
             return
         self._forget_old_answers(now_ns)
         self._answered_at_ns[sender] = now_ns
         self._send_all_overrides(sender)
-        if not batch.is_answer:  # The sender may have overrides that this broker lacks.
+        if not batch.is_answer:  # The sender may have overrides that this broker does not.
             self._send(sender, OverrideBatch(self.overrides.digest(), (), is_answer=True))
 
     def _forget_old_answers(self, now_ns: int) -> None:
         for sender, answered_at_ns in list(self._answered_at_ns.items()):
-            if now_ns - answered_at_ns >= ANSWER_INTERVAL_NS:
+            if now_ns - answered_at_ns >= MIN_ANSWER_INTERVAL_NS:
                 del self._answered_at_ns[sender]
 
     def _send(self, recipient: str, batch: OverrideBatch) -> None:
@@ -117,7 +117,7 @@
 
 
 class OutlierConsensusService(DispatchObserver):
-    """One broker's part in the consensus on outliers and in operators' overrides.
+    """Connects one broker to the consensus on outliers and to operators' overrides.
 
     Attributes:
         observations: Observations of this broker and of others.
@@ -168,8 +168,8 @@
 
     def attempt_ended(self, endpoint: int, result: AttemptResult) -> None:
         """Record the outcome of an attempt."""
-        succeeded = result in SUCCESSES
-        if not succeeded and result not in FAILURES:
+        succeeded = result in SUCCESS_RESULTS
+        if not succeeded and result not in FAILURE_RESULTS:
             return
         observed = self.directory.endpoint(endpoint)
         if observed is not None:
@@ -184,7 +184,7 @@
         if self.ejections.counts_health_check(now_ns, observed):
             self.observations.record(now_ns, observed, result is AttemptResult.SERVED)
 
-    # --- time ---
+    # --- timer ---
 
     def _tick(self) -> None:
         now_ns = self.host.clock.now()
@@ -196,7 +196,7 @@
                 self.gossip.send_round(now_ns)
             self._evaluate(now_ns)
             self.ejections.check_health(now_ns, self.membership.names(), self.membership.name)
-        except Exception as error:  # a fault here must not stop the timer wheel
+        except Exception as error:  # an error here must not stop the timer wheel
             self.host.log("fault", f"verdicts: {type(error).__name__}: {error}")
 
     def _evaluate(self, now_ns: int) -> None:
@@ -211,15 +211,15 @@
             self._log_ejection(now_ns, ejection)
             self.ejections.eject(now_ns, ejection.endpoint, len(members))
         for endpoint in change.readmitted:
-            self.host.log("verdicts", f"{endpoint.uid[:MAX_LOGGED_UID_LENGTH]}: admitted again")
+            self.host.log("verdicts", f"{endpoint.uid[:MAX_LOGGED_UID_LENGTH]}: readmitted")
             self.ejections.readmit(endpoint)
 
     def _log_ejection(self, now_ns: int, ejection: Ejection) -> None:
         duration_s = (ejection.min_end_ns - now_ns) / NS_PER_S
         self.host.log(
             "verdicts",
-            f"{ejection.endpoint.uid[:MAX_LOGGED_UID_LENGTH]}: {ejection.scope.value}, by "
-            f"{len(ejection.observers)} observers, ejected for {duration_s:.0f} s at least",
+            f"{ejection.endpoint.uid[:MAX_LOGGED_UID_LENGTH]}: {ejection.scope.value} (observers: "
+            f"{len(ejection.observers)}), ejected for at least {duration_s:.0f} s",
         )
 
     # --- messages ---
@@ -237,13 +237,13 @@
                 self.gossip.answer(now_ns, sender, message)
 
     def _rounds_to_all_members(self) -> int:
-        """Return after how many rounds of gossip all members have received an override."""
+        """Return the number of gossip rounds after which all members have received an override."""
         return gossip_rounds(len(self.membership.names()))
 
     # --- operators ---
 
     def endpoint_administered(self, uid: str, disabled: bool) -> None:
-        """Extend an operator's call on this broker alone to all brokers."""
+        """Apply an operator's call on this broker to all brokers."""
         value = OverrideValue.DISABLED if disabled else OverrideValue.ENABLED
         if not self.overrides.has_value(uid, value):
             self.overrides.set(uid, value, self._rounds_to_all_members())
@@ -253,7 +253,7 @@
         return self.directory.is_listed(uid) or uid in self.overrides.overrides
 
     def override(self, uid: str, value: OverrideValue) -> Override:
-        """Take an operator's decision, for all brokers."""
+        """Apply an operator's override at all brokers."""
         override = self.overrides.set(uid, value, self._rounds_to_all_members())
         self._apply(override)
         self.host.log(
@@ -263,7 +263,7 @@
         return override
 
     def _apply(self, override: Override) -> None:
-        """Disable or enable an endpoint as operators decided, unless it is so already."""
+        """Disable or enable an endpoint as the override says, if that changes its state."""
         now_ns = self.host.clock.now()
         is_disabled = override.value == OverrideValue.DISABLED
         known = self.host.dispatcher.administrative_states.states.get(override.uid)
@@ -277,13 +277,13 @@
         )
 
     def _end_ejections(self, uid: str) -> None:
-        """End the ejections of an endpoint: an operator's decision takes precedence."""
+        """End the ejections of an endpoint, since an override takes precedence over them."""
         for endpoint in self.ejections.ejected_incarnations(uid):
             self.consensus.forget(endpoint)
             self.ejections.readmit(endpoint)
 
     def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
-        """Answer an operators' HTTP call; None if its path is not one of this service."""
+        """Answer an operators' HTTP call; None if its path does not belong to this service."""
         return self.admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
--- a/query_broker/outlier_consensus/settings.py
+++ b/query_broker/outlier_consensus/settings.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 
 NS_PER_S = 1_000_000_000
-#: Members to which a round of gossip goes.
+#: Number of members that receive the messages of one gossip round.
 FANOUT = 3
-#: Rounds beyond those that full coverage takes on average.
+#: Gossip rounds in addition to the average number that full coverage takes.
 SPARE_ROUNDS = 3
 
 
@@ -21,14 +21,14 @@
     """When shared observations eject an endpoint, and for how long.
 
     Attributes:
-        observers: How many brokers must have seen the endpoint fail.
-        failures: How many failed attempts each of them must have seen, and more failures than
-            successes.
-        max_age_ns: An observation older than that does not count.
-        max_ejected_fraction: The most of a zone's endpoints that may be ejected at once.
-        min_ejection_ns: How long the first ejection lasts at least; doubled with each relapse.
-        max_ejection_ns: Bound of that duration.
-        gossip_interval_ns: Time between two rounds of gossip.
+        observers: Number of brokers that must have seen the endpoint fail.
+        failures: Number of failed attempts that each of these brokers must have seen; it must also
+            have seen more failures than successes.
+        max_age_ns: Observations older than this do not count.
+        max_ejected_fraction: Largest fraction of a zone's endpoints that may be ejected at once.
+        min_ejection_ns: Minimum duration of the first ejection; doubled with each relapse.
+        max_ejection_ns: Upper bound on this minimum duration.
+        gossip_interval_ns: Time between two gossip rounds.
     """
 
     observers: int = 3
@@ -41,7 +41,7 @@
 
 
 def gossip_rounds(fleet_size: int, fanout: int = FANOUT) -> int:
-    """Return the number of rounds of gossip after which all brokers have received a message."""
+    """Return the number of gossip rounds after which all brokers have received a message."""
     return math.ceil(math.log(max(2, fleet_size)) / math.log(1 + fanout)) + SPARE_ROUNDS
 
 
--- a/tests/quotas/test_consensus_service.py
+++ b/tests/quotas/test_consensus_service.py
@@ -85,8 +85,8 @@
         node.extensions.observers[0].attempt_ended(7, AttemptResult.ERROR)
     node.run(20)
     assert node.lines == [
-        ("verdicts", "e1: bad for all, by 1 observers, ejected for 5 s at least"),
-        ("verdicts", "e1: admitted again"),
+        ("verdicts", "e1: bad for all (observers: 1), ejected for at least 5 s"),
+        ("verdicts", "e1: readmitted"),
     ]
     assert [event.disabled for event in node.events] == [True, False]
     assert node.events[1].at_ns == 5 * NS_PER_S  # its start: no more warming up than it needs
