--- a/tests/outlier_consensus/test_overrides.py
+++ b/tests/outlier_consensus/test_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides of endpoints: they merge to the same at all brokers."""
+"""Operators' overrides of endpoints: all brokers merge them to the same result."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ConcurrentOverrides(NamedTuple):
-    """Overrides by operators on both sides of a partition, and one by a broker in between.
+    """Overrides set on both sides of a partition, and a later one by a third broker.
 
     Attributes:
-        first_store: Store of the author of the first.
-        second_store: Store of the author of the second.
-        first: Enables e1.
-        second: Disables e1.
-        later: On e2, by one who had received the first.
+        first_store: Store of the author of the first override.
+        second_store: Store of the author of the second override.
+        first: Override that enables e1.
+        second: Override that disables e1.
+        later: Override of e2, by an author who had received the first override.
     """
 
     first_store: OverrideStore
@@ -30,7 +30,7 @@
 
 
 @pytest.fixture
-def concurrent() -> ConcurrentOverrides:
+def concurrent_overrides() -> ConcurrentOverrides:
     first_store = OverrideStore("h1")
     second_store = OverrideStore("h2")
     first = first_store.set("e1", "back", 3)
@@ -41,33 +41,42 @@
     return ConcurrentOverrides(first_store, second_store, first, second, later)
 
 
-def test_overrides_merge_to_the_same_in_any_order(concurrent: ConcurrentOverrides) -> None:
+def test_overrides_merge_to_the_same_result_in_any_order(
+    concurrent_overrides: ConcurrentOverrides,
+) -> None:
     stores = []
     for seed in range(6):
         store = OverrideStore("h9")
-        overrides = [concurrent.first, concurrent.second, concurrent.later, concurrent.first]
+        overrides = [
+            concurrent_overrides.first,
+            concurrent_overrides.second,
+            concurrent_overrides.later,
+            concurrent_overrides.first,
+        ]
         random.Random(seed).shuffle(overrides)
         for override in overrides:
             store.merge([override], 3)
         stores.append(store)
     assert {store.digest() for store in stores} == {stores[0].digest()}
-    assert stores[0].overrides["e1"] == concurrent.second  # of equals, out
-    assert all(store.superseded["e1"] == concurrent.first for store in stores)
+    assert stores[0].overrides["e1"] == concurrent_overrides.second  # `out` wins at equal versions
+    assert all(store.superseded["e1"] == concurrent_overrides.first for store in stores)
 
 
-def test_author_of_a_superseded_override_is_shown_it(concurrent: ConcurrentOverrides) -> None:
-    concurrent.first_store.merge([concurrent.second], 3)
-    assert concurrent.first_store.superseded["e1"] == concurrent.first
+def test_superseded_override_is_kept_at_its_author(
+    concurrent_overrides: ConcurrentOverrides,
+) -> None:
+    concurrent_overrides.first_store.merge([concurrent_overrides.second], 3)
+    assert concurrent_overrides.first_store.superseded["e1"] == concurrent_overrides.first
 
 
-def test_override_by_one_who_knew_the_replaced_one_is_no_conflict(
-    concurrent: ConcurrentOverrides,
+def test_override_that_replaces_a_known_one_supersedes_nothing(
+    concurrent_overrides: ConcurrentOverrides,
 ) -> None:
-    concurrent.first_store.merge([concurrent.second], 3)
-    assert concurrent.first_store.set("e1", "back", 3).version == 2
-    concurrent.second_store.merge(concurrent.first_store.overrides.values(), 3)
-    assert concurrent.second_store.overrides["e1"].value == "back"
-    assert "e1" not in concurrent.second_store.superseded
+    concurrent_overrides.first_store.merge([concurrent_overrides.second], 3)
+    assert concurrent_overrides.first_store.set("e1", "back", 3).version == 2
+    concurrent_overrides.second_store.merge(concurrent_overrides.first_store.overrides.values(), 3)
+    assert concurrent_overrides.second_store.overrides["e1"].value == "back"
+    assert "e1" not in concurrent_overrides.second_store.superseded
 
 
 def test_override_is_sent_a_bounded_number_of_times() -> None:
--- a/tests/quotas/broker_processes.py
+++ b/tests/quotas/broker_processes.py
@@ -1,4 +1,4 @@
-"""Broker processes that share limits and ejections, with load on them."""
+"""Broker processes that share limits and ejections, and clients that send them queries."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
     "verdicts(observers = 2, failures = 2, told = 0.2, hold = 30, part = 0.5)\n"
 )
 POLL_INTERVAL_S = 0.05
-LONG_S = 60  # longer than any fault is left in force
+FAULT_DURATION_S = 60  # longer than the tests need: they end the faults themselves
 Status = dict[str, Any]
 
 
 @asynccontextmanager
-async def sharing_fleet(
+async def started_broker_fleet(
     count: int, folder: Path, cluster: EmulatedCluster
 ) -> AsyncIterator[MemberProcesses]:
-    """Start processes that share the limits and know each other through relays."""
+    """Start broker processes that share limits and exchange messages through relays."""
     keys = folder / "keys"
     keys.write_text(OLD_KEY)
     network = RelayNetwork(FaultSchedule([], time.monotonic), peek_sender)
--- a/tests/quotas/conftest.py
+++ b/tests/quotas/conftest.py
@@ -1,4 +1,4 @@
-"""The services of shared limits and outlier consensus on a fake node."""
+"""Fixtures: the services of shared limits and outlier consensus on a fake node."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def quotas(node: FakeNode) -> QuotaService:
-    """Return the service after it was elected leader and has a lease."""
+    """Return the service after its broker was elected leader and got a lease."""
     service = QuotaService(cast(Any, node), cast(Any, FakeMembership()), SETTINGS)
     node.run(7)
     for _ in range(8):
--- a/tests/quotas/fake_node.py
+++ b/tests/quotas/fake_node.py
@@ -1,4 +1,4 @@
-"""A node and a membership for the services of this folder, without sockets."""
+"""Fakes of the node and the membership for the services under test, without sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeMembership:
-    """A membership that sends nothing; without names its only member is this broker."""
+    """A membership that sends nothing; its only member by default is this broker."""
 
     def __init__(self, *names: str) -> None:
         self.members = names or (OWN_NAME,)
@@ -51,12 +51,12 @@
 
 
 class FakeNode:
-    """A node and dispatcher with a clock and timers that a test advances."""
+    """A node and dispatcher whose clock and timers the test advances."""
 
     def __init__(self) -> None:
         self.now_ns = BEGIN_NS
         self.timers: list[tuple[int, Callable[[], None]]] = []
-        self.lines: list[tuple[str, str]] = []
+        self.log_lines: list[tuple[str, str]] = []
         self.administrative_states = AdministrativeStates()
         self.events: list[AdministrativeChange] = []
         self.clock = SimpleNamespace(now=lambda: self.now_ns)
@@ -84,23 +84,23 @@
             administrative_states=self.administrative_states,
             endpoint_table=SimpleNamespace(by_number={7: known}, by_uid={"e1": known}),
             pools=SimpleNamespace(turn=None),
-            timer_wheel=SimpleNamespace(set_timer=self._at),
+            timer_wheel=SimpleNamespace(set_timer=self._set_timer),
             refresh_settings=lambda: None,
             report_event=self.events.append,
             apply_administrative_state=self._apply_administrative_state,
         )
 
-    def _at(self, due_ns: int, callback: Callable[[], None]) -> None:
+    def _set_timer(self, due_ns: int, callback: Callable[[], None]) -> None:
         self.timers.append((due_ns, callback))
 
     def _apply_administrative_state(self, uid: str, state: AdministrativeState) -> None:
         self.administrative_states.record(uid, state)
 
     def log(self, kind: str, text: str) -> None:
-        self.lines.append((kind, text))
+        self.log_lines.append((kind, text))
 
     def run(self, seconds: float) -> None:
-        """Let the timers fire that fall due within some seconds."""
+        """Advance the clock by some seconds, and fire the timers that become due."""
         end_ns = self.now_ns + int(seconds * NS_PER_S)
         while due := [timer for timer in self.timers if timer[0] <= end_ns]:
             first = min(due, key=lambda timer: timer[0])
@@ -118,7 +118,7 @@
     allow: str
 
 
-def decoded(answer: tuple[int, bytes, str, str] | None) -> Answer:
+def decode_answer(answer: tuple[int, bytes, str, str] | None) -> Answer:
     assert answer is not None
     status, body, content_type, allow = answer
     assert content_type == "application/json"
--- a/tests/quotas/test_batching.py
+++ b/tests/quotas/test_batching.py
@@ -1,11 +1,11 @@
-"""Batches of items in message bodies."""
+"""Packing of items into message bodies."""
 
 from __future__ import annotations
 
 from query_broker.quotas.batching import MAX_BODY_BYTES, message_bodies
 
 
-def test_batches_are_as_few_as_fit_and_leave_out_what_is_too_large() -> None:
+def test_items_are_packed_into_few_bodies_and_oversized_ones_dropped() -> None:
     def encode(items: tuple[bytes, ...]) -> bytes:
         return b"".join(items)
 
--- a/tests/quotas/test_consensus_service.py
+++ b/tests/quotas/test_consensus_service.py
@@ -1,6 +1,6 @@
-"""The service of outlier consensus on a fake node: operators' answers, log lines and metrics.
+"""The service of outlier consensus on a fake node: answers to operators, log lines, metrics.
 
-The texts and keys are read by operators' scripts and dashboards, and must not change.
+Operators' scripts and dashboards read these texts and keys, so that they must not change.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from query_broker.outlier_consensus.settings import OutlierConsensusSettings
 from query_broker.quotas.settings import NS_PER_S
 
-from .fake_node import OWN_ADDRESS, FakeMembership, FakeNode, decoded
+from .fake_node import OWN_ADDRESS, FakeMembership, FakeNode, decode_answer
 
 
 @pytest.mark.parametrize(
@@ -22,19 +22,19 @@
     [("pin", "pinned"), ("clear", "back"), ("out", "out")],
     ids=["pin", "clear", "out"],
 )
-def test_override_is_confirmed_shown_and_logged(
+def test_override_call_is_answered_listed_and_logged(
     consensus: OutlierConsensusService, node: FakeNode, call: str, value: str
 ) -> None:
-    answer = decoded(consensus.handle_admin_call("POST", f"/verdicts/{call}/e1"))
+    answer = decode_answer(consensus.handle_admin_call("POST", f"/verdicts/{call}/e1"))
     assert answer == (200, {"uid": "e1", "word": value, "version": 1}, "")
-    status = decoded(consensus.handle_admin_call("GET", "/verdicts")).content
+    status = decode_answer(consensus.handle_admin_call("GET", "/verdicts")).content
     assert status == {
         "verdicts": [],
         "words": [{"uid": "e1", "word": value, "version": 1, "by": OWN_ADDRESS}],
         "lost": [],
         "figures": {"verdicts": 0, "lifted": 0, "over_part": 0},
     }
-    assert node.lines == [("operator", f"{value}: 'e1' for all brokers, version 1")]
+    assert node.log_lines == [("operator", f"{value}: 'e1' for all brokers, version 1")]
     assert node.administrative_states.is_disabled("e1") is (value == "out")
 
 
@@ -49,14 +49,14 @@
     ],
     ids=["status by POST", "out by GET", "unknown action", "too long", "unknown endpoint"],
 )
-def test_unusable_consensus_call_is_answered_with_its_reason(
+def test_invalid_consensus_call_gets_an_error_with_the_reason(
     consensus: OutlierConsensusService, method: str, path: str, expected: tuple[int, str, str]
 ) -> None:
-    status, content, allow = decoded(consensus.handle_admin_call(method, path))
+    status, content, allow = decode_answer(consensus.handle_admin_call(method, path))
     assert (status, content, allow) == (expected[0], {"error": expected[1]}, expected[2])
 
 
-def test_own_switch_for_an_endpoint_becomes_an_override(
+def test_disabling_an_endpoint_at_one_broker_sets_an_override(
     consensus: OutlierConsensusService, node: FakeNode
 ) -> None:
     node.extensions.observers[0].endpoint_administered("e1", True)
@@ -84,9 +84,10 @@
     for _ in range(2):
         node.extensions.observers[0].attempt_ended(7, AttemptResult.ERROR)
     node.run(20)
-    assert node.lines == [
+    assert node.log_lines == [
         ("verdicts", "e1: bad for all (observers: 1), ejected for at least 5 s"),
         ("verdicts", "e1: readmitted"),
     ]
     assert [event.disabled for event in node.events] == [True, False]
-    assert node.events[1].at_ns == 5 * NS_PER_S  # its start: no more warming up than it needs
+    # Readmitted with the time of its start, so that it does not warm up again.
+    assert node.events[1].at_ns == 5 * NS_PER_S
--- a/tests/quotas/test_directives.py
+++ b/tests/quotas/test_directives.py
@@ -1,4 +1,4 @@
-"""The directives of shared limits in the operators' file, and the bounds that they give."""
+"""Directives of shared limits in the operators' file, and the bounds that follow from them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     )
 )
 
-MEMBERS = 'members(address = "127.0.0.1:1", key_file = "/k", installation = "x")\n'
+MEMBERS_DIRECTIVE = 'members(address = "127.0.0.1:1", key_file = "/k", installation = "x")\n'
 
 
 @pytest.mark.parametrize(
@@ -31,15 +31,15 @@
     [
         ('limit("a")', "limit"),
         ("verdicts()", "verdicts"),
-        (MEMBERS + 'limit("a")\nlimit("a")', "limit.name"),
-        (MEMBERS + 'limit("a", kind = "odd")', "limit.kind"),
-        (MEMBERS + 'limit("f", kind = "further")', "limit.rate"),
-        (MEMBERS + 'limit("w", kind = "work", rate = 1)', "limit.rate"),
-        (MEMBERS + "limits(drift = 0)", "limits.drift"),
-        (MEMBERS + "limits(lease = 0)", "limits.lease"),
-        (MEMBERS + "limits(guaranteed = 0)", "limits.guaranteed"),
-        (MEMBERS + "verdicts(observers = 1)", "verdicts.observers"),
-        (MEMBERS + "verdicts(part = 2)", "verdicts.part"),
+        (MEMBERS_DIRECTIVE + 'limit("a")\nlimit("a")', "limit.name"),
+        (MEMBERS_DIRECTIVE + 'limit("a", kind = "odd")', "limit.kind"),
+        (MEMBERS_DIRECTIVE + 'limit("f", kind = "further")', "limit.rate"),
+        (MEMBERS_DIRECTIVE + 'limit("w", kind = "work", rate = 1)', "limit.rate"),
+        (MEMBERS_DIRECTIVE + "limits(drift = 0)", "limits.drift"),
+        (MEMBERS_DIRECTIVE + "limits(lease = 0)", "limits.lease"),
+        (MEMBERS_DIRECTIVE + "limits(guaranteed = 0)", "limits.guaranteed"),
+        (MEMBERS_DIRECTIVE + "verdicts(observers = 1)", "verdicts.observers"),
+        (MEMBERS_DIRECTIVE + "verdicts(part = 2)", "verdicts.part"),
     ],
     ids=[
         "limit without members",
--- a/tests/quotas/test_ejections_between_processes.py
+++ b/tests/quotas/test_ejections_between_processes.py
@@ -1,4 +1,4 @@
-"""Ejections and overrides shared by several real processes, with faults between them."""
+"""Ejections and overrides shared by several broker processes, with network faults."""
 
 from __future__ import annotations
 
@@ -27,7 +27,14 @@
 
 from ..support.member_processes import MemberProcesses
 from ..support.sockets import HANG, make_config, on_uvloop, running, until
-from .broker_processes import LONG_S, POLL_INTERVAL_S, Status, invoke, send_queries, sharing_fleet
+from .broker_processes import (
+    FAULT_DURATION_S,
+    POLL_INTERVAL_S,
+    Status,
+    invoke,
+    send_queries,
+    started_broker_fleet,
+)
 from .fake_node import FakeMembership
 
 pytestmark = pytest.mark.real_time
@@ -36,7 +43,7 @@
 def fail_queries(
     endpoint: ScriptedEngine, parts: list[bytes], writer: asyncio.StreamWriter
 ) -> None:
-    """Fail every query, and answer health checks."""
+    """Answer every query with a failure, and health checks with success."""
     if parts[0] == b"do":
         writer.write(resp.encode(parts[1], b"crashed", b"-", b""))
     elif parts[0] in (b"top", b"ping"):
@@ -51,10 +58,10 @@
     return status
 
 
-async def until_consensus(
+async def wait_for_consensus_status(
     peers: MemberProcesses, condition: Callable[[Status], bool], numbers: Collection[int] = range(5)
 ) -> None:
-    """Wait until a condition holds for the status of each of the brokers."""
+    """Wait until the condition holds for the consensus status of each of the brokers."""
     deadline = time.monotonic() + HANG
     for number in numbers:
         while not condition(status := await consensus_status(peers, number)):
@@ -63,23 +70,25 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def override_is(uid: str, value: str) -> Callable[[Status], bool]:
-    """Return whether the one override of an endpoint has a value."""
+def only_override_has_value(uid: str, value: str) -> Callable[[Status], bool]:
+    """Return a condition: the endpoint has exactly one override, with this value."""
     return lambda status: [
         override["word"] for override in status["words"] if override["uid"] == uid
     ] == [value]
 
 
-def has_value(key: str, value: str) -> Callable[[Status], bool]:
-    """Return whether one of the overrides under a key of the status has a value."""
+def some_override_has_value(key: str, value: str) -> Callable[[Status], bool]:
+    """Return a condition: some override under this key of the status has the value."""
     return lambda status: value in [override["word"] for override in status[key]]
 
 
-async def eject_on_evidence_of_two(peers: MemberProcesses, failing_engine: ScriptedEngine) -> None:
-    """Let two brokers meet failures; another one then sends nothing to the failing endpoint."""
+async def check_ejection_by_two_observers(
+    peers: MemberProcesses, failing_engine: ScriptedEngine
+) -> None:
+    """Check that a third broker does not use an endpoint that failed for two others."""
     stop = asyncio.Event()
     loads = [asyncio.create_task(send_queries(peers, number, 30, stop)) for number in (0, 1)]
-    await until_consensus(
+    await wait_for_consensus_status(
         peers, lambda status: [ejection["uid"] for ejection in status["verdicts"]] == ["bad"]
     )
     queries_before = len(failing_engine.commands_named(b"do"))
@@ -96,25 +105,25 @@
     request_log.close()
 
 
-async def override_on_both_sides_of_a_partition(peers: MemberProcesses) -> None:
-    """Let two operators override one endpoint: all come to the same, and the loser is shown."""
-    peers.spoil(LONG_S, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4"]))
+async def check_concurrent_overrides_in_a_partition(peers: MemberProcesses) -> None:
+    """Check that overrides from both sides of a partition merge, and that the loser is shown."""
+    peers.spoil(FAULT_DURATION_S, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4"]))
     one = peers.fleet.processes[0]
     other = peers.fleet.processes[4]
     assert (await asyncio.to_thread(one.call_admin_api, "/verdicts/pin/s-2", "POST"))[0] == 200
     assert (await asyncio.to_thread(other.call_admin_api, "/verdicts/out/s-2", "POST"))[0] == 200
     assert (await asyncio.to_thread(other.call_admin_api, "/verdicts/out/none", "POST"))[0] == 404
-    await until_consensus(peers, has_value("words", "pinned"), (1, 2))
+    await wait_for_consensus_status(peers, some_override_has_value("words", "pinned"), (1, 2))
     peers.heal()
-    await until_consensus(peers, override_is("s-2", "out"))
-    await until_consensus(peers, has_value("lost", "pinned"), (0, 1, 2))
+    await wait_for_consensus_status(peers, only_override_has_value("s-2", "out"))
+    await wait_for_consensus_status(peers, some_override_has_value("lost", "pinned"), (0, 1, 2))
 
 
-async def clear_and_show(peers: MemberProcesses) -> None:
+async def check_clear_and_show_commands(peers: MemberProcesses) -> None:
     address = f"127.0.0.1:{peers.fleet.processes[0].admin_port}"
     cleared = await invoke("verdicts", "clear", "s-2", "--address", address)
     assert cleared.exit_code == 0
-    await until_consensus(peers, override_is("s-2", "back"))
+    await wait_for_consensus_status(peers, only_override_has_value("s-2", "back"))
     shown = await invoke("verdicts", "show", "--address", address)
     assert shown.exit_code == 0
     assert "bad for all" in shown.output
@@ -122,39 +131,42 @@
 
 
 @on_uvloop
-async def test_all_act_on_what_two_observed_and_overrides_stand_above_it(tmp_path: Path) -> None:
-    """Three brokers have no traffic at all, and eject what two others have found to fail."""
+async def test_all_brokers_eject_on_two_observers_and_overrides_take_precedence(
+    tmp_path: Path,
+) -> None:
+    """Three brokers without traffic eject the endpoint that failed for the two others."""
     cluster = EmulatedCluster()
     await cluster.start("s-1", "s-2", "s-3")
     failing_engine = ScriptedEngine(fail_queries)
     port = await failing_engine.start()
     cluster.discovery.publish(target_entry("bad", port))
-    async with sharing_fleet(5, tmp_path, cluster) as peers:
-        await eject_on_evidence_of_two(peers, failing_engine)
-        await override_on_both_sides_of_a_partition(peers)
+    async with started_broker_fleet(5, tmp_path, cluster) as peers:
+        await check_ejection_by_two_observers(peers, failing_engine)
+        await check_concurrent_overrides_in_a_partition(peers)
         peers.fleet.processes[2].kill()
         peers.fleet.processes[2].start()
-        await until_consensus(peers, has_value("words", "out"), [2])  # one that joins later
-        await clear_and_show(peers)
+        # The restarted broker receives the override from the others.
+        await wait_for_consensus_status(peers, some_override_has_value("words", "out"), [2])
+        await check_clear_and_show_commands(peers)
         assert not [member for member in peers.fleet.processes if " fault: " in member.log()]
     failing_engine.server.close()
     cluster.stop()
 
 
 @on_uvloop
-async def test_first_to_eject_keeps_its_failures_until_all_have_received_them() -> None:
-    """A success of its health check would replace the failures in its report before others have
-    received them: no ejection of theirs would ever rest on two observers.
+async def test_first_ejecting_broker_reports_failures_until_all_received_them() -> None:
+    """A successful health check must not replace the failures in the first broker's report before
+    the others have received them: they would then never have two observers for an ejection.
     """
     failing_engine = ScriptedEngine(fail_queries)
-    async with running(make_config(target_entry("bad", await failing_engine.start()))) as rig:
-        clock = rig.node.clock
+    async with running(make_config(target_entry("bad", await failing_engine.start()))) as harness:
+        clock = harness.node.clock
         consensus_settings = OutlierConsensusSettings(
             observers=2, failures=2, max_ejected_fraction=1.0
         )
         membership = FakeMembership("n0", "n1", "n2")
-        service = OutlierConsensusService(rig.node, membership, consensus_settings)
-        number = rig.node.dispatcher.endpoint_table.by_uid["bad"].number
+        service = OutlierConsensusService(harness.node, membership, consensus_settings)
+        number = harness.node.dispatcher.endpoint_table.by_uid["bad"].number
         for _ in range(2):
             service.attempt_ended(number, AttemptResult.ERROR)
         observation = Observation(Endpoint("bad", 0), 2, 0, 0, -1)
@@ -166,7 +178,7 @@
         clock.anchor += consensus_settings.gossip_interval_ns
         service._tick()
         assert [endpoint.uid for endpoint in service.consensus.ejections] == ["bad"]
-        service.health_check_ended(number, AttemptResult.SERVED)  # of one that was under way
+        service.health_check_ended(number, AttemptResult.SERVED)  # a check that was already running
         service._tick()
         own = service.observations.write_report(clock.now()).observations[0]
         assert (own.failures, own.successes) == (2, 0)
@@ -177,5 +189,5 @@
             lambda: service.observations.write_report(clock.now()).observations[0].successes
         )
         assert failing_engine.commands_named(b"top")
-        assert service.consensus.ejections  # for as long as it was to last
+        assert service.consensus.ejections  # until its minimum duration has passed
     failing_engine.server.close()
--- a/tests/quotas/test_fair_allocation.py
+++ b/tests/quotas/test_fair_allocation.py
@@ -1,4 +1,4 @@
-"""Max-min fair allocation of a limit, and the forecast of demand."""
+"""Max-min fair allocation of a limit, and the demand forecast."""
 
 from __future__ import annotations
 
--- a/tests/quotas/test_lease_model.py
+++ b/tests/quotas/test_lease_model.py
@@ -1,4 +1,4 @@
-"""Leases in every order of events, and the audit of lease records."""
+"""Model checking of leases over all orders of events, and the audit of lease records."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ..support.quota_model import PropertyViolatedError, explore, replay
 
 
-def test_every_order_of_events_among_three_brokers_keeps_two_tokens() -> None:
+def test_no_order_of_events_among_three_brokers_exceeds_the_limit() -> None:
     assert explore(3) > 1_000
 
 
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("other_record", "most_per_s"),
+    ("other_record", "max_leased_per_s"),
     [
         pytest.param(
             [LeaseRecord(60, "a", 3.0, 80), LeaseRecord(10, "b", 100.0, 500)],
@@ -43,12 +43,12 @@
         pytest.param([LeaseRecord(40, "a", 3.0, 80)], 8.0, id="while the first is in force"),
     ],
 )
-def test_records_of_processes_are_added_up_by_time(
-    other_record: list[LeaseRecord], most_per_s: float
+def test_lease_records_of_processes_are_summed_over_time(
+    other_record: list[LeaseRecord], max_leased_per_s: float
 ) -> None:
     record = [
         LeaseRecord(0, "a", 5.0, 100),
         LeaseRecord(50, "a", 2.0, 90),
         LeaseRecord(95, "a", 4.0, 200),
     ]
-    assert max_concurrent_leases_per_s([record, other_record], "a") == most_per_s
+    assert max_concurrent_leases_per_s([record, other_record], "a") == max_leased_per_s
--- a/tests/quotas/test_leases.py
+++ b/tests/quotas/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases of a limit under faults and partitions, on a simulated clock."""
+"""Leases under crashes, pauses, lost messages and partitions, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
     )
 )
 LIMITS = {"a": 100.0, "b": 50.0}
-LEASED_PER_S = 80.0  # of limit "a", without the guaranteed fifth
+LEASED_PER_S = 80.0  # the leased part of limit "a": a fifth of it is guaranteed
 ROUNDING_ERROR = 1e-6
 
 
-def settled_simulation(count: int = 10) -> QuotaSimulation:
-    """Return brokers with uneven demand for "a", after leaders were elected and have granted."""
+def simulation_with_leases(count: int = 10) -> QuotaSimulation:
+    """Return brokers with unequal demand for "a" that already have leases."""
     simulation = QuotaSimulation(count, SETTINGS, LIMITS, 1, SimulatedConditions(0.01))
     for broker in simulation.brokers:
         demand = [1.0, 10.0, 100.0][broker.number % 3]
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def simulation() -> QuotaSimulation:
-    return settled_simulation()
+    return simulation_with_leases()
 
 
 def faulty_simulation(seed: int, conditions: SimulatedConditions) -> QuotaSimulation:
@@ -57,12 +57,12 @@
     return simulation
 
 
-def test_uneven_demand_is_met_from_what_others_leave(simulation: QuotaSimulation) -> None:
+def test_whole_limit_is_leased_and_busy_holders_get_more(simulation: QuotaSimulation) -> None:
     assert simulation.valid_per_s("a") == pytest.approx(LEASED_PER_S, rel=0.02)
     assert simulation.worst_overshoot_per_s["a"] <= 1e-9
-    # One of three that want a hundred, where an even division gives a tenth.
-    busy = simulation.brokers[2].amount_per_s("a", simulation.now_ns)
-    assert busy > 1.8 * LEASED_PER_S / 10
+    # One of the three brokers that want 100; its equal share would be a tenth.
+    busy_amount = simulation.brokers[2].amount_per_s("a", simulation.now_ns)
+    assert busy_amount > 1.8 * LEASED_PER_S / 10
 
 
 def test_only_broker_with_demand_gets_nearly_all_of_the_limit(simulation: QuotaSimulation) -> None:
@@ -74,9 +74,9 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_no_fault_leases_a_token_twice_or_elects_two_leaders(seed: int) -> None:
-    """Kills, restarts and pauses of holders and leaders, partitions one way and both ways, losses,
-    late messages, clocks that differ by all that is allowed, views that lag by up to ten seconds.
+def test_faults_never_exceed_the_limit_or_elect_two_leaders(seed: int) -> None:
+    """Faults: killed, restarted and paused holders and leaders, partitions in one direction and in
+    both, lost and late messages, the maximum clock drift, and views delayed by up to 10 s.
     """
     loss = random.Random(seed).choice([0.0, 0.1, 0.3])
     view_delay_ns = random.Random(seed).choice([NS_PER_S // 2, 4 * NS_PER_S, 10 * NS_PER_S])
@@ -85,14 +85,14 @@
     assert max(simulation.worst_overshoot_per_s.values()) <= ROUNDING_ERROR
 
 
-def does_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let neither voters nor new leaders wait until what was granted before has expired."""
+def skip_expiry_waits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Break the wait of voters and new leaders for the expiry of earlier votes and leases."""
     for module in (voting, leadership):
         monkeypatch.setattr(module, "expiry_wait_ns", lambda duration_ns, clock_drift: 0)
 
 
-def one_vote_is_enough(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let a broker grant with a single vote in place of a majority."""
+def elect_by_single_vote(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let a broker grant leases with a single vote instead of a majority."""
 
     def has_authority(self: LeaderElection, shard: int, now_ns: int) -> bool:
         if shard not in self.leaderships:
@@ -106,25 +106,25 @@
 @pytest.mark.parametrize(
     ("break_protocol", "seeds"),
     [
-        pytest.param(does_not_wait, 12, id="no wait for the last leader's leases"),
-        pytest.param(one_vote_is_enough, 8, id="one vote is enough"),
+        pytest.param(skip_expiry_waits, 12, id="no wait for the last leader's leases"),
+        pytest.param(elect_by_single_vote, 8, id="one vote is enough"),
     ],
 )
 def test_auditor_finds_a_broken_protocol(
     break_protocol: Any, seeds: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A check that cannot fail proves nothing."""
+    """Guards against an audit that passes whatever the protocol does."""
     break_protocol(monkeypatch)
-    found = 0
+    violation_count = 0
     for seed in range(seeds):
         simulation = faulty_simulation(seed, SimulatedConditions(0.01, 0.1))
         try:
             simulation.run(60)
         except AssertionError:
-            found += 1
+            violation_count += 1
         else:
-            found += max(simulation.worst_overshoot_per_s.values()) > ROUNDING_ERROR
-    assert found
+            violation_count += max(simulation.worst_overshoot_per_s.values()) > ROUNDING_ERROR
+    assert violation_count
 
 
 def assert_respected_and_in_use(simulation: QuotaSimulation) -> None:
@@ -170,7 +170,7 @@
     amounts = [broker.amount_per_s("a", simulation.now_ns) for broker in simulation.brokers]
     on_minority_side = sum(amounts[number] for number in minority)
     on_other_side = sum(amounts[number] for number in range(10) if number not in minority)
-    assert on_minority_side < 1e-9  # falls to its guaranteed part
+    assert on_minority_side < 1e-9  # only the guaranteed part is left
     if others_have_majority:
         assert on_other_side > 70
     else:
@@ -180,17 +180,17 @@
 
 
 def test_limit_is_respected_and_used_by_two_hundred_holders() -> None:
-    simulation = settled_simulation(200)
+    simulation = simulation_with_leases(200)
     assert simulation.leader("a") is not None
     simulation.run(10)
     assert_respected_and_in_use(simulation)
 
 
-def test_holder_paused_past_its_lease_wakes_to_none(simulation: QuotaSimulation) -> None:
+def test_lease_has_expired_after_a_pause_as_long_as_the_lease(simulation: QuotaSimulation) -> None:
     now_ns = simulation.now_ns
     holder = max(simulation.brokers, key=lambda broker: broker.amount_per_s("a", now_ns))
     assert holder.amount_per_s("a", now_ns) > 10
-    # By its own clock, before any timer or message.
+    # The expiry depends only on its own clock, not on a timer or a message.
     assert holder.amount_per_s("a", now_ns + SETTINGS.lease_ns) == 0.0
 
 
@@ -201,7 +201,7 @@
     assert simulation.valid_per_s("a") <= 40 + ROUNDING_ERROR
 
 
-def test_nothing_is_leased_with_more_brokers_than_the_fleet_size() -> None:
+def test_nothing_is_leased_to_more_brokers_than_the_fleet_size() -> None:
     simulation = QuotaSimulation(10, SETTINGS, LIMITS, 1)
     for broker in simulation.brokers:
         broker.leases.state.fleet_size = 4
--- a/tests/quotas/test_limits_between_processes.py
+++ b/tests/quotas/test_limits_between_processes.py
@@ -1,4 +1,4 @@
-"""Limits shared by several real processes, with faults between them."""
+"""Limits shared by several broker processes, with crashes, pauses and network faults."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 from ..support.member_processes import MemberProcesses
 from ..support.sockets import HANG, on_uvloop
 from .broker_processes import (
-    LONG_S,
+    FAULT_DURATION_S,
     POLL_INTERVAL_S,
     Status,
     invoke,
     limit_status,
     send_queries,
-    sharing_fleet,
+    started_broker_fleet,
 )
 
 pytestmark = pytest.mark.real_time
 
 LEASED_PER_S = 100.0 * 0.8
-BUSY = 0
+BUSY_BROKER = 0
 
 
 class Auditor:
-    """Reads every process's record of its leases, also of those that are to be killed."""
+    """Collects the lease records of all processes, including those that are killed later."""
 
     def __init__(self, peers: MemberProcesses) -> None:
         self.peers = peers
@@ -48,16 +48,16 @@
             try:
                 record = await asyncio.to_thread(member.status, "/limits/record")
             except OSError:
-                continue  # it is stopped
+                continue  # it is paused or ending
             process = (member.number, member.process.pid)
             changes = self.records.setdefault(process, set())
             changes.update(LeaseRecord(*change) for change in record)
 
-    def most_per_s(self) -> float:
+    def max_leased_per_s(self) -> float:
         return max_concurrent_leases_per_s(self.records.values(), "acme")
 
 
-async def until_limit(
+async def wait_for_limit_status(
     peers: MemberProcesses, number: int, condition: Callable[[Status], bool]
 ) -> Status:
     deadline = time.monotonic() + HANG
@@ -70,55 +70,56 @@
 
 
 def has_most_of_the_limit(status: Status) -> bool:
-    return bool(status["ours"] > 60)  # an even division among five gives 20
+    return bool(status["ours"] > 60)  # an equal share among five brokers is 20
 
 
 def has_guaranteed_part_only(status: Status) -> bool:
     return bool(status["floor_in_force"])
 
 
-async def kill_and_restart_leader(peers: MemberProcesses, status: Status) -> None:
+async def check_takeover_after_leader_crash(peers: MemberProcesses, status: Status) -> None:
     leader = peers.addresses.index(status["home"])
-    # The busy broker may lead the shard itself: then another one is killed.
-    if leader == BUSY:
-        leader = (BUSY + 1) % 5
+    # If the busy broker leads the shard itself, another broker is killed.
+    if leader == BUSY_BROKER:
+        leader = (BUSY_BROKER + 1) % 5
     peers.fleet.processes[leader].kill()
-    await until_limit(
+    await wait_for_limit_status(
         peers,
-        BUSY,
+        BUSY_BROKER,
         lambda status: has_most_of_the_limit(status) and status["home"] != peers.addresses[leader],
     )
     peers.fleet.processes[leader].start()
     await peers.holds(range(5), range(5))
 
 
-async def cut_off_one_way_and_both_ways(peers: MemberProcesses) -> None:
-    peers.spoil(LONG_S, Fault(0, 0, f"n{BUSY}-*", FaultKind.STALL))  # its requests do not arrive
-    status = await until_limit(peers, BUSY, has_guaranteed_part_only)
+async def check_guaranteed_part_in_partitions(peers: MemberProcesses) -> None:
+    # The messages of the busy broker do not arrive.
+    peers.spoil(FAULT_DURATION_S, Fault(0, 0, f"n{BUSY_BROKER}-*", FaultKind.STALL))
+    status = await wait_for_limit_status(peers, BUSY_BROKER, has_guaranteed_part_only)
     assert status["ours"] == 100 * 0.2 / 5
     peers.heal()
-    await until_limit(peers, BUSY, has_most_of_the_limit)
-    others = [f"n{number}" for number in range(5) if number != BUSY]
-    peers.spoil(LONG_S, *partition_faults(0, 0, [f"n{BUSY}"], others))
-    await until_limit(peers, BUSY, has_guaranteed_part_only)
+    await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
+    others = [f"n{number}" for number in range(5) if number != BUSY_BROKER]
+    peers.spoil(FAULT_DURATION_S, *partition_faults(0, 0, [f"n{BUSY_BROKER}"], others))
+    await wait_for_limit_status(peers, BUSY_BROKER, has_guaranteed_part_only)
     peers.heal()
-    await until_limit(peers, BUSY, has_most_of_the_limit)
+    await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
 
 
-async def pause_holder_past_its_lease(peers: MemberProcesses) -> None:
-    holder = peers.fleet.processes[BUSY]
+async def check_lease_after_pause(peers: MemberProcesses) -> None:
+    holder = peers.fleet.processes[BUSY_BROKER]
     holder.signal(signal.SIGSTOP)
-    await asyncio.sleep(3.0)  # its lease expires while requests wait for it
+    await asyncio.sleep(3.0)  # its lease expires while requests are waiting
     holder.signal(signal.SIGCONT)
-    await until_limit(peers, BUSY, has_most_of_the_limit)
+    await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
 
 
 async def assert_operators_see_the_limits(peers: MemberProcesses) -> None:
-    holder = peers.fleet.processes[BUSY]
+    holder = peers.fleet.processes[BUSY_BROKER]
     text = (await asyncio.to_thread(holder.call_admin_api, "/metrics"))[1].decode()
     assert 'edge_proxy_limit_ours{limit="acme"}' in text
     assert "fault" not in holder.log()
-    connections = await limit_status(peers, BUSY, "conns")
+    connections = await limit_status(peers, BUSY_BROKER, "conns")
     assert connections["overshoot_promised"] == 40.0
     assert connections["overshoot_seen"] <= 40.0
     shown = await invoke("limits", "show", "--address", f"127.0.0.1:{holder.admin_port}")
@@ -128,32 +129,32 @@
 
 
 @on_uvloop
-async def test_busy_broker_gets_what_others_leave_and_faults_never_exceed_the_limit(
+async def test_busy_broker_gets_unused_capacity_and_faults_never_exceed_the_limit(
     tmp_path: Path,
 ) -> None:
-    """The leader is killed in the middle of grants, the holder is stopped past its lease with
-    requests in flight, and both are cut off from each other one way and both ways.
+    """The leader is killed while it grants leases, the holder is paused until its lease has expired
+    with requests in flight, and the holder is cut off in one direction and in both.
     """
     cluster = EmulatedCluster()
     await cluster.start("s-1", "s-2")
-    async with sharing_fleet(5, tmp_path, cluster) as peers:
+    async with started_broker_fleet(5, tmp_path, cluster) as peers:
         auditor = Auditor(peers)
         stop = asyncio.Event()
-        load = asyncio.create_task(send_queries(peers, BUSY, 120, stop))
-        status = await until_limit(peers, BUSY, has_most_of_the_limit)
+        load = asyncio.create_task(send_queries(peers, BUSY_BROKER, 120, stop))
+        status = await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
         assert not status["floor_in_force"]
         assert status["left_s"] > 0
         await auditor.read()
-        await kill_and_restart_leader(peers, status)
+        await check_takeover_after_leader_crash(peers, status)
         await auditor.read()
-        await cut_off_one_way_and_both_ways(peers)
+        await check_guaranteed_part_in_partitions(peers)
         await auditor.read()
-        await pause_holder_past_its_lease(peers)
+        await check_lease_after_pause(peers)
         stop.set()
         request_log = await load
         await auditor.read()
-        assert auditor.most_per_s() <= LEASED_PER_S + 1e-6
-        assert auditor.most_per_s() > 50
+        assert auditor.max_leased_per_s() <= LEASED_PER_S + 1e-6
+        assert auditor.max_leased_per_s() > 50
         assert all(request.answer_count == 1 for request in request_log.records)
         assert request_log.unmatched_answers == 0
         await assert_operators_see_the_limits(peers)
@@ -172,29 +173,31 @@
 
 
 @on_uvloop
-async def test_operators_lend_and_recall_and_a_halved_limit_is_respected(tmp_path: Path) -> None:
+async def test_lend_and_recall_calls_and_a_halved_limit_take_effect(tmp_path: Path) -> None:
     cluster = EmulatedCluster()
     await cluster.start("s-1")
-    async with sharing_fleet(3, tmp_path, cluster) as peers:
+    async with started_broker_fleet(3, tmp_path, cluster) as peers:
         stop = asyncio.Event()
-        load = asyncio.create_task(send_queries(peers, BUSY, 120, stop))
-        status = await until_limit(peers, BUSY, has_most_of_the_limit)
+        load = asyncio.create_task(send_queries(peers, BUSY_BROKER, 120, stop))
+        status = await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
         leader = peers.fleet.processes[peers.addresses.index(status["home"])]
-        holder = peers.addresses[BUSY]
+        holder = peers.addresses[BUSY_BROKER]
 
         async def call(*arguments: str) -> int:
             address = f"127.0.0.1:{leader.admin_port}"
             return (await invoke("limits", *arguments, "--address", address)).exit_code
 
         assert await call("recall", "acme", holder) == 0
-        await until_limit(peers, BUSY, lambda status: status["ours"] < 7)  # its guaranteed part
+        await wait_for_limit_status(
+            peers, BUSY_BROKER, lambda status: status["ours"] < 7
+        )  # its guaranteed part
         assert await call("lend", "acme", holder, "30") == 0
-        await until_limit(peers, BUSY, lambda status: 30 < status["ours"] < 40)
+        await wait_for_limit_status(peers, BUSY_BROKER, lambda status: 30 < status["ours"] < 40)
         assert await call("lend", "none", holder, "30") == 1
         assert await call("lend", "acme", "10.0.0.1:9", "30") == 1
         halve_quota(peers)
-        await until_limit(
-            peers, BUSY, lambda status: status["whole"] == 50 and status["ours"] <= 50
+        await wait_for_limit_status(
+            peers, BUSY_BROKER, lambda status: status["whole"] == 50 and status["ours"] <= 50
         )
         stop.set()
         (await load).close()
--- a/tests/quotas/test_quota_service.py
+++ b/tests/quotas/test_quota_service.py
@@ -1,6 +1,6 @@
-"""The service of shared limits on a fake node: operators' answers, log lines and metrics.
+"""The service of shared limits on a fake node: answers to operators, log lines and metrics.
 
-The texts and keys are read by operators' scripts and dashboards, and must not change.
+Operators' scripts and dashboards read these texts and keys, so that they must not change.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from query_broker.outlier_consensus.service import OutlierConsensusService
 from query_broker.quotas.service import QuotaService
 
-from .fake_node import OWN_ADDRESS, OWN_NAME, FakeNode, decoded
+from .fake_node import OWN_ADDRESS, OWN_NAME, FakeNode, decode_answer
 
 
 def test_limits_status_has_the_keys_that_operators_read(quotas: QuotaService) -> None:
-    status, content, _ = decoded(quotas.handle_admin_call("GET", "/limits"))
+    status, content, _ = decode_answer(quotas.handle_admin_call("GET", "/limits"))
     assert status == 200
     assert list(content) == ["me", "limits", "breaches", "figures"]
     assert content["me"] == OWN_ADDRESS
@@ -36,8 +36,8 @@
     assert list(soft) == [*common, "age_s", "overshoot_seen"]
 
 
-def test_only_broker_leases_all_but_the_guaranteed_part(quotas: QuotaService) -> None:
-    content = decoded(quotas.handle_admin_call("GET", "/limits")).content
+def test_sole_member_leases_all_but_the_guaranteed_part(quotas: QuotaService) -> None:
+    content = decode_answer(quotas.handle_admin_call("GET", "/limits")).content
     limit = content["limits"][0]
     assert limit["home"] == OWN_ADDRESS
     assert limit["floor"] == 20.0
@@ -48,7 +48,7 @@
 
 
 def test_lease_record_is_a_list_of_changes(quotas: QuotaService) -> None:
-    content = decoded(quotas.handle_admin_call("GET", "/limits/record")).content
+    content = decode_answer(quotas.handle_admin_call("GET", "/limits/record")).content
     at_ns, limit, amount_per_s, expires_at_ns = content[-1]
     assert limit == "acme"
     assert amount_per_s == pytest.approx(80.0)
@@ -82,10 +82,10 @@
         "no amount",
     ],
 )
-def test_unusable_limits_call_is_answered_with_its_reason(
+def test_invalid_limits_call_gets_an_error_with_the_reason(
     quotas: QuotaService, method: str, path: str, expected: tuple[int, str, str]
 ) -> None:
-    status, content, allow = decoded(quotas.handle_admin_call(method, path))
+    status, content, allow = decode_answer(quotas.handle_admin_call(method, path))
     assert (status, content, allow) == (expected[0], {"error": expected[1]}, expected[2])
 
 
@@ -101,7 +101,7 @@
 def test_cap_is_confirmed_and_limits_what_is_granted(
     quotas: QuotaService, node: FakeNode, call: str, at_most: float
 ) -> None:
-    status, content, _ = decoded(quotas.handle_admin_call("POST", call))
+    status, content, _ = decode_answer(quotas.handle_admin_call("POST", call))
     assert (status, content) == (
         200,
         {"limit": "acme", "holder": OWN_ADDRESS, "at_most": at_most},
@@ -113,17 +113,17 @@
 def test_cap_is_rejected_by_a_broker_that_does_not_lead(quotas: QuotaService) -> None:
     quotas.leases.set_view(("10.0.0.9:7000/bb",), True)
     call = f"/limits/recall/acme/{OWN_ADDRESS}"
-    status, content, _ = decoded(quotas.handle_admin_call("POST", call))
+    status, content, _ = decode_answer(quotas.handle_admin_call("POST", call))
     assert status == 409
     assert content == {"error": "the home of acme is 10.0.0.9:7000: say it there"}
 
 
-def test_post_without_an_action_is_left_to_the_connection(quotas: QuotaService) -> None:
+def test_post_without_an_action_raises_value_error(quotas: QuotaService) -> None:
     with pytest.raises(ValueError, match="not enough values"):
         quotas.handle_admin_call("POST", "/limits/")
 
 
-def test_call_of_another_part_is_passed_on(
+def test_call_of_another_service_is_not_answered(
     quotas: QuotaService, consensus: OutlierConsensusService
 ) -> None:
     assert quotas.handle_admin_call("GET", "/verdicts") is None
@@ -154,11 +154,13 @@
     expected = (
         "again: 60.0/s admitted, 30.0/s over the limit, beyond the allowed overshoot of 0.0/s"
     )
-    assert ("limits", expected) in node.lines
+    assert ("limits", expected) in node.log_lines
 
 
-def test_fault_in_a_tick_is_logged_and_ticks_go_on(quotas: QuotaService, node: FakeNode) -> None:
+def test_exception_in_a_tick_is_logged_and_ticks_continue(
+    quotas: QuotaService, node: FakeNode
+) -> None:
     cast(Any, quotas.membership).views = None
     node.run(0.5)
     fault = "limits: AttributeError: 'NoneType' object has no attribute 'view'"
-    assert node.lines == [("fault", fault), ("fault", fault)]
+    assert node.log_lines == [("fault", fault), ("fault", fault)]
--- a/tests/quotas/test_token_bucket.py
+++ b/tests/quotas/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets: what they hold, and how long a reserved token takes."""
+"""Token buckets: their capacity, and the wait for a reserved token."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     assert taken == [True, True, True, False]
 
 
-def test_bucket_tells_how_long_a_reserved_token_takes_to_come() -> None:
+def test_reserved_token_has_to_wait_until_it_is_refilled() -> None:
     bucket = TokenBucket(0)
     waits_ns = [bucket.reserve_ns(0, 2.0) for _ in range(3)]
     assert waits_ns == [0, NS_PER_S // 2, NS_PER_S]
--- a/tests/quotas/test_usage_counters.py
+++ b/tests/quotas/test_usage_counters.py
@@ -1,4 +1,4 @@
-"""Usage counters of soft limits: merged reports, and the quota that follows from them."""
+"""Usage counters of soft limits: merging of reports, and the quota derived from them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def counters() -> UsageCounters:
-    """Return counters that received three reports of each other broker, shuffled and twice."""
+    """Return counters that received three reports of each other broker, twice and out of order."""
     draw = random.Random(3)
     counters = UsageCounters("m0", NS_PER_S, draw.random)
     reports = [
@@ -34,7 +34,7 @@
     assert {known.report.version for known in counters.reports.values()} == {3}
 
 
-def test_even_part_is_ours_whatever_others_use(counters: UsageCounters) -> None:
+def test_quota_is_at_least_the_equal_share(counters: UsageCounters) -> None:
     assert counters.quota(BEGIN_NS, "f", 100.0, 4, BROKERS) == (25.0, 0)  # others use 90
 
 
@@ -47,7 +47,7 @@
     assert counters.quota(later_ns, "f", 100.0, 4, BROKERS)[0] == 25.0
 
 
-def test_reports_of_strangers_or_of_negative_age_are_ignored(counters: UsageCounters) -> None:
+def test_reports_of_non_members_or_with_negative_age_are_ignored(counters: UsageCounters) -> None:
     newest = tuple(UsageReport(broker, 4, 0, (("f", 5.0),)) for broker in BROKERS[1:])
     counters.receive(BEGIN_NS, UsageReports(newest), BROKERS)
     invalid = (UsageReport("stranger", 1, 0, (("f", 0.0),)), UsageReport("m1", 9, -5, ()))
