--- a/query_broker/outlier_consensus/observations.py
+++ b/query_broker/outlier_consensus/observations.py
@@ -1,6 +1,6 @@
 """Observations of failing endpoints, by this broker and by others.
 
-Only the broker itself writes its report, with a rising version; of two reports the newer replaces
+Only a broker itself writes its report, with a rising version; of two reports the newer replaces
 the other. Reports contain observations only; each broker derives the consensus from them itself.
 Performs no I/O.
 """
@@ -21,7 +21,7 @@
 #: Endpoints in one report; those with the latest failures are chosen.
 MAX_REPORTED_ENDPOINTS = 64
 MAX_TRACKED_ENDPOINTS = 4 * MAX_REPORTED_ENDPOINTS
-#: Latest outcomes that are kept.
+#: Latest outcomes that are kept of each endpoint.
 MAX_OUTCOMES_PER_ENDPOINT = 16
 MAX_OBSERVERS = 4_096
 #: Age of an outcome that has not occurred.
--- a/query_broker/outlier_consensus/overrides.py
+++ b/query_broker/outlier_consensus/overrides.py
@@ -3,9 +3,9 @@
 An override has a version, one more than the latest that its author knew, and names the override it
 replaces. The override with the higher version is in force; of two with the same version, `out`
 takes precedence over other values, then the greater author address. All brokers therefore reach the
-same result, in whatever order they receive overrides. If neither author knew the other's override,
-the one that lost is kept for display, so that its operator can see that it is not in force.
-Performs no I/O.
+same result, in whatever order they receive overrides. An override that lost to one whose author did
+not know it is kept for display, so that its operator can see that it is not in force. Performs no
+I/O.
 """
 
 from __future__ import annotations
--- a/query_broker/outlier_consensus/service.py
+++ b/query_broker/outlier_consensus/service.py
@@ -91,7 +91,7 @@
         self._forget_old_answers(now_ns)
         self._answered_at_ns[sender] = now_ns
         self._send_all_overrides(sender)
-        if not batch.is_answer:  # The sender may have overrides that this broker does not.
+        if not batch.is_answer:  # The sender may have overrides that are missing here.
             self._send(sender, OverrideBatch(self.overrides.digest(), (), is_answer=True))
 
     def _forget_old_answers(self, now_ns: int) -> None:
@@ -243,7 +243,7 @@
     # --- operators ---
 
     def endpoint_administered(self, uid: str, disabled: bool) -> None:
-        """Apply an operator's call on this broker to all brokers."""
+        """Set an override for all brokers when an operator disables or enables an endpoint here."""
         value = OverrideValue.DISABLED if disabled else OverrideValue.ENABLED
         if not self.overrides.has_value(uid, value):
             self.overrides.set(uid, value, self._rounds_to_all_members())
