--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -130,7 +130,7 @@
         """Create the client that watches the endpoint list, paced while the fleet starts."""
         watch_client = super().make_watch_client(address)
         if self.startup_service is not None:
-            self.startup_service.set_pace(watch_client)
+            self.startup_service.pace_watch_client(watch_client)
         return watch_client
 
     def endpoint_list_changed(self, event: EndpointListEvent) -> None:
--- a/query_broker/startup/__init__.py
+++ b/query_broker/startup/__init__.py
@@ -1,6 +1,6 @@
-"""How a broker starts when hundreds start at once.
+"""Paces the start of a broker in a fleet whose brokers may all start at once.
 
 ``stages``, ``pacing``, ``admission_ramp``, ``endpoint_snapshot``, ``bounds`` and ``status_report``
-decide and compute; they perform no I/O. ``service.StartupService`` connects them to the node, and
-is loaded only where the operators' file holds the directive ``start``.
+perform no I/O. ``service.StartupService`` connects them to the node, and is loaded only if the
+operators' file holds the directive ``start``.
 """
--- a/query_broker/startup/admission_ramp.py
+++ b/query_broker/startup/admission_ramp.py
@@ -1,11 +1,12 @@
-"""The admission ramp: how much a broker admits after a start. Performs no I/O.
-
-A broker that died may have left as much work at each endpoint as it may send there, and the one
-that starts has no record of it. So the part of the admission that is not open yet is accounted as
-work in flight of another process of this broker: the bounds of the decisions then hold without any
-change. The open part grows evenly without answers, doubles each second with successes (slow start),
-and holds while too many answers are failures. It is complete after ``MAX_RAMPS`` ramps whatever the
-answers, since the bounds of the decisions hold from then on.
+"""The admission ramp: which part of its capacity a broker admits after a start. Performs no I/O.
+
+A former process of the broker may have left as much work at each endpoint as the bound allows, and
+the new process has no record of that work. So the closed part of the admission is accounted as
+outstanding work of another process of this broker, and the bounds of the decisions hold without
+any change. The open part grows at a constant factor while there are no answers, doubles each second
+with successes (slow start), and stays as it is while too many answers are failures. The admission
+is complete after ``MAX_RAMP_DURATIONS`` times the duration of the ramp, regardless of the answers,
+since the bounds of the decisions hold from then on.
 """
 
 from __future__ import annotations
@@ -16,28 +17,28 @@
 
 from .settings import NS_PER_SECOND, StartupSettings
 
-#: Time between two steps of the ramp: long enough for answers to come in.
+#: Time between two steps of the ramp, long enough for answers to arrive.
 STEP_PERIOD_NS = NS_PER_SECOND
 
-#: Growth of the open part in a period with successes: slow start doubles.
-GROWTH_WITH_SUCCESSES = 2.0
+#: Factor by which the open part grows in a step with successes (slow start).
+GROWTH_FACTOR_WITH_SUCCESSES = 2.0
 
-#: Part of a period's answers above which failures hold the ramp.
+#: Failed fraction of the answers since the last step above which the open part does not grow.
 MAX_FAILED_FRACTION = 0.1
 
-#: Ramps after which the admission is complete whatever the answers.
-MAX_RAMPS = 4
+#: Multiple of the ramp's duration after which the admission is complete regardless of the answers.
+MAX_RAMP_DURATIONS = 4
 
-#: Smallest open part that the growth is computed from, so that it stays finite.
+#: Smallest initial part from which the growth factor is computed, so that the factor stays finite.
 MIN_INITIAL_FRACTION = 1e-3
 
-#: Error of repeated products: a part this near to 1 is complete.
-ROUNDING = 1e-9
+#: Rounding error of the repeated multiplication: an open part this close to 1 counts as 1.
+ROUNDING_TOLERANCE = 1e-9
 
 
 @dataclass(slots=True)
 class AdmissionRamp:
-    """The part of the admission that is open, which grows step by step.
+    """The open part of the admission, which grows step by step.
 
     Attributes:
         settings: The settings of the start.
@@ -52,19 +53,19 @@
     stepped_at_ns: int = 0
 
     def __post_init__(self) -> None:
-        """Begin with the initial part."""
+        """Open the initial part."""
         self.open_fraction = self.settings.initial_fraction
         self.stepped_at_ns = self.started_ns
 
     @property
-    def growth(self) -> float:
-        """The growth of a period without answers: from the initial part to all in one ramp."""
+    def growth_factor(self) -> float:
+        """The factor of a step without answers: opens everything within the ramp's duration."""
         initial = max(self.settings.initial_fraction, MIN_INITIAL_FRACTION)
-        ramps_per_period = STEP_PERIOD_NS / max(STEP_PERIOD_NS, self.settings.ramp_ns)
-        return float((1 / initial) ** ramps_per_period)
+        ramp_fraction_per_step = STEP_PERIOD_NS / max(STEP_PERIOD_NS, self.settings.ramp_ns)
+        return float((1 / initial) ** ramp_fraction_per_step)
 
     def step(self, now_ns: int, successes: int, failures: int) -> float:
-        """Take a step if a period is over, and return the open part from now on.
+        """Take a step if ``STEP_PERIOD_NS`` has passed, and return the open part.
 
         Args:
             now_ns: The time in nanoseconds.
@@ -75,12 +76,12 @@
             return self.open_fraction
         self.stepped_at_ns = now_ns
         if failures <= MAX_FAILED_FRACTION * (successes + failures):
-            growth = self.growth
+            growth_factor = self.growth_factor
             if successes:
-                growth = max(GROWTH_WITH_SUCCESSES, growth)
-            self.open_fraction *= growth
-        overdue = now_ns - self.started_ns >= MAX_RAMPS * self.settings.ramp_ns
-        if overdue or self.open_fraction > 1 - ROUNDING:
+                growth_factor = max(GROWTH_FACTOR_WITH_SUCCESSES, growth_factor)
+            self.open_fraction *= growth_factor
+        is_overdue = now_ns - self.started_ns >= MAX_RAMP_DURATIONS * self.settings.ramp_ns
+        if is_overdue or self.open_fraction > 1 - ROUNDING_TOLERANCE:
             self.open_fraction = 1.0
         return self.open_fraction
 
@@ -90,12 +91,12 @@
 
 
 class AssumedWork(NamedTuple):
-    """Work that is accounted at one endpoint as left there by the broker's former process.
+    """Work at one endpoint that a former process of the broker is assumed to have left there.
 
     Attributes:
         threads: Threads that the former process is assumed to use.
-        backlog: Work that it is assumed to have queued, in the unit of the decisions' backlog
-            bound.
+        backlog: Work that the former process is assumed to have queued, in the unit of the
+            decisions' backlog bound.
     """
 
     threads: int
@@ -105,16 +106,16 @@
 def assumed_work(
     open_fraction: float, threads: float, max_backlog: float, max_request_threads: int
 ) -> AssumedWork:
-    """Return what is accounted at one endpoint while only a part of the admission is open.
+    """Return the work to account at one endpoint while only a part of the admission is open.
 
-    Capacity for one request always remains. Without it no request would be sent, no answer could
-    come, and the ramp, which waits for answers, would not grow.
+    Capacity for one request always remains. Otherwise no request would be sent and no answer would
+    arrive, so the ramp, which depends on answers, would not grow.
 
     Args:
         open_fraction: The open part, from 0 to 1.
         threads: Threads of the endpoint that this broker may use.
-        max_backlog: Backlog that it may have there.
-        max_request_threads: Threads of the request class that uses the most.
+        max_backlog: Backlog that this broker may have at the endpoint.
+        max_request_threads: Threads of the request class that uses the most threads.
     """
     open_threads = max(float(max_request_threads), open_fraction * threads)
     return AssumedWork(
@@ -123,18 +124,18 @@
     )
 
 
-def retry_after_ns(proposed_ns: int, remaining_ns: int, max_ns: int, draw: float) -> int:
+def retry_after_ns(proposed_ns: int, remaining_ns: int, max_ns: int, random_fraction: float) -> int:
     """Return the backoff that a rejected client is asked for, in nanoseconds.
 
-    Otherwise all clients that were rejected in the first second of a ramp would retry in its second
-    one.
+    The backoff is random, so that the clients that were rejected in the first second of a ramp do
+    not all retry in the next second.
 
     Args:
-        proposed_ns: Backoff that the decisions propose; the answer is never less.
+        proposed_ns: Backoff that the decisions propose; the result is never shorter.
         remaining_ns: Time until the end of the ramp.
         max_ns: The longest backoff that is allowed; 0 keeps the proposed one.
-        draw: A random number from 0 to 1.
+        random_fraction: A random number from 0 to 1.
     """
     if max_ns <= 0:
         return proposed_ns
-    return max(proposed_ns, min(max_ns, int(draw * remaining_ns)))
+    return max(proposed_ns, min(max_ns, int(random_fraction * remaining_ns)))
--- a/query_broker/startup/client_gate.py
+++ b/query_broker/startup/client_gate.py
@@ -1,7 +1,7 @@
-"""Rate limit on the new client connections that are read, until all of the admission is open.
+"""Rate limit on reading from new client connections, until all of the admission is open.
 
-A front end that finds this broker again sends all requests that it has queued, on many connections
-at once. To read all of them at once would delay the answers to each.
+A front end that reconnects to this broker sends all requests that it has queued, on many
+connections at once. Reading all of them at once would delay every answer.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
     """Defers reading from new clients, and resumes it in the order in which they connected."""
 
     def __init__(self, limiter: RateLimiter) -> None:
-        """Begin with no client; ``limiter`` decides how many are read a second."""
+        """Begin without clients; ``limiter`` sets how many new clients are read per second."""
         self._limiter = limiter
         self._deferred: dict[ClientConnection, None] = {}  # an ordered set
 
     def connected(self, client: ClientConnection, now_ns: int) -> None:
-        """Read a new client at once, or defer it."""
+        """Read from a new client at once, or defer reading from it."""
         if not self._deferred and self._limiter.try_acquire(now_ns):
             return
         client.defer_reading()
         self._deferred[client] = None
 
     def release_due(self, now_ns: int) -> None:
-        """Read as many deferred clients as the rate allows now."""
+        """Resume reading from as many deferred clients as the rate allows now."""
         while self._deferred and self._limiter.try_acquire(now_ns):
             self._release_next()
 
     def release_all(self) -> None:
-        """Read all deferred clients."""
+        """Resume reading from all deferred clients."""
         while self._deferred:
             self._release_next()
 
--- a/query_broker/startup/dispatcher_hooks.py
+++ b/query_broker/startup/dispatcher_hooks.py
@@ -1,4 +1,4 @@
-"""What a start changes in the dispatcher, and the way back when the ramp has ended."""
+"""Changes of a start to the dispatcher, and their reversal when the ramp has ended."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StartupObserver(DispatchObserver):
-    """An observer of the dispatcher that also provides metrics and the pace of connections."""
+    """An observer of the dispatcher that also provides metrics and paces new connections."""
 
     @abstractmethod
     def metrics(self) -> bytes:
@@ -26,7 +26,7 @@
     """Registers a start with the dispatcher, and undoes its changes when the ramp has ended."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        """Remember how attempts share connections outside of a start."""
+        """Store whether attempts have dedicated connections, to restore it after the ramp."""
         self._dispatcher = dispatcher
         self._dedicated_connections_after_ramp = dispatcher.pools.dedicated_connections
 
@@ -37,33 +37,34 @@
         self._dispatcher.pools.set_connect_pacing(observer)
 
     def register_adjuster(self, adjuster: SettingsAdjuster) -> None:
-        """Let this part adjust the settings of the decisions, from now on."""
+        """Let ``adjuster`` adjust the settings of the decisions from now on."""
         self._dispatcher.extensions.add_settings_adjuster(adjuster)
         self._dispatcher.refresh_settings()
 
     def begin_ramp(self, policy: RetryAfterPolicy) -> None:
-        """Let this policy lengthen the backoff that rejections ask for."""
+        """Let ``policy`` lengthen the backoff of rejections."""
         self._dispatcher.extensions.set_retry_after_policy(policy)
 
-    def reuse_connections(self) -> None:
-        """Let attempts share connections to endpoints, until the ramp has ended.
+    def share_connections(self) -> None:
+        """Let attempts share connections to endpoints until the ramp has ended.
 
-        A connection for each attempt, from every broker at once, is more handshakes than requests.
+        While all brokers start at once, dedicated connections would make endpoints handle more
+        handshakes than requests.
         """
         self._dispatcher.pools.dedicated_connections = False
 
     def end_ramp(self) -> None:
-        """Restore what the start has changed."""
+        """Undo the changes of the start."""
         self._dispatcher.pools.dedicated_connections = self._dedicated_connections_after_ramp
         self._dispatcher.pools.set_connect_pacing(None)
         self._dispatcher.extensions.set_retry_after_policy(None)
 
-    def health_check(self, now_ns: int, endpoint: int) -> None:
-        """Begin a health check of an endpoint."""
+    def start_health_check(self, now_ns: int, endpoint: int) -> None:
+        """Start a health check of an endpoint."""
         self._dispatcher.health_checks.start(now_ns, endpoint)
 
     def account_assumed_work(self, open_fraction: float) -> None:
-        """Account what is not open as the work of another process of this broker."""
+        """Account the closed part as outstanding work of another process of this broker."""
         outstanding: dict[int, OutstandingWork] = {}
         if open_fraction < 1:
             facade = self._dispatcher.facade
--- a/query_broker/startup/first_contact.py
+++ b/query_broker/startup/first_contact.py
@@ -1,4 +1,4 @@
-"""First contact: each listed endpoint is probed once, in a slot of this broker's own."""
+"""Initial health checks: this broker checks each listed endpoint once, in its time slot."""
 
 from __future__ import annotations
 
@@ -8,49 +8,49 @@
 from .dispatcher_hooks import DispatcherHooks
 from .pacing import probe_slot_ns
 
-#: In place of a slot: the endpoint has been probed.
-PROBED = -1
+#: Replaces the time slot of an endpoint whose health check has been started.
+STARTED = -1
 
 
-class FirstContact:
-    """Which endpoints are to be probed, and which have answered."""
+class InitialHealthChecks:
+    """Starts the initial health checks, and tracks which endpoints have answered."""
 
-    def __init__(self, hooks: DispatcherHooks, probes_per_s: float) -> None:
+    def __init__(self, hooks: DispatcherHooks, checks_per_s: float) -> None:
         """Begin without endpoints.
 
         Args:
             hooks: Starts the health checks.
-            probes_per_s: Probes of one endpoint by the whole fleet.
+            checks_per_s: Health checks of one endpoint per second, by the whole fleet.
         """
         self._hooks = hooks
-        self._probes_per_s = probes_per_s
+        self._checks_per_s = checks_per_s
         self._answered: set[int] = set()
-        self._probe_slots_ns: dict[int, int] = {}
+        self._slots_ns: dict[int, int] = {}
 
     def health_check_ended(self, endpoint: int, result: AttemptResult) -> None:
-        """Note the end of a health check: a rejection counts as an answer, a timeout does not."""
+        """Record the end of a health check: a rejection counts as an answer, a timeout does not."""
         if result is not AttemptResult.TIMEOUT:
             self._answered.add(endpoint)
 
-    def probe_due(
-        self, now_ns: int, endpoints: Collection[int], place: int, fleet_size: int
+    def start_due(
+        self, now_ns: int, endpoints: Collection[int], broker_index: int, fleet_size: int
     ) -> None:
-        """Probe the endpoints whose slots have come.
+        """Start the health checks of the endpoints whose time slot has come.
 
         Args:
             now_ns: The time in nanoseconds.
-            endpoints: The numbers of those that are ready.
-            place: Place of this broker in the fleet.
+            endpoints: The numbers of the ready endpoints.
+            broker_index: Index of this broker in the fleet.
             fleet_size: Number of brokers.
         """
         for endpoint in endpoints:
-            if endpoint not in self._probe_slots_ns:
-                self._probe_slots_ns[endpoint] = probe_slot_ns(
-                    now_ns, endpoint, place, fleet_size, self._probes_per_s
+            if endpoint not in self._slots_ns:
+                self._slots_ns[endpoint] = probe_slot_ns(
+                    now_ns, endpoint, broker_index, fleet_size, self._checks_per_s
                 )
-            if 0 <= self._probe_slots_ns[endpoint] <= now_ns:
-                self._probe_slots_ns[endpoint] = PROBED
-                self._hooks.health_check(now_ns, endpoint)
+            if 0 <= self._slots_ns[endpoint] <= now_ns:
+                self._slots_ns[endpoint] = STARTED
+                self._hooks.start_health_check(now_ns, endpoint)
 
     def count_answered(self, endpoints: Collection[int]) -> int:
         """Return how many of these endpoints have answered."""
--- a/query_broker/startup/settings.py
+++ b/query_broker/startup/settings.py
@@ -11,26 +11,27 @@
 class StartupSettings:
     """The arguments of the directive ``start``, in its order; durations in nanoseconds.
 
-    Rates are per second and of the whole fleet, unless noted otherwise; the rate of one broker
-    follows from the fleet's size.
+    Unless noted otherwise, rates are per second and apply to the whole fleet; the rate of one
+    broker follows from the fleet size.
 
     Attributes:
-        list_connects_per_s: Calls that the discovery service takes (``list_connects``).
+        list_connects_per_s: Connections to the discovery service (``list_connects``).
         list_wait_ns: Time without the discovery service after which the endpoint snapshot is used
             (``list_wait``).
-        endpoint_probes_per_s: Brokers that probe one endpoint (``engine_probes``).
-        endpoint_connects_per_s: New connections that one endpoint takes until the ramp has ended
+        endpoint_probes_per_s: Health checks of one endpoint (``engine_probes``).
+        endpoint_connects_per_s: New connections to one endpoint until the ramp has ended
             (``engine_connects``).
-        accepts_per_s: New clients that this broker alone begins to read until the ramp has ended
+        accepts_per_s: New clients that a single broker begins to read until the ramp has ended
             (``accepts``).
-        contact_fraction: Part of the listed endpoints that must have answered before the broker
-            is ready (``contact_part``).
-        contact_wait_ns: Time after which the broker is ready all the same (``contact_wait``).
-        initial_fraction: Part of the admission that is open when the ramp begins (``floor``).
-        ramp_ns: Time to the full admission without any answers; shorter with successes, longer with
-            failures (``ramp``).
+        contact_fraction: Fraction of the listed endpoints that must have answered before the
+            broker is ready (``contact_part``).
+        contact_wait_ns: Time after which the broker is ready regardless of answers
+            (``contact_wait``).
+        initial_fraction: Fraction of the admission that is open when the ramp begins (``floor``).
+        ramp_ns: Time until the admission is complete if there are no answers; shorter with
+            successes, longer with failures (``ramp``).
         snapshot_path: File of the endpoint snapshot; empty for none (``last_list``).
-        snapshot_max_age_ns: Age from which a snapshot is not used (``last_list_age``).
+        snapshot_max_age_ns: Maximum age of a snapshot that is used (``last_list_age``).
         installation: Name of the installation; a snapshot of another one is not used
             (``installation``).
     """
--- a/query_broker/startup/stages.py
+++ b/query_broker/startup/stages.py
@@ -2,11 +2,12 @@
 
     settings -> list -> contact -> ramp -> full
 
-Each stage ends with what it waits for or with its timeout, and records which. An endpoint list is
-there once the configuration or the discovery service has given one. Where the discovery service is
-silent for ``list_wait_ns``, the endpoint snapshot is used; it stays unconfirmed until the service
-has answered. Without any list the broker stays in the stage ``list``, logs it once, and goes on
-calling: it neither ends because the discovery service is unreachable, nor serves without a list.
+Each stage ends when its condition is met or its timeout expires, and the reason is recorded. The
+endpoint list comes from the configuration or the discovery service. If the discovery service is
+silent for ``list_wait_ns``, the endpoint snapshot is used, which is unconfirmed until the service
+has answered. Without any list the broker stays in the stage ``list``, logs that once, and keeps
+calling the discovery service: it neither exits while the service is unreachable nor serves without
+a list.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Stage(Enum):
-    """The stages in their order; the values are those of answers and metrics."""
+    """The stages in order; the values appear in answers of the admin API and in metrics."""
 
     SETTINGS = "settings"
     LIST = "list"
@@ -29,9 +30,9 @@
 
 
 class ListSource(Enum):
-    """Where the endpoint list is from; a larger value is more reliable.
+    """The source of the endpoint list; a larger value is more reliable.
 
-    The names, in lower case, are those of answers and log lines.
+    The names in lower case appear in answers of the admin API and in log lines.
     """
 
     NONE = 0
@@ -41,18 +42,18 @@
 
     @property
     def label(self) -> str:
-        """The name in answers and log lines."""
+        """The name in answers of the admin API and in log lines."""
         return self.name.lower()
 
 
 @dataclass(frozen=True, slots=True)
 class CompletedStage:
-    """A stage that is over.
+    """A stage that has ended.
 
     Attributes:
         stage: The stage.
-        duration_ns: How long it took, in nanoseconds.
-        reason: What ended it, for the log and for operators.
+        duration_ns: Duration of the stage, in nanoseconds.
+        reason: Why the stage ended, for the log and for operators.
     """
 
     stage: Stage
@@ -69,15 +70,15 @@
         started_ns: When the start began.
         stage: The present stage.
         stage_started_ns: When the present stage began.
-        source: Where the endpoint list is from.
-        snapshot_age_ns: Age of the snapshot, where it is in use.
-        usable_snapshot_age_ns: Age of a snapshot that may be used; None for none.
+        source: Source of the endpoint list.
+        snapshot_age_ns: Age of the snapshot when it was put to use; 0 if it is not in use.
+        usable_snapshot_age_ns: Age of a usable snapshot; None if there is none.
         listed_count: Number of ready endpoints in the list.
-        contacted_count: Number of listed endpoints that have answered, or rejected, since the
-            start.
-        open_fraction: Part of the admission that is open, from 0 to 1.
-        delay_logged: Whether the log has a line on the absence of any list.
-        completed: The stages that are over, in their order.
+        contacted_count: Number of listed endpoints that have answered or rejected a health check
+            since the start.
+        open_fraction: Open part of the admission, from 0 to 1.
+        missing_list_logged: Whether the absence of any list has been logged.
+        completed: The stages that have ended, in order.
     """
 
     settings: StartupSettings
@@ -90,7 +91,7 @@
     listed_count: int = 0
     contacted_count: int = 0
     open_fraction: float = 0.0
-    delay_logged: bool = False
+    missing_list_logged: bool = False
     completed: list[CompletedStage] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -98,18 +99,18 @@
         self.stage_started_ns = self.started_ns
 
     def settings_read(self, now_ns: int, usable_snapshot_age_ns: int | None) -> None:
-        """The configuration has been read.
+        """Record that the configuration has been read.
 
         Args:
             now_ns: The time in nanoseconds.
-            usable_snapshot_age_ns: Age of the snapshot; None if there is none that may be used.
+            usable_snapshot_age_ns: Age of the snapshot; None if there is no usable one.
         """
         if self.stage is Stage.SETTINGS:
             self.usable_snapshot_age_ns = usable_snapshot_age_ns
             self._complete(now_ns, Stage.LIST, "read")
 
     def list_received(self, now_ns: int, source: ListSource, listed_count: int) -> None:
-        """A complete list, or a change of it, has come from this source."""
+        """Record a complete list, or a change of it, from this source."""
         if source.value > self.source.value:
             self.source = source
         self.listed_count = listed_count
@@ -117,29 +118,29 @@
             self._complete(now_ns, Stage.CONTACT, f"told by the {source.label}")
 
     def endpoints_contacted(self, now_ns: int, contacted_count: int, listed_count: int) -> None:
-        """Update how many of the listed endpoints have answered since the start, or rejected."""
+        """Update how many listed endpoints have answered or rejected a health check."""
         self.contacted_count = contacted_count
         self.listed_count = listed_count
         self.tick(now_ns)
 
-    def snapshot_due(self, now_ns: int) -> bool:
-        """Whether the discovery service has been silent for so long that the snapshot is used."""
+    def is_snapshot_due(self, now_ns: int) -> bool:
+        """Whether a snapshot is usable and discovery has been silent for ``list_wait_ns``."""
         return (
             self.stage is Stage.LIST
             and self.usable_snapshot_age_ns is not None
             and now_ns - self.stage_started_ns >= self.settings.list_wait_ns
         )
 
-    def list_overdue(self, now_ns: int) -> bool:
-        """Whether the absence of any list is to be logged: it lasts, and is not logged yet."""
+    def is_list_overdue(self, now_ns: int) -> bool:
+        """Whether no list has arrived for ``list_wait_ns`` and this has not been logged yet."""
         return (
             self.stage is Stage.LIST
-            and not self.delay_logged
+            and not self.missing_list_logged
             and now_ns - self.stage_started_ns >= self.settings.list_wait_ns
         )
 
     def tick(self, now_ns: int) -> None:
-        """End the stage of contact if enough endpoints have answered, or its time is over."""
+        """End the stage ``contact`` if enough endpoints have answered or it has timed out."""
         if self.stage is not Stage.CONTACT:
             return
         required = self.settings.contact_fraction * self.listed_count
@@ -150,31 +151,31 @@
             self._complete(now_ns, Stage.RAMP, f"time-out: {counts} only")
 
     def ramp_advanced(self, now_ns: int, open_fraction: float) -> None:
-        """Update the part of the admission that is open, from 0 to 1."""
+        """Update the open part of the admission, from 0 to 1."""
         self.open_fraction = open_fraction
         if self.stage is Stage.RAMP and open_fraction >= 1.0:
             duration_s = (now_ns - self.stage_started_ns) / NS_PER_SECOND
             self._complete(now_ns, Stage.FULL, f"whole share after {duration_s:.1f} s")
 
     def skip(self, now_ns: int, reason: str) -> None:
-        """Go to the last stage: another process of this broker serves already."""
+        """Go to the last stage, because another process of this broker serves already."""
         if self.stage in (Stage.CONTACT, Stage.RAMP):
             self.open_fraction = 1.0
             self._complete(now_ns, Stage.FULL, reason)
 
     def ready(self) -> bool:
-        """Whether the broker may be given requests."""
+        """Whether the broker is ready for requests."""
         return self.stage in (Stage.RAMP, Stage.FULL)
 
     def confirmed(self) -> bool:
-        """Whether an address in the list is still that of its endpoint.
+        """Whether the list has another source than the snapshot.
 
-        That is not known while the list is from the snapshot alone.
+        An address in the snapshot may have been reassigned to another endpoint.
         """
         return self.source.value > ListSource.DISK.value
 
     def waits_for(self) -> str:
-        """What the present stage waits for, for operators."""
+        """Return what the present stage waits for, as shown to operators."""
         match self.stage:
             case Stage.SETTINGS:
                 return "the configuration"
@@ -191,7 +192,7 @@
                 return "nothing"
 
     def status(self, now_ns: int) -> dict[str, Any]:
-        """The answer for operators; durations in seconds."""
+        """Return the status for the admin API; durations in seconds."""
         return {
             "stage": self.stage.value,
             "for": (now_ns - self.stage_started_ns) / NS_PER_SECOND,
@@ -213,7 +214,7 @@
             ],
         }
 
-    def _complete(self, now_ns: int, following: Stage, reason: str) -> None:
+    def _complete(self, now_ns: int, next_stage: Stage, reason: str) -> None:
         self.completed.append(CompletedStage(self.stage, now_ns - self.stage_started_ns, reason))
-        self.stage = following
+        self.stage = next_stage
         self.stage_started_ns = now_ns
--- a/query_broker/startup/status_report.py
+++ b/query_broker/startup/status_report.py
@@ -1,4 +1,4 @@
-"""What operators read of a start: the answer to ``GET /start`` and the metrics.
+"""The status of a start for operators: the answer to ``GET /start`` and the metrics.
 
 Performs no I/O.
 """
@@ -17,7 +17,7 @@
 
 
 def status_answer(method: str, status: Mapping[str, Any]) -> HttpAnswer:
-    """Return the answer to a call on ``PATH``."""
+    """Return the answer to a call of ``PATH``."""
     if method != "GET":
         return wrong_method_answer("GET")
     return json_answer(status)
--- a/tests/startup/test_admission_ramp.py
+++ b/tests/startup/test_admission_ramp.py
@@ -5,7 +5,7 @@
 import pytest
 
 from query_broker.startup.admission_ramp import (
-    MAX_RAMPS,
+    MAX_RAMP_DURATIONS,
     AdmissionRamp,
     assumed_work,
     retry_after_ns,
@@ -21,7 +21,7 @@
         pytest.param(0, 0, 8, id="no answers"),
         pytest.param(50, 0, 4, id="successes"),
         pytest.param(50, 3, 4, id="successes with a few failures"),
-        pytest.param(0, 9, 8 * MAX_RAMPS, id="failures"),
+        pytest.param(0, 9, 8 * MAX_RAMP_DURATIONS, id="failures"),
     ],
 )
 def test_a_ramp_ends_sooner_with_successes_and_never_later_than_stated(
@@ -36,7 +36,7 @@
     assert now <= within * NS_PER_SECOND
     assert fractions == sorted(fractions)
     # It is never complete at once.
-    assert fractions[1] <= max(2.0, ramp.growth) * fractions[0] + 1e-9
+    assert fractions[1] <= max(2.0, ramp.growth_factor) * fractions[0] + 1e-9
     if good == bad == 0:
         assert now == within * NS_PER_SECOND
 
--- a/tests/startup/test_saved_snapshots.py
+++ b/tests/startup/test_saved_snapshots.py
@@ -150,7 +150,7 @@
             broker = brokers.processes[0]
             brokers.start()
             await wait_for_status(broker, is_at_stage("full"))
-            await wait_for_log(broker, "endpoint snapshot: not kept")
+            await wait_for_log(broker, "endpoint snapshot: not saved")
             assert await broker.is_ready()
 
 
@@ -168,7 +168,7 @@
                 resource.prlimit(broker.process.pid, resource.RLIMIT_FSIZE, (8_192, 8_192))
             for broker in brokers.processes:
                 await wait_for_status(broker, is_at_stage("full"))
-                await wait_for_log(broker, "endpoint snapshot: not kept")
+                await wait_for_log(broker, "endpoint snapshot: not saved")
                 assert await broker.is_ready()
             assert not list(tmp_path.iterdir())  # no half of one is left behind
             brokers.processes[0].signal(signal.SIGTERM)
--- a/tests/startup/test_stages.py
+++ b/tests/startup/test_stages.py
@@ -48,8 +48,8 @@
 def test_without_the_discovery_service_the_snapshot_serves() -> None:
     stages = StartupStages(SETTINGS, 0)
     stages.settings_read(0, 60 * NS_PER_SECOND)
-    assert not stages.snapshot_due(SETTINGS.list_wait_ns - 1)
-    assert stages.snapshot_due(SETTINGS.list_wait_ns)
+    assert not stages.is_snapshot_due(SETTINGS.list_wait_ns - 1)
+    assert stages.is_snapshot_due(SETTINGS.list_wait_ns)
     stages.list_received(SETTINGS.list_wait_ns, ListSource.DISK, 3)
     stages.endpoints_contacted(SETTINGS.list_wait_ns, 3, 3)
     assert stages.ready()
@@ -64,7 +64,7 @@
     for now in range(0, 4_000 * NS_PER_SECOND, 50 * NS_PER_SECOND):
         stages.tick(now)
         assert not stages.ready()
-        assert not stages.snapshot_due(now)
+        assert not stages.is_snapshot_due(now)
         assert stages.waits_for() == "the bus"
 
 
@@ -76,7 +76,7 @@
         case "bus":
             stages.list_received(now, ListSource.BUS, 4)
         case "disk":
-            if stages.snapshot_due(now):
+            if stages.is_snapshot_due(now):
                 stages.list_received(now, ListSource.DISK, 4)
         case "contact":
             stages.endpoints_contacted(now, 4, 4)
