--- a/query_broker/operator_config/apply.py
+++ b/query_broker/operator_config/apply.py
@@ -1,4 +1,4 @@
-"""Applies the parts of an operators' file that concern deadlines, retries and the log."""
+"""Applies the settings of an operators' file for deadlines, retries and the log."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 def apply_deadlines(controls: DeadlineControls, settings: DeadlineSettings) -> None:
     """Set how deadlines are counted.
 
-    The latencies learned so far are kept if the settings of the margin have not changed.
+    The latencies learned so far are kept unless the settings of the margin have changed.
     """
     controls.settings = settings
     if not settings.learn_margin:
         controls.stages = None
         controls.margin_ns = DEFAULT_ANSWER_MARGIN_NS
         return
-    # Loaded only where operators ask for a learned margin.
+    # Imported only if the operators' file enables the learned margin.
     from ..deadlines.stage_latencies import StageLatencies
 
     if controls.stages is None or controls.stages.settings != settings.margin:
@@ -39,12 +39,12 @@
     settings: RetryBudgetSettings | None,
     quota_service: QuotaService | None,
 ) -> None:
-    """Set the retry budget; its tokens are kept if its settings have not changed.
+    """Set the retry budget; its tokens are kept unless its settings have changed.
 
     Args:
-        controls: Hold the budget that the dispatcher uses.
-        settings: None removes the budget.
-        quota_service: Limits retries of all brokers, if operators declare such a limit.
+        controls: Hold the retry budget that the dispatcher uses.
+        settings: The settings of the retry budget; None removes it.
+        quota_service: Shares the limit on retries between brokers, if the file declares one.
     """
     if settings is None:
         controls.retry_budget = None
@@ -54,22 +54,22 @@
 
 
 def gate_retries(controls: DeadlineControls, quota_service: QuotaService | None) -> None:
-    """Connect the shared limit on retries to the retry budget, if both exist."""
+    """Make the retry budget observe the shared limit on retries, if both exist."""
     budget = controls.retry_budget
     if budget is not None and quota_service is not None and quota_service.has_retry_limit:
         budget.set_gate(quota_service)
 
 
 class LogFormat:
-    """Switches a node between the plain log and structured lines with traces."""
+    """Switches a node between the plain log and a structured log with traces."""
 
     def __init__(self, node: Node) -> None:
-        """Create the switch of one node, whose log is plain until ``apply`` is called."""
+        """Create the switch for a node, whose log is plain until ``apply`` is called."""
         self._node = node
         self._observer: DispatchObserver | None = None
 
     def apply(self, logs: Logs | None) -> None:
-        """Set the format of the log; None is the plain one."""
+        """Set the format of the log; None stands for the plain format."""
         node = self._node
         node.log.sink = None
         if self._observer is not None:
@@ -77,7 +77,7 @@
             self._observer = None
         if logs is None or logs.format == PLAIN_LOG_FORMAT:
             return
-        # Loaded only where operators ask for structured lines.
+        # Imported only if the operators' file enables the structured log.
         from ..server.structured_log import StructuredLog, TraceObserver
 
         lines = StructuredLog(node.config.name, logs)
--- a/query_broker/operator_config/arguments.py
+++ b/query_broker/operator_config/arguments.py
@@ -1,7 +1,8 @@
 """Checks of the arguments of directives. Performs no I/O.
 
-Each check takes the value as the script passed it, and the key that error texts name, for example
-``cell.weight``. It returns the value in the type of the settings. All raise ``DirectiveError``.
+Each check takes the value that the script passed and the key that an error names, for example
+``cell.weight``, and returns the value in the type of the settings. A check that fails raises
+``DirectiveError``.
 """
 
 from __future__ import annotations
@@ -12,20 +13,20 @@
 
 NS_PER_MS = 1_000_000
 MS_PER_S = 1_000
-#: Names and paths go into log lines and metrics labels, which must stay readable.
+#: Names and paths appear in log lines and metrics labels, which must stay readable.
 MAX_TEXT_LENGTH = 256
-#: Numbers are stored as nanoseconds or floats; up to this a float holds whole numbers exactly.
+#: Numbers become nanoseconds or floats; below this bound a float holds whole numbers exactly.
 NUMBER_LIMIT = 1e15
-IPV4_PARTS = 4
+IPV4_OCTET_COUNT = 4
 MAX_OCTET = 255
 MAX_PORT = 65_535
 
 
 class DirectiveError(QueryBrokerError, ValueError):
-    """A directive that cannot be accepted; the text has the form ``key: problem``.
+    """An invalid directive; the text has the form ``key: problem``.
 
     Attributes:
-        call_number: Number of the call at fault, counted from 1; None for the current call.
+        call_number: Number of the faulty call, counted from 1; None for the current call.
     """
 
     def __init__(self, key: str, problem: str, call_number: int | None = None) -> None:
@@ -34,14 +35,14 @@
         Args:
             key: The directive, or the directive and its argument, as in ``cell.weight``.
             problem: What is wrong with it.
-            call_number: Number of the call at fault, counted from 1; None for the current call.
+            call_number: Number of the faulty call, counted from 1; None for the current call.
         """
         super().__init__(f"{key}: {problem}")
         self.call_number = call_number
 
 
 def check_text(value: Any, key: str) -> str:
-    """Return a non-empty printable text."""
+    """Return the value if it is a non-empty printable text."""
     is_text = isinstance(value, str) and 0 < len(value) <= MAX_TEXT_LENGTH and value.isprintable()
     if not is_text:
         raise DirectiveError(key, f"{value!r:.60} is no text of 1 to 256 printable characters")
@@ -49,14 +50,14 @@
 
 
 def check_texts(value: Any, key: str) -> tuple[str, ...]:
-    """Return a list of texts."""
+    """Return the value as a tuple if it is a list of such texts."""
     if not isinstance(value, list | tuple):
         raise DirectiveError(key, f"{value!r:.60} is no list")
     return tuple(check_text(text, key) for text in value)
 
 
 def check_number(value: Any, key: str, minimum: float = 0.0, exclusive: bool = False) -> float:
-    """Return a number of at least ``minimum``, or above it where ``exclusive`` is set."""
+    """Return a number of at least ``minimum``, or above it if ``exclusive`` is set."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not -NUMBER_LIMIT < value < NUMBER_LIMIT:
         raise DirectiveError(key, f"{value!r:.60} is no number")
@@ -73,25 +74,25 @@
     return int(value)
 
 
-def check_fraction(value: Any, key: str, above: bool = False) -> float:
-    """Return a number from 0 to 1, and not 0 where ``above`` is set."""
+def check_fraction(value: Any, key: str, exclude_zero: bool = False) -> float:
+    """Return a number from 0 to 1; 0 is rejected if ``exclude_zero`` is set."""
     fraction = check_number(value, key)
     if fraction > 1:
         raise DirectiveError(key, "must lie in 0 to 1")
-    if above and fraction == 0:
+    if exclude_zero and fraction == 0:
         raise DirectiveError(key, "must be above 0")
     return fraction
 
 
 def check_flag(value: Any, key: str) -> bool:
-    """Return a boolean."""
+    """Return the value if it is a boolean."""
     if not isinstance(value, bool):
         raise DirectiveError(key, f"{value!r:.60} is neither True nor False")
     return value
 
 
 def check_choice(value: Any, key: str, choices: tuple[str, ...]) -> Any:
-    """Return the value if it is one of the choices; an empty choice is not listed in the error."""
+    """Return the value if it is one of the choices; an error does not list an empty choice."""
     if value not in choices:
         listed = ", ".join(repr(choice) for choice in choices if choice)
         raise DirectiveError(key, f"{value!r:.60} is none of {listed}")
@@ -103,7 +104,7 @@
     text = check_text(value, key)
     host, _, port = text.rpartition(":")
     octets = host.split(".")
-    is_host = len(octets) == IPV4_PARTS and all(
+    is_host = len(octets) == IPV4_OCTET_COUNT and all(
         octet.isdecimal() and int(octet) <= MAX_OCTET for octet in octets
     )
     if not is_host or not (port.isdecimal() and int(port) <= MAX_PORT):
@@ -116,7 +117,7 @@
 
     Args:
         value: The duration in seconds.
-        key: The key that an error names.
+        key: Key that an error names.
         minimum: The shortest duration that is accepted, in seconds.
         exclusive: Whether the duration must be above the minimum.
     """
--- a/query_broker/operator_config/codec.py
+++ b/query_broker/operator_config/codec.py
@@ -1,10 +1,10 @@
 """The JSON form in which the evaluating process passes its result to the broker.
 
-The keys keep the words of the operators' file; the code uses other terms for some of them: ``map``,
+Some JSON keys keep the words of the operators' file, for which the code has other terms: ``map``,
 ``start``, ``members``, ``shares`` and ``verdicts`` are ``cell_map``, ``startup``, ``membership``,
-``quotas`` and ``outlier_consensus``; fields of other names stand in the tables below, in
-`_plain_deadlines`, and in ``cells/model.py`` for the cell map. The evaluating process always has
-the version of the broker, which starts it from its own files. Performs no I/O.
+``quotas`` and ``outlier_consensus``. Keys of single fields that differ are in the tables below, in
+`_plain_deadlines`, and for the cell map in ``cells/model.py``. The form has no version, since the
+broker starts the evaluating process from its own files. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 Part = TypeVar("Part")
 
-#: Keys of this form by the field of the settings, where the two differ.
+#: JSON keys by the field of the settings, where the two differ.
 LOGS_KEYS = {"traced_fraction": "stories"}
 RETRY_BUDGET_KEYS = {
     "tokens_per_attempt": "share",
@@ -43,10 +43,10 @@
 
 
 def build_config(draft: ConfigDraft) -> OperatorConfig:
-    """Return what a complete draft declares.
+    """Return the configuration that a complete draft declares.
 
     Raises:
-        DirectiveError: The directives do not fit together.
+        DirectiveError: The directives are inconsistent.
     """
     return OperatorConfig(
         cell_map=draft.build_cell_map(),
@@ -65,11 +65,11 @@
 
 
 def plain_config(config: OperatorConfig) -> dict[str, Any]:
-    """Return a configuration as plain objects, from which its JSON form is made."""
+    """Return a configuration as objects that can be written as JSON."""
     return {
         "map": None if config.cell_map is None else config.cell_map.plain(),
         "deadlines": None if config.deadlines is None else _plain_deadlines(config.deadlines),
-        "logs": None if config.logs is None else _to_form(asdict(config.logs), LOGS_KEYS),
+        "logs": None if config.logs is None else _fields_to_keys(asdict(config.logs), LOGS_KEYS),
         "start": _plain_part(config.startup),
         "members": _plain_part(config.membership),
         "shares": _plain_part(config.quotas),
@@ -81,15 +81,15 @@
     """Return the configuration that ``encode_config`` wrote.
 
     Raises:
-        ValueError: The text is no JSON, or the cell map is invalid (``CellMapError``).
+        ValueError: The text is not JSON, or the cell map is invalid (``CellMapError``).
         KeyError: A part is missing.
-        TypeError: A part has other fields than the settings.
+        TypeError: The fields of a part differ from those of the settings.
     """
     raw = json.loads(text)
     return OperatorConfig(
         cell_map=_decode_part(raw["map"], read_cell_map),
         deadlines=_decode_part(raw["deadlines"], _decode_deadlines),
-        logs=_decode_part(raw["logs"], lambda form: Logs(**_from_form(form, LOGS_KEYS))),
+        logs=_decode_part(raw["logs"], lambda fields: Logs(**_keys_to_fields(fields, LOGS_KEYS))),
         startup=_decode_part(raw["start"], lambda fields: StartupSettings(**fields)),
         membership=_decode_part(raw["members"], _decode_membership),
         quotas=_decode_part(raw["shares"], _decode_quotas),
@@ -119,19 +119,19 @@
         "slow_reader": settings.slow_reader_timeout_ns,
         "further": None
         if retry_budget is None
-        else _to_form(asdict(retry_budget), RETRY_BUDGET_KEYS),
+        else _fields_to_keys(asdict(retry_budget), RETRY_BUDGET_KEYS),
     }
 
 
-def _to_form(values: Mapping[str, Any], keys: Mapping[str, str]) -> dict[str, Any]:
-    """Return the values of fields under their keys in the form."""
+def _fields_to_keys(values: Mapping[str, Any], keys: Mapping[str, str]) -> dict[str, Any]:
+    """Return the values of fields under their JSON keys."""
     return {keys.get(name, name): value for name, value in values.items()}
 
 
-def _from_form(form: Mapping[str, Any], keys: Mapping[str, str]) -> dict[str, Any]:
-    """Return the values of the form under the names of their fields."""
+def _keys_to_fields(raw: Mapping[str, Any], keys: Mapping[str, str]) -> dict[str, Any]:
+    """Return the values of JSON keys under the names of their fields."""
     names = {key: name for name, key in keys.items()}
-    return {names.get(key, key): value for key, value in form.items()}
+    return {names.get(key, key): value for key, value in raw.items()}
 
 
 def _decode_part(raw: Any, decode: Callable[[Any], Part]) -> Part | None:
@@ -149,7 +149,7 @@
 
 def _decode_retry_budget(raw: dict[str, Any]) -> RetryBudgetSettings:
     class_rates = tuple(ClassRate(*rate) for rate in raw["classes"])
-    fields = _from_form(raw, RETRY_BUDGET_KEYS)
+    fields = _keys_to_fields(raw, RETRY_BUDGET_KEYS)
     return RetryBudgetSettings(**{**fields, "class_rates": class_rates})
 
 
--- a/query_broker/operator_config/directives.py
+++ b/query_broker/operator_config/directives.py
@@ -1,16 +1,16 @@
 """The directives of the operators' file. Performs no I/O, and is independent of Starlark.
 
 Each directive is a function that takes its arguments as the script passes them, checks them, and
-adds what they declare to the ``ConfigDraft``. An invalid argument raises ``DirectiveError`` with
+adds their declarations to the ``ConfigDraft``. An invalid argument raises ``DirectiveError`` with
 ``key: problem``; the evaluator adds file and line.
 
-The names of these functions and of their parameters are part of the form of the file, and of error
+The names of these functions and of their parameters are part of the file format, and of error
 texts such as ``further_class() missing 1 required positional argument``. They keep the operators'
 spelling, which differs from the terms of the code as follows:
 
 - ``further_attempts``, ``further_class``: the retry budget, and that of a request class;
   ``share``: tokens that a first attempt earns (``tokens_per_attempt``).
-- ``cell.share``: the cell's part of the load (``capacity_weight``). ``least`` and ``most``:
+- ``cell.share``: the cell's fraction of the load (``capacity_weight``). ``least`` and ``most``:
   minimum and maximum.
 - ``moves``: time limits of migrations between cells.
 - ``deadlines.margin_share``: the quantile of latencies that the learned margin covers.
@@ -56,15 +56,15 @@
 )
 from .draft import ConfigDraft
 
-#: A script of a large fleet has some thousands; more are a loop that was not meant.
+#: The script of a large fleet makes a few thousand calls; more than this indicate a runaway loop.
 MAX_DIRECTIVE_CALLS = 200_000
 TIMEOUT_STARTS = tuple(start.value for start in TimeoutStart)
 HALF_CLOSE_POLICIES = tuple(policy.value for policy in HalfClosePolicy)
-#: Names of cells and limits are labels of metrics and parts of paths.
+#: Names of cells and limits are used as labels of metrics and in paths of the admin API.
 MAX_NAME_LENGTH = 64
-#: With half of the brokers lost, neither side of a partition can know that it is the larger one.
+#: With half of the brokers lost, neither side of a partition can know that it is the larger side.
 LOST_FRACTION_LIMIT = 0.5
-#: A clock at half the speed would double the duration of each lease.
+#: A clock that runs at half speed would double the duration of each lease.
 CLOCK_DRIFT_LIMIT = 0.5
 MIN_OBSERVERS = 2
 MIN_GOSSIP_INTERVAL_S = 0.05
@@ -78,11 +78,11 @@
         raise DirectiveError(key, f"{name!r:.70} must have 64 characters at the most, and no /")
 
 
-# --- cells ---
+# Cells.
 
 
 def epoch(draft: ConfigDraft, number: Any) -> None:
-    """Set the epoch of the cell map; every changed map needs a higher one."""
+    """Set the epoch of the cell map; every changed map needs a higher epoch."""
     draft.declare_once("epoch")
     draft.epoch = check_integer(number, "epoch")
 
@@ -98,7 +98,7 @@
     most: Any = 0,
     share: Any = 0.0,
 ) -> str:
-    """Declare a cell, a part of the fleet, and return its name."""
+    """Declare a cell, a part of the endpoints, and return its name."""
     name = check_text(name, "cell.name")
     _check_name(name, "cell.name")
     draft.declare("cell", name, draft.cells)
@@ -122,7 +122,7 @@
 def tenant(
     draft: ConfigDraft, name: Any, cell: Any = None, cells: Any = None, key: Any = ""
 ) -> str:
-    """Declare the cell of a tenant, or several among which a field of the request spreads it."""
+    """Declare the cell of a tenant, or several cells and the request field that selects one."""
     name = check_text(name, "tenant.name")
     if "#" in name:
         raise DirectiveError("tenant.name", "may hold no #")
@@ -159,7 +159,7 @@
     )
 
 
-# --- deadlines, retries and logs ---
+# Deadlines, retries and logs.
 
 
 def deadlines(
@@ -173,7 +173,7 @@
     half_close: Any = "left",
     slow_reader: Any = 30,
 ) -> None:
-    """Set from when deadlines count, what margin they keep, and when a client has disconnected."""
+    """Set the start and the margin of deadlines, and when a client counts as disconnected."""
     draft.declare_once("deadlines")
     initial_ns = milliseconds_to_ns(margin_ms, "deadlines.margin_ms")
     min_ns = milliseconds_to_ns(least_margin_ms, "deadlines.least_margin_ms")
@@ -206,9 +206,9 @@
     first: Any = 1.0,
     least_ms: Any = 100,
 ) -> None:
-    """Set the retry budget: the tokens that a first attempt earns, and the most that are saved."""
+    """Set the retry budget: the tokens that a first attempt earns, and the maximum saved."""
     draft.declare_once("further_attempts")
-    first = check_fraction(first, "further_attempts.first", above=True)
+    first = check_fraction(first, "further_attempts.first", exclude_zero=True)
     draft.retry_budget = RetryBudgetSettings(
         tokens_per_attempt=check_number(share, "further_attempts.share"),
         burst=check_number(burst, "further_attempts.burst", 1),
@@ -219,7 +219,7 @@
 
 
 def further_class(draft: ConfigDraft, name: Any, share: Any, burst: Any) -> None:
-    """Give one request class a retry budget of its own."""
+    """Set a separate retry budget for one request class."""
     name = check_text(name, "further_class.name")
     draft.declare("further_class", name, draft.retry_budget_classes)
     draft.retry_budget_classes[name] = ClassRate(
@@ -238,7 +238,7 @@
     )
 
 
-# --- start-up ---
+# Start-up.
 
 
 def start(
@@ -256,9 +256,9 @@
     last_list_age: Any = 3_600,
     installation: Any = "",
 ) -> None:
-    """Set how a broker starts where hundreds start at once; rates are those of the whole fleet."""
+    """Set how a broker starts when the whole fleet starts at once; rates apply to the fleet."""
     draft.declare_once("start")
-    floor = check_fraction(floor, "start.floor", above=True)
+    floor = check_fraction(floor, "start.floor", exclude_zero=True)
     if last_list and not str(last_list).startswith("/"):
         raise DirectiveError("start.last_list", f"{last_list!r:.60} is no path from the root")
     draft.startup = StartupSettings(
@@ -279,7 +279,7 @@
     )
 
 
-# --- membership, quotas and consensus between brokers ---
+# Membership, quotas and consensus between brokers.
 
 
 def members(
@@ -296,7 +296,7 @@
     settle: Any = 5,
     forget: Any = 600,
 ) -> None:
-    """Set how the brokers detect which of them are alive; durations in seconds."""
+    """Set how brokers find each other and detect failed ones; durations in seconds."""
     draft.declare_once("members")
     max_lost_fraction = check_fraction(part, "members.part")
     if not 0 < max_lost_fraction < LOST_FRACTION_LIMIT:
@@ -321,7 +321,7 @@
 
 
 def limit(draft: ConfigDraft, name: Any, kind: Any = "tenant", rate: Any = 0) -> None:
-    """Declare a limit that all brokers share; without a rate the platform settings give it."""
+    """Declare a limit that all brokers share; without a rate the platform settings set it."""
     name = check_text(name, "limit.name")
     draft.declare("limit", name, draft.limits)
     kind = check_choice(kind, "limit.kind", QUOTA_KINDS)
@@ -344,7 +344,7 @@
     guaranteed: Any = 0.2,
     told: Any = 1,
 ) -> None:
-    """Set how limits are shared; durations in seconds."""
+    """Set how brokers share limits; durations in seconds."""
     draft.declare_once("limits")
     clock_drift = check_fraction(drift, "limits.drift")
     if not 0 < clock_drift < CLOCK_DRIFT_LIMIT:
@@ -380,7 +380,7 @@
         raise DirectiveError(
             "verdicts.observers", "must be at least 2: one that lies would hold out what it likes"
         )
-    # The order of the checks decides which of several faulty arguments an error names.
+    # The order of these checks decides which of several faulty arguments an error names.
     max_age_ns = seconds_to_ns(age, "verdicts.age", exclusive=True)
     min_ejection_ns = seconds_to_ns(hold, "verdicts.hold", exclusive=True)
     max_ejection_ns = seconds_to_ns(most_hold, "verdicts.most_hold", exclusive=True)
--- a/query_broker/operator_config/draft.py
+++ b/query_broker/operator_config/draft.py
@@ -1,4 +1,4 @@
-"""Collects the declarations of one script, and checks that they fit together.
+"""Collects the declarations of one script, and checks their consistency.
 
 Performs no I/O, and is independent of Starlark.
 """
@@ -18,7 +18,7 @@
 from ..startup.settings import StartupSettings
 from .arguments import DirectiveError
 
-#: Attributes of a cell whose values each belong to one cell only.
+#: Attributes of a cell whose values must not appear in another cell.
 EXCLUSIVE_CELL_FIELDS = ("engines", "zones", "models")
 
 
@@ -27,23 +27,23 @@
     """The declarations of a script that is being evaluated.
 
     Attributes:
-        call_count: Number of directives that were called.
+        call_count: Number of directive calls so far.
         epoch: Epoch of the cell map.
         default_cell: Cell of the tenants that the file does not name; empty if not declared.
         migration_timeouts: Time limits of the stages of a migration.
         cells: Cells by name, in the order of the file.
         tenants: Tenants by name, in the order of the file.
-        declaring_calls: Number of the call that declared something, by directive and name; the name
-            is empty for a directive that may be called once only.
-        single_directives: The directives of that kind which were called.
+        declaring_calls: Number of the declaring call by directive and declared name; the name is
+            empty for a directive that may be called only once.
+        single_directives: The called directives that may be called only once.
         deadlines: Deadlines, without the retry budget.
-        retry_budget: The retry budget, without the classes that have their own.
-        retry_budget_classes: What counts for each request class with values of its own.
+        retry_budget: The retry budget, without those of single request classes.
+        retry_budget_classes: Separate retry budgets by request class.
         logs: Format of the log, and sampling of traces.
-        startup: How a broker starts in a fleet that starts.
+        startup: How a broker starts while its whole fleet starts.
         membership: How brokers find each other.
         limits: Limits that brokers share, by name.
-        quotas: How these limits are shared.
+        quotas: How brokers share these limits.
         outlier_consensus: How brokers agree on outliers.
     """
 
@@ -69,17 +69,17 @@
         """Record the call that declares a name.
 
         Raises:
-            DirectiveError: The name is among those ``declared`` already.
+            DirectiveError: ``declared`` already has the name.
         """
         if name in declared:
             raise DirectiveError(f"{directive}.name", f"{name!r} is used twice")
         self.declaring_calls[directive, name] = self.call_count
 
     def declare_once(self, directive: str) -> None:
-        """Record the call of a directive that a file may have once only.
+        """Record the call of a directive that a file may call only once.
 
         Raises:
-            DirectiveError: It was called before.
+            DirectiveError: The directive was called before.
         """
         if directive in self.single_directives:
             raise DirectiveError(directive, "is said twice")
@@ -87,14 +87,14 @@
         self.declaring_calls[directive, ""] = self.call_count
 
     def build_quotas(self) -> QuotaSettings | None:
-        """Return the shared limits and how they are shared; None if there are none.
+        """Return the shared limits and the settings for sharing them; None without limits.
 
         Raises:
             DirectiveError: The file declares quotas or the consensus on outliers, but no
                 ``members``.
         """
-        needing_members = {"limit": self.limits, "verdicts": self.outlier_consensus}
-        for directive, declared in needing_members.items():
+        declared_by_directive = {"limit": self.limits, "verdicts": self.outlier_consensus}
+        for directive, declared in declared_by_directive.items():
             if declared and self.membership is None:
                 raise DirectiveError(
                     directive,
@@ -118,7 +118,7 @@
         """Return the cell map; None if the file declares no cells.
 
         Raises:
-            DirectiveError: The directives do not fit together.
+            DirectiveError: The directives are inconsistent.
         """
         self._check_retry_budget_classes()
         if not self.cells:
@@ -131,7 +131,7 @@
         try:
             return CellMap(self.epoch, cells, default_cell, self.tenants, self.migration_timeouts)
         except CellMapError as error:
-            key, _, problem = str(error).partition(": ")  # the form of all its texts
+            key, _, problem = str(error).partition(": ")  # all its texts have this form
             raise DirectiveError(key, problem, self.call_count) from None
 
     def _check_retry_budget_classes(self) -> None:
--- a/query_broker/operator_config/reload.py
+++ b/query_broker/operator_config/reload.py
@@ -1,7 +1,7 @@
-"""Reload of two files at once: the operators' file is evaluated, then both are applied or neither.
+"""Reload of the operators' file together with the platform settings: both are applied or neither.
 
-The evaluation takes up to seconds, so it runs in a thread of the executor, while the event loop
-goes on serving.
+The evaluation can take seconds, so it runs in a thread of the executor while the event loop
+continues to serve.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 
 
 class ReloadTarget(Protocol):
-    """The node that a reload applies its result to."""
+    """The node to which a reload is applied."""
 
     @property
     def operator_file(self) -> str:
         """Path of the operators' file."""
 
     def check_operator_config(self, operator_config: OperatorConfig) -> OperatorConfig:
-        """Return the configuration, or raise ``OperatorFileError`` before anything has changed."""
+        """Return the configuration; raise ``OperatorFileError`` if it can't be applied."""
 
     def reload_config(self) -> None:
         """Reload the platform settings, and apply the pending operators' file with them."""
 
 
 class FileRejecter(Protocol):
-    """Is notified of files that are not applied."""
+    """Is notified of rejected files."""
 
     def reject(self, reason: str, /) -> None:
-        """Count and log a file that is not applied."""
+        """Count and log a rejected file."""
 
 
 class OperatorFileReload:
-    """Evaluates the operators' file again, and holds the result until it is applied.
+    """Re-evaluates the operators' file, and holds the result until it is applied.
 
     Attributes:
-        pending_config: The evaluated file that the platform settings are to be applied with; None
-            while no reload is at that point.
+        pending_config: The evaluated file, to be applied together with the platform settings; None
+            unless it waits for them.
     """
 
     def __init__(self, target: ReloadTarget, rejecter: FileRejecter) -> None:
-        """Create a reload that has not begun.
+        """Create the reload of a node; ``begin`` starts it.
 
         Args:
             target: The node that applies the file.
-            rejecter: Counts and logs a file that is not applied.
+            rejecter: Counts and logs a rejected file.
         """
         self.pending_config: OperatorConfig | None = None
         self._target = target
@@ -56,7 +56,7 @@
         self._evaluation: asyncio.Future[OperatorConfig] | None = None
 
     def begin(self) -> None:
-        """Start an evaluation; without effect while another one is in progress."""
+        """Start an evaluation, unless one is in progress already."""
         if self._evaluation is not None:
             return
         loop = asyncio.get_running_loop()
@@ -73,7 +73,7 @@
         except OperatorFileError as error:
             self._rejecter.reject(str(error))
             return
-        except Exception as error:  # no file may end a broker that serves
+        except Exception as error:  # a faulty file must not end a serving broker
             self._rejecter.reject(f"{self._target.operator_file}: {type(error).__name__}: {error}")
             return
         self._target.reload_config()
--- a/query_broker/operator_config/script.py
+++ b/query_broker/operator_config/script.py
@@ -1,9 +1,9 @@
 """Evaluates the operators' file in a separate process with limits on its resources.
 
-A script can build a list of any length in a single step, which a limit on steps would not prevent:
-the broker itself would run out of memory and be killed with all requests in flight. So another
-process evaluates the file under limits of its own and prints the result as JSON (see ``codec``).
-The broker never loads the Starlark interpreter.
+A script can build a list of any length in a single step, which a limit on steps would not prevent.
+In the broker such a script could exhaust the memory, and the broker would be killed with all
+requests in flight. So a separate process with resource limits evaluates the file and prints the
+result as JSON (see ``codec``). The broker never loads the Starlark interpreter.
 
 The process exits with 0 and prints the JSON, or with 2 and prints the error in one line.
 """
@@ -28,28 +28,28 @@
 from .draft import ConfigDraft
 from .settings import OperatorConfig
 
-#: Characters of the file; the map of a fleet with thousands of tenants has less than one million.
+#: Limit on the length of the file; a fleet with thousands of tenants needs less than a million.
 MAX_FILE_CHARACTERS = 4 << 20
-#: Address space of the evaluating process: small against the memory of a broker's machine.
+#: Limit on the address space of the evaluating process, small compared with a machine's memory.
 MAX_MEMORY_BYTES = 512 << 20
-#: Processor time of the evaluating process; the broker waits twice as long for it.
+#: Limit on the processor time of the evaluating process; the broker waits twice as long.
 MAX_PROCESSOR_TIME_S = 5.0
-#: The evaluation is cancelled this long before the limit on processor time kills it.
+#: The evaluation is cancelled this long before the limit on processor time kills the process.
 CANCELLATION_MARGIN_S = 1
-#: Calls within calls; Starlark has no recursion, so that more are an error in any case.
+#: Limit on nested calls; Starlark has no recursion, so a valid script stays far below it.
 MAX_CALL_DEPTH = 100
-#: Exit code of the evaluating process for a file that is not accepted.
+#: Exit code of the evaluating process for a rejected file.
 EXIT_INVALID = 2
-#: Where the interpreter's error names line and column.
+#: The line and the column in an error of the interpreter.
 ERROR_LOCATION = re.compile(r" --> .*?:(\d+):\d+\n")
 #: A text of the form ``key: problem`` or ``directive.key: problem``.
 KEYED_PROBLEM = re.compile(r"[a-z_]+(\.[a-z_]+)?: ")
-#: Counts of arguments in the texts of Python's ``TypeError``.
+#: The counts of arguments in the text of a ``TypeError`` of Python.
 ARGUMENT_COUNT = re.compile(r"(takes|from|to|but) (\d+)")
 
 
 class OperatorFileError(QueryBrokerError):
-    """A file that is not accepted; the text is one line, ``FILE:LINE: key: problem``."""
+    """A rejected file; the text is one line, ``FILE:LINE: key: problem``."""
 
     @classmethod
     def of(cls, path: str, key: str, problem: object) -> OperatorFileError:
@@ -58,10 +58,10 @@
 
 
 class DeferredError(NamedTuple):
-    """An error that is found only at the end of a script.
+    """An error that is detected only at the end of a script.
 
     Attributes:
-        call_number: Number of the call at fault, counted from 1.
+        call_number: Number of the faulty call, counted from 1.
         error: The error.
     """
 
@@ -69,11 +69,11 @@
     error: DirectiveError
 
 
-# --- in the broker ---
+# Runs in the broker.
 
 
 def evaluate(path: str) -> OperatorConfig:
-    """Evaluate the file in another process.
+    """Evaluate the file in a separate process.
 
     Blocks until that process has ended, so it must not be called on the event loop.
 
@@ -116,21 +116,21 @@
 
 
 def _describe_crash(process: subprocess.CompletedProcess[str]) -> str:
-    if process.returncode < 0:  # ended by a signal, as the limits of the process do
-        return "out of its bounds"
+    if process.returncode < 0:  # ended by a signal, as after exceeding a resource limit
+        return "exceeded its resource limits"
     lines = process.stderr.strip().splitlines()
-    return lines[-1] if lines else f"ended with {process.returncode}"
+    return lines[-1] if lines else f"exited with code {process.returncode}"
 
 
-# --- in the evaluating process ---
+# Runs in the evaluating process.
 
 
 def run_script(path: str, text: str, is_cancelled: Callable[[], bool]) -> ConfigDraft:
-    """Evaluate the text of a file, and check that its directives fit together.
+    """Evaluate the text of a file, and check that its directives are consistent.
 
-    An error that is found only at the end is about an earlier directive, whose line is known only
-    while that directive runs. Scripts are deterministic, so the text is run again, and the call of
-    that directive raises the error.
+    An error that is detected only at the end concerns an earlier directive, whose line is known
+    only while that directive runs. Scripts are deterministic, so the script is run again, and the
+    call of that directive raises the error.
 
     Args:
         path: Name of the file, for error texts.
@@ -138,7 +138,7 @@
         is_cancelled: Called between steps; the evaluation ends once it returns True.
 
     Raises:
-        OperatorFileError: With file, line and key.
+        OperatorFileError: The script is invalid; the error names file, line and key.
     """
     draft = _run_directives(path, text, is_cancelled, None)
     try:
@@ -186,19 +186,19 @@
     def call(*arguments: Any, **named: Any) -> Any:
         draft.call_count += 1
         if draft.call_count > MAX_DIRECTIVE_CALLS:
-            raise DirectiveError(name, f"more than {MAX_DIRECTIVE_CALLS} words")
+            raise DirectiveError(name, f"more than {MAX_DIRECTIVE_CALLS} directive calls")
         if deferred_error is not None and draft.call_count == deferred_error.call_number:
             raise deferred_error.error
         try:
             return directive(draft, *arguments, **named)
         except TypeError as error:
-            raise DirectiveError(name, f"{_discount_draft(str(error))}") from None
+            raise DirectiveError(name, f"{_without_draft_argument(str(error))}") from None
 
     return call
 
 
-def _discount_draft(text: str) -> str:
-    """Correct the counts in Python's text on arguments, which include the draft, by one."""
+def _without_draft_argument(text: str) -> str:
+    """Lower the argument counts in the text of a ``TypeError`` by one, for the draft."""
 
     def lower(count: re.Match[str]) -> str:
         return f"{count[1]} {max(0, int(count[2]) - 1)}"
@@ -207,7 +207,7 @@
 
 
 def _format_error(path: str, text: str) -> str:
-    """Make one line of the several lines of the interpreter."""
+    """Return the interpreter's error, which has several lines, as one line."""
     lines = text.splitlines()
     error = next((line for line in lines if line.startswith("error: ")), lines[0])
     problem = error.removeprefix("error: ").removeprefix(f"{DirectiveError.__name__}: ")
@@ -245,7 +245,7 @@
     except ImportError:
         print(f"{path}: file: needs the extra 'operators' (starlark-pyo3), which is not installed")
     except MemoryError:
-        print(f"{path}: evaluation: takes more memory than it may")
+        print(f"{path}: evaluation: exceeded its memory limit")
     else:
         return 0
     return EXIT_INVALID
--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -1,7 +1,7 @@
-"""A node with an operators' file, which it applies at the start and again at SIGHUP.
+"""A node that applies an operators' file at the start and again at SIGHUP.
 
-``services`` creates what the file may ask for: start-up, membership, quotas, and consensus on
-outliers.
+``services`` creates the services that the file may configure: start-up, membership, quotas, and
+consensus on outliers.
 """
 
 from __future__ import annotations
@@ -39,21 +39,21 @@
 
 
 class FleetPosition(NamedTuple):
-    """The size of the fleet, and this broker's place in it, that the decisions use."""
+    """The fleet size and this broker's index in the fleet, as the decisions use them."""
 
     fleet_size: int
     broker_index: int
 
 
 class ConfiguredNode(Node):
-    """A node that an operators' file configures besides the platform settings.
+    """A node that is configured by an operators' file as well as by the platform settings.
 
     Attributes:
-        operator_config: What the file declares, as it is in force.
-        operator_file: Path of the file, read again at SIGHUP.
+        operator_config: The operators' file in force.
+        operator_file: Path of the file, which is read again at SIGHUP.
         startup_service: Paces the start; None unless the file has ``start``.
         membership_service: Finds the other brokers; None unless the file has ``members``.
-        quota_service: Shares limits; None unless the file has a ``limit``.
+        quota_service: Shares limits between brokers; None unless the file has a ``limit``.
         outlier_consensus_service: Shares observations of endpoints; None unless the file has
             ``verdicts``.
     """
@@ -65,12 +65,12 @@
         operator_file: str,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
-        """Create the node with the services that the file asks for.
+        """Create the node with the services that the file configures.
 
         Args:
             config: The platform settings.
             operator_config: The evaluated operators' file.
-            operator_file: Where it was read, and is read again at SIGHUP.
+            operator_file: Path of the file, which is read again at SIGHUP.
             environ: Environment of the process.
 
         Raises:
@@ -96,8 +96,8 @@
         if operator_config.startup is not None:
             self.startup_service = create_startup_service(self, operator_config.startup)
         if operator_config.membership is None:
-            # Quotas and the consensus on outliers need it; a file that has them without it has been
-            # rejected.
+            # Quotas and the consensus on outliers depend on membership; the check of the file
+            # rejects them without it.
             return
         membership_service = create_membership_service(
             self, operator_config.membership, self._membership_changed
@@ -112,7 +112,7 @@
                 self, membership_service, operator_config.outlier_consensus
             )
 
-    # --- extension points of the node ---
+    # Extension points of ``Node``.
 
     def ready(self) -> bool:
         """Return whether the node and its start-up are ready for requests."""
@@ -140,7 +140,7 @@
             self.startup_service.watch_event_received()
 
     async def open_sockets(self) -> None:
-        """Open the sockets on which brokers find each other."""
+        """Open the sockets of the membership service."""
         if self.membership_service is not None:
             await self.membership_service.open()
 
@@ -182,17 +182,17 @@
         if self.startup_service is not None:
             self.startup_service.resize(position.broker_index, position.fleet_size)
 
-    # --- the operators' file ---
+    # The operators' file.
 
     def check_operator_config(self, operator_config: OperatorConfig) -> OperatorConfig:
-        """Return a changed file that can be applied, before anything has changed.
+        """Return a changed file if it can be applied.
 
         Raises:
-            OperatorFileError: It has cells, which need a restart since there were none.
+            OperatorFileError: The file adds cells, which needs a restart.
         """
         if operator_config.cell_map is not None:
             raise OperatorFileError.of(
-                self.operator_file, "cell", "cells need a start anew, since there were none"
+                self.operator_file, "cell", "adding cells needs a restart, since there were none"
             )
         return operator_config
 
@@ -208,7 +208,7 @@
         apply_retry_budget(controls, settings.retry_budget, self.quota_service)
         self._log_format.apply(operator_config.logs)
 
-    # --- SIGHUP ---
+    # Reload at SIGHUP.
 
     def reload(self) -> None:
         """Reload both files; neither is applied if one of them is rejected."""
@@ -227,7 +227,7 @@
             self.quota_service.configure()
 
     def apply_config(self, config: Config) -> None:
-        """Apply platform settings, and with them the operators' file of this reload."""
+        """Apply the platform settings, and the operators' file of the same reload."""
         super().apply_config(config)
         pending_config = self._operator_file_reload.pending_config
         if pending_config is not None:
--- a/query_broker/operator_config/services.py
+++ b/query_broker/operator_config/services.py
@@ -1,7 +1,7 @@
-"""Creates the services that an operators' file asks for, and connects them to their node.
+"""Creates the services that an operators' file configures, and connects them to their node.
 
-They are imported only where the file asks for them: some need optional dependencies, and all cost
-time at the start.
+A service is imported only if the file configures it: some need optional dependencies, and every
+import takes time at the start.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def create_startup_service(node: Node, settings: StartupSettings) -> StartupService:
-    """Create the service that paces the start of a broker in a fleet that starts."""
+    """Create the service that paces the start of a broker while its whole fleet starts."""
     from ..startup.service import StartupService
 
     service = StartupService(node, settings)
@@ -39,8 +39,8 @@
     """Create the service that finds the other brokers.
 
     Args:
-        node: Its metrics, calls and settings are extended.
-        settings: From the operators' file.
+        node: The node to whose metrics, admin API and settings the service is added.
+        settings: The settings of the operators' file.
         listener: Called with each new view of the fleet.
 
     Raises:
@@ -61,7 +61,7 @@
 def create_quota_service(
     node: Node, membership_service: MembershipService, settings: QuotaSettings
 ) -> QuotaService:
-    """Create the service that shares limits, and connect a limit on retries to the retry budget."""
+    """Create the service that shares limits, and connect its retry limit to the retry budget."""
     from ..quotas.service import QuotaService
 
     service = QuotaService(node, membership_service, settings)
--- a/query_broker/operator_config/settings.py
+++ b/query_broker/operator_config/settings.py
@@ -1,4 +1,4 @@
-"""What an operators' file declares, as the broker uses it. Performs no I/O."""
+"""The configuration that an operators' file declares. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """What the operators' file declares; a part that it does not mention is None.
+    """The declarations of an operators' file; None for a part that the file does not declare.
 
     Attributes:
         cell_map: Cells and the tenants in them.
         deadlines: Deadlines and the retry budget.
         logs: Format of the log, and sampling of traces.
-        startup: How a broker starts in a fleet that starts.
+        startup: How a broker starts while its whole fleet starts.
         membership: How brokers find each other.
         quotas: Limits that brokers share.
         outlier_consensus: How brokers agree on outliers.
