--- a/query_broker/config/__init__.py
+++ b/query_broker/config/__init__.py
@@ -1,8 +1,9 @@
 """The configuration of a broker: schema, reading and checking, defaults, reload.
 
-This is the part's public interface. ``load`` reads the file and the environment, ``parse`` checks
-what was read, ``reload`` does both at SIGHUP; ``parse_settings`` reads the platform's settings
-alone. All errors are of the class ``ConfigError``, one line that names the faulty key.
+This module is the public interface of the package. ``load`` reads the file and the environment,
+``parse`` checks the content, ``reload`` does both at SIGHUP, and ``parse_settings`` reads only the
+platform's settings. Every error is a ``ConfigError``, whose text is one line that names the faulty
+key.
 """
 
 from .broker_config import Config
--- a/query_broker/config/broker_config.py
+++ b/query_broker/config/broker_config.py
@@ -1,4 +1,4 @@
-"""The configuration of one broker, and the remarks on it that are logged."""
+"""The configuration of one broker, and the remarks that are logged about it."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
     """The configuration of one broker. Durations are in nanoseconds.
 
     Attributes:
-        name: Name of this broker in the log and towards its other processes.
+        name: Name of this broker in the log and for its other processes.
         host: Address on which clients are accepted.
         port: Port on which clients are accepted.
-        seed: Seed of the random draws.
+        seed: Seed of the random numbers.
         sockets: File descriptors that the process may have open.
         memory_mb: Memory that the process may use, in megabytes.
-        cores: Processor time in seconds a second, which the platform enforces.
+        cores: Processor time in seconds per second, which the platform enforces.
         discovery_address: Host and port of the discovery service, if there is one.
-        admin_address: Host and port on which the operators' calls are accepted, if there is one.
-        accept_fd: Descriptor of the clients' listening socket, where the platform holds it.
-        folder: Folder shared with another process of this broker.
+        admin_address: Host and port of the admin API, if there is one.
+        accept_fd: Descriptor of the clients' listening socket, if the platform holds that socket.
+        folder: Folder that the processes of this broker share.
         known_offset: Number of the last watch event that ``known_events`` includes.
-        known_events: Watch events that the file itself holds.
+        known_events: Watch events that the file contains.
         connect_timeout_ns: Time in which a connection to an endpoint has to be established.
         connection_idle_ns: Time after which an unused connection to an endpoint is closed.
         streams_per_connection: Requests that one connection to an endpoint carries at a time.
         settings: The platform's settings.
-        source: The file as it was read, without the watch events: what a reload compares.
+        source: The content of the file without the watch events, which a reload compares.
     """
 
     name: str
@@ -58,14 +58,14 @@
 
     @property
     def tick_ns(self) -> int:
-        """Interval of the decisions' clock, in nanoseconds."""
+        """Control period of the decisions, in nanoseconds."""
         return self.settings.tick_ns
 
     def remarks(self) -> list[str]:
-        """Return one line for each key of ``settings`` that is not used as it is written."""
+        """Return a line for each key of ``settings`` that is unknown or whose value is replaced."""
         settings = self.source.get("settings", {})
         return [
-            *self._place_remarks(settings),
+            *self._broker_index_remarks(settings),
             *(
                 f"settings.{key}: is not known here, and has no effect"
                 for key in unknown_keys(settings)
@@ -73,14 +73,14 @@
             *_report_remarks(settings),
         ]
 
-    def _place_remarks(self, settings: Mapping[str, Any]) -> Iterator[str]:
-        # While a fleet grows or shrinks, its size and the places in it may be deployed at different
-        # times; the broker has to serve all the same.
-        place = self.settings.broker_index
-        last_place = self.settings.fleet_size - 1
-        configured = Section(settings, "settings").integer("me", place)
-        if configured != place:
-            yield f"settings.me: {configured} is outside 0 to {last_place}: taken as {place}"
+    def _broker_index_remarks(self, settings: Mapping[str, Any]) -> Iterator[str]:
+        # While a fleet grows or shrinks, its size and the brokers' indices may be deployed at
+        # different times. The broker must serve during that time.
+        broker_index = self.settings.broker_index
+        last_index = self.settings.fleet_size - 1
+        configured = Section(settings, "settings").integer("me", broker_index)
+        if configured != broker_index:
+            yield f"settings.me: {configured} is outside 0 to {last_index}: taken as {broker_index}"
 
 
 def _report_remarks(settings: Mapping[str, Any]) -> Iterator[str]:
@@ -104,7 +104,7 @@
 
 
 def _objects(settings: Mapping[str, Any], section: str) -> list[Mapping[str, Any]]:
-    """The objects of one section of the settings: a single one, or all of a list."""
+    """Return the objects of one section of the settings: the section itself, or those of a list."""
     content = settings.get(section, {}) if section else settings
     entries = content if isinstance(content, list) else [content]
     return [entry for entry in entries if isinstance(entry, dict)]
--- a/query_broker/config/errors.py
+++ b/query_broker/config/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the configuration, each one line that names the faulty key."""
+"""The errors of the configuration; each text is one line that names the faulty key."""
 
 from __future__ import annotations
 
@@ -6,18 +6,17 @@
 
 
 class ConfigError(QueryBrokerError, ValueError):
-    """A configuration that can't be used.
+    """An invalid configuration; the base of all errors of the configuration.
 
-    Its text is ``key: problem``, in one line, as an operator reads it. All errors of the
-    configuration are of this class.
+    The text is one line for the operator, of the form ``key: problem``.
     """
 
     def add_parent(self, parent: str) -> None:
-        """Prefix the key with the key of the object that holds it."""
+        """Prefix the key with that of the object that contains it."""
         self.args = (f"{parent}.{self}",)
 
     def add_file(self, path: str) -> None:
-        """Name the file that holds the key."""
+        """Append the path of the file that contains the key."""
         self.args = (f"{self}, in {path}",)
 
 
@@ -25,7 +24,7 @@
     """A required key is absent or null."""
 
     def __init__(self, key: str) -> None:
-        """Name the missing key."""
+        """Create the error for the missing key."""
         super().__init__(f"{key}: is missing")
 
 
@@ -33,21 +32,21 @@
     """A value is of the wrong kind, unknown, malformed or out of range."""
 
     def __init__(self, key: str, problem: object) -> None:
-        """Name the key and what is wrong with its value."""
+        """Create the error from the key and what is wrong with its value."""
         super().__init__(f"{key}: {problem}")
 
 
-class LostKeyError(ConfigError):
-    """A key of the configuration in force is missing in the file that was read again."""
+class RemovedKeyError(ConfigError):
+    """A key of the configuration in force is missing in the reloaded file."""
 
     def __init__(self, key: str, path: str) -> None:
-        """Name the lost key and the path of the file."""
+        """Create the error from the missing key and the path of the file."""
         super().__init__(f"{key}: is missing, in {path}")
 
 
 class UnreadableFileError(ConfigError):
-    """The file that ``PROXY_CONFIG`` names can't be read, or holds no JSON."""
+    """The file that ``PROXY_CONFIG`` names can't be read or is not JSON."""
 
     def __init__(self, path: str, problem: str) -> None:
-        """Name the path of the file; ``problem`` follows it directly in the text."""
+        """Create the error from the path, which ``problem`` follows without a separator."""
         super().__init__(f"PROXY_CONFIG: {path}{problem}")
--- a/query_broker/config/loading.py
+++ b/query_broker/config/loading.py
@@ -23,7 +23,7 @@
     DEFAULT_NAME,
     DEFAULT_SEED,
     DEFAULT_SOCKETS,
-    DEFAULT_STREAMS,
+    DEFAULT_STREAMS_PER_CONNECTION,
     MIN_MEMORY_MB,
     MIN_SOCKETS,
 )
@@ -31,14 +31,14 @@
 from .platform_settings import parse_settings
 from .values import Section, ValueKind
 
-#: All variables of the environment that this program reads begin with it, so that an error that
-#: names one of them is known not to be about the file.
+#: Prefix of all environment variables that this program reads. It distinguishes an error of such a
+#: variable from an error of the file.
 ENVIRONMENT_PREFIX = "PROXY_"
 
-#: Digits of the number of a file descriptor: no system has more descriptors.
+#: Maximum number of digits of a file descriptor; no system has more descriptors.
 MAX_DESCRIPTOR_DIGITS = 7
 
-#: Characters of a faulty descriptor that an error quotes, so that it stays one line.
+#: Characters of an invalid descriptor that an error quotes, so that the error stays one line.
 MAX_QUOTED_CHARACTERS = 40
 
 
@@ -47,7 +47,7 @@
 
     Attributes:
         text: The text.
-        key: The key or the environment variable that it is from, which an error names.
+        key: Key or environment variable that contains the text, for errors.
     """
 
     text: str
@@ -55,7 +55,7 @@
 
 
 class ConnectionLimits(NamedTuple):
-    """Limits of connections to endpoints, from the keys of ``policy_limits``.
+    """Limits on connections to endpoints, from ``policy_limits``.
 
     Attributes:
         connect_timeout_ns: Time in which a connection has to be established.
@@ -72,8 +72,8 @@
     """Read the file that ``PROXY_CONFIG`` names.
 
     Raises:
-        ConfigError: The file can't be read or used; the error names the key, and the file where
-            it holds that key.
+        ConfigError: The file can't be read or is invalid; the error names the key, and the file
+            if the file contains that key.
     """
     path = environ.get("PROXY_CONFIG")
     if not path:
@@ -93,15 +93,15 @@
             return json.load(file)
     except (OSError, UnicodeDecodeError, RecursionError) as error:
         raise UnreadableFileError(path, f": {error}") from None
-    except ValueError as error:  # also for a number with more digits than Python reads
+    except ValueError as error:  # also raised for a number with more digits than Python converts
         raise UnreadableFileError(path, f" holds no JSON ({error})") from None
 
 
 def parse(raw: Any, environ: Mapping[str, str]) -> Config:
-    """Check a configuration that was read from JSON, and give defaults to what it leaves out.
+    """Check a configuration that was read from JSON, and fill in defaults.
 
     Raises:
-        ConfigError: A key is missing or its value impossible; the error names it.
+        ConfigError: A key is missing or its value is invalid; the error names the key.
     """
     if not isinstance(raw, dict):
         raise InvalidValueError("PROXY_CONFIG", "holds no JSON object")
@@ -109,19 +109,19 @@
 
 
 def _read_config(root: Section, environ: Mapping[str, str]) -> Config:
-    # Where several keys are faulty, the order of reading decides which one the error names.
+    # If several keys are faulty, the order of reading decides which one the error names.
     limits = root.section("limits")
-    known_list = root.section("known")
+    known_section = root.section("known")
     platform = root.value("settings", ValueKind.OBJECT)
     settings = _platform_settings(platform)
     connections = _connection_limits(platform)
     listen = _text_or_override(environ, "PROXY_LISTEN", root, "listen")
     host, port = _address(listen)
     operator = _text_or_override(environ, "PROXY_OPERATOR", root, "operator", "")
-    accept_fd = _descriptor(environ.get("PROXY_ACCEPT_FD", ""))
+    accept_fd = _file_descriptor(environ.get("PROXY_ACCEPT_FD", ""))
     seed = root.text("seed", DEFAULT_SEED)
     bus = SourcedText(root.text("bus", ""), "bus")
-    events = _known_events(known_list)
+    events = _known_events(known_section)
     return Config(
         seed=_hexadecimal(seed, "seed"),
         name=_text_or_override(environ, "PROXY_NAME", root, "name", DEFAULT_NAME).text,
@@ -134,7 +134,7 @@
         admin_address=_optional_address(operator),
         accept_fd=accept_fd,
         folder=environ.get("TMPDIR") or DEFAULT_FOLDER,
-        known_offset=known_list.integer("offset", events[-1].offset if events else 0),
+        known_offset=known_section.integer("offset", events[-1].offset if events else 0),
         known_events=events,
         connect_timeout_ns=connections.connect_timeout_ns,
         connection_idle_ns=connections.idle_timeout_ns,
@@ -153,12 +153,12 @@
 
 
 def _connection_limits(platform: Mapping[str, Any]) -> ConnectionLimits:
-    # All three are read before the first is compared with its minimum: which of several
-    # faulty keys an error names depends on it.
+    # All three keys are read before the first is compared with its minimum: this order decides
+    # which of several faulty keys an error names.
     section = Section(platform, "settings").section("policy_limits")
     connect_timeout_ns = section.integer("connect_timeout", DEFAULT_CONNECT_TIMEOUT_NS)
     idle_timeout_ns = section.integer("conn_idle", DEFAULT_CONNECTION_IDLE_NS)
-    max_streams = section.integer("streams_per_conn", DEFAULT_STREAMS)
+    max_streams = section.integer("streams_per_conn", DEFAULT_STREAMS_PER_CONNECTION)
     _check_at_least(1, connect_timeout_ns, section.key("connect_timeout"))
     _check_at_least(1, idle_timeout_ns, section.key("conn_idle"))
     _check_at_least(1, max_streams, section.key("streams_per_conn"))
@@ -172,7 +172,7 @@
     name: str,
     default: str | None = None,
 ) -> SourcedText:
-    """The text of an environment variable; of a key where the variable is unset or empty."""
+    """Return the text of an environment variable, or of a key if the variable is unset or empty."""
     text = environ.get(variable)
     if text:
         return SourcedText(text, variable)
@@ -187,11 +187,11 @@
 
 
 def _optional_address(source: SourcedText) -> tuple[str, int] | None:
-    """An address, or None for an empty text."""
+    """Return an address, or None for an empty text."""
     return _address(source) if source.text else None
 
 
-def _descriptor(text: str) -> int | None:
+def _file_descriptor(text: str) -> int | None:
     if not text:
         return None
     if not (text.isascii() and text.isdecimal() and len(text) <= MAX_DESCRIPTOR_DIGITS):
@@ -200,11 +200,11 @@
     return int(text)
 
 
-def _known_events(known_list: Section) -> tuple[EndpointListEvent, ...]:
+def _known_events(known_section: Section) -> tuple[EndpointListEvent, ...]:
     try:
-        return tuple(parse_event(event) for event in known_list.entries("batch", []))
+        return tuple(parse_event(event) for event in known_section.entries("batch", []))
     except InvalidEventError as error:
-        raise InvalidValueError(known_list.key("batch"), error) from None
+        raise InvalidValueError(known_section.key("batch"), error) from None
 
 
 def _hexadecimal(text: str, key: str) -> int:
--- a/query_broker/config/platform_settings.py
+++ b/query_broker/config/platform_settings.py
@@ -1,8 +1,8 @@
 """Reads the object ``settings`` into the types of ``decisions.settings``. Performs no I/O.
 
-The broker finds the object in its configuration file, the simulator's adapter gets it alone on its
-wire; both call ``parse_settings``. Where several keys are faulty, the order of reading decides
-which one the error names: the functions keep that order.
+The broker reads the object from its configuration file, and the simulator's adapter receives only
+this object; both call ``parse_settings``. If several keys are faulty, the order of reading decides
+which one the error names, so that order must not change.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
     REPORT_KEY,
     SettingsField,
 )
-from .values import Section, ValueKind, meaning_of
+from .values import Section, ValueKind, look_up
 
 
 def parse_settings(settings: Mapping[str, Any]) -> Settings:
     """Read the platform's settings.
 
     Args:
-        settings: The JSON object, durations in nanoseconds.
+        settings: The JSON object; durations are in nanoseconds.
 
     Raises:
-        ConfigError: A key is missing or its value impossible; the error names it.
+        ConfigError: A key is missing or its value is invalid; the error names the key.
     """
     try:
         return _read_settings(Section(settings))
@@ -70,21 +70,21 @@
 
 
 def _check_report(report: Section) -> None:
-    """Check the fields of load reports, which nothing uses: a list of another kind is an error.
+    """Check that the fields of load reports, which are not used, are a list of texts.
 
-    So is null, which the platform has no meaning for here: whoever has written it meant a list.
+    Null is an error as well: the platform defines no meaning for null here, so a list is missing.
     """
-    if "fields" in report.values and not report.holds("fields"):
+    if "fields" in report.values and not report.has_value("fields"):
         raise InvalidValueError(report.key("fields"), "null is no list")
     report.list_of("fields", ValueKind.TEXT)
 
 
 def _fields(section: Section, fields: Mapping[str, SettingsField]) -> dict[str, Any]:
-    """The fields whose keys are present; those of absent keys keep the dataclass's defaults."""
+    """Return the fields whose keys are present; the others keep the defaults of the dataclass."""
     return {
         field.name: section.value(key, field.kind)
         for key, field in fields.items()
-        if section.holds(key)
+        if section.has_value(key)
     }
 
 
@@ -96,7 +96,7 @@
     if not isinstance(entry, dict):
         raise InvalidValueError(f"classes[{index}]", "is no object")
     section = Section(entry, "classes")
-    effect = meaning_of(section.text("effect"), EFFECTS, section.key("effect"))
+    effect = look_up(section.text("effect"), EFFECTS, section.key("effect"))
     return RequestClass(
         name=section.text("name"),
         latency_objective_ns=section.integer("aim"),
@@ -105,7 +105,7 @@
         effect=effect,
         late_priority_weight=section.number("late_value", 0.0),
         objective_stretch=section.number("aim_stretch", 0.0),
-        idempotency_scope=meaning_of(
+        idempotency_scope=look_up(
             section.text("group", "all") or "all", IDEMPOTENCY_SCOPES, section.key("group")
         ),
         idempotency_window_ns=_idempotency_window_ns(section, effect),
@@ -122,7 +122,7 @@
 
 def _idempotency_window_ns(section: Section, effect: Effect) -> int:
     # There is no safe default for how long endpoints remember an idempotency key: a retry after
-    # that time would run twice. So the key is required for a class with such keys.
+    # that time would run twice. So ``window`` is required for a class with idempotency keys.
     if effect is Effect.IDEMPOTENCY_KEY:
         return section.integer("window")
     return section.integer("window", 0)
@@ -131,7 +131,7 @@
 def _value_of_class(
     specifics: Section, name: str, index: int, kind: ValueKind, default: Any
 ) -> Any:
-    """The entry of one class in a list that has one for each class, or the default."""
+    """Return the entry of one class in a list with an entry for each class, or the default."""
     entries = specifics.list_of(name, kind)
     return entries[index] if index < len(entries) else default
 
@@ -148,7 +148,7 @@
 
 
 def _kind_cores(root: Section, specifics: Section) -> tuple[tuple[str, int], ...]:
-    """The cores of each kind of endpoint; a kind without an entry in the other list is left out."""
+    """Return the cores of each kind of endpoint, without kinds that have no entry for cores."""
     kinds = root.list_of("kinds", ValueKind.TEXT)
     cores = specifics.list_of("size_cores", ValueKind.INTEGER)
     return tuple(zip(kinds, cores, strict=False))
--- a/query_broker/config/reloading.py
+++ b/query_broker/config/reloading.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP: reports keys that need a restart, rejects a file that lacks former keys."""
+"""Reload at SIGHUP: reports keys that need a restart, and rejects a file that lost keys."""
 
 from __future__ import annotations
 
@@ -6,12 +6,11 @@
 from typing import Any
 
 from .broker_config import Config
-from .errors import LostKeyError
+from .errors import RemovedKeyError
 from .loading import load
 
-#: The values that are read at the start only, by the key that an operator writes. ``bus`` and
-#: ``settings`` take effect at SIGHUP, except for the tick: the timer wheel is built for the tick of
-#: the start.
+#: The values that are read only at the start, by their keys. ``bus`` and ``settings`` take effect
+#: at SIGHUP, except for the tick, since the timer wheel is built with the tick of the start.
 FIXED_UNTIL_RESTART: Mapping[str, Callable[[Config], object]] = {
     "limits.memory_mb": lambda config: config.memory_mb,
     "limits.sockets": lambda config: config.sockets,
@@ -24,17 +23,17 @@
 
 
 def reload(running: Config, environ: Mapping[str, str]) -> Config:
-    """Read the file again, to replace the configuration in force.
+    """Return the configuration that replaces the one in force, from the file.
 
-    A key that is missing by mistake would silently fall back to its default in a serving broker, so
-    such a file is rejected as a whole.
+    A key removed by mistake would silently fall back to its default in a serving broker, so a file
+    that lacks a key of the configuration in force is rejected as a whole.
 
     Raises:
-        ConfigError: The file can't be used, or lacks a key that the one in force has.
+        ConfigError: The file is invalid, or lacks a key of the configuration in force.
     """
     new_config = load(environ)
     for key in missing_keys(running.source, new_config.source):
-        raise LostKeyError(key, environ["PROXY_CONFIG"])
+        raise RemovedKeyError(key, environ["PROXY_CONFIG"])
     return new_config
 
 
@@ -50,8 +49,8 @@
 def missing_keys(before: Any, after: Any, prefix: str = "") -> Iterator[str]:
     """Yield the dotted keys that one JSON value has and another lacks.
 
-    Objects are compared key by key; null counts as absent. For lists of objects, the keys that all
-    objects of the one list have are looked for in each object of the other.
+    Objects are compared key by key; null counts as absent. For lists of objects, each object of
+    ``after`` must have the keys that all objects of ``before`` have.
     """
     if isinstance(before, dict) and isinstance(after, dict):
         for key, value in before.items():
@@ -66,7 +65,7 @@
 
 
 def _common_keys(entries: list[Any]) -> dict[str, Any]:
-    """The keys that all objects of a list have, with the values of the first."""
+    """Return the keys that all objects of a list have, with the values of the first object."""
     if not entries or not all(isinstance(entry, dict) for entry in entries):
         return {}
     first = entries[0]
--- a/query_broker/config/schema.py
+++ b/query_broker/config/schema.py
@@ -1,7 +1,7 @@
-"""Schema of the platform's settings: their keys, and the field of the code for each of them.
+"""Schema of the platform's settings: the keys, and the field of the code for each key.
 
-The spelling of the keys belongs to the platform. It appears here and in the reader
-(``platform_settings``); everything else uses the terms of ``decisions.settings``. Performs no I/O.
+The platform defines the spelling of the keys. It appears only here and in the reader
+(``platform_settings``); other modules use the terms of ``decisions.settings``. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from ..decisions import Effect, IdempotencyScope
 from .values import ValueKind
 
-#: The keys that are read, by the object under ``settings`` that holds them ("" is ``settings``
-#: itself). A key that is neither here nor in IGNORED_SETTINGS_KEYS is named in the log, so that no
-#: key is ignored without a message.
+#: The keys that are read, by the object under ``settings`` that contains them ("" is ``settings``
+#: itself). A key that is neither here nor in IGNORED_SETTINGS_KEYS is logged, so that no key is
+#: ignored without a message.
 SETTINGS_KEYS = {
     "": {
         "classes",
@@ -82,7 +82,7 @@
     "report": {"fields"},
 }
 
-#: The keys that a deployment may hold and that this program does not use.
+#: The keys that the platform defines and that this program does not use.
 IGNORED_SETTINGS_KEYS = {
     "": {
         "callers",
@@ -123,8 +123,7 @@
     "report": {"via"},
 }
 
-#: The fields that a load report of an endpoint may hold, by the simulator's names and by the
-#: endpoints' own.
+#: The fields of a load report of an endpoint, in the simulator's and in the endpoints' spelling.
 KNOWN_REPORT_FIELDS = {
     "busy",
     "util",
@@ -159,7 +158,7 @@
 
 
 class SettingsField(NamedTuple):
-    """What one key of the settings is read into.
+    """The field of a dataclass that one key of the settings is read into.
 
     Attributes:
         name: Name of the field of the dataclass.
@@ -195,8 +194,8 @@
     "max_retry_after": SettingsField("max_retry_after_ns", ValueKind.INTEGER),
 }
 
-#: The errors of ``decisions.settings`` name the fields on the left; the errors of the configuration
-#: name the keys on the right, which the operator has written.
+#: The keys of the configuration by the names that errors of ``decisions.settings`` use, so that an
+#: error names the key that the operator has written.
 KEYS_BY_CHECKED_FIELD: Mapping[str, str] = {
     "contract.cold_from": "contract.start_capacity",
     "contract.order_settle": "contract.key_rest",
