--- a/query_broker/cli/__init__.py
+++ b/query_broker/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module for each group of sub-commands."""
+"""The command line, with one module for each group of sub-commands."""
--- a/query_broker/cli/admin_client.py
+++ b/query_broker/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls to the admin address of a running broker, and options shared by the commands."""
+"""Client of the admin API of a running broker, and options that the commands share."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 MAX_PORT = 65_535
 #: Timeout of a call; a broker answers within one second.
-TIMEOUT_S = 2.0
-#: Bytes of an answer that is not JSON which are printed.
+CALL_TIMEOUT_S = 2.0
+#: Printed bytes of an answer that is not JSON.
 MAX_PRINTED_BYTES = 200
-#: Exit code: the broker has rejected the call, or has not answered.
+#: Exit code: the broker has rejected the call or has not answered.
 EXIT_REJECTED = 1
 #: Exit code: the arguments of the command are not valid.
 EXIT_USAGE = 2
@@ -27,47 +27,49 @@
 
 
 class HttpAnswer(NamedTuple):
-    """The HTTP status and the body of an answer."""
+    """An answer of the admin API: the HTTP status and the body."""
 
     status: int
     body: bytes
 
 
-def fail(text: str, code: int = EXIT_REJECTED) -> NoReturn:
-    """End the command with one line on standard error and an exit code."""
-    click.echo(f"larchhall: {text}", err=True)
+def exit_with_error(message: str, code: int = EXIT_REJECTED) -> NoReturn:
+    """Print one line on standard error, and end the command with an exit code."""
+    click.echo(f"larchhall: {message}", err=True)
     sys.exit(code)
 
 
 def call(address: str, method: str, path: str) -> Any:
-    """Make one call on the admin address and return the JSON answer.
+    """Call the admin API and return the JSON answer.
 
-    A rejection, or no answer in time, ends the command with `EXIT_REJECTED` and one line; a
-    malformed address ends it with `EXIT_USAGE`.
+    A rejection or a timeout ends the command with one line and `EXIT_REJECTED`; a malformed address
+    ends it with `EXIT_USAGE`.
     """
-    status, body = _exchange(address, method, path)
+    status, body = _send_call(address, method, path)
     if status == HTTPStatus.NOT_FOUND and path == "/cells":
-        fail(f"{address}: this broker has no cells")
+        exit_with_error(f"{address}: this broker has no cells")
     try:
         answer = json.loads(body)
     except ValueError:
-        fail(f"{address}: {status} {body[:MAX_PRINTED_BYTES].decode(errors='replace').strip()}")
+        exit_with_error(
+            f"{address}: {status} {body[:MAX_PRINTED_BYTES].decode(errors='replace').strip()}"
+        )
     if status != HTTPStatus.OK:
-        fail(f"{address}: {answer.get('error', status)}")
+        exit_with_error(f"{address}: {answer.get('error', status)}")
     return answer
 
 
-def _exchange(address: str, method: str, path: str) -> HttpAnswer:
+def _send_call(address: str, method: str, path: str) -> HttpAnswer:
     host, colon, port = address.rpartition(":")
     if not colon or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        fail(f"--address: {address!r} is no address host:port", EXIT_USAGE)
-    connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=TIMEOUT_S)
+        exit_with_error(f"--address: {address!r} is no address host:port", EXIT_USAGE)
+    connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path)
         response = connection.getresponse()
         return HttpAnswer(response.status, response.read())
     except (OSError, http.client.HTTPException) as error:
-        fail(f"{address}: {error or type(error).__name__}")
+        exit_with_error(f"{address}: {error or type(error).__name__}")
     finally:
         connection.close()
 
@@ -78,7 +80,7 @@
 
 
 def address_option(command: Command) -> Command:
-    """Add the option --address, which names the admin address."""
+    """Add the option --address, the address of the admin API."""
     return click.option(
         "--address",
         envvar="PROXY_OPERATOR",
--- a/query_broker/cli/cells.py
+++ b/query_broker/cli/cells.py
@@ -1,4 +1,4 @@
-"""`query-broker cells ...`: commands for the cells of a running broker, and the planner."""
+"""`query-broker cells ...`: commands for the cells of a running broker and for planning moves."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     EXIT_USAGE,
     address_option,
     call,
-    fail,
+    exit_with_error,
     json_option,
 )
 
@@ -52,8 +52,14 @@
     click.echo("\n" + table(["tenant", "cell", "load"], tenants))
     if answer["moves"]:
         moves = [
-            [item["subject"], item["source"], item["target"], item["stage"], item["why"]]
-            for item in answer["moves"]
+            [
+                migration["subject"],
+                migration["source"],
+                migration["target"],
+                migration["stage"],
+                migration["why"],
+            ]
+            for migration in answer["moves"]
         ]
         click.echo("\n" + table(["tenant", "from", "to", "stage", "why"], moves))
 
@@ -139,15 +145,15 @@
 ) -> None:
     """Print which tenants to move so that the cells are balanced."""
     if (file is None) == (not address):
-        fail("plan: name a FILE or an --address", EXIT_USAGE)
+        exit_with_error("plan: name a FILE or an --address", EXIT_USAGE)
     try:
         if file is not None:
-            problem = _problem_of_file(file, max_moves, max_load, separated)
+            problem = _problem_from_file(file, max_moves, max_load, separated)
         else:
             answer = call(address, "GET", "/cells")
-            problem = _problem_of_broker(answer, max_moves, max_load, separated)
+            problem = _problem_from_broker(answer, max_moves, max_load, separated)
     except (PlanningProblemError, UnicodeDecodeError, OSError) as error:
-        fail(f"{file or address}: {error}", EXIT_USAGE)
+        exit_with_error(f"{file or address}: {error}", EXIT_USAGE)
     solution = _solve(problem, seconds, as_json)
     if as_json:
         click.echo(json.dumps(solution.plain(), indent=2, ensure_ascii=False))
@@ -155,26 +161,26 @@
         _print_plan(solution, len(problem.loads))
 
 
-def _problem_of_file(
+def _problem_from_file(
     file: str, max_moves: int | None, max_load: float | None, separated: TenantPairs
 ) -> Problem:
-    """Return the problem that a file states; options on the command line take precedence."""
-    stated = read_problem(Path(file).read_text(encoding="utf-8"))
+    """Return the planning problem of a file; options of the command line take precedence."""
+    file_problem = read_problem(Path(file).read_text(encoding="utf-8"))
     return Problem(
-        stated.loads,
-        stated.capacities,
-        stated.current_cells,
-        stated.separated_pairs + _pairs(separated),
-        stated.fixed_cells,
-        stated.max_moves if max_moves is None else max_moves,
-        stated.max_load if max_load is None else max_load,
+        file_problem.loads,
+        file_problem.capacities,
+        file_problem.current_cells,
+        file_problem.separated_pairs + _pairs(separated),
+        file_problem.fixed_cells,
+        file_problem.max_moves if max_moves is None else max_moves,
+        file_problem.max_load if max_load is None else max_load,
     )
 
 
-def _problem_of_broker(
+def _problem_from_broker(
     answer: dict[str, Any], max_moves: int | None, max_load: float | None, separated: TenantPairs
 ) -> Problem:
-    """Return the problem of a running broker: its measured loads and the cores of each cell."""
+    """Return the planning problem of a running broker, from its tenant loads and cell cores."""
     return Problem(
         {tenant["tenant"]: tenant["load"] for tenant in answer["tenants"]},
         {cell["cell"]: float(cell["cores"]) for cell in answer["cells"] if cell["cores"]},
@@ -194,11 +200,13 @@
     try:
         return solve(problem, seconds)
     except ImportError:
-        fail("plan: needs the extra 'planner' (highspy), which is not installed", EXIT_USAGE)
+        exit_with_error(
+            "plan: needs the extra 'planner' (highspy), which is not installed", EXIT_USAGE
+        )
     except NoPlanError as error:
         if as_json:
             click.echo(json.dumps({"moves": None, "why": str(error)}))
-        fail(f"plan: {error}", EXIT_NO_PLAN)
+        exit_with_error(f"plan: {error}", EXIT_NO_PLAN)
 
 
 def _print_plan(solution: Plan, tenant_count: int) -> None:
--- a/query_broker/cli/lazy_group.py
+++ b/query_broker/cli/lazy_group.py
@@ -1,4 +1,4 @@
-"""A group of sub-commands whose module is loaded when one of them is asked for."""
+"""A group of sub-commands whose module is imported only when it is used."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class LazyGroup(click.Group):
-    """A click group that loads another one when it is used.
+    """A click group that imports the actual group on first use.
 
-    Otherwise each start of the daemon would load the modules of all sub-commands.
+    Otherwise each start of the daemon would import the modules of all sub-commands.
     """
 
     def __init__(self, *args: Any, module: str, group: str, **options: Any) -> None:
-        """Represent the group of that name in a module of this package."""
+        """Stand in for the group named ``group`` in a module of this package."""
         super().__init__(*args, **options)
         self.module = module
         self.group_name = group
@@ -29,5 +29,5 @@
         return self._load().list_commands(ctx)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Return a sub-command, or None if there is none of this name."""
+        """Return the sub-command of a name, or None if there is none."""
         return self._load().get_command(ctx, name)
--- a/query_broker/cli/limits.py
+++ b/query_broker/cli/limits.py
@@ -1,6 +1,7 @@
 """`query-broker limits ...` and `query-broker verdicts ...`.
 
-The first is about the limits that all brokers share, the second about their consensus on outliers.
+The former are commands for the limits that all brokers share, the latter for the consensus on
+outliers.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 NOT_APPLICABLE = "-"
 
 
-def _print(answer: Any, as_json: bool, text: str) -> None:
+def _print_answer(answer: Any, as_json: bool, text: str) -> None:
     if as_json:
         print_json(answer)
     else:
@@ -59,7 +60,7 @@
     """Print one row for each limit."""
     answer = call(address, "GET", "/limits")
     rows = [_limit_row(limit) for limit in answer["limits"]]
-    _print(answer, as_json, table(LIMIT_COLUMNS, rows))
+    _print_answer(answer, as_json, table(LIMIT_COLUMNS, rows))
 
 
 def _limit_row(limit: dict[str, Any]) -> list[str]:
@@ -95,9 +96,9 @@
 @address_option
 @json_option
 def lend(limit: str, holder: str, most: float, address: str, as_json: bool) -> None:
-    """Cap what one broker is lent of a limit."""
+    """Cap the part of a limit that is lent to one broker."""
     answer = call(address, "POST", f"/limits/lend/{limit}/{holder}/{most}")
-    _print(answer, as_json, f"{holder} gets {most:g} of {limit} at the most")
+    _print_answer(answer, as_json, f"{holder} gets {most:g} of {limit} at the most")
 
 
 @limits.command(
@@ -108,9 +109,9 @@
 @address_option
 @json_option
 def recall(limit: str, holder: str, address: str, as_json: bool) -> None:
-    """Lend one broker nothing of a limit any more."""
+    """Stop lending a part of a limit to one broker."""
     answer = call(address, "POST", f"/limits/recall/{limit}/{holder}")
-    _print(answer, as_json, f"{holder} gets nothing of {limit} when its lease has ended")
+    _print_answer(answer, as_json, f"{holder} gets nothing of {limit} when its lease has ended")
 
 
 @click.group()
@@ -146,7 +147,7 @@
     ]
     text = table(VERDICT_COLUMNS, ejected)
     text += "\n\n" + table(["engine", "word", "version", "by", "holds"], overrides)
-    _print(answer, as_json, text)
+    _print_answer(answer, as_json, text)
 
 
 def _override_row(override: dict[str, Any], holds: str) -> list[str]:
@@ -160,7 +161,7 @@
     @json_option
     def override(uid: str, address: str, as_json: bool) -> None:
         answer = call(address, "POST", f"/verdicts/{value}/{uid}")
-        _print(answer, as_json, f"{uid}: {answer['word']}, version {answer['version']}")
+        _print_answer(answer, as_json, f"{uid}: {answer['word']}, version {answer['version']}")
 
 
 _add_override_command("clear", "Use the engine again, everywhere; a verdict on it ends.")
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -21,20 +21,20 @@
     from ..operator_config.settings import OperatorConfig
     from ..server.node import Node
 
-# Pause in the imports of a process that starts while another one of this broker serves: without it
-# the start would take the only core from the event loop of the other process.
+# Pause before the imports of a process that starts while another process of this broker serves.
+# Without the pause the imports would take the only core from the event loop of the other process.
 IMPORT_PAUSE_S = 0.15
-EXIT_BAD_CONFIGURATION = 2
+EXIT_INVALID_CONFIGURATION = 2
 
 
 @contextmanager
-def _configuration_errors() -> Iterator[None]:
-    """Turn bad configuration into one line that names the key, and exit code 2."""
+def _exit_on_configuration_error() -> Iterator[None]:
+    """On an invalid configuration, print one line that names the key and exit with code 2."""
     try:
         yield
     except ConfigError as error:
         print(f"larchhall: {error}", file=sys.stderr)
-        sys.exit(EXIT_BAD_CONFIGURATION)
+        sys.exit(EXIT_INVALID_CONFIGURATION)
 
 
 @click.group(invoke_without_command=True)
@@ -42,7 +42,7 @@
 def main(context: click.Context) -> None:
     """A broker that shares a pool of data engines fairly. Without a command it serves."""
     if context.invoked_subcommand is None:
-        # Click reads the environment only for the options of a command that is named.
+        # Click reads environment variables only for the options of an explicitly named command.
         context.invoke(serve, operator_file=os.environ.get("PROXY_OPERATOR_FILE", ""))
 
 
@@ -57,7 +57,7 @@
 def serve(operator_file: str) -> None:
     """Serve clients until SIGTERM."""
     remember_early_hangups()
-    with _configuration_errors():
+    with _exit_on_configuration_error():
         config = load(os.environ)
         if config.accept_fd is not None:
             time.sleep(IMPORT_PAUSE_S)
@@ -71,7 +71,7 @@
 
 
 def _read_operator_file(path: str) -> OperatorConfig:
-    """Evaluate the operators' file; its modules are loaded only where there is one."""
+    """Evaluate the operators' file; its modules are imported only if there is such a file."""
     from ..operator_config.script import OperatorFileError, evaluate
 
     try:
@@ -101,7 +101,7 @@
 )
 def check_config(operator_file: str) -> None:
     """Read the configuration, say what it holds, and do nothing."""
-    with _configuration_errors():
+    with _exit_on_configuration_error():
         config = load(os.environ)
         operator_config = _read_operator_file(operator_file) if operator_file else None
     click.echo(
@@ -115,7 +115,7 @@
 
 
 def _describe_bounds(config: Config, operator_config: OperatorConfig) -> Iterator[str]:
-    """Yield lines on the bounds that follow from the operators' file for this installation."""
+    """Yield lines on the bounds that the operators' file sets for this installation."""
     fleet_size = config.settings.fleet_size
     if operator_config.startup is not None:
         from ..startup.bounds import describe_bounds as describe_startup
@@ -180,7 +180,7 @@
 @main.command()
 def version() -> None:
     """Print the versions of larchhall and of what it runs on."""
-    # Imported with the rest it would take a sixth of a start's processor time.
+    # Imported here, since this import takes a sixth of the processor time of a start.
     from importlib.metadata import PackageNotFoundError
     from importlib.metadata import version as installed
 
--- a/query_broker/cli/members.py
+++ b/query_broker/cli/members.py
@@ -1,4 +1,4 @@
-"""`query-broker members ...`: commands for the membership of the brokers."""
+"""`query-broker members ...`: commands for the membership."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 @address_option
 @json_option
 def show(address: str, as_json: bool) -> None:
-    """Print the view and one row for each member."""
+    """Print the view, and one row for each member."""
     answer = call(address, "GET", "/members")
     if as_json:
         print_json(answer)
         return
     click.echo(f"{_summary(answer)}\n")
-    click.echo(table(MEMBER_COLUMNS, [_row(member) for member in answer["members"]]))
+    click.echo(table(MEMBER_COLUMNS, [_member_row(member) for member in answer["members"]]))
 
 
 def _summary(answer: dict[str, Any]) -> str:
@@ -51,7 +51,7 @@
     )
 
 
-def _row(member: dict[str, Any]) -> list[str]:
+def _member_row(member: dict[str, Any]) -> list[str]:
     return [
         member["address"],
         member["status"],
