--- a/tests/startup/broker_processes.py
+++ b/tests/startup/broker_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of this program whose start is watched, and the emulated system around them."""
+"""Broker processes for tests of the start, and the emulated system around them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ..support import deployments
 from ..support.sockets import HANG
 
-#: The directive of a start that takes a second or two; further options go into the braces.
+#: The directive of a start that takes one or two seconds; the braces are replaced by more options.
 FAST_START = (
     "start(list_connects = 100, list_wait = 0.5, contact_wait = 0.5, engine_probes = 200, "
     "ramp = 1, floor = 0.25{})"
@@ -26,7 +26,7 @@
 
 @asynccontextmanager
 async def emulated_cluster(*uids: str) -> AsyncIterator[EmulatedCluster]:
-    """A cluster with these endpoints and a discovery service."""
+    """Run a cluster with these endpoints and a discovery service."""
     cluster = EmulatedCluster()
     await cluster.start(*uids)
     try:
@@ -37,7 +37,7 @@
 
 @asynccontextmanager
 async def discovery_link(cluster: EmulatedCluster, *faults: Fault) -> AsyncIterator[FaultyLink]:
-    """A link to the cluster's discovery service, with these faults from now on."""
+    """Run a link to the cluster's discovery service with these faults."""
     schedule = FaultSchedule(list(faults), time.monotonic)
     link = FaultyLink("bus", HOST, cluster.discovery_port, schedule)
     await link.start()
@@ -47,12 +47,15 @@
         link.stop()
 
 
-def raw_config_of(
+def make_raw_config(
     cluster: EmulatedCluster, link: FaultyLink | None = None, **changes: Any
 ) -> dict[str, Any]:
-    """The settings of brokers that have their endpoint list from the discovery service alone.
+    """Return the configuration of brokers that know endpoints only from the discovery service.
 
-    They reach it over the link if there is one; the changes are of platform settings.
+    Args:
+        cluster: The cluster that the brokers use.
+        link: The link to the discovery service; None for a direct connection.
+        changes: Changed platform settings.
     """
     settings = {**deployments.WAREHOUSE, "fleet_size": 4}
     raw_config = broker_config(cluster, f"{HOST}:1", **settings)
@@ -65,7 +68,7 @@
 
 @contextmanager
 def fast_fleet(count: int, raw_config: dict[str, Any], options: str = "") -> Iterator[BrokerFleet]:
-    """Processes that start fast, with further options of the directive; none runs yet."""
+    """Create processes with a fast start and options for its directive; none runs yet."""
     with BrokerFleet(count, raw_config, FAST_START.format(options)) as brokers:
         yield brokers
 
@@ -73,10 +76,10 @@
 async def wait_for_status(
     broker: BrokerProcess, predicate: Callable[[dict[str, Any]], bool]
 ) -> dict[str, Any]:
-    """The status of its start, once the predicate holds of it."""
-    give_up_at_s = time.monotonic() + HANG
+    """Return the status of a broker's start once the predicate is true for it."""
+    deadline_s = time.monotonic() + HANG
     status: dict[str, Any] = {}
-    while time.monotonic() < give_up_at_s:
+    while time.monotonic() < deadline_s:
         try:
             status = await asyncio.to_thread(broker.status)
         except OSError:
@@ -88,22 +91,22 @@
 
 
 def is_at_stage(stage: str) -> Callable[[dict[str, Any]], bool]:
-    """Holds of a start that is at this stage."""
+    """Return a predicate for a start that is at this stage."""
     return lambda status: status["stage"] == stage
 
 
-def is_full_with(listed: int) -> Callable[[dict[str, Any]], bool]:
-    """Holds of a start that is over, with so many endpoints in the list."""
+def is_complete_with(listed: int) -> Callable[[dict[str, Any]], bool]:
+    """Return a predicate for a completed start with this number of listed endpoints."""
     return lambda status: status["stage"] == "full" and status["listed"] == listed
 
 
 def is_ready(status: dict[str, Any]) -> bool:
-    """Holds of a broker that admits requests."""
+    """Return whether the broker is ready for requests."""
     return bool(status["ready"])
 
 
 async def save_snapshot(raw_config: dict[str, Any], options: str) -> None:
-    """One broker starts, has the endpoint list, and ends."""
+    """Let one broker start, receive the endpoint list, save it and end."""
     with fast_fleet(1, raw_config, options) as brokers:
         broker = brokers.processes[0]
         brokers.start()
@@ -112,8 +115,8 @@
         await asyncio.to_thread(broker.wait, HANG)
 
 
-async def codes_of_lookups(broker: BrokerProcess, count: int) -> list[int]:
-    """The answers to so many cheap lookups, sent at once on one connection."""
+async def collect_lookup_codes(broker: BrokerProcess, count: int) -> list[int]:
+    """Return the answer codes of cheap lookups, sent at once on one connection."""
     request_log = RequestLog(HOST, broker.port)
     for _ in range(count):
         await request_log.send_request("", "glance", 2, 4_000 * MS)
--- a/tests/startup/test_call_pacing.py
+++ b/tests/startup/test_call_pacing.py
@@ -1,4 +1,4 @@
-"""The pace of calls of a fleet that starts: first calls, retries, health checks, rate limits."""
+"""Call pacing of a starting fleet: first calls, retries, health checks and rate limits."""
 
 from __future__ import annotations
 
@@ -10,97 +10,106 @@
 from query_broker.startup.settings import NS_PER_SECOND
 
 
-def most_calls_in_a_second(times: list[int]) -> int:
-    """The calls of the busiest second, wherever it begins."""
-    ordered = sorted(times)
+def max_calls_in_any_second(times_ns: list[int]) -> int:
+    """Return the number of calls in the busiest interval of one second."""
+    ordered_ns = sorted(times_ns)
     first = 0
-    most = 0
-    for last, at_ns in enumerate(ordered):
-        while ordered[first] <= at_ns - NS_PER_SECOND:
+    max_count = 0
+    for last, at_ns in enumerate(ordered_ns):
+        while ordered_ns[first] <= at_ns - NS_PER_SECOND:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        max_count = max(max_count, last - first + 1)
+    return max_count
 
 
-@pytest.mark.parametrize("fleet", [1, 10, 300, 1_000])
+@pytest.mark.parametrize("fleet_size", [1, 10, 300, 1_000])
 @pytest.mark.parametrize(
-    ("part", "within"),
+    ("started_fraction", "spread_ns"),
     [
         pytest.param(1.0, 0, id="all at one moment"),
         pytest.param(0.5, NS_PER_SECOND, id="half within a second"),
         pytest.param(0.1, 30 * NS_PER_SECOND, id="a tenth within 30 seconds"),
     ],
 )
-def test_first_calls_stay_under_the_rate_whoever_starts_and_when(
-    fleet: int, part: float, within: int
+def test_first_calls_stay_within_the_rate_for_any_subset_of_brokers_and_any_start_times(
+    fleet_size: int, started_fraction: float, spread_ns: int
 ) -> None:
-    """Without pacing, 300 brokers that start at one moment call at one moment."""
-    draw = random.Random(fleet)
-    started = [place for place in range(fleet) if place == 0 or draw.random() < part]
-    began = [1_796_000_000 * NS_PER_SECOND + int(draw.random() * within) for _ in started]
+    """Without pacing, 300 brokers that start at once would call at once."""
+    rng = random.Random(fleet_size)
+    started = [
+        broker_index
+        for broker_index in range(fleet_size)
+        if broker_index == 0 or rng.random() < started_fraction
+    ]
+    started_at_ns = [1_796_000_000 * NS_PER_SECOND + int(rng.random() * spread_ns) for _ in started]
     calls = [
-        pacing.PacedCalls(place, fleet, 50.0, draw.random).first_call_ns(now)
-        for place, now in zip(started, began, strict=True)
+        pacing.PacedCalls(broker_index, fleet_size, 50.0, rng.random).first_call_ns(now_ns)
+        for broker_index, now_ns in zip(started, started_at_ns, strict=True)
     ]
-    assert most_calls_in_a_second(calls) <= 52
+    assert max_calls_in_any_second(calls) <= 52
     assert all(
-        0 <= at - now <= pacing.call_window_ns(fleet, 50.0)
-        for at, now in zip(calls, began, strict=True)
+        0 <= at - now_ns <= pacing.call_window_ns(fleet_size, 50.0)
+        for at, now_ns in zip(calls, started_at_ns, strict=True)
     )
 
 
 @pytest.mark.parametrize(
-    "configured", [100, 300, 900], ids=["a third", "right", "three times as many"]
+    "configured_size", [100, 300, 900], ids=["a third", "right", "three times as many"]
 )
-def test_a_fleet_size_that_is_wrong_by_three_costs_three_times_at_the_most(
-    configured: int,
+def test_fleet_size_wrong_by_a_factor_of_three_raises_the_rate_at_most_threefold(
+    configured_size: int,
 ) -> None:
-    draw = random.Random(configured)
+    rng = random.Random(configured_size)
     calls = [
-        pacing.PacedCalls(place, configured, 50.0, draw.random).first_call_ns(0)
-        for place in range(300)
+        pacing.PacedCalls(broker_index, configured_size, 50.0, rng.random).first_call_ns(0)
+        for broker_index in range(300)
     ]
-    assert most_calls_in_a_second(calls) <= 52 * max(1, 300 // configured)
-
-
-def test_a_fleet_that_fails_together_stays_under_the_rate_and_calls_less_and_less() -> None:
-    draw = random.Random(5)
-    times: list[int] = []
-    for place in range(300):
-        calls = pacing.PacedCalls(place, 300, 50.0, draw.random)
-        now = calls.first_call_ns(int(draw.random() * NS_PER_SECOND))
-        while now < 120 * NS_PER_SECOND:
-            times.append(now)
-            now = calls.retry_ns(now)
-    assert most_calls_in_a_second(times) <= 52
-    late = [at for at in times if at > 60 * NS_PER_SECOND]
-    assert len(late) / 60 < 30
-    alone = pacing.PacedCalls(0, 1, 50.0, draw.random)
-    now = 0
-    waits = []
+    assert max_calls_in_any_second(calls) <= 52 * max(1, 300 // configured_size)
+
+
+def test_fleet_with_failing_calls_stays_within_the_rate_and_calls_less_often() -> None:
+    rng = random.Random(5)
+    times_ns: list[int] = []
+    for broker_index in range(300):
+        calls = pacing.PacedCalls(broker_index, 300, 50.0, rng.random)
+        now_ns = calls.first_call_ns(int(rng.random() * NS_PER_SECOND))
+        while now_ns < 120 * NS_PER_SECOND:
+            times_ns.append(now_ns)
+            now_ns = calls.retry_ns(now_ns)
+    assert max_calls_in_any_second(times_ns) <= 52
+    late_ns = [at for at in times_ns if at > 60 * NS_PER_SECOND]
+    assert len(late_ns) / 60 < 30
+    alone = pacing.PacedCalls(0, 1, 50.0, rng.random)
+    now_ns = 0
+    waits_ns = []
     for _ in range(60):
-        waits.append(alone.retry_ns(now) - now)
-        now += waits[-1]
-    assert max(waits) <= 6 * pacing.MIN_WINDOW_NS  # one broker alone is back at once
+        waits_ns.append(alone.retry_ns(now_ns) - now_ns)
+        now_ns += waits_ns[-1]
+    assert max(waits_ns) <= 6 * pacing.MIN_WINDOW_NS  # a single broker retries soon
     alone.succeeded()
     assert alone.failure_count == 0
 
 
 def test_health_checks_of_one_endpoint_and_of_one_broker_are_both_spread() -> None:
-    first = random.Random(7).randrange(1 << 32)
-    endpoints = range(first, first + 40)
-    of_endpoint = [pacing.probe_slot_ns(place, first, place, 300, 20.0) for place in range(300)]
-    of_broker = [pacing.probe_slot_ns(0, endpoint, 3, 300, 20.0) for endpoint in endpoints]
-    assert most_calls_in_a_second(of_endpoint) <= 22
-    assert len(set(of_broker)) == len(endpoints)
-
-
-@pytest.mark.parametrize("rate", [1.0, 20.0, 5_000.0])
-def test_a_rate_limiter_admits_its_rate_and_saves_up_a_second_at_the_most(rate: float) -> None:
-    limiter = pacing.RateLimiter(rate, 0)
-    passed: list[int] = []
-    for now in range(0, 20 * NS_PER_SECOND, NS_PER_SECOND // 1_000):
-        if not 5 * NS_PER_SECOND < now < 15 * NS_PER_SECOND:  # none comes in between
-            passed += [now] * limiter.try_acquire(now)
-    assert most_calls_in_a_second(passed) <= 2 * rate + 1
-    assert len([at for at in passed if at < 5 * NS_PER_SECOND]) >= min(0.9 * 5 * rate, 4_000)
+    first_endpoint = random.Random(7).randrange(1 << 32)
+    endpoints = range(first_endpoint, first_endpoint + 40)
+    slots_at_endpoint = [
+        pacing.probe_slot_ns(broker_index, first_endpoint, broker_index, 300, 20.0)
+        for broker_index in range(300)
+    ]
+    slots_of_broker = [pacing.probe_slot_ns(0, endpoint, 3, 300, 20.0) for endpoint in endpoints]
+    assert max_calls_in_any_second(slots_at_endpoint) <= 22
+    assert len(set(slots_of_broker)) == len(endpoints)
+
+
+@pytest.mark.parametrize("rate_per_s", [1.0, 20.0, 5_000.0])
+def test_rate_limiter_keeps_its_rate_and_accumulates_at_most_one_second(rate_per_s: float) -> None:
+    limiter = pacing.RateLimiter(rate_per_s, 0)
+    admitted_ns: list[int] = []
+    for now_ns in range(0, 20 * NS_PER_SECOND, NS_PER_SECOND // 1_000):
+        if not 5 * NS_PER_SECOND < now_ns < 15 * NS_PER_SECOND:  # a pause without calls
+            admitted_ns += [now_ns] * limiter.try_acquire(now_ns)
+    assert max_calls_in_any_second(admitted_ns) <= 2 * rate_per_s + 1
+    assert len([at for at in admitted_ns if at < 5 * NS_PER_SECOND]) >= min(
+        0.9 * 5 * rate_per_s, 4_000
+    )
--- a/tests/startup/test_client_gate.py
+++ b/tests/startup/test_client_gate.py
@@ -1,4 +1,4 @@
-"""New clients of a starting broker are read one after the other."""
+"""Rate limit on reading from the new clients of a starting broker."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from ..support.helpers import MS, S
 
-BEGIN_NS = 100 * S
+START_NS = 100 * S
 INTERVAL_NS = 100 * MS
 
 
@@ -27,26 +27,26 @@
         self.is_read = True
 
 
-def test_clients_that_come_together_are_read_at_the_rate_in_their_order() -> None:
-    """Past fix 54c06ff: all of them were read at once, and the answers to each came late."""
-    gate = ClientGate(RateLimiter(S / INTERVAL_NS, BEGIN_NS))
+def test_simultaneous_clients_are_read_in_order_at_the_rate() -> None:
+    """Reading all clients at once delayed the answers to each of them (fixed in 54c06ff)."""
+    gate = ClientGate(RateLimiter(S / INTERVAL_NS, START_NS))
     clients = [RecordingClient() for _ in range(4)]
     for client in clients:
-        gate.connected(cast(ClientConnection, client), BEGIN_NS)
+        gate.connected(cast(ClientConnection, client), START_NS)
     assert [client.is_read for client in clients] == [True, False, False, False]
-    gate.release_due(BEGIN_NS + INTERVAL_NS)
+    gate.release_due(START_NS + INTERVAL_NS)
     assert [client.is_read for client in clients] == [True, True, False, False]
     gate.release_all()
     assert all(client.is_read for client in clients)
 
 
-def test_a_client_that_comes_behind_deferred_ones_is_not_read_before_them() -> None:
-    gate = ClientGate(RateLimiter(S / INTERVAL_NS, BEGIN_NS))
+def test_new_client_is_not_read_before_deferred_clients() -> None:
+    gate = ClientGate(RateLimiter(S / INTERVAL_NS, START_NS))
     first, deferred, last = (RecordingClient() for _ in range(3))
-    gate.connected(cast(ClientConnection, first), BEGIN_NS)
-    gate.connected(cast(ClientConnection, deferred), BEGIN_NS)
-    gate.connected(cast(ClientConnection, last), BEGIN_NS + INTERVAL_NS)
+    gate.connected(cast(ClientConnection, first), START_NS)
+    gate.connected(cast(ClientConnection, deferred), START_NS)
+    gate.connected(cast(ClientConnection, last), START_NS + INTERVAL_NS)
     assert not last.is_read
-    gate.release_due(BEGIN_NS + INTERVAL_NS)
+    gate.release_due(START_NS + INTERVAL_NS)
     assert deferred.is_read
     assert not last.is_read
--- a/tests/startup/test_directives.py
+++ b/tests/startup/test_directives.py
@@ -1,4 +1,4 @@
-"""The operators' directive `start`, and the lines of `check-config` on it."""
+"""The operators' directive `start`, and the lines that `check-config` prints about it."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
         ),
     ],
 )
-def test_a_bad_argument_names_its_key(text: str, key: str) -> None:
-    with pytest.raises(OperatorFileError) as fault:
+def test_error_of_an_invalid_argument_names_its_key(text: str, key: str) -> None:
+    with pytest.raises(OperatorFileError) as caught:
         run_script("ops.star", text, lambda: False)
-    assert f": {key}: " in str(fault.value)
+    assert f": {key}: " in str(caught.value)
 
 
-def test_the_lines_of_check_config_name_the_windows_of_this_fleet() -> None:
-    text = describe_bounds(StartupSettings(snapshot_path="/x"), 7, 300)
-    assert "place 7 of 300" in text[0]
-    assert "at 0.14 s of each" in text[0]
-    assert "6.00 s" in text[0]
-    assert any("time-out ends this stage" in line for line in text)
-    assert "/x" in text[-1]
+def test_check_config_lines_contain_the_call_windows_of_the_fleet() -> None:
+    lines = describe_bounds(StartupSettings(snapshot_path="/x"), 7, 300)
+    assert "place 7 of 300" in lines[0]
+    assert "at 0.14 s of each" in lines[0]
+    assert "6.00 s" in lines[0]
+    assert any("time-out ends this stage" in line for line in lines)
+    assert "/x" in lines[-1]
--- a/tests/startup/test_endpoint_snapshot.py
+++ b/tests/startup/test_endpoint_snapshot.py
@@ -1,4 +1,4 @@
-"""The file of an endpoint snapshot: what is read, and what is never acted on."""
+"""The text of an endpoint snapshot: what is read and what is rejected."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 )
 
 
-def test_a_snapshot_is_read_as_it_was_written_and_is_a_watch_event() -> None:
+def test_decoded_snapshot_equals_the_encoded_one_and_forms_a_watch_event() -> None:
     read = decode(encode(SNAPSHOT), "atlanta", READ_AT_NS, MAX_AGE_NS)
     assert read == SNAPSHOT
     assert read.event()["topology"]["all"] is True
 
 
-def test_one_cut_at_any_byte_is_never_acted_on() -> None:
+def test_snapshot_truncated_at_any_byte_is_rejected() -> None:
     text = encode(SNAPSHOT)
-    for at in range(len(text) - 1):
+    for position in range(len(text) - 1):
         with pytest.raises(EndpointSnapshotError):
-            decode(text[:at], "atlanta", READ_AT_NS, MAX_AGE_NS)
+            decode(text[:position], "atlanta", READ_AT_NS, MAX_AGE_NS)
 
 
-def test_one_altered_at_any_byte_is_never_acted_on() -> None:
+def test_snapshot_altered_at_any_byte_is_rejected() -> None:
     text = encode(SNAPSHOT)
-    for at in range(len(text) - 1):
-        altered = text[:at] + chr(ord(text[at]) ^ 1) + text[at + 1 :]
+    for position in range(len(text) - 1):
+        altered = text[:position] + chr(ord(text[position]) ^ 1) + text[position + 1 :]
         with pytest.raises(EndpointSnapshotError):
             decode(altered, "atlanta", READ_AT_NS, MAX_AGE_NS)
 
@@ -48,25 +48,25 @@
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
-        pytest.param({"installation": "mombasa"}, "installation", id="of another installation"),
+        pytest.param({"installation": "mombasa"}, "installation", id="another installation"),
         pytest.param({"now_ns": 5_000 * NS_PER_SECOND}, "old", id="too old"),
-        pytest.param({"now_ns": 900 * NS_PER_SECOND}, "clock", id="of the future"),
+        pytest.param({"now_ns": 900 * NS_PER_SECOND}, "clock", id="saved in the future"),
     ],
 )
-def test_a_foreign_an_old_and_a_future_snapshot_are_named(
+def test_error_names_another_installation_or_an_invalid_age(
     change: dict[str, Any], reason: str
 ) -> None:
-    given: dict[str, Any] = {
+    arguments: dict[str, Any] = {
         "installation": "atlanta",
         "now_ns": READ_AT_NS,
         "max_age_ns": MAX_AGE_NS,
         **change,
     }
     with pytest.raises(EndpointSnapshotError, match=reason):
-        decode(encode(SNAPSHOT), **given)
+        decode(encode(SNAPSHOT), **arguments)
 
 
-def test_a_newer_format_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_error_names_a_newer_format_version(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint_snapshot, "FORMAT_VERSION", 2)
     text = encode(SNAPSHOT)
     monkeypatch.undo()
--- a/tests/startup/test_processes.py
+++ b/tests/startup/test_processes.py
@@ -1,4 +1,4 @@
-"""Starts of real processes: their stages, their ramps, and what is done to them meanwhile."""
+"""Starts of broker processes: stages, ramps, and signals, crashes and load during them."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from ..support.sockets import HANG, Engine, on_uvloop, until
 from .broker_processes import (
     FAST_START,
-    codes_of_lookups,
+    collect_lookup_codes,
     emulated_cluster,
     fast_fleet,
     is_at_stage,
-    is_full_with,
+    is_complete_with,
     is_ready,
-    raw_config_of,
+    make_raw_config,
     wait_for_status,
 )
 
@@ -31,12 +31,12 @@
 
 
 @on_uvloop
-async def test_endpoints_that_accept_and_never_answer_delay_no_start() -> None:
+async def test_silent_endpoints_delay_a_start_only_until_the_contact_timeout() -> None:
     async with emulated_cluster("s-1") as cluster:
         silent = Engine(lambda *_: None)
         port = await silent.start()
         cluster.discovery.publish(target_entry("s-2", port), target_entry("s-3", port))
-        with fast_fleet(3, raw_config_of(cluster)) as brokers:
+        with fast_fleet(3, make_raw_config(cluster)) as brokers:
             brokers.start()
             for broker in brokers.processes:
                 status = await wait_for_status(broker, is_ready)
@@ -47,7 +47,7 @@
 @on_uvloop
 async def test_half_of_them_killed_in_the_ramp_and_a_paused_one_that_wakes_all_get_there() -> None:
     async with emulated_cluster("s-1", "s-2", "s-3") as cluster:
-        with fast_fleet(4, raw_config_of(cluster)) as brokers:
+        with fast_fleet(4, make_raw_config(cluster)) as brokers:
             brokers.start()
             for broker in brokers.processes:
                 await wait_for_status(broker, is_ready)
@@ -63,29 +63,29 @@
             machines = [engine.machine for engine in cluster.engines.values()]
             await until(lambda: any(machine.running for machine in machines))
             paused.signal(signal.SIGSTOP)
-            cluster.drain("s-3")  # it sleeps over this
+            cluster.drain("s-3")  # while the broker is paused
             await asyncio.sleep(2.0)
             paused.signal(signal.SIGCONT)
             await request_log.wait_until_idle(HANG)
             assert [record.answer_count for record in in_flight] == [1, 1, 1]
             request_log.close()
             for broker in brokers.processes:
-                status = await wait_for_status(broker, is_full_with(listed=2))
+                status = await wait_for_status(broker, is_complete_with(listed=2))
                 assert status["share"] == 1.0
-            assert await codes_of_lookups(paused, 30) == [frames.SERVED] * 30
+            assert await collect_lookup_codes(paused, 30) == [frames.SERVED] * 30
             assert cluster.queries_after_drain(550 * MS) == 0
 
 
 @pytest.mark.parametrize("stage", ["list", "contact", "ramp"])
 @on_uvloop
-async def test_signals_at_every_stage_stop_or_reload_and_hang_nothing(stage: str) -> None:
+async def test_signals_at_every_stage_reload_and_stop_a_broker(stage: str) -> None:
     long_start = (
         FAST_START.replace("contact_wait = 0.5", "contact_wait = 30")
         .replace("ramp = 1", "ramp = 60")
         .replace("floor = 0.25{}", "floor = 0.01, contact_part = 0.9")
     )
     async with emulated_cluster("s-1") as cluster:
-        raw_config = raw_config_of(cluster, fleet_size=1)
+        raw_config = make_raw_config(cluster, fleet_size=1)
         silent = Engine(lambda *_: None)
         port = await silent.start()
         if stage == "list":
@@ -105,12 +105,12 @@
 
 
 @on_uvloop
-async def test_new_clients_and_new_connections_to_endpoints_are_admitted_one_by_one() -> None:
-    """A dispatcher in front of the brokers that finds one again hands it everything at once."""
+async def test_new_clients_and_connections_to_endpoints_are_rate_limited_in_the_ramp() -> None:
+    """A front end that reconnects to a broker sends all its queued requests at once."""
     long_ramp = FAST_START.replace("ramp = 1", "ramp = 60")
     options = ", accepts = 20, engine_connects = 4"
     async with emulated_cluster("s-1") as cluster:
-        raw_config = raw_config_of(cluster, fleet_size=2)
+        raw_config = make_raw_config(cluster, fleet_size=2)
         connected_at_s: list[float] = []
         cluster.engines["s-1"].connection_observer = connected_at_s.append
         with BrokerFleet(2, raw_config, long_ramp.format(options)) as brokers:
@@ -118,7 +118,7 @@
             broker = brokers.processes[0]
             await wait_for_status(broker, is_ready)
             clients = [RequestLog("127.0.0.1", broker.port) for _ in range(30)]
-            began_at_s = time.monotonic()
+            started_at_s = time.monotonic()
             for client in clients:
                 await client.send_request("", "glance", 1, 8_000 * MS)
             for client in clients:
@@ -127,18 +127,18 @@
             assert all(record.answer_count == 1 for record in records)
             answered_ns = sorted(record.answered_ns for record in records)
             assert answered_ns[-1] - answered_ns[0] > 0.1e9
-            assert time.monotonic() - began_at_s < HANG
+            assert time.monotonic() - started_at_s < HANG
             text = (await asyncio.to_thread(broker.call_admin_api, "/metrics"))[1].decode()
             assert 'edge_proxy_start_seconds{stage="contact"}' in text
             assert "edge_proxy_start_share" in text
             for client in clients:
                 client.close()
-        early_connections = [at_s for at_s in connected_at_s if at_s < began_at_s + 0.2]
+        early_connections = [at_s for at_s in connected_at_s if at_s < started_at_s + 0.2]
         assert len(early_connections) <= 12
 
 
 async def send_lookups_of_both_tenants(request_log: RequestLog, count: int) -> None:
-    """Lookups of acme and other in turn, all of them answered."""
+    """Send lookups of acme and other in turn, and wait for all answers."""
     for number in range(count):
         tenant = ("acme", "other")[number % 2]
         await request_log.send_request(tenant, "glance", 2, 4_000 * MS)
@@ -146,7 +146,7 @@
 
 
 @on_uvloop
-async def test_with_cells_each_cell_ramps_and_serves() -> None:
+async def test_each_cell_ramps_and_serves() -> None:
     cells = (
         '\nepoch(1)\ncell("a", engines = ["s-1"])\ncell("b", engines = ["s-2"])\n'
         'default_cell("a")\n'
@@ -154,7 +154,7 @@
     )
     tenants = [{"name": "acme"}, {"name": "other"}]
     async with emulated_cluster("s-1", "s-2") as cluster:
-        raw_config = raw_config_of(cluster, fleet_size=1, tenants=tenants)
+        raw_config = make_raw_config(cluster, fleet_size=1, tenants=tenants)
         with BrokerFleet(1, raw_config, FAST_START.format("") + cells) as brokers:
             brokers.start()
             broker = brokers.processes[0]
@@ -163,7 +163,7 @@
             assert (await asyncio.to_thread(broker.call_admin_api, "/cells"))[0] == 200
             request_log = RequestLog("127.0.0.1", broker.port)
             await send_lookups_of_both_tenants(request_log, 20)
-            # What does not fit into the ramp is rejected at once.
+            # Requests beyond the open part of the admission are rejected at once.
             codes_in_ramp = {record.code for record in request_log.records}
             assert codes_in_ramp <= {frames.SERVED, frames.REFUSED}
             await wait_for_status(broker, is_at_stage("full"))
@@ -174,11 +174,11 @@
 
 
 @on_uvloop
-async def test_all_endpoints_and_all_brokers_starting_at_once_overload_nothing() -> None:
+async def test_simultaneous_start_of_all_endpoints_and_brokers_crashes_no_endpoint() -> None:
     async with emulated_cluster("s-0") as cluster:
         await cluster.add("s-1", "s-2", "s-3", cold=True)
         cluster.terminate("s-0")
-        with fast_fleet(4, raw_config_of(cluster)) as brokers:
+        with fast_fleet(4, make_raw_config(cluster)) as brokers:
             brokers.start()
             clients = []
             for broker in brokers.processes:
--- a/tests/startup/test_saved_snapshots.py
+++ b/tests/startup/test_saved_snapshots.py
@@ -1,4 +1,4 @@
-"""Starts from the endpoint snapshot on disk, and disks that hold none or a bad one."""
+"""Starts from the endpoint snapshot on disk, with unusable snapshots and failing disks."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     fast_fleet,
     is_at_stage,
     is_ready,
-    raw_config_of,
+    make_raw_config,
     save_snapshot,
     wait_for_status,
 )
@@ -37,21 +37,21 @@
 
 
 async def wait_for_log(broker: BrokerProcess, text: str) -> None:
-    """The broker's log holds this text."""
+    """Wait until the log of the broker contains a text."""
     await until(lambda: text in broker.log())
 
 
 @on_uvloop
-async def test_the_snapshot_serves_idempotent_requests_alone_until_it_is_confirmed(
+async def test_unconfirmed_snapshot_serves_only_idempotent_requests(
     tmp_path: Path,
 ) -> None:
-    """An address in the snapshot may be another endpoint's by now."""
+    """An address in the snapshot may have been reassigned to another endpoint."""
     options = f', last_list = "{tmp_path / "list"}", installation = "here"'
     down = Fault(0.0, 5.0, "bus", FaultKind.REJECT)
     async with emulated_cluster("s-1", "s-2") as cluster:
-        await save_snapshot(raw_config_of(cluster, classes=CLASSES), options)
+        await save_snapshot(make_raw_config(cluster, classes=CLASSES), options)
         async with discovery_link(cluster, down) as link:
-            raw_config = raw_config_of(cluster, link, classes=CLASSES)
+            raw_config = make_raw_config(cluster, link, classes=CLASSES)
             with fast_fleet(1, raw_config, options) as brokers:
                 broker = brokers.processes[0]
                 brokers.start()
@@ -59,7 +59,7 @@
                 assert status["list"] == "disk"
                 assert not status["confirmed"]
                 assert status["listed"] == 2
-                # The settings as they are in the file would let non-idempotent requests go.
+                # The reload must not lift the restriction to idempotent requests.
                 broker.signal(signal.SIGHUP)
                 await wait_for_log(broker, "reload: done")
                 request_log = RequestLog("127.0.0.1", broker.port)
@@ -77,20 +77,20 @@
 
 
 @on_uvloop
-async def test_an_address_reassigned_while_all_were_down_gets_idempotent_requests_alone(
+async def test_reassigned_address_receives_only_idempotent_requests(
     tmp_path: Path,
 ) -> None:
     options = f', last_list = "{tmp_path / "list"}"'
     down = Fault(0.0, 2.0, "bus", FaultKind.REJECT)
     async with emulated_cluster("s-1") as cluster:
-        await save_snapshot(raw_config_of(cluster, classes=CLASSES), options)
-        former = cluster.engines["s-1"]  # listens still, and is another engine now
+        await save_snapshot(make_raw_config(cluster, classes=CLASSES), options)
+        former = cluster.engines["s-1"]  # still listens, now as another engine
         async with discovery_link(cluster, down) as link:
             cluster.discovery.publish(
                 {**cluster.discovery.targets["s-1"], "state": "terminated"},
                 target_entry("s-9", former.port),
             )
-            raw_config = raw_config_of(cluster, link, classes=CLASSES)
+            raw_config = make_raw_config(cluster, link, classes=CLASSES)
             with fast_fleet(1, raw_config, options) as brokers:
                 broker = brokers.processes[0]
                 brokers.start()
@@ -112,7 +112,7 @@
 
 
 def snapshot_from_tomorrow() -> str:
-    """The clock has been set back between the runs."""
+    """Return a snapshot as left by a run after which the clock was set back."""
     tomorrow_ns = time.time_ns() + 86_400 * 10**9
     return encode(EndpointSnapshot("", 9, tomorrow_ns, (target_entry("s-9", 9),)))
 
@@ -121,19 +121,19 @@
     "content",
     [
         pytest.param("", id="empty"),
-        pytest.param("larchhall-list 1 00\n{}\n", id="wrong sum"),
-        pytest.param("nonsense", id="no list"),
+        pytest.param("larchhall-list 1 00\n{}\n", id="wrong checksum"),
+        pytest.param("nonsense", id="no header line"),
         pytest.param(snapshot_from_tomorrow(), id="saved tomorrow"),
     ],
 )
 @on_uvloop
-async def test_a_bad_snapshot_is_set_aside_and_the_discovery_service_waited_for(
+async def test_unusable_snapshot_is_renamed_and_the_start_waits_for_discovery(
     tmp_path: Path, content: str
 ) -> None:
     snapshot = tmp_path / "list"
     snapshot.write_text(content)
     async with emulated_cluster("s-1") as cluster:
-        with fast_fleet(1, raw_config_of(cluster), f', last_list = "{snapshot}"') as brokers:
+        with fast_fleet(1, make_raw_config(cluster), f', last_list = "{snapshot}"') as brokers:
             brokers.start()
             status = await wait_for_status(brokers.processes[0], is_ready)
             assert status["list"] == "bus"
@@ -143,10 +143,10 @@
 
 
 @on_uvloop
-async def test_a_folder_that_cannot_be_written_is_logged_and_harms_nothing(tmp_path: Path) -> None:
+async def test_unwritable_folder_is_logged_and_the_broker_serves(tmp_path: Path) -> None:
     options = f', last_list = "{tmp_path}/none/list"'
     async with emulated_cluster("s-1") as cluster:
-        with fast_fleet(1, raw_config_of(cluster), options) as brokers:
+        with fast_fleet(1, make_raw_config(cluster), options) as brokers:
             broker = brokers.processes[0]
             brokers.start()
             await wait_for_status(broker, is_at_stage("full"))
@@ -155,13 +155,13 @@
 
 
 @on_uvloop
-async def test_a_full_disk_costs_the_snapshot_alone(tmp_path: Path) -> None:
-    """The limit on a file's size stands for the disk: each write past it fails, half of it done."""
+async def test_full_disk_only_prevents_saving_the_snapshot(tmp_path: Path) -> None:
+    """A limit on the file size simulates the full disk: a write beyond it is partial and fails."""
     options = f', last_list = "{tmp_path / "list"}"'
     async with emulated_cluster("s-1") as cluster:
         uids = [f"s-{number}" for number in range(2, 300)]
         cluster.discovery.publish(*(target_entry(uid, 9, "terminating") for uid in uids))
-        with fast_fleet(2, raw_config_of(cluster), options) as brokers:
+        with fast_fleet(2, make_raw_config(cluster), options) as brokers:
             brokers.start()
             for broker in brokers.processes:
                 assert broker.process is not None
@@ -170,6 +170,6 @@
                 await wait_for_status(broker, is_at_stage("full"))
                 await wait_for_log(broker, "endpoint snapshot: not saved")
                 assert await broker.is_ready()
-            assert not list(tmp_path.iterdir())  # no half of one is left behind
+            assert not list(tmp_path.iterdir())  # no partial file is left behind
             brokers.processes[0].signal(signal.SIGTERM)
             assert await asyncio.to_thread(brokers.processes[0].wait, HANG) == 0
--- a/tests/startup/test_stages.py
+++ b/tests/startup/test_stages.py
@@ -1,4 +1,4 @@
-"""The stages of a start, on the test's own clock."""
+"""The stages of a start, with simulated time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 SETTINGS = StartupSettings()
 
 
-def test_a_start_with_everything_at_hand() -> None:
+def test_start_with_list_and_answers_passes_all_stages_in_order() -> None:
     stages = StartupStages(SETTINGS, 0)
     stages.settings_read(1, None)
     assert not stages.ready()
@@ -34,7 +34,9 @@
 
 
 @pytest.mark.parametrize("listed", [8, 0], ids=["silent endpoints", "a list without endpoints"])
-def test_silent_endpoints_and_a_list_without_endpoints_delay_no_start(listed: int) -> None:
+def test_silent_endpoints_or_an_empty_list_delay_a_start_only_until_the_timeout(
+    listed: int,
+) -> None:
     stages = StartupStages(SETTINGS, 0)
     stages.settings_read(0, None)
     stages.list_received(0, ListSource.KNOWN, listed)
@@ -45,7 +47,7 @@
     assert "time-out" in stages.completed[-1].reason
 
 
-def test_without_the_discovery_service_the_snapshot_serves() -> None:
+def test_snapshot_is_used_while_discovery_is_unavailable() -> None:
     stages = StartupStages(SETTINGS, 0)
     stages.settings_read(0, 60 * NS_PER_SECOND)
     assert not stages.is_snapshot_due(SETTINGS.list_wait_ns - 1)
@@ -58,53 +60,53 @@
     assert stages.confirmed()
 
 
-def test_without_the_discovery_service_and_a_snapshot_nothing_is_served() -> None:
+def test_start_without_discovery_and_snapshot_never_becomes_ready() -> None:
     stages = StartupStages(SETTINGS, 0)
     stages.settings_read(0, None)
-    for now in range(0, 4_000 * NS_PER_SECOND, 50 * NS_PER_SECOND):
-        stages.tick(now)
+    for now_ns in range(0, 4_000 * NS_PER_SECOND, 50 * NS_PER_SECOND):
+        stages.tick(now_ns)
         assert not stages.ready()
-        assert not stages.is_snapshot_due(now)
+        assert not stages.is_snapshot_due(now_ns)
         assert stages.waits_for() == "the bus"
 
 
-def apply_event(stages: StartupStages, event: str, now: int) -> None:
-    """One of the events that may come in any order."""
+def apply_event(stages: StartupStages, event: str, now_ns: int) -> None:
+    """Apply one of the events that may arrive in any order."""
     match event:
         case "known":
-            stages.list_received(now, ListSource.KNOWN, 4)
+            stages.list_received(now_ns, ListSource.KNOWN, 4)
         case "bus":
-            stages.list_received(now, ListSource.BUS, 4)
+            stages.list_received(now_ns, ListSource.BUS, 4)
         case "disk":
-            if stages.is_snapshot_due(now):
-                stages.list_received(now, ListSource.DISK, 4)
+            if stages.is_snapshot_due(now_ns):
+                stages.list_received(now_ns, ListSource.DISK, 4)
         case "contact":
-            stages.endpoints_contacted(now, 4, 4)
+            stages.endpoints_contacted(now_ns, 4, 4)
         case "full":
-            stages.ramp_advanced(now, 1.0)
+            stages.ramp_advanced(now_ns, 1.0)
         case "skip":
-            stages.skip(now, "beside")
+            stages.skip(now_ns, "beside")
 
 
 def stage_number(stages: StartupStages) -> int:
-    """The place of its stage in their order."""
+    """Return the position of the present stage in the order of the stages."""
     return list(Stage).index(stages.stage)
 
 
-def test_no_order_of_events_leads_back_or_is_ready_without_a_list() -> None:
-    """All orders of six events of a start, with a second or a time-out between them."""
+def test_no_order_of_events_returns_to_a_stage_or_is_ready_without_a_list() -> None:
+    """All orders of six events of a start, with a second or a timeout between two events."""
     orders = itertools.permutations(["known", "bus", "disk", "contact", "full", "skip"])
-    for events, step in itertools.product(orders, (NS_PER_SECOND, 11 * NS_PER_SECOND)):
+    for events, step_ns in itertools.product(orders, (NS_PER_SECOND, 11 * NS_PER_SECOND)):
         stages = StartupStages(SETTINGS, 0)
-        now = 0
+        now_ns = 0
         stages.settings_read(0, NS_PER_SECOND)
         for event in events:
-            now += step
+            now_ns += step_ns
             stage_before = stage_number(stages)
             source_before = stages.source.value
-            apply_event(stages, event, now)
+            apply_event(stages, event, now_ns)
             assert stage_number(stages) >= stage_before
             assert stages.source.value >= source_before
             assert not stages.ready() or stages.source is not ListSource.NONE
-            stages.status(now)
-        assert sum(completed.duration_ns for completed in stages.completed) <= now
+            stages.status(now_ns)
+        assert sum(completed.duration_ns for completed in stages.completed) <= now_ns
--- a/tests/startup/test_start_commands.py
+++ b/tests/startup/test_start_commands.py
@@ -1,4 +1,4 @@
-"""What the command line shows of a start."""
+"""Output of the command line about a start."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     emulated_cluster,
     fast_fleet,
     is_at_stage,
-    raw_config_of,
+    make_raw_config,
     wait_for_status,
 )
 
 pytestmark = pytest.mark.real_time
 
 
-def test_check_config_prints_the_rates_of_this_fleet(tmp_path: Path) -> None:
+def test_check_config_prints_the_call_window_of_the_fleet(tmp_path: Path) -> None:
     env = write_config(tmp_path, settings={**deployments.WAREHOUSE, "fleet_size": 300, "me": 7})
     operator_file = tmp_path / "ops.star"
     operator_file.write_text("start(list_connects = 100)")
@@ -37,15 +37,15 @@
 
 
 async def show_start(admin_port: int, *options: str) -> Result:
-    """The command `start show` on the broker with this admin port."""
+    """Run `start show` on the broker with this admin port."""
     arguments = ["start", "show", "--address", f"127.0.0.1:{admin_port}", *options]
     return await asyncio.to_thread(CliRunner().invoke, main, arguments)
 
 
 @on_uvloop
-async def test_start_show_prints_stage_by_stage() -> None:
+async def test_start_show_prints_the_stages_in_order() -> None:
     async with emulated_cluster("s-1") as cluster:
-        with fast_fleet(1, raw_config_of(cluster)) as brokers:
+        with fast_fleet(1, make_raw_config(cluster)) as brokers:
             brokers.start()
             broker = brokers.processes[0]
             await wait_for_status(broker, is_at_stage("full"))
