--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: defaults, precedence, and messages that name the faulty key."""
+"""Configuration: defaults, precedence, and errors that name the faulty key."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from ..support import deployments
 from ..support.sockets import MS, platform_settings, target_entry, topology_event
 
-RAW: dict[str, Any] = {
+RAW_CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "10.0.0.4:9090",
     "seed": "8c1f30d27a5be964",
@@ -34,19 +34,19 @@
 }
 
 
-def changed(path: str, value: Any) -> dict[str, Any]:
-    """A copy of RAW with another value under a dotted key."""
-    raw = copy.deepcopy(RAW)
-    *folders, name = path.split(".")
-    inner: Any = raw
-    for folder in folders:
-        inner = inner[int(folder)] if isinstance(inner, list) else inner[folder]
-    inner[name] = value
+def config_with(path: str, value: Any) -> dict[str, Any]:
+    """Return a copy of RAW_CONFIG with another value of a dotted key."""
+    raw = copy.deepcopy(RAW_CONFIG)
+    *parents, name = path.split(".")
+    target: Any = raw
+    for parent in parents:
+        target = target[int(parent)] if isinstance(target, list) else target[parent]
+    target[name] = value
     return raw
 
 
-def test_every_part_of_the_file_is_read() -> None:
-    config = parse(RAW, {})
+def test_parse_reads_every_section() -> None:
+    config = parse(RAW_CONFIG, {})
     assert (config.name, config.host, config.port) == ("n3", "10.0.0.4", 9090)
     assert config.seed == 0x8C1F30D27A5BE964
     assert (config.sockets, config.discovery_address, config.known_offset) == (
@@ -66,7 +66,7 @@
 
 
 def test_defaults_apply_and_the_environment_takes_precedence_over_the_file() -> None:
-    smallest = {
+    minimal = {
         "listen": "10.0.0.4:9090",
         "settings": {
             "classes": [{"name": "a", "aim": 1, "deadline": 1, "worth": 1, "effect": "read_like"}],
@@ -74,7 +74,7 @@
             "tick": 5 * MS,
         },
     }
-    config = parse(smallest, {"PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.1:80"})
+    config = parse(minimal, {"PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.1:80"})
     assert (config.name, config.host, config.port) == ("n9", "127.0.0.1", 80)
     assert (config.sockets, config.discovery_address, config.known_events) == (
         DEFAULT_SOCKETS,
@@ -121,15 +121,15 @@
 ]
 
 
-def table_ids(table: Sequence[tuple[Any, ...]]) -> list[str]:
-    """Return an id for each row of a table that begins with a path and its value."""
+def row_ids(table: Sequence[tuple[Any, ...]]) -> list[str]:
+    """Return a test id for each row of a table whose first columns are a path and a value."""
     return [f"{path} is {value!r}" for path, value, *_ in table]
 
 
-@pytest.mark.parametrize(("path", "value", "key"), FAULTY_VALUES, ids=table_ids(FAULTY_VALUES))
-def test_the_faulty_key_is_named(path: str, value: Any, key: str) -> None:
+@pytest.mark.parametrize(("path", "value", "key"), FAULTY_VALUES, ids=row_ids(FAULTY_VALUES))
+def test_error_names_the_faulty_key(path: str, value: Any, key: str) -> None:
     with pytest.raises(ConfigError) as caught:
-        parse(changed(path, value), {})
+        parse(config_with(path, value), {})
     assert str(caught.value).startswith(f"{key}: ")
 
 
@@ -141,8 +141,8 @@
 def test_an_index_outside_the_fleet_is_wrapped_into_it(
     configured_index: int, fleet_size: int, index: int
 ) -> None:
-    """A fleet that grows or shrinks may give its size and the places in it at different times."""
-    raw = changed("settings.fleet_size", fleet_size)
+    """While a fleet grows or shrinks, its size and the indices may be deployed separately."""
+    raw = config_with("settings.fleet_size", fleet_size)
     raw["settings"]["me"] = configured_index
     config = parse(raw, {})
     assert config.settings.broker_index == index
@@ -151,9 +151,9 @@
 
 
 def test_an_absent_price_is_zero() -> None:
-    assert parse(RAW, {}).settings.handshake_price == 0.0
-    priced = parse(changed("settings.charges", {"handshake": 0.08}), {})
-    assert priced.settings.handshake_price == 0.08
+    assert parse(RAW_CONFIG, {}).settings.handshake_price == 0.0
+    with_price = parse(config_with("settings.charges", {"handshake": 0.08}), {})
+    assert with_price.settings.handshake_price == 0.08
 
 
 UNUSABLE_FILES = {
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("text", UNUSABLE_FILES.values(), ids=UNUSABLE_FILES)
-def test_an_unusable_file_is_named(tmp_path: Path, text: str | None) -> None:
+def test_error_of_an_unusable_file_names_the_variable(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "c.json"
     if text is not None:
         path.write_bytes(text.encode("utf-8", "surrogatepass"))
@@ -173,43 +173,43 @@
         load({"PROXY_CONFIG": str(path)})
 
 
-def test_an_unset_file_is_named() -> None:
+def test_error_of_an_unset_variable_names_it() -> None:
     with pytest.raises(ConfigError, match="^PROXY_CONFIG: is not set"):
         load({})
 
 
-def test_the_file_is_read(tmp_path: Path) -> None:
+def test_load_reads_the_file(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
-    path.write_text(json.dumps(RAW))
+    path.write_text(json.dumps(RAW_CONFIG))
     assert load({"PROXY_CONFIG": str(path)}).name == "n3"
 
 
 class RecordingObject(dict[str, Any]):
     """An object that records which of its keys are read."""
 
-    def __init__(self, content: dict[str, Any], part: str, read: dict[str, set[str]]) -> None:
+    def __init__(self, content: dict[str, Any], section: str, read: dict[str, set[str]]) -> None:
         super().__init__(
-            {key: recording(value, part or key, read) for key, value in content.items()}
+            {key: record_reads(value, section or key, read) for key, value in content.items()}
         )
-        self.part = part
+        self.section = section
         self.read = read
 
     def get(self, key: str, default: Any = None) -> Any:
-        self.read.setdefault(self.part, set()).add(key)
+        self.read.setdefault(self.section, set()).add(key)
         return super().get(key, default)
 
 
-def recording(value: Any, part: str, read: dict[str, set[str]]) -> Any:
-    """A JSON value all of whose objects record what is read of them."""
+def record_reads(value: Any, section: str, read: dict[str, set[str]]) -> Any:
+    """Return a JSON value whose objects record which of their keys are read."""
     if isinstance(value, dict):
-        return RecordingObject(value, part, read)
+        return RecordingObject(value, section, read)
     if isinstance(value, list):
-        return [recording(entry, part, read) for entry in value]
+        return [record_reads(entry, section, read) for entry in value]
     return value
 
 
-# What a deployment's settings may hold, by the platform's pages.
-DOCUMENTED = {
+# The keys of a deployment's settings that the platform documents.
+DOCUMENTED_KEYS = {
     "": """fleet_size classes callers membership_mode kind_of_service specifics score_parts kinds
         policy_limits me over_share_worth charges report contract tenants tick tier layers weights
         worth_by zone zones""",
@@ -229,17 +229,17 @@
 }
 
 
-def test_every_documented_key_is_read_or_named_as_not_needed() -> None:
-    """A key of the second deployment that nothing read was once found by an incident only."""
+def test_every_documented_key_is_read_or_listed_as_ignored() -> None:
+    """A key of the second deployment that was never read went unnoticed until an incident."""
     read: dict[str, set[str]] = {}
     for deployment in deployments.ALL.values():
         complete = {**deployment, "charges": {"cross_zone": 0.1, "handshake": 0.0}}
-        parse({"listen": "127.0.0.1:1", "settings": recording(complete, "", read)}, {})
+        parse({"listen": "127.0.0.1:1", "settings": record_reads(complete, "", read)}, {})
     assert read == SETTINGS_KEYS
-    for part, names in DOCUMENTED.items():
-        ignored = IGNORED_SETTINGS_KEYS.get(part, set())
-        assert set(names.split()) == SETTINGS_KEYS[part] | ignored, part
-        assert not SETTINGS_KEYS[part] & ignored
+    for section, names in DOCUMENTED_KEYS.items():
+        ignored = IGNORED_SETTINGS_KEYS.get(section, set())
+        assert set(names.split()) == SETTINGS_KEYS[section] | ignored, section
+        assert not SETTINGS_KEYS[section] & ignored
 
 
 UNKNOWN_KEYS: list[tuple[str, Any, str]] = [
@@ -250,15 +250,15 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value", "named"), UNKNOWN_KEYS, ids=table_ids(UNKNOWN_KEYS))
+@pytest.mark.parametrize(("path", "value", "named"), UNKNOWN_KEYS, ids=row_ids(UNKNOWN_KEYS))
 def test_an_unknown_key_is_named_in_one_remark(path: str, value: Any, named: str) -> None:
-    (line,) = parse(changed(path, value), {}).remarks()
+    (line,) = parse(config_with(path, value), {}).remarks()
     assert named in line
     assert "has no effect" in line
-    assert parse(RAW, {}).remarks() == []
+    assert parse(RAW_CONFIG, {}).remarks() == []
 
 
-UNKNOWN_NAMES: list[tuple[str, Any]] = [
+UNKNOWN_VALUES: list[tuple[str, Any]] = [
     ("settings.classes.0.effect", "twice"),
     ("settings.classes.0.group", "planet"),
     ("settings.report.fields", [1]),
@@ -267,7 +267,7 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value"), UNKNOWN_NAMES, ids=table_ids(UNKNOWN_NAMES))
-def test_an_unknown_effect_scope_or_kind_is_a_faulty_key(path: str, value: Any) -> None:
+@pytest.mark.parametrize(("path", "value"), UNKNOWN_VALUES, ids=row_ids(UNKNOWN_VALUES))
+def test_error_of_an_unknown_name_or_a_wrong_kind_names_the_key(path: str, value: Any) -> None:
     with pytest.raises(ConfigError, match=path.replace(".0.", ".").split(".")[-1]):
-        parse(changed(path, value), {})
+        parse(config_with(path, value), {})
--- a/tests/config/test_settings_values.py
+++ b/tests/config/test_settings_values.py
@@ -1,7 +1,7 @@
-"""Every key of the settings with null, an empty list, an empty map and values of a wrong type.
+"""Every key of the settings with null, an empty list, an empty object and values of a wrong type.
 
-`settings.report.fields: null` passed the check and raised a TypeError later, as the remarks on the
-configuration were logged: the broker ended with a traceback at its start.
+`settings.report.fields: null` passed the check and raised a TypeError later, when the remarks on
+the configuration were logged: the broker exited with a traceback at its start.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from query_broker.config.values import ValueKind
 from query_broker.emulator.cluster import platform_settings
 
-#: The kinds of the keys that the schema has no table for; a list is named by its entries' kind.
-OTHER_KINDS: dict[str, dict[str, ValueKind]] = {
+#: The kinds of all keys; the schema has tables only for `contract` and `policy_limits`.
+KINDS_BY_SECTION: dict[str, dict[str, ValueKind]] = {
     "": {
         "fleet_size": ValueKind.INTEGER,
         "tick": ValueKind.INTEGER,
@@ -66,8 +66,8 @@
         "streams_per_conn": ValueKind.INTEGER,
     },
 }
-#: Values of each kind that no key of another kind may hold.
-VALUES: dict[ValueKind, list[Any]] = {
+#: Values of each kind that are invalid for a key of another kind.
+VALUES_BY_KIND: dict[ValueKind, list[Any]] = {
     ValueKind.TEXT: ["odd"],
     ValueKind.OBJECT: [{}],
     ValueKind.LIST: [[]],
@@ -79,57 +79,59 @@
 KEYS = [(section, key) for section, keys in SETTINGS_KEYS.items() for key in sorted(keys)]
 
 
-def parsed_with(section: str, key: str, value: Any) -> Config:
-    """The configuration with this value, as a start reads it and names its remarks."""
+def parse_with(section: str, key: str, value: Any) -> Config:
+    """Parse the configuration with this value, and compute its remarks as a start does."""
     settings = copy.deepcopy(platform_settings(charges={}, kinds=["std"]))
-    holder: Any = settings[section] if section else settings
-    (holder[0] if isinstance(holder, list) else holder)[key] = value
+    target: Any = settings[section] if section else settings
+    (target[0] if isinstance(target, list) else target)[key] = value
     config = parse({"listen": "127.0.0.1:1", "settings": settings}, {})
     config.remarks()
     return config
 
 
 def error_with(section: str, key: str, value: Any) -> str | None:
-    """The error of the configuration with this value, None where it is read."""
+    """Return the error of the configuration with this value, or None if it is valid."""
     try:
-        parsed_with(section, key, value)
+        parse_with(section, key, value)
     except ConfigError as error:
         return str(error)
     return None
 
 
-def dotted(section: str, key: str) -> str:
+def dotted_key(section: str, key: str) -> str:
     return ".".join(part for part in ("settings", section, key) if part)
 
 
-def test_the_table_has_every_key_that_is_read() -> None:
-    assert {section: set(kinds) for section, kinds in OTHER_KINDS.items()} == SETTINGS_KEYS
+def test_the_kinds_cover_every_key_that_is_read() -> None:
+    assert {section: set(kinds) for section, kinds in KINDS_BY_SECTION.items()} == SETTINGS_KEYS
 
 
-@pytest.mark.parametrize(("section", "key"), KEYS, ids=[dotted(*key) for key in KEYS])
-def test_a_value_of_a_wrong_type_is_one_line_that_names_the_key(section: str, key: str) -> None:
-    kind = OTHER_KINDS[section][key]
-    for other, values in VALUES.items():
+@pytest.mark.parametrize(("section", "key"), KEYS, ids=[dotted_key(*key) for key in KEYS])
+def test_error_of_a_wrong_type_is_one_line_that_names_the_key(section: str, key: str) -> None:
+    kind = KINDS_BY_SECTION[section][key]
+    for other, values in VALUES_BY_KIND.items():
         if other is kind:
             continue
         for value in values:
             if kind is ValueKind.NUMBER and value == 1.5:
                 continue
             with pytest.raises(ConfigError) as caught:
-                parsed_with(section, key, value)
-            assert str(caught.value).startswith(f"{dotted(section, key)}: ")
+                parse_with(section, key, value)
+            assert str(caught.value).startswith(f"{dotted_key(section, key)}: ")
             assert "\n" not in str(caught.value)
 
 
-@pytest.mark.parametrize(("section", "key"), KEYS, ids=[dotted(*key) for key in KEYS])
-def test_null_and_empty_values_are_taken_as_absent_or_name_the_key(section: str, key: str) -> None:
+@pytest.mark.parametrize(("section", "key"), KEYS, ids=[dotted_key(*key) for key in KEYS])
+def test_null_and_empty_values_are_accepted_or_the_error_names_the_key(
+    section: str, key: str
+) -> None:
     for value in (None, [], {}, *LISTS_OF_ENTRIES):
         message = error_with(section, key, value)
         if message is not None:
-            assert message.startswith(dotted(section, key))  # perhaps a key below it
+            assert message.startswith(dotted_key(section, key))  # or a key below it
             assert "\n" not in message
 
 
-def test_null_in_place_of_the_list_of_report_fields_names_the_key() -> None:
+def test_error_of_null_report_fields_names_the_key() -> None:
     with pytest.raises(ConfigError, match=r"^settings\.report\.fields: "):
-        parsed_with("report", "fields", None)
+        parse_with("report", "fields", None)
--- a/tests/operator_config/test_directive_faults.py
+++ b/tests/operator_config/test_directive_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the operators' file: each names the file, the line and the key."""
+"""Errors of the operators' file: each names the file, the line and the key."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from query_broker.operator_config.script import OperatorFileError, run_script
 
-FAULTS = {
+FAULTY_SCRIPTS = {
     "unclosed call": ("cell(", 1, "script"),
     "unknown name": ("x", 1, "script"),
-    "no files": ('open("/etc/hosts")', 1, "script"),
-    "no loading": ('load("x.star", "y")', 1, "script"),
-    "no recursion": ("def f():\n  f()\nf()", 2, "script"),
+    "file access": ('open("/etc/hosts")', 1, "script"),
+    "load of another script": ('load("x.star", "y")', 1, "script"),
+    "recursion": ("def f():\n  f()\nf()", 2, "script"),
     "cell without a name": ("cell()", 1, "cell"),
     "cell name is a number": ("cell(5)", 1, "cell.name"),
     "cell name is empty": ('cell("")', 1, "cell.name"),
@@ -20,7 +20,7 @@
     "unknown argument of a cell": ('cell("a", wight = 2)', 1, "cell"),
     "cell of weight zero": ('cell("a", weight = 0)', 1, "cell.weight"),
     "weight is a string": ('cell("a", weight = "2")', 1, "cell.weight"),
-    "least is no whole number": ('cell("a", least = 1.5)', 1, "cell.least"),
+    "least is not a whole number": ('cell("a", least = 1.5)', 1, "cell.least"),
     "least above most": ('cell("a", least = 3, most = 2)', 1, "cell.most"),
     "zones is a string": ('cell("a", zones = "east")', 1, "cell.zones"),
     "engines are numbers": ('cell("a", engines = [1])', 1, "cell.engines"),
@@ -54,7 +54,7 @@
     ),
     "negative epoch": ("epoch(-1)", 1, "epoch"),
     "epoch twice": ("epoch(1)\nepoch(2)", 2, "epoch"),
-    "epoch is a truth value": ("epoch(True)", 1, "epoch"),
+    "epoch is a boolean": ("epoch(True)", 1, "epoch"),
     "negative warm-up": ("moves(warm = -1)", 1, "moves.warm"),
     "unknown argument of moves": ("moves(wram = 1)", 1, "moves.wram"),
     "tenant twice in a loop": (
@@ -65,9 +65,9 @@
 }
 
 
-@pytest.mark.parametrize(("text", "line", "key"), FAULTS.values(), ids=FAULTS)
-def test_a_fault_names_file_line_and_key(text: str, line: int, key: str) -> None:
-    with pytest.raises(OperatorFileError) as fault:
+@pytest.mark.parametrize(("text", "line", "key"), FAULTY_SCRIPTS.values(), ids=FAULTY_SCRIPTS)
+def test_error_names_file_line_and_key(text: str, line: int, key: str) -> None:
+    with pytest.raises(OperatorFileError) as caught:
         run_script("ops.star", text, lambda: False)
-    assert str(fault.value).startswith(f"ops.star:{line}: {key}: ")
-    assert "\n" not in str(fault.value)
+    assert str(caught.value).startswith(f"ops.star:{line}: {key}: ")
+    assert "\n" not in str(caught.value)
--- a/tests/operator_config/test_operators_file.py
+++ b/tests/operator_config/test_operators_file.py
@@ -1,4 +1,4 @@
-"""The operators' file: what it configures, its bounds, and a start with a faulty one."""
+"""The operators' file: its content, limits of its evaluation, and a start with a faulty file."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 pytestmark = pytest.mark.real_time
 
 
-def test_the_example_under_deploy_is_read_as_it_says() -> None:
+def test_example_of_the_deploy_folder_is_evaluated() -> None:
     cell_map = evaluate(str(ROOT / "deploy" / "operators.star")).cell_map
     assert cell_map is not None
     assert [cell.name for cell in cell_map.cells] == [
@@ -47,14 +47,16 @@
     ],
     ids=["memory", "loops", "directives"],
 )
-def test_evaluation_is_bounded(tmp_path: Path, text: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_evaluation_beyond_a_limit_is_rejected(
+    tmp_path: Path, text: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path = tmp_path / "ops.star"
     path.write_text(text)
     with pytest.raises(OperatorFileError, match="ops.star"):
         evaluate(str(path))
 
 
-def test_a_large_fleet_is_read(tmp_path: Path) -> None:
+def test_file_of_a_large_fleet_is_evaluated(tmp_path: Path) -> None:
     path = tmp_path / "ops.star"
     path.write_text(
         'cells = [cell("c%d" % i) for i in range(12)]\n'
@@ -65,16 +67,16 @@
     assert len(cell_map.tenants) == 1_000
     assert cell_map.home("t13") == "c1"
     path.write_text("epoch(3)")
-    assert evaluate(str(path)).cell_map is None  # it has no directive of cells
+    assert evaluate(str(path)).cell_map is None  # the file declares no cells
 
 
 @pytest.mark.parametrize("path", ["/nowhere/ops.star", "."], ids=["absent", "a folder"])
-def test_a_path_that_is_no_file_is_rejected(path: str) -> None:
+def test_path_that_is_not_a_file_is_rejected(path: str) -> None:
     with pytest.raises(OperatorFileError, match="file: "):
         evaluate(path)
 
 
-def test_a_bad_file_at_the_start_is_one_line_and_exit_2(tmp_path: Path) -> None:
+def test_start_with_an_invalid_file_prints_one_line_and_exits_with_2(tmp_path: Path) -> None:
     path = tmp_path / "ops.star"
     path.write_text('cell("a", weight = -1)')
     for variables, arguments in (
@@ -108,8 +110,8 @@
 """
 
 
-def test_without_the_file_nothing_of_it_is_loaded() -> None:
-    """What is not configured costs nothing: no module of it, and no library that it alone needs."""
+def test_start_without_the_file_imports_none_of_its_modules() -> None:
+    """Neither the modules for the file nor the libraries that only they need are imported."""
     result = subprocess.run(
         [sys.executable, "-c", LIST_LOADED_MODULES],
         cwd=ROOT,
