--- a/query_broker/startup/admission_ramp.py
+++ b/query_broker/startup/admission_ramp.py
@@ -3,8 +3,8 @@
 A former process of the broker may have left as much work at each endpoint as the bound allows, and
 the new process has no record of that work. So the closed part of the admission is accounted as
 outstanding work of another process of this broker, and the bounds of the decisions hold without
-any change. The open part grows at a constant factor while there are no answers, doubles each second
-with successes (slow start), and stays as it is while too many answers are failures. The admission
+any change. The open part grows by a constant factor while there are no answers, doubles each second
+with successes (slow start), and does not grow while too many answers are failures. The admission
 is complete after ``MAX_RAMP_DURATIONS`` times the duration of the ramp, regardless of the answers,
 since the bounds of the decisions hold from then on.
 """
--- a/query_broker/startup/discovery_pace.py
+++ b/query_broker/startup/discovery_pace.py
@@ -20,7 +20,7 @@
     """Is notified when the endpoint list of this broker is current."""
 
     def confirmed(self) -> None:
-        """The discovery service has no newer endpoint list than this broker."""
+        """Record that the discovery service has no newer endpoint list than this broker."""
 
 
 class DiscoveryPace:
@@ -69,6 +69,6 @@
         return backoff_timeout_ns(self._calls.failure_count, SILENCE_LIMIT_NS, MAX_SILENCE_NS)
 
     def list_confirmed(self) -> None:
-        """Note that the discovery service has sent or confirmed its present endpoint list."""
+        """Record that the discovery service has sent or confirmed its present endpoint list."""
         self._calls.succeeded()
         self._listener.confirmed()
--- a/query_broker/startup/snapshot_store.py
+++ b/query_broker/startup/snapshot_store.py
@@ -55,9 +55,9 @@
 def listed_targets(table: EndpointTable) -> tuple[dict[str, Any], ...]:
     """Return the endpoints of a table that are not removed."""
     return tuple(
-        target_fields(known.target)
-        for known in table.by_uid.values()
-        if known.target.state is not EndpointState.REMOVED
+        target_fields(entry.target)
+        for entry in table.by_uid.values()
+        if entry.target.state is not EndpointState.REMOVED
     )
 
 
