--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A soak of shutdowns and restarts: drawn scenarios on real processes, and an audit of the records.
+"""Soak test of shutdowns and restarts: random scenarios on real processes, audited afterwards.
 
 Run `python -m benchmarks.soak [--seed N] [--seeds FIRST COUNT] [--shrink]`.
 """
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -11,9 +11,9 @@
 
 import uvloop
 
-from .audit import RunRecord, Violation, audit, count_rules, timeline
+from .audit import RunRecord, Violation, audit, count_violations_by_rule, timeline
 from .play import SoakRun, fault_counts
-from .scenario import Scenario, draw
+from .scenario import Scenario, draw_scenario
 
 #: Where the logs of a seed that broke a rule are kept.
 LOG_FOLDER = Path("found") / "soak"
@@ -22,25 +22,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What one run recorded, and the rules that it broke."""
+    """The record of one run and the violations that the audit found in it."""
 
     record: RunRecord
     violations: list[Violation]
 
 
-def play(scenario: Scenario, keep_logs: Path | None = None) -> Outcome:
+def play(scenario: Scenario, log_folder: Path | None = None) -> Outcome:
     """Play a scenario once, and audit it."""
 
     async def run() -> RunRecord:
-        return await SoakRun(scenario).play(keep_logs)
+        return await SoakRun(scenario).play(log_folder)
 
     record = uvloop.run(run())
     return Outcome(record, audit(record))
 
 
-def report(scenario: Scenario, outcome: Outcome) -> None:
-    """Print a run's scenario, its rules and the way of the first requests that broke one."""
-    rules = {rule.value: count for rule, count in count_rules(outcome.violations).items()}
+def print_outcome(scenario: Scenario, outcome: Outcome) -> None:
+    """Print the broken rules of a run, its scenario and the timelines of the first violations."""
+    rules = {
+        rule.value: count for rule, count in count_violations_by_rule(outcome.violations).items()
+    }
     print(
         f"seed {scenario.seed}: {len(outcome.record.requests)} requests, broken {rules or 'none'}"
     )
@@ -55,7 +57,7 @@
 
 
 def shrink(scenario: Scenario, outcome: Outcome) -> Scenario:
-    """Drop parts of a scenario for as long as the same rule is broken."""
+    """Remove parts of a scenario for as long as its run still breaks the same rule."""
     rule = outcome.violations[0].rule
     changed = True
     while changed:
@@ -69,7 +71,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the command line; return 1 where a rule was broken."""
+    """Run the command line; return 1 if any run broke a rule."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.soak", description=__doc__)
     parser.add_argument("--seed", type=int, help="play this seed alone")
     parser.add_argument("--seeds", type=int, nargs=2, metavar=("FIRST", "COUNT"), default=(1, 10))
@@ -79,13 +81,13 @@
     totals: Counter[str] = Counter()
     broken: Counter[str] = Counter()
     for seed in range(first, first + count):
-        scenario = draw(seed)
+        scenario = draw_scenario(seed)
         folder = LOG_FOLDER / str(seed)
         outcome = play(scenario, folder)
-        report(scenario, outcome)
+        print_outcome(scenario, outcome)
         totals["requests"] += len(outcome.record.requests)
         totals.update(fault_counts(scenario))
-        broken.update(rule.value for rule in count_rules(outcome.violations))
+        broken.update(rule.value for rule in count_violations_by_rule(outcome.violations))
         if outcome.violations and options.shrink:
             print(f"  shrunk: {shrink(scenario, outcome).describe()}")
     print(
--- a/benchmarks/soak/deployments.py
+++ b/benchmarks/soak/deployments.py
@@ -9,31 +9,31 @@
 
 from ..harness.trees import ROOT
 
-MS = 1_000_000
-S = 1_000 * MS
-SITES = ROOT / "deploy" / "sites"
-#: The effects of the site files, by the words of the platform's settings.
-EFFECTS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000 * NS_PER_MS
+SITES_FOLDER = ROOT / "deploy" / "sites"
+#: The platform settings' name for each effect in the site files.
+PLATFORM_EFFECTS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
 
 def _site_class(entry: dict[str, Any]) -> dict[str, Any]:
     request_class = {
         "name": entry["name"],
-        "aim": int(entry["aim_ms"] * MS),
-        "deadline": int(entry["deadline_ms"] * MS),
+        "aim": int(entry["aim_ms"] * NS_PER_MS),
+        "deadline": int(entry["deadline_ms"] * NS_PER_MS),
         "worth": float(entry["worth"]),
-        "effect": EFFECTS[entry["effect"]],
+        "effect": PLATFORM_EFFECTS[entry["effect"]],
     }
     if "window_ms" in entry:
-        request_class |= {"window": int(entry["window_ms"] * MS), "group": entry["group"]}
+        request_class |= {"window": int(entry["window_ms"] * NS_PER_MS), "group": entry["group"]}
     return request_class
 
 
 def _site_settings(file_name: str) -> dict[str, Any]:
-    """Return the settings of a made-up customer, as far as a broker's shutdown depends on them."""
-    site = tomllib.loads((SITES / file_name).read_text(encoding="utf-8"))
+    """Return the settings of a fictional site, limited to those that affect a broker's shutdown."""
+    site = tomllib.loads((SITES_FOLDER / file_name).read_text(encoding="utf-8"))
     base = platform_settings()
-    contract = {**base["contract"], "drain_grace": int(site["rules"]["drain_grace_ms"] * MS)}
+    contract = {**base["contract"], "drain_grace": int(site["rules"]["drain_grace_ms"] * NS_PER_MS)}
     limits = {
         **base["policy_limits"],
         "cancel": site["allow"]["cancel"],
@@ -49,11 +49,11 @@
 
 
 def _ticket_counters() -> dict[str, Any]:
-    """Return settings without cancellation, with loads that must never run twice."""
+    """Return settings without cancellation, with a class whose requests must never run twice."""
     return platform_settings(
         classes=[
-            _request_class("glance", 1 * S, 5 * S, "read_like"),
-            _request_class("stock-add", 3 * S, 25 * S, "non_idempotent"),
+            _request_class("glance", 1 * NS_PER_S, 5 * NS_PER_S, "read_like"),
+            _request_class("stock-add", 3 * NS_PER_S, 25 * NS_PER_S, "non_idempotent"),
         ],
         tenants=tenant_settings("acme", "other"),
     )
@@ -64,15 +64,15 @@
     base = platform_settings()
     return platform_settings(
         classes=[
-            _request_class("glance", 1 * S, 4 * S, "read_like"),
+            _request_class("glance", 1 * NS_PER_S, 4 * NS_PER_S, "read_like"),
             {
-                **_request_class("load", 4 * S, 20 * S, "idempotency_key"),
+                **_request_class("load", 4 * NS_PER_S, 20 * NS_PER_S, "idempotency_key"),
                 "group": "all",
-                "window": 20 * S,
+                "window": 20 * NS_PER_S,
             },
         ],
         tenants=[],
-        contract={**base["contract"], "drain_grace": 500 * MS},
+        contract={**base["contract"], "drain_grace": 500 * NS_PER_MS},
         policy_limits={**base["policy_limits"], "cancel": True, "send_cap": 3},
     )
 
--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a run: of engines, of the discovery service, and the signals to brokers."""
+"""Fault injection of a run: faults of engines and the discovery service, signals to brokers."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 
 
 class SilentDiscoveryService(EmulatedDiscoveryService):
-    """A discovery service that can fall silent on its open connections.
+    """A discovery service that can stop sending events on its open connections.
 
     Attributes:
-        silent: Nothing is sent on the connections that are open; new ones get all events.
+        is_silent: Whether events are suppressed on open connections; new ones get all events.
     """
 
     def __init__(self) -> None:
         """Create a service that sends all events."""
         super().__init__()
-        self.silent = False
+        self.is_silent = False
 
     def _broadcast(self, line: bytes) -> None:
-        if not self.silent:
+        if not self.is_silent:
             super()._broadcast(line)
 
-    async def be_silent(self, begin_s: float, end_s: float) -> tuple[int, int]:
-        """Be silent from now plus one time to now plus the other; return both in Unix ns."""
+    async def suppress_events(self, begin_s: float, end_s: float) -> tuple[int, int]:
+        """Suppress events between two delays from now; return the begin and end in Unix ns."""
         await asyncio.sleep(begin_s)
         began_ns = time.time_ns()
-        self.silent = True
+        self.is_silent = True
         await asyncio.sleep(end_s - begin_s)
-        self.silent = False
-        for writer in list(self.subscribers):  # what they have missed comes on a new connection
+        self.is_silent = False
+        for writer in list(self.subscribers):  # a new connection delivers the missed events
             writer.close()
         return began_ns, time.time_ns()
 
 
 async def play_engine_event(cluster: EmulatedCluster, event: EngineEvent) -> None:
-    """Let one engine have its fault at its time."""
+    """Wait until the time of a fault, then inject it into its engine."""
     await asyncio.sleep(event.at_s)
     uid = f"s-{event.engine}"
     engine = cluster.engines[uid]
@@ -61,14 +61,14 @@
             engine.unresponsive = True
             await asyncio.sleep(event.duration_s)
             engine.unresponsive = False
-        case EngineFault.REBORN:
+        case EngineFault.RESTART:
             engine.stop()
             await asyncio.sleep(event.duration_s)
             await _start_again(cluster, engine)
 
 
 async def _start_again(cluster: EmulatedCluster, previous: EmulatedEngine) -> None:
-    """Start a cold engine at the address of one that has died."""
+    """Start a cold engine at the address of a stopped one."""
     started_ns = time.time_ns()
     machine = Machine(cores=previous.machine.cores, started_ns=started_ns)
     engine = EmulatedEngine(f"{previous.uid}-reborn", machine, **cluster.engine_options)
@@ -84,7 +84,7 @@
 
 
 async def play_signal(broker: BrokerProcess, event: SignalEvent, pauses: list[Pause]) -> None:
-    """Send one signal at its time, or pause the process for a while."""
+    """Wait until the time of a signal, then send it, or pause the process for its duration."""
     await asyncio.sleep(event.at_s)
     process = broker.process
     if process is None or process.poll() is not None:
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -20,21 +20,21 @@
 from .deployments import all_deployments
 from .faults import SilentDiscoveryService, play_engine_event, play_signal
 from .records import RecordingConnection, SentRequest
-from .scenario import LISTENER_CLOSE_S, BrokerSignal, CrowdMoment, Scenario
+from .scenario import LISTENER_CLOSE_DELAY_S, BrokerSignal, CrowdMoment, Scenario
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 CONNECTIONS_PER_BROKER = 4
-#: New connections come up to this after SIGTERM, at the least that the platform allows.
-NEW_CONNECTIONS_S = 0.2
-#: Clients wait no longer than this, so that a run ends soon.
-MAX_TIMEOUT_NS = 3_000 * MS
+#: Clients open new connections until this long after SIGTERM, the minimum that the platform allows.
+CONNECT_AFTER_TERM_S = 0.2
+#: Upper bound of the clients' timeouts, to keep a run short.
+MAX_TIMEOUT_NS = 3_000 * NS_PER_MS
 MIN_LOAD_S = 4.0
-#: After the last SIGKILL, for the answers of brokers that go on.
-SETTLE_S = 4.0
-ABANDON_FRACTION = 0.04
-LAST_LINE = "stop: done"
+#: How long to wait after the last SIGKILL for the answers of brokers that keep running.
+MAX_SETTLE_S = 4.0
+CANCEL_FRACTION = 0.04
+LAST_LOG_LINE = "stop: done"
 FAULT_MARKS = (" fault: ", "Traceback (most recent call last)")
-CROWD_SPREAD_S = 0.15
+CROWD_DURATION_S = 0.15
 KB_PER_MB = 1024
 
 
@@ -42,7 +42,7 @@
     """Plays one scenario and records it."""
 
     def __init__(self, scenario: Scenario) -> None:
-        """Prepare a run that has not begun."""
+        """Prepare the run without starting anything."""
         self.scenario = scenario
         self.settings = all_deployments()[scenario.deployment]
         self.random = random.Random(scenario.seed)
@@ -50,15 +50,15 @@
         self.connections: list[RecordingConnection] = []
         self.pauses: list[Pause] = []
         self.violations: list[Violation] = []
-        self.silent_ns = (0, 0)
-        self._numbers = itertools.count(1)
-        self._ended: set[int] = set()
+        self.discovery_silence_ns = (0, 0)
+        self._request_numbers = itertools.count(1)
+        self._ended_brokers: set[int] = set()
 
-    async def play(self, keep_logs: Path | None = None) -> RunRecord:
+    async def play(self, log_folder: Path | None = None) -> RunRecord:
         """Play the scenario.
 
         Args:
-            keep_logs: Where the brokers' logs are kept.
+            log_folder: Folder that the brokers' logs are copied to.
         """
         cluster = await self._start_cluster()
         raw = broker_config(cluster, f"{HOST}:1", **self.settings)
@@ -68,15 +68,15 @@
                 await self._wait_until_ready(fleet)
                 await self._play_load(cluster, fleet.processes)
                 self._audit_logs(fleet.processes)
-                if keep_logs is not None:
-                    _copy_logs(fleet.processes, keep_logs)
+                if log_folder is not None:
+                    _copy_logs(fleet.processes, log_folder)
         finally:
             cluster.stop()
-        return self._record(cluster)
+        return self._make_run_record(cluster)
 
     async def _start_cluster(self) -> EmulatedCluster:
-        windows_ns = self._windows_ns().values()
-        store = IdempotencyKeyStore(max(windows_ns)) if windows_ns else None
+        idempotency_windows_ns = self._idempotency_windows_ns().values()
+        store = IdempotencyKeyStore(max(idempotency_windows_ns)) if idempotency_windows_ns else None
         cluster = EmulatedCluster(
             honours_cancel=self.settings["policy_limits"]["cancel"], key_store=store
         )
@@ -105,35 +105,35 @@
             steps.append(self._send_load(broker))
             steps.append(self._end_process(broker))
         if scenario.list_silent_s is not None:
-            steps.append(self._be_silent(cluster, *scenario.list_silent_s))
+            steps.append(self._suppress_events(cluster, *scenario.list_silent_s))
         if scenario.crowd is not None:
             steps.append(self._send_crowd(brokers[0]))
         await asyncio.gather(*steps)
         await self._settle(brokers)
 
-    async def _be_silent(self, cluster: EmulatedCluster, begin_s: float, end_s: float) -> None:
+    async def _suppress_events(
+        self, cluster: EmulatedCluster, begin_s: float, end_s: float
+    ) -> None:
         assert isinstance(cluster.discovery, SilentDiscoveryService)
-        self.silent_ns = await cluster.discovery.be_silent(begin_s, end_s)
-
-    # --- clients ---
+        self.discovery_silence_ns = await cluster.discovery.suppress_events(begin_s, end_s)
 
     def _load_end_s(self, broker: int) -> float:
         term_s = self.scenario.first_term_s(broker)
         return MIN_LOAD_S if term_s is None else term_s + self.scenario.kill_delay_s()
 
     async def _send_load(self, broker: BrokerProcess) -> None:
-        """Send requests on open connections until the broker's end, as drawn."""
+        """Send requests to a broker at the scenario's rate until its SIGKILL or the load ends."""
         draws = random.Random(self.scenario.seed * 100 + broker.number)
         term_s = self.scenario.first_term_s(broker.number)
-        own: list[RecordingConnection] = []
+        load_connections: list[RecordingConnection] = []
         begun_s = time.monotonic()
         while (elapsed_s := time.monotonic() - begun_s) < self._load_end_s(broker.number):
-            may_connect = term_s is None or elapsed_s < term_s + NEW_CONNECTIONS_S
-            usable = [connection for connection in own if connection.is_usable()]
+            may_connect = term_s is None or elapsed_s < term_s + CONNECT_AFTER_TERM_S
+            usable = [connection for connection in load_connections if connection.is_usable()]
             if len(usable) < CONNECTIONS_PER_BROKER and may_connect:
                 connection = await self._connect(broker)
                 if connection is not None:
-                    own.append(connection)
+                    load_connections.append(connection)
                     usable.append(connection)
             if usable:
                 self._send_one(draws.choice(usable), broker.number, draws)
@@ -150,7 +150,7 @@
 
     def _send_one(self, connection: RecordingConnection, broker: int, draws: random.Random) -> None:
         spec = draws.choice(self.settings["classes"])
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         work_ms = draws.uniform(2, 40) if spec["effect"] == "read_like" else draws.uniform(20, 200)
         request = SentRequest(
             request_id=f"{number:016x}",
@@ -166,29 +166,27 @@
         statement = make_statement(number, work_ms, 1, 1, 1)
         connection.send(request, tenant, statement, work_ms)
         self.requests.append(request)
-        if draws.random() < ABANDON_FRACTION:
+        if draws.random() < CANCEL_FRACTION:
             loop = asyncio.get_running_loop()
-            loop.call_later(draws.uniform(0, 0.1), connection.abandon, request)
+            loop.call_later(draws.uniform(0, 0.1), connection.cancel, request)
 
     async def _send_crowd(self, broker: BrokerProcess) -> None:
-        """Let many clients connect and send at once."""
+        """Let a burst of clients connect and send one request each."""
         crowd = self.scenario.crowd
         assert crowd is not None
         term_s = self.scenario.first_term_s(broker.number)
         if crowd.moment is CrowdMoment.LISTENER_CLOSE and term_s is not None:
-            await asyncio.sleep(term_s + LISTENER_CLOSE_S - CROWD_SPREAD_S)
+            await asyncio.sleep(term_s + LISTENER_CLOSE_DELAY_S - CROWD_DURATION_S)
         await asyncio.gather(*(self._send_in_crowd(broker) for _ in range(crowd.clients)))
 
     async def _send_in_crowd(self, broker: BrokerProcess) -> None:
-        await asyncio.sleep(self.random.uniform(0, CROWD_SPREAD_S))
+        await asyncio.sleep(self.random.uniform(0, CROWD_DURATION_S))
         connection = await self._connect(broker)
         if connection is not None and connection.is_usable():
             self._send_one(connection, broker.number, self.random)
 
-    # --- processes ---
-
     async def _end_process(self, broker: BrokerProcess) -> None:
-        """Kill a broker that got SIGTERM as soon as the platform may, and check how it ended."""
+        """Send SIGKILL as early after SIGTERM as the platform may, and check the exit."""
         term_s = self.scenario.first_term_s(broker.number)
         if term_s is None:
             return
@@ -200,14 +198,14 @@
         elif exit_code != 0:
             text = f"n{broker.number} ended with {exit_code}"
             self.violations.append(Violation(Rule.EXIT, text))
-        elif LAST_LINE not in broker.log():
+        elif LAST_LOG_LINE not in broker.log():
             self.violations.append(Violation(Rule.EXIT, f"n{broker.number}: no last line"))
         broker.kill()
-        self._ended.add(broker.number)
+        self._ended_brokers.add(broker.number)
 
     async def _settle(self, brokers: list[BrokerProcess]) -> None:
-        """Wait for the answers of the brokers that go on, and check what they keep."""
-        end_s = time.monotonic() + SETTLE_S
+        """Wait for the answers of the remaining brokers, and check that resources were released."""
+        end_s = time.monotonic() + MAX_SETTLE_S
         while any(connection.open_requests for connection in self.connections):
             if time.monotonic() > end_s:
                 break
@@ -217,7 +215,7 @@
                 connection.transport.close()
         await asyncio.sleep(0.3)
         for broker in brokers:
-            if broker.number not in self._ended:
+            if broker.number not in self._ended_brokers:
                 await self._audit_leftovers(broker)
 
     async def _audit_leftovers(self, broker: BrokerProcess) -> None:
@@ -243,24 +241,22 @@
                 if any(mark in line for mark in FAULT_MARKS):
                     self.violations.append(Violation(Rule.FAULT, f"n{broker.number}: {line}"))
 
-    # --- the record ---
-
-    def _windows_ns(self) -> dict[str, int]:
+    def _idempotency_windows_ns(self) -> dict[str, int]:
         return {
             spec["name"]: spec["window"]
             for spec in self.settings["classes"]
             if spec["effect"] == "idempotency_key"
         }
 
-    def _record(self, cluster: EmulatedCluster) -> RunRecord:
+    def _make_run_record(self, cluster: EmulatedCluster) -> RunRecord:
         return RunRecord(
             cluster=cluster,
             requests=self.requests,
             unmatched_answers=sum(connection.unmatched_answers for connection in self.connections),
             pauses=self.pauses,
-            windows_ns=self._windows_ns(),
+            idempotency_windows_ns=self._idempotency_windows_ns(),
             drain_grace_ns=self.settings["contract"]["drain_grace"],
-            silent_ns=self.silent_ns,
+            discovery_silence_ns=self.discovery_silence_ns,
             process_violations=self.violations,
         )
 
--- a/benchmarks/soak/records.py
+++ b/benchmarks/soak/records.py
@@ -1,4 +1,4 @@
-"""What the clients of a soak record, and the connection that records it."""
+"""The requests that a soak's clients record, and the connection that records them."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from query_broker.emulator.clients import LENGTH_BYTES, MEMORY_MB, NS_PER_MS
 from query_broker.protocols import client_frames as frames
 
-#: A request that crosses the end of a connection without open requests within this time is sent
-#: once more by its client.
-CROSSING_NS = 50_000_000
-#: The stream of errors that belong to no request.
+#: A request sent at most this long before the broker closed an idle connection crossed the close on
+#: the wire; the client sends it again.
+MAX_CROSSING_NS = 50_000_000
+#: Stream number of errors that belong to no request.
 NO_STREAM = 0
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request; all times are Unix nanoseconds, 0 while they are not known.
+    """One request; all times are Unix nanoseconds, 0 while unknown.
 
     Attributes:
         request_id: The id that the client gave it.
         broker: Number of the broker that it was sent to.
         request_class: Its class.
-        effect: Effect of the class, in the word of the platform's settings.
-        timeout_ns: How long the client waits.
+        effect: Effect of the class, as the platform settings name it.
+        timeout_ns: Timeout of the client.
         sent_ns: When its last byte was written.
-        idempotency_key: Its key; empty without one.
-        codes: The codes of its answers, in the order in which they came.
-        answered_ns: When the first answer came.
+        idempotency_key: Its idempotency key; empty if it has none.
+        codes: The codes of its answers, in order of arrival.
+        answered_ns: When the first answer arrived.
         body: The body of the first answer.
-        abandoned_ns: When the client cancelled it.
-        connection_ended_ns: When its connection ended before an answer.
-        was_reset: Whether that end was a reset.
-        crossed_end: Whether every request that was open on the connection at its end had been sent
-            just before: it was idle for the broker, and the client sends them once more.
+        cancelled_ns: When the client cancelled it.
+        connection_ended_ns: When its connection ended, if that was before an answer.
+        was_reset: Whether that connection was reset.
+        crossed_connection_end: Whether all requests that were open at the end of the connection had
+            just been sent: the broker saw an idle connection, and the client sends them again.
     """
 
     request_id: str
@@ -49,17 +49,17 @@
     codes: list[int] = field(default_factory=list)
     answered_ns: int = 0
     body: bytes = b""
-    abandoned_ns: int = 0
+    cancelled_ns: int = 0
     connection_ended_ns: int = 0
     was_reset: bool = False
-    crossed_end: bool = False
+    crossed_connection_end: bool = False
 
 
 class RecordingConnection(asyncio.Protocol):
-    """One connection of a client, which is used for as long as it is open."""
+    """A persistent connection of a client that records answers and its own end."""
 
     def __init__(self) -> None:
-        """Create the protocol of a connection that is not made yet."""
+        """Create the protocol before its connection is made."""
         self.transport: asyncio.Transport | None = None
         self.open_requests: dict[int, SentRequest] = {}
         self.all_requests: dict[int, SentRequest] = {}
@@ -72,34 +72,34 @@
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Record the end for what is open."""
+        """Record the end of the connection for all open requests."""
         self._end(was_reset=isinstance(exc, ConnectionResetError))
         self.transport = None
 
     def eof_received(self) -> bool:
-        """Record the end: nothing more can be answered."""
+        """Record the end: no further answer can arrive."""
         self._end(was_reset=False)
         return False
 
     def _end(self, was_reset: bool) -> None:
         now_ns = time.time_ns()
         crossed = all(
-            now_ns - request.sent_ns <= CROSSING_NS for request in self.open_requests.values()
+            now_ns - request.sent_ns <= MAX_CROSSING_NS for request in self.open_requests.values()
         )
         for request in self.open_requests.values():
-            request.crossed_end = crossed
+            request.crossed_connection_end = crossed
             request.connection_ended_ns = now_ns
             request.was_reset = was_reset
         self.open_requests.clear()
 
     def is_usable(self) -> bool:
-        """Return whether a request may be sent here."""
+        """Return whether a request may be sent on this connection."""
         if self.transport is None or self.transport.is_closing():
             return False
         return len(self.open_requests) < MAX_OPEN_PER_CONNECTION
 
     def send(self, request: SentRequest, tenant: str, statement: bytes, work_ms: float) -> None:
-        """Send a request and record when."""
+        """Send a request and record the time."""
         assert self.transport is not None
         self.last_stream += 1
         self.open_requests[self.last_stream] = request
@@ -119,17 +119,17 @@
         self.transport.write(frames.frame(frames.REQUEST, self.last_stream, payload))
         request.sent_ns = time.time_ns()
 
-    def abandon(self, request: SentRequest) -> None:
-        """Cancel a request that is still open."""
-        for stream, other in self.open_requests.items():
-            if other is request and self.transport is not None:
+    def cancel(self, request: SentRequest) -> None:
+        """Cancel a request if it is still open."""
+        for stream, open_request in self.open_requests.items():
+            if open_request is request and self.transport is not None:
                 self.transport.write(frames.frame(frames.ABANDON, stream))
-                request.abandoned_ns = time.time_ns()
+                request.cancelled_ns = time.time_ns()
                 del self.open_requests[stream]
                 return
 
     def data_received(self, data: bytes) -> None:
-        """Record the answers that are complete."""
+        """Record each answer that has arrived completely."""
         self._buffer += data
         while len(self._buffer) >= frames.HEAD.size:
             end = LENGTH_BYTES + int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
@@ -143,7 +143,7 @@
 
     def _record_answer(self, stream: int, payload: bytes) -> None:
         if stream == NO_STREAM:
-            return  # such as "no whole frame in time" on a connection that is not used
+            return  # such as "no whole frame in time" on an idle connection
         self.open_requests.pop(stream, None)
         request = self.all_requests.get(stream)
         if request is None:
@@ -155,5 +155,5 @@
             request.body = frames.read_fields(payload[1:]).body
 
 
-#: Requests in flight on one connection; the protocol allows 32.
+#: Maximum number of open requests on one connection; the protocol allows 32.
 MAX_OPEN_PER_CONNECTION = 16
--- a/benchmarks/soak/scenario.py
+++ b/benchmarks/soak/scenario.py
@@ -1,4 +1,4 @@
-"""What a seed draws: deployment, brokers, engines, faults and signals, as one line of JSON."""
+"""Scenarios drawn from a seed: deployment, brokers, engines, faults, signals and client bursts."""
 
 from __future__ import annotations
 
@@ -9,24 +9,25 @@
 
 from .deployments import all_deployments
 
-#: From SIGTERM to SIGKILL: the longest deadline, counted as this where it is longer, and more.
+#: From SIGTERM to SIGKILL the platform waits for the longest deadline, at most MAX_DEADLINE_S, plus
+#: KILL_MARGIN_S.
 MAX_DEADLINE_S = 3.0
-KILL_DELAY_S = 0.7
-#: When the listener of a broker closes after SIGTERM.
-LISTENER_CLOSE_S = 0.65
-#: A paused process runs again at least so long before its SIGKILL: in less it cannot answer.
+KILL_MARGIN_S = 0.7
+#: Time from SIGTERM until a broker closes its listener.
+LISTENER_CLOSE_DELAY_S = 0.65
+#: A paused process resumes at least this long before its SIGKILL, so that it can still answer.
 RUN_BEFORE_KILL_S = 1.0
 #: Bounds of the time for which a process is paused.
-SHORTEST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 2.0
+MIN_PAUSE_S = 0.05
+MAX_PAUSE_S = 2.0
 
 
 class EngineFault(StrEnum):
-    """What happens to an engine."""
+    """A kind of fault that is injected into an engine."""
 
     DRAIN = "drain"
     DIE = "die"
-    REBORN = "reborn"  # dies, and comes back cold at its address
+    RESTART = "reborn"  # stops, and a cold engine starts at the same address
     HANG = "hang"
 
 
@@ -39,7 +40,7 @@
 
 
 class CrowdMoment(StrEnum):
-    """When many clients come at once."""
+    """When a burst of clients connects."""
 
     READY = "ready"
     LISTENER_CLOSE = "listener close"
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineEvent:
-    """A fault of one engine, at a time in seconds from the beginning of the load."""
+    """A fault of one engine; `at_s` counts from the beginning of the load."""
 
     at_s: float
     fault: EngineFault
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SignalEvent:
-    """A signal to one broker, at a time in seconds from the beginning of the load."""
+    """A signal to one broker; `at_s` counts from the beginning of the load."""
 
     at_s: float
     signal: BrokerSignal
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crowd:
-    """Clients that connect and send at once to the first broker."""
+    """A burst of clients that connect and send to the first broker."""
 
     moment: CrowdMoment
     clients: int
@@ -75,19 +76,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One drawn run.
+    """One run, as drawn from a seed.
 
     Attributes:
-        seed: What it was drawn from.
-        deployment: Name of the settings.
+        seed: The seed that it was drawn from.
+        deployment: Name of the deployment whose settings are used.
         brokers: Number of broker processes.
         engines: Number of engines at the start.
-        cold_engines: How many of them have just started.
-        requests_per_s: Requests a second of each broker.
+        cold_engines: How many of those engines start cold.
+        requests_per_s: Request rate to each broker.
         engine_events: Faults of engines.
-        signals: Signals to brokers, each broker's in their order.
-        list_silent_s: From when to when the discovery service sends nothing.
-        crowd: Clients that come at once, if any.
+        signals: Signals to brokers, in order of time for each broker.
+        list_silent_s: Begin and end of the period in which the discovery service sends no events.
+        crowd: A burst of clients, if any.
     """
 
     seed: int
@@ -102,17 +103,17 @@
     crowd: Crowd | None
 
     def describe(self) -> str:
-        """Return the scenario as one line."""
+        """Return the scenario as one line of JSON."""
         return json.dumps(asdict(self), separators=(",", ":"))
 
     def kill_delay_s(self) -> float:
-        """Return the seconds from SIGTERM to SIGKILL, the least that the platform allows."""
+        """Return the shortest time from SIGTERM to SIGKILL that the platform allows."""
         classes = all_deployments()[self.deployment]["classes"]
         longest_s = max(spec["deadline"] for spec in classes) / 1e9
-        return float(min(longest_s, MAX_DEADLINE_S) + KILL_DELAY_S)
+        return float(min(longest_s, MAX_DEADLINE_S) + KILL_MARGIN_S)
 
     def first_term_s(self, broker: int) -> float | None:
-        """Return when a broker gets its first SIGTERM, if it gets one."""
+        """Return the time of a broker's first SIGTERM; None if it gets none."""
         times = [
             event.at_s
             for event in self.signals
@@ -121,7 +122,7 @@
         return min(times, default=None)
 
     def without_parts(self) -> list[Scenario]:
-        """Return the scenarios that lack one part of this one, for shrinking."""
+        """Return the scenarios that result from removing one part, for shrinking."""
         smaller = [
             replace(
                 self, engine_events=self.engine_events[:index] + self.engine_events[index + 1 :]
@@ -139,8 +140,8 @@
         return smaller
 
 
-def draw(seed: int) -> Scenario:
-    """Draw the scenario of a seed; the same seed gives the same one."""
+def draw_scenario(seed: int) -> Scenario:
+    """Draw the scenario of a seed; the same seed always gives the same scenario."""
     draws = random.Random(seed)
     deployment = draws.choice(sorted(all_deployments()))
     brokers = draws.randint(1, 4)
@@ -172,7 +173,7 @@
 
 
 def _draw_engine_events(draws: random.Random, engines: int) -> tuple[EngineEvent, ...]:
-    """Draw faults of all engines but the first, so that something can be served."""
+    """Draw faults of all engines except the first, so that requests can still be served."""
     events = [
         EngineEvent(
             at_s=round(draws.uniform(0.2, 4.0), 3),
@@ -187,7 +188,7 @@
 
 
 def _draw_signals(draws: random.Random, broker: int, kill_delay_s: float) -> list[SignalEvent]:
-    """Draw the signals of one broker: SIGTERM once or more, SIGHUPs and pauses around it."""
+    """Draw the signals of one broker: at least one SIGTERM, with SIGHUPs and a pause around it."""
     term_s = draws.uniform(1.0, 3.0)
     events = [SignalEvent(round(term_s, 3), BrokerSignal.TERM, broker)]
     for _ in range(draws.choice([0, 0, 1, 2])):
@@ -199,9 +200,7 @@
     if draws.random() < 0.6:
         begin_s = term_s + draws.uniform(-0.5, kill_delay_s - RUN_BEFORE_KILL_S)
         longest_s = term_s + kill_delay_s - RUN_BEFORE_KILL_S - begin_s
-        duration_s = draws.uniform(
-            SHORTEST_PAUSE_S, max(SHORTEST_PAUSE_S, min(LONGEST_PAUSE_S, longest_s))
-        )
+        duration_s = draws.uniform(MIN_PAUSE_S, max(MIN_PAUSE_S, min(MAX_PAUSE_S, longest_s)))
         events.append(
             SignalEvent(round(begin_s, 3), BrokerSignal.PAUSE, broker, round(duration_s, 3))
         )
