--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,5 +1,5 @@
-"""Measurements before emulated clusters and on simulated clocks.
+"""Benchmarks on emulated clusters and on simulated clocks.
 
-`python -m benchmarks.NAME [--quick]` prints a line for each measured value, and ends with exit code
-1 if one is past its bound.
+`python -m benchmarks.NAME [--quick]` prints a line for each measured value; its exit code is 1 if a
+value breaks its bound.
 """
--- a/benchmarks/cancelled_queries.py
+++ b/benchmarks/cancelled_queries.py
@@ -1,4 +1,4 @@
-"""Engine time spent after the client left, where engines honour a cancel and where they do not."""
+"""Engine time spent on departed clients, with and without engines that honour cancellation."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 MAX_CANCEL_DELAY_S = 0.2
 TIMEOUT_NS = 5 * NS_PER_S
 IDLE_TIMEOUT_S = 6.0
-#: The goal of cancelling: of the engine time spent for nobody, no more than a fifth is left.
-MAX_MEDIAN_AGAINST_WITHOUT = 0.2
-#: Below any measured time, against a division by zero.
+#: Goal of cancellation: at most a fifth of the engine time spent on departed clients remains.
+MAX_MEDIAN_RATIO = 0.2
+#: Below any measured time; avoids a division by zero.
 MIN_MEDIAN_MS = 1e-9
 
 
 class CancellingClients:
-    """Clients of one daemon, half of which leave soon after they have sent.
+    """Clients of one daemon that cancel half of their requests soon after sending them.
 
     Attributes:
-        left_ns: When each client left, by request id.
+        departed_ns: Time of each cancellation, by request id.
     """
 
     def __init__(self, daemon: Daemon) -> None:
         """Create clients that have sent nothing."""
-        self.left_ns: dict[bytes, int] = {}
+        self.departed_ns: dict[bytes, int] = {}
         self._requests = daemon.requests
         self._random = random.Random(SEED)
 
     async def run(self, seconds: float) -> None:
-        """Send requests for so long, and wait for the answers."""
+        """Send requests for a number of seconds, then wait for the answers."""
         end_s = time.monotonic() + seconds
         while time.monotonic() < end_s:
             work_ms = self._random.uniform(*WORK_MS)
@@ -57,15 +57,17 @@
     def _cancel(self, record: RequestRecord) -> None:
         for client in self._requests.clients:
             if cancel_request(client, record):
-                self.left_ns[record.request_id.encode()] = time.time_ns()
+                self.departed_ns[record.request_id.encode()] = time.time_ns()
 
 
-def _time_after_departure_ms(cluster: EmulatedCluster, left_ns: dict[bytes, int]) -> list[float]:
+def _time_after_departure_ms(
+    cluster: EmulatedCluster, departed_ns: dict[bytes, int]
+) -> list[float]:
     return [
-        max(0, (run.ended_ns or time.time_ns()) - left_ns[run.query_id]) / NS_PER_MS
+        max(0, (run.ended_ns or time.time_ns()) - departed_ns[run.query_id]) / NS_PER_MS
         for engine in cluster.engines.values()
         for run in engine.machine.ledger
-        if run.query_id in left_ns
+        if run.query_id in departed_ns
     ]
 
 
@@ -81,7 +83,7 @@
 async def _record_case(
     results: Results, name: str, cancel_is_honoured: bool, seconds: float
 ) -> float:
-    """Record one case, and return the median of the time after departure in milliseconds."""
+    """Record one case, and return the median engine time after departure in milliseconds."""
     cluster = EmulatedCluster()
     await cluster.start("a-1", "a-2", "a-3", cores=4)
     for engine in cluster.engines.values():
@@ -89,10 +91,10 @@
     daemon = await Daemon(Program(ROOT), cluster, _settings(cancel_is_honoured)).start()
     clients = CancellingClients(daemon)
     await clients.run(seconds)
-    spent_ms = _time_after_departure_ms(cluster, clients.left_ns)
+    spent_ms = _time_after_departure_ms(cluster, clients.departed_ns)
     median_ms = quantile(spent_ms, 0.5)
     served = sum(record.code == 0 for record in daemon.requests.records)
-    results.record(f"cancels.{name}.departures", len(clients.left_ns))
+    results.record(f"cancels.{name}.departures", len(clients.departed_ns))
     results.record(f"cancels.{name}.engine_ms_after_departure_median", median_ms)
     results.record(f"cancels.{name}.engine_ms_after_departure_p99", quantile(spent_ms, 0.99))
     results.record(f"cancels.{name}.served", served)
@@ -103,10 +105,10 @@
 
 async def record_cancels(results: Results, seconds: float) -> None:
     """Record the engine time after departure in both cases, and compare them."""
-    without_ms = await _record_case(results, "without", False, seconds)
-    with_ms = await _record_case(results, "with", True, seconds)
+    median_without_cancel_ms = await _record_case(results, "without", False, seconds)
+    median_with_cancel_ms = await _record_case(results, "with", True, seconds)
     results.record(
         "cancels.median_against_without",
-        with_ms / max(MIN_MEDIAN_MS, without_ms),
-        at_most=MAX_MEDIAN_AGAINST_WITHOUT,
+        median_with_cancel_ms / max(MIN_MEDIAN_MS, median_without_cancel_ms),
+        at_most=MAX_MEDIAN_RATIO,
     )
--- a/benchmarks/cell_lending.py
+++ b/benchmarks/cell_lending.py
@@ -1,4 +1,4 @@
-"""Capacity that a cell lends comes back when its owner needs it."""
+"""Capacity that a cell has lent: how soon its owner gets it back on demand."""
 
 from __future__ import annotations
 
@@ -17,44 +17,44 @@
 
 TIMEOUT_NS = 5 * NS_PER_S
 MS_PER_S = 1_000
-DIVIDED_REQUESTS = 40
-FLOOD_REQUESTS = 60
-FLOOD_SETTLES_S = 0.1
-OWNER_INTERVAL_S = 0.01
+DIVIDED_REQUEST_COUNT = 40
+FLOOD_REQUEST_COUNT = 60
+FLOOD_SETTLE_S = 0.1
+OWNER_REQUEST_INTERVAL_S = 0.01
 OWNER_TIMEOUT_S = 5.0
 IDLE_TIMEOUT_S = 6.0
 MAX_ENGINE_SESSIONS = 10_000
-#: So slow that no query ends by itself: what is lent comes back by being reclaimed.
+#: So slow that no query ends by itself: lent capacity only returns by being reclaimed.
 ENGINE_SLOWDOWN = 1e6
 
 #: Without a loan there is nothing to measure.
 MIN_LENT = 1
 #: The latency objective of the fastest class: an owner that waits longer misses it.
 MAX_OWNER_WAIT_MS = 1_000.0
-#: Every client is owed one answer and no second one.
+#: Every request gets exactly one answer.
 MAX_WITHOUT_ONE_ANSWER = 0
 
 
-async def _seconds_until_owner_has_part(requests: RequestLog, node: CellNode) -> float:
-    """Let the owner request its complete part, and return how long it takes to get it."""
+async def _seconds_until_owner_uses_quota(requests: RequestLog, node: CellNode) -> float:
+    """Send the owner's requests until they use its complete quota; return the time in seconds."""
     accounts = node.celled.request_ledger.accounts
     begun_s = time.monotonic()
-    used = 0
-    while used < accounts["b"].quota and time.monotonic() - begun_s < OWNER_TIMEOUT_S:
+    used_requests = 0
+    while used_requests < accounts["b"].quota and time.monotonic() - begun_s < OWNER_TIMEOUT_S:
         await requests.send_request("y", "glance", 1, TIMEOUT_NS, estimated_work_ms=1)
-        await asyncio.sleep(OWNER_INTERVAL_S)
-        used = accounts["b"].in_use
+        await asyncio.sleep(OWNER_REQUEST_INTERVAL_S)
+        used_requests = accounts["b"].in_use
     return time.monotonic() - begun_s
 
 
 async def _record_lending(results: Results, requests: RequestLog, node: CellNode) -> None:
     ledger = node.celled.request_ledger
-    ledger.divide(DIVIDED_REQUESTS, node.celled.cell_weights())
-    for _ in range(FLOOD_REQUESTS):
+    ledger.divide(DIVIDED_REQUEST_COUNT, node.celled.cell_weights())
+    for _ in range(FLOOD_REQUEST_COUNT):
         await requests.send_request("x", "glance", 1, TIMEOUT_NS, estimated_work_ms=1)
-    await asyncio.sleep(FLOOD_SETTLES_S)
+    await asyncio.sleep(FLOOD_SETTLE_S)
     results.record("loans.lent", ledger.borrowed("a"), at_least=MIN_LENT)
-    owner_wait_ms = await _seconds_until_owner_has_part(requests, node) * MS_PER_S
+    owner_wait_ms = await _seconds_until_owner_uses_quota(requests, node) * MS_PER_S
     results.record("loans.owner_has_its_part_after_ms", owner_wait_ms, at_most=MAX_OWNER_WAIT_MS)
     results.record("loans.called_in", node.celled.called_in)
     await requests.wait_until_idle(IDLE_TIMEOUT_S)
@@ -67,7 +67,7 @@
 
 
 async def record_lending(results: Results) -> None:
-    """Let one cell flood until it borrows all it can; then the other needs its complete part."""
+    """Flood one cell until it borrows all it can, then claim the other cell's complete quota."""
     cluster = EmulatedCluster()
     await cluster.start("a-1", "b-1")
     for engine in cluster.engines.values():
--- a/benchmarks/cell_migrations.py
+++ b/benchmarks/cell_migrations.py
@@ -44,25 +44,26 @@
 WORK_MS = (5, 40)
 TIMEOUT_NS = 4 * NS_PER_S
 IDLE_TIMEOUT_S = 8.0
-#: The run ends when this many migrations more than wanted were proposed, or after this time.
+#: Up to this many migrations beyond the wanted number are proposed; the run ends after TIMEOUT_S at
+#: the latest.
 SPARE_MIGRATIONS = 10
 TIMEOUT_S = 240
-STEP_S = 0.02
-ABORTED_FRACTION = 0.02  # of the steps
+DRIVER_STEP_S = 0.02
+ABORTED_FRACTION = 0.02  # of the driver's steps
 DRAIN_GRACE_NS = NS_PER_S
 
 FAULT_INTERVAL_S = (0.4, 0.9)
-DRAIN_S = 1.2
-UNNOTICED_CRASH_S = 0.3
-SILENCE_S = 0.4
-DISABLED_S = 0.5
+DRAIN_DURATION_S = 1.2
+CRASH_REPORT_DELAY_S = 0.3
+UNRESPONSIVE_DURATION_S = 0.4
+DISABLED_DURATION_S = 0.5
 COLD_SUCCESSOR_FRACTION = 0.5
 
-# A migration is not to be seen from outside, so each of these holds exactly.
-MAX_WITHOUT_ONE_ANSWER = 0  # every client is owed one answer and no second one
+# Clients must not notice a migration, so these bounds allow no exception.
+MAX_WITHOUT_ONE_ANSWER = 0  # every request gets exactly one answer
 MAX_UNSAFE_RUN_TWICE = 0  # a non-idempotent query that runs twice changes data twice
-MAX_SENT_AFTER_DRAIN = 0  # a draining engine is promised that nothing new comes
-MAX_ENGINES_CRASHED = 0  # engines that warm up are sent no more than their contract
+MAX_SENT_AFTER_DRAIN = 0  # a draining engine must get no new queries
+MAX_ENGINES_CRASHED = 0  # engines that warm up are sent no more than their contract allows
 
 
 class EndedMigration(NamedTuple):
@@ -74,7 +75,7 @@
 
 
 class MigrationDriver:
-    """Proposes migrations, and aborts some of them as operators do.
+    """Proposes migrations, and aborts some of them as an operator would.
 
     Attributes:
         ended: Migrations that have ended.
@@ -82,28 +83,28 @@
         aborted: How many were aborted.
     """
 
-    def __init__(self, node: CellNode, source: random.Random) -> None:
+    def __init__(self, node: CellNode, rng: random.Random) -> None:
         """Create a driver that has proposed nothing."""
         self.ended: list[EndedMigration] = []
         self.stages: Counter[Stage] = Counter()
         self.aborted = 0
         self._node = node
-        self._random = source
+        self._random = rng
         self._proposed = 0
         self._seen_versions: set[int] = set()
 
     async def run(self, count: int) -> None:
-        """Drive until so many migrations have ended, or the time is over."""
+        """Propose and abort migrations until enough have ended or the timeout is reached."""
         begun_s = time.monotonic()
         while len(self.ended) < count and time.monotonic() - begun_s < TIMEOUT_S:
-            self._take_ended()
+            self._collect_ended()
             if self._proposed < count + SPARE_MIGRATIONS:
                 self._propose()
             if self._random.random() < ABORTED_FRACTION:
                 self._abort()
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(DRIVER_STEP_S)
 
-    def _take_ended(self) -> None:
+    def _collect_ended(self) -> None:
         for migration in self._node.celled.migrations.records.values():
             if migration.has_ended() and migration.version not in self._seen_versions:
                 self._seen_versions.add(migration.version)
@@ -127,11 +128,13 @@
             self.aborted += 1
 
 
-async def _send_steadily(requests: RequestLog, source: random.Random, ended: asyncio.Event) -> None:
-    while not ended.is_set():
-        is_write = source.random() < WRITE_FRACTION
-        tenant = source.choice(TENANT_NAMES)
-        work_ms = source.uniform(*WORK_MS)
+async def _send_requests(
+    requests: RequestLog, rng: random.Random, load_ended: asyncio.Event
+) -> None:
+    while not load_ended.is_set():
+        is_write = rng.random() < WRITE_FRACTION
+        tenant = rng.choice(TENANT_NAMES)
+        work_ms = rng.uniform(*WORK_MS)
         await requests.send_request(
             tenant,
             "stock-add" if is_write else "glance",
@@ -139,54 +142,56 @@
             TIMEOUT_NS,
             threads=2 if is_write else 1,
         )
-        await asyncio.sleep(source.expovariate(REQUESTS_PER_S))
+        await asyncio.sleep(rng.expovariate(REQUESTS_PER_S))
 
 
-class EngineFaults:
-    """Drains with successors, crashes, silence, and engines disabled by hand.
+class EngineFaultInjector:
+    """Injects drains with successors, crashes, unresponsive engines and manually disabled engines.
 
-    Never all engines of a cell at once.
+    The faults never affect all engines of a cell at once.
     """
 
-    def __init__(self, cluster: EmulatedCluster, node: CellNode, source: random.Random) -> None:
-        """Create faults of the engines of a cluster."""
+    def __init__(self, cluster: EmulatedCluster, node: CellNode, rng: random.Random) -> None:
+        """Create an injector of faults into the engines of a cluster."""
         self._cluster = cluster
         self._node = node
-        self._random = source
-        self._numbers = itertools.count(1)
+        self._random = rng
+        self._successor_numbers = itertools.count(1)
 
-    async def run(self, ended: asyncio.Event) -> None:
-        """Cause one fault after the other."""
-        while not ended.is_set():
+    async def run(self, load_ended: asyncio.Event) -> None:
+        """Inject one fault after the other until the load has ended."""
+        while not load_ended.is_set():
             await asyncio.sleep(self._random.uniform(*FAULT_INTERVAL_S))
             targets = self._cluster.discovery.targets
             ready = [uid for uid, target in targets.items() if target["state"] == "in_service"]
             uid = self._random.choice(ready)
-            cause = self._random.choice([self._drain, self._crash, self._silence, self._disable])
-            await cause(uid, f"n-{next(self._numbers)}")
+            inject_fault = self._random.choice(
+                [self._drain, self._crash, self._make_unresponsive, self._disable]
+            )
+            await inject_fault(uid, f"n-{next(self._successor_numbers)}")
 
     async def _drain(self, uid: str, successor: str) -> None:
         is_cold = self._random.random() < COLD_SUCCESSOR_FRACTION
         await self._cluster.add(successor, cores=ENGINE_CORES, cold=is_cold)
         self._cluster.drain(uid)
-        await asyncio.sleep(DRAIN_S)
+        await asyncio.sleep(DRAIN_DURATION_S)
         self._cluster.terminate(uid)
 
     async def _crash(self, uid: str, successor: str) -> None:
         self._cluster.engines[uid].stop()
         await self._cluster.add(successor, cores=ENGINE_CORES)
-        await asyncio.sleep(UNNOTICED_CRASH_S)
+        await asyncio.sleep(CRASH_REPORT_DELAY_S)
         target = self._cluster.discovery.targets[uid]
         self._cluster.discovery.publish({**target, "state": "terminated"})
 
-    async def _silence(self, uid: str, _successor: str) -> None:
+    async def _make_unresponsive(self, uid: str, _successor: str) -> None:
         self._cluster.engines[uid].unresponsive = True
-        await asyncio.sleep(SILENCE_S)
+        await asyncio.sleep(UNRESPONSIVE_DURATION_S)
         self._cluster.engines[uid].unresponsive = False
 
     async def _disable(self, uid: str, _successor: str) -> None:
         self._node.dispatcher.set_endpoint_disabled(uid, True)
-        await asyncio.sleep(DISABLED_S)
+        await asyncio.sleep(DISABLED_DURATION_S)
         self._node.dispatcher.set_endpoint_disabled(uid, False)
 
 
@@ -200,8 +205,8 @@
 
 
 async def record_migrations(results: Results, count: int) -> None:
-    """Let so many migrations end while clients send and engines have faults."""
-    source = random.Random(SEED)
+    """Run a number of migrations while clients send requests and engines have faults."""
+    rng = random.Random(SEED)
     cluster = EmulatedCluster()
     uids = [f"{cell}-{number}" for cell in CELL_NAMES for number in range(ENGINES_PER_CELL)]
     await cluster.start(*uids, cores=ENGINE_CORES)
@@ -217,10 +222,10 @@
         node = CellNode(parse_config(raw), OperatorConfig(_cell_map()), "", environment)
         async with serving(node) as port:
             requests = RequestLog("127.0.0.1", port)
-            driver = MigrationDriver(node, source)
-            faults = EngineFaults(cluster, node, source)
+            driver = MigrationDriver(node, rng)
+            faults = EngineFaultInjector(cluster, node, rng)
             begun_s = time.monotonic()
-            await _run_load(requests, driver, faults, source, count)
+            await _run_load(requests, driver, faults, rng, count)
             _record_driver(results, driver, count)
             results.record("moves.seconds", time.monotonic() - begun_s)
             _record_requests(results, requests, cluster)
@@ -232,16 +237,16 @@
 async def _run_load(
     requests: RequestLog,
     driver: MigrationDriver,
-    faults: EngineFaults,
-    source: random.Random,
+    faults: EngineFaultInjector,
+    rng: random.Random,
     count: int,
 ) -> None:
-    ended = asyncio.Event()
-    sending = asyncio.create_task(_send_steadily(requests, source, ended))
-    breaking = asyncio.create_task(faults.run(ended))
+    load_ended = asyncio.Event()
+    sending = asyncio.create_task(_send_requests(requests, rng, load_ended))
+    injecting_faults = asyncio.create_task(faults.run(load_ended))
     await driver.run(count)
-    ended.set()
-    await asyncio.gather(sending, breaking)
+    load_ended.set()
+    await asyncio.gather(sending, injecting_faults)
     await requests.wait_until_idle(IDLE_TIMEOUT_S)
 
 
@@ -278,12 +283,12 @@
 def _record_fractions(
     results: Results, records: Sequence[RequestRecord], ended: Sequence[EndedMigration]
 ) -> None:
-    """Record what was rejected and what failed, during migrations of the tenant and else."""
+    """Record the rejected and failed fractions, during migrations of the tenant and otherwise."""
     migrations: defaultdict[str, list[EndedMigration]] = defaultdict(list)
     for migration in ended:
         migrations[migration.tenant].append(migration)
     during = []
-    apart = []
+    outside = []
     for record in records:
         is_during = any(
             migration.begun_ns <= record.sent_ns <= migration.ended_ns
@@ -292,8 +297,8 @@
         if is_during:
             during.append(record)
         else:
-            apart.append(record)
-    for name, group in (("during", during), ("apart", apart)):
+            outside.append(record)
+    for name, group in (("during", during), ("apart", outside)):
         rejected = sum(record.code == frames.REFUSED for record in group)
         failed = sum(record.code == frames.FAILED for record in group)
         results.record(f"moves.refused_share_{name}", rejected / max(1, len(group)))
--- a/benchmarks/cell_placement.py
+++ b/benchmarks/cell_placement.py
@@ -24,10 +24,10 @@
 TENANT_COUNT = 1_000
 ENGINE_COUNT = 60
 ENGINE_CORES = 8.0
-LOOKUPS = 100_000
+LOOKUP_COUNT = 100_000
 PARETO_SHAPE = 1.3
-SEPARATED_PAIRS = 20
-FEW_MIGRATIONS = 60
+SEPARATED_PAIR_COUNT = 20
+SMALL_PLAN_MAX_MOVES = 60
 MS_PER_S = 1_000
 US_PER_S = 1_000_000
 OPERATOR_FILE = f"""\
@@ -38,24 +38,24 @@
 default_cell("c0")
 """
 
-#: A goal: a reload evaluates the file while the broker serves. Runs took 0.2 to 0.3 s.
+#: Goal, since a reload evaluates the file while the broker serves. Runs took 0.2 to 0.3 s.
 MAX_FILE_MS = 2_000.0
-#: A goal: the endpoint list changes while the broker serves. Runs took less than 4 ms.
+#: Goal, since the endpoint list changes while the broker serves. Runs took less than 4 ms.
 MAX_PLACEMENT_MS = 50.0
-#: An engine that leaves is no reason to move any other.
+#: The removal of an engine must not move any other engine to another cell.
 MAX_OTHERS_MOVED = 0
 #: The solver has a time limit; building the problem and reading the plan may take this much more.
 SOLVER_MARGIN_S = 5.0
-#: The goal of a plan: the fullest cell is within a tenth of the mean, 1.004 of it when measured
+#: Goal of a plan: the fullest cell has at most 1.1 times the mean load; 1.004 was measured
 #: (`docs/design/measurements.md`).
 MAX_FULLEST_BY_PLAN = 1.1
 
 
 class Stopwatch:
-    """The time that a block took.
+    """Measures the duration of a block.
 
     Attributes:
-        seconds: The time, once the block has ended.
+        seconds: The duration, once the block has ended.
     """
 
     def __init__(self) -> None:
@@ -91,17 +91,17 @@
         placement.apply_list_update(engines)
     results.record("map.placement_ms", stopwatch.seconds * MS_PER_S, at_most=MAX_PLACEMENT_MS)
     with stopwatch.running():
-        for number in range(LOOKUPS):
+        for number in range(LOOKUP_COUNT):
             cell_map.home(f"t{number % TENANT_COUNT}")
-    results.record("map.home_us", stopwatch.seconds / LOOKUPS * US_PER_S)
+    results.record("map.home_us", stopwatch.seconds / LOOKUP_COUNT * US_PER_S)
     sizes = [placement.size(cell.name) for cell in cell_map.cells]
     results.record("map.least_engines", min(sizes), at_least=MIN_CELL_ENGINES)
     results.record("map.most_engines", max(sizes), at_most=MAX_CELL_ENGINES)
     return placement
 
 
-def _count_moved_by_leaving(cell_map: CellMap, engines: Sequence[PlacedEndpoint]) -> int:
-    """Let each engine leave in turn, and count the others that change their cell."""
+def _count_moved_by_removals(cell_map: CellMap, engines: Sequence[PlacedEndpoint]) -> int:
+    """Remove each engine in turn, and count the other engines that change their cell."""
     moved = 0
     for engine in engines:
         placement = Placement(cell_map)
@@ -119,7 +119,7 @@
 ) -> None:
     hashed = hashed_placement(loads, capacities)
     separated = tuple(
-        (f"t{number}", f"t{number + 1}") for number in range(0, 2 * SEPARATED_PAIRS, 2)
+        (f"t{number}", f"t{number + 1}") for number in range(0, 2 * SEPARATED_PAIR_COUNT, 2)
     )
     mean = sum(loads.values()) / sum(capacities.values())
     stopwatch = Stopwatch()
@@ -134,23 +134,23 @@
     results.record("plan.tenants_moved", len(plan.moves))
     with stopwatch.running():
         small_plan = solve(
-            Problem(loads, capacities, hashed, separated, max_moves=FEW_MIGRATIONS), solver_s
+            Problem(loads, capacities, hashed, separated, max_moves=SMALL_PLAN_MAX_MOVES), solver_s
         )
     results.record("plan.seconds_60_moves", stopwatch.seconds, at_most=max_s)
     results.record("plan.fullest_by_60_moves", max(small_plan.loads_after.values()) / mean)
 
 
 def record_placement(results: Results, solver_s: float) -> None:
-    """Read a map of twelve cells and 1,000 tenants, place 60 engines, and plan the tenants."""
-    source = random.Random(SEED)
+    """Evaluate a map of twelve cells and 1,000 tenants, place 60 engines, and plan the tenants."""
+    rng = random.Random(SEED)
     cell_map = _evaluate_map(results)
     engines = [
         PlacedEndpoint(f"s-{number:04x}", "east", "std", True) for number in range(ENGINE_COUNT)
     ]
     placement = _place_engines(results, cell_map, engines)
-    moved = _count_moved_by_leaving(cell_map, engines)
+    moved = _count_moved_by_removals(cell_map, engines)
     results.record("map.others_moved_when_one_leaves", moved, at_most=MAX_OTHERS_MOVED)
-    loads = {f"t{number}": source.paretovariate(PARETO_SHAPE) for number in range(TENANT_COUNT)}
+    loads = {f"t{number}": rng.paretovariate(PARETO_SHAPE) for number in range(TENANT_COUNT)}
     capacities = {
         cell.name: ENGINE_CORES * max(1, placement.size(cell.name)) for cell in cell_map.cells
     }
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -26,17 +26,17 @@
 
 BASE_COMMIT = "22cc526"  # the last commit before cells
 CELL_COUNT = 4
-#: Without cells nothing may be added: the noise of the comparison alone (a run differs by 0.04 from
-#: the next, `docs/design/measurements.md`).
+#: Without cells the cost must not grow; the bound allows for noise alone (consecutive runs differ
+#: by 0.04, `docs/design/measurements.md`).
 MAX_COST_WITHOUT_CELLS = 1.03
-#: The goal for four cells, each with decisions and accounts of its own.
+#: Goal for four cells, each with its own decisions and accounts.
 MAX_COST_WITH_CELLS = 1.10
-#: No engine has a fault, so nearly all is served; a few may meet a busy machine.
+#: No engine has a fault, so nearly all requests are served; a busy machine may delay a few.
 MIN_SERVED = 0.99
 
 
 class Size(NamedTuple):
-    """How much is measured."""
+    """The amount of work that a run measures."""
 
     path_rounds: int
     path_requests: int
@@ -62,7 +62,7 @@
 
 
 async def record_ordinary_path(results: Results, base: str, rounds: int, count: int) -> None:
-    """Compare the cost of a request without cells, with four, and with the program before."""
+    """Compare the cost of a request without cells, with four cells, and in the base commit."""
     with worktree(base) as tree:
         programs = {
             "base": Program(tree),
@@ -74,7 +74,7 @@
             for name, daemon in daemons.items():
                 results.record(f"path.{name}_us", statistics.median(costs_us[name]))
                 _record_daemon(results, name, daemon)
-    # Other work on the machine only adds: the lower quartiles are compared.
+    # Other work on the machine only adds time, so the lower quartiles are compared.
     base_us = lower_quartile(costs_us["base"])
     for name, bound in (("off", MAX_COST_WITHOUT_CELLS), ("on", MAX_COST_WITH_CELLS)):
         ratio = lower_quartile(costs_us[name]) / base_us
--- a/benchmarks/client_lifecycles.py
+++ b/benchmarks/client_lifecycles.py
@@ -1,7 +1,7 @@
-"""Randomised lifecycles of clients: they send, wait, cancel, drop their connections.
+"""Randomised lifecycles of clients that send requests, wait, cancel, or drop their connections.
 
-`record_lifecycles` plays them against a broker in this process, before engines with faults, so that
-the first byte of every attempt is seen against the moment at which its client left.
+`record_lifecycles` runs them against a broker in this process and engines with faults, so that the
+first byte of every attempt can be compared with the time at which its client left.
 """
 
 from __future__ import annotations
@@ -33,45 +33,47 @@
 MAX_CLIENTS = 12
 WRITE_FRACTION = 0.2
 TIMEOUTS_MS = (150, 400, 1_000, 3_000)
-#: Some are larger than what the system's buffers take.
+#: Some statements exceed the capacity of the socket buffers.
 STATEMENT_PADDING_BYTES = (0, 0, 0, 0, 40_000, 150_000)
-# What a client does, by a number drawn from 0 to 1; the rest wait for their answer.
-CANCELS_BELOW = 0.35
-DROPS_BELOW = 0.37
+# Thresholds of a random number from 0 to 1 that selects what a client does; above the last one it
+# waits for its answer.
+CANCEL_BELOW = 0.35
+DROP_BELOW = 0.37
 MAX_CANCEL_DELAY_S = 0.3
 MAX_DROP_DELAY_S = 0.1
-#: After so many requests an engine stops reading for a while.
+#: Number of requests between two pauses, in each of which one engine stops reading.
 REQUESTS_PER_PAUSE = 60
-PAUSE_S = (0.1, 1.5)
+PAUSE_RANGE_S = (0.1, 1.5)
 REQUESTS_PER_BURST = 4
 BURSTS_PER_S = 250.0
 IDLE_TIMEOUT_S = 4.0
-LATE_ANSWERS_S = 0.3
-#: An answer may be on its way when the client leaves; one that comes later than this may not.
+LATE_ANSWER_WAIT_S = 0.3
+#: An answer may be in transit when the client leaves, but it must arrive within this time.
 ANSWER_IN_TRANSIT_NS = NS_PER_S
-# An engine that never answers holds a request until its deadline.
+# Enough polls for the longest deadline: an engine that never answers holds a request until then.
 MAX_RELEASE_POLLS = 400
 RELEASE_POLL_S = 0.01
 
-# The broker promises each of these exactly, so that a single case breaks the bound.
-MAX_REQUESTS_LEFT = 0  # every request is released in the end
+# The broker guarantees these without exception, so a single case breaks the bound.
+MAX_REQUESTS_LEFT = 0  # every request is released eventually
 MAX_BEGUN_AFTER_DEPARTURE = 0  # work for a client that is known to have left is wasted
-MAX_UNANSWERED = 0  # a client that waits is owed an answer
-MAX_ANSWERED_TWICE = 0  # a second answer would be taken for that of another request
+MAX_UNANSWERED = 0  # every waiting client gets an answer
+MAX_ANSWERED_TWICE = 0  # a client would take a second answer for that of another request
 MAX_UNSAFE_BEGUN_TWICE = 0  # a non-idempotent query that runs twice changes data twice
 
 
 @dataclass
 class LifecycleCounts:
-    """What became of the requests.
+    """Counts of the outcomes of requests.
 
     Attributes:
         requests: Requests sent.
-        unanswered: Those whose client waited in vain.
-        answered_twice: Those answered twice, or long after their client had left.
-        unsafe_begun_twice: Non-idempotent ones that began to run more than once.
-        departures: Those whose client left before the answer.
-        begun_after_departure: Attempts whose first byte left after the broker knew of that.
+        unanswered: Requests whose client waited without getting an answer.
+        answered_twice: Requests answered twice, or long after their client had left.
+        unsafe_begun_twice: Non-idempotent requests that began to run more than once.
+        departures: Requests whose client left before the answer.
+        begun_after_departure: Attempts whose first byte was sent after the broker knew that the
+            client had left.
     """
 
     requests: int = 0
@@ -89,27 +91,27 @@
 
 
 class LifecycleRun:
-    """Clients of one address, the same for the same seed."""
+    """Random clients of one broker; the same seed draws the same clients."""
 
     def __init__(self, port: int, engines: Sequence[ErraticEngine], seed: int) -> None:
-        """Create a run that has not begun.
+        """Prepare a run without sending anything.
 
         Args:
             port: Where the broker accepts clients.
             engines: The engines behind it.
-            seed: Seed of all that is drawn.
+            seed: Seed of all random choices.
         """
         self._engines = engines
         self._seed = seed
         self._random = random.Random(seed)
         self._requests = RequestLog("127.0.0.1", port)
         self._unsafe_ids: set[bytes] = set()
-        self._left_ns: dict[bytes, int] = {}
+        self._departed_ns: dict[bytes, int] = {}
 
     async def run(self, count: int) -> LifecycleCounts:
-        """Play so many requests, and return what became of them."""
+        """Send a number of requests, and return the counts of their outcomes."""
         for number in range(count):
-            await self._play_request(number)
+            await self._send_request(number)
             if number % REQUESTS_PER_PAUSE == REQUESTS_PER_PAUSE // 2:
                 self._pause_engine()
             if number % REQUESTS_PER_BURST == 0:
@@ -117,12 +119,12 @@
         for engine in self._engines:
             engine.resume()
         await self._requests.wait_until_idle(IDLE_TIMEOUT_S)
-        await asyncio.sleep(LATE_ANSWERS_S)
-        counts = self._count()
+        await asyncio.sleep(LATE_ANSWER_WAIT_S)
+        counts = self._count_outcomes()
         self._requests.close()
         return counts
 
-    async def _play_request(self, number: int) -> None:
+    async def _send_request(self, number: int) -> None:
         client = await self._choose_client()
         is_write = self._random.random() < WRITE_FRACTION
         record = RequestRecord(
@@ -148,32 +150,32 @@
     def _schedule_departure(self, client: EmulatedClient, record: RequestRecord) -> None:
         loop = asyncio.get_running_loop()
         chance = self._random.random()
-        if chance < CANCELS_BELOW:
+        if chance < CANCEL_BELOW:
             delay_s = self._random.uniform(0.0, MAX_CANCEL_DELAY_S)
             loop.call_later(delay_s, self._cancel, client, record)
-        elif chance < DROPS_BELOW:
+        elif chance < DROP_BELOW:
             delay_s = self._random.uniform(0.0, MAX_DROP_DELAY_S)
             loop.call_later(delay_s, self._drop, client)
 
     def _cancel(self, client: EmulatedClient, record: RequestRecord) -> None:
         if cancel_request(client, record):
-            self._left_ns[record.request_id.encode()] = time.time_ns()
+            self._departed_ns[record.request_id.encode()] = time.time_ns()
 
     def _drop(self, client: EmulatedClient) -> None:
         now_ns = time.time_ns()
-        client.broker_draining = True  # nothing more is sent here
+        client.broker_draining = True  # no further request is sent on this connection
         for record in client.open_requests.values():
-            self._left_ns[record.request_id.encode()] = now_ns
+            self._departed_ns[record.request_id.encode()] = now_ns
         if client.transport is not None:
             client.transport.abort()
 
     def _pause_engine(self) -> None:
         engine = self._random.choice(self._engines)
         engine.pause()
-        pause_s = self._random.uniform(*PAUSE_S)
+        pause_s = self._random.uniform(*PAUSE_RANGE_S)
         asyncio.get_running_loop().call_later(pause_s, engine.resume)
 
-    def _count(self) -> LifecycleCounts:
+    def _count_outcomes(self) -> LifecycleCounts:
         records = self._requests.records
         runs = Counter(
             query.query_id for engine in self._engines for query in engine.started_queries
@@ -184,22 +186,24 @@
             answered_twice=sum(record.answer_count > 1 for record in records)
             + sum(self._is_answered_late(record) for record in records),
             unsafe_begun_twice=sum(runs[request_id] > 1 for request_id in self._unsafe_ids),
-            departures=len(self._left_ns),
+            departures=len(self._departed_ns),
         )
 
     def _is_unanswered(self, record: RequestRecord) -> bool:
-        return not record.answer_count and record.request_id.encode() not in self._left_ns
+        return not record.answer_count and record.request_id.encode() not in self._departed_ns
 
     def _is_answered_late(self, record: RequestRecord) -> bool:
-        left_ns = self._left_ns.get(record.request_id.encode())
-        if left_ns is None or not record.answer_count:
+        departed_ns = self._departed_ns.get(record.request_id.encode())
+        if departed_ns is None or not record.answer_count:
             return False
-        return record.answered_ns > left_ns + ANSWER_IN_TRANSIT_NS
+        return record.answered_ns > departed_ns + ANSWER_IN_TRANSIT_NS
 
 
 def cancel_request(client: EmulatedClient, record: RequestRecord) -> bool:
-    """Tell the broker that nobody waits any more; False if the request is no longer open here."""
-    streams = [stream for stream, open_ in client.open_requests.items() if open_ is record]
+    """Send a cancellation to the broker; return False if the client has no such open request."""
+    streams = [
+        stream for stream, open_record in client.open_requests.items() if open_record is record
+    ]
     if not streams or client.transport is None:
         return False
     client.transport.write(frames.frame(frames.ABANDON, streams[0]))
@@ -208,50 +212,50 @@
 
 
 class DepartureObserver:
-    """Sees which attempts begin although the broker knows that their client has left.
+    """Records the attempts that begin after the broker has learned that their client left.
 
     Attributes:
-        begun_after_departure: The client's request id of each of them.
+        begun_after_departure: The client's request id of each such attempt.
     """
 
     def __init__(self) -> None:
-        """Begin with no departures."""
+        """Create an observer without recorded departures."""
         self.begun_after_departure: list[bytes] = []
         self._departed: set[bytes] = set()
 
     @contextmanager
     def attached(self, node: Node) -> Iterator[None]:
-        """Watch a node, for as long as the context lasts."""
+        """Observe a node for as long as the context lasts."""
         cancellations: Any = node.dispatcher.cancellations
         writer_class: Any = EngineWriter
         abandon = cancellations.abandon
-        write_started = writer_class.frame_started
+        original_frame_started = writer_class.frame_started
 
         def observe_departure(request: ActiveRequest) -> None:
             self._departed.add(request.client_request_id)
             abandon(request)
 
         def observe_write(writer: EngineWriter, about: object) -> None:
-            self._write_started(about)
-            write_started(writer, about)
+            self._record_write(about)
+            original_frame_started(writer, about)
 
         cancellations.abandon = observe_departure
         writer_class.frame_started = observe_write
         try:
             yield
         finally:
-            writer_class.frame_started = write_started
+            writer_class.frame_started = original_frame_started
 
-    def _write_started(self, about: object) -> None:
+    def _record_write(self, about: object) -> None:
         if not isinstance(about, Attempt):
-            return  # a command, which is for no request
+            return  # a command that belongs to no request
         request_id = about.request.client_request_id
         if request_id in self._departed:
             self.begun_after_departure.append(request_id)
 
 
 def broker_settings(ports: Sequence[int]) -> dict[str, Any]:
-    """Return the configuration of a broker that knows its engines from the start alone."""
+    """Return the configuration of a broker that knows its engines from the initial list alone."""
     cluster = EmulatedCluster()
     cluster.discovery_port = 1
     raw = broker_config(
@@ -268,7 +272,7 @@
 
 
 async def record_lifecycles(results: Results, count: int) -> None:
-    """Play lifecycles with all seeds, and record what became of them."""
+    """Run the lifecycles with all seeds, and record their outcomes."""
     total = LifecycleCounts()
     for seed in SEEDS:
         total.add(await _record_seed(results, seed, count // len(SEEDS)))
@@ -287,8 +291,8 @@
 
 
 async def _record_seed(results: Results, seed: int, count: int) -> LifecycleCounts:
-    source = random.Random(seed)
-    engines = [ErraticEngine(source) for _ in range(ENGINE_COUNT)]
+    rng = random.Random(seed)
+    engines = [ErraticEngine(rng) for _ in range(ENGINE_COUNT)]
     ports = [await engine.start() for engine in engines]
     node = Node(parse_config(broker_settings(ports)))
     observer = DepartureObserver()
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -46,14 +46,14 @@
 from .harness.units import NS_PER_S
 
 MIN_ENGINES = 4
-#: One engine in five joins, and as many start anew.
+#: One engine in five joins during the run, and as many restart.
 STARTING_DIVISOR = 5
-#: From the first start on, the load is so many times as high.
-BURST = 1.5
-#: All brokers are notified of a start within so many seconds, each at a time of its own.
-NOTIFIED_WITHIN_S = 2.0
+#: Factor on the load from the first start of an engine on.
+BURST_FACTOR = 1.5
+#: Each broker is notified of a start after a random delay of up to this time.
+MAX_NOTIFICATION_DELAY_S = 2.0
 FAVOURED_FRACTION = 0.1
-#: Favoured brokers get so many times the traffic of the others.
+#: Traffic of a favoured broker, as a multiple of the traffic of the others.
 FAVOURED_WEIGHT = 5.0
 JOIN_S = 5.0
 RESTART_S = 20.0
@@ -62,7 +62,7 @@
 FULL_FLEETS = (1, 3, 20, 30, 200)
 QUICK_SEEDS = 1
 FULL_SEEDS = 3
-#: What brokers that were notified send an engine may be chance, but no more.
+#: Notified brokers may exceed the budget of an engine by no more than chance explains.
 MAX_SENT_AGAINST_CHANCE = 1.0
 
 
@@ -89,12 +89,12 @@
 
 
 class WorstWindow(NamedTuple):
-    """The most that a starting engine was sent within any window of the contract.
+    """The most work that a starting engine was sent within any window of the contract.
 
     Attributes:
-        against_budget: Against N, where two thirds came from brokers that had been notified.
-        against_chance: Against what chance allows, of the same windows.
-        against_budget_by_all: Against N, whoever sent it.
+        against_budget: Relative to N, in windows where notified brokers sent more than two thirds.
+        against_chance: Relative to what chance allows, in the same windows.
+        against_budget_by_all: Relative to N, in all windows.
     """
 
     against_budget: float
@@ -103,35 +103,37 @@
 
 
 def worst_window(start: ObservedStart) -> WorstWindow:
-    """Find the most that a starting engine was sent within any window."""
+    """Return the most work that a starting engine was sent within any window."""
     machine = start.engine.machine
     warm_ns = machine.started_ns + machine.warm_up_ns
     received = [query for query in start.received if query.received_ns < warm_ns]
     worst = WorstWindow(0.0, 0.0, 0.0)
     first = 0
-    window_ns = 0.0
-    notified_ns = 0.0
+    window_work_ns = 0.0
+    notified_work_ns = 0.0
     for query in received:
-        window_ns += query.work_ns
-        notified_ns += query.work_ns * query.sender_notified
+        window_work_ns += query.work_ns
+        notified_work_ns += query.work_ns * query.sender_notified
         while received[first].received_ns <= query.received_ns - machine.overload_window_ns:
-            window_ns -= received[first].work_ns
-            notified_ns -= received[first].work_ns * received[first].sender_notified
+            window_work_ns -= received[first].work_ns
+            notified_work_ns -= received[first].work_ns * received[first].sender_notified
             first += 1
-        budget = _budget(machine, query.received_ns)
-        requests = window_ns / MEAN_WORK_NS
-        is_by_notified = notified_ns * 3 > window_ns * 2
-        worst = _worse(worst, requests, budget, is_by_notified)
+        budget = _budget_requests(machine, query.received_ns)
+        requests = window_work_ns / MEAN_WORK_NS
+        is_by_notified = notified_work_ns * 3 > window_work_ns * 2
+        worst = _update_worst(worst, requests, budget, is_by_notified)
     return worst
 
 
-def _budget(machine: Machine, now_ns: int) -> float:
+def _budget_requests(machine: Machine, now_ns: int) -> float:
     """Return how many requests of mean work the contract allows within a window."""
     capacity = machine.capacity_fraction(now_ns) * machine.cores
     return machine.overload_multiple * capacity * machine.overload_window_ns / MEAN_WORK_NS
 
 
-def _worse(worst: WorstWindow, requests: float, budget: float, is_by_notified: bool) -> WorstWindow:
+def _update_worst(
+    worst: WorstWindow, requests: float, budget: float, is_by_notified: bool
+) -> WorstWindow:
     against_budget = requests / budget
     by_all = max(worst.against_budget_by_all, against_budget)
     if not is_by_notified:
@@ -145,7 +147,7 @@
 
 
 class SimulationResult(NamedTuple):
-    """What one simulation came to.
+    """The results of one simulation.
 
     Attributes:
         against_budget: The worst window of all starts, see `WorstWindow`.
@@ -169,22 +171,22 @@
 
 
 class WarmUpSimulation:
-    """Brokers before engines, some of which start while the others are warm."""
+    """Brokers and engines, some of which start while the others are warm."""
 
     def __init__(self, brokers: int, seed: int) -> None:
         """Create the engines and brokers, and schedule the starts."""
         self._simulation = Simulation(seed)
         self._engine_count = engine_count(brokers, MIN_ENGINES)
         starting = max(1, self._engine_count // STARTING_DIVISOR)
-        source = self._simulation.random
-        numbers = source.sample(range(1 << 32), self._engine_count + starting)
+        rng = self._simulation.random
+        numbers = rng.sample(range(1 << 32), self._engine_count + starting)
         warm = numbers[: self._engine_count]
         joining = numbers[self._engine_count :]
         self._engines = {
             number: SimulatedEngine(self._simulation, number, Machine()) for number in warm
         }
         self._starts: list[ObservedStart] = []
-        # When a broker was last notified of a start, by its index and the engine.
+        # Time of the last notification of a start, by broker index and engine number.
         self._notified_ns: dict[tuple[int, int], int] = {}
         self._brokers = [self._create_broker(index, brokers) for index in range(brokers)]
         self._schedule_starts(joining, JOIN_S)
@@ -216,7 +218,7 @@
         self._starts.append(start)
         self._observe(start)
         for broker in self._brokers:
-            delay_s = simulation.random.random() * NOTIFIED_WITHIN_S
+            delay_s = simulation.random.random() * MAX_NOTIFICATION_DELAY_S
             notified_ns = simulation.now_ns + int(delay_s * NS_PER_S)
             simulation.call_at(notified_ns, partial(self._notify, broker, engine))
 
@@ -233,7 +235,7 @@
         broker.report(EndpointListUpdate(ListUpdateKind.CHANGES, (entry,)))
 
     def _observe(self, start: ObservedStart) -> None:
-        """Note the queries that an engine receives until it starts anew."""
+        """Record the queries that an engine receives until it restarts."""
         engine = start.engine
         machine = engine.machine
         execute = engine.execute
@@ -258,8 +260,8 @@
     def _send_requests(self) -> None:
         simulation = self._simulation
         has_burst = simulation.now_ns > BEGIN_NS + JOIN_S * NS_PER_S
-        burst = BURST if has_burst else 1.0
-        load = LOAD * burst * ENGINE_CORES * self._engine_count
+        load_factor = BURST_FACTOR if has_burst else 1.0
+        load = LOAD * load_factor * ENGINE_CORES * self._engine_count
         gap_ns = int(simulation.random.expovariate(1) * MEAN_WORK_NS / load)
         simulation.call_at(simulation.now_ns + gap_ns, self._send_requests)
         request = draw_request(simulation.random)
@@ -267,7 +269,7 @@
         broker.send_request(str(next(self._request_ids)), *request)
 
     def run(self) -> SimulationResult:
-        """Play the simulation."""
+        """Run the simulation."""
         self._send_requests()
         self._simulation.run(DURATION_S)
         worst = [worst_window(start) for start in self._starts]
@@ -327,7 +329,7 @@
 
 
 def main() -> int:
-    """Run all; return the exit code."""
+    """Run the benchmark; return the exit code."""
     parser = benchmark_parser(__doc__)
     parser.add_argument("--seeds", type=int, default=0, help="simulations of each size")
     options = parser.parse_args()
--- a/benchmarks/deadlines.py
+++ b/benchmarks/deadlines.py
@@ -25,11 +25,11 @@
 from .harness.trees import PACKAGE, ROOT, package_of, worktree
 
 BASE_COMMIT = "47b6501"  # the last commit before deadlines
-#: The goal for the checks at each hand-over, with the noise of the comparison: a run differs by
-#: 0.04 from the next (`docs/design/measurements.md`).
+#: Goal for the cost of the checks at each hand-over, with an allowance for noise: consecutive runs
+#: differ by 0.04 (`docs/design/measurements.md`).
 MAX_COST_AGAINST_BEFORE = 1.05
 
-#: Where the encoder of engine lines stands, by the import package of a tree.
+#: The package that contains the encoder of engine lines, by the import package of a tree.
 ENCODER_PACKAGES = {"query_broker": "query_broker.protocols", "larchhall": "larchhall.wire"}
 COUNT_COPIES = """
 import sys, tracemalloc
@@ -42,10 +42,10 @@
 
 
 def record_before(results: Results, base: str, quick: bool) -> None:
-    """Record the values of `inside` with the program before, by the command line of its own tree.
+    """Record the values of `inside` for the base commit by running that commit's own benchmark.
 
-    The broker runs in the process of the benchmark there, so that only the benchmark of its own
-    commit knows its names.
+    This part runs the broker in the process of the benchmark, so that it depends on the names of
+    its commit.
     """
     with worktree(base) as tree:
         if package_of(tree) != PACKAGE:
@@ -54,8 +54,8 @@
         command = [sys.executable, "-m", "benchmarks.deadlines", "--only", "inside"]
         if quick:
             command.append("--quick")
-        done = subprocess.run(command, cwd=tree, capture_output=True, text=True, check=False)
-    values = read_values(done.stdout)
+        completed = subprocess.run(command, cwd=tree, capture_output=True, text=True, check=False)
+    values = read_values(completed.stdout)
     if not values:
         print(f"before: not measured, benchmarks.deadlines of {base} reported nothing")
     for name, value in values.items():
@@ -75,14 +75,14 @@
 def count_statement_copies(tree: Path) -> int:
     """Return how many copies of a large statement the encoder of a tree makes."""
     program = COUNT_COPIES.format(package=ENCODER_PACKAGES[package_of(tree)])
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program], cwd=tree, capture_output=True, text=True, check=True
     )
-    return int(done.stdout)
+    return int(completed.stdout)
 
 
 async def record_ordinary_path(results: Results, base: str, rounds: int, count: int) -> None:
-    """Compare the cost of a request with that of the program before."""
+    """Compare the cost of a request with that in the base commit."""
     with worktree(base) as tree:
         programs = {"before": Program(tree), "now": Program(ROOT)}
         async with ordinary_path(programs) as daemons:
@@ -90,11 +90,11 @@
         copies = {name: count_statement_copies(program.tree) for name, program in programs.items()}
     for name, values in costs_us.items():
         results.record(f"path.{name}_us", statistics.median(values))
-    # Other work on the machine only adds: the lower quartiles are compared.
+    # Other work on the machine only adds time, so the lower quartiles are compared.
     ratio = lower_quartile(costs_us["now"]) / lower_quartile(costs_us["before"])
     results.record("path.now_against_before", ratio, at_most=MAX_COST_AGAINST_BEFORE)
     results.record("path.copies_of_a_large_statement_before", copies["before"])
-    # Never more than the program before made.
+    # The base commit's number of copies is the bound.
     results.record("path.copies_of_a_large_statement_now", copies["now"], at_most=copies["before"])
 
 
--- a/benchmarks/erratic_engine.py
+++ b/benchmarks/erratic_engine.py
@@ -10,16 +10,16 @@
 
 from query_broker.protocols import resp
 
-#: So small that a large statement soon waits in the broker.
+#: Small, so that the rest of a large statement waits in the broker.
 RECEIVE_BUFFER_BYTES = 4_096
 ANSWERS_PER_S = 50.0
 LINE_END = b"\r\n"
 
-# How a query goes, by a number drawn from 0 to 1. Below the first it is served.
+# Thresholds of a random number from 0 to 1 that selects the outcome of a query.
 SERVED_BELOW = 0.8
 OVERLOADED_BELOW = 0.85
 CRASHED_BELOW = 0.9
-RESET_BELOW = 0.92  # the rest is never answered
+RESET_BELOW = 0.92  # above it, the query is never answered
 
 
 class StartedQuery(NamedTuple):
@@ -38,20 +38,20 @@
     """
 
     def __init__(self, engine: ErraticEngine) -> None:
-        """Create the protocol of a connection that is not made yet."""
+        """Create the protocol before its connection is made."""
         self.engine = engine
         self.transport: Any = None
         self._buffer = bytearray()
 
     def connection_made(self, transport: Any) -> None:
-        """Join the connections of the engine."""
+        """Add this connection to those of the engine."""
         self.transport = transport
         if self.engine.is_paused:
             transport.pause_reading()
         self.engine.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the connections of the engine."""
+        """Remove this connection from those of the engine."""
         self.engine.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
@@ -67,9 +67,9 @@
 
 
 def take_command(buffer: bytearray) -> list[bytes] | None:
-    """Take one command off the front; None if it is incomplete.
+    """Remove and return the first command of a buffer; None if it is incomplete.
 
-    The parser of the broker is for answers, and statements are longer than those.
+    The broker's parser is made for answers, and statements are longer than answers.
     """
     end = buffer.find(LINE_END)
     if end < 0:
@@ -91,20 +91,20 @@
 
 
 class ErraticEngine:
-    """An engine whose faults are drawn from a seeded source.
+    """An engine whose faults are drawn from a seeded random generator.
 
     Attributes:
         connections: Its open connections.
-        is_paused: Whether it reads nothing at present.
+        is_paused: Whether it has stopped reading.
         started_queries: Every query that began to run.
     """
 
-    def __init__(self, source: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         """Create an engine that does not listen yet."""
         self.connections: set[ErraticConnection] = set()
         self.is_paused = False
         self.started_queries: list[StartedQuery] = []
-        self._random = source
+        self._random = rng
 
     async def start(self) -> int:
         """Listen, and return the port."""
@@ -116,7 +116,7 @@
         return int(listener.getsockname()[1])
 
     def handle_command(self, connection: ErraticConnection, parts: list[bytes]) -> None:
-        """Answer health checks, and draw what becomes of a query."""
+        """Answer a health check, or draw the outcome of a query."""
         if parts[0] in (b"top", b"ping"):
             connection.write(parts[1], b"green", b"-", b"")
         elif parts[0] == b"do":
@@ -144,7 +144,7 @@
             connection.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         self.is_paused = False
         for connection in self._open_connections():
             connection.transport.resume_reading()
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -29,11 +29,11 @@
 from .harness.trees import PACKAGE, ROOT, package_of, worktree
 from .harness.units import NS_PER_MS
 
-BASE_COMMIT = "649d4a1"  # the last commit before brokers used a part of the engines
+BASE_COMMIT = "649d4a1"  # the last commit before brokers used a subset of the engines
 
 
 class FleetSize(NamedTuple):
-    """Engines, and the brokers before them."""
+    """The number of engines, and of the brokers that share them."""
 
     engines: int
     brokers: int
@@ -43,7 +43,7 @@
 LARGE = FleetSize(60, 40)
 SPREAD_SIZES = (SMALL, FleetSize(30, 40), LARGE, FleetSize(60, 200))
 SPREAD_SEED = 5
-#: Of the daemons: brokers of so large a fleet may only use a part of a small machine.
+#: Settings of the daemons: in so large a fleet a broker may only use a part of a small machine.
 DAEMON_SETTINGS: dict[str, Any] = {
     "tenants": tenant_settings(*TENANTS),
     "fleet_size": LARGE.brokers,
@@ -51,27 +51,27 @@
     "charges": {"handshake": 0.08},
 }
 
-#: The goal for a small fleet, where the part of the engines is all of them and only has its upkeep.
+#: Goal for a small fleet, where the subset contains all engines and only adds its upkeep.
 MAX_SMALL_AGAINST_BEFORE = 1.15
-#: In a large one a part must not cost more than using all engines did.
+#: In a large fleet a subset must not cost more than using all engines did.
 MAX_LARGE_AGAINST_BEFORE = 1.0
-#: The goal for ten times the engines: far from ten times the cost, since a part is 10 engines.
+#: Goal for ten times the engines: far below ten times the cost, since a subset has 10 engines.
 MAX_LARGE_AGAINST_SMALL = 4.0
-#: The part of the engines that a broker uses (`docs/design/fleet.md`).
+#: Size of the subset of engines that a broker uses (`docs/design/fleet.md`).
 MAX_USED_ENGINES = 10
-#: Every engine is in as many parts, within 30 % (`docs/design/fleet.md`).
+#: Every engine is in the same number of subsets, within 30 % (`docs/design/fleet.md`).
 MAX_USE_AGAINST_MEAN = 1.3
 MIN_USE_AGAINST_MEAN = 0.7
 #: Three fifths of the memory and a third of the sockets that the daemons may use.
 MAX_MEMORY_MB = 48
 MAX_DESCRIPTORS = 128
-#: The goal for a complete daemon, with the noise of the comparison: a run differs by 0.04 from the
-#: next (`docs/design/measurements.md`).
+#: Goal for a complete daemon, with an allowance for noise: consecutive runs differ by 0.04
+#: (`docs/design/measurements.md`).
 MAX_DAEMON_AGAINST_BEFORE = 1.05
 
 
 class Repetitions(NamedTuple):
-    """How often is measured."""
+    """The number of repetitions of each measurement."""
 
     decision_rounds: int
     decision_requests: int
@@ -84,7 +84,7 @@
 
 
 class DecisionCase(NamedTuple):
-    """A program, and the fleet that its decisions are for."""
+    """A program, and the size of the fleet that it decides for."""
 
     program: str
     size: FleetSize
@@ -93,7 +93,7 @@
 def decision_cost_us(tree: Path, size: FleetSize, requests: int) -> float:
     """Return the processor time of the decisions for a request, its outcome and its timers."""
     program = DECIDE if package_of(tree) == PACKAGE else DECIDE_LARCHHALL
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program, str(size.engines), str(size.brokers), str(requests)],
         env={**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": "0"},
         cwd=tree,
@@ -101,18 +101,18 @@
         text=True,
         check=True,
     )
-    return float(done.stdout)
+    return float(completed.stdout)
 
 
 def measure_decisions(
     trees: Mapping[str, Path], rounds: int, requests: int
 ) -> dict[DecisionCase, list[float]]:
-    """Measure the decisions of each program and size in each round, in an order drawn from it."""
+    """Measure the decisions of each program and size, in a random order in each round."""
     cases = [DecisionCase(program, size) for program in trees for size in (SMALL, LARGE)]
     costs_us: dict[DecisionCase, list[float]] = {case: [] for case in cases}
-    for turn in range(rounds):
+    for round_number in range(rounds):
         order = list(cases)
-        random.Random(turn).shuffle(order)
+        random.Random(round_number).shuffle(order)
         for case in order:
             cost_us = decision_cost_us(trees[case.program], case.size, requests)
             costs_us[case].append(cost_us)
@@ -120,7 +120,7 @@
 
 
 def record_decisions(results: Results, before: Path, rounds: int, requests: int) -> None:
-    """Compare the decisions with those of the program before, and large fleets with small ones."""
+    """Compare the decisions with those of the base commit, and large fleets with small ones."""
     trees = {"before": before, "now": ROOT}
     costs_us = measure_decisions(trees, rounds, requests)
     for case, values in costs_us.items():
@@ -136,12 +136,12 @@
             at_most=bound,
         )
     for program in trees:
-        compared = ratios(
+        size_ratios = ratios(
             costs_us[DecisionCase(program, LARGE)], costs_us[DecisionCase(program, SMALL)]
         )
         results.record(
             f"decisions.{program}_60_engines_against_6",
-            statistics.median(compared),
+            statistics.median(size_ratios),
             at_most=MAX_LARGE_AGAINST_SMALL if program == "now" else None,
         )
 
@@ -193,7 +193,7 @@
 
 
 async def record_daemons(results: Results, before: Path, rounds: int, requests: int) -> None:
-    """Compare the complete daemons before 60 engines of a fleet of 40 brokers."""
+    """Compare the complete daemons in a fleet of 40 brokers with 60 engines."""
     cluster = EmulatedCluster()
     await cluster.start(*(f"s-{number}" for number in range(LARGE.engines)))
     programs = {"before": Program(before), "now": Program(ROOT)}
@@ -227,7 +227,7 @@
 
 
 def main() -> int:
-    """Run all; return the exit code."""
+    """Run the benchmark; return the exit code."""
     parser = benchmark_parser(__doc__)
     add_base_option(parser, BASE_COMMIT)
     options = parser.parse_args()
--- a/benchmarks/fleet_programs.py
+++ b/benchmarks/fleet_programs.py
@@ -1,4 +1,4 @@
-"""Programs that time the decisions of a broker, in the names of each import package.
+"""Programs that time the decisions of a broker, one for the names of each import package.
 
 Both take the same steps with the same seed: a request arrives each 10 ms, one in twenty is wide,
 and its attempts are served a quarter of a second later at the latest. They print the processor time
--- a/benchmarks/member_processes.py
+++ b/benchmarks/member_processes.py
@@ -1,4 +1,4 @@
-"""Detection by real processes, and what the membership costs a request."""
+"""Detection by real processes, and the cost of the membership per request."""
 
 from __future__ import annotations
 
@@ -34,30 +34,30 @@
 from .harness.trees import ROOT, worktree
 from .harness.units import NS_PER_MS
 
-BASE_COMMIT = "37be46c"  # the last landing before brokers knew of each other
+BASE_COMMIT = "37be46c"  # the last commit before brokers had a membership
 KEY_LINE = "1 " + "ab" * 32
 SEED_COUNT = 3
 HIGH_LOSS = 0.33
-LOSS_S = 10
-BUSY_S = 120
+LOSS_DURATION_S = 10
+MAX_BUSY_S = 120
 POLL_INTERVAL_S = 0.02
 AGREE_TIMEOUT_S = 30
 REMOVAL_TIMEOUT_S = 60
 PRESENT_STATUSES = ("alive", "suspect")
 COST_MEMBERS = 24
-IDLE_S = 5
+IDLE_DURATION_S = 5
 
-#: Twenty intervals of the full run. 24 processes took 15.3 s (`docs/design/members.md`).
+#: Twenty ping intervals of the full run. 24 processes took 15.3 s (`docs/design/members.md`).
 MAX_AGREE_AFTER_START_S = 20.0
-#: Members that run are never removed, not even with a third of all messages lost.
+#: Running members are never removed, even while a third of all messages is lost.
 MAX_HEALTHY_REMOVED = 0
-#: Real processes may take so many times the bound of the simulated clock: they wait for cores.
+#: Factor on the bounds of the simulated clock, since real processes also wait for cores.
 MAX_TIME_AGAINST_SIMULATED = 1.5
-#: Without the directives nothing may be added: the noise of the comparison alone.
+#: Without the directives the cost must not grow; the bound allows for noise alone.
 MAX_COST_OFF = 1.03
-#: The goal with them: pings of 24 members go on beside the requests.
+#: Goal with the directives, while 24 members ping each other beside the requests.
 MAX_COST_ON = 1.05
-#: The goal without requests: a fiftieth of a core for the pings of 24 members.
+#: Goal without requests: a fiftieth of a core for the pings of 24 members.
 MAX_IDLE_MS_PER_S = 20.0
 
 
@@ -66,37 +66,34 @@
     return {**platform_settings()["policy_limits"], "peer_messages": True}
 
 
-# --- detection ---
-
-
-def _occupy_core(until: float) -> None:
-    while time.monotonic() < until:
+def _occupy_core(until_s: float) -> None:
+    while time.monotonic() < until_s:
         sum(range(1_000))
 
 
 @contextmanager
-def occupied_cores(busy: bool) -> Iterator[None]:
-    """Keep all cores busy, where wanted."""
-    burners: list[Any] = []
-    if busy:
-        end = time.monotonic() + BUSY_S
+def occupied_cores(is_busy: bool) -> Iterator[None]:
+    """Keep all cores busy for as long as the context lasts, if `is_busy`."""
+    processes: list[Any] = []
+    if is_busy:
+        end = time.monotonic() + MAX_BUSY_S
         context = multiprocessing.get_context("fork")
-        burners = [
+        processes = [
             context.Process(target=_occupy_core, args=(end,), daemon=True)
             for _ in os.sched_getaffinity(0)
         ]
-    for burner in burners:
-        burner.start()
+    for process in processes:
+        process.start()
     try:
         yield
     finally:
-        for burner in burners:
-            burner.kill()
-            burner.join()
+        for process in processes:
+            process.kill()
+            process.join()
 
 
 def present_addresses(member: BrokerProcess) -> set[str]:
-    """Return the addresses that a process holds to be present; empty if it does not answer."""
+    """Return the members that a process considers present; empty if it does not answer."""
     try:
         status = member.status("/members")
     except OSError:
@@ -107,28 +104,28 @@
     return {status["me"], *others}
 
 
-async def seconds_until_all_hold(
-    members: list[BrokerProcess], wanted: set[str], timeout_s: float
+async def seconds_until_views_agree(
+    members: list[BrokerProcess], expected: set[str], timeout_s: float
 ) -> float:
-    """Wait until the views of all processes are as wanted; infinite if they do not become so."""
+    """Return how long it takes until all processes have the expected view; infinite on timeout."""
     start = time.monotonic()
     waiting = list(members)
     while waiting and time.monotonic() < start + timeout_s:
         views = await asyncio.gather(
             *(asyncio.to_thread(present_addresses, member) for member in waiting)
         )
-        waiting = [member for member, view in zip(waiting, views, strict=True) if view != wanted]
+        waiting = [member for member, view in zip(waiting, views, strict=True) if view != expected]
         await asyncio.sleep(POLL_INTERVAL_S)
     return math.inf if waiting else time.monotonic() - start
 
 
 class GroupScenario(NamedTuple):
-    """A group of processes, and what happens to it.
+    """A group of processes, and the faults that it undergoes.
 
     Attributes:
         members: How many processes.
-        kills: How many of them are killed, one after the other.
-        is_busy: Whether all cores are kept busy meanwhile.
+        kills: How many processes are killed, one after the other.
+        is_busy: Whether all cores are kept busy during the faults.
         interval_s: The interval between two pings of a member.
     """
 
@@ -142,40 +139,40 @@
     """One run of a group of processes behind relays."""
 
     def __init__(
-        self, results: Results, name: str, net: RelayNetwork, addresses: list[str]
+        self, results: Results, name: str, network: RelayNetwork, addresses: list[str]
     ) -> None:
         """Create a run whose values are recorded under a name."""
         self._results = results
         self._name = name
-        self._net = net
+        self._network = network
         self._addresses = addresses
-        self._living: list[BrokerProcess] = []
+        self._running: list[BrokerProcess] = []
 
     async def run(self, fleet: BrokerFleet, scenario: GroupScenario) -> None:
-        """Start the processes, lose messages, and kill some of them."""
+        """Start the processes, drop messages, and kill some of the processes."""
         begun_s = time.monotonic()
         await asyncio.to_thread(fleet.start)
-        self._living = list(fleet.processes)
-        await seconds_until_all_hold(self._living, set(self._addresses), AGREE_TIMEOUT_S)
+        self._running = list(fleet.processes)
+        await seconds_until_views_agree(self._running, set(self._addresses), AGREE_TIMEOUT_S)
         self._record(
             "all_agree_after_start_s",
             time.monotonic() - begun_s,
             at_most=MAX_AGREE_AFTER_START_S,
         )
         with occupied_cores(scenario.is_busy):
-            await self._lose_messages()
+            await self._drop_messages()
             await self._kill(scenario.kills, scenario.interval_s)
-        bytes_out = self._living[0].status("/members")["figures"]["bytes_out"]
+        bytes_out = self._running[0].status("/members")["figures"]["bytes_out"]
         self._record("bytes_out_a_second", bytes_out / (time.monotonic() - begun_s))
 
-    async def _lose_messages(self) -> None:
-        now_s = self._net.schedule.now_s()
-        fault = Fault(now_s, now_s + LOSS_S, "*", FaultKind.DROP, probability=HIGH_LOSS)
-        self._net.schedule.faults.append(fault)
-        await asyncio.sleep(LOSS_S)
-        self._net.schedule.faults.clear()
+    async def _drop_messages(self) -> None:
+        now_s = self._network.schedule.now_s()
+        fault = Fault(now_s, now_s + LOSS_DURATION_S, "*", FaultKind.DROP, probability=HIGH_LOSS)
+        self._network.schedule.faults.append(fault)
+        await asyncio.sleep(LOSS_DURATION_S)
+        self._network.schedule.faults.clear()
         removals = [
-            member.status("/members")["figures"].get("removals", 0) for member in self._living
+            member.status("/members")["figures"].get("removals", 0) for member in self._running
         ]
         self._record(
             "healthy_removed_with_a_third_lost", sum(removals), at_most=MAX_HEALTHY_REMOVED
@@ -185,11 +182,11 @@
         membership = MembershipSettings(interval_ns=int(interval_s * NS_PER_S))
         bound = detection_bounds(membership, len(self._addresses)).removed
         removed_s: list[float] = []
-        for turn in range(kills):
-            victim = self._living.pop(1 + turn)
+        for kill_number in range(kills):
+            victim = self._running.pop(1 + kill_number)
             victim.kill()
-            wanted = {self._addresses[member.number] for member in self._living}
-            seconds = await seconds_until_all_hold(self._living, wanted, REMOVAL_TIMEOUT_S)
+            expected = {self._addresses[member.number] for member in self._running}
+            seconds = await seconds_until_views_agree(self._running, expected, REMOVAL_TIMEOUT_S)
             removed_s.append(seconds)
         self._record(
             "removed_median_s",
@@ -202,16 +199,16 @@
             at_most=MAX_TIME_AGAINST_SIMULATED * bound.worst_s,
         )
 
-    def _record(self, what: str, value: float, at_most: float | None = None) -> None:
-        self._results.record(f"{self._name}.{what}", value, at_most=at_most)
+    def _record(self, value_name: str, value: float, at_most: float | None = None) -> None:
+        self._results.record(f"{self._name}.{value_name}", value, at_most=at_most)
 
 
 async def record_group(results: Results, scenario: GroupScenario) -> None:
-    """Lose a third of all messages for ten seconds, then kill processes one after the other."""
+    """Drop a third of all messages for ten seconds, then kill processes one after the other."""
     count = scenario.members
     cluster = EmulatedCluster()
     await cluster.start("s-1")
-    net = RelayNetwork(FaultSchedule([], time.monotonic), peek_sender)
+    network = RelayNetwork(FaultSchedule([], time.monotonic), peek_sender)
     addresses = [f"127.0.0.1:{port}" for port in free_ports(count)]
     with tempfile.TemporaryDirectory() as folder:
         keys = Path(folder) / "keys"
@@ -224,17 +221,17 @@
         with BrokerFleet(count, raw, script) as fleet:
             for member, address in zip(fleet.processes, addresses, strict=True):
                 relay_port = int(address.rpartition(":")[2])
-                await net.add(f"n{member.number}", member.peer_port, relay_port)
+                await network.add(f"n{member.number}", member.peer_port, relay_port)
             name = f"processes.{count}_{'busy' if scenario.is_busy else 'quiet'}"
-            await GroupRun(results, name, net, addresses).run(fleet, scenario)
-    net.stop()
+            await GroupRun(results, name, network, addresses).run(fleet, scenario)
+    network.stop()
     cluster.stop()
 
 
 def _member_script(
     address: str, addresses: Sequence[str], number: int, keys: Path, interval_s: float
 ) -> str:
-    """Return the operators' file of a member, which the others reach through its relay."""
+    """Return the operators' file of a member that the others reach through its relay."""
     arguments = {
         "address": address,
         "advertise": addresses[number],
@@ -244,11 +241,8 @@
         "interval": interval_s,
         "settle": 1,
     }
-    written = [f"{key} = {json.dumps(value)}" for key, value in arguments.items()]
-    return f"members({', '.join(written)})"
-
-
-# --- the cost of a request ---
+    written_arguments = [f"{key} = {json.dumps(value)}" for key, value in arguments.items()]
+    return f"members({', '.join(written_arguments)})"
 
 
 class CostCase(NamedTuple):
@@ -257,7 +251,7 @@
     Attributes:
         name: Name in the results.
         directives: Directives of the operators' file beside `members`.
-        max_ratio: Bound of the cost with them, against the program before.
+        max_ratio: Bound of the cost with the directives, relative to the base commit.
     """
 
     name: str
@@ -269,9 +263,9 @@
 
 
 async def record_costs(results: Results, case: CostCase, rounds: int, count: int) -> None:
-    """Compare the processor time of a request with that of the program before.
+    """Compare the processor time of a request with that in the base commit.
 
-    Compared are this program without the directives, and with them among 24 members.
+    The current program runs without the directives, and with them among 24 members.
 
     Args:
         results: Where the values are recorded.
@@ -350,10 +344,10 @@
 
 async def _record_idle_cost(results: Results, case: CostCase, daemon: Daemon) -> None:
     begun_ns = daemon.processor_time_ns()
-    await asyncio.sleep(IDLE_S)
+    await asyncio.sleep(IDLE_DURATION_S)
     used_ns = daemon.processor_time_ns() - begun_ns
     results.record(
         f"costs.{case.name}_idle_ms_of_processor_a_second_with_24_members",
-        used_ns / IDLE_S / NS_PER_MS,
+        used_ns / IDLE_DURATION_S / NS_PER_MS,
         at_most=MAX_IDLE_MS_PER_S,
     )
