--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -37,7 +37,7 @@
 from .harness.results import Results
 from .harness.simulated_load import (
     ENGINE_CORES,
-    LOAD,
+    LOAD_FRACTION,
     MEAN_WORK_NS,
     draw_request,
     engine_count,
@@ -261,7 +261,7 @@
         simulation = self._simulation
         has_burst = simulation.now_ns > BEGIN_NS + JOIN_S * NS_PER_S
         load_factor = BURST_FACTOR if has_burst else 1.0
-        load = LOAD * load_factor * ENGINE_CORES * self._engine_count
+        load = LOAD_FRACTION * load_factor * ENGINE_CORES * self._engine_count
         gap_ns = int(simulation.random.expovariate(1) * MEAN_WORK_NS / load)
         simulation.call_at(simulation.now_ns + gap_ns, self._send_requests)
         request = draw_request(simulation.random)
--- a/benchmarks/harness/daemon.py
+++ b/benchmarks/harness/daemon.py
@@ -1,4 +1,4 @@
-"""The broker of one tree of this project, as a process before an emulated cluster."""
+"""A broker process that runs one source tree of this project against an emulated cluster."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 class DaemonNotReadyError(RuntimeError):
-    """A daemon does not become ready."""
+    """A daemon did not become ready in time."""
 
     def __init__(self, tree: Path) -> None:
         """Name the tree in the message."""
-        super().__init__(f"the daemon of {tree.name} does not get ready")
+        super().__init__(f"the daemon of {tree.name} did not become ready")
 
 
 class Program(NamedTuple):
-    """A program that is compared: its tree, and its operators' file, empty for none."""
+    """A program to compare: its source tree, and its operators' file, empty for none."""
 
     tree: Path
     operator_script: str = ""
@@ -46,8 +46,8 @@
     """The `serve` command of one tree.
 
     Attributes:
-        tree: Its tree.
-        port: Where it accepts clients.
+        tree: The source tree.
+        port: The port on which it accepts clients.
         requests: Log of the requests sent to it.
         process: The process, once it is started.
     """
@@ -57,12 +57,12 @@
     def __init__(
         self, program: Program, cluster: EmulatedCluster, settings: Mapping[str, Any]
     ) -> None:
-        """Write its configuration.
+        """Write the configuration of the daemon.
 
         Args:
             program: What to run.
             cluster: The engines and their discovery service.
-            settings: Changes of the platform settings, as for `broker_config`.
+            settings: Changes to the platform settings, as for `broker_config`.
         """
         self.tree = program.tree
         self._folder = tempfile.TemporaryDirectory()
@@ -93,7 +93,7 @@
         """Start the process and wait until it is ready.
 
         Raises:
-            DaemonNotReadyError: It does not become ready.
+            DaemonNotReadyError: The daemon does not become ready in time.
         """
         self.process = subprocess.Popen(
             [sys.executable, "-m", package_of(self.tree), "serve"],
@@ -112,22 +112,22 @@
         raise DaemonNotReadyError(self.tree)
 
     def pin(self) -> None:
-        """Keep it on one core that the caller does not use, the same for all that are compared."""
+        """Pin the process to a core that the caller does not use, the same for all daemons."""
         cores = sorted(os.sched_getaffinity(0))
         if len(cores) >= MIN_CORES_TO_PIN:
             os.sched_setaffinity(self.process.pid, {cores[-1]})
 
     def processor_time_ns(self) -> int:
-        """Return the processor time that it has used."""
+        """Return the processor time that the process has used."""
         with open(f"/proc/{self.process.pid}/schedstat", encoding="ascii") as file:
             return int(file.read().split()[0])
 
     def memory_mb(self) -> float:
-        """Return its resident memory."""
+        """Return the resident memory of the process."""
         return resident_memory_mb(self.process.pid)
 
     def descriptor_count(self) -> int:
-        """Return how many descriptors it has open."""
+        """Return the number of open file descriptors of the process."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def stop(self) -> None:
@@ -149,7 +149,7 @@
 async def running_daemons(
     programs: Mapping[str, Program], cluster: EmulatedCluster, settings: Mapping[str, Any]
 ) -> AsyncIterator[dict[str, Daemon]]:
-    """Run the programs that are compared side by side, all pinned to the same core."""
+    """Run the compared programs side by side, all pinned to the same core."""
     daemons: dict[str, Daemon] = {}
     try:
         for name, program in programs.items():
--- a/benchmarks/harness/node.py
+++ b/benchmarks/harness/node.py
@@ -1,4 +1,4 @@
-"""A broker within the process of the benchmark, so that its state can be read."""
+"""A broker in the process of the benchmark, so that the benchmark can read its state."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def _discard_line(kind: str, text: str) -> None:
-    """Take the place of the log: a benchmark's output is its values alone."""
+    """Replace the log, since a benchmark prints its values only."""
 
 
 @asynccontextmanager
 async def serving(node: Node) -> AsyncIterator[int]:
-    """Run a node without its log; the value is the port where it accepts clients."""
+    """Run a node without its log; yield the port on which it accepts clients."""
     node.log = _discard_line  # type: ignore[assignment]
     node.dispatcher.log = _discard_line
     node.dispatcher.pools.log = _discard_line
--- a/benchmarks/harness/request_cost.py
+++ b/benchmarks/harness/request_cost.py
@@ -15,13 +15,14 @@
 
 REQUESTS_IN_FLIGHT = 40
 REQUEST_TIMEOUT_NS = 5 * NS_PER_S
-REQUEST_WEIGHT = 5
+REQUEST_ESTIMATE_MS = 5
 POLL_INTERVAL_S = 0.001
 TENANTS = ("t0", "t1", "t2", "t3")
 ENGINES = ("s-0", "s-1", "s-2", "s-3")
-#: So many that no engine ever limits a broker.
+#: High enough that no engine ever limits a broker.
 MAX_ENGINE_SESSIONS = 1_000
-#: Of the comparison on the ordinary path: four tenants, and enough for all requests in flight.
+#: Settings of the comparison on the ordinary path: four tenants, and resources for all requests in
+#: flight.
 ORDINARY_PATH_SETTINGS: dict[str, Any] = {
     "tenants": tenant_settings(*TENANTS),
     "limits": {"sockets": 1_024, "memory_mb": 128},
@@ -31,14 +32,14 @@
 
 
 async def request_cost_us(daemon: Daemon, count: int) -> float:
-    """Return the processor time of a request, with 40 in flight at a time."""
+    """Return the mean processor time of a request, with 40 requests in flight."""
     begun_ns = daemon.processor_time_ns()
     remaining = count
     while remaining or any(client.open_requests for client in daemon.requests.clients):
         while remaining and _count_in_flight(daemon) < REQUESTS_IN_FLIGHT:
             tenant = TENANTS[remaining % len(TENANTS)]
             await daemon.requests.send_request(
-                tenant, "glance", 0, REQUEST_TIMEOUT_NS, estimated_work_ms=REQUEST_WEIGHT
+                tenant, "glance", 0, REQUEST_TIMEOUT_NS, estimated_work_ms=REQUEST_ESTIMATE_MS
             )
             remaining -= 1
         await asyncio.sleep(POLL_INTERVAL_S)
@@ -49,44 +50,44 @@
     return sum(len(client.open_requests) for client in daemon.requests.clients)
 
 
-def alternating_order(names: list[str], turn: int) -> list[str]:
-    """Return the names in their order on odd turns, and reversed on even ones."""
-    return names if turn % 2 else names[::-1]
+def alternating_order(names: list[str], round_number: int) -> list[str]:
+    """Return the names in the given order in odd rounds, and reversed in even rounds."""
+    return names if round_number % 2 else names[::-1]
 
 
-def shuffled_order(names: list[str], turn: int) -> list[str]:
-    """Return the names in an order drawn from the turn, for three programs or more."""
+def shuffled_order(names: list[str], round_number: int) -> list[str]:
+    """Return the names in a random order for each round, for three programs or more."""
     order = list(names)
-    random.Random(turn).shuffle(order)
+    random.Random(round_number).shuffle(order)
     return order
 
 
 async def compare_request_costs(
     daemons: Mapping[str, Daemon], rounds: int, count: int, order: Order = alternating_order
 ) -> dict[str, list[float]]:
-    """Measure programs in turn; the first round warms them up and is not counted.
+    """Measure the programs in rounds; the first round warms them up and is not counted.
 
     Args:
         daemons: The programs, by name.
-        rounds: Rounds that count.
+        rounds: Number of counted rounds.
         count: Requests to each program in a round.
         order: Order of the programs in a round.
 
     Returns:
-        The processor time of a request in microseconds, of each program in each round.
+        The mean processor time of a request in microseconds, for each program and round.
     """
     costs: dict[str, list[float]] = {name: [] for name in daemons}
-    for turn in range(rounds + 1):
-        for name in order(list(daemons), turn):
+    for round_number in range(rounds + 1):
+        for name in order(list(daemons), round_number):
             cost_us = await request_cost_us(daemons[name], count)
-            if turn:
+            if round_number:
                 costs[name].append(cost_us)
     return costs
 
 
 @asynccontextmanager
 async def ordinary_path(programs: Mapping[str, Program]) -> AsyncIterator[dict[str, Daemon]]:
-    """Run programs before four engines that answer at once."""
+    """Run programs against four engines that answer immediately."""
     cluster = EmulatedCluster()
     await cluster.start(*ENGINES)
     for engine in cluster.engines.values():
--- a/benchmarks/harness/results.py
+++ b/benchmarks/harness/results.py
@@ -4,14 +4,14 @@
 
 
 class Results:
-    """Prints each value as it comes; with any bound broken the run ends with 1.
+    """Prints each value when it is recorded; the exit code is 1 if any bound is broken.
 
     Attributes:
-        broken: Names of the values past their bound.
+        broken: Names of the values that break their bound.
     """
 
     def __init__(self) -> None:
-        """Begin without values."""
+        """Create results without values."""
         self.broken: list[str] = []
 
     def record(
@@ -27,8 +27,8 @@
         Args:
             name: Name of the value.
             value: What was measured.
-            at_most: Upper bound; None: there is none.
-            at_least: Lower bound; None: there is none.
+            at_most: Upper bound, if any.
+            at_least: Lower bound, if any.
         """
         line = f"{name}={_format(value)}"
         if at_most is not None:
--- a/benchmarks/harness/simulated_load.py
+++ b/benchmarks/harness/simulated_load.py
@@ -9,22 +9,22 @@
 
 from .units import NS_PER_MS, NS_PER_S
 
-#: The fraction of the requests that use four threads for long.
+#: Fraction of wide requests, which use four threads for a long time.
 WIDE_FRACTION = 0.1
 NARROW_WORK_NS = NS_PER_S // 5
 WIDE_WORK_NS = 4 * NS_PER_S
 MEAN_WORK_NS = (1 - WIDE_FRACTION) * NARROW_WORK_NS + WIDE_FRACTION * WIDE_WORK_NS
-#: The work of a request lies between these multiples of the mean of its class.
+#: Bounds of the work of a request, as multiples of the mean of its class.
 WORK_SPREAD = (0.5, 1.5)
-#: Of what the engines can do when they are warm, the fraction that is requested.
-LOAD = 0.6
+#: Requested work as a fraction of the capacity of the warm engines.
+LOAD_FRACTION = 0.6
 ENGINE_CORES = 8
 
 REQUEST_CLASSES = (
     api.RequestClass("glance", NS_PER_S, 5 * NS_PER_S, 1.0),
     api.RequestClass("report", 3 * NS_PER_S // 2, 20 * NS_PER_S, 10.0, threads=4),
 )
-#: How engines warm up and when they crash, as the platform promises it.
+#: The platform's contract: how engines warm up and under which load they crash.
 CONTRACT = api.Contract(
     warmup_initial_capacity=0.36,
     warmup_ns=12 * NS_PER_S,
@@ -42,17 +42,17 @@
     timeout_ns: int
 
 
-def draw_request(source: random.Random) -> DrawnRequest:
+def draw_request(rng: random.Random) -> DrawnRequest:
     """Draw a request: one in ten is wide."""
-    is_wide = source.random() < WIDE_FRACTION
-    multiple = source.uniform(*WORK_SPREAD)
+    is_wide = rng.random() < WIDE_FRACTION
+    multiple = rng.uniform(*WORK_SPREAD)
     if is_wide:
         return DrawnRequest("report", multiple * WIDE_WORK_NS, 4, 20 * NS_PER_S)
     return DrawnRequest("glance", multiple * NARROW_WORK_NS, 1, 5 * NS_PER_S)
 
 
 def engine_count(brokers: int, minimum: int) -> int:
-    """Return the engines before so many brokers: two for five brokers, 80 at the most."""
+    """Return the number of engines for a number of brokers: two per five brokers, at most 80."""
     return max(minimum, min(80, 2 * brokers // 5))
 
 
--- a/benchmarks/harness/statistics.py
+++ b/benchmarks/harness/statistics.py
@@ -29,15 +29,15 @@
     *,
     at_most: float,
 ) -> None:
-    """Record the median ratio with its bound, the least and the greatest."""
-    compared = ratios(values, bases)
-    results.record(name, statistics.median(compared), at_most=at_most)
-    results.record(f"{name}_least", min(compared))
-    results.record(f"{name}_greatest", max(compared))
+    """Record the median ratio with its bound, and the least and the greatest ratio."""
+    ratios_by_round = ratios(values, bases)
+    results.record(name, statistics.median(ratios_by_round), at_most=at_most)
+    results.record(f"{name}_least", min(ratios_by_round))
+    results.record(f"{name}_greatest", max(ratios_by_round))
 
 
 def busiest_window(times_s: Sequence[float], window_s: float = 1.0) -> int:
-    """Return the greatest number of times that lie within any window of this length."""
+    """Return the maximum number of the given times within any window of this length."""
     ordered = sorted(times_s)
     first = 0
     greatest = 0
--- a/benchmarks/harness/trees.py
+++ b/benchmarks/harness/trees.py
@@ -1,4 +1,4 @@
-"""This program, and earlier commits of it, as trees of files."""
+"""Source trees of this project: the current one, and worktrees of earlier commits."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).parents[2]
 PACKAGE = "query_broker"
-#: The import package up to 0.2.
+#: The import package up to version 0.2.
 FORMER_PACKAGE = "larchhall"
 #: Runs the former package under the present name.
 FORMER_MAIN = f"""\
@@ -26,7 +26,7 @@
 
 
 def add_present_name(tree: Path) -> None:
-    """Let `python -m query_broker` run a tree, as the emulated fleets do, whatever its package.
+    """Let `python -m query_broker`, which the emulated fleets call, run a tree with either package.
 
     Args:
         tree: A temporary worktree; a file is added to it if it has the former package.
@@ -38,7 +38,7 @@
 
 @contextmanager
 def worktree(revision: str) -> Iterator[Path]:
-    """Check an earlier commit of this project out, for as long as the context lasts."""
+    """Check out an earlier commit of this project for as long as the context lasts."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "tree"
         _git("worktree", "add", "--detach", "-f", str(path), revision)
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -20,7 +20,7 @@
 
 LOSSES = (0.0, 0.1, 0.3)
 PAUSED_FRACTIONS = (0.0, 0.01, 0.05, 0.1)
-SETTLE_EVERY = 25
+STATES_PER_SETTLED_STATE = 25
 QUICK_GROUP = GroupScenario(members=8, kills=1, is_busy=False, interval_s=0.25)
 FULL_GROUPS = (
     GroupScenario(members=24, kills=4, is_busy=False, interval_s=1.0),
@@ -30,7 +30,7 @@
 COST_REQUESTS = 400
 QUICK_DEPTH = 3
 FULL_DEPTH = 6
-#: A model in which nothing was reached, or that found a violation, has proved nothing.
+#: An exploration that reached no state or found a violation proves nothing.
 MIN_STATES = 1
 
 
@@ -40,18 +40,18 @@
     from tests.support.members_model import Exploration, PropertyViolationError, explore
 
     try:
-        explored = explore(depth, SETTLE_EVERY)
+        exploration = explore(depth, STATES_PER_SETTLED_STATE)
     except PropertyViolationError as violation:
         print(f"# {violation}")
-        explored = Exploration(0, 0)
-    results.record(f"model.states_to_depth_{depth}", explored.states, at_least=MIN_STATES)
+        exploration = Exploration(0, 0)
+    results.record(f"model.states_to_depth_{depth}", exploration.states, at_least=MIN_STATES)
     results.record(
-        "model.states_that_agree_once_messages_flow", explored.settled, at_least=MIN_STATES
+        "model.states_that_agree_once_messages_flow", exploration.settled, at_least=MIN_STATES
     )
 
 
 def record_simulated(results: Results, quick: bool) -> None:
-    """Measure on the simulated clock."""
+    """Run the measurements on the simulated clock."""
     if quick:
         record_simulations(results, {10: 24, 60: 8}, (0.1,), (0.0, 0.1))
         return
@@ -60,7 +60,7 @@
 
 
 async def record_real(results: Results, quick: bool) -> None:
-    """Measure on real processes."""
+    """Run the measurements on real processes."""
     if quick:
         await record_group(results, QUICK_GROUP)
         return
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -45,8 +45,10 @@
 from .harness.units import NS_PER_MS, NS_PER_S
 from .member_processes import CostCase, record_costs
 
-SETTINGS = QuotaSettings(limits=(LimitSettings("a", rate=100.0), LimitSettings("b", rate=50.0)))
-LIMITS = {"a": 100.0, "b": 50.0}
+QUOTA_SETTINGS = QuotaSettings(
+    limits=(LimitSettings("a", rate=100.0), LimitSettings("b", rate=50.0))
+)
+LIMITS_PER_S = {"a": 100.0, "b": 50.0}
 FAILS_AFTER_NS = 5 * NS_PER_S
 GOSSIP_DELAY_NS = 2 * NS_PER_MS
 ROUNDING_ERROR = 1e-6
@@ -58,24 +60,24 @@
 MAX_UNEVEN_SEEDS = 8
 FAULT_FREE_END_S = 10
 
-#: A hard limit holds whatever happens, and so does one leader for each shard.
+#: A hard limit is never exceeded and a shard never has two leaders, whichever faults occur.
 MAX_BREACHES = 0
-MAX_TWO_LEADERS = 0
-#: A goal for one broker of any fleet. One of ten sent 4.8 (`docs/design/shares.md`).
+MAX_RUNS_WITH_TWO_LEADERS = 0
+#: Goal for one broker in a fleet of any size. One of ten sent 4.8 (`docs/design/shares.md`).
 MAX_MESSAGES_PER_S = 40.0
-#: The goal of leases at uneven demand: they used 0.93, where an even division uses 0.41
-#: (`docs/design/shares.md`).
+#: Goal for the fraction of a limit that leases use at uneven demand: it was 0.93, where an even
+#: division uses 0.41 (`docs/design/shares.md`).
 MIN_LEASED_FRACTION = 0.9
-#: Until enough observers have seen failures by themselves; then gossip takes its rounds.
+#: Time until enough observers have seen failures themselves; the gossip rounds are added to it.
 MAX_OBSERVATION_S = 2.0
-#: A model that reached nothing, or that found a violation, has proved nothing.
+#: An exploration that reached no state or found a violation proves nothing.
 MIN_STATES = 1
-#: The goal with limits: as with members alone, and checks for every request.
+#: Goal with limits: the cost with members alone, plus the checks for every request.
 MAX_COST_ON = 1.08
 
 
 class FaultScheduleResult(NamedTuple):
-    """What the auditor saw during one schedule of faults."""
+    """What the auditor observed during one schedule of faults."""
 
     overshoot_per_s: float
     messages_per_s: float  # of one broker
@@ -83,14 +85,14 @@
 
 
 def run_fault_schedule(count: int, seconds: float, seed: int) -> FaultScheduleResult:
-    """Play one schedule of faults among some brokers."""
-    draw = random.Random(seed)
+    """Run one schedule of faults with a number of brokers."""
+    rng = random.Random(seed)
     conditions = SimulatedConditions(
-        SETTINGS.clock_drift,
-        draw.choice([0.0, 0.1, 0.3]),
-        draw.choice([NS_PER_S // 2, 4 * NS_PER_S, 10 * NS_PER_S]),
+        QUOTA_SETTINGS.clock_drift,
+        rng.choice([0.0, 0.1, 0.3]),
+        rng.choice([NS_PER_S // 2, 4 * NS_PER_S, 10 * NS_PER_S]),
     )
-    simulation = QuotaSimulation(count, SETTINGS, LIMITS, seed, conditions)
+    simulation = QuotaSimulation(count, QUOTA_SETTINGS, LIMITS_PER_S, seed, conditions)
     FaultInjector(simulation, seed).schedule(seconds - FAULT_FREE_END_S)
     try:
         simulation.run(seconds)
@@ -101,7 +103,7 @@
 
 
 class UsedFractions(NamedTuple):
-    """Which fraction of a limit is used: by leases, by even division, by a central counter."""
+    """The used fraction of a limit: with leases, with even division, with a central counter."""
 
     leased: float
     divided: float
@@ -109,14 +111,14 @@
 
 
 def run_uneven_demand(count: int, seed: int) -> UsedFractions:
-    """Request a limit 1 : 10 : 100, in all a fifth more than the limit."""
-    conditions = SimulatedConditions(SETTINGS.clock_drift)
-    simulation = QuotaSimulation(count, SETTINGS, LIMITS, seed, conditions)
-    limit_per_s = LIMITS["a"]
+    """Let brokers demand a limit at rates of 1 : 10 : 100, a fifth above the limit in total."""
+    conditions = SimulatedConditions(QUOTA_SETTINGS.clock_drift)
+    simulation = QuotaSimulation(count, QUOTA_SETTINGS, LIMITS_PER_S, seed, conditions)
+    limit_per_s = LIMITS_PER_S["a"]
     ratios = [1.0, 10.0, 100.0]
     scale = 3 * 120.0 / (count * sum(ratios))
     demands = [ratios[broker.number % 3] * scale for broker in simulation.brokers]
-    guaranteed = limit_per_s * SETTINGS.guaranteed_fraction / count
+    guaranteed = limit_per_s * QUOTA_SETTINGS.guaranteed_fraction / count
     for broker, demand in zip(simulation.brokers, demands, strict=True):
         broker.leases.holder.wanted_per_s = {"a": max(0.0, demand - guaranteed)}
     simulation.run(UNEVEN_RUN_S)
@@ -130,29 +132,31 @@
 
 
 class FailingEngine(SimulatedEngine):
-    """Fails every query from a moment on, at once."""
+    """An engine that fails every query immediately, from `FAILS_AFTER_NS` on."""
 
     failed_queries = 0
 
-    def execute(self, id: bytes, cls: str, work: float, threads: int, done: Any) -> None:
-        """Fail the query, or run it as long as the endpoint works."""
+    def execute(
+        self, query_id: bytes, request_class: str, work_ns: float, threads: int, completion: Any
+    ) -> None:
+        """Run the query while the engine works; fail it afterwards."""
         if self.simulation.now_ns < BEGIN_NS + FAILS_AFTER_NS:
-            super().execute(id, cls, work, threads, done)
+            super().execute(query_id, request_class, work_ns, threads, completion)
             return
         self.failed_queries += 1
         self.simulation.call_at(
-            self.simulation.now_ns + NS_PER_MS, partial(done, AttemptResult.ERROR)
+            self.simulation.now_ns + NS_PER_MS, partial(completion, AttemptResult.ERROR)
         )
 
 
 class FailingEndpointResult(NamedTuple):
-    """How the brokers coped with a failing endpoint.
+    """How the brokers reacted to a failing endpoint.
 
     Attributes:
-        until_last_s: From the first failure until the last broker ejected it; until the end of the
-            run if one never did.
-        failed_queries: Queries that failed there.
-        brokers: How many brokers ejected it.
+        until_last_s: Time from the first failure until the last broker ejected the endpoint, or
+            until the end of the run if one never did.
+        failed_queries: Number of queries that failed at the endpoint.
+        brokers: Number of brokers that ejected the endpoint.
     """
 
     until_last_s: float
@@ -161,15 +165,15 @@
 
 
 class FailingEndpointRun:
-    """Brokers and endpoints, one of which fails every query from a moment on."""
+    """A fleet of brokers with an endpoint that fails every query from `FAILS_AFTER_NS` on."""
 
     def __init__(self, count: int, use_gossip: bool, seed: int) -> None:
         """Create the endpoints and the brokers."""
         self.simulation = Simulation(seed)
         self.use_gossip = use_gossip
         self.settings = OutlierConsensusSettings()
-        draw = self.simulation.random
-        numbers = [draw.randrange(1 << 32) for _ in range(max(5, count // 4))]
+        rng = self.simulation.random
+        numbers = [rng.randrange(1 << 32) for _ in range(max(5, count // 4))]
         self.failing = FailingEngine(self.simulation, numbers[0], Machine())
         self.engines: dict[int, SimulatedEngine] = {
             number: SimulatedEngine(self.simulation, number, Machine()) for number in numbers[1:]
@@ -179,11 +183,11 @@
         self.zones = {Endpoint(str(number), 0): "a" for number in numbers}
         self.ejected_at_ns: dict[str, int] = {}
         self.first_failure_ns: int | None = None
-        self.brokers = [self._create(position) for position in range(count)]
+        self.brokers = [self._create_broker(position) for position in range(count)]
         self.request_ids = itertools.count()
         self.request_gap_ns = int(NS_PER_S / (4 * count))
 
-    def _create(self, position: int) -> tuple[SimulatedBroker, OutlierConsensus]:
+    def _create_broker(self, position: int) -> tuple[SimulatedBroker, OutlierConsensus]:
         settings = api.Settings(
             classes=(api.RequestClass("glance", NS_PER_S, 5 * NS_PER_S, 1.0),),
             fleet_size=len(self.names),
@@ -194,11 +198,13 @@
         )
         broker = SimulatedBroker(self.simulation, settings, position, self.engines)
         observations = ObservationStore(self.names[position], "a", self.settings)
-        broker.attempt_observer = partial(self._record, observations)
+        broker.attempt_observer = partial(self._record_attempt, observations)
         broker.announce_endpoints()
         return broker, OutlierConsensus(observations)
 
-    def _record(self, observations: ObservationStore, number: int, result: AttemptResult) -> None:
+    def _record_attempt(
+        self, observations: ObservationStore, number: int, result: AttemptResult
+    ) -> None:
         now_ns = self.simulation.now_ns
         if result is AttemptResult.ERROR and self.first_failure_ns is None:
             self.first_failure_ns = now_ns
@@ -231,7 +237,7 @@
         broker.send_request(request_id, "glance", NS_PER_S // 5, 1, 5 * NS_PER_S)
 
     def run(self) -> FailingEndpointResult:
-        """Play the run."""
+        """Run the simulation."""
         simulation = self.simulation
         for broker, consensus in self.brokers:
             offset_ns = simulation.random.randrange(self.settings.gossip_interval_ns)
@@ -248,12 +254,12 @@
 
 
 def run_failing_endpoint(count: int, use_gossip: bool, seed: int) -> FailingEndpointResult:
-    """Play one run with a failing endpoint, in a process of its own."""
+    """Run one simulation with a failing endpoint; a pool calls this in its processes."""
     return FailingEndpointRun(count, use_gossip, seed).run()
 
 
 class SimulationSize(NamedTuple):
-    """How much to simulate with a number of brokers."""
+    """The number and length of the simulations with a number of brokers."""
 
     brokers: int
     seeds: int
@@ -263,23 +269,23 @@
 def record_fault_schedules(
     results: Results, pool: multiprocessing.pool.Pool, size: SimulationSize
 ) -> None:
-    """Print what the auditor saw over many schedules."""
-    play = partial(run_fault_schedule, size.brokers, size.seconds)
-    runs = pool.map(play, range(size.seeds), 1)
+    """Record what the auditor observed in many schedules."""
+    run_schedule = partial(run_fault_schedule, size.brokers, size.seconds)
+    runs = pool.map(run_schedule, range(size.seeds), 1)
     name = f"schedules_{size.brokers}"
     breaches = sum(run.overshoot_per_s > ROUNDING_ERROR for run in runs)
     two_leaders = sum(run.had_two_leaders for run in runs)
     messages_per_s = max(run.messages_per_s for run in runs)
     results.record(f"{name}.seeds", size.seeds)
     results.record(f"{name}.breaches", breaches, at_most=MAX_BREACHES)
-    results.record(f"{name}.two_homes", two_leaders, at_most=MAX_TWO_LEADERS)
+    results.record(f"{name}.two_homes", two_leaders, at_most=MAX_RUNS_WITH_TWO_LEADERS)
     results.record(f"{name}.messages_a_second", messages_per_s, at_most=MAX_MESSAGES_PER_S)
 
 
 def record_uneven_demand(
     results: Results, pool: multiprocessing.pool.Pool, size: SimulationSize
 ) -> None:
-    """Print which fraction of a limit is used at uneven demand."""
+    """Record the used fraction of a limit at uneven demand."""
     seeds = range(min(size.seeds, MAX_UNEVEN_SEEDS))
     runs = pool.map(partial(run_uneven_demand, size.brokers), seeds, 1)
     for position, name in enumerate(UsedFractions._fields):
@@ -291,7 +297,7 @@
 def record_failing_endpoint(
     results: Results, pool: multiprocessing.pool.Pool, count: int, use_gossip: bool
 ) -> None:
-    """Print how soon all brokers eject a failing endpoint."""
+    """Record how soon all brokers eject a failing endpoint."""
     runs = pool.map(partial(run_failing_endpoint, count, use_gossip), FAILING_RUN_SEEDS, 1)
     interval_s = OutlierConsensusSettings().gossip_interval_ns / NS_PER_S
     gossip_s = gossip_rounds(count) * interval_s
@@ -323,7 +329,7 @@
 
 
 def record_model_checker(results: Results, depth: int) -> None:
-    """Print how many states the model checker reached; 0, a broken bound, if it found a fault."""
+    """Record how many states the model checker reached; 0, which breaks the bound, on a fault."""
     sys.path.insert(0, str(ROOT))
     from tests.support.quota_model import PropertyViolatedError, explore
 
@@ -352,7 +358,7 @@
 
 
 def main() -> int:
-    """Run all; return 1 if a bound was broken."""
+    """Run the benchmark; return the exit code, 1 if a bound was broken."""
     arguments = benchmark_parser(__doc__).parse_args()
     results = Results()
     if arguments.quick:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -35,26 +35,26 @@
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 READY_POLL_S = 0.02
 SHUTDOWN_TIMEOUT_S = 10.0
-#: Past the bound, so that a broker that is late is still measured.
+#: Added to the bound, so that the start of a late broker is still measured.
 READY_MARGIN_S = 5.0
 LISTENING_LINE = " start: listening on "
 FAULT_LINE = " fault: "
 
-#: Goals: nine in ten are back soon, and no broker stays away, also while all share the cores of one
-#: machine (`docs/design/rare-moments.md`).
+#: Goals for the time until nine in ten brokers and until all are ready, while they share the cores
+#: of one machine (`docs/design/rare-moments.md`).
 MAX_READY_NINE_IN_TEN_S = 10.0
 MAX_READY_S = 30.0
-#: A restart is no fault: nothing may be logged as one.
+#: A restart is not a fault, so no broker may log one.
 MAX_FAULTS = 0
 
 
 class Restart(NamedTuple):
-    """How a broker started.
+    """The times of one start of a broker, in seconds.
 
     Attributes:
-        ready_s: When it was ready, infinite if it was not in time.
-        processor_s: The processor time that it had used then.
-        listening_s: When it listened.
+        ready_s: Time until it was ready; infinite if it was not in time.
+        processor_s: Processor time that it had used when it was ready.
+        listening_s: Time until it listened.
     """
 
     ready_s: float
@@ -75,7 +75,7 @@
 async def restart(broker: BrokerProcess) -> Restart:
     """Start a process and wait until it is ready."""
     has_log = (broker.folder / "log").exists()
-    logged = len(broker.log()) if has_log else 0
+    log_length = len(broker.log()) if has_log else 0
     begun_s = time.time()
     await asyncio.to_thread(broker.start)
     while not await broker.is_ready():
@@ -84,33 +84,33 @@
         await asyncio.sleep(READY_POLL_S)
     ready_s = time.time() - begun_s
     processor_s = processor_time_s(broker)
-    lines = broker.log()[logged:].splitlines()
+    lines = broker.log()[log_length:].splitlines()
     listening = next(line for line in lines if LISTENING_LINE in line)
     return Restart(ready_s, processor_s, float(listening.split()[0]) - begun_s)
 
 
 async def restart_all(brokers: Sequence[BrokerProcess]) -> list[Restart]:
-    """Start processes at once."""
+    """Start all processes at the same time, and wait until they are ready."""
     return await asyncio.gather(*(restart(broker) for broker in brokers))
 
 
 async def restart_in_tenths(brokers: Sequence[BrokerProcess]) -> list[Restart]:
-    """Shut a tenth of the processes down at a time, and start it again."""
+    """Shut down and restart the processes, a tenth of them at a time."""
     tenth = max(1, len(brokers) // 10)
     restarts: list[Restart] = []
     for first in range(0, len(brokers), tenth):
-        part = brokers[first : first + tenth]
-        for broker in part:
+        batch = brokers[first : first + tenth]
+        for broker in batch:
             broker.signal(signal.SIGTERM)
-        for broker in part:
+        for broker in batch:
             exit_code = await asyncio.to_thread(broker.wait, SHUTDOWN_TIMEOUT_S)
             assert exit_code == 0
-        restarts += await restart_all(part)
+        restarts += await restart_all(batch)
     return restarts
 
 
 def record_restarts(results: Results, name: str, restarts: Sequence[Restart]) -> None:
-    """Record when the brokers were ready, and for what the slowest waited."""
+    """Record when the brokers were ready, and how the slowest one spent its time."""
     ordered = sorted(restarts, key=lambda restarted: restarted.ready_s)
     nine_in_ten = ordered[int(0.9 * (len(ordered) - 1))]
     slowest = ordered[-1]
@@ -131,14 +131,14 @@
     raw = broker_config(cluster, "", fleet_size=brokers, tenants=[])
     targets = [target_entry(engine.uid, engine.port) for engine in cluster.engines.values()]
     raw["known"] = {"offset": 1, "batch": [topology_event(1, *targets, full=True)]}
-    # Nothing listens there: each connection is rejected.
+    # No process listens on this port, so each connection is rejected.
     raw["bus"] = f"127.0.0.1:{free_ports(1)[0]}"
     raw["limits"] = {"sockets": 128, "memory_mb": 64}
     return raw
 
 
 async def main() -> int:
-    """Run all; return the exit code."""
+    """Run the benchmark; return the exit code."""
     options = benchmark_parser(__doc__).parse_args()
     count = QUICK_BROKERS if options.quick else FULL_BROKERS
     compileall.compile_dir(ROOT / "query_broker", quiet=1)  # as `build` does
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -23,16 +23,16 @@
 from .start_simulation import record_cold_starts
 
 BASE_COMMIT = "4131f1a"  # the last commit before starts were paced
-#: With faults more processes than this would only measure the machine.
+#: With faults, a start of more processes would only measure the machine.
 MAX_BROKERS_WITH_FAULTS = 24
 MIN_ENGINES = 3
 BROKERS_PER_ENGINE = 10
-#: Engines in the list of a slow discovery service that are no more.
+#: Number of terminated engines in the list of a slow discovery service.
 TERMINATED_ENGINES = 300
 
 
 class Size(NamedTuple):
-    """How much is measured."""
+    """The amount of work that a run measures."""
 
     call_seeds: int
     start_seeds: int
@@ -48,7 +48,7 @@
 
 
 def plot_calls(path: str, times_s: Mapping[str, list[float]]) -> None:
-    """Draw the calls of the discovery service in each second, one diagram for each title."""
+    """Plot the calls of the discovery service in each second, one diagram for each title."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -66,12 +66,14 @@
 async def record_paced_starts(
     results: Results, brokers: int, requests_end_s: float, is_quick: bool
 ) -> None:
-    """Record starts of this program's processes: without faults, with them, and a slow list."""
+    """Record starts of the current program: without faults, with faults, with a slow list."""
     engines = max(MIN_ENGINES, brokers // BROKERS_PER_ENGINE)
-    few = min(brokers, MAX_BROKERS_WITH_FAULTS)
+    brokers_with_faults = min(brokers, MAX_BROKERS_WITH_FAULTS)
     scenarios = {
         f"paced_{brokers}": StartScenario(brokers, engines, requests_end_s),
-        f"faults_{few}": StartScenario(few, MIN_ENGINES, requests_end_s, DISCOVERY_FAULTS),
+        f"faults_{brokers_with_faults}": StartScenario(
+            brokers_with_faults, MIN_ENGINES, requests_end_s, DISCOVERY_FAULTS
+        ),
     }
     if not is_quick:
         scenarios[f"slow_{brokers}"] = StartScenario(
@@ -85,7 +87,7 @@
 async def record_former_starts(
     results: Results, base: str, brokers: int, requests_end_s: float
 ) -> None:
-    """Record starts of the program before."""
+    """Record starts of the base commit's program."""
     engines = max(MIN_ENGINES, brokers // BROKERS_PER_ENGINE)
     with worktree(base) as tree:
         add_present_name(tree)
@@ -109,7 +111,7 @@
 
 
 async def main() -> int:
-    """Run all; return the exit code."""
+    """Run the benchmark; return the exit code."""
     parser = benchmark_parser(__doc__)
     add_base_option(parser, BASE_COMMIT)
     parser.add_argument("--count", type=int, default=0, help="processes that start")
--- a/benchmarks/start_calls.py
+++ b/benchmarks/start_calls.py
@@ -1,6 +1,6 @@
 """The calls of a mass start on a simulated clock: of the discovery service, and of one engine.
 
-The decisions are those of a broker, without the broker.
+The pacing and the ramp are those of a broker, but no broker runs.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 
 ENGINE_NUMBER = 7
 RAMP_SUCCESSES_PER_S = 4
-# How brokers tried again before their calls were paced: a backoff that doubles, half of it drawn.
-FORMER_BACKOFF_S = 0.05
+# Retries before calls were paced: an exponential backoff, half of which is random.
+FORMER_INITIAL_BACKOFF_S = 0.05
 FORMER_MAX_BACKOFF_S = 0.4
 
-#: The rates, and two calls whose slots lie across the edges of a second.
+#: The rates, plus two calls whose slots extend over the edges of the measured second.
 MAX_LIST_CALLS_PER_S = LIST_CALLS_PER_S + 2
 MAX_PROBES_PER_S = ENGINE_PROBES_PER_S + 2
-#: Each broker's turn comes within a window, after failures within five (`docs/design/start.md`);
-#: the ramp takes the rest.
+#: Each broker calls within one window, after failures within five (`docs/design/start.md`); RAMP_S
+#: is for the admission ramp.
 CALL_WINDOWS = 6
 RAMP_S = 10
 
@@ -56,9 +56,9 @@
     """When the brokers called, in seconds from the start.
 
     Attributes:
-        list_calls_s: The discovery service.
-        probes_s: One engine.
-        open_s: When each broker was open to its complete admission.
+        list_calls_s: Calls of the discovery service.
+        probes_s: Health checks of one engine.
+        open_s: When the admission ramp of each broker was complete.
     """
 
     list_calls_s: list[float]
@@ -70,11 +70,11 @@
     """Brokers that start within a second and call the discovery service."""
 
     def __init__(self, count: int, seed: int, is_paced: bool, faults: Sequence[Fault]) -> None:
-        """Schedule the first call of each.
+        """Schedule the first call of each broker.
 
         Args:
             count: How many brokers.
-            seed: Seed of all that is drawn.
+            seed: Seed of all random choices.
             is_paced: Whether they pace their calls.
             faults: Faults of the discovery service.
         """
@@ -103,7 +103,7 @@
         )
 
     def run(self) -> CallTimes:
-        """Make all calls, and return their times."""
+        """Simulate all calls, and return their times."""
         while self._heap:
             call = heapq.heappop(self._heap)
             self._now_s = call.at_s
@@ -117,23 +117,27 @@
         return self._times
 
     def _retry(self, call: ScheduledCall) -> None:
-        backoff_s = min(FORMER_MAX_BACKOFF_S, FORMER_BACKOFF_S * 2**call.pacing.failure_count)
+        backoff_s = min(
+            FORMER_MAX_BACKOFF_S, FORMER_INITIAL_BACKOFF_S * 2**call.pacing.failure_count
+        )
         former_s = call.at_s + backoff_s * (0.5 + self._random.random() / 2)
         paced_s = call.pacing.retry_ns(int(call.at_s * NS_PER_S)) / NS_PER_S
-        self._push(call, paced_s if self._is_paced else former_s)
+        self._schedule_call(call, paced_s if self._is_paced else former_s)
 
     def _call_again_after_reset(self, call: ScheduledCall) -> None:
-        """Schedule the call after the next reset of the connection, if there is one."""
-        later_s = [reset_s for reset_s in self._resets_s if reset_s > call.at_s]
-        if not later_s:
+        """Schedule the call that follows the next reset of the connection, if there is one."""
+        later_resets_s = [reset_s for reset_s in self._resets_s if reset_s > call.at_s]
+        if not later_resets_s:
             return
-        paced_s = call.pacing.retry_ns(int(later_s[0] * NS_PER_S)) / NS_PER_S
+        paced_s = call.pacing.retry_ns(int(later_resets_s[0] * NS_PER_S)) / NS_PER_S
         if self._is_paced:
-            self._push(call, paced_s)
+            self._schedule_call(call, paced_s)
             return
-        self._push(call, later_s[0] + FORMER_BACKOFF_S * self._random.random())
+        self._schedule_call(
+            call, later_resets_s[0] + FORMER_INITIAL_BACKOFF_S * self._random.random()
+        )
 
-    def _push(self, call: ScheduledCall, at_s: float) -> None:
+    def _schedule_call(self, call: ScheduledCall, at_s: float) -> None:
         heapq.heappush(self._heap, ScheduledCall(at_s, call.broker, call.pacing))
 
     def _start(self, broker: int) -> None:
@@ -153,7 +157,7 @@
 
 
 class FaultCase(NamedTuple):
-    """Faults of the discovery service, and when the last has ended."""
+    """Faults of the discovery service, and the end of the last fault."""
 
     ends_s: float
     faults: Sequence[Fault]
--- a/benchmarks/start_processes.py
+++ b/benchmarks/start_processes.py
@@ -1,4 +1,4 @@
-"""A mass start of real processes, before an emulated discovery service and emulated engines."""
+"""A mass start of real processes with an emulated discovery service and emulated engines."""
 
 from __future__ import annotations
 
@@ -44,29 +44,29 @@
 WORK_MS = 40
 REQUEST_TIMEOUT_NS = 4_000 * NS_PER_MS
 IDLE_TIMEOUT_S = 5.0
-#: Each broker's requests have ids of their own, since the engines' ledgers go by statements.
+#: The requests of each broker get ids of their own range, since ledgers compare statements.
 IDS_PER_BROKER = 1_000_000
 MEMORY_SAMPLES = 20
-#: Of the first seconds, the time over which the served part of the demand is taken.
+#: Windows from the beginning of the start, in which the served fraction of the demand is measured.
 DEMAND_WINDOWS_S = (10.0, 30.0)
 READY_FRACTIONS = (0.5, 0.95, 1.0)
-#: Of a terminated engine in the endpoint list.
+#: Size of a terminated engine's entry in the endpoint list.
 TERMINATED_ENTRY_BYTES = 210
 
-#: The rate, and 30 % since the emulated link counts a call when it gets to accept it
+#: The rate plus 30 %, since the emulated link counts a call when it accepts it, which may be late
 #: (`docs/design/start.md`).
 MAX_LIST_CALLS_PER_S = LIST_CALLS_PER_S * 1.3
-#: Both rates together, and a tenth since a busy machine delays connections.
+#: Both rates together plus a tenth, since a busy machine delays connections.
 MAX_ENGINE_CONNECTS_PER_S = 1.1 * (ENGINE_PROBES_PER_S + ENGINE_CONNECTS_PER_S)
-#: Each broker's turn comes within a window, after failures within five (`docs/design/start.md`);
-#: processes that all start on one machine need the rest.
+#: Each broker calls within one window, after failures within five (`docs/design/start.md`);
+#: PROCESS_START_S is for the start of all processes on one machine.
 READY_CALL_WINDOWS = 6
 PROCESS_START_S = 15
 #: A slow discovery service sends the list to all brokers once; the bound allows twice that time.
 LIST_TRANSFERS = 2
-#: The goal during a start, when brokers that open step by step reject the rest.
+#: Goal during a start, when brokers reject the requests that their admission ramp does not admit.
 MIN_SERVED = 0.5
-# Promises that hold exactly, also during a start.
+# Guarantees without exception, also during a start.
 MAX_ENGINES_CRASHED = 0
 MAX_UNANSWERED = 0
 MAX_UNMATCHED_ANSWERS = 0
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True)
 class StartScenario:
-    """What starts.
+    """The parameters of a mass start.
 
     Attributes:
-        brokers: Processes of brokers.
-        engines: Emulated engines.
-        requests_end_s: Clients send until so many seconds after the start.
+        brokers: Number of broker processes.
+        engines: Number of emulated engines.
+        requests_end_s: Time after the start at which clients stop sending.
         faults: Faults of the discovery service.
-        terminated_engines: Engines that are no more, which make the endpoint list long.
+        terminated_engines: Number of terminated engines, which make the endpoint list long.
         tree: The program that runs.
         operator_script: The operators' file; empty for none.
     """
@@ -102,7 +102,7 @@
 
 
 class ServedFraction(NamedTuple):
-    """The part of the demand in the first seconds that was served."""
+    """The served fraction of the demand in the first seconds."""
 
     window_s: float
     fraction: float
@@ -110,20 +110,20 @@
 
 @dataclass(frozen=True)
 class StartResult:
-    """What a mass start came to.
+    """The results of a mass start.
 
     Attributes:
-        started_within_s: From the first process to the last.
+        started_within_s: Time from the start of the first process to that of the last.
         list_calls_s: When the discovery service was called.
-        list_bytes: What it sent.
-        ready_s: When each broker was ready, in order.
-        engine_connects_per_s: The most connections to one engine in a second.
-        threads_per_core: The most threads that an engine had in hand, for each core.
+        list_bytes: Bytes that the discovery service sent.
+        ready_s: When each broker was ready, in ascending order.
+        engine_connects_per_s: Peak of the connections to one engine in a second.
+        threads_per_core: Peak of the threads in use at one engine, per core.
         engines_crashed: Engines that crashed.
-        served_of_demand: Against what clients that knew of no start would have sent.
-        served: The fraction of what was sent that was served.
-        unanswered: Requests without one answer.
-        unmatched_answers: Answers to no open request.
+        served_of_demand: Served fractions of what clients send if brokers are ready at once.
+        served: Served fraction of the requests that were sent.
+        unanswered: Requests that did not get exactly one answer.
+        unmatched_answers: Answers that belong to no open request.
         unsafe_run_twice: Non-idempotent statements that ran twice.
         memory_mb: Mean resident memory of a broker.
     """
@@ -144,20 +144,20 @@
 
 
 class StartClients:
-    """One client of each broker, which sends as soon as its broker is ready.
+    """One client for each broker, which sends requests as soon as the broker is ready.
 
     Attributes:
-        logs: The requests to each broker that was ready.
+        logs: The request log of each broker that became ready.
     """
 
     def __init__(self, begun_s: float, requests_end_s: float) -> None:
-        """Create the clients of brokers that were started at a time."""
+        """Create the clients of brokers whose start began at a given time."""
         self.logs: list[RequestLog] = []
         self._begun_s = begun_s
         self._end_s = begun_s + requests_end_s
 
     async def run(self, brokers: Sequence[BrokerProcess]) -> list[float]:
-        """Send until the end; return when each broker was ready, infinite if it never was."""
+        """Send requests until the end; return when each broker was ready, infinite if never."""
         return sorted(await asyncio.gather(*(self._run_one(broker) for broker in brokers)))
 
     async def _run_one(self, broker: BrokerProcess) -> float:
@@ -193,10 +193,10 @@
 
 
 class MassStart:
-    """One start of all brokers at once, with nothing but the address of the discovery service."""
+    """A simultaneous start of brokers that know only the address of the discovery service."""
 
     def __init__(self, scenario: StartScenario) -> None:
-        """Create a start that has not begun."""
+        """Prepare the start without starting anything."""
         self._scenario = scenario
         self._cluster = EmulatedCluster()
         self._connects_s: dict[str, list[float]] = {}
@@ -204,7 +204,7 @@
         self._link: FaultyLink
 
     async def run(self) -> StartResult:
-        """Start the brokers, let clients send, and return what it came to."""
+        """Start the brokers, let clients send requests, and return the results."""
         scenario = self._scenario
         raw = await self._start_cluster()
         with BrokerFleet(scenario.brokers, raw, scenario.operator_script, scenario.tree) as fleet:
@@ -247,13 +247,13 @@
     ) -> StartResult:
         records = clients.records()
         engines = list(self._cluster.engines.values())
-        connects = [busiest_window(times_s) for times_s in self._connects_s.values()]
+        peak_connects = [busiest_window(times_s) for times_s in self._connects_s.values()]
         return StartResult(
             started_within_s=started_within_s,
             list_calls_s=self._link.connected_at_s,
             list_bytes=self._link.counts["back"],
             ready_s=ready_s,
-            engine_connects_per_s=max(connects, default=0),
+            engine_connects_per_s=max(peak_connects, default=0),
             threads_per_core=max(peak_threads_per_core(engine.machine) for engine in engines),
             engines_crashed=sum(engine.machine.crashed for engine in engines),
             served_of_demand=self._served_of_demand(records),
@@ -279,13 +279,15 @@
 
 
 def peak_threads_per_core(machine: Machine) -> float:
-    """Return the most threads that a machine had in hand at once, for each core."""
-    steps = []
+    """Return the peak of the threads in use on a machine, per core."""
+    thread_changes = []
     for run in machine.ledger:
-        steps.append((run.begun_ns, run.threads))
-        steps.append((run.ended_ns or machine.now_ns, -run.threads))
-    in_hand = itertools.accumulate((threads for _, threads in sorted(steps)), initial=0)
-    return max(in_hand) / machine.cores
+        thread_changes.append((run.begun_ns, run.threads))
+        thread_changes.append((run.ended_ns or machine.now_ns, -run.threads))
+    threads_in_use = itertools.accumulate(
+        (threads for _, threads in sorted(thread_changes)), initial=0
+    )
+    return max(threads_in_use) / machine.cores
 
 
 def _mean_memory_mb(brokers: Sequence[BrokerProcess]) -> float:
@@ -298,7 +300,7 @@
 def record_start(
     results: Results, name: str, result: StartResult, scenario: StartScenario, is_paced: bool
 ) -> None:
-    """Record a mass start; bounds that are due to pacing hold for paced brokers alone."""
+    """Record a mass start; bounds that depend on pacing apply to paced brokers only."""
     window_s = call_window_ns(scenario.brokers, LIST_CALLS_PER_S) / NS_PER_S
     max_ready_s = (
         READY_CALL_WINDOWS * window_s
--- a/benchmarks/start_settings.py
+++ b/benchmarks/start_settings.py
@@ -6,15 +6,15 @@
 
 from query_broker.emulator.faulty_links import Direction, Fault, FaultKind
 
-#: Calls of the discovery service that all brokers together may make in a second.
+#: Limit of the calls of the discovery service by all brokers together.
 LIST_CALLS_PER_S = 50.0
-#: First health checks of one engine in a second, each with a connection.
+#: Limit of the first health checks of one engine, each of which opens a connection.
 ENGINE_PROBES_PER_S = 40
-#: Further connections to one engine in a second.
+#: Limit of the further connections to one engine.
 ENGINE_CONNECTS_PER_S = 100
-#: The link to the discovery service.
+#: Name of the link to the discovery service.
 DISCOVERY_LINK = "bus"
-#: One schedule of faults, in seconds from the start; played to processes and on a simulated clock.
+#: A schedule of faults, in seconds from the start, for real processes and for the simulated clock.
 DISCOVERY_FAULTS = (
     Fault(0.0, 5.0, DISCOVERY_LINK, FaultKind.REJECT),
     Fault(9.0, 9.0, DISCOVERY_LINK, FaultKind.RESET),
@@ -25,7 +25,7 @@
 DISCOVERY_OUTAGE = (Fault(0.0, 30.0, DISCOVERY_LINK, FaultKind.REJECT),)
 OUTAGE_ENDS_S = 30.0
 SLOW_BYTES_PER_S = 1e6
-#: A discovery service that sends so many bytes in a second to all brokers together.
+#: A discovery service that sends at this rate to all brokers together.
 SLOW_DISCOVERY = (
     Fault(
         0.0,
@@ -39,7 +39,7 @@
 
 
 class StartMode(NamedTuple):
-    """How brokers start."""
+    """Whether the brokers of a start pace their calls, and the name of this mode in results."""
 
     name: str
     is_paced: bool
--- a/benchmarks/start_simulation.py
+++ b/benchmarks/start_simulation.py
@@ -28,7 +28,7 @@
 from .harness.simulated_load import (
     CONTRACT,
     ENGINE_CORES,
-    LOAD,
+    LOAD_FRACTION,
     MEAN_WORK_NS,
     draw_request,
     engine_count,
@@ -41,34 +41,34 @@
 MIN_ENGINES = 3
 TIMEOUT_NS = 5 * NS_PER_S
 RAMP_STEP_NS = NS_PER_S
-OBSERVED_S = (10.0, 30.0)
-#: What a warm engine may be sent within the contract's window, in thread-nanoseconds.
+OBSERVED_TIMES_S = (10.0, 30.0)
+#: Work that a warm engine may be sent within the contract's window, in thread-nanoseconds.
 WARM_BUDGET_NS = CONTRACT.overload_multiple * ENGINE_CORES * CONTRACT.overload_window_ns
 
-#: The contract says from which load on an engine that warms up crashes.
+#: The contract states the load above which a warming engine crashes.
 MAX_ENGINES_CRASHED = 0
 MAX_SENT_AGAINST_CONTRACT = 1.0
-#: Every broker is open in the end.
+#: Every broker completes its admission ramp.
 MIN_OPENED_FRACTION = 1.0
 #: The ramp takes 8 s, up to four times that with failures (`docs/cold-start.md`); the health checks
 #: before it 2 s.
 MAX_RAMP_S = 4 * 8
 HEALTH_CHECKS_S = 2
-#: A broker has called within two windows of the discovery service.
+#: A broker calls the discovery service within two windows.
 CALL_WINDOWS = 2
 
 
 class StartOutcome(NamedTuple):
-    """What a simulated start came to.
+    """The results of a simulated start.
 
     Attributes:
         engines_crashed: Engines that crashed.
-        served_fractions: Served of the demand, for each of the observed times.
-        last_open_s: When the last broker was open to its complete admission.
-        opened: How many brokers were.
-        peak_against_contract: The most work that an engine had in hand, against its contract.
-        peak_probes_per_s: The most health checks of one engine in a second.
-        warm_up_against_contract: The most that a cold engine was sent, against its contract.
+        served_fractions: Served fraction of the demand until each of the observed times.
+        last_open_s: When the last broker completed its admission ramp.
+        opened: How many brokers completed their admission ramp.
+        peak_against_contract: Peak of the outstanding work at an engine, relative to its contract.
+        peak_probes_per_s: Peak of the health checks of one engine in a second.
+        warm_up_against_contract: Peak of the work sent to a cold engine, relative to its contract.
     """
 
     engines_crashed: int
@@ -89,7 +89,7 @@
         Args:
             brokers: How many brokers start.
             seed: Seed of the simulation.
-            is_paced: Whether they pace their calls and open step by step.
+            is_paced: Whether they pace their calls and ramp up their admission.
         """
         self._simulation = Simulation(seed)
         self._is_paced = is_paced
@@ -102,14 +102,14 @@
         self._engines = self._create_engines(engine_count(brokers, MIN_ENGINES))
         for index in range(brokers):
             self._create_broker(index, brokers)
-        demand = LOAD * ENGINE_CORES * len(self._engines)
+        demand = LOAD_FRACTION * ENGINE_CORES * len(self._engines)
         self._request_gap_ns = int(MEAN_WORK_NS / demand)
 
     def _create_engines(self, count: int) -> dict[int, SimulatedEngine]:
-        source = self._simulation.random
+        rng = self._simulation.random
         engines = {}
-        for number in (source.randrange(1 << 32) for _ in range(count)):
-            machine = Machine(started_ns=BEGIN_NS - source.randrange(NS_PER_S // 2))
+        for number in (rng.randrange(1 << 32) for _ in range(count)):
+            machine = Machine(started_ns=BEGIN_NS - rng.randrange(NS_PER_S // 2))
             engines[number] = SimulatedEngine(self._simulation, number, machine)
         return engines
 
@@ -139,10 +139,12 @@
 
     def _open(self, broker: SimulatedBroker) -> None:
         ramp = AdmissionRamp(self._settings, self._simulation.now_ns)
-        self._step_ramp(broker, ramp, 0)
+        self._advance_ramp(broker, ramp, 0)
         self._accepting.append(broker)
 
-    def _step_ramp(self, broker: SimulatedBroker, ramp: AdmissionRamp, served_before: int) -> None:
+    def _advance_ramp(
+        self, broker: SimulatedBroker, ramp: AdmissionRamp, served_before: int
+    ) -> None:
         simulation = self._simulation
         served = sum(request.is_served for request in broker.requests.values())
         open_fraction = ramp.step(simulation.now_ns, served - served_before, 0)
@@ -151,7 +153,7 @@
             self._open_s.append((simulation.now_ns - BEGIN_NS) / NS_PER_S)
             return
         due_ns = simulation.now_ns + RAMP_STEP_NS
-        simulation.call_at(due_ns, partial(self._step_ramp, broker, ramp, served))
+        simulation.call_at(due_ns, partial(self._advance_ramp, broker, ramp, served))
 
     def _send_requests(self) -> None:
         simulation = self._simulation
@@ -159,13 +161,13 @@
         simulation.call_at(simulation.now_ns + gap_ns, self._send_requests)
         if not self._accepting:
             return
-        # The front end gives a request to a broker that is ready.
+        # The front end sends each request to a broker that is ready.
         request = draw_request(simulation.random)
         broker = simulation.random.choice(self._accepting)
         broker.send_request(str(next(self._request_ids)), *request)
 
     def run(self, seconds: float) -> StartOutcome:
-        """Play so many seconds."""
+        """Run the simulation for a number of seconds."""
         self._send_requests()
         self._simulation.run(seconds)
         engines = self._engines.values()
@@ -174,7 +176,7 @@
         ]
         return StartOutcome(
             sum(engine.machine.crashed for engine in engines),
-            tuple(self._served_fraction(observed_s) for observed_s in OBSERVED_S),
+            tuple(self._served_fraction(observed_s) for observed_s in OBSERVED_TIMES_S),
             max(self._open_s, default=0.0),
             len(self._open_s),
             max(engine.peak_work_ns for engine in engines) / WARM_BUDGET_NS,
@@ -183,7 +185,7 @@
         )
 
     def _served_fraction(self, observed_s: float) -> float:
-        """Return what was served in time of the demand in the first seconds."""
+        """Return the fraction of the demand of the first seconds that was served in time."""
         end_ns = BEGIN_NS + observed_s * NS_PER_S
         served = sum(
             _is_served_in_time(request)
@@ -199,7 +201,7 @@
 
 
 def _assumed_load(broker: SimulatedBroker, open_fraction: float) -> dict[int, OutstandingWork]:
-    """Return what is taken to be outstanding while the admission is open in part."""
+    """Return the outstanding work to assume at each engine while the ramp is incomplete."""
     if open_fraction >= 1:
         return {}
     widest = broker.facade.widest_request_threads()
@@ -210,9 +212,9 @@
 
 
 def warm_up_against_contract(machine: Machine) -> float:
-    """Return the most that a machine was sent within the contract's window while it warmed up.
+    """Return the peak of the work sent to a warming machine within the contract's window.
 
-    It is relative to what the contract allows it then.
+    The work is relative to what the contract allows at that stage of the warm-up.
     """
     warm_ns = machine.started_ns + machine.warm_up_ns
     runs = [run for run in machine.ledger if run.begun_ns < warm_ns]
@@ -231,7 +233,7 @@
 
 
 def record_cold_starts(results: Results, seeds: int, sizes: Sequence[int], seconds: float) -> None:
-    """Record simulated starts of each size, as brokers started before and paced."""
+    """Record simulated starts of each size, unpaced as before and paced."""
     for size in sizes:
         for mode in MODES:
             runs = [
@@ -263,7 +265,7 @@
         f"{name}.probes_of_one_engine_in_the_busiest_second",
         max(run.peak_probes_per_s for run in runs),
     )
-    for position, observed_s in enumerate(OBSERVED_S):
+    for position, observed_s in enumerate(OBSERVED_TIMES_S):
         mean = sum(run.served_fractions[position] for run in runs) / len(runs)
         results.record(f"{name}.served_{observed_s:g}", mean)
 
