--- a/benchmarks/member_simulations.py
+++ b/benchmarks/member_simulations.py
@@ -29,7 +29,7 @@
 HEALING_TIMEOUT_S = 240
 MAX_HEARTBEAT_RUNS = 50
 MAX_HEARTBEAT_MEMBERS = 100
-#: For each of so many runs of a case, one run measures how a partition heals.
+#: One healing of a partition is measured for this many runs of a case.
 RUNS_PER_HEALING = 20
 CHUNKS = 64
 
@@ -150,7 +150,7 @@
 class HeartbeatRun:
     """Members that send a heartbeat to all others each interval.
 
-    A member is removed after a silence of the membership's shortest suspicion and one ping.
+    A member is removed after a silence of one interval and the membership's shortest suspicion.
     """
 
     def __init__(self, count: int, loss: float, paused_fraction: float, seed: int) -> None:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -40,8 +40,8 @@
 LISTENING_LINE = " start: listening on "
 FAULT_LINE = " fault: "
 
-#: Goals for the time until nine in ten brokers and until all are ready, while they share the cores
-#: of one machine (`docs/design/rare-moments.md`).
+#: Goals for the time until nine in ten brokers and until all are ready, also while they share the
+#: cores of one machine (`docs/design/rare-moments.md`).
 MAX_READY_NINE_IN_TEN_S = 10.0
 MAX_READY_S = 30.0
 #: A restart is not a fault, so no broker may log one.
--- a/benchmarks/soak/audit.py
+++ b/benchmarks/soak/audit.py
@@ -122,9 +122,8 @@
         if delay_ns > MAX_LATE_ANSWER_NS + SOCKET_SLACK_NS:
             text = f"{request.request_id}: answered {delay_ns / NS_PER_MS:.0f} ms after its time"
             return [Violation(Rule.LOST, text, request)]
-        is_repeat = bool(
-            request.idempotency_key
-        )  # a repeat with the same key is answered without rows
+        # A repeat with the same idempotency key is answered without rows.
+        is_repeat = bool(request.idempotency_key)
         if request.codes[0] == frames.SERVED and not (request.body or is_repeat):
             text = f"{request.request_id}: served without a row"
             return [Violation(Rule.WRONG_ANSWER, text, request)]
--- a/benchmarks/start_processes.py
+++ b/benchmarks/start_processes.py
@@ -44,7 +44,7 @@
 WORK_MS = 40
 REQUEST_TIMEOUT_NS = 4_000 * NS_PER_MS
 IDLE_TIMEOUT_S = 5.0
-#: The requests of each broker get ids of their own range, since ledgers compare statements.
+#: Size of the id range of each broker: ids must differ, since engines' ledgers go by statements.
 IDS_PER_BROKER = 1_000_000
 MEMORY_SAMPLES = 20
 #: Windows from the beginning of the start, in which the served fraction of the demand is measured.
