--- a/query_broker/cells/admin.py
+++ b/query_broker/cells/admin.py
@@ -16,7 +16,7 @@
 from .model import Cell
 
 ROOT = "/cells"
-LOAD_DIGITS = 6
+LOAD_DECIMAL_PLACES = 6
 
 
 class CellAdmin:
@@ -101,7 +101,7 @@
             "cores": sum(known[number].cores for number in facade.endpoints if number in known),
             "open": facade.open_count,
             "lent": dispatcher.request_ledger.borrowed(cell.name),
-            "refused_for_room": dispatcher.accounting.rejected.get(cell.name, 0),
+            "refused_for_room": dispatcher.accounting.rejection_counts.get(cell.name, 0),
             "engines": sorted(seats.uid_of(number) for number in facade.endpoints),
         }
 
@@ -120,7 +120,7 @@
         return {
             "tenant": subject,
             "cell": dispatcher.migrations.cell(subject, now_ns),
-            "load": round(load, LOAD_DIGITS),
+            "load": round(load, LOAD_DECIMAL_PLACES),
         }
 
 
--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -1,10 +1,10 @@
-"""Borrowing between cells: what each may hold of one resource that all of them share.
+"""Quotas of a shared resource that cells may borrow from each other.
 
-A cell has a quota of the resource and may borrow what the others do not use of theirs. The quota is
-a guarantee: others never borrow `RESERVED_FRACTION` of it. Once the owner uses more than that it
-*reclaims* its quota: others may borrow nothing more of it, and what they have borrowed is called in
-within `CALL_IN_DELAY_NS`. Only what can be given back may be borrowed: *firm* use, which must not
-be cut short (such as work that is not idempotent), stays within the cell's own quota.
+Each cell has a quota of the resource and may also use the unused quota of other cells, except for
+the `RESERVED_FRACTION` that is never lent. An owner that uses more than this reserve *reclaims* its
+quota: nothing more of it is lent, and borrowed amounts are called in after `CALL_IN_DELAY_NS`.
+*Firm* use must not be cut short (such as work that is not idempotent), so it is never borrowed: it
+stays within the cell's own quota.
 
 Amounts are descriptors, bytes or requests; times are integer nanoseconds. Performs no I/O.
 """
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 
 NS_PER_S = 1_000_000_000
-#: The fraction of a quota that is never borrowed, so that an owner can always start at once.
+#: The fraction of a quota that is never lent, so that the owner can always start at once.
 RESERVED_FRACTION = 0.25
-#: From the owner's reclaim until the last borrowed amount is called in: within a second, less the
-#: time that borrowers take to end.
+#: The delay from the owner's reclaim until borrowed amounts are called in. With the time that
+#: borrowers take to end, the owner has its quota back within a second.
 CALL_IN_DELAY_NS = NS_PER_S * 3 // 5
-#: How long an owner that has reclaimed its quota keeps all of it.
+#: How long a reclaim lasts after the owner last repeated it.
 RECLAIM_HOLD_NS = 5 * NS_PER_S
 
 
@@ -29,12 +29,12 @@
     """One cell's use of one resource.
 
     Attributes:
-        quota: What the cell owns.
-        in_use: What it uses, borrowed amounts included.
-        firm_in_use: What of it must not be cut short.
-        reclaim_since_ns: Since when the owner wants its complete quota; None if it does not.
-        last_reclaim_ns: When it last wanted it.
-        reserved_quota: What of the quota is never borrowed.
+        quota: The amount that the cell owns.
+        in_use: The amount that the cell uses, borrowed amounts included.
+        firm_in_use: The part of ``in_use`` that must not be cut short.
+        reclaim_since_ns: When the current reclaim began; None if there is none.
+        last_reclaim_ns: When the owner last repeated the reclaim.
+        reserved_quota: The part of the quota that is never lent.
     """
 
     quota: int = 0
@@ -45,21 +45,21 @@
     reserved_quota: int = 0
 
     def set_quota(self, quota: int) -> None:
-        """Set what the cell owns."""
+        """Set the quota and its reserved part."""
         self.quota = quota
         self.reserved_quota = int(RESERVED_FRACTION * quota)
 
     def reserved_amount(self) -> int:
-        """Return what must stay free for the cell now."""
+        """Return the amount that other cells must leave free for this one."""
         guaranteed = self.quota if self.reclaim_since_ns is not None else self.reserved_quota
         return max(0, guaranteed - self.in_use)
 
     def borrowed(self) -> int:
-        """Return what the cell uses beyond its quota."""
+        """Return the amount in use beyond the quota."""
         return max(0, self.in_use - self.quota)
 
     def note_reclaim(self, now_ns: int) -> None:
-        """Record that the owner wants its complete quota."""
+        """Begin a reclaim, or repeat the current one."""
         if self.reclaim_since_ns is None:
             self.reclaim_since_ns = now_ns
         self.last_reclaim_ns = now_ns
@@ -70,7 +70,7 @@
             self.reclaim_since_ns = None
 
     def call_in_is_due(self, now_ns: int) -> bool:
-        """Return whether the owner has waited for its quota for `CALL_IN_DELAY_NS`."""
+        """Return whether the reclaim began at least `CALL_IN_DELAY_NS` ago."""
         if self.reclaim_since_ns is None:
             return False
         return now_ns - self.reclaim_since_ns >= CALL_IN_DELAY_NS
@@ -81,11 +81,11 @@
     """The use of one resource by all cells.
 
     Invariant: the quotas add up to no more than the total, and `acquire` never lets the use exceed
-    it.
+    the total.
 
     Attributes:
-        total: How much there is.
-        in_use: The use of all cells together.
+        total: The amount that all cells share.
+        in_use: The amount that all cells use together.
         accounts: The account of each cell.
     """
 
@@ -94,9 +94,9 @@
     accounts: dict[str, Account] = field(default_factory=dict)
 
     def divide(self, total: int, weights: Mapping[str, float]) -> None:
-        """Set the total and the quotas anew.
+        """Replace the total and divide it into quotas by these weights.
 
-        What is in use stays accounted, also for cells that have no quota any more.
+        Amounts in use stay accounted, also for cells that no longer have a quota.
         """
         self.total = max(0, total)
         total_weight = sum(weights.values()) or 1.0
@@ -114,19 +114,19 @@
             del self.accounts[name]
 
     def free(self) -> int:
-        """Return what is left of the total; negative after a cut of the total."""
+        """Return the unused part of the total; negative if the total was cut below the use."""
         return self.total - self.in_use
 
     def allows(self, name: str, amount: int, now_ns: int, firm: bool = False) -> bool:
-        """Return whether the cell may take this amount more.
+        """Return whether the cell may use this additional amount.
 
-        A cell that uses more than the reserved part of its quota reclaims the quota by this call:
-        borrowed amounts are called in then.
+        Side effect: a cell that needs more than the reserved part of its quota reclaims its quota,
+        so that borrowed amounts are called in.
         """
         account = self.accounts.get(name)
         if account is None:
             return False
-        # The ordinary case, which runs for every request.
+        # Fast path: runs for every request.
         if account.in_use + amount <= account.reserved_quota:
             return self.in_use + amount <= self.total
         if account.in_use < account.quota:
@@ -139,20 +139,20 @@
         return free >= self.reserved_for_others(name)
 
     def reserved_for_others(self, name: str) -> int:
-        """Return what must stay free for the cells other than this one."""
+        """Return the amount that must stay free for all other cells."""
         return sum(
             account.reserved_amount() for owner, account in self.accounts.items() if owner != name
         )
 
     def acquire(self, name: str, amount: int, now_ns: int, firm: bool = False) -> bool:
-        """Account the amount to the cell if it may take it; return whether it did."""
+        """Account the amount to the cell if `allows` permits it; return whether it did."""
         if not self.allows(name, amount, now_ns, firm):
             return False
-        self.force(name, amount, firm)
+        self.force_acquire(name, amount, firm)
         return True
 
-    def force(self, name: str, amount: int, firm: bool = False) -> None:
-        """Account an amount that is in use already, whatever the cell's quota."""
+    def force_acquire(self, name: str, amount: int, firm: bool = False) -> None:
+        """Account an amount that is in use already, without a check of the quota."""
         account = self.accounts.get(name)
         if account is None:
             return
@@ -162,7 +162,7 @@
             account.firm_in_use += amount
 
     def release(self, name: str, amount: int, firm: bool = False) -> None:
-        """Give an amount back; ``firm`` as it was taken."""
+        """Give an amount back, with the same ``firm`` as when it was acquired."""
         account = self.accounts.get(name)
         if account is None:
             return
@@ -174,7 +174,7 @@
         self._drop_if_unused(name, account)
 
     def set_in_use(self, name: str, in_use: int, firm_in_use: int = 0) -> None:
-        """Set the use of a cell that is counted elsewhere."""
+        """Set the amounts in use of a cell whose use the caller counts."""
         account = self.accounts.get(name)
         if account is None:
             return
@@ -183,7 +183,7 @@
         account.firm_in_use = firm_in_use
 
     def borrowed(self, name: str) -> int:
-        """Return what the cell uses beyond its quota."""
+        """Return the amount that the cell uses beyond its quota."""
         return self.accounts[name].borrowed()
 
     def borrows(self, name: str) -> bool:
@@ -191,10 +191,9 @@
         return name in self.accounts and self.borrowed(name) > 0
 
     def amounts_to_call_in(self, now_ns: int) -> dict[str, int]:
-        """Return what each borrower has to give back now.
+        """Return the amount that each borrower has to give back now, the largest borrower first.
 
-        The largest borrowers come first, and no more is called in than is missing for the owners
-        that reclaimed their quota long enough ago.
+        The amounts add up to no more than what the owners with a due reclaim lack of their quotas.
         """
         for account in self.accounts.values():
             account.expire_reclaim(now_ns)
@@ -206,7 +205,7 @@
         return self._amounts_of_borrowers(largest_first, wanted - max(0, self.free()))
 
     def amounts_over_total(self) -> dict[str, int]:
-        """Return what each borrower has to give back where more than the total is in use."""
+        """Return the amount that each borrower has to give back if the use exceeds the total."""
         largest_first = sorted(self.accounts, key=lambda name: -self.borrowed(name))
         return self._amounts_of_borrowers(largest_first, -self.free())
 
--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -12,7 +12,7 @@
 from ..metrics import STATUS_LABELS, escape_label
 from ..prometheus_text import metric_header, metrics_page, single_metric
 from .borrowing import Ledger
-from .cell_pools import CelledPools
+from .cell_pools import CellConnectionPools
 from .migration_log import MigrationLog
 from .model import CellMap
 from .request_accounting import RequestAccounting
@@ -87,7 +87,7 @@
     migrations: MigrationLog
     replies: dict[ReplyKey, int]
     accounting: RequestAccounting
-    cell_pools: CelledPools
+    cell_pools: CellConnectionPools
     called_in: int
 
     @property
@@ -122,18 +122,20 @@
     requests = source.accounting.requests
     borrowed = {cell: account.borrowed() for cell, account in requests.accounts.items()}
     return [
-        CellFamily("open", "gauge", "Requests that hold a part of the room.", _used(requests)),
+        CellFamily(
+            "open", "gauge", "Requests that hold a part of the room.", _amounts_in_use(requests)
+        ),
         CellFamily(
             "statement_bytes",
             "gauge",
             "Bytes of their statements.",
-            _used(source.accounting.statements),
+            _amounts_in_use(source.accounting.statements),
         ),
         CellFamily(
             "engine_connections",
             "gauge",
             "Connections to the cell's engines.",
-            _used(source.cell_pools.ledger),
+            _amounts_in_use(source.cell_pools.ledger),
         ),
         CellFamily("lent", "gauge", "Requests beyond the cell's own part.", borrowed),
     ]
@@ -145,7 +147,7 @@
     fleets = {name: source.router.seats.fleet(name, now_ns) for name in names}
     ready = {name: fleet.ready_count for name, fleet in fleets.items()}
     cold = {name: fleet.warming_count for name, fleet in fleets.items()}
-    rejected = {name: source.accounting.rejected.get(name, 0) for name in names}
+    rejected = {name: source.accounting.rejection_counts.get(name, 0) for name in names}
     return [
         CellFamily("engines_ready", "gauge", "Engines that take new work.", ready),
         CellFamily("engines_cold", "gauge", "Those of them that are cold.", cold),
@@ -158,5 +160,5 @@
     ]
 
 
-def _used(ledger: Ledger) -> dict[str, int]:
+def _amounts_in_use(ledger: Ledger) -> dict[str, int]:
     return {cell: account.in_use for cell, account in ledger.accounts.items()}
--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -14,7 +14,7 @@
 from .router import CellRouter
 
 #: What a cell without a quota may hold, such as one that the map has dropped.
-CONNECTIONS_WITHOUT_QUOTA = 1
+CONNECTION_LIMIT_WITHOUT_QUOTA = 1
 
 
 class PoolHost(Protocol):
@@ -38,7 +38,7 @@
         """Return the time in Unix nanoseconds."""
 
 
-class CelledPools(ConnectionPools):
+class CellConnectionPools(ConnectionPools):
     """The pools of all endpoints, with the descriptors accounted to cells.
 
     Attributes:
@@ -104,7 +104,9 @@
         live = sum(number in self.by_number for number in endpoints)
         self.count_use()
         account = self.ledger.accounts.get(cell)
-        allowance = CONNECTIONS_WITHOUT_QUOTA if account is None else self._allowance(cell, account)
+        allowance = (
+            CONNECTION_LIMIT_WITHOUT_QUOTA if account is None else self._allowance(cell, account)
+        )
         return max(1, int(allowance * DEDICATED_FRACTION) // max(1, live))
 
     def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
@@ -138,12 +140,12 @@
                 # It uses what others may borrow of its quota: from now on they may borrow no more.
                 self.ledger.allows(cell, 0, now_ns)
             return True
-        if self._close_idle_for(cell, account):
+        if self._close_idle_connection_for(cell, account):
             return True
         self.ledger.allows(cell, 1, now_ns)
         return False
 
-    def _close_idle_for(self, cell: str, account: Account) -> bool:
+    def _close_idle_connection_for(self, cell: str, account: Account) -> bool:
         """Close an idle connection of the cell, or of a borrower where the cell is within quota."""
         within_quota = account.in_use <= account.quota
         for connection in self._idle_connections():
--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -5,7 +5,7 @@
 from ..protocols.client_connection import ClientConnection
 from ..server.client_admission import ClientAdmission
 from ..server.host import NodeContext
-from .client_connection import CelledConnection
+from .client_connection import CellClientConnection
 from .client_seat import UNASSIGNED
 from .dispatcher import CellDispatcher
 from .model import CellMap
@@ -27,11 +27,11 @@
 
     def has_place(self) -> bool:
         """Account a new connection to no cell, until its first request names a tenant."""
-        return self._take_place(UNASSIGNED)
+        return self._acquire_connection(UNASSIGNED)
 
     def discard(self, connection: ClientConnection) -> None:
         """Release the place of a connection in its cell, and its turn."""
-        assert isinstance(connection, CelledConnection)
+        assert isinstance(connection, CellClientConnection)
         self._read_turns.discard(connection)
         if connection in self.connections:
             self.connections.discard(connection)
@@ -41,16 +41,16 @@
         """Close slow readers by the cells' ledgers, and call in borrowed places."""
         ledger = self._dispatcher.answers
         readers = self._readers(now_ns)
-        self._account_unread_answers(readers, now_ns)
+        self._account_unread_bytes(readers, now_ns)
         bytes_to_free = ledger.amounts_over_total()
         for cell, amount_bytes in ledger.amounts_to_call_in(now_ns).items():
             bytes_to_free[cell] = max(bytes_to_free.get(cell, 0), amount_bytes)
         for cell, amount_bytes in bytes_to_free.items():
             self._drop_slowest(readers.get(cell, []), amount_bytes)
-        self._call_in_places(now_ns)
+        self._call_in_connections(now_ns)
 
-    def _account_unread_answers(
-        self, readers: dict[str, list[CelledConnection]], now_ns: int
+    def _account_unread_bytes(
+        self, readers: dict[str, list[CellClientConnection]], now_ns: int
     ) -> None:
         ledger = self._dispatcher.answers
         unread_by_cell = dict.fromkeys(ledger.accounts, 0)
@@ -63,7 +63,7 @@
 
     # --- places ---
 
-    def _take_place(self, cell: str) -> bool:
+    def _acquire_connection(self, cell: str) -> bool:
         """Account one more connection to the cell, after an eviction if needed."""
         ledger = self._dispatcher.connections
         now_ns = self.node.clock.now()
@@ -79,12 +79,12 @@
         return self.evict(
             client
             for client in self.connections
-            if isinstance(client, CelledConnection)
+            if isinstance(client, CellClientConnection)
             and client.idle()
             and (client.cell == cell or (within_quota and places.borrows(client.cell)))
         )
 
-    def settle(self, connection: CelledConnection, cell: str) -> bool:
+    def assign_to_cell(self, connection: CellClientConnection, cell: str) -> bool:
         """Account a connection to the cell of its request; False where it has no capacity.
 
         A connection that is not admitted any more has lost its place to another; it ends soon.
@@ -93,36 +93,36 @@
             return True
         places = self._dispatcher.connections
         places.release(connection.cell, 1)
-        if not self._take_place(cell):
-            places.force(connection.cell, 1)  # it keeps the place that it had
+        if not self._acquire_connection(cell):
+            places.force_acquire(connection.cell, 1)  # it keeps the place that it had
             return False
         self._assign(connection, cell)
         return True
 
-    def _assign(self, connection: CelledConnection, cell: str) -> None:
+    def _assign(self, connection: CellClientConnection, cell: str) -> None:
         """Account the incomplete frames of a connection to the cell that it belongs to now."""
         self._dispatcher.frames.release(connection.cell, connection.accounted_bytes)
-        self._dispatcher.frames.force(cell, connection.accounted_bytes)
+        self._dispatcher.frames.force_acquire(cell, connection.accounted_bytes)
         connection.cell = cell
 
     def leave_dropped_cells(self, map: CellMap) -> None:
         """Take connections out of cells that the map does not have any more."""
         for connection in self.connections:
-            if not isinstance(connection, CelledConnection) or connection.cell == UNASSIGNED:
+            if not isinstance(connection, CellClientConnection) or connection.cell == UNASSIGNED:
                 continue
             if map.cell(connection.cell) is not None:
                 continue
             self._dispatcher.connections.release(connection.cell, 1)
-            self._dispatcher.connections.force(UNASSIGNED, 1)
+            self._dispatcher.connections.force_acquire(UNASSIGNED, 1)
             self._assign(connection, UNASSIGNED)
 
-    def _call_in_places(self, now_ns: int) -> None:
+    def _call_in_connections(self, now_ns: int) -> None:
         """Call in borrowed places: idle connections end, the others are asked to leave."""
         for cell, amount in self._dispatcher.connections.amounts_to_call_in(now_ns).items():
             clients = [
                 client
                 for client in self.connections
-                if isinstance(client, CelledConnection) and client.cell == cell
+                if isinstance(client, CellClientConnection) and client.cell == cell
             ]
             clients.sort(key=lambda client: (not client.idle(), client.last_used_ns))
             for client in clients[:amount]:
@@ -134,7 +134,7 @@
 
     # --- frames ---
 
-    def account_partial_frames(self, connection: CelledConnection, change_bytes: int) -> bool:
+    def account_partial_frames(self, connection: CellClientConnection, change_bytes: int) -> bool:
         """Account a change of incomplete frames; False where the cell has no capacity for it."""
         ledger = self._dispatcher.frames
         if not change_bytes:
@@ -145,24 +145,24 @@
         if not ledger.allows(connection.cell, change_bytes, self.node.clock.now()):
             connection.accounted_bytes -= change_bytes
             return False
-        ledger.force(connection.cell, change_bytes)
+        ledger.force_acquire(connection.cell, change_bytes)
         return True
 
     # --- answers ---
 
-    def _readers(self, now_ns: int) -> dict[str, list[CelledConnection]]:
+    def _readers(self, now_ns: int) -> dict[str, list[CellClientConnection]]:
         """Return the clients with unread answers by cell; those that are overdue are dropped."""
         timeout_ns = self.node.dispatcher.deadline_controls.settings.slow_reader_timeout_ns
-        readers: dict[str, list[CelledConnection]] = {}
+        readers: dict[str, list[CellClientConnection]] = {}
         for client in self.connections:
-            assert isinstance(client, CelledConnection)
+            assert isinstance(client, CellClientConnection)
             if client.paused_since_ns and now_ns - client.paused_since_ns > timeout_ns:
                 self.drop_slow_reader(client)
             elif client.unread_bytes():
                 readers.setdefault(client.cell, []).append(client)
         return readers
 
-    def _drop_slowest(self, clients: list[CelledConnection], amount_bytes: int) -> None:
+    def _drop_slowest(self, clients: list[CellClientConnection], amount_bytes: int) -> None:
         """Drop the clients with the most unread answers until these bytes are free."""
         for client in sorted(clients, key=ClientConnection.unread_bytes, reverse=True):
             if amount_bytes <= 0:
--- a/query_broker/cells/client_connection.py
+++ b/query_broker/cells/client_connection.py
@@ -5,17 +5,17 @@
 from typing import Protocol
 
 from ..protocols.client_connection import ClientConnection, ClientHost
-from .client_seat import UNASSIGNED, SeatedClient
+from .client_seat import UNASSIGNED, CellClient
 from .read_turns import ReadTurns
 
 
-class ClientSeats(Protocol):
+class ConnectionAccounting(Protocol):
     """Accounts connections and their incomplete frames to cells."""
 
-    def settle(self, connection: CelledConnection, cell: str) -> bool:
+    def assign_to_cell(self, connection: CellClientConnection, cell: str) -> bool:
         """Account the connection to this cell; False where the cell has no capacity for it."""
 
-    def account_partial_frames(self, connection: CelledConnection, change_bytes: int) -> bool:
+    def account_partial_frames(self, connection: CellClientConnection, change_bytes: int) -> bool:
         """Account a change of its incomplete frames; False where the cell has no capacity."""
 
 
@@ -23,7 +23,7 @@
     """The node, as far as its connections need it."""
 
     @property
-    def client_seats(self) -> ClientSeats:
+    def connection_accounting(self) -> ConnectionAccounting:
         """The accounting of connections to cells."""
 
     @property
@@ -37,34 +37,36 @@
     A tenant that sends a hundred times its share would take the loop from the others.
     """
 
-    def __init__(self, host: CellClientHost, connection: CelledConnection) -> None:
+    def __init__(self, host: CellClientHost, connection: CellClientConnection) -> None:
         """Take who knows the cells, and whose reading is limited."""
         self._host = host
         self._connection = connection
         self._cell = connection.cell
-        self._turn_began_ns = 0
+        self._turn_start_ns = 0
 
     def begin_turn(self) -> bool:
         """Return whether the cell has processor time left; if not, the connection is queued."""
         if not self._host.read_turns.may_read(self._connection):
             return False
         self._cell = self._connection.cell  # the turn may settle the connection elsewhere
-        self._turn_began_ns = self._host.dispatcher.now()
+        self._turn_start_ns = self._host.dispatcher.now()
         return True
 
     def end_turn(self) -> None:
         """Charge the turn's processor time to the cell in which it began."""
-        elapsed_ns = self._host.dispatcher.now() - self._turn_began_ns
+        elapsed_ns = self._host.dispatcher.now() - self._turn_start_ns
         self._host.read_turns.charge(self._cell, elapsed_ns)
 
     def may_buffer(self, size: int) -> bool:
         """Account bytes of incomplete frames to the cell; return whether it has them left."""
         change_bytes = size - self._connection.accounted_bytes
         self._connection.accounted_bytes = size
-        return self._host.client_seats.account_partial_frames(self._connection, change_bytes)
+        return self._host.connection_accounting.account_partial_frames(
+            self._connection, change_bytes
+        )
 
 
-class CelledConnection(ClientConnection, SeatedClient):
+class CellClientConnection(ClientConnection, CellClient):
     """A connection without a cell until its first request, then in the cell of the last one.
 
     Attributes:
@@ -74,11 +76,11 @@
 
     def __init__(self, host: CellClientHost) -> None:
         """Start without a cell."""
-        self._seats = host.client_seats
+        self._accounting = host.connection_accounting
         self.cell = UNASSIGNED
         self.accounted_bytes = 0
         super().__init__(host, CellLimits(host, self))
 
-    def settle(self, cell: str) -> bool:
+    def assign_to_cell(self, cell: str) -> bool:
         """Account the connection to this cell; False where the cell has no capacity for it."""
-        return cell == self.cell or self._seats.settle(self, cell)
+        return cell == self.cell or self._accounting.assign_to_cell(self, cell)
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -15,8 +15,8 @@
 from ..timer_wheel import Clock
 from .borrowing import Ledger
 from .cell_metrics import ReplyKey, render_cell_metrics
-from .cell_pools import CelledPools
-from .client_seat import UNASSIGNED, SeatedClient
+from .cell_pools import CellConnectionPools
+from .client_seat import UNASSIGNED, CellClient
 from .migration_log import MigrationLog
 from .model import CellMap
 from .request_accounting import Charge, RequestAccounting
@@ -49,7 +49,7 @@
         called_in: How many requests of borrowers were called in.
     """
 
-    cell_pools: CelledPools
+    cell_pools: CellConnectionPools
 
     def __init__(
         self, config: Config, clock: Clock, log: LogWriter, map: CellMap, process_name: str
@@ -65,7 +65,7 @@
         self.rates = WorkRates()
         self.replies: dict[ReplyKey, int] = {}
         self.called_in = 0
-        self._called_in_at_ns = clock.now()
+        self._last_call_in_ns = clock.now()
         super().__init__(config, clock, log)
         self.accounting.set_firm_classes(self.config.settings)
 
@@ -91,7 +91,7 @@
     def make_connection_pools(self) -> ConnectionPools:
         """Make the pools, which account each connection to a cell."""
         config = self.config
-        self.cell_pools = CelledPools(
+        self.cell_pools = CellConnectionPools(
             self,
             max_streams=config.streams_per_connection,
             connect_timeout_ns=config.connect_timeout_ns,
@@ -115,7 +115,7 @@
 
     def cell_weights(self) -> dict[str, float]:
         """Return the weight of each cell in what is divided among cells."""
-        return {cell.name: cell.part() for cell in self.map.cells}
+        return {cell.name: cell.effective_capacity_weight() for cell in self.map.cells}
 
     def cell_weights_with_unassigned(self) -> dict[str, float]:
         """Return the weights where connections without a cell get a quota as well."""
@@ -185,12 +185,12 @@
         assert self.router.assignment is not None
         cell = self.router.assignment.cell
         client = request.client
-        if isinstance(client, SeatedClient) and not client.settle(cell):
+        if isinstance(client, CellClient) and not client.assign_to_cell(cell):
             self.accounting.count_rejection(cell)
             return False
         firm = self.accounting.is_firm(request)
         charge = Charge(cell, len(request.statement), firm)
-        if not self.accounting.take(request.id, charge, self.now()):
+        if not self.accounting.charge_request(request.id, charge, self.now()):
             self.accounting.count_rejection(cell)
             return False
         return True
@@ -219,9 +219,9 @@
         """Do the periodic work; now and then borrowers are called in."""
         super().tick()
         now_ns = self.now()
-        if now_ns - self._called_in_at_ns >= CALL_IN_PERIOD_NS:
-            self._called_in_at_ns = now_ns
-            self.rates.fold(now_ns)
+        if now_ns - self._last_call_in_ns >= CALL_IN_PERIOD_NS:
+            self._last_call_in_ns = now_ns
+            self.rates.update_means(now_ns)
             self.called_in += call_in_requests(self, now_ns)
             self.cell_pools.call_in(now_ns)
             self.carry_out(now_ns, self.router.report_former_cells(now_ns))
--- a/query_broker/cells/endpoint_seats.py
+++ b/query_broker/cells/endpoint_seats.py
@@ -1,6 +1,6 @@
-"""The seats of listed endpoints: which cell's decisions know of each, and what is reported to them.
+"""Keeps the decisions of each cell informed of the endpoints that are assigned to the cell.
 
-An endpoint belongs to one cell at a time. Performs no I/O.
+The seat of an endpoint is the one cell that it is assigned to. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class UidLookup(Protocol):
-    """Knows the uid of each listed endpoint."""
+    """Looks up the uid of a listed endpoint."""
 
     def __call__(self, number: int, /) -> str:
         """Return the uid of the endpoint with this number."""
@@ -42,7 +42,7 @@
         numbers: The number of each listed endpoint, by uid.
         disabled: The administrative change that disabled each disabled endpoint.
         uid_of: Returns the uid of an endpoint's number.
-        enabled_ns: When endpoints that were disabled were enabled again, from when they warm up.
+        enabled_ns: When each re-enabled endpoint was enabled, which starts its warm-up anew.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
             map: The cell map in force.
             settings: The platform settings in force.
             facades: The decisions of each cell, by its name.
-            outstanding: What cells have outstanding on endpoints that leave them.
+            outstanding: Tracks work that cells have outstanding on endpoints that leave them.
             uid_of: Returns the uid of an endpoint's number.
         """
         self.settings = settings
@@ -72,10 +72,8 @@
         self._outstanding = outstanding
         self.uid_of = uid_of
 
-    # --- queries ---
-
     def facade_of(self, number: int) -> CellFacade | None:
-        """Return the decisions of the cell that the endpoint has its seat in."""
+        """Return the decisions of the endpoint's cell; None if it has none."""
         return next(
             (facade for facade in self._facades.values() if number in facade.endpoints), None
         )
@@ -83,7 +81,8 @@
     def cell_of(self, number: int) -> str | None:
         """Return the cell of an endpoint.
 
-        For one that is not listed any more it is a cell that still has something outstanding there.
+        For an endpoint that is no longer listed, this is a cell with outstanding work on it, if any
+        has such work.
         """
         entry = self.entries.get(number)
         if entry is not None:
@@ -94,7 +93,7 @@
         return None
 
     def fleet(self, cell: str, now_ns: int) -> Fleet:
-        """Return the endpoints of the cell that take new work, and how many are warming up."""
+        """Return how many endpoints of the cell accept new work, and how many of these warm up."""
         facade = self._facades.get(cell)
         if facade is None:
             return Fleet(0, 0)
@@ -103,20 +102,18 @@
             for number in facade.endpoints
             if self.entries[number].state is EndpointState.READY and number not in self.disabled
         ]
-        warming_count = sum(now_ns < self._warm_at_ns(number) for number in ready)
+        warming_count = sum(now_ns < self._warmup_ends_ns(number) for number in ready)
         return Fleet(len(ready), warming_count)
 
     def _started_ns(self, entry: EndpointEntry) -> int:
-        """Return when the endpoint began to warm up: at its start, or when it was enabled again."""
+        """Return when the warm-up began: at the endpoint's start, or when it was re-enabled."""
         return max(entry.started_ns, self.enabled_ns.get(entry.endpoint, 0))
 
-    def _warm_at_ns(self, number: int) -> int:
+    def _warmup_ends_ns(self, number: int) -> int:
         return self._started_ns(self.entries[number]) + self.settings.contract.warmup_ns
 
-    # --- changes ---
-
     def apply_administrative_change(self, change: AdministrativeChange) -> None:
-        """Note that an endpoint was disabled or enabled, for cells that get it later."""
+        """Record that an endpoint was disabled or enabled, for cells that it joins later."""
         if change.disabled:
             self.disabled[change.endpoint] = change
         else:
@@ -126,7 +123,7 @@
     def apply_update(self, now_ns: int, update: EndpointListUpdate, orders: OrderBatch) -> None:
         """Apply an update of the endpoint list.
 
-        Seats are settled first; then each cell learns of its own endpoints alone.
+        All endpoints are placed first; then each cell gets the entries of its own endpoints only.
         """
         removed = self._removed_entries(update)
         present = [entry for entry in update.entries if entry.state is not EndpointState.REMOVED]
@@ -139,13 +136,13 @@
         changes = self.placement.apply_list_update(endpoints, removed_uids)
         for entry in removed:
             self._remove(now_ns, entry, uids.get(entry.endpoint), orders)
-        self.reseat(now_ns, changes, orders)
+        self.apply_seat_changes(now_ns, changes, orders)
         reseated = {self.numbers[change.uid] for change in changes if change.uid in self.numbers}
         unmoved = [entry for entry in present if entry.endpoint not in reseated]
-        self._report_present(now_ns, unmoved, orders)
+        self._report_listed(now_ns, unmoved, orders)
 
     def _removed_entries(self, update: EndpointListUpdate) -> list[EndpointEntry]:
-        """Return the endpoints that the update removes: by name, or by a full list without them."""
+        """Return the removed entries: named by the update, or missing from a full list."""
         removed = [entry for entry in update.entries if entry.state is EndpointState.REMOVED]
         if update.kind is ListUpdateKind.FULL:
             listed = {entry.endpoint for entry in update.entries}
@@ -172,7 +169,7 @@
             facade.endpoints.discard(entry.endpoint)
             _report_entries(facade, now_ns, (entry,), orders)
 
-    def _report_present(
+    def _report_listed(
         self, now_ns: int, entries: Iterable[EndpointEntry], orders: OrderBatch
     ) -> None:
         for facade in list(self._facades.values()):
@@ -180,10 +177,13 @@
             if own:
                 _report_entries(facade, now_ns, own, orders)
 
-    def reseat(self, now_ns: int, changes: Iterable[SeatChange], orders: OrderBatch) -> None:
+    def apply_seat_changes(
+        self, now_ns: int, changes: Iterable[SeatChange], orders: OrderBatch
+    ) -> None:
         """Move endpoints between the decisions of cells.
 
-        An endpoint leaves its former cell first: in two cells it would get the work of two limits.
+        An endpoint is removed from its former cell first: in two cells at once, it would get work
+        up to the limits of both.
         """
         for change in changes:
             number = self.numbers.get(change.uid)
@@ -192,14 +192,14 @@
             entry = self.entries[number]
             former = self._facades.get(change.former_cell or "")
             if former is not None and number in former.endpoints:
-                self._leave(former, now_ns, entry, orders)
+                self._remove_from_cell(former, now_ns, entry, orders)
             new = self._facades.get(change.new_cell or "")
             if new is not None:
                 new.endpoints.add(number)
                 added = replace(entry, started_ns=self._started_ns(entry))
                 _report_entries(new, now_ns, (added,), orders)
 
-    def _leave(
+    def _remove_from_cell(
         self, facade: CellFacade, now_ns: int, entry: EndpointEntry, orders: OrderBatch
     ) -> None:
         number = entry.endpoint
--- a/query_broker/cells/fair_turns.py
+++ b/query_broker/cells/fair_turns.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 #: Quanta of debt that are carried on: a single large read must not silence a cell for long.
-MAX_DEBT_QUANTA = 4.0
+MAX_CARRIED_DEBT_QUANTA = 4.0
 
 
 class DeficitRoundRobin:
@@ -65,7 +65,7 @@
         for name, quantum in self.quantum_by_cell.items():
             # Debt that was made alone has cost no other cell anything and is forgiven; debt that
             # was made while others were active is paid back.
-            floor = -MAX_DEBT_QUANTA * quantum if contended else 0.0
+            floor = -MAX_CARRIED_DEBT_QUANTA * quantum if contended else 0.0
             carried = max(self.balance_by_cell[name], floor)
             self.balance_by_cell[name] = min(quantum, carried + quantum)
         self.active_cells.clear()
--- a/query_broker/cells/migration_log.py
+++ b/query_broker/cells/migration_log.py
@@ -1,4 +1,4 @@
-"""The log of migrations of one process: proposals of operators, and records of other processes.
+"""The migration records of one process: those its operators propose and those of its peers.
 
 `migration_steps` advances the records. Performs no I/O.
 """
@@ -19,25 +19,26 @@
 )
 from .model import CellMap
 
-#: How many migrations may be under way at once.
+#: The maximum number of concurrent migrations.
 MAX_MIGRATIONS = 1_000
-#: How many subjects have their home cached; where no tenants are configured, clients name any.
+#: The size of the cache of homes, which is bounded because clients may send any tenant name if no
+#: tenants are configured.
 MAX_CACHED_HOMES = 20_000
 MAX_SUBJECT_LENGTH = 256
 BY_OPERATORS = "by the operators"
 
 
 class MigrationLog:
-    """The records of one process, and the state machine that advances them.
+    """The migration records of one process, which are shared with its peer processes.
 
     Attributes:
         map: The cell map in force.
         process_name: The name of this process among those of the broker.
         version: The highest version seen.
         records: The latest record of each subject.
-        cached_homes: The cells that the map gives subjects, for those that were looked up.
-        close_outs: Orders that the owner of the log has still to carry out.
-        has_unpublished_changes: Whether the other processes lack a change of the records.
+        cached_homes: The cell by the map alone of each subject that was looked up.
+        close_outs: Orders that the owner of the log has yet to carry out.
+        has_unpublished_changes: Whether records have changed since they were last published.
     """
 
     def __init__(self, map: CellMap, process_name: str) -> None:
@@ -50,10 +51,8 @@
         self.close_outs: list[CloseOut] = []
         self.has_unpublished_changes = False
 
-    # --- routing ---
-
     def cell(self, subject: str, now_ns: int) -> str:
-        """Return where a new request of the subject goes: one cell, at every moment."""
+        """Return the cell that a new request of the subject goes to."""
         migration = self.records.get(subject)
         if migration is not None:
             cell = migration.cell(now_ns)
@@ -67,13 +66,11 @@
             self.cached_homes[subject] = home
         return home
 
-    # --- the operators ---
-
     def propose(self, subject: str, target: str, now_ns: int) -> Migration:
         """Start a migration and return its record.
 
         Raises:
-            MigrationRejectedError: It is not possible; the text names the key.
+            MigrationRejectedError: The migration is not possible; the text names the key.
         """
         self._check_subject(subject)
         if self.map.cell(target) is None:
@@ -118,32 +115,34 @@
             raise MigrationRejectedError("tenant", f"{subject!r} is being taken back already")
         return self.abort(migration, now_ns, reason)
 
-    # --- maps and other processes ---
-
     def apply_map(self, map: CellMap, now_ns: int) -> None:
         """Put a new map in force.
 
-        What it names anew goes where it says; a migration that names a dropped cell ends.
+        A subject whose home the map changes goes there; a migration from or to a dropped cell ends.
         """
-        before = self.map
+        previous_map = self.map
         self.map = map
         self.cached_homes = {}
         for migration in list(self.records.values()):
             if migration.has_ended():
-                renamed = map.home(migration.subject) != before.home(migration.subject)
-                if renamed or self._drops(migration.source) or self._drops(migration.target):
-                    self._overrule(migration, now_ns)
-            elif self._drops(migration.target):
+                has_new_home = map.home(migration.subject) != previous_map.home(migration.subject)
+                if (
+                    has_new_home
+                    or self._is_dropped(migration.source)
+                    or self._is_dropped(migration.target)
+                ):
+                    self._reset_to_map(migration, now_ns)
+            elif self._is_dropped(migration.target):
                 self._abort_without_target(migration, now_ns)
-            elif self._drops(migration.source):
+            elif self._is_dropped(migration.source):
                 self._end_without_source(migration, now_ns)
 
-    def _drops(self, cell: str) -> bool:
+    def _is_dropped(self, cell: str) -> bool:
         return self.map.cell(cell) is None
 
-    def _overrule(self, migration: Migration, now_ns: int) -> None:
-        # The record stays and is published: forgotten here alone, the old one would come back from
-        # another process.
+    def _reset_to_map(self, migration: Migration, now_ns: int) -> None:
+        # The record is kept and published: if it were deleted here, another process would send the
+        # old record back.
         overruled = replace(
             migration,
             stage=Stage.ROLLED_BACK,
@@ -154,13 +153,13 @@
         self.record(overruled)
 
     def _abort_without_target(self, migration: Migration, now_ns: int) -> None:
-        if self._drops(migration.source):
+        if self._is_dropped(migration.source):
             migration = replace(migration, source=self.map.home(migration.subject))
         self.abort(migration, now_ns, f"the map has no cell {migration.target!r} any more")
 
     def _end_without_source(self, migration: Migration, now_ns: int) -> None:
-        # The tenant's open requests end in the dropped cell, however long that takes; for new ones
-        # only the target is left.
+        # Open requests of the tenant still finish in the dropped cell; new ones can only go to the
+        # target.
         ended = replace(
             migration,
             stage=Stage.DONE,
@@ -171,41 +170,39 @@
         self.record(ended)
 
     def merge(self, migrations: Iterable[Migration]) -> bool:
-        """Take in the records of another process; return whether one of them was newer."""
-        newer = False
+        """Merge the records of another process; return whether any of them was newer."""
+        any_newer = False
         for migration in migrations:
             self.version = max(self.version, migration.version)
             known = self.records.get(migration.subject)
             if known is not None and RecordRank.of(migration) <= RecordRank.of(known):
                 continue
             self.records[migration.subject] = migration
-            newer = True
+            any_newer = True
             was_under_way = known is None or not known.has_ended()
             if migration.reason == CLOSED_OUT and was_under_way:
                 self.order_close_out(migration)  # each process answers its own requests
-        return newer
+        return any_newer
 
     def order_close_out(self, migration: Migration) -> None:
-        """Order the end of what is still open in the cell that the subject has left."""
+        """Order the close-out of requests still open in the cell that the subject has left."""
         cell = migration.source if migration.stage is Stage.DONE else migration.target
         self.close_outs.append(CloseOut(migration.subject, cell))
 
-    # --- the record ---
-
     def record(self, migration: Migration) -> Migration:
-        """Store a record under the next version and return it so."""
+        """Store a record under the next version and return the stored record."""
         self.version += 1
         versioned = replace(migration, version=self.version)
         self.records[migration.subject] = versioned
         self.has_unpublished_changes = True
         return versioned
 
-    def enter(self, migration: Migration, stage: Stage, now_ns: int) -> Migration:
-        """Record that the migration comes into a stage now."""
+    def enter_stage(self, migration: Migration, stage: Stage, now_ns: int) -> Migration:
+        """Record that the migration enters a stage now."""
         return self.record(replace(migration, stage=stage, stage_since_ns=now_ns))
 
     def abort(self, migration: Migration, now_ns: int, reason: str) -> Migration:
-        """Take a migration back: at once before the switch, else after the target has drained."""
+        """Roll a migration back: at once before the switch, else after the target has drained."""
         stage = Stage.ROLLING_BACK if migration.stage in SWITCHED_STAGES else Stage.ROLLED_BACK
         return self.record(
             replace(migration, stage=stage, stage_since_ns=now_ns, switch_at_ns=0, reason=reason)
--- a/query_broker/cells/migration_service.py
+++ b/query_broker/cells/migration_service.py
@@ -1,4 +1,4 @@
-"""The service that advances migrations: it is their view of the cluster and carries orders out."""
+"""The service that advances migrations, shows them the cluster and carries out their orders."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from .migration_steps import step_migrations
 from .migrations import Fleet, Migration, Stage
 
-#: How often migrations are advanced: several steps within the lead of a switch.
+#: The interval between steps, a fraction of `SWITCH_LEAD_NS`.
 STEP_PERIOD_NS = 50_000_000
 
 
@@ -16,12 +16,12 @@
     def __init__(self, node: CellHost) -> None:
         """Start without a step."""
         self._node = node
-        self._stepped_at_ns = 0
+        self._last_step_ns = 0
 
     def step_if_due(self, now_ns: int) -> None:
-        """Advance the migrations if the last step is long enough ago."""
-        if now_ns - self._stepped_at_ns >= STEP_PERIOD_NS:
-            self._stepped_at_ns = now_ns
+        """Advance the migrations if `STEP_PERIOD_NS` has passed since the last step."""
+        if now_ns - self._last_step_ns >= STEP_PERIOD_NS:
+            self._last_step_ns = now_ns
             self._step(now_ns)
 
     def _step(self, now_ns: int) -> None:
@@ -29,7 +29,7 @@
         log = dispatcher.migrations
         stages_before = {subject: migration.stage for subject, migration in log.records.items()}
         accepting = [name for name, peer in self._node.peers.items() if peer.accepting]
-        # A process that leaves must not drive what it will not see the end of.
+        # A process that is shutting down leaves its migrations to the peers that accept requests.
         if not self._node.closing_announced or not accepting:
             step_migrations(log, now_ns, self, accepting)
         self._log_changes(stages_before)
@@ -49,10 +49,8 @@
             reason = f" ({migration.reason})" if migration.reason else ""
             self._node.log("cells", f"{migration.summary()}{reason}")
 
-    # --- what a step looks at ---
-
     def fleet(self, cell: str) -> Fleet:
-        """Return the cell's endpoints."""
+        """Return the number of the cell's endpoints that accept new work."""
         return self._node.celled.router.seats.fleet(cell, self._node.clock.now())
 
     def open_count(self, subject: str, cell: str) -> int:
--- a/query_broker/cells/migration_steps.py
+++ b/query_broker/cells/migration_steps.py
@@ -1,6 +1,6 @@
 """The state machine of migrations: what a step does with a record in each stage.
 
-One process drives a migration; the others follow, and one takes over when the driver has ended.
+One process drives a migration and the others follow; one of them takes over if the driver ends.
 Times are integer nanoseconds. Performs no I/O.
 """
 
@@ -13,28 +13,28 @@
 from .migrations import CLOSED_OUT, ClusterView, Migration, Stage
 
 NS_PER_S = 1_000_000_000
-#: From the decision to switch to the switch itself: the other processes learn of it in between.
+#: The delay between the decision to switch and the switch, for the other processes to learn of it.
 SWITCH_LEAD_NS = 300_000_000
-#: How long a migration that has ended is shown.
+#: The minimum time that the record of an ended migration is kept.
 RETENTION_NS = 600 * NS_PER_S
 
 
 def step_migrations(
-    log: MigrationLog, now_ns: int, cluster: ClusterView, alive: Iterable[str] = ()
+    log: MigrationLog, now_ns: int, cluster: ClusterView, accepting_processes: Iterable[str] = ()
 ) -> None:
-    """Advance what this process drives.
+    """Advance the migrations that this process drives.
 
     Args:
         log: The records.
         now_ns: The time.
         cluster: What the step looks at.
-        alive: The other processes that take requests. The first name in order among them and
-            this one takes over the migrations of a process that has ended.
+        accepting_processes: The names of the other processes that accept requests. When a driver
+            ends, the process with the lowest name, this one included, takes its migrations over.
     """
-    processes = set(alive)
+    processes = set(accepting_processes)
     for migration in list(log.records.values()):
         if migration.has_ended():
-            _forget_if_settled(log, migration, now_ns)
+            _delete_if_settled(log, migration, now_ns)
             continue
         driven = _take_over(log, migration, processes)
         if driven.driver == log.process_name:
@@ -49,11 +49,11 @@
     return log.record(replace(migration, driver=log.process_name))
 
 
-def _forget_if_settled(log: MigrationLog, migration: Migration, now_ns: int) -> None:
-    """Forget an ended migration that changes nothing any more.
+def _delete_if_settled(log: MigrationLog, migration: Migration, now_ns: int) -> None:
+    """Delete an old record of an ended migration that no longer affects routing.
 
-    Where a migration has led is kept for good, unless the map says the same or has no such
-    cell.
+    A record that routes the tenant to another cell than its home in the map is never deleted,
+    unless the map has no such cell.
     """
     if now_ns - migration.stage_since_ns <= RETENTION_NS:
         return
@@ -66,7 +66,7 @@
     log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> None:
     if cluster.fleet(migration.target).ready_count:
-        log.enter(migration, Stage.WARMING, now_ns)
+        log.enter_stage(migration, Stage.WARMING, now_ns)
     elif now_ns - migration.stage_since_ns >= log.map.timeouts.proposed_ns:
         log.abort(migration, now_ns, "the target has no ready engine")
 
@@ -103,10 +103,9 @@
     is_warm: bool,
     cluster: ClusterView,
 ) -> None:
-    """Switch once all processes know the time of it; put it off while one does not."""
+    """Switch once all processes know the time of the switch; postpone it until then."""
     if not is_warm:
-        # A target that is lost while the other processes learn of the switch must not get the
-        # tenant.
+        # The tenant must not go to a target that failed while the switch was being replicated.
         log.record(replace(migration, switch_at_ns=0, warm_since_ns=0))
     elif cluster.is_replicated(migration):
         switch_at_ns = max(now_ns, migration.switch_at_ns)
@@ -125,9 +124,9 @@
 def _watch_target(
     log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> Migration | None:
-    """Follow the target once it has the tenant; return the record, or None if it was aborted.
+    """Check the target after the switch; return the record, or None if it was aborted.
 
-    A target that loses its last endpoint gives the tenant back, if the source can take it.
+    A target without endpoints for too long returns the tenant to the source, if the source has any.
     """
     if cluster.fleet(migration.target).ready_count:
         if migration.target_lost_since_ns:
@@ -152,7 +151,7 @@
         return
     elapsed_ns = now_ns - migration.stage_since_ns
     if not watched.target_lost_since_ns and elapsed_ns >= log.map.timeouts.watch_ns:
-        log.enter(watched, Stage.DRAINING, now_ns)
+        log.enter_stage(watched, Stage.DRAINING, now_ns)
     elif elapsed_ns >= log.map.timeouts.switched_ns:
         log.abort(watched, now_ns, "the target was not able for long enough")
 
@@ -164,7 +163,7 @@
     if watched is None:
         return
     if not cluster.open_count(migration.subject, migration.source):
-        log.enter(watched, Stage.DONE, now_ns)
+        log.enter_stage(watched, Stage.DONE, now_ns)
     elif now_ns - migration.stage_since_ns >= log.map.timeouts.draining_ns:
         _end_by_close_out(log, watched, Stage.DONE, now_ns)
 
@@ -173,7 +172,7 @@
     log: MigrationLog, migration: Migration, now_ns: int, cluster: ClusterView
 ) -> None:
     if not cluster.open_count(migration.subject, migration.target):
-        log.enter(migration, Stage.ROLLED_BACK, now_ns)
+        log.enter_stage(migration, Stage.ROLLED_BACK, now_ns)
     elif now_ns - migration.stage_since_ns >= log.map.timeouts.draining_ns:
         _end_by_close_out(log, migration, Stage.ROLLED_BACK, now_ns)
 
@@ -183,7 +182,7 @@
     log.order_close_out(ended)
 
 
-#: What a step does in each stage that is not an end.
+#: The step of each stage that is not final.
 STEPS: dict[Stage, Callable[[MigrationLog, Migration, int, ClusterView], None]] = {
     Stage.PROPOSED: _step_proposed,
     Stage.WARMING: _step_warming,
--- a/query_broker/cells/migrations.py
+++ b/query_broker/cells/migrations.py
@@ -4,9 +4,9 @@
         |          |           |           |
         +----------+--> taken back <-- returning
 
-New requests go to one cell: the source up to the switch, the target from then on, and the source
-again from the moment a migration is being rolled back. What is open ends in the cell where it
-began; only that cell's decisions make its retries, so that no switch can execute it twice.
+New requests go to one cell: the source before the switch, the target after it, and the source
+again once a rollback begins. An open request stays in the cell that admitted it, which also makes
+its retries, so that a switch cannot cause a second execution.
 
 Records carry a version, one counter over all processes of a broker (after L. Lamport, "Time,
 Clocks, and the Ordering of Events in a Distributed System", 1978): of two records on one subject
@@ -25,9 +25,10 @@
 
 #: The fraction of the target's ready endpoints that must be warm before the switch.
 MIN_WARM_FRACTION = 0.5
-#: Stored and compared between processes: it tells a follower to close out as well.
+#: The reason by which the other processes see that they must close out as well. It is stored and
+#: compared between processes.
 CLOSED_OUT = "what was open past its time was closed out"
-WRONG_FIELD_TYPE = "a move with fields of the wrong kind"
+WRONG_FIELD_TYPE = "a migration record has a field of the wrong type"
 #: The keys of the stored form of a `Migration`, where they differ from the names of its fields.
 STORED_KEYS = {
     "stage_since_ns": "at",
@@ -41,7 +42,7 @@
 
 
 class Stage(Enum):
-    """Where a migration stands; the values are the stored and shown spelling."""
+    """The stage of a migration; the values are stored and shown to operators."""
 
     PROPOSED = "proposed"
     WARMING = "warming"
@@ -54,15 +55,15 @@
 
 ENDED_STAGES = frozenset({Stage.DONE, Stage.ROLLED_BACK})
 SWITCHED_STAGES = frozenset({Stage.SWITCHED, Stage.DRAINING, Stage.DONE})
-#: Of two records with one version the one in the later stage is valid.
+#: Of two records with the same version, the one in the later stage is valid.
 STAGE_ORDER = list(Stage)
 
 
 class MigrationRejectedError(QueryBrokerError, ValueError):
-    """A migration, or its abortion, that is not possible; nothing has changed."""
+    """A migration cannot be started or aborted; nothing has changed."""
 
     def __init__(self, key: str, problem: str) -> None:
-        """Name the part of the operators' call and what is wrong with it."""
+        """Name the part of the admin call and the problem with it."""
         super().__init__(f"{key}: {problem}")
 
 
@@ -71,18 +72,18 @@
     """The record of one migration; `plain` gives its stored form.
 
     Attributes:
-        subject: The tenant, or one part of a spread one.
-        source: The cell it leaves.
-        target: The cell it goes to.
-        stage: Where it stands.
+        subject: The tenant, or one part of a spread tenant.
+        source: The cell that the tenant leaves.
+        target: The cell that the tenant goes to.
+        stage: The stage of the migration.
         version: Orders the records on one subject.
-        stage_since_ns: When it came into this stage.
-        proposed_ns: When it was proposed.
-        driver: The process that advances it.
-        warm_since_ns: Since when the target has enough warm endpoints; 0 if it has not.
-        target_lost_since_ns: Since when the target has no endpoint; 0 if it has one.
-        switch_at_ns: From then on new requests go to the target; 0 before that is decided.
-        reason: Why it ended or was aborted.
+        stage_since_ns: When the migration entered this stage.
+        proposed_ns: When the migration was proposed.
+        driver: The process that advances the migration.
+        warm_since_ns: Since when the target has had enough warm endpoints; 0 if it has too few.
+        target_lost_since_ns: Since when the target has had no endpoint; 0 if it has one.
+        switch_at_ns: When new requests begin to go to the target; 0 if not decided.
+        reason: Why the migration ended or was aborted.
     """
 
     subject: str
@@ -99,7 +100,7 @@
     reason: str = ""
 
     def has_ended(self) -> bool:
-        """Return whether it is in one of the stages that nothing follows."""
+        """Return whether the migration is in a final stage."""
         return self.stage in ENDED_STAGES
 
     def cell(self, now_ns: int) -> str:
@@ -108,7 +109,7 @@
         return self.target if has_switched else self.source
 
     def summary(self) -> str:
-        """Return what a log line says of it: the subject, both cells and the stage."""
+        """Return the subject, both cells and the stage, for a log line."""
         return f"{self.subject!r} from {self.source!r} to {self.target!r}: {self.stage.value}"
 
     def plain(self) -> dict[str, Any]:
@@ -122,9 +123,9 @@
     """Read a record from plain objects.
 
     Raises:
-        ValueError: The stage is none.
+        ValueError: The stage is unknown.
         TypeError: A field is missing, unknown or of the wrong type.
-        KeyError: There is no stage.
+        KeyError: The stage is missing.
     """
     named = {FIELD_NAMES.get(key, key): value for key, value in raw.items()}
     migration = Migration(**{**named, "stage": Stage(raw["stage"])})
@@ -152,27 +153,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The number of a cell's endpoints that take new work.
+    """How many endpoints of a cell accept new work.
 
     Attributes:
-        ready_count: How many there are.
-        warming_count: How many of them are still warming up.
+        ready_count: The number of ready endpoints.
+        warming_count: The number of ready endpoints that are still warming up.
     """
 
     ready_count: int
     warming_count: int
 
     def has_enough_warm(self) -> bool:
-        """Return whether enough of the endpoints are warm for the cell to take a tenant over."""
+        """Return whether enough endpoints are warm for the cell to take over a tenant."""
         warm_count = self.ready_count - self.warming_count
         return self.ready_count > 0 and warm_count >= MIN_WARM_FRACTION * self.ready_count
 
 
 class ClusterView(Protocol):
-    """What a step of a migration looks at."""
+    """The state of the cluster that a migration step depends on."""
 
     def fleet(self, cell: str) -> Fleet:
-        """Return the cell's endpoints."""
+        """Return the number of the cell's endpoints that accept new work."""
 
     def open_count(self, subject: str, cell: str) -> int:
         """Return the subject's open requests in the cell, in all processes of the broker."""
@@ -183,14 +184,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseOut:
-    """An order: what is open of the subject in the cell gets its final answer now."""
+    """An order to give the subject's open requests in the cell their final answer now."""
 
     subject: str
     cell: str
 
 
 class RecordRank(NamedTuple):
-    """Which of two records on one subject is valid: the higher rank."""
+    """The rank of a record; of two records on one subject the one with the higher rank is valid."""
 
     version: int
     stage_index: int
--- a/query_broker/cells/model.py
+++ b/query_broker/cells/model.py
@@ -1,8 +1,8 @@
 """The cell map: the cells, the tenants in them and the values that operators set for both.
 
-It is built from the operators' file, passed between processes as plain JSON objects, and never
-changed in place. The keys of its stored form are the names of the fields, but for the timeouts,
-which `TIMEOUT_FIELDS` maps, and some of a cell's, which `CELL_KEYS` maps. Performs no I/O.
+The map is built from the operators' file, passed between processes as plain JSON objects, and
+immutable. The keys of its stored form are the field names, except those of the timeouts, which
+`TIMEOUT_FIELDS` maps, and some of a cell, which `CELL_KEYS` maps. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from ..errors import QueryBrokerError
 
 NS_PER_S = 1_000_000_000
-#: Parts of a tenant that is spread by a field. Subjects name parts by number and are stored, so a
-#: change of this value would place every spread tenant anew.
+#: The number of parts of a spread tenant. Stored subjects contain part numbers, so a change of this
+#: value would place the parts of every spread tenant anew.
 BUCKETS = 64
-#: The name of a cell appears in paths and metric labels.
+#: Bounded because cell names appear in URL paths and metric labels.
 MAX_CELL_NAME_LENGTH = 64
-#: How much of a rejected name an error quotes.
+#: The maximum number of characters of a rejected name that an error message quotes.
 QUOTED_NAME_LENGTH = 70
 HASH_RANGE = 2.0**64
 DIGEST_BYTES = 8
 #: Fields of `Cell` that pin endpoints to it.
 PIN_FIELDS = ("engines", "zones", "models")
-#: Keys of the stored form by the field of `Cell`, where the two differ.
+#: The key in the stored form of each field of `Cell` whose key differs from its name.
 CELL_KEYS = {"min_endpoints": "least", "max_endpoints": "most", "capacity_weight": "share"}
 SPREAD_FIELDS = ("", "route", "data_set")
-Key = Literal["", "route", "data_set"]
+SpreadKey = Literal["", "route", "data_set"]
 
 
 class CellMapError(QueryBrokerError, ValueError):
@@ -52,14 +52,14 @@
     placed by weighted hashing.
 
     Attributes:
-        name: Unique in the map.
-        weight: The cell's part of the endpoints that are placed by hashing; above 0.
+        name: The name, unique in the map.
+        weight: The cell's weight for endpoints that are placed by hashing; above 0.
         engines: Uids of endpoints that are pinned to the cell.
         zones: Zones whose endpoints are pinned to the cell.
         models: Hardware models whose endpoints are pinned to the cell.
         min_endpoints: How many ready endpoints the cell should have.
-        max_endpoints: How many ready endpoints it may have; 0 sets no bound.
-        capacity_weight: Its part of the broker's capacity; 0 takes the weight in its place.
+        max_endpoints: How many ready endpoints the cell may have; 0 sets no bound.
+        capacity_weight: The cell's weight for the broker's capacity; 0 means ``weight``.
     """
 
     name: str
@@ -71,24 +71,24 @@
     max_endpoints: int = 0
     capacity_weight: float = 0.0
 
-    def part(self) -> float:
-        """Return the cell's part of the broker's capacity, against the parts of the others."""
+    def effective_capacity_weight(self) -> float:
+        """Return the weight by which the cell gets its quota of the broker's capacity."""
         return self.capacity_weight or self.weight
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """The home of a tenant.
+    """The cells that a tenant is assigned to.
 
     Attributes:
-        name: The tenant, as clients name it.
-        cells: The cells it lives in; more than one needs a ``key``.
-        key: The field of a request by whose digest the tenant is spread over ``cells``.
+        name: The tenant's name in requests.
+        cells: The cells of the tenant; several cells need a ``key``.
+        key: The request field whose hash spreads the tenant's requests over ``cells``.
     """
 
     name: str
     cells: tuple[str, ...]
-    key: Key = ""
+    key: SpreadKey = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,13 +96,13 @@
     """How long a migration may stay in each stage.
 
     Attributes:
-        proposed_ns: After this long without a ready endpoint in the target it is aborted.
-        warming_ns: After this long without enough warm endpoints in the target it is aborted.
+        proposed_ns: A migration is aborted if its target has no ready endpoint for this long.
+        warming_ns: A migration is aborted if its target is not warm enough after this time.
         settle_ns: How long the target must have had enough warm endpoints before the switch.
-        watch_ns: How long the target must keep them after the switch.
-        switched_ns: After this long since the switch without that, it is aborted.
-        draining_ns: What is still open in the source after this long is closed out.
-        target_lost_ns: A target without endpoints for this long gives the tenant back.
+        watch_ns: How long after the switch the target must keep an endpoint before draining begins.
+        switched_ns: A migration is aborted if draining has not begun this long after the switch.
+        draining_ns: Requests still open in the source after this time are closed out.
+        target_lost_ns: A target without endpoints for this long returns the tenant to the source.
     """
 
     proposed_ns: int = 10 * NS_PER_S
@@ -132,10 +132,10 @@
 
 
 def timeouts_of(timeouts_ns: Mapping[str, int]) -> MigrationTimeouts:
-    """Return the timeouts that stand under the keys of `TIMEOUT_FIELDS`.
+    """Return the timeouts from their values by the keys of `TIMEOUT_FIELDS`.
 
     Raises:
-        TypeError: A key is none of them.
+        TypeError: A key is unknown.
     """
     return MigrationTimeouts(
         **{TIMEOUT_FIELDS.get(key, key): value for key, value in timeouts_ns.items()}
@@ -144,14 +144,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CellMap:
-    """The cells and the tenants' homes; every instance has been checked.
+    """The cells and the tenants' homes; every instance is validated.
 
     Attributes:
-        epoch: Orders maps: an older one never replaces a newer one.
+        epoch: The generation of the map; a map never replaces one with a higher epoch.
         cells: The cells, in the operators' order.
         default: The cell of tenants that the map does not name.
-        tenants: The homes by the tenant's name.
-        timeouts: The limits of migrations.
+        tenants: The cells of each tenant by its name.
+        timeouts: The time limits of migrations.
 
     Raises:
         CellMapError: The map contradicts itself; the text names the key.
@@ -164,7 +164,7 @@
     timeouts: MigrationTimeouts = DEFAULT_TIMEOUTS
 
     def __post_init__(self) -> None:
-        """Check the map, in the order of the operators' file."""
+        """Validate the map, in the order of the operators' file."""
         if not self.cells:
             raise CellMapError("cell", "none is named")
         if self.epoch < 0:
@@ -186,9 +186,9 @@
         return next((cell for cell in self.cells if cell.name == name), None)
 
     def subject(self, tenant: str, route: str, data_set: int) -> str:
-        """Return what belongs to one cell: the tenant, or the part of it that a request falls into.
+        """Return the subject of a request: its tenant, or the part of a spread tenant.
 
-        A part is written ``tenant#part``.
+        A subject belongs to one cell. A part is written ``tenant#part``.
         """
         rule = self.tenants.get(tenant)
         if rule is None or not rule.key:
@@ -198,9 +198,9 @@
         return f"{tenant}#{part}"
 
     def is_migratable(self, subject: str) -> bool:
-        """Return whether a migration may name the subject.
+        """Return whether the subject can be migrated.
 
-        It may name a tenant that is not spread, or one part of a tenant that is.
+        This is a tenant that is not spread, or one part of a spread tenant.
         """
         tenant, mark, part = subject.rpartition("#")
         rule = self.tenants.get(tenant) if mark else None
@@ -210,7 +210,7 @@
         return rule is None or not rule.key
 
     def home(self, subject: str) -> str:
-        """Return the cell that the map alone gives the subject, without migrations."""
+        """Return the cell of the subject by the map alone, regardless of migrations."""
         rule = self.tenants.get(subject) or self.tenants.get(subject.rpartition("#")[0])
         if rule is None:
             return self.default
@@ -220,7 +220,7 @@
         return min(rule.cells, key=lambda name: (rendezvous(name, subject, weights[name]), name))
 
     def plain(self) -> dict[str, Any]:
-        """Return the map as plain objects for JSON, the form that `read_cell_map` reads."""
+        """Return the map as plain objects for JSON, which `read_cell_map` reads."""
         return {
             "epoch": self.epoch,
             "cells": tuple(_plain_cell(cell) for cell in self.cells),
@@ -230,7 +230,7 @@
         }
 
     def digest(self) -> str:
-        """Return a digest that distinguishes maps of one epoch with different contents."""
+        """Return a digest, which tells maps of the same epoch with different contents apart."""
         text = json.dumps(self.plain(), sort_keys=True, default=str)
         return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
@@ -285,27 +285,27 @@
 
 
 def _is_part_number(text: str) -> bool:
-    """Return whether the text is the number of a part in the one spelling that subjects use."""
+    """Return whether the text is a part number in canonical form, without leading zeros."""
     if not (text.isascii() and text.isdecimal()):
         return False
     return int(text) < BUCKETS and text == str(int(text))
 
 
 def rendezvous(cell: str, key: str, weight: float) -> float:
-    """Return the cost of putting the key into the cell; the cell with the least cost gets the key.
+    """Return the cost of placing a key in a cell; the cell with the lowest cost gets the key.
 
-    This is weighted rendezvous hashing: a cell's part of the keys is its part of the weights,
-    whatever the other cells are.
+    This is weighted rendezvous hashing: cells get keys in proportion to their weights, and the cost
+    does not depend on the other cells.
     """
-    drawn = (xxhash.xxh3_64_intdigest(f"{cell}\0{key}".encode()) + 0.5) / HASH_RANGE
-    return -math.log(drawn) / weight
+    uniform_value = (xxhash.xxh3_64_intdigest(f"{cell}\0{key}".encode()) + 0.5) / HASH_RANGE
+    return -math.log(uniform_value) / weight
 
 
 def read_cell_map(raw: Mapping[str, Any]) -> CellMap:
-    """Read a map from plain objects, the form that `CellMap.plain` gives.
+    """Read a map from the plain objects that `CellMap.plain` returns.
 
     Raises:
-        CellMapError: They hold no map, or one that contradicts itself.
+        CellMapError: The objects are not a map, or the map contradicts itself.
     """
     try:
         cells = tuple(_read_cell(entry) for entry in raw["cells"])
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -17,7 +17,7 @@
 from .admin import CellAdmin
 from .cell_status import PeerCellStatus, PublishedMap, encode_cell_status, read_cell_status
 from .client_admission import CellAdmission
-from .client_connection import CelledConnection
+from .client_connection import CellClientConnection
 from .dispatcher import CellDispatcher
 from .migration_service import MigrationService
 from .model import CellMap, CellMapError
@@ -38,12 +38,12 @@
         process_name: The name of this process, unique among those of the broker.
         peers: The status of the other processes' cells, by their names.
         read_turns: The turns of client connections.
-        client_seats: The admission of client connections, which accounts them to cells.
+        connection_accounting: The admission of client connections, which accounts them to cells.
     """
 
     longest_rest_ns = 0  # rounds of turns begin with every tick
     read_turns: ReadTurns
-    client_seats: CellAdmission
+    connection_accounting: CellAdmission
 
     def __init__(
         self,
@@ -85,12 +85,12 @@
         """Build the admission of client connections to cells, and their turns to read."""
         weights = self.celled.cell_weights_with_unassigned()
         self.read_turns = ReadTurns(weights, READ_TURNS_FRACTION * self.config.settings.tick_ns)
-        self.client_seats = CellAdmission(self, self.celled, self.read_turns)
-        return self.client_seats
+        self.connection_accounting = CellAdmission(self, self.celled, self.read_turns)
+        return self.connection_accounting
 
     def make_connection(self) -> ClientConnection:
         """Build the protocol of a connection that has just been accepted."""
-        return CelledConnection(self)
+        return CellClientConnection(self)
 
     def after_tick(self) -> None:
         """Begin a round of turns and advance the migrations."""
@@ -172,7 +172,7 @@
         self.set_map(map)
         self.celled.apply_map(map)
         self.read_turns.turns.set_weights(self.celled.cell_weights_with_unassigned())
-        self.client_seats.leave_dropped_cells(map)
+        self.connection_accounting.leave_dropped_cells(map)
         self._log_unknown_tenants()
 
     def _log_unknown_tenants(self) -> None:
--- a/query_broker/cells/outstanding_work.py
+++ b/query_broker/cells/outstanding_work.py
@@ -33,7 +33,7 @@
 
     Attributes:
         co_processes: The last report of the broker's other processes.
-        endpoints_to_watch: Endpoints on which a former cell has something outstanding.
+        endpoints_with_former_work: Endpoints on which a former cell has something outstanding.
         carried_work: What former cells dispatched to endpoints that were warming up.
     """
 
@@ -41,7 +41,7 @@
         """Start without other work; ``facades`` are the cells, by their name."""
         self._facades = facades
         self.co_processes = CoProcessLoad({}, 1)
-        self.endpoints_to_watch: set[int] = set()
+        self.endpoints_with_former_work: set[int] = set()
         self.carried_work: dict[int, CarriedWork] = {}
 
     def endpoint_left(self, number: int, outstanding: OutstandingWork, until_ns: int) -> None:
@@ -50,7 +50,7 @@
         What it dispatched while the endpoint was warming up counts in the next cell until
         ``until_ns``: each cell with a warm-up budget of its own would overload the endpoint.
         """
-        self.endpoints_to_watch.add(number)
+        self.endpoints_with_former_work.add(number)
         if outstanding.warmup_ns:
             earlier = self.carried_work.get(number)
             warmup_ns = outstanding.warmup_ns + (earlier.warmup_ns if earlier else 0)
@@ -67,26 +67,26 @@
                 if number in facade.endpoints
             }
             for number in former.keys() & facade.endpoints:
-                outstanding[number] = _sum(outstanding.get(number, NO_WORK), former[number])
+                outstanding[number] = _sum_work(outstanding.get(number, NO_WORK), former[number])
             load = CoProcessLoad(outstanding, processes)
             extend_orders(orders, facade.report(now_ns, load))
 
     def _work_of_former_cells(self, now_ns: int) -> dict[int, OutstandingWork]:
         former: dict[int, OutstandingWork] = {}
-        for number in list(self.endpoints_to_watch):
-            work = self._with_carried(number, self._work_outside_owner(number, now_ns), now_ns)
+        for number in list(self.endpoints_with_former_work):
+            work = self._with_carried(number, self._work_of_other_cells(number, now_ns), now_ns)
             if work == NO_WORK:
-                self.endpoints_to_watch.discard(number)
+                self.endpoints_with_former_work.discard(number)
             else:
                 former[number] = work
         return former
 
-    def _work_outside_owner(self, number: int, now_ns: int) -> OutstandingWork:
+    def _work_of_other_cells(self, number: int, now_ns: int) -> OutstandingWork:
         """Return what cells other than the endpoint's present one have outstanding on it."""
         work = NO_WORK
         for facade in self._facades.values():
             if number in facade.controller.endpoints and number not in facade.endpoints:
-                work = _sum(work, facade.outstanding(now_ns).get(number, NO_WORK))
+                work = _sum_work(work, facade.outstanding(now_ns).get(number, NO_WORK))
         return work
 
     def _with_carried(self, number: int, work: OutstandingWork, now_ns: int) -> OutstandingWork:
@@ -105,11 +105,11 @@
         total: dict[int, OutstandingWork] = {}
         for facade in self._facades.values():
             for number, work in facade.outstanding(now_ns).items():
-                total[number] = _sum(total.get(number, NO_WORK), work)
+                total[number] = _sum_work(total.get(number, NO_WORK), work)
         return total
 
 
-def _sum(first: OutstandingWork, second: OutstandingWork) -> OutstandingWork:
+def _sum_work(first: OutstandingWork, second: OutstandingWork) -> OutstandingWork:
     return OutstandingWork(
         first.threads + second.threads,
         first.backlog_ns + second.backlog_ns,
--- a/query_broker/cells/placement.py
+++ b/query_broker/cells/placement.py
@@ -1,9 +1,9 @@
 """Which cell each endpoint belongs to: pinned, or by weighted rendezvous hashing within bounds.
 
-An endpoint keeps its seat in a cell for as long as the endpoint list names it and the map does not
-move it: one that joins or leaves moves no other. Bounds count ready endpoints alone. Were draining
-ones counted, every rolling deploy would push the successors into other cells while their
-predecessors still occupy the seats. Performs no I/O.
+The seat of an endpoint is its cell. It changes only if the endpoint leaves the list or a new map
+requires it; other endpoints that join or leave never change it. Bounds count ready endpoints only:
+if draining endpoints counted, a rolling deploy would place the successors in other cells while
+their predecessors are still listed. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedEndpoint:
-    """What placement looks at of an endpoint in the endpoint list.
+    """The properties of a listed endpoint that its placement depends on.
 
     Attributes:
-        uid: Its stable name.
-        zone: The zone it runs in.
-        model: Its hardware model.
-        ready: Whether it takes new work; a draining one does not.
+        uid: The stable name of the endpoint.
+        zone: The zone that the endpoint runs in.
+        model: The hardware model.
+        ready: Whether the endpoint accepts new work; a draining endpoint does not.
     """
 
     uid: str
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SeatChange:
-    """An endpoint has changed its seat.
+    """The change of an endpoint's cell.
 
     Attributes:
-        uid: The endpoint.
-        former_cell: Its cell before; None if it had none.
-        new_cell: Its cell now; None if it has none.
+        uid: The uid of the endpoint.
+        former_cell: The cell before; None if there was none.
+        new_cell: The cell now; None if there is none.
     """
 
     uid: str
@@ -74,9 +74,8 @@
     ) -> list[SeatChange]:
         """Apply an update of the endpoint list and return the changed seats.
 
-        Newcomers are seated in the order in which they are listed, since the same update must give
-        the same seats at every broker. Those without a seat come before them and get what has
-        become free.
+        New endpoints are placed in list order, since the same update must give the same seats at
+        every broker. Listed endpoints without a seat are placed before them.
         """
         changes = []
         for uid in removed:
@@ -100,13 +99,13 @@
     def apply_map(self, map: CellMap) -> list[SeatChange]:
         """Put a new map in force and return the changed seats.
 
-        Endpoints stay where the map allows it; the others are seated anew, in the list's order.
+        Endpoints keep their cell where the map allows it; the others are placed anew in list order.
         """
         before = dict(self.seats)
         self.map = map
-        self._unseat_forbidden()
+        self._clear_forbidden_seats()
         for cell in map.cells:
-            self._unseat_excess(cell)
+            self._clear_excess_seats(cell)
         self._fill_to_lower_bounds()
         for uid in before:
             if self.seats[uid] is None:
@@ -117,16 +116,16 @@
             if seat != self.seats[uid]
         ]
 
-    def _unseat_forbidden(self) -> None:
-        """Free the seats in cells that the map does not have, or that it pins elsewhere."""
+    def _clear_forbidden_seats(self) -> None:
+        """Clear seats in cells that the map does not have, and seats that contradict a pin."""
         names = {cell.name for cell in self.map.cells}
         for uid, seat in self.seats.items():
             pinned = self._pinned_cell(self.endpoints[uid])
             if seat not in names or (pinned is not None and pinned != seat):
                 self.seats[uid] = None
 
-    def _unseat_excess(self, cell: Cell) -> None:
-        """Bring a cell down to its upper bound; those that suit it least go first."""
+    def _clear_excess_seats(self, cell: Cell) -> None:
+        """Reduce a cell to its upper bound; endpoints with the highest hash cost go first."""
         excess = self.size(cell.name) - cell.max_endpoints if cell.max_endpoints else 0
         if excess <= 0:
             return
@@ -146,8 +145,8 @@
     def adopt(self, seats: dict[str, str | None]) -> list[SeatChange]:
         """Take over the seats of another process of this broker and return the changed ones.
 
-        After an upgrade no endpoint changes cells for it. Seats that the map does not allow are
-        left out.
+        This keeps endpoints in their cells across an upgrade. Seats that the map does not allow are
+        ignored.
         """
         names = {cell.name for cell in self.map.cells}
         changes = [
@@ -163,19 +162,19 @@
         return changes
 
     def _fill_to_lower_bounds(self) -> None:
-        """Bring cells up to their lower bound from cells that have more than theirs.
+        """Fill cells up to their lower bound from cells that exceed theirs.
 
-        Only a new map may do so; an update of the endpoint list moves no endpoint.
+        Only a new map does so; an update of the endpoint list moves no endpoint.
         """
         for cell in self.map.cells:
             while (size := self.size(cell.name)) < cell.min_endpoints:
-                uid = self._best_for(cell, size)
+                uid = self._best_endpoint_for(cell, size)
                 if uid is None:
                     break
                 self.seats[uid] = cell.name
 
-    def _best_for(self, short: Cell, size: int) -> str | None:
-        """Return the endpoint to seat in a cell that is short; None where none may be moved."""
+    def _best_endpoint_for(self, short: Cell, size: int) -> str | None:
+        """Return the endpoint to place in a cell below its lower bound; None if none may move."""
         spare = {
             cell.name
             for cell in self.map.cells
@@ -191,7 +190,7 @@
         return min(candidates, key=lambda uid: (rendezvous(short.name, uid, 1.0), uid))
 
     def _pinned_cell(self, endpoint: PlacedEndpoint) -> str | None:
-        """Return the cell that the map pins the endpoint to; its uid counts before its zone."""
+        """Return the cell that the endpoint is pinned to, by uid, else by zone, else by model."""
         for cell in self.map.cells:
             if endpoint.uid in cell.engines:
                 return cell.name
@@ -206,8 +205,8 @@
     def _choose_cell(self, endpoint: PlacedEndpoint) -> str | None:
         """Return the cell for an endpoint without a seat; None where every cell is full.
 
-        It is the cell that it is pinned to; else the one that lacks the largest part of its lower
-        bound; else the choice of the hash.
+        This is the cell that the endpoint is pinned to, else the cell that lacks the largest
+        fraction of its lower bound, else the cell with the lowest hash cost.
         """
         if (pinned := self._pinned_cell(endpoint)) is not None:
             return pinned
@@ -236,7 +235,7 @@
 
 
 def _missing_fraction(cell: Cell, size: int) -> float:
-    """Return which part of its lower bound the cell lacks."""
+    """Return the fraction of its lower bound that the cell lacks."""
     if not cell.min_endpoints:
         return 0.0
     return max(0.0, 1 - size / cell.min_endpoints)
--- a/query_broker/cells/planner.py
+++ b/query_broker/cells/planner.py
@@ -1,7 +1,8 @@
-"""Planning which tenants to migrate where: the problem, a greedy plan, and what a plan does.
+"""Plans tenant migrations: the planning problem, a greedy placement and the plan.
 
-The solver is in `query_broker.cells.solver`; this module holds its problem, checks its answer and
-computes how much a plan gains. Placement by hashing alone is there for comparison. Performs no I/O.
+The solver is in `query_broker.cells.solver`; this module reads its problem, checks its solution and
+computes the load before and after a plan. Placement by hashing serves as a baseline. Performs no
+I/O.
 """
 
 from __future__ import annotations
@@ -14,13 +15,14 @@
 from ..errors import QueryBrokerError
 from .model import rendezvous
 
-#: Loads and capacities from here on are no sensible numbers, and would spoil the solver's scaling.
+#: Loads and capacities must be below this: larger values are implausible and degrade the solver's
+#: numerical scaling.
 VALUE_LIMIT = 1e12
-#: How far a cell may exceed ``max_load`` by rounding alone.
+#: The tolerance on ``max_load`` for rounding errors.
 LOAD_TOLERANCE = 1e-6
-#: A move has to lower the fullest cell by more than rounding may.
+#: The minimum decrease of the highest relative load, so that rounding errors cause no moves.
 MIN_GAIN = 1e-9
-SHOWN_DIGITS = 6
+JSON_DECIMAL_PLACES = 6
 
 
 class PlanningProblemError(QueryBrokerError, ValueError):
@@ -32,16 +34,16 @@
 
 
 class UnreadableProblemError(PlanningProblemError):
-    """A text that is not of the form of a planning problem at all."""
+    """A text that is not a JSON object."""
 
     def __init__(self, *, expected: str) -> None:
-        """Name what the file should hold."""
+        """Name the expected content of the file."""
         ValueError.__init__(self, f"the file holds no {expected}")
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A planning problem; every instance has been checked.
+    """A planning problem; every instance is validated.
 
     Attributes:
         loads: The load of each tenant in thread-seconds a second.
@@ -50,7 +52,7 @@
         separated_pairs: Pairs of tenants that must not be in one cell.
         fixed_cells: The cell of each tenant that must be in a given one.
         max_moves: How many tenants may change cells; None sets no bound.
-        max_load: The largest load of any cell, against its capacity; None sets no bound.
+        max_load: The maximum load of a cell relative to its capacity; None sets no bound.
 
     Raises:
         PlanningProblemError: The problem contradicts itself; the text names the key.
@@ -65,10 +67,10 @@
     max_load: float | None = None
 
     def __post_init__(self) -> None:
-        """Check the problem, in the order of the keys of the file."""
+        """Validate the problem, in the order of the keys of the file."""
         self._check_loads()
         self._check_capacities()
-        self._check_homes()
+        self._check_current_cells()
         self._check_names("apart", [name for pair in self.separated_pairs for name in pair])
         self._check_names("fixed", self.fixed_cells or {})
         for cell in (self.fixed_cells or {}).values():
@@ -89,7 +91,7 @@
             if not 0 < value < VALUE_LIMIT:
                 raise PlanningProblemError("cells.capacity", f"of {name!r} must be above 0")
 
-    def _check_homes(self) -> None:
+    def _check_current_cells(self) -> None:
         for name in self.loads:
             if self.current_cells.get(name) not in self.capacities:
                 raise PlanningProblemError(
@@ -102,21 +104,18 @@
                 raise PlanningProblemError(f"{key}", f"{name!r} is no tenant")
 
 
-# --- reading a problem ---
-
-
 def read_problem(text: str) -> Problem:
     """Read a problem from JSON.
 
     The form is ``{"tenants": {NAME: {"cell": C, "load": L}}, "cells": {C: CAPACITY}, "apart":
-    [[A, B]], "fixed": {NAME: C}, "most_moves": N, "most_load": FRACTION}``; the last four may be
-    absent.
+    [[A, B]], "fixed": {NAME: C}, "most_moves": N, "most_load": FRACTION}``; the last four are
+    optional.
 
     Raises:
         PlanningProblemError: The text is not of this form, or the problem contradicts itself.
     """
     raw = _read_object(text)
-    _check_kinds(raw)
+    _check_container_types(raw)
     tenants = raw.get("tenants", {})
     cells = raw.get("cells", {})
     _check_tenant_loads(tenants)
@@ -145,10 +144,17 @@
     return raw
 
 
-def _check_kinds(raw: Mapping[str, Any]) -> None:
-    for key, kind in (("tenants", dict), ("cells", dict), ("apart", list), ("fixed", dict)):
-        if not isinstance(raw.get(key, kind()), kind):
-            raise PlanningProblemError(f"{key}", f"is no {'object' if kind is dict else 'list'}")
+def _check_container_types(raw: Mapping[str, Any]) -> None:
+    for key, expected_type in (
+        ("tenants", dict),
+        ("cells", dict),
+        ("apart", list),
+        ("fixed", dict),
+    ):
+        if not isinstance(raw.get(key, expected_type()), expected_type):
+            raise PlanningProblemError(
+                f"{key}", f"is no {'object' if expected_type is dict else 'list'}"
+            )
 
 
 def _check_tenant_loads(tenants: Mapping[str, Any]) -> None:
@@ -171,7 +177,7 @@
 
 
 def _read_pairs(groups: Iterable[Any]) -> tuple[tuple[str, str], ...]:
-    """Return every pair of each group of tenants that are to be apart."""
+    """Return every pair of tenants in each group whose members must be in different cells."""
     pairs: list[tuple[str, str]] = []
     for group in groups:
         if not isinstance(group, list) or not all(isinstance(name, str) for name in group):
@@ -181,11 +187,8 @@
     return tuple(pairs)
 
 
-# --- measures of a placement ---
-
-
 def hashed_placement(tenants: Iterable[str], capacities: Mapping[str, float]) -> dict[str, str]:
-    """Return the placement by weighted rendezvous hashing, which a plan is measured against."""
+    """Return the placement by weighted rendezvous hashing, the baseline of a plan."""
     return {
         tenant: min(capacities, key=lambda cell: rendezvous(cell, tenant, capacities[cell]))
         for tenant in tenants
@@ -193,7 +196,7 @@
 
 
 def relative_loads(problem: Problem, placement: Mapping[str, str]) -> dict[str, float]:
-    """Return each cell's load against its capacity."""
+    """Return the load of each cell relative to its capacity."""
     loads = _absolute_loads(problem, placement)
     return {cell: load / problem.capacities[cell] for cell, load in loads.items()}
 
@@ -206,9 +209,9 @@
 
 
 def broken_constraints(problem: Problem, placement: Mapping[str, str]) -> list[str]:
-    """Return the constraints of the problem that a placement breaks, as texts.
+    """Return a text for each constraint of the problem that a placement violates.
 
-    A solver's answer is used only after this check.
+    A solution of the solver is used only after this check.
     """
     broken = [
         f"{first} and {second} are both in {placement[first]}"
@@ -232,15 +235,12 @@
     return broken
 
 
-# --- the greedy plan ---
-
-
 def greedy_placement(problem: Problem) -> dict[str, str]:
-    """Return a placement by greedy steps, which may break constraints that it cannot repair.
+    """Return a placement by greedy search, which may still violate constraints.
 
-    It is a start for the solver, and the answer where the solver's time runs out: pairs that must
-    be apart are separated, then the move that lowers the fullest cell most is made for as long as
-    there is one.
+    The placement is the solver's starting point, and the result if the solver runs out of time. The
+    search separates the pairs that must be apart, then repeats the move that lowers the highest
+    relative load most, until no move lowers it.
     """
     search = _GreedySearch(problem)
     search.separate_pairs()
@@ -250,7 +250,7 @@
 
 
 class _Candidate(NamedTuple):
-    """A move that lowers the fullest cell; the least candidate is the best."""
+    """A move that lowers the highest relative load; candidates sort from best to worst."""
 
     load_after: float
     tenant: str
@@ -258,7 +258,7 @@
 
 
 class _GreedySearch:
-    """The placement of `greedy_placement` under way."""
+    """The state of the search of `greedy_placement`."""
 
     def __init__(self, problem: Problem) -> None:
         self.problem = problem
@@ -276,9 +276,9 @@
         self.moves_left = allowed - moved
 
     def separate_pairs(self) -> None:
-        """Move one tenant of each pair that must be apart and is not, where there is a cell."""
+        """Move one tenant of each pair that shares a cell but must not, if a cell can take it."""
         for first, second in self.problem.separated_pairs:
-            tenant = self._to_move_of_pair(first, second)
+            tenant = self._tenant_to_move(first, second)
             cells = [
                 cell for cell in self.problem.capacities if self._has_no_conflict(tenant, cell)
             ]
@@ -286,8 +286,8 @@
             if together and tenant not in self.fixed and cells and self.moves_left > 0:
                 self._move(tenant, min(cells, key=lambda cell: self._load_after(tenant, cell)))
 
-    def _to_move_of_pair(self, first: str, second: str) -> str:
-        """Return the tenant that is not fixed; of two such the one with the smaller load."""
+    def _tenant_to_move(self, first: str, second: str) -> str:
+        """Return the tenant that is not fixed; if neither is, the one with the smaller load."""
         if first in self.fixed:
             return second
         loads = self.problem.loads
@@ -296,7 +296,7 @@
         return second
 
     def make_best_move(self) -> bool:
-        """Make the move that lowers the fullest cell most; return whether there was one."""
+        """Make the move that lowers the highest relative load most; return False if none does."""
         if self.moves_left <= 0:
             return False
         best = min(self._candidates(), default=None)
@@ -309,7 +309,7 @@
         fullest = max(self.loads, key=self._relative_load)
         highest = self._relative_load(fullest)
         for tenant, home in self.placement.items():
-            if home != fullest or not self._may_move(tenant):
+            if home != fullest or not self._may_migrate(tenant):
                 continue
             for cell in self.problem.capacities:
                 if cell == fullest or not self._has_no_conflict(tenant, cell):
@@ -318,8 +318,8 @@
                 if load_after < highest - MIN_GAIN:
                     yield _Candidate(load_after, tenant, cell)
 
-    def _may_move(self, tenant: str) -> bool:
-        """Return whether the tenant is where it is today and its constraints allow it to move."""
+    def _may_migrate(self, tenant: str) -> bool:
+        """Return whether the tenant is still in its current cell and is not fixed."""
         if tenant in self.fixed or tenant not in self.problem.loads:
             return False
         return self.problem.current_cells[tenant] == self.placement[tenant]
@@ -341,17 +341,14 @@
         self.moves_left -= 1
 
 
-# --- the plan ---
-
-
 class PlannedMove(NamedTuple):
     """One tenant that changes cells.
 
     Attributes:
         tenant: The tenant.
-        source: Its cell today.
-        target: Its cell by the plan.
-        load: Its load in thread-seconds a second.
+        source: The current cell of the tenant.
+        target: The planned cell of the tenant.
+        load: The load of the tenant in thread-seconds a second.
     """
 
     tenant: str
@@ -362,13 +359,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The answer to a problem.
+    """The solution of a problem.
 
     Attributes:
         moves: The tenants that change cells, the largest load first.
-        loads_before: Each cell's load against its capacity today.
-        loads_after: The same by the plan.
-        proven: Whether it is proven that nothing better satisfies the constraints.
+        loads_before: The current load of each cell relative to its capacity.
+        loads_after: The planned load of each cell relative to its capacity.
+        proven: Whether the plan is proven optimal, within the solver's tolerance.
     """
 
     moves: tuple[PlannedMove, ...]
@@ -385,14 +382,14 @@
         cells = {}
         for cell in self.loads_before:
             cells[cell] = {
-                "before": round(self.loads_before[cell], SHOWN_DIGITS),
-                "after": round(self.loads_after[cell], SHOWN_DIGITS),
+                "before": round(self.loads_before[cell], JSON_DECIMAL_PLACES),
+                "after": round(self.loads_after[cell], JSON_DECIMAL_PLACES),
             }
         return {"moves": moves, "cells": cells, "proven": self.proven}
 
 
 def make_plan(problem: Problem, placement: Mapping[str, str], proven: bool) -> Plan:
-    """Return the plan that leads from today's placement to this one."""
+    """Return the plan that leads from the current placement to this one."""
     moves = [
         PlannedMove(tenant, problem.current_cells[tenant], placement[tenant], load)
         for tenant, load in problem.loads.items()
--- a/query_broker/cells/request_call_in.py
+++ b/query_broker/cells/request_call_in.py
@@ -1,4 +1,4 @@
-"""Calling in what cells have borrowed for their open requests."""
+"""Calls in borrowed capacity by closing open requests of the borrowing cells."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class CallInHost(Protocol):
-    """The dispatcher, as far as calling in needs it."""
+    """The part of the dispatcher that `call_in_requests` uses."""
 
     request_table: RequestTable
     accounting: RequestAccounting
 
     @property
     def log(self) -> LogWriter:
-        """Writes a line: its kind and its text."""
+        """The function that writes a log line of a kind and a text."""
 
     def report_event(self, event: CloseRequests) -> None:
         """Report an event to the decisions and carry out their orders."""
 
 
 def call_in_requests(host: CallInHost, now_ns: int) -> int:
-    """Close requests of borrowers whose owners reclaim their quota; return how many.
+    """Close requests on borrowed capacity that its owners reclaim; return how many.
 
-    The youngest requests that may be cut short get their final answer, and their statements are
-    freed. Attempts that are in flight go on; nothing more is dispatched for them.
+    The most recent requests that may be cut short get their final answer, and their statements are
+    freed. Their attempts in flight go on, but no further ones are dispatched.
     """
     accounting = host.accounting
     called_in = 0
@@ -40,7 +40,8 @@
                 continue
             called_in += len(request_ids)
             host.log(
-                "cells", f"{len(request_ids)} requests on borrowed capacity, of {cell!r}, are ended"
+                "cells",
+                f"closed {len(request_ids)} requests on borrowed capacity, of cell {cell!r}",
             )
             host.report_event(CloseRequests(frozenset(request_ids)))
             _free_statements(host, request_ids)
@@ -48,7 +49,7 @@
 
 
 def _free_statements(host: CallInHost, request_ids: Iterable[str]) -> None:
-    """Free the statements of requests that have their answer and wait for attempts alone."""
+    """Free the statements of answered requests that only wait for their attempts to end."""
     for request_id in request_ids:
         request = host.request_table.by_id.get(request_id)
         if request is not None and request.client is None:
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -147,7 +147,7 @@
         self.map = map
         self._add_missing_cells(now_ns)
         orders = OrderBatch()
-        self.seats.reseat(now_ns, self.seats.placement.apply_map(map), orders)
+        self.seats.apply_seat_changes(now_ns, self.seats.placement.apply_map(map), orders)
         self.outstanding_work.publish(now_ns, orders)
         for facade in list(self.facades.values()):
             self._dissolve_if_ended(facade)
@@ -158,7 +158,7 @@
         orders = OrderBatch()
         changes = self.seats.placement.adopt(seats)
         if changes:
-            self.seats.reseat(now_ns, changes, orders)
+            self.seats.apply_seat_changes(now_ns, changes, orders)
             self.outstanding_work.publish(now_ns, orders)
         return orders
 
@@ -212,7 +212,7 @@
         orders = OrderBatch()
         match event:
             case AttemptEnded() | RequestAbandoned():
-                return self._report_of_request(now_ns, event)
+                return self._report_request_event(now_ns, event)
             case HealthCheckResult(endpoint):
                 facade = self.seats.facade_of(endpoint)
                 if facade is not None:
@@ -234,13 +234,15 @@
                 self._report_to(self._cells_with(request_ids), now_ns, event, orders)
         return orders
 
-    def _report_of_request(self, now_ns: int, event: AttemptEnded | RequestAbandoned) -> OrderBatch:
+    def _report_request_event(
+        self, now_ns: int, event: AttemptEnded | RequestAbandoned
+    ) -> OrderBatch:
         routed = self.requests.get(event.request_id)
         if routed is None:
             return OrderBatch()
         orders = routed.facade.report(now_ns, event)
-        endpoints_to_watch = self.outstanding_work.endpoints_to_watch
-        if isinstance(event, AttemptEnded) and event.endpoint in endpoints_to_watch:
+        endpoints_with_former_work = self.outstanding_work.endpoints_with_former_work
+        if isinstance(event, AttemptEnded) and event.endpoint in endpoints_with_former_work:
             self.outstanding_work.publish(now_ns, orders)
         return orders
 
@@ -260,7 +262,7 @@
     def report_former_cells(self, now_ns: int) -> OrderBatch:
         """Report anew what former cells have outstanding, which decays; to be called regularly."""
         orders = OrderBatch()
-        if self.outstanding_work.endpoints_to_watch:
+        if self.outstanding_work.endpoints_with_former_work:
             self.outstanding_work.publish(now_ns, orders)
         return orders
 
--- a/query_broker/cells/solver.py
+++ b/query_broker/cells/solver.py
@@ -1,9 +1,10 @@
 """The planner's solver: a mixed-integer programme for HiGHS.
 
-It needs the extra with `highspy`, which the daemon never loads. Minimised are, in this order, the
-load of the fullest cell against its capacity and how many tenants move. The programme has a binary
-column for each tenant and cell and one column for the load of the fullest cell; a pair that must be
-apart is a row for each cell. A solution is checked against the constraints before it is used.
+It needs the optional dependency `highspy`, which the daemon never loads. The objective is the
+highest relative load of a cell and, with a far smaller weight, the number of moves. The programme
+has a binary column for each pair of a tenant and a cell, and one column for the highest relative
+load; each pair of tenants that must be apart adds a row per cell. A solution is checked against the
+constraints before it is used.
 """
 
 from __future__ import annotations
@@ -13,36 +14,37 @@
 from ..errors import QueryBrokerError
 from .planner import Plan, Problem, broken_constraints, greedy_placement, make_plan
 
-#: The cost of moving all tenants, against the load of the fullest cell: it only decides between
-#: placements that are otherwise equally good.
-MOVE_PRICE = 1e-4
-#: A plan that is proven to be this near to the best possible one is taken.
+#: The cost of moving all tenants, in units of the highest relative load: small enough to decide
+#: only between placements that are otherwise equally good.
+TOTAL_MOVE_COST = 1e-4
+#: The relative gap to the best possible plan at which the search stops.
 OPTIMALITY_GAP = 0.01
-#: From here up a binary column is read as 1.
+#: A binary column above this value is read as 1.
 BINARY_THRESHOLD = 0.5
-#: A placement has to be better by more than rounding to replace another.
+#: The minimum decrease of the highest relative load for one placement to replace another, so that
+#: rounding errors do not decide.
 MIN_GAIN = 1e-9
 DEFAULT_TIME_LIMIT_S = 20.0
 
 
 class NoPlanError(QueryBrokerError):
-    """No placement satisfies the constraints, or none was found in time; the text says which."""
+    """No placement satisfies the constraints, or none was found in time, as the message says."""
 
 
 class InvalidSolutionError(NoPlanError):
     """The solver's placement does not satisfy the constraints."""
 
-    def __init__(self, fault: str) -> None:
-        """Name the first constraint that it breaks."""
-        super().__init__(f"the solver's placement breaks the terms: {fault}")
+    def __init__(self, violation: str) -> None:
+        """Name the first violated constraint."""
+        super().__init__(f"the solver's placement violates a constraint: {violation}")
 
 
 class SearchResult(NamedTuple):
-    """What the search has found.
+    """The result of a search.
 
     Attributes:
-        placement: The placement; None if there is none.
-        proven: Whether it is proven to be the best, or that there is none.
+        placement: The placement; None if none was found.
+        proven: Whether the placement is proven optimal or, for None, the problem infeasible.
     """
 
     placement: dict[str, str] | None
@@ -60,11 +62,11 @@
     """Return the plan for a problem.
 
     Args:
-        problem: What to solve.
-        time_limit_s: How long the search may take.
+        problem: The problem to solve.
+        time_limit_s: The time limit of the search.
 
     Raises:
-        NoPlanError: There is none, or none was found in time.
+        NoPlanError: No placement satisfies the constraints, or none was found in time.
     """
     start = greedy_placement(problem)
     start_is_valid = not broken_constraints(problem, start)
@@ -90,7 +92,7 @@
 
 
 def _search(problem: Problem, start: dict[str, str], time_limit_s: float) -> SearchResult:
-    """Solve the programme, beginning with a placement that is used where it is valid."""
+    """Solve the programme, from this starting placement if it is valid."""
     import highspy
 
     programme = _Programme(problem)
@@ -119,12 +121,12 @@
 
 
 class _Programme:
-    """The mixed-integer programme of a problem, in the row-wise form that HiGHS takes.
+    """The mixed-integer programme of a problem, in the row-wise form of HiGHS.
 
     Attributes:
         tenants: The tenants in the order of their columns.
         cells: The cells, in the order of the columns of each tenant.
-        load_column: The column of the load of the fullest cell; the binary columns precede it.
+        load_column: The column of the highest relative load, which follows the binary columns.
     """
 
     def __init__(self, problem: Problem) -> None:
@@ -143,19 +145,17 @@
         self.row_upper: list[float] = []
         self.indices: list[int] = []
         self.values: list[float] = []
-        self.columns_today = [
+        self.current_cell_columns = [
             self._column(tenant, problem.current_cells[tenant]) for tenant in self.tenants
         ]
         self._add_one_cell_rows()
         self._add_load_rows()
-        self._add_apart_rows()
+        self._add_separation_rows()
         self._add_max_moves_row()
 
     def _column(self, tenant: str, cell: str) -> int:
         return self.first_columns[tenant] + self.cells.index(cell)
 
-    # --- rows ---
-
     def _add_row(self, lower: float, upper: float, entries: list[MatrixEntry]) -> None:
         self.row_starts.append(len(self.indices))
         self.indices.extend(entry.column for entry in entries)
@@ -164,14 +164,14 @@
         self.row_upper.append(upper)
 
     def _add_one_cell_rows(self) -> None:
-        """Each tenant is in exactly one cell."""
+        """Add the constraint that each tenant is in exactly one cell."""
         for tenant in self.tenants:
             first = self.first_columns[tenant]
             columns = range(first, first + len(self.cells))
             self._add_row(1.0, 1.0, [MatrixEntry(column, 1.0) for column in columns])
 
     def _add_load_rows(self) -> None:
-        """The load of each cell is at most the load of the fullest."""
+        """Add the constraint that no relative load exceeds the load column."""
         for cell in self.cells:
             capacity = self.problem.capacities[cell]
             entries = [
@@ -182,8 +182,8 @@
             entries.append(MatrixEntry(self.load_column, -1.0))
             self._add_row(-self.infinity, 0.0, entries)
 
-    def _add_apart_rows(self) -> None:
-        """Of two tenants that must be apart, each cell has at most one."""
+    def _add_separation_rows(self) -> None:
+        """Add the constraint that each cell has at most one of two tenants that must be apart."""
         for first, second in self.problem.separated_pairs:
             for cell in self.cells:
                 entries = [
@@ -193,22 +193,20 @@
                 self._add_row(-self.infinity, 1.0, entries)
 
     def _add_max_moves_row(self) -> None:
-        """Enough tenants stay where they are."""
+        """Add the bound on moves: a minimum number of tenants stay in their current cells."""
         if self.problem.max_moves is None:
             return
         must_stay = float(len(self.tenants) - self.problem.max_moves)
-        entries = [MatrixEntry(column, 1.0) for column in self.columns_today]
+        entries = [MatrixEntry(column, 1.0) for column in self.current_cell_columns]
         self._add_row(must_stay, self.infinity, entries)
 
-    # --- columns ---
-
     def _column_costs(self) -> Any:
-        """Return the cost of each column: a price for each move, and the load of the fullest."""
+        """Return the objective's coefficients: the cost per move, and 1 for the load column."""
         import numpy
 
-        costs = numpy.full(self.load_column + 1, MOVE_PRICE / max(1, len(self.tenants)))
+        costs = numpy.full(self.load_column + 1, TOTAL_MOVE_COST / max(1, len(self.tenants)))
         costs[self.load_column] = 1.0
-        for column in self.columns_today:
+        for column in self.current_cell_columns:
             costs[column] = 0.0
         return costs
 
@@ -229,7 +227,7 @@
         return upper
 
     def model(self) -> Any:
-        """Return the programme as HiGHS takes it."""
+        """Return the programme as a model of HiGHS."""
         import highspy
         import numpy
 
@@ -250,10 +248,8 @@
         model.integrality_ = [*binary, highspy.HighsVarType.kContinuous]
         return model
 
-    # --- placements ---
-
     def solution_of(self, placement: dict[str, str]) -> Any:
-        """Return a placement as a solution that HiGHS can begin with."""
+        """Return a placement as a starting solution for HiGHS."""
         import highspy
         import numpy
 
@@ -266,7 +262,7 @@
         return solution
 
     def placement_of(self, solution: list[float]) -> dict[str, str] | None:
-        """Return the placement that a solution stands for; None if it stands for none."""
+        """Return the placement of a solution; None if the solution holds none."""
         binary = solution[: self.load_column]
         is_complete = len(solution) == self.load_column + 1
         if not is_complete or not any(value > BINARY_THRESHOLD for value in binary):
--- a/query_broker/cells/work_rates.py
+++ b/query_broker/cells/work_rates.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 #: Work that came this long ago counts 1/e.
-DECAY_SPAN_NS = 60_000_000_000
+DECAY_TIME_CONSTANT_NS = 60_000_000_000
 #: How many tenants have a rate; where no tenants are configured, clients name any they like.
 MAX_TENANTS = 4_096
 
@@ -28,7 +28,7 @@
 
     def value_at(self, now_ns: int) -> float:
         """Return the rate that is left of it now."""
-        return self.rate * math.exp((self.at_ns - now_ns) / DECAY_SPAN_NS)
+        return self.rate * math.exp((self.at_ns - now_ns) / DECAY_TIME_CONSTANT_NS)
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
 
     Attributes:
         means: The mean of each tenant that has brought work.
-        pending_work_ns: Work that came since the last `fold`, in thread-nanoseconds.
+        pending_work_ns: Work that came since the last `update_means`, in thread-nanoseconds.
     """
 
     means: dict[str, DecayingMean] = field(default_factory=dict)
@@ -47,12 +47,12 @@
         """Account work in thread-nanoseconds; this runs for every request."""
         self.pending_work_ns[name] = self.pending_work_ns.get(name, 0) + work_ns
 
-    def fold(self, now_ns: int) -> None:
+    def update_means(self, now_ns: int) -> None:
         """Take the work that came since the last call into the means."""
         pending_work_ns = self.pending_work_ns
         self.pending_work_ns = {}
         for name, work_ns in pending_work_ns.items():
-            rate = self.rate_at(name, now_ns) + work_ns / DECAY_SPAN_NS
+            rate = self.rate_at(name, now_ns) + work_ns / DECAY_TIME_CONSTANT_NS
             self.means[name] = DecayingMean(rate, now_ns)
             if len(self.means) > MAX_TENANTS:
                 self._drop_smallest(now_ns)
--- a/tests/cells/test_endpoints_that_change_cells.py
+++ b/tests/cells/test_endpoints_that_change_cells.py
@@ -83,7 +83,7 @@
         cell_node(rig).apply_map(two_cells(2, engines_of_a=("s-3",), engines_of_b=("s-1", "s-2")))
         number = rig.node.dispatcher.endpoint_table.number("s-1")
         assert cell_router(rig).seats.cell_of(number) == "b"
-        assert number in cell_router(rig).outstanding_work.endpoints_to_watch
+        assert number in cell_router(rig).outstanding_work.endpoints_with_former_work
         endpoint = endpoint_of(rig, "b", number)
         # What is in flight counts in its new cell.
         assert endpoint.co_process_work.threads == 2
@@ -92,7 +92,7 @@
         answer_request(engine_of_a, engine_of_a.commands_named(b"do")[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
         assert endpoint_of(rig, "b", number).co_process_work.threads == 0
-        assert not cell_router(rig).outstanding_work.endpoints_to_watch
+        assert not cell_router(rig).outstanding_work.endpoints_with_former_work
         assert not cell_router(rig).requests
         # Its old cell's tenant does not meet it any more.
         send_request(client, 2, "acme")
--- a/tests/cells/test_planner.py
+++ b/tests/cells/test_planner.py
@@ -8,7 +8,7 @@
 
 from query_broker.cells import planner
 from query_broker.cells.solver import NoPlanError, solve
-from query_broker.cells.work_rates import DECAY_SPAN_NS, WorkRates
+from query_broker.cells.work_rates import DECAY_TIME_CONSTANT_NS, WorkRates
 
 from .cell_brokers import NS_PER_SECOND
 
@@ -17,13 +17,13 @@
     rates = WorkRates()
     for second in range(600):
         rates.add("x", NS_PER_SECOND // 2)
-        rates.fold(second * NS_PER_SECOND)
+        rates.update_means(second * NS_PER_SECOND)
     assert 0.45 < rates.rate_at("x", 600 * NS_PER_SECOND) < 0.55
-    assert rates.rate_at("x", 600 * NS_PER_SECOND + 5 * DECAY_SPAN_NS) < 0.01
+    assert rates.rate_at("x", 600 * NS_PER_SECOND + 5 * DECAY_TIME_CONSTANT_NS) < 0.01
     assert rates.rate_at("y", 0) == 0.0
     for number in range(10_000):
         rates.add(f"t{number}", 1)
-        rates.fold(600 * NS_PER_SECOND)
+        rates.update_means(600 * NS_PER_SECOND)
     assert len(rates.means) <= 4_097
     assert "x" in rates.means
 
--- a/tests/cells/test_tenant_isolation.py
+++ b/tests/cells/test_tenant_isolation.py
@@ -10,7 +10,7 @@
 import pytest
 
 from query_broker.cells.borrowing import RESERVED_FRACTION
-from query_broker.cells.client_connection import CelledConnection
+from query_broker.cells.client_connection import CellClientConnection
 from query_broker.cells.client_seat import UNASSIGNED
 from query_broker.emulator.data_engine import Script
 from query_broker.protocols import client_frames as frames
@@ -46,9 +46,9 @@
     return script
 
 
-def celled_connections(rig: Rig) -> list[CelledConnection]:
+def cell_connections(rig: Rig) -> list[CellClientConnection]:
     """The connections of the broker's clients."""
-    return [client for client in rig.node.clients if isinstance(client, CelledConnection)]
+    return [client for client in rig.node.clients if isinstance(client, CellClientConnection)]
 
 
 def shrink_buffers(transport: asyncio.BaseTransport) -> None:
@@ -174,7 +174,7 @@
             assert b"is not within 5 to 262144" in await within(greedy_client.reader.read())
         assert len(engine_of_a.commands_named(b"do")) == 40
         assert all(
-            connection.cell in (UNASSIGNED, "a", "b") for connection in celled_connections(rig)
+            connection.cell in (UNASSIGNED, "a", "b") for connection in cell_connections(rig)
         )
 
 
@@ -194,7 +194,7 @@
             if stream < 3:
                 send_request(slow_client, stream, "acme")
         await until(lambda: sum(cell_node(rig).celled.replies.values()) == 34)
-        by_cell = {connection.cell: connection for connection in celled_connections(rig)}
+        by_cell = {connection.cell: connection for connection in cell_connections(rig)}
         unread = {cell: by_cell[cell].unread_bytes() for cell in ("a", "b")}
         cell_node(rig).celled.answers.divide(
             max(1, unread["b"] // 2), cell_node(rig).celled.cell_weights_with_unassigned()
@@ -227,7 +227,7 @@
             assert (await client.answer())[1] == frames.SERVED  # an idle one of b's makes room
             clients.append(client)
         used = {cell: account.in_use for cell, account in broker.connections.accounts.items()}
-        open_by_cell = Counter(connection.cell for connection in celled_connections(rig))
+        open_by_cell = Counter(connection.cell for connection in cell_connections(rig))
         counted = {cell: open_by_cell[cell] for cell in used}
         assert used == counted
         assert broker.connections.free() >= 0
