--- a/query_broker/cells/admin.py
+++ b/query_broker/cells/admin.py
@@ -1,6 +1,6 @@
-"""The operators' calls on cells: ``/cells``, ``/cells/move/...`` and ``/cells/abort/...``.
+"""The admin API of cells: ``/cells``, ``/cells/move/...`` and ``/cells/abort/...``.
 
-The keys and texts of the answers are fixed by the command line and by operators' scripts.
+The command line and operators' scripts depend on the keys and texts of the answers.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class CellAdmin:
-    """Answers the operators' calls on cells."""
+    """Handles the admin calls on cells."""
 
     def __init__(self, node: CellHost) -> None:
-        """Answer for this node."""
+        """Handle the calls on the cells of this node."""
         self._node = node
 
     def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
-        """Return the answer to a call; None where the path is none of cells."""
+        """Return the answer to a call; None if the path is not one of the cells' API."""
         if path != ROOT and not path.startswith(f"{ROOT}/"):
             return None
         try:
@@ -49,7 +49,7 @@
         return self._confirm(migration)
 
     def _change(self, parts: list[str]) -> Migration | None:
-        """Start or abort a migration; None where the path names no call."""
+        """Start or abort a migration; return None if the path names no call."""
         log = self._node.celled.migrations
         now_ns = self._node.clock.now()
         match parts:
@@ -61,14 +61,12 @@
                 return None
 
     def _confirm(self, migration: Migration) -> HttpAnswer:
-        """Publish and log a change; once the caller has its answer, it holds at all processes."""
+        """Publish a change to the other processes and log it, before the caller gets its answer."""
         if self._node.peer_processes is not None:
             self._node.peer_processes.publish_status()
         self._node.log("cells", f"{migration.summary()}, by call")
         return _answer(HTTPStatus.OK, migration.plain())
 
-    # --- the overview ---
-
     def overview(self) -> dict[str, Any]:
         """Return the cells, their endpoints, the tenants with their loads, and the migrations."""
         dispatcher = self._node.celled
@@ -106,7 +104,7 @@
         }
 
     def _tenants(self) -> list[dict[str, Any]]:
-        """Return the subjects: of a spread tenant its parts, and not the tenant itself."""
+        """Return all subjects; a spread tenant is represented by its parts."""
         dispatcher = self._node.celled
         tenants = self._node.map.tenants
         subjects = {*tenants, *dispatcher.rates.means, *dispatcher.migrations.records}
--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -197,24 +197,28 @@
         """
         for account in self.accounts.values():
             account.expire_reclaim(now_ns)
-        waiting = [account for account in self.accounts.values() if account.call_in_is_due(now_ns)]
-        if not waiting:
+        due_accounts = [
+            account for account in self.accounts.values() if account.call_in_is_due(now_ns)
+        ]
+        if not due_accounts:
             return {}
-        wanted = sum(max(0, account.quota - account.in_use) for account in waiting)
+        wanted_amount = sum(max(0, account.quota - account.in_use) for account in due_accounts)
         largest_first = sorted(self.accounts, key=lambda name: (-self.borrowed(name), name))
-        return self._amounts_of_borrowers(largest_first, wanted - max(0, self.free()))
+        return self._amounts_of_borrowers(largest_first, wanted_amount - max(0, self.free()))
 
     def amounts_over_total(self) -> dict[str, int]:
         """Return the amount that each borrower has to give back if the use exceeds the total."""
         largest_first = sorted(self.accounts, key=lambda name: -self.borrowed(name))
         return self._amounts_of_borrowers(largest_first, -self.free())
 
-    def _amounts_of_borrowers(self, largest_first: Iterable[str], missing: int) -> dict[str, int]:
+    def _amounts_of_borrowers(
+        self, largest_first: Iterable[str], missing_amount: int
+    ) -> dict[str, int]:
         amounts: dict[str, int] = {}
         for name in largest_first:
-            amount = min(self.borrowed(name), missing)
+            amount = min(self.borrowed(name), missing_amount)
             if amount <= 0:
                 break
             amounts[name] = amount
-            missing -= amount
+            missing_amount -= amount
         return amounts
--- a/query_broker/cells/cell_facade.py
+++ b/query_broker/cells/cell_facade.py
@@ -1,4 +1,4 @@
-"""The decisions of one cell, whose timers share one queue with those of other cells."""
+"""The decisions of one cell, whose timers share one queue with those of the other cells."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
     Attributes:
         cell: The name of the cell.
-        endpoints: The numbers of the endpoints that have their seat in the cell.
+        endpoints: The numbers of the endpoints that are assigned to the cell.
         open_count: How many requests are open in the cell.
-        dissolved: Whether the cell has ended; its timers are ignored from then on.
+        dissolved: Whether the cell has been removed; its timers are then ignored.
     """
 
     def __init__(
@@ -36,8 +36,8 @@
             now_ns: The time.
             settings: The platform settings in force.
             timer_wheel: The timer wheel of all cells.
-            due_facades: Gets this facade for each timer that falls due, so that the timers of all
-                cells are handled in the order of the wheel.
+            due_facades: The queue that this facade joins for each timer that expires, so that the
+                timers of all cells are handled in the order of the wheel.
         """
         self.cell = cell
         self.endpoints: set[int] = set()
@@ -56,7 +56,7 @@
 
 
 def extend_orders(orders: OrderBatch, more: OrderBatch) -> None:
-    """Append the orders of one cell to those of others."""
+    """Append the orders of one cell to those of other cells."""
     orders.options += more.options
     orders.dispatches += more.dispatches
     orders.answers += more.answers
--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -1,6 +1,6 @@
 """Metrics of cells, in the text format of Prometheus. Performs no I/O.
 
-The names, labels and help texts are read by dashboards and stay as they are, in the older terms.
+Dashboards depend on the names, labels and help texts, which therefore keep older terms.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 class ReplyKey(NamedTuple):
-    """By what the answers to requests are counted.
+    """The key by which answers are counted.
 
     Attributes:
         cell: The cell of the request.
-        request_class: Its class.
-        status: How it was answered, a `metrics.ReplyStatus`.
+        request_class: The class of the request.
+        status: The status of the answer, a `metrics.ReplyStatus`.
     """
 
     cell: str
@@ -36,13 +36,13 @@
 
 
 class CellFamily(NamedTuple):
-    """One metric with a time series for each cell.
+    """A metric with a time series for each cell.
 
     Attributes:
-        name: Its name without the prefix.
-        kind: Its Prometheus type.
-        help_text: What it counts.
-        values: Its value for each cell.
+        name: The name without the prefix.
+        kind: The Prometheus type.
+        help_text: The help text.
+        values: The value of each cell.
     """
 
     name: str
@@ -81,7 +81,7 @@
 
 
 class MetricsSource(Protocol):
-    """The dispatcher, as far as the metrics need it."""
+    """The part of the dispatcher that the metrics use."""
 
     map: CellMap
     migrations: MigrationLog
@@ -96,15 +96,17 @@
 
 
 def render_cell_metrics(source: MetricsSource, now_ns: int) -> bytes:
-    """Return the part of the metrics page that is about cells."""
+    """Return the cells' part of the metrics page."""
     source.cell_pools.count_use()
     lines = _reply_lines(source.replies)
     for family in _ledger_families(source):
         lines += _family_lines(family)
     for family in _map_families(source, now_ns):
         lines += _family_lines(family)
-    stages = Counter(move.stage.value for move in source.migrations.records.values())
-    lines += _migration_lines(stages)
+    stage_counts = Counter(
+        migration.stage.value for migration in source.migrations.records.values()
+    )
+    lines += _migration_lines(stage_counts)
     lines += single_metric(
         f"{PREFIX}called_in_total",
         "Requests on loan that were called in.",
@@ -118,7 +120,7 @@
 
 
 def _ledger_families(source: MetricsSource) -> list[CellFamily]:
-    """Return the metrics of what cells use, one time series for each account."""
+    """Return the metrics of amounts in use, with one time series for each account."""
     requests = source.accounting.requests
     borrowed = {cell: account.borrowed() for cell, account in requests.accounts.items()}
     return [
@@ -146,11 +148,11 @@
     names = [cell.name for cell in source.map.cells]
     fleets = {name: source.router.seats.fleet(name, now_ns) for name in names}
     ready = {name: fleet.ready_count for name, fleet in fleets.items()}
-    cold = {name: fleet.warming_count for name, fleet in fleets.items()}
+    warming = {name: fleet.warming_count for name, fleet in fleets.items()}
     rejected = {name: source.accounting.rejection_counts.get(name, 0) for name in names}
     return [
         CellFamily("engines_ready", "gauge", "Engines that take new work.", ready),
-        CellFamily("engines_cold", "gauge", "Those of them that are cold.", cold),
+        CellFamily("engines_cold", "gauge", "Those of them that are cold.", warming),
         CellFamily(
             "refused_for_room_total",
             "counter",
--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, each cell with its quota of the descriptors."""
+"""The connection pools of endpoints, with a quota of descriptors for each cell."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from .request_accounting import RequestAccounting
 from .router import CellRouter
 
-#: What a cell without a quota may hold, such as one that the map has dropped.
+#: The connection limit of a cell without a quota, such as a cell that the map has dropped.
 CONNECTION_LIMIT_WITHOUT_QUOTA = 1
 
 
 class PoolHost(Protocol):
-    """The dispatcher, as far as the pools need it."""
+    """The part of the dispatcher that the pools use."""
 
     accounting: RequestAccounting
 
@@ -28,7 +28,7 @@
 
     @property
     def log(self) -> LogWriter:
-        """Writes a line: its kind and its text."""
+        """The function that writes a log line of a kind and a text."""
 
     @property
     def router(self) -> CellRouter:
@@ -42,7 +42,7 @@
     """The pools of all endpoints, with the descriptors accounted to cells.
 
     Attributes:
-        ledger: The descriptors; `count_use` sets what each cell uses.
+        ledger: The ledger of descriptors; `count_use` updates the amounts in use.
     """
 
     def __init__(
@@ -69,51 +69,50 @@
         self.ledger = Ledger()
 
     def cell(self, pool: ConnectionPool) -> str:
-        """Return the cell of an endpoint; empty if it has none."""
+        """Return the cell of a pool's endpoint; empty if it has none."""
         return self._host.router.seats.cell_of(pool.number) or ""
 
     def count_use(self) -> None:
         """Account the connections to cells.
 
-        An endpoint that is not listed any more, or sits in no cell, has connections too: they
-        reduce what there is to divide.
+        Connections to endpoints without a cell, such as endpoints that are no longer listed, reduce
+        the total.
         """
         used = dict.fromkeys(self.ledger.accounts, 0)
-        without_cell = 0
+        unassigned_count = 0
         for pool in self.by_number.values():
             cell = self.cell(pool)
             count = _connection_count(pool)
             if cell in used:
                 used[cell] += count
             else:
-                without_cell += count
+                unassigned_count += count
         for cell, count in used.items():
             self.ledger.set_in_use(cell, count)
-        self.ledger.total = max(0, self.max_connections - without_cell)
+        self.ledger.total = max(0, self.max_connections - unassigned_count)
 
     def _allowance(self, cell: str, account: Account) -> int:
-        """Return what the cell may hold now: its quota, and what it may borrow."""
+        """Return how many connections the cell may have now: its quota and what it may borrow."""
         available = self.ledger.free() - self.ledger.reserved_for_others(cell)
         return max(account.quota, account.in_use + max(0, available))
 
     def dedicated_limit(self, pool: ConnectionPool) -> int:
-        """Return how many of the cell's connections each of its endpoints may have."""
+        """Return how many dedicated connections each endpoint of the cell may have."""
         cell = self.cell(pool)
         facade = self._host.router.facades.get(cell)
         endpoints = facade.endpoints if facade is not None else set()
-        live = sum(number in self.by_number for number in endpoints)
+        endpoint_count = sum(number in self.by_number for number in endpoints)
         self.count_use()
         account = self.ledger.accounts.get(cell)
         allowance = (
             CONNECTION_LIMIT_WITHOUT_QUOTA if account is None else self._allowance(cell, account)
         )
-        return max(1, int(allowance * DEDICATED_FRACTION) // max(1, live))
+        return max(1, int(allowance * DEDICATED_FRACTION) // max(1, endpoint_count))
 
     def has_dedicated_capacity(self, pool: ConnectionPool) -> bool:
-        """Return whether an attempt may get a connection of its own.
+        """Return whether an attempt may get a dedicated connection.
 
-        What others have borrowed is not available yet: until it is returned, attempts share
-        connections.
+        While other cells still hold borrowed descriptors, attempts share connections.
         """
         cell = self.cell(pool)
         self.count_use()
@@ -125,9 +124,9 @@
         return self.ledger.free() > 0 or bool(self._idle_connections())
 
     def reserve_descriptor(self, pool: ConnectionPool) -> bool:
-        """Return whether the connection that is opening may stay, after closing an idle one.
+        """Return whether the connection that is opening may stay; close an idle one if needed.
 
-        The opening one is counted already.
+        The opening connection is already counted.
         """
         cell = self.cell(pool)
         now_ns = self._host.now()
@@ -137,7 +136,7 @@
             return super().reserve_descriptor(pool)
         if account.in_use <= self._allowance(cell, account) and self.ledger.free() >= 0:
             if account.in_use > RESERVED_FRACTION * account.quota:
-                # It uses what others may borrow of its quota: from now on they may borrow no more.
+                # The cell uses the part of its quota that others may borrow, so it reclaims it.
                 self.ledger.allows(cell, 0, now_ns)
             return True
         if self._close_idle_connection_for(cell, account):
@@ -146,7 +145,7 @@
         return False
 
     def _close_idle_connection_for(self, cell: str, account: Account) -> bool:
-        """Close an idle connection of the cell, or of a borrower where the cell is within quota."""
+        """Close an idle connection of the cell or, if the cell is within quota, of a borrower."""
         within_quota = account.in_use <= account.quota
         for connection in self._idle_connections():
             owner = self._host.router.seats.cell_of(connection.endpoint) or ""
@@ -156,9 +155,10 @@
         return False
 
     def call_in(self, now_ns: int) -> None:
-        """Take back what owners reclaim from borrowers.
+        """Close connections of borrowers whose descriptors the owners reclaim.
 
-        Idle connections go first, then those without a request whose work must not be cut short.
+        The connections with the fewest wanted attempts are closed first; connections that carry
+        work that must not be cut short stay open.
         """
         if all(account.reclaim_since_ns is None for account in self.ledger.accounts.values()):
             return
@@ -195,6 +195,6 @@
 
 
 def _call_in_order(connection: EngineConnection) -> tuple[int, int]:
-    """Rank connections by their attempts that are still wanted, then by their last use."""
-    wanted = sum(attempt.is_wanted() for attempt in connection.in_flight.values())
-    return wanted, connection.last_sent_ns
+    """Return the sort key: the number of attempts that are still wanted, then the last use."""
+    wanted_count = sum(attempt.is_wanted() for attempt in connection.in_flight.values())
+    return wanted_count, connection.last_sent_ns
--- a/query_broker/cells/cell_status.py
+++ b/query_broker/cells/cell_status.py
@@ -1,6 +1,6 @@
 """The cells' part of the status that two processes of one broker exchange during an upgrade.
 
-The keys of the file are fixed by the versions that are in service; they stand in this module alone.
+The keys must stay compatible with deployed versions; this module alone uses them.
 Performs no I/O.
 """
 
@@ -16,24 +16,24 @@
 from .migrations import Migration, read_migration
 from .model import CellMap, read_cell_map
 
-#: Of a map with more tenants only the epoch and the digest are published: to encode and to read it
-#: ten times a second during an upgrade would take too much of the core.
+#: Only the epoch and the digest of a map with more tenants are published: encoding and decoding the
+#: map ten times a second during an upgrade would use too much processor time.
 MAX_PUBLISHED_TENANTS = 5_000
 
 
 @dataclass(frozen=True, slots=True)
 class PeerCellStatus:
-    """What another process has published of its cells.
+    """The published status of the cells of another process.
 
     Attributes:
         process_name: The name of the process.
-        accepting: Whether it takes new connections.
+        accepting: Whether the process accepts new connections.
         epoch: The epoch of its map.
         digest: The digest of its map.
-        migrations: Its records of migrations.
+        migrations: Its migration records.
         open_requests: The number of its open requests, by subject and cell.
         seats: The cell of each of its endpoints, by uid.
-        newer_map: Its map where that is newer than the one in force here; else None.
+        newer_map: Its map if newer than the map in force in this process; else None.
     """
 
     process_name: str
@@ -47,12 +47,12 @@
 
 
 class PublishedMap(NamedTuple):
-    """A map in the forms that are published many times.
+    """A map in its published form, which is computed once.
 
     Attributes:
-        epoch: Its epoch.
-        digest: Its digest.
-        plain: The map as plain objects; None for one that is too large.
+        epoch: The epoch of the map.
+        digest: The digest of the map.
+        plain: The map as plain objects; None if the map has too many tenants.
     """
 
     epoch: int
@@ -61,7 +61,7 @@
 
     @classmethod
     def of(cls, map: CellMap) -> PublishedMap:
-        """Encode a map once: for 1,000 tenants that takes a hundredth of a second."""
+        """Encode a map, which takes about 10 ms for 1,000 tenants."""
         plain = map.plain() if len(map.tenants) <= MAX_PUBLISHED_TENANTS else None
         return cls(map.epoch, map.digest(), plain)
 
@@ -73,14 +73,14 @@
     open_requests: Counter[tuple[str, str]],
     seats: Mapping[str, str | None],
 ) -> dict[str, Any]:
-    """Return the key that cells add to the status file, with plain JSON values.
+    """Return the cells' entry of the status file, as plain JSON values.
 
     Args:
         process_name: The name of this process.
-        published: Its map.
-        log: Its records of migrations.
-        open_requests: Its open requests by subject and cell; those of subjects that have a
-            migration are published.
+        published: The published form of its map.
+        log: Its migration records.
+        open_requests: The number of its open requests by subject and cell; only subjects with a
+            migration record are published.
         seats: The cell of each endpoint, by uid.
     """
     open_by_subject: dict[str, dict[str, int]] = {}
@@ -101,18 +101,18 @@
 
 
 def read_cell_status(fields: Mapping[str, Any], own_epoch: int) -> PeerCellStatus | None:
-    """Read what another process has published of its cells; None if it has none.
+    """Read the status of another process's cells; return None if it has none.
 
     Args:
-        fields: The keys of its status.
-        own_epoch: The epoch of the map in force here; only a newer map is read.
+        fields: The status of the process, by key.
+        own_epoch: The epoch of the map in force in this process; only a newer map is read.
 
     Raises:
-        CellMapError: The map is none.
-        ValueError: A value is not what it should be.
+        CellMapError: The map is invalid.
+        ValueError: A value is invalid.
         TypeError: A value is of the wrong type.
         KeyError: A key is missing.
-        AttributeError: A value is no object.
+        AttributeError: A value is not an object.
     """
     raw = fields.get(KEY_CELLS)
     if raw is None:
--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -1,4 +1,4 @@
-"""Admission of client connections to cells: their places, their frames and their unread answers."""
+"""Accounts client connections, incomplete frames and unread answers to cells."""
 
 from __future__ import annotations
 
@@ -13,24 +13,22 @@
 
 
 class CellAdmission(ClientAdmission):
-    """Accounts each client connection to a cell."""
+    """Admits client connections and accounts each of them to a cell."""
 
     def __init__(
         self, node: NodeContext, dispatcher: CellDispatcher, read_turns: ReadTurns
     ) -> None:
-        """Admit connections to the dispatcher's cells; ``read_turns`` forgets those that end."""
+        """Start without connections; closing connections are removed from ``read_turns``."""
         super().__init__(node)
         self._dispatcher = dispatcher
         self._read_turns = read_turns
 
-    # --- extension points of the admission ---
-
     def has_place(self) -> bool:
-        """Account a new connection to no cell, until its first request names a tenant."""
+        """Account a new connection as unassigned; its first request assigns it to a cell."""
         return self._acquire_connection(UNASSIGNED)
 
     def discard(self, connection: ClientConnection) -> None:
-        """Release the place of a connection in its cell, and its turn."""
+        """Release a connection's charge to its cell, and remove it from the read queue."""
         assert isinstance(connection, CellClientConnection)
         self._read_turns.discard(connection)
         if connection in self.connections:
@@ -38,7 +36,7 @@
             self._dispatcher.connections.release(connection.cell, 1)
 
     def close_slow_readers(self, now_ns: int) -> None:
-        """Close slow readers by the cells' ledgers, and call in borrowed places."""
+        """Close overdue and slow readers, and call in borrowed connections."""
         ledger = self._dispatcher.answers
         readers = self._readers(now_ns)
         self._account_unread_bytes(readers, now_ns)
@@ -58,13 +56,11 @@
             unread_by_cell[cell] = sum(client.unread_bytes() for client in clients)
         for cell, unread_bytes in unread_by_cell.items():
             ledger.set_in_use(cell, unread_bytes)
-            # An owner that uses much of its own quota reclaims it by this call.
+            # Called for its side effect: a cell that uses its unreserved quota reclaims it.
             ledger.allows(cell, 0, now_ns)
 
-    # --- places ---
-
     def _acquire_connection(self, cell: str) -> bool:
-        """Account one more connection to the cell, after an eviction if needed."""
+        """Account a connection to the cell, with an eviction if needed; return whether it was."""
         ledger = self._dispatcher.connections
         now_ns = self.node.clock.now()
         if ledger.acquire(cell, 1, now_ns):
@@ -72,41 +68,41 @@
         return self._evict_for(cell) and ledger.acquire(cell, 1, now_ns)
 
     def _evict_for(self, cell: str) -> bool:
-        """End an idle connection of the cell, or of a borrower if the cell is within its quota."""
-        places = self._dispatcher.connections
-        owner = places.accounts.get(cell)
+        """Close an idle connection of the cell or, if the cell is within quota, of a borrower."""
+        ledger = self._dispatcher.connections
+        owner = ledger.accounts.get(cell)
         within_quota = owner is not None and owner.in_use < owner.quota
         return self.evict(
             client
             for client in self.connections
             if isinstance(client, CellClientConnection)
             and client.idle()
-            and (client.cell == cell or (within_quota and places.borrows(client.cell)))
+            and (client.cell == cell or (within_quota and ledger.borrows(client.cell)))
         )
 
     def assign_to_cell(self, connection: CellClientConnection, cell: str) -> bool:
-        """Account a connection to the cell of its request; False where it has no capacity.
+        """Account a connection to the cell of its request; return False if the cell is full.
 
-        A connection that is not admitted any more has lost its place to another; it ends soon.
+        A connection that is no longer admitted was evicted and will close soon, so it is ignored.
         """
         if connection not in self.connections:
             return True
-        places = self._dispatcher.connections
-        places.release(connection.cell, 1)
+        ledger = self._dispatcher.connections
+        ledger.release(connection.cell, 1)
         if not self._acquire_connection(cell):
-            places.force_acquire(connection.cell, 1)  # it keeps the place that it had
+            ledger.force_acquire(connection.cell, 1)  # it stays accounted to its previous cell
             return False
         self._assign(connection, cell)
         return True
 
     def _assign(self, connection: CellClientConnection, cell: str) -> None:
-        """Account the incomplete frames of a connection to the cell that it belongs to now."""
+        """Set the cell of a connection and move its incomplete frames to that cell."""
         self._dispatcher.frames.release(connection.cell, connection.accounted_bytes)
         self._dispatcher.frames.force_acquire(cell, connection.accounted_bytes)
         connection.cell = cell
 
     def leave_dropped_cells(self, map: CellMap) -> None:
-        """Take connections out of cells that the map does not have any more."""
+        """Make connections of cells that are no longer in the map unassigned."""
         for connection in self.connections:
             if not isinstance(connection, CellClientConnection) or connection.cell == UNASSIGNED:
                 continue
@@ -117,7 +113,7 @@
             self._assign(connection, UNASSIGNED)
 
     def _call_in_connections(self, now_ns: int) -> None:
-        """Call in borrowed places: idle connections end, the others are asked to leave."""
+        """Call in borrowed connections: close idle ones, and announce a shutdown to the others."""
         for cell, amount in self._dispatcher.connections.amounts_to_call_in(now_ns).items():
             clients = [
                 client
@@ -132,10 +128,8 @@
                 else:
                     client.announce_shutdown()
 
-    # --- frames ---
-
     def account_partial_frames(self, connection: CellClientConnection, change_bytes: int) -> bool:
-        """Account a change of incomplete frames; False where the cell has no capacity for it."""
+        """Account a change of incomplete frames; return False if the cell has no capacity."""
         ledger = self._dispatcher.frames
         if not change_bytes:
             return True
@@ -148,10 +142,8 @@
         ledger.force_acquire(connection.cell, change_bytes)
         return True
 
-    # --- answers ---
-
     def _readers(self, now_ns: int) -> dict[str, list[CellClientConnection]]:
-        """Return the clients with unread answers by cell; those that are overdue are dropped."""
+        """Return the clients with unread answers by cell, and drop those past the timeout."""
         timeout_ns = self.node.dispatcher.deadline_controls.settings.slow_reader_timeout_ns
         readers: dict[str, list[CellClientConnection]] = {}
         for client in self.connections:
@@ -163,7 +155,7 @@
         return readers
 
     def _drop_slowest(self, clients: list[CellClientConnection], amount_bytes: int) -> None:
-        """Drop the clients with the most unread answers until these bytes are free."""
+        """Drop the clients with the most unread bytes until this amount is freed."""
         for client in sorted(clients, key=ClientConnection.unread_bytes, reverse=True):
             if amount_bytes <= 0:
                 break
--- a/query_broker/cells/client_connection.py
+++ b/query_broker/cells/client_connection.py
@@ -1,4 +1,4 @@
-"""A client connection of a broker with cells: its seat in a cell, and its turns to read."""
+"""A client connection of a broker with cells, which the limits of its cell apply to."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     """Accounts connections and their incomplete frames to cells."""
 
     def assign_to_cell(self, connection: CellClientConnection, cell: str) -> bool:
-        """Account the connection to this cell; False where the cell has no capacity for it."""
+        """Account the connection to this cell; return False if the cell is full."""
 
     def account_partial_frames(self, connection: CellClientConnection, change_bytes: int) -> bool:
-        """Account a change of its incomplete frames; False where the cell has no capacity."""
+        """Account a change of incomplete frames; return False if the cell has no capacity."""
 
 
 class CellClientHost(ClientHost, Protocol):
-    """The node, as far as its connections need it."""
+    """The part of the node that its connections use."""
 
     @property
     def connection_accounting(self) -> ConnectionAccounting:
@@ -28,17 +28,18 @@
 
     @property
     def read_turns(self) -> ReadTurns:
-        """The turns to read."""
+        """Schedules the reads of connections."""
 
 
 class CellLimits:
-    """The limits of the cell that a connection is accounted to, for its reading.
+    """Limits the reads of a connection by the processor time and memory of its cell.
 
-    A tenant that sends a hundred times its share would take the loop from the others.
+    Without these limits, a tenant that sends a hundred times its share would starve the others of
+    event-loop time.
     """
 
     def __init__(self, host: CellClientHost, connection: CellClientConnection) -> None:
-        """Take who knows the cells, and whose reading is limited."""
+        """Limit the reads of this connection by the cells of the host."""
         self._host = host
         self._connection = connection
         self._cell = connection.cell
@@ -48,7 +49,7 @@
         """Return whether the cell has processor time left; if not, the connection is queued."""
         if not self._host.read_turns.may_read(self._connection):
             return False
-        self._cell = self._connection.cell  # the turn may settle the connection elsewhere
+        self._cell = self._connection.cell  # the turn may assign the connection to another cell
         self._turn_start_ns = self._host.dispatcher.now()
         return True
 
@@ -58,7 +59,7 @@
         self._host.read_turns.charge(self._cell, elapsed_ns)
 
     def may_buffer(self, size: int) -> bool:
-        """Account bytes of incomplete frames to the cell; return whether it has them left."""
+        """Account the bytes of incomplete frames; return whether the cell has capacity for them."""
         change_bytes = size - self._connection.accounted_bytes
         self._connection.accounted_bytes = size
         return self._host.connection_accounting.account_partial_frames(
@@ -67,11 +68,11 @@
 
 
 class CellClientConnection(ClientConnection, CellClient):
-    """A connection without a cell until its first request, then in the cell of the last one.
+    """A connection that is unassigned until its first request, then in its latest request's cell.
 
     Attributes:
-        cell: The cell that it is accounted to.
-        accounted_bytes: Its incomplete frames, as they are accounted to the cell.
+        cell: The cell that the connection is accounted to.
+        accounted_bytes: The bytes of incomplete frames that are accounted to the cell.
     """
 
     def __init__(self, host: CellClientHost) -> None:
@@ -82,5 +83,5 @@
         super().__init__(host, CellLimits(host, self))
 
     def assign_to_cell(self, cell: str) -> bool:
-        """Account the connection to this cell; False where the cell has no capacity for it."""
+        """Account the connection to this cell; return False if the cell has no capacity for it."""
         return cell == self.cell or self._accounting.assign_to_cell(self, cell)
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher of a broker with cells: which cell a request belongs to and what it may use."""
+"""The dispatcher of a broker with cells, which assigns requests and limits to the cells."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 from .work_rates import WorkRates
 
 NS_PER_MS = 1_000_000
-#: The fraction of what is divided among client connections that those without a cell get: enough
-#: for many new clients at once, little enough to leave the cells most of it.
+#: The fraction of the limits on client connections that goes to connections without a cell: enough
+#: for many new clients at once, while most of it stays with the cells.
 UNASSIGNED_FRACTION = 0.2
-#: How often borrowers are called in; well within the delay that the ledgers grant.
+#: The interval at which borrowed capacity is called in, a fraction of `CALL_IN_DELAY_NS`.
 CALL_IN_PERIOD_NS = 100 * NS_PER_MS
 
 
@@ -38,15 +38,15 @@
     Attributes:
         map: The cell map in force.
         migrations: The migrations of tenants.
-        accounting: Open requests and their statements.
+        accounting: The accounting of open requests and their statements.
         request_ledger: The ledger of open requests.
-        frames: The ledger of bytes of client frames that are not complete yet.
+        frames: The ledger of bytes of incomplete client frames.
         answers: The ledger of bytes of answers that clients have not read yet.
         connections: The ledger of client connections.
         cell_pools: The connections to endpoints.
-        rates: The rate at which each subject brings work.
-        replies: The answers to requests.
-        called_in: How many requests of borrowers were called in.
+        rates: The rate of work of each subject.
+        replies: The number of answers by cell, class and status.
+        called_in: How many requests on borrowed capacity were closed.
     """
 
     cell_pools: CellConnectionPools
@@ -54,7 +54,7 @@
     def __init__(
         self, config: Config, clock: Clock, log: LogWriter, map: CellMap, process_name: str
     ) -> None:
-        """Wire the parts; ``process_name`` is unique among the processes of the broker."""
+        """Create the parts; ``process_name`` is unique among the processes of the broker."""
         self.map = map
         self.migrations = MigrationLog(map, process_name)
         self.accounting = RequestAccounting()
@@ -74,10 +74,8 @@
         """The decisions of all cells."""
         return cast(CellRouter, self.facade)
 
-    # --- extension points of the dispatcher ---
-
     def make_facade(self, now_ns: int) -> Facade:
-        """Make the router, which has the methods of a facade that a dispatcher calls."""
+        """Create the router, which has all methods of a facade that a dispatcher calls."""
         router = CellRouter(
             self.config.settings,
             self.config.seed,
@@ -89,7 +87,7 @@
         return cast(Facade, router)
 
     def make_connection_pools(self) -> ConnectionPools:
-        """Make the pools, which account each connection to a cell."""
+        """Create the pools, which account each connection to a cell."""
         config = self.config
         self.cell_pools = CellConnectionPools(
             self,
@@ -111,14 +109,12 @@
         super().apply_settings(config)
         self.accounting.set_firm_classes(self.config.settings)
 
-    # --- cells ---
-
     def cell_weights(self) -> dict[str, float]:
-        """Return the weight of each cell in what is divided among cells."""
+        """Return the weight by which each cell gets its quotas."""
         return {cell.name: cell.effective_capacity_weight() for cell in self.map.cells}
 
     def cell_weights_with_unassigned(self) -> dict[str, float]:
-        """Return the weights where connections without a cell get a quota as well."""
+        """Return the weights of the cells, with one for connections without a cell."""
         weights = self.cell_weights()
         unassigned = sum(weights.values()) * UNASSIGNED_FRACTION / (1 - UNASSIGNED_FRACTION)
         return {**weights, UNASSIGNED: unassigned}
@@ -133,7 +129,7 @@
         self.cell_pools.ledger.divide(self.pools.max_connections, weights)
 
     def apply_map(self, map: CellMap) -> None:
-        """Put another map in force; the caller has made sure that it is no older one."""
+        """Put another map in force; the caller has checked that it is not older."""
         now_ns = self.now()
         self.map = map
         self.migrations.apply_map(map, now_ns)
@@ -141,30 +137,28 @@
         self._divide_among_cells()
 
     def adopt_seats(self, seats: dict[str, str | None]) -> None:
-        """Take over the seats of endpoints from another process of this broker."""
+        """Adopt the seats of endpoints from another process of this broker."""
         now_ns = self.now()
         self.carry_out(now_ns, self.router.adopt(seats, now_ns))
 
     def close_out(self, subject: str, cell: str) -> None:
-        """Give what is open of the subject in the cell the final answer that the rules allow."""
+        """Close the subject's open requests in the cell with a final answer."""
         self.report_event(CloseRequests(self.router.requests_of(subject, cell)))
 
-    # --- requests ---
-
     def admit(
         self, client: Client, stream: int, parsed: ParsedRequest, received_ns: int = 0
     ) -> ActiveRequest:
-        """Assign a valid request to its cell and make it an open one."""
+        """Assign a valid request to its cell and open it."""
         assignment = self._assign(parsed)
         self.router.assignment = assignment
         self.rates.add(assignment.subject, int(parsed.estimate_ms * NS_PER_MS))
         return super().admit(client, stream, parsed, received_ns)
 
     def _assign(self, parsed: ParsedRequest) -> Assignment:
-        """Return the cell of a request: the one of an open request under the same id, if any.
+        """Return the cell of a request: that of an open request with the same id, if any.
 
-        An endpoint of another cell would know nothing of the one that is open, and a request that
-        is not idempotent could be executed twice.
+        Another cell would not know of the open request and could execute a request that is not
+        idempotent a second time.
         """
         now_ns = self.now()
         subject = self.map.subject(parsed.tenant or "", parsed.class_name, parsed.data_set)
@@ -177,10 +171,11 @@
         return assignment
 
     def has_statement_capacity(self, request: ActiveRequest) -> bool:
-        """Account one more request to its cell; False where the cell has no capacity for it.
+        """Account a request to its cell; return False if the cell has no capacity for it.
 
-        One tenant's flood would take the memory and the descriptors of all. Work that may have been
-        executed must not be cut short, so it is never accepted on borrowed capacity.
+        Without these limits, one tenant's overload would use up the memory and descriptors of all.
+        Work that may have been executed must not be cut short, so it is never admitted on borrowed
+        capacity.
         """
         assert self.router.assignment is not None
         cell = self.router.assignment.cell
@@ -196,7 +191,7 @@
         return True
 
     def begin_answer(self, request: ActiveRequest, status: ReplyStatus) -> Client:
-        """Take the client that gets its final answer now, and count it for its cell."""
+        """Return the client that gets the final answer, and count the answer for the cell."""
         routed = self.router.requests.get(request.id)
         cell = ""
         if routed is not None:
@@ -208,15 +203,13 @@
         return super().begin_answer(request, status)
 
     def release(self, request: ActiveRequest) -> None:
-        """Forget a request that is over, and give back what it was charged."""
+        """Remove a request that has ended and release its charge."""
         super().release(request)
         if request.id not in self.requests:
             self.accounting.release(request.id)
 
-    # --- time ---
-
     def tick(self) -> None:
-        """Do the periodic work; now and then borrowers are called in."""
+        """Do the periodic work, and every `CALL_IN_PERIOD_NS` call in borrowed capacity."""
         super().tick()
         now_ns = self.now()
         if now_ns - self._last_call_in_ns >= CALL_IN_PERIOD_NS:
--- a/query_broker/cells/fair_turns.py
+++ b/query_broker/cells/fair_turns.py
@@ -1,26 +1,27 @@
-"""Deficit round robin over the cells, in the time that each has taken of the event loop.
+"""Deficit round robin over the cells, by the event-loop time that each has used.
 
 After M. Shreedhar and G. Varghese, "Efficient Fair Queueing using Deficit Round Robin", 1995. A
-cell that is alone may use the complete round. One that competes with others gets its fraction of
-it, and what it took beyond that is carried on as debt. Performs no I/O.
+cell that is the only active one may use the complete round. A cell that competes with others gets
+its quantum, and what it uses beyond that is carried over as debt. Performs no I/O.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-#: Quanta of debt that are carried on: a single large read must not silence a cell for long.
+#: The maximum debt that is carried over, in quanta, so that a single large read does not block a
+#: cell for many rounds.
 MAX_CARRIED_DEBT_QUANTA = 4.0
 
 
 class DeficitRoundRobin:
-    """The balances of all cells in the present round.
+    """The balances of all cells in the current round.
 
     Attributes:
-        round_cost: What one round holds for all cells together, in the unit in which they spend.
-        quantum_by_cell: What each cell is credited with for a round.
-        balance_by_cell: What each cell may still spend; negative is debt.
-        active_cells: The cells that have spent something in this round.
+        round_cost: The cost that all cells together may use in a round, in the unit of `charge`.
+        quantum_by_cell: The credit that each cell gets per round.
+        balance_by_cell: The cost that each cell may still use; a negative balance is debt.
+        active_cells: The cells that were charged in this round.
     """
 
     def __init__(self, weights: Mapping[str, float], round_cost: float) -> None:
@@ -42,19 +43,19 @@
         }
 
     def may_proceed(self, name: str) -> bool:
-        """Return whether the cell may go on in this round.
+        """Return whether the cell may use more of this round.
 
-        While no other cell is active, waiting would help none of them, so a cell that is alone goes
-        on until it has used the cost of the complete round.
+        While no other cell is active, waiting would help no one, so the only active cell may use
+        the cost of the complete round.
         """
         balance = self.balance_by_cell.get(name, 0.0)
         if balance > 0:
             return True
-        alone = self.active_cells <= {name}
-        return alone and balance > self.quantum_by_cell.get(name, 0.0) - self.round_cost
+        is_only_active = self.active_cells <= {name}
+        return is_only_active and balance > self.quantum_by_cell.get(name, 0.0) - self.round_cost
 
     def charge(self, name: str, cost: float) -> None:
-        """Charge a cell for what it has taken; a cell that is not known is not charged."""
+        """Charge a cost to a cell; ignored if the cell is unknown."""
         if name in self.balance_by_cell:
             self.balance_by_cell[name] -= cost
             self.active_cells.add(name)
@@ -63,9 +64,9 @@
         """Begin a new round: each cell is credited with its quantum."""
         contended = len(self.active_cells) > 1
         for name, quantum in self.quantum_by_cell.items():
-            # Debt that was made alone has cost no other cell anything and is forgiven; debt that
-            # was made while others were active is paid back.
-            floor = -MAX_CARRIED_DEBT_QUANTA * quantum if contended else 0.0
-            carried = max(self.balance_by_cell[name], floor)
+            # Debt from a round with a single active cell delayed no other cell and is cancelled;
+            # debt from a contended round is carried over.
+            min_balance = -MAX_CARRIED_DEBT_QUANTA * quantum if contended else 0.0
+            carried = max(self.balance_by_cell[name], min_balance)
             self.balance_by_cell[name] = min(quantum, carried + quantum)
         self.active_cells.clear()
--- a/query_broker/cells/host.py
+++ b/query_broker/cells/host.py
@@ -1,6 +1,6 @@
-"""What the parts of a node with cells know of it.
+"""The interface of a node with cells to its parts.
 
-The parts depend on this protocol and not on the node, which is composed of them.
+The parts depend on this protocol instead of the node, which is composed of them.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 class CellHost(Protocol):
-    """The node, as far as its migrations and its operators' calls need it."""
+    """The part of the node that its migrations and its admin calls use."""
 
-    closing_announced: bool  # clients were asked to leave, since this process ends soon
+    closing_announced: bool  # clients were told that this process shuts down
 
     @property
     def map(self) -> CellMap:
@@ -47,4 +47,4 @@
 
     @property
     def log(self) -> LogWriter:
-        """Writes a line: its kind and its text."""
+        """The function that writes a log line of a kind and a text."""
--- a/query_broker/cells/model.py
+++ b/query_broker/cells/model.py
@@ -190,10 +190,10 @@
 
         A subject belongs to one cell. A part is written ``tenant#part``.
         """
-        rule = self.tenants.get(tenant)
-        if rule is None or not rule.key:
+        tenant_entry = self.tenants.get(tenant)
+        if tenant_entry is None or not tenant_entry.key:
             return tenant
-        value = route if rule.key == "route" else str(data_set)
+        value = route if tenant_entry.key == "route" else str(data_set)
         part = xxhash.xxh3_64_intdigest(f"{tenant}\0{value}".encode()) % BUCKETS
         return f"{tenant}#{part}"
 
@@ -202,22 +202,24 @@
 
         This is a tenant that is not spread, or one part of a spread tenant.
         """
-        tenant, mark, part = subject.rpartition("#")
-        rule = self.tenants.get(tenant) if mark else None
-        if rule is not None and rule.key:
+        tenant, separator, part = subject.rpartition("#")
+        tenant_entry = self.tenants.get(tenant) if separator else None
+        if tenant_entry is not None and tenant_entry.key:
             return _is_part_number(part)
-        rule = self.tenants.get(subject)
-        return rule is None or not rule.key
+        tenant_entry = self.tenants.get(subject)
+        return tenant_entry is None or not tenant_entry.key
 
     def home(self, subject: str) -> str:
         """Return the cell of the subject by the map alone, regardless of migrations."""
-        rule = self.tenants.get(subject) or self.tenants.get(subject.rpartition("#")[0])
-        if rule is None:
+        tenant_entry = self.tenants.get(subject) or self.tenants.get(subject.rpartition("#")[0])
+        if tenant_entry is None:
             return self.default
-        if len(rule.cells) == 1:
-            return rule.cells[0]
+        if len(tenant_entry.cells) == 1:
+            return tenant_entry.cells[0]
         weights = {cell.name: cell.weight for cell in self.cells}
-        return min(rule.cells, key=lambda name: (rendezvous(name, subject, weights[name]), name))
+        return min(
+            tenant_entry.cells, key=lambda name: (rendezvous(name, subject, weights[name]), name)
+        )
 
     def plain(self) -> dict[str, Any]:
         """Return the map as plain objects for JSON, which `read_cell_map` reads."""
@@ -235,14 +237,14 @@
         return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _check_cell_name(name: str, uses: int) -> None:
+def _check_cell_name(name: str, use_count: int) -> None:
     wrong_length = not name or len(name) > MAX_CELL_NAME_LENGTH
     if wrong_length or not name.isprintable() or "/" in name:
         raise CellMapError(
             "cell.name",
             f"{name[:QUOTED_NAME_LENGTH]!r} is no name " "(1 to 64 printable characters, no /)",
         )
-    if uses > 1:
+    if use_count > 1:
         raise CellMapError("cell.name", f"{name!r} is used twice")
 
 
--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -1,4 +1,4 @@
-"""A node with cells: it composes their parts and keeps the map in step with other processes."""
+"""A node with cells, which composes their parts and synchronises the map with other processes."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from .model import CellMap, CellMapError
 from .read_turns import ReadTurns
 
-#: The fraction of the loop's time that goes by turns: reading requests and deciding on them. The
-#: rest of each tick is for the endpoints' answers.
+#: The fraction of the event loop's time for reading and deciding on requests, which is divided
+#: among the cells. The rest of each tick is for the endpoints' answers.
 READ_TURNS_FRACTION = 0.6
 
 
@@ -33,15 +33,15 @@
 
     Attributes:
         map: The cell map in force.
-        digest: Its digest.
-        published_map: The map as it is published to the other processes.
+        digest: The digest of the map.
+        published_map: The map in the form that is published to the other processes.
         process_name: The name of this process, unique among those of the broker.
         peers: The status of the other processes' cells, by their names.
-        read_turns: The turns of client connections.
+        read_turns: Schedules the reads of client connections.
         connection_accounting: The admission of client connections, which accounts them to cells.
     """
 
-    longest_rest_ns = 0  # rounds of turns begin with every tick
+    longest_rest_ns = 0  # a round of `read_turns` begins with every tick
     read_turns: ReadTurns
     connection_accounting: CellAdmission
 
@@ -52,15 +52,15 @@
         path: str,
         environ: Mapping[str, str] = os.environ,
     ) -> None:
-        """Build the parts; nothing listens before ``run``.
+        """Create the parts; no socket listens before ``run``.
 
         Args:
-            config: The configuration as it was read.
-            operator_config: The operators' file as it was read; it names cells.
-            path: Where SIGHUP reads the operators' file again.
-            environ: Where a reload finds the configuration again.
+            config: The configuration.
+            operator_config: The content of the operators' file, which names cells.
+            path: The path of the operators' file, which SIGHUP reads again.
+            environ: The environment, by which a reload finds the configuration.
         """
-        assert operator_config.cell_map is not None, "no cells"
+        assert operator_config.cell_map is not None, "the operators' file names no cells"
         self.set_map(operator_config.cell_map)
         self.process_name = f"{os.getpid()}-{os.urandom(4).hex()}"
         self.peers: dict[str, PeerCellStatus] = {}
@@ -71,38 +71,34 @@
 
     @property
     def celled(self) -> CellDispatcher:
-        """The dispatcher, by its type."""
+        """The dispatcher, as a `CellDispatcher`."""
         assert isinstance(self.dispatcher, CellDispatcher)
         return self.dispatcher
 
-    # --- extension points of the node ---
-
     def make_dispatcher(self) -> Dispatcher:
-        """Build the dispatcher with the cells of the map."""
+        """Create the dispatcher with the cells of the map."""
         return CellDispatcher(self.config, self.clock, self.log, self.map, self.process_name)
 
     def make_admission(self) -> ClientAdmission:
-        """Build the admission of client connections to cells, and their turns to read."""
+        """Create the admission of client connections and the scheduling of their reads."""
         weights = self.celled.cell_weights_with_unassigned()
         self.read_turns = ReadTurns(weights, READ_TURNS_FRACTION * self.config.settings.tick_ns)
         self.connection_accounting = CellAdmission(self, self.celled, self.read_turns)
         return self.connection_accounting
 
     def make_connection(self) -> ClientConnection:
-        """Build the protocol of a connection that has just been accepted."""
+        """Create the protocol of a connection that has just been accepted."""
         return CellClientConnection(self)
 
     def after_tick(self) -> None:
-        """Begin a round of turns and advance the migrations."""
+        """Begin a round of reads and advance the migrations."""
         super().after_tick()
         try:
             self.read_turns.next_round()
             self._migrations.step_if_due(self.clock.now())
-        except Exception as error:  # a fault here must not end the tick of everything else
+        except Exception as error:  # a fault here must not prevent the rest of the tick
             self.log("fault", f"cells: {type(error).__name__}: {error}")
 
-    # --- other processes of this broker ---
-
     def status_extension(self) -> dict[str, Any]:
         """Return the status of the cells, for the other processes."""
         router = self.celled.router
@@ -115,7 +111,7 @@
         )
 
     def apply_peer_statuses(self, others: Collection[ProcessStatus]) -> None:
-        """Take in what the other processes have published: maps, seats and migrations."""
+        """Apply what the other processes have published: maps, seats and migrations."""
         super().apply_peer_statuses(others)
         is_first = not self.peers
         self.peers = {}
@@ -126,7 +122,7 @@
                 self.peers[peer.process_name] = peer
         for peer in self.peers.values():
             self._compare_maps(peer)
-        # A process that serves already keeps the seats that it has.
+        # A process that already serves requests keeps its seats.
         if is_first and self.server is None:
             for peer in self.peers.values():
                 if peer.epoch <= self.map.epoch:
@@ -135,9 +131,9 @@
             self.celled.migrations.merge(peer.migrations)
 
     def read_peer_status(self, fields: Mapping[str, Any]) -> PeerCellStatus | None:
-        """Read the status of another process's cells; None if it has none.
+        """Read the status of another process's cells; return None if it has none or is unreadable.
 
-        It may be of another version: one that cannot be read is logged and left out.
+        The process may run another version, so an unreadable status is logged and ignored.
         """
         try:
             return read_cell_status(fields, self.map.epoch)
@@ -149,20 +145,18 @@
             return None
 
     def _compare_maps(self, peer: PeerCellStatus) -> None:
-        """Take a newer map over; log another one of the same epoch."""
+        """Adopt a newer map; log a different map of the same epoch."""
         if peer.newer_map is not None and peer.epoch > self.map.epoch:
             self.log(
                 "cells",
-                f"another process has the map of epoch {peer.epoch}: adopted",
+                f"adopting the map of epoch {peer.epoch} of another process",
             )
             self.apply_map(peer.newer_map)
         elif peer.epoch == self.map.epoch and peer.digest != self.digest:
-            self.log("cells", f"another process has another map of the same epoch {self.map.epoch}")
-
-    # --- maps ---
+            self.log("cells", f"another process has a different map of epoch {self.map.epoch}")
 
     def set_map(self, map: CellMap) -> None:
-        """Note the map in force, in the form in which it is published as well."""
+        """Store the map in force, its digest and its published form."""
         self.map = map
         self.published_map = PublishedMap.of(map)
         self.digest = self.published_map.digest
@@ -176,9 +170,9 @@
         self._log_unknown_tenants()
 
     def _log_unknown_tenants(self) -> None:
-        """Log tenants of the map that the settings do not have.
+        """Log tenants of the map that are not in the settings.
 
-        That is no fault: the two files may change one after the other.
+        This is not an error, since the two files may be changed one after the other.
         """
         configured = self.dispatcher.validator.tenants
         if not configured:
@@ -187,14 +181,14 @@
         if unknown:
             self.log(
                 "cells",
-                f"{len(unknown)} tenants of the file are none of the settings, among them "
-                f"{unknown[0]!r}",
+                f"{len(unknown)} tenants of the operators' file are not in the settings, "
+                f"among them {unknown[0]!r}",
             )
 
     def check_operator_config(self, operator_config: OperatorConfig) -> OperatorConfig:
-        """Reject a file that cannot take the place of the one in force.
+        """Reject a file that must not replace the one in force.
 
-        An old file put back by mistake would undo migrations at this process and not at the others.
+        An old file that is restored by mistake would undo migrations in this process only.
         """
         reason = self._reason_to_reject(operator_config.cell_map)
         if reason:
@@ -203,19 +197,20 @@
         return operator_config
 
     def _reason_to_reject(self, map: CellMap | None) -> str:
-        """Return the key and the problem of a file's map; empty if it may be put in force."""
+        """Return the key and the problem of a file's map; empty if the map may be put in force."""
         if map is None:
-            return "cell: none is named, and the program was started with some"
+            return "cell: none is named, but this process was started with cells"
         if map.epoch < self.map.epoch:
             return f"epoch: {map.epoch} is older than {self.map.epoch}, which is in force"
         if map.epoch == self.map.epoch and map.digest() != self.digest:
             return (
-                f"epoch: {map.epoch} is in force with another map; a changed map needs a higher one"
+                f"epoch: {map.epoch} is in force with another map; "
+                "a changed map needs a higher epoch"
             )
         return ""
 
     def apply_operator_config(self, operator_config: OperatorConfig) -> None:
-        """Put another operators' file in force, and its map."""
+        """Put another operators' file and its map in force."""
         super().apply_operator_config(operator_config)
         if operator_config.cell_map is not None:
             self.apply_map(operator_config.cell_map)
--- a/query_broker/cells/placement.py
+++ b/query_broker/cells/placement.py
@@ -82,18 +82,18 @@
             if uid in self.seats:
                 changes.append(SeatChange(uid, self.seats.pop(uid), None))
                 del self.endpoints[uid]
-        newcomers = []
+        new_uids = []
         for endpoint in endpoints:
             self.endpoints[endpoint.uid] = endpoint
             if endpoint.uid not in self.seats:
-                newcomers.append(endpoint.uid)
-        waiting = [uid for uid, seat in self.seats.items() if seat is None]
-        for uid in [*waiting, *newcomers]:
-            before = self.seats.get(uid)
+                new_uids.append(endpoint.uid)
+        unplaced_uids = [uid for uid, seat in self.seats.items() if seat is None]
+        for uid in [*unplaced_uids, *new_uids]:
+            former_cell = self.seats.get(uid)
             seat = self._choose_cell(self.endpoints[uid])
             self.seats[uid] = seat
-            if seat != before:
-                changes.append(SeatChange(uid, before, seat))
+            if seat != former_cell:
+                changes.append(SeatChange(uid, former_cell, seat))
         return changes
 
     def apply_map(self, map: CellMap) -> list[SeatChange]:
@@ -101,18 +101,18 @@
 
         Endpoints keep their cell where the map allows it; the others are placed anew in list order.
         """
-        before = dict(self.seats)
+        former_seats = dict(self.seats)
         self.map = map
         self._clear_forbidden_seats()
         for cell in map.cells:
             self._clear_excess_seats(cell)
         self._fill_to_lower_bounds()
-        for uid in before:
+        for uid in former_seats:
             if self.seats[uid] is None:
                 self.seats[uid] = self._choose_cell(self.endpoints[uid])
         return [
             SeatChange(uid, seat, self.seats[uid])
-            for uid, seat in before.items()
+            for uid, seat in former_seats.items()
             if seat != self.seats[uid]
         ]
 
@@ -173,9 +173,9 @@
                     break
                 self.seats[uid] = cell.name
 
-    def _best_endpoint_for(self, short: Cell, size: int) -> str | None:
+    def _best_endpoint_for(self, target: Cell, size: int) -> str | None:
         """Return the endpoint to place in a cell below its lower bound; None if none may move."""
-        spare = {
+        cells_with_spare = {
             cell.name
             for cell in self.map.cells
             if self.size(cell.name) > max(cell.min_endpoints, size + 1)
@@ -183,11 +183,11 @@
         candidates = [
             uid
             for uid, seat in self.seats.items()
-            if (seat is None or seat in spare) and self._is_free_to_move(uid)
+            if (seat is None or seat in cells_with_spare) and self._is_free_to_move(uid)
         ]
         if not candidates:
             return None
-        return min(candidates, key=lambda uid: (rendezvous(short.name, uid, 1.0), uid))
+        return min(candidates, key=lambda uid: (rendezvous(target.name, uid, 1.0), uid))
 
     def _pinned_cell(self, endpoint: PlacedEndpoint) -> str | None:
         """Return the cell that the endpoint is pinned to, by uid, else by zone, else by model."""
--- a/query_broker/cells/planner.py
+++ b/query_broker/cells/planner.py
@@ -223,9 +223,11 @@
         for tenant, cell in (problem.fixed_cells or {}).items()
         if placement[tenant] != cell
     ]
-    moved = sum(placement[tenant] != problem.current_cells[tenant] for tenant in problem.loads)
-    if problem.max_moves is not None and moved > problem.max_moves:
-        broken.append(f"{moved} tenants move, more than {problem.max_moves}")
+    moved_count = sum(
+        placement[tenant] != problem.current_cells[tenant] for tenant in problem.loads
+    )
+    if problem.max_moves is not None and moved_count > problem.max_moves:
+        broken.append(f"{moved_count} tenants move, more than {problem.max_moves}")
     if problem.max_load is not None:
         broken += [
             f"{cell} has {load:.2f} of its capacity"
@@ -269,11 +271,11 @@
         for first, second in problem.separated_pairs:
             self.conflicts.setdefault(first, set()).add(second)
             self.conflicts.setdefault(second, set()).add(first)
-        allowed = len(self.placement) if problem.max_moves is None else problem.max_moves
-        moved = sum(
+        allowed_moves = len(self.placement) if problem.max_moves is None else problem.max_moves
+        moved_count = sum(
             cell != problem.current_cells[tenant] for tenant, cell in self.placement.items()
         )
-        self.moves_left = allowed - moved
+        self.moves_left = allowed_moves - moved_count
 
     def separate_pairs(self) -> None:
         """Move one tenant of each pair that shares a cell but must not, if a cell can take it."""
@@ -306,16 +308,16 @@
         return True
 
     def _candidates(self) -> Iterable[_Candidate]:
-        fullest = max(self.loads, key=self._relative_load)
-        highest = self._relative_load(fullest)
-        for tenant, home in self.placement.items():
-            if home != fullest or not self._may_migrate(tenant):
+        fullest_cell = max(self.loads, key=self._relative_load)
+        highest_load = self._relative_load(fullest_cell)
+        for tenant, current_cell in self.placement.items():
+            if current_cell != fullest_cell or not self._may_migrate(tenant):
                 continue
             for cell in self.problem.capacities:
-                if cell == fullest or not self._has_no_conflict(tenant, cell):
+                if cell == fullest_cell or not self._has_no_conflict(tenant, cell):
                     continue
                 load_after = self._load_after(tenant, cell)
-                if load_after < highest - MIN_GAIN:
+                if load_after < highest_load - MIN_GAIN:
                     yield _Candidate(load_after, tenant, cell)
 
     def _may_migrate(self, tenant: str) -> bool:
--- a/query_broker/cells/read_turns.py
+++ b/query_broker/cells/read_turns.py
@@ -1,4 +1,4 @@
-"""The turns of client connections: whose requests are read and decided on in the present round.
+"""Schedules which client connections read requests in the current round.
 
 Performs no I/O.
 """
@@ -12,20 +12,20 @@
 
 
 class WaitingConnection(Protocol):
-    """A connection that waits for its turn."""
+    """A connection that waits for its turn to read."""
 
     cell: str
 
     def resume_reading(self) -> None:
-        """Read on: the turn has come."""
+        """Continue to read."""
 
 
 class ReadTurns:
-    """Lets connections read by the turns of their cells, round by round.
+    """Lets connections read, within the balances of their cells in each round.
 
     Attributes:
-        turns: The balances of the cells, in nanoseconds of the loop's time.
-        queue: The connections whose turn has not come, in their order.
+        turns: The balances of the cells, in nanoseconds of event-loop time.
+        queue: The waiting connections, in the order in which they are resumed.
     """
 
     def __init__(self, weights: Mapping[str, float], round_ns: float) -> None:
@@ -41,17 +41,17 @@
         return False
 
     def charge(self, cell: str, elapsed_ns: int) -> None:
-        """Charge a cell for the loop's time that it has taken."""
+        """Charge a cell for the event-loop time that it has used."""
         self.turns.charge(cell, elapsed_ns)
 
     def discard(self, connection: WaitingConnection) -> None:
-        """Forget a connection that ends."""
+        """Remove a closing connection from the queue."""
         self.queue.pop(connection, None)
 
     def next_round(self) -> None:
-        """Begin a round: the waiting connections go on as far as their cells' balances reach.
+        """Begin a round and resume the waiting connections in order.
 
-        One that is not allowed again is queued anew, behind the others.
+        A connection whose cell has no balance left is queued again, behind the others.
         """
         self.turns.begin_round()
         if self.queue:
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -1,8 +1,8 @@
 """The router: the decisions of all cells behind the methods of `query_broker.decisions.facade`.
 
 A request belongs to one cell from its arrival to its end. An endpoint belongs to one cell at a
-time: where it changes cells with attempts in flight, the former cell gets their outcomes, and what
-is still outstanding counts in the present cell as another process's work does. Performs no I/O.
+time: if it changes cells with attempts in flight, the former cell gets their outcomes, and the new
+cell counts their outstanding work like that of another process. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -47,8 +47,8 @@
     """The cell of a request that is being admitted.
 
     Attributes:
-        subject: The tenant, or the part of a spread one.
-        cell: The cell that the subject has.
+        subject: The tenant, or the part of a spread tenant.
+        cell: The cell that the request is assigned to.
     """
 
     subject: str
@@ -59,8 +59,8 @@
     """An open request.
 
     Attributes:
-        facade: The decisions of its cell.
-        subject: The tenant, or the part of a spread one.
+        facade: The decisions of the cell of the request.
+        subject: The tenant, or the part of a spread tenant.
     """
 
     facade: CellFacade
@@ -74,11 +74,12 @@
         map: The cell map in force.
         settings: The platform settings in force.
         due: The decisions for which a timer is due, in the order of the wheel.
-        facades: The decisions of each cell; a dropped cell stays until its last request ends.
+        facades: The decisions of each cell; a cell that the map has dropped stays until its last
+            request ends.
         requests: The open requests, by the broker's id.
         open_counts: The number of open requests by subject and cell.
         assignment: The cell of the request that is being admitted; set before `pick`.
-        outstanding_work: What others have outstanding on the cells' endpoints.
+        outstanding_work: Work on the cells' endpoints that other cells or processes dispatched.
         seats: The cell of each endpoint.
     """
 
@@ -95,7 +96,7 @@
 
         Args:
             settings: The platform settings in force.
-            seed: The seed of the random draws; each cell gets one of its own from it.
+            seed: The seed of the random draws, from which the seed of each cell is derived.
             now_ns: The time.
             timer_wheel: The timer wheel of all cells.
             map: The cell map in force.
@@ -114,8 +115,6 @@
         self._timer_wheel = timer_wheel
         self._add_missing_cells(now_ns)
 
-    # --- cells ---
-
     def _add_missing_cells(self, now_ns: int) -> None:
         for cell in self.map.cells:
             if cell.name not in self.facades:
@@ -131,7 +130,7 @@
         facade.report(now_ns, CoProcessLoad({}, processes))
 
     def _dissolve_if_ended(self, facade: CellFacade) -> None:
-        """End a cell that the map has dropped once its last request is over."""
+        """Remove a cell that the map has dropped and that has no open requests."""
         if facade.open_count or self.map.cell(facade.cell) is not None:
             return
         if self.facades.get(facade.cell) is facade:
@@ -141,8 +140,8 @@
     def apply_map(self, map: CellMap, now_ns: int) -> OrderBatch:
         """Put another map in force.
 
-        New cells get their decisions and endpoints their new seats; a dropped cell goes on until
-        its requests have ended.
+        This adds new cells and moves endpoints to their new cells; a dropped cell stays until its
+        requests have ended.
         """
         self.map = map
         self._add_missing_cells(now_ns)
@@ -154,7 +153,7 @@
         return orders
 
     def adopt(self, seats: dict[str, str | None], now_ns: int) -> OrderBatch:
-        """Take over the seats of another process of this broker."""
+        """Adopt the seats of endpoints from another process of this broker."""
         orders = OrderBatch()
         changes = self.seats.placement.adopt(seats)
         if changes:
@@ -162,15 +161,12 @@
             self.outstanding_work.publish(now_ns, orders)
         return orders
 
-    # --- requests ---
-
     def pick(self, now_ns: int, arrival: RequestArrived) -> OrderBatch:
         """Decide on a request that has arrived, in the cell that `assignment` names.
 
-        The cell was chosen when the request was accounted to it; to choose again here could give it
-        another one.
+        The request was accounted to this cell already; a second choice here might differ.
         """
-        assert self.assignment is not None, "a request without a cell"
+        assert self.assignment is not None, "no cell is assigned to the request"
         subject, cell = self.assignment
         self.assignment = None
         facade = self.facades[cell]
@@ -180,7 +176,7 @@
         return facade.pick(now_ns, arrival)
 
     def forget(self, request_id: str) -> None:
-        """Take note that the network holds nothing of this request any more."""
+        """Remove a request of which no attempt is left on the network."""
         routed = self.requests.pop(request_id, None)
         if routed is None:
             return
@@ -201,14 +197,12 @@
             if routed.facade.cell == cell and routed.subject == subject
         )
 
-    # --- events ---
-
     def tick(self, now_ns: int) -> OrderBatch:
-        """Handle the first of the timers that are due."""
+        """Handle the first due timer."""
         return self.due.popleft().tick(now_ns)
 
     def report(self, now_ns: int, event: RoutedEvent) -> OrderBatch:
-        """Report any other event to the cells that it is about."""
+        """Report any other event to the cells that the event concerns."""
         orders = OrderBatch()
         match event:
             case AttemptEnded() | RequestAbandoned():
@@ -253,27 +247,25 @@
             extend_orders(orders, self.facades[cell].report(now_ns, event))
 
     def _cells_with(self, request_ids: Iterable[str] | None) -> Iterable[str]:
-        """Return the cells of these requests; all cells where none are named."""
+        """Return the cells of these requests; all cells for None."""
         if request_ids is None:
             return self.facades
         open_ids = [request_id for request_id in request_ids if request_id in self.requests]
         return sorted({self.requests[request_id].facade.cell for request_id in open_ids})
 
     def report_former_cells(self, now_ns: int) -> OrderBatch:
-        """Report anew what former cells have outstanding, which decays; to be called regularly."""
+        """Publish the decaying work of former cells again; must be called regularly."""
         orders = OrderBatch()
         if self.outstanding_work.endpoints_with_former_work:
             self.outstanding_work.publish(now_ns, orders)
         return orders
 
-    # --- queries of the facade, over all cells ---
-
     def avoided_endpoints(self) -> int:
-        """Return how many listed endpoints the decisions leave out, by hand or by choice."""
+        """Return how many listed endpoints operators have disabled or the decisions avoid."""
         return sum(facade.avoided_endpoints() for facade in self.facades.values())
 
     def quotas_and_bounds(self) -> dict[int, tuple[float, float]]:
-        """Return the thread quota and the limit of each endpoint, as its cell has them."""
+        """Return the thread quota and the limit of each endpoint, by its cell."""
         quotas: dict[int, tuple[float, float]] = {}
         for facade in self.facades.values():
             for number, quota in facade.quotas_and_bounds().items():
@@ -286,5 +278,5 @@
         return max((facade.widest_request_threads() for facade in self.facades.values()), default=1)
 
     def outstanding(self, now_ns: int) -> dict[int, OutstandingWork]:
-        """Return what this process has outstanding, for the broker's other processes."""
+        """Return the outstanding work of this process, for the broker's other processes."""
         return self.outstanding_work.total(now_ns)
