--- a/query_broker/cells/cell_pools.py
+++ b/query_broker/cells/cell_pools.py
@@ -136,7 +136,7 @@
             return super().reserve_descriptor(pool)
         if account.in_use <= self._allowance(cell, account) and self.ledger.free() >= 0:
             if account.in_use > RESERVED_FRACTION * account.quota:
-                # The cell uses the part of its quota that others may borrow, so it reclaims it.
+                # The cell uses quota that others may borrow, so it reclaims that quota.
                 self.ledger.allows(cell, 0, now_ns)
             return True
         if self._close_idle_connection_for(cell, account):
--- a/query_broker/cells/request_call_in.py
+++ b/query_broker/cells/request_call_in.py
@@ -41,7 +41,7 @@
             called_in += len(request_ids)
             host.log(
                 "cells",
-                f"closed {len(request_ids)} requests on borrowed capacity, of cell {cell!r}",
+                f"{len(request_ids)} requests on borrowed capacity, of cell {cell!r}, were closed",
             )
             host.report_event(CloseRequests(frozenset(request_ids)))
             _free_statements(host, request_ids)
--- a/tests/cells/cell_brokers.py
+++ b/tests/cells/cell_brokers.py
@@ -1,4 +1,4 @@
-"""Brokers with two cells on real sockets, and what the tests read of them."""
+"""Brokers with two cells on real sockets, and helpers to send requests and read their state."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     timing: MigrationTimeouts = FAST_TIMING,
     **homes: str,
 ) -> CellMap:
-    """Cells a and b with these engines; acme in a, beta in b."""
+    """A map of cells a and b with these engines; tenant acme is in a and beta in b."""
     homes = {"acme": "a", "beta": "b", **homes}
     return CellMap(
         epoch,
@@ -56,7 +56,7 @@
 
 
 def cell_node(rig: Rig) -> CellNode:
-    """The node under test, which has cells."""
+    """The node under test, as a `CellNode`."""
     assert isinstance(rig.node, CellNode)
     return rig.node
 
@@ -67,13 +67,13 @@
 
 
 def migration_stage(rig: Rig, subject: str = "acme") -> Stage | None:
-    """The stage of this tenant's latest migration; None where there has been none."""
+    """The stage of the subject's latest migration; None if there is no record."""
     migration = cell_node(rig).celled.migrations.records.get(subject)
     return None if migration is None else migration.stage
 
 
 def send_request(client: Client, stream: int, tenant: str, **changes: Any) -> None:
-    """A cheap request of this tenant; its id names the tenant and the stream."""
+    """Send a cheap request of the tenant, whose id is made of the tenant and the stream."""
     client.ask(
         stream=stream,
         trace=f"{tenant.encode().hex()[:8]}{stream:08x}",
@@ -83,14 +83,14 @@
 
 
 def answer_request(engine: Engine, command: list[bytes]) -> None:
-    """The engine serves this request."""
+    """Let the engine serve the request of this command."""
     engine.answer_served(command, engine.writer_of(command))
 
 
 async def dispatch_request(
     client: Client, tenant: str, engine: Engine, weight: str = "1.0"
 ) -> None:
-    """A request that must not run twice, on stream 1; returns once the engine has it."""
+    """Send a non-idempotent request on stream 1 and wait until the engine has it."""
     send_request(client, 1, tenant, route="stock-add", weight=weight)
     await until(lambda: engine.commands_named(b"do"))
 
@@ -99,7 +99,7 @@
 async def broker_with_two_cells(
     cell_map: CellMap, *engines: Engine, **changes: Any
 ) -> AsyncIterator[Rig]:
-    """A broker with cells before engines s-1, s-2, ..."""
+    """Run a broker with cells whose engines are s-1, s-2, ..."""
     targets = [
         target_entry(f"s-{number}", await engine.start())
         for number, engine in enumerate(engines, 1)
@@ -113,7 +113,7 @@
 async def broker_of_cluster(
     cluster: EmulatedCluster, cell_map: CellMap, cores: int
 ) -> AsyncIterator[Rig]:
-    """A broker with cells before the cluster's engines, which have so many cores each."""
+    """Run a broker with cells on the cluster's engines, each of which has this many cores."""
     raw_config = broker_config(
         cluster,
         "127.0.0.1:1",
@@ -129,7 +129,7 @@
 async def co_process_with_cells(
     config: Config, listening: socket.socket, folder: Path, cell_map: CellMap
 ) -> AsyncIterator[Rig]:
-    """One process of a broker; the others of its folder and socket are its co-processes."""
+    """Run a process of a broker; processes with the same folder and socket are co-processes."""
     async with running(
         replace(config, accept_fd=os.dup(listening.fileno()), folder=str(folder)),
         make=celled(cell_map),
@@ -137,10 +137,10 @@
         yield rig
 
 
-def write_deployment(
+def write_deployment_files(
     folder: Path, port: int, engines: list[dict[str, Any]], epoch: int = 1
 ) -> dict[str, str]:
-    """The settings and the operators' file with cells a and b; the environment that names them."""
+    """Write the settings and an operators' file with cells a and b; return the environment."""
     raw_config = {
         "name": "n0",
         "listen": f"127.0.0.1:{port}",
--- a/tests/cells/cell_maps.py
+++ b/tests/cells/cell_maps.py
@@ -1,4 +1,4 @@
-"""Cell maps and endpoints as the tests of the cells' decisions write them."""
+"""Builders of cell maps and endpoints for tests without sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 def make_cell_map(
     *names: str, epoch: int = 1, tenants: dict[str, str] | None = None, **changes: Any
 ) -> CellMap:
-    """Cells of these names (a and b), the first the default; tenants by their cell (x in a)."""
+    """A map of these cells (default a and b), the first of which is the default cell.
+
+    ``tenants`` gives the cell of each tenant (default: tenant x in cell a).
+    """
     cells = tuple(Cell(name) for name in names or ("a", "b"))
     cell_by_tenant = tenants or {"x": "a"}
     tenant_table = {tenant: Tenant(tenant, (cell,)) for tenant, cell in cell_by_tenant.items()}
@@ -21,5 +24,5 @@
 def endpoints_seen(
     *uids: str, ready: bool = True, zone: str = "z", model: str = "m"
 ) -> list[PlacedEndpoint]:
-    """These endpoints, alike but for their uid."""
+    """Endpoints with these uids and otherwise equal values."""
     return [PlacedEndpoint(uid, zone, model, ready) for uid in uids]
--- a/tests/cells/conftest.py
+++ b/tests/cells/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the migrations' tests."""
+"""Fixtures of the tests of migrations."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @pytest.fixture
 def cluster() -> SimulatedCluster:
-    """Cells a, b and c with two ready endpoints each, and no open request."""
+    """A cluster of cells a, b and c with two ready endpoints each and no open requests."""
     return SimulatedCluster()
 
 
 @pytest.fixture
 def migration_log() -> MigrationLog:
-    """Process p1's migrations between cells a and b; tenant x is in a."""
+    """The migration log of process p1 for cells a and b; tenant x is in a."""
     return MigrationLog(make_cell_map(), "p1")
 
 
 @pytest.fixture
 def migration_log_of_three_cells() -> MigrationLog:
-    """Process p1's migrations between cells a, b and c; tenant x is in a."""
+    """The migration log of process p1 for cells a, b and c; tenant x is in a."""
     return MigrationLog(make_cell_map("a", "b", "c"), "p1")
--- a/tests/cells/simulated_migrations.py
+++ b/tests/cells/simulated_migrations.py
@@ -1,4 +1,4 @@
-"""Migrations before a simulated cluster, step by step on the test's own clock."""
+"""Runs migration steps against a simulated cluster, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SimulatedCluster:
-    """The fleets, open requests and peers that a step of the migrations looks at."""
+    """A `ClusterView` whose values the tests set."""
 
     def __init__(self) -> None:
         self.fleets = {"a": Fleet(2, 0), "b": Fleet(2, 0), "c": Fleet(2, 0)}
@@ -24,20 +24,20 @@
         self.replicated = True
 
     def fleet(self, cell: str) -> Fleet:
-        """The endpoints of this cell."""
+        """The number of ready and warming endpoints of the cell."""
         return self.fleets.get(cell, Fleet(0, 0))
 
     def open_count(self, subject: str, cell: str) -> int:
-        """The requests of this tenant that are open in this cell."""
+        """The number of open requests of the tenant in the cell."""
         return self.open_requests[subject, cell]
 
     def is_replicated(self, migration: Migration) -> bool:
-        """Whether every process knows this migration."""
+        """Whether all other processes have the record."""
         return self.replicated
 
 
 def stage_of(migration_log: MigrationLog) -> Stage:
-    """The stage of the migration of tenant x."""
+    """The stage of tenant x's migration."""
     return migration_log.records["x"].stage
 
 
@@ -48,7 +48,7 @@
     seconds: float,
     step: int = NS_PER_SECOND // 20,
 ) -> int:
-    """Step for so long; the time at the end of it."""
+    """Run steps for this many seconds and return the time at the end."""
     for _ in range(int(seconds * NS_PER_SECOND / step)):
         now += step
         step_migrations(migration_log, now, cluster)
--- a/tests/cells/test_borrowing.py
+++ b/tests/cells/test_borrowing.py
@@ -13,13 +13,13 @@
 
 
 def make_ledger(total: int = 100, **weights: float) -> Ledger:
-    """So much divided by these weights (cells a and b alike)."""
+    """A ledger of this total, divided by these weights (by default equally between a and b)."""
     ledger = Ledger()
     ledger.divide(total, weights or {"a": 1.0, "b": 1.0})
     return ledger
 
 
-def test_a_cell_borrows_what_others_leave_but_never_their_last_quarter() -> None:
+def test_a_cell_borrows_unused_quota_except_the_reserved_fraction() -> None:
     ledger = make_ledger()
     taken = sum(ledger.acquire("a", 1, 0) for _ in range(200))
     assert taken == 100 - int(borrowing.RESERVED_FRACTION * 50)
@@ -28,17 +28,17 @@
     assert not ledger.acquire("b", 1, 0)
 
 
-def test_what_is_borrowed_is_due_within_a_second_of_the_owner_s_asking() -> None:
+def test_borrowed_amounts_are_called_in_within_a_second_of_a_reclaim() -> None:
     ledger = make_ledger()
     while ledger.acquire("a", 1, 0):
         pass
-    while ledger.acquire("b", 1, NS_PER_SECOND):  # digs into what was borrowed
+    while ledger.acquire("b", 1, NS_PER_SECOND):  # needs quota that a has borrowed
         pass
     assert ledger.amounts_to_call_in(NS_PER_SECOND + borrowing.CALL_IN_DELAY_NS - 1) == {}
     assert borrowing.CALL_IN_DELAY_NS < NS_PER_SECOND
-    owed = ledger.amounts_to_call_in(NS_PER_SECOND + borrowing.CALL_IN_DELAY_NS)
-    assert owed == {"a": ledger.borrowed("a")}
-    ledger.release("a", owed["a"])
+    amounts_to_give_back = ledger.amounts_to_call_in(NS_PER_SECOND + borrowing.CALL_IN_DELAY_NS)
+    assert amounts_to_give_back == {"a": ledger.borrowed("a")}
+    ledger.release("a", amounts_to_give_back["a"])
     assert sum(ledger.acquire("b", 1, 2 * NS_PER_SECOND) for _ in range(100)) == 50 - 12
     assert not ledger.acquire("a", 1, 2 * NS_PER_SECOND)  # the owner has its complete quota
     ledger.release("b", 50)
@@ -46,7 +46,7 @@
     assert ledger.acquire("a", 1, 8 * NS_PER_SECOND)
 
 
-def test_what_cannot_be_called_in_is_never_borrowed() -> None:
+def test_firm_use_is_never_borrowed() -> None:
     ledger = make_ledger()
     assert sum(ledger.acquire("a", 1, 0, firm=True) for _ in range(100)) == 50
     assert not ledger.acquire("a", 1, 0, firm=True)
@@ -72,7 +72,7 @@
             assert account.firm_in_use <= account.quota
 
 
-def test_quotas_are_set_anew_with_what_is_in_use_still_accounted() -> None:
+def test_a_new_division_keeps_amounts_in_use_accounted() -> None:
     ledger = make_ledger()
     ledger.acquire("b", 40, 0)
     ledger.divide(100, {"a": 1.0})
@@ -82,13 +82,13 @@
     ledger.amounts_to_call_in(0)
     assert ledger.amounts_to_call_in(2 * NS_PER_SECOND) == {
         "b": 40
-    }  # a dropped cell's use is all borrowed
+    }  # a cell without a quota has borrowed all that it uses
     ledger.release("b", 40)
     assert "b" not in ledger.accounts
 
 
 @pytest.mark.parametrize(
-    ("used", "owed"),
+    ("amounts_in_use", "amounts_to_give_back"),
     [
         pytest.param({"a": 50, "b": 50}, {}, id="within the total"),
         pytest.param({"a": 80, "b": 50}, {"a": 30}, id="one borrower"),
@@ -96,10 +96,10 @@
         pytest.param({"a": 60, "b": 60}, {"a": 10, "b": 10}, id="alike, in the cells' order"),
     ],
 )
-def test_use_beyond_the_total_is_owed_by_borrowers(
-    used: dict[str, int], owed: dict[str, int]
+def test_borrowers_give_back_the_use_beyond_the_total(
+    amounts_in_use: dict[str, int], amounts_to_give_back: dict[str, int]
 ) -> None:
     ledger = make_ledger()
-    for name, amount in used.items():
+    for name, amount in amounts_in_use.items():
         ledger.set_in_use(name, amount)
-    assert list(ledger.amounts_over_total().items()) == list(owed.items())
+    assert list(ledger.amounts_over_total().items()) == list(amounts_to_give_back.items())
--- a/tests/cells/test_cell_admin_api.py
+++ b/tests/cells/test_cell_admin_api.py
@@ -1,4 +1,4 @@
-"""The admin calls and the command line on cells."""
+"""The admin API and the command line of cells."""
 
 from __future__ import annotations
 
@@ -42,7 +42,9 @@
         assert "s-2" in shown
         assert "acme" in shown
         assert json.loads((await cells("show", "--json"))[2:])["epoch"] == 1
-        rig.node.dispatcher.set_endpoint_disabled("s-2", True)  # so that it stays where it is
+        rig.node.dispatcher.set_endpoint_disabled(
+            "s-2", True
+        )  # so that the migration stays proposed
         assert await cells("move", "acme", "b") == "0 acme from a to b: proposed\n"
         assert "is on the move to 'b'" in await cells("move", "acme", "b")
         assert "proposed" in await cells("show")
@@ -57,7 +59,7 @@
     ("request_line", "status"),
     [
         pytest.param(b"POST /cells", 405, id="post to the list"),
-        pytest.param(b"GET /cells/move/acme/b", 405, id="get of a migration"),
+        pytest.param(b"GET /cells/move/acme/b", 405, id="get of a migration call"),
         pytest.param(b"POST /cells/x", 404, id="unknown action"),
         pytest.param(b"POST /cells/move/acme/c", 409, id="unknown cell"),
         pytest.param(b"POST /cells/move/acme/a", 409, id="its own cell"),
@@ -67,7 +69,7 @@
     ],
 )
 @on_uvloop
-async def test_a_call_on_cells_that_cannot_be_is_rejected_in_one_line(
+async def test_an_invalid_admin_call_on_cells_gets_a_one_line_error(
     request_line: bytes, status: int
 ) -> None:
     async with broker_with_two_cells(two_cells(), Engine(), Engine()) as rig:
@@ -80,6 +82,6 @@
 
 
 @on_uvloop
-async def test_a_broker_without_cells_has_no_calls_on_them() -> None:
+async def test_a_broker_without_cells_answers_cell_calls_with_not_found() -> None:
     async with running(make_config(operator=True)) as rig:
         assert (await admin_call(rig, b"GET /cells HTTP/1.1\r\n\r\n"))[0] == 404
--- a/tests/cells/test_cell_map.py
+++ b/tests/cells/test_cell_map.py
@@ -1,4 +1,4 @@
-"""The map of cells: its faults, its plain form, and tenants that are spread over cells."""
+"""The cell map: its validation, its plain form and spread tenants."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     ("change", "key"),
     [
         pytest.param({"cells": ()}, "cell", id="no cell"),
-        pytest.param({"cells": (Cell("a"), Cell("a"))}, "cell.name", id="a name twice"),
+        pytest.param({"cells": (Cell("a"), Cell("a"))}, "cell.name", id="duplicate name"),
         pytest.param({"epoch": -1}, "epoch", id="negative epoch"),
         pytest.param({"cells": (Cell("a", weight=0.0),)}, "cell.weight", id="weight of zero"),
         pytest.param({"cells": (Cell("a/b"),)}, "cell.name", id="slash in a name"),
@@ -37,7 +37,7 @@
         pytest.param(
             {"cells": (Cell("a", min_endpoints=2, max_endpoints=1),)},
             "cell.most",
-            id="more than the most",
+            id="minimum above the maximum",
         ),
         pytest.param(
             {"cells": (Cell("a", zones=("z",)), Cell("b", zones=("z",)))},
@@ -57,14 +57,14 @@
         ),
     ],
 )
-def test_a_map_that_cannot_be_names_its_key(change: dict[str, Any], key: str) -> None:
+def test_an_invalid_map_is_rejected_with_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(CellMapError, match=f"^{key}: "):
         CellMap(**{**VALID_MAP, **change})
 
 
 @pytest.fixture
 def cell_map() -> CellMap:
-    """A map with every kind of key."""
+    """A map that sets every kind of key."""
     return CellMap(
         3,
         (Cell("a", 2.0, ("s-1",), max_endpoints=4), Cell("b", zones=("z",))),
@@ -74,27 +74,27 @@
     )
 
 
-def test_a_map_is_read_as_it_was_written(cell_map: CellMap) -> None:
+def test_a_map_survives_a_round_trip_through_its_plain_form(cell_map: CellMap) -> None:
     assert read_cell_map(cell_map.plain()) == cell_map
     assert read_cell_map(cell_map.plain()).digest() == cell_map.digest()
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         pytest.param(lambda plain: {}, id="empty"),
         pytest.param(lambda plain: {**plain, "cells": 3}, id="cells that are no list"),
         pytest.param(lambda plain: {**plain, "epoch": "x"}, id="epoch that is no number"),
     ],
 )
-def test_a_spoilt_map_is_rejected(
-    cell_map: CellMap, spoil: Callable[[dict[str, Any]], dict[str, Any]]
+def test_a_malformed_plain_map_is_rejected(
+    cell_map: CellMap, corrupt: Callable[[dict[str, Any]], dict[str, Any]]
 ) -> None:
     with pytest.raises(CellMapError):
-        read_cell_map(spoil(cell_map.plain()))
+        read_cell_map(corrupt(cell_map.plain()))
 
 
-def test_a_spread_tenant_has_parts_that_stay_where_they_are() -> None:
+def test_parts_of_a_spread_tenant_keep_their_cells_if_another_cell_leaves() -> None:
     cells = tuple(Cell(name) for name in "abc")
     cell_map = CellMap(1, cells, "a", {"x": Tenant("x", ("a", "b", "c"), "data_set")})
     parts = {data_set: cell_map.subject("x", "glance", data_set) for data_set in range(200)}
@@ -107,13 +107,13 @@
     assert not cell_map.is_migratable("x")
     assert not cell_map.is_migratable("x#64")
     assert not cell_map.is_migratable("x#07")
-    # One cell fewer: the parts of the others stay.
+    # Without cell c, the parts of the other cells stay where they are.
     smaller_map = CellMap(2, cells, "a", {"x": Tenant("x", ("a", "b"), "data_set")})
     unaffected = [part for part in parts.values() if cell_map.home(part) != "c"]
     assert all(smaller_map.home(part) == cell_map.home(part) for part in unaffected)
 
 
-def test_a_spread_tenants_part_number_has_one_spelling() -> None:
+def test_only_canonical_part_numbers_can_be_migrated() -> None:
     cells = (Cell("a"), Cell("b"))
     spread = CellMap(1, cells, "a", {"x": Tenant("x", ("a", "b"), "route")})
     known = [
--- a/tests/cells/test_cell_map_reload.py
+++ b/tests/cells/test_cell_map_reload.py
@@ -25,14 +25,14 @@
 from .cell_brokers import (
     cell_node,
     migration_stage,
-    write_deployment,
+    write_deployment_files,
 )
 
 pytestmark = pytest.mark.real_time
 
 
 class ReloadingBroker(NamedTuple):
-    """A broker with a migration under way, and the two files that SIGHUP reads again."""
+    """A broker with a migration in progress, and the two files that SIGHUP reloads."""
 
     rig: Rig
     config_file: Path
@@ -45,11 +45,11 @@
         return self.rig.node.dispatcher.metrics_counts
 
     async def reload(self, script: str) -> None:
-        """The operators' file holds this script, and the reload of it is over."""
+        """Write this script to the operators' file and wait for its reload."""
         self.operator_file.write_text(script)
         before = self.reloads()
         self.rig.node.reload()
-        self.rig.node.reload()  # once is enough while the first is being read
+        self.rig.node.reload()  # no effect while the first is in progress
         await until(lambda: self.reloads() > before)
 
     def reloads(self) -> int:
@@ -58,8 +58,8 @@
 
 @asynccontextmanager
 async def reloading_broker(folder: Path) -> AsyncIterator[ReloadingBroker]:
-    """A broker that reads its files from this folder."""
-    env = write_deployment(folder, 1, [target_entry("s-1", 9), target_entry("s-2", 9)])
+    """Run a broker that reads its files from this folder."""
+    env = write_deployment_files(folder, 1, [target_entry("s-1", 9), target_entry("s-2", 9)])
     operator_file = Path(env["PROXY_OPERATOR_FILE"])
     first_map = evaluate(str(operator_file)).cell_map
     assert first_map is not None
@@ -98,7 +98,7 @@
     ],
 )
 @on_uvloop
-async def test_sighup_with_a_fault_in_the_operators_file_changes_nothing(
+async def test_sighup_with_an_invalid_operators_file_changes_nothing(
     tmp_path: Path, change: Callable[[str], str], problem: str
 ) -> None:
     async with reloading_broker(tmp_path) as broker:
@@ -111,18 +111,18 @@
 
 
 @on_uvloop
-async def test_sighup_takes_both_files_completely_or_not_at_all(tmp_path: Path) -> None:
+async def test_sighup_applies_both_files_or_neither(tmp_path: Path) -> None:
     async with reloading_broker(tmp_path) as broker:
         node = cell_node(broker.rig)
         newer = broker.first_script.replace("epoch(1)", "epoch(2)") + '\ntenant("new", cell = "b")'
         config_text = broker.config_file.read_text()
         broker.config_file.write_text("{")
         await broker.reload(newer)
-        assert node.map == broker.first_map  # a fault in the other file keeps both as they were
+        assert node.map == broker.first_map  # an invalid configuration file prevents both
         broker.config_file.write_text(config_text)
         await broker.reload(newer)
         assert node.map.epoch == 2
         assert node.celled.migrations.cell("new", 0) == "b"
-        assert migration_stage(broker.rig) is not None  # a migration under way goes on
-        await broker.reload(newer)  # the same again is no fault
+        assert migration_stage(broker.rig) is not None  # the migration in progress continues
+        await broker.reload(newer)  # an unchanged file is accepted
         assert broker.counts.reloads_applied == 2
--- a/tests/cells/test_cells_across_processes.py
+++ b/tests/cells/test_cells_across_processes.py
@@ -1,4 +1,4 @@
-"""Cells of two processes of one broker, and of a process that ends and starts again."""
+"""Cells of two processes of one broker, and of a process that is restarted."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
     dispatch_request,
     migration_stage,
     two_cells,
-    write_deployment,
+    write_deployment_files,
 )
 
 pytestmark = pytest.mark.real_time
 
 
-async def config_for(engine_of_a: Engine, engine_of_b: Engine) -> Config:
-    """The settings of a broker before these two, which start here."""
+async def config_for_engines(engine_of_a: Engine, engine_of_b: Engine) -> Config:
+    """Start both engines and return the configuration of a broker for them."""
     return make_config(
         target_entry("s-1", await engine_of_a.start()),
         target_entry("s-2", await engine_of_b.start()),
@@ -51,7 +51,7 @@
 
 
 async def start_broker(env: dict[str, str]) -> asyncio.subprocess.Process:
-    """The real program, which reads its files from this environment."""
+    """Start the real program with this environment, which names its files."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -63,27 +63,27 @@
 
 
 async def call_admin_api(port: int, request_line: str) -> Any:
-    """What the process with this admin port answers."""
+    """Return the JSON answer of the process with this admin port."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"{request_line} HTTP/1.1\r\n\r\n".encode())
     return json.loads((await within(reader.read())).partition(b"\r\n\r\n")[2])
 
 
 @on_uvloop
-async def test_a_migration_goes_over_to_the_successor_and_an_older_map_never_wins(
+async def test_a_successor_continues_a_migration_and_adopts_the_newer_map(
     tmp_path: Path,
 ) -> None:
     engine_of_a = Engine(lambda *_: None)
     engine_of_b = Engine()
-    config = await config_for(engine_of_a, engine_of_b)
+    config = await config_for_engines(engine_of_a, engine_of_b)
     with socket.create_server(("127.0.0.1", 0)) as listening:
         async with co_process_with_cells(config, listening, tmp_path, two_cells(2)) as old:
             client = await old.client()
             await dispatch_request(client, "acme", engine_of_a)
             cell_node(old).celled.migrations.propose("acme", "b", old.node.clock.now())
             await until(lambda: migration_stage(old) is Stage.DRAINING)
-            # The successor was given an older file: it takes the newer map, and the move, from the
-            # old one.
+            # The successor has an older file, so it adopts the newer map and the migration from the
+            # old process.
             async with co_process_with_cells(
                 config, listening, tmp_path, two_cells(1, acme="a", beta="a")
             ) as new:
@@ -92,21 +92,23 @@
                 assert migration_stage(new) is Stage.DRAINING
                 old.node.shutdown.begin()
                 await until(lambda: old.node.closing_announced)
-                assert migration_stage(new) is Stage.DRAINING  # open at the other process counts
+                assert (
+                    migration_stage(new) is Stage.DRAINING
+                )  # the old process still has an open request
                 answer_request(engine_of_a, engine_of_a.commands_named(b"do")[0])
                 assert (await client.frame())[0] == frames.NO_MORE
                 assert (await client.answer())[1] == frames.SERVED
                 await until(lambda: migration_stage(new) is Stage.DONE)
-                moved = cell_node(new).celled.migrations
-                assert moved.records["acme"].driver == cell_node(new).process_name
-                assert moved.cell("acme", new.node.clock.now()) == "b"
+                migrations = cell_node(new).celled.migrations
+                assert migrations.records["acme"].driver == cell_node(new).process_name
+                assert migrations.cell("acme", new.node.clock.now()) == "b"
 
 
 @on_uvloop
-async def test_a_newer_map_is_taken_from_the_other_process(tmp_path: Path) -> None:
+async def test_a_process_adopts_the_newer_map_of_a_co_process(tmp_path: Path) -> None:
     engine_of_a = Engine()
     engine_of_b = Engine()
-    config = await config_for(engine_of_a, engine_of_b)
+    config = await config_for_engines(engine_of_a, engine_of_b)
     with socket.create_server(("127.0.0.1", 0)) as listening:
         async with co_process_with_cells(config, listening, tmp_path, two_cells(1)) as old:
             async with co_process_with_cells(
@@ -115,23 +117,23 @@
                 await until(lambda: cell_node(old).map.epoch == 5)
                 assert cell_node(old).map.digest() == cell_node(new).map.digest()
                 assert cell_node(old).celled.migrations.cell("beta", 0) == "a"
-                # A status of another broker, or one spoilt on its way, changes nothing.
-                for spoilt in ({"me": 3}, "x"):
-                    status = {"cells": spoilt, "accepting": True}
+                # A malformed status, such as that of another broker, is ignored.
+                for malformed in ({"me": 3}, "x"):
+                    status = {"cells": malformed, "accepting": True}
                     assert cell_node(old).read_peer_status(status) is None
 
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM], ids=["killed", "terminated"])
 @on_uvloop
-async def test_a_process_that_ends_in_mid_migration_leaves_nothing_half_done(
+async def test_a_restart_during_a_migration_starts_from_the_operators_file(
     tmp_path: Path, end: int
 ) -> None:
-    """Alone after SIGKILL it starts from the file; SIGTERM answers what is open first."""
+    """After SIGTERM, open requests are answered first; a restart forgets the migration."""
     engine_of_a = Engine(lambda *_: None)
     engine_of_b = Engine()
     port = free_port()
     admin_port = free_port()
-    env = write_deployment(
+    env = write_deployment_files(
         tmp_path,
         port,
         [
--- a/tests/cells/test_endpoints_that_change_cells.py
+++ b/tests/cells/test_endpoints_that_change_cells.py
@@ -1,4 +1,4 @@
-"""Endpoints that a new map or the operators place elsewhere, and cells that start cold."""
+"""Endpoints that change cells or are disabled, dropped cells, and cells of cold engines."""
 
 from __future__ import annotations
 
@@ -36,18 +36,18 @@
 pytestmark = pytest.mark.real_time
 
 
-def endpoint_of(rig: Rig, cell: str, number: int) -> TrackedEndpoint:
-    """The state that this cell keeps of the endpoint."""
+def endpoint_in_cell(rig: Rig, cell: str, number: int) -> TrackedEndpoint:
+    """The cell's state of the endpoint."""
     return cell_router(rig).facades[cell].controller.endpoints[number]
 
 
-def commands_received(*engines: Engine) -> int:
-    """The requests that these engines have received in all."""
+def received_command_count(*engines: Engine) -> int:
+    """The total number of requests that these engines have received."""
     return sum(len(engine.commands_named(b"do")) for engine in engines)
 
 
 @on_uvloop
-async def test_a_disabled_engine_is_disabled_in_whatever_cell_it_comes_to() -> None:
+async def test_a_disabled_engine_stays_disabled_when_it_changes_cells() -> None:
     engine_of_a = Engine()
     engine_of_b = Engine()
     async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
@@ -70,7 +70,7 @@
 
 
 @on_uvloop
-async def test_an_engine_that_changes_cells_ends_its_attempts_in_flight_where_they_began() -> None:
+async def test_attempts_in_flight_end_in_their_cell_when_the_engine_changes_cells() -> None:
     engine_of_a = Engine(lambda *_: None)
     engine_of_b = Engine()
     disabled_engine = Engine()
@@ -84,24 +84,24 @@
         number = rig.node.dispatcher.endpoint_table.number("s-1")
         assert cell_router(rig).seats.cell_of(number) == "b"
         assert number in cell_router(rig).outstanding_work.endpoints_with_former_work
-        endpoint = endpoint_of(rig, "b", number)
-        # What is in flight counts in its new cell.
+        endpoint = endpoint_in_cell(rig, "b", number)
+        # Work in flight counts in the endpoint's new cell.
         assert endpoint.co_process_work.threads == 2
         assert endpoint.co_process_work.backlog_ns > 0
         assert cell_router(rig).outstanding(0)[number].threads == 2  # and once for other processes
         answer_request(engine_of_a, engine_of_a.commands_named(b"do")[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert endpoint_of(rig, "b", number).co_process_work.threads == 0
+        assert endpoint_in_cell(rig, "b", number).co_process_work.threads == 0
         assert not cell_router(rig).outstanding_work.endpoints_with_former_work
         assert not cell_router(rig).requests
-        # Its old cell's tenant does not meet it any more.
+        # Requests of the former cell's tenant no longer reach the endpoint.
         send_request(client, 2, "acme")
         assert (await client.answer())[1] == frames.REFUSED
         assert len(engine_of_a.commands_named(b"do")) == 1
 
 
 @on_uvloop
-async def test_a_map_that_drops_a_cell_ends_its_open_requests_in_it() -> None:
+async def test_open_requests_of_a_dropped_cell_end_in_that_cell() -> None:
     engine_of_a = Engine()
     engine_of_b = Engine(lambda *_: None)
     async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
@@ -113,7 +113,7 @@
         )
         assert cell_router(rig).facades["b"] is dropped  # until its last request is over
         send_request(client, 2, "beta")
-        await until(lambda: commands_received(engine_of_a, engine_of_b) == 2)
+        await until(lambda: received_command_count(engine_of_a, engine_of_b) == 2)
         answer_request(engine_of_b, engine_of_b.commands_named(b"do")[0])
         while (await client.answer())[0] != 1:
             pass
@@ -123,7 +123,7 @@
 
 
 @on_uvloop
-async def test_a_cell_that_starts_cold_rejects_with_retry_after_and_overloads_no_engine() -> None:
+async def test_a_cold_cell_rejects_with_retry_after_and_overloads_no_engine() -> None:
     cluster = EmulatedCluster()
     await cluster.start("a-1", "a-2", cores=2)
     await cluster.add("b-1", "b-2", "b-3", cores=2, cold=True)
--- a/tests/cells/test_live_migrations.py
+++ b/tests/cells/test_live_migrations.py
@@ -1,4 +1,4 @@
-"""Migrations of a tenant while its requests are in flight, on real sockets."""
+"""Migrations of a tenant with requests in flight, on real sockets."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 @on_uvloop
-async def test_a_migration_takes_new_requests_over_and_leaves_open_ones_where_they_are() -> None:
+async def test_a_migration_moves_new_requests_and_leaves_open_ones_in_the_source() -> None:
     engine_of_a = Engine(lambda *_: None)
     engine_of_b = Engine()
     async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
@@ -57,7 +57,7 @@
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert len(engine_of_b.commands_named(b"do")) == 1
         assert migration_stage(rig) is Stage.DRAINING
-        # The request in flight comes again under its id: it joins the first, in the first's cell.
+        # A second request with the same id joins the one in flight, in the cell of that one.
         other_client = await rig.client()
         send_request(other_client, 1, "acme", route="stock-add")
         await until(lambda: len(cell_router(rig).requests) == 2)
@@ -77,7 +77,7 @@
 
 
 @on_uvloop
-async def test_a_target_that_loses_its_last_engine_in_mid_migration_gives_the_tenant_back() -> None:
+async def test_a_live_target_that_loses_its_last_engine_returns_the_tenant() -> None:
     engine_of_a = Engine(lambda *_: None)
     engine_of_b = Engine()
     async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
@@ -99,7 +99,7 @@
 
 
 @on_uvloop
-async def test_a_migration_during_a_rolling_deploy_breaks_no_rule() -> None:
+async def test_a_migration_during_a_rolling_deploy_loses_and_repeats_no_request() -> None:
     cluster = EmulatedCluster()
     await cluster.start("a-1", "a-2", "b-1", "b-2", cores=4)
     cell_map = CellMap(
@@ -115,7 +115,7 @@
     async with broker_of_cluster(cluster, cell_map, cores=4) as rig:
         request_log = RequestLog("127.0.0.1", rig.port)
 
-        async def load() -> None:
+        async def send_load() -> None:
             for number in range(260):
                 is_load = number % 8 == 0
                 route = "stock-add" if is_load else "glance"
@@ -124,7 +124,7 @@
                     await request_log.send_request(tenant, route, 20, 4_000 * MS, threads=threads)
                 await asyncio.sleep(0.01)
 
-        load_task = asyncio.create_task(load())
+        load_task = asyncio.create_task(send_load())
         await asyncio.sleep(0.1)
         replacements = {"a-1": "n-1", "b-1": "n-2", "a-2": "n-3", "b-2": "n-4"}
         for old, new in replacements.items():
@@ -141,7 +141,7 @@
         assert not statements_run_twice(list(cluster.engines.values()), b"stock-add")
         assert cluster.queries_after_drain(NS_PER_SECOND) == 0
         assert migration_stage(rig) in (Stage.DONE, Stage.DRAINING)
-        # Successors took the seats of those that they replaced.
+        # The new engines were placed in the cells of the engines that they replaced.
         placement = cell_router(rig).seats.placement
         assert placement.size("a") == placement.size("b") == 2
         request_log.close()
--- a/tests/cells/test_migrations.py
+++ b/tests/cells/test_migrations.py
@@ -1,4 +1,4 @@
-"""The stages of a migration: how one goes on, is taken back, rejected and closed out."""
+"""The stages of a migration: progress, rollback, rejection and close-out."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from .simulated_migrations import SimulatedCluster, run_steps, stage_of
 
 
-def test_a_migration_goes_through_its_stages_and_leaves_the_tenant_there(
+def test_a_migration_passes_its_stages_and_the_tenant_stays_in_the_target(
     migration_log: MigrationLog, cluster: SimulatedCluster
 ) -> None:
     cluster.open_requests["x", "a"] = 3
@@ -42,7 +42,7 @@
     assert stage_of(migration_log) is Stage.DONE
     assert migration_log.cell("x", now) == "b"
     now = run_steps(migration_log, cluster, now, 700)
-    assert migration_log.cell("x", now) == "b"  # for good, since the map says otherwise
+    assert migration_log.cell("x", now) == "b"  # kept, since the map names another cell
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
         pytest.param(Fleet(4, 3), "get warm", id="most endpoints are warming up"),
     ],
 )
-def test_a_target_that_is_not_able_in_time_takes_the_migration_back(
+def test_a_migration_is_rolled_back_if_its_target_is_not_warm_in_time(
     migration_log: MigrationLog, cluster: SimulatedCluster, fleet: Fleet, reason: str
 ) -> None:
     cluster.fleets["b"] = fleet
@@ -61,10 +61,10 @@
     assert stage_of(migration_log) is Stage.ROLLED_BACK
     assert reason in migration_log.records["x"].reason
     assert migration_log.cell("x", now) == "a"
-    migration_log.propose("x", "b", now)  # it may be tried again
+    migration_log.propose("x", "b", now)  # a new attempt is allowed
 
 
-def test_a_target_that_loses_its_last_engine_gives_the_tenant_back(
+def test_a_target_that_loses_its_last_endpoint_returns_the_tenant(
     migration_log: MigrationLog, cluster: SimulatedCluster
 ) -> None:
     cluster.open_requests["x", "a"] = 1
@@ -74,14 +74,14 @@
     cluster.fleets["b"] = Fleet(0, 0)
     cluster.open_requests["x", "b"] = 1
     now = run_steps(migration_log, cluster, now, 0.3)
-    assert migration_log.cell("x", now) == "b"  # a blip moves nothing
+    assert migration_log.cell("x", now) == "b"  # a short loss changes nothing
     now = run_steps(migration_log, cluster, now, 0.5)
     assert stage_of(migration_log) is Stage.ROLLING_BACK
     assert migration_log.cell("x", now) == "a"
     cluster.open_requests.clear()
     now = run_steps(migration_log, cluster, now, 0.1)
     assert stage_of(migration_log) is Stage.ROLLED_BACK
-    # Where the source has none either, there is nowhere better.
+    # If the source has no endpoint either, the tenant stays in the target.
     cluster.fleets = {"a": Fleet(0, 0), "b": Fleet(2, 0)}
     migration_log.propose("x", "b", now)
     cluster.open_requests["x", "a"] = 1
@@ -100,7 +100,7 @@
         pytest.param(5.0, Stage.DRAINING, id="draining"),
     ],
 )
-def test_a_migration_is_taken_back_at_every_stage_and_a_second_one_is_rejected(
+def test_a_migration_can_be_aborted_in_every_stage_and_a_second_one_is_rejected(
     migration_log_of_three_cells: MigrationLog,
     cluster: SimulatedCluster,
     seconds: float,
@@ -114,7 +114,7 @@
     assert stage_of(migration_log) is stage
     with pytest.raises(MigrationRejectedError, match="on the move"):
         migration_log.propose("x", "c", now)
-    migration_log.propose("y", "c", now)  # another tenant may migrate at once
+    migration_log.propose("y", "c", now)  # another tenant may migrate concurrently
     migration_log.abort_by_operators("x", now)
     assert migration_log.cell("x", now) == "a"
     if stage in SWITCHED_STAGES:
@@ -129,7 +129,7 @@
 
 @pytest.fixture
 def spread_migration_log() -> MigrationLog:
-    """Tenant x is spread over cells a and b by route."""
+    """A migration log in whose map tenant x is spread over cells a and b by route."""
     spread = CellMap(1, (Cell("a"), Cell("b")), "a", {"x": Tenant("x", ("a", "b"), "route")})
     return MigrationLog(spread, "p1")
 
@@ -138,14 +138,14 @@
     ("subject", "target"),
     [
         pytest.param("", "b", id="no name"),
-        pytest.param("x", "b", id="a spread tenant as one"),
+        pytest.param("x", "b", id="a complete spread tenant"),
         pytest.param("y", "c", id="unknown cell"),
         pytest.param("y", "a", id="its own cell"),
-        pytest.param("x#64", "b", id="a part beyond the last"),
+        pytest.param("x#64", "b", id="unknown part"),
         pytest.param("y\n", "b", id="a line feed in the name"),
     ],
 )
-def test_what_cannot_be_migrated_is_rejected(
+def test_an_invalid_migration_is_rejected(
     spread_migration_log: MigrationLog, subject: str, target: str
 ) -> None:
     with pytest.raises(MigrationRejectedError):
@@ -160,7 +160,7 @@
     spread_migration_log.propose(part_in_a, "b", 0)
 
 
-def test_what_is_open_past_the_time_for_it_is_closed_out_by_every_process(
+def test_every_process_closes_out_requests_open_after_the_draining_timeout(
     cluster: SimulatedCluster,
 ) -> None:
     cell_map = make_cell_map(timeouts=MigrationTimeouts(draining_ns=2 * NS_PER_SECOND))
--- a/tests/cells/test_placement.py
+++ b/tests/cells/test_placement.py
@@ -1,4 +1,4 @@
-"""Which cell an endpoint is placed in, and when it moves."""
+"""The placement of endpoints in cells, and when it changes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def numbered(numbers: Iterable[int]) -> list[str]:
-    """The uids of these endpoints."""
+    """The uids of the endpoints with these numbers."""
     return [f"s-{number}" for number in numbers]
 
 
@@ -45,7 +45,7 @@
     assert again.seats == before  # the same events give the same seats everywhere
 
 
-def test_seats_go_by_weight() -> None:
+def test_cells_get_endpoints_in_proportion_to_their_weights() -> None:
     placement = Placement(
         CellMap(1, (Cell("a", 3.0, min_endpoints=0), Cell("b", 1.0, min_endpoints=0)), "a")
     )
@@ -53,7 +53,7 @@
     assert 700 < placement.size("a") < 800
 
 
-def test_seats_go_by_pins_and_what_a_cell_lacks() -> None:
+def test_pins_and_lower_bounds_determine_the_cell() -> None:
     pinned = Placement(
         CellMap(1, (Cell("a", min_endpoints=2), Cell("b", engines=("s-1",), zones=("y",))), "a")
     )
@@ -63,17 +63,17 @@
     assert pinned.seats == {"s-1": "b", "s-2": "b", "s-3": "a", "s-4": "a"}
 
 
-def test_draining_engines_do_not_hold_the_seats_of_their_successors() -> None:
+def test_draining_endpoints_do_not_count_against_the_bounds() -> None:
     placement = Placement(
         CellMap(1, tuple(Cell(name, min_endpoints=3, max_endpoints=3) for name in "ab"), "a")
     )
     placement.apply_list_update(endpoints_seen(*numbered(range(6))))
     for number in range(6):
-        old = f"s-{number}"
-        home = placement.seat_of(old)
-        placement.apply_list_update(endpoints_seen(old, ready=False))
+        old_uid = f"s-{number}"
+        home = placement.seat_of(old_uid)
+        placement.apply_list_update(endpoints_seen(old_uid, ready=False))
         placement.apply_list_update(endpoints_seen(f"n-{number}"))
-        placement.apply_list_update([], [old])
+        placement.apply_list_update([], [old_uid])
         assert placement.seat_of(f"n-{number}") == home
         assert placement.size("a") == placement.size("b") == 3
     placement.apply_list_update(endpoints_seen("extra"))
@@ -82,7 +82,7 @@
     assert placement.seat_of("extra") is not None
 
 
-def test_a_new_map_moves_what_it_must_and_no_more() -> None:
+def test_a_new_map_moves_no_more_endpoints_than_needed() -> None:
     placement = Placement(make_cell_map("a", "b", "c"))
     placement.apply_list_update(endpoints_seen(*numbered(range(30))))
     before = dict(placement.seats)
@@ -97,7 +97,7 @@
     assert placement.size("b") <= 4
     assert placement.size("d") >= 5
     assert None not in placement.seats.values()
-    other = Placement(placement.map)
-    other.apply_list_update(endpoints_seen(*numbered(range(30))))
-    other.adopt(placement.seats)
-    assert other.seats == placement.seats
+    co_process = Placement(placement.map)
+    co_process.apply_list_update(endpoints_seen(*numbered(range(30))))
+    co_process.adopt(placement.seats)
+    assert co_process.seats == placement.seats
--- a/tests/cells/test_planner.py
+++ b/tests/cells/test_planner.py
@@ -1,4 +1,4 @@
-"""Work rates, and the plans of migrations that are made of them."""
+"""Work rates and the planner of migrations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .cell_brokers import NS_PER_SECOND
 
 
-def test_rates_fade_and_are_bounded() -> None:
+def test_rates_decay_and_their_number_is_bounded() -> None:
     rates = WorkRates()
     for second in range(600):
         rates.add("x", NS_PER_SECOND // 2)
@@ -35,7 +35,7 @@
 ALL_IN_A = dict.fromkeys(LOAD_BY_TENANT, "a")
 
 
-def test_a_plan_balances_within_its_terms() -> None:
+def test_a_plan_balances_the_load_within_its_constraints() -> None:
     plan = solve(
         planner.Problem(LOAD_BY_TENANT, CAPACITY_BY_CELL, ALL_IN_A, (("t1", "t2"),), {"t3": "b"})
     )
@@ -43,21 +43,21 @@
     assert plan.moves == tuple(sorted(plan.moves, key=lambda move: (-move[3], move[0])))
 
 
-def test_a_plan_of_few_migrations_reduces_the_largest_load() -> None:
+def test_a_plan_with_few_moves_reduces_the_largest_load() -> None:
     plan = solve(planner.Problem(LOAD_BY_TENANT, CAPACITY_BY_CELL, ALL_IN_A, max_moves=4))
     assert len(plan.moves) <= 4
     assert max(plan.loads_after.values()) < max(plan.loads_before.values())
 
 
-def test_a_plan_without_migrations_leaves_all_where_they_are() -> None:
+def test_a_plan_with_no_moves_allowed_is_empty() -> None:
     problem = planner.Problem(LOAD_BY_TENANT, CAPACITY_BY_CELL, ALL_IN_A, max_moves=0)
     assert solve(problem).moves == ()
-    without_terms = planner.Problem(LOAD_BY_TENANT, CAPACITY_BY_CELL, ALL_IN_A)
-    assert planner.broken_constraints(without_terms, ALL_IN_A) == []
+    unconstrained = planner.Problem(LOAD_BY_TENANT, CAPACITY_BY_CELL, ALL_IN_A)
+    assert planner.broken_constraints(unconstrained, ALL_IN_A) == []
 
 
 @pytest.mark.parametrize(
-    "terms",
+    "constraints",
     [
         pytest.param(
             {
@@ -72,15 +72,15 @@
             },
             id="four apart in three cells",
         ),
-        pytest.param({"max_load": 0.5}, id="less load than there is"),
+        pytest.param({"max_load": 0.5}, id="bound below the total load"),
         pytest.param(
-            {"fixed_cells": {"t1": "b"}, "max_moves": 0}, id="a migration where none may be"
+            {"fixed_cells": {"t1": "b"}, "max_moves": 0}, id="a fixed tenant that may not move"
         ),
     ],
 )
-def test_terms_that_no_placement_satisfies_are_rejected(terms: dict[str, Any]) -> None:
+def test_unsatisfiable_constraints_are_rejected(constraints: dict[str, Any]) -> None:
     with pytest.raises(NoPlanError, match="no placement satisfies"):
-        solve(planner.Problem(LOAD_BY_TENANT, CAPACITY_BY_CELL, ALL_IN_A, **terms))
+        solve(planner.Problem(LOAD_BY_TENANT, CAPACITY_BY_CELL, ALL_IN_A, **constraints))
 
 
 @pytest.mark.parametrize(
@@ -123,15 +123,15 @@
         pytest.param(
             '{"tenants": {"t": {"load": 1, "cell": "a"}}, "cells": {"a": 1}, "most_moves": true}',
             "most_moves",
-            id="most moves that is no number",
+            id="most_moves that is no number",
         ),
     ],
 )
-def test_a_problem_that_cannot_be_names_its_key(text: str, key: str) -> None:
+def test_an_invalid_problem_is_rejected_with_its_key(text: str, key: str) -> None:
     with pytest.raises(planner.PlanningProblemError, match=f"^{key}"):
         planner.read_problem(text)
 
 
-def test_unreadable_problem_is_a_bad_problem_without_a_key() -> None:
+def test_an_unreadable_problem_is_rejected_without_a_key() -> None:
     with pytest.raises(planner.UnreadableProblemError, match="^the file holds no JSON object$"):
         planner.read_problem("[]")
--- a/tests/cells/test_tenant_isolation.py
+++ b/tests/cells/test_tenant_isolation.py
@@ -1,4 +1,4 @@
-"""What one cell leaves to the other: endpoints, capacity, answers and connections."""
+"""Isolation of cells: endpoints, capacity, unread answers and connections."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 pytestmark = pytest.mark.real_time
 
 
-def answer_with(body: bytes) -> Script:
-    """A script of an engine that serves each request with this body in one piece."""
+def script_serving(body: bytes) -> Script:
+    """An engine script that serves each request with this body in one chunk."""
 
     def script(engine: Engine, parts: list[bytes], writer: asyncio.StreamWriter) -> None:
         if parts[0] == b"do":
@@ -46,20 +46,20 @@
     return script
 
 
-def cell_connections(rig: Rig) -> list[CellClientConnection]:
-    """The connections of the broker's clients."""
+def client_connections(rig: Rig) -> list[CellClientConnection]:
+    """The broker's client connections."""
     return [client for client in rig.node.clients if isinstance(client, CellClientConnection)]
 
 
-def shrink_buffers(transport: asyncio.BaseTransport) -> None:
-    """So few bytes fit between client and broker that an unread answer stays with the broker."""
+def shrink_socket_buffers(transport: asyncio.BaseTransport) -> None:
+    """Make the socket buffers so small that unread answers stay in the broker."""
     connection = transport.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8_192)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8_192)
 
 
 @on_uvloop
-async def test_each_tenant_meets_the_engines_of_its_own_cell_alone() -> None:
+async def test_requests_of_a_tenant_only_reach_engines_of_its_cell() -> None:
     engine_of_a = Engine()
     engine_of_b = Engine()
     async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
@@ -79,7 +79,7 @@
 
 
 @on_uvloop
-async def test_one_tenants_open_requests_leave_the_others_their_quota() -> None:
+async def test_open_requests_of_one_tenant_leave_the_other_its_quota() -> None:
     engine_of_a = Engine(lambda *_: None)
     engine_of_b = Engine()
     async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
@@ -94,7 +94,7 @@
             assert code == frames.REFUSED
             assert "pause" in fields
         assert broker.request_ledger.borrowed("a") == 16 - int(RESERVED_FRACTION * 8) - 8
-        # The owner needs its quota: what is borrowed comes back, each request with one answer.
+        # Cell b reclaims its quota: requests on borrowed capacity are closed, each with one answer.
         engine_of_b.script = lambda *_: None
         send_request(client, 31, "beta")
         send_request(client, 32, "beta")
@@ -109,7 +109,7 @@
 
 
 @on_uvloop
-async def test_borrowed_descriptors_come_back_and_non_idempotent_work_is_not_cut_short() -> None:
+async def test_borrowed_descriptors_are_returned_without_ending_non_idempotent_work() -> None:
     engine_of_a = Engine(lambda *_: None)
     engine_of_b = Engine()
     async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
@@ -153,10 +153,10 @@
 
 
 @on_uvloop
-async def test_a_tenant_that_misbehaves_in_every_way_costs_its_neighbour_nothing() -> None:
+async def test_a_misbehaving_tenant_does_not_affect_a_tenant_of_another_cell() -> None:
     """Broken frames, unread answers, and a hundred times its quota."""
     engine_of_a = Engine()
-    engine_of_b = Engine(answer_with(b"a\tb\tc\n" * 900))
+    engine_of_b = Engine(script_serving(b"a\tb\tc\n" * 900))
     async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
         modest_client = await rig.client()
         greedy_clients = [await rig.client() for _ in range(6)]
@@ -174,27 +174,27 @@
             assert b"is not within 5 to 262144" in await within(greedy_client.reader.read())
         assert len(engine_of_a.commands_named(b"do")) == 40
         assert all(
-            connection.cell in (UNASSIGNED, "a", "b") for connection in cell_connections(rig)
+            connection.cell in (UNASSIGNED, "a", "b") for connection in client_connections(rig)
         )
 
 
 @on_uvloop
-async def test_unread_answers_of_one_cell_are_given_up_before_a_neighbour_s() -> None:
-    script = answer_with(b"a\tb\tc\n" * 7_000)
+async def test_slow_readers_of_the_cell_over_quota_are_dropped_first() -> None:
+    script = script_serving(b"a\tb\tc\n" * 7_000)
     async with broker_with_two_cells(two_cells(), Engine(script), Engine(script)) as rig:
         greedy_client = await rig.client()
         slow_client = await rig.client()
         await until(lambda: len(rig.node.clients) == 2)
-        shrink_buffers(greedy_client.writer.transport)
+        shrink_socket_buffers(greedy_client.writer.transport)
         for connection in rig.node.clients:
             if connection.transport:
-                shrink_buffers(connection.transport)
+                shrink_socket_buffers(connection.transport)
         for stream in range(1, 33):
             send_request(greedy_client, stream, "beta")
             if stream < 3:
                 send_request(slow_client, stream, "acme")
         await until(lambda: sum(cell_node(rig).celled.replies.values()) == 34)
-        by_cell = {connection.cell: connection for connection in cell_connections(rig)}
+        by_cell = {connection.cell: connection for connection in client_connections(rig)}
         unread = {cell: by_cell[cell].unread_bytes() for cell in ("a", "b")}
         cell_node(rig).celled.answers.divide(
             max(1, unread["b"] // 2), cell_node(rig).celled.cell_weights_with_unassigned()
@@ -208,11 +208,11 @@
 
 
 @on_uvloop
-async def test_connections_of_one_cell_do_not_take_the_places_of_another() -> None:
+async def test_connections_of_one_cell_do_not_use_up_the_quota_of_another() -> None:
     async with broker_with_two_cells(two_cells(), Engine(), Engine()) as rig:
         broker = cell_node(rig).celled
         broker.connections.divide(20, broker.cell_weights_with_unassigned())
-        part = broker.connections.accounts["b"].quota
+        quota_of_b = broker.connections.accounts["b"].quota
         clients = []
         for stream in range(1, 19):
             client = await rig.client()
@@ -220,14 +220,14 @@
             assert (await client.answer())[1] in (frames.SERVED, frames.REFUSED)
             clients.append(client)
         assert broker.connections.free() >= 0
-        assert broker.connections.accounts["b"].in_use > part - 1
+        assert broker.connections.accounts["b"].in_use > quota_of_b - 1
         for stream in range(1, broker.connections.accounts["a"].quota + 1):
             client = await rig.client()
             send_request(client, stream, "acme")
-            assert (await client.answer())[1] == frames.SERVED  # an idle one of b's makes room
+            assert (await client.answer())[1] == frames.SERVED  # evicts an idle connection of b
             clients.append(client)
         used = {cell: account.in_use for cell, account in broker.connections.accounts.items()}
-        open_by_cell = Counter(connection.cell for connection in cell_connections(rig))
+        open_by_cell = Counter(connection.cell for connection in client_connections(rig))
         counted = {cell: open_by_cell[cell] for cell in used}
         assert used == counted
         assert broker.connections.free() >= 0
--- a/tests/cells/test_warmup_budget.py
+++ b/tests/cells/test_warmup_budget.py
@@ -1,4 +1,4 @@
-"""The warm-up budget of an endpoint that changes cells. No sockets, and no clock but the test's."""
+"""The warm-up budget of an endpoint that changes cells, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 )
 
 
-def arrival(number: int, tenant: str, estimate_ns: int = 200 * MS) -> RequestArrived:
-    """A lookup of this tenant."""
+def lookup_arrival(number: int, tenant: str, estimate_ns: int = 200 * MS) -> RequestArrived:
+    """The arrival of a lookup of the tenant."""
     timeout_ns = 5 * NS_PER_SECOND
     return RequestArrived(
         f"{number}", "glance", timeout_ns, tenant, None, estimate_ns, 1.0, -1, False
     )
 
 
-def test_what_one_cell_sent_a_cold_engine_counts_in_the_next_cell() -> None:
-    """A budget of each cell's own for the same engine would overload it."""
+def test_warm_up_work_of_the_former_cell_counts_in_the_next_cell() -> None:
+    """With a separate warm-up budget in each cell, the engine would be overloaded."""
     config = make_config(tenants=TENANTS)
     now = 1_000 * NS_PER_SECOND
     router = CellRouter(
@@ -44,14 +44,14 @@
     sent = 0
     for number in range(200):
         router.assignment = Assignment("acme", "a")
-        sent += len(router.pick(now, arrival(number, "acme")).dispatches)
+        sent += len(router.pick(now, lookup_arrival(number, "acme")).dispatches)
     assert sent == 14  # 0.36 x 8 cores x 1.5 s x 2, with a margin of 3
     router.apply_map(two_cells(2, engines_of_a=(), engines_of_b=("s-1",)), now + 10 * MS)
     for number in range(200, 400):
         router.assignment = Assignment("beta", "b")
-        orders = router.pick(now + 10 * MS, arrival(number, "beta"))
+        orders = router.pick(now + 10 * MS, lookup_arrival(number, "beta"))
         assert not orders.dispatches
         assert isinstance(orders.answers[0], Reject)
     router.report_former_cells(now + 3 * NS_PER_SECOND)  # the window has passed
     router.assignment = Assignment("beta", "b")
-    assert router.pick(now + 3 * NS_PER_SECOND, arrival(400, "beta", 100 * MS)).dispatches
+    assert router.pick(now + 3 * NS_PER_SECOND, lookup_arrival(400, "beta", 100 * MS)).dispatches
