--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -1,6 +1,6 @@
 """Metrics of cells, in the text format of Prometheus. Performs no I/O.
 
-The names, labels and help texts are read by dashboards and stay as they are, in the older terms.
+Dashboards depend on the names, labels and help texts, which therefore keep older terms.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from ..metrics import STATUS_LABELS, escape_label
 from ..prometheus_text import metric_header, metrics_page, single_metric
 from .borrowing import Ledger
-from .cell_pools import CelledPools
+from .cell_pools import CellConnectionPools
 from .migration_log import MigrationLog
 from .model import CellMap
 from .request_accounting import RequestAccounting
@@ -22,12 +22,12 @@
 
 
 class ReplyKey(NamedTuple):
-    """By what the answers to requests are counted.
+    """The key by which answers are counted.
 
     Attributes:
         cell: The cell of the request.
-        request_class: Its class.
-        status: How it was answered, a `metrics.ReplyStatus`.
+        request_class: The class of the request.
+        status: The status of the answer, a `metrics.ReplyStatus`.
     """
 
     cell: str
@@ -36,13 +36,13 @@
 
 
 class CellFamily(NamedTuple):
-    """One metric with a time series for each cell.
+    """A metric with a time series for each cell.
 
     Attributes:
-        name: Its name without the prefix.
-        kind: Its Prometheus type.
-        help_text: What it counts.
-        values: Its value for each cell.
+        name: The name without the prefix.
+        kind: The Prometheus type.
+        help_text: The help text.
+        values: The value of each cell.
     """
 
     name: str
@@ -81,13 +81,13 @@
 
 
 class MetricsSource(Protocol):
-    """The dispatcher, as far as the metrics need it."""
+    """The part of the dispatcher that the metrics use."""
 
     map: CellMap
     migrations: MigrationLog
     replies: dict[ReplyKey, int]
     accounting: RequestAccounting
-    cell_pools: CelledPools
+    cell_pools: CellConnectionPools
     called_in: int
 
     @property
@@ -96,15 +96,17 @@
 
 
 def render_cell_metrics(source: MetricsSource, now_ns: int) -> bytes:
-    """Return the part of the metrics page that is about cells."""
+    """Return the cells' part of the metrics page."""
     source.cell_pools.count_use()
     lines = _reply_lines(source.replies)
     for family in _ledger_families(source):
         lines += _family_lines(family)
     for family in _map_families(source, now_ns):
         lines += _family_lines(family)
-    stages = Counter(move.stage.value for move in source.migrations.records.values())
-    lines += _migration_lines(stages)
+    stage_counts = Counter(
+        migration.stage.value for migration in source.migrations.records.values()
+    )
+    lines += _migration_lines(stage_counts)
     lines += single_metric(
         f"{PREFIX}called_in_total",
         "Requests on loan that were called in.",
@@ -118,22 +120,24 @@
 
 
 def _ledger_families(source: MetricsSource) -> list[CellFamily]:
-    """Return the metrics of what cells use, one time series for each account."""
+    """Return the metrics of amounts in use, with one time series for each account."""
     requests = source.accounting.requests
     borrowed = {cell: account.borrowed() for cell, account in requests.accounts.items()}
     return [
-        CellFamily("open", "gauge", "Requests that hold a part of the room.", _used(requests)),
+        CellFamily(
+            "open", "gauge", "Requests that hold a part of the room.", _amounts_in_use(requests)
+        ),
         CellFamily(
             "statement_bytes",
             "gauge",
             "Bytes of their statements.",
-            _used(source.accounting.statements),
+            _amounts_in_use(source.accounting.statements),
         ),
         CellFamily(
             "engine_connections",
             "gauge",
             "Connections to the cell's engines.",
-            _used(source.cell_pools.ledger),
+            _amounts_in_use(source.cell_pools.ledger),
         ),
         CellFamily("lent", "gauge", "Requests beyond the cell's own part.", borrowed),
     ]
@@ -144,11 +148,11 @@
     names = [cell.name for cell in source.map.cells]
     fleets = {name: source.router.seats.fleet(name, now_ns) for name in names}
     ready = {name: fleet.ready_count for name, fleet in fleets.items()}
-    cold = {name: fleet.warming_count for name, fleet in fleets.items()}
-    rejected = {name: source.accounting.rejected.get(name, 0) for name in names}
+    warming = {name: fleet.warming_count for name, fleet in fleets.items()}
+    rejected = {name: source.accounting.rejection_counts.get(name, 0) for name in names}
     return [
         CellFamily("engines_ready", "gauge", "Engines that take new work.", ready),
-        CellFamily("engines_cold", "gauge", "Those of them that are cold.", cold),
+        CellFamily("engines_cold", "gauge", "Those of them that are cold.", warming),
         CellFamily(
             "refused_for_room_total",
             "counter",
@@ -158,5 +162,5 @@
     ]
 
 
-def _used(ledger: Ledger) -> dict[str, int]:
+def _amounts_in_use(ledger: Ledger) -> dict[str, int]:
     return {cell: account.in_use for cell, account in ledger.accounts.items()}
