--- a/query_broker/emulator/clients.py
+++ b/query_broker/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Clients on loopback, and the log of every request that they sent."""
+"""Emulated clients on loopback, and a log of every request that they send."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from ..protocols import client_frames as frames
 
 NS_PER_MS = 1_000_000
-#: Requests in flight on one connection, the protocol's limit.
+#: The protocol's limit on the requests in flight on one connection.
 MAX_OPEN_REQUESTS = 32
-#: A frame's length field, which does not count itself.
+#: Size of a frame's length field; the length in it does not include the field itself.
 LENGTH_BYTES = 4
 POLL_INTERVAL_S = 0.01
-#: Estimated memory of every request.
+#: The memory estimate that every request states.
 MEMORY_MB = 16
 
 
@@ -25,15 +25,15 @@
     """One request and its outcome.
 
     Attributes:
-        request_id: The id that the client gave it.
-        tenant: Its tenant; empty: none is named.
-        request_class: Its class.
-        sent_ns: When it was sent, in Unix time.
-        timeout_ns: How long the client waits.
-        code: The code of the answer; -1: no answer came.
-        answered_ns: When the answer came, in Unix time.
-        answer_count: Answers that came; more than one is an error of the broker.
-        retry_after_ms: The backoff that a rejection asks for.
+        request_id: The id that the client gave the request.
+        tenant: The tenant that the request names; empty if it names none.
+        request_class: The request class.
+        sent_ns: When the request was sent, in Unix time.
+        timeout_ns: How long the client waits for an answer.
+        code: The code of the answer; -1 while there is none.
+        answered_ns: When the answer came, in Unix time; 0 while there is none.
+        answer_count: Number of answers; more than one is an error of the broker.
+        retry_after_ms: The delay before a retry that a rejection asks for.
         idempotency_key: The key of an idempotent write; empty without one.
     """
 
@@ -49,23 +49,23 @@
     idempotency_key: str = ""
 
     def met_objective(self, objective_ns: int) -> bool:
-        """Return whether it was served within its latency objective."""
+        """Return whether the request was served within this latency objective."""
         return self.code == frames.SERVED and self.answered_ns - self.sent_ns <= objective_ns
 
 
 class EmulatedClient(asyncio.Protocol):
-    """One connection that sends requests without waiting, and records the answers.
+    """One connection that pipelines requests and records their answers.
 
     Attributes:
-        request_log: Counts answers that match no open request.
-        open_requests: Requests without an answer, by stream.
-        last_stream: Number of the last stream.
-        readiness: The answer to a readiness check that is under way.
-        broker_draining: The broker has asked for no more requests here.
+        request_log: The log that counts answers without an open request.
+        open_requests: Requests without an answer, by stream number.
+        last_stream: The stream number of the last request.
+        readiness: The pending or last result of a readiness check; None before the first check.
+        broker_draining: Whether the broker has asked for no more requests on this connection.
     """
 
     def __init__(self, request_log: RequestLog) -> None:
-        """Create the protocol of a connection that is not made yet."""
+        """Create the protocol of a connection that is not established yet."""
         self.request_log = request_log
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
@@ -75,7 +75,7 @@
         self.broker_draining = False
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -84,7 +84,7 @@
         self.open_requests.clear()
 
     def has_capacity(self) -> bool:
-        """Return whether a request may be sent here."""
+        """Return whether a request may be sent on this connection."""
         if self.transport is None or self.broker_draining:
             return False
         return len(self.open_requests) < MAX_OPEN_REQUESTS
@@ -111,14 +111,14 @@
         self.transport.write(frames.frame(frames.REQUEST, self.last_stream, payload))
 
     def check_readiness(self) -> asyncio.Future[bool]:
-        """Ask whether the broker is ready, as the front end does."""
+        """Send the front end's readiness check and return the future result."""
         assert self.transport is not None
         self.readiness = asyncio.get_running_loop().create_future()
         self.transport.write(frames.frame(frames.ASK_READY, 0, b"\0"))
         return self.readiness
 
     def data_received(self, data: bytes) -> None:
-        """Handle the complete frames."""
+        """Handle the frames that are complete."""
         self.buffer += data
         while len(self.buffer) >= frames.HEAD.size:
             end = LENGTH_BYTES + int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
@@ -151,18 +151,18 @@
 
 
 def make_statement(number: int, work_ms: float, threads: int, rows: int, table_group: int) -> bytes:
-    """Return a statement whose comment says to the emulated engine how to run it."""
+    """Return a statement whose comment tells the emulated engine how to run it."""
     hints = f"id={number} work={work_ms:.0f} threads={threads} rows={rows}"
     return f"SELECT * FROM sales_{table_group}.orders /* {hints} */".encode()
 
 
 class RequestLog:
-    """Every request sent to one address, over as many connections as it takes.
+    """All requests sent to one address, over as many connections as needed.
 
     Attributes:
         records: The requests, in the order in which they were sent.
         clients: The connections.
-        unmatched_answers: Answers to no open request, as a second answer would be.
+        unmatched_answers: Number of answers without an open request, such as second answers.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -178,7 +178,7 @@
         """Open another connection.
 
         Raises:
-            OSError: Nothing accepts it.
+            OSError: The connection failed.
         """
         _, client = await asyncio.get_running_loop().create_connection(
             lambda: EmulatedClient(self), self.host, self.port
@@ -199,18 +199,21 @@
         table_group: int = 1,
         idempotency_key: str = "",
     ) -> RequestRecord:
-        """Send a request on a connection with capacity or a new one, and return its record.
+        """Send a request on an open connection with capacity, else on a new one.
 
         Args:
-            tenant: Its tenant; empty names none.
-            request_class: Its class.
-            work_ms: Its true work in thread-milliseconds.
-            timeout_ns: How long the client waits.
-            threads: Threads that the query uses.
-            estimated_work_ms: The estimate of its work, where that differs from the true work.
-            rows: Rows of the result.
-            table_group: Number of the group of tables that it reads.
+            tenant: The tenant; empty names none.
+            request_class: The request class.
+            work_ms: The true work of the query in thread-milliseconds.
+            timeout_ns: How long the client waits for an answer.
+            threads: Number of threads that the query uses.
+            estimated_work_ms: The stated estimate of the work; None states the true work.
+            rows: Number of rows of the result.
+            table_group: Number of the table group that the query reads.
             idempotency_key: The key of an idempotent write; empty without one.
+
+        Returns:
+            The record of the request, which stays without an answer if no connection can be opened.
         """
         number = next(self.ids)
         request_id = f"{number:016x}"
@@ -227,7 +230,7 @@
         return record
 
     async def _find_client(self) -> EmulatedClient | None:
-        """Return a connection with capacity; None if there is none and none can be opened."""
+        """Return an open connection with capacity, else a new one; None if opening it fails."""
         for client in self.clients:
             if client.has_capacity():
                 return client
@@ -238,7 +241,7 @@
             return None
 
     async def wait_until_idle(self, seconds: float) -> None:
-        """Wait until no request is open, or until this time is over."""
+        """Wait until no request is open, for this time at most."""
         end_s = time.monotonic() + seconds
         while any(client.open_requests for client in self.clients) and time.monotonic() < end_s:
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -255,7 +258,7 @@
 
 
 def quantile(values: list[float], fraction: float) -> float:
-    """Return the value below which this fraction of the values lies; 0 of no values."""
+    """Return the value below which this fraction of the values lies; 0 if there are no values."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/query_broker/emulator/cluster.py
+++ b/query_broker/emulator/cluster.py
@@ -1,4 +1,4 @@
-"""A small cluster on loopback: engines, their discovery service, and settings for a broker."""
+"""A small emulated cluster on loopback, and the settings of a broker in front of it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 MS = 1_000_000
 
-# The initial settings of the platform's simulator, at a small scale; durations in nanoseconds.
+# The initial settings of the platform's simulator, scaled down. Durations are in nanoseconds.
 REQUEST_CLASSES: list[dict[str, Any]] = [
     {
         "name": "glance",
@@ -54,12 +54,12 @@
     "memory_heeded": True,
     "lanes_count": True,
 }
-#: Enough for the tests' connections, and small enough that a leak exceeds them.
+#: Enough for the connections of the tests, and small enough that a leak exceeds the limits.
 BROKER_LIMITS = {"sockets": 512, "memory_mb": 96}
 
 
 def platform_settings(**changes: Any) -> dict[str, Any]:
-    """Return the platform settings of a broker; ``changes`` replace or add keys."""
+    """Return the platform settings of a broker; ``changes`` replaces or adds keys."""
     settings: dict[str, Any] = dict(  # noqa: C408  # a key is also the name of a class somewhere
         classes=deepcopy(REQUEST_CLASSES),
         fleet_size=1,
@@ -76,7 +76,7 @@
 
 
 def tenant_settings(*names: str, quota: float = 0.0) -> list[dict[str, Any]]:
-    """Return the settings of tenants; ``quota`` in requests per second, 0: none."""
+    """Return the settings of tenants; ``quota`` is in requests per second, 0 sets none."""
     if not quota:
         return [{"name": name} for name in names]
     return [{"name": name, "allowance_per_s": quota} for name in names]
@@ -86,10 +86,10 @@
     """Engines and their discovery service.
 
     Attributes:
-        engine_options: What each engine is created with.
+        engine_options: Keyword arguments with which each engine is created.
         discovery: The discovery service.
-        discovery_port: Where it listens.
-        engines: All engines that there ever were, by uid; terminated ones keep their ledgers.
+        discovery_port: The port on which the discovery service listens.
+        engines: All engines ever added, by uid; terminated ones keep their ledgers.
     """
 
     def __init__(self, **engine_options: Any) -> None:
@@ -108,10 +108,10 @@
         """Start engines and announce them.
 
         Args:
-            uids: Their names.
-            cores: Cores of each.
-            cold: Whether they have just started, and warm up.
-            more: Further keys of their entries in the endpoint list.
+            uids: The names of the engines.
+            cores: Number of cores of each engine.
+            cold: Whether the engines start cold and warm up.
+            more: Further keys of the engines' entries in the endpoint list.
         """
         started_ns = time.time_ns() if cold else 0
         added = [
@@ -129,7 +129,7 @@
         self._announce_state(uids, "terminating")
 
     def terminate(self, *uids: str) -> None:
-        """Announce that engines have ended, and stop them."""
+        """Announce that engines have terminated, and stop them."""
         self._announce_state(uids, "terminated")
         for uid in uids:
             self.engines[uid].stop()
@@ -172,9 +172,9 @@
     """Return the configuration of a broker in front of this cluster.
 
     Args:
-        cluster: Its engines and their discovery service.
-        listen: Address for clients.
-        changes: Replace or add platform settings; ``limits`` replaces those of the process.
+        cluster: The engines and their discovery service.
+        listen: The address on which the broker listens for clients.
+        changes: Platform settings to replace or add; ``limits`` replaces the process limits.
     """
     limits = changes.pop("limits", dict(BROKER_LIMITS))
     return {
@@ -189,7 +189,7 @@
 
 
 async def wait_for_result(awaited: asyncio.Future[bool], seconds: float) -> bool:
-    """Return the result, or False if it does not come in time."""
+    """Return the result, or False if it takes longer than this."""
     try:
         return await asyncio.wait_for(awaited, seconds)
     except TimeoutError:
--- a/query_broker/emulator/data_engine.py
+++ b/query_broker/emulator/data_engine.py
@@ -1,4 +1,4 @@
-"""Data engines on loopback: one whose answers are scripted, and one with a machine behind it."""
+"""Data engines on loopback: one with scripted answers, and one that simulates a machine."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 READ_SIZE_BYTES = 65_536
-# Values in the comment of a statement, as in `/* work=120 threads=2 rows=3 mem=40 */`, with work in
-# milliseconds and memory in megabytes.
+# Values in the comment of a statement, as in `/* work=120 threads=2 rows=3 mem=40 */`: work is in
+# milliseconds, memory in megabytes.
 WORK_MS_PATTERN = re.compile(rb"work=(\d+)")
 THREADS_PATTERN = re.compile(rb"threads=(\d+)")
 ROWS_PATTERN = re.compile(rb"rows=(\d+)")
 MEMORY_MB_PATTERN = re.compile(rb"mem=(\d+)")
-#: Small, so that a result of some hundred rows has several pages.
+#: Small, so that a result of a few hundred rows has several pages.
 MAX_PAGE_BYTES = 6_000
 ROW_BYTES = 24
 
@@ -31,24 +31,24 @@
 
 
 class ScriptedEngine:
-    """A data engine whose answers a test writes.
+    """A data engine whose answers a test scripts.
 
     Attributes:
-        script: Called with the engine, the parts of each command, and its connection.
-        commands: All commands, in their order.
-        writers: All connections, in their order.
-        command_writers: The connection of each command.
+        script: Called with the engine, the parts of a command and its connection, for each command.
+        commands: The parts of all commands, in the order of their arrival.
+        writers: All connections, in the order in which they were opened.
+        command_writers: The connection of each entry of `commands`.
     """
 
     def __init__(self, script: Script | None = None) -> None:
-        """Create an engine that does not listen yet; without a script it answers every query."""
+        """Create an engine that does not listen yet; without a script it serves every query."""
         self.script = script or ScriptedEngine.answer_served
         self.commands: list[list[bytes]] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.command_writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> int:
-        """Listen, and return the port."""
+        """Start listening and return the port."""
         self.server = await asyncio.start_server(self._serve_client, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -74,25 +74,25 @@
             )
 
     def writer_of(self, parts: list[bytes]) -> asyncio.StreamWriter:
-        """Return the connection of a command."""
+        """Return the connection on which a command arrived."""
         pairs = zip(self.commands, self.command_writers, strict=True)
         return next(writer for command, writer in pairs if command is parts)
 
     def commands_named(self, name: bytes) -> list[list[bytes]]:
-        """Return the commands of one name, in their order."""
+        """Return the commands with this name, in the order of their arrival."""
         return [parts for parts in self.commands if parts[0] == name]
 
 
 class IdempotencyKeyStore:
     """The idempotency keys that the engines of a fleet share.
 
-    A query whose key began a run within the window is not run again; it is answered as served,
-    without rows.
+    A query is not run if another run with its key began within the window; it is answered as
+    served, without rows.
 
     Attributes:
         window_ns: How long a key is remembered.
-        first_run_ns: When the run of each key began.
-        repeat_count: Repeats that were not run.
+        first_run_ns: When the first run of each key began.
+        repeat_count: Number of queries that were not run because their key was known.
     """
 
     def __init__(self, window_ns: int) -> None:
@@ -102,7 +102,7 @@
         self.repeat_count = 0
 
     def is_repeat(self, key: str, now_ns: int) -> bool:
-        """Return whether a run of this key began within the window, and count it if so."""
+        """Return whether a run with this key began within the window; count a repeat."""
         if not key:
             return False
         first_ns = self.first_run_ns.get(key, -self.window_ns)
@@ -115,8 +115,8 @@
     """Runs that take longer than their statement says, like queries with a bad plan.
 
     Attributes:
-        probability: How likely a run is slow.
-        factor: By how much its work is multiplied.
+        probability: The probability that a run is slow.
+        factor: The factor by which the work of a slow run is multiplied.
     """
 
     probability: float = 0.0
@@ -130,7 +130,7 @@
     """One connection of a broker to an emulated engine."""
 
     def __init__(self, engine: EmulatedEngine) -> None:
-        """Create the protocol of a connection that is not made yet."""
+        """Create the protocol of a connection that is not established yet."""
         self.engine = engine
         self.parser = resp.RespParser()
         self.transport: asyncio.Transport | None = None
@@ -143,7 +143,7 @@
             self.engine.connection_observer(time.monotonic())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the engine; what runs for this connection goes on."""
+        """Unregister from the engine; queries of this connection keep running."""
         self.transport = None
         self.engine.connections.discard(self)
 
@@ -159,7 +159,7 @@
 
 
 class ReceivedQuery(NamedTuple):
-    """A query as it arrived at an engine, whether it ran or not."""
+    """A query that arrived at an engine, whether or not it was run."""
 
     received_ns: int
     query_id: bytes
@@ -167,19 +167,19 @@
 
 
 class EmulatedEngine:
-    """A data engine with a machine behind it, in real time.
+    """A data engine that runs queries on a simulated machine, in real time.
 
     Attributes:
-        uid: Its name in the endpoint list.
-        machine: What its queries run on; its ledger records every query that began.
-        key_store: Idempotency keys, shared with other engines; None: keys are ignored.
+        uid: The engine's name in the endpoint list.
+        machine: The machine that runs the queries; its ledger records every query that began.
+        key_store: Idempotency keys, shared with other engines; None if keys are ignored.
         received: All queries that arrived.
-        connections: The brokers' connections.
-        requesters: The connection that waits for each running query.
-        pages: Further pages of results, by query.
+        connections: The open connections of brokers.
+        requesters: The connection to which each running query is answered, by query id.
+        pages: The pages of each result that has more than one, by query id.
         connection_observer: Called with the monotonic time of each new connection, in seconds.
-        unresponsive: Set by a test: commands are ignored, and nothing is answered.
-        port: Where it listens.
+        unresponsive: Whether commands are ignored and no answers are sent; set by tests.
+        port: The port on which the engine listens.
     """
 
     def __init__(
@@ -194,11 +194,11 @@
         """Create an engine that does not listen yet.
 
         Args:
-            uid: Its name, and the seed of its draws.
-            machine: A warm one of 8 cores unless given.
-            honours_cancel: Whether it stops a query on request.
-            key_store: Shared idempotency keys.
-            progress_interval_ns: Time between progress messages of each query; 0: none.
+            uid: The engine's name, and the seed of its random numbers.
+            machine: The machine; None creates a warm one with 8 cores.
+            honours_cancel: Whether the engine cancels a query on request.
+            key_store: Idempotency keys, shared with other engines; None ignores keys.
+            progress_interval_ns: Time between two progress messages of a query; 0 sends none.
             slow_runs: How often, and by how much, a run is slower than its statement says.
         """
         self.uid = uid
@@ -220,7 +220,7 @@
         self.port = 0
 
     async def start(self) -> int:
-        """Listen, and return the port."""
+        """Start listening and return the port."""
         self.server = await asyncio.get_running_loop().create_server(
             lambda: EngineConnection(self), HOST, 0
         )
@@ -228,7 +228,7 @@
         return self.port
 
     def stop(self) -> None:
-        """End as a killed process does: connections are reset, pages are lost."""
+        """Stop like a killed process: connections are reset and pages are lost."""
         if self.server is not None:
             self.server.close()
         for timer in (self.completion_timer, self.progress_timer):
@@ -242,7 +242,7 @@
         self.pages.clear()
 
     def handle_command(self, connection: EngineConnection, parts: list[bytes]) -> None:
-        """Carry out one command of a broker; an unknown one is ignored."""
+        """Handle one command of a broker; unknown commands are ignored."""
         if self.unresponsive:
             return
         if self.machine.crashed:
@@ -338,7 +338,7 @@
             self._schedule_progress()
 
     def _schedule_completion(self) -> None:
-        """Set the one timer, for the query that completes first."""
+        """Set the completion timer to the query that completes first."""
         if self.completion_timer is not None:
             self.completion_timer.cancel()
         now_ns = time.time_ns()
@@ -371,7 +371,7 @@
 
 
 def _read_number(pattern: re.Pattern[bytes], statement: bytes) -> int:
-    """Return a number from the comment of a statement; 1 if it has none."""
+    """Return a number from the comment of a statement; 1 if the comment does not contain it."""
     found = pattern.search(statement)
     return int(found[1]) if found else 1
 
@@ -384,7 +384,7 @@
 
 
 def keys_run_twice(engines: list[EmulatedEngine]) -> list[str]:
-    """Return the idempotency keys that ran to their end more than once, over all ledgers."""
+    """Return the idempotency keys with more than one completed run, over all ledgers."""
     counts: Counter[str] = Counter()
     for engine in engines:
         counts.update(
@@ -398,7 +398,7 @@
 def statements_run_twice(engines: list[EmulatedEngine], request_class: bytes) -> list[bytes]:
     """Return the statements of a class that began more than once, over all ledgers.
 
-    Each statement must carry an id of its own.
+    The statements must be unique, for example by an id in their comments.
     """
     counts: Counter[bytes] = Counter()
     for engine in engines:
--- a/query_broker/emulator/decision_simulation.py
+++ b/query_broker/emulator/decision_simulation.py
@@ -1,6 +1,6 @@
-"""Simulates the decisions of many brokers, and their engines, on one clock in one process.
+"""Simulates the decisions of many brokers and their engines on one clock, in one process.
 
-Performs no I/O, and reads no clock of the machine: a run with the same seed is the same each time.
+Performs no I/O and reads no system clock, so that runs with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -33,23 +33,23 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
-#: One way over a link between a broker and an engine.
+#: One-way latency of a link between a broker and an engine.
 LINK_LATENCY_NS = NS_PER_MS // 2
-#: Where the clock begins; not 0, which stands for "long ago" in a machine's start.
+#: Start of the simulated clock; not 0, which means "long ago" as the start time of a machine.
 BEGIN_NS = 100 * NS_PER_S
-#: The capacity of a machine that warms up changes, so its completions are computed anew this often.
-MAX_TIMER_NS = NS_PER_S // 4
-#: Estimate of every request's memory, in megabytes.
+#: Longest time until completions are recomputed, as the capacity of a warming machine changes.
+MAX_TIMER_DELAY_NS = NS_PER_S // 4
+#: The memory estimate that every request states.
 ESTIMATED_MEMORY_MB = 10.0
 
 Completion = Callable[[AttemptResult], None]
 
 
 class Simulation:
-    """A simulated clock with its scheduled calls.
+    """A simulated clock and its scheduled calls.
 
     Attributes:
-        now_ns: The present time.
+        now_ns: The current time.
         random: The only source of random numbers.
     """
 
@@ -60,15 +60,15 @@
         self._events = EventQueue()
 
     def call_at(self, due_ns: int, callback: Callable[[], None]) -> None:
-        """Schedule a call; those of one time are made in the order in which they were scheduled."""
+        """Schedule a call; calls due at the same time are made in the order of scheduling."""
         self._events.schedule(max(due_ns, self.now_ns), callback)
 
     def call_after_link(self, callback: Callable[[], None]) -> None:
-        """Schedule a call for the arrival of a message that is sent now."""
+        """Schedule a call for the time at which a message sent now arrives."""
         self.call_at(self.now_ns + LINK_LATENCY_NS, callback)
 
     def run(self, seconds: float) -> None:
-        """Make all calls due within so many seconds of the beginning."""
+        """Make all calls that are due up to this many seconds after `BEGIN_NS`."""
         end_ns = BEGIN_NS + int(seconds * NS_PER_S)
         while self._events.has_due(end_ns):
             event = self._events.pop()
@@ -81,12 +81,12 @@
     """A machine that answers over a simulated link.
 
     Attributes:
-        number: Its number in the endpoint list.
-        machine: What its queries run on.
-        completions: Called with the result of each running query.
-        timer_generation: Number of the timer in force; earlier ones do nothing.
+        number: The engine's number in the endpoint list.
+        machine: The machine that runs the queries.
+        completions: The function to call with the result of each running query, by query id.
+        timer_generation: Number of the current timer; earlier timers have no effect.
         peak_work_ns: The most work in flight so far, in thread-nanoseconds.
-        health_checks_ns: When it answered each health check.
+        health_checks_ns: The times at which the engine answered health checks.
     """
 
     def __init__(self, simulation: Simulation, number: int, machine: Machine) -> None:
@@ -100,7 +100,7 @@
         self.health_checks_ns: list[int] = []
 
     def load_report(self) -> LoadReport:
-        """Return the load as the engine reports it."""
+        """Return the load report of the engine."""
         threads = sum(run.threads for run in self.machine.running.values())
         return LoadReport(
             utilisation=min(1.0, threads / self.machine.cores),
@@ -143,7 +143,7 @@
         now_ns = self.simulation.now_ns
         end_ns = self.machine.next_completion(now_ns)
         if end_ns is not None:
-            due_ns = min(end_ns, now_ns + MAX_TIMER_NS)
+            due_ns = min(end_ns, now_ns + MAX_TIMER_DELAY_NS)
             self.simulation.call_at(due_ns, lambda: self._timer_due(generation))
 
     def _timer_due(self, generation: int) -> None:
@@ -156,10 +156,10 @@
     """A request and its outcome.
 
     Attributes:
-        arrived_ns: When it arrived.
-        request_class: Its class.
-        answered_ns: When it was answered; 0: not yet.
-        is_served: Whether an engine served it before any other answer.
+        arrived_ns: When the request arrived.
+        request_class: The request class.
+        answered_ns: When the request was first answered; 0 while it has no answer.
+        is_served: Whether the first answer was that of an engine that served the request.
     """
 
     arrived_ns: int
@@ -175,25 +175,25 @@
     threads: int
 
 
-class RetryAfter(NamedTuple):
-    """When a request was rejected, and the backoff that the rejection asked for."""
+class Rejection(NamedTuple):
+    """When a request was rejected, and the delay before a retry that the rejection asked for."""
 
     rejected_ns: int
     retry_after_ns: int
 
 
 class SimulatedBroker:
-    """The decisions of one broker behind their facade, with orders carried out at once.
+    """The decisions of one broker behind their facade; orders are carried out immediately.
 
     Attributes:
-        settings: Its settings.
-        engines: The engines by number.
-        facade: Its decisions.
-        requests: Its requests by id.
-        work: The true work of each request.
-        retry_afters: Its rejections.
-        is_running: False once it was killed.
-        attempt_observer: Called with engine and result of each attempt that ends.
+        settings: The settings of the broker.
+        engines: The engines, by number.
+        facade: The decisions.
+        requests: The requests, by id.
+        work: The true work of each request, by id.
+        rejections: The rejections, in the order of their time.
+        is_running: Whether the broker runs; False after it was killed.
+        attempt_observer: Called with the engine number and the result of each attempt that ends.
     """
 
     def __init__(
@@ -211,7 +211,7 @@
         self.facade = Facade(settings, seed, simulation.now_ns, self.timer_wheel)
         self.requests: dict[str, SimulatedRequest] = {}
         self.work: dict[str, QueryWork] = {}
-        self.retry_afters: list[RetryAfter] = []
+        self.rejections: list[Rejection] = []
         self.is_running = True
         self.attempt_observer: Callable[[int, AttemptResult], None] | None = None
         self._tick()
@@ -225,11 +225,11 @@
         self.simulation.call_at(self.simulation.now_ns + self.settings.tick_ns, self._tick)
 
     def kill(self) -> None:
-        """Stop deciding; attempts in flight go on at their engines."""
+        """Stop the broker; attempts in flight keep running at their engines."""
         self.is_running = False
 
     def announce_endpoints(self) -> None:
-        """Pass all engines to the decisions, as a complete endpoint list."""
+        """Pass all engines to the decisions as a full endpoint list."""
         entries = tuple(
             EndpointEntry(
                 engine.number,
@@ -243,14 +243,14 @@
         self.report(EndpointListUpdate(ListUpdateKind.FULL, entries))
 
     def report(self, event: Event) -> None:
-        """Pass an event to the decisions, and carry out their orders."""
+        """Pass an event to the decisions and carry out their orders."""
         if self.is_running:
             self._carry_out(self.facade.report(self.simulation.now_ns, event))
 
     def send_request(
         self, request_id: str, request_class: str, work_ns: float, threads: int, timeout_ns: int
     ) -> None:
-        """Send a request to this broker."""
+        """Send a request to this broker; a killed broker never answers it."""
         now_ns = self.simulation.now_ns
         self.requests[request_id] = SimulatedRequest(now_ns, request_class)
         if not self.is_running:
@@ -289,19 +289,19 @@
         for dispatch in orders.dispatches:
             self._dispatch(dispatch)
         for answer in orders.answers:
-            self._note_answer(answer.request_id)
+            self._record_answer(answer.request_id)
             if isinstance(answer, Reject):
-                rejection = RetryAfter(self.simulation.now_ns, answer.retry_after_ns)
-                self.retry_afters.append(rejection)
+                rejection = Rejection(self.simulation.now_ns, answer.retry_after_ns)
+                self.rejections.append(rejection)
         for check in orders.health_checks:
             self.check_health(check.endpoint)
 
-    def _note_answer(self, request_id: str) -> None:
+    def _record_answer(self, request_id: str) -> None:
         request = self.requests[request_id]
         answered_ns = request.answered_ns or self.simulation.now_ns
         self.requests[request_id] = request._replace(answered_ns=answered_ns)
 
-    def _note_served(self, request_id: str) -> None:
+    def _record_served(self, request_id: str) -> None:
         request = self.requests[request_id]
         self.requests[request_id] = request._replace(
             answered_ns=request.answered_ns or self.simulation.now_ns,
@@ -316,7 +316,7 @@
         results: list[AttemptResult] = []
 
         def complete(result: AttemptResult) -> None:
-            if not results:  # the answer and the timeout may both come
+            if not results:  # the answer and the timeout can both occur
                 results.append(result)
                 self._attempt_ended(dispatch, sent_ns, result)
 
@@ -332,7 +332,7 @@
     def _attempt_ended(self, dispatch: Dispatch, sent_ns: int, result: AttemptResult) -> None:
         is_served = result is AttemptResult.SERVED
         if is_served:
-            self._note_served(dispatch.request_id)
+            self._record_served(dispatch.request_id)
         if self.attempt_observer is not None:
             self.attempt_observer(dispatch.endpoint, result)
         has_load = result in (AttemptResult.SERVED, AttemptResult.FULL)
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -1,4 +1,4 @@
-"""`larchhall demo`: a broker before a small emulated cluster on loopback."""
+"""Implements `larchhall demo`: a broker in front of a small emulated cluster on loopback."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
     {"harbour": Tenant("harbour", ("counters",)), "inland": Tenant("inland", ("finance",))},
 )
 TENANTS = ("harbour", "inland")
-#: The capacity of the first tenant's cell, and four times that of the second tenant's.
+#: The capacity of the first tenant's cell, and four times the capacity of the second tenant's cell.
 ARRIVALS_PER_S = {"harbour": 40.0, "inland": 160.0}
 GLANCE_FRACTION = 0.9
-#: Any seed will do; a fixed one makes the demo the same each time.
-SEED = 7
+#: A fixed seed, so that every demo sends the same requests.
+ARRIVAL_SEED = 7
 READY_TIMEOUT_S = 5.0
-#: Longer than the deadline of a glance.
+#: Longer than the deadline of the class `glance`.
 IDLE_TIMEOUT_S = 6.0
 POLL_INTERVAL_S = 0.01
 
@@ -45,11 +45,14 @@
 
 
 def play(seconds: float, print_text: Printer) -> int:
-    """Run the demo, and return the exit code: 0 if every request got exactly one answer.
+    """Run the demo and return the exit code.
 
     Args:
-        seconds: How long requests arrive.
-        print_text: Prints a text.
+        seconds: How long requests are sent.
+        print_text: The function that prints a text.
+
+    Returns:
+        0 if the broker became ready and every request got exactly one answer, else 1.
     """
     return uvloop.run(_play(seconds, print_text))
 
@@ -68,8 +71,8 @@
     await cluster.start("s-1", "s-2", "s-3", cores=2)
     with tempfile.TemporaryDirectory() as folder:
         node = _make_node(cluster, Path(folder))
-        running = asyncio.create_task(node.run())
-        port = await _wait_for_port(node, running)
+        node_task = asyncio.create_task(node.run())
+        port = await _wait_for_port(node, node_task)
         log = RequestLog("127.0.0.1", port)
         client = await log.connect()
         is_ready = await wait_for_result(client.check_readiness(), READY_TIMEOUT_S)
@@ -89,7 +92,7 @@
         print_text(f"\nevery request got exactly one answer: {'yes' if is_exact else 'no'}")
         log.close()
         node.stop()
-        await running
+        await node_task
     cluster.stop()
     return 0 if is_exact and is_ready else 1
 
@@ -104,33 +107,33 @@
         specifics={"size_cores": [2], "parallelism": [1, 2]},
     )
     path.write_text(json.dumps(raw))
-    # Port 0 is no valid setting, but lets the system choose a free one.
+    # Port 0 is not valid in the settings, but makes the system choose a free port.
     config = replace(parse(raw, {}), port=0)
     environ = {**os.environ, "TMPDIR": str(folder)}
     return CellNode(config, OperatorConfig(CELLS), str(path), environ)
 
 
-async def _wait_for_port(node: CellNode, running: asyncio.Task[None]) -> int:
-    """Return the port of the clients' socket; raises what ended the node if it does not start."""
-    while node.server is None and not running.done():
+async def _wait_for_port(node: CellNode, node_task: asyncio.Task[None]) -> int:
+    """Return the port for clients; if the node ends before it listens, raise what ended it."""
+    while node.server is None and not node_task.done():
         await asyncio.sleep(POLL_INTERVAL_S)
     if node.server is None:
-        await running
+        await node_task
     assert node.server is not None
     return int(node.server.sockets[0].getsockname()[1])
 
 
 async def _send_requests(log: RequestLog, seconds: float) -> None:
-    """Send requests as a Poisson process of each tenant, for so long."""
-    draw = random.Random(SEED)
+    """Send the requests of each tenant as a Poisson process, for this time."""
+    draw = random.Random(ARRIVAL_SEED)
     loop = asyncio.get_running_loop()
-    begin_s = loop.time()
+    started_s = loop.time()
     due_s = dict.fromkeys(TENANTS, 0.0)
     while True:
         tenant = min(due_s, key=due_s.__getitem__)
         if due_s[tenant] > seconds:
             return
-        await asyncio.sleep(max(0.0, begin_s + due_s[tenant] - loop.time()))
+        await asyncio.sleep(max(0.0, started_s + due_s[tenant] - loop.time()))
         due_s[tenant] += draw.expovariate(ARRIVALS_PER_S[tenant])
         if draw.random() < GLANCE_FRACTION:
             work_ms = draw.uniform(10, 60)
@@ -144,19 +147,21 @@
 
 
 def _tenant_table(log: RequestLog) -> str:
-    heads = ["tenant", "cell", "asked", "served", "in time", "refused", "failed", "median ms"]
-    return table(heads, [_tenant_row(tenant, log.of_tenant(tenant)) for tenant in TENANTS])
+    headings = ["tenant", "cell", "asked", "served", "in time", "refused", "failed", "median ms"]
+    return table(headings, [_tenant_row(tenant, log.of_tenant(tenant)) for tenant in TENANTS])
 
 
 def _tenant_row(tenant: str, records: list[RequestRecord]) -> list[str]:
     codes = [record.code for record in records]
-    in_time = sum(record.met_objective(OBJECTIVES_NS[record.request_class]) for record in records)
+    on_time_count = sum(
+        record.met_objective(OBJECTIVES_NS[record.request_class]) for record in records
+    )
     return [
         tenant,
         CELLS.home(tenant),
         str(len(records)),
         str(codes.count(frames.SERVED)),
-        f"{in_time / max(1, len(records)):.0%}",
+        f"{on_time_count / max(1, len(records)):.0%}",
         str(codes.count(frames.REFUSED)),
         str(codes.count(frames.FAILED)),
         f"{quantile(served_ms(records), 0.5):.0f}",
@@ -164,9 +169,9 @@
 
 
 def _engine_table(cluster: EmulatedCluster) -> str:
-    cell_of = {uid: cell.name for cell in CELLS.cells for uid in cell.engines}
+    cell_by_engine = {uid: cell.name for cell in CELLS.cells for uid in cell.engines}
     rows = [
-        [uid, cell_of[uid], str(len(engine.machine.ledger))]
+        [uid, cell_by_engine[uid], str(len(engine.machine.ledger))]
         for uid, engine in cluster.engines.items()
     ]
     return table(["engine", "cell", "queries run"], rows)
--- a/query_broker/emulator/discovery_service.py
+++ b/query_broker/emulator/discovery_service.py
@@ -1,4 +1,4 @@
-"""Discovery services on loopback: one whose every line is scripted, and one with a list."""
+"""Discovery services on loopback: one with scripted lines, and one that keeps an endpoint list."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from typing import Any, NamedTuple
 
 HOST = "127.0.0.1"
-#: As of the real service; a watch client recognises a dead connection by missing heartbeats.
+#: That of the real service; a watch client detects a dead connection by missing heartbeats.
 HEARTBEAT_INTERVAL_S = 1.0
 
 
 def target_entry(uid: str, port: int, state: str = "in_service", **more: Any) -> dict[str, Any]:
-    """Return an endpoint as the service describes it; ``more`` replaces or adds keys."""
+    """Return the service's entry of an endpoint; ``more`` replaces or adds keys."""
     return {
         "uid": uid,
         "endpoint": f"{HOST}:{port}",
@@ -28,16 +28,16 @@
 
 
 def topology_event(offset: int, *targets: dict[str, Any], full: bool = False) -> dict[str, Any]:
-    """Return a watch event; ``full`` marks one that replaces the list."""
+    """Return a watch event; a ``full`` one replaces the endpoint list."""
     return {"offset": offset, "topology": {"rev": offset, "all": full, "targets": list(targets)}}
 
 
 class ScriptedDiscoveryService:
-    """A service that sends the lines of a test to the client that connected last.
+    """A service that sends the lines given by a test to the client that connected last.
 
     Attributes:
-        subscriptions: The first line of each connection.
-        writer: The connection that came last.
+        subscriptions: The first line received on each connection.
+        writer: The connection that was opened last.
     """
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         self.writer: asyncio.StreamWriter | None = None
 
     async def start(self) -> int:
-        """Listen, and return the port."""
+        """Start listening and return the port."""
         self.server = await asyncio.start_server(self._serve_client, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -57,14 +57,14 @@
         self.subscriptions.append(await reader.readline())
 
     def publish(self, line: object) -> None:
-        """Send a line: a text as it is, anything else as JSON."""
+        """Send a line: a string unchanged, any other value as JSON."""
         assert self.writer is not None
         text = line if isinstance(line, str) else json.dumps(line)
         self.writer.write(text.encode() + b"\n")
 
 
 class Announcement(NamedTuple):
-    """One state of an endpoint, and when it was announced."""
+    """An announced state of an endpoint, and when it was announced."""
 
     announced_ns: int
     uid: str
@@ -72,18 +72,18 @@
 
 
 class EmulatedDiscoveryService:
-    """Keeps an endpoint list, and sends each client the events after the offset that it names.
+    """Keeps an endpoint list and sends each client the events after the offset that it asks for.
 
     Attributes:
-        events: All events, in their order.
-        targets: The endpoints that are listed, by uid.
-        announcements: When each state of each endpoint was announced.
-        subscribers: The connections.
-        heartbeat_task: Sends the number of the last event once a second.
+        events: All watch events, in the order of their offsets.
+        targets: The entries of the endpoint list, by uid.
+        announcements: All announced states of endpoints, in the order of their time.
+        subscribers: The open connections of watch clients.
+        heartbeat_task: The task that sends the offset of the last event at regular intervals.
     """
 
     def __init__(self) -> None:
-        """Create a service that does not listen yet, with an empty list."""
+        """Create a service with an empty endpoint list that does not listen yet."""
         self.events: list[dict[str, Any]] = []
         self.targets: dict[str, dict[str, Any]] = {}
         self.announcements: list[Announcement] = []
@@ -91,13 +91,13 @@
         self.heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self) -> int:
-        """Listen, and return the port."""
+        """Start listening and return the port."""
         self.server = await asyncio.start_server(self._serve_client, HOST, 0)
         self.heartbeat_task = asyncio.create_task(self._send_heartbeats())
         return int(self.server.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
-        """Close the socket and all connections."""
+        """Close the listening socket and all connections."""
         self.server.close()
         if self.heartbeat_task is not None:
             self.heartbeat_task.cancel()
@@ -115,7 +115,7 @@
             self.subscribers.add(writer)
             await reader.read()
         except (ConnectionError, RuntimeError):
-            pass  # RuntimeError is what uvloop raises on a transport that is closed
+            pass  # uvloop raises RuntimeError on a closed transport
         finally:
             self.subscribers.discard(writer)
             writer.close()
@@ -126,8 +126,8 @@
             self._broadcast(b"%d\n" % len(self.events))
 
     def _broadcast(self, line: bytes) -> None:
-        # Writing to a closed connection raises, which would end the heartbeat, or an event, for
-        # all the others.
+        # Writing to a closed connection raises, which would keep this line from the remaining
+        # subscribers and could end the heartbeat task.
         for writer in list(self.subscribers):
             if writer.is_closing():
                 self.subscribers.discard(writer)
@@ -135,7 +135,7 @@
                 writer.write(line)
 
     def publish(self, *targets: dict[str, Any]) -> None:
-        """Announce changed endpoints in one event; a terminated one leaves the list."""
+        """Announce changed endpoints in one event; terminated ones leave the endpoint list."""
         now_ns = time.time_ns()
         for changed in targets:
             self.announcements.append(Announcement(now_ns, changed["uid"], changed["state"]))
@@ -148,7 +148,7 @@
         self._broadcast(_encode(event))
 
     def snapshot(self) -> dict[str, Any]:
-        """Return what a broker's settings hold of the list at its start."""
+        """Return the endpoint list in the form in which a broker's settings contain it."""
         return {"offset": len(self.events), "batch": list(self.events)}
 
 
--- a/query_broker/emulator/event_queue.py
+++ b/query_broker/emulator/event_queue.py
@@ -1,4 +1,4 @@
-"""The calls that a simulation has scheduled on its clock. Performs no I/O."""
+"""A queue of the calls that a simulation has scheduled. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class ScheduledCall(NamedTuple):
-    """A call at a simulated time; the fields are in the order by which calls are sorted.
+    """A call at a simulated time; calls are sorted by their fields in this order.
 
     Attributes:
-        due_ns: When it is made.
-        sequence: Its number in the order of scheduling, which decides between equal times.
-        callback: What is called.
+        due_ns: When the call is made.
+        sequence: Number in the order of scheduling, which orders calls due at the same time.
+        callback: The function to call.
     """
 
     due_ns: int
@@ -23,7 +23,7 @@
 
 
 class EventQueue:
-    """Scheduled calls by time; those of one time in the order in which they were scheduled."""
+    """Scheduled calls, ordered by time and, at equal times, by the order of scheduling."""
 
     def __init__(self) -> None:
         """Create an empty queue."""
@@ -35,11 +35,11 @@
         heapq.heappush(self._heap, ScheduledCall(due_ns, next(self._sequence), callback))
 
     def has_due(self, end_ns: int) -> bool:
-        """Return whether a call is due at this time or before it."""
+        """Return whether a call is due at or before this time."""
         return bool(self._heap) and self._heap[0].due_ns <= end_ns
 
     def next_due_ns(self) -> int:
-        """Return when the first call is due.
+        """Return when the earliest call is due.
 
         Raises:
             IndexError: The queue is empty.
@@ -47,7 +47,7 @@
         return self._heap[0].due_ns
 
     def pop(self) -> ScheduledCall:
-        """Remove and return the first call.
+        """Remove and return the earliest call.
 
         Raises:
             IndexError: The queue is empty.
--- a/query_broker/emulator/faulty_links.py
+++ b/query_broker/emulator/faulty_links.py
@@ -1,13 +1,13 @@
-"""Links on loopback that a fault schedule disturbs: TCP proxies, and a relay of datagrams.
+"""Links on loopback with scheduled faults: TCP proxies, and relays for datagrams.
 
-A fault is active from one time to another, on the links whose name a pattern matches, in one
-direction or both:
+A fault is active during a time interval, on the links whose names match a pattern, in one direction
+or both:
 
     Fault(2.0, 5.0, "bus-*", FaultKind.STALL)               nothing passes, connections stay open
-    Fault(0.0, 9.0, "*", FaultKind.DELAY, delay_s=0.2)      each chunk comes so much later
+    Fault(0.0, 9.0, "*", FaultKind.DELAY, delay_s=0.2)      each chunk is delayed
     Fault(1.0, 1.0, "n3-bus", FaultKind.RESET)              open connections are reset
     Fault(0.0, 30.0, "bus-*", FaultKind.REJECT)             new connections are closed at once
-    Fault(0.0, 30.0, "*", FaultKind.RATE, bytes_per_s=20_000)  of all these links together
+    Fault(0.0, 30.0, "*", FaultKind.RATE, bytes_per_s=20_000)  shared by all these links
     Fault(3.0, 6.0, "a-b", FaultKind.STALL, Direction.FORWARD)  one direction only
 """
 
@@ -22,16 +22,16 @@
 from enum import Enum
 
 HOST = "127.0.0.1"
-#: More clients than any test connects at once.
+#: More than the connections that any test opens at once.
 ACCEPT_BACKLOG = 1_024
-#: Small, so that a limited rate is smooth.
+#: Small, so that data passes smoothly under a limited rate.
 CHUNK_BYTES = 16_384
 RELAY_CHUNK_BYTES = 65_536
 STALL_POLL_S = 0.01
 RELAY_POLL_S = 0.05
-#: A duplicate comes up to this much later than the datagram itself.
+#: A duplicate arrives up to this much later than the original datagram.
 MAX_DUPLICATE_DELAY_S = 0.3
-#: The length of a frame between brokers, before its content.
+#: Size of the length field at the start of a frame between brokers.
 FRAME_LENGTH_BYTES = 4
 
 
@@ -42,17 +42,17 @@
     STALL = "stall"
     RESET = "reset"
     REJECT = "refuse"
-    #: Some chunks never arrive: the connection is reset with the first of them.
+    #: Chunks are lost at random; the first lost chunk resets its TCP connection.
     DROP = "drop"
-    #: Some datagrams arrive once more, after those that follow.
+    #: Datagrams are delivered again at random, possibly after later datagrams.
     DUPLICATE = "twice"
     RATE = "rate"
 
 
 class Direction(Enum):
-    """The direction of data on a link; the values are keys of its counts."""
+    """The direction of data on a link; the values are keys of the link's counts."""
 
-    #: From the party that connects.
+    #: From the side that opened the connection.
     FORWARD = "there"
     BACKWARD = "back"
     BOTH = "both"
@@ -63,14 +63,14 @@
     """One entry of a fault schedule.
 
     Attributes:
-        begin_s: When it begins, in seconds since the start of the schedule.
-        end_s: When it ends.
-        link_pattern: Shell pattern of the names of its links.
-        kind: What it does.
-        direction: Which data it concerns.
-        delay_s: Of ``DELAY``: the delay of each chunk.
-        probability: Of ``DROP`` and ``DUPLICATE``: how likely each chunk is hit.
-        bytes_per_s: Of ``RATE``: the rate of all its links together.
+        begin_s: When the fault begins, in seconds since the start of the schedule.
+        end_s: When the fault ends, in seconds since the start of the schedule.
+        link_pattern: Shell pattern for the names of the affected links.
+        kind: What the fault does.
+        direction: The direction of the affected data.
+        delay_s: For ``DELAY``: the delay of each chunk.
+        probability: For ``DROP`` and ``DUPLICATE``: the probability for each chunk or datagram.
+        bytes_per_s: For ``RATE``: the rate limit, shared by all affected links.
     """
 
     begin_s: float
@@ -83,7 +83,7 @@
     bytes_per_s: float = 0.0
 
     def is_active(self, now_s: float, link: str, direction: Direction) -> bool:
-        """Return whether it concerns this link and direction now."""
+        """Return whether the fault affects this link and direction at this time."""
         if not self.begin_s <= now_s <= self.end_s:
             return False
         if not fnmatch.fnmatchcase(link, self.link_pattern):
@@ -92,7 +92,7 @@
 
 
 def partition_faults(begin_s: float, end_s: float, *groups: Iterable[str]) -> list[Fault]:
-    """Return the faults of a partition: nothing passes between parties of two groups.
+    """Return the faults of a partition, which stall all links between parties of different groups.
 
     The links must be named ``from-to``.
     """
@@ -109,18 +109,19 @@
 
 
 class FaultSchedule:
-    """Faults, their clock, and random numbers from a seed.
+    """A list of faults with a clock and a seeded source of random numbers.
 
     Attributes:
-        faults: The faults; a test may add to them at any time.
-        clock: Returns seconds.
+        faults: The faults; a test may add faults at any time.
+        clock: The function that returns the time in seconds.
         random: The source of random numbers.
         started_s: When the schedule began, by the clock.
-        capacity_free_at_s: When each limited rate has capacity again, by the schedule.
+        capacity_free_at_s: When each rate limit has capacity again, in seconds since the start of
+            the schedule.
     """
 
     def __init__(self, faults: Iterable[Fault], clock: Callable[[], float], seed: int = 1) -> None:
-        """Begin a schedule now."""
+        """Create a schedule that starts now."""
         self.faults = list(faults)
         self.clock = clock
         self.random = random.Random(seed)
@@ -142,7 +143,7 @@
         return None
 
     def delay_s(self, link: str, direction: Direction, size_bytes: int) -> float:
-        """Return the seconds until a chunk may pass, and account it to a limited rate."""
+        """Return the delay of a chunk in seconds, and count the chunk against a rate limit."""
         fault = self.active_fault(FaultKind.DELAY, link, direction)
         delay_s = 0.0 if fault is None else fault.delay_s
         limited = self.active_fault(FaultKind.RATE, link, direction)
@@ -156,19 +157,19 @@
 
 
 class FaultyLink:
-    """A TCP proxy.
+    """A TCP proxy that applies the faults of a schedule to its connections.
 
     Attributes:
-        name: The name that the patterns of faults match.
-        target: Host and port that it connects to.
-        counts: ``connections`` passed on and ``refused``, and bytes by direction.
-        connected_at_s: When each connection came, by the schedule.
+        name: The name to which the link patterns of faults apply.
+        target: Host and port to which connections are forwarded.
+        counts: The ``connections`` that were forwarded or ``refused``, and bytes by direction.
+        connected_at_s: When each connection was opened, in seconds since the start of the schedule.
         open_writers: Both ends of all open connections.
-        port: Where it listens.
+        port: The port on which the proxy listens.
     """
 
     def __init__(self, name: str, host: str, port: int, schedule: FaultSchedule) -> None:
-        """Create a proxy to an address; it does not listen yet."""
+        """Create a proxy to an address that does not listen yet."""
         self.name = name
         self.target = (host, port)
         self.schedule = schedule
@@ -179,7 +180,7 @@
         self.port = 0
 
     async def start(self) -> int:
-        """Listen, schedule the resets, and return the port."""
+        """Start listening, schedule the resets, and return the port."""
         self.server = await asyncio.start_server(
             self._serve_client, HOST, 0, backlog=ACCEPT_BACKLOG
         )
@@ -218,7 +219,7 @@
                 self._pass_data(target_reader, writer, Direction.BACKWARD),
             )
         except (ConnectionError, asyncio.CancelledError, RuntimeError):
-            pass  # RuntimeError is what uvloop raises on a transport that is closed
+            pass  # uvloop raises RuntimeError on a closed transport
         finally:
             self.open_writers -= ends
             for end in (writer, target_writer):
@@ -247,7 +248,7 @@
             writer.write_eof()
 
     def stop(self) -> None:
-        """Stop listening, and reset what is open."""
+        """Stop listening and reset all open connections."""
         self.server.close()
         for task in list(self.tasks):
             task.cancel()
@@ -256,17 +257,17 @@
 
 
 class DatagramRelay(asyncio.DatagramProtocol):
-    """The address of one party, as the others know it.
+    """A relay whose address the other parties use in place of the party's own.
 
     A datagram that party ``a`` sends to the relay of ``b`` is forwarded to ``b`` from the relay of
-    ``a``, unless a fault of the link ``a-b`` prevents it. TCP connections to the relay of ``b`` are
-    forwarded to its port; the first frame names the party that connects.
+    ``a``, subject to the faults of the link ``a-b``. TCP connections to the relay of ``b`` are
+    forwarded to ``b``; their first frame names the connecting party.
 
     Attributes:
         network: The relays of all parties.
         name: The party's name.
         target: Host and port on which the party itself listens.
-        port: Where the relay listens.
+        port: The port on which the relay listens.
     """
 
     def __init__(self, network: RelayNetwork, name: str, host: str, port: int) -> None:
@@ -279,7 +280,7 @@
         self.port = 0
 
     async def start(self, port: int = 0) -> int:
-        """Listen for datagrams and connections on one port, and return it."""
+        """Start listening for datagrams and connections on the same port, and return it."""
         loop = asyncio.get_running_loop()
         self.server = await asyncio.start_server(self._serve_client, HOST, port)
         self.port = int(self.server.sockets[0].getsockname()[1])
@@ -287,7 +288,7 @@
         return self.port
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Forward a datagram; one of an unknown sender is not subject to faults."""
+        """Forward a datagram; faults do not apply if its sender is unknown."""
         sender = self.network.by_listening_address.get(addr)
         if sender is not None:
             self.network.forward(sender, self, data)
@@ -304,16 +305,16 @@
             target_reader, target_writer = await asyncio.open_connection(*self.target)
             await asyncio.gather(
                 self._pass_data(f"{sender}-{self.name}", first, reader, target_writer),
-                self._pass_answers(f"{self.name}-{sender}", target_reader, writer),
+                self._pass_replies(f"{self.name}-{sender}", target_reader, writer),
             )
         except (OSError, RuntimeError, asyncio.CancelledError):
-            pass  # one of the ends is closed
+            pass  # one of the two connections is closed
         finally:
             for end in (writer, target_writer):
                 if end is not None:
                     end.transport.abort()
 
-    async def _pass_answers(
+    async def _pass_replies(
         self, link: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await self._pass_data(link, await reader.read(RELAY_CHUNK_BYTES), reader, writer)
@@ -325,7 +326,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Pass data on, the first chunk first; it waits while the link is cut."""
+        """Forward the first chunk and then the data of the reader; wait while the link is cut."""
         schedule = self.network.schedule
         while data:
             while self.network.is_cut(link):
@@ -351,10 +352,10 @@
 
     Attributes:
         schedule: The faults of the links, which are named ``from-to``.
-        sender_address: Returns the address that a frame's content names as its sender.
-        relays: The relays by name.
-        by_listening_address: The relays by the address at which the party itself listens.
-        counts: Datagrams ``passed`` and ``lost``.
+        sender_address: The function that returns the sender's address from the content of a frame.
+        relays: The relays, by the name of the party.
+        by_listening_address: The relays, by the address on which the party itself listens.
+        counts: Numbers of datagrams that were ``passed`` and ``lost``.
     """
 
     def __init__(self, schedule: FaultSchedule, sender_address: Callable[[bytes], str]) -> None:
@@ -366,12 +367,12 @@
         self.counts: Counter[str] = Counter()
 
     async def add(self, name: str, port: int, relay_port: int = 0) -> str:
-        """Add a party, and return the address by which the others are to know it.
+        """Add a party and return the address that the other parties must use for it.
 
         Args:
-            name: Its name.
-            port: Where it listens.
-            relay_port: The port of its relay, if it had one before.
+            name: The name of the party.
+            port: The port on which the party listens.
+            relay_port: The port of the party's relay; 0 lets the system choose one.
         """
         relay = DatagramRelay(self, name, HOST, port)
         await relay.start(relay_port)
@@ -380,7 +381,7 @@
         return f"{HOST}:{relay.port}"
 
     def sender_name(self, frame: bytes) -> str:
-        """Return the name of the party whose address a frame names as its sender."""
+        """Return the name of the party that a frame states as its sender."""
         address = self.sender_address(frame[FRAME_LENGTH_BYTES:])
         for name, relay in self.relays.items():
             if address == f"{HOST}:{relay.port}":
@@ -388,7 +389,7 @@
         return "stranger"
 
     def is_cut(self, link: str) -> bool:
-        """Return whether nothing passes a link now."""
+        """Return whether a fault blocks all data of a link now."""
         schedule = self.schedule
         return bool(
             schedule.active_fault(FaultKind.STALL, link)
@@ -396,7 +397,7 @@
         )
 
     def forward(self, sender: DatagramRelay, receiver: DatagramRelay, data: bytes) -> None:
-        """Forward a datagram, lose it, delay it, or deliver it twice, as the schedule says."""
+        """Forward a datagram, or drop, delay or duplicate it according to the schedule."""
         schedule = self.schedule
         link = f"{sender.name}-{receiver.name}"
         drop = schedule.active_fault(FaultKind.DROP, link)
--- a/query_broker/emulator/machine.py
+++ b/query_broker/emulator/machine.py
@@ -1,8 +1,8 @@
 """The machine of an emulated data engine: shared cores, a warm-up and a ledger of queries.
 
-Performs no I/O. Cores are shared as in processor sharing: a query gets one core for each of its
-threads while there are enough, else a proportional part of them. A machine that has just started
-warms up over a while; one that gets far more work than it can do meanwhile crashes and stays down.
+Performs no I/O. Cores are assigned by processor sharing: a query gets one core for each of its
+threads while there are enough cores, else a proportional share. A machine warms up after its start;
+if it gets far more work than it can do during the warm-up, it crashes and stays down.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from typing import NamedTuple
 
 NS_PER_S = 1_000_000_000
-#: Remaining work up to this counts as done, since rates are floats.
+#: Remaining work up to this counts as done, to absorb rounding errors of the floating-point rates.
 COMPLETION_TOLERANCE_NS = 1.0
 
 
 @dataclass(slots=True)
 class QueryRun:
-    """One line of a machine's ledger.
+    """An entry of a machine's ledger: one run of a query.
 
     Attributes:
         query_id: Id of the attempt.
         request_class: Name of the request class.
         statement: The statement.
-        begun_ns: When it began.
-        work_ns: Work as the statement says, in thread-nanoseconds.
-        threads: Threads that it uses at the most.
-        ended_ns: When it ended; 0 if it had not.
-        remaining_ns: Work left, in thread-nanoseconds.
+        begun_ns: When the run began.
+        work_ns: The work that the statement states, in thread-nanoseconds.
+        threads: The most threads that the query uses.
+        ended_ns: When the run ended; 0 while it has not.
+        remaining_ns: The remaining work, in thread-nanoseconds.
         idempotency_key: The key of an idempotent write; empty without one.
     """
 
@@ -45,19 +45,19 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether all its work was done; False of a run that was cancelled or lost."""
+        """Whether all work is done; False if the run was cancelled or lost."""
         return self.remaining_ns <= COMPLETION_TOLERANCE_NS
 
 
 class WorkArrival(NamedTuple):
-    """Work, in thread-nanoseconds, that arrived at a time."""
+    """The arrival time of a query and its work, in thread-nanoseconds."""
 
     arrived_ns: int
     work_ns: float
 
 
 class ExecutionRate(NamedTuple):
-    """The thread-nanoseconds that a running query gets in a nanosecond."""
+    """A running query and the thread-nanoseconds of work that are done on it per nanosecond."""
 
     run: QueryRun
     rate: float
@@ -65,21 +65,22 @@
 
 @dataclass(slots=True)
 class Machine:
-    """Cores, and the queries that run on them.
+    """A set of cores and the queries that run on them.
 
     Attributes:
         cores: Number of cores.
-        started_ns: When it started; 0 means long ago, so that it is warm.
-        initial_fraction: The fraction of its capacity that it has when it starts.
-        warm_up_ns: Time until it has all of it.
-        overload_window_ns: Time over which the work that arrives is added up while it warms up.
-        overload_multiple: It crashes when more arrives than this many times what it can do.
-        max_sessions: Queries that may run at once.
-        slowdown: Every query takes this many times its work.
-        ledger: Every query that began.
-        running: The queries that run, by id.
-        crashed: Whether it is down.
-        recent_arrivals: The arrivals within the window.
+        started_ns: When the machine started; 0 means long ago, so that it is warm.
+        initial_fraction: The fraction of the full capacity at the start.
+        warm_up_ns: Time from the start until the full capacity.
+        overload_window_ns: Time window over which arriving work is summed during the warm-up.
+        overload_multiple: The machine crashes if the work that arrives within the window exceeds
+            this multiple of what it can do in that time.
+        max_sessions: The most queries that may run at once.
+        slowdown: Factor by which the work of every query is multiplied.
+        ledger: The runs of all queries that began.
+        running: The running queries, by id.
+        crashed: Whether the machine has crashed.
+        recent_arrivals: The work that arrived within the window.
         now_ns: Time up to which work has been done.
     """
 
@@ -98,7 +99,7 @@
     now_ns: int = 0
 
     def capacity_fraction(self, now_ns: int) -> float:
-        """Return the fraction of its capacity that the machine has."""
+        """Return the fraction of the full capacity that the machine has at this time."""
         if not self._is_warming_up(now_ns):
             return 1.0
         age_ns = max(0, now_ns - self.started_ns)
@@ -114,10 +115,10 @@
         threads: int,
         idempotency_key: str = "",
     ) -> bool:
-        """Begin a query; returns False, and nothing runs, if there are too many already."""
+        """Start a query; return False if too many queries run or one with its id runs already."""
         self.advance(now_ns)
         if self._is_warming_up(now_ns):
-            self._note_arrival(now_ns, work_ns)
+            self._record_arrival(now_ns, work_ns)
         if len(self.running) >= self.max_sessions or query_id in self.running:
             return False
         run = QueryRun(
@@ -137,7 +138,7 @@
     def _is_warming_up(self, now_ns: int) -> bool:
         return self.started_ns != 0 and now_ns < self.started_ns + self.warm_up_ns
 
-    def _note_arrival(self, now_ns: int, work_ns: float) -> None:
+    def _record_arrival(self, now_ns: int, work_ns: float) -> None:
         self.recent_arrivals.append(WorkArrival(now_ns, work_ns))
         while self.recent_arrivals[0].arrived_ns <= now_ns - self.overload_window_ns:
             self.recent_arrivals.popleft()
@@ -156,9 +157,9 @@
             yield ExecutionRate(run, run.threads * fraction)
 
     def advance(self, now_ns: int) -> list[QueryRun]:
-        """Do the work up to now and return what has ended.
+        """Do the work up to now and return the runs that have completed.
 
-        Between two calls the capacity is taken to be that at the time of the first.
+        The capacity is taken as constant since the last call.
         """
         ended = []
         for run, rate in list(self.execution_rates(self.now_ns)):
@@ -171,7 +172,7 @@
         return ended
 
     def next_completion(self, now_ns: int) -> int | None:
-        """Return when the first query ends at the present rates, in ns; None if none runs."""
+        """Return when the next query completes at the current rates, in ns; None if none runs."""
         ends = [
             now_ns + int(run.remaining_ns / rate) + 1
             for run, rate in self.execution_rates(now_ns)
@@ -180,7 +181,7 @@
         return min(ends, default=None)
 
     def cancel(self, now_ns: int, query_id: bytes) -> list[QueryRun]:
-        """Cancel a query and return what had ended before."""
+        """Cancel a query and return the runs that completed before."""
         ended = self.advance(now_ns)
         run = self.running.pop(query_id, None)
         if run is not None:
@@ -188,7 +189,7 @@
         return ended
 
     def load_meter(self) -> str:
-        """Return the load as the engine reports it on the wire."""
+        """Return the load report in the form that the engine sends on the wire."""
         utilisation = min(1.0, self._threads_in_use() / self.cores)
         return f"inflight:{len(self.running)};util:{utilisation:.3f}"
 
--- a/query_broker/emulator/membership_simulation.py
+++ b/query_broker/emulator/membership_simulation.py
@@ -1,6 +1,6 @@
-"""Many members on a simulated clock, with faulty links and members that pause, end and return.
+"""Simulates the membership of many processes, with faulty links, pauses, crashes and restarts.
 
-Performs no I/O: a run with the same seed is the same each time.
+Performs no I/O and reads no system clock, so that runs with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -18,25 +18,26 @@
 from .event_queue import EventQueue
 
 NS_PER_MS = 1_000_000
-#: Where the clock begins.
+#: Start of the simulated clock.
 BEGIN_NS = 1_000 * NS_PER_S
 #: Ticks of a failure detector within one ping interval.
 TICKS_PER_INTERVAL = 5
 INCARNATION_CHAIN_LENGTH = 4 * CHECKPOINT_INTERVAL
-#: Datagrams that are queued for a paused member; more are lost.
+#: The most datagrams that are queued for a paused member; further ones are lost.
 MAX_QUEUED_DATAGRAMS = 200
-#: How often `run` checks whether its condition holds.
+#: How often `run` checks its condition, per simulated second.
 CHECKS_PER_S = 10
 #: Size of a datagram without its claims.
 DATAGRAM_OVERHEAD_BYTES = 80
-MIN_DELAY_NS = NS_PER_MS // 2
-MAX_DELAY_NS = 2 * NS_PER_MS
+MIN_LINK_DELAY_NS = NS_PER_MS // 2
+MAX_LINK_DELAY_NS = 2 * NS_PER_MS
 SYNC_DELAY_NS = 5 * NS_PER_MS
-#: A link with a greater loss probability carries no table exchange.
-CUT_OFF_LOSS = 0.95
+#: Loss probability of a link above which table exchanges over the link fail.
+MAX_SYNC_LOSS_PROBABILITY = 0.95
 ADDRESSES_PER_SUBNET = 250
 
-#: A property of a link, by the time in nanoseconds, the sender's number and the receiver's.
+#: Returns a property of a link, from the time in nanoseconds and the numbers of the sender and the
+#: receiver.
 LinkProperty = Callable[[int, int, int], float]
 
 
@@ -50,11 +51,11 @@
 
 
 class Removal(NamedTuple):
-    """One member has removed another from its view.
+    """The removal of a member from the view of another.
 
     Attributes:
-        removed_at_ns: When.
-        removed_by: Number of the member that removed it.
+        removed_at_ns: When the member was removed.
+        removed_by: Number of the member whose view it was.
         member: The removed member.
     """
 
@@ -64,7 +65,7 @@
 
 
 class ObservedChange(NamedTuple):
-    """A change that a member's failure detector has reported."""
+    """A change reported by a member's failure detector, and when it was reported."""
 
     observed_at_ns: int
     change: MemberChange
@@ -74,19 +75,19 @@
     """A process of the cluster.
 
     Attributes:
-        number: Its number in the cluster.
-        address: Its address.
-        detector: Its failure detector.
-        is_running: Whether it runs.
-        paused_until_ns: When its pause ends; 0 if it was never paused.
-        generation: Number of processes that ran under its number before.
-        sequence: Sequence number of its last message.
-        queued_datagrams: Datagrams that arrived while it was paused.
-        changes: What its failure detector has reported.
+        number: The member's number in the cluster.
+        address: The member's address.
+        detector: The member's failure detector.
+        is_running: Whether the process runs.
+        paused_until_ns: When the last pause ends; 0 if the process was never paused.
+        generation: Number of earlier processes with the same number.
+        sequence: Sequence number of the last message sent.
+        queued_datagrams: Datagrams that arrived during a pause.
+        changes: The changes that the failure detector has reported.
     """
 
     def __init__(self, number: int, address: str, detector: FailureDetector) -> None:
-        """Start running."""
+        """Create a running member."""
         self.number = number
         self.address = address
         self.detector = detector
@@ -98,19 +99,19 @@
         self.changes: list[ObservedChange] = []
 
     def can_receive(self, now_ns: int) -> bool:
-        """Return whether it runs and is not paused."""
+        """Return whether the member runs and is not paused."""
         return self.is_running and now_ns >= self.paused_until_ns
 
 
 class SimulatedClock:
-    """Calls functions in the order of their times.
+    """A simulated clock that makes scheduled calls in the order of their times.
 
     Attributes:
-        now: The time in ns.
+        now: The current time in ns.
     """
 
     def __init__(self) -> None:
-        """Start at `BEGIN_NS`."""
+        """Create a clock at `BEGIN_NS` without scheduled calls."""
         self.now = BEGIN_NS
         self._events = EventQueue()
 
@@ -119,14 +120,15 @@
         self._events.schedule(due_ns, callback)
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
-        """Let time pass.
+        """Advance the clock and make the calls that are due.
 
         Args:
-            seconds: How long.
-            until: A condition that ends the run early; it is checked `CHECKS_PER_S` times a second.
+            seconds: The simulated time to run for.
+            until: A condition that ends the run early, checked `CHECKS_PER_S` times per simulated
+                second.
 
         Returns:
-            Whether the condition holds.
+            Whether the condition holds; False without one.
         """
         end_ns = self.now + int(seconds * NS_PER_S)
         next_check_ns = self.now
@@ -145,11 +147,11 @@
 
 
 class SimulatedCluster(SimulatedClock):
-    """Members and the links between them.
+    """Simulated members and the links between them.
 
     Attributes:
-        members: The processes by number; a restarted one replaces the former.
-        sent_bytes: Bytes that each number has sent.
+        members: The members, by number; after a restart only the new process is listed.
+        sent_bytes: The bytes sent by each member, by number.
         message_count: Number of datagrams sent.
     """
 
@@ -167,7 +169,7 @@
         Args:
             count: Number of members.
             settings: Settings of all members.
-            seed: Seed of all random decisions.
+            seed: Seed of all random numbers.
             loss: Probability that a link loses a datagram.
             delay_ns: Additional delay of a link in one direction.
             joined: Whether they know each other from the start.
@@ -206,8 +208,6 @@
         self._schedule_tick(member, self.now + phase_ns)
         return member
 
-    # --- time ---
-
     def _schedule_tick(self, member: SimulatedMember, due_ns: int) -> None:
         self.call_at(due_ns, lambda: self._tick(member, due_ns))
 
@@ -225,8 +225,6 @@
         self._carry_out(member)
         self._schedule_tick(member, self.now + self.settings.interval_ns // TICKS_PER_INTERVAL)
 
-    # --- the links ---
-
     def _receive_queued(self, member: SimulatedMember) -> None:
         datagrams = member.queued_datagrams
         member.queued_datagrams = []
@@ -243,7 +241,7 @@
         )
 
     def _carry_out(self, member: SimulatedMember) -> None:
-        """Send messages and exchange tables, as the member's failure detector has decided."""
+        """Send the messages and start the table exchanges that the failure detector requests."""
         own_claim = member.detector.own.claim()
         for recipient, message in member.detector.take_outgoing():
             member.sequence += 1
@@ -264,7 +262,7 @@
             return
         if self._is_lost(member.number, receiver):
             return
-        delay_ns = self.draw.randrange(MIN_DELAY_NS, MAX_DELAY_NS)
+        delay_ns = self.draw.randrange(MIN_LINK_DELAY_NS, MAX_LINK_DELAY_NS)
         if self._delay_ns is not None:
             delay_ns += int(self._delay_ns(self.now, member.number, receiver))
         self.call_at(self.now + delay_ns, lambda: self._arrive(receiver, datagram))
@@ -286,13 +284,13 @@
         self._carry_out(member)
 
     def _sync(self, member: SimulatedMember, number: int | None) -> None:
-        """Exchange complete tables, as over a connection; none where either direction is cut."""
+        """Exchange full tables, as over a connection; fails if either direction loses too much."""
         if number is None or not self.members[number].can_receive(self.now):
             return
         if self._loss is not None:
             outbound_loss = self._loss(self.now, member.number, number)
             inbound_loss = self._loss(self.now, number, member.number)
-            if max(outbound_loss, inbound_loss) > CUT_OFF_LOSS:
+            if max(outbound_loss, inbound_loss) > MAX_SYNC_LOSS_PROBABILITY:
                 return
         other = self.members[number]
         own_claims = member.detector.claims()
@@ -311,36 +309,32 @@
             member.detector.merge_table(self.now, claims)
             self._carry_out(member)
 
-    # --- faults ---
-
     def kill(self, numbers: Iterable[int]) -> None:
-        """End members without notice."""
+        """Stop members without a leave announcement."""
         for number in numbers:
             self.members[number].is_running = False
 
     def pause(self, numbers: Iterable[int], seconds: float) -> None:
-        """Stop members for some time, as SIGSTOP does."""
+        """Pause members for some time, as SIGSTOP does."""
         for number in numbers:
             self.members[number].paused_until_ns = self.now + int(seconds * NS_PER_S)
 
     def restart(self, number: int, seeds: Iterable[int], address: str = "") -> SimulatedMember:
-        """Replace a member by a new process, at the same address unless one is given."""
+        """Replace a member by a new process, at the same address unless another is given."""
         self.members[number].is_running = False
         member = self._start_member(number, address or self.members[number].address)
         member.detector.contacts.seeds = [self.members[seed].address for seed in seeds]
         return member
 
     def leave(self, number: int) -> None:
-        """Let a member announce that it leaves, and end it."""
+        """Make a member announce that it leaves, then stop it."""
         member = self.members[number]
         member.detector.leave()
         self._carry_out(member)
         member.is_running = False
 
-    # --- results ---
-
     def running_members(self) -> list[SimulatedMember]:
-        """Return the members that run."""
+        """Return the running members."""
         return [member for member in self.members if member.is_running]
 
     def all_have_view(
@@ -350,11 +344,11 @@
     ) -> bool:
         """Return whether the views consist of exactly these identities.
 
-        Each member counts as part of its own view.
+        Each member is part of its own view.
 
         Args:
             identities: The expected view.
-            among: The members whose views are compared; None stands for all that run.
+            among: The members whose views are compared; None means all running members.
         """
         wanted = set(identities)
         observers = among or self.running_members()
@@ -363,11 +357,11 @@
         )
 
     def agree(self) -> bool:
-        """Return whether the view of each running member is exactly all running members."""
+        """Return whether the view of each running member is the set of all running members."""
         return self.all_have_view([member.detector.me for member in self.running_members()])
 
     def removals(self, identities: Iterable[Identity] | None = None) -> list[Removal]:
-        """Return the removals of these members; None stands for all."""
+        """Return the removals of these members; None means of all members."""
         wanted = None if identities is None else set(identities)
         return [
             Removal(change_ns, member.number, change.member)
--- a/query_broker/emulator/processes.py
+++ b/query_broker/emulator/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of this program on loopback, started, signalled and killed by their own ids."""
+"""Runs real broker processes on loopback; each is started, signalled and killed by its own id."""
 
 from __future__ import annotations
 
@@ -26,46 +26,45 @@
 ADMIN_TIMEOUT_S = 2.0
 READY_TIMEOUT_S = 2.0
 POLL_INTERVAL_S = 0.05
-#: Variables (without their prefix) of the caller's environment that the processes must not inherit.
-HIDDEN_VARIABLES = ("OPERATOR_FILE", "OPERATOR", "LISTEN", "ACCEPT_FD", "NAME")
+#: Variables of the caller's environment, without their prefix, that the processes must not inherit.
+UNINHERITED_VARIABLES = ("OPERATOR_FILE", "OPERATOR", "LISTEN", "ACCEPT_FD", "NAME")
 
 
 class ReservedPort(NamedTuple):
-    """A port of this process's blocks, and from when on it may be given out."""
+    """A port of a reserved block, and the time from which it may be allocated."""
 
     port: int
     available_at_s: float
 
 
 class PortAllocator:
-    """Allocates ports to listen on that no other process allocates.
+    """Allocates listening ports that no other process allocates.
 
-    A port that the system has chosen may become the local port of some connection before it is
-    listened on, and two processes may choose the same one. So ports are taken from blocks below the
-    range of the system. A block belongs to the process that has bound its first port.
+    A port chosen by the system may become the local port of a connection before it is listened on,
+    and two processes may be given the same port. Ports are therefore taken from blocks below the
+    system's ephemeral port range. A block belongs to the process that has bound its first port.
 
     Attributes:
         reservations: The sockets bound to the first ports of this process's blocks.
-        ports: The ports of these blocks with the time from which each may be given out; the first
-            one is tried next.
+        ports: The other ports of these blocks, in the order in which they are tried.
     """
 
-    #: Below the ports that the system gives to connections (from 32,768 on Linux).
+    #: Below the system's ephemeral ports, which start at 32,768 on Linux.
     PORT_RANGE = range(10_000, 32_000)
-    #: A test takes some tens of ports at the most.
+    #: A test needs a few tens of ports at most.
     BLOCK_SIZE = 100
-    #: Time within which a port that has been given out is not given out again: whoever has it may
-    #: not listen on it yet. The starts of the tests take some seconds.
+    #: Minimum time between two allocations of a port, since the first process that gets it may not
+    #: listen on it yet. Processes in tests take a few seconds to start.
     REUSE_DELAY_S = 60.0
 
     def __init__(self, now_s: Callable[[], float] = time.monotonic) -> None:
-        """Create an allocator that has reserved nothing yet."""
+        """Create an allocator without reserved blocks."""
         self.reservations: list[socket.socket] = []
         self.ports: deque[ReservedPort] = deque()
         self._now_s = now_s
 
     def reserve_block(self) -> None:
-        """Reserve another block, drawn at random.
+        """Reserve another block, chosen at random.
 
         Raises:
             OSError: All blocks are taken.
@@ -87,10 +86,10 @@
         raise OSError(problem)
 
     def allocate(self, count: int) -> list[int]:
-        """Return free ports, none of which has been given out within `REUSE_DELAY_S`.
+        """Return free ports, none of which was allocated within the last `REUSE_DELAY_S` seconds.
 
         Raises:
-            OSError: Too many ports are in use.
+            OSError: Not enough ports are free.
         """
         found: list[int] = []
         while len(found) < count:
@@ -100,7 +99,7 @@
         return found
 
     def _next_port(self) -> int:
-        """Return a port that may be given out, and put it last."""
+        """Return a port that may be allocated, and move it to the end of `ports`."""
         now_s = self._now_s()
         if not self.ports or self.ports[0].available_at_s > now_s:
             self.reserve_block()
@@ -122,12 +121,12 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return free ports of this process's own blocks."""
+    """Return free ports from this process's blocks."""
     return PORT_ALLOCATOR.allocate(count)
 
 
 class ProcessPorts(NamedTuple):
-    """Where a process listens: for clients, for operators, and for other brokers."""
+    """The ports on which a process listens for clients, for operators and for other brokers."""
 
     client_port: int
     admin_port: int
@@ -135,25 +134,25 @@
 
 
 class AdminReply(NamedTuple):
-    """The HTTP status and the body of the answer to an operators' call."""
+    """The HTTP status and the body of a response of the admin API."""
 
     status: int
     body: bytes
 
 
 class BrokerProcess:
-    """One process, with a folder, ports, settings and a log of its own.
+    """A broker process with its own folder, ports, settings and log.
 
     Attributes:
-        number: Its number in the fleet.
-        folder: Its files.
-        tree: Root of the source tree that it runs.
-        port: Where it listens for clients.
-        admin_port: Where it listens for operators.
-        peer_port: Where it listens for other brokers.
-        env: Its environment.
-        process: The process, once it was started.
-        started_s: When it was started, in monotonic seconds.
+        number: The number of the process in the fleet.
+        folder: The folder with the files of the process.
+        tree: Root of the source tree that the process runs.
+        port: The port on which the process listens for clients.
+        admin_port: The port of the admin API.
+        peer_port: The port on which the process listens for other brokers.
+        env: The environment of the process.
+        process: The operating-system process; None before the first start.
+        started_s: When the process was last started, in monotonic seconds.
     """
 
     def __init__(
@@ -165,15 +164,16 @@
         operator_file: str,
         tree: Path,
     ) -> None:
-        """Write the files of a process that is not started yet.
+        """Write the files of the process without starting it.
 
         Args:
-            number: Its number in the fleet.
-            folder: Created for its files.
-            ports: For clients, operators and other brokers.
-            raw: The configuration; names, addresses and seed are replaced.
-            operator_file: Text of the operators' file; empty: it has none.
-            tree: Root of the source tree that it runs.
+            number: The number of the process in the fleet.
+            folder: The folder to create for the files of the process.
+            ports: The ports on which the process listens.
+            raw: The configuration, in which the name, the addresses, the seed and the broker's
+                number are replaced.
+            operator_file: Text of the operators' file; empty for none.
+            tree: Root of the source tree to run.
         """
         self.number = number
         self.folder = folder
@@ -208,16 +208,16 @@
             "TMPDIR": str(self.folder),
             "PYTHONPATH": str(self.tree),
         }
-        for name in HIDDEN_VARIABLES:
+        for name in UNINHERITED_VARIABLES:
             environment.pop(f"PROXY_{name}", None)
         return environment
 
     def write_operator_file(self, text: str) -> None:
-        """Replace the operators' file."""
+        """Write or replace the operators' file."""
         (self.folder / "operators.star").write_text(text)
 
     def start(self) -> None:
-        """Start the process; its log is appended to that of an earlier one."""
+        """Start the process; its log is appended to that of an earlier start."""
         self.started_s = time.monotonic()
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
@@ -235,31 +235,31 @@
         self.process.send_signal(number)
 
     def wait(self, seconds: float) -> int:
-        """Wait for the end of the process, and return its exit code.
+        """Wait until the process ends and return its exit code.
 
         Raises:
-            subprocess.TimeoutExpired: It has not ended in time.
+            subprocess.TimeoutExpired: The process did not end in time.
         """
         assert self.process is not None
         return self.process.wait(seconds)
 
     def kill(self) -> None:
-        """Kill the process, also one that is paused; without effect if it has ended."""
+        """Kill the process if it runs, even if it is paused."""
         if self.process is not None and self.process.poll() is None:
-            # One that is paused could not be waited for otherwise.
+            # Waiting for a paused process would block.
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
             self.process.wait()
 
     def log(self) -> str:
-        """Return the log so far."""
+        """Return the contents of the log."""
         return (self.folder / "log").read_text(errors="replace")
 
     def call_admin_api(self, path: str, method: str = "GET") -> AdminReply:
-        """Make an operators' call.
+        """Send a request to the admin API.
 
         Raises:
-            OSError: The process does not answer.
+            OSError: The process did not answer.
         """
         connection = http.client.HTTPConnection(HOST, self.admin_port, timeout=ADMIN_TIMEOUT_S)
         try:
@@ -270,11 +270,11 @@
             connection.close()
 
     def status(self, path: str = "/start") -> Any:
-        """Return the JSON answer to an operators' call."""
+        """Return the parsed JSON response of the admin API."""
         return json.loads(self.call_admin_api(path).body)
 
     async def is_ready(self) -> bool:
-        """Return whether it is ready, as the front end checks it."""
+        """Return the result of the front end's readiness check; False if it fails."""
         try:
             client = await RequestLog(HOST, self.port).connect()
         except OSError:
@@ -289,10 +289,10 @@
 
 
 class BrokerFleet:
-    """Several processes, as a context manager that leaves none of them behind.
+    """Several broker processes; a context manager that kills all of them on exit.
 
     Attributes:
-        temporary_folder: Holds the folder of each process.
+        temporary_folder: The parent of the folders of the processes.
         processes: The processes, by number.
     """
 
@@ -303,22 +303,22 @@
         operator_file: str | Callable[[int, int], str] = "",
         tree: Path = ROOT,
     ) -> None:
-        """Write the files of processes that are not started yet.
+        """Write the files of the processes without starting them.
 
         Args:
             count: Number of processes.
-            raw: Their configuration; its fleet size is the count unless it says another.
-            operator_file: Text of the operators' file, the same for all, or made from the number of
-                a process and its port for other brokers.
-            tree: Root of the source tree that they run.
+            raw: The configuration of the processes; the fleet size defaults to the count.
+            operator_file: Text of the operators' file, or a function that returns it from the
+                number of a process and its port for other brokers.
+            tree: Root of the source tree to run.
         """
         self.temporary_folder = tempfile.TemporaryDirectory()
         folder = Path(self.temporary_folder.name)
         settings = {"fleet_size": count, **raw["settings"]}
-        ports_left = iter(free_ports(len(ProcessPorts._fields) * count))
+        port_numbers = iter(free_ports(len(ProcessPorts._fields) * count))
         self.processes: list[BrokerProcess] = []
         for number in range(count):
-            ports = ProcessPorts(next(ports_left), next(ports_left), next(ports_left))
+            ports = ProcessPorts(next(port_numbers), next(port_numbers), next(port_numbers))
             if isinstance(operator_file, str):
                 text = operator_file
             else:
@@ -336,7 +336,7 @@
         self,
         kind: type[BaseException] | None,
         error: BaseException | None,
-        trace: TracebackType | None,
+        traceback: TracebackType | None,
     ) -> None:
         """Kill all processes and remove their files."""
         for process in self.processes:
@@ -349,25 +349,25 @@
             process.start()
 
     async def wait_until_ready(self, seconds: float, fraction: float = 1.0) -> list[float]:
-        """Wait until this fraction of the processes is ready, or for so long.
+        """Wait until this fraction of the processes is ready, for this time at most.
 
         Returns:
-            Seconds from the start of each process that became ready, in the order in which they
-            did.
+            The seconds from start to readiness of each process that became ready, in the order of
+            readiness.
         """
         end_s = time.monotonic() + seconds
         waiting = list(self.processes)
         durations_s: list[float] = []
-        enough = fraction * len(self.processes)
-        while waiting and time.monotonic() < end_s and len(durations_s) < enough:
+        wanted_count = fraction * len(self.processes)
+        while waiting and time.monotonic() < end_s and len(durations_s) < wanted_count:
             answers = await asyncio.gather(*(process.is_ready() for process in waiting))
             now_s = time.monotonic()
-            still_waiting = []
+            not_ready = []
             for process, is_ready in zip(waiting, answers, strict=True):
                 if is_ready:
                     durations_s.append(now_s - process.started_s)
                 else:
-                    still_waiting.append(process)
-            waiting = still_waiting
+                    not_ready.append(process)
+            waiting = not_ready
             await asyncio.sleep(POLL_INTERVAL_S)
         return durations_s
--- a/query_broker/emulator/quota_simulation.py
+++ b/query_broker/emulator/quota_simulation.py
@@ -1,6 +1,7 @@
-"""Simulates many brokers that share limits, on a simulated clock with faults.
+"""Simulates many brokers that share limits through leases, with faults, on a simulated clock.
 
-An auditor with the one true clock adds up all leases. Performs no I/O.
+The brokers' own clocks deviate from the true clock, by which an audit adds up all valid leases.
+Performs no I/O.
 """
 
 from __future__ import annotations
@@ -27,39 +28,40 @@
 DEMAND_INTERVAL_NS = 2 * NS_PER_S
 DEMANDS_PER_S = (0.0, 1.0, 10.0, 100.0, 300.0)
 MAX_CLOCK_OFFSET_NS = 1_000 * NS_PER_S
-#: Messages that a paused broker finds when it resumes; more are lost.
-MAX_WAITING_MESSAGES = 200
-#: A message is slow, and is overtaken by others, with this probability and by this factor.
+#: The most messages that are queued for a paused broker; further ones are lost.
+MAX_QUEUED_MESSAGES = 200
+#: The probability that a message is slow, so that later messages overtake it, and the factor by
+#: which its delay is multiplied.
 SLOW_MESSAGE_PROBABILITY = 0.05
 SLOW_MESSAGE_FACTOR = 50
 #: A view is certain if more than this fraction of all brokers is reachable.
 CERTAIN_FRACTION = 2 / 3
 
-#: Returns whether a message is lost to a partition, by the time in nanoseconds, the sender's number
-#: and the recipient's.
-PartitionFunction = Callable[[int, int, int], bool]
+#: Returns whether a partition cuts off a message, from the time in nanoseconds and the numbers of
+#: the sender and the recipient.
+PartitionCheck = Callable[[int, int, int], bool]
 
 
-class WaitingMessage(NamedTuple):
-    """A message that arrived while its recipient was paused."""
+class QueuedMessage(NamedTuple):
+    """A message that arrived while the recipient was paused."""
 
     sender: str
     message: LeaseMessage
 
 
 class SimulatedBroker:
-    """One broker with a clock of its own.
+    """A simulated broker with its own clock.
 
     Attributes:
-        number: Its place among the brokers.
-        name: Its name, another one after each restart.
-        leases: What is simulated.
-        clock_rate: How fast its clock runs.
-        clock_offset_ns: By how much its clock is ahead of the true one.
-        generation: How often it was restarted.
-        is_running: False once it was killed.
-        paused_until_ns: Until when, by the true clock, it is paused.
-        waiting: Messages that arrived while it was paused.
+        number: The number of the broker.
+        name: The name of the broker, which changes with each restart.
+        leases: The lease manager under simulation.
+        clock_rate: The rate of the broker's clock relative to the true clock.
+        clock_offset_ns: The offset of the broker's clock from the true clock.
+        generation: Number of restarts.
+        is_running: Whether the broker runs; False after it was killed.
+        paused_until_ns: When the last pause ends, by the true clock.
+        queued_messages: Messages that arrived during a pause.
     """
 
     def __init__(
@@ -79,25 +81,25 @@
         self.generation = generation
         self.is_running = True
         self.paused_until_ns = 0
-        self.waiting: list[WaitingMessage] = []
+        self.queued_messages: list[QueuedMessage] = []
 
     def clock_ns(self, now_ns: int) -> int:
-        """Return what its clock shows at a true time."""
+        """Return the time of the broker's clock at a true time."""
         return int(now_ns * self.clock_rate) + self.clock_offset_ns
 
     def amount_per_s(self, limit: str, now_ns: int) -> float:
-        """Return what it may use of the leased part of a limit at a true time."""
+        """Return the rate that the broker holds of the leased part of a limit at a true time."""
         return self.leases.amount_per_s(limit, self.clock_ns(now_ns))
 
 
 @dataclass(frozen=True, slots=True)
 class SimulatedConditions:
-    """What the brokers have to cope with.
+    """Clock drift, message loss and view delay in a simulation.
 
     Attributes:
-        clock_drift: By how much the clocks' rates differ at most from the true one, as a fraction.
-        loss: Fraction of messages that are lost.
-        view_delay_ns: How long until the views follow who is reachable.
+        clock_drift: The largest deviation of a clock's rate from the true rate, as a fraction.
+        loss: The fraction of messages that are lost.
+        view_delay_ns: How long a change of reachability takes to reach the views.
     """
 
     clock_drift: float = 0.0
@@ -109,14 +111,14 @@
 
 
 class QuotaSimulation:
-    """Brokers, the messages between them, and the auditor.
+    """Simulated brokers, the messages between them, and an audit of their leases.
 
     Attributes:
-        brokers: All brokers by number.
-        worst_overshoot_per_s: The most by which the leases of a limit exceeded its leased part.
-        used_amounts: Sum over time of the leased rates that were both wanted and valid, by limit.
+        brokers: All brokers, by number.
+        worst_overshoot_per_s: The most by which valid leases exceeded the leased part, by limit.
+        used_amounts: The leased rates that were both wanted and valid, summed over time, by limit.
         message_count: Number of messages sent.
-        is_cut: Returns which messages are lost to a partition; None for none.
+        is_cut: The function that decides which messages a partition cuts off; None for none.
         now_ns: The true time.
     """
 
@@ -135,13 +137,13 @@
             settings: Settings of the shared limits.
             limits: Rate of each hard limit, per second.
             seed: Seed of all random draws.
-            conditions: Clock drift, losses and delays.
+            conditions: Clock drift, message loss and view delay.
         """
         self.settings = settings
         self.limits = dict(limits)
         self.draw = random.Random(seed)
         self.conditions = conditions
-        self.is_cut: PartitionFunction | None = None
+        self.is_cut: PartitionCheck | None = None
         self.now_ns = BEGIN_NS
         self._events = EventQueue()
         self.brokers: list[SimulatedBroker] = []
@@ -175,14 +177,12 @@
         self.call_at(self.now_ns + self.draw.randrange(TICK_NS), lambda: self._tick(broker))
         return broker
 
-    # --- the clock ---
-
     def call_at(self, due_ns: int, callback: Callable[[], None]) -> None:
         """Schedule a call at a true time."""
         self._events.schedule(due_ns, callback)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the true clock by this time and make the calls that are due."""
         end_ns = self.now_ns + int(seconds * NS_PER_S)
         while self._events.has_due(end_ns):
             event = self._events.pop()
@@ -196,16 +196,14 @@
         if self.now_ns < broker.paused_until_ns:
             self.call_at(broker.paused_until_ns, lambda: self._tick(broker))
             return
-        waiting = broker.waiting
-        broker.waiting = []
-        for sender, message in waiting:
+        queued_messages = broker.queued_messages
+        broker.queued_messages = []
+        for sender, message in queued_messages:
             broker.leases.receive(broker.clock_ns(self.now_ns), sender, message)
         broker.leases.tick(broker.clock_ns(self.now_ns))
         self._send_outbox(broker)
         self.call_at(self.now_ns + TICK_NS, lambda: self._tick(broker))
 
-    # --- messages ---
-
     def _send_outbox(self, broker: SimulatedBroker) -> None:
         outbox = list(broker.leases.outbox)
         broker.leases.outbox.clear()
@@ -226,16 +224,14 @@
         if not target.is_running:
             return
         if self.now_ns < target.paused_until_ns:
-            if len(target.waiting) < MAX_WAITING_MESSAGES:
-                target.waiting.append(WaitingMessage(sender, message))
+            if len(target.queued_messages) < MAX_QUEUED_MESSAGES:
+                target.queued_messages.append(QueuedMessage(sender, message))
             return
         target.leases.receive(target.clock_ns(self.now_ns), sender, message)
         self._send_outbox(target)
 
-    # --- views of the membership ---
-
     def _update_views(self) -> None:
-        """Give each broker a view of those that run and were reachable some seconds ago."""
+        """Set each broker's view: the running brokers that were reachable `view_delay_ns` ago."""
         for broker in self.brokers:
             reachable = [
                 other.name
@@ -256,28 +252,26 @@
         is_cut_there = self.is_cut(past_ns, other.number, broker.number)
         return not (is_cut_there and self.is_cut(past_ns, broker.number, other.number))
 
-    # --- faults ---
-
     def kill(self, numbers: Iterable[int]) -> None:
-        """End brokers for good."""
+        """Stop brokers permanently."""
         for number in numbers:
             self.brokers[number].is_running = False
 
     def restart(self, number: int) -> None:
-        """End a broker and start it under a new name."""
+        """Replace a broker by a new one with a new name."""
         self.brokers[number].is_running = False
         generation = self.brokers[number].generation + 1
         self.brokers[number] = self._create(number, generation)
 
     def pause(self, number: int, seconds: float) -> None:
-        """Stop a broker for a while; its messages wait."""
+        """Pause a broker for some time; its messages are queued."""
         self.brokers[number].paused_until_ns = self.now_ns + int(seconds * NS_PER_S)
 
     def leader(self, limit: str) -> SimulatedBroker | None:
-        """Return the broker that may grant leases of a limit at this moment.
+        """Return the broker that may grant leases of a limit now; None if there is none.
 
         Raises:
-            AssertionError: Two brokers may.
+            AssertionError: Two brokers may grant leases of the limit.
         """
         leaders = [
             broker
@@ -288,10 +282,8 @@
         assert len(leaders) < 2, f"two leaders: {[leader.name for leader in leaders]}"
         return leaders[0] if leaders else None
 
-    # --- the auditor ---
-
     def valid_per_s(self, limit: str) -> float:
-        """Return the sum of all valid leases of a limit."""
+        """Return the sum of all valid leases of a limit, per second."""
         return sum(
             broker.amount_per_s(limit, self.now_ns) for broker in self.brokers if broker.is_running
         )
@@ -303,7 +295,7 @@
             worst = self.worst_overshoot_per_s[limit]
             self.worst_overshoot_per_s[limit] = max(worst, overshoot)
             self.used_amounts[limit] += self.audit_interval_ns / NS_PER_S * self._used_per_s(limit)
-            self.leader(limit)  # raises if there are two
+            self.leader(limit)  # raises if there are two leaders
         self.call_at(self.now_ns + self.audit_interval_ns, self._audit)
 
     def _used_per_s(self, limit: str) -> float:
@@ -318,36 +310,37 @@
 
 
 class Partition(NamedTuple):
-    """Cuts messages between one side and the rest, from the side outwards or both ways."""
+    """A partition that cuts off messages from one side to the rest, or in both directions."""
 
     start_ns: int
     end_ns: int
     side: frozenset[int]
-    both_ways: bool
+    is_bidirectional: bool
 
     def cuts(self, now_ns: int, sender: int, recipient: int) -> bool:
-        """Return whether a message is cut off."""
+        """Return whether the partition cuts off a message."""
         if not self.start_ns <= now_ns < self.end_ns:
             return False
         if sender in self.side and recipient not in self.side:
             return True
-        return self.both_ways and recipient in self.side and sender not in self.side
+        return self.is_bidirectional and recipient in self.side and sender not in self.side
 
 
 class FaultInjector:
-    """Draws faults and demand from a seed and schedules them in a simulation."""
+    """Schedules random faults and changes of demand in a simulation, from a seed."""
 
     def __init__(self, simulation: QuotaSimulation, seed: int) -> None:
-        """Take the simulation; nothing is scheduled yet."""
+        """Create an injector for a simulation; `schedule` schedules the faults."""
         self.simulation = simulation
         self.draw = random.Random(seed * 7 + 1)
         self.partitions: list[Partition] = []
         self.limits = list(simulation.limits)
 
     def schedule(self, seconds: float) -> None:
-        """Schedule faults within the next seconds, and demand that changes suddenly.
+        """Schedule faults within this time, and sudden changes of demand.
 
-        Leaders and others are killed, paused and restarted; partitions cut one way or both ways.
+        Leaders are killed and paused, any brokers are paused and restarted, and partitions cut off
+        messages in one or both directions.
         """
         simulation = self.simulation
         begin_ns = simulation.now_ns
@@ -398,11 +391,11 @@
 
 
 def max_concurrent_leases_per_s(records: Iterable[Iterable[LeaseRecord]], limit: str) -> float:
-    """Return the most that leases of a limit added up to at any moment.
+    """Return the largest sum of the leases of a limit at any time, per second.
 
     Args:
-        records: Of each process its record of leases, in any order and with repeated entries, all
-            by the clock of one machine.
+        records: The lease records of each process, in any order and possibly repeated; all times
+            must be by the clock of one machine.
         limit: Name of the limit.
     """
     steps: list[tuple[int, float]] = []
@@ -415,7 +408,7 @@
             if end_ns > change.changed_at_ns and change.amount_per_s > 0:
                 steps.append((change.changed_at_ns, change.amount_per_s))
                 steps.append((end_ns, -change.amount_per_s))
-    # At equal times the ends, which are negative, come before the beginnings.
+    # At equal times the ends of leases, which are negative, are sorted before the beginnings.
     steps.sort()
     totals = itertools.accumulate((change for _, change in steps), initial=0.0)
     return max(totals)
