--- a/query_broker/clickhouse/__init__.py
+++ b/query_broker/clickhouse/__init__.py
@@ -1,5 +1,5 @@
-"""The ClickHouse HTTP interface, as far as it performs no I/O; the daemon does not load it yet.
+"""The parts of the ClickHouse HTTP interface without I/O; the daemon does not load them yet.
 
-Requests, statements, routing rules, sessions and errors, written from the interface's public
-description alone.
+They cover requests, statements, routing rules, sessions, results and errors, and are written from
+the interface's public description alone.
 """
--- a/query_broker/clickhouse/errors.py
+++ b/query_broker/clickhouse/errors.py
@@ -1,4 +1,4 @@
-"""Errors as the interface gives them: a status, a code in a header, and a line of text.
+"""Errors in the form of the interface: an HTTP status, a code in a header, and a line of text.
 
 Performs no I/O.
 """
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorKind:
-    """One kind of error: the interface's code and name, and the HTTP status."""
+    """A kind of error: its code and name in the interface, and its HTTP status."""
 
     code: int
     name: str
@@ -38,26 +38,26 @@
 
 
 class QueryError(QueryBrokerError):
-    """A request that gets an error in place of a result.
+    """A request is answered with an error in place of a result.
 
     Attributes:
         kind: The kind of the error.
-        retry_after_s: How long the client should wait before a retry; 0 states nothing.
+        retry_after_s: How long the client should wait before a retry; 0 sends no such header.
     """
 
     def __init__(self, kind: ErrorKind, text: str, retry_after_s: float = 0.0) -> None:
-        """Take the kind of the error, what is wrong, and when to retry."""
+        """Create an error with this text for the client."""
         super().__init__(text)
         self.kind = kind
         self.retry_after_s = retry_after_s
 
     def body(self) -> bytes:
-        """Return the one line that clients look for; a line end in the text is made a space."""
+        """Return the line that clients parse; white space in the text becomes single spaces."""
         text = " ".join(str(self).split()) or self.kind.name.lower()
         return f"Code: {self.kind.code}. DB::Exception: {text}. ({self.kind.name})\n".encode()
 
     def headers(self) -> list[tuple[str, str]]:
-        """Return the headers of the answer: the code, and when to retry where that is stated."""
+        """Return the headers of the response: the code and, if a delay is set, `Retry-After`."""
         headers = [(EXCEPTION_CODE_HEADER, str(self.kind.code))]
         if self.retry_after_s > 0:
             milliseconds = int(self.retry_after_s * MS_PER_S)
--- a/query_broker/clickhouse/relay.py
+++ b/query_broker/clickhouse/relay.py
@@ -1,10 +1,10 @@
-"""One result on its way to the client: whether it may be retried, and when the engine must pause.
+"""Relays a result from an engine to the client, with backpressure, and decides on retries.
 
-Performs no I/O. A result is streamed: each piece is passed on as it comes, and the engine is paused
-while the client has too much left to read. Until the first byte of a result has gone to the client
-another attempt can replace this one; after it a fault ends the response so that the client can
-tell, and is never retried. `wait_end_of_query` buffers a result up to a bound, past which it is
-streamed as well.
+Performs no I/O. A result is streamed: each piece is forwarded when it arrives, and reading from the
+engine is paused while too many bytes have not been sent to the client. Until the first byte of the
+result is sent, another attempt can replace this one. After that a fault is never retried: it aborts
+the response, so that the client can detect the incomplete result. With `wait_end_of_query` a result
+is buffered up to a limit, beyond which it is streamed as well.
 """
 
 from __future__ import annotations
@@ -14,47 +14,47 @@
 from enum import Enum
 from typing import NamedTuple
 
-#: A line with which the engine itself says at the end of a body that the result is incomplete.
+#: The line by which an engine marks, at the end of a body, that the result is incomplete.
 EXCEPTION_MARKER = b"__exception__"
-#: With more unread bytes than this at the client the engine is paused.
+#: The engine is paused when more bytes than this have not been sent to the client.
 PAUSE_ABOVE_BYTES = 262_144
-#: With no more unread bytes than this it is resumed.
+#: The engine is resumed when at most this many bytes have not been sent to the client.
 RESUME_AT_BYTES = 65_536
-#: How much is buffered under `wait_end_of_query`.
+#: The default limit on the bytes buffered under `wait_end_of_query`.
 MAX_BUFFERED_BYTES = 1 << 20
-#: The part of a body's end in which the marker may stand.
+#: The marker is searched for in this many bytes at the end of a body.
 TAIL_BYTES = 16_384
-#: From this HTTP status on an answer is an error and no result.
+#: Responses with this HTTP status or a higher one are errors.
 FIRST_ERROR_STATUS = 400
 
 
 class RelayState(Enum):
-    """How far a result has come."""
+    """The progress of a result."""
 
-    WAITING = "waiting"  # no answer yet
-    BUFFERING = "buffering"  # it arrives, and nothing has been passed on
-    STREAMING = "streaming"  # a byte has gone to the client
+    WAITING = "waiting"  # no response of the engine yet
+    BUFFERING = "buffering"  # the response arrives, and nothing has been forwarded
+    STREAMING = "streaming"  # the response is being forwarded to the client
     DONE = "done"
-    BROKEN = "broken"  # the client can tell that the result is incomplete
+    BROKEN = "broken"  # ended without a complete result
 
 
 class RelayAction(Enum):
-    """What the caller has to do."""
+    """What the caller must do."""
 
     SEND_HEAD = "send head"  # the status line and the headers
     SEND_BODY = "send body"  # the bytes of the step, as one chunk
     SEND_END = "send end"  # the last chunk
-    ABORT = "abort"  # close without the last chunk, by which the client can tell
-    PAUSE = "pause"  # read no more from the engine
+    ABORT = "abort"  # close without the last chunk, so that the client detects it
+    PAUSE = "pause"  # stop reading from the engine
     RESUME = "resume"
-    SEND_ERROR = "send error"  # nothing has been sent: an error in place of a result
+    SEND_ERROR = "send error"  # an error in place of a result, of which nothing was sent
 
 
 class RelayStep(NamedTuple):
     """One action for the caller.
 
     Attributes:
-        action: What is to be done.
+        action: What the caller must do.
         data: The bytes to send; empty for all actions but `SEND_BODY`.
     """
 
@@ -63,16 +63,16 @@
 
 
 class FaultOutcome(Enum):
-    """What a fault of the attempt means for the request."""
+    """The consequence of a failed attempt for the request."""
 
-    RETRY = "retry"  # another attempt may replace it, if the request class allows that
-    FAILED = "failed"  # the client can tell, or will from the next steps
+    RETRY = "retry"  # another attempt may follow, if the request class allows it
+    FAILED = "failed"  # the next steps show the failure to the client
     ALREADY_ENDED = "already ended"
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The status and the headers of an engine's answer."""
+    """The status and the headers of an engine's response."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -80,21 +80,21 @@
 
 @dataclass(slots=True)
 class Relay:
-    """One result on its way.
+    """The state of one result that is relayed.
 
     Attributes:
-        wait_for_end: Whether the client has asked for the result in one piece.
-        max_buffered_bytes: How much of it is buffered before it is streamed all the same.
-        state: How far the result has come.
-        head: The head of the engine's answer; None before it.
-        buffered: The pieces of the body that have not been passed on.
-        buffered_bytes: Their size.
-        unread_bytes: What was passed on and has not left for the client.
-        paused: Whether the engine is paused.
-        passed_bytes: What was passed on altogether.
-        overflowed: Whether the result was too large to be buffered to its end.
-        tail: The last bytes that were passed on.
-        steps: What the caller has to do, in order; `take_steps` takes it out.
+        wait_for_end: Whether the client asked for the complete result to be buffered first.
+        max_buffered_bytes: The most bytes to buffer before the result is streamed nevertheless.
+        state: The progress of the result.
+        head: The head of the engine's response; None before it arrived.
+        buffered: The pieces of the body that have not been forwarded.
+        buffered_bytes: The size of the buffered pieces.
+        unread_bytes: The bytes that were forwarded but not yet sent to the client.
+        paused: Whether reading from the engine is paused.
+        passed_bytes: The bytes forwarded so far.
+        overflowed: Whether the result exceeded `max_buffered_bytes`.
+        tail: The last bytes that were forwarded.
+        steps: The pending steps for the caller, in order; `take_steps` removes them.
     """
 
     wait_for_end: bool = False
@@ -111,21 +111,19 @@
     steps: list[RelayStep] = field(default_factory=list)
 
     def take_steps(self) -> list[RelayStep]:
-        """Return what the caller has to do now, and forget it."""
+        """Remove and return the pending steps for the caller."""
         steps = self.steps
         self.steps = []
         return steps
 
-    # --- from the engine ---
-
     def head_received(self, head: ResponseHead) -> None:
-        """Take the status and the headers; those of an error are no result and may be retried."""
+        """Handle the head of the engine's response; an error response may still be retried."""
         if self.state is RelayState.WAITING:
             self.head = head
             self.state = RelayState.BUFFERING
 
     def body_received(self, piece: bytes) -> None:
-        """Take bytes of the body."""
+        """Handle a piece of the body."""
         if self.state is RelayState.STREAMING:
             self._pass_on(piece)
         elif self.state is RelayState.BUFFERING:
@@ -142,7 +140,7 @@
             self._start_streaming()
 
     def body_ended(self) -> bool:
-        """Take the end of the body; return False where the result is not complete."""
+        """Handle the end of the body; return whether the result is complete."""
         if self.state not in (RelayState.BUFFERING, RelayState.STREAMING):
             return self.state is RelayState.DONE
         if self._has_exception_marker():
@@ -155,9 +153,10 @@
         return True
 
     def attempt_failed(self) -> FaultOutcome:
-        """Note that the attempt has failed and return what that means for the request.
+        """Handle a failed attempt and return the consequence for the request.
 
-        It was reset, timed out, was closed midway, or says itself that it is incomplete.
+        An attempt fails by a reset, a timeout, a premature end of the connection, or an exception
+        marker at the end of its result.
         """
         if self.state in (RelayState.WAITING, RelayState.BUFFERING):
             self.restart()
@@ -169,9 +168,9 @@
         return FaultOutcome.ALREADY_ENDED
 
     def restart(self) -> None:
-        """Wait for another attempt; the client must not have got a byte of this one."""
+        """Wait for another attempt; nothing of this one may have been sent to the client."""
         can_restart = self.state in (RelayState.WAITING, RelayState.BUFFERING)
-        assert can_restart, "a byte has gone to the client"
+        assert can_restart, "a byte was already sent to the client"
         self.state = RelayState.WAITING
         self.head = None
         self._drop_buffered()
@@ -179,7 +178,7 @@
         self._resume_engine()
 
     def give_up(self) -> FaultOutcome:
-        """End without another attempt: by an error if nothing was sent, else by an abort."""
+        """End without another attempt: with an error if nothing was sent, else with an abort."""
         if self.state in (RelayState.WAITING, RelayState.BUFFERING):
             self.restart()
             self.state = RelayState.BROKEN
@@ -187,25 +186,21 @@
             return FaultOutcome.FAILED
         return self.attempt_failed()
 
-    # --- from the client ---
-
     def bytes_written(self, size_bytes: int) -> None:
-        """Note that so many bytes have left for the client."""
+        """Handle the sending of this many bytes to the client."""
         self.unread_bytes = max(0, self.unread_bytes - size_bytes)
         if self.unread_bytes <= RESUME_AT_BYTES:
             self._resume_engine()
 
     def client_left(self) -> None:
-        """Note that the client has left: nothing more is sent, whatever comes."""
+        """Handle the disconnection of the client: nothing more is sent to it."""
         if self.state is not RelayState.DONE:
             self.state = RelayState.BROKEN
         self._drop_buffered()
-        for_engine = (RelayAction.PAUSE, RelayAction.RESUME)
-        self.steps = [step for step in self.steps if step.action in for_engine]
+        engine_actions = (RelayAction.PAUSE, RelayAction.RESUME)
+        self.steps = [step for step in self.steps if step.action in engine_actions]
         self._resume_engine()
 
-    # --- internal ---
-
     def _add_step(self, action: RelayAction, data: bytes = b"") -> None:
         self.steps.append(RelayStep(action, data))
 
@@ -240,9 +235,9 @@
             self._add_step(RelayAction.RESUME)
 
     def _has_exception_marker(self) -> bool:
-        """Return whether the marker stands near the end, on a line of its own.
+        """Return whether a line near the end of the body consists of the exception marker.
 
-        A result may contain its text anywhere else.
+        Elsewhere, such as within a row, the text of the marker is part of the result.
         """
         tail = self.tail + b"".join(self.buffered)
         return any(line.strip() == EXCEPTION_MARKER for line in tail[-TAIL_BYTES:].splitlines())
--- a/query_broker/clickhouse/rules.py
+++ b/query_broker/clickhouse/rules.py
@@ -1,8 +1,8 @@
-"""Where a request goes and under which terms: operators' rules, of which the first match wins.
+"""Operators' rules that decide the class, tenant, pool, cell and timeout of a request.
 
-Performs no I/O. A rule names conditions and what they lead to. Each part of the outcome is taken
-from the first matching rule that names it. What no rule names is taken from the defaults: the class
-by what the statement does, the tenant by the user, the pool and the deadline of the class.
+Performs no I/O. A rule consists of conditions and an outcome. Each part of the outcome is taken
+from the first matching rule that sets it. Parts that no rule sets have defaults: the class depends
+on the kind of statement, the tenant on the user, and the pool and the deadline on the class.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 
 NS_PER_MS = 1_000_000
 MS_PER_S = 1_000
-#: A client's timeout from here on counts as none.
+#: A client's timeout of this length or longer counts as no timeout.
 CLIENT_TIMEOUT_LIMIT_S = 1e9
 
 
 class RuleError(QueryBrokerError, ValueError):
-    """A rule that cannot be used; the text is ``key: problem``.
+    """An invalid rule; the text is ``key: problem``.
 
-    The keys are those of the rules' own form: ``route`` is the class, ``first`` the verbs,
-    ``patience_ms`` the timeout and ``by_does`` the class by kind.
+    The keys are those of the rules' written form: ``route`` is the class, ``first`` the verbs,
+    ``patience_ms`` the timeout and ``by_does`` the class by statement kind.
     """
 
     def __init__(self, key: str, problem: str) -> None:
-        """Name the key of the rule and what is wrong with it."""
+        """Create an error for a key of a rule."""
         super().__init__(f"{key}: {problem}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """A request as rules see it.
+    """The properties of a request that rules can match.
 
     Attributes:
         user: The user.
         path: The path of the URL.
         database: The database that the head of the request names.
-        statement: What was read of its statement.
-        settings: The settings that it names.
-        headers: Its headers; their names are in lower case.
-        quota_key: By what the user's quota is counted.
+        statement: The parsed statement.
+        settings: The settings of the request.
+        headers: The headers of the request, by name in lower case.
+        quota_key: The key by which the user's quota is counted.
     """
 
     user: str
@@ -57,7 +57,7 @@
 
 
 class NamedPattern(NamedTuple):
-    """A shell pattern for the value of a setting or header."""
+    """The name of a setting or header, and a shell pattern for its value."""
 
     name: str
     pattern: str
@@ -65,29 +65,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """One rule: conditions that must all hold, and what a match leads to.
+    """A rule: conditions that must all hold, and the outcome of a match.
 
-    Patterns are those of a shell. An empty condition always holds, and an empty outcome leaves that
-    part to later rules.
+    Patterns are shell patterns. An empty condition always holds; an empty part of the outcome is
+    left to later rules.
 
     Attributes:
         user: A pattern for the user.
         path: A pattern for the path of the URL.
         database: A pattern for the database.
-        verbs: The first words of statements that match, in capitals.
-        kinds: What the statement does.
-        settings: Settings that must be named, with patterns for their values.
-        headers: Headers that must be there, with patterns for their values.
+        verbs: The first words of statements that match, in upper case.
+        kinds: The kinds of statements that match.
+        settings: The settings that must be present, with patterns for their values.
+        headers: The headers that must be present, with patterns for their values.
         quota_key: A pattern for the quota key.
         class_name: The request class.
         tenant: The tenant.
         pool: The pool.
         cell: The cell.
         timeout_ms: The timeout; 0 sets none.
-        denial: The reason to deny the request.
+        denial: The reason for denying the request; empty does not deny it.
 
     Raises:
-        RuleError: A value cannot be used; the text names the key.
+        RuleError: A value is invalid; the text names the key.
     """
 
     user: str = ""
@@ -106,17 +106,17 @@
     denial: str = ""
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the values."""
         outcomes = (self.class_name, self.tenant, self.pool, self.cell, self.denial)
         if not any(outcomes) and not self.timeout_ms:
-            raise RuleError("route", "a rule must lead to something")
+            raise RuleError("route", "a rule must have an outcome")
         if self.timeout_ms < 0:
             raise RuleError("patience_ms", "must not be negative")
         if any(verb != verb.upper() for verb in self.verbs):
-            raise RuleError("first", "words are written in capitals")
+            raise RuleError("first", "verbs must be in upper case")
 
     def matches(self, request: RequestFacts) -> bool:
-        """Return whether all conditions hold for a request."""
+        """Return whether a request meets all conditions."""
         return (
             _matches(self.user, request.user)
             and _matches(self.path, request.path)
@@ -139,17 +139,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Routing:
-    """Where a request goes and under which terms.
+    """The decision about a request: its destination, its timeout, and whether it may run twice.
 
     Attributes:
-        class_name: Its request class.
-        tenant: Its tenant.
-        pool: Its pool; empty leaves the choice to the class.
-        cell: Its cell; empty leaves the choice to the map.
-        timeout_ns: How long it may take.
-        denial: Why it is denied; empty if it is not.
-        has_idempotency_key: Whether its engine recognises a second execution.
-        idempotent: Whether a second execution does no harm.
+        class_name: The request class.
+        tenant: The tenant.
+        pool: The pool; empty uses that of the class.
+        cell: The cell; empty uses that of the cell map.
+        timeout_ns: How long the request may take.
+        denial: The reason for denying the request; empty if it is not denied.
+        has_idempotency_key: Whether engines can recognise a second execution by a key.
+        idempotent: Whether a second execution is harmless.
     """
 
     class_name: str
@@ -164,7 +164,7 @@
 
 @dataclass(slots=True)
 class _Outcome:
-    """What the matching rules lead to, each part from the first rule that names it."""
+    """The combined outcome of the matching rules."""
 
     class_name: str = ""
     tenant: str = ""
@@ -174,7 +174,7 @@
     timeout_ms: int = 0
 
     def add(self, rule: Rule) -> None:
-        """Take the parts that no earlier rule has named."""
+        """Add the parts of a rule's outcome that no earlier rule has set."""
         self.class_name = self.class_name or rule.class_name
         self.tenant = self.tenant or rule.tenant
         self.pool = self.pool or rule.pool
@@ -185,21 +185,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """All rules, and the defaults of what no rule names.
+    """All rules, and the defaults for the parts that no rule sets.
 
     Attributes:
         class_deadlines_ns: The deadline of each request class.
-        class_by_kind: The request class by what the statement does.
-        rules: The rules, looked at in their order.
-        default_tenant: The tenant where the named one is not among the known ones.
-        tenants: The known tenants; with none, any name is one.
-        timeout_settings: Settings that say how long the client waits.
-        idempotency_settings: Settings that hold an idempotency key.
-        query_id_is_idempotency_key: Whether a query id serves as idempotency key.
-        tenant_by_user: The tenant of each user whose tenant has another name than the user.
+        class_by_kind: The default request class of each kind of statement.
+        rules: The rules, in the order in which they are evaluated.
+        default_tenant: The tenant of requests whose tenant is unknown.
+        tenants: The known tenants; if empty, all tenants are known.
+        timeout_settings: The settings that contain the client's timeout in seconds.
+        idempotency_settings: The settings that contain an idempotency key.
+        query_id_is_idempotency_key: Whether a query id is used as an idempotency key.
+        tenant_by_user: The tenant of each user whose tenant is not named after the user.
 
     Raises:
-        RuleError: A value cannot be used; the text names the key.
+        RuleError: A value is invalid; the text names the key.
     """
 
     class_deadlines_ns: Mapping[str, int]
@@ -213,18 +213,18 @@
     tenant_by_user: Mapping[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Check the values."""
-        named = [("rules.route", rule.class_name) for rule in self.rules]
-        named += [("by_does", class_name) for class_name in self.class_by_kind.values()]
-        for key, class_name in named:
+        """Validate the values."""
+        class_references = [("rules.route", rule.class_name) for rule in self.rules]
+        class_references += [("by_does", class_name) for class_name in self.class_by_kind.values()]
+        for key, class_name in class_references:
             if class_name and class_name not in self.class_deadlines_ns:
                 raise RuleError(key, f"{class_name!r} is no class of the settings")
         for kind in StatementKind:
             if kind not in self.class_by_kind:
-                raise RuleError("by_does", f"nothing is said of {kind.value!r}")
+                raise RuleError("by_does", f"no class is given for {kind.value!r}")
 
     def route(self, request: RequestFacts, query_id: str = "") -> Routing:
-        """Return where a request goes; ``query_id`` is the client's own id of it."""
+        """Apply the rules to a request; ``query_id`` is the id that the client gave it."""
         outcome = self._outcome(request)
         kind = request.statement.kind
         class_name = outcome.class_name or self.class_by_kind[kind]
@@ -246,8 +246,8 @@
                 outcome.add(rule)
         return outcome
 
-    def _tenant(self, named: str, user: str) -> str:
-        tenant = named or self.tenant_by_user.get(user, user)
+    def _tenant(self, rule_tenant: str, user: str) -> str:
+        tenant = rule_tenant or self.tenant_by_user.get(user, user)
         if self.tenants and tenant not in self.tenants:
             return self.default_tenant
         return tenant
@@ -260,9 +260,9 @@
         return self.query_id_is_idempotency_key and bool(query_id)
 
     def _timeout_ns(self, class_name: str, rule_timeout_ms: int, request: RequestFacts) -> int:
-        """Return the shortest of the class's deadline, the rule's timeout and the client's.
+        """Return the shortest of the deadline of the class and the timeouts of rule and client.
 
-        For the client 0, and what is no number, mean that there is no limit; the class's holds.
+        A client's timeout that is 0, negative or not a number is ignored.
         """
         timeouts_ns = [self.class_deadlines_ns[class_name]]
         if rule_timeout_ms:
--- a/query_broker/clickhouse/sessions.py
+++ b/query_broker/clickhouse/sessions.py
@@ -1,9 +1,9 @@
-"""Sessions: which engine has a session's state, and what becomes of it.
+"""Binds sessions to the engines that hold their state.
 
-Performs no I/O. A session is sticky: it stays with the engine that first served it for as long as
-both live. A session whose engine has ended is lost: its next request gets an error. To begin a new
-session in its place without an error would leave the client without its temporary tables and
-settings. One request of a session runs at a time.
+Performs no I/O. Sessions are sticky: a session stays with the engine of its first attempt while
+both exist. A session with state is lost when its engine ends, and its next request gets an error;
+to begin a new session without an error would silently drop the client's temporary tables and
+settings. Only one request of a session runs at a time.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class SessionKey(NamedTuple):
-    """What identifies a session: two users may choose the same id."""
+    """The key of a session; it contains the user as two users may choose the same id."""
 
     user: str
     session_id: str
@@ -35,11 +35,11 @@
         user: The user.
         session_id: The id that the client has chosen.
         timeout_ns: How long the session lives without a request.
-        last_used_ns: When its last request began or ended.
-        engine: The number of its engine; None until an attempt was sent to one.
-        running: Whether a request of it is under way.
-        has_state: Whether the engine has state of it that another one would lack.
-        lost: Whether its engine has ended, and that state with it.
+        last_used_ns: When the last request began or ended.
+        engine: The number of the session's engine; None if it is not bound to one.
+        running: Whether a request of the session is running.
+        has_state: Whether the engine holds state of the session, which other engines lack.
+        lost: Whether the engine has ended and the state is lost.
     """
 
     user: str
@@ -52,11 +52,11 @@
     lost: bool = False
 
     def key(self) -> SessionKey:
-        """Return what identifies the session."""
+        """Return the key of the session."""
         return SessionKey(self.user, self.session_id)
 
     def has_expired(self, now_ns: int) -> bool:
-        """Return whether it was idle for too long; one with a running request never was."""
+        """Return whether the idle time reached the timeout; a running session never expires."""
         return not self.running and now_ns - self.last_used_ns >= self.timeout_ns
 
 
@@ -65,8 +65,8 @@
     """All sessions.
 
     Attributes:
-        by_key: The sessions.
-        by_engine: The keys of the sessions that are bound to each engine.
+        by_key: The sessions, by key.
+        by_engine: The keys of the sessions bound to each engine, by engine number.
     """
 
     by_key: dict[SessionKey, Session] = field(default_factory=dict)
@@ -81,17 +81,18 @@
         must_exist: bool = False,
         timeout_ns: int = 0,
     ) -> Session:
-        """Begin a request of the session and return it.
+        """Begin a request of a session and return the session, creating it if necessary.
 
         Args:
             user: The user.
             session_id: The id that the client has chosen.
-            now_ns: The time.
+            now_ns: The current time.
             must_exist: Whether the session must exist already.
             timeout_ns: How long the session lives without a request; 0 for the default.
 
         Raises:
-            QueryError: The request may not begin.
+            QueryError: An argument is invalid, the session is running, lost or not found, or too
+                many sessions exist.
         """
         _check_arguments(session_id, timeout_ns)
         key = SessionKey(user, session_id)
@@ -99,7 +100,7 @@
         if session is None:
             if must_exist:
                 raise QueryError(SESSION_NOT_FOUND, f"session {session_id} is not found")
-            self._make_space(now_ns)
+            self._enforce_session_limit(now_ns)
             session = Session(user, session_id, timeout_ns or DEFAULT_TIMEOUT_NS, now_ns)
             self.by_key[key] = session
         elif session.running:
@@ -113,7 +114,7 @@
         return session
 
     def _current(self, key: SessionKey, now_ns: int) -> Session | None:
-        """Return the session if there is one; drop it if it has expired or is lost.
+        """Return the session, or None; an expired or lost session is dropped.
 
         Raises:
             QueryError: The session is lost.
@@ -127,17 +128,18 @@
         if session.lost:
             self._drop(key)
             raise QueryError(
-                SESSION_NOT_FOUND, f"the server that held session {key.session_id} has gone"
+                SESSION_NOT_FOUND,
+                f"the server with the state of session {key.session_id} is no longer available",
             )
         return session
 
     def bind(self, session: Session, engine: int, *, leaves_state: bool) -> None:
-        """Bind the session to the engine that an attempt of it was sent to.
+        """Bind the session to the engine to which an attempt was sent, if it is not bound yet.
 
         Args:
             session: The session.
             engine: The number of the engine.
-            leaves_state: Whether the attempt leaves state there that another engine would lack.
+            leaves_state: Whether the attempt leaves state at the engine, which other engines lack.
         """
         if session.engine is None:
             session.engine = engine
@@ -145,14 +147,15 @@
         session.has_state = session.has_state or leaves_state
 
     def end(self, session: Session, now_ns: int) -> None:
-        """Note that the request under way has ended."""
+        """Mark the running request of the session as ended."""
         session.running = False
         session.last_used_ns = now_ns
 
     def engine_removed(self, engine: int) -> list[Session]:
-        """Release the sessions of an engine that was removed or restarted; return the lost ones.
+        """Unbind the sessions of an engine that was removed or restarted; return the lost ones.
 
-        Sessions without state there may go elsewhere; the next request of a lost one gets an error.
+        Sessions without state can move to another engine. Sessions with state are lost, and their
+        next request gets an error.
         """
         lost = []
         for key in self.by_engine.pop(engine, set()):
@@ -167,7 +170,7 @@
         return lost
 
     def expire(self, now_ns: int) -> int:
-        """Drop the sessions that have expired and return how many there were."""
+        """Drop the expired sessions and return their number."""
         expired = [key for key, session in self.by_key.items() if session.has_expired(now_ns)]
         for key in expired:
             self._drop(key)
@@ -184,10 +187,10 @@
         if not keys:
             del self.by_engine[session.engine]
 
-    def _make_space(self, now_ns: int) -> None:
-        """Bound the number of sessions, since clients name any session that they like.
+    def _enforce_session_limit(self, now_ns: int) -> None:
+        """Make room for a session if `MAX_SESSIONS` exist, as clients can create any number.
 
-        The session that was idle for longest is dropped, among those without state.
+        Expired sessions are dropped, else the session without state that was idle for longest.
 
         Raises:
             QueryError: Every session is running or has state.
--- a/query_broker/clickhouse/statement.py
+++ b/query_broker/clickhouse/statement.py
@@ -1,7 +1,7 @@
-"""What a statement does, by its first words, read past comments, strings and brackets.
+"""Classifies statements by their first words, skipping comments, strings and brackets.
 
-Performs no I/O. It is no parser of the language: a statement that cannot be recognised is reported
-as unknown, and the rules for unknown statements hold.
+Performs no I/O. This is not a parser of the SQL dialect: a statement that cannot be recognised is
+reported as unknown, and the rules for unknown statements apply.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-#: How much of a statement is read; what it does is clear from its beginning.
+#: The most characters of a statement that are read; its beginning shows what it does.
 MAX_READ_CHARACTERS = 65_536
 BLANK_OR_COMMENT = re.compile(r"(?:\s+|--[^\n]*(?:\n|$)|#[! ][^\n]*(?:\n|$)|/\*.*?\*/)+", re.S)
 WORD = re.compile(r"[A-Za-z_][A-Za-z0-9_]*")
@@ -33,7 +33,7 @@
     {"SELECT", "WITH", "SHOW", "DESCRIBE", "DESC", "EXISTS", "EXPLAIN", "CHECK"}
 )
 SESSION_VERBS = frozenset({"SET", "USE"})
-#: Behind a session's verb these words change a user and not the session.
+#: After a session verb these words make the statement change a user instead of the session.
 USER_WORDS = ("ROLE", "DEFAULT")
 TEMPORARY_VERBS = ("CREATE", "DROP")
 
@@ -43,21 +43,21 @@
 
     READ = "read"
     WRITE = "write"  # INSERT
-    CHANGE = "change"  # everything else that changes something
-    SESSION = "session"  # SET, USE, temporary tables: affects later statements of its session
+    CHANGE = "change"  # all other statements that change something
+    SESSION = "session"  # SET, USE, temporary tables: affects later statements of the session
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """What was read of a statement.
+    """The recognised parts of a statement.
 
     Attributes:
-        verb: Its first word in capitals; empty where there is none.
-        kind: What it does.
-        table: The table of an INSERT, as it is written.
-        settings: The name and value of each setting of its SETTINGS clause.
-        format: The format of its FORMAT clause; empty where there is none.
+        verb: The first word in upper case; empty if there is none.
+        kind: What the statement does.
+        table: The table of an INSERT, as written.
+        settings: The names and values of the SETTINGS clause.
+        format: The format of the FORMAT clause; empty if there is none.
     """
 
     verb: str
@@ -68,7 +68,7 @@
 
 
 class _Token(NamedTuple):
-    """A word in capitals, empty where there is none, and the position behind it."""
+    """A word in upper case (empty if there is none) and the position after it."""
 
     text: str
     end: int
@@ -82,13 +82,13 @@
 
 
 def _skip_blank(text: str, position: int) -> int:
-    """Return the position behind white space and comments."""
+    """Return the position after white space and comments."""
     match = BLANK_OR_COMMENT.match(text, position)
     return match.end() if match else position
 
 
 def _next_token(text: str, position: int) -> _Token:
-    """Return the word behind white space, comments and opening brackets."""
+    """Return the next word after white space, comments and opening brackets."""
     position = _skip_blank(text, position)
     while text.startswith("(", position):
         position = _skip_blank(text, position + 1)
@@ -99,9 +99,9 @@
 
 
 def parse_statement(text: str) -> Statement:
-    """Return what a statement does; this raises nothing.
+    """Return the recognised parts of a statement; never raises.
 
-    A statement that cannot be recognised is UNKNOWN, and its engine answers what is wrong with it.
+    A statement that cannot be recognised is UNKNOWN; the engine reports what is wrong with it.
     """
     text = text[:MAX_READ_CHARACTERS]
     verb, position = _next_token(text, 0)
@@ -129,7 +129,7 @@
 
 
 def _parse_insert(text: str, position: int) -> Statement:
-    """Return an INSERT; the words INTO and TABLE before its table may be absent."""
+    """Return the parts of an INSERT; INTO and TABLE before the table name are optional."""
     token, end = _next_token(text, position)
     for optional_word in ("INTO", "TABLE"):
         if token == optional_word:
@@ -144,7 +144,7 @@
 
 
 def _main_verb(text: str) -> str:
-    """Return SELECT or INSERT, whichever stands first outside brackets and strings."""
+    """Return SELECT or INSERT, whichever occurs first outside brackets and strings."""
     depth = 0
     for match in MAIN_VERB_TOKEN.finditer(text):
         token = match[0].upper()
@@ -184,7 +184,7 @@
 
 
 def _read_assignments(text: str, position: int) -> dict[str, str]:
-    """Return the settings of a SETTINGS clause that begins at the position."""
+    """Return the settings of a SETTINGS clause, from the position after the keyword."""
     settings: dict[str, str] = {}
     while True:
         match = ASSIGNMENT.match(text, position)
--- a/tests/clickhouse/test_errors.py
+++ b/tests/clickhouse/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors in the form of the interface."""
+"""Body and headers of error responses."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 )
 
 
-def test_errors_keep_the_interface_s_form() -> None:
-    fault = QueryError(TOO_MANY_SIMULTANEOUS_QUERIES, "come\nback later", retry_after_s=0.2)
+def test_errors_have_the_body_and_headers_of_the_interface() -> None:
+    error = QueryError(TOO_MANY_SIMULTANEOUS_QUERIES, "come\nback later", retry_after_s=0.2)
     assert (
-        fault.body()
+        error.body()
         == b"Code: 202. DB::Exception: come back later. (TOO_MANY_SIMULTANEOUS_QUERIES)\n"
     )
-    assert fault.headers() == [(EXCEPTION_CODE_HEADER, "202"), ("Retry-After", "1")]
+    assert error.headers() == [(EXCEPTION_CODE_HEADER, "202"), ("Retry-After", "1")]
     assert dict(QueryError(SESSION_NOT_FOUND, "x").headers()) == {EXCEPTION_CODE_HEADER: "372"}
--- a/tests/clickhouse/test_relay.py
+++ b/tests/clickhouse/test_relay.py
@@ -1,4 +1,4 @@
-"""Results on their way from an engine to the client."""
+"""Relaying of results from an engine to the client."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def take_actions(relay: Relay) -> list[RelayAction]:
-    """Take what the relay has for the client, without the data."""
+    """Take the pending steps of the relay and return their actions."""
     return [action for action, _ in relay.take_steps()]
 
 
-def test_until_a_byte_has_been_written_another_attempt_may_serve_the_request() -> None:
+def test_a_failed_attempt_can_be_replaced_while_nothing_was_sent() -> None:
     relay = Relay(wait_for_end=True)
     relay.head_received(ResponseHead(200))
     relay.body_received(b"half")
@@ -34,7 +34,7 @@
     assert relay.attempt_failed() is FaultOutcome.ALREADY_ENDED
 
 
-def test_a_fault_after_the_first_byte_is_shown_and_never_retried() -> None:
+def test_a_fault_after_the_first_byte_aborts_and_is_not_retried() -> None:
     relay = Relay()
     relay.head_received(ResponseHead(200))
     relay.body_received(b"a")
@@ -56,7 +56,7 @@
     [(True, RelayState.WAITING), (False, RelayState.BROKEN)],
     ids=["buffered", "streamed"],
 )
-def test_a_result_that_ends_with_an_exception_is_no_result(
+def test_a_result_with_an_exception_marker_at_its_end_is_incomplete(
     wait_end: bool, state: RelayState
 ) -> None:
     relay = Relay(wait_for_end=wait_end)
@@ -67,14 +67,14 @@
     assert relay.state is state
 
 
-def test_a_row_that_holds_the_marker_of_an_exception_is_a_result() -> None:
+def test_an_exception_marker_within_a_row_is_part_of_the_result() -> None:
     relay = Relay()
     relay.head_received(ResponseHead(200))
     relay.body_received(b"a row with __exception__ in it\n")
     assert relay.body_ended()
 
 
-def test_what_is_buffered_is_bounded_and_then_streamed() -> None:
+def test_a_result_beyond_the_buffer_limit_is_streamed() -> None:
     relay = Relay(wait_for_end=True, max_buffered_bytes=10)
     relay.head_received(ResponseHead(200))
     relay.body_received(b"x" * 8)
@@ -89,7 +89,7 @@
     assert relay.buffered_bytes == 0
 
 
-def test_an_error_of_the_engine_is_not_shown_while_another_may_do_better() -> None:
+def test_an_engine_error_is_not_sent_while_a_retry_is_possible() -> None:
     relay = Relay()
     relay.head_received(ResponseHead(500))
     relay.body_received(b"Code: 241")
@@ -100,7 +100,7 @@
 
 
 class RelayStep(Enum):
-    """What may happen to a relay, in any order."""
+    """Events of a relay, which may occur in any order."""
 
     DATA = "data"
     WRITTEN = "written"
@@ -111,7 +111,7 @@
 
 
 def take_step(relay: Relay, step: RelayStep, byte_count: int) -> None:
-    """Let the step happen to the relay; the next attempt begins where it waits for one."""
+    """Apply the step to the relay; start the next attempt if the relay waits for one."""
     if step is RelayStep.DATA and not relay.paused:
         relay.body_received(b"x" * byte_count)
     elif step is RelayStep.WRITTEN:
--- a/tests/clickhouse/test_rules.py
+++ b/tests/clickhouse/test_rules.py
@@ -1,4 +1,4 @@
-"""Rules: which class, pool, cell and tenant a request gets, and its timeout."""
+"""Routing rules: class, pool, cell, tenant and timeout of a request."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def request_facts(text: str = "SELECT 1", **more: Any) -> RequestFacts:
-    """Return what the rules know of a request with this statement."""
+    """Return the properties of a request with this statement, as rules match them."""
     defaults: dict[str, Any] = {
         "user": "ann",
         "path": "/",
@@ -34,7 +34,7 @@
     return RequestFacts(statement=parse_statement(text), **{**defaults, **more})
 
 
-def test_the_first_rule_that_names_a_part_decides_it() -> None:
+def test_each_part_is_taken_from_the_first_matching_rule_that_sets_it() -> None:
     rules = Rules(
         CLASSES,
         CLASS_BY_KIND,
@@ -47,30 +47,30 @@
             Rule(verbs=("KILL",), denial="not here"),
         ),
     )
-    decision = rules.route(
-        request_facts(user="finance", database="t1", settings={"priority": "10"})
-    )
-    assert decision.class_name == "report"
-    assert decision.pool == "big"
-    assert decision.cell == "b"
-    assert decision.tenant == "likoni"
-    assert decision.timeout_ns == 3 * S
+    routing = rules.route(request_facts(user="finance", database="t1", settings={"priority": "10"}))
+    assert routing.class_name == "report"
+    assert routing.pool == "big"
+    assert routing.cell == "b"
+    assert routing.tenant == "likoni"
+    assert routing.timeout_ns == 3 * S
     assert rules.route(request_facts(headers={"x-desk": "lamu"})).tenant == "lamu"
     assert rules.route(request_facts("KILL QUERY WHERE 1")).denial == "not here"
     assert not rules.route(request_facts()).denial
 
 
 @pytest.mark.parametrize(
-    ("stated", "timeout_s"),
+    ("client_timeout", "timeout_s"),
     [("2.5", 2.5), ("0", 5), ("60", 5), ("x", 5), ("nan", 5), ("-1", 5)],
 )
-def test_the_timeout_is_the_least_of_class_rule_and_client(stated: str, timeout_s: float) -> None:
+def test_the_timeout_is_the_shorter_of_class_deadline_and_client_timeout(
+    client_timeout: str, timeout_s: float
+) -> None:
     rules = Rules(CLASSES, CLASS_BY_KIND)
-    facts = request_facts(settings={"max_execution_time": stated})
+    facts = request_facts(settings={"max_execution_time": client_timeout})
     assert rules.route(facts).timeout_ns == timeout_s * S
 
 
-def test_an_insert_is_not_idempotent_unless_a_token_or_an_id_is_its_key() -> None:
+def test_an_insert_has_an_idempotency_key_only_with_a_token_or_query_id() -> None:
     rules = Rules(
         CLASSES,
         CLASS_BY_KIND,
@@ -78,16 +78,16 @@
         tenants=frozenset({"acme"}),
         default_tenant="acme",
     )
-    decision = rules.route(request_facts("INSERT INTO t VALUES (1)"))
-    assert not decision.has_idempotency_key
-    assert not decision.idempotent
-    assert decision.tenant == "acme"
-    assert decision.class_name == "load"
+    routing = rules.route(request_facts("INSERT INTO t VALUES (1)"))
+    assert not routing.has_idempotency_key
+    assert not routing.idempotent
+    assert routing.tenant == "acme"
+    assert routing.class_name == "load"
     assert rules.route(
         request_facts("INSERT INTO t VALUES (1)", settings={"insert_deduplication_token": "x"})
     ).has_idempotency_key
     assert rules.route(request_facts("INSERT INTO t VALUES (1)"), "q1").has_idempotency_key
-    # an ALTER runs twice whatever its id
+    # only the query id of an INSERT is an idempotency key
     assert not rules.route(request_facts("ALTER TABLE t DELETE WHERE 1"), "q1").has_idempotency_key
     assert rules.route(request_facts()).idempotent
 
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize(
     "make_rules",
     [
-        pytest.param(lambda: Rule(user="a"), id="no decision"),
+        pytest.param(lambda: Rule(user="a"), id="no outcome"),
         pytest.param(lambda: Rule(class_name="x", timeout_ms=-1), id="negative timeout"),
         pytest.param(lambda: Rule(verbs=("kill",), denial="x"), id="keyword in lower case"),
         pytest.param(
@@ -107,7 +107,7 @@
         pytest.param(lambda: Rules({}, CLASS_BY_KIND), id="no classes"),
     ],
 )
-def test_an_invalid_rule_is_an_error_that_names_its_key(
+def test_an_invalid_rule_raises_an_error_that_names_its_key(
     make_rules: Callable[[], Rule | Rules],
 ) -> None:
     with pytest.raises(RuleError, match="^[a-z_.]+: "):
--- a/tests/clickhouse/test_statement.py
+++ b/tests/clickhouse/test_statement.py
@@ -1,4 +1,4 @@
-"""Statements: kind, table of an insert, settings and format."""
+"""Classification of statements, and parsing of insert tables, settings and formats."""
 
 from __future__ import annotations
 
@@ -40,13 +40,15 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "first", "kind"), STATEMENTS, ids=[text or "empty" for text, _, _ in STATEMENTS]
+    ("text", "expected_verb", "kind"),
+    STATEMENTS,
+    ids=[text or "empty" for text, _, _ in STATEMENTS],
 )
-def test_the_first_keyword_decides_the_kind_of_a_statement(
-    text: str, first: str, kind: StatementKind
+def test_a_statement_is_classified_by_its_first_words(
+    text: str, expected_verb: str, kind: StatementKind
 ) -> None:
     statement = parse_statement(text)
-    assert (statement.verb, statement.kind) == (first, kind)
+    assert (statement.verb, statement.kind) == (expected_verb, kind)
 
 
 @pytest.mark.parametrize(
@@ -59,11 +61,11 @@
         ("INSERT t VALUES", "t"),
     ],
 )
-def test_the_table_of_an_insert(text: str, table: str) -> None:
+def test_the_table_of_an_insert_is_parsed(text: str, table: str) -> None:
     assert parse_statement(text).table == table
 
 
-def test_settings_and_format_are_read_outside_brackets_and_strings() -> None:
+def test_settings_and_format_are_parsed_outside_brackets_and_strings() -> None:
     statement = parse_statement(
         "SELECT 'FORMAT x', (SELECT 1 SETTINGS a = 1) SETTINGS max_threads = 2, b = 'o\\'k' "
         "FORMAT TSV"
@@ -77,6 +79,6 @@
     assert parse_statement(text).kind in StatementKind
 
 
-def test_statements_are_read_only_as_far_as_their_kind_needs() -> None:
+def test_a_very_long_statement_is_classified_by_its_beginning() -> None:
     assert parse_statement("SELECT 1 " + "x" * 1_000_000).kind is StatementKind.READ
     assert Statement("SELECT", StatementKind.READ) == parse_statement("SELECT 1")
--- a/tests/emulator/test_faulty_links.py
+++ b/tests/emulator/test_faulty_links.py
@@ -1,4 +1,4 @@
-"""The emulated links that a fault schedule disturbs."""
+"""Emulated links with scheduled faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @on_uvloop
-async def test_a_cut_in_one_way_stalls_that_way_alone() -> None:
+async def test_a_stall_in_one_direction_does_not_affect_the_other() -> None:
     received: list[bytes] = []
 
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -44,6 +44,6 @@
     server.close()
 
 
-def test_partitions_name_their_links() -> None:
+def test_a_partition_stalls_all_links_between_its_groups() -> None:
     faults = partition_faults(0, 1, ["a"], ["b", "c"])
     assert {fault.link_pattern for fault in faults} == {"a-b", "a-c", "b-a", "c-a"}
--- a/tests/emulator/test_port_allocator.py
+++ b/tests/emulator/test_port_allocator.py
@@ -1,4 +1,4 @@
-"""The ports that emulated processes listen on."""
+"""Allocation of listening ports for emulated processes."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from query_broker.emulator.processes import HOST, PortAllocator
 
-NEVER_BOUND = 60  # of the 99 ports of a block
+OCCUPIED_PORT_COUNT = 60  # of the 99 ports of a block
 
 
 class ManualClock:
-    """A clock that stands still until it is set."""
+    """A clock that advances only when it is set."""
 
     def __init__(self) -> None:
         self.now_s = 1_000.0
@@ -19,28 +19,30 @@
         return self.now_s
 
 
-def test_no_port_is_given_out_twice_though_most_of_a_block_is_in_use() -> None:
+def test_no_port_is_allocated_twice_while_most_of_a_block_is_in_use() -> None:
     allocator = PortAllocator(ManualClock())
     allocator.reserve_block()
-    taken = [reserved.port for reserved in list(allocator.ports)[:NEVER_BOUND]]
-    holders = [socket.socket() for _ in taken]
-    for holder, port in zip(holders, taken, strict=True):
-        holder.bind((HOST, port))
-    given = [port for _ in range(30) for port in allocator.allocate(6)]
-    for closing in [*holders, *allocator.reservations]:
-        closing.close()
-    assert len(given) == len(set(given)) == 180
-    assert not set(given) & set(taken)
-
-
-def test_a_port_is_given_out_again_once_its_delay_is_over() -> None:
+    occupied_ports = [
+        reserved_port.port for reserved_port in list(allocator.ports)[:OCCUPIED_PORT_COUNT]
+    ]
+    occupying_sockets = [socket.socket() for _ in occupied_ports]
+    for occupying_socket, port in zip(occupying_sockets, occupied_ports, strict=True):
+        occupying_socket.bind((HOST, port))
+    allocated = [port for _ in range(30) for port in allocator.allocate(6)]
+    for open_socket in [*occupying_sockets, *allocator.reservations]:
+        open_socket.close()
+    assert len(allocated) == len(set(allocated)) == 180
+    assert not set(allocated) & set(occupied_ports)
+
+
+def test_a_port_is_allocated_again_after_the_reuse_delay() -> None:
     clock = ManualClock()
     allocator = PortAllocator(clock)
-    given = set(allocator.allocate(99))
+    allocated = set(allocator.allocate(99))
     clock.now_s += PortAllocator.REUSE_DELAY_S - 1.0
-    assert not given & set(allocator.allocate(10))
+    assert not allocated & set(allocator.allocate(10))
     clock.now_s += 2.0
-    again = {port for _ in range(20) for port in allocator.allocate(9)}
+    reallocated = {port for _ in range(20) for port in allocator.allocate(9)}
     for reservation in allocator.reservations:
         reservation.close()
-    assert again & given
+    assert reallocated & allocated
