--- a/query_broker/membership/ack_handling.py
+++ b/query_broker/membership/ack_handling.py
@@ -19,7 +19,7 @@
 
 
 class AckHandler:
-    """Records acks, of direct and of indirect pings."""
+    """Processes the acks of direct and indirect pings."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._recent_ms = RECENT_INTERVALS * settings.interval_ns // NS_PER_MS
 
     def handle(self, now_ns: int, sender: Identity, ack: Ack) -> None:
-        """Process an ack whose gossip has been merged."""
+        """Process an ack; the caller has merged its gossip."""
         if self._relay.forward_ack(ack):
             return
         ping = self._pinger.complete(ack.ping_id)
@@ -60,7 +60,7 @@
             self._remove_replaced_member(now_ns, ping.target)
 
     def _remove_replaced_member(self, now_ns: int, target: Identity) -> None:
-        """Remove a member whose address now belongs to another process."""
+        """Remove a member at whose address another process has answered."""
         record = self._table.get(target)
         if record is not None and record.is_present():
             reason = f"{target.address} is another's now"
--- a/query_broker/membership/addresses.py
+++ b/query_broker/membership/addresses.py
@@ -9,7 +9,7 @@
     """Split `host:port`.
 
     Raises:
-        ValueError: The port is no number.
+        ValueError: The port is not a number.
     """
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/query_broker/membership/admin_api.py
+++ b/query_broker/membership/admin_api.py
@@ -1,6 +1,6 @@
-"""The operators' HTTP calls about the membership, answered in JSON.
+"""The admin API calls about the membership, answered in JSON.
 
-The keys of the answers are a public interface and keep their spelling; this module maps them.
+The keys of the answers are a public interface and do not follow renames of internal fields.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class MembershipAdminApi:
-    """Answers the operators' calls."""
+    """Handles the admin API calls of the membership."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         traffic: TrafficCounters,
         service: ServiceHost,
     ) -> None:
-        """Keep what the answers are made of."""
+        """Store the components whose state is reported."""
         self._detector = detector
         self._views = views
         self._codec = codec
@@ -50,7 +50,7 @@
         }
 
     def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
-        """Answer a call; None if the path is not one of the membership's."""
+        """Answer a call; None if the path does not belong to the membership."""
         allowed = METHODS.get(path)
         if allowed is None:
             return None
@@ -63,7 +63,7 @@
         return {"left": self._detector.me.address}
 
     def keys(self) -> dict[str, Any]:
-        """Return which keys are in force and used."""
+        """Return the signing keys in force and how many messages each has verified."""
         ring = self._codec.key_ring
         accepted = self._codec.accepted_by_key
         return {
@@ -74,7 +74,7 @@
         }
 
     def status(self) -> dict[str, Any]:
-        """Return the state of this process, the view, and all that is known of each member."""
+        """Return the state of this process, the view, and the record of each known member."""
         detector = self._detector
         now_ns = self._service.now_ns()
         bounds = detection_bounds(detector.settings, detector.table.size)
@@ -145,7 +145,7 @@
 
 
 def _age_s(now_ns: int, event_ns: int) -> float | None:
-    """Return how long ago an event was, in seconds; None if it never was."""
+    """Return how long ago an event was, in seconds; None if it has not happened."""
     if not event_ns:
         return None
     return round((now_ns - event_ns) / NS_PER_S, 2)
--- a/query_broker/membership/anti_entropy.py
+++ b/query_broker/membership/anti_entropy.py
@@ -1,6 +1,6 @@
 """Anti-entropy: exchanges of complete tables, and contact with unreachable members.
 
-Gossip alone does not join a new member to the group, nor heal a partition in which both sides have
+Gossip alone neither adds a new member to the group nor heals a partition in which both sides have
 removed each other. Performs no I/O: the caller carries out the exchange (`table_exchange.py`).
 """
 
@@ -17,21 +17,21 @@
 from .settings import MembershipSettings
 from .suspicion import SuspicionTracker
 
-#: Mean time between two contacts with unreachable members, in ping intervals.
+#: Mean time between two contacts with an unreachable member, in ping intervals.
 RECONTACT_INTERVALS = 10
-#: Consecutive acks with another digest than this process's after which tables are exchanged.
+#: Consecutive acks with a digest other than this process's own that trigger a table exchange.
 MAX_DIFFERING_DIGESTS = 4
-#: Doublings of the time between two contacts with seeds.
+#: Maximum number of doublings of the delay between two contacts with seeds.
 MAX_SEED_BACKOFF_DOUBLINGS = 5
 
 
 def _jittered_ns(draw: random.Random, mean_ns: int) -> int:
-    """Draw a duration between half and one and a half times the mean."""
+    """Return a random duration between 0.5 and 1.5 times the mean."""
     return int((0.5 + draw.random()) * mean_ns)
 
 
 class SyncScheduler:
-    """Decides when to exchange tables, and with which member."""
+    """Decides when tables are exchanged, and with which member."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
             self._messenger.request_sync(self._draw.choice(addresses))
 
     def compare_digest(self, now_ns: int, ack: Ack) -> None:
-        """Bring the next exchange forward if views differ while no gossip is in progress."""
+        """Exchange tables early if digests keep differing although no gossip is in progress."""
         if ack.digest and ack.digest != self._table.digest():
             self._differing_digests += 1
         else:
@@ -75,14 +75,14 @@
 
 
 class ContactScheduler:
-    """Contacts seeds until one has answered, and now and then an unreachable member.
+    """Contacts seeds until one has answered, and periodically an unreachable member.
 
-    The latter detects that a partition has healed. Each member contacts one at a time, however many
-    were lost.
+    Contact with an unreachable member detects that a partition has healed. Each process contacts
+    one unreachable member at a time, so that the load does not grow with the number of lost ones.
 
     Attributes:
         seeds: Addresses of members that are usually present.
-        has_joined: Whether some member has answered.
+        has_joined: Whether any member has answered.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
             self._recontact(now_ns)
 
     def record_answer(self, sender: Identity, ping_id: int) -> None:
-        """Record that a member has answered; the answer to a contact leads to an exchange."""
+        """Record the ack of a member; the ack of a contact ping triggers a table exchange."""
         self.has_joined = True
         if ping_id == self._last_contact_id:
             self._messenger.request_sync(sender.address)
@@ -136,7 +136,7 @@
             self._contact(now_ns, self._draw.choice(candidates))
 
     def _unreachable(self) -> list[Identity]:
-        """Return dead members and absent seeds at whose address nobody is present."""
+        """Return the dead members and the seeds at whose addresses no member is present."""
         present = {identity.address for identity in self._table.present()}
         dead = [
             record.identity
--- a/query_broker/membership/claim_merge.py
+++ b/query_broker/membership/claim_merge.py
@@ -1,7 +1,7 @@
 """Merging of claims about members, from gossip and from complete tables.
 
-The precedence rules are SWIM's (section 4.2), but an incarnation or a leave counts only with its
-owner's proof. Performs no I/O.
+The precedence rules are those of SWIM (section 4.2), except that an incarnation or a leave is
+accepted only with the proof of the member it belongs to. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         self._statistics = statistics
 
     def merge_all(self, now_ns: int, claims: Iterable[Claim], max_ahead: int = MAX_AHEAD) -> None:
-        """Merge claims in their order."""
+        """Merge claims in the given order."""
         for claim in claims:
             self.merge(now_ns, claim, max_ahead)
 
@@ -55,8 +55,8 @@
 
         Args:
             now_ns: The present time.
-            claim: The claim, of whatever origin.
-            max_ahead: How far its incarnation may be ahead of the known one.
+            claim: The claim, from gossip, a table or its subject.
+            max_ahead: How far the claimed incarnation may be ahead of the known one.
         """
         if claim.member == self._own.identity:
             self._refute_claim_about_us(claim)
@@ -77,7 +77,7 @@
         self._apply(now_ns, record, claim, is_newer)
 
     def _is_authentic(self, record: MemberRecord, claim: Claim, max_ahead: int) -> bool:
-        """Return whether the claim's leave and newer incarnation are proven by their owner."""
+        """Return whether the member itself has proven the claimed leave and newer incarnation."""
         if claim.status is Status.LEFT and _leave_commitment(claim) != record.leave_proof:
             return False
         if claim.incarnation == record.incarnation:
@@ -117,8 +117,8 @@
     ) -> None:
         """Apply a claim that a member is suspected or dead.
 
-        A claim that a member is dead counts only as a suspicion, which that member can still
-        refute. Otherwise one member that is faulty, or was paused, could remove any other.
+        A claim that a member is dead is treated as a suspicion, which the accused member can still
+        refute. Otherwise a single member that is faulty, or was paused, could remove any other.
         """
         is_dead = record.status is Status.DEAD
         if self._settings.plain_swim and claim.status is Status.DEAD and not is_dead:
@@ -126,17 +126,17 @@
         elif record.status is Status.ALIVE:
             self._suspicions.suspect(now_ns, record, claim.reporter)
         elif is_dead and is_newer:
-            # Its newer incarnation proves that it was alive again; now it is suspected again.
+            # The newer incarnation proves that the member came back; it is now suspected anew.
             self._suspicions.refute(now_ns, record)
             self._suspicions.suspect(now_ns, record, claim.reporter)
         elif record.status is Status.SUSPECT:
             self._suspicions.confirm(record, claim.reporter)
 
     def _refute_claim_about_us(self, claim: Claim) -> None:
-        """Answer an accusation of this process by a newer incarnation.
+        """Refute an accusation of this process by raising its incarnation.
 
-        Only claims about the present incarnation count; otherwise old gossip would raise it without
-        end.
+        Only claims about the current incarnation are refuted; otherwise old gossip would raise the
+        incarnation indefinitely.
         """
         is_accusation = claim.status in (Status.SUSPECT, Status.DEAD)
         if not is_accusation or claim.incarnation < self._own.incarnation or self._own.has_left:
@@ -156,7 +156,7 @@
         record = MemberRecord.from_claim(claim, now_ns)
         self._table.insert(record)
         if not record.is_present():
-            return  # It is recorded, so that old gossip cannot add it as alive.
+            return  # The record prevents old gossip from adding the member as alive.
         if claim.status is Status.SUSPECT:
             record.status = Status.ALIVE
         self._table.enter_ping_order(claim.member)
@@ -180,7 +180,7 @@
 
 
 def _leave_commitment(claim: Claim) -> bytes | None:
-    """Return the commitment that a claim rests on; None if the secret of a leave is too long."""
+    """Return the leave commitment of a claim; None if its leave secret is too long to hash."""
     if claim.status is not Status.LEFT:
         return claim.leave_proof
     if len(claim.leave_proof) > MAX_LEAVE_SECRET_BYTES:
--- a/query_broker/membership/codec.py
+++ b/query_broker/membership/codec.py
@@ -1,9 +1,9 @@
 """Codec of datagrams and frames: signed by a keyed hash, bounded in size, accepted once.
 
-A foreign, torn, altered or replayed message costs one hash at the most and changes nothing.
-Performs no I/O. The layout is:
+Rejecting a foreign, truncated, altered or replayed message costs at most one hash, and the message
+has no effect. Performs no I/O. The layout is:
 
-    "lm" | protocol | key id | keyed BLAKE2b of all else, 16 bytes | envelope, MessagePack
+    "lm" | protocol | key id | keyed BLAKE2b of all other bytes, 16 bytes | envelope, MessagePack
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
     """Writes and reads the messages of one member.
 
     Attributes:
-        installation: Name of the installation; messages of others are rejected.
+        installation: Name of the installation; messages of other installations are rejected.
         key_ring: Keys in force; replaced when the key file is read again.
-        protocol: Newest protocol version that is spoken.
+        protocol: Newest protocol version that this process supports.
         sequence: Sequence number of the last message written.
-        replay_windows: Sequence numbers that have arrived.
+        replay_windows: Received sequence numbers of each sender.
         dropped: Rejected messages by reason.
         accepted_by_key: Accepted messages by key id.
     """
@@ -74,11 +74,11 @@
         """Encode and sign a message.
 
         Args:
-            recipient: The process that is meant.
+            recipient: The process that the message is addressed to.
             sender: The sender's own claim.
             message: The message.
-            recipient_protocol: Newest protocol that the recipient speaks; the older of both
-                sides' versions is written.
+            recipient_protocol: Newest protocol version that the recipient supports; the message is
+                written in the older of both sides' versions.
         """
         self.sequence += 1
         envelope = Envelope(self.installation, recipient.boot, self.sequence, sender, message)
@@ -92,7 +92,7 @@
         """Verify and decode a message, and count it.
 
         Raises:
-            MessageRejectedError: It is no new message of a member of this installation.
+            MessageRejectedError: The data is not a new message of a member of this installation.
         """
         try:
             return self._read(data, max_bytes)
@@ -134,14 +134,14 @@
         try:
             return self.decoder.decode(body)
         except (msgspec.MsgspecError, RecursionError):
-            # A message kind of a later version, or nonsense signed with a good key.
+            # A message kind of a later version, or malformed data signed with a valid key.
             raise MessageRejectedError(RejectReason.UNKNOWN) from None
 
 
 def peek_sender(data: bytes) -> str:
-    """Return the sender's address that a message gives, unverified; empty if there is none.
+    """Return the sender's address in a message without verifying it; empty if there is none.
 
-    Emulated links use it to tell whose datagram they carry.
+    Emulated links use it to identify the sender of a datagram.
     """
     try:
         envelope: Envelope = msgspec.msgpack.Decoder(Envelope).decode(data[BODY_OFFSET:])
--- a/query_broker/membership/datagrams.py
+++ b/query_broker/membership/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership over UDP."""
+"""UDP transport of the membership messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TopicHandler(Protocol):
-    """Receives the messages of a topic; it may raise on a malformed one."""
+    """Receives the messages of a topic; may raise an exception on a malformed message."""
 
     def __call__(self, now_ns: int, sender: str, payload: bytes, /) -> None:
         """Process a message of the member with the given process name."""
@@ -54,7 +54,7 @@
         self._topics[topic] = handler
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Process a datagram, unless too many arrive."""
+        """Process a datagram unless the rate limit is exceeded."""
         now_ns = self._host.now_ns()
         try:
             if not self.rate_limiter.admit(now_ns, f"{addr[0]}:{addr[1]}"):
@@ -63,15 +63,15 @@
             self._deliver(now_ns, self._messages.decode(data))
         except MessageRejectedError:
             return
-        except Exception as error:  # No datagram may raise out of a callback.
+        except Exception as error:  # A datagram must not raise out of the callback.
             self._host.log(f"a datagram: {type(error).__name__}: {error}")
         self._host.carry_out(now_ns)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an ICMP error, which is handled like a lost datagram."""
+        """Ignore an ICMP error; the datagram counts as lost."""
 
     def send_all(self, messages: Iterable[OutgoingMessage]) -> None:
-        """Send messages; a failure is logged and does not prevent the others."""
+        """Send messages; a failure to send one is logged and the others are still sent."""
         for recipient, message in messages:
             record = self._detector.table.get(recipient)
             protocol = PROTOCOL_VERSION if record is None else record.max_protocol
--- a/query_broker/membership/detector_statistics.py
+++ b/query_broker/membership/detector_statistics.py
@@ -1,4 +1,4 @@
-"""Counters of the failure detector; the names are those of the metrics and of the status answer."""
+"""Counters of the failure detector, named as in the metrics and the admin API status."""
 
 from __future__ import annotations
 
--- a/query_broker/membership/errors.py
+++ b/query_broker/membership/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the membership, under one base."""
+"""Exceptions of the membership."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 
 class MembershipError(QueryBrokerError):
-    """Base of the errors that the membership raises."""
+    """Base class of the exceptions that the membership raises."""
 
 
 class KeyFileError(MembershipError, ValueError):
-    """A key file cannot be used; the text says what is wrong with it."""
+    """A key file cannot be used; the message describes the problem."""
 
 
 class KeyLineError(KeyFileError):
-    """A line of a key file is wrong."""
+    """A line of a key file is invalid."""
 
     def __init__(self, line: int, problem: str) -> None:
-        """Name the line, counted from 1, and what is wrong with it."""
+        """Store the line number, counted from 1, and the problem."""
         super().__init__(f"line {line}: {problem}")
         self.line = line
         self.problem = problem
 
 
 class EmptyKeyFileError(KeyFileError):
-    """A key file has no key."""
+    """A key file contains no key."""
 
     def __init__(self) -> None:
-        """State that there is none."""
+        """Set the message."""
         super().__init__("holds no key")
 
 
 class RejectReason(StrEnum):
-    """Why a message was rejected; the value labels the drop counters."""
+    """Why a message was rejected; the value is a label of the drop counters."""
 
     OVERSIZED = "oversized"
     FOREIGN = "foreign"
@@ -47,9 +47,9 @@
 
 
 class MessageRejectedError(MembershipError):
-    """A datagram or frame is no new message of a member of this installation."""
+    """A datagram or frame is not a new message of a member of this installation."""
 
     def __init__(self, reason: RejectReason) -> None:
-        """Keep the reason, which is also the error's text."""
+        """Store the reason, whose value is also the message."""
         super().__init__(reason.value)
         self.reason = reason
--- a/query_broker/membership/failure_detector.py
+++ b/query_broker/membership/failure_detector.py
@@ -1,11 +1,11 @@
-"""The failure detector: messages and ticks in, messages and changes of members out.
-
-Pings in random order, indirect pings and gossip piggybacked on both are SWIM's (Das, Gupta,
-Motivala, DSN 2002). Suspicions that shrink as others confirm them, the local health score and
-notifying a suspect first are Lifeguard's (Dadgar, Phillips, Currey, DSN 2018). Added here are
-incarnations and leaves that only their owner can prove, evidence from others for a suspect that
-speaks but does not hear, claims of removals that count only as confirmations, and the recovery of a
-process that was paused. Performs no I/O; the caller supplies the time in nanoseconds.
+"""The failure detector: turns received messages and ticks into messages and member changes.
+
+Pings in random order, indirect pings and gossip piggybacked on both come from SWIM (Das, Gupta,
+Motivala, DSN 2002). Suspicion timeouts that shrink with confirmations, the local health score and
+notifying a suspect first come from Lifeguard (Dadgar, Phillips, Currey, DSN 2018). This module adds
+incarnations and leaves that only their owner can prove, evidence from other members for a suspect
+that sends but does not receive, claims of removals that count only as confirmations, and the
+recovery of a process that was paused. Performs no I/O; the caller supplies the time in nanoseconds.
 """
 
 from __future__ import annotations
@@ -32,34 +32,34 @@
 from .suspicion import SuspicionTracker
 from .timing import HELPER_COUNT
 
-#: Additional pings of one suspect in an interval, by all members together.
+#: Mean number of additional pings that a suspect receives per interval from the whole group.
 EXTRA_SUSPECT_PINGS = 4.0
 LEAVE_RECIPIENTS = 2 * HELPER_COUNT
-#: Checks in the time after which an absent member is forgotten.
+#: Number of checks for expired records within `forget_after_ns`.
 FORGET_CHECKS = 4
-#: In place of an age: no message has arrived.
+#: Sent instead of an age if no message has arrived.
 UNKNOWN_AGE_MS = -1
 
 
 class FailureDetector:
     """One member's view of the group.
 
-    The caller feeds it messages (`receive`) and time (`tick`), and afterwards takes and carries out
-    what follows: `take_outgoing`, `take_sync_requests`, `take_changes`.
+    The caller passes in messages (`receive`) and the time (`tick`), then fetches the results and
+    carries them out: `take_outgoing`, `take_sync_requests`, `take_changes`.
 
     Attributes:
         settings: Settings of the membership.
         draw: Source of all random decisions.
         own: This process as a member.
         table: The other members.
-        gossip: Claims that wait to be passed on.
-        health: How far this process trusts its own observations.
+        gossip: Claims that are queued to be sent.
+        health: Score of how reliable this process's own observations are.
         suspicions: Open suspicions.
-        pinger: Pings under way.
+        pinger: Pings in progress.
         contacts: Contact with seeds and unreachable members.
         messenger: Outgoing messages.
         merger: Merges claims into the table.
-        statistics: Counters, by the names of `Statistic`.
+        statistics: Counters, keyed by the values of `Statistic`.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         zone: str = "",
         max_protocol: int = 1,
     ) -> None:
-        """Start alone, known to others by the address."""
+        """Start with an empty table, as a member at the given address."""
         self.settings = settings
         self.draw = draw
         self.own = OwnMember(address, chain, ordinal, zone, max_protocol)
@@ -97,7 +97,7 @@
         self._start_schedules(now_ns)
 
     def _start_schedules(self, now_ns: int) -> None:
-        """Create the collaborators that act by time, in the order of draws of a seeded run."""
+        """Create the periodic parts; their order fixes the random draws of a seeded run."""
         settings = self.settings
         overall_round_trip = RoundTripEstimator()
         self._relay = PingRelay(settings, self.own, self.table, self.messenger, overall_round_trip)
@@ -131,8 +131,6 @@
             self._syncs,
         )
 
-    # --- state for callers ---
-
     @property
     def me(self) -> Identity:
         """The identity of this process."""
@@ -151,17 +149,15 @@
         return self.messenger.take_outgoing()
 
     def take_sync_requests(self) -> list[str]:
-        """Return the addresses to exchange tables with since the last call."""
+        """Return the addresses queued for a table exchange since the last call."""
         return self.messenger.take_sync_requests()
 
     def take_changes(self) -> list[MemberChange]:
-        """Return the members' changes since the last call."""
+        """Return the status changes of members since the last call."""
         return self.table.take_changes()
 
-    # --- input ---
-
     def preload(self, others: Iterable[FailureDetector]) -> None:
-        """Start as if the group had existed for long; for simulations."""
+        """Start with all others known as alive; for simulations."""
         self.table.preload(other.own.claim() for other in others if other is not self)
         self.contacts.has_joined = True
 
@@ -173,7 +169,7 @@
         Args:
             now_ns: The present time.
             recipient_boot: Boot identifier of the process that the message is addressed to.
-            sequence: The sender's sequence number; the caller has checked that it is no replay.
+            sequence: The sender's sequence number; the caller has already rejected replays.
             sender: The sender's claim about itself.
             message: The message.
         """
@@ -185,7 +181,7 @@
         self.merger.merge(now_ns, sender)
         record = self.table.get(sender.member)
         if record is None:
-            return  # The table is full, or the sender has proven nothing.
+            return  # The table is full, or the sender's claim is not proven.
         self._record_message(now_ns, record, sequence)
         self._handle(now_ns, sender.member, message)
 
@@ -196,7 +192,7 @@
             self.contacts.has_joined = True
 
     def leave(self) -> None:
-        """Announce the leave of this process to some members, which pass it on."""
+        """Announce the leave of this process to some members, which spread it by gossip."""
         if self.own.has_left:
             return
         self.own.mark_left()
@@ -226,13 +222,11 @@
         self._syncs.tick(now_ns)
         self._forget_absent(now_ns)
 
-    # --- messages ---
-
     def _receive_misaddressed(self, now_ns: int, sender: Claim, message: Message) -> None:
         """Process a message that is addressed to an earlier process at this address.
 
-        It may be very old. A ping is answered with the identity of this process, and only what the
-        claims themselves prove is accepted.
+        The message may be very old. A ping is answered with the identity of this process, and its
+        claims are accepted only as far as they carry their own proof.
         """
         if not isinstance(message, Ping):
             return
@@ -265,7 +259,7 @@
                 self.pinger.record_nack(now_ns, sender, message.ping_id)
 
     def _last_message_age_ms(self, now_ns: int, address: str) -> int:
-        """Return how long ago a message from an address arrived; -1 for never."""
+        """Return how long ago a message from an address arrived; -1 if none has."""
         if not address:
             return UNKNOWN_AGE_MS
         received_ns = max(
@@ -278,13 +272,11 @@
         )
         return (now_ns - received_ns) // NS_PER_MS if received_ns else UNKNOWN_AGE_MS
 
-    # --- time ---
-
     def _start_pings(self, now_ns: int) -> None:
-        """Ping the next member, and now and then the suspects.
+        """Ping the next member, and each suspect with a small probability.
 
-        The interval is not extended by the local health score as timeouts are: a process that
-        receives nothing shows by its pings that it is present.
+        Unlike timeouts, the interval is not extended by the local health score: the pings of a
+        process that receives nothing still show the others that it is alive.
         """
         self.next_ping_ns = now_ns + self.settings.interval_ns
         target = self.table.next_to_ping()
--- a/query_broker/membership/gossip.py
+++ b/query_broker/membership/gossip.py
@@ -11,14 +11,14 @@
 from .messages import Claim, Identity, Status
 from .timing import retransmit_limit
 
-#: Size of the claims in one datagram.
+#: Maximum encoded size of the claims in one datagram.
 MAX_PIGGYBACK_BYTES = 900
-#: Claims that are considered for one datagram.
+#: Queued claims that are considered for one datagram.
 MAX_CANDIDATES = 16
 
 
 class ClaimKey(NamedTuple):
-    """Identifies a queued claim: each member has at most one state and one piece of evidence."""
+    """Key of a queued claim: at most one claim of a status and one of evidence per member."""
 
     member: Identity
     is_evidence: bool
@@ -32,18 +32,18 @@
 
 
 class GossipQueue:
-    """Claims to pass on, each a bounded number of times, those sent least often first.
+    """Claims to gossip, each a bounded number of times and the least often sent first.
 
     Attributes:
-        queued_claims: The claims that are still to be sent.
+        queued_claims: The claims that remain to be sent.
     """
 
     def __init__(self) -> None:
-        """Start with nothing to pass on."""
+        """Start with an empty queue."""
         self.queued_claims: dict[ClaimKey, QueuedClaim] = {}
 
     def add(self, claim: Claim) -> None:
-        """Queue a claim in place of an earlier one about the same member."""
+        """Queue a claim; it replaces a queued claim with the same key."""
         key = ClaimKey(claim.member, claim.status is Status.EVIDENCE)
         self.queued_claims[key] = QueuedClaim(claim, 0)
 
@@ -54,8 +54,8 @@
 
         Args:
             group_size: Number of members of the group, which bounds how often a claim is sent.
-            urgent: Claims that the receiver must learn first; they are not counted.
-            max_bytes: Bound of the claims' encoded size.
+            urgent: Claims that are sent first and not counted.
+            max_bytes: Maximum encoded size of the selected claims.
         """
         remaining_bytes = max_bytes
         selected: list[Claim] = []
--- a/query_broker/membership/incarnations.py
+++ b/query_broker/membership/incarnations.py
@@ -1,12 +1,12 @@
-"""Incarnation numbers that only their owner can raise, and leaves that only it can announce.
-
-All members share the signing keys, so a keyed hash tells members from strangers but not one member
-from another: a faulty one could claim that a dead member is back, or that a living one has left.
-Therefore a process draws a secret at its start and hashes it repeatedly; the last hash, together
-with the hash of a second secret, is its identity. Its n-th incarnation is proven by the n-th hash
-from the end: whoever has seen one verifies the next by hashing it, and nobody can go the other way
-(Lamport, "Password authentication with insecure communication", 1981). The second secret proves a
-leave. Performs no I/O but the draw of the secret.
+"""Incarnation numbers and leaves that only the process they belong to can prove.
+
+All members share the signing keys, so a keyed hash authenticates the group but not the individual
+member: a faulty member could claim that a dead one is back, or that a live one has left. Therefore
+each process draws a secret at its start and hashes it repeatedly; the last hash, together with the
+hash of a second secret, determines its identity. The n-th hash from the end proves incarnation n: a
+receiver verifies it by hashing it until it equals a proof verified before, and cannot compute the
+proof of a later incarnation (Lamport, "Password authentication with insecure communication", 1981).
+The second secret proves a leave. Performs no I/O except drawing the secret.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 import os
 from typing import NamedTuple
 
-#: Incarnations of one process; after that it takes a new identity.
+#: Incarnations of one identity; after the last one the process takes a new identity.
 CHAIN_LENGTH = 1 << 14
-#: Hashes between two that are stored.
+#: Number of hashes between two stored ones.
 CHECKPOINT_INTERVAL = 128
 HASH_BYTES = 12
 SECRET_BYTES = 32
-#: How far the incarnation in a datagram may be ahead of the known one; bounds the hashing.
+#: How far an incarnation in a datagram may be ahead of the known one; bounds the hashing.
 MAX_AHEAD = 256
 HASH_PERSON = b"larchhall-inc"
 IDENTITY_PERSON = b"larchhall-boot"
@@ -40,7 +40,7 @@
 
 
 def boot_identifier(top: bytes, leave_commitment: bytes) -> bytes:
-    """Return the identifier that commits a process to its chain and its leave secret."""
+    """Return the process identifier, which commits to a hash chain and a leave secret."""
     committed = top + leave_commitment
     return hashlib.blake2b(committed, digest_size=HASH_BYTES, person=IDENTITY_PERSON).digest()
 
@@ -92,7 +92,7 @@
     Args:
         boot: Identifier of the process.
         incarnation: The claimed incarnation.
-        proof: Its claimed proof.
+        proof: The claimed proof of that incarnation.
         leave_commitment: Hash of the process's leave secret.
         verified: An incarnation of the same process that was verified before, or None.
         max_ahead: Largest accepted distance to the verified incarnation; bounds the hashing.
--- a/query_broker/membership/key_files.py
+++ b/query_broker/membership/key_files.py
@@ -1,4 +1,4 @@
-"""Reads the files of the membership: signing keys and seeds."""
+"""Reading of the key file and the seeds file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Read the signing keys.
 
     Raises:
-        KeyFileError: The file cannot be read, or a line of it is wrong.
+        KeyFileError: The file cannot be read, or its content is invalid.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -27,7 +27,7 @@
 
     Raises:
         OSError: The file cannot be read.
-        UnicodeDecodeError: It is not UTF-8.
+        UnicodeDecodeError: The file is not UTF-8.
     """
     with open(path, encoding="utf-8") as file:
         lines = file.read(MAX_FILE_CHARACTERS).splitlines()
--- a/query_broker/membership/keys.py
+++ b/query_broker/membership/keys.py
@@ -17,7 +17,7 @@
 
 
 class SigningKey(NamedTuple):
-    """A key and the number that messages name it by."""
+    """A key and the id that messages refer to it by."""
 
     key_id: int
     secret: bytes
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRing:
-    """Keys for verifying, of which the first one signs.
+    """Keys that verify messages; the first one also signs them.
 
-    To rotate a key without a gap, the new one is added last on all members, then moved to the
-    front on all, and then the old one is removed.
+    To rotate a key without rejected messages, the new key is appended on all members, then moved
+    to the front on all members, and then the old key is removed.
     """
 
     keys: tuple[SigningKey, ...]
@@ -47,8 +47,8 @@
     """Parse a key file: lines `ID HEX`; empty lines and those that begin with # are skipped.
 
     Raises:
-        KeyLineError: A line is malformed, or uses an id a second time.
-        EmptyKeyFileError: There is no key.
+        KeyLineError: A line is malformed, or its id is already in use.
+        EmptyKeyFileError: The text contains no key.
     """
     keys: list[SigningKey] = []
     for number, line in enumerate(text.splitlines(), 1):
--- a/query_broker/membership/listeners.py
+++ b/query_broker/membership/listeners.py
@@ -1,4 +1,4 @@
-"""The bound sockets of the membership."""
+"""Binding of the UDP and TCP sockets of the membership."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     @property
     def port(self) -> int:
-        """The port, also where the system has chosen it."""
+        """The bound port, also if the operating system chose it."""
         port: int = self.tcp.getsockname()[1]
         return port
 
--- a/query_broker/membership/local_health.py
+++ b/query_broker/membership/local_health.py
@@ -1,8 +1,8 @@
-"""How far this process can trust its own observations.
+"""Health of this process itself: how reliable its observations of others are.
 
-Lifeguard's local health multiplier (section IV.A): a process that is slow or cut off sees everybody
-else as dead. Signs of a fault of this process raise a score, and answers lower it. The timeouts
-and the suspicions of this process are extended by it. Performs no I/O.
+Implements Lifeguard's local health multiplier (section IV.A): to a process that is slow or cut off,
+all other members appear dead. Signs of a fault of this process raise the score, and acks lower it.
+The timeouts and suspicions of this process are extended in proportion. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 MAX_SCORE = 8
 RECOVERY_INTERVALS = 5
-#: Score, or consecutive failed pings, from which own observations are doubtful.
+#: Score, or number of consecutive failed pings, from which own observations are unreliable.
 DOUBTFUL_FROM = 3
 PAUSE_PENALTY = 2
 MIN_PAUSE_NS = NS_PER_S // 4
-#: Consecutive failed pings from which this process is isolated.
+#: Consecutive failed pings from which this process is considered isolated.
 ISOLATED_FROM = 3
 
 
@@ -28,9 +28,9 @@
     Attributes:
         interval_ns: Time between two pings.
         score: 0 when healthy, up to `MAX_SCORE`.
-        failed_pings: Pings in a row without any answer, even of a helper.
-        recovers_at_ns: After a pause of this process: until then it accuses nobody, unless it
-            receives an answer.
+        failed_pings: Consecutive pings that neither the target nor a helper answered.
+        recovers_at_ns: End of the time after a pause in which this process suspects and removes no
+            member; an ack ends it early.
         pause_count: How often this process has paused.
     """
 
@@ -45,9 +45,9 @@
         self.score = min(MAX_SCORE, self.score + points)
 
     def record_answer(self) -> bool:
-        """Lower the score after an answer; return whether our observations were doubtful before.
+        """Lower the score after an ack; return whether own observations were unreliable until now.
 
-        Suspicions then stem from a time in which our own observations were unreliable.
+        If so, the open suspicions may be due to a fault of this process.
         """
         was_doubtful = (
             self.score >= DOUBTFUL_FROM
@@ -60,10 +60,10 @@
         return was_doubtful
 
     def record_lateness(self, now_ns: int, late_ns: int) -> bool:
-        """Record how late our own timer fired; return whether this process has paused.
+        """Record how late this process's timer fired; return whether the process was paused.
 
-        When a paused process resumes, the timeouts of all other members have passed; it must not
-        act on them.
+        When a paused process resumes, its timeouts for all other members have expired, although
+        these may have answered; it must not act on such timeouts.
         """
         if late_ns < max(self.interval_ns // 2, MIN_PAUSE_NS):
             return False
@@ -73,9 +73,9 @@
         return True
 
     def is_isolated(self, other_members: int) -> bool:
-        """Return whether no member answers, which points to a fault of this process."""
+        """Return whether no member answers, which indicates a fault of this process."""
         return self.failed_pings >= min(ISOLATED_FROM, other_members) > 1
 
     def extended_ns(self, duration_ns: int) -> int:
-        """Return a timeout extended by the score."""
+        """Return a timeout extended in proportion to the score."""
         return duration_ns * (1 + self.score)
--- a/query_broker/membership/member_record.py
+++ b/query_broker/membership/member_record.py
@@ -1,6 +1,6 @@
 """The record of one other member.
 
-Performs no I/O. Points in time are in nanoseconds; 0 stands for never.
+Performs no I/O. Times are in nanoseconds; 0 stands for never.
 """
 
 from __future__ import annotations
@@ -38,18 +38,18 @@
         max_protocol: Newest protocol version that it speaks.
         reporter: Address of the member that reported its suspicion or removal; else empty.
         sequence: Sequence number of its newest known message.
-        received_ns: When a message of it last arrived here.
-        evidence_ns: When it last proved, directly or through another member, that it sends
-            messages.
-        acked_ns: When it last answered a ping of this process directly.
-        acked_indirectly_ns: When it last answered through a helper.
-        hears_us_ns: When it last reported, through a helper, that it receives messages of this
-            process.
+        received_ns: When this process last received a message of the member.
+        evidence_ns: When a message of the member was last received by this process or reported as
+            received by another member.
+        acked_ns: When the member last acked a direct ping of this process.
+        acked_indirectly_ns: When the member last acked a ping through a helper.
+        hears_us_ns: When the member last reported, through a helper, that it receives messages of
+            this process.
         round_trip: Estimate of its round-trip time.
-        helper_results: Results of indirect pings, by the helper's address.
-        false_suspicions: How often it has recently refuted a suspicion, as of
+        helper_results: Latest results of indirect pings, by the helper's address.
+        false_suspicions: Decaying count of false suspicions of the member, as of
             `false_suspicion_at_ns`.
-        false_suspicion_at_ns: When it last refuted one.
+        false_suspicion_at_ns: When the last false suspicion was counted.
     """
 
     identity: Identity
@@ -75,7 +75,7 @@
 
     @classmethod
     def from_claim(cls, claim: Claim, now_ns: int) -> MemberRecord:
-        """Return the record of a member that becomes known by a claim."""
+        """Return the record of a new member that is described by a claim."""
         return cls(
             claim.member,
             claim.incarnation,
@@ -109,12 +109,12 @@
         )
 
     def recent_false_suspicions(self, now_ns: int, fade_ns: int) -> float:
-        """Return `false_suspicions`, which falls to a third (1/e) within `fade_ns`."""
+        """Return `false_suspicions`, decayed by a factor of 1/e per `fade_ns`."""
         age_ns = max(0, now_ns - self.false_suspicion_at_ns)
         return self.false_suspicions * math.exp(-age_ns / fade_ns)
 
     def record_helper_result(self, helper: str, result: HelperResult) -> None:
-        """Record a helper's result, and drop the oldest one beyond the bound."""
+        """Record a helper's result, and evict the oldest one if there are too many."""
         self.helper_results.pop(helper, None)
         self.helper_results[helper] = result
         if len(self.helper_results) > MAX_HELPER_RESULTS:
--- a/query_broker/membership/member_table.py
+++ b/query_broker/membership/member_table.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A member's new status, with the reason that the log gives."""
+    """A member's new status, with a reason for the log."""
 
     member: Identity
     status: Status
@@ -29,13 +29,14 @@
 
 
 class MemberTable:
-    """All other members that this process knows, present or not.
+    """All other known members, present or not.
 
     Attributes:
         records: The members by identity.
-        ping_order: Present members in the order of their pings, shuffled (SWIM, section 4.3).
-        size: Number of present members, this process among them.
-        changes: Changes that the caller has not taken yet.
+        ping_order: Present members in the shuffled order in which they are pinged (SWIM, section
+            4.3).
+        size: Number of present members, including this process.
+        changes: Status changes that the caller has not fetched yet.
     """
 
     def __init__(self, own: OwnMember, draw: random.Random) -> None:
@@ -65,22 +66,22 @@
         return [record for record in self.records.values() if record.status is Status.ALIVE]
 
     def digest(self) -> bytes:
-        """Return the digest of the present members, this process among them unless it has left."""
+        """Return the digest of the present members, including this process unless it has left."""
         if self._digest is None:
             own = [] if self._own.has_left else [self._own.identity]
             self._digest = view_digest([*self.present(), *own])
         return self._digest
 
     def invalidate_digest(self) -> None:
-        """Discard the cached digest, after a change of this process's own identity."""
+        """Discard the cached digest after a change of this process's identity or status."""
         self._digest = None
 
     def insert(self, record: MemberRecord) -> None:
-        """Add a member without announcing it."""
+        """Add a member without recording a change."""
         self.records[record.identity] = record
 
     def enter_ping_order(self, identity: Identity) -> None:
-        """Insert a member at a random position of the ping order."""
+        """Insert a member at a random position in the ping order."""
         position = self._draw.randrange(len(self.ping_order) + 1)
         self.ping_order.insert(position, identity)
 
@@ -117,14 +118,14 @@
         return changes
 
     def forget_older_than(self, now_ns: int, age_ns: int) -> None:
-        """Drop members that have been dead or have left for longer than the age."""
+        """Delete the records of members that have been dead or left for longer than the age."""
         absent = [record for record in self.records.values() if not record.is_present()]
         for record in absent:
             if now_ns - record.status_since_ns > age_ns:
                 del self.records[record.identity]
 
     def preload(self, claims: Iterable[Claim]) -> None:
-        """Start with members as if they had been known for long; for simulations."""
+        """Fill the table with members that count as known since time 0; for simulations."""
         for claim in claims:
             self.insert(MemberRecord.from_claim(claim, 0))
             self.ping_order.append(claim.member)
@@ -133,7 +134,7 @@
 
 
 def view_digest(members: list[Identity]) -> bytes:
-    """Return a digest of a set of members; two brokers with the same digest hold the same view."""
+    """Return a digest of a set of members; equal digests mean equal sets."""
     hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for address, boot in sorted(members):
         hasher.update(address.encode() + b"/" + boot)
--- a/query_broker/membership/message_exchange.py
+++ b/query_broker/membership/message_exchange.py
@@ -1,4 +1,4 @@
-"""Between a transport and the failure detector: messages are encoded, decoded and counted here."""
+"""Encodes, decodes and counts messages between the transports and the failure detector."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageExchange:
-    """What every transport of the membership's messages needs; it performs no I/O.
+    """The codec and the failure detector as the transports share them; performs no I/O.
 
     Attributes:
-        detector: Whom the messages are for, and who writes them.
+        detector: The failure detector, which receives and sends the messages.
         codec: Codec of all messages.
-        traffic: Counts bytes and datagrams.
-        host: The service around it.
+        traffic: Counters of bytes and datagrams.
+        host: The service that owns the transports.
     """
 
     detector: FailureDetector
@@ -40,7 +40,7 @@
         """Count received bytes, and verify and decode the message.
 
         Raises:
-            MessageRejectedError: It is no new message of a member of this installation.
+            MessageRejectedError: The data is not a new message of a member of this installation.
         """
         self.traffic.received_bytes += len(data)
         return self.codec.read(data, max_bytes)
--- a/query_broker/membership/messages.py
+++ b/query_broker/membership/messages.py
@@ -1,8 +1,8 @@
-"""Messages that members exchange, as they stand on the wire.
+"""Messages that members exchange, and their form on the wire.
 
-Every message is a MessagePack array, so that field names do not travel and may change; the order
-of the fields may not. Fields that a later version adds at the end are skipped by an earlier one; a
-message kind that it does not know is dropped and counted.
+Every message is a MessagePack array: field names are not on the wire and may change, the order of
+the fields must not. An earlier version skips fields that a later version appends, and drops and
+counts messages of an unknown kind.
 """
 
 from __future__ import annotations
@@ -12,26 +12,27 @@
 
 import msgspec
 
-CLAIM_FIXED_BYTES = 70  # upper bound of a claim's encoding without its texts
+CLAIM_FIXED_BYTES = 70  # upper bound of a claim's encoded size without its strings
 MAX_UTF8_BYTES = 4
 
 
 class Status(IntEnum):
-    """Status of a member; the number is the wire form."""
+    """Status of a member; the number is sent on the wire."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
     LEFT = 3
-    EVIDENCE = 4  # no state of a member: evidence that a suspect has spoken
+    EVIDENCE = 4  # not a member's status: evidence that a suspect has sent a message
 
 
 class Identity(NamedTuple):
-    """Identity of one process: two processes at one address are two identities.
+    """Identity of one process; successive processes at one address have different identities.
 
     Attributes:
         address: `host:port` that the process advertises.
-        boot: Identifier that it derives from secrets drawn at its start (`incarnations.py`).
+        boot: Identifier derived from secrets that the process draws at its start
+            (`incarnations.py`).
     """
 
     address: str
@@ -39,7 +40,7 @@
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A statement about one member, which gossip and tables carry.
+    """A statement about one member, sent in gossip and in tables.
 
     Attributes:
         member: The member that the claim is about.
@@ -50,8 +51,8 @@
         reporter: Address of the member that reported a suspicion or removal; else empty.
         ordinal: The member's configured index among the brokers.
         zone: The member's zone.
-        max_protocol: Newest protocol version that the member speaks.
-        sequence: With status EVIDENCE, sequence number of its newest known message.
+        max_protocol: Newest protocol version that the member supports.
+        sequence: With status EVIDENCE, the sequence number of the member's newest known message.
     """
 
     member: Identity
@@ -75,7 +76,7 @@
     """A request for an `Ack`.
 
     Attributes:
-        ping_id: Number drawn at random that the answer repeats.
+        ping_id: Random number that the ack repeats.
         on_behalf_of: Address of the member that requested an indirect ping; else empty.
         claims: Piggybacked gossip.
     """
@@ -97,11 +98,11 @@
     """The answer to a `Ping`.
 
     Attributes:
-        ping_id: That of the ping.
-        responder: The process that answered.
-        last_message_age_ms: Time since the responder received a message of the member on whose
-            behalf it was pinged; -1 for never.
-        digest: Digest of the responder's view.
+        ping_id: The id of the ping.
+        responder: The process that was pinged.
+        last_message_age_ms: Time since the responder last received a message of the member on
+            whose behalf it was pinged; -1 if it has received none.
+        digest: Digest of the view of the ack's sender.
         claims: Piggybacked gossip.
     """
 
@@ -113,7 +114,7 @@
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """A helper's answer that the target of an indirect ping has not answered (Lifeguard, IV.A)."""
+    """A helper's report that the target of an indirect ping has not answered (Lifeguard, IV.A)."""
 
     ping_id: int
 
@@ -123,7 +124,7 @@
 
     Attributes:
         digest: Digest of the sender's view.
-        is_request: The receiver is to answer with its table if its digest differs.
+        is_request: Whether the receiver answers with its table if its digest differs.
         claims: The sender's complete table, or empty.
     """
 
@@ -147,10 +148,11 @@
 
     Attributes:
         installation: Name of the sender's installation.
-        recipient_boot: Boot identifier of the process that is meant, so that the message says
-            nothing to the next process at its address; empty for whoever has the address.
-        sequence: Number that rises with each message of a process.
-        sender: The sender's own claim that it is alive, or has left.
+        recipient_boot: Boot identifier of the process that is addressed, so that a later process
+            at the same address does not take the message for its own; empty for any process at
+            the address.
+        sequence: Number that increases with each message of the sender.
+        sender: The sender's claim about itself: alive, or left.
         message: The message itself.
     """
 
@@ -162,5 +164,5 @@
 
 
 def process_name(identity: Identity) -> str:
-    """Return the name `address/boot` of a process, which other subsystems use."""
+    """Return the name `address/boot` by which other subsystems refer to a process."""
     return f"{identity.address}/{identity.boot.hex()}"
--- a/query_broker/membership/messenger.py
+++ b/query_broker/membership/messenger.py
@@ -1,6 +1,6 @@
 """Outgoing messages of the failure detector, with gossip piggybacked on them.
 
-Performs no I/O: messages are collected until the caller takes and sends them.
+Performs no I/O: messages are queued until the caller fetches and sends them.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and its recipient; an empty boot stands for whoever has the address."""
+    """A message and its recipient; an empty boot stands for any process at the address."""
 
     recipient: Identity
     message: Message
 
 
 class Messenger:
-    """Collects outgoing messages and requests for table exchanges.
+    """Queues outgoing messages and requests for table exchanges.
 
     Attributes:
-        outgoing: Messages that the caller has not taken yet.
-        sync_requests: Addresses of members whose tables are to be fetched.
+        outgoing: Messages that the caller has not fetched yet.
+        sync_requests: Addresses of members to exchange tables with.
     """
 
     def __init__(
@@ -43,11 +43,11 @@
         self.sync_requests: list[str] = []
 
     def new_ping_id(self) -> int:
-        """Draw a ping id; one that could be guessed would let a forged ack keep a member alive."""
+        """Return a random ping id; a predictable one would let a forged ack keep a member alive."""
         return self._draw.getrandbits(PING_ID_BITS)
 
     def send(self, recipient: Identity, message: Message) -> None:
-        """Queue a message as it is."""
+        """Queue a message without adding gossip."""
         self.outgoing.append(OutgoingMessage(recipient, message))
 
     def send_ping(self, recipient: Identity, ping_id: int, on_behalf_of: str = "") -> None:
@@ -55,23 +55,23 @@
         self.send(recipient, Ping(ping_id, on_behalf_of, self._claims_for(recipient)))
 
     def send_indirect_ping(self, helper: Identity, ping_id: int, target: Identity) -> None:
-        """Queue a request that the helper ping the target."""
+        """Queue a request that the helper pings the target, with gossip."""
         self.send(helper, IndirectPing(ping_id, target, self._claims_for(helper)))
 
     def send_ack(self, recipient: Identity, ping_id: int, last_message_age_ms: int) -> None:
-        """Queue the answer to a ping, with gossip."""
+        """Queue the ack of a ping, with gossip."""
         digest = self._table.digest()
         claims = self._claims_for(recipient)
         self.send(recipient, Ack(ping_id, self._own.identity, last_message_age_ms, digest, claims))
 
     def forward_ack(self, recipient: Identity, ping_id: int, ack: Ack) -> None:
-        """Queue an ack that answers an indirect ping, for the member that requested it."""
+        """Queue the ack of an indirect ping for the member that requested the ping."""
         digest = self._table.digest()
         forwarded = Ack(ping_id, ack.responder, ack.last_message_age_ms, digest, ())
         self.send(recipient, forwarded)
 
     def send_nack(self, recipient: Identity, ping_id: int) -> None:
-        """Queue the answer that an indirect ping has failed."""
+        """Queue the report that an indirect ping has failed."""
         self.send(recipient, Nack(ping_id))
 
     def request_sync(self, address: str) -> None:
@@ -93,8 +93,8 @@
     def _claims_for(self, recipient: Identity) -> tuple[Claim, ...]:
         """Return gossip for a recipient.
 
-        A suspect is notified of its suspicion first, so that it can refute it (Lifeguard's buddy
-        system, section IV.C).
+        For a suspect, the claim about itself comes first, so that it can refute the suspicion
+        (Lifeguard's buddy system, section IV.C).
         """
         record = self._table.get(recipient)
         urgent: list[Claim] = []
--- a/query_broker/membership/metrics_text.py
+++ b/query_broker/membership/metrics_text.py
@@ -1,4 +1,4 @@
-"""The membership's part of `/metrics`, in the Prometheus text format.
+"""The membership metrics of `/metrics`, in the Prometheus text format.
 
 The names of the metrics are a public interface: dashboards and alerts use them.
 """
@@ -19,7 +19,7 @@
 
 
 class Metric(NamedTuple):
-    """A metric without labels: its name after the prefix, whether it is a gauge, and its help."""
+    """A metric without labels: its name without the prefix, whether it is a gauge, and its help."""
 
     name: str
     is_gauge: bool
--- a/query_broker/membership/own_member.py
+++ b/query_broker/membership/own_member.py
@@ -14,8 +14,8 @@
 
     Attributes:
         identity: Address and boot identifier of this process.
-        chain: Proves its incarnations and its leave.
-        incarnation: Its present incarnation number.
+        chain: Hash chain that proves its incarnations and its leave.
+        incarnation: Its current incarnation number.
         has_left: Whether it has announced its leave.
         ordinal: Its configured index among the brokers.
     """
@@ -28,7 +28,7 @@
         zone: str,
         max_protocol: int,
     ) -> None:
-        """Start as incarnation 0, alive."""
+        """Start alive, with incarnation 0."""
         self.identity = Identity(address, chain.boot)
         self.chain = chain
         self.incarnation = 0
@@ -54,7 +54,7 @@
         self._claim = None
 
     def mark_left(self) -> None:
-        """Disclose the leave secret in the claim from now on."""
+        """Mark this process as left; its claim discloses the leave secret from now on."""
         self.has_left = True
         self._claim = None
 
--- a/query_broker/membership/ping_relay.py
+++ b/query_broker/membership/ping_relay.py
@@ -1,4 +1,4 @@
-"""Indirect pings that this process carries out as a helper (SWIM, section 3.1).
+"""Indirect pings that this process sends as a helper (SWIM, section 3.1).
 
 Performs no I/O.
 """
@@ -24,7 +24,7 @@
     Attributes:
         requester: The member that requested it.
         ping_id: The requester's ping id.
-        expires_at_ns: When the requester is notified that there is no answer.
+        expires_at_ns: When the requester is sent a nack.
     """
 
     requester: Identity
@@ -33,7 +33,7 @@
 
 
 class PingRelay:
-    """The indirect pings in progress."""
+    """Relays indirect pings and their acks."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         messenger: Messenger,
         overall_round_trip: RoundTripEstimator,
     ) -> None:
-        """Start without a ping in progress."""
+        """Start without relayed pings."""
         self._settings = settings
         self._own = own
         self._table = table
@@ -61,7 +61,7 @@
         self._messenger.send_ping(target, own_ping_id, requester.address)
 
     def forward_ack(self, ack: Ack) -> bool:
-        """Forward an ack to its requester; return False if it answers no relayed ping."""
+        """Forward an ack to the requester of its ping; return False if no relayed ping matches."""
         relayed = self._relayed.pop(ack.ping_id, None)
         if relayed is None:
             return False
@@ -69,7 +69,7 @@
         return True
 
     def expire(self, now_ns: int) -> None:
-        """Send nacks to the requesters of unanswered pings."""
+        """Send nacks to the requesters of the relayed pings that have expired."""
         for own_ping_id, relayed in list(self._relayed.items()):
             if now_ns >= relayed.expires_at_ns:
                 del self._relayed[own_ping_id]
--- a/query_broker/membership/pings.py
+++ b/query_broker/membership/pings.py
@@ -1,7 +1,7 @@
 """Pings of this process, direct and indirect (SWIM, section 3.1).
 
-A ping that is not answered in time is followed by indirect pings through helpers, and by a second
-direct one, before it has failed. Performs no I/O.
+If a ping is not acked in time, indirect pings through helpers and a second direct ping follow
+before it counts as failed. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 MAX_PENDING_PINGS = 16
 MAX_HELPER_ROUNDS = 2
 MIN_TIMEOUTS_UNTIL_FAILURE = 3
-#: Points of the health score for a ping without any answer of a helper.
+#: Maximum number of points that a ping without any nack adds to the health score.
 MAX_NO_NACK_PENALTY = 2
 
 
 class SentPing(NamedTuple):
-    """A ping that has been answered, or may still be answered late."""
+    """The target and the time of a ping."""
 
     target: Identity
     sent_ns: int
@@ -37,17 +37,17 @@
 
 @dataclass(slots=True)
 class PendingPing:
-    """A ping that waits for its answer.
+    """A ping that waits for its ack.
 
     Attributes:
         target: The member that was pinged.
         sent_ns: When it was sent.
-        ack_timeout_ns: How long one answer may take.
-        next_indirect_ns: When helpers are requested next.
-        fail_at_ns: When the ping has failed.
+        ack_timeout_ns: How long to wait for an ack before helpers are requested.
+        next_indirect_ns: When indirect pings are requested next.
+        fail_at_ns: When the ping counts as failed.
         helpers: Addresses of the helpers that were requested.
-        helper_rounds: How often helpers were requested.
-        nacks: Helpers that answered that the target did not.
+        helper_rounds: How often indirect pings were requested.
+        nacks: Number of helpers that reported no ack of the target.
     """
 
     target: Identity
@@ -61,10 +61,10 @@
 
 
 class Pinger:
-    """The pings under way, and the suspicions that follow from their failure.
+    """Sends pings, and suspects members whose pings fail.
 
     Attributes:
-        pending: Pings that wait for an answer, by ping id.
+        pending: Pings that wait for an ack, by ping id.
         overall_round_trip: Estimate of the round-trip time over all members.
     """
 
@@ -79,7 +79,7 @@
         overall_round_trip: RoundTripEstimator,
         draw: random.Random,
     ) -> None:
-        """Start without a ping under way."""
+        """Start without pending pings."""
         self._settings = settings
         self._own = own
         self._table = table
@@ -92,7 +92,7 @@
         self.pending: dict[int, PendingPing] = {}
 
     def start(self, now_ns: int, target: Identity) -> None:
-        """Ping a known member, unless a ping of it is under way or too many are."""
+        """Ping a known member unless a ping of it, or too many pings, are pending."""
         pinged = [ping.target for ping in self.pending.values()]
         if target in pinged or len(pinged) >= MAX_PENDING_PINGS:
             return
@@ -110,7 +110,7 @@
     def contact(self, now_ns: int, target: Identity) -> int:
         """Ping the process at the target's address; return the ping id.
 
-        No suspicion follows from it; the answer names the process at the address.
+        A missing ack leads to no suspicion; an ack names the process at the address.
         """
         ping_id = self._messenger.new_ping_id()
         self._overdue[ping_id] = SentPing(target, now_ns)
@@ -118,14 +118,14 @@
         return ping_id
 
     def complete(self, ping_id: int) -> SentPing | None:
-        """Return and forget the ping that an ack answers; None if it is unknown."""
+        """Return and forget the ping with this id; None if it is unknown."""
         ping = self.pending.pop(ping_id, None)
         if ping is None:
             return self._overdue.pop(ping_id, None)
         return SentPing(ping.target, ping.sent_ns)
 
     def record_nack(self, now_ns: int, helper: Identity, ping_id: int) -> None:
-        """Record that a helper has not reached the target of a ping."""
+        """Record that a helper has received no ack of the target of a ping."""
         ping = self.pending.get(ping_id)
         if ping is None:
             return
@@ -135,7 +135,7 @@
             record.record_helper_result(helper.address, HelperResult(False, now_ns))
 
     def advance(self, now_ns: int) -> None:
-        """Request indirect pings for those that are overdue, and end those that have failed."""
+        """Request indirect pings where acks are overdue, and process pings that have failed."""
         for ping_id, ping in list(self.pending.items()):
             if now_ns >= ping.fail_at_ns:
                 self._fail(now_ns, ping_id, ping)
@@ -143,7 +143,7 @@
                 self._request_indirect_pings(now_ns, ping_id, ping)
 
     def cancel_all(self) -> None:
-        """Forget all pings under way."""
+        """Forget all pending pings."""
         self.pending.clear()
 
     def _ack_timeout_ns(self, record: MemberRecord) -> int:
@@ -161,7 +161,7 @@
         else:
             ping.next_indirect_ns = now_ns + ping.ack_timeout_ns
         if not plain_swim:
-            # On a link that loses one datagram of three, a second ping costs less than a false
+            # On a link that loses one datagram in three, a second ping costs less than a false
             # suspicion.
             self._messenger.send_ping(ping.target, ping_id)
         candidates = self._helper_candidates(ping)
@@ -196,7 +196,7 @@
             del self._overdue[oldest]
 
     def _update_own_health(self, ping: PendingPing) -> None:
-        """Lower the trust in this process if no helper could be reached either."""
+        """Raise the health score if no helper has answered either."""
         if ping.nacks:
             self._health.failed_pings = 0
         elif ping.helpers:
@@ -206,7 +206,7 @@
     def _report_suspicion(self, now_ns: int, record: MemberRecord) -> None:
         own_address = self._own.identity.address
         if record.status is Status.ALIVE:
-            # An isolated process would accuse all members, so it does not announce its suspicions.
+            # An isolated process would suspect all members, so it does not gossip its suspicions.
             is_isolated = self._health.is_isolated(len(self._table.records))
             self._suspicions.suspect(now_ns, record, own_address, is_announced=not is_isolated)
         elif not self._suspicions.is_reported_by(record.identity, own_address):
--- a/query_broker/membership/reachability.py
+++ b/query_broker/membership/reachability.py
@@ -1,4 +1,4 @@
-"""How a member is reached, as operators see it.
+"""Reachability of members, as the admin API reports it.
 
 Performs no I/O.
 """
@@ -10,11 +10,11 @@
 from .member_record import MemberRecord
 from .messages import Status
 
-RECENT_INTERVALS = 10  # observations that are older do not count
+RECENT_INTERVALS = 10  # older observations are ignored
 
 
 class Reachability(StrEnum):
-    """How a member is reached; the value stands in the operators' answers."""
+    """How a member is reached; the admin API returns the value."""
 
     LEFT = "has left"
     DEAD = "dead: nobody has heard it"
--- a/query_broker/membership/replay_window.py
+++ b/query_broker/membership/replay_window.py
@@ -1,4 +1,4 @@
-"""Replay protection: which sequence numbers of a sender have arrived.
+"""Replay protection by the sequence numbers received from each sender.
 
 A sliding window as in IPsec's anti-replay service (RFC 4303, section 3.4.3). Performs no I/O.
 """
@@ -10,20 +10,20 @@
 
 from .messages import Identity
 
-#: Messages of one sender that may overtake each other.
+#: Maximum reordering of one sender's messages that is tolerated, in sequence numbers.
 WINDOW_BITS = 256
 MAX_WINDOWS = 8_192
 
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """The sequence numbers of one sender that have arrived, as a bit for each of the last ones."""
+    """The received sequence numbers of one sender; bit n stands for `highest_sequence - n`."""
 
     highest_sequence: int = -1
     bits: int = 0
 
     def accept(self, sequence: int) -> bool:
-        """Record a sequence number; return False if it has arrived before or is too old."""
+        """Record a sequence number; return False if it was recorded before or is too old."""
         if sequence > self.highest_sequence:
             self._advance(sequence)
             return True
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class ReplayWindows:
-    """The windows of all senders; the one used least recently is evicted at the bound."""
+    """The windows of all senders; beyond `MAX_WINDOWS` the least recently used is evicted."""
 
     windows: OrderedDict[Identity, ReplayWindow] = field(default_factory=OrderedDict)
 
--- a/query_broker/membership/round_trip.py
+++ b/query_broker/membership/round_trip.py
@@ -1,4 +1,4 @@
-"""Round-trip times of members and the timeouts that follow, estimated as TCP does (RFC 6298).
+"""Estimates of round-trip times and the ack timeouts derived from them, as in TCP (RFC 6298).
 
 Performs no I/O. Times are in nanoseconds.
 """
@@ -12,13 +12,13 @@
 MEAN_GAIN = 0.125
 DEVIATION_GAIN = 0.25
 DEVIATION_FACTOR = 4
-#: Delay of an answer by the ticks of this process.
+#: Allowance for the delay that the ticks of this process add to an ack.
 TICK_SLACK_NS = 20_000_000
 MAX_TIMEOUT_NS = 6 * NS_PER_S
 
 
 def default_timeout_ns(interval_ns: int) -> int:
-    """Return the time to wait for an answer where no round trip has been measured."""
+    """Return the ack timeout while no round trip has been measured."""
     return interval_ns * 2 // 5
 
 
@@ -40,11 +40,11 @@
         self.mean_ns += MEAN_GAIN * (elapsed_ns - self.mean_ns)
 
     def timeout_ns(self, interval_ns: int, overall: RoundTripEstimator | None = None) -> int:
-        """Return how long to wait for an answer.
+        """Return how long to wait for an ack.
 
         Args:
             interval_ns: Time between two pings.
-            overall: Estimate over all members, used until this one has been measured.
+            overall: Estimate over all members, used until this member has been measured.
         """
         if self.mean_ns:
             estimate_ns = self.mean_ns + DEVIATION_FACTOR * self.deviation_ns + TICK_SLACK_NS
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -1,7 +1,7 @@
 """The membership service: connects the failure detector to sockets, files and the node.
 
-It owns the parts that perform I/O (`datagrams.py`, `table_exchange.py`, `key_files.py`); time comes
-from the node's timer wheel.
+The I/O is in `datagrams.py`, `table_exchange.py`, `listeners.py` and `key_files.py`. The node's
+timer wheel triggers the ticks.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class MembershipService:
-    """This broker's part in the group.
+    """The membership service of this broker.
 
     Attributes:
         detector: The failure detector.
@@ -53,7 +53,7 @@
     def __init__(
         self, node: NodeContext, settings: MembershipSettings, listener: ViewListener
     ) -> None:
-        """Read the files and bind the sockets.
+        """Read the key and seeds files and bind the sockets.
 
         Raises:
             ConfigError: Messages to peers are not allowed, the key file cannot be used, or the
@@ -79,7 +79,7 @@
         self._load_seeds()
 
     async def open(self) -> None:
-        """Listen on both sockets and begin to tick."""
+        """Listen on both sockets and start the ticks."""
         await self._datagrams.open(self._sockets.udp)
         self._server = await asyncio.start_server(
             self._exchange.serve, sock=self._sockets.tcp, limit=MAX_FRAME_BYTES
@@ -89,16 +89,16 @@
         self._tick()
 
     def stop(self) -> None:
-        """Close the sockets and cancel what runs."""
+        """Close the sockets and cancel running table exchanges."""
         self._exchange.close()
         self._datagrams.close()
         if self._server is not None:
             self._server.close()
 
     def reload(self) -> None:
-        """Read keys and seeds again, and take the fleet size and index of the configuration.
+        """Reload keys and seeds, and apply the configured fleet size and index.
 
-        A key file that cannot be used leaves the keys as they were.
+        If the key file cannot be used, the previous keys stay in force.
         """
         path = self._settings.key_file
         try:
@@ -115,11 +115,9 @@
         self.carry_out(now_ns)
         self._publisher.observe(now_ns)
 
-    # --- for other subsystems ---
-
     @property
     def views(self) -> ViewTracker:
-        """The published view."""
+        """The tracker of the published view."""
         return self._publisher.views
 
     @property
@@ -128,7 +126,7 @@
         return process_name(self.detector.me)
 
     def names(self) -> tuple[str, ...]:
-        """Return the process names of the view's members, this process among them."""
+        """Return the process names of the view's members, including this process."""
         return tuple(process_name(identity) for identity in self.views.view.members)
 
     def subscribe(self, topic: str, handler: TopicHandler) -> None:
@@ -154,17 +152,15 @@
         return replace(settings, fleet_size=view.effective_size, broker_index=view.effective_index)
 
     def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
-        """Answer an operators' call; None if the path is not one of the membership's."""
+        """Answer an admin API call; None if the path does not belong to the membership."""
         return self._admin.handle_admin_call(method, path)
 
     def metrics(self) -> bytes:
-        """Return the membership's part of `/metrics`."""
+        """Return the membership metrics for `/metrics`."""
         return render_metrics(self.detector, self.views.view, self.codec, self._traffic)
 
-    # --- for the parts of the service ---
-
     def now_ns(self) -> int:
-        """Return the present time."""
+        """Return the current time."""
         return self._node.clock.now()
 
     def log(self, text: str) -> None:
@@ -172,7 +168,7 @@
         self._node.log(LOG_KIND, text)
 
     def carry_out(self, now_ns: int) -> None:
-        """Send messages, start table exchanges, and publish changes of members."""
+        """Send queued messages, start table exchanges, and log and publish member changes."""
         self._datagrams.send_all(self.detector.take_outgoing())
         for address in self.detector.take_sync_requests():
             self._exchange.start(address)
@@ -197,7 +193,7 @@
             self.carry_out(now_ns)
             if now_ns - self._publisher.observed_at_ns >= self._settings.interval_ns:
                 self._publisher.observe(now_ns)
-        except Exception as error:  # A fault here must not stop the timer wheel.
+        except Exception as error:  # An exception must not stop the timer wheel.
             self._node.log(FAULT_LOG_KIND, f"members: {type(error).__name__}: {error}")
 
     def _load_seeds(self) -> None:
--- a/query_broker/membership/service_host.py
+++ b/query_broker/membership/service_host.py
@@ -1,4 +1,4 @@
-"""The interface of the service that its parts depend on."""
+"""Interface of the membership service for its parts."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class ServiceHost(Protocol):
-    """The service, as its parts see it."""
+    """The operations of the membership service that its parts call."""
 
     def now_ns(self) -> int:
-        """Return the present time."""
+        """Return the current time."""
 
     def log(self, text: str) -> None:
         """Write a line to the log."""
 
     def carry_out(self, now_ns: int) -> None:
-        """Carry out what the failure detector has decided: send, exchange tables, publish."""
+        """Carry out the failure detector's results: send, exchange tables, publish."""
 
     def leave(self) -> None:
         """Announce the leave of this process."""
--- a/query_broker/membership/settings.py
+++ b/query_broker/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the membership, as the directive `members` of the operators' file gives them.
+"""Settings of the membership, from the directive `members` of the operators' file.
 
 The keyword names that operators write (`interval`, `sync`, `part`, `settle`, `forget`) are those of
 the directive; `operator_config/directives.py` maps them to the fields below by position.
@@ -17,14 +17,14 @@
     """Settings of one broker's membership.
 
     Attributes:
-        listen_address: IPv4 `host:port` that is bound for UDP and TCP.
-        advertise_address: The address that other members are given, where it differs from the
-            bound one; else empty.
+        listen_address: IPv4 `host:port` to which the UDP and TCP sockets are bound.
+        advertise_address: The address at which other members reach this process, if it differs
+            from the bound one; else empty.
         seeds: Addresses that are contacted until one has answered.
         seeds_file: Path of a file with further seeds, one in a line; empty for none.
         key_file: Path of the file of signing keys.
         installation: Name that separates installations sharing a network and keys.
-        interval_ns: Time between two pings; all timeouts follow from it.
+        interval_ns: Time between two pings; all timeouts are derived from it.
         sync_interval_ns: Mean time between two exchanges of complete member tables.
         max_lost_fraction: Fraction of the members that may be lost at once before the view
             becomes uncertain; below one half.
--- a/query_broker/membership/suspicion.py
+++ b/query_broker/membership/suspicion.py
@@ -1,7 +1,7 @@
-"""Suspicions: how a member becomes suspected, refutes it, or is removed.
+"""Suspicions: how a member is suspected, refutes the suspicion, or is removed.
 
 SWIM's suspicion subprotocol (section 4.2) with Lifeguard's dynamic timeouts (section IV.B). In
-addition, evidence that a suspect still sends messages extends its suspicion, and another member's
+addition, evidence that a suspect still sends messages extends the suspicion, and another member's
 claim that a member is dead counts only as a confirmation. Performs no I/O.
 """
 
@@ -29,12 +29,12 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspicion that has not ended.
+    """An open suspicion.
 
     Attributes:
-        opened_ns: When it began.
-        timer_start_ns: Start of its timer; later after evidence that the member sends messages.
-        reporters: Addresses of the members that suspect it.
+        opened_ns: When the suspicion began, or the suspect was last heard by this process.
+        timer_start_ns: When its timer was last started or restarted.
+        reporters: Addresses of the members that have reported it.
     """
 
     opened_ns: int
@@ -43,7 +43,7 @@
 
 
 class SuspicionTracker:
-    """The open suspicions, and the changes of status that follow from them.
+    """Tracks open suspicions and changes the status of members accordingly.
 
     Attributes:
         active_suspicions: Open suspicions by member.
@@ -71,7 +71,7 @@
     def suspect(
         self, now_ns: int, record: MemberRecord, reporter: str, is_announced: bool = True
     ) -> None:
-        """Begin a suspicion, and gossip it if `is_announced`."""
+        """Open a suspicion, and gossip it if `is_announced`."""
         record.reporter = reporter
         self._statistics[Statistic.SUSPICIONS] += 1
         self.active_suspicions[record.identity] = Suspicion(now_ns, now_ns, {reporter})
@@ -82,8 +82,8 @@
     def confirm(self, record: MemberRecord, reporter: str) -> None:
         """Count an independent report of the same suspicion.
 
-        A faulty member that repeats a suspicion under many names cannot shorten it below the
-        minimum, within which a living member receives and refutes it.
+        A faulty member that reports a suspicion under many names cannot shorten it below the
+        minimum, within which a live member receives and refutes it.
         """
         reporters = self.active_suspicions[record.identity].reporters
         if reporter not in reporters and len(reporters) <= CONFIRMATIONS_WANTED:
@@ -91,7 +91,7 @@
             self._gossip.add(record.claim(Status.SUSPECT, reporter))
 
     def is_reported_by(self, identity: Identity, reporter: str) -> bool:
-        """Return whether the reporter has already confirmed the suspicion of a suspect."""
+        """Return whether the reporter is already counted for the suspicion of a suspect."""
         return reporter in self.active_suspicions[identity].reporters
 
     def refute(self, now_ns: int, record: MemberRecord) -> None:
@@ -106,7 +106,7 @@
         self._gossip.add(record.claim(Status.ALIVE))
 
     def remove(self, now_ns: int, record: MemberRecord, reporter: str, reason: str = "") -> None:
-        """Declare a member dead and gossip it."""
+        """Declare a member dead and gossip the removal."""
         record.reporter = reporter
         silent_ns = now_ns - (record.evidence_ns or record.status_since_ns)
         self._statistics[Statistic.REMOVALS] += 1
@@ -115,7 +115,7 @@
         self._gossip.add(record.claim(Status.DEAD, reporter))
 
     def accept_leave(self, now_ns: int, record: MemberRecord, claim: Claim) -> None:
-        """Record a leave whose secret has been verified, and pass the claim on."""
+        """Record a leave whose secret has been verified, and gossip the claim."""
         record.leave_proof = claim.leave_proof
         self._set_status(now_ns, record, Status.LEFT, "left")
         self._gossip.add(claim)
@@ -142,16 +142,16 @@
                 self._resolve(now_ns, self._table.records[identity], suspicion)
 
     def restart_timers(self, now_ns: int) -> None:
-        """Start the timers of all suspicions anew.
+        """Restart the timers of all suspicions.
 
-        When the local health score falls, so do the timeouts: what was suspected while this process
-        received nothing would end at once.
+        When the local health score falls, the timeouts shrink, and the suspicions from a time when
+        this process received nothing would all expire at once.
         """
         for suspicion in self.active_suspicions.values():
             suspicion.timer_start_ns = now_ns
 
     def postpone(self, duration_ns: int) -> None:
-        """Move all timers by the time for which this process was paused."""
+        """Delay all timers by the time for which this process was paused."""
         for suspicion in self.active_suspicions.values():
             suspicion.timer_start_ns += duration_ns
 
@@ -159,7 +159,7 @@
         if self._settings.plain_swim:
             self.remove(now_ns, record, self._own.identity.address)
         elif record.received_ns > suspicion.timer_start_ns:
-            # Its messages arrive here; that it does not receive ours is no reason to remove it.
+            # Its messages arrive; that it does not receive messages is no reason to remove it.
             suspicion.timer_start_ns = now_ns
             suspicion.opened_ns = now_ns
             self._count_false_suspicion(now_ns, record)
@@ -173,7 +173,7 @@
             self.remove(now_ns, record, self._own.identity.address)
 
     def _has_recent_evidence(self, now_ns: int, record: MemberRecord, suspicion: Suspicion) -> bool:
-        """Return whether others still receive its messages; that counts for a limited time only."""
+        """Return whether others still receive its messages; counts for a limited time only."""
         if record.evidence_ns <= suspicion.timer_start_ns:
             return False
         limit_ns = evidence_limit_ns(self._settings.interval_ns, self._table.size)
--- a/query_broker/membership/table_exchange.py
+++ b/query_broker/membership/table_exchange.py
@@ -23,14 +23,14 @@
 
 
 class TableExchange:
-    """Both sides of the exchange.
+    """The client and the server side of table exchanges.
 
     Attributes:
-        is_closed: Whether no further exchange begins.
+        is_closed: Whether new exchanges are refused.
     """
 
     def __init__(self, messages: MessageExchange) -> None:
-        """Start with no exchange under way."""
+        """Start without running exchanges."""
         self._messages = messages
         self._detector = messages.detector
         self._host = messages.host
@@ -39,7 +39,7 @@
         self.is_closed = False
 
     def start(self, address: str) -> None:
-        """Exchange tables with the member at the address, unless too many exchanges run."""
+        """Exchange tables with the member at the address unless too many exchanges are running."""
         if len(self._outgoing) >= MAX_OUTGOING_EXCHANGES or self.is_closed:
             return
         task = asyncio.get_running_loop().create_task(self._sync_with(address))
@@ -53,7 +53,7 @@
             task.cancel()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a connection of another member."""
+        """Handle a connection from another member."""
         if self._incoming_count >= MAX_INCOMING_EXCHANGES or self.is_closed:
             writer.transport.abort()
             return
@@ -69,16 +69,16 @@
             writer.close()
 
     def table_message(self, is_request: bool, with_claims: bool) -> Sync:
-        """Return a message with our digest, and with our table if `with_claims`."""
+        """Return a message with the own digest, and with the own table if `with_claims`."""
         claims = self._detector.claims() if with_claims else ()
         return Sync(self._detector.table.digest(), is_request, claims)
 
     async def read_frame(self, reader: asyncio.StreamReader) -> Sync:
-        """Read a message.
+        """Read and verify a frame.
 
         Raises:
-            MessageRejectedError: It is too large, or no message of the exchange.
-            EOFError: The connection ended.
+            MessageRejectedError: The frame is too large, or not a valid message of the exchange.
+            EOFError: The connection was closed.
         """
         size = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
         if size > MAX_FRAME_BYTES:
@@ -91,7 +91,7 @@
         return envelope.message
 
     def write_frame(self, writer: asyncio.StreamWriter, message: Sync) -> None:
-        """Write a message."""
+        """Write a message as a frame."""
         data = self._messages.encode(ANY_PROCESS, message)
         writer.write(len(data).to_bytes(LENGTH_BYTES, "big") + data)
 
--- a/query_broker/membership/timing.py
+++ b/query_broker/membership/timing.py
@@ -1,4 +1,4 @@
-"""Timeouts, retransmit limits and detection bounds that follow from interval and group size.
+"""Timeouts, retransmit limits and detection bounds as functions of interval and group size.
 
 Performs no I/O. Durations are in nanoseconds unless the name says otherwise.
 """
@@ -10,41 +10,42 @@
 
 from .settings import NS_PER_S, MembershipSettings
 
-SUSPICION_MULTIPLIER = 4.0  # of the interval and the logarithm of the size: the minimum suspicion
-MAX_SUSPICION_MULTIPLIER = 6.0  # minimum suspicions: the maximum, where nobody confirms it
-CONFIRMATIONS_WANTED = 3  # other reporters that reduce a suspicion to its minimum
-RETRANSMIT_MULTIPLIER = 4  # of the size's binary logarithm
-HELPER_COUNT = 3  # members that are requested to ping a silent one
+SUSPICION_MULTIPLIER = 4.0  # times interval times log10(size): the minimum suspicion
+MAX_SUSPICION_MULTIPLIER = 6.0  # times the minimum: the maximum, without confirmations
+CONFIRMATIONS_WANTED = 3  # further reporters that shorten a suspicion to its minimum
+RETRANSMIT_MULTIPLIER = 4  # times log2(size + 1)
+HELPER_COUNT = 3  # members that are requested to ping one that has not acked
 EVIDENCE_INTERVALS_PER_MEMBER = 2
 MAX_EVIDENCE_NS = 300 * NS_PER_S
 
-# All members draw whom they ping, so nobody pings one in m intervals with probability e^-m: 0.7,
-# 4.6 and 14 intervals in half of the cases, in 99 of 100 and in all but a millionth. To these come
-# one and a half intervals in which the ping fails and suspicion spreads.
+# Since all members ping in random order, a given member gets no ping for m intervals with a
+# probability of e^-m. So the first ping comes within 0.7 intervals in half of the cases, within 4.6
+# in 99 of 100, and within 14 in all but one in a million. 1.5 intervals are added for the ping to
+# fail and the suspicion to spread.
 DETECTION_INTERVALS_MEDIAN = 2.2
 DETECTION_INTERVALS_P99 = 6.1
 DETECTION_INTERVALS_WORST = 15.5
 
 
 def min_suspicion_ns(interval_ns: int, size: int) -> int:
-    """Return how long a suspicion lasts that enough other members have confirmed."""
+    """Return the duration of a suspicion that enough other members have confirmed."""
     return int(SUSPICION_MULTIPLIER * max(1.0, math.log10(max(1, size))) * interval_ns)
 
 
 def suspicion_timeout_ns(
     interval_ns: int, size: int, confirmations: int, false_suspicions: float = 0.0
 ) -> int:
-    """Return how long a suspicion lasts with the given number of independent confirmations.
+    """Return the duration of a suspicion with the given number of independent confirmations.
 
-    The timeout falls from the maximum to the minimum by the logarithm of the confirmations
+    The timeout decreases from the maximum to the minimum with the logarithm of the confirmations
     (Lifeguard, section IV.B).
 
     Args:
         interval_ns: Time between two pings.
         size: Number of members of the group.
-        confirmations: Members besides the first that reported the same suspicion.
-        false_suspicions: How often of late this member was suspected and refuted it. A member on
-            a bad link gets longer, but never more than the maximum.
+        confirmations: Number of further members that reported the same suspicion.
+        false_suspicions: Number of recent false suspicions of the member. They lengthen the
+            timeout of a member on a lossy link, up to the maximum.
     """
     minimum = min_suspicion_ns(interval_ns, size)
     maximum = MAX_SUSPICION_MULTIPLIER * minimum
@@ -57,15 +58,15 @@
 
 
 def retransmit_limit(size: int) -> int:
-    """Return how often each member passes on one claim (SWIM, section 4.1)."""
+    """Return how often each member sends one claim (SWIM, section 4.1)."""
     return RETRANSMIT_MULTIPLIER * math.ceil(math.log2(size + 1))
 
 
 def evidence_limit_ns(interval_ns: int, size: int) -> int:
-    """Return how long the evidence of others alone keeps a suspect whose messages do not reach us.
+    """Return how long evidence from other members alone prevents the removal of a suspect.
 
-    Within so many intervals messages of each member reach every other one, since each pings
-    all in turn.
+    It is long enough for every member to have pinged every other one, since each member pings all
+    others in turn.
     """
     longest_suspicion_ns = int(MAX_SUSPICION_MULTIPLIER) * min_suspicion_ns(interval_ns, size)
     all_pinged_ns = EVIDENCE_INTERVALS_PER_MEMBER * size * interval_ns
@@ -83,11 +84,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DetectionBounds:
-    """How long after a member's end it is detected.
+    """Times from the end of a member to the detection.
 
     Attributes:
-        suspected: Until the first other member suspects it.
-        removed: Until all members have removed it.
+        suspected: Until the first other member suspects the ended member.
+        removed: Until all other members have removed it.
     """
 
     suspected: Quantiles
@@ -95,7 +96,7 @@
 
 
 def detection_bounds(settings: MembershipSettings, size: int) -> DetectionBounds:
-    """Return the detection times to expect of a group of the given size."""
+    """Return the expected detection times in a group of the given size."""
     interval_s = settings.interval_ns / NS_PER_S
     spread_s = 2 * math.ceil(math.log2(size + 1)) * settings.interval_ns / NS_PER_S
     min_suspicion_s = min_suspicion_ns(settings.interval_ns, size) / NS_PER_S
--- a/query_broker/membership/view_publisher.py
+++ b/query_broker/membership/view_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the view of the group to the log and to the rest of the program."""
+"""Publishes the view of the group to the log and to a listener."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class ViewPublisher:
-    """Observes the failure detector and the node's endpoints.
+    """Publishes views from the state of the failure detector and the node's endpoints.
 
     Attributes:
-        views: The published view.
-        observed_at_ns: When the last observation was made.
+        views: Tracker of the published view.
+        observed_at_ns: Time of the last observation.
     """
 
     def __init__(
@@ -61,12 +61,12 @@
         )
 
     def configure(self) -> None:
-        """Take fleet size and index from the node's configuration, which was read again."""
+        """Apply the fleet size and index of the node's reloaded configuration."""
         configured = self._node.config.settings
         self.views.configure(configured.fleet_size, configured.broker_index)
 
     def observe(self, now_ns: int) -> None:
-        """Publish a new view if the group has changed."""
+        """Observe the group, and publish a view if it has changed."""
         self.observed_at_ns = now_ns
         detector = self._detector
         present = [
@@ -96,7 +96,7 @@
         joined: tuple[Identity, ...],
         departed: tuple[Identity, ...],
     ) -> None:
-        """Log a published view and pass it on."""
+        """Log a published view and pass it to the listener."""
         self._host.log(
             f"view {view.epoch} ({view.digest.hex()}): {view.member_count} alive, {view.reason}; "
             f"limits by {view.effective_size}, place {view.effective_index}"
@@ -117,7 +117,7 @@
 
 
 def _listing(event: str, members: tuple[Identity, ...]) -> str:
-    """Return a part of a log line that names the first of the members; empty for none."""
+    """Return the part of a log line that lists the first few members; empty if there are none."""
     if not members:
         return ""
     addresses = ", ".join(member.address for member in members[:MAX_LOGGED_MEMBERS])
--- a/query_broker/membership/views.py
+++ b/query_broker/membership/views.py
@@ -1,12 +1,12 @@
 """The view of the group that the rest of the program reads.
 
-A view has the number of members that are present, whether that number is *certain*, and the
-*effective size* that limits are divided by; these differ. A network partition looks like a
-mass failure from both of its sides. Therefore a view is certain only while more than
-1 - `max_lost_fraction` of the members that were last present still are. With that fraction below
-one half, no two sides of a partition can both be certain, and all sides together use
-1 + `max_lost_fraction` of a limit at the most: the certain one all of it, the others, less than
-`max_lost_fraction` of all members, their quota of the former size. Performs no I/O.
+A view states the number of present members, whether that number is *certain*, and the *effective
+size* that limits are divided by, which can differ from the number of members. From either side, a
+network partition looks like a mass failure. Therefore a view is certain only while more than
+1 - `max_lost_fraction` of the reference size are present. With that fraction below one half, at
+most one side of a partition is certain, and all sides together use at most 1 + `max_lost_fraction`
+of a limit: the certain side uses all of it, and the other sides, which have less than
+`max_lost_fraction` of all members, use their quotas of the former size. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from .member_table import view_digest
 from .messages import Identity
 
-#: Fraction of the configured size below which limits are never divided.
+#: Minimum effective size, as a fraction of the configured size.
 MIN_SIZE_FRACTION = 1 / 3
-#: Multiple of the configured size above which limits are never divided.
+#: Maximum effective size, as a multiple of the configured size.
 MAX_SIZE_MULTIPLE = 4
-#: Settle times of certainty after which a smaller size is the new reference.
+#: Settle times for which views must be certain before the present size becomes the reference.
 CALM_SETTLE_PERIODS = 6
-#: Batch times that a view waits for a pending removal.
+#: Batch periods that a view waits at most for a pending removal.
 PENDING_REMOVAL_BATCHES = 4
 
 
@@ -36,7 +36,7 @@
 
 
 class Position(NamedTuple):
-    """What limits are divided by, and the index of this broker within."""
+    """The fleet size that limits are divided by, and the index of this broker in that fleet."""
 
     fleet_size: int
     own_index: int
@@ -44,17 +44,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """The group as it was last published; equal digests are equal sets of members.
+    """A published view of the group; equal digests mean equal sets of members.
 
     Attributes:
-        epoch: Number that rises with each change of the members.
+        epoch: Number that increases with each published change of the members.
         members: The present members in the order of their configured indexes.
         digest: Digest of the members.
-        is_certain: Whether limits are divided by the members of this view.
+        is_certain: Whether the number of members is certain enough to divide limits by.
         member_count: Number of the members.
         reference_size: Number of members that losses are measured against.
         effective_size: Number of brokers that limits are divided by.
-        effective_index: Index of this broker among them.
+        effective_index: Index of this broker among the `effective_size` brokers.
         reason: Why the view is certain or not, for operators.
     """
 
@@ -74,12 +74,12 @@
     """The state of the group and of this broker at one moment.
 
     Attributes:
-        present: The present members, this process among them unless it has left.
+        present: The present members, including this process unless it has left.
         own: This process.
-        is_cut_off: Whether no member answers this process, or it has left.
-        has_joined: Whether some member has answered.
-        is_endpoint_warming_up: Whether an endpoint is warming up; meanwhile limits must not rise.
-        is_removal_pending: Whether a suspicion is about to end, so that a batch waits for it.
+        is_cut_off: Whether this process has left, or no member answers it.
+        has_joined: Whether any member has answered.
+        is_endpoint_warming_up: Whether an endpoint is warming up, so that limits must not rise.
+        is_removal_pending: Whether a suspicion is about to expire; publication then waits for it.
     """
 
     present: list[PlacedMember]
@@ -92,12 +92,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewSettings:
-    """How views are published.
+    """Settings of the publication of views.
 
     Attributes:
-        max_lost_fraction: Fraction of the reference that may be lost at once.
+        max_lost_fraction: Fraction of the reference size that may be lost at once.
         settle_ns: How long a smaller size must persist before it takes effect.
-        batch_ns: How long changes are collected.
+        batch_ns: How long changes are collected before they are published.
     """
 
     max_lost_fraction: float
@@ -106,7 +106,7 @@
 
 
 class ViewObserver(Protocol):
-    """Is notified of each published view, not of each single change."""
+    """Is notified of each published view, not of each change."""
 
     def view_changed(
         self,
@@ -114,7 +114,7 @@
         joined: tuple[Identity, ...],
         departed: tuple[Identity, ...],
     ) -> None:
-        """Process a published view and its difference from the previous one."""
+        """Process a published view and its changes since the previous view."""
 
 
 class ViewTracker:
@@ -132,7 +132,7 @@
         settings: ViewSettings,
         observer: ViewObserver,
     ) -> None:
-        """Start with a view that is not certain, of this process alone."""
+        """Start with an uncertain view of one member."""
         self.configured_index = configured_index
         self.view = MembershipView(
             epoch=0,
@@ -151,11 +151,11 @@
         self._reference_size = configured_size
         self._pending_since_ns = 0
         self._certain_since_ns = 0
-        self._smaller_size = 0  # the smaller size that has to persist; 0 for none
+        self._smaller_size = 0  # candidate for a smaller effective size; 0 for none
         self._smaller_since_ns = 0
 
     def configure(self, configured_size: int, configured_index: int) -> None:
-        """Apply new settings; losses are measured against a changed size from now on."""
+        """Apply new settings; a changed configured size becomes the reference size."""
         if configured_size != self._configured_size:
             self._reference_size = configured_size
         self._configured_size = configured_size
@@ -171,7 +171,7 @@
         self._reference_size = max(1, self._reference_size - 1)
 
     def observe(self, now_ns: int, observation: Observation) -> None:
-        """Publish a view if the observation differs from the last one for long enough."""
+        """Update the view, and publish it once changes have been collected for the batch time."""
         members = tuple(member.identity for member in sorted(observation.present))
         member_count = len(members)
         self._reference_size = max(self._reference_size, member_count)
@@ -213,7 +213,7 @@
         return f"{member_count} of {self._reference_size} are there: more than {lost:.0%} are lost"
 
     def _update_reference(self, now_ns: int, member_count: int, is_certain: bool) -> None:
-        """Measure losses by the present size once views have been certain for long enough."""
+        """Make the present size the reference once views have been certain for long enough."""
         if not is_certain:
             self._certain_since_ns = 0
             return
@@ -235,7 +235,7 @@
         )
 
     def _is_batching(self, now_ns: int, observation: Observation, is_certain: bool) -> bool:
-        """Return whether changes are still being collected; a loss of certainty never waits."""
+        """Return whether changes are still collected; a loss of certainty is published at once."""
         self._pending_since_ns = self._pending_since_ns or now_ns
         batches = PENDING_REMOVAL_BATCHES if observation.is_removal_pending else 1
         waited_ns = now_ns - self._pending_since_ns
@@ -251,11 +251,12 @@
     def _effective_position(
         self, now_ns: int, members: tuple[Identity, ...], observation: Observation, is_certain: bool
     ) -> Position:
-        """Return what limits are divided by.
+        """Return the size that limits are divided by, and this broker's index.
 
-        A size that is too small makes every broker's quota too large. So a smaller size takes
-        effect only while the view is certain, has persisted, and no endpoint is warming up: one
-        that all brokers load at once falls over.
+        A size that is too small makes every broker's quota too large. Therefore a smaller size
+        takes effect only after it has persisted and, below the configured size, only while the
+        view is certain and no endpoint is warming up: an endpoint that is warming up and loaded
+        by all brokers at once would be overloaded.
         """
         member_count = len(members)
         is_safe = is_certain and not observation.is_endpoint_warming_up
@@ -271,12 +272,12 @@
         return size if is_safe else max(size, self._configured_size)
 
     def _settled_size(self, now_ns: int, size: int) -> int:
-        """Return the size, or the present one until a smaller size has persisted."""
+        """Return the size, or the current one until a smaller size has persisted."""
         if size >= self.view.effective_size:
             self._smaller_size = 0
             return size
         if not self._smaller_size or size > self._smaller_size:
-            # The largest of the recent sizes is the one that has persisted.
+            # The size that has persisted is the largest one observed since the wait began.
             self._smaller_size = size
             self._smaller_since_ns = now_ns
         if now_ns - self._smaller_since_ns < self._settings.settle_ns:
