--- a/query_broker/membership/ack_handling.py
+++ b/query_broker/membership/ack_handling.py
@@ -51,11 +51,11 @@
         ping = self._pinger.complete(ack.ping_id)
         if ping is None:
             return
-        if self._health.record_answer():
+        if self._health.record_ack():
             self._suspicions.restart_timers(now_ns)
-        self._contacts.record_answer(sender, ack.ping_id)
+        self._contacts.record_ack(sender, ack.ping_id)
         if ack.responder == ping.target:
-            self._record_answer(now_ns, sender, ping, ack)
+            self._record_ack(now_ns, sender, ping, ack)
         elif ack.responder.address == ping.target.address:
             self._remove_replaced_member(now_ns, ping.target)
 
@@ -66,22 +66,22 @@
             reason = f"{target.address} is another's now"
             self._suspicions.remove(now_ns, record, self._own.identity.address, reason)
 
-    def _record_answer(self, now_ns: int, sender: Identity, ping: SentPing, ack: Ack) -> None:
+    def _record_ack(self, now_ns: int, sender: Identity, ping: SentPing, ack: Ack) -> None:
         record = self._table.get(ping.target)
         if record is None:
             return
         if sender == ping.target:
-            self._record_direct_answer(now_ns, record, now_ns - ping.sent_ns)
+            self._record_direct_ack(now_ns, record, now_ns - ping.sent_ns)
             self._syncs.compare_digest(now_ns, ack)
         else:
-            self._record_indirect_answer(now_ns, record, sender, ack)
+            self._record_indirect_ack(now_ns, record, sender, ack)
 
-    def _record_direct_answer(self, now_ns: int, record: MemberRecord, round_trip_ns: int) -> None:
+    def _record_direct_ack(self, now_ns: int, record: MemberRecord, round_trip_ns: int) -> None:
         record.acked_ns = now_ns
         record.round_trip.record(round_trip_ns)
         self._pinger.overall_round_trip.record(round_trip_ns)
 
-    def _record_indirect_answer(
+    def _record_indirect_ack(
         self, now_ns: int, record: MemberRecord, helper: Identity, ack: Ack
     ) -> None:
         record.acked_indirectly_ns = now_ns
--- a/query_broker/membership/addresses.py
+++ b/query_broker/membership/addresses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MAX_LOGGED_ADDRESS = 60  # characters
+MAX_LOGGED_ADDRESS_CHARACTERS = 60
 
 
 def split_address(text: str) -> tuple[str, int]:
--- a/query_broker/membership/admin_api.py
+++ b/query_broker/membership/admin_api.py
@@ -23,7 +23,7 @@
 STATUS_PATH = "/members"
 KEYS_PATH = "/members/keys"
 LEAVE_PATH = "/members/leave"
-METHODS = {STATUS_PATH: "GET", KEYS_PATH: "GET", LEAVE_PATH: "POST"}
+METHOD_BY_PATH = {STATUS_PATH: "GET", KEYS_PATH: "GET", LEAVE_PATH: "POST"}
 
 
 class MembershipAdminApi:
@@ -51,7 +51,7 @@
 
     def handle_admin_call(self, method: str, path: str) -> HttpAnswer | None:
         """Answer a call; None if the path does not belong to the membership."""
-        allowed = METHODS.get(path)
+        allowed = METHOD_BY_PATH.get(path)
         if allowed is None:
             return None
         if method != allowed:
--- a/query_broker/membership/anti_entropy.py
+++ b/query_broker/membership/anti_entropy.py
@@ -68,8 +68,8 @@
             self._differing_digests += 1
         else:
             self._differing_digests = 0
-        is_quiet = not self._gossip.queued_claims and not self._suspicions.active_suspicions
-        if self._differing_digests >= MAX_DIFFERING_DIGESTS and is_quiet:
+        is_gossip_idle = not self._gossip.queued_claims and not self._suspicions.active_suspicions
+        if self._differing_digests >= MAX_DIFFERING_DIGESTS and is_gossip_idle:
             self._differing_digests = 0
             self._next_sync_ns = min(self._next_sync_ns, now_ns)
 
@@ -117,7 +117,7 @@
         if now_ns >= self._next_recontact_ns:
             self._recontact(now_ns)
 
-    def record_answer(self, sender: Identity, ping_id: int) -> None:
+    def record_ack(self, sender: Identity, ping_id: int) -> None:
         """Record the ack of a member; the ack of a contact ping triggers a table exchange."""
         self.has_joined = True
         if ping_id == self._last_contact_id:
--- a/query_broker/membership/claim_merge.py
+++ b/query_broker/membership/claim_merge.py
@@ -59,7 +59,7 @@
             max_ahead: How far the claimed incarnation may be ahead of the known one.
         """
         if claim.member == self._own.identity:
-            self._refute_claim_about_us(claim)
+            self._refute_claim_about_self(claim)
             return
         record = self._table.get(claim.member)
         if record is None:
@@ -132,7 +132,7 @@
         elif record.status is Status.SUSPECT:
             self._suspicions.confirm(record, claim.reporter)
 
-    def _refute_claim_about_us(self, claim: Claim) -> None:
+    def _refute_claim_about_self(self, claim: Claim) -> None:
         """Refute an accusation of this process by raising its incarnation.
 
         Only claims about the current incarnation are refuted; otherwise old gossip would raise the
--- a/query_broker/membership/datagrams.py
+++ b/query_broker/membership/datagrams.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from .addresses import MAX_LOGGED_ADDRESS, split_address
+from .addresses import MAX_LOGGED_ADDRESS_CHARACTERS, split_address
 from .codec import PROTOCOL_VERSION
 from .errors import MessageRejectedError
 from .message_exchange import MessageExchange
@@ -83,14 +83,14 @@
         try:
             self._transport.sendto(data, split_address(address))
         except (OSError, ValueError, RuntimeError) as error:
-            self._host.log(f"{address[:MAX_LOGGED_ADDRESS]}: {error}")
+            self._host.log(f"{address[:MAX_LOGGED_ADDRESS_CHARACTERS]}: {error}")
 
     def _deliver(self, now_ns: int, envelope: Envelope) -> None:
         sender = envelope.sender
         message = envelope.message
         self._detector.receive(now_ns, envelope.recipient_boot, envelope.sequence, sender, message)
-        is_for_us = envelope.recipient_boot == self._detector.me.boot
-        if not isinstance(message, TopicMessage) or not is_for_us:
+        is_for_this_process = envelope.recipient_boot == self._detector.me.boot
+        if not isinstance(message, TopicMessage) or not is_for_this_process:
             return
         handler = self._topics.get(message.topic)
         if handler is not None and self._detector.table.get(sender.member) is not None:
--- a/query_broker/membership/failure_detector.py
+++ b/query_broker/membership/failure_detector.py
@@ -33,10 +33,10 @@
 from .timing import HELPER_COUNT
 
 #: Mean number of additional pings that a suspect receives per interval from the whole group.
-EXTRA_SUSPECT_PINGS = 4.0
-LEAVE_RECIPIENTS = 2 * HELPER_COUNT
+EXTRA_SUSPECT_PINGS_PER_INTERVAL = 4.0
+LEAVE_RECIPIENT_COUNT = 2 * HELPER_COUNT
 #: Number of checks for expired records within `forget_after_ns`.
-FORGET_CHECKS = 4
+FORGET_CHECKS_PER_PERIOD = 4
 #: Sent instead of an age if no message has arrived.
 UNKNOWN_AGE_MS = -1
 
@@ -118,7 +118,7 @@
         self.contacts = ContactScheduler(
             settings, self.own, self.table, self.pinger, self.messenger, self.draw, now_ns
         )
-        self._next_forget_ns = now_ns + settings.forget_after_ns // FORGET_CHECKS
+        self._next_forget_ns = now_ns + settings.forget_after_ns // FORGET_CHECKS_PER_PERIOD
         self._acks = AckHandler(
             settings,
             self.own,
@@ -198,7 +198,7 @@
         self.own.mark_left()
         self.table.invalidate_digest()
         present = self.present()
-        for recipient in self.draw.sample(present, min(LEAVE_RECIPIENTS, len(present))):
+        for recipient in self.draw.sample(present, min(LEAVE_RECIPIENT_COUNT, len(present))):
             ping_id = self.messenger.new_ping_id()
             self.messenger.send(recipient, Ping(ping_id, "", (self.own.claim(),)))
 
@@ -285,11 +285,11 @@
         if self.settings.plain_swim:
             return
         for suspect in list(self.suspicions.active_suspicions):
-            if self.draw.random() < EXTRA_SUSPECT_PINGS / self.table.size:
+            if self.draw.random() < EXTRA_SUSPECT_PINGS_PER_INTERVAL / self.table.size:
                 self.pinger.start(now_ns, suspect)
 
     def _forget_absent(self, now_ns: int) -> None:
         if now_ns < self._next_forget_ns:
             return
-        self._next_forget_ns = now_ns + self.settings.forget_after_ns // FORGET_CHECKS
+        self._next_forget_ns = now_ns + self.settings.forget_after_ns // FORGET_CHECKS_PER_PERIOD
         self.table.forget_older_than(now_ns, self.settings.forget_after_ns)
--- a/query_broker/membership/gossip.py
+++ b/query_broker/membership/gossip.py
@@ -14,7 +14,7 @@
 #: Maximum encoded size of the claims in one datagram.
 MAX_PIGGYBACK_BYTES = 900
 #: Queued claims that are considered for one datagram.
-MAX_CANDIDATES = 16
+MAX_CANDIDATE_CLAIMS = 16
 
 
 class ClaimKey(NamedTuple):
@@ -70,7 +70,7 @@
     def _select_queued(self, selected: list[Claim], limit: int, remaining_bytes: int) -> None:
         selected_keys = {(claim.member, claim.status) for claim in selected}
         candidates = heapq.nsmallest(
-            MAX_CANDIDATES, self.queued_claims.items(), key=lambda item: item[1].send_count
+            MAX_CANDIDATE_CLAIMS, self.queued_claims.items(), key=lambda item: item[1].send_count
         )
         for key, (claim, send_count) in candidates:
             if (claim.member, claim.status) in selected_keys:
--- a/query_broker/membership/local_health.py
+++ b/query_broker/membership/local_health.py
@@ -14,11 +14,11 @@
 MAX_SCORE = 8
 RECOVERY_INTERVALS = 5
 #: Score, or number of consecutive failed pings, from which own observations are unreliable.
-DOUBTFUL_FROM = 3
-PAUSE_PENALTY = 2
+UNRELIABLE_THRESHOLD = 3
+PAUSE_PENALTY_POINTS = 2
 MIN_PAUSE_NS = NS_PER_S // 4
 #: Consecutive failed pings from which this process is considered isolated.
-ISOLATED_FROM = 3
+ISOLATION_FAILED_PINGS = 3
 
 
 @dataclass(slots=True)
@@ -44,20 +44,20 @@
         """Raise the score, up to its maximum."""
         self.score = min(MAX_SCORE, self.score + points)
 
-    def record_answer(self) -> bool:
+    def record_ack(self) -> bool:
         """Lower the score after an ack; return whether own observations were unreliable until now.
 
-        If so, the open suspicions may be due to a fault of this process.
+        If so, open suspicions may be due to a fault of this process.
         """
-        was_doubtful = (
-            self.score >= DOUBTFUL_FROM
-            or self.failed_pings >= DOUBTFUL_FROM
+        was_unreliable = (
+            self.score >= UNRELIABLE_THRESHOLD
+            or self.failed_pings >= UNRELIABLE_THRESHOLD
             or self.recovers_at_ns > 0
         )
         self.score = max(0, self.score - 1)
         self.failed_pings = 0
         self.recovers_at_ns = 0
-        return was_doubtful
+        return was_unreliable
 
     def record_lateness(self, now_ns: int, late_ns: int) -> bool:
         """Record how late this process's timer fired; return whether the process was paused.
@@ -67,14 +67,14 @@
         """
         if late_ns < max(self.interval_ns // 2, MIN_PAUSE_NS):
             return False
-        self.penalize(PAUSE_PENALTY)
+        self.penalize(PAUSE_PENALTY_POINTS)
         self.recovers_at_ns = now_ns + RECOVERY_INTERVALS * self.extended_ns(self.interval_ns)
         self.pause_count += 1
         return True
 
     def is_isolated(self, other_members: int) -> bool:
         """Return whether no member answers, which indicates a fault of this process."""
-        return self.failed_pings >= min(ISOLATED_FROM, other_members) > 1
+        return self.failed_pings >= min(ISOLATION_FAILED_PINGS, other_members) > 1
 
     def extended_ns(self, duration_ns: int) -> int:
         """Return a timeout extended in proportion to the score."""
--- a/query_broker/membership/member_record.py
+++ b/query_broker/membership/member_record.py
@@ -108,10 +108,10 @@
             self.sequence,
         )
 
-    def recent_false_suspicions(self, now_ns: int, fade_ns: int) -> float:
-        """Return `false_suspicions`, decayed by a factor of 1/e per `fade_ns`."""
+    def recent_false_suspicions(self, now_ns: int, decay_ns: int) -> float:
+        """Return `false_suspicions`, decayed by a factor of 1/e per `decay_ns`."""
         age_ns = max(0, now_ns - self.false_suspicion_at_ns)
-        return self.false_suspicions * math.exp(-age_ns / fade_ns)
+        return self.false_suspicions * math.exp(-age_ns / decay_ns)
 
     def record_helper_result(self, helper: str, result: HelperResult) -> None:
         """Record a helper's result, and evict the oldest one if there are too many."""
--- a/query_broker/membership/pings.py
+++ b/query_broker/membership/pings.py
@@ -25,7 +25,7 @@
 MAX_HELPER_ROUNDS = 2
 MIN_TIMEOUTS_UNTIL_FAILURE = 3
 #: Maximum number of points that a ping without any nack adds to the health score.
-MAX_NO_NACK_PENALTY = 2
+MAX_NO_NACK_PENALTY_POINTS = 2
 
 
 class SentPing(NamedTuple):
@@ -87,7 +87,8 @@
         self._health = health
         self._messenger = messenger
         self._draw = draw
-        self._overdue: dict[int, SentPing] = {}
+        # Failed pings and contact pings: they have no timeout, but a late ack is still accepted.
+        self._untimed_pings: dict[int, SentPing] = {}
         self.overall_round_trip = overall_round_trip
         self.pending: dict[int, PendingPing] = {}
 
@@ -113,7 +114,7 @@
         A missing ack leads to no suspicion; an ack names the process at the address.
         """
         ping_id = self._messenger.new_ping_id()
-        self._overdue[ping_id] = SentPing(target, now_ns)
+        self._untimed_pings[ping_id] = SentPing(target, now_ns)
         self._messenger.send_ping(target, ping_id)
         return ping_id
 
@@ -121,7 +122,7 @@
         """Return and forget the ping with this id; None if it is unknown."""
         ping = self.pending.pop(ping_id, None)
         if ping is None:
-            return self._overdue.pop(ping_id, None)
+            return self._untimed_pings.pop(ping_id, None)
         return SentPing(ping.target, ping.sent_ns)
 
     def record_nack(self, now_ns: int, helper: Identity, ping_id: int) -> None:
@@ -178,22 +179,22 @@
 
     def _fail(self, now_ns: int, ping_id: int, ping: PendingPing) -> None:
         del self.pending[ping_id]
-        self._remember_overdue(ping_id, ping)
+        self._keep_for_late_ack(ping_id, ping)
         record = self._table.get(ping.target)
         if record is None or not record.is_present():
             return
         if not self._settings.plain_swim:
             self._update_own_health(ping)
-            answered_since = ping.sent_ns <= record.acked_indirectly_ns
-            if now_ns < self._health.recovers_at_ns or answered_since:
+            has_acked_since = ping.sent_ns <= record.acked_indirectly_ns
+            if now_ns < self._health.recovers_at_ns or has_acked_since:
                 return
         self._report_suspicion(now_ns, record)
 
-    def _remember_overdue(self, ping_id: int, ping: PendingPing) -> None:
-        self._overdue[ping_id] = SentPing(ping.target, ping.sent_ns)
-        while len(self._overdue) > MAX_PENDING_PINGS:
-            oldest = next(iter(self._overdue))
-            del self._overdue[oldest]
+    def _keep_for_late_ack(self, ping_id: int, ping: PendingPing) -> None:
+        self._untimed_pings[ping_id] = SentPing(ping.target, ping.sent_ns)
+        while len(self._untimed_pings) > MAX_PENDING_PINGS:
+            oldest = next(iter(self._untimed_pings))
+            del self._untimed_pings[oldest]
 
     def _update_own_health(self, ping: PendingPing) -> None:
         """Raise the health score if no helper has answered either."""
@@ -201,7 +202,7 @@
             self._health.failed_pings = 0
         elif ping.helpers:
             self._health.failed_pings += 1
-            self._health.penalize(min(MAX_NO_NACK_PENALTY, len(ping.helpers)))
+            self._health.penalize(min(MAX_NO_NACK_PENALTY_POINTS, len(ping.helpers)))
 
     def _report_suspicion(self, now_ns: int, record: MemberRecord) -> None:
         own_address = self._own.identity.address
--- a/query_broker/membership/rate_limit.py
+++ b/query_broker/membership/rate_limit.py
@@ -7,10 +7,10 @@
 
 from ..token_bucket import TokenBucket
 
-OTHERS_PER_S = 200
-MEMBERS_PER_S = 2_000
+OTHER_DATAGRAMS_PER_S = 200
+MEMBER_DATAGRAMS_PER_S = 2_000
 #: Amount by which each present member raises the limit of all members together.
-EXTRA_PER_MEMBER_PER_S = 20
+EXTRA_DATAGRAMS_PER_MEMBER_PER_S = 20
 
 
 class DatagramRateLimiter:
@@ -29,6 +29,6 @@
     def admit(self, now_ns: int, address: str) -> bool:
         """Return whether a datagram from the address may be processed."""
         if address in self.member_addresses:
-            extra_per_s = EXTRA_PER_MEMBER_PER_S * len(self.member_addresses)
-            return self._members.try_take(now_ns, MEMBERS_PER_S + extra_per_s)
-        return self._others.try_take(now_ns, OTHERS_PER_S)
+            extra_per_s = EXTRA_DATAGRAMS_PER_MEMBER_PER_S * len(self.member_addresses)
+            return self._members.try_take(now_ns, MEMBER_DATAGRAMS_PER_S + extra_per_s)
+        return self._others.try_take(now_ns, OTHER_DATAGRAMS_PER_S)
--- a/query_broker/membership/reachability.py
+++ b/query_broker/membership/reachability.py
@@ -21,7 +21,7 @@
     REACHED = "reached"
     ANSWERS_LOST = "its answers don't reach us"
     PINGS_LOST = "we can't reach it"
-    DEAF = "it speaks and doesn't hear us"
+    SENDS_WITHOUT_ACKING = "it speaks and doesn't hear us"
     REACHED_BY_OTHERS = "others hear it, we don't"
     SUSPECT = "suspect: nobody reaches it"
     UNKNOWN = "not asked yet"
@@ -42,7 +42,7 @@
             return Reachability.ANSWERS_LOST
         return Reachability.PINGS_LOST
     if record.received_ns > since_ns:
-        return Reachability.DEAF
+        return Reachability.SENDS_WITHOUT_ACKING
     if record.status is not Status.SUSPECT:
         return Reachability.UNKNOWN
     if record.evidence_ns > since_ns:
--- a/query_broker/membership/replay_window.py
+++ b/query_broker/membership/replay_window.py
@@ -12,7 +12,7 @@
 
 #: Maximum reordering of one sender's messages that is tolerated, in sequence numbers.
 WINDOW_BITS = 256
-MAX_WINDOWS = 8_192
+MAX_REPLAY_WINDOWS = 8_192
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class ReplayWindows:
-    """The windows of all senders; beyond `MAX_WINDOWS` the least recently used is evicted."""
+    """The windows of all senders; the least recently used is evicted beyond the maximum."""
 
     windows: OrderedDict[Identity, ReplayWindow] = field(default_factory=OrderedDict)
 
@@ -58,7 +58,7 @@
         if window is None:
             window = ReplayWindow()
             self.windows[sender] = window
-            if len(self.windows) > MAX_WINDOWS:
+            if len(self.windows) > MAX_REPLAY_WINDOWS:
                 self.windows.popitem(last=False)
         else:
             self.windows.move_to_end(sender)
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -39,7 +39,7 @@
 RANDOM_SEED_BYTES = 16
 LOG_KIND = "members"
 FAULT_LOG_KIND = "fault"
-PEERS_NOT_ALLOWED = "members: settings.policy_limits.peer_messages does not allow talk"
+PEER_MESSAGES_NOT_ALLOWED = "members: settings.policy_limits.peer_messages does not allow talk"
 
 
 class MembershipService:
@@ -60,7 +60,7 @@
                 address cannot be bound.
         """
         if not node.config.settings.limits.peer_messages:
-            raise ConfigError(PEERS_NOT_ALLOWED)
+            raise ConfigError(PEER_MESSAGES_NOT_ALLOWED)
         self._node = node
         self._settings = settings
         self.codec = Codec(settings.installation, _initial_keys(settings.key_file))
--- a/query_broker/membership/suspicion.py
+++ b/query_broker/membership/suspicion.py
@@ -18,13 +18,13 @@
 from .own_member import OwnMember
 from .settings import NS_PER_MS, MembershipSettings
 from .timing import (
-    CONFIRMATIONS_WANTED,
+    CONFIRMATIONS_FOR_MINIMUM,
     MAX_SUSPICION_MULTIPLIER,
     evidence_limit_ns,
     suspicion_timeout_ns,
 )
 
-FALSE_SUSPICION_FADE_INTERVALS = 60
+FALSE_SUSPICION_DECAY_INTERVALS = 60
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
         self._gossip = gossip
         self._health = health
         self._statistics = statistics
-        self._fade_ns = FALSE_SUSPICION_FADE_INTERVALS * settings.interval_ns
+        self._decay_ns = FALSE_SUSPICION_DECAY_INTERVALS * settings.interval_ns
         self.active_suspicions: dict[Identity, Suspicion] = {}
 
     def suspect(
@@ -86,7 +86,7 @@
         minimum, within which a live member receives and refutes it.
         """
         reporters = self.active_suspicions[record.identity].reporters
-        if reporter not in reporters and len(reporters) <= CONFIRMATIONS_WANTED:
+        if reporter not in reporters and len(reporters) <= CONFIRMATIONS_FOR_MINIMUM:
             reporters.add(reporter)
             self._gossip.add(record.claim(Status.SUSPECT, reporter))
 
@@ -126,10 +126,10 @@
         interval_ns = self._settings.interval_ns
         size = self._table.size
         if self._settings.plain_swim:
-            timeout_ns = suspicion_timeout_ns(interval_ns, size, CONFIRMATIONS_WANTED)
+            timeout_ns = suspicion_timeout_ns(interval_ns, size, CONFIRMATIONS_FOR_MINIMUM)
             return suspicion.timer_start_ns + timeout_ns
         false_suspicions = self._table.records[identity].recent_false_suspicions(
-            suspicion.opened_ns, self._fade_ns
+            suspicion.opened_ns, self._decay_ns
         )
         confirmations = len(suspicion.reporters) - 1
         timeout_ns = suspicion_timeout_ns(interval_ns, size, confirmations, false_suspicions)
@@ -180,7 +180,7 @@
         return now_ns - suspicion.opened_ns < limit_ns
 
     def _count_false_suspicion(self, now_ns: int, record: MemberRecord) -> None:
-        recent = record.recent_false_suspicions(now_ns, self._fade_ns)
+        recent = record.recent_false_suspicions(now_ns, self._decay_ns)
         record.false_suspicions = min(MAX_SUSPICION_MULTIPLIER, recent + 1)
         record.false_suspicion_at_ns = now_ns
 
--- a/query_broker/membership/table_exchange.py
+++ b/query_broker/membership/table_exchange.py
@@ -9,7 +9,7 @@
 
 import asyncio
 
-from .addresses import MAX_LOGGED_ADDRESS, split_address
+from .addresses import MAX_LOGGED_ADDRESS_CHARACTERS, split_address
 from .codec import MAX_FRAME_BYTES
 from .errors import MessageRejectedError, RejectReason
 from .message_exchange import MessageExchange
@@ -68,9 +68,9 @@
             self._incoming_count -= 1
             writer.close()
 
-    def table_message(self, is_request: bool, with_claims: bool) -> Sync:
-        """Return a message with the own digest, and with the own table if `with_claims`."""
-        claims = self._detector.claims() if with_claims else ()
+    def table_message(self, is_request: bool, with_table: bool) -> Sync:
+        """Return a message with the own digest, and with the own table if `with_table`."""
+        claims = self._detector.claims() if with_table else ()
         return Sync(self._detector.table.digest(), is_request, claims)
 
     async def read_frame(self, reader: asyncio.StreamReader) -> Sync:
@@ -98,13 +98,13 @@
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         request = await self.read_frame(reader)
         is_different = request.digest != self._detector.table.digest()
-        self.write_frame(writer, self.table_message(is_request=False, with_claims=is_different))
+        self.write_frame(writer, self.table_message(is_request=False, with_table=is_different))
         await writer.drain()
         if is_different:
             self._merge(await self.read_frame(reader))
 
     async def _sync_with(self, address: str) -> None:
-        logged_address = address[:MAX_LOGGED_ADDRESS]
+        logged_address = address[:MAX_LOGGED_ADDRESS_CHARACTERS]
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 await self._request(address)
@@ -117,10 +117,10 @@
         host, port = split_address(address)
         reader, writer = await asyncio.open_connection(host, port, limit=MAX_FRAME_BYTES)
         try:
-            self.write_frame(writer, self.table_message(is_request=True, with_claims=False))
+            self.write_frame(writer, self.table_message(is_request=True, with_table=False))
             peer_message = await self.read_frame(reader)
             if peer_message.claims:
-                self.write_frame(writer, self.table_message(is_request=False, with_claims=True))
+                self.write_frame(writer, self.table_message(is_request=False, with_table=True))
                 await writer.drain()
                 self._merge(peer_message)
         finally:
--- a/query_broker/membership/timing.py
+++ b/query_broker/membership/timing.py
@@ -12,7 +12,7 @@
 
 SUSPICION_MULTIPLIER = 4.0  # times interval times log10(size): the minimum suspicion
 MAX_SUSPICION_MULTIPLIER = 6.0  # times the minimum: the maximum, without confirmations
-CONFIRMATIONS_WANTED = 3  # further reporters that shorten a suspicion to its minimum
+CONFIRMATIONS_FOR_MINIMUM = 3  # further reporters that shorten a suspicion to its minimum
 RETRANSMIT_MULTIPLIER = 4  # times log2(size + 1)
 HELPER_COUNT = 3  # members that are requested to ping one that has not acked
 EVIDENCE_INTERVALS_PER_MEMBER = 2
@@ -49,10 +49,10 @@
     """
     minimum = min_suspicion_ns(interval_ns, size)
     maximum = MAX_SUSPICION_MULTIPLIER * minimum
-    wanted = min(CONFIRMATIONS_WANTED, size - 3)
+    needed = min(CONFIRMATIONS_FOR_MINIMUM, size - 3)
     timeout = float(minimum)
-    if wanted > 0:
-        progress = math.log(confirmations + 1) / math.log(wanted + 1)
+    if needed > 0:
+        progress = math.log(confirmations + 1) / math.log(needed + 1)
         timeout = max(timeout, maximum - (maximum - minimum) * progress)
     return int(min(maximum, timeout * (1 + false_suspicions)))
 
--- a/query_broker/membership/view_publisher.py
+++ b/query_broker/membership/view_publisher.py
@@ -100,7 +100,7 @@
         self._host.log(
             f"view {view.epoch} ({view.digest.hex()}): {view.member_count} alive, {view.reason}; "
             f"limits by {view.effective_size}, place {view.effective_index}"
-            f"{_listing('joined', joined)}{_listing('left', departed)}"
+            f"{_members_log_text('joined', joined)}{_members_log_text('left', departed)}"
         )
         self._listener(view)
 
@@ -116,7 +116,7 @@
         )
 
 
-def _listing(event: str, members: tuple[Identity, ...]) -> str:
+def _members_log_text(event: str, members: tuple[Identity, ...]) -> str:
     """Return the part of a log line that lists the first few members; empty if there are none."""
     if not members:
         return ""
--- a/query_broker/membership/views.py
+++ b/query_broker/membership/views.py
@@ -23,9 +23,9 @@
 #: Maximum effective size, as a multiple of the configured size.
 MAX_SIZE_MULTIPLE = 4
 #: Settle times for which views must be certain before the present size becomes the reference.
-CALM_SETTLE_PERIODS = 6
+REFERENCE_SETTLE_PERIODS = 6
 #: Batch periods that a view waits at most for a pending removal.
-PENDING_REMOVAL_BATCHES = 4
+PENDING_REMOVAL_BATCH_PERIODS = 4
 
 
 class PlacedMember(NamedTuple):
@@ -35,7 +35,7 @@
     identity: Identity
 
 
-class Position(NamedTuple):
+class FleetPosition(NamedTuple):
     """The fleet size that limits are divided by, and the index of this broker in that fleet."""
 
     fleet_size: int
@@ -219,13 +219,13 @@
             return
         if not self._certain_since_ns:
             self._certain_since_ns = now_ns
-        calm_ns = CALM_SETTLE_PERIODS * self._settings.settle_ns
-        if now_ns - self._certain_since_ns >= calm_ns:
+        certain_period_ns = REFERENCE_SETTLE_PERIODS * self._settings.settle_ns
+        if now_ns - self._certain_since_ns >= certain_period_ns:
             self._reference_size = member_count
             self._certain_since_ns = now_ns
 
     def _is_published(
-        self, members: tuple[Identity, ...], is_certain: bool, position: Position
+        self, members: tuple[Identity, ...], is_certain: bool, position: FleetPosition
     ) -> bool:
         view = self.view
         return (
@@ -237,9 +237,12 @@
     def _is_batching(self, now_ns: int, observation: Observation, is_certain: bool) -> bool:
         """Return whether changes are still collected; a loss of certainty is published at once."""
         self._pending_since_ns = self._pending_since_ns or now_ns
-        batches = PENDING_REMOVAL_BATCHES if observation.is_removal_pending else 1
+        batch_periods = PENDING_REMOVAL_BATCH_PERIODS if observation.is_removal_pending else 1
         waited_ns = now_ns - self._pending_since_ns
-        return waited_ns < batches * self._settings.batch_ns and self.view.is_certain >= is_certain
+        return (
+            waited_ns < batch_periods * self._settings.batch_ns
+            and self.view.is_certain >= is_certain
+        )
 
     def _publish(self, view: MembershipView) -> None:
         before = set(self.view.members)
@@ -250,7 +253,7 @@
 
     def _effective_position(
         self, now_ns: int, members: tuple[Identity, ...], observation: Observation, is_certain: bool
-    ) -> Position:
+    ) -> FleetPosition:
         """Return the size that limits are divided by, and this broker's index.
 
         A size that is too small makes every broker's quota too large. Therefore a smaller size
@@ -262,8 +265,8 @@
         is_safe = is_certain and not observation.is_endpoint_warming_up
         size = self._settled_size(now_ns, self._bounded_size(member_count, is_safe))
         if not is_safe or observation.own not in members or size < member_count:
-            return Position(size, self.configured_index % size)
-        return Position(size, members.index(observation.own) % size)
+            return FleetPosition(size, self.configured_index % size)
+        return FleetPosition(size, members.index(observation.own) % size)
 
     def _bounded_size(self, member_count: int, is_safe: bool) -> int:
         smallest = math.ceil(MIN_SIZE_FRACTION * self._configured_size)
