--- a/query_broker/membership/ack_handling.py
+++ b/query_broker/membership/ack_handling.py
@@ -63,7 +63,7 @@
         """Remove a member at whose address another process has answered."""
         record = self._table.get(target)
         if record is not None and record.is_present():
-            reason = f"{target.address} is another's now"
+            reason = f"{target.address} now belongs to another process"
             self._suspicions.remove(now_ns, record, self._own.identity.address, reason)
 
     def _record_ack(self, now_ns: int, sender: Identity, ping: SentPing, ack: Ack) -> None:
--- a/query_broker/membership/datagrams.py
+++ b/query_broker/membership/datagrams.py
@@ -64,7 +64,7 @@
         except MessageRejectedError:
             return
         except Exception as error:  # A datagram must not raise out of the callback.
-            self._host.log(f"a datagram: {type(error).__name__}: {error}")
+            self._host.log(f"processing a datagram failed: {type(error).__name__}: {error}")
         self._host.carry_out(now_ns)
 
     def error_received(self, exc: Exception) -> None:
@@ -83,7 +83,7 @@
         try:
             self._transport.sendto(data, split_address(address))
         except (OSError, ValueError, RuntimeError) as error:
-            self._host.log(f"{address[:MAX_LOGGED_ADDRESS_CHARACTERS]}: {error}")
+            self._host.log(f"sending to {address[:MAX_LOGGED_ADDRESS_CHARACTERS]} failed: {error}")
 
     def _deliver(self, now_ns: int, envelope: Envelope) -> None:
         sender = envelope.sender
--- a/query_broker/membership/keys.py
+++ b/query_broker/membership/keys.py
@@ -68,7 +68,7 @@
     try:
         key = SigningKey(int(parts[0]), bytes.fromhex(parts[1]))
     except (ValueError, IndexError):
-        raise KeyLineError(number, "is no `ID HEX`") from None
+        raise KeyLineError(number, "is not of the form `ID HEX`") from None
     is_id_valid = 0 <= key.key_id <= MAX_KEY_ID
     is_secret_valid = MIN_KEY_BYTES <= len(key.secret) <= MAX_KEY_BYTES
     if len(parts) != 2 or not is_id_valid or not is_secret_valid:
--- a/query_broker/membership/service.py
+++ b/query_broker/membership/service.py
@@ -39,7 +39,9 @@
 RANDOM_SEED_BYTES = 16
 LOG_KIND = "members"
 FAULT_LOG_KIND = "fault"
-PEER_MESSAGES_NOT_ALLOWED = "members: settings.policy_limits.peer_messages does not allow talk"
+PEER_MESSAGES_NOT_ALLOWED = (
+    "members: settings.policy_limits.peer_messages does not allow messages to peers"
+)
 
 
 class MembershipService:
@@ -85,7 +87,7 @@
             self._exchange.serve, sock=self._sockets.tcp, limit=MAX_FRAME_BYTES
         )
         address = self._settings.listen_address
-        self.log(f"listening on {address}, known as {self.detector.me.address}")
+        self.log(f"listening on {address}, advertised as {self.detector.me.address}")
         self._tick()
 
     def stop(self) -> None:
@@ -104,7 +106,7 @@
         try:
             self.codec.key_ring = read_key_file(path)
         except KeyFileError as error:
-            self.log(f"the keys stay as they were: {path}: {error}")
+            self.log(f"signing keys not reloaded: {path}: {error}")
         self._load_seeds()
         self._publisher.configure()
 
@@ -203,7 +205,7 @@
             try:
                 seeds += read_seeds_file(path)
             except (OSError, UnicodeDecodeError) as error:
-                self.log(f"seeds: {path}: {error}")
+                self.log(f"seeds file not read: {path}: {error}")
         self.detector.contacts.seeds = [
             seed
             for seed in dict.fromkeys(seeds[:MAX_SEEDS])
--- a/query_broker/membership/table_exchange.py
+++ b/query_broker/membership/table_exchange.py
@@ -63,7 +63,7 @@
         except (OSError, EOFError, TimeoutError, MessageRejectedError):
             pass
         except Exception as error:  # No peer may end the process.
-            self._host.log(f"a table: {type(error).__name__}: {error}")
+            self._host.log(f"serving a table exchange failed: {type(error).__name__}: {error}")
         finally:
             self._incoming_count -= 1
             writer.close()
@@ -109,9 +109,11 @@
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 await self._request(address)
         except (OSError, EOFError, TimeoutError, ValueError, MessageRejectedError) as error:
-            self._host.log(f"no table from {logged_address}: {type(error).__name__}")
+            self._host.log(f"table exchange with {logged_address} failed: {type(error).__name__}")
         except Exception as error:  # No peer may end the process.
-            self._host.log(f"no table from {logged_address}: {type(error).__name__}: {error}")
+            self._host.log(
+                f"table exchange with {logged_address} failed: {type(error).__name__}: {error}"
+            )
 
     async def _request(self, address: str) -> None:
         host, port = split_address(address)
--- a/tests/membership/test_admin_calls.py
+++ b/tests/membership/test_admin_calls.py
@@ -47,7 +47,7 @@
 ) -> None:
     group.keys.write_text("nonsense")
     member.signal(signal.SIGHUP)
-    await until(lambda: "the keys stay as they were" in member.log())
+    await until(lambda: "signing keys not reloaded" in member.log())
     assert json.loads(await members_command(member, "keys", "--json"))["signs"] == 1
 
 
--- a/tests/membership/test_operators.py
+++ b/tests/membership/test_operators.py
@@ -46,7 +46,7 @@
 
 
 KEY_FILE_ERRORS = {
-    "malformed": ("# comment\n1 xy", "line 2: is no `ID HEX`"),
+    "malformed": ("# comment\n1 xy", "line 2: is not of the form `ID HEX`"),
     "out of range": (
         "256 " + "ab" * 32,
         "line 1: needs an id of 0 to 255 and a key of 16 to 64 bytes",
--- a/tests/membership/test_process_setup.py
+++ b/tests/membership/test_process_setup.py
@@ -41,7 +41,8 @@
 
 SETUP_FAULTS = {
     "messages to peers not allowed": SetupFault(
-        "members: settings.policy_limits.peer_messages does not allow talk", allows_messages=False
+        "members: settings.policy_limits.peer_messages does not allow messages to peers",
+        allows_messages=False,
     ),
     "no key file": SetupFault("members.key_file: ", key_text=None),
     "bad key file": SetupFault("members.key_file: ", key_text="x"),
