--- a/tests/membership/test_admin_calls.py
+++ b/tests/membership/test_admin_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls about members, and a key file that is reloaded."""
+"""The `members` commands, the metrics of members, and a failed reload of the key file."""
 
 from __future__ import annotations
 
@@ -42,9 +42,7 @@
     assert "edge_proxy_members_view_certain 1" in metrics
 
 
-async def assert_bad_key_file_changes_nothing(
-    group: MemberProcesses, member: BrokerProcess
-) -> None:
+async def assert_bad_key_file_keeps_old_keys(group: MemberProcesses, member: BrokerProcess) -> None:
     group.keys.write_text("nonsense")
     member.signal(signal.SIGHUP)
     await until(lambda: "signing keys not reloaded" in member.log())
@@ -64,9 +62,11 @@
 
 
 @on_uvloop
-async def test_operators_see_the_group_and_a_bad_key_file_changes_nothing(tmp_path: Path) -> None:
+async def test_commands_show_the_group_and_a_bad_key_file_keeps_the_old_keys(
+    tmp_path: Path,
+) -> None:
     async with member_processes(3, tmp_path) as group:
         member = group.fleet.processes[1]
         await assert_group_is_shown(group, member)
-        await assert_bad_key_file_changes_nothing(group, member)
+        await assert_bad_key_file_keeps_old_keys(group, member)
         await assert_member_leaves_by_command(group, 1)
--- a/tests/membership/test_broker.py
+++ b/tests/membership/test_broker.py
@@ -1,4 +1,4 @@
-"""A wrong view of the group breaks no rule of the broker: scripted views in place of real ones."""
+"""Brokers with wrong views of the group: random views replace those of the membership."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 pytestmark = pytest.mark.real_time
 
-BROKERS = 10
+BROKER_COUNT = 10
 WARM_UP_NS = 12 * NS_PER_S
 LOOKUP = "glance"
 REPORT = "report"
@@ -42,11 +42,11 @@
 VIEW_SETTINGS = ViewSettings(max_lost_fraction=1 / 3, settle_ns=5 * NS_PER_S, batch_ns=NS_PER_S)
 
 
-class WrongViews:
-    """Gives a broker a view of another size each second.
+class RandomViews:
+    """Gives a broker a view of a random size every second.
 
     Attributes:
-        sizes: Numbers of other members that the view may have.
+        sizes: Numbers of other members to choose from.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
         self._engines = engines
         self._broker = broker
         self._own = PlacedMember(index, Identity(f"own{index}:1", b""))
-        self._tracker = ViewTracker(BROKERS, index, VIEW_SETTINGS, RecordingObserver())
+        self._tracker = ViewTracker(BROKER_COUNT, index, VIEW_SETTINGS, RecordingObserver())
         self.sizes = sizes
 
     def publish(self) -> None:
-        """Have the broker take a view, and the next one in a second."""
+        """Publish a view to the broker, and schedule the next one in a second."""
         others = range(self._sim.random.choice(self.sizes))
         present = [PlacedMember(other, Identity(f"h{other}:1", b"")) for other in others]
         observation = Observation(
@@ -85,8 +85,10 @@
         self._sim.call_at(self._sim.now_ns + NS_PER_S, self.publish)
 
     def _is_engine_warming_up(self) -> bool:
-        started = [engine.machine.started_ns for engine in self._engines.values()]
-        return any(at <= self._sim.now_ns < at + WARM_UP_NS for at in started)
+        start_times_ns = [engine.machine.started_ns for engine in self._engines.values()]
+        return any(
+            start_ns <= self._sim.now_ns < start_ns + WARM_UP_NS for start_ns in start_times_ns
+        )
 
 
 def make_engines(sim: Simulation) -> dict[int, SimulatedEngine]:
@@ -102,7 +104,7 @@
 def make_settings(index: int) -> Settings:
     return Settings(
         classes=CLASSES,
-        fleet_size=BROKERS,
+        fleet_size=BROKER_COUNT,
         broker_index=index,
         tick_ns=25 * MS,
         kind_cores=(("std", 8),),
@@ -117,7 +119,7 @@
 
 
 def start_requests(sim: Simulation, brokers: list[SimulatedBroker]) -> None:
-    """Have requests arrive at random brokers, one in ten of them a report."""
+    """Send requests to random brokers; one in ten requests is a report."""
     count = itertools.count()
 
     def arrive() -> None:
@@ -144,10 +146,10 @@
     sim = Simulation(seed)
     engines = make_engines(sim)
     brokers: list[SimulatedBroker] = []
-    for index in range(BROKERS):
+    for index in range(BROKER_COUNT):
         broker = SimulatedBroker(sim, make_settings(index), index, engines)
         broker.announce_endpoints()
-        WrongViews(sim, engines, broker, index, sizes).publish()
+        RandomViews(sim, engines, broker, index, sizes).publish()
         brokers.append(broker)
     start_requests(sim, brokers)
     sim.run(40)
@@ -160,20 +162,20 @@
 
 
 @on_uvloop
-async def test_a_size_that_changes_while_requests_run_leaves_one_answer_for_each() -> None:
+async def test_each_request_gets_one_answer_while_the_fleet_size_changes() -> None:
     draw = random.Random(3)
     engine = Engine()
     config = make_config(target_entry("s-1", await engine.start()), fleet_size=10)
-    async with running(config) as rig:
-        dispatcher = rig.node.dispatcher
+    async with running(config) as broker:
+        dispatcher = broker.node.dispatcher
         effective_size = 10
 
-        class Resize:
+        class FleetSizeAdjuster:
             def adjust(self, settings: Settings) -> Settings:
                 return replace(settings, fleet_size=effective_size, broker_index=0)
 
-        dispatcher.extensions.add_settings_adjuster(Resize())
-        client = await rig.client()
+        dispatcher.extensions.add_settings_adjuster(FleetSizeAdjuster())
+        client = await broker.client()
         for stream in range(1, 31):
             effective_size = draw.choice([1, 2, 100, 10])
             dispatcher.refresh_settings()
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""Membership on the wire: incarnation proofs, keys, replay protection and the codec."""
+"""Incarnation proofs, keys, replay protection and the codec of the membership."""
 
 from __future__ import annotations
 
@@ -64,24 +64,21 @@
     return writer.write(IDENTITY, ALIVE, message or Ping(1), recipient_protocol)
 
 
-# --- incarnations ---
-
-
 def is_chain_proof(
     incarnation: int,
-    proof_of: int,
-    known: ProvenIncarnation | None = None,
+    proof_incarnation: int,
+    verified: ProvenIncarnation | None = None,
     **options: Any,
 ) -> bool:
-    """Return whether one incarnation's proof is accepted for an incarnation."""
-    proof = CHAIN.proof(proof_of)
+    """Return whether the proof of one incarnation is accepted for another or the same one."""
+    proof = CHAIN.proof(proof_incarnation)
     leave = options.pop("leave", CHAIN.leave_commitment)
-    return is_proven(CHAIN.boot, incarnation, proof, leave, known, **options)
+    return is_proven(CHAIN.boot, incarnation, proof, leave, verified, **options)
 
 
 @pytest.mark.parametrize("incarnation", [0, 1, 77, CHECKPOINT_INTERVAL - 1])
 def test_only_the_owner_can_prove_an_incarnation(incarnation: int) -> None:
-    """All members share the signing keys: a faulty one must not revive or dismiss another."""
+    """All members share the signing keys; a faulty one must not prove claims of another."""
     first = ProvenIncarnation(0, CHAIN.proof(0))
     assert is_chain_proof(incarnation, incarnation)
     assert is_chain_proof(incarnation, incarnation, first)
@@ -101,9 +98,6 @@
     assert not is_chain_proof(90, 90, max_ahead=64)
 
 
-# --- the codec ---
-
-
 def test_a_datagram_is_read_as_it_was_written(codec: Codec) -> None:
     envelope = codec.read(datagram(IndirectPing(7, IDENTITY, (ALIVE,))))
     assert envelope.message == IndirectPing(7, IDENTITY, (ALIVE,))
@@ -126,7 +120,7 @@
     "later protocol": (datagram(protocol=2), "protocol"),
     "unknown key id": (datagram(key_ring=parse_keys("9 " + OTHER_SECRET)), "key"),
     "other secret": (datagram(key_ring=parse_keys("1 " + OTHER_SECRET)), "forged"),
-    "torn": (datagram()[:-1], "forged"),
+    "truncated": (datagram()[:-1], "forged"),
     "other installation": (datagram(installation="there"), "installation"),
     "unknown message kind": (datagram(msgspec.Raw(b"\x92\x63\x01")), "unknown"),
 }
@@ -160,7 +154,7 @@
             codec.read(full_ack[:length])
 
 
-def test_nonsense_signed_with_a_good_key_raises_no_other_error(
+def test_malformed_data_signed_with_a_valid_key_raises_no_other_error(
     codec: Codec, full_ack: bytes
 ) -> None:
     draw = random.Random(11)
@@ -201,7 +195,7 @@
     ]
 
 
-def test_a_datagram_full_of_claims_keeps_its_bound() -> None:
+def test_a_datagram_full_of_claims_does_not_exceed_the_maximum_size() -> None:
     detector = make_detector("100.100.100.100:65535", 1, "zone")
     for number in range(200):
         chain = IncarnationChain(b"%d" % number, CHECKPOINT_INTERVAL)
@@ -226,13 +220,11 @@
     assert max(sizes) <= 1_400
 
 
-def test_the_envelope_s_own_fields_are_bounded() -> None:
+def test_the_size_of_an_envelope_without_claims_is_bounded() -> None:
     envelope = Envelope("x" * 64, IDENTITY.boot, 2**40, ALIVE, Ping(2**62))
     assert len(msgspec.msgpack.encode(envelope)) < 250
 
 
-# --- keys ---
-
 OLD_KEY = KEY_LINE
 NEW_KEY = "2 " + OTHER_SECRET
 ROTATION = (OLD_KEY, f"{OLD_KEY}\n{NEW_KEY}", f"{NEW_KEY}\n{OLD_KEY}", NEW_KEY)
@@ -250,7 +242,7 @@
     "empty": "",
     "comment alone": "# none",
     "no secret": "1",
-    "secret is no hex": "1 xy",
+    "secret is not hexadecimal": "1 xy",
     "id too large": "256 " + "ab" * 32,
     "secret too short": "1 ab",
     "third field": "1 abab 2",
@@ -264,9 +256,6 @@
         parse_keys(text)
 
 
-# --- other versions ---
-
-
 class LaterClaim(msgspec.Struct, array_like=True, frozen=True):
     """A claim of a later version, which has one more field."""
 
--- a/tests/membership/test_detector.py
+++ b/tests/membership/test_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector on a simulated clock, with links and members that fail."""
+"""The failure detector on a simulated clock, with faulty links and members."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def cut_between(begin_s: float, end_s: float, is_cut: Callable[[int, int], bool]) -> LinkProperty:
-    """Return the loss of links that are cut for some time of the simulation."""
+    """Return the loss of links that are cut for a period of the simulation."""
 
     def loss(now_ns: int, sender: int, receiver: int) -> float:
         is_active = begin_s * NS_PER_S <= now_ns - BEGIN_NS < end_s * NS_PER_S
@@ -38,21 +38,21 @@
 
 
 def start_cluster(
-    count: int = FLEET_SIZE, loss: LinkProperty | None = None, seed: int = 1, **more: Any
+    count: int = FLEET_SIZE, loss: LinkProperty | None = None, seed: int = 1, **options: Any
 ) -> SimulatedCluster:
-    """Return a cluster that has run for ten seconds."""
-    cluster = SimulatedCluster(count, SETTINGS, seed, loss, **more)
+    """Return a cluster that has run for `JOIN_S` seconds."""
+    cluster = SimulatedCluster(count, SETTINGS, seed, loss, **options)
     cluster.run(JOIN_S)
     return cluster
 
 
-def wrong_removals(cluster: SimulatedCluster) -> list[Removal]:
+def false_removals(cluster: SimulatedCluster) -> list[Removal]:
     """Return the removals of members that ran all the time."""
     return cluster.removals([member.detector.me for member in cluster.running_members()])
 
 
 def worst_removal_s(size: int) -> float:
-    """Return the bound that is printed to operators."""
+    """Return the printed worst-case time until all members have removed an ended one."""
     return detection_bounds(SETTINGS, size).removed.worst_s
 
 
@@ -60,9 +60,6 @@
     return any(identity in member.detector.present() for member in members)
 
 
-# --- members that end ---
-
-
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("count", [2, 3, 10, 60])
 def test_a_member_that_ends_is_removed_by_all_within_the_printed_bound(
@@ -72,15 +69,15 @@
     cluster.kill([1])
     ended_ns = cluster.now
     assert cluster.run(worst_removal_s(count), cluster.agree)
-    assert not wrong_removals(cluster)
+    assert not false_removals(cluster)
     assert all(removal.removed_at_ns > ended_ns for removal in cluster.removals())
 
 
-def test_seven_in_ten_that_end_at_once_are_all_removed() -> None:
+def test_17_of_24_members_that_end_at_once_are_all_removed() -> None:
     cluster = start_cluster()
     cluster.kill(range(17))
     assert cluster.run(worst_removal_s(FLEET_SIZE), cluster.agree)
-    assert not wrong_removals(cluster)
+    assert not false_removals(cluster)
 
 
 def test_members_that_restart_are_known_by_their_new_identities() -> None:
@@ -96,7 +93,7 @@
             assert not is_present_at_any(identity, cluster.members)
 
 
-def test_another_process_at_an_address_replaces_the_former_before_its_suspicion_ends() -> None:
+def test_a_new_process_at_an_address_replaces_the_former_before_a_suspicion_expires() -> None:
     cluster = start_cluster(8)
     former = cluster.members[2].detector.me
     cluster.kill([2])
@@ -110,7 +107,7 @@
         assert successor in {*member.detector.present(), member.detector.me}
 
 
-def test_a_leave_is_no_suspicion() -> None:
+def test_a_member_that_leaves_is_not_suspected() -> None:
     cluster = start_cluster(8)
     left = cluster.members[2].detector.me
     cluster.leave(2)
@@ -137,11 +134,8 @@
     assert receiver.statistics["unproven"] >= 1
 
 
-# --- faulty links ---
-
-
 class LinkFault(NamedTuple):
-    """What links lose, and by how much they delay."""
+    """The loss and the delay of links."""
 
     loss: LinkProperty | None
     delay_ns: LinkProperty | None = None
@@ -149,7 +143,7 @@
 
 LINK_FAULTS = {
     "a third of all messages lost": LinkFault(lambda now, sender, receiver: 0.33),
-    "nine in ten of one member's lost": LinkFault(
+    "nine in ten messages of one member lost": LinkFault(
         lambda now, sender, receiver: 0.9 * (3 in (sender, receiver))
     ),
     "one direction of a link cut": LinkFault(
@@ -169,24 +163,24 @@
 
 
 @pytest.mark.parametrize("fault", LINK_FAULTS.values(), ids=LINK_FAULTS)
-def test_no_healthy_member_is_removed_whatever_its_links_do(fault: LinkFault) -> None:
+def test_no_running_member_is_removed_on_faulty_links(fault: LinkFault) -> None:
     cluster = start_cluster(loss=fault.loss, delay_ns=fault.delay_ns)
     cluster.run(60)
-    assert wrong_removals(cluster) == []
+    assert false_removals(cluster) == []
 
 
-def test_a_member_that_receives_nothing_is_not_removed_and_knows_that_it_is_isolated() -> None:
-    """It may be wrong about the others: it knows that, and its view is not certain."""
-    deaf = 3
-    cluster = start_cluster(loss=cut_between(0, 99, lambda sender, receiver: receiver == deaf))
+def test_a_member_that_receives_nothing_is_not_removed_and_detects_its_isolation() -> None:
+    """Its own removals of others are ignored, as its isolation makes its view uncertain."""
+    isolated = 3
+    cluster = start_cluster(loss=cut_between(0, 99, lambda sender, receiver: receiver == isolated))
     cluster.run(60)
-    assert [removal for removal in wrong_removals(cluster) if removal.removed_by != deaf] == []
-    assert cluster.members[deaf].detector.health.is_isolated(23)
+    assert [removal for removal in false_removals(cluster) if removal.removed_by != isolated] == []
+    assert cluster.members[isolated].detector.health.is_isolated(23)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_suspicions_begin_anew_once_a_cut_off_member_receives_again(seed: int) -> None:
-    """As its health score falls, so do its timeouts: all its suspicions would end at once."""
+def test_suspicion_timers_restart_once_a_cut_off_member_receives_again(seed: int) -> None:
+    """Otherwise its timeouts shrink with its health score, and all suspicions expire at once."""
 
     def loss(now_ns: int, sender: int, receiver: int) -> float:
         elapsed_s = (now_ns - BEGIN_NS) / NS_PER_S
@@ -199,13 +193,13 @@
     cluster = start_cluster(6, loss=loss, seed=seed)
     cluster.run(50)
     receives_again_ns = BEGIN_NS + 26 * NS_PER_S
-    late = [
-        removal for removal in wrong_removals(cluster) if removal.removed_at_ns > receives_again_ns
+    late_removals = [
+        removal for removal in false_removals(cluster) if removal.removed_at_ns > receives_again_ns
     ]
-    assert late == []
+    assert late_removals == []
 
 
-def test_a_member_that_no_other_hears_is_removed_and_returns() -> None:
+def test_a_member_whose_messages_are_lost_is_removed_and_returns() -> None:
     cluster = start_cluster(loss=cut_between(10, 50, lambda sender, receiver: sender == 3))
     others = [member for member in cluster.members if member.number != 3]
     cluster.run(40)
@@ -221,7 +215,9 @@
 
 
 @pytest.mark.parametrize("side", PARTITIONS.values(), ids=PARTITIONS)
-def test_a_partition_is_detected_and_heals_without_a_storm(side: Callable[[int], int]) -> None:
+def test_a_partition_is_detected_and_heals_without_a_message_storm(
+    side: Callable[[int], int],
+) -> None:
     cluster = start_cluster(
         loss=cut_between(10, 70, lambda sender, receiver: side(sender) != side(receiver))
     )
@@ -234,7 +230,7 @@
             if side(other.number) == side(member.number) and other is not member
         }
         assert present >= reachable
-        # Few that hear few doubt themselves first, and are slow to accuse.
+        # In a small side, raised health scores extend the timeouts and delay removals.
         assert len(reachable) < 7 or present == reachable
     messages_before = cluster.message_count
     healed_ns = cluster.now
@@ -243,8 +239,6 @@
     assert (cluster.message_count - messages_before) / FLEET_SIZE / healing_s < 20
 
 
-# --- members that pause ---
-
 PAUSES = {
     "one for 10 s": ([3], 10),
     "a third for 10 s": (range(8), 10),
@@ -254,36 +248,35 @@
 
 
 @pytest.mark.parametrize(("paused", "seconds"), PAUSES.values(), ids=PAUSES)
-def test_members_that_were_paused_accuse_no_other_when_they_wake(
+def test_members_that_resume_after_a_pause_suspect_no_running_member(
     paused: Iterable[int], seconds: float
 ) -> None:
     cluster = start_cluster()
     cluster.pause(paused, seconds)
-    asleep = set(paused)
-    awake = [member.detector.me for member in cluster.members if member.number not in asleep]
+    paused_numbers = set(paused)
+    running = [
+        member.detector.me for member in cluster.members if member.number not in paused_numbers
+    ]
     cluster.run(seconds + 30)
-    assert cluster.removals(awake) == []
+    assert cluster.removals(running) == []
     assert cluster.agree()
-    accused = Counter(
+    suspected_by_paused = Counter(
         change.member
         for member in cluster.members
-        if member.number in asleep
+        if member.number in paused_numbers
         for _, change in member.changes
         if change.status is Status.SUSPECT
-        and change.member in awake
+        and change.member in running
         and member.detector.me.address in change.reason
     )
-    assert not accused
-
-
-# --- faulty members ---
+    assert not suspected_by_paused
 
 
-def accuse_all(cluster: SimulatedCluster, liar: FailureDetector, second: int) -> None:
-    """Have a member claim that all others are dead, each second under other names."""
+def claim_all_dead(cluster: SimulatedCluster, faulty: FailureDetector, second: int) -> None:
+    """Make a member claim that all others are dead, each second with other reporters."""
     for member in cluster.members:
         accused = member.detector
-        if accused is liar:
+        if accused is faulty:
             continue
         reporter = cluster.members[(second + member.number) % len(cluster.members)]
         claim = Claim(
@@ -294,43 +287,43 @@
             accused.own.chain.leave_commitment,
             reporter.address,
         )
-        liar.gossip.add(claim)
+        faulty.gossip.add(claim)
 
 
-def revive(liar: FailureDetector, dead: FailureDetector, second: int) -> None:
-    """Have a member claim that one that has ended is alive, and has been heard."""
+def claim_alive(faulty: FailureDetector, dead: FailureDetector, second: int) -> None:
+    """Make a member claim that an ended one is alive, and gossip evidence of its messages."""
     chain = dead.own.chain
-    liar.gossip.add(Claim(dead.me, 3, Status.ALIVE, b"z" * 12, chain.leave_commitment))
-    liar.gossip.add(
+    faulty.gossip.add(Claim(dead.me, 3, Status.ALIVE, b"z" * 12, chain.leave_commitment))
+    faulty.gossip.add(
         Claim(
             dead.me,
             0,
             Status.EVIDENCE,
             chain.proof(0),
             chain.leave_commitment,
-            liar.me.address,
+            faulty.me.address,
             sequence=10**9 + second,
         )
     )
 
 
-def test_a_member_that_lies_about_all_others_removes_and_revives_no_member() -> None:
+def test_false_claims_by_one_member_remove_and_revive_no_other() -> None:
     size = 12
     cluster = start_cluster(size)
     cluster.kill([5])
     dead = cluster.members[5].detector
-    liar = cluster.members[4].detector
+    faulty = cluster.members[4].detector
     for second in range(40):
-        accuse_all(cluster, liar, second)
-        revive(liar, dead, second)
+        claim_all_dead(cluster, faulty, second)
+        claim_alive(faulty, dead, second)
         cluster.run(1)
     cluster.run(evidence_limit_ns(SETTINGS.interval_ns, size) / NS_PER_S)
-    assert not wrong_removals(cluster)
+    assert not false_removals(cluster)
     assert not is_present_at_any(dead.me, cluster.running_members())
 
 
-def test_a_message_to_the_former_process_says_nothing_of_its_sender() -> None:
-    """Messages replayed from before a restart would keep a dead member alive."""
+def test_a_message_to_a_former_process_does_not_count_as_received() -> None:
+    """Otherwise replayed messages from before a restart would keep a dead member alive."""
     cluster = start_cluster(3)
     receiver = cluster.members[0].detector
     sender = cluster.members[1].detector
@@ -346,7 +339,7 @@
     assert answer.responder == receiver.me
 
 
-def test_members_that_have_ended_are_forgotten() -> None:
+def test_dead_members_are_forgotten() -> None:
     detector = make_detector("h:1")
     for number in range(300):
         chain = IncarnationChain(b"%d" % number, CHECKPOINT_INTERVAL)
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -1,4 +1,4 @@
-"""Three members under every order of events, and under long random ones."""
+"""A model of three members under every short order of events and under long random ones."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 from ..support.members_model import ModelCluster, PropertyViolationError, explore, replay
 
-FAULTS = ("old gossip revives", "any incarnation is believed")
+FAULTS = ("old gossip revives a member", "any incarnation is accepted")
 
 
-def test_every_order_of_events_keeps_what_is_known_of_incarnations() -> None:
+def test_no_order_of_events_violates_the_incarnation_properties() -> None:
     explored = explore(4, 20)
     assert explored.states > 1_500
     assert explored.settled > 50
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_long_random_schedules_keep_it_too(seed: int) -> None:
+def test_no_long_random_schedule_violates_the_incarnation_properties(seed: int) -> None:
     draw = random.Random(seed)
     cluster = ModelCluster()
     schedule: list[str] = []
@@ -38,8 +38,8 @@
     assert cluster.settle(), f"replay({schedule!r})"
 
 
-def revive_by_old_gossip(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have a dead member return by a claim of its last incarnation."""
+def let_old_gossip_revive(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make a claim of the known incarnation revive a dead member."""
     correct_merge = ClaimMerger.merge
 
     def merge(self: ClaimMerger, now_ns: int, claim: Claim, max_ahead: int = MAX_AHEAD) -> None:
@@ -53,8 +53,8 @@
     monkeypatch.setattr(ClaimMerger, "merge", merge)
 
 
-def believe_any_incarnation(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Accept any proof, and raise an incarnation that is not ours."""
+def accept_any_incarnation(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Accept any proof, and raise the incarnations of other members."""
 
     def confirm(self: SuspicionTracker, record: MemberRecord, reporter: str) -> None:
         record.incarnation += 1
@@ -64,14 +64,14 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_the_model_finds_a_fault_and_prints_a_schedule_that_leads_there(
+def test_the_model_finds_a_fault_and_prints_a_schedule_that_reproduces_it(
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A check that cannot fail proves nothing."""
-    if fault == "old gossip revives":
-        revive_by_old_gossip(monkeypatch)
+    """Verifies that the model detects violations."""
+    if fault == "old gossip revives a member":
+        let_old_gossip_revive(monkeypatch)
     else:
-        believe_any_incarnation(monkeypatch)
+        accept_any_incarnation(monkeypatch)
     with pytest.raises(PropertyViolationError, match="replay") as violation:
         explore(5, 10**9)
     printed = str(violation.value).split("replay(", 1)[1][:-1]
--- a/tests/membership/test_operators.py
+++ b/tests/membership/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators see of members, and what protects a broker from strangers."""
+"""Reachability and key file errors shown to operators, and rate limits of datagrams."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 RECENT_NS = NOW_NS - NS_PER_S
 OLD_NS = NOW_NS - 60 * NS_PER_S
 
-REACHABILITY: dict[str, dict[str, Any]] = {
+OBSERVATIONS_BY_REACHABILITY: dict[str, dict[str, Any]] = {
     "has left": {"status": Status.LEFT, "acked_ns": RECENT_NS},
     "dead: nobody has heard it": {"status": Status.DEAD, "received_ns": RECENT_NS},
     "reached": {"acked_ns": RECENT_NS},
@@ -37,7 +37,9 @@
 }
 
 
-@pytest.mark.parametrize(("text", "observed"), REACHABILITY.items(), ids=REACHABILITY)
+@pytest.mark.parametrize(
+    ("text", "observed"), OBSERVATIONS_BY_REACHABILITY.items(), ids=OBSERVATIONS_BY_REACHABILITY
+)
 def test_reachability_follows_from_recent_observations(text: str, observed: dict[str, Any]) -> None:
     record = MemberRecord.from_claim(ALIVE, OLD_NS)
     for name, value in observed.items():
@@ -57,7 +59,7 @@
 
 
 @pytest.mark.parametrize(("text", "problem"), KEY_FILE_ERRORS.values(), ids=KEY_FILE_ERRORS)
-def test_a_key_file_error_names_line_and_problem(text: str, problem: str) -> None:
+def test_a_key_file_error_names_the_line_and_the_problem(text: str, problem: str) -> None:
     with pytest.raises(KeyFileError) as rejected:
         parse_keys(text)
     assert str(rejected.value) == problem
@@ -69,7 +71,7 @@
     assert taken == [True, True, True, False, False]
 
 
-def test_a_flood_of_strangers_leaves_members_their_rate() -> None:
+def test_a_flood_from_other_senders_does_not_reduce_the_rate_of_members() -> None:
     limiter = DatagramRateLimiter(NOW_NS)
     limiter.member_addresses = {"10.0.0.1:7000"}
     admitted = [limiter.admit(NOW_NS, "10.9.9.9:1") for _ in range(1_000)]
--- a/tests/membership/test_pauses_and_ends.py
+++ b/tests/membership/test_pauses_and_ends.py
@@ -1,4 +1,4 @@
-"""Processes that pause, restart, leave or are killed, and what the others make of each."""
+"""Processes that pause, restart, leave or are killed, and their status at the other members."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from ..support.member_processes import MemberProcesses, member_processes
 from ..support.sockets import HANG, on_uvloop
-from .process_checks import check_alive_to
+from .process_checks import check_reported_alive
 
 pytestmark = pytest.mark.real_time
 
@@ -20,9 +20,9 @@
 
 
 async def check_pause(group: MemberProcesses, paused: list[int]) -> None:
-    """Pause processes; check that they accuse no other when they wake."""
+    """Pause and resume processes; check that they remove no other and all others stay alive."""
     members = group.fleet.processes
-    awake = [number for number in range(7) if number not in paused]
+    running = [number for number in range(7) if number not in paused]
     log_lengths = {number: len(members[number].log()) for number in paused}
     for number in paused:
         members[number].signal(signal.SIGSTOP)
@@ -34,14 +34,14 @@
         assert (await group.status(number))["pauses"] >= 1
         log = members[number].log()[log_lengths[number] :]
         reporter = group.addresses[number]
-        removals = [f"{group.addresses[other]}: removed by {reporter}" for other in awake]
+        removals = [f"{group.addresses[other]}: removed by {reporter}" for other in running]
         assert not [removal for removal in removals if removal in log], log
-    for number in awake:
-        await check_alive_to(group, number, [other for other in awake if other != number])
+    for number in running:
+        await check_reported_alive(group, number, [other for other in running if other != number])
 
 
 def is_replaced(boot: str, status: dict[str, Any]) -> bool:
-    """Return whether a process is dead, and another one alive at its address."""
+    """Return whether a process is dead and another one is alive at its address."""
     members = status["members"]
     address = next((member["address"] for member in members if member["boot"] == boot), "")
     former = {member["status"] for member in members if member["boot"] == boot}
@@ -55,7 +55,7 @@
 
 @on_uvloop
 async def test_pauses_restarts_leaves_and_kills_are_distinguished(tmp_path: Path) -> None:
-    """Some are paused and accuse no other; two restart; one leaves; four are killed."""
+    """Three are paused, two are restarted, one leaves and four are killed."""
     async with member_processes(7, tmp_path) as group:
         members = group.fleet.processes
         for paused in ([2], [0, 1]):
@@ -79,7 +79,7 @@
 
 
 async def check_leave(group: MemberProcesses, leaving: int, others: range) -> None:
-    """End a process as planned; check that it was never suspected."""
+    """Terminate a process by SIGTERM; check that the others record a leave without a suspicion."""
     boot = (await group.status(leaving))["boot"]
     await group.until_all(others, has_no_suspect)
     group.fleet.processes[leaving].signal(signal.SIGTERM)
--- a/tests/membership/test_process_setup.py
+++ b/tests/membership/test_process_setup.py
@@ -1,4 +1,4 @@
-"""Faults of the set-up, what is loaded without members, and the files of emulated processes."""
+"""Setup errors, the modules loaded without the directive, and the files of emulated processes."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class SetupFault(NamedTuple):
-    """A set-up that a process does not start with.
+    """A faulty setup with which a process refuses to start.
 
     Attributes:
-        problem: What the process says.
-        key_text: The key file; None: there is none.
+        problem: Part of the error message.
+        key_text: Content of the key file; None for no file.
         allows_messages: Whether the settings allow messages to peers.
-        address_in_use: Whether another socket listens at the address.
+        address_in_use: Whether another socket is listening on the address.
     """
 
     problem: str
@@ -51,7 +51,9 @@
 
 
 @pytest.mark.parametrize("fault", SETUP_FAULTS.values(), ids=SETUP_FAULTS)
-def test_a_setup_fault_is_one_line_and_exit_code_2(tmp_path: Path, fault: SetupFault) -> None:
+def test_a_setup_fault_prints_one_line_and_exits_with_code_2(
+    tmp_path: Path, fault: SetupFault
+) -> None:
     limits = {**LIMITS, "peer_messages": fault.allows_messages}
     env = write_config(tmp_path, settings={**cluster_settings(), "policy_limits": limits})
     keys = tmp_path / "keys"
@@ -79,7 +81,7 @@
 """
 
 
-def test_without_the_directive_only_the_settings_are_loaded() -> None:
+def test_without_the_directive_only_the_settings_module_is_loaded() -> None:
     result = subprocess.run(
         [sys.executable, "-c", LIST_LOADED_MODULES],
         capture_output=True,
@@ -91,7 +93,7 @@
     assert result.stdout.strip() == "['query_broker.membership.settings']"
 
 
-def test_each_emulated_process_has_a_script_and_a_port_of_its_own(tmp_path: Path) -> None:
+def test_each_emulated_process_has_its_own_script_and_port(tmp_path: Path) -> None:
     with BrokerFleet(2, {"settings": {}}, lambda number, port: f"# {number} {port}") as fleet:
         scripts = [(member.folder / "operators.star").read_text() for member in fleet.processes]
         assert scripts == [f"# {member.number} {member.peer_port}" for member in fleet.processes]
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -1,4 +1,4 @@
-"""Membership of several real processes of this program, with faulty links between them."""
+"""Membership of several real broker processes with faulty links between them."""
 
 from __future__ import annotations
 
@@ -32,11 +32,8 @@
     return bool(view["certain"] and view["limits_by"] == size)
 
 
-# --- faulty links ---
-
-
 class FaultPeriod(NamedTuple):
-    """Faults that act for some time."""
+    """Faults that are active for a period."""
 
     seconds: float
     faults: list[Fault]
@@ -56,11 +53,11 @@
     FaultPeriod(4.0, lossy_process_faults(0.7)),
     # One direction of a link cut.
     FaultPeriod(3.0, [Fault(0, 0, "n1-n2", FaultKind.STALL)]),
-    # All that is sent to one process lost.
+    # All messages to one process lost.
     FaultPeriod(4.0, [Fault(0, 0, "*-n4", FaultKind.STALL)]),
-    # Two of three groups cut from each other.
+    # Two of three groups of processes cut off from each other.
     FaultPeriod(4.0, partition_faults(0, 0, ["n0", "n1"], ["n4", "n5"])),
-    # One process behind slow links.
+    # One process with slow links.
     FaultPeriod(
         4.0, [Fault(0, 0, links, FaultKind.DELAY, delay_s=0.5) for links in ("n2-*", "*-n2")]
     ),
@@ -70,13 +67,13 @@
 
 
 @on_uvloop
-async def test_no_healthy_broker_is_removed_whatever_its_links_do(tmp_path: Path) -> None:
+async def test_no_running_broker_is_removed_on_faulty_links(tmp_path: Path) -> None:
     async with member_processes(6, tmp_path) as group:
         for seconds, faults in FAULT_PERIODS:
             group.spoil(seconds, *faults)
             await asyncio.sleep(seconds)
-            spoiled_links = [fault.link_pattern for fault in faults]
-            others = [number for number in range(6) if f"*-n{number}" not in spoiled_links]
+            faulty_link_patterns = [fault.link_pattern for fault in faults]
+            others = [number for number in range(6) if f"*-n{number}" not in faulty_link_patterns]
             logs = "".join(member.log() for member in group.fleet.processes)
             assert await group.statistic("removals", others) == 0, f"{faults}\n{logs}"
             group.heal()
@@ -86,10 +83,10 @@
 
 
 @on_uvloop
-async def test_a_broker_that_loses_nine_in_ten_messages_is_alone_removed_and_returns(
+async def test_only_a_broker_that_loses_nine_in_ten_messages_may_be_removed_and_it_returns(
     tmp_path: Path,
 ) -> None:
-    """It may be removed by chance: `test_lossy_links` says how often, on a simulated clock."""
+    """The removal is random; `test_lossy_links` states its frequency on a simulated clock."""
     async with member_processes(6, tmp_path) as group:
         others = [number for number in range(6) if number != 3]
         group.spoil(4.0, *lossy_process_faults(0.9))
@@ -104,7 +101,7 @@
 async def wait_for_reachability(
     group: MemberProcesses, observer: int, observed: int, reachability: str
 ) -> None:
-    """Wait until one process reports how it reaches another."""
+    """Wait until one process reports the given reachability of another."""
     deadline = time.monotonic() + HANG
     while True:
         status = await group.status(observer)
@@ -120,14 +117,14 @@
 
 
 @on_uvloop
-async def test_links_cut_in_one_direction_are_reported_by_their_ends(tmp_path: Path) -> None:
+async def test_a_link_cut_in_one_direction_is_reported_at_both_ends(tmp_path: Path) -> None:
     async with member_processes(5, tmp_path) as group:
         group.spoil(60, Fault(0, 0, "n1-n2", FaultKind.STALL))
         await wait_for_reachability(group, 1, 2, "we can't reach it")
         await wait_for_reachability(group, 2, 1, "its answers don't reach us")
 
         group.heal()
-        # A broker that no other hears is removed, and is not certain of its own view.
+        # A broker whose messages reach no other is removed, and its own view is not certain.
         group.spoil(60, Fault(0, 0, "n3-*", FaultKind.STALL))
         await group.holds([0, 1, 2, 4], [0, 1, 2, 4])
         view = (await group.status(3))["view"]
@@ -138,7 +135,7 @@
 
 
 async def rotate_keys(group: MemberProcesses) -> None:
-    """Replace the old key by the new one in all processes, step by step."""
+    """Replace the old key by the new one in all processes, in the three steps of a rotation."""
     for step in (f"{OLD_KEY}\n{NEW_KEY}", f"{NEW_KEY}\n{OLD_KEY}", NEW_KEY):
         group.keys.write_text(step)
         for member in group.fleet.processes:
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the membership: the operators' directive and the bounds that follow from it."""
+"""Settings of the membership: the operators' directive and the detection bounds."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from ..support.members_support import SETTINGS
 from ..support.sockets import write_config
 
-SIZES = (3, 24, 1_000)
-GOOD = 'members(address = "127.0.0.1:7000", key_file = "/k", installation = "x"'
+GROUP_SIZES = (3, 24, 1_000)
+DIRECTIVE_START = 'members(address = "127.0.0.1:7000", key_file = "/k", installation = "x"'
 BAD_DIRECTIVES = {
-    "part too large": (GOOD + ", part = 0.5)", "members.part"),
-    "no interval": (GOOD + ", interval = 0)", "members.interval"),
-    "seed without a port": (GOOD + ', seeds = ["host"])', "members.seeds"),
-    "advertised address is IPv6": (GOOD + ', advertise = "::1:5")', "members.advertise"),
+    "part too large": (DIRECTIVE_START + ", part = 0.5)", "members.part"),
+    "no interval": (DIRECTIVE_START + ", interval = 0)", "members.interval"),
+    "seed without a port": (DIRECTIVE_START + ', seeds = ["host"])', "members.seeds"),
+    "advertised address is IPv6": (DIRECTIVE_START + ', advertise = "::1:5")', "members.advertise"),
     "address is a name": (
         'members(address = "h:1", key_file = "/k", installation = "x")',
         "members.address",
@@ -38,44 +38,44 @@
         'members(address = "127.0.0.1:1", key_file = "", installation = "x")',
         "members.key_file",
     ),
-    "used twice": (GOOD + ")\n" + GOOD + ")", "members"),
+    "used twice": (DIRECTIVE_START + ")\n" + DIRECTIVE_START + ")", "members"),
     "no arguments": ("members()", "members"),
 }
 
 
 @pytest.mark.parametrize(("text", "key"), BAD_DIRECTIVES.values(), ids=BAD_DIRECTIVES)
-def test_a_bad_directive_is_rejected_by_its_key(text: str, key: str) -> None:
+def test_the_error_of_a_bad_directive_names_the_key(text: str, key: str) -> None:
     with pytest.raises(OperatorFileError) as rejected:
         run_script("ops.star", text, lambda: False)
     assert f": {key}: " in str(rejected.value)
 
 
-@pytest.mark.parametrize("size", SIZES)
-def test_bounds_are_ordered(size: int) -> None:
+@pytest.mark.parametrize("size", GROUP_SIZES)
+def test_detection_bounds_are_ordered(size: int) -> None:
     bounds = detection_bounds(SETTINGS, size)
     assert bounds.suspected.p99_s < bounds.suspected.worst_s
     assert bounds.removed.median_s < bounds.removed.worst_s
 
 
-@pytest.mark.parametrize("size", SIZES)
+@pytest.mark.parametrize("size", GROUP_SIZES)
 def test_confirmations_shorten_a_suspicion_down_to_its_minimum(size: int) -> None:
     minimum_ns = min_suspicion_ns(NS_PER_S, size)
     assert suspicion_timeout_ns(NS_PER_S, size, 0) >= suspicion_timeout_ns(NS_PER_S, size, 3)
     assert suspicion_timeout_ns(NS_PER_S, size, 3) == minimum_ns
 
 
-@pytest.mark.parametrize("size", SIZES)
+@pytest.mark.parametrize("size", GROUP_SIZES)
 def test_false_suspicions_extend_a_suspicion_up_to_its_maximum(size: int) -> None:
     timeout_ns = suspicion_timeout_ns(NS_PER_S, size, 3, false_suspicions=9.0)
     assert timeout_ns == 6 * min_suspicion_ns(NS_PER_S, size)
 
 
-def test_bounds_follow_from_the_interval() -> None:
+def test_detection_bounds_shrink_with_the_interval() -> None:
     quick = detection_bounds(replace(SETTINGS, interval_ns=NS_PER_S // 5), 24)
     assert quick.removed.worst_s < 0.3 * detection_bounds(SETTINGS, 24).removed.worst_s
 
 
-def test_bounds_are_described_to_operators() -> None:
+def test_the_description_of_the_bounds_mentions_uncertainty() -> None:
     assert any("uncertain" in line for line in describe_bounds(SETTINGS, 24))
 
 
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""The view of the group: certainty, batches, and the size that limits are divided by."""
+"""The view of the group: certainty, batches, and the effective size."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 
 def observe(
-    tracker: ViewTracker, seconds: float, ordinals: list[int], **more: Any
+    tracker: ViewTracker, seconds: float, ordinals: list[int], **overrides: Any
 ) -> MembershipView:
-    """Have a tracker observe the members with these ordinals; return its view."""
+    """Make a tracker observe the members with these ordinals; return its view."""
     observation = {
         "present": [placed(ordinal) for ordinal in ordinals],
         "own": placed(tracker.configured_index).identity,
@@ -43,7 +43,7 @@
         "has_joined": True,
         "is_endpoint_warming_up": False,
         "is_removal_pending": False,
-        **more,
+        **overrides,
     }
     tracker.observe(int(seconds * NS_PER_S), Observation(**observation))
     return tracker.view
@@ -61,7 +61,7 @@
 def test_one_side_of_a_partition_at_most_is_certain_and_all_together_use_little_more(
     fleet_size: int, sides: list[int]
 ) -> None:
-    """Otherwise a minority that is cut off would take the complete fleet's share."""
+    """Otherwise an isolated minority would use the limits of the complete fleet."""
     used = 0.0
     certain = 0
     for side in set(sides[:fleet_size]):
@@ -78,24 +78,24 @@
 def observe_for(
     tracker: ViewTracker, begin: float, seconds: int, ordinals: list[int]
 ) -> MembershipView:
-    """Observe the same members each second."""
+    """Observe the same members each second; return the last view."""
     for second in range(1, seconds + 1):
         view = observe(tracker, begin + second, ordinals)
     return view
 
 
-def test_small_losses_are_followed_one_after_the_other() -> None:
+def test_successive_small_losses_reduce_the_effective_size() -> None:
     tracker = joined_tracker(24)
     assert tracker.view.effective_size == 24
-    for turn, alive in enumerate((20, 16, 12)):
-        view = observe_for(tracker, 2.0 + 60 * turn, 60, list(range(alive)))
+    for step, alive in enumerate((20, 16, 12)):
+        view = observe_for(tracker, 2.0 + 60 * step, 60, list(range(alive)))
         assert (view.effective_size, view.is_certain, view.reference_size) == (alive, True, alive)
 
 
-def test_a_great_loss_is_not_followed_until_operators_confirm_it() -> None:
+def test_a_large_loss_reduces_the_effective_size_only_once_it_is_configured() -> None:
     tracker = joined_tracker(24)
-    for turn, alive in enumerate((20, 16, 12)):
-        observe_for(tracker, 2.0 + 60 * turn, 60, list(range(alive)))
+    for step, alive in enumerate((20, 16, 12)):
+        observe_for(tracker, 2.0 + 60 * step, 60, list(range(alive)))
     view = observe_for(tracker, 182.0, 60, list(range(4)))
     assert (view.effective_size, view.is_certain, view.reference_size) == (24, False, 12)
     tracker.configure(4, 0)
@@ -113,7 +113,7 @@
     assert not tracker.view.is_certain
 
 
-def test_an_announced_leave_is_no_loss() -> None:
+def test_an_announced_leave_does_not_count_as_a_loss() -> None:
     tracker = joined_tracker(10)
     for left in range(5):
         tracker.record_leave()
@@ -128,9 +128,9 @@
 @pytest.mark.parametrize(
     ("warming_up", "smallest"),
     [(False, 4), (True, 10)],
-    ids=["all warm", "one warming up"],
+    ids=["none warming up", "one warming up"],
 )
-def test_a_view_that_is_wrong_each_second_keeps_the_size_within_its_bounds(
+def test_views_that_change_each_second_keep_the_effective_size_within_bounds(
     warming_up: bool, smallest: int
 ) -> None:
     """A size that is too small at all brokers at once overloads endpoints that are warming up."""
@@ -144,18 +144,18 @@
         )
     assert min(sizes) >= smallest
     assert max(sizes) <= 40
-    for second in range(200, 260):  # So few of so many are not certain, however steady.
+    for second in range(200, 260):  # A view of one of 100 members stays uncertain.
         sizes.append(
             observe(tracker, second, [0], is_endpoint_warming_up=warming_up).effective_size
         )
     assert sizes[-1] == 10
 
 
-def test_equal_digests_are_equal_views() -> None:
-    one = joined_tracker(3, 0)
-    other = joined_tracker(3, 2)
-    assert one.view.digest == other.view.digest
-    assert (one.view.effective_index, other.view.effective_index) == (0, 2)
-    observe(one, 3, [0, 2])
-    observe(one, 5, [0, 2])
-    assert one.view.digest != other.view.digest
+def test_equal_digests_mean_equal_members() -> None:
+    first = joined_tracker(3, 0)
+    third = joined_tracker(3, 2)
+    assert first.view.digest == third.view.digest
+    assert (first.view.effective_index, third.view.effective_index) == (0, 2)
+    observe(first, 3, [0, 2])
+    observe(first, 5, [0, 2])
+    assert first.view.digest != third.view.digest
