--- a/query_broker/membership/claim_merge.py
+++ b/query_broker/membership/claim_merge.py
@@ -126,7 +126,7 @@
         elif record.status is Status.ALIVE:
             self._suspicions.suspect(now_ns, record, claim.reporter)
         elif is_dead and is_newer:
-            # The newer incarnation proves that the member came back; it is now suspected anew.
+            # The newer incarnation proves that the member came back; it is now suspected again.
             self._suspicions.refute(now_ns, record)
             self._suspicions.suspect(now_ns, record, claim.reporter)
         elif record.status is Status.SUSPECT:
--- a/query_broker/membership/suspicion.py
+++ b/query_broker/membership/suspicion.py
@@ -32,7 +32,8 @@
     """An open suspicion.
 
     Attributes:
-        opened_ns: When the suspicion began, or the suspect was last heard by this process.
+        opened_ns: When the suspicion began, or was last extended because messages of the suspect
+            arrived at this process.
         timer_start_ns: When its timer was last started or restarted.
         reporters: Addresses of the members that have reported it.
     """
--- a/query_broker/membership/timing.py
+++ b/query_broker/membership/timing.py
@@ -63,10 +63,11 @@
 
 
 def evidence_limit_ns(interval_ns: int, size: int) -> int:
-    """Return how long evidence from other members alone prevents the removal of a suspect.
+    """Return how long evidence from others alone prevents the removal of a suspect.
 
-    It is long enough for every member to have pinged every other one, since each member pings all
-    others in turn.
+    The evidence is that others receive messages of the suspect, while this process receives none.
+    Up to `MAX_EVIDENCE_NS`, the time suffices for every member to ping every other one, since each
+    member pings all others in turn.
     """
     longest_suspicion_ns = int(MAX_SUSPICION_MULTIPLIER) * min_suspicion_ns(interval_ns, size)
     all_pinged_ns = EVIDENCE_INTERVALS_PER_MEMBER * size * interval_ns
