--- a/query_broker/membership/ack_handling.py
+++ b/query_broker/membership/ack_handling.py
@@ -19,7 +19,7 @@
 
 
 class AckHandler:
-    """Records acks, of direct and of indirect pings."""
+    """Processes the acks of direct and indirect pings."""
 
     def __init__(
         self,
@@ -45,43 +45,43 @@
         self._recent_ms = RECENT_INTERVALS * settings.interval_ns // NS_PER_MS
 
     def handle(self, now_ns: int, sender: Identity, ack: Ack) -> None:
-        """Process an ack whose gossip has been merged."""
+        """Process an ack; the caller has merged its gossip."""
         if self._relay.forward_ack(ack):
             return
         ping = self._pinger.complete(ack.ping_id)
         if ping is None:
             return
-        if self._health.record_answer():
+        if self._health.record_ack():
             self._suspicions.restart_timers(now_ns)
-        self._contacts.record_answer(sender, ack.ping_id)
+        self._contacts.record_ack(sender, ack.ping_id)
         if ack.responder == ping.target:
-            self._record_answer(now_ns, sender, ping, ack)
+            self._record_ack(now_ns, sender, ping, ack)
         elif ack.responder.address == ping.target.address:
             self._remove_replaced_member(now_ns, ping.target)
 
     def _remove_replaced_member(self, now_ns: int, target: Identity) -> None:
-        """Remove a member whose address now belongs to another process."""
+        """Remove a member at whose address another process has answered."""
         record = self._table.get(target)
         if record is not None and record.is_present():
-            reason = f"{target.address} is another's now"
+            reason = f"{target.address} now belongs to another process"
             self._suspicions.remove(now_ns, record, self._own.identity.address, reason)
 
-    def _record_answer(self, now_ns: int, sender: Identity, ping: SentPing, ack: Ack) -> None:
+    def _record_ack(self, now_ns: int, sender: Identity, ping: SentPing, ack: Ack) -> None:
         record = self._table.get(ping.target)
         if record is None:
             return
         if sender == ping.target:
-            self._record_direct_answer(now_ns, record, now_ns - ping.sent_ns)
+            self._record_direct_ack(now_ns, record, now_ns - ping.sent_ns)
             self._syncs.compare_digest(now_ns, ack)
         else:
-            self._record_indirect_answer(now_ns, record, sender, ack)
+            self._record_indirect_ack(now_ns, record, sender, ack)
 
-    def _record_direct_answer(self, now_ns: int, record: MemberRecord, round_trip_ns: int) -> None:
+    def _record_direct_ack(self, now_ns: int, record: MemberRecord, round_trip_ns: int) -> None:
         record.acked_ns = now_ns
         record.round_trip.record(round_trip_ns)
         self._pinger.overall_round_trip.record(round_trip_ns)
 
-    def _record_indirect_answer(
+    def _record_indirect_ack(
         self, now_ns: int, record: MemberRecord, helper: Identity, ack: Ack
     ) -> None:
         record.acked_indirectly_ns = now_ns
--- a/query_broker/membership/addresses.py
+++ b/query_broker/membership/addresses.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-MAX_LOGGED_ADDRESS = 60  # characters
+MAX_LOGGED_ADDRESS_CHARACTERS = 60
 
 
 def split_address(text: str) -> tuple[str, int]:
     """Split `host:port`.
 
     Raises:
-        ValueError: The port is no number.
+        ValueError: The port is not a number.
     """
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/query_broker/membership/datagrams.py
+++ b/query_broker/membership/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership over UDP."""
+"""UDP transport of the membership messages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from .addresses import MAX_LOGGED_ADDRESS, split_address
+from .addresses import MAX_LOGGED_ADDRESS_CHARACTERS, split_address
 from .codec import PROTOCOL_VERSION
 from .errors import MessageRejectedError
 from .message_exchange import MessageExchange
@@ -17,7 +17,7 @@
 
 
 class TopicHandler(Protocol):
-    """Receives the messages of a topic; it may raise on a malformed one."""
+    """Receives the messages of a topic; may raise an exception on a malformed message."""
 
     def __call__(self, now_ns: int, sender: str, payload: bytes, /) -> None:
         """Process a message of the member with the given process name."""
@@ -54,7 +54,7 @@
         self._topics[topic] = handler
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Process a datagram, unless too many arrive."""
+        """Process a datagram unless the rate limit is exceeded."""
         now_ns = self._host.now_ns()
         try:
             if not self.rate_limiter.admit(now_ns, f"{addr[0]}:{addr[1]}"):
@@ -63,15 +63,15 @@
             self._deliver(now_ns, self._messages.decode(data))
         except MessageRejectedError:
             return
-        except Exception as error:  # No datagram may raise out of a callback.
-            self._host.log(f"a datagram: {type(error).__name__}: {error}")
+        except Exception as error:  # A datagram must not raise out of the callback.
+            self._host.log(f"processing a datagram failed: {type(error).__name__}: {error}")
         self._host.carry_out(now_ns)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an ICMP error, which is handled like a lost datagram."""
+        """Ignore an ICMP error; the datagram counts as lost."""
 
     def send_all(self, messages: Iterable[OutgoingMessage]) -> None:
-        """Send messages; a failure is logged and does not prevent the others."""
+        """Send messages; a failure to send one is logged and the others are still sent."""
         for recipient, message in messages:
             record = self._detector.table.get(recipient)
             protocol = PROTOCOL_VERSION if record is None else record.max_protocol
@@ -83,14 +83,14 @@
         try:
             self._transport.sendto(data, split_address(address))
         except (OSError, ValueError, RuntimeError) as error:
-            self._host.log(f"{address[:MAX_LOGGED_ADDRESS]}: {error}")
+            self._host.log(f"sending to {address[:MAX_LOGGED_ADDRESS_CHARACTERS]} failed: {error}")
 
     def _deliver(self, now_ns: int, envelope: Envelope) -> None:
         sender = envelope.sender
         message = envelope.message
         self._detector.receive(now_ns, envelope.recipient_boot, envelope.sequence, sender, message)
-        is_for_us = envelope.recipient_boot == self._detector.me.boot
-        if not isinstance(message, TopicMessage) or not is_for_us:
+        is_for_this_process = envelope.recipient_boot == self._detector.me.boot
+        if not isinstance(message, TopicMessage) or not is_for_this_process:
             return
         handler = self._topics.get(message.topic)
         if handler is not None and self._detector.table.get(sender.member) is not None:
--- a/query_broker/membership/table_exchange.py
+++ b/query_broker/membership/table_exchange.py
@@ -9,7 +9,7 @@
 
 import asyncio
 
-from .addresses import MAX_LOGGED_ADDRESS, split_address
+from .addresses import MAX_LOGGED_ADDRESS_CHARACTERS, split_address
 from .codec import MAX_FRAME_BYTES
 from .errors import MessageRejectedError, RejectReason
 from .message_exchange import MessageExchange
@@ -23,14 +23,14 @@
 
 
 class TableExchange:
-    """Both sides of the exchange.
+    """The client and the server side of table exchanges.
 
     Attributes:
-        is_closed: Whether no further exchange begins.
+        is_closed: Whether new exchanges are refused.
     """
 
     def __init__(self, messages: MessageExchange) -> None:
-        """Start with no exchange under way."""
+        """Start without running exchanges."""
         self._messages = messages
         self._detector = messages.detector
         self._host = messages.host
@@ -39,7 +39,7 @@
         self.is_closed = False
 
     def start(self, address: str) -> None:
-        """Exchange tables with the member at the address, unless too many exchanges run."""
+        """Exchange tables with the member at the address unless too many exchanges are running."""
         if len(self._outgoing) >= MAX_OUTGOING_EXCHANGES or self.is_closed:
             return
         task = asyncio.get_running_loop().create_task(self._sync_with(address))
@@ -53,7 +53,7 @@
             task.cancel()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a connection of another member."""
+        """Handle a connection from another member."""
         if self._incoming_count >= MAX_INCOMING_EXCHANGES or self.is_closed:
             writer.transport.abort()
             return
@@ -63,22 +63,22 @@
         except (OSError, EOFError, TimeoutError, MessageRejectedError):
             pass
         except Exception as error:  # No peer may end the process.
-            self._host.log(f"a table: {type(error).__name__}: {error}")
+            self._host.log(f"serving a table exchange failed: {type(error).__name__}: {error}")
         finally:
             self._incoming_count -= 1
             writer.close()
 
-    def table_message(self, is_request: bool, with_claims: bool) -> Sync:
-        """Return a message with our digest, and with our table if `with_claims`."""
-        claims = self._detector.claims() if with_claims else ()
+    def table_message(self, is_request: bool, with_table: bool) -> Sync:
+        """Return a message with the own digest, and with the own table if `with_table`."""
+        claims = self._detector.claims() if with_table else ()
         return Sync(self._detector.table.digest(), is_request, claims)
 
     async def read_frame(self, reader: asyncio.StreamReader) -> Sync:
-        """Read a message.
+        """Read and verify a frame.
 
         Raises:
-            MessageRejectedError: It is too large, or no message of the exchange.
-            EOFError: The connection ended.
+            MessageRejectedError: The frame is too large, or not a valid message of the exchange.
+            EOFError: The connection was closed.
         """
         size = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
         if size > MAX_FRAME_BYTES:
@@ -91,36 +91,38 @@
         return envelope.message
 
     def write_frame(self, writer: asyncio.StreamWriter, message: Sync) -> None:
-        """Write a message."""
+        """Write a message as a frame."""
         data = self._messages.encode(ANY_PROCESS, message)
         writer.write(len(data).to_bytes(LENGTH_BYTES, "big") + data)
 
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         request = await self.read_frame(reader)
         is_different = request.digest != self._detector.table.digest()
-        self.write_frame(writer, self.table_message(is_request=False, with_claims=is_different))
+        self.write_frame(writer, self.table_message(is_request=False, with_table=is_different))
         await writer.drain()
         if is_different:
             self._merge(await self.read_frame(reader))
 
     async def _sync_with(self, address: str) -> None:
-        logged_address = address[:MAX_LOGGED_ADDRESS]
+        logged_address = address[:MAX_LOGGED_ADDRESS_CHARACTERS]
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 await self._request(address)
         except (OSError, EOFError, TimeoutError, ValueError, MessageRejectedError) as error:
-            self._host.log(f"no table from {logged_address}: {type(error).__name__}")
+            self._host.log(f"table exchange with {logged_address} failed: {type(error).__name__}")
         except Exception as error:  # No peer may end the process.
-            self._host.log(f"no table from {logged_address}: {type(error).__name__}: {error}")
+            self._host.log(
+                f"table exchange with {logged_address} failed: {type(error).__name__}: {error}"
+            )
 
     async def _request(self, address: str) -> None:
         host, port = split_address(address)
         reader, writer = await asyncio.open_connection(host, port, limit=MAX_FRAME_BYTES)
         try:
-            self.write_frame(writer, self.table_message(is_request=True, with_claims=False))
+            self.write_frame(writer, self.table_message(is_request=True, with_table=False))
             peer_message = await self.read_frame(reader)
             if peer_message.claims:
-                self.write_frame(writer, self.table_message(is_request=False, with_claims=True))
+                self.write_frame(writer, self.table_message(is_request=False, with_table=True))
                 await writer.drain()
                 self._merge(peer_message)
         finally:
