--- a/query_broker/endpoints/endpoint_table.py
+++ b/query_broker/endpoints/endpoint_table.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class KnownEndpoint:
+class EndpointRecord:
     """One endpoint of the table.
 
     Attributes:
@@ -41,8 +41,8 @@
 
     def __init__(self) -> None:
         """Start with no endpoint."""
-        self.by_uid: dict[str, KnownEndpoint] = {}
-        self.by_number: dict[int, KnownEndpoint] = {}
+        self.by_uid: dict[str, EndpointRecord] = {}
+        self.by_number: dict[int, EndpointRecord] = {}
 
     def number(self, uid: str) -> int:
         """Return the number of a uid, whether or not the endpoint is in the table."""
@@ -116,7 +116,7 @@
 
     def _entry(self, target: ListedEndpoint) -> EndpointEntry:
         """Add or update one endpoint of the table; a uid that is in the table keeps its number."""
-        endpoint = KnownEndpoint(self.number(target.uid), target)
+        endpoint = EndpointRecord(self.number(target.uid), target)
         self.by_uid[target.uid] = endpoint
         self.by_number[endpoint.number] = endpoint
         return EndpointEntry(
--- a/query_broker/outlier_consensus/endpoint_directory.py
+++ b/query_broker/outlier_consensus/endpoint_directory.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from ..decisions.facade import EndpointState
-from ..endpoints.endpoint_table import EndpointTable, KnownEndpoint
+from ..endpoints.endpoint_table import EndpointRecord, EndpointTable
 from .messages import Endpoint
 from .observations import NS_PER_MS
 
@@ -43,5 +43,5 @@
         }
 
 
-def _incarnation(listed: KnownEndpoint) -> Endpoint:
+def _incarnation(listed: EndpointRecord) -> Endpoint:
     return Endpoint(listed.target.uid, listed.target.started_ns // NS_PER_MS)
