--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -139,7 +139,7 @@
         else:
             self._controls.statistics.cancels_confirmed += count
 
-    def carried_elsewhere(self, connection: EngineConnection, request_id: bytes) -> bool:
+    def carried_by_other_connection(self, connection: EngineConnection, request_id: bytes) -> bool:
         """Return whether another connection to the endpoint has recently carried this request."""
         pool = self._context.pools.get(connection.endpoint)
         if pool is None:
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -59,7 +59,7 @@
         observer: AnswerObserver,
         writer: EngineWriter,
         cancellations: EngineCancellations,
-        carried_elsewhere: CarriedElsewhere,
+        carried_by_other_connection: CarriedElsewhere,
     ) -> None:
         """Connect the handler to the other parts of the connection.
 
@@ -68,14 +68,14 @@
             observer: Notified of answers.
             writer: Sends the commands that fetch or decline pages.
             cancellations: Notified of answers to attempts that are not in flight.
-            carried_elsewhere: Returns whether another connection recently carried a request id to
-                the same engine.
+            carried_by_other_connection: Returns whether another connection recently carried a
+                request id to the same engine.
         """
         self.connection = connection
         self.observer = observer
         self.writer = writer
         self.cancellations = cancellations
-        self.carried_elsewhere = carried_elsewhere
+        self.carried_by_other_connection = carried_by_other_connection
 
     def handle(self, parts: list[bytes], now_ns: int) -> None:
         """Handle one answer, received at ``now_ns``.
@@ -157,7 +157,7 @@
         if attempt.missing_pages == 0:
             del self.connection.in_flight[tag]
             self.observer.answer_completed(attempt, load_text)
-        elif self.carried_elsewhere(tag):
+        elif self.carried_by_other_connection(tag):
             self._fail_mixed_pages(tag, attempt, load_text, now_ns)
         else:
             for number in range(1, page_count):
@@ -183,7 +183,7 @@
         _add_page(attempt, number, body)
         if attempt.missing_pages:
             return
-        if self.carried_elsewhere(tag):
+        if self.carried_by_other_connection(tag):
             self._fail_mixed_pages(tag, attempt, load_text, now_ns)
             return
         del self.connection.in_flight[tag]
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -43,7 +43,7 @@
     def socket_blocked(self, connection: EngineConnection) -> None:
         """Flush this connection at the next tick: its socket currently accepts no more bytes."""
 
-    def carried_elsewhere(self, connection: EngineConnection, request_id: bytes) -> bool:
+    def carried_by_other_connection(self, connection: EngineConnection, request_id: bytes) -> bool:
         """Return whether another connection recently carried this id to the same engine."""
 
 
@@ -95,7 +95,11 @@
         self.cancellations = EngineCancellations(owner, self.writer)
         self.cancelled_ids = self.cancellations.pending.by_id
         self.answers = EngineAnswers(
-            self, owner, self.writer, self.cancellations, partial(owner.carried_elsewhere, self)
+            self,
+            owner,
+            self.writer,
+            self.cancellations,
+            partial(owner.carried_by_other_connection, self),
         )
 
     @property
--- a/tests/golden/client_wire/conftest.py
+++ b/tests/golden/client_wire/conftest.py
@@ -23,7 +23,7 @@
     owner = create_autospec(EngineConnectionOwner, instance=True)
     owner.now.return_value = NOW
     owner.may_proceed.return_value = True
-    owner.carried_elsewhere.return_value = False
+    owner.carried_by_other_connection.return_value = False
     connection = EngineConnection(cast(EngineConnectionOwner, owner), ENDPOINT)
     connection.connection_made(SocketTransport(near_socket))
     yield ConnectedEngine(connection, far_socket)
