--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -145,7 +145,9 @@
         if pool is None:
             return False
         return any(
-            request_id in other.carried_ids for other in pool.connections if other is not connection
+            request_id in other.remembered_request_ids
+            for other in pool.connections
+            if other is not connection
         )
 
     def connection_lost(
--- a/query_broker/endpoints/connection_choice.py
+++ b/query_broker/endpoints/connection_choice.py
@@ -69,7 +69,7 @@
         streams = len(connection.in_flight)
         if connection.cancelled_ids:  # rare: the check saves a call on the path of every request
             streams += len(connection.cancelled_ids)
-        if streams >= max_streams or request_id in connection.carried_ids:
+        if streams >= max_streams or request_id in connection.remembered_request_ids:
             continue
         if connection.is_blocked:
             if not connection.write_queue.full():
@@ -88,7 +88,7 @@
     """Return whether a full write queue is all that keeps a connection from taking the request."""
     for connection in connections:
         streams = len(connection.in_flight) + len(connection.cancelled_ids)
-        if streams >= max_streams or request_id in connection.carried_ids:
+        if streams >= max_streams or request_id in connection.remembered_request_ids:
             continue
         if connection.is_blocked and connection.write_queue.full():
             return True
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -57,7 +57,7 @@
         endpoint: Number of the endpoint.
         in_flight: Attempts that the engine has not answered, by request id; also those that no
             client waits for, which keep their stream until their answer has arrived and is dropped.
-        carried_ids: The request ids for which answers may still arrive, the newest last.
+        remembered_request_ids: The request ids for which answers may still arrive, the newest last.
         health_checks: The tags of unanswered health checks.
         cancelled_ids: The request ids of cancelled attempts, each of which still has its stream.
         retired: Whether the connection takes no further attempts.
@@ -79,7 +79,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser = resp.RespParser()
         self.in_flight: dict[bytes, Attempt] = {}
-        self.carried_ids: dict[bytes, None] = {}
+        self.remembered_request_ids: dict[bytes, None] = {}
         self.health_checks: set[bytes] = set()
         now_ns = owner.now()
         self.last_received_ns = now_ns
@@ -129,12 +129,12 @@
         """Register an attempt as in flight on this connection; `send` then sends it."""
         request_id = attempt.request.client_request_id
         self.in_flight[request_id] = attempt
-        self.carried_ids[request_id] = None
-        if len(self.carried_ids) > MAX_CARRIED_IDS:
-            oldest = next(iter(self.carried_ids))
-            del self.carried_ids[oldest]
+        self.remembered_request_ids[request_id] = None
+        if len(self.remembered_request_ids) > MAX_CARRIED_IDS:
+            oldest = next(iter(self.remembered_request_ids))
+            del self.remembered_request_ids[oldest]
             if oldest in self.in_flight:  # the id of an unanswered attempt stays remembered
-                self.carried_ids[oldest] = None
+                self.remembered_request_ids[oldest] = None
 
     def send(self, attempt: Attempt, now_ns: int) -> None:
         """Send an attempt."""
