--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -116,7 +116,7 @@
                 HealthCheckResult(attempt.endpoint, AttemptResult.SERVED, 0, load)
             )
 
-    def progress_noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
+    def progress_reported(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """Report the progress of an attempt, at most one note of each kind per interval."""
         now_ns = self._clock.now()
         if (
--- a/query_broker/protocols/engine_answers.py
+++ b/query_broker/protocols/engine_answers.py
@@ -22,7 +22,7 @@
     def attempt_ended(self, attempt: Attempt, result: AttemptResult, load_text: str) -> None:
         """Called when an attempt has ended without a result."""
 
-    def progress_noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
+    def progress_reported(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """Called with a progress note of a running attempt."""
 
     def health_check_ended(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
@@ -132,7 +132,7 @@
             return
         kind = messages.PROGRESS_KINDS.get(fields.get(messages.FIELD_PROGRESS_KIND, ""))
         if kind is not None and math.isfinite(amount):
-            self.observer.progress_noted(attempt, kind, amount)
+            self.observer.progress_reported(attempt, kind, amount)
 
     def _handle_first_page(
         self, attempt: Attempt, tag: bytes, fields: dict[str, str], body: bytes, now_ns: int
