--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -63,7 +63,7 @@
         """Return whether the first byte of the attempt may be sent."""
         return self._gate.may_proceed(attempt, HandOver.SOCKET)
 
-    def attempt_written_at_once(self) -> None:
+    def attempt_written_immediately(self) -> None:
         """Count an attempt that was sent completely by the call that handed it to a connection."""
         self._metrics.dispatches += 1
 
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -31,7 +31,7 @@
     def attempt_written(self, attempt: Attempt) -> None:
         """Called when the last byte of a queued attempt has left."""
 
-    def attempt_written_at_once(self) -> None:
+    def attempt_written_immediately(self) -> None:
         """Called when an attempt has left completely without being queued."""
 
     def may_proceed(self, attempt: Attempt) -> bool:
@@ -148,7 +148,7 @@
             if written_bytes == len(pieces[0]):
                 self.last_used_ns = now_ns
                 attempt.written_ns = now_ns
-                self.observer.attempt_written_at_once()
+                self.observer.attempt_written_immediately()
                 return
             pieces = (pieces[0][written_bytes:],)
         request = attempt.request
