--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -50,7 +50,7 @@
             return
         for attempt in request.attempts.values():
             if attempt.connection is not None:
-                attempt.connection.raise_priority(attempt, options.priority)
+                attempt.connection.set_priority(attempt, options.priority)
 
     def dispatch(self, now_ns: int, order: Dispatch) -> None:
         """Hand a new attempt to the connection pool of its endpoint.
--- a/query_broker/dispatch/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -44,7 +44,7 @@
     in_flight: dict[bytes, Attempt]
     cancels_in_transit: set[bytes]
 
-    def raise_priority(self, attempt: Attempt, level: int) -> None:
+    def set_priority(self, attempt: Attempt, priority: int) -> None:
         """Give the attempt another priority level."""
 
     def withdraw(self, attempt: Attempt) -> bool:
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -140,12 +140,12 @@
         """Send an attempt."""
         self.writer.send(attempt, now_ns)
 
-    def raise_priority(self, attempt: Attempt, level: int) -> None:
+    def set_priority(self, attempt: Attempt, priority: int) -> None:
         """Change an attempt's priority: in the write queue, or at the engine if it has left."""
         request_id = attempt.request.client_request_id
-        if not self.writer.raise_priority(request_id, level):
+        if not self.writer.set_priority(request_id, priority):
             now_ns = self.owner.now()
-            self.writer.send_command(now_ns, messages.RAISE_PRIORITY, request_id, b"%d" % level)
+            self.writer.send_command(now_ns, messages.RAISE_PRIORITY, request_id, b"%d" % priority)
 
     def withdraw(self, attempt: Attempt) -> bool:
         """Withdraw an attempt if none of its bytes has left; return whether it was withdrawn."""
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -172,7 +172,7 @@
         """Withdraw a queued attempt if none of its bytes has left; return whether it was."""
         return self.write_queue.withdraw(request_id)
 
-    def raise_priority(self, request_id: bytes, priority: int) -> bool:
+    def set_priority(self, request_id: bytes, priority: int) -> bool:
         """Change the priority of a queued attempt; return False if it is not queued."""
         return self.write_queue.raise_priority(request_id, priority)
 
--- a/tests/golden/client_wire/test_engine_commands.py
+++ b/tests/golden/client_wire/test_engine_commands.py
@@ -26,7 +26,7 @@
             id="forget",
         ),
         pytest.param(
-            lambda connection, attempt: connection.raise_priority(attempt, 3),
+            lambda connection, attempt: connection.set_priority(attempt, 3),
             b"*3\r\n$4\r\nbump\r\n$16\r\n9b1f03aa5c7e2d41\r\n$1\r\n3\r\n",
             id="raise priority",
         ),
