--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -145,7 +145,7 @@
         request_id = attempt.request.client_request_id
         if not self.writer.set_priority(request_id, priority):
             now_ns = self.owner.now()
-            self.writer.send_command(now_ns, messages.RAISE_PRIORITY, request_id, b"%d" % priority)
+            self.writer.send_command(now_ns, messages.SET_PRIORITY, request_id, b"%d" % priority)
 
     def withdraw(self, attempt: Attempt) -> bool:
         """Withdraw an attempt if none of its bytes has left; return whether it was withdrawn."""
--- a/query_broker/protocols/engine_messages.py
+++ b/query_broker/protocols/engine_messages.py
@@ -21,7 +21,7 @@
 CANCEL = b"undo"
 FORGET = b"forget"
 FETCH_PAGE = b"page"
-RAISE_PRIORITY = b"bump"
+SET_PRIORITY = b"bump"
 HEALTH_CHECK = b"top"
 
 # Kinds of answers.
