--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -70,7 +70,7 @@
             latest_start_ns=order.latest_start_ns,
         )
         request.attempts[attempt.number] = attempt
-        if self._table.closing or request.closing or request.client_unreadable:
+        if self._table.closing or request.closing or request.cancellations_unread:
             self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
             return
         budget = self._controls.retry_budget
--- a/query_broker/dispatch/cancellation.py
+++ b/query_broker/dispatch/cancellation.py
@@ -86,7 +86,7 @@
             is_disabled = self._administrative_states.is_disabled(endpoint.target.uid)
         is_ready = endpoint is not None and endpoint.target.state is EndpointState.READY
         return HandOverState(
-            answer_wanted=request.client is not None and not request.client_unreadable,
+            answer_wanted=request.client is not None and not request.cancellations_unread,
             deadline_ns=min(attempt.deadline_ns, request.deadline_ns, attempt.latest_start_ns),
             min_latency_ns=min_latency_ns,
             disabled=is_disabled,
--- a/query_broker/dispatch/requests.py
+++ b/query_broker/dispatch/requests.py
@@ -76,7 +76,7 @@
         accepted_ns: When the request was admitted.
         abandoned: The client has cancelled the request or disconnected before the answer.
         closing: The request is getting its final answer: no more attempts are dispatched.
-        client_unreadable: The broker would not read a cancellation by the client, so no more
+        cancellations_unread: The broker would not read a cancellation by the client, so no more
             attempts are dispatched.
         priority: Priority level set by the decisions; None before their first order.
         memory_mb: Memory granted by the decisions, in megabytes.
@@ -96,7 +96,7 @@
     accepted_ns: int = 0
     abandoned: bool = False
     closing: bool = False
-    client_unreadable: bool = False
+    cancellations_unread: bool = False
     priority: int | None = None
     memory_mb: int = 0
     idempotency_key: str | None = None
--- a/query_broker/protocols/client_requests.py
+++ b/query_broker/protocols/client_requests.py
@@ -110,4 +110,4 @@
     def set_unreadable(self, unreadable: bool) -> None:
         """Record in the requests whether their client's cancellations are currently not read."""
         for request in self.submitted():
-            request.client_unreadable = unreadable
+            request.cancellations_unread = unreadable
