--- a/query_broker/protocols/client_reader.py
+++ b/query_broker/protocols/client_reader.py
@@ -66,8 +66,8 @@
 
     Attributes:
         waiting: Whether complete frames wait for this connection's next turn.
-        unreadable: Whether reading is paused because too much input waits, so that no cancellation
-            is seen.
+        is_reading_paused: Whether reading is paused because too much input waits, so that no
+            cancellation is seen.
         frame_started_ns: When the first byte of the currently incomplete frame was received.
         received_ns: When the first byte of the frame that was handled last was received.
         partial_frame_bytes: Received bytes of frames that have not been handled yet; part of the
@@ -102,7 +102,7 @@
         self.received_ns = connection.last_used_ns
         self.partial_frame_bytes = 0
         self.waiting = False
-        self.unreadable = False
+        self.is_reading_paused = False
 
     def receive(self, data: bytes) -> None:
         """Parse bytes that have just been received, and handle the frames."""
@@ -253,8 +253,8 @@
             return
         unreadable = not self.connection.broken and self._exceeds_read_ahead()
         self.socket.set_reading(not unreadable)
-        if self.unreadable != unreadable:
-            self.unreadable = unreadable
+        if self.is_reading_paused != unreadable:
+            self.is_reading_paused = unreadable
             self.requests.set_unreadable(unreadable)
 
     def _exceeds_read_ahead(self) -> bool:
--- a/tests/dispatch/test_client_races.py
+++ b/tests/dispatch/test_client_races.py
@@ -158,14 +158,14 @@
             client.ask(
                 number, trace=f"{number:016x}", body=STATEMENT + b" /* " + b"x" * 20_000 + b" */"
             )
-        await until(lambda: connection.reader.unreadable)
+        await until(lambda: connection.reader.is_reading_paused)
         first.writers[0].write(resp.encode(b"1" * 16, b"crashed", b"-", b""))
         assert (await client.answer())[:2] == (1, frames.REFUSED)
         assert not other.commands_named(b"do")
         assert len(first.commands_named(b"do")) == 1
         connection.resume_writing()  # the remaining frames are read now
         await until(lambda: len(first.commands_named(b"do") + other.commands_named(b"do")) == 5)
-        assert not connection.reader.unreadable
+        assert not connection.reader.is_reading_paused
 
 
 @on_uvloop
