--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -26,7 +26,8 @@
     """The owner of all connections to endpoints: implements `EngineConnectionOwner`.
 
     Attributes:
-        blocked: Connections to flush at the next tick, in the order in which their sockets blocked.
+        blocked_connections: Connections to flush at the next tick, in the order in which their
+            sockets blocked.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         self._cancellations = cancellations
         self._health_checks = health_checks
         self._stage_timer = stage_timer
-        self.blocked: dict[EngineConnection, None] = {}
+        self.blocked_connections: dict[EngineConnection, None] = {}
 
     def now(self) -> int:
         """Return the time in Unix nanoseconds."""
@@ -79,13 +80,13 @@
 
     def socket_blocked(self, connection: EngineConnection) -> None:
         """Flush a connection at the next tick: its socket accepts no more bytes for now."""
-        self.blocked[connection] = None
+        self.blocked_connections[connection] = None
         self._timer_wheel.wake_next_tick()
 
     def flush_blocked(self) -> None:
         """Flush the connections whose sockets had accepted no more bytes."""
-        blocked = self.blocked
-        self.blocked = {}
+        blocked = self.blocked_connections
+        self.blocked_connections = {}
         for connection in blocked:
             connection.flush()
 
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -358,10 +358,10 @@
                 self.log("fault", traceback.format_exc())
         if self.stage_timer.unsent_answers:
             self.stage_timer.check_unsent_answers()
-        if self.connection_events.blocked:
+        if self.connection_events.blocked_connections:
             self.connection_events.flush_blocked()
         self.outcomes.report_deferred()
-        if self.stage_timer.unsent_answers or self.connection_events.blocked:
+        if self.stage_timer.unsent_answers or self.connection_events.blocked_connections:
             self.timer_wheel.wake_next_tick()
 
     def metrics(self) -> bytes:
--- a/tests/deadlines/deadline_brokers.py
+++ b/tests/deadlines/deadline_brokers.py
@@ -71,7 +71,7 @@
         route="stock-add",
         weight="1.0",
     )
-    await until(lambda: broker.node.dispatcher.connection_events.blocked)
+    await until(lambda: broker.node.dispatcher.connection_events.blocked_connections)
     return client
 
 
