--- a/query_broker/dispatch/health_checks.py
+++ b/query_broker/dispatch/health_checks.py
@@ -31,7 +31,7 @@
     """Starts health checks and reports their outcomes.
 
     Attributes:
-        pending: Health checks without an outcome, by tag.
+        pending_checks: Health checks without an outcome, by tag.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         self._timer_wheel = timer_wheel
         self._extensions = extensions
         self._id_sequence = id_sequence
-        self.pending: dict[bytes, PendingCheck] = {}
+        self.pending_checks: dict[bytes, PendingCheck] = {}
 
     def start(self, now_ns: int, endpoint: int) -> None:
         """Send a health check to an endpoint; its timeout is the connect timeout."""
         tag = TAG_FORMAT % next(self._id_sequence)
-        self.pending[tag] = PendingCheck(endpoint, now_ns)
+        self.pending_checks[tag] = PendingCheck(endpoint, now_ns)
         self._set_timer(now_ns + self._context.config.connect_timeout_ns, endpoint, tag)
         pool = self._context.pools.get(endpoint)
         if pool is not None:
@@ -72,7 +72,7 @@
         the answer may already wait. A timeout would then eject a healthy endpoint.
         """
         now_ns = self._clock.now()
-        if tag in self.pending and now_ns - due_ns > STALL_THRESHOLD_NS:
+        if tag in self.pending_checks and now_ns - due_ns > STALL_THRESHOLD_NS:
             self._set_timer(now_ns + READ_TIME_AFTER_STALL_NS, endpoint, tag)
             return
         pool = self._context.pools.get(endpoint)
@@ -82,7 +82,7 @@
 
     def end(self, tag: bytes, result: AttemptResult, load_text: str) -> None:
         """Report the outcome of a health check, unless it has already been reported."""
-        check = self.pending.pop(tag, None)
+        check = self.pending_checks.pop(tag, None)
         if check is None:
             return
         duration_ns = self._clock.now() - check.started_ns
--- a/tests/protocols/test_health_checks.py
+++ b/tests/protocols/test_health_checks.py
@@ -32,7 +32,7 @@
         assert endpoint.load_report.queue == 2.0
         assert endpoint.load_report.memory == 0.25
         assert endpoint.load_report.disk == 0.5
-        assert not broker.health_checks.pending
+        assert not broker.health_checks.pending_checks
         client = await rig.client()
         client.ask(patience="150", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
