--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -249,7 +249,7 @@
         now_ns = self.now()
         # The timer wheel keeps the tick configured at the start.
         settings = replace(config.settings, tick_ns=self.config.tick_ns)
-        adjusted = self.extensions.adjusted(settings)
+        adjusted = self.extensions.adjust_settings(settings)
         self.carry_out(now_ns, self.facade.report(now_ns, SettingsChanged(adjusted)))
         self.config = replace(
             self.config,
@@ -268,7 +268,7 @@
 
     def refresh_settings(self) -> None:
         """Report the settings to the decisions again after a settings adjuster has changed."""
-        self.report_event(SettingsChanged(self.extensions.adjusted(self.config.settings)))
+        self.report_event(SettingsChanged(self.extensions.adjust_settings(self.config.settings)))
 
     def add_observer(self, observer: DispatchObserver) -> None:
         """Register an observer of requests, attempts, health checks and administrative changes."""
--- a/query_broker/dispatch/observers.py
+++ b/query_broker/dispatch/observers.py
@@ -104,7 +104,7 @@
         """Register a source; its lines follow those of the dispatcher and the present sources."""
         self._metrics_sources.append(source)
 
-    def adjusted(self, settings: Settings) -> Settings:
+    def adjust_settings(self, settings: Settings) -> Settings:
         """Return the settings after applying all adjusters."""
         for adjuster in self._settings_adjusters:
             settings = adjuster.adjust(settings)
--- a/tests/dispatch/test_policies.py
+++ b/tests/dispatch/test_policies.py
@@ -53,7 +53,7 @@
     settings = make_config().settings
     extensions.add_settings_adjuster(IncrementFleetSize())
     extensions.add_settings_adjuster(DoubleFleetSize())
-    assert extensions.adjusted(settings).fleet_size == (settings.fleet_size + 1) * 2
+    assert extensions.adjust_settings(settings).fleet_size == (settings.fleet_size + 1) * 2
 
 
 def test_lines_of_metrics_sources_follow_those_of_the_dispatcher() -> None:
