--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -163,9 +163,9 @@
         """Return this process's outstanding work by endpoint, for the broker's other processes."""
         return self.pool.outstanding(now_ns)
 
-    def avoided(self) -> int:
+    def count_avoided_endpoints(self) -> int:
         """Count the listed endpoints that are administratively disabled or ejected."""
-        return self.pool.avoided()
+        return self.pool.count_avoided_endpoints()
 
     def _event_handlers(self) -> dict[type, Callable[[int, Any], None]]:
         return {
--- a/query_broker/decisions/endpoint_pool.py
+++ b/query_broker/decisions/endpoint_pool.py
@@ -159,7 +159,7 @@
             for number, endpoint in self.endpoints.items()
         }
 
-    def avoided(self) -> int:
+    def count_avoided_endpoints(self) -> int:
         """Count the listed endpoints that are disabled or ejected."""
         return sum(
             endpoint.ejected or number in self.disabled
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -138,7 +138,7 @@
 
     def avoided_endpoints(self) -> int:
         """Count the listed endpoints that are administratively disabled or ejected."""
-        return self.controller.avoided()
+        return self.controller.count_avoided_endpoints()
 
     def outstanding(self, now_ns: int) -> dict[int, OutstandingWork]:
         """Return this process's outstanding work by endpoint, for the broker's other processes."""
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -144,7 +144,7 @@
             for endpoint in self.controller.endpoints.values()
         ]
         return (
-            self.controller.avoided(),
+            self.controller.count_avoided_endpoints(),
             sorted((number, tuple(work)) for number, work in outstanding),
             estimates,
         )
--- a/tests/server/test_co_process_load.py
+++ b/tests/server/test_co_process_load.py
@@ -67,4 +67,4 @@
     harness.do(api.AdministrativeChange(endpoint, False, harness.now))
     harness.end("r", api.AttemptResult.CONNECT_FAILED)
     assert not harness.controller.endpoints[endpoint].ejected
-    assert harness.controller.avoided() == 0
+    assert harness.controller.count_avoided_endpoints() == 0
