--- a/query_broker/log.py
+++ b/query_broker/log.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 # Length of the window within which the lines of each kind are counted.
-SPAN_S = 10.0
+RATE_LIMIT_WINDOW_S = 10.0
 # Lines of one kind that are written in one window; the number of suppressed ones is logged after
 # the window.
 MAX_LINES_PER_KIND = 20
@@ -22,7 +22,7 @@
 
 
 class Log:
-    """Writes at most `MAX_LINES_PER_KIND` lines of each kind in a window of `SPAN_S`.
+    """Writes at most `MAX_LINES_PER_KIND` lines of each kind in a window of `RATE_LIMIT_WINDOW_S`.
 
     A fault that occurs with every request must neither slow the broker down nor fill a disk.
 
@@ -48,7 +48,7 @@
         if now_s >= self._window_end_s:
             self._write_suppressed_counts()
             self._counts.clear()
-            self._window_end_s = now_s + SPAN_S
+            self._window_end_s = now_s + RATE_LIMIT_WINDOW_S
         self._counts[kind] = self._counts.get(kind, 0) + 1
         return self._counts[kind] <= MAX_LINES_PER_KIND
 
@@ -57,7 +57,8 @@
             if count > MAX_LINES_PER_KIND:
                 self._write_line(
                     kind,
-                    f"{count - MAX_LINES_PER_KIND} more lines in {SPAN_S:.0f} s were suppressed",
+                    f"{count - MAX_LINES_PER_KIND} more lines in "
+                    f"{RATE_LIMIT_WINDOW_S:.0f} s were suppressed",
                 )
 
     def _write_line(self, kind: str, text: str) -> None:
--- a/tests/dispatch/test_log_limits.py
+++ b/tests/dispatch/test_log_limits.py
@@ -16,7 +16,7 @@
     for _ in range(log.MAX_LINES_PER_KIND + 30):
         write_line("client", "odd")
     write_line("engine", "other")
-    now_s += log.SPAN_S
+    now_s += log.RATE_LIMIT_WINDOW_S
     write_line("client", "again")
     lines = capsys.readouterr().err.splitlines()
     assert sum("odd" in line for line in lines) == log.MAX_LINES_PER_KIND
