--- a/query_broker/timer_wheel.py
+++ b/query_broker/timer_wheel.py
@@ -16,11 +16,11 @@
 
     def __init__(self) -> None:
         """Read the offset between the monotonic clock and Unix time."""
-        self.anchor = time.time_ns() - time.monotonic_ns()
+        self.unix_offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
         """Return the time in Unix nanoseconds."""
-        return time.monotonic_ns() + self.anchor
+        return time.monotonic_ns() + self.unix_offset_ns
 
 
 class Timer:
--- a/tests/dispatch/test_attempt_races.py
+++ b/tests/dispatch/test_attempt_races.py
@@ -70,7 +70,7 @@
         await until(lambda: len(dialled) == 2 and dialled[1].waiting_attempts)
         assert sum(len(engine.commands_named(b"do")) for engine in engines) == 1
         if late:
-            broker.node.clock.anchor += window_ns
+            broker.node.clock.unix_offset_ns += window_ns
         gate.set()
         assert await recorder.first_outcome() is Outcome.REJECTED  # both engines know the key
         assert sum(len(engine.commands_named(b"do")) for engine in engines) == 1 + (not late)
--- a/tests/dispatch/test_client_races.py
+++ b/tests/dispatch/test_client_races.py
@@ -250,6 +250,6 @@
             )
             connection = next(iter(broker.node.clients))
             raw.sendall(request_frame(1))
-            broker.node.clock.anchor += 2 * IDLE_TIMEOUT_NS
+            broker.node.clock.unix_offset_ns += 2 * IDLE_TIMEOUT_NS
             connection.timeouts.check()  # the event loop has not run since
             await read_until_suffix(raw, b"a\tb\tc\n")
--- a/tests/dispatch/test_engine_connection_races.py
+++ b/tests/dispatch/test_engine_connection_races.py
@@ -96,7 +96,7 @@
         await until(lambda: connection.parser.buffer)
         descriptor = engine.writers[0].transport.get_extra_info("socket").fileno()
         os.write(descriptor, answer[20:])
-        broker.node.clock.anchor += 2 * ANSWER_TIMEOUT_NS
+        broker.node.clock.unix_offset_ns += 2 * ANSWER_TIMEOUT_NS
         connection.check(broker.node.clock.now())  # the event loop has not run since
         assert (await client.answer())[:2] == (1, frames.SERVED)
 
--- a/tests/dispatch/test_shutdown_stalls.py
+++ b/tests/dispatch/test_shutdown_stalls.py
@@ -39,7 +39,7 @@
 
 def stall(broker: Rig, duration_ns: int) -> None:
     """Advance the clock by this time without a turn of the event loop."""
-    broker.node.clock.anchor += duration_ns
+    broker.node.clock.unix_offset_ns += duration_ns
 
 
 def answer_codes(received: bytes) -> dict[int, int]:
--- a/tests/dispatch/test_stalls.py
+++ b/tests/dispatch/test_stalls.py
@@ -114,7 +114,7 @@
 
         monkeypatch.setattr(dispatcher, "report_event", record)
         dispatcher.health_checks.start(dispatcher.now(), first_pool(broker).number)
-        broker.node.clock.anchor += 2 * dispatcher.config.connect_timeout_ns
+        broker.node.clock.unix_offset_ns += 2 * dispatcher.config.connect_timeout_ns
         dispatcher.tick()  # the event loop has not run since
         await until(lambda: results)
         assert results == [AttemptResult.SERVED]
--- a/tests/quotas/test_ejections_between_processes.py
+++ b/tests/quotas/test_ejections_between_processes.py
@@ -175,7 +175,7 @@
             ObserverReports((ObserverReport("n1", "east", 1, 0, (observation,)),)),
             membership.names(),
         )
-        clock.anchor += consensus_settings.gossip_interval_ns
+        clock.unix_offset_ns += consensus_settings.gossip_interval_ns
         service._tick()
         assert [endpoint.uid for endpoint in service.consensus.ejections] == ["bad"]
         service.health_check_ended(number, AttemptResult.SERVED)  # a check that was already running
@@ -183,7 +183,7 @@
         own = service.observations.write_report(clock.now()).observations[0]
         assert (own.failures, own.successes) == (2, 0)
         assert not failing_engine.commands_named(b"top")
-        clock.anchor += gossip_rounds(3) * consensus_settings.gossip_interval_ns
+        clock.unix_offset_ns += gossip_rounds(3) * consensus_settings.gossip_interval_ns
         service._tick()
         await until(
             lambda: service.observations.write_report(clock.now()).observations[0].successes
