--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 #: Priority of control commands, above the priorities 0 to 3 of queries.
-CONTROL = 4
+CONTROL_PRIORITY = 4
 #: Maximum number of pieces in one vectored write; the limit of the system is 1,024.
 MAX_PIECES_PER_WRITE = 64
 #: The value of `Frame.written_bytes` after the frame has been withdrawn.
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -8,7 +8,7 @@
 import socket
 from typing import Protocol
 
-from ..deadlines.write_queue import CONTROL, Frame, WriteQueue
+from ..deadlines.write_queue import CONTROL_PRIORITY, Frame, WriteQueue
 from ..dispatch.requests import Attempt
 from . import resp
 from .engine_messages import CANCEL, encode_attempt
@@ -229,4 +229,4 @@
 
 def _control_frame(parts: tuple[bytes, ...], subject: object = None) -> Frame:
     pieces = resp.pieces(*parts)
-    return Frame(pieces, None, CONTROL, sum(map(len, pieces)), subject)
+    return Frame(pieces, None, CONTROL_PRIORITY, sum(map(len, pieces)), subject)
--- a/tests/deadlines/test_write_queue.py
+++ b/tests/deadlines/test_write_queue.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from query_broker.deadlines.write_queue import CONTROL, Frame, WriteQueue, remaining_pieces
+from query_broker.deadlines.write_queue import CONTROL_PRIORITY, Frame, WriteQueue, remaining_pieces
 from query_broker.protocols import resp
 
 
@@ -69,13 +69,13 @@
 def test_frames_are_written_by_priority_after_the_partly_written_frame(
     connection: WriteQueueSocket,
 ) -> None:
-    levels = {"a": 1, "b": 0, "c": 3, "d": CONTROL, "e": 3}
+    levels = {"a": 1, "b": 0, "c": 3, "d": CONTROL_PRIORITY, "e": 3}
     for name, level in levels.items():
         connection.enqueue(name, level)
     connection.flush(3)
     assert connection.begun == ["d"]
     assert connection.sent == b"ddd"
-    connection.enqueue("f", CONTROL)  # not before the rest of the frame that has begun
+    connection.enqueue("f", CONTROL_PRIORITY)  # not before the rest of the frame that has begun
     connection.flush(1_000)
     assert connection.written == ["d", "f", "c", "e", "a", "b"]
 
