--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -165,7 +165,7 @@
                 self.current = frame
         return remaining_pieces(self.current.pieces, self.current.written_bytes)
 
-    def wrote(self, size_bytes: int) -> bool:
+    def record_written(self, size_bytes: int) -> bool:
         """Record that this many bytes of the pieces returned by `next` have been written.
 
         Returns False if the socket accepts no more bytes for now. A frame of which no byte has been
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -189,7 +189,7 @@
             except OSError as error:
                 self.on_write_failure(str(error))
                 return
-            if not self.write_queue.wrote(written_bytes):
+            if not self.write_queue.record_written(written_bytes):
                 self.is_blocked = True
                 self.on_blocked()
                 return
--- a/tests/deadlines/test_write_queue.py
+++ b/tests/deadlines/test_write_queue.py
@@ -56,7 +56,7 @@
             data = b"".join(pieces)[:bytes_left]
             bytes_left -= len(data)
             self.sent += data
-            if not self.queue.wrote(len(data)):
+            if not self.queue.record_written(len(data)):
                 return
 
 
--- a/tests/server/test_admin_api.py
+++ b/tests/server/test_admin_api.py
@@ -185,9 +185,9 @@
         write_queue = connection.write_queue
         attempt = next(iter(connection.in_flight.values()))
         write_queue.current = Frame((b"x" * 100,), None, 1, 100, attempt)
-        assert not write_queue.wrote(99)
+        assert not write_queue.record_written(99)
         assert rig.node.dispatcher.metrics_counts.dispatches == 1
-        assert write_queue.wrote(1)
+        assert write_queue.record_written(1)
         assert rig.node.dispatcher.metrics_counts.dispatches == 2
 
 
