--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -31,7 +31,7 @@
         size_bytes: The total length of the pieces.
         subject: The object that the frame belongs to, passed to the queue's observer.
         written_bytes: The number of bytes written, or `WITHDRAWN`.
-        has_begun: Whether bytes that precede these pieces have already been written.
+        continues_frame: Whether bytes that precede these pieces have already been written.
     """
 
     pieces: tuple[bytes, ...]
@@ -40,7 +40,7 @@
     size_bytes: int
     subject: object = None
     written_bytes: int = 0
-    has_begun: bool = False
+    continues_frame: bool = False
 
 
 class FrameObserver(Protocol):
@@ -173,7 +173,7 @@
         """
         frame = self.current
         assert frame is not None, "no frame is being written"
-        if frame.written_bytes == 0 and not frame.has_begun:
+        if frame.written_bytes == 0 and not frame.continues_frame:
             if size_bytes == 0:
                 self.current = None
                 self.first_sequence -= 1
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -155,7 +155,7 @@
         priority = DEFAULT_PRIORITY if request.priority is None else request.priority
         size_bytes = sum(map(len, pieces))
         frame = Frame(pieces, request.client_request_id, priority, size_bytes, attempt)
-        frame.has_begun = attempt.write_started
+        frame.continues_frame = attempt.write_started
         self._enqueue(now_ns, frame)
 
     def send_command(self, now_ns: int, *parts: bytes) -> None:
