--- a/query_broker/deadlines/handover_checks.py
+++ b/query_broker/deadlines/handover_checks.py
@@ -39,14 +39,14 @@
         answer_wanted: Whether a client still waits for the answer.
         deadline_ns: When the answer must have arrived.
         min_latency_ns: The shortest time until the answer arrives; 0 if that is not known.
-        disabled: Whether an operator has disabled the endpoint.
+        endpoint_disabled: Whether an operator has disabled the endpoint.
         draining_since_ns: When the endpoint started to drain; 0 if it is not draining.
     """
 
     answer_wanted: bool
     deadline_ns: int
     min_latency_ns: int = 0
-    disabled: bool = False
+    endpoint_disabled: bool = False
     draining_since_ns: int = 0
 
 
@@ -60,7 +60,7 @@
         return StopReason.CLIENT_LEFT
     if now_ns >= state.deadline_ns:
         return StopReason.DEADLINE_PASSED
-    if state.disabled:
+    if state.endpoint_disabled:
         return StopReason.ENDPOINT_DISABLED
     if state.draining_since_ns and now_ns >= state.draining_since_ns:
         return StopReason.ENDPOINT_DRAINING
--- a/query_broker/dispatch/cancellation.py
+++ b/query_broker/dispatch/cancellation.py
@@ -89,7 +89,7 @@
             answer_wanted=request.client is not None and not request.cancellations_unread,
             deadline_ns=min(attempt.deadline_ns, request.deadline_ns, attempt.latest_start_ns),
             min_latency_ns=min_latency_ns,
-            disabled=is_disabled,
+            endpoint_disabled=is_disabled,
             draining_since_ns=0 if is_ready else now_ns,
         )
 
--- a/tests/deadlines/test_handover_checks.py
+++ b/tests/deadlines/test_handover_checks.py
@@ -17,7 +17,7 @@
             HandOverState(True, 4), StopReason.DEADLINE_PASSED, id="the deadline has passed"
         ),
         pytest.param(
-            HandOverState(True, 10, disabled=True),
+            HandOverState(True, 10, endpoint_disabled=True),
             StopReason.ENDPOINT_DISABLED,
             id="the endpoint is disabled",
         ),
