--- a/query_broker/deadlines/metrics.py
+++ b/query_broker/deadlines/metrics.py
@@ -43,7 +43,7 @@
             f"{PREFIX}further_refused_total",
             "Further attempts that the budget did not allow.",
             "counter",
-            budget.refused,
+            budget.refused_count,
         )
     lines += stages.metrics_lines(PREFIX)
     return metrics_page(lines)
--- a/query_broker/deadlines/retry_budget.py
+++ b/query_broker/deadlines/retry_budget.py
@@ -68,13 +68,13 @@
     Attributes:
         settings: The tokens that a first attempt earns, and the sizes of the buckets.
         tokens: The tokens in each bucket, by class and tenant.
-        refused: The number of retries that the budget did not allow.
+        refused_count: The number of retries that the budget did not allow.
         gate: The limit on retries that all brokers share; None if there is none.
     """
 
     settings: RetryBudgetSettings
     tokens: dict[tuple[str, str], float] = field(default_factory=dict)
-    refused: int = 0
+    refused_count: int = 0
     gate: RetryGate | None = None
 
     def set_gate(self, gate: RetryGate) -> None:
@@ -109,7 +109,7 @@
         key = self._bucket_key(class_name, tenant)
         tokens = self.tokens.get(key, self.settings.rate_for_class(class_name).burst)
         if tokens < 1 or self.gate is not None and not self.gate.admit_retry():
-            self.refused += 1
+            self.refused_count += 1
             return False
         self.tokens[key] = tokens - 1
         return True
--- a/tests/deadlines/test_retry_budget.py
+++ b/tests/deadlines/test_retry_budget.py
@@ -29,7 +29,7 @@
         budget.record_first_attempt("glance", "x")
     assert budget.try_spend("glance", "x")
     assert not budget.try_spend("glance", "x")
-    assert budget.refused == 2
+    assert budget.refused_count == 2
     budget.refund("glance", "x")  # as if the retry was never sent
     assert budget.try_spend("glance", "x")
     assert budget.try_spend("load", "x")
--- a/tests/golden/operators/test_deadline_metrics.py
+++ b/tests/golden/operators/test_deadline_metrics.py
@@ -27,7 +27,7 @@
     latencies = StageLatencies(MarginSettings())
     for number, stage in enumerate(LatencyStage, 1):
         latencies.add("glance", stage, number * NS_PER_MS, NOW_NS)
-    budget = RetryBudget(RetryBudgetSettings(), refused=6)
+    budget = RetryBudget(RetryBudgetSettings(), refused_count=6)
     text = metrics.render_deadline_metrics(statistics, latencies, MARGIN_NS, budget).decode()
     assert text == DEADLINE_METRICS
 
