--- a/query_broker/dispatch/validation.py
+++ b/query_broker/dispatch/validation.py
@@ -39,7 +39,7 @@
     """
 
     @classmethod
-    def of_field(cls, field: str, fault: str) -> InvalidRequestError:
+    def for_field(cls, field: str, fault: str) -> InvalidRequestError:
         """Return the error for one field, given by its name in the client protocol."""
         return cls(f"{field}: {fault}")
 
@@ -87,7 +87,7 @@
     """
     if NUMBER_PATTERN.fullmatch(text) is None:
         fault = f"{text[:MAX_QUOTED_CHARACTERS]!r} is no number from 0 up"
-        raise InvalidRequestError.of_field(name, fault)
+        raise InvalidRequestError.for_field(name, fault)
     return float(text)
 
 
@@ -120,14 +120,14 @@
         """
         if parsed.class_name not in self.class_deadlines_ns:
             quoted = parsed.class_name[:MAX_QUOTED_CHARACTERS]
-            raise InvalidRequestError.of_field("route", f"{quoted!r} is no class of the settings")
+            raise InvalidRequestError.for_field("route", f"{quoted!r} is no class of the settings")
         if not 1 <= parsed.timeout_ms <= MAX_TIMEOUT_MS:
-            raise InvalidRequestError.of_field("patience", f"must be 1 to {MAX_TIMEOUT_MS:.0f} ms")
+            raise InvalidRequestError.for_field("patience", f"must be 1 to {MAX_TIMEOUT_MS:.0f} ms")
         if max(parsed.estimate_ms, parsed.memory_mb) > MAX_ESTIMATE:
-            raise InvalidRequestError.of_field(ESTIMATE_FIELDS, "is out of range")
+            raise InvalidRequestError.for_field(ESTIMATE_FIELDS, "is out of range")
         if self.tenants and parsed.tenant not in self.tenants:
             quoted = (parsed.tenant or "")[:MAX_QUOTED_CHARACTERS]
-            raise InvalidRequestError.of_field("customer", f"{quoted!r} is none of the settings")
+            raise InvalidRequestError.for_field("customer", f"{quoted!r} is none of the settings")
         self._check_idempotency_key(parsed)
         self._check_open_requests(parsed)
 
@@ -136,10 +136,10 @@
         if key is None:
             if parsed.class_name in self._classes_with_key:
                 # Without the key an endpoint would not recognise a retry and would run it again.
-                raise InvalidRequestError.of_field("nonce", "is missing")
+                raise InvalidRequestError.for_field("nonce", "is missing")
         elif not key or "," in key:
             # An endpoint would parse the text after the comma as another field.
-            raise InvalidRequestError.of_field(
+            raise InvalidRequestError.for_field(
                 "nonce", "is empty or holds a comma: no engine can be told it"
             )
 
@@ -152,6 +152,6 @@
             ):
                 # An endpoint identifies requests by this id, and would answer one of them with the
                 # rows of the other.
-                raise InvalidRequestError.of_field(
+                raise InvalidRequestError.for_field(
                     "trace", "is open with another statement or nonce"
                 )
--- a/query_broker/protocols/client_request.py
+++ b/query_broker/protocols/client_request.py
@@ -36,13 +36,13 @@
     fields, statement = read_fields(payload)
     for name in REQUIRED_FIELDS:
         if not fields.get(name):
-            raise InvalidRequestError.of_field(name, "is missing")
+            raise InvalidRequestError.for_field(name, "is missing")
     request_id = fields[FIELD_CLIENT_REQUEST_ID]
     if len(request_id) != REQUEST_ID_DIGITS or not HEX_DIGITS.issuperset(request_id):
-        raise InvalidRequestError.of_field(FIELD_CLIENT_REQUEST_ID, "is not 16 hex digits")
+        raise InvalidRequestError.for_field(FIELD_CLIENT_REQUEST_ID, "is not 16 hex digits")
     _check_statement(statement)
     if fields.get(FIELD_IS_RETRY, "1") not in ("0", "1"):
-        raise InvalidRequestError.of_field(FIELD_IS_RETRY, "is neither 1 nor absent")
+        raise InvalidRequestError.for_field(FIELD_IS_RETRY, "is neither 1 nor absent")
     return ParsedRequest(
         class_name=fields[FIELD_CLASS_NAME],
         client_request_id=request_id,
