--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -27,7 +27,7 @@
 REMOVED_SILENCE_LIMIT_NS = 3_000_000_000
 #: Time after an attempt's deadline in which its answer may still arrive. Half a minute is long,
 #: since the connection is retired afterwards.
-LATE_ANSWER_NS = 30_000_000_000
+LATE_ANSWER_TIMEOUT_NS = 30_000_000_000
 
 
 class PoolContext(Protocol):
@@ -286,7 +286,8 @@
 def _close_if_unanswered(connection: EngineConnection, target: ListedEndpoint, now_ns: int) -> None:
     """Close a connection on which no more answers are expected."""
     overdue = [
-        now_ns > attempt.deadline_ns + LATE_ANSWER_NS for attempt in connection.in_flight.values()
+        now_ns > attempt.deadline_ns + LATE_ANSWER_TIMEOUT_NS
+        for attempt in connection.in_flight.values()
     ]
     if any(overdue):
         # A stream whose answer never comes would stay in use forever. The connection is closed once
--- a/tests/protocols/test_engine_connections.py
+++ b/tests/protocols/test_engine_connections.py
@@ -12,7 +12,7 @@
 from query_broker.dispatch.requests import ActiveRequest, Attempt
 from query_broker.endpoints import connection_choice
 from query_broker.endpoints.connect import connect
-from query_broker.endpoints.connection_pool import LATE_ANSWER_NS
+from query_broker.endpoints.connection_pool import LATE_ANSWER_TIMEOUT_NS
 from query_broker.protocols import client_frames as frames
 from query_broker.protocols import resp
 from query_broker.protocols.engine_connection import EngineConnection
@@ -157,13 +157,13 @@
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         pool = first_pool(rig)
         connection = pool.connections[0]
-        pool.sweep(broker.now() + LATE_ANSWER_NS + 1_000 * MS)
+        pool.sweep(broker.now() + LATE_ANSWER_TIMEOUT_NS + 1_000 * MS)
         assert connection.retired
         assert not connection.closed
         second = engine.commands_named(b"do")[1]
         engine.answer_served(second, engine.writer_of(second))
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        pool.sweep(broker.now() + LATE_ANSWER_NS + 1_000 * MS)
+        pool.sweep(broker.now() + LATE_ANSWER_TIMEOUT_NS + 1_000 * MS)
         await until(lambda: connection.closed)
 
 
