--- a/query_broker/endpoints/connection_choice.py
+++ b/query_broker/endpoints/connection_choice.py
@@ -13,7 +13,7 @@
 #: An endpoint with attempts in flight counts as silent after this time without a received byte.
 #: Within one second few attempts are sent to an endpoint that is cut off, and a false alarm costs
 #: only one connect.
-SILENCE_LIMIT_NS = 1_000_000_000
+ENDPOINT_SILENCE_LIMIT_NS = 1_000_000_000
 
 
 def usable_connections(
@@ -33,7 +33,7 @@
         return live
     last_received_ns = max([connection.last_received_ns for connection in live])
     silent_since_ns = max(min(dispatched_ns), last_received_ns)
-    return [] if now_ns - silent_since_ns > SILENCE_LIMIT_NS else live
+    return [] if now_ns - silent_since_ns > ENDPOINT_SILENCE_LIMIT_NS else live
 
 
 def choose_connection(
@@ -98,5 +98,8 @@
 def retire_silent(connections: Iterable[EngineConnection], now_ns: int) -> None:
     """Retire the connections that have attempts in flight and have been silent for too long."""
     for connection in connections:
-        if connection.in_flight and now_ns - connection.last_received_ns > SILENCE_LIMIT_NS:
+        if (
+            connection.in_flight
+            and now_ns - connection.last_received_ns > ENDPOINT_SILENCE_LIMIT_NS
+        ):
             connection.retired = True
