--- a/query_broker/endpoints/connection_pool.py
+++ b/query_broker/endpoints/connection_pool.py
@@ -121,7 +121,7 @@
         connection = choose_connection(self.connections, request_id, max_streams, now_ns)
         if connection is None:
             # If the write queues to this endpoint are full, only one more connection would help.
-            is_full = has_full_queue(self._usable(now_ns), request_id, max_streams)
+            is_full = has_full_queue(self._usable_connections(now_ns), request_id, max_streams)
             if (is_full and not self._may_open_dedicated()) or not may_connect:
                 self.pools.report_unsent(attempt, AttemptResult.NOT_SENT)
             else:
@@ -141,7 +141,7 @@
 
     def send_health_check(self, tag: bytes, now_ns: int) -> None:
         """Send a health check on the least loaded connection, or on a new one if none is usable."""
-        usable = self._usable(now_ns)
+        usable = self._usable_connections(now_ns)
         if usable:
             min(usable, key=_attempts_in_flight).send_health_check(tag)
         else:
@@ -196,7 +196,7 @@
             else:
                 _close_if_unanswered(connection, self.target, now_ns)
 
-    def _usable(self, now_ns: int) -> list[EngineConnection]:
+    def _usable_connections(self, now_ns: int) -> list[EngineConnection]:
         return usable_connections(self.connections, now_ns)
 
     def _may_open_dedicated(self) -> bool:
@@ -251,7 +251,10 @@
         now_ns = self.pools.owner.now()
         address = f"{self.target.host}:{self.target.port}"
         self.pools.log("engine", f"{self.target.uid} at {address}: {error.reason}")
-        if any(connection.last_received_ns >= started_ns for connection in self._usable(now_ns)):
+        if any(
+            connection.last_received_ns >= started_ns
+            for connection in self._usable_connections(now_ns)
+        ):
             # The endpoint has sent something since the connect began, so it isn't down.
             for tag in waiting.health_checks:
                 self.send_health_check(tag, now_ns)
--- a/tests/protocols/test_engine_connections.py
+++ b/tests/protocols/test_engine_connections.py
@@ -125,8 +125,8 @@
         await until(lambda: engine.commands_named(b"do"))
         pool = first_pool(rig)
         now = rig.node.clock.now()
-        assert pool._usable(now) == pool.connections
-        assert pool._usable(now + 2 * connection_choice.ENDPOINT_SILENCE_LIMIT_NS) == []
+        assert pool._usable_connections(now) == pool.connections
+        assert pool._usable_connections(now + 2 * connection_choice.ENDPOINT_SILENCE_LIMIT_NS) == []
 
 
 @on_uvloop
