--- a/query_broker/discovery/event_codec.py
+++ b/query_broker/discovery/event_codec.py
@@ -17,7 +17,7 @@
 from ..decisions.facade import EndpointState
 from ..errors import QueryBrokerError
 
-STATES = {
+STATE_BY_NAME = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.REMOVED,
@@ -189,9 +189,9 @@
     if not isinstance(uid, str) or not uid:
         raise InvalidEventError(problem="a target without its uid")
     state = raw.get("state")
-    if not isinstance(state, str) or state not in STATES:
+    if not isinstance(state, str) or state not in STATE_BY_NAME:
         raise InvalidEventError(problem=f"unknown state {state!r}", uid=uid)
-    return _listed_endpoint(uid, STATES[state], raw)
+    return _listed_endpoint(uid, STATE_BY_NAME[state], raw)
 
 
 def _listed_endpoint(uid: str, state: EndpointState, raw: dict[str, Any]) -> ListedEndpoint:
