--- a/query_broker/protocols/operator_answers.py
+++ b/query_broker/protocols/operator_answers.py
@@ -10,7 +10,7 @@
 TEXT_CONTENT_TYPE = "text/plain; charset=utf-8"
 # The content type of the Prometheus text format.
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -28,7 +28,7 @@
     """The answer to one call of the admin API, from the broker or a subsystem.
 
     Attributes:
-        status: The HTTP status, which must be a key of `REASONS`.
+        status: The HTTP status, which must be a key of `REASON_PHRASES`.
         body: The complete body.
         content_type: Value of the Content-Type header.
         allow: Value of the Allow header: the method that the path allows; empty to omit the header.
@@ -67,7 +67,7 @@
 def encode_answer(answer: HttpAnswer) -> bytes:
     """Encode one complete answer; the connection ends after it."""
     lines = [
-        f"HTTP/1.1 {answer.status} {REASONS[answer.status]}",
+        f"HTTP/1.1 {answer.status} {REASON_PHRASES[answer.status]}",
         f"Content-Type: {answer.content_type}",
         f"Content-Length: {len(answer.body)}",
         "Connection: close",
--- a/tests/golden/operators/test_names_in_answers.py
+++ b/tests/golden/operators/test_names_in_answers.py
@@ -4,12 +4,12 @@
 
 from query_broker.cells.migrations import Stage as MigrationStage
 from query_broker.outlier_consensus.overrides import OVERRIDE_VALUES
-from query_broker.protocols.operator_answers import REASONS
+from query_broker.protocols.operator_answers import REASON_PHRASES
 from query_broker.startup.stages import Stage as StartupStage
 
 
 def test_every_status_has_its_reason() -> None:
-    assert REASONS == {
+    assert REASON_PHRASES == {
         200: "OK",
         400: "Bad Request",
         404: "Not Found",
