--- a/tests/discovery/test_event_codec.py
+++ b/tests/discovery/test_event_codec.py
@@ -10,7 +10,7 @@
 from query_broker.decisions.events import EndpointState
 from query_broker.discovery import event_codec
 
-from ..protocols.parsing import parse_in_steps
+from ..protocols.parsing import parse_in_pieces
 from ..support.sockets import target_entry, topology_event
 
 
@@ -44,7 +44,7 @@
 def test_lines_are_parsed_from_chunks_of_any_size_and_a_partial_line_is_kept() -> None:
     line = event_line(target_entry("s-1", 9090))
     parser = event_codec.LineParser()
-    assert parse_in_steps(parser, b"17\n" + line + b"\n18", 5) == [b"17", line]
+    assert parse_in_pieces(parser, b"17\n" + line + b"\n18", 5) == [b"17", line]
 
 
 @pytest.mark.parametrize(
--- a/tests/protocols/parsing.py
+++ b/tests/protocols/parsing.py
@@ -18,9 +18,9 @@
             parsed.append(item)
 
 
-def parse_in_steps(parser: Any, data: bytes, step: int) -> list[Any]:
-    """Feed data in pieces of ``step`` bytes, and return all parsed items."""
+def parse_in_pieces(parser: Any, data: bytes, piece_bytes: int) -> list[Any]:
+    """Feed data in pieces of ``piece_bytes`` bytes, and return all parsed items."""
     parsed: list[Any] = []
-    for start in range(0, len(data), step):
-        parse_piece(parser, data[start : start + step], parsed)
+    for start in range(0, len(data), piece_bytes):
+        parse_piece(parser, data[start : start + piece_bytes], parsed)
     return parsed
--- a/tests/protocols/test_frame_codec.py
+++ b/tests/protocols/test_frame_codec.py
@@ -11,7 +11,7 @@
 from query_broker.protocols.client_request import parse_request
 
 from ..support.sockets import TRACE
-from .parsing import parse_in_steps
+from .parsing import parse_in_pieces
 
 ENCODED_FIELDS = frames.write_fields({"route": "glance", "trace": "9b"})
 
@@ -29,7 +29,7 @@
     sent: list[tuple[int, int, bytes]], step: int
 ) -> None:
     data = b"".join(frames.frame(*sent_frame) for sent_frame in sent)
-    assert parse_in_steps(frames.FrameParser(), data, step) == sent
+    assert parse_in_pieces(frames.FrameParser(), data, step) == sent
 
 
 @given(
@@ -84,7 +84,7 @@
 )
 def test_a_malformed_frame_raises_an_error_before_it_is_complete(data: bytes) -> None:
     with pytest.raises(frames.MalformedFrameError):
-        parse_in_steps(frames.FrameParser(), data, len(data))
+        parse_in_pieces(frames.FrameParser(), data, len(data))
 
 
 @pytest.mark.parametrize(
--- a/tests/protocols/test_resp_codec.py
+++ b/tests/protocols/test_resp_codec.py
@@ -6,7 +6,7 @@
 
 from query_broker.protocols import resp
 
-from .parsing import parse_in_steps
+from .parsing import parse_in_pieces
 
 
 @pytest.mark.parametrize("step", [1, 4, 1_000])
@@ -22,7 +22,7 @@
     arrays: list[list[bytes]], step: int
 ) -> None:
     data = b"".join(resp.encode(*array) for array in arrays)
-    assert parse_in_steps(resp.RespParser(), data, step) == arrays
+    assert parse_in_pieces(resp.RespParser(), data, step) == arrays
 
 
 @pytest.mark.parametrize(
@@ -41,7 +41,7 @@
 )
 def test_malformed_resp_raises_an_error(data: bytes) -> None:
     with pytest.raises(resp.MalformedAnswerError):
-        parse_in_steps(resp.RespParser(), data, 1_000)
+        parse_in_pieces(resp.RespParser(), data, 1_000)
 
 
 @pytest.mark.parametrize(
