--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 #: Priority of control commands, above the priorities 0 to 3 of queries.
-CONTROL = 4
+CONTROL_PRIORITY = 4
 #: Maximum number of pieces in one vectored write; the limit of the system is 1,024.
 MAX_PIECES_PER_WRITE = 64
 #: The value of `Frame.written_bytes` after the frame has been withdrawn.
@@ -31,7 +31,7 @@
         size_bytes: The total length of the pieces.
         subject: The object that the frame belongs to, passed to the queue's observer.
         written_bytes: The number of bytes written, or `WITHDRAWN`.
-        has_begun: Whether bytes that precede these pieces have already been written.
+        continues_frame: Whether bytes that precede these pieces have already been written.
     """
 
     pieces: tuple[bytes, ...]
@@ -40,7 +40,7 @@
     size_bytes: int
     subject: object = None
     written_bytes: int = 0
-    has_begun: bool = False
+    continues_frame: bool = False
 
 
 class FrameObserver(Protocol):
@@ -165,7 +165,7 @@
                 self.current = frame
         return remaining_pieces(self.current.pieces, self.current.written_bytes)
 
-    def wrote(self, size_bytes: int) -> bool:
+    def record_written(self, size_bytes: int) -> bool:
         """Record that this many bytes of the pieces returned by `next` have been written.
 
         Returns False if the socket accepts no more bytes for now. A frame of which no byte has been
@@ -173,7 +173,7 @@
         """
         frame = self.current
         assert frame is not None, "no frame is being written"
-        if frame.written_bytes == 0 and not frame.has_begun:
+        if frame.written_bytes == 0 and not frame.continues_frame:
             if size_bytes == 0:
                 self.current = None
                 self.first_sequence -= 1
--- a/query_broker/dispatch/attempt_dispatch.py
+++ b/query_broker/dispatch/attempt_dispatch.py
@@ -50,7 +50,7 @@
             return
         for attempt in request.attempts.values():
             if attempt.connection is not None:
-                attempt.connection.raise_priority(attempt, options.priority)
+                attempt.connection.set_priority(attempt, options.priority)
 
     def dispatch(self, now_ns: int, order: Dispatch) -> None:
         """Hand a new attempt to the connection pool of its endpoint.
@@ -70,7 +70,7 @@
             latest_start_ns=order.latest_start_ns,
         )
         request.attempts[attempt.number] = attempt
-        if self._table.closing or request.closing or request.client_unreadable:
+        if self._table.closing or request.closing or request.cancellations_unread:
             self._outcomes.end_next_tick(attempt, AttemptResult.NOT_SENT)
             return
         budget = self._controls.retry_budget
--- a/query_broker/dispatch/connection_events.py
+++ b/query_broker/dispatch/connection_events.py
@@ -26,7 +26,8 @@
     """The owner of all connections to endpoints: implements `EngineConnectionOwner`.
 
     Attributes:
-        blocked: Connections to flush at the next tick, in the order in which their sockets blocked.
+        blocked_connections: Connections to flush at the next tick, in the order in which their
+            sockets blocked.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         self._cancellations = cancellations
         self._health_checks = health_checks
         self._stage_timer = stage_timer
-        self.blocked: dict[EngineConnection, None] = {}
+        self.blocked_connections: dict[EngineConnection, None] = {}
 
     def now(self) -> int:
         """Return the time in Unix nanoseconds."""
@@ -63,7 +64,7 @@
         """Return whether the first byte of the attempt may be sent."""
         return self._gate.may_proceed(attempt, HandOver.SOCKET)
 
-    def attempt_written_at_once(self) -> None:
+    def attempt_written_immediately(self) -> None:
         """Count an attempt that was sent completely by the call that handed it to a connection."""
         self._metrics.dispatches += 1
 
@@ -79,13 +80,13 @@
 
     def socket_blocked(self, connection: EngineConnection) -> None:
         """Flush a connection at the next tick: its socket accepts no more bytes for now."""
-        self.blocked[connection] = None
+        self.blocked_connections[connection] = None
         self._timer_wheel.wake_next_tick()
 
     def flush_blocked(self) -> None:
         """Flush the connections whose sockets had accepted no more bytes."""
-        blocked = self.blocked
-        self.blocked = {}
+        blocked = self.blocked_connections
+        self.blocked_connections = {}
         for connection in blocked:
             connection.flush()
 
@@ -116,7 +117,7 @@
                 HealthCheckResult(attempt.endpoint, AttemptResult.SERVED, 0, load)
             )
 
-    def progress_noted(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
+    def progress_reported(self, attempt: Attempt, kind: ProgressKind, amount: float) -> None:
         """Report the progress of an attempt, at most one note of each kind per interval."""
         now_ns = self._clock.now()
         if (
@@ -139,13 +140,15 @@
         else:
             self._controls.statistics.cancels_confirmed += count
 
-    def carried_elsewhere(self, connection: EngineConnection, request_id: bytes) -> bool:
+    def carried_by_other_connection(self, connection: EngineConnection, request_id: bytes) -> bool:
         """Return whether another connection to the endpoint has recently carried this request."""
         pool = self._context.pools.get(connection.endpoint)
         if pool is None:
             return False
         return any(
-            request_id in other.carried_ids for other in pool.connections if other is not connection
+            request_id in other.remembered_request_ids
+            for other in pool.connections
+            if other is not connection
         )
 
     def connection_lost(
--- a/query_broker/protocols/engine_connection.py
+++ b/query_broker/protocols/engine_connection.py
@@ -43,7 +43,7 @@
     def socket_blocked(self, connection: EngineConnection) -> None:
         """Flush this connection at the next tick: its socket currently accepts no more bytes."""
 
-    def carried_elsewhere(self, connection: EngineConnection, request_id: bytes) -> bool:
+    def carried_by_other_connection(self, connection: EngineConnection, request_id: bytes) -> bool:
         """Return whether another connection recently carried this id to the same engine."""
 
 
@@ -57,7 +57,7 @@
         endpoint: Number of the endpoint.
         in_flight: Attempts that the engine has not answered, by request id; also those that no
             client waits for, which keep their stream until their answer has arrived and is dropped.
-        carried_ids: The request ids for which answers may still arrive, the newest last.
+        remembered_request_ids: The request ids for which answers may still arrive, the newest last.
         health_checks: The tags of unanswered health checks.
         cancelled_ids: The request ids of cancelled attempts, each of which still has its stream.
         retired: Whether the connection takes no further attempts.
@@ -79,7 +79,7 @@
         self.transport: asyncio.Transport | None = None
         self.parser = resp.RespParser()
         self.in_flight: dict[bytes, Attempt] = {}
-        self.carried_ids: dict[bytes, None] = {}
+        self.remembered_request_ids: dict[bytes, None] = {}
         self.health_checks: set[bytes] = set()
         now_ns = owner.now()
         self.last_received_ns = now_ns
@@ -95,7 +95,11 @@
         self.cancellations = EngineCancellations(owner, self.writer)
         self.cancelled_ids = self.cancellations.pending.by_id
         self.answers = EngineAnswers(
-            self, owner, self.writer, self.cancellations, partial(owner.carried_elsewhere, self)
+            self,
+            owner,
+            self.writer,
+            self.cancellations,
+            partial(owner.carried_by_other_connection, self),
         )
 
     @property
@@ -125,23 +129,23 @@
         """Register an attempt as in flight on this connection; `send` then sends it."""
         request_id = attempt.request.client_request_id
         self.in_flight[request_id] = attempt
-        self.carried_ids[request_id] = None
-        if len(self.carried_ids) > MAX_CARRIED_IDS:
-            oldest = next(iter(self.carried_ids))
-            del self.carried_ids[oldest]
+        self.remembered_request_ids[request_id] = None
+        if len(self.remembered_request_ids) > MAX_CARRIED_IDS:
+            oldest = next(iter(self.remembered_request_ids))
+            del self.remembered_request_ids[oldest]
             if oldest in self.in_flight:  # the id of an unanswered attempt stays remembered
-                self.carried_ids[oldest] = None
+                self.remembered_request_ids[oldest] = None
 
     def send(self, attempt: Attempt, now_ns: int) -> None:
         """Send an attempt."""
         self.writer.send(attempt, now_ns)
 
-    def raise_priority(self, attempt: Attempt, level: int) -> None:
+    def set_priority(self, attempt: Attempt, priority: int) -> None:
         """Change an attempt's priority: in the write queue, or at the engine if it has left."""
         request_id = attempt.request.client_request_id
-        if not self.writer.raise_priority(request_id, level):
+        if not self.writer.set_priority(request_id, priority):
             now_ns = self.owner.now()
-            self.writer.send_command(now_ns, messages.RAISE_PRIORITY, request_id, b"%d" % level)
+            self.writer.send_command(now_ns, messages.SET_PRIORITY, request_id, b"%d" % priority)
 
     def withdraw(self, attempt: Attempt) -> bool:
         """Withdraw an attempt if none of its bytes has left; return whether it was withdrawn."""
--- a/query_broker/protocols/engine_writer.py
+++ b/query_broker/protocols/engine_writer.py
@@ -8,7 +8,7 @@
 import socket
 from typing import Protocol
 
-from ..deadlines.write_queue import CONTROL, Frame, WriteQueue
+from ..deadlines.write_queue import CONTROL_PRIORITY, Frame, WriteQueue
 from ..dispatch.requests import Attempt
 from . import resp
 from .engine_messages import CANCEL, encode_attempt
@@ -31,7 +31,7 @@
     def attempt_written(self, attempt: Attempt) -> None:
         """Called when the last byte of a queued attempt has left."""
 
-    def attempt_written_at_once(self) -> None:
+    def attempt_written_immediately(self) -> None:
         """Called when an attempt has left completely without being queued."""
 
     def may_proceed(self, attempt: Attempt) -> bool:
@@ -148,14 +148,14 @@
             if written_bytes == len(pieces[0]):
                 self.last_used_ns = now_ns
                 attempt.written_ns = now_ns
-                self.observer.attempt_written_at_once()
+                self.observer.attempt_written_immediately()
                 return
             pieces = (pieces[0][written_bytes:],)
         request = attempt.request
         priority = DEFAULT_PRIORITY if request.priority is None else request.priority
         size_bytes = sum(map(len, pieces))
         frame = Frame(pieces, request.client_request_id, priority, size_bytes, attempt)
-        frame.has_begun = attempt.write_started
+        frame.continues_frame = attempt.write_started
         self._enqueue(now_ns, frame)
 
     def send_command(self, now_ns: int, *parts: bytes) -> None:
@@ -172,7 +172,7 @@
         """Withdraw a queued attempt if none of its bytes has left; return whether it was."""
         return self.write_queue.withdraw(request_id)
 
-    def raise_priority(self, request_id: bytes, priority: int) -> bool:
+    def set_priority(self, request_id: bytes, priority: int) -> bool:
         """Change the priority of a queued attempt; return False if it is not queued."""
         return self.write_queue.raise_priority(request_id, priority)
 
@@ -189,7 +189,7 @@
             except OSError as error:
                 self.on_write_failure(str(error))
                 return
-            if not self.write_queue.wrote(written_bytes):
+            if not self.write_queue.record_written(written_bytes):
                 self.is_blocked = True
                 self.on_blocked()
                 return
@@ -229,4 +229,4 @@
 
 def _control_frame(parts: tuple[bytes, ...], subject: object = None) -> Frame:
     pieces = resp.pieces(*parts)
-    return Frame(pieces, None, CONTROL, sum(map(len, pieces)), subject)
+    return Frame(pieces, None, CONTROL_PRIORITY, sum(map(len, pieces)), subject)
--- a/tests/dispatch/test_client_races.py
+++ b/tests/dispatch/test_client_races.py
@@ -158,14 +158,14 @@
             client.ask(
                 number, trace=f"{number:016x}", body=STATEMENT + b" /* " + b"x" * 20_000 + b" */"
             )
-        await until(lambda: connection.reader.unreadable)
+        await until(lambda: connection.reader.is_reading_paused)
         first.writers[0].write(resp.encode(b"1" * 16, b"crashed", b"-", b""))
         assert (await client.answer())[:2] == (1, frames.REFUSED)
         assert not other.commands_named(b"do")
         assert len(first.commands_named(b"do")) == 1
         connection.resume_writing()  # the remaining frames are read now
         await until(lambda: len(first.commands_named(b"do") + other.commands_named(b"do")) == 5)
-        assert not connection.reader.unreadable
+        assert not connection.reader.is_reading_paused
 
 
 @on_uvloop
@@ -250,6 +250,6 @@
             )
             connection = next(iter(broker.node.clients))
             raw.sendall(request_frame(1))
-            broker.node.clock.anchor += 2 * IDLE_TIMEOUT_NS
+            broker.node.clock.unix_offset_ns += 2 * IDLE_TIMEOUT_NS
             connection.timeouts.check()  # the event loop has not run since
             await read_until_suffix(raw, b"a\tb\tc\n")
