--- a/query_broker/config/platform_settings.py
+++ b/query_broker/config/platform_settings.py
@@ -70,9 +70,10 @@
 
 
 def _check_report(report: Section) -> None:
-    """Check that the fields of load reports, which are not used, are a list of texts.
+    """Check that ``fields``, the list of the fields of load reports, is absent or a list of texts.
 
-    Null is an error as well: the platform defines no meaning for null here, so a list is missing.
+    The broker does not use the list. Null is an error: the platform defines no meaning for it here,
+    so it does not count as absent.
     """
     if "fields" in report.values and not report.has_value("fields"):
         raise InvalidValueError(report.key("fields"), "null is no list")
@@ -148,7 +149,10 @@
 
 
 def _kind_cores(root: Section, specifics: Section) -> tuple[tuple[str, int], ...]:
-    """Return the cores of each kind of endpoint, without kinds that have no entry for cores."""
+    """Return the cores of each kind of endpoint.
+
+    The two lists have the same order. Kinds beyond the end of the list of cores are left out.
+    """
     kinds = root.list_of("kinds", ValueKind.TEXT)
     cores = specifics.list_of("size_cores", ValueKind.INTEGER)
     return tuple(zip(kinds, cores, strict=False))
--- a/query_broker/deadlines/write_queue.py
+++ b/query_broker/deadlines/write_queue.py
@@ -49,8 +49,8 @@
     def release_frame(self, frame: Frame, /) -> tuple[bytes, ...] | None:
         """Return the pieces to write for a frame that has waited; None to drop the frame.
 
-        Called before the first byte is written: the remaining time that the pieces state has become
-        shorter while the frame waited.
+        Called before the first byte is written, since the remaining time encoded in the pieces is
+        out of date after the wait.
         """
 
     def frame_started(self, subject: object, /) -> None:
@@ -68,12 +68,15 @@
         observer: Releases frames and is notified of their progress.
         max_frames: Number of waiting frames at which the queue is full.
         max_bytes: Number of waiting bytes at which the queue is full.
-        heap: The waiting frames, by priority and sequence number.
+        heap: The waiting frames, by priority and sequence number, and the withdrawn frames that
+            have not been removed yet.
         by_key: The waiting frames that can be withdrawn, by key.
-        current: The frame that `next` has returned, or that is partly written.
+        current: The frame that is partly written, or that the caller has been given to write; None
+            if there is none.
         waiting_bytes: Total size of the waiting frames.
         last_sequence: Sequence number of the frame that was queued last.
-        first_sequence: Sequence number of the frame that was put back last, before all others.
+        first_sequence: Sequence number of the frame that was put back last, below all others; 0 if
+            none was.
     """
 
     observer: FrameObserver
@@ -116,7 +119,10 @@
         self.waiting_bytes += frame.size_bytes
 
     def withdraw(self, key: bytes) -> bool:
-        """Withdraw a frame; return whether no byte of it was written, so that none will be."""
+        """Withdraw a waiting frame; return False if no frame with this key waits.
+
+        A withdrawn frame is never written.
+        """
         frame = self.by_key.pop(key, None)
         if frame is None:
             return False
@@ -130,7 +136,10 @@
             heapq.heappop(self.heap)
 
     def raise_priority(self, key: bytes, priority: int) -> bool:
-        """Give a waiting frame another priority; return False if no such frame waits."""
+        """Give a waiting frame another priority; return False if no frame with this key waits.
+
+        If the priority differs, the frame goes behind the waiting frames of its new priority.
+        """
         frame = self.by_key.get(key)
         if frame is None:
             return False
@@ -168,8 +177,9 @@
     def record_written(self, size_bytes: int) -> bool:
         """Record that this many bytes of the pieces returned by `next` have been written.
 
-        Returns False if the socket accepts no more bytes for now. A frame of which no byte has been
-        written goes back to its place and may still be withdrawn.
+        Returns True if the frame is complete; False if bytes of it remain. A frame of which no byte
+        has been written waits again, before all other frames of its priority, and may still be
+        withdrawn.
         """
         frame = self.current
         assert frame is not None, "no frame is being written"
--- a/query_broker/server/tick_loop.py
+++ b/query_broker/server/tick_loop.py
@@ -11,11 +11,11 @@
 
 NS_PER_MS = 1_000_000
 MS_PER_S = 1_000
-# Time between two sweeps of idle connections and slow readers. Compared to their timeouts of
-# seconds, a quarter of a second is short.
+# Time between two sweeps of idle connections and slow readers. It is short compared to their
+# timeouts, which are seconds.
 SWEEP_PERIOD_NS = 250_000_000
-# Ticks later than this are logged. Ticks are a few milliseconds apart: such a delay means that the
-# process had too little processor time.
+# A tick is logged as late if it runs later than due by more than this plus one tick period. Such a
+# delay means that the event loop was blocked or that the process had too little processor time.
 MAX_LAG_NS = 100_000_000
 # A signal that is handled within this time after a stall may have come during the stall: the loop
 # runs the late tick first, then the signal handlers in the same iteration.
@@ -26,8 +26,8 @@
     """A period in which the event loop did not run.
 
     Attributes:
-        began_ns: The last tick before it.
-        ended_ns: The first tick after it.
+        began_ns: The time of the last tick before it.
+        ended_ns: The time of the first tick after it.
     """
 
     began_ns: int
@@ -91,7 +91,7 @@
         self.node.after_tick()
 
     def earliest_signal_ns(self, now_ns: int) -> int:
-        """Return the earliest time at which a signal that is handled now may have come.
+        """Return the earliest time at which a signal that is handled now may have been sent.
 
         A stopped process handles a signal only once it runs again, but the sender measures its
         timeouts from the moment of sending.
--- a/query_broker/startup/discovery_pace.py
+++ b/query_broker/startup/discovery_pace.py
@@ -9,10 +9,12 @@
 from .pacing import PacedCalls, backoff_timeout_ns
 from .settings import NS_PER_SECOND
 
-#: Upper limit of the connect timeout, which doubles with each failure.
+#: Upper limit of the connect timeout. The timeout doubles with each failed or lost connection until
+#: the service next sends or confirms the endpoint list.
 MAX_CONNECT_TIMEOUT_NS = 8 * NS_PER_SECOND
 
-#: Upper limit of the silence after which a connection is closed; doubles with each failure.
+#: Upper limit of the silence after which a connection is closed. The allowed silence doubles in
+#: the same way.
 MAX_SILENCE_NS = 16 * NS_PER_SECOND
 
 
@@ -26,17 +28,19 @@
 class DiscoveryPace:
     """Implements ``ReconnectPacing`` for a fleet whose brokers all start at once.
 
-    The first call is made in the slot of this broker's index; retries use full jitter.
+    Each broker has time slots of its own for connection attempts, by its index in the fleet (see
+    `pacing`). The first attempt is made in the next of them; each later one first skips a random
+    number of them.
 
     Attributes:
-        first_wait_s: Seconds until the first call.
+        first_wait_s: Seconds until the first connection attempt.
     """
 
     def __init__(self, calls: PacedCalls, clock: Clock, listener: ConfirmationListener) -> None:
-        """Choose the time of the first call.
+        """Choose the time of the first connection attempt.
 
         Args:
-            calls: Decides when this broker calls the discovery service.
+            calls: Schedules the connection attempts of this broker.
             clock: The clock of the node.
             listener: Is notified when the list is confirmed.
         """
@@ -52,7 +56,7 @@
         self._calls.fleet_size = fleet_size
 
     def next_wait_s(self) -> float:
-        """Count a failed call, and return the seconds until the next one."""
+        """Count a failed or lost connection; return the seconds until the next attempt."""
         now_ns = self._clock.now()
         return (self._calls.retry_ns(now_ns) - now_ns) / NS_PER_SECOND
 
@@ -69,6 +73,6 @@
         return backoff_timeout_ns(self._calls.failure_count, SILENCE_LIMIT_NS, MAX_SILENCE_NS)
 
     def list_confirmed(self) -> None:
-        """Record that the discovery service has sent or confirmed its present endpoint list."""
+        """Record that the discovery service has sent or confirmed this broker's endpoint list."""
         self._calls.succeeded()
         self._listener.confirmed()
