--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -1,8 +1,9 @@
 """Quotas of a shared resource that cells may borrow from each other.
 
 Each cell has a quota of the resource and may also use the unused quota of other cells, except for
-the `RESERVED_FRACTION` that is never lent. An owner that uses more than this reserve *reclaims* its
-quota: nothing more of it is lent, and borrowed amounts are called in after `CALL_IN_DELAY_NS`.
+the `RESERVED_FRACTION` that is never lent. A cell that uses less than its quota and needs more than
+this reserve *reclaims* its quota: nothing more of it is lent, and borrowed amounts are called in
+after `CALL_IN_DELAY_NS`.
 *Firm* use must not be cut short (such as work that is not idempotent), so it is never borrowed: it
 stays within the cell's own quota.
 
@@ -15,10 +16,11 @@
 from dataclasses import dataclass, field
 
 NS_PER_S = 1_000_000_000
-#: The fraction of a quota that is never lent, so that the owner can always start at once.
+#: The fraction of a quota that is never lent, so that the owner need not wait for borrowers before
+#: it can use this part.
 RESERVED_FRACTION = 0.25
-#: The delay from the owner's reclaim until borrowed amounts are called in. With the time that
-#: borrowers take to end, the owner has its quota back within a second.
+#: The delay from the owner's reclaim until borrowed amounts are called in. The owner has its quota
+#: back within a second, including the time that borrowers take to give these amounts back.
 CALL_IN_DELAY_NS = NS_PER_S * 3 // 5
 #: How long a reclaim lasts after the owner last repeated it.
 RECLAIM_HOLD_NS = 5 * NS_PER_S
@@ -120,8 +122,8 @@
     def allows(self, name: str, amount: int, now_ns: int, firm: bool = False) -> bool:
         """Return whether the cell may use this additional amount.
 
-        Side effect: a cell that needs more than the reserved part of its quota reclaims its quota,
-        so that borrowed amounts are called in.
+        Side effect: a cell that uses less than its quota and needs more than the reserved part of
+        it reclaims its quota, so that borrowed amounts are called in.
         """
         account = self.accounts.get(name)
         if account is None:
@@ -174,7 +176,7 @@
         self._drop_if_unused(name, account)
 
     def set_in_use(self, name: str, in_use: int, firm_in_use: int = 0) -> None:
-        """Set the amounts in use of a cell whose use the caller counts."""
+        """Replace the cell's amounts in use with those that the caller has counted."""
         account = self.accounts.get(name)
         if account is None:
             return
@@ -193,7 +195,8 @@
     def amounts_to_call_in(self, now_ns: int) -> dict[str, int]:
         """Return the amount that each borrower has to give back now, the largest borrower first.
 
-        The amounts add up to no more than what the owners with a due reclaim lack of their quotas.
+        The amounts add up to no more than the unused quotas of the owners whose reclaim is due,
+        less the free amount of the total.
         """
         for account in self.accounts.values():
             account.expire_reclaim(now_ns)
--- a/query_broker/cells/migration_steps.py
+++ b/query_broker/cells/migration_steps.py
@@ -27,7 +27,8 @@
     Args:
         log: The records.
         now_ns: The time.
-        cluster: What the step looks at.
+        cluster: The ready and warm engines of the cells, the open requests, and which records all
+            other processes have.
         accepting_processes: The names of the other processes that accept requests. When a driver
             ends, the process with the lowest name, this one included, takes its migrations over.
     """
@@ -52,8 +53,8 @@
 def _delete_if_settled(log: MigrationLog, migration: Migration, now_ns: int) -> None:
     """Delete an old record of an ended migration that no longer affects routing.
 
-    A record that routes the tenant to another cell than its home in the map is never deleted,
-    unless the map has no such cell.
+    A record is kept for as long as it routes the tenant to a cell of the map that is not the
+    tenant's home in the map.
     """
     if now_ns - migration.stage_since_ns <= RETENTION_NS:
         return
@@ -103,7 +104,11 @@
     is_warm: bool,
     cluster: ClusterView,
 ) -> None:
-    """Switch once all processes know the time of the switch; postpone it until then."""
+    """Enter the stage `SWITCHED` once all other processes have the record with the switch time.
+
+    If they do not have it by that time, the switch gets a later time. If the target is no longer
+    warm, the switch is called off until the target has been warm for long enough again.
+    """
     if not is_warm:
         # The tenant must not go to a target that failed while the switch was being replicated.
         log.record(replace(migration, switch_at_ns=0, warm_since_ns=0))
@@ -126,7 +131,8 @@
 ) -> Migration | None:
     """Check the target after the switch; return the record, or None if it was aborted.
 
-    A target without endpoints for too long returns the tenant to the source, if the source has any.
+    The migration is aborted if the target has been without a ready engine for too long and the
+    source has one: the tenant then goes back to the source.
     """
     if cluster.fleet(migration.target).ready_count:
         if migration.target_lost_since_ns:
@@ -178,6 +184,10 @@
 
 
 def _end_by_close_out(log: MigrationLog, migration: Migration, stage: Stage, now_ns: int) -> None:
+    """End a migration, and close out the requests still open in the cell that the tenant left.
+
+    A close-out gives these requests their final answers now, in all processes.
+    """
     ended = log.record(replace(migration, stage=stage, stage_since_ns=now_ns, reason=CLOSED_OUT))
     log.order_close_out(ended)
 
