--- a/benchmarks/fleet_programs.py
+++ b/benchmarks/fleet_programs.py
@@ -1,8 +1,10 @@
-"""Programs that time the decisions of a broker, one for the names of each import package.
+"""Two programs that time the decisions of a broker.
 
-Both take the same steps with the same seed: a request arrives each 10 ms, one in twenty is wide,
-and its attempts are served a quarter of a second later at the latest. They print the processor time
-of a request in microseconds, with its decisions, outcome and timers.
+One is for the package ``query_broker``, the other for the package under its older name
+``larchhall``, whose API has other names. Both simulate the same requests, drawn with the same seed:
+one arrives every 10 ms, and about one in twenty uses four threads. Each attempt is reported as
+served after a quarter of a second, or earlier once more than six are in flight. Each program prints
+the mean processor time per request in microseconds, for its decisions, its outcome and its timers.
 """
 
 from __future__ import annotations
@@ -55,7 +57,7 @@
 print((time.process_time_ns() - begun) / count / 1e3)
 """
 
-# The package `larchhall` is older than the base commit of the benchmark.
+# For a tree in which the package still has its older name `larchhall`.
 DECIDE_LARCHHALL = """
 import json, random, sys, time
 from larchhall import interface as api
--- a/benchmarks/soak/audit.py
+++ b/benchmarks/soak/audit.py
@@ -19,7 +19,7 @@
 MAX_LATE_ANSWER_NS = 500 * NS_PER_MS
 #: An attempt that begins later than this after the client cancelled the request breaks a rule.
 MAX_ATTEMPT_AFTER_CANCEL_NS = 100 * NS_PER_MS
-#: A change announced while the discovery service is silent reaches every broker within this time.
+#: A change announced while the discovery service sends no events reaches all brokers in this time.
 MAX_NOTIFICATION_DELAY_NS = 7 * NS_PER_S
 MAX_READY_S = 30.0
 MAX_MEMORY_MB = 96
@@ -30,7 +30,7 @@
 
     LOST = "lost"  # no complete answer in time
     SECOND_ANSWER = "second answer"
-    WRONG_ANSWER = "wrong answer"  # served with a body that no engine returned for the request
+    WRONG_ANSWER = "wrong answer"  # an empty body, though the request has no idempotency key
     RAN_TWICE = "ran twice"  # a non-idempotent request ran more than once
     KEY_WINDOW = "key window"  # a request with an idempotency key ran again after its window
     DRAIN = "drain"  # sent to a draining or removed engine after the grace period
@@ -122,9 +122,9 @@
         if delay_ns > MAX_LATE_ANSWER_NS + SOCKET_SLACK_NS:
             text = f"{request.request_id}: answered {delay_ns / NS_PER_MS:.0f} ms after its time"
             return [Violation(Rule.LOST, text, request)]
-        # A repeat with the same idempotency key is answered without rows.
-        is_repeat = bool(request.idempotency_key)
-        if request.codes[0] == frames.SERVED and not (request.body or is_repeat):
+        # A request with an idempotency key may be a repeat, which is answered without rows.
+        may_be_repeat = bool(request.idempotency_key)
+        if request.codes[0] == frames.SERVED and not (request.body or may_be_repeat):
             text = f"{request.request_id}: served without a row"
             return [Violation(Rule.WRONG_ANSWER, text, request)]
         return []
--- a/tests/membership/test_broker.py
+++ b/tests/membership/test_broker.py
@@ -1,4 +1,4 @@
-"""Brokers with wrong views of the group: random views replace those of the membership."""
+"""Brokers that are wrong about which brokers are present: they get random views of the fleet."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     """Gives a broker a view of a random size every second.
 
     Attributes:
-        sizes: Numbers of other members to choose from.
+        sizes: The counts of other members that a view may have, one of which is drawn.
     """
 
     def __init__(
@@ -155,10 +155,14 @@
     sim.run(40)
     assert not [number for number, engine in engines.items() if engine.machine.crashed]
     requests = [request for broker in brokers for request in broker.requests.values()]
-    due = [request for request in requests if request[0] < sim.now_ns - 21 * NS_PER_S]
-    assert len(due) > 500
-    assert all(answer for _, _, answer, _ in due)
-    assert sum(is_served for _, _, _, is_served in due) > 0.2 * len(due)
+    requests_past_deadline = [
+        request for request in requests if request[0] < sim.now_ns - 21 * NS_PER_S
+    ]
+    assert len(requests_past_deadline) > 500
+    assert all(answer for _, _, answer, _ in requests_past_deadline)
+    assert sum(is_served for _, _, _, is_served in requests_past_deadline) > 0.2 * len(
+        requests_past_deadline
+    )
 
 
 @on_uvloop
--- a/tests/startup/test_stages.py
+++ b/tests/startup/test_stages.py
@@ -93,8 +93,8 @@
     return list(Stage).index(stages.stage)
 
 
-def test_no_order_of_events_returns_to_a_stage_or_is_ready_without_a_list() -> None:
-    """All orders of six events of a start, with a second or a timeout between two events."""
+def test_start_never_goes_back_a_stage_and_is_never_ready_without_a_list() -> None:
+    """Applies six events in all orders, a second apart or further apart than any timeout."""
     orders = itertools.permutations(["known", "bus", "disk", "contact", "full", "skip"])
     for events, step_ns in itertools.product(orders, (NS_PER_SECOND, 11 * NS_PER_SECOND)):
         stages = StartupStages(SETTINGS, 0)
