--- a/tests/cells/cell_brokers.py
+++ b/tests/cells/cell_brokers.py
@@ -22,7 +22,7 @@
     MS,
     Client,
     Engine,
-    Rig,
+    RunningBroker,
     celled,
     make_config,
     running,
@@ -55,20 +55,20 @@
     )
 
 
-def cell_node(rig: Rig) -> CellNode:
+def cell_node(broker: RunningBroker) -> CellNode:
     """The node under test, as a `CellNode`."""
-    assert isinstance(rig.node, CellNode)
-    return rig.node
+    assert isinstance(broker.node, CellNode)
+    return broker.node
 
 
-def cell_router(rig: Rig) -> CellRouter:
+def cell_router(broker: RunningBroker) -> CellRouter:
     """The router of the node's cells."""
-    return cell_node(rig).celled.router
+    return cell_node(broker).celled.router
 
 
-def migration_stage(rig: Rig, subject: str = "acme") -> Stage | None:
+def migration_stage(broker: RunningBroker, subject: str = "acme") -> Stage | None:
     """The stage of the subject's latest migration; None if there is no record."""
-    migration = cell_node(rig).celled.migrations.records.get(subject)
+    migration = cell_node(broker).celled.migrations.records.get(subject)
     return None if migration is None else migration.stage
 
 
@@ -98,21 +98,21 @@
 @asynccontextmanager
 async def broker_with_two_cells(
     cell_map: CellMap, *engines: Engine, **changes: Any
-) -> AsyncIterator[Rig]:
+) -> AsyncIterator[RunningBroker]:
     """Run a broker with cells whose engines are s-1, s-2, ..."""
     targets = [
         target_entry(f"s-{number}", await engine.start())
         for number, engine in enumerate(engines, 1)
     ]
     config = make_config(*targets, tenants=TENANTS, operator=True, **changes)
-    async with running(config, make=celled(cell_map)) as rig:
-        yield rig
+    async with running(config, make=celled(cell_map)) as broker:
+        yield broker
 
 
 @asynccontextmanager
 async def broker_of_cluster(
     cluster: EmulatedCluster, cell_map: CellMap, cores: int
-) -> AsyncIterator[Rig]:
+) -> AsyncIterator[RunningBroker]:
     """Run a broker with cells on the cluster's engines, each of which has this many cores."""
     raw_config = broker_config(
         cluster,
@@ -121,20 +121,20 @@
         specifics={"size_cores": [cores], "parallelism": [1, 2]},
     )
     config = parse(json.loads(json.dumps(raw_config)), {})
-    async with running(config, make=celled(cell_map)) as rig:
-        yield rig
+    async with running(config, make=celled(cell_map)) as broker:
+        yield broker
 
 
 @asynccontextmanager
 async def co_process_with_cells(
     config: Config, listening: socket.socket, folder: Path, cell_map: CellMap
-) -> AsyncIterator[Rig]:
+) -> AsyncIterator[RunningBroker]:
     """Run a process of a broker; processes with the same folder and socket are co-processes."""
     async with running(
         replace(config, accept_fd=os.dup(listening.fileno()), folder=str(folder)),
         make=celled(cell_map),
-    ) as rig:
-        yield rig
+    ) as broker:
+        yield broker
 
 
 def write_deployment_files(
--- a/tests/cells/test_cell_admin_api.py
+++ b/tests/cells/test_cell_admin_api.py
@@ -28,8 +28,8 @@
 
 @on_uvloop
 async def test_the_command_line_shows_proposes_and_aborts_migrations() -> None:
-    async with broker_with_two_cells(two_cells(), Engine(), Engine()) as rig:
-        address = ["--address", f"127.0.0.1:{rig.operator_port}"]
+    async with broker_with_two_cells(two_cells(), Engine(), Engine()) as broker:
+        address = ["--address", f"127.0.0.1:{broker.operator_port}"]
 
         async def cells(*args: str) -> str:
             result = await asyncio.to_thread(
@@ -42,7 +42,7 @@
         assert "s-2" in shown
         assert "acme" in shown
         assert json.loads((await cells("show", "--json"))[2:])["epoch"] == 1
-        rig.node.dispatcher.set_endpoint_disabled(
+        broker.node.dispatcher.set_endpoint_disabled(
             "s-2", True
         )  # so that the migration stays proposed
         assert await cells("move", "acme", "b") == "0 acme from a to b: proposed\n"
@@ -72,16 +72,16 @@
 async def test_an_invalid_admin_call_on_cells_gets_a_one_line_error(
     request_line: bytes, status: int
 ) -> None:
-    async with broker_with_two_cells(two_cells(), Engine(), Engine()) as rig:
-        got, headers, body = await admin_call(rig, request_line + b" HTTP/1.1\r\n\r\n")
+    async with broker_with_two_cells(two_cells(), Engine(), Engine()) as broker:
+        got, headers, body = await admin_call(broker, request_line + b" HTTP/1.1\r\n\r\n")
         assert got == status
         assert "error" in json.loads(body)
         assert body.count("\n") == 1
         assert ("allow" in headers) == (status == 405)
-        assert not cell_node(rig).celled.migrations.records
+        assert not cell_node(broker).celled.migrations.records
 
 
 @on_uvloop
 async def test_a_broker_without_cells_answers_cell_calls_with_not_found() -> None:
-    async with running(make_config(operator=True)) as rig:
-        assert (await admin_call(rig, b"GET /cells HTTP/1.1\r\n\r\n"))[0] == 404
+    async with running(make_config(operator=True)) as broker:
+        assert (await admin_call(broker, b"GET /cells HTTP/1.1\r\n\r\n"))[0] == 404
--- a/tests/cells/test_cell_map_reload.py
+++ b/tests/cells/test_cell_map_reload.py
@@ -15,7 +15,7 @@
 from query_broker.operator_config.script import evaluate
 
 from ..support.sockets import (
-    Rig,
+    RunningBroker,
     celled,
     on_uvloop,
     running,
@@ -34,7 +34,7 @@
 class ReloadingBroker(NamedTuple):
     """A broker with a migration in progress, and the two files that SIGHUP reloads."""
 
-    rig: Rig
+    running_broker: RunningBroker
     config_file: Path
     operator_file: Path
     first_script: str
@@ -42,14 +42,14 @@
 
     @property
     def counts(self) -> Metrics:
-        return self.rig.node.dispatcher.metrics_counts
+        return self.running_broker.node.dispatcher.metrics_counts
 
     async def reload(self, script: str) -> None:
         """Write this script to the operators' file and wait for its reload."""
         self.operator_file.write_text(script)
         before = self.reloads()
-        self.rig.node.reload()
-        self.rig.node.reload()  # no effect while the first is in progress
+        self.running_broker.node.reload()
+        self.running_broker.node.reload()  # no effect while the first is in progress
         await until(lambda: self.reloads() > before)
 
     def reloads(self) -> int:
@@ -63,10 +63,10 @@
     operator_file = Path(env["PROXY_OPERATOR_FILE"])
     first_map = evaluate(str(operator_file)).cell_map
     assert first_map is not None
-    async with running(load(env), env, make=celled(first_map, str(operator_file))) as rig:
-        cell_node(rig).celled.migrations.propose("acme", "b", rig.node.clock.now())
+    async with running(load(env), env, make=celled(first_map, str(operator_file))) as broker:
+        cell_node(broker).celled.migrations.propose("acme", "b", broker.node.clock.now())
         yield ReloadingBroker(
-            rig, folder / "config.json", operator_file, operator_file.read_text(), first_map
+            broker, folder / "config.json", operator_file, operator_file.read_text(), first_map
         )
 
 
@@ -103,17 +103,17 @@
 ) -> None:
     async with reloading_broker(tmp_path) as broker:
         await broker.reload(change(broker.first_script))
-        last = [line for line in broker.rig.logged if line.startswith("reload")][-1]
+        last = [line for line in broker.running_broker.logged if line.startswith("reload")][-1]
         assert problem in last
         assert "stays as it was" in last
-        assert cell_node(broker.rig).map == broker.first_map
+        assert cell_node(broker.running_broker).map == broker.first_map
         assert broker.counts.reloads_applied == 0
 
 
 @on_uvloop
 async def test_sighup_applies_both_files_or_neither(tmp_path: Path) -> None:
     async with reloading_broker(tmp_path) as broker:
-        node = cell_node(broker.rig)
+        node = cell_node(broker.running_broker)
         newer = broker.first_script.replace("epoch(1)", "epoch(2)") + '\ntenant("new", cell = "b")'
         config_text = broker.config_file.read_text()
         broker.config_file.write_text("{")
@@ -123,6 +123,8 @@
         await broker.reload(newer)
         assert node.map.epoch == 2
         assert node.celled.migrations.cell("new", 0) == "b"
-        assert migration_stage(broker.rig) is not None  # the migration in progress continues
+        assert (
+            migration_stage(broker.running_broker) is not None
+        )  # the migration in progress continues
         await broker.reload(newer)  # an unchanged file is accepted
         assert broker.counts.reloads_applied == 2
--- a/tests/cells/test_endpoints_that_change_cells.py
+++ b/tests/cells/test_endpoints_that_change_cells.py
@@ -15,7 +15,7 @@
 from ..support.sockets import (
     MS,
     Engine,
-    Rig,
+    RunningBroker,
     make_config,
     on_uvloop,
     until,
@@ -36,9 +36,9 @@
 pytestmark = pytest.mark.real_time
 
 
-def endpoint_in_cell(rig: Rig, cell: str, number: int) -> TrackedEndpoint:
+def endpoint_in_cell(broker: RunningBroker, cell: str, number: int) -> TrackedEndpoint:
     """The cell's state of the endpoint."""
-    return cell_router(rig).facades[cell].controller.endpoints[number]
+    return cell_router(broker).facades[cell].controller.endpoints[number]
 
 
 def received_command_count(*engines: Engine) -> int:
@@ -50,21 +50,23 @@
 async def test_a_disabled_engine_stays_disabled_when_it_changes_cells() -> None:
     engine_of_a = Engine()
     engine_of_b = Engine()
-    async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
-        assert rig.node.dispatcher.set_endpoint_disabled("s-2", True)
-        assert cell_router(rig).seats.fleet("b", rig.node.clock.now()).ready_count == 0
-        cell_node(rig).apply_map(two_cells(2, engines_of_a=("s-1", "s-2"), engines_of_b=()))
-        client = await rig.client()
+    async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as broker:
+        assert broker.node.dispatcher.set_endpoint_disabled("s-2", True)
+        assert cell_router(broker).seats.fleet("b", broker.node.clock.now()).ready_count == 0
+        cell_node(broker).apply_map(two_cells(2, engines_of_a=("s-1", "s-2"), engines_of_b=()))
+        client = await broker.client()
         for stream in range(1, 11):
             send_request(client, stream, "acme")
             assert (await client.answer())[1] == frames.SERVED
         assert not engine_of_b.commands_named(b"do")
-        assert rig.node.dispatcher.set_endpoint_disabled("s-2", False)  # re-enabled, and warming up
-        assert cell_router(rig).seats.fleet("a", rig.node.clock.now()).warming_count == 1
-        cell_node(rig).apply_map(two_cells(3))
-        facade = cell_router(rig).facades["b"]
+        assert broker.node.dispatcher.set_endpoint_disabled(
+            "s-2", False
+        )  # re-enabled, and warming up
+        assert cell_router(broker).seats.fleet("a", broker.node.clock.now()).warming_count == 1
+        cell_node(broker).apply_map(two_cells(3))
+        facade = cell_router(broker).facades["b"]
         assert all(
-            endpoint.warmup_ends_ns > rig.node.clock.now()
+            endpoint.warmup_ends_ns > broker.node.clock.now()
             for endpoint in facade.controller.endpoints.values()
         )
 
@@ -76,24 +78,28 @@
     disabled_engine = Engine()
     async with broker_with_two_cells(
         two_cells(engines_of_a=("s-1", "s-3")), engine_of_a, engine_of_b, disabled_engine
-    ) as rig:
-        rig.node.dispatcher.set_endpoint_disabled("s-3", True)
-        client = await rig.client()
+    ) as broker:
+        broker.node.dispatcher.set_endpoint_disabled("s-3", True)
+        client = await broker.client()
         await dispatch_request(client, "acme", engine_of_a, weight="500")
-        cell_node(rig).apply_map(two_cells(2, engines_of_a=("s-3",), engines_of_b=("s-1", "s-2")))
-        number = rig.node.dispatcher.endpoint_table.number("s-1")
-        assert cell_router(rig).seats.cell_of(number) == "b"
-        assert number in cell_router(rig).outstanding_work.endpoints_with_former_work
-        endpoint = endpoint_in_cell(rig, "b", number)
+        cell_node(broker).apply_map(
+            two_cells(2, engines_of_a=("s-3",), engines_of_b=("s-1", "s-2"))
+        )
+        number = broker.node.dispatcher.endpoint_table.number("s-1")
+        assert cell_router(broker).seats.cell_of(number) == "b"
+        assert number in cell_router(broker).outstanding_work.endpoints_with_former_work
+        endpoint = endpoint_in_cell(broker, "b", number)
         # Work in flight counts in the endpoint's new cell.
         assert endpoint.co_process_work.threads == 2
         assert endpoint.co_process_work.backlog_ns > 0
-        assert cell_router(rig).outstanding(0)[number].threads == 2  # and once for other processes
+        assert (
+            cell_router(broker).outstanding(0)[number].threads == 2
+        )  # and once for other processes
         answer_request(engine_of_a, engine_of_a.commands_named(b"do")[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert endpoint_in_cell(rig, "b", number).co_process_work.threads == 0
-        assert not cell_router(rig).outstanding_work.endpoints_with_former_work
-        assert not cell_router(rig).requests
+        assert endpoint_in_cell(broker, "b", number).co_process_work.threads == 0
+        assert not cell_router(broker).outstanding_work.endpoints_with_former_work
+        assert not cell_router(broker).requests
         # Requests of the former cell's tenant no longer reach the endpoint.
         send_request(client, 2, "acme")
         assert (await client.answer())[1] == frames.REFUSED
@@ -104,22 +110,22 @@
 async def test_open_requests_of_a_dropped_cell_end_in_that_cell() -> None:
     engine_of_a = Engine()
     engine_of_b = Engine(lambda *_: None)
-    async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
-        client = await rig.client()
+    async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as broker:
+        client = await broker.client()
         await dispatch_request(client, "beta", engine_of_b)
-        dropped = cell_router(rig).facades["b"]
-        cell_node(rig).apply_map(
+        dropped = cell_router(broker).facades["b"]
+        cell_node(broker).apply_map(
             CellMap(2, (Cell("a", engines=("s-1", "s-2")),), "a", {}, FAST_TIMING)
         )
-        assert cell_router(rig).facades["b"] is dropped  # until its last request is over
+        assert cell_router(broker).facades["b"] is dropped  # until its last request is over
         send_request(client, 2, "beta")
         await until(lambda: received_command_count(engine_of_a, engine_of_b) == 2)
         answer_request(engine_of_b, engine_of_b.commands_named(b"do")[0])
         while (await client.answer())[0] != 1:
             pass
-        await until(lambda: "b" not in cell_router(rig).facades)
+        await until(lambda: "b" not in cell_router(broker).facades)
         assert dropped.dissolved
-        assert "b" not in cell_node(rig).celled.request_ledger.accounts
+        assert "b" not in cell_node(broker).celled.request_ledger.accounts
 
 
 @on_uvloop
@@ -131,9 +137,9 @@
     expected = make_config(
         tenants=TENANTS, specifics={"size_cores": [2], "parallelism": [1, 2]}, listed=False
     )
-    async with broker_of_cluster(cluster, cell_map, cores=2) as rig:
-        assert expected.settings.kind_cores == rig.node.config.settings.kind_cores
-        request_log = RequestLog("127.0.0.1", rig.port)
+    async with broker_of_cluster(cluster, cell_map, cores=2) as broker:
+        assert expected.settings.kind_cores == broker.node.config.settings.kind_cores
+        request_log = RequestLog("127.0.0.1", broker.port)
         for number in range(120):
             await request_log.send_request("beta", "glance", 100, 5_000 * MS)
             if number % 3 == 0:
--- a/tests/cells/test_live_migrations.py
+++ b/tests/cells/test_live_migrations.py
@@ -45,31 +45,31 @@
 async def test_a_migration_moves_new_requests_and_leaves_open_ones_in_the_source() -> None:
     engine_of_a = Engine(lambda *_: None)
     engine_of_b = Engine()
-    async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
-        client = await rig.client()
+    async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as broker:
+        client = await broker.client()
         await dispatch_request(client, "acme", engine_of_a)
-        status, _, body = await admin_call(rig, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n")
+        status, _, body = await admin_call(broker, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n")
         assert status == 200
         assert json.loads(body)["stage"] == "proposed"
-        assert (await admin_call(rig, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n"))[0] == 409
-        await until(lambda: migration_stage(rig) is Stage.DRAINING)
+        assert (await admin_call(broker, b"POST /cells/move/acme/b HTTP/1.1\r\n\r\n"))[0] == 409
+        await until(lambda: migration_stage(broker) is Stage.DRAINING)
         send_request(client, 2, "acme")
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert len(engine_of_b.commands_named(b"do")) == 1
-        assert migration_stage(rig) is Stage.DRAINING
+        assert migration_stage(broker) is Stage.DRAINING
         # A second request with the same id joins the one in flight, in the cell of that one.
-        other_client = await rig.client()
+        other_client = await broker.client()
         send_request(other_client, 1, "acme", route="stock-add")
-        await until(lambda: len(cell_router(rig).requests) == 2)
-        assert all(facade.cell == "a" for facade, _ in cell_router(rig).requests.values())
+        await until(lambda: len(cell_router(broker).requests) == 2)
+        assert all(facade.cell == "a" for facade, _ in cell_router(broker).requests.values())
         answer_request(engine_of_a, engine_of_a.commands_named(b"do")[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
         other_client.send(frames.ABANDON, 1)
         for command in engine_of_a.commands_named(b"do")[1:]:
             answer_request(engine_of_a, command)
-        await until(lambda: migration_stage(rig) is Stage.DONE)
+        await until(lambda: migration_stage(broker) is Stage.DONE)
         assert len(engine_of_b.commands_named(b"do")) == 1
-        shown = json.loads((await admin_call(rig, b"GET /cells HTTP/1.1\r\n\r\n"))[2])
+        shown = json.loads((await admin_call(broker, b"GET /cells HTTP/1.1\r\n\r\n"))[2])
         assert {tenant["tenant"]: tenant["cell"] for tenant in shown["tenants"]} == {
             "acme": "b",
             "beta": "b",
@@ -80,16 +80,16 @@
 async def test_a_live_target_that_loses_its_last_engine_returns_the_tenant() -> None:
     engine_of_a = Engine(lambda *_: None)
     engine_of_b = Engine()
-    async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as rig:
-        client = await rig.client()
+    async with broker_with_two_cells(two_cells(), engine_of_a, engine_of_b) as broker:
+        client = await broker.client()
         await dispatch_request(client, "acme", engine_of_a)
-        cell_node(rig).celled.migrations.propose("acme", "b", rig.node.clock.now())
-        await until(lambda: migration_stage(rig) is Stage.DRAINING)
-        port = rig.node.dispatcher.endpoint_table.by_uid["s-2"].target.port
-        rig.node.dispatcher.endpoint_list_changed(
+        cell_node(broker).celled.migrations.propose("acme", "b", broker.node.clock.now())
+        await until(lambda: migration_stage(broker) is Stage.DRAINING)
+        port = broker.node.dispatcher.endpoint_table.by_uid["s-2"].target.port
+        broker.node.dispatcher.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-2", port, "terminating")))
         )
-        await until(lambda: migration_stage(rig) is Stage.ROLLED_BACK)
+        await until(lambda: migration_stage(broker) is Stage.ROLLED_BACK)
         send_request(client, 2, "acme")
         await until(lambda: len(engine_of_a.commands_named(b"do")) == 2)
         assert not engine_of_b.commands_named(b"do")
@@ -112,8 +112,8 @@
         {"acme": Tenant("acme", ("a",)), "beta": Tenant("beta", ("b",))},
         FAST_TIMING,
     )
-    async with broker_of_cluster(cluster, cell_map, cores=4) as rig:
-        request_log = RequestLog("127.0.0.1", rig.port)
+    async with broker_of_cluster(cluster, cell_map, cores=4) as broker:
+        request_log = RequestLog("127.0.0.1", broker.port)
 
         async def send_load() -> None:
             for number in range(260):
@@ -131,7 +131,7 @@
             await cluster.add(new, cores=4)
             cluster.drain(old)
             if old == "b-1":
-                cell_node(rig).celled.migrations.propose("acme", "b", rig.node.clock.now())
+                cell_node(broker).celled.migrations.propose("acme", "b", broker.node.clock.now())
             await asyncio.sleep(0.3)
             cluster.terminate(old)
         await load_task
@@ -140,9 +140,9 @@
         assert not request_log.unmatched_answers
         assert not statements_run_twice(list(cluster.engines.values()), b"stock-add")
         assert cluster.queries_after_drain(NS_PER_SECOND) == 0
-        assert migration_stage(rig) in (Stage.DONE, Stage.DRAINING)
+        assert migration_stage(broker) in (Stage.DONE, Stage.DRAINING)
         # The new engines were placed in the cells of the engines that they replaced.
-        placement = cell_router(rig).seats.placement
+        placement = cell_router(broker).seats.placement
         assert placement.size("a") == placement.size("b") == 2
         request_log.close()
     cluster.stop()
--- a/tests/deadlines/deadline_brokers.py
+++ b/tests/deadlines/deadline_brokers.py
@@ -18,7 +18,7 @@
 
 from ..support.sockets import (
     Client,
-    Rig,
+    RunningBroker,
     make_config,
     running,
     target_entry,
@@ -30,17 +30,17 @@
 LARGE_STATEMENT = b"SELECT 1 FROM sales_17.orders /* " + b"x" * 200_000 + b" */"
 
 
-def deadline_controls(broker: Rig) -> DeadlineControls:
+def deadline_controls(broker: RunningBroker) -> DeadlineControls:
     """Return the deadline settings and statistics of the broker."""
     return broker.node.dispatcher.deadline_controls
 
 
-def statistics(broker: Rig) -> HandOverStatistics:
+def statistics(broker: RunningBroker) -> HandOverStatistics:
     """Return the broker's counts of stopped and cancelled attempts."""
     return deadline_controls(broker).statistics
 
 
-def stopped_count(broker: Rig, hand_over: HandOver, reason: StopReason) -> int:
+def stopped_count(broker: RunningBroker, hand_over: HandOver, reason: StopReason) -> int:
     """Return how many attempts were stopped at this hand-over for this reason."""
     return statistics(broker).stop_counts[hand_over, reason]
 
@@ -50,7 +50,7 @@
     return f"{number:016x}"
 
 
-def engine_connections(broker: Rig) -> list[Any]:
+def engine_connections(broker: RunningBroker) -> list[Any]:
     """Return the broker's connections to engines."""
     return [
         connection
@@ -59,7 +59,9 @@
     ]
 
 
-async def client_with_partly_written_request(broker: Rig, max_connections: int = 1) -> Client:
+async def client_with_partly_written_request(
+    broker: RunningBroker, max_connections: int = 1
+) -> Client:
     """Return a client whose first request is large and partly written to an engine."""
     broker.node.dispatcher.pools.max_connections = max_connections
     client = await broker.client()
@@ -75,12 +77,12 @@
     return client
 
 
-async def wait_for_queued_request(broker: Rig) -> None:
+async def wait_for_queued_request(broker: RunningBroker) -> None:
     """Wait until a request waits in the write queue of the first connection."""
     await until(lambda: engine_connections(broker)[0].write_queue.by_key)
 
 
-async def client_with_queued_request(broker: Rig, **fields: Any) -> Client:
+async def client_with_queued_request(broker: RunningBroker, **fields: Any) -> Client:
     """Return a client whose second request waits in the write queue behind a partly written one."""
     client = await client_with_partly_written_request(broker)
     client.ask(2, trace=request_id(2), **{"weight": "1.0", **fields})
@@ -88,7 +90,7 @@
     return client
 
 
-def change_endpoint(broker: Rig, offset: int, target: dict[str, Any]) -> None:
+def change_endpoint(broker: RunningBroker, offset: int, target: dict[str, Any]) -> None:
     """Apply a watch event with this offset that changes this endpoint."""
     event = parse_event(topology_event(offset, target))
     broker.node.dispatcher.endpoint_list_changed(event)
@@ -104,7 +106,7 @@
     *ports: int,
     make: Callable[[Config, Mapping[str, str]], Node] = Node,
     **changes: Any,
-) -> AsyncIterator[Rig]:
+) -> AsyncIterator[RunningBroker]:
     """Run a broker with the engines s-1, s-2, ... on these ports."""
     targets = [target_entry(f"s-{number}", port) for number, port in enumerate(ports, 1)]
     async with running(make_config(*targets, **changes), os.environ, make) as broker:
--- a/tests/decisions/test_deployments.py
+++ b/tests/decisions/test_deployments.py
@@ -20,7 +20,7 @@
 from ..support.sockets import (
     Client,
     Engine,
-    Rig,
+    RunningBroker,
     make_config,
     on_uvloop,
     running,
@@ -60,8 +60,8 @@
     one = Engine(crash_first_attempt)
     other = Engine()
     targets = [target_entry("s-1", await one.start()), target_entry("s-2", await other.start())]
-    async with running(make_config(*targets, **deployments.WAREHOUSE)) as rig:
-        client = await rig.client()
+    async with running(make_config(*targets, **deployments.WAREHOUSE)) as broker:
+        client = await broker.client()
         for stream in range(1, 20):
             send_load(client, stream)
             assert (await client.answer())[1] == frames.SERVED
@@ -82,8 +82,8 @@
 async def test_request_with_an_invalid_idempotency_key_fails_without_harm_to_the_next() -> None:
     engine = Engine()
     config = make_config(target_entry("s-1", await engine.start()), **deployments.WAREHOUSE)
-    async with running(config) as rig:
-        client = await rig.client()
+    async with running(config) as broker:
+        client = await broker.client()
         for stream, idempotency_key in enumerate((None, "", "a,level=3", ","), 1):
             send_load(client, stream, idempotency_key)
             assert (await client.answer())[:2] == (stream, frames.FAILED)
@@ -106,10 +106,10 @@
 )
 
 
-def count_events(rig: Rig) -> Counter[str]:
+def count_events(broker: RunningBroker) -> Counter[str]:
     """Count the events that a node's controller handles from now on, by type."""
     counts: Counter[str] = Counter()
-    controller = rig.node.dispatcher.facade.controller
+    controller = broker.node.dispatcher.facade.controller
     handle = controller.handle
 
     def count_and_handle(now_ns: int, event: Any) -> Any:
@@ -124,12 +124,12 @@
 async def test_progress_messages_end_no_attempt_and_reach_the_decisions_at_a_limited_rate() -> None:
     engine = Engine(lambda *_: None)
     config = make_config(target_entry("s-1", await engine.start()), **deployments.WAREHOUSE)
-    async with running(config) as rig:
-        client = await rig.client()
+    async with running(config) as broker:
+        client = await broker.client()
         send_load(client)
         await until(lambda: engine.commands_named(b"do"))
         (do,) = engine.commands_named(b"do")
-        event_counts = count_events(rig)
+        event_counts = count_events(broker)
         writer = engine.writer_of(do)
         for message in PROGRESS_MESSAGES:
             writer.write(resp.encode(do[1], b"update", message, b""))
@@ -140,7 +140,7 @@
         engine.answer_served(do, writer)
         assert (await client.answer())[1] == frames.SERVED
         assert 3 <= event_counts["AttemptProgress"] <= 30
-        assert not [line for line in rig.logged if line.startswith("engine")]
+        assert not [line for line in broker.logged if line.startswith("engine")]
 
 
 async def send_loads_and_lookups(cluster: EmulatedCluster, port: int) -> RequestLog:
@@ -177,8 +177,8 @@
     )
     await cluster.start("s-1", "s-2", "s-3", "s-4")
     raw = broker_config(cluster, "127.0.0.1:1", **deployments.WAREHOUSE)
-    async with running(parse(raw, {})) as rig:
-        request_log = await send_loads_and_lookups(cluster, rig.port)
+    async with running(parse(raw, {})) as broker:
+        request_log = await send_loads_and_lookups(cluster, broker.port)
     cluster.stop()
     engines = list(cluster.engines.values())
     records = request_log.records
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -19,7 +19,7 @@
     MS,
     Client,
     Engine,
-    Rig,
+    RunningBroker,
     free_port,
     make_config,
     on_uvloop,
@@ -102,12 +102,12 @@
     service = ScriptedDiscoveryService()
     engine = Engine()
     port = await engine.start()
-    async with running(make_config(bus=await service.start())) as rig:
+    async with running(make_config(bus=await service.start())) as broker:
         await until(lambda: service.subscriptions)
         assert service.subscriptions == [b"from 1\n"]
         service.publish(topology_event(2, target_entry("s-1", port)))
-        await until(lambda: "s-1" in rig.node.dispatcher.endpoint_table.by_uid)
-        client = await rig.client()
+        await until(lambda: "s-1" in broker.node.dispatcher.endpoint_table.by_uid)
+        client = await broker.client()
         client.ask()
         assert (await client.answer())[1] == 0
         assert service.writer is not None
@@ -119,7 +119,7 @@
 @on_uvloop
 async def test_missing_events_or_an_invalid_line_cause_a_reconnect() -> None:
     service = ScriptedDiscoveryService()
-    async with running(make_config(bus=await service.start())) as rig:
+    async with running(make_config(bus=await service.start())) as broker:
         await until(lambda: service.subscriptions)
         service.publish(5)
         await until(lambda: len(service.subscriptions) == 2)
@@ -128,10 +128,10 @@
         await until(lambda: len(service.subscriptions) == 3)
         service.publish('{"offset":2,')  # skipped the second time, on the same connection
         service.publish(topology_event(3, target_entry("s-3", 9)))
-        await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
+        await until(lambda: "s-3" in broker.node.dispatcher.endpoint_table.by_uid)
         assert len(service.subscriptions) == 3
-        assert rig.node.watch_client is not None
-        assert rig.node.watch_client.last_offset == 3
+        assert broker.node.watch_client is not None
+        assert broker.node.watch_client.last_offset == 3
 
 
 @on_uvloop
@@ -144,35 +144,37 @@
     path = tmp_path / "config.json"
     old_port = await old.start()
 
-    def reload(rig: Rig, text: str) -> None:
+    def reload(broker: RunningBroker, text: str) -> None:
         path.write_text(text)
         os.kill(os.getpid(), signal.SIGHUP)
 
     config = make_config(bus=old_port)
-    async with running(config, {"PROXY_CONFIG": str(path)}) as rig:
+    async with running(config, {"PROXY_CONFIG": str(path)}) as broker:
         await until(lambda: old.subscriptions)
         # an invalid file changes nothing, and the log names the key
-        reload(rig, config_text("127.0.0.1:x"))
-        await until(lambda: any("bus: '127.0.0.1:x'" in line for line in rig.logged))
-        reload(rig, "{")
-        await until(lambda: sum("stays as it was" in line for line in rig.logged) == 2)
+        reload(broker, config_text("127.0.0.1:x"))
+        await until(lambda: any("bus: '127.0.0.1:x'" in line for line in broker.logged))
+        reload(broker, "{")
+        await until(lambda: sum("stays as it was" in line for line in broker.logged) == 2)
         unused_port = free_port()
-        reload(rig, config_text(f"127.0.0.1:{unused_port}"))
-        await until(lambda: any("no connection" in line for line in rig.logged))
+        reload(broker, config_text(f"127.0.0.1:{unused_port}"))
+        await until(lambda: any("no connection" in line for line in broker.logged))
         # nothing listens at the new address: the old connection still receives events
         old.publish(topology_event(2, target_entry("s-2", 9)))
-        await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
-        reload(rig, config_text(f"127.0.0.1:{await new.start()}"))
+        await until(lambda: "s-2" in broker.node.dispatcher.endpoint_table.by_uid)
+        reload(broker, config_text(f"127.0.0.1:{await new.start()}"))
         await until(lambda: new.subscriptions)
         assert new.subscriptions == [b"from 2\n"]
         assert len(old.subscriptions) == 1
         new.publish(topology_event(2, target_entry("s-9", 9)))  # skipped: its offset is known
         new.publish(topology_event(3, target_entry("s-3", 9)))
-        await until(lambda: "s-3" in rig.node.dispatcher.endpoint_table.by_uid)
-        assert "s-9" not in rig.node.dispatcher.endpoint_table.by_uid
-        rig.node.shutdown.begun_at_ns = 1
-        reload(rig, config_text(f"127.0.0.1:{await third.start()}"))
-        await until(lambda: any("SIGHUP ignored during the drain" in line for line in rig.logged))
+        await until(lambda: "s-3" in broker.node.dispatcher.endpoint_table.by_uid)
+        assert "s-9" not in broker.node.dispatcher.endpoint_table.by_uid
+        broker.node.shutdown.begun_at_ns = 1
+        reload(broker, config_text(f"127.0.0.1:{await third.start()}"))
+        await until(
+            lambda: any("SIGHUP ignored during the drain" in line for line in broker.logged)
+        )
         assert not third.subscriptions
 
 
@@ -181,13 +183,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     service = ScriptedDiscoveryService()
-    async with running(make_config(bus=await service.start())) as rig:
+    async with running(make_config(bus=await service.start())) as broker:
         await until(lambda: service.subscriptions)
         service.publish(1)
         assert service.writer is not None
-        assert rig.node.watch_client is not None
+        assert broker.node.watch_client is not None
         service.writer.write(b'{"offset":2,"topo')
-        watch_client = rig.node.watch_client
+        watch_client = broker.node.watch_client
         await until_partial_line_received(watch_client)
         check_silence_after(watch_client, 1_500, monkeypatch)  # a heartbeat may be late
         assert not watch_client.connection.transport.is_closing()  # type: ignore[union-attr]
@@ -195,7 +197,7 @@
         await until(lambda: len(service.subscriptions) == 2)
         assert service.subscriptions[1] == b"from 1\n"
         service.publish(topology_event(2, target_entry("s-2", 9)))
-        await until(lambda: "s-2" in rig.node.dispatcher.endpoint_table.by_uid)
+        await until(lambda: "s-2" in broker.node.dispatcher.endpoint_table.by_uid)
 
 
 def record_offsets(watch_client: WatchClient) -> list[int]:
@@ -239,10 +241,10 @@
     """
     service = ScriptedDiscoveryService()
     engines = await start_draining_and_ready()
-    async with running(make_config(*engines.targets, bus=await service.start())) as rig:
+    async with running(make_config(*engines.targets, bus=await service.start())) as broker:
         await until(lambda: service.writer)
         old_writer = service.writer
-        watch_client = rig.node.watch_client
+        watch_client = broker.node.watch_client
         assert old_writer is not None
         assert watch_client is not None
         offsets = record_offsets(watch_client)
@@ -257,12 +259,12 @@
         service.publish(drain)
         await until(lambda: watch_client.last_offset == 2)
         service.publish(drain)
-        client = await rig.client()
+        client = await broker.client()
         await assert_draining_engine_gets_no_requests(client, engines, 1)
         service.publish(topology_event(3))
         await until(lambda: watch_client.last_offset == 3)
         assert offsets == [2, 3]
-        assert set(rig.node.dispatcher.endpoint_table.by_uid) == {"s-1", "s-2"}
+        assert set(broker.node.dispatcher.endpoint_table.by_uid) == {"s-1", "s-2"}
 
 
 @on_uvloop
@@ -273,9 +275,9 @@
     service = ScriptedDiscoveryService()
     engines = await start_draining_and_ready()
     port = free_port()
-    async with running(make_config(*engines.targets, bus=port)) as rig:
-        await until(lambda: any("no connection" in line for line in rig.logged))
-        client = await rig.client()
+    async with running(make_config(*engines.targets, bus=port)) as broker:
+        await until(lambda: any("no connection" in line for line in broker.logged))
+        client = await broker.client()
         client.ask(1, trace="1" * 16)
         assert (await client.answer())[:2] == (1, 0)  # endpoints from the settings are in use
         service.server = await asyncio.start_server(service._serve_client, "127.0.0.1", port)
@@ -286,7 +288,8 @@
         assert service.subscriptions == [b"from 1\n", b"from 1\n"]
         service.publish(engines.drain_event(2))
         await until(
-            lambda: rig.node.watch_client is not None and rig.node.watch_client.last_offset == 2
+            lambda: broker.node.watch_client is not None
+            and broker.node.watch_client.last_offset == 2
         )
         await assert_draining_engine_gets_no_requests(client, engines, 2)
 
@@ -300,9 +303,9 @@
     engines = await start_draining_and_ready()
     config = make_config(*engines.targets, bus=await old.start())
     environ = write_config(tmp_path, bus=f"127.0.0.1:{await new.start()}", limits={"sockets": 256})
-    async with running(config, environ) as rig:
+    async with running(config, environ) as broker:
         await until(lambda: old.writer)
-        watch_client = rig.node.watch_client
+        watch_client = broker.node.watch_client
         assert watch_client is not None
         assert old.writer is not None
         stale_drain = topology_event(2, {**engines.targets[1], "state": "terminating"})
@@ -311,11 +314,11 @@
         await until_partial_line_received(watch_client)
         old_connection = watch_client.connection
         assert old_connection is not None
-        rig.node.reload()
+        broker.node.reload()
         await until(lambda: new.subscriptions and old_connection.transport is None)
         assert new.subscriptions == [b"from 1\n"]
         old.writer.write(line[50:])  # sent by the old service after the connection was dropped
         new.publish(engines.drain_event(2))
         await until(lambda: watch_client.last_offset == 2)
-        await assert_draining_engine_gets_no_requests(await rig.client(), engines, 1)
+        await assert_draining_engine_gets_no_requests(await broker.client(), engines, 1)
         assert len(old.subscriptions) == 1
--- a/tests/discovery/test_watch_backoff.py
+++ b/tests/discovery/test_watch_backoff.py
@@ -15,10 +15,10 @@
 async def test_brokers_that_lose_the_service_at_once_reconnect_at_different_times() -> None:
     waits: list[float] = []
     for seed in range(6):
-        async with running(replace(make_config(bus=free_port()), seed=seed)) as rig:
-            assert rig.node.watch_client is not None
-            rig.node.watch_client._connect_after = waits.append  # type: ignore[method-assign, assignment]
-            rig.node.watch_client.backoff_s = 0.4
-            rig.node.watch_client._reconnect()
+        async with running(replace(make_config(bus=free_port()), seed=seed)) as broker:
+            assert broker.node.watch_client is not None
+            broker.node.watch_client._connect_after = waits.append  # type: ignore[method-assign, assignment]
+            broker.node.watch_client.backoff_s = 0.4
+            broker.node.watch_client._reconnect()
     assert len(set(waits[-6:])) > 3
     assert all(0.2 <= wait <= 0.4 for wait in waits)
--- a/tests/dispatch/test_client_races.py
+++ b/tests/dispatch/test_client_races.py
@@ -23,7 +23,7 @@
     TRACE,
     Client,
     Engine,
-    Rig,
+    RunningBroker,
     free_port,
     make_config,
     on_uvloop,
@@ -108,7 +108,7 @@
         other: The engine that got no request.
     """
 
-    broker: Rig
+    broker: RunningBroker
     client: Client
     first: Engine
     other: Engine
@@ -126,7 +126,7 @@
         yield RequestInFlight(broker, client, first, other)
 
 
-async def pause_only_client(broker: Rig) -> ClientConnection:
+async def pause_only_client(broker: RunningBroker) -> ClientConnection:
     """Pause writing on the only connection, as its transport does if the client stops reading."""
     await until(lambda: len(broker.node.clients) == 1)
     connection = next(iter(broker.node.clients))
--- a/tests/dispatch/test_engine_connection_races.py
+++ b/tests/dispatch/test_engine_connection_races.py
@@ -22,7 +22,7 @@
     TRACE,
     Client,
     Engine,
-    Rig,
+    RunningBroker,
     make_config,
     on_uvloop,
     platform_settings,
@@ -75,7 +75,9 @@
 
 
 @asynccontextmanager
-async def broker_with_late_connects(engine_listener: EngineWithFullQueue) -> AsyncIterator[Rig]:
+async def broker_with_late_connects(
+    engine_listener: EngineWithFullQueue,
+) -> AsyncIterator[RunningBroker]:
     """Run a broker with a long connect timeout for this engine."""
     target = target_entry("s-1", engine_listener.port)
     config = make_config(target, policy_limits=LIMITS_WITH_LONG_CONNECT_TIMEOUT)
--- a/tests/dispatch/test_shutdown_stalls.py
+++ b/tests/dispatch/test_shutdown_stalls.py
@@ -29,7 +29,7 @@
 
 from ..protocols.scripted_engines import broker_with_engines, silent_engine
 from ..support.helpers import MS
-from ..support.sockets import Engine, Rig, on_uvloop, until, within
+from ..support.sockets import Engine, RunningBroker, on_uvloop, until, within
 from .request_frames import PARTIAL_REQUEST, read_to_end, request_frame
 
 pytestmark = pytest.mark.real_time
@@ -37,7 +37,7 @@
 SERVED_ANSWER = frames.answer(1, frames.SERVED, {}, b"a\tb\tc\n")
 
 
-def stall(broker: Rig, duration_ns: int) -> None:
+def stall(broker: RunningBroker, duration_ns: int) -> None:
     """Advance the clock by this time without a turn of the event loop."""
     broker.node.clock.anchor += duration_ns
 
--- a/tests/golden/client_wire/test_client_answers.py
+++ b/tests/golden/client_wire/test_client_answers.py
@@ -15,8 +15,8 @@
 async def received(sent: bytes, size: int) -> bytes:
     """What a client gets for these bytes until it has so many or the broker ends its side."""
     engine = Engine()
-    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+    async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
+        reader, writer = await asyncio.open_connection("127.0.0.1", broker.port)
         writer.write(sent)
         answer = b""
         while len(answer) < size:
@@ -39,8 +39,8 @@
 @on_uvloop
 async def test_a_rejection_names_its_pause() -> None:
     """The pause is drawn: its frame is literal but for the digits."""
-    async with running(make_config()) as rig:
-        reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+    async with running(make_config()) as broker:
+        reader, writer = await asyncio.open_connection("127.0.0.1", broker.port)
         writer.write(REQUEST)
         size = int.from_bytes(await within(reader.readexactly(4)), "big")
         frame = await within(reader.readexactly(size))
--- a/tests/golden/client_wire/test_engine_queries.py
+++ b/tests/golden/client_wire/test_engine_queries.py
@@ -137,8 +137,8 @@
 async def test_a_broker_adds_its_fields_to_a_query_in_this_order() -> None:
     """The settings heed memory and priorities, so that the broker adds both."""
     scripted_engine = Engine(lambda engine, parts, writer: None)
-    async with running(make_config(target_entry("s-1", await scripted_engine.start()))) as rig:
-        reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+    async with running(make_config(target_entry("s-1", await scripted_engine.start()))) as broker:
+        reader, writer = await asyncio.open_connection("127.0.0.1", broker.port)
         writer.write(REQUEST)
         await until(lambda: scripted_engine.commands_named(b"do"))
         writer.close()
--- a/tests/golden/operators/test_http_answers.py
+++ b/tests/golden/operators/test_http_answers.py
@@ -15,8 +15,8 @@
 async def answer_to(call: bytes, *, listed: bool = True, ends_its_side: bool = False) -> bytes:
     """Send the call on a connection of its own and return all bytes that come back."""
     config = make_config(target_entry("s-1", 9), operator=True, listed=listed)
-    async with running(config) as rig:
-        reader, writer = await asyncio.open_connection("127.0.0.1", rig.operator_port)
+    async with running(config) as broker:
+        reader, writer = await asyncio.open_connection("127.0.0.1", broker.operator_port)
         writer.write(call)
         if ends_its_side:
             writer.write_eof()
--- a/tests/protocols/scripted_engines.py
+++ b/tests/protocols/scripted_engines.py
@@ -10,7 +10,7 @@
 from query_broker.endpoints.connection_pool import ConnectionPool
 from query_broker.protocols import resp
 
-from ..support.sockets import Engine, Rig, make_config, running, target_entry
+from ..support.sockets import Engine, RunningBroker, make_config, running, target_entry
 
 
 def silent_engine() -> Engine:
@@ -59,16 +59,16 @@
 @asynccontextmanager
 async def broker_with_engines(
     *engines: Engine, first_number: int = 1, **changes: Any
-) -> AsyncIterator[Rig]:
+) -> AsyncIterator[RunningBroker]:
     """Start the engines and a broker whose endpoint list contains them as s-1, s-2 and so on."""
     targets = [
         target_entry(f"s-{number}", await engine.start())
         for number, engine in enumerate(engines, first_number)
     ]
-    async with running(make_config(*targets, **changes)) as rig:
-        yield rig
+    async with running(make_config(*targets, **changes)) as broker:
+        yield broker
 
 
-def first_pool(rig: Rig) -> ConnectionPool:
+def first_pool(broker: RunningBroker) -> ConnectionPool:
     """Return the connection pool of the endpoint that was listed first."""
-    return next(iter(rig.node.dispatcher.pools.by_number.values()))
+    return next(iter(broker.node.dispatcher.pools.by_number.values()))
--- a/tests/protocols/test_attempt_results.py
+++ b/tests/protocols/test_attempt_results.py
@@ -37,8 +37,8 @@
 async def test_a_load_is_rejected_if_the_engine_refuses_the_connect(
     closed_ports: ClosedPorts,
 ) -> None:
-    async with running(make_config(target_entry("s-1", closed_ports.reserve()))) as rig:
-        client = await rig.client()
+    async with running(make_config(target_entry("s-1", closed_ports.reserve()))) as broker:
+        client = await broker.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
 
@@ -52,8 +52,8 @@
         target_entry("s-1", await reachable_engine.start()),
         target_entry("s-2", closed_ports.reserve()),
     )
-    async with running(config) as rig:
-        client = await rig.client()
+    async with running(config) as broker:
+        client = await broker.client()
         for stream in range(1, 9):
             client.ask(stream=stream, route="stock-add", patience="20000", trace=f"{stream:016x}")
             assert (await client.answer())[:2] == (stream, frames.SERVED)
@@ -62,16 +62,16 @@
 @pytest.mark.parametrize("result", [b"overload", b"nobody"], ids=["overload", "nobody"])
 @on_uvloop
 async def test_a_load_that_is_answered_with_overload_or_nobody_is_rejected(result: bytes) -> None:
-    async with broker_with_engines(engine_that_answers(result)) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine_that_answers(result)) as broker:
+        client = await broker.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
 
 
 async def assert_failed_and_dispatched_once(engine: Engine) -> None:
     """Check that a load fails without a retry, since it may have run at the only engine."""
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.FAILED
         assert len(engine.commands_named(b"do")) == 1
@@ -117,8 +117,8 @@
 @on_uvloop
 async def test_a_lookup_is_retried_at_another_engine_after_a_lost_connection() -> None:
     closing_engine = engine_that_writes_and_closes(b"")
-    async with broker_with_engines(closing_engine, Engine()) as rig:
-        client = await rig.client()
+    async with broker_with_engines(closing_engine, Engine()) as broker:
+        client = await broker.client()
         for stream in range(1, 9):
             client.ask(stream=stream, trace=f"{stream:016x}")
             assert (await client.answer())[:2] == (stream, frames.SERVED)
@@ -129,8 +129,8 @@
     engine = Engine()
     async with running(
         make_config(target_entry("s-1", await engine.start(), "terminating"))
-    ) as rig:
-        client = await rig.client()
+    ) as broker:
+        client = await broker.client()
         client.ask()
         assert (await client.answer())[1] == frames.REFUSED
         assert not engine.commands
@@ -139,13 +139,13 @@
 @on_uvloop
 async def test_a_load_is_rejected_if_no_descriptor_is_left_for_its_connection() -> None:
     engine = Engine()
-    async with broker_with_engines(engine) as rig:
-        rig.node.dispatcher.pools.max_connections = -1
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        broker.node.dispatcher.pools.max_connections = -1
+        client = await broker.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
         assert not engine.commands
-        endpoints = rig.node.dispatcher.facade.controller.endpoints.values()
+        endpoints = broker.node.dispatcher.facade.controller.endpoints.values()
         assert not any(endpoint.ejected for endpoint in endpoints)
 
 
@@ -153,12 +153,12 @@
 async def test_an_attempt_at_a_silent_engine_fails_once_it_is_listed_as_terminated() -> None:
     engine = silent_engine()
     port = await engine.start()
-    async with running(make_config(target_entry("s-1", port))) as rig:
-        client = await rig.client()
-        broker = rig.node.dispatcher
+    async with running(make_config(target_entry("s-1", port))) as running_broker:
+        client = await running_broker.client()
+        broker = running_broker.node.dispatcher
         client.ask(route="stock-add", patience="20000")
         await until(lambda: engine.commands_named(b"do"))
-        pool = first_pool(rig)
+        pool = first_pool(running_broker)
         pool.sweep(broker.now() + 2 * REMOVED_SILENCE_LIMIT_NS)
         assert not pool.connections[0].closed  # silent, but not listed as terminated
         broker.endpoint_list_changed(
@@ -173,9 +173,9 @@
 @on_uvloop
 async def test_an_exception_in_one_timer_does_not_prevent_the_answers_of_others() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        facade = rig.node.dispatcher.facade
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
+        facade = broker.node.dispatcher.facade
 
         def raise_error(now_ns: int) -> None:
             raise ZeroDivisionError
@@ -185,19 +185,19 @@
         await until(lambda: engine.commands_named(b"do"))
         facade.due.append(-1)
         assert (await client.answer())[1] == frames.REFUSED
-        assert any("ZeroDivisionError" in line for line in rig.logged)
+        assert any("ZeroDivisionError" in line for line in broker.logged)
 
 
 @on_uvloop
 async def test_nothing_is_dispatched_to_an_address_removed_during_the_connect() -> None:
     engine = Engine()
     port = await engine.start()
-    async with running(make_config(target_entry("s-1", port))) as rig:
+    async with running(make_config(target_entry("s-1", port))) as broker:
         recorder = RecordingClient()
         load = ParsedRequest("stock-add", TRACE, "acme", 20_000, 10, 16, False, 17, b"x")
-        rig.node.dispatcher.submit(recorder, 1, load)
+        broker.node.dispatcher.submit(recorder, 1, load)
         # In the same iteration of the event loop, so that the connect is in progress.
-        rig.node.dispatcher.endpoint_list_changed(
+        broker.node.dispatcher.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-2", port, "terminating")))
         )
         await until(lambda: recorder.answers)
@@ -214,8 +214,8 @@
         fleet_size=40,
         charges={"handshake": 0.08},
     )
-    async with running(config) as rig:
-        client = await rig.client()
+    async with running(config) as broker:
+        client = await broker.client()
         for stream in range(1, 11):
             route = "stock-add" if stream % 2 else "glance"
             client.ask(stream, trace=f"{stream:016x}", route=route)
--- a/tests/protocols/test_client_connections.py
+++ b/tests/protocols/test_client_connections.py
@@ -19,13 +19,13 @@
 async def test_a_slow_client_is_not_read_from_and_does_not_delay_other_clients() -> None:
     row = b"x" * 5_900 + b"\tb\tc\n"
     engine = engine_with_pages(*[row] * 8)
-    async with broker_with_engines(engine) as rig:
-        slow_client = await rig.client()
-        other_client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        slow_client = await broker.client()
+        other_client = await broker.client()
         transport = slow_client.writer.transport
         transport.pause_reading()  # type: ignore[attr-defined]
         stream = 0
-        while not any(connection.paused_since_ns for connection in rig.node.clients):
+        while not any(connection.paused_since_ns for connection in broker.node.clients):
             stream += 1
             slow_client.ask(stream=stream, trace=f"{stream:016x}")
             await until(lambda: len(engine.commands_named(b"forget")) == stream)  # noqa: B023
@@ -34,7 +34,7 @@
         transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(stream):
             assert (await slow_client.answer())[3] == row * 8
-        assert not any(connection.paused_since_ns for connection in rig.node.clients)
+        assert not any(connection.paused_since_ns for connection in broker.node.clients)
 
 
 @pytest.mark.parametrize(
@@ -53,8 +53,8 @@
 ) -> None:
     for name in ("FIRST_FRAME_TIMEOUT_NS", "FRAME_TIMEOUT_NS", "IDLE_TIMEOUT_NS"):
         monkeypatch.setattr(f"query_broker.protocols.client_timeouts.{name}", 50 * MS)
-    async with running(make_config()) as rig:
-        client = await rig.client()
+    async with running(make_config()) as broker:
+        client = await broker.client()
         client.writer.write(complete + incomplete)
         if complete:
             assert (await client.frame())[0] == frames.READY
@@ -62,17 +62,17 @@
             assert (await client.answer())[:2] == (0, frames.FAILED)
         assert await client.ended()
         client.writer.close()
-        await until(lambda: not rig.node.clients)
+        await until(lambda: not broker.node.clients)
 
 
 @on_uvloop
 async def test_a_lost_connection_and_its_parts_are_freed_without_the_garbage_collector() -> None:
     engine = engine_with_pages(b"1\ta\tb\n")
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.ask()
         assert (await client.answer())[1] == frames.SERVED
-        (connection,) = rig.node.admission.connections
+        (connection,) = broker.node.admission.connections
         references: list[weakref.ref[object]] = [
             weakref.ref(connection),
             weakref.ref(connection.reader),
--- a/tests/protocols/test_client_frames.py
+++ b/tests/protocols/test_client_frames.py
@@ -28,20 +28,20 @@
     data: bytes,
 ) -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.writer.write(data)
         stream, code, _, _ = await client.answer()
         assert (stream, code) == (0, frames.FAILED)
         assert await client.ended()
         assert not engine.commands
-        assert not rig.node.dispatcher.requests
+        assert not broker.node.dispatcher.requests
 
 
 @on_uvloop
 async def test_a_reused_stream_closes_the_connection() -> None:
-    async with running(make_config()) as rig:
-        client = await rig.client()
+    async with running(make_config()) as broker:
+        client = await broker.client()
         client.ask(stream=2)
         client.ask(stream=2)
         assert (await client.answer())[:2] == (2, frames.REFUSED)
@@ -51,12 +51,12 @@
 
 @on_uvloop
 async def test_a_client_that_sends_thousands_of_frames_does_not_delay_other_clients() -> None:
-    async with running(make_config()) as rig:
-        flooding_client = await rig.client()
-        other_client = await rig.client()
+    async with running(make_config()) as broker:
+        flooding_client = await broker.client()
+        other_client = await broker.client()
         flooding_client.writer.write(frames.frame(frames.ASK_READY, 1, b"\0") * 20_000)
         other_client.send(frames.ASK_READY, 1, b"\0")
-        ready = rig.node.ready
+        ready = broker.node.ready
         ready_calls = 0
 
         def counted_ready() -> bool:
@@ -64,7 +64,7 @@
             ready_calls += 1
             return ready()
 
-        rig.node.ready = counted_ready  # type: ignore[method-assign]
+        broker.node.ready = counted_ready  # type: ignore[method-assign]
         assert await other_client.frame() == (frames.READY, 1, b"\0\0")
         assert ready_calls < 10_000
         for _ in range(20_000):
@@ -73,28 +73,28 @@
 
 @on_uvloop
 async def test_the_incomplete_frames_of_all_clients_together_are_bounded() -> None:
-    async with running(make_config()) as rig:
-        rig.node.dispatcher.statement_capacity_bytes = 310_000
-        clients = [await rig.client() for _ in range(3)]
+    async with running(make_config()) as broker:
+        broker.node.dispatcher.statement_capacity_bytes = 310_000
+        clients = [await broker.client() for _ in range(3)]
         for client in clients:
             client.writer.write((200_000).to_bytes(4, "big") + b"\x02" + bytes(150_000))
-        await until(lambda: any(connection.broken for connection in rig.node.clients))
-        assert rig.node.partial_frame_bytes <= 310_000
-        assert sum(connection.broken for connection in rig.node.clients) == 1
+        await until(lambda: any(connection.broken for connection in broker.node.clients))
+        assert broker.node.partial_frame_bytes <= 310_000
+        assert sum(connection.broken for connection in broker.node.clients) == 1
         for client in clients:
             client.writer.close()
-        await until(lambda: not rig.node.clients)
-        assert rig.node.partial_frame_bytes == 0
+        await until(lambda: not broker.node.clients)
+        assert broker.node.partial_frame_bytes == 0
 
 
 @on_uvloop
 async def test_the_error_for_a_frame_of_60_mb_arrives_although_most_of_it_is_unread() -> None:
-    async with running(make_config()) as rig:
-        client = await rig.client()
+    async with running(make_config()) as broker:
+        client = await broker.client()
         client.writer.write((60 << 20).to_bytes(4, "big") + b"\x02" + bytes(8 << 20))
         stream, code, _, reason = await client.answer()
         assert (stream, code) == (0, frames.FAILED)
         assert b"length" in reason
         assert await client.ended()
-        assert rig.node.partial_frame_bytes == 0
-        await until(lambda: not rig.node.clients)
+        assert broker.node.partial_frame_bytes == 0
+        await until(lambda: not broker.node.clients)
--- a/tests/protocols/test_client_requests.py
+++ b/tests/protocols/test_client_requests.py
@@ -32,8 +32,8 @@
 @on_uvloop
 async def test_a_result_in_pages_is_sent_as_one_answer_in_page_order() -> None:
     engine = engine_with_pages(b"1\ta\tb\n", b"2\ta\tb\n", b"3\ta\tb\n")
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.ask(stream=5)
         assert await client.answer() == (5, frames.SERVED, {}, b"1\ta\tb\n2\ta\tb\n3\ta\tb\n")
         await until(lambda: engine.commands_named(b"forget"))
@@ -49,8 +49,8 @@
 @on_uvloop
 async def test_a_request_fails_if_the_engine_has_lost_a_page_of_its_result() -> None:
     engine = engine_with_pages(b"1\ta\tb\n", stated_pages=2)
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.ask(route="stock-add")
         assert (await client.answer())[1] == frames.FAILED
         assert len(engine.commands_named(b"do")) == 1
@@ -62,11 +62,11 @@
     that a valid request on the same connection is served.
     """
     engine = Engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         yield client
         assert not engine.commands
-        assert not rig.node.dispatcher.requests
+        assert not broker.node.dispatcher.requests
         client.ask(stream=200)
         assert (await client.answer())[:2] == (200, frames.SERVED)
 
@@ -139,9 +139,9 @@
 @on_uvloop
 async def test_a_request_with_an_id_in_use_fails_and_is_not_dispatched() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        other_client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
+        other_client = await broker.client()
         client.ask(stream=1, weight="900.0")
         await until(lambda: engine.commands_named(b"do"))
         for stream in (2, 3):  # repeated frames, as a flooding client sends them
@@ -155,39 +155,39 @@
         assert len(engine.commands_named(b"do")) == 1
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert not rig.node.dispatcher.request_table.by_client_id
+        assert not broker.node.dispatcher.request_table.by_client_id
 
 
 @on_uvloop
 async def test_a_timeout_longer_than_that_of_the_request_class_is_reduced_to_it() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.ask(patience="3600000")
         await until(lambda: engine.commands_named(b"do"))
-        [request] = rig.node.dispatcher.requests.values()
-        assert request.deadline_ns < rig.node.clock.now() + 5_000 * MS
+        [request] = broker.node.dispatcher.requests.values()
+        assert request.deadline_ns < broker.node.clock.now() + 5_000 * MS
 
 
 @on_uvloop
 async def test_the_final_answer_is_sent_before_the_timeout() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         loop = asyncio.get_running_loop()
         sent_s = loop.time()
         client.ask(patience="300")
         await until(lambda: engine.commands_named(b"do"))
-        request = next(iter(rig.node.dispatcher.requests.values()))
-        assert request.deadline_ns <= rig.node.clock.now() + 300 * MS - DEFAULT_ANSWER_MARGIN_NS
+        request = next(iter(broker.node.dispatcher.requests.values()))
+        assert request.deadline_ns <= broker.node.clock.now() + 300 * MS - DEFAULT_ANSWER_MARGIN_NS
         assert (await client.answer())[1] == frames.REFUSED
         assert loop.time() - sent_s > 0.25
 
 
 @on_uvloop
 async def test_without_engines_a_request_is_rejected_with_a_retry_after_time() -> None:
-    async with running(make_config()) as rig:
-        client = await rig.client()
+    async with running(make_config()) as broker:
+        client = await broker.client()
         client.ask(route="stock-add", patience="20000")
         stream, code, fields, body = await client.answer()
         assert (stream, code, body) == (1, frames.REFUSED, b"")
@@ -197,15 +197,15 @@
 @on_uvloop
 async def test_a_cancelled_request_is_not_answered_and_its_pages_are_not_fetched() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        other_client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
+        other_client = await broker.client()
         client.ask(stream=1, weight="900.0")
         other_client.ask(stream=1, weight="900.0", trace="0" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         client.send(frames.ABANDON, 1)
         other_client.writer.close()
-        requests = rig.node.dispatcher.requests
+        requests = broker.node.dispatcher.requests
         await until(lambda: not any(request.client for request in requests.values()))
         for command in engine.commands_named(b"do"):
             engine.writer_of(command).write(
@@ -214,7 +214,7 @@
         await until(lambda: len(engine.commands_named(b"forget")) == 2)
         assert not engine.commands_named(b"page")
         assert not engine.commands_named(b"undo")
-        assert not rig.node.dispatcher.requests
+        assert not broker.node.dispatcher.requests
         client.send(frames.ASK_READY, 0, b"\0")
         # The next frame on the connection: no answer was sent before it.
         assert await client.frame() == (frames.READY, 0, b"\0\0")
@@ -223,35 +223,35 @@
 @on_uvloop
 async def test_only_a_request_beyond_32_open_ones_fails() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine, **platform_settings(fleet_size=1)) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine, **platform_settings(fleet_size=1)) as broker:
+        client = await broker.client()
         for stream in range(1, 34):
             client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
         assert (await client.answer())[:2] == (33, frames.FAILED)
-        assert len(rig.node.dispatcher.requests) == 32
+        assert len(broker.node.dispatcher.requests) == 32
 
 
 @on_uvloop
 async def test_the_memory_of_statements_is_bounded_and_released() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        rig.node.dispatcher.statement_capacity_bytes = 100
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        broker.node.dispatcher.statement_capacity_bytes = 100
+        client = await broker.client()
         client.ask(1, b"x" * 90, weight="900.0")
         client.ask(2, b"x" * 20, trace="2" * 16)
         assert (await client.answer())[:2] == (2, frames.REFUSED)
         await until(lambda: engine.commands_named(b"do"))
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert rig.node.dispatcher.request_table.statement_bytes == 0
+        assert broker.node.dispatcher.request_table.statement_bytes == 0
 
 
 @on_uvloop
 async def test_an_exception_in_the_decisions_fails_only_the_current_request() -> None:
     engine = Engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        facade = rig.node.dispatcher.facade
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
+        facade = broker.node.dispatcher.facade
         pick = facade.pick
         facade.pick = None  # type: ignore[method-assign, assignment]
         client.ask(1)
@@ -259,5 +259,5 @@
         facade.pick = pick  # type: ignore[method-assign]
         client.ask(2, trace="2" * 16)
         assert (await client.answer())[:2] == (2, frames.SERVED)
-        assert not rig.node.dispatcher.requests
+        assert not broker.node.dispatcher.requests
         assert not facade.controller.requests
--- a/tests/protocols/test_engine_answers.py
+++ b/tests/protocols/test_engine_answers.py
@@ -45,8 +45,8 @@
             writer.write(data.replace(TRACE.encode(), parts[1]))
 
     engine = Engine(script)
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         for stream in (1, 2):
             client.ask(stream=stream, trace=f"{stream:016x}")
             assert (await client.answer())[1:] == (frames.SERVED, {}, ONE_ROW)
@@ -79,15 +79,15 @@
     slow_classes = [
         {**request_class, "aim": 5_000 * MS} for request_class in platform_settings()["classes"]
     ]
-    async with broker_with_engines(*engines, first_number=0, classes=slow_classes) as rig:
-        client = await rig.client()
+    async with broker_with_engines(*engines, first_number=0, classes=slow_classes) as broker:
+        client = await broker.client()
         client.ask(stream=1, route="stock-add", patience="20000", trace="1" * 16, weight="1.0")
         await until(lambda: len(received_ids) == 1)
         client.ask(stream=2, patience="4000")
         # The request is retried well before its timeout.
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert received_ids == [b"1" * 16, TRACE.encode(), TRACE.encode()]
-        endpoints = rig.node.dispatcher.facade.controller.endpoints.values()
+        endpoints = broker.node.dispatcher.facade.controller.endpoints.values()
         # A malformed answer does not count as a failure of the engine.
         assert not any(endpoint.ejected or endpoint.failure_rate for endpoint in endpoints)
         first_engine, first_command = next(
@@ -106,11 +106,11 @@
         writer.write(resp.encode(parts[1], b"served", b"chunks=1", b"1\ta\tb\n") + b"-ERR\r\n")
 
     engine = Engine(script)
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.ask(route="stock-add", patience="20000")
         assert await client.answer() == (1, frames.SERVED, {}, b"1\ta\tb\n")
-        pools = rig.node.dispatcher.pools.by_number.values()
+        pools = broker.node.dispatcher.pools.by_number.values()
         await until(lambda: not any(pool.connections for pool in pools))
 
 
@@ -138,8 +138,8 @@
         "retry_after": True,
         "max_retry_after": 2_000 * MS,
     }
-    async with broker_with_engines(*engines, policy_limits=limits) as rig:
-        client = await rig.client()
+    async with broker_with_engines(*engines, policy_limits=limits) as broker:
+        client = await broker.client()
         client.ask(stream=1, weight="1.0")
         assert (await client.answer())[:2] == (1, frames.SERVED)
         first = received[0]
@@ -149,7 +149,7 @@
         client.send(frames.ASK_READY, 0, b"\0")
         assert (await client.frame())[0] == frames.READY  # no second answer was sent before it
         assert len(received) == 3
-        assert not rig.node.dispatcher.requests
+        assert not broker.node.dispatcher.requests
 
 
 @on_uvloop
@@ -171,9 +171,9 @@
             writer.write(resp.encode(parts[1], b"rows", b"at=1", b"2\trun\tpage 1\n"))
 
     engine = Engine(script)
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        other_client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
+        other_client = await broker.client()
         client.ask(1, patience="300")
         assert (await client.answer())[1] != frames.SERVED
         other_client.ask(2)
@@ -197,9 +197,9 @@
             writer.write(resp.encode(parts[1], b"rows", b"at=1", b"1\trun\tpage 1\n"))
 
     engine = Engine(script)
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        other_client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
+        other_client = await broker.client()
         client.ask(1, patience="1500")
         await until(lambda: engine.commands_named(b"do"))
         other_client.ask(2, patience="1000")
@@ -226,9 +226,9 @@
             writer.write(resp.encode(parts[1], b"rows", b"at=" + parts[2], b"2\trun\tpage\n"))
 
     engine = Engine(script)
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        other_client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
+        other_client = await broker.client()
         client.ask(1, patience="1500")
         await until(lambda: engine.commands_named(b"do"))
         other_client.ask(2, patience="1500")
--- a/tests/protocols/test_engine_connections.py
+++ b/tests/protocols/test_engine_connections.py
@@ -47,28 +47,28 @@
     and each handshake would be charged.
     """
     engine = silent_engine()
-    async with broker_with_engines(engine, charges=charges) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine, charges=charges) as broker:
+        client = await broker.client()
         for stream in (1, 2, 3):
             client.ask(
                 stream, route="stock-add", trace=f"{stream}" * 16, patience="20000", weight="1.0"
             )
             await until(lambda: len(engine.commands_named(b"do")) == stream)  # noqa: B023
-        pool = first_pool(rig)
+        pool = first_pool(broker)
         assert len(pool.connections) == connections
 
 
 @on_uvloop
 async def test_a_connection_takes_no_more_streams_than_the_settings_allow() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        clients = [await rig.client(), await rig.client()]
+    async with broker_with_engines(engine) as broker:
+        clients = [await broker.client(), await broker.client()]
         for number in range(60):
             clients[number % 2].ask(stream=number // 2 + 1, trace=f"{number:016x}", weight="1.0")
         await until(lambda: len(engine.commands_named(b"do")) == 60)
         in_flight = [
             len(connection.in_flight)
-            for pool in rig.node.dispatcher.pools.by_number.values()
+            for pool in broker.node.dispatcher.pools.by_number.values()
             for connection in pool.connections
         ]
         assert max(in_flight) <= 32
@@ -78,9 +78,9 @@
 @on_uvloop
 async def test_two_attempts_with_the_same_id_use_different_connections() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        other_client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
+        other_client = await broker.client()
         client.ask(stream=1)
         await until(lambda: len(engine.commands_named(b"do")) == 1)
         # The same request again, as a client repeats it if its connection closed meanwhile.
@@ -96,12 +96,12 @@
 @on_uvloop
 async def test_a_connection_carries_no_second_attempt_with_a_recent_request_id() -> None:
     engine = Engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        broker = rig.node.dispatcher
+    async with broker_with_engines(engine) as running_broker:
+        client = await running_broker.client()
+        broker = running_broker.node.dispatcher
         client.ask()
         await client.answer()
-        pool = first_pool(rig)
+        pool = first_pool(running_broker)
         [connection] = pool.connections
         for client_request_id, reused in ((b"9" * 16, True), (TRACE.encode(), False)):
             end_ns = broker.now() + 9_000 * MS
@@ -119,12 +119,12 @@
 @on_uvloop
 async def test_a_connection_that_is_silent_for_too_long_gets_no_further_attempts() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.ask(stream=1)
         await until(lambda: engine.commands_named(b"do"))
-        pool = first_pool(rig)
-        now = rig.node.clock.now()
+        pool = first_pool(broker)
+        now = broker.node.clock.now()
         assert pool._usable(now) == pool.connections
         assert pool._usable(now + 2 * connection_choice.SILENCE_LIMIT_NS) == []
 
@@ -132,12 +132,12 @@
 @on_uvloop
 async def test_idle_connections_are_closed_well_before_the_engine_closes_them() -> None:
     engine = Engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
         client.ask()
         await client.answer()
-        node = rig.node
-        pool = first_pool(rig)
+        node = broker.node
+        pool = first_pool(broker)
         pool.sweep(node.clock.now())
         assert [connection.closed for connection in pool.connections] == [False]
         pool.sweep(node.clock.now() + node.config.connection_idle_ns * 6 // 10)
@@ -147,15 +147,15 @@
 @on_uvloop
 async def test_a_connection_with_a_missing_answer_is_retired_and_then_closed() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        broker = rig.node.dispatcher
+    async with broker_with_engines(engine) as running_broker:
+        client = await running_broker.client()
+        broker = running_broker.node.dispatcher
         broker.pools.max_connections = 1  # so that both requests use one connection
         client.ask(stream=1, patience="200", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
         client.ask(stream=2, patience="20000", route="stock-add", trace="2" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
-        pool = first_pool(rig)
+        pool = first_pool(running_broker)
         connection = pool.connections[0]
         pool.sweep(broker.now() + LATE_ANSWER_NS + 1_000 * MS)
         assert connection.retired
@@ -171,14 +171,14 @@
 async def test_an_engine_that_reuses_the_address_of_another_is_a_new_endpoint() -> None:
     engine = Engine()
     port = await engine.start()
-    async with running(make_config(target_entry("s-1", port))) as rig:
-        broker = rig.node.dispatcher
+    async with running(make_config(target_entry("s-1", port))) as running_broker:
+        broker = running_broker.node.dispatcher
         first = broker.endpoint_table.number("s-1")
         broker.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-2", port, boot_ms=1)))
         )
         assert broker.endpoint_table.number("s-2") != first == broker.endpoint_table.number("s-1")
-        client = await rig.client()
+        client = await running_broker.client()
         client.ask(weight="1.0")
         assert (await client.answer())[1] == frames.SERVED
         assert list(broker.facade.controller.endpoints) == [broker.endpoint_table.number("s-2")]
@@ -187,9 +187,9 @@
 @on_uvloop
 async def test_attempts_share_connections_once_their_descriptors_are_used_up() -> None:
     engine = silent_engine()
-    async with broker_with_engines(engine) as rig:
-        client = await rig.client()
-        pools = rig.node.dispatcher.pools
+    async with broker_with_engines(engine) as broker:
+        client = await broker.client()
+        pools = broker.node.dispatcher.pools
         pools.max_connections = 8
         for stream in range(1, 21):
             client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
@@ -218,8 +218,8 @@
     """Guards the fix e317172: another endpoint may listen at the former address by now."""
     former_engine, current_engine = Engine(), Engine()
     current_port = await current_engine.start()
-    async with broker_with_engines(former_engine) as rig:
-        pool = first_pool(rig)
+    async with broker_with_engines(former_engine) as broker:
+        pool = first_pool(broker)
 
         async def connect_and_move(
             make_connection: Callable[[], EngineConnection], address: Address, timeout_ns: int
@@ -229,7 +229,7 @@
             return connection
 
         monkeypatch.setattr("query_broker.endpoints.connection_pool.connect", connect_and_move)
-        client = await rig.client()
+        client = await broker.client()
         client.ask(route="stock-add", patience="20000")
         assert (await client.answer())[1] in (frames.SERVED, frames.REFUSED)
         assert not former_engine.commands_named(b"do")
--- a/tests/protocols/test_health_checks.py
+++ b/tests/protocols/test_health_checks.py
@@ -23,8 +23,8 @@
             writer.write(resp.encode(parts[1], b"green", b"meter=q:2;rif:7;x1:0.5;x0:0.25", b""))
 
     engine = Engine(script)
-    async with broker_with_engines(engine) as rig:
-        broker = rig.node.dispatcher
+    async with broker_with_engines(engine) as running_broker:
+        broker = running_broker.node.dispatcher
         endpoint = broker.facade.controller.endpoints[broker.endpoint_table.number("s-1")]
         broker.health_checks.start(broker.now(), broker.endpoint_table.number("s-1"))
         await until(lambda: endpoint.load_report)
@@ -33,7 +33,7 @@
         assert endpoint.load_report.memory == 0.25
         assert endpoint.load_report.disk == 0.5
         assert not broker.health_checks.pending
-        client = await rig.client()
+        client = await running_broker.client()
         client.ask(patience="150", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
         await until(lambda: not broker.requests)
@@ -58,8 +58,8 @@
         *[target_entry(f"s-{number}", closed_ports.reserve()) for number in range(2, 5)],
         fleet_size=40,
     )
-    async with running(config) as rig:
-        broker = rig.node.dispatcher
+    async with running(config) as running_broker:
+        broker = running_broker.node.dispatcher
         endpoint = broker.facade.controller.endpoints[broker.endpoint_table.number("s-1")]
         broker.facade.controller.outliers.set_ejected(broker.now(), endpoint, True)
         await until(lambda: engine.commands_named(b"top") and not endpoint.ejected)
--- a/tests/server/admin_calls.py
+++ b/tests/server/admin_calls.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import NamedTuple
 
-from ..support.sockets import Rig, within
+from ..support.sockets import RunningBroker, within
 
 
 class AdminAnswer(NamedTuple):
@@ -16,8 +16,8 @@
     body: str
 
 
-async def admin_call(rig: Rig, raw: bytes) -> AdminAnswer:
-    reader, writer = await asyncio.open_connection("127.0.0.1", rig.operator_port)
+async def admin_call(broker: RunningBroker, raw: bytes) -> AdminAnswer:
+    reader, writer = await asyncio.open_connection("127.0.0.1", broker.operator_port)
     writer.write(raw)
     head, _, body = (await within(reader.read())).decode().partition("\r\n\r\n")
     writer.close()
@@ -29,9 +29,9 @@
     return AdminAnswer(int(status_line.split()[1]), headers, body)
 
 
-async def read_metrics(rig: Rig) -> dict[str, float]:
+async def read_metrics(broker: RunningBroker) -> dict[str, float]:
     """Return the value of each series by its name, without the common prefix of the names."""
-    answer = await admin_call(rig, b"GET /metrics HTTP/1.1\r\n\r\n")
+    answer = await admin_call(broker, b"GET /metrics HTTP/1.1\r\n\r\n")
     assert answer.status == 200
     metrics = {}
     for line in answer.body.splitlines():
@@ -41,7 +41,7 @@
     return metrics
 
 
-async def send_engine_action(rig: Rig, action: str, uid: str = "s-1") -> int:
+async def send_engine_action(broker: RunningBroker, action: str, uid: str = "s-1") -> int:
     """Disable or enable a data engine through the admin API; return the HTTP status."""
     raw = f"POST /data-engines/{action}/{uid} HTTP/1.1\r\n\r\n".encode()
-    return (await admin_call(rig, raw)).status
+    return (await admin_call(broker, raw)).status
--- a/tests/server/co_processes.py
+++ b/tests/server/co_processes.py
@@ -12,23 +12,25 @@
 from query_broker.config import Config
 from query_broker.server.peer_process import PeerProcesses
 
-from ..support.sockets import Rig, running, until
+from ..support.sockets import RunningBroker, running, until
 
 
 @asynccontextmanager
-async def co_process(config: Config, listener: socket.socket, folder: Path) -> AsyncIterator[Rig]:
+async def co_process(
+    config: Config, listener: socket.socket, folder: Path
+) -> AsyncIterator[RunningBroker]:
     """Run a node that accepts connections on the inherited socket."""
     async with running(
         replace(config, accept_fd=os.dup(listener.fileno()), folder=str(folder))
-    ) as rig:
-        yield rig
+    ) as broker:
+        yield broker
 
 
-def peer_processes(rig: Rig) -> PeerProcesses:
-    assert rig.node.peer_processes is not None
-    return rig.node.peer_processes
+def peer_processes(broker: RunningBroker) -> PeerProcesses:
+    assert broker.node.peer_processes is not None
+    return broker.node.peer_processes
 
 
-async def meet(*rigs: Rig) -> None:
+async def meet(*brokers: RunningBroker) -> None:
     """Wait until each process has detected another one."""
-    await until(lambda: all(peer_processes(rig).others for rig in rigs))
+    await until(lambda: all(peer_processes(broker).others for broker in brokers))
--- a/tests/server/test_lifecycle.py
+++ b/tests/server/test_lifecycle.py
@@ -83,10 +83,10 @@
     for name in ("GRACE_PERIOD_S", "LINGER_S"):  # the test runs the shutdown steps itself
         monkeypatch.setattr(f"query_broker.server.graceful_shutdown.{name}", 3_600.0)
     engine = Engine()
-    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        shutdown = GracefulShutdown(rig.node)
+    async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
+        shutdown = GracefulShutdown(broker.node)
         shutdown.begin()
-        client = await rig.client()
+        client = await broker.client()
         client.send(frames.ASK_READY, 0, b"\0")
         assert await client.frame() == (frames.READY, 0, b"\0\0")
         client.ask(stream=1)
@@ -98,7 +98,7 @@
         assert await client.frame() == (frames.READY, 0, b"\x01\0")
         assert (await client.answer())[:2] == (2, frames.SERVED)
         with pytest.raises(ConnectionRefusedError):
-            await rig.client()
+            await broker.client()
 
 
 def test_an_address_in_use_is_reported_under_its_settings_key(tmp_path: Path) -> None:
@@ -112,17 +112,17 @@
 @on_uvloop
 async def test_open_requests_get_a_final_answer_at_the_end_of_the_drain() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        client = await rig.client()
+    async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
+        client = await broker.client()
         client.ask(stream=1, route="stock-add", patience="20000", trace="1" * 16)
         client.ask(stream=2, trace="2" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
-        shutdown = GracefulShutdown(rig.node)
-        shutdown.begun_at_ns = rig.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
+        shutdown = GracefulShutdown(broker.node)
+        shutdown.begun_at_ns = broker.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
         shutdown._await_requests()
         answers = dict([(await client.answer())[:2], (await client.answer())[:2]])
         assert answers == {1: frames.FAILED, 2: frames.REFUSED}
-        await within(rig.node.stopped.wait())
+        await within(broker.node.stopped.wait())
 
 
 @on_uvloop
@@ -131,22 +131,22 @@
 ) -> None:
     monkeypatch.setattr("query_broker.server.graceful_shutdown.LINGER_S", 0.0)
     engine = Engine()
-    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        client = await rig.client()
+    async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
+        client = await broker.client()
         fields = {"route": "glance", "trace": "1" * 16, "patience": "4000", "customer": "acme"}
         payload = frames.write_fields(fields) + b"SELECT 1"
         frame = frames.frame(frames.REQUEST, 1, payload)
         client.writer.write(frame[:9])
-        await until(lambda: rig.node.partial_frame_bytes)
-        shutdown = GracefulShutdown(rig.node)
-        shutdown.begun_at_ns = rig.node.clock.now()
+        await until(lambda: broker.node.partial_frame_bytes)
+        shutdown = GracefulShutdown(broker.node)
+        shutdown.begun_at_ns = broker.node.clock.now()
         shutdown._announce_leaving()
         shutdown._await_requests()
-        assert not rig.node.stopped.is_set()
+        assert not broker.node.stopped.is_set()
         client.writer.write(frame[9:])
         assert await client.frame() == (frames.NO_MORE, 0, b"")
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        await within(rig.node.stopped.wait())
+        await within(broker.node.stopped.wait())
 
 
 @on_uvloop
@@ -164,14 +164,14 @@
 @on_uvloop
 async def test_no_state_remains_of_a_disconnected_client() -> None:
     engine = Engine()
-    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        client = await rig.client()
+    async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
+        client = await broker.client()
         client.ask()
         await client.answer()
         client.writer.close()
-        await until(lambda: not rig.node.clients)
-        assert not rig.node.dispatcher.requests
-        assert not rig.node.dispatcher.facade.controller.requests
+        await until(lambda: not broker.node.clients)
+        assert not broker.node.dispatcher.requests
+        assert not broker.node.dispatcher.facade.controller.requests
 
 
 def test_version_and_check_config_are_printed(
@@ -192,18 +192,18 @@
 @on_uvloop
 async def test_at_the_connection_limit_idle_clients_are_evicted_and_busy_ones_stay() -> None:
     engine = Engine(lambda *_: None)
-    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        assert rig.node.admission.max_connections >= rig.node.config.sockets // 3
-        rig.node.admission.max_connections = 2
-        busy = await rig.client()
-        silent = await rig.client()
+    async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
+        assert broker.node.admission.max_connections >= broker.node.config.sockets // 3
+        broker.node.admission.max_connections = 2
+        busy = await broker.client()
+        silent = await broker.client()
         busy.ask()
         await until(lambda: engine.commands_named(b"do"))
-        newcomer = await rig.client()  # evicts the connection that has sent nothing
+        newcomer = await broker.client()  # evicts the connection that has sent nothing
         assert await silent.ended()
         newcomer.ask(trace="2" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
-        assert await (await rig.client()).ended()  # rejected: all others wait for an answer
+        assert await (await broker.client()).ended()  # rejected: all others wait for an answer
         for do, client in zip(engine.commands_named(b"do"), (busy, newcomer), strict=True):
             engine.answer_served(do, engine.writer_of(do))
             assert (await client.answer())[1] == frames.SERVED
@@ -242,8 +242,8 @@
 @on_uvloop
 async def test_an_idle_broker_ticks_rarely_and_an_earlier_timer_wakes_it() -> None:
     """Counting ticks makes a broker with 200 ticks a second fail at any machine speed."""
-    async with running(make_config()) as rig:
-        node = rig.node
+    async with running(make_config()) as broker:
+        node = broker.node
         ticks = 0
         tick = node.dispatcher.tick
 
--- a/tests/server/test_process_status.py
+++ b/tests/server/test_process_status.py
@@ -20,22 +20,22 @@
 @on_uvloop
 async def test_files_of_a_killed_process_are_removed_unread(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as rig:
-            dead_name = peer_processes(rig).files.prefix + "9-dead"
+        async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as broker:
+            dead_name = peer_processes(broker).files.prefix + "9-dead"
             (tmp_path / f"{dead_name}.json").write_text(
                 '{"accepting": true, "words": {"s-1": [9, true]}}'
             )
             (tmp_path / f"{dead_name}.lock").touch()
-            with open(tmp_path / f"{peer_processes(rig).files.prefix}8-alive.lock", "w") as lock:
+            with open(tmp_path / f"{peer_processes(broker).files.prefix}8-alive.lock", "w") as lock:
                 fcntl.flock(lock, fcntl.LOCK_EX)
-                (tmp_path / f"{peer_processes(rig).files.prefix}8-alive.json").write_text(
+                (tmp_path / f"{peer_processes(broker).files.prefix}8-alive.json").write_text(
                     '{"words": {"s-1": ['
                 )
-                await until(lambda: peer_processes(rig).others)
+                await until(lambda: peer_processes(broker).others)
                 assert not (tmp_path / f"{dead_name}.json").exists()
-                assert not rig.node.dispatcher.administrative_states.is_disabled("s-1")
+                assert not broker.node.dispatcher.administrative_states.is_disabled("s-1")
                 # The status file of the live process is incomplete: its status is unknown.
-                assert not peer_processes(rig).has_successor()
+                assert not peer_processes(broker).has_successor()
 
 
 @on_uvloop
@@ -46,17 +46,17 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with co_process(
             make_config(target_entry("s-1", 9), operator=True), listener, tmp_path
-        ) as rig:
-            registry = peer_processes(rig)
+        ) as broker:
+            registry = peer_processes(broker)
             (file,) = tmp_path.glob("*.json")
             inode = file.stat().st_ino
             name = file.name.removesuffix(".json")
-            assert rig.node.admin_api.set_endpoint_disabled("s-1", disabled=True)
+            assert broker.node.admin_api.set_endpoint_disabled("s-1", disabled=True)
             long_content = file.read_bytes()
             status = registry.files.read(name)
             assert status is not None
             assert "s-1" in status.administrative_states
-            rig.node.dispatcher.administrative_states.states.clear()
+            broker.node.dispatcher.administrative_states.states.clear()
             registry.publish_status()
             short_content = file.read_bytes()
             status = registry.files.read(name)
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -16,7 +16,7 @@
 
 from ..support.sockets import (
     Engine,
-    Rig,
+    RunningBroker,
     make_config,
     on_uvloop,
     platform_settings,
@@ -139,38 +139,40 @@
     engine = Engine(lambda *_: None)
     path = tmp_path / "config.json"
 
-    async def reload_with(rig: Rig, raw: dict[str, Any], expected: str) -> None:
-        before = sum(expected in line for line in rig.logged)
+    async def reload_with(broker: RunningBroker, raw: dict[str, Any], expected: str) -> None:
+        before = sum(expected in line for line in broker.logged)
         path.write_text(json.dumps(raw))
         os.kill(os.getpid(), signal.SIGHUP)
-        await until(lambda: sum(expected in line for line in rig.logged) > before)
+        await until(lambda: sum(expected in line for line in broker.logged) > before)
 
     config = make_config(target_entry("s-1", await engine.start()), operator=True)
-    async with running(config, {"PROXY_CONFIG": str(path)}) as rig:
-        client = await rig.client()
+    async with running(config, {"PROXY_CONFIG": str(path)}) as broker:
+        client = await broker.client()
         client.ask(stream=1)
         await until(lambda: engine.commands_named(b"do"))
         await reload_with(
-            rig, {**file_with_additional_class("night"), "seed": "77"}, "reload: done"
+            broker, {**file_with_additional_class("night"), "seed": "77"}, "reload: done"
         )
-        assert "reload: done; restart required for: listen, operator, seed" in rig.logged
+        assert "reload: done; restart required for: listen, operator, seed" in broker.logged
         for deadline in (0, -5):  # nothing is applied: neither the valid class nor the new bus
             invalid = file_with("settings.classes.1.deadline", deadline)
             invalid["settings"]["classes"][0]["name"] = "glance-x"
             await reload_with(
-                rig, {**invalid, "bus": "127.0.0.1:9"}, "settings.classes.deadline: must be above 0"
+                broker,
+                {**invalid, "bus": "127.0.0.1:9"},
+                "settings.classes.deadline: must be above 0",
             )
         client.ask(stream=2, trace="2" * 16, route="night")
         client.ask(stream=3, trace="3" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 3)
-        metrics = await read_metrics(rig)
+        metrics = await read_metrics(broker)
         assert (metrics["reload_success_total"], metrics["reload_failure_total"]) == (1, 2)
         assert metrics['replies_total{type="night",status="success"}'] == 0
         for writer in engine.writers:  # the engine closes: all three requests may have run
             writer.close()
         answers = {(await client.answer())[:2] for _ in range(3)}
         assert answers == {(1, frames.REFUSED), (2, frames.FAILED), (3, frames.FAILED)}
-        await reload_with(rig, file_with("settings.classes.0.name", "other"), "reload: done")
+        await reload_with(broker, file_with("settings.classes.0.name", "other"), "reload: done")
         client.ask(stream=4, trace="4" * 16)
         assert (await client.answer())[1] == frames.FAILED  # its class has been removed
-        assert (await read_metrics(rig))['replies_total{type="glance",status="overload"}'] == 1
+        assert (await read_metrics(broker))['replies_total{type="glance",status="overload"}'] == 1
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -16,7 +16,7 @@
 
 from ..support.sockets import (
     Engine,
-    Rig,
+    RunningBroker,
     make_config,
     on_uvloop,
     running,
@@ -98,11 +98,11 @@
     tmp_path: Path,
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as rig:
-            rig.node.shutdown.begin()
-            assert rig.node.ready()
-            assert rig.node.server is not None
-            assert rig.node.server.is_serving()
+        async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as broker:
+            broker.node.shutdown.begin()
+            assert broker.node.ready()
+            assert broker.node.server is not None
+            assert broker.node.server.is_serving()
 
 
 @on_uvloop
@@ -128,10 +128,10 @@
     statement_bytes: int
 
 
-def limits_of(rig: Rig) -> ProcessLimits:
-    dispatcher = rig.node.dispatcher
+def limits_of(broker: RunningBroker) -> ProcessLimits:
+    dispatcher = broker.node.dispatcher
     return ProcessLimits(
-        rig.node.admission.max_connections,
+        broker.node.admission.max_connections,
         dispatcher.pools.max_connections,
         dispatcher.statement_capacity_bytes,
     )
@@ -147,8 +147,8 @@
             undivided = limits_of(old)
             async with co_process(config, listener, tmp_path) as new:
                 await meet(old, new)
-                for rig in (old, new):
-                    divided = limits_of(rig)
+                for broker in (old, new):
+                    divided = limits_of(broker)
                     assert divided.engine_connections <= undivided.engine_connections // 2
                     assert divided.statement_bytes < undivided.statement_bytes
             await until(lambda: not peer_processes(old).others)
@@ -168,9 +168,9 @@
 async def test_idle_engine_connections_beyond_the_divided_limit_are_closed(tmp_path: Path) -> None:
     """A connection counts until its loss is reported: a loop that waited for that would hang."""
     engine = Engine(lambda *_: None)
-    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        client = await rig.client()
-        pools = rig.node.dispatcher.pools
+    async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
+        client = await broker.client()
+        pools = broker.node.dispatcher.pools
         for stream in range(1, 13):
             client.ask(stream=stream, trace=f"{stream:016x}")
         await until(lambda: len(engine.commands_named(b"do")) == 12)
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -40,7 +40,7 @@
     "TRACE",
     "Client",
     "Engine",
-    "Rig",
+    "RunningBroker",
     "celled",
     "connect",
     "topology_event",
@@ -206,7 +206,7 @@
             await asyncio.sleep(0.005)
 
 
-class Rig:
+class RunningBroker:
     """A node under test, and clients to it."""
 
     def __init__(self, node: Node) -> None:
@@ -243,16 +243,16 @@
     config: Config,
     environ: Mapping[str, str] = os.environ,
     make: Callable[[Config, Mapping[str, str]], Node] = Node,
-) -> AsyncIterator[Rig]:
+) -> AsyncIterator[RunningBroker]:
     """A node on a free port, as `serve` runs it."""
     operator = config.admin_address and (config.admin_address[0], 0)
-    rig = Rig(make(replace(config, port=0, admin_address=operator), environ))
-    task = asyncio.create_task(rig.node.run())
-    await until(lambda: rig.node.server is not None or task.done())
+    broker = RunningBroker(make(replace(config, port=0, admin_address=operator), environ))
+    task = asyncio.create_task(broker.node.run())
+    await until(lambda: broker.node.server is not None or task.done())
     try:
-        yield rig
+        yield broker
     finally:
-        rig.node.stop()
+        broker.node.stop()
         await within(task)
 
 
