--- a/tests/cells/cell_brokers.py
+++ b/tests/cells/cell_brokers.py
@@ -74,7 +74,7 @@
 
 def send_request(client: Client, stream: int, tenant: str, **changes: Any) -> None:
     """Send a cheap request of the tenant, whose id is made of the tenant and the stream."""
-    client.ask(
+    client.send_request(
         stream=stream,
         trace=f"{tenant.encode().hex()[:8]}{stream:08x}",
         customer=tenant,
--- a/tests/deadlines/deadline_brokers.py
+++ b/tests/deadlines/deadline_brokers.py
@@ -65,7 +65,7 @@
     """Return a client whose first request is large and partly written to an engine."""
     broker.node.dispatcher.pools.max_connections = max_connections
     client = await broker.client()
-    client.ask(
+    client.send_request(
         1,
         body=LARGE_STATEMENT,
         trace=request_id(1),
@@ -85,7 +85,7 @@
 async def client_with_queued_request(broker: RunningBroker, **fields: Any) -> Client:
     """Return a client whose second request waits in the write queue behind a partly written one."""
     client = await client_with_partly_written_request(broker)
-    client.ask(2, trace=request_id(2), **{"weight": "1.0", **fields})
+    client.send_request(2, trace=request_id(2), **{"weight": "1.0", **fields})
     await wait_for_queued_request(broker)
     return client
 
--- a/tests/deadlines/test_cancellation.py
+++ b/tests/deadlines/test_cancellation.py
@@ -31,7 +31,7 @@
     async with broker_with_engine_ports(await engine.start()) as broker:
         client = await broker.client()
         for number in range(1, 6):
-            client.ask(number, trace=request_id(number), patience="300", weight="1.0")
+            client.send_request(number, trace=request_id(number), patience="300", weight="1.0")
         await until(lambda: len(engine.commands_named(b"do")) == 5)
         client.send(frames.ABANDON, 1)
         for _ in range(4):
@@ -73,7 +73,7 @@
         await engine.start(), policy_limits=CANCEL_LIMITS
     ) as broker:
         client = await broker.client()
-        client.ask(1, patience=timeout_ms, route="stock-add", weight="1.0")
+        client.send_request(1, patience=timeout_ms, route="stock-add", weight="1.0")
         await until(lambda: engine.commands_named(b"do"))
         await end_request(client)
         await until(lambda: engine.commands_named(b"undo"))
@@ -92,13 +92,13 @@
         await engine.start(), policy_limits=CANCEL_LIMITS
     ) as broker:
         client = await broker.client()
-        client.ask(1, weight="1.0")
+        client.send_request(1, weight="1.0")
         await until(lambda: engine.commands_named(b"do"))
         client.send(frames.ABANDON, 1)
         await until(lambda: engine.commands_named(b"undo"))
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
         await until(lambda: statistics(broker).cancels_answered == 1)
-        client.ask(2, trace=request_id(2), weight="1.0")
+        client.send_request(2, trace=request_id(2), weight="1.0")
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         engine.answer_served(engine.commands_named(b"do")[1], engine.writers[-1])
         assert (await client.answer())[:2] == (2, frames.SERVED)
@@ -111,7 +111,7 @@
     ports = [await engine.start() for engine in engines]
     async with broker_with_engine_ports(*ports, policy_limits=HEDGE_LIMITS) as broker:
         client = await broker.client()
-        client.ask(1, weight="20.0")
+        client.send_request(1, weight="20.0")
         await until(lambda: sum(len(engine.commands_named(b"do")) for engine in engines) == 2)
         winner = next(engine for engine in engines if engine.commands_named(b"do"))
         winner.answer_served(winner.commands_named(b"do")[0], winner.writers[0])
@@ -125,7 +125,7 @@
     engine = silent_engine()
     async with broker_with_engine_ports(await engine.start()) as broker:
         client = await broker.client()
-        client.ask(1, patience="300", route="stock-add", weight="1.0")
+        client.send_request(1, patience="300", route="stock-add", weight="1.0")
         assert (await client.answer())[:2] == (1, frames.FAILED)
         await until(lambda: not broker.node.dispatcher.requests)
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
@@ -143,7 +143,7 @@
     engine = Engine(script)
     async with broker_with_engine_ports(await engine.start()) as broker:
         client = await broker.client()
-        client.ask(1, weight="1.0")
+        client.send_request(1, weight="1.0")
         await until(lambda: len(engine.commands_named(b"page")) == 2)
         client.send(frames.ABANDON, 1)
         await until(lambda: engine.commands_named(b"forget"))
--- a/tests/deadlines/test_operator_options.py
+++ b/tests/deadlines/test_operator_options.py
@@ -52,7 +52,7 @@
     make = configured_node(deadlines=DeadlineSettings(half_close=HalfClosePolicy.AWAIT_ANSWERS))
     async with broker_with_engine_ports(await engine.start(), make=make) as broker:
         client = await broker.client()
-        client.ask(1, weight="1.0")
+        client.send_request(1, weight="1.0")
         await until(lambda: engine.commands_named(b"do"))
         client.writer.write_eof()
         await asyncio.sleep(0.05)
@@ -68,7 +68,7 @@
     make = configured_node(deadlines=None)
     async with broker_with_engine_ports(await engine.start(), make=make) as broker:
         client = await broker.client()
-        client.ask(1, weight="1.0")
+        client.send_request(1, weight="1.0")
         await until(lambda: engine.commands_named(b"do"))
         client.writer.write_eof()
         await until(lambda: not broker.node.dispatcher.request_table.unanswered_count)
@@ -93,7 +93,7 @@
             if connection.transport:
                 shrink_buffers(connection.transport)
         for number in range(1, 33):
-            client.ask(number, trace=request_id(number), weight="1.0")
+            client.send_request(number, trace=request_id(number), weight="1.0")
         await until(lambda: not broker.node.clients)
 
 
@@ -110,7 +110,7 @@
     async with broker_with_engine_ports(*ports, make=make) as broker:
         client = await broker.client()
         for number in range(1, 11):
-            client.ask(number, trace=request_id(number), weight="1.0")
+            client.send_request(number, trace=request_id(number), weight="1.0")
             assert (await client.answer())[1] == frames.REFUSED
         assert sum(len(engine.commands_named(b"do")) for engine in engines) == 12
         assert stopped_count(broker, HandOver.POOL, StopReason.RETRY_BUDGET_EXHAUSTED)
@@ -125,7 +125,7 @@
     async with running(config, make=make) as broker:
         client = await broker.client()
         for number in range(1, 81):
-            client.ask(number, trace=request_id(number), weight="1.0")
+            client.send_request(number, trace=request_id(number), weight="1.0")
             assert (await client.answer())[1] == frames.SERVED
         stages = deadline_controls(broker).stages
         assert stages is not None
--- a/tests/deadlines/test_queued_requests.py
+++ b/tests/deadlines/test_queued_requests.py
@@ -57,7 +57,7 @@
     async with slow_engine() as slow, broker_with_engine_ports(slow.port) as broker:
         client = await client_with_partly_written_request(broker)
         for number in (2, 3):
-            client.ask(number, trace=request_id(number), weight="1.0")
+            client.send_request(number, trace=request_id(number), weight="1.0")
         await wait_for_queued_request(broker)
         client.send(frames.ABANDON, 2)
         await until(lambda: stopped_count(broker, HandOver.SOCKET, StopReason.CLIENT_LEFT) == 1)
@@ -77,8 +77,8 @@
         broker.node.dispatcher.pools.max_connections = 1
         client = await broker.client()
         fields: dict[str, Any] = {"patience": "300", "route": "stock-add", "weight": "1.0"}
-        client.ask(1, body=LARGE_STATEMENT, trace=request_id(1), **fields)
-        client.ask(2, trace=request_id(2), **fields)
+        client.send_request(1, body=LARGE_STATEMENT, trace=request_id(1), **fields)
+        client.send_request(2, trace=request_id(2), **fields)
         codes = await codes_of_two_answers(client)
         # The first may run, so it fails. No byte of the second was sent, so it can be retried.
         assert codes == {1: frames.FAILED, 2: frames.REFUSED}
@@ -141,7 +141,7 @@
         broker.node.dispatcher.pools.max_connections = 16
         for number in range(2, 32):
             await slow.read(1)
-            client.ask(number, trace=request_id(number), weight="1.0", patience="400")
+            client.send_request(number, trace=request_id(number), weight="1.0", patience="400")
             await asyncio.sleep(0.005)
         codes = [(await client.answer())[1] for _ in range(30)]
         assert codes.count(frames.SERVED) >= 10
--- a/tests/deadlines/test_requests_without_connection.py
+++ b/tests/deadlines/test_requests_without_connection.py
@@ -32,8 +32,8 @@
     async with broker_with_engine_ports(await engine.start()) as broker:
         dispatcher = broker.node.dispatcher
         client = await broker.client()
-        client.ask(1, trace=request_id(1), weight="1.0")
-        client.ask(2, trace=request_id(2), weight="1.0")
+        client.send_request(1, trace=request_id(1), weight="1.0")
+        client.send_request(2, trace=request_id(2), weight="1.0")
         await until(lambda: len(dispatcher.requests) == 2)
         client.send(frames.ABANDON, 1)
         await until(
@@ -65,7 +65,7 @@
         dispatcher = broker.node.dispatcher
         clients = [await broker.client() for _ in range(500)]
         for number, client in enumerate(clients, 100):
-            client.ask(1, trace=request_id(number), weight="0.1", customer=None)
+            client.send_request(1, trace=request_id(number), weight="0.1", customer=None)
         await until(lambda: dispatcher.request_table.unanswered_count == 500)
         for client in clients:
             client.writer.transport.abort()
@@ -75,7 +75,7 @@
         assert stopped_count(broker, HandOver.POOL, StopReason.CLIENT_LEFT) == 500
         gate.set()
         last_client = await broker.client()
-        last_client.ask(1, trace=request_id(1), weight="0.1", customer=None)
+        last_client.send_request(1, trace=request_id(1), weight="0.1", customer=None)
         assert (await last_client.answer())[1] == frames.SERVED
         received = [command[1] for command in engine.commands_named(b"do")]
         assert received == [request_id(1).encode()]
--- a/tests/decisions/test_deployments.py
+++ b/tests/decisions/test_deployments.py
@@ -35,7 +35,7 @@
 def send_load(
     client: Client, stream: int = 1, idempotency_key: str | None = IDEMPOTENCY_KEY
 ) -> None:
-    client.ask(
+    client.send_request(
         stream=stream,
         route="load",
         patience="20000",
@@ -71,7 +71,7 @@
         for attempt in attempts:
             assert resp.read_pairs(attempt[2])["nonce"] == IDEMPOTENCY_KEY
         assert len(attempts) == stream + 1  # one of them was retried, with the same key
-        client.ask(stream=50, customer=None, trace="a" * 16)
+        client.send_request(stream=50, customer=None, trace="a" * 16)
         assert (await client.answer())[1] == frames.SERVED
         commands = one.commands + other.commands
         unkeyed = [parts for parts in commands if parts[1] == b"a" * 16]
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -108,7 +108,7 @@
         service.publish(topology_event(2, target_entry("s-1", port)))
         await until(lambda: "s-1" in broker.node.dispatcher.endpoint_table.by_uid)
         client = await broker.client()
-        client.ask()
+        client.send_request()
         assert (await client.answer())[1] == 0
         assert service.writer is not None
         service.writer.close()
@@ -226,7 +226,7 @@
     """Send eight requests, and check that all of them go to the ready engine."""
     count_before = len(engines.draining.commands_named(b"do"))
     for stream in range(first_stream, first_stream + 8):
-        client.ask(stream, trace=f"{stream:016x}")
+        client.send_request(stream, trace=f"{stream:016x}")
         assert (await client.answer())[:2] == (stream, 0)
     assert len(engines.draining.commands_named(b"do")) == count_before
     assert engines.ready.commands_named(b"do")
@@ -278,7 +278,7 @@
     async with running(make_config(*engines.targets, bus=port)) as broker:
         await until(lambda: any("no connection" in line for line in broker.logged))
         client = await broker.client()
-        client.ask(1, trace="1" * 16)
+        client.send_request(1, trace="1" * 16)
         assert (await client.answer())[:2] == (1, 0)  # endpoints from the settings are in use
         service.server = await asyncio.start_server(service._serve_client, "127.0.0.1", port)
         await until(lambda: service.subscriptions)
--- a/tests/dispatch/test_client_races.py
+++ b/tests/dispatch/test_client_races.py
@@ -43,8 +43,8 @@
     engine = silent_engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(1, trace="1" * 16)
-        client.ask(2, trace="2" * 16, route="stock-add")
+        client.send_request(1, trace="1" * 16)
+        client.send_request(2, trace="2" * 16, route="stock-add")
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         client.send(77, 3)
         answers = {(await client.answer())[:2] for _ in range(3)}
@@ -63,7 +63,7 @@
             with socket.create_connection(("127.0.0.1", broker.port)) as raw:
                 raw.sendall(b"".join(request_frame(number) for number in range(1, 100)))
         client = await broker.client()
-        client.ask(trace="f" * 16)
+        client.send_request(trace="f" * 16)
         assert (await client.answer())[1] == frames.SERVED
         assert [do[1] for do in engine.commands_named(b"do")] == [b"f" * 16]
         await until(lambda: len(broker.node.clients) == 1)
@@ -90,7 +90,7 @@
         discovery.publish(topology_event(1, target_entry("s-1", spare_port), full=True))
         client = await broker.client()
         await until(broker.node.ready)
-        client.ask()
+        client.send_request()
         assert (await client.answer())[1] == frames.SERVED
         engine_connections = broker.node.dispatcher.pools._count_connections()
         assert len(broker.node.clients) + engine_connections < config.sockets
@@ -120,7 +120,7 @@
     engines = [silent_engine(), silent_engine()]
     async with broker_with_engines(*engines, first_number=0) as broker:
         client = await broker.client()
-        client.ask(1, trace="1" * 16)
+        client.send_request(1, trace="1" * 16)
         await until(lambda: any(engine.commands_named(b"do") for engine in engines))
         first, other = sorted(engines, key=lambda engine: not engine.commands_named(b"do"))
         yield RequestInFlight(broker, client, first, other)
@@ -155,7 +155,7 @@
     async with request_in_flight_at_one_of_two() as (broker, client, first, other):
         connection = await pause_only_client(broker)
         for number in range(2, 6):
-            client.ask(
+            client.send_request(
                 number, trace=f"{number:016x}", body=STATEMENT + b" /* " + b"x" * 20_000 + b" */"
             )
         await until(lambda: connection.reader.unreadable)
@@ -174,7 +174,7 @@
     engine = silent_engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(1, trace="1" * 16)
+        client.send_request(1, trace="1" * 16)
         await until(lambda: engine.commands_named(b"do"))
         connection = next(iter(broker.node.clients))
         assert connection.transport is not None
@@ -195,7 +195,9 @@
     engine = Engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(1)  # opens a connection to the engine: later attempts are sent immediately
+        client.send_request(
+            1
+        )  # opens a connection to the engine: later attempts are sent immediately
         assert (await client.answer())[:2] == (1, frames.SERVED)
         ready = frames.frame(frames.ASK_READY, 0, b"\0") * (FRAMES_PER_TURN + 1)
         client.writer.write(
--- a/tests/dispatch/test_engine_connection_races.py
+++ b/tests/dispatch/test_engine_connection_races.py
@@ -90,7 +90,7 @@
     engine = silent_engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(route="stock-add", patience="20000")
+        client.send_request(route="stock-add", patience="20000")
         await until(lambda: engine.commands_named(b"do"))
         answer = resp.encode(TRACE.encode(), b"served", b"chunks=1", b"a\tb\tc\n")
         engine.writers[0].write(answer[:20])
@@ -118,11 +118,11 @@
     async with broker_with_engines(engine) as broker:
         broker.node.dispatcher.pools.dedicated_connections = not busy
         client = await broker.client()
-        client.ask()
+        client.send_request()
         assert (await client.answer())[1] == frames.SERVED
         if busy:
             engine.script = lambda *_: None
-            client.ask(2, trace="2" * 16)
+            client.send_request(2, trace="2" * 16)
             await until(lambda: len(engine.commands_named(b"do")) == 2)
             engine.script = Engine.answer_served
         descriptor = engine.writers[0].transport.get_extra_info("socket").fileno()
@@ -148,11 +148,11 @@
     """The engine answers on its other connection meanwhile, which the waiting attempt then uses."""
     async with broker_with_late_connects(engine_listener) as broker:
         client = await broker.client()
-        client.ask(1, trace="1" * 16)
+        client.send_request(1, trace="1" * 16)
         engine = await within(engine_listener.accept())
         await within(engine.reader.readuntil(STATEMENT))
         with engine_listener.fill():
-            client.ask(2, trace="2" * 16)
+            client.send_request(2, trace="2" * 16)
             pool = first_pool(broker)
             await until(lambda: pool.waiting_attempts)
             engine.writer.write(resp.encode(b"1" * 16, b"update", b"tell=pct,amount=0.5", b""))
@@ -172,10 +172,10 @@
 ) -> None:
     async with broker_with_late_connects(engine_listener) as broker:
         client = await broker.client()
-        client.ask(1, trace="1" * 16)
+        client.send_request(1, trace="1" * 16)
         engine = await within(engine_listener.accept())
         with engine_listener.fill():
-            client.ask(2, trace="2" * 16)
+            client.send_request(2, trace="2" * 16)
             assert (await client.answer())[:2] == (2, frames.REFUSED)
         assert next(iter(broker.node.dispatcher.facade.controller.endpoints.values())).ejected
         engine.writer.close()
@@ -187,13 +187,13 @@
     port = await engine.start()
     async with running(make_config(target_entry("s-1", port))) as broker:
         client = await broker.client()
-        client.ask(1, trace="1" * 16)
+        client.send_request(1, trace="1" * 16)
         assert (await client.answer())[1] == frames.SERVED
         started_ms = broker.node.dispatcher.now() // MS - 60_000
         broker.node.dispatcher.endpoint_list_changed(
             parse_event(topology_event(2, target_entry("s-1", port, boot_ms=started_ms)))
         )
-        client.ask(2, trace="2" * 16)
+        client.send_request(2, trace="2" * 16)
         assert (await client.answer())[1] == frames.SERVED
         assert engine.command_writers[-1] is engine.writers[1]
         assert len(engine.writers) == 2
--- a/tests/dispatch/test_shutdown_races.py
+++ b/tests/dispatch/test_shutdown_races.py
@@ -60,7 +60,7 @@
     async with process(tmp_path, known=known) as (broker, port):
         client = await within(connect(port))
         idle_client = await within(connect(port))
-        client.ask()
+        client.send_request()
         idle_client.send(frames.ASK_READY, 0, b"\0")
         assert (await idle_client.frame())[0] == frames.READY
         await until(lambda: engine.commands_named(b"do"))
@@ -91,7 +91,7 @@
     }
     async with broker_with_engines(engine, classes=[glance]) as broker:
         client = await broker.client()
-        client.ask(patience="700")
+        client.send_request(patience="700")
         await until(lambda: engine.commands_named(b"do"))
         shutdown = GracefulShutdown(broker.node)
         shutdown.begun_at_ns = broker.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
--- a/tests/dispatch/test_shutdown_stalls.py
+++ b/tests/dispatch/test_shutdown_stalls.py
@@ -151,7 +151,7 @@
     engine = silent_engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         await until(lambda: engine.commands_named(b"do"))
         shutdown = GracefulShutdown(broker.node)
         stalled_ns = int(shutdown.close_out_after_s * 1e9) + FLUSH_TIMEOUT_NS + 10 * MS
@@ -228,7 +228,7 @@
     engine = silent_engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         await until(lambda: engine.commands_named(b"do"))
         sent_ns = broker.node.clock.now()
         stall(broker, 2_000 * MS)
--- a/tests/dispatch/test_signal_races.py
+++ b/tests/dispatch/test_signal_races.py
@@ -60,7 +60,7 @@
         client = await within(connect(port))  # the broker listens once it has read the settings
         # The settings are read again, so the signal was not lost.
         await within(asyncio.to_thread(write_to_pipe, path, json.dumps(changed)))
-        client.ask(route="peek")
+        client.send_request(route="peek")
         # The class is known now; the request is rejected because no engine is reachable.
         assert (await client.answer())[:2] == (1, frames.REFUSED)
     finally:
--- a/tests/dispatch/test_stalls.py
+++ b/tests/dispatch/test_stalls.py
@@ -104,7 +104,7 @@
     engine = Engine(script)
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         assert (await client.answer())[1] == frames.SERVED  # a connection is open
         results: list[AttemptResult] = []
         dispatcher = broker.node.dispatcher
@@ -131,7 +131,7 @@
     engine = Engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(1)  # opens a connection to the engine
+        client.send_request(1)  # opens a connection to the engine
         assert (await client.answer())[:2] == (1, frames.SERVED)
         cancelled = request_frame(2) + frames.frame(frames.ABANDON, 2)
         client.writer.write(cancelled + request_frame(3))
--- a/tests/membership/test_broker.py
+++ b/tests/membership/test_broker.py
@@ -179,7 +179,7 @@
         for stream in range(1, 31):
             effective_size = draw.choice([1, 2, 100, 10])
             dispatcher.refresh_settings()
-            client.ask(stream, trace=f"{stream:016x}")
+            client.send_request(stream, trace=f"{stream:016x}")
         answers = [await client.answer() for _ in range(30)]
         assert sorted(answer[0] for answer in answers) == list(range(1, 31))
         assert dispatcher.facade.controller.settings.fleet_size == effective_size
--- a/tests/protocols/test_attempt_results.py
+++ b/tests/protocols/test_attempt_results.py
@@ -39,7 +39,7 @@
 ) -> None:
     async with running(make_config(target_entry("s-1", closed_ports.reserve()))) as broker:
         client = await broker.client()
-        client.ask(route="stock-add", patience="20000")
+        client.send_request(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
 
 
@@ -55,7 +55,9 @@
     async with running(config) as broker:
         client = await broker.client()
         for stream in range(1, 9):
-            client.ask(stream=stream, route="stock-add", patience="20000", trace=f"{stream:016x}")
+            client.send_request(
+                stream=stream, route="stock-add", patience="20000", trace=f"{stream:016x}"
+            )
             assert (await client.answer())[:2] == (stream, frames.SERVED)
 
 
@@ -64,7 +66,7 @@
 async def test_a_load_that_is_answered_with_overload_or_nobody_is_rejected(result: bytes) -> None:
     async with broker_with_engines(engine_that_answers(result)) as broker:
         client = await broker.client()
-        client.ask(route="stock-add", patience="20000")
+        client.send_request(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
 
 
@@ -72,7 +74,7 @@
     """Check that a load fails without a retry, since it may have run at the only engine."""
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(route="stock-add", patience="20000")
+        client.send_request(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.FAILED
         assert len(engine.commands_named(b"do")) == 1
 
@@ -84,7 +86,7 @@
 
 
 def answer_bytes(result: bytes, fields: bytes, body: bytes) -> bytes:
-    """Return an answer to the request that `Client.ask` sends."""
+    """Return an answer to the request that `Client.send_request` sends."""
     return resp.encode(TRACE.encode(), result, fields, body)
 
 
@@ -120,7 +122,7 @@
     async with broker_with_engines(closing_engine, Engine()) as broker:
         client = await broker.client()
         for stream in range(1, 9):
-            client.ask(stream=stream, trace=f"{stream:016x}")
+            client.send_request(stream=stream, trace=f"{stream:016x}")
             assert (await client.answer())[:2] == (stream, frames.SERVED)
 
 
@@ -131,7 +133,7 @@
         make_config(target_entry("s-1", await engine.start(), "terminating"))
     ) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         assert (await client.answer())[1] == frames.REFUSED
         assert not engine.commands
 
@@ -142,7 +144,7 @@
     async with broker_with_engines(engine) as broker:
         broker.node.dispatcher.pools.max_connections = -1
         client = await broker.client()
-        client.ask(route="stock-add", patience="20000")
+        client.send_request(route="stock-add", patience="20000")
         assert (await client.answer())[1] == frames.REFUSED
         assert not engine.commands
         endpoints = broker.node.dispatcher.facade.controller.endpoints.values()
@@ -156,7 +158,7 @@
     async with running(make_config(target_entry("s-1", port))) as running_broker:
         client = await running_broker.client()
         broker = running_broker.node.dispatcher
-        client.ask(route="stock-add", patience="20000")
+        client.send_request(route="stock-add", patience="20000")
         await until(lambda: engine.commands_named(b"do"))
         pool = first_pool(running_broker)
         pool.sweep(broker.now() + 2 * REMOVED_SILENCE_LIMIT_NS)
@@ -181,7 +183,7 @@
             raise ZeroDivisionError
 
         facade.controller.orders.timers[-1] = (raise_error, ())
-        client.ask(patience="300")
+        client.send_request(patience="300")
         await until(lambda: engine.commands_named(b"do"))
         facade.due.append(-1)
         assert (await client.answer())[1] == frames.REFUSED
@@ -218,7 +220,7 @@
         client = await broker.client()
         for stream in range(1, 11):
             route = "stock-add" if stream % 2 else "glance"
-            client.ask(stream, trace=f"{stream:016x}", route=route)
+            client.send_request(stream, trace=f"{stream:016x}", route=route)
             code, fields = (await client.answer())[1:3]
             assert code == frames.REFUSED
             assert int(fields["pause"]) > 0
--- a/tests/protocols/test_client_connections.py
+++ b/tests/protocols/test_client_connections.py
@@ -27,9 +27,9 @@
         stream = 0
         while not any(connection.paused_since_ns for connection in broker.node.clients):
             stream += 1
-            slow_client.ask(stream=stream, trace=f"{stream:016x}")
+            slow_client.send_request(stream=stream, trace=f"{stream:016x}")
             await until(lambda: len(engine.commands_named(b"forget")) == stream)  # noqa: B023
-        other_client.ask()
+        other_client.send_request()
         assert (await other_client.answer())[3] == row * 8
         transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(stream):
@@ -70,7 +70,7 @@
     engine = engine_with_pages(b"1\ta\tb\n")
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         assert (await client.answer())[1] == frames.SERVED
         (connection,) = broker.node.admission.connections
         references: list[weakref.ref[object]] = [
--- a/tests/protocols/test_client_frames.py
+++ b/tests/protocols/test_client_frames.py
@@ -42,8 +42,8 @@
 async def test_a_reused_stream_closes_the_connection() -> None:
     async with running(make_config()) as broker:
         client = await broker.client()
-        client.ask(stream=2)
-        client.ask(stream=2)
+        client.send_request(stream=2)
+        client.send_request(stream=2)
         assert (await client.answer())[:2] == (2, frames.REFUSED)
         assert (await client.answer())[0] == 0
         assert await client.ended()
--- a/tests/protocols/test_client_requests.py
+++ b/tests/protocols/test_client_requests.py
@@ -34,7 +34,7 @@
     engine = engine_with_pages(b"1\ta\tb\n", b"2\ta\tb\n", b"3\ta\tb\n")
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(stream=5)
+        client.send_request(stream=5)
         assert await client.answer() == (5, frames.SERVED, {}, b"1\ta\tb\n2\ta\tb\n3\ta\tb\n")
         await until(lambda: engine.commands_named(b"forget"))
         command = engine.commands_named(b"do")[0]
@@ -51,7 +51,7 @@
     engine = engine_with_pages(b"1\ta\tb\n", stated_pages=2)
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(route="stock-add")
+        client.send_request(route="stock-add")
         assert (await client.answer())[1] == frames.FAILED
         assert len(engine.commands_named(b"do")) == 1
 
@@ -67,7 +67,7 @@
         yield client
         assert not engine.commands
         assert not broker.node.dispatcher.requests
-        client.ask(stream=200)
+        client.send_request(stream=200)
         assert (await client.answer())[:2] == (200, frames.SERVED)
 
 
@@ -110,7 +110,7 @@
     name: str, value: str | None
 ) -> None:
     async with client_for_invalid_requests() as client:
-        client.ask(1, STATEMENT, **{"trace": f"{1:016x}", name: value})
+        client.send_request(1, STATEMENT, **{"trace": f"{1:016x}", name: value})
         assert (await client.answer())[:2] == (1, frames.FAILED)
 
 
@@ -124,7 +124,7 @@
     statement: bytes,
 ) -> None:
     async with client_for_invalid_requests() as client:
-        client.ask(100, statement, trace=f"{100:016x}")
+        client.send_request(100, statement, trace=f"{100:016x}")
         assert (await client.answer())[:2] == (100, frames.FAILED)
 
 
@@ -132,7 +132,7 @@
 async def test_many_invalid_requests_on_one_connection_are_each_answered_as_failed() -> None:
     async with client_for_invalid_requests() as client:
         for stream in range(1, 45):
-            client.ask(stream, trace=f"{stream:016x}", patience="x")
+            client.send_request(stream, trace=f"{stream:016x}", patience="x")
             assert (await client.answer())[:2] == (stream, frames.FAILED)
 
 
@@ -142,15 +142,15 @@
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
         other_client = await broker.client()
-        client.ask(stream=1, weight="900.0")
+        client.send_request(stream=1, weight="900.0")
         await until(lambda: engine.commands_named(b"do"))
         for stream in (2, 3):  # repeated frames, as a flooding client sends them
-            client.ask(stream=stream, weight="900.0")
+            client.send_request(stream=stream, weight="900.0")
             assert (await client.answer())[:2] == (stream, frames.FAILED)
         for stream, changes in enumerate(
             ({"body": b"SELECT 2 FROM sales_17.orders"}, {"route": "stock-add"}), 1
         ):
-            other_client.ask(stream=stream, **changes)  # type: ignore[arg-type]
+            other_client.send_request(stream=stream, **changes)  # type: ignore[arg-type]
             assert (await other_client.answer())[:2] == (stream, frames.FAILED)
         assert len(engine.commands_named(b"do")) == 1
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
@@ -163,7 +163,7 @@
     engine = silent_engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(patience="3600000")
+        client.send_request(patience="3600000")
         await until(lambda: engine.commands_named(b"do"))
         [request] = broker.node.dispatcher.requests.values()
         assert request.deadline_ns < broker.node.clock.now() + 5_000 * MS
@@ -176,7 +176,7 @@
         client = await broker.client()
         loop = asyncio.get_running_loop()
         sent_s = loop.time()
-        client.ask(patience="300")
+        client.send_request(patience="300")
         await until(lambda: engine.commands_named(b"do"))
         request = next(iter(broker.node.dispatcher.requests.values()))
         assert request.deadline_ns <= broker.node.clock.now() + 300 * MS - DEFAULT_ANSWER_MARGIN_NS
@@ -188,7 +188,7 @@
 async def test_without_engines_a_request_is_rejected_with_a_retry_after_time() -> None:
     async with running(make_config()) as broker:
         client = await broker.client()
-        client.ask(route="stock-add", patience="20000")
+        client.send_request(route="stock-add", patience="20000")
         stream, code, fields, body = await client.answer()
         assert (stream, code, body) == (1, frames.REFUSED, b"")
         assert int(fields["pause"]) > 0
@@ -200,8 +200,8 @@
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
         other_client = await broker.client()
-        client.ask(stream=1, weight="900.0")
-        other_client.ask(stream=1, weight="900.0", trace="0" * 16)
+        client.send_request(stream=1, weight="900.0")
+        other_client.send_request(stream=1, weight="900.0", trace="0" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         client.send(frames.ABANDON, 1)
         other_client.writer.close()
@@ -226,7 +226,7 @@
     async with broker_with_engines(engine, **platform_settings(fleet_size=1)) as broker:
         client = await broker.client()
         for stream in range(1, 34):
-            client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
+            client.send_request(stream=stream, trace=f"{stream:016x}", weight="1.0")
         assert (await client.answer())[:2] == (33, frames.FAILED)
         assert len(broker.node.dispatcher.requests) == 32
 
@@ -237,8 +237,8 @@
     async with broker_with_engines(engine) as broker:
         broker.node.dispatcher.statement_capacity_bytes = 100
         client = await broker.client()
-        client.ask(1, b"x" * 90, weight="900.0")
-        client.ask(2, b"x" * 20, trace="2" * 16)
+        client.send_request(1, b"x" * 90, weight="900.0")
+        client.send_request(2, b"x" * 20, trace="2" * 16)
         assert (await client.answer())[:2] == (2, frames.REFUSED)
         await until(lambda: engine.commands_named(b"do"))
         engine.answer_served(engine.commands_named(b"do")[0], engine.writers[0])
@@ -254,10 +254,10 @@
         facade = broker.node.dispatcher.facade
         pick = facade.pick
         facade.pick = None  # type: ignore[method-assign, assignment]
-        client.ask(1)
+        client.send_request(1)
         assert (await client.answer())[:2] == (1, frames.FAILED)
         facade.pick = pick  # type: ignore[method-assign]
-        client.ask(2, trace="2" * 16)
+        client.send_request(2, trace="2" * 16)
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert not broker.node.dispatcher.requests
         assert not facade.controller.requests
--- a/tests/protocols/test_engine_answers.py
+++ b/tests/protocols/test_engine_answers.py
@@ -48,7 +48,7 @@
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
         for stream in (1, 2):
-            client.ask(stream=stream, trace=f"{stream:016x}")
+            client.send_request(stream=stream, trace=f"{stream:016x}")
             assert (await client.answer())[1:] == (frames.SERVED, {}, ONE_ROW)
         assert len(engine.writers) == 1
 
@@ -81,9 +81,11 @@
     ]
     async with broker_with_engines(*engines, first_number=0, classes=slow_classes) as broker:
         client = await broker.client()
-        client.ask(stream=1, route="stock-add", patience="20000", trace="1" * 16, weight="1.0")
+        client.send_request(
+            stream=1, route="stock-add", patience="20000", trace="1" * 16, weight="1.0"
+        )
         await until(lambda: len(received_ids) == 1)
-        client.ask(stream=2, patience="4000")
+        client.send_request(stream=2, patience="4000")
         # The request is retried well before its timeout.
         assert (await client.answer())[:2] == (2, frames.SERVED)
         assert received_ids == [b"1" * 16, TRACE.encode(), TRACE.encode()]
@@ -108,7 +110,7 @@
     engine = Engine(script)
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(route="stock-add", patience="20000")
+        client.send_request(route="stock-add", patience="20000")
         assert await client.answer() == (1, frames.SERVED, {}, b"1\ta\tb\n")
         pools = broker.node.dispatcher.pools.by_number.values()
         await until(lambda: not any(pool.connections for pool in pools))
@@ -140,7 +142,7 @@
     }
     async with broker_with_engines(*engines, policy_limits=limits) as broker:
         client = await broker.client()
-        client.ask(stream=1, weight="1.0")
+        client.send_request(stream=1, weight="1.0")
         assert (await client.answer())[:2] == (1, frames.SERVED)
         first = received[0]
         first.writer.write(resp.encode(first.request_id, b"served", b"chunks=2", b"late\ta\tb\n"))
@@ -174,9 +176,9 @@
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
         other_client = await broker.client()
-        client.ask(1, patience="300")
+        client.send_request(1, patience="300")
         assert (await client.answer())[1] != frames.SERVED
-        other_client.ask(2)
+        other_client.send_request(2)
         _, code, _, body = await other_client.answer()
         assert code != frames.SERVED or body == b"2\trun\tpage 0\n2\trun\tpage 1\n"
 
@@ -200,9 +202,9 @@
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
         other_client = await broker.client()
-        client.ask(1, patience="1500")
+        client.send_request(1, patience="1500")
         await until(lambda: engine.commands_named(b"do"))
-        other_client.ask(2, patience="1000")
+        other_client.send_request(2, patience="1000")
         _, code, _, body = await other_client.answer()
         assert code != frames.SERVED or len(set(body.split(b"\n"))) == 1
 
@@ -229,9 +231,9 @@
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
         other_client = await broker.client()
-        client.ask(1, patience="1500")
+        client.send_request(1, patience="1500")
         await until(lambda: engine.commands_named(b"do"))
-        other_client.ask(2, patience="1500")
+        other_client.send_request(2, patience="1500")
         for receiver in (client, other_client):
             _, code, _, body = await receiver.answer()
             assert code != frames.SERVED or len({row[:1] for row in body.splitlines()}) == 1
--- a/tests/protocols/test_engine_connections.py
+++ b/tests/protocols/test_engine_connections.py
@@ -50,7 +50,7 @@
     async with broker_with_engines(engine, charges=charges) as broker:
         client = await broker.client()
         for stream in (1, 2, 3):
-            client.ask(
+            client.send_request(
                 stream, route="stock-add", trace=f"{stream}" * 16, patience="20000", weight="1.0"
             )
             await until(lambda: len(engine.commands_named(b"do")) == stream)  # noqa: B023
@@ -64,7 +64,9 @@
     async with broker_with_engines(engine) as broker:
         clients = [await broker.client(), await broker.client()]
         for number in range(60):
-            clients[number % 2].ask(stream=number // 2 + 1, trace=f"{number:016x}", weight="1.0")
+            clients[number % 2].send_request(
+                stream=number // 2 + 1, trace=f"{number:016x}", weight="1.0"
+            )
         await until(lambda: len(engine.commands_named(b"do")) == 60)
         in_flight = [
             len(connection.in_flight)
@@ -81,10 +83,10 @@
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
         other_client = await broker.client()
-        client.ask(stream=1)
+        client.send_request(stream=1)
         await until(lambda: len(engine.commands_named(b"do")) == 1)
         # The same request again, as a client repeats it if its connection closed meanwhile.
-        other_client.ask(stream=2)
+        other_client.send_request(stream=2)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         assert len(engine.writers) == 2
         engine.writer_of(engine.commands_named(b"do")[1]).write(
@@ -99,7 +101,7 @@
     async with broker_with_engines(engine) as running_broker:
         client = await running_broker.client()
         broker = running_broker.node.dispatcher
-        client.ask()
+        client.send_request()
         await client.answer()
         pool = first_pool(running_broker)
         [connection] = pool.connections
@@ -121,7 +123,7 @@
     engine = silent_engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(stream=1)
+        client.send_request(stream=1)
         await until(lambda: engine.commands_named(b"do"))
         pool = first_pool(broker)
         now = broker.node.clock.now()
@@ -134,7 +136,7 @@
     engine = Engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         await client.answer()
         node = broker.node
         pool = first_pool(broker)
@@ -151,9 +153,9 @@
         client = await running_broker.client()
         broker = running_broker.node.dispatcher
         broker.pools.max_connections = 1  # so that both requests use one connection
-        client.ask(stream=1, patience="200", weight="100.0")
+        client.send_request(stream=1, patience="200", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
-        client.ask(stream=2, patience="20000", route="stock-add", trace="2" * 16)
+        client.send_request(stream=2, patience="20000", route="stock-add", trace="2" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         pool = first_pool(running_broker)
         connection = pool.connections[0]
@@ -179,7 +181,7 @@
         )
         assert broker.endpoint_table.number("s-2") != first == broker.endpoint_table.number("s-1")
         client = await running_broker.client()
-        client.ask(weight="1.0")
+        client.send_request(weight="1.0")
         assert (await client.answer())[1] == frames.SERVED
         assert list(broker.facade.controller.endpoints) == [broker.endpoint_table.number("s-2")]
 
@@ -192,7 +194,7 @@
         pools = broker.node.dispatcher.pools
         pools.max_connections = 8
         for stream in range(1, 21):
-            client.ask(stream=stream, trace=f"{stream:016x}", weight="1.0")
+            client.send_request(stream=stream, trace=f"{stream:016x}", weight="1.0")
         await until(lambda: len(engine.commands_named(b"do")) == 20)
         (pool,) = pools.by_number.values()
         assert len(engine.writers) == 6  # the remaining two are reserved for other engines
@@ -230,6 +232,6 @@
 
         monkeypatch.setattr("query_broker.endpoints.connection_pool.connect", connect_and_move)
         client = await broker.client()
-        client.ask(route="stock-add", patience="20000")
+        client.send_request(route="stock-add", patience="20000")
         assert (await client.answer())[1] in (frames.SERVED, frames.REFUSED)
         assert not former_engine.commands_named(b"do")
--- a/tests/protocols/test_health_checks.py
+++ b/tests/protocols/test_health_checks.py
@@ -34,7 +34,7 @@
         assert endpoint.load_report.disk == 0.5
         assert not broker.health_checks.pending
         client = await running_broker.client()
-        client.ask(patience="150", weight="100.0")
+        client.send_request(patience="150", weight="100.0")
         assert (await client.answer())[1] == frames.REFUSED
         await until(lambda: not broker.requests)
         engine.writer_of(engine.commands_named(b"do")[0]).write(
--- a/tests/server/test_admin_api.py
+++ b/tests/server/test_admin_api.py
@@ -129,11 +129,11 @@
         }
         assert_metrics(await read_metrics(broker), with_one_in_flight)
         client.send(frames.ABANDON, 3)  # the request ends, but its attempt stays in flight
-        client.ask(stream=4, trace="4" * 16, route="stock-add")
+        client.send_request(stream=4, trace="4" * 16, route="stock-add")
         await until(lambda: len(engine.commands_named(b"do")) == 3)
         assert (await read_metrics(broker))["concurrent"] == 1
         assert await send_engine_action(broker, "disable") == 200
-        client.ask(stream=5, trace="5" * 16)
+        client.send_request(stream=5, trace="5" * 16)
         stream, code, fields, _ = await client.answer()
         assert (stream, code) == (5, frames.REFUSED)
         assert int(fields["pause"]) > 0
@@ -145,12 +145,12 @@
 
 
 async def send_served_invalid_and_unanswered_requests(client: Client, engine: Engine) -> None:
-    client.ask(stream=1)
+    client.send_request(stream=1)
     assert (await client.answer())[1] == frames.SERVED
-    client.ask(stream=2, trace="2" * 16, customer="nobody")
+    client.send_request(stream=2, trace="2" * 16, customer="nobody")
     assert (await client.answer())[1] == frames.FAILED
     engine.script = lambda *_: None
-    client.ask(stream=3, trace="3" * 16, route="stock-add")
+    client.send_request(stream=3, trace="3" * 16, route="stock-add")
     await until(lambda: len(engine.commands_named(b"do")) == 2)
 
 
@@ -174,7 +174,7 @@
     config = make_config(target_entry("s-1", await engine.start()), operator=True)
     async with running(config) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         await until(lambda: engine.commands_named(b"do"))
         (connection,) = (
             connection
@@ -204,13 +204,13 @@
         assert await send_engine_action(broker, "disable") == 200  # still known
         await apply_endpoint_event(broker, 3, {**first, "boot_ms": 1_000})
         for stream in range(1, 31):
-            client.ask(stream=stream, trace=f"{stream:016x}")
+            client.send_request(stream=stream, trace=f"{stream:016x}")
             assert (await client.answer())[1] == frames.SERVED
         assert not engines[0].commands_named(b"do")
         assert len(engines[1].commands_named(b"do")) == 30
         assert await send_engine_action(broker, "enable") == 200
         for stream in range(31, 61):
-            client.ask(stream=stream, trace=f"{stream:016x}")
+            client.send_request(stream=stream, trace=f"{stream:016x}")
             await client.answer()
         assert engines[0].commands_named(b"do")
         assert await send_engine_action(broker, "enable", "nobody") == 404
@@ -238,7 +238,7 @@
             if pool.target.uid == "s-1"
         )
         pool._open = lambda: None  # type: ignore[method-assign]  # no connection is ever opened
-        client.ask(route="stock-add")
+        client.send_request(route="stock-add")
         await until(lambda: pool.waiting_attempts)
         assert await send_engine_action(broker, "disable") == 200
         assert (await client.answer())[1] == frames.REFUSED
@@ -252,13 +252,13 @@
     config = make_config(target_entry("s-1", await engine.start()), operator=True)
     async with running(config) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         await client.answer()
         await send_engine_action(broker, "disable")
         await send_engine_action(broker, "enable")
         (known,) = broker.node.dispatcher.facade.controller.endpoints.values()
         assert known.warmup_ends_ns > broker.node.clock.now()
-        client.ask(stream=2, trace="2" * 16)
+        client.send_request(stream=2, trace="2" * 16)
         assert (await client.answer())[1] == frames.SERVED
         first, again = engine.commands_named(b"do")
         assert engine.writer_of(first) is not engine.writer_of(again)
--- a/tests/server/test_lifecycle.py
+++ b/tests/server/test_lifecycle.py
@@ -67,7 +67,7 @@
     known = make_known(target_entry("s-1", await engine.start()))
     async with process(tmp_path, known=known) as (broker, port):
         first = await connect(port)
-        first.ask(stream=1, trace="1" * 16)
+        first.send_request(stream=1, trace="1" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 1)
         broker.send_signal(signal.SIGTERM)
         assert await first.frame() == (frames.NO_MORE, 0, b"")
@@ -89,12 +89,14 @@
         client = await broker.client()
         client.send(frames.ASK_READY, 0, b"\0")
         assert await client.frame() == (frames.READY, 0, b"\0\0")
-        client.ask(stream=1)
+        client.send_request(stream=1)
         assert (await client.answer())[1] == frames.SERVED
         shutdown._announce_leaving()
         assert await client.frame() == (frames.NO_MORE, 0, b"")
         client.send(frames.ASK_READY, 0, b"\0")
-        client.ask(stream=2, trace="2" * 16)  # sent before the client received the announcement
+        client.send_request(
+            stream=2, trace="2" * 16
+        )  # sent before the client received the announcement
         assert await client.frame() == (frames.READY, 0, b"\x01\0")
         assert (await client.answer())[:2] == (2, frames.SERVED)
         with pytest.raises(ConnectionRefusedError):
@@ -114,8 +116,8 @@
     engine = Engine(lambda *_: None)
     async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
         client = await broker.client()
-        client.ask(stream=1, route="stock-add", patience="20000", trace="1" * 16)
-        client.ask(stream=2, trace="2" * 16)
+        client.send_request(stream=1, route="stock-add", patience="20000", trace="1" * 16)
+        client.send_request(stream=2, trace="2" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         shutdown = GracefulShutdown(broker.node)
         shutdown.begun_at_ns = broker.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
@@ -157,7 +159,7 @@
     for start in range(2):
         async with process(tmp_path, port, known=known):
             client = await connect(port)  # left open, so that the address stays in use
-            client.ask()
+            client.send_request()
             assert (await client.answer())[1] == frames.SERVED, start
 
 
@@ -166,7 +168,7 @@
     engine = Engine()
     async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         await client.answer()
         client.writer.close()
         await until(lambda: not broker.node.clients)
@@ -197,11 +199,11 @@
         broker.node.admission.max_connections = 2
         busy = await broker.client()
         silent = await broker.client()
-        busy.ask()
+        busy.send_request()
         await until(lambda: engine.commands_named(b"do"))
         newcomer = await broker.client()  # evicts the connection that has sent nothing
         assert await silent.ended()
-        newcomer.ask(trace="2" * 16)
+        newcomer.send_request(trace="2" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         assert await (await broker.client()).ended()  # rejected: all others wait for an answer
         for do, client in zip(engine.commands_named(b"do"), (busy, newcomer), strict=True):
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -148,7 +148,7 @@
     config = make_config(target_entry("s-1", await engine.start()), operator=True)
     async with running(config, {"PROXY_CONFIG": str(path)}) as broker:
         client = await broker.client()
-        client.ask(stream=1)
+        client.send_request(stream=1)
         await until(lambda: engine.commands_named(b"do"))
         await reload_with(
             broker, {**file_with_additional_class("night"), "seed": "77"}, "reload: done"
@@ -162,8 +162,8 @@
                 {**invalid, "bus": "127.0.0.1:9"},
                 "settings.classes.deadline: must be above 0",
             )
-        client.ask(stream=2, trace="2" * 16, route="night")
-        client.ask(stream=3, trace="3" * 16)
+        client.send_request(stream=2, trace="2" * 16, route="night")
+        client.send_request(stream=3, trace="3" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 3)
         metrics = await read_metrics(broker)
         assert (metrics["reload_success_total"], metrics["reload_failure_total"]) == (1, 2)
@@ -173,6 +173,6 @@
         answers = {(await client.answer())[:2] for _ in range(3)}
         assert answers == {(1, frames.REFUSED), (2, frames.FAILED), (3, frames.FAILED)}
         await reload_with(broker, file_with("settings.classes.0.name", "other"), "reload: done")
-        client.ask(stream=4, trace="4" * 16)
+        client.send_request(stream=4, trace="4" * 16)
         assert (await client.answer())[1] == frames.FAILED  # its class has been removed
         assert (await read_metrics(broker))['replies_total{type="glance",status="overload"}'] == 1
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -66,13 +66,15 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with co_process(config, listener, tmp_path) as old:
             client = await old.client()
-            client.ask(stream=1)
+            client.send_request(stream=1)
             await until(lambda: engine.commands_named(b"do"))
             async with co_process(config, listener, tmp_path) as new:
                 await meet(old, new)
                 old.node.shutdown.begin()
                 assert await client.frame() == (frames.NO_MORE, 0, b"")
-                client.ask(stream=2, trace="2" * 16)  # as if sent before the announcement came
+                client.send_request(
+                    stream=2, trace="2" * 16
+                )  # as if sent before the announcement came
                 await until(lambda: len(engine.commands_named(b"do")) == 2)
                 newcomers = [await new.client() for _ in range(5)]
                 await until(lambda: len(new.node.clients) == 5)
@@ -86,7 +88,7 @@
                     (2, frames.SERVED),
                 }
                 await within(old.node.stopped.wait())
-                newcomers[0].ask(trace="3" * 16)
+                newcomers[0].send_request(trace="3" * 16)
                 await until(lambda: len(engine.commands_named(b"do")) == 3)
                 await until(lambda: not peer_processes(new).others)
         assert not os.listdir(tmp_path)
@@ -172,7 +174,7 @@
         client = await broker.client()
         pools = broker.node.dispatcher.pools
         for stream in range(1, 13):
-            client.ask(stream=stream, trace=f"{stream:016x}")
+            client.send_request(stream=stream, trace=f"{stream:016x}")
         await until(lambda: len(engine.commands_named(b"do")) == 12)
         for do in engine.commands_named(b"do"):
             engine.answer_served(do, engine.writer_of(do))
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -152,7 +152,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def ask(self, stream: int = 1, body: bytes = STATEMENT, **fields: str | None) -> None:
+    def send_request(self, stream: int = 1, body: bytes = STATEMENT, **fields: str | None) -> None:
         given = {
             "route": "glance",
             "trace": TRACE,
