--- a/tests/dispatch/test_shutdown_races.py
+++ b/tests/dispatch/test_shutdown_races.py
@@ -16,7 +16,7 @@
 from ..support.sockets import (
     Engine,
     connect,
-    make_known,
+    known_setting,
     on_uvloop,
     process,
     target_entry,
@@ -56,7 +56,7 @@
     tmp_path: Path,
 ) -> None:
     engine = silent_engine()
-    known = make_known(target_entry("s-1", await engine.start()))
+    known = known_setting(target_entry("s-1", await engine.start()))
     async with process(tmp_path, known=known) as (broker, port):
         client = await within(connect(port))
         idle_client = await within(connect(port))
--- a/tests/dispatch/test_signal_races.py
+++ b/tests/dispatch/test_signal_races.py
@@ -18,7 +18,7 @@
     ROOT,
     connect,
     free_port,
-    make_known,
+    known_setting,
     on_uvloop,
     target_entry,
     within,
@@ -47,7 +47,7 @@
     port = free_port()
     path = tmp_path / "config.json"
     env = write_config(
-        tmp_path, listen=f"127.0.0.1:{port}", known=make_known(target_entry("s-1", 9))
+        tmp_path, listen=f"127.0.0.1:{port}", known=known_setting(target_entry("s-1", 9))
     )
     text = path.read_text()
     changed = json.loads(text)
--- a/tests/server/test_lifecycle.py
+++ b/tests/server/test_lifecycle.py
@@ -22,8 +22,8 @@
     Engine,
     connect,
     free_port,
+    known_setting,
     make_config,
-    make_known,
     on_uvloop,
     platform_settings,
     process,
@@ -64,7 +64,7 @@
     tmp_path: Path,
 ) -> None:
     engine = Engine(lambda *_: None)
-    known = make_known(target_entry("s-1", await engine.start()))
+    known = known_setting(target_entry("s-1", await engine.start()))
     async with process(tmp_path, known=known) as (broker, port):
         first = await connect(port)
         first.send_request(stream=1, trace="1" * 16)
@@ -155,7 +155,7 @@
 async def test_a_broker_restarts_at_the_same_address_after_a_kill(tmp_path: Path) -> None:
     engine = Engine()
     port = free_port()
-    known = make_known(target_entry("s-1", await engine.start()))
+    known = known_setting(target_entry("s-1", await engine.start()))
     for start in range(2):
         async with process(tmp_path, port, known=known):
             client = await connect(port)  # left open, so that the address stays in use
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -47,7 +47,7 @@
     "free_port",
     "gated",
     "make_config",
-    "make_known",
+    "known_setting",
     "on_uvloop",
     "process",
     "running",
@@ -94,7 +94,7 @@
     return free_ports(1)[0]
 
 
-def make_known(*targets: dict[str, Any]) -> dict[str, Any]:
+def known_setting(*targets: dict[str, Any]) -> dict[str, Any]:
     return {"offset": 1, "batch": [topology_event(1, *targets, full=True)]}
 
 
