--- a/tests/deadlines/test_requests_without_connection.py
+++ b/tests/deadlines/test_requests_without_connection.py
@@ -11,7 +11,7 @@
 
 from ..support.sockets import (
     Engine,
-    gated,
+    connects_held_back,
     make_config,
     on_uvloop,
     running,
@@ -28,7 +28,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     engine = Engine()
-    gate, _ = gated(monkeypatch)
+    gate, _ = connects_held_back(monkeypatch)
     async with broker_with_engine_ports(await engine.start()) as broker:
         dispatcher = broker.node.dispatcher
         client = await broker.client()
@@ -53,7 +53,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     engine = Engine()
-    gate, _ = gated(monkeypatch)
+    gate, _ = connects_held_back(monkeypatch)
     large_engine = {
         "size_cores": [4_000],
         "parallelism": [1, 2],
--- a/tests/dispatch/test_attempt_races.py
+++ b/tests/dispatch/test_attempt_races.py
@@ -14,7 +14,7 @@
     silent_engine,
 )
 from ..support.helpers import MS, S
-from ..support.sockets import Engine, gated, on_uvloop, platform_settings, until
+from ..support.sockets import Engine, connects_held_back, on_uvloop, platform_settings, until
 from .recording_client import Outcome, RecordingClient, idempotent_class, parsed_request
 
 pytestmark = pytest.mark.real_time
@@ -61,7 +61,7 @@
     Sent after the window, the query could run a second time.
     """
     window_ns = 600 * MS
-    gate, dialled = gated(monkeypatch, first=1)  # the connection for the retry waits
+    gate, dialled = connects_held_back(monkeypatch, first=1)  # the connection for the retry waits
     claim = idempotent_class(deadline_ns=20 * S, window_ns=window_ns)
     engines = [engine_that_answers(b"crashed"), engine_that_answers(b"crashed")]
     async with broker_with_engines(*engines, first_number=0, classes=[claim]) as broker:
@@ -85,7 +85,7 @@
     If the cancelled attempt were sent all the same, both attempts would run concurrently.
     """
     engine = Engine()
-    gate, _ = gated(monkeypatch)
+    gate, _ = connects_held_back(monkeypatch)
     async with broker_with_engines(engine, policy_limits=LIMITS_WITH_CANCELLATION) as broker:
         dispatcher = broker.node.dispatcher
         recorder = RecordingClient()
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -45,7 +45,7 @@
     "connect",
     "topology_event",
     "free_port",
-    "gated",
+    "connects_held_back",
     "make_config",
     "known_setting",
     "on_uvloop",
@@ -134,7 +134,9 @@
         await made.wait()
 
 
-def gated(monkeypatch: Any, first: int = 0) -> tuple[asyncio.Event, list[ConnectionPool]]:
+def connects_held_back(
+    monkeypatch: Any, first: int = 0
+) -> tuple[asyncio.Event, list[ConnectionPool]]:
     """Connects to engines wait for the event, but for so many; the pools that dial, as they do."""
     gate, dialled, connect = asyncio.Event(), list[ConnectionPool](), ConnectionPool._connect
 
