--- a/tests/cells/cell_brokers.py
+++ b/tests/cells/cell_brokers.py
@@ -23,7 +23,7 @@
     Client,
     Engine,
     RunningBroker,
-    celled,
+    cell_node_factory,
     make_config,
     running,
     target_entry,
@@ -105,7 +105,7 @@
         for number, engine in enumerate(engines, 1)
     ]
     config = make_config(*targets, tenants=TENANTS, operator=True, **changes)
-    async with running(config, make=celled(cell_map)) as broker:
+    async with running(config, make=cell_node_factory(cell_map)) as broker:
         yield broker
 
 
@@ -121,7 +121,7 @@
         specifics={"size_cores": [cores], "parallelism": [1, 2]},
     )
     config = parse(json.loads(json.dumps(raw_config)), {})
-    async with running(config, make=celled(cell_map)) as broker:
+    async with running(config, make=cell_node_factory(cell_map)) as broker:
         yield broker
 
 
@@ -132,7 +132,7 @@
     """Run a process of a broker; processes with the same folder and socket are co-processes."""
     async with running(
         replace(config, accept_fd=os.dup(listening.fileno()), folder=str(folder)),
-        make=celled(cell_map),
+        make=cell_node_factory(cell_map),
     ) as broker:
         yield broker
 
--- a/tests/cells/test_cell_map_reload.py
+++ b/tests/cells/test_cell_map_reload.py
@@ -16,7 +16,7 @@
 
 from ..support.sockets import (
     RunningBroker,
-    celled,
+    cell_node_factory,
     on_uvloop,
     running,
     target_entry,
@@ -63,7 +63,9 @@
     operator_file = Path(env["PROXY_OPERATOR_FILE"])
     first_map = evaluate(str(operator_file)).cell_map
     assert first_map is not None
-    async with running(load(env), env, make=celled(first_map, str(operator_file))) as broker:
+    async with running(
+        load(env), env, make=cell_node_factory(first_map, str(operator_file))
+    ) as broker:
         cell_node(broker).celled.migrations.propose("acme", "b", broker.node.clock.now())
         yield ReloadingBroker(
             broker, folder / "config.json", operator_file, operator_file.read_text(), first_map
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -41,7 +41,7 @@
     "Client",
     "Engine",
     "RunningBroker",
-    "celled",
+    "cell_node_factory",
     "connect",
     "topology_event",
     "free_port",
@@ -235,7 +235,7 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
 
-def celled(map: CellMap, path: str = "") -> Callable[[Config, Mapping[str, str]], Node]:
+def cell_node_factory(map: CellMap, path: str = "") -> Callable[[Config, Mapping[str, str]], Node]:
     """Makes a node with these cells; ``path`` is where SIGHUP reads them again."""
     return lambda config, environ: CellNode(config, OperatorConfig(map), path, environ)
 
