--- a/tests/emulator/test_faulty_links.py
+++ b/tests/emulator/test_faulty_links.py
@@ -15,7 +15,7 @@
     partition_faults,
 )
 
-from ..support.sockets import HANG, on_uvloop, until
+from ..support.sockets import HANG_TIMEOUT_S, on_uvloop, until
 
 pytestmark = pytest.mark.real_time
 
@@ -39,7 +39,7 @@
     await until(lambda: received)
     assert link.counts["back"] == 0
     now_s = 2.0
-    assert await asyncio.wait_for(reader.read(1), HANG) == b"x"
+    assert await asyncio.wait_for(reader.read(1), HANG_TIMEOUT_S) == b"x"
     link.stop()
     server.close()
 
--- a/tests/membership/test_pauses_and_ends.py
+++ b/tests/membership/test_pauses_and_ends.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ..support.member_processes import MemberProcesses, member_processes
-from ..support.sockets import HANG, on_uvloop
+from ..support.sockets import HANG_TIMEOUT_S, on_uvloop
 from .process_checks import check_reported_alive
 
 pytestmark = pytest.mark.real_time
@@ -92,4 +92,4 @@
             if member["boot"] == boot
         ]
         assert found == [("left", "")]
-    assert await asyncio.to_thread(group.fleet.processes[leaving].wait, HANG) == 0
+    assert await asyncio.to_thread(group.fleet.processes[leaving].wait, HANG_TIMEOUT_S) == 0
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -17,7 +17,7 @@
 from query_broker.emulator.processes import BrokerProcess
 
 from ..support.member_processes import NEW_KEY, OLD_KEY, MemberProcesses, member_processes
-from ..support.sockets import HANG, on_uvloop, until
+from ..support.sockets import HANG_TIMEOUT_S, on_uvloop, until
 
 pytestmark = pytest.mark.real_time
 
@@ -102,7 +102,7 @@
     group: MemberProcesses, observer: int, observed: int, reachability: str
 ) -> None:
     """Wait until one process reports the given reachability of another."""
-    deadline = time.monotonic() + HANG
+    deadline = time.monotonic() + HANG_TIMEOUT_S
     while True:
         status = await group.status(observer)
         reported = [
--- a/tests/quotas/broker_processes.py
+++ b/tests/quotas/broker_processes.py
@@ -19,7 +19,7 @@
 from query_broker.membership.codec import peek_sender
 
 from ..support.member_processes import LIMITS, OLD_KEY, MemberProcesses, members_directive
-from ..support.sockets import HANG
+from ..support.sockets import HANG_TIMEOUT_S
 
 DIRECTIVES = (
     '\nlimits(lease = 1, promise = 1.5, told = 0.25)\nlimit("acme")\nlimit("work", kind = "work")\n'
@@ -79,7 +79,7 @@
     while not stop.is_set():
         await request_log.send_request("acme", "glance", 1, 4_000 * MS)
         await asyncio.sleep(1 / rate_per_s)
-    await request_log.wait_until_idle(HANG)
+    await request_log.wait_until_idle(HANG_TIMEOUT_S)
     return request_log
 
 
--- a/tests/quotas/test_ejections_between_processes.py
+++ b/tests/quotas/test_ejections_between_processes.py
@@ -26,7 +26,7 @@
 from query_broker.protocols import resp
 
 from ..support.member_processes import MemberProcesses
-from ..support.sockets import HANG, make_config, on_uvloop, running, until
+from ..support.sockets import HANG_TIMEOUT_S, make_config, on_uvloop, running, until
 from .broker_processes import (
     FAULT_DURATION_S,
     POLL_INTERVAL_S,
@@ -62,7 +62,7 @@
     peers: MemberProcesses, condition: Callable[[Status], bool], numbers: Collection[int] = range(5)
 ) -> None:
     """Wait until the condition holds for the consensus status of each of the brokers."""
-    deadline = time.monotonic() + HANG
+    deadline = time.monotonic() + HANG_TIMEOUT_S
     for number in numbers:
         while not condition(status := await consensus_status(peers, number)):
             log = peers.fleet.processes[number].log()
@@ -96,7 +96,7 @@
     for _ in range(30):
         await request_log.send_request("acme", "glance", 1, 4_000 * MS)
         await asyncio.sleep(0.02)
-    await request_log.wait_until_idle(HANG)
+    await request_log.wait_until_idle(HANG_TIMEOUT_S)
     assert {request.code for request in request_log.records} == {0}
     assert len(failing_engine.commands_named(b"do")) == queries_before
     stop.set()
--- a/tests/quotas/test_limits_between_processes.py
+++ b/tests/quotas/test_limits_between_processes.py
@@ -17,7 +17,7 @@
 from query_broker.quotas.lease_log import LeaseRecord
 
 from ..support.member_processes import MemberProcesses
-from ..support.sockets import HANG, on_uvloop
+from ..support.sockets import HANG_TIMEOUT_S, on_uvloop
 from .broker_processes import (
     FAULT_DURATION_S,
     POLL_INTERVAL_S,
@@ -60,7 +60,7 @@
 async def wait_for_limit_status(
     peers: MemberProcesses, number: int, condition: Callable[[Status], bool]
 ) -> Status:
-    deadline = time.monotonic() + HANG
+    deadline = time.monotonic() + HANG_TIMEOUT_S
     status: Status = {}
     while not status or not condition(status):
         assert time.monotonic() < deadline, f"{status}\n{peers.fleet.processes[number].log()}"
--- a/tests/server/test_process_replacement.py
+++ b/tests/server/test_process_replacement.py
@@ -18,7 +18,7 @@
 from query_broker.protocols import client_frames as frames
 
 from ..support.deployments import ALL
-from ..support.sockets import HANG, ROOT, Client, free_port, on_uvloop, until, within
+from ..support.sockets import HANG_TIMEOUT_S, ROOT, Client, free_port, on_uvloop, until, within
 
 pytestmark = pytest.mark.real_time
 
@@ -63,7 +63,7 @@
             sys.executable, "-m", "query_broker", "serve", cwd=ROOT, env=env, pass_fds=(descriptor,)
         )
         self.processes.append(process)
-        async with asyncio.timeout(HANG):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while not await is_ready(port):
                 await asyncio.sleep(PAUSE_S)
 
@@ -203,7 +203,7 @@
                 await until(lambda wanted=wanted: len(traffic.request_log.records) >= wanted)  # type: ignore[misc]
                 await hand_over(broker, traffic)
                 await traffic.stop()
-            await traffic.request_log.wait_until_idle(HANG)
+            await traffic.request_log.wait_until_idle(HANG_TIMEOUT_S)
             check_answers(traffic.request_log)
         finally:
             traffic.cancel()
--- a/tests/startup/broker_processes.py
+++ b/tests/startup/broker_processes.py
@@ -15,7 +15,7 @@
 from query_broker.emulator.processes import BrokerFleet, BrokerProcess
 
 from ..support import deployments
-from ..support.sockets import HANG
+from ..support.sockets import HANG_TIMEOUT_S
 
 #: The directive of a start that takes one or two seconds; the braces are replaced by more options.
 FAST_START = (
@@ -77,7 +77,7 @@
     broker: BrokerProcess, predicate: Callable[[dict[str, Any]], bool]
 ) -> dict[str, Any]:
     """Return the status of a broker's start once the predicate is true for it."""
-    deadline_s = time.monotonic() + HANG
+    deadline_s = time.monotonic() + HANG_TIMEOUT_S
     status: dict[str, Any] = {}
     while time.monotonic() < deadline_s:
         try:
@@ -112,7 +112,7 @@
         brokers.start()
         await wait_for_status(broker, is_ready)
         broker.signal(signal.SIGTERM)
-        await asyncio.to_thread(broker.wait, HANG)
+        await asyncio.to_thread(broker.wait, HANG_TIMEOUT_S)
 
 
 async def collect_lookup_codes(broker: BrokerProcess, count: int) -> list[int]:
@@ -120,7 +120,7 @@
     request_log = RequestLog(HOST, broker.port)
     for _ in range(count):
         await request_log.send_request("", "glance", 2, 4_000 * MS)
-    await request_log.wait_until_idle(HANG)
+    await request_log.wait_until_idle(HANG_TIMEOUT_S)
     codes = [record.code for record in request_log.records]
     request_log.close()
     return codes
--- a/tests/startup/test_processes.py
+++ b/tests/startup/test_processes.py
@@ -14,7 +14,7 @@
 from query_broker.emulator.processes import BrokerFleet
 from query_broker.protocols import client_frames as frames
 
-from ..support.sockets import HANG, Engine, on_uvloop, until
+from ..support.sockets import HANG_TIMEOUT_S, Engine, on_uvloop, until
 from .broker_processes import (
     FAST_START,
     collect_lookup_codes,
@@ -66,7 +66,7 @@
             cluster.drain("s-3")  # while the broker is paused
             await asyncio.sleep(2.0)
             paused.signal(signal.SIGCONT)
-            await request_log.wait_until_idle(HANG)
+            await request_log.wait_until_idle(HANG_TIMEOUT_S)
             assert [record.answer_count for record in in_flight] == [1, 1, 1]
             request_log.close()
             for broker in brokers.processes:
@@ -101,7 +101,7 @@
             assert "reload: done" in broker.log()
             await wait_for_status(broker, is_at_stage(stage))
             broker.signal(signal.SIGTERM)
-            assert await asyncio.to_thread(broker.wait, HANG) == 0
+            assert await asyncio.to_thread(broker.wait, HANG_TIMEOUT_S) == 0
 
 
 @on_uvloop
@@ -122,12 +122,12 @@
             for client in clients:
                 await client.send_request("", "glance", 1, 8_000 * MS)
             for client in clients:
-                await client.wait_until_idle(HANG)
+                await client.wait_until_idle(HANG_TIMEOUT_S)
             records = [record for client in clients for record in client.records]
             assert all(record.answer_count == 1 for record in records)
             answered_ns = sorted(record.answered_ns for record in records)
             assert answered_ns[-1] - answered_ns[0] > 0.1e9
-            assert time.monotonic() - started_at_s < HANG
+            assert time.monotonic() - started_at_s < HANG_TIMEOUT_S
             text = (await asyncio.to_thread(broker.call_admin_api, "/metrics"))[1].decode()
             assert 'edge_proxy_start_seconds{stage="contact"}' in text
             assert "edge_proxy_start_share" in text
@@ -142,7 +142,7 @@
     for number in range(count):
         tenant = ("acme", "other")[number % 2]
         await request_log.send_request(tenant, "glance", 2, 4_000 * MS)
-    await request_log.wait_until_idle(HANG)
+    await request_log.wait_until_idle(HANG_TIMEOUT_S)
 
 
 @on_uvloop
@@ -189,7 +189,7 @@
                     await client.send_request("", "glance", 200, 4_000 * MS)
                 await asyncio.sleep(0.05)
             for client in clients:
-                await client.wait_until_idle(HANG)
+                await client.wait_until_idle(HANG_TIMEOUT_S)
             records = [record for client in clients for record in client.records]
             assert not [record for record in records if record.answer_count != 1]
             assert not any(engine.machine.crashed for engine in cluster.engines.values())
--- a/tests/startup/test_saved_snapshots.py
+++ b/tests/startup/test_saved_snapshots.py
@@ -19,7 +19,7 @@
 from query_broker.startup.endpoint_snapshot import EndpointSnapshot, encode
 
 from ..support import deployments
-from ..support.sockets import HANG, on_uvloop, until
+from ..support.sockets import HANG_TIMEOUT_S, on_uvloop, until
 from .broker_processes import (
     discovery_link,
     emulated_cluster,
@@ -65,13 +65,13 @@
                 request_log = RequestLog("127.0.0.1", broker.port)
                 lookup = await request_log.send_request("", "glance", 2, 4_000 * MS)
                 load = await request_log.send_request("", "load", 2, 4_000 * MS)
-                await request_log.wait_until_idle(HANG)
+                await request_log.wait_until_idle(HANG_TIMEOUT_S)
                 assert lookup.code == frames.SERVED
                 assert load.code == frames.REFUSED
                 assert load.retry_after_ms >= 0
                 await wait_for_status(broker, lambda status: status["confirmed"])
                 later_load = await request_log.send_request("", "load", 2, 4_000 * MS)
-                await request_log.wait_until_idle(HANG)
+                await request_log.wait_until_idle(HANG_TIMEOUT_S)
                 assert later_load.code == frames.SERVED
                 request_log.close()
 
@@ -99,14 +99,14 @@
                 loads = [
                     await request_log.send_request("", "load", 2, 4_000 * MS) for _ in range(5)
                 ]
-                await request_log.wait_until_idle(HANG)
+                await request_log.wait_until_idle(HANG_TIMEOUT_S)
                 assert [load.code for load in loads] == [frames.REFUSED] * 5
                 assert not [run for run in former.machine.ledger if run.request_class == b"load"]
                 await wait_for_status(
                     broker, lambda status: status["confirmed"] and status["listed"] == 1
                 )
                 later_load = await request_log.send_request("", "load", 2, 4_000 * MS)
-                await request_log.wait_until_idle(HANG)
+                await request_log.wait_until_idle(HANG_TIMEOUT_S)
                 assert later_load.code == frames.SERVED
                 request_log.close()
 
@@ -172,4 +172,4 @@
                 assert await broker.is_ready()
             assert not list(tmp_path.iterdir())  # no partial file is left behind
             brokers.processes[0].signal(signal.SIGTERM)
-            assert await asyncio.to_thread(brokers.processes[0].wait, HANG) == 0
+            assert await asyncio.to_thread(brokers.processes[0].wait, HANG_TIMEOUT_S) == 0
--- a/tests/support/member_processes.py
+++ b/tests/support/member_processes.py
@@ -16,7 +16,7 @@
 from query_broker.emulator.processes import BrokerFleet, free_ports
 from query_broker.membership.codec import peek_sender
 
-from .sockets import HANG
+from .sockets import HANG_TIMEOUT_S
 
 INTERVAL_S = 0.25
 OLD_KEY = "1 " + "ab" * 32
@@ -91,7 +91,7 @@
         """Wait until the views of the first processes are just the second ones."""
         wanted = {self.addresses[number] for number in among}
         waiting = set(numbers)
-        deadline = time.monotonic() + HANG
+        deadline = time.monotonic() + HANG_TIMEOUT_S
         status: Status = {}
         while waiting and time.monotonic() < deadline:
             for number in list(waiting):
@@ -104,7 +104,7 @@
 
     async def until_all(self, numbers: Iterable[int], holds: Callable[[Status], bool]) -> None:
         """Wait until a condition holds of the status of each process."""
-        deadline = time.monotonic() + HANG
+        deadline = time.monotonic() + HANG_TIMEOUT_S
         for number in numbers:
             status: Status = {}
             while not status or not holds(status):
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -59,7 +59,7 @@
 ]
 
 MS = 1_000_000
-HANG = 20.0
+HANG_TIMEOUT_S = 20.0
 T = TypeVar("T")
 TRACE = "9b1f03aa5c7e2d41"
 STATEMENT = b"SELECT 1 FROM sales_17.orders"
@@ -199,11 +199,11 @@
 
 
 async def within(what: Awaitable[T]) -> T:
-    return await asyncio.wait_for(what, HANG)
+    return await asyncio.wait_for(what, HANG_TIMEOUT_S)
 
 
 async def until(true: Callable[[], Any]) -> None:
-    async with asyncio.timeout(HANG):
+    async with asyncio.timeout(HANG_TIMEOUT_S):
         while not true():
             await asyncio.sleep(0.005)
 
