--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -70,7 +70,7 @@
 async def test_no_running_broker_is_removed_on_faulty_links(tmp_path: Path) -> None:
     async with member_processes(6, tmp_path) as group:
         for seconds, faults in FAULT_PERIODS:
-            group.spoil(seconds, *faults)
+            group.inject_faults(seconds, *faults)
             await asyncio.sleep(seconds)
             faulty_link_patterns = [fault.link_pattern for fault in faults]
             others = [number for number in range(6) if f"*-n{number}" not in faulty_link_patterns]
@@ -89,7 +89,7 @@
     """The removal is random; `test_lossy_links` states its frequency on a simulated clock."""
     async with member_processes(6, tmp_path) as group:
         others = [number for number in range(6) if number != 3]
-        group.spoil(4.0, *lossy_process_faults(0.9))
+        group.inject_faults(4.0, *lossy_process_faults(0.9))
         await asyncio.sleep(4.0)
         for number in others:
             log = group.fleet.processes[number].log()
@@ -119,13 +119,13 @@
 @on_uvloop
 async def test_a_link_cut_in_one_direction_is_reported_at_both_ends(tmp_path: Path) -> None:
     async with member_processes(5, tmp_path) as group:
-        group.spoil(60, Fault(0, 0, "n1-n2", FaultKind.STALL))
+        group.inject_faults(60, Fault(0, 0, "n1-n2", FaultKind.STALL))
         await wait_for_reachability(group, 1, 2, "we can't reach it")
         await wait_for_reachability(group, 2, 1, "its answers don't reach us")
 
         group.heal()
         # A broker whose messages reach no other is removed, and its own view is not certain.
-        group.spoil(60, Fault(0, 0, "n3-*", FaultKind.STALL))
+        group.inject_faults(60, Fault(0, 0, "n3-*", FaultKind.STALL))
         await group.holds([0, 1, 2, 4], [0, 1, 2, 4])
         view = (await group.status(3))["view"]
         assert not view["certain"]
@@ -154,7 +154,7 @@
 ) -> None:
     async with member_processes(6, tmp_path) as group:
         majority = [0, 1, 2, 3, 4]
-        group.spoil(60, *partition_faults(0, 0, ["n0", "n1", "n2", "n3", "n4"], ["n5"]))
+        group.inject_faults(60, *partition_faults(0, 0, ["n0", "n1", "n2", "n3", "n4"], ["n5"]))
         await group.holds(majority, majority)
         await group.until_all(majority, partial(is_certain_with_limits_by, size=5))
         assert (await group.status(5))["view"]["limits_by"] == 6
@@ -169,7 +169,7 @@
         assert keys["taken_in"]["2"] > 0
 
         # Neither half of a partition is certain.
-        group.spoil(60, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4", "n5"]))
+        group.inject_faults(60, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4", "n5"]))
         await group.holds([0, 1, 2], [0, 1, 2])
         await group.holds([3, 4, 5], [3, 4, 5])
         for number in range(6):
--- a/tests/quotas/test_ejections_between_processes.py
+++ b/tests/quotas/test_ejections_between_processes.py
@@ -107,7 +107,7 @@
 
 async def check_concurrent_overrides_in_a_partition(peers: MemberProcesses) -> None:
     """Check that overrides from both sides of a partition merge, and that the loser is shown."""
-    peers.spoil(FAULT_DURATION_S, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4"]))
+    peers.inject_faults(FAULT_DURATION_S, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4"]))
     one = peers.fleet.processes[0]
     other = peers.fleet.processes[4]
     assert (await asyncio.to_thread(one.call_admin_api, "/verdicts/pin/s-2", "POST"))[0] == 200
--- a/tests/quotas/test_limits_between_processes.py
+++ b/tests/quotas/test_limits_between_processes.py
@@ -94,13 +94,13 @@
 
 async def check_guaranteed_part_in_partitions(peers: MemberProcesses) -> None:
     # The messages of the busy broker do not arrive.
-    peers.spoil(FAULT_DURATION_S, Fault(0, 0, f"n{BUSY_BROKER}-*", FaultKind.STALL))
+    peers.inject_faults(FAULT_DURATION_S, Fault(0, 0, f"n{BUSY_BROKER}-*", FaultKind.STALL))
     status = await wait_for_limit_status(peers, BUSY_BROKER, has_guaranteed_part_only)
     assert status["ours"] == 100 * 0.2 / 5
     peers.heal()
     await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
     others = [f"n{number}" for number in range(5) if number != BUSY_BROKER]
-    peers.spoil(FAULT_DURATION_S, *partition_faults(0, 0, [f"n{BUSY_BROKER}"], others))
+    peers.inject_faults(FAULT_DURATION_S, *partition_faults(0, 0, [f"n{BUSY_BROKER}"], others))
     await wait_for_limit_status(peers, BUSY_BROKER, has_guaranteed_part_only)
     peers.heal()
     await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
--- a/tests/support/member_processes.py
+++ b/tests/support/member_processes.py
@@ -54,7 +54,7 @@
         self.addresses = addresses
         self.script = net.schedule
 
-    def spoil(self, seconds: float, *faults: Fault) -> None:
+    def inject_faults(self, seconds: float, *faults: Fault) -> None:
         """Let faults act from now on for some time."""
         now = self.script.now_s()
         self.script.faults += [
