--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -76,7 +76,7 @@
             others = [number for number in range(6) if f"*-n{number}" not in faulty_link_patterns]
             logs = "".join(member.log() for member in group.fleet.processes)
             assert await group.statistic("removals", others) == 0, f"{faults}\n{logs}"
-            group.heal()
+            group.clear_faults()
         await group.holds(range(6), range(6))
         verdicts = {member["verdict"] for member in (await group.status(0))["members"]}
         assert verdicts <= {"reached", "not asked yet"}
@@ -94,7 +94,7 @@
         for number in others:
             log = group.fleet.processes[number].log()
             assert set(re.findall(r"(\S+): removed by", log)) <= {group.addresses[3]}
-        group.heal()
+        group.clear_faults()
         await group.holds(range(6), range(6))
 
 
@@ -123,14 +123,14 @@
         await wait_for_reachability(group, 1, 2, "we can't reach it")
         await wait_for_reachability(group, 2, 1, "its answers don't reach us")
 
-        group.heal()
+        group.clear_faults()
         # A broker whose messages reach no other is removed, and its own view is not certain.
         group.inject_faults(60, Fault(0, 0, "n3-*", FaultKind.STALL))
         await group.holds([0, 1, 2, 4], [0, 1, 2, 4])
         view = (await group.status(3))["view"]
         assert not view["certain"]
         assert view["limits_by"] == 5
-        group.heal()
+        group.clear_faults()
         await group.holds(range(5), range(5))
 
 
@@ -159,7 +159,7 @@
         await group.until_all(majority, partial(is_certain_with_limits_by, size=5))
         assert (await group.status(5))["view"]["limits_by"] == 6
         await rotate_keys(group)
-        group.heal()
+        group.clear_faults()
         await group.holds(range(6), range(6))
         keys = json.loads(
             (await asyncio.to_thread(group.fleet.processes[0].call_admin_api, "/members/keys"))[1]
@@ -176,5 +176,5 @@
             view = (await group.status(number))["view"]
             assert not view["certain"]
             assert view["limits_by"] == 6
-        group.heal()
+        group.clear_faults()
         await group.until_all(range(6), partial(is_certain_of, alive=6))
--- a/tests/quotas/test_ejections_between_processes.py
+++ b/tests/quotas/test_ejections_between_processes.py
@@ -114,7 +114,7 @@
     assert (await asyncio.to_thread(other.call_admin_api, "/verdicts/out/s-2", "POST"))[0] == 200
     assert (await asyncio.to_thread(other.call_admin_api, "/verdicts/out/none", "POST"))[0] == 404
     await wait_for_consensus_status(peers, some_override_has_value("words", "pinned"), (1, 2))
-    peers.heal()
+    peers.clear_faults()
     await wait_for_consensus_status(peers, only_override_has_value("s-2", "out"))
     await wait_for_consensus_status(peers, some_override_has_value("lost", "pinned"), (0, 1, 2))
 
--- a/tests/quotas/test_limits_between_processes.py
+++ b/tests/quotas/test_limits_between_processes.py
@@ -97,12 +97,12 @@
     peers.inject_faults(FAULT_DURATION_S, Fault(0, 0, f"n{BUSY_BROKER}-*", FaultKind.STALL))
     status = await wait_for_limit_status(peers, BUSY_BROKER, has_guaranteed_part_only)
     assert status["ours"] == 100 * 0.2 / 5
-    peers.heal()
+    peers.clear_faults()
     await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
     others = [f"n{number}" for number in range(5) if number != BUSY_BROKER]
     peers.inject_faults(FAULT_DURATION_S, *partition_faults(0, 0, [f"n{BUSY_BROKER}"], others))
     await wait_for_limit_status(peers, BUSY_BROKER, has_guaranteed_part_only)
-    peers.heal()
+    peers.clear_faults()
     await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
 
 
--- a/tests/support/member_processes.py
+++ b/tests/support/member_processes.py
@@ -71,7 +71,7 @@
             for fault in faults
         ]
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """End all faults."""
         self.script.faults.clear()
 
