--- a/tests/membership/test_admin_calls.py
+++ b/tests/membership/test_admin_calls.py
@@ -53,7 +53,7 @@
     member = group.fleet.processes[number]
     assert (await asyncio.to_thread(member.call_admin_api, "/members/leave"))[0] == 405
     assert group.addresses[number] in await members_command(member, "leave")
-    await group.holds([0, 2], [0, 2])
+    await group.wait_for_members([0, 2], [0, 2])
     status = await group.status(number)
     assert status["left"]
     assert not status["view"]["certain"]
--- a/tests/membership/test_pauses_and_ends.py
+++ b/tests/membership/test_pauses_and_ends.py
@@ -29,7 +29,7 @@
     await asyncio.sleep(PAUSE_S)
     for number in paused:
         members[number].signal(signal.SIGCONT)
-    await group.holds(range(7), range(7))
+    await group.wait_for_members(range(7), range(7))
     for number in paused:
         assert (await group.status(number))["pauses"] >= 1
         log = members[number].log()[log_lengths[number] :]
@@ -64,14 +64,14 @@
             boot = (await group.status(number))["boot"]
             members[number].kill()
             members[number].start()
-            await group.holds(range(7), range(7))
+            await group.wait_for_members(range(7), range(7))
             assert (await group.status(number))["boot"] != boot
             others = [other for other in range(7) if other != number]
             await group.until_all(others, partial(is_replaced, boot))
         await check_leave(group, 6, range(6))
         for number in (2, 3, 4, 5):
             members[number].kill()
-        await group.holds([0, 1], [0, 1])
+        await group.wait_for_members([0, 1], [0, 1])
         view = (await group.status(0))["view"]
         assert not view["certain"]
         assert view["limits_by"] == 7
@@ -83,7 +83,7 @@
     boot = (await group.status(leaving))["boot"]
     await group.until_all(others, has_no_suspect)
     group.fleet.processes[leaving].signal(signal.SIGTERM)
-    await group.holds(others, others)
+    await group.wait_for_members(others, others)
     for number in others:
         status = await group.status(number)
         found = [
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -77,7 +77,7 @@
             logs = "".join(member.log() for member in group.fleet.processes)
             assert await group.statistic("removals", others) == 0, f"{faults}\n{logs}"
             group.clear_faults()
-        await group.holds(range(6), range(6))
+        await group.wait_for_members(range(6), range(6))
         verdicts = {member["verdict"] for member in (await group.status(0))["members"]}
         assert verdicts <= {"reached", "not asked yet"}
 
@@ -95,7 +95,7 @@
             log = group.fleet.processes[number].log()
             assert set(re.findall(r"(\S+): removed by", log)) <= {group.addresses[3]}
         group.clear_faults()
-        await group.holds(range(6), range(6))
+        await group.wait_for_members(range(6), range(6))
 
 
 async def wait_for_reachability(
@@ -126,12 +126,12 @@
         group.clear_faults()
         # A broker whose messages reach no other is removed, and its own view is not certain.
         group.inject_faults(60, Fault(0, 0, "n3-*", FaultKind.STALL))
-        await group.holds([0, 1, 2, 4], [0, 1, 2, 4])
+        await group.wait_for_members([0, 1, 2, 4], [0, 1, 2, 4])
         view = (await group.status(3))["view"]
         assert not view["certain"]
         assert view["limits_by"] == 5
         group.clear_faults()
-        await group.holds(range(5), range(5))
+        await group.wait_for_members(range(5), range(5))
 
 
 async def rotate_keys(group: MemberProcesses) -> None:
@@ -155,12 +155,12 @@
     async with member_processes(6, tmp_path) as group:
         majority = [0, 1, 2, 3, 4]
         group.inject_faults(60, *partition_faults(0, 0, ["n0", "n1", "n2", "n3", "n4"], ["n5"]))
-        await group.holds(majority, majority)
+        await group.wait_for_members(majority, majority)
         await group.until_all(majority, partial(is_certain_with_limits_by, size=5))
         assert (await group.status(5))["view"]["limits_by"] == 6
         await rotate_keys(group)
         group.clear_faults()
-        await group.holds(range(6), range(6))
+        await group.wait_for_members(range(6), range(6))
         keys = json.loads(
             (await asyncio.to_thread(group.fleet.processes[0].call_admin_api, "/members/keys"))[1]
         )
@@ -170,8 +170,8 @@
 
         # Neither half of a partition is certain.
         group.inject_faults(60, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4", "n5"]))
-        await group.holds([0, 1, 2], [0, 1, 2])
-        await group.holds([3, 4, 5], [3, 4, 5])
+        await group.wait_for_members([0, 1, 2], [0, 1, 2])
+        await group.wait_for_members([3, 4, 5], [3, 4, 5])
         for number in range(6):
             view = (await group.status(number))["view"]
             assert not view["certain"]
--- a/tests/quotas/broker_processes.py
+++ b/tests/quotas/broker_processes.py
@@ -58,7 +58,7 @@
             )
         fleet.start()
         peers = MemberProcesses(fleet, network, keys, addresses)
-        await peers.holds(range(count), range(count))
+        await peers.wait_for_members(range(count), range(count))
         yield peers
     network.stop()
 
--- a/tests/quotas/test_limits_between_processes.py
+++ b/tests/quotas/test_limits_between_processes.py
@@ -89,7 +89,7 @@
         lambda status: has_most_of_the_limit(status) and status["home"] != peers.addresses[leader],
     )
     peers.fleet.processes[leader].start()
-    await peers.holds(range(5), range(5))
+    await peers.wait_for_members(range(5), range(5))
 
 
 async def check_guaranteed_part_in_partitions(peers: MemberProcesses) -> None:
--- a/tests/support/member_processes.py
+++ b/tests/support/member_processes.py
@@ -87,7 +87,7 @@
         counts = [(await self.status(number))["figures"].get(name, 0) for number in numbers]
         return sum(counts)
 
-    async def holds(self, numbers: Iterable[int], among: Iterable[int]) -> None:
+    async def wait_for_members(self, numbers: Iterable[int], among: Iterable[int]) -> None:
         """Wait until the views of the first processes are just the second ones."""
         wanted = {self.addresses[number] for number in among}
         waiting = set(numbers)
@@ -158,7 +158,7 @@
             await net.add(f"n{member.number}", member.peer_port, int(address.rpartition(":")[2]))
         fleet.start()
         processes = MemberProcesses(fleet, net, keys, addresses)
-        await processes.holds(range(count), range(count))
+        await processes.wait_for_members(range(count), range(count))
         yield processes
     net.stop()
     world.stop()
