--- a/tests/decisions/test_stalls.py
+++ b/tests/decisions/test_stalls.py
@@ -3,7 +3,7 @@
 After a pause of 1.3 s the first tick reviewed attempts that were over a second old and cancelled
 them, although their answers were waiting in the sockets. Under pressure there is no retry, so that
 some requests were rejected: one of 30 lookups in
-`test_half_of_them_killed_in_the_ramp_and_a_paused_one_that_wakes_all_get_there`.
+`test_brokers_killed_or_paused_during_the_ramp_complete_their_start`.
 """
 
 from __future__ import annotations
--- a/tests/startup/test_processes.py
+++ b/tests/startup/test_processes.py
@@ -45,7 +45,7 @@
 
 
 @on_uvloop
-async def test_half_of_them_killed_in_the_ramp_and_a_paused_one_that_wakes_all_get_there() -> None:
+async def test_brokers_killed_or_paused_during_the_ramp_complete_their_start() -> None:
     async with emulated_cluster("s-1", "s-2", "s-3") as cluster:
         with fast_fleet(4, make_raw_config(cluster)) as brokers:
             brokers.start()
