--- a/query_broker/config/schema.py
+++ b/query_broker/config/schema.py
@@ -177,7 +177,7 @@
     "cold": SettingsField("warmup_ns", ValueKind.INTEGER),
     "fall": SettingsField("overload_window_ns", ValueKind.INTEGER),
     "fall_multiple": SettingsField("overload_multiple", ValueKind.NUMBER),
-    "key_rest": SettingsField("key_rest_ns", ValueKind.INTEGER),
+    "key_rest": SettingsField("key_cooldown_ns", ValueKind.INTEGER),
     "ratio_span": SettingsField("retry_budget_window_ns", ValueKind.INTEGER),
     "budget_free": SettingsField("retry_budget_free", ValueKind.NUMBER),
     "extra_ratio": SettingsField("retry_budget_ratio", ValueKind.NUMBER),
--- a/query_broker/decisions/key_ordering.py
+++ b/query_broker/decisions/key_ordering.py
@@ -37,7 +37,7 @@
 
     def start_cooldown(self, now_ns: int, key: str) -> None:
         """Start the cool-down of a key; the contract sets its duration."""
-        self.cooldown_ends_ns[key] = now_ns + self.active_settings.contract.key_rest_ns
+        self.cooldown_ends_ns[key] = now_ns + self.active_settings.contract.key_cooldown_ns
 
     def cooldown_end(self, key: str) -> int:
         """Return when the cool-down of a key ends; 0 if it has none."""
--- a/query_broker/decisions/settings.py
+++ b/query_broker/decisions/settings.py
@@ -135,7 +135,7 @@
             no limit.
         overload_multiple: An endpoint in warm-up fails if the work of a window exceeds its capacity
             by this factor.
-        key_rest_ns: Cool-down of an ordering key after an attempt that may still run.
+        key_cooldown_ns: Cool-down of an ordering key after an attempt that may still run.
         retry_budget_window_ns: Window of the retry budget; 0 for no limit.
         retry_budget_free: Retries that are allowed in any window.
         retry_budget_ratio: Further retries that are allowed for each arrival in the window.
@@ -147,7 +147,7 @@
     warmup_ns: int = 0
     overload_window_ns: int = 0
     overload_multiple: float = 1.0
-    key_rest_ns: int = 0
+    key_cooldown_ns: int = 0
     retry_budget_window_ns: int = 0
     retry_budget_free: float = 0.0
     retry_budget_ratio: float = 0.0
@@ -161,7 +161,7 @@
             "drain_grace": self.drain_grace_ns,
             "cold": self.warmup_ns,
             "fall": self.overload_window_ns,
-            "order_settle": self.key_rest_ns,
+            "order_settle": self.key_cooldown_ns,
             "budget_window": self.retry_budget_window_ns,
         }
         for key, duration_ns in durations.items():
--- a/tests/decisions/ledger.py
+++ b/tests/decisions/ledger.py
@@ -179,7 +179,7 @@
         del self.out[(name, attempt_number)]
         self._record_execution(name, result)
         if result in OUTCOME_UNKNOWN and self._classes[name].ordered_by_key:
-            cooldown_ns = self.settings.contract.key_rest_ns
+            cooldown_ns = self.settings.contract.key_cooldown_ns
             self._key_cooldown_ends_ns[self._keys[name]] = self.harness.now + cooldown_ns
         if result is api.AttemptResult.SERVED:
             self.over.setdefault(name, self.harness.now)
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -39,7 +39,7 @@
             warmup_ns=10 * S,
             overload_window_ns=2 * S,
             overload_multiple=2.0,
-            key_rest_ns=300 * MS,
+            key_cooldown_ns=300 * MS,
         ),
         "limits": api.Limits(cancellation=True, max_attempts=4, max_retry_after_ns=2 * S),
     }
