--- a/benchmarks/start_simulation.py
+++ b/benchmarks/start_simulation.py
@@ -204,7 +204,7 @@
     """Return the outstanding work to assume at each engine while the ramp is incomplete."""
     if open_fraction >= 1:
         return {}
-    widest = broker.facade.widest_request_threads()
+    widest = broker.facade.max_request_threads()
     return {
         number: OutstandingWork(*assumed_work(open_fraction, threads, bound_ns, widest), 0)
         for number, (threads, bound_ns) in broker.facade.quotas_and_bounds().items()
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -273,9 +273,9 @@
                     quotas[number] = quota
         return quotas
 
-    def widest_request_threads(self) -> int:
+    def max_request_threads(self) -> int:
         """Return the threads of the widest query."""
-        return max((facade.widest_request_threads() for facade in self.facades.values()), default=1)
+        return max((facade.max_request_threads() for facade in self.facades.values()), default=1)
 
     def outstanding(self, now_ns: int) -> dict[int, OutstandingWork]:
         """Return the outstanding work of this process, for the broker's other processes."""
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -155,7 +155,7 @@
             for number, endpoint in endpoints.items()
         }
 
-    def widest_request_threads(self) -> int:
+    def max_request_threads(self) -> int:
         """Return the thread count of the request class with the most threads."""
         return self.controller.active_settings.max_request_threads
 
--- a/query_broker/startup/dispatcher_hooks.py
+++ b/query_broker/startup/dispatcher_hooks.py
@@ -68,7 +68,7 @@
         outstanding: dict[int, OutstandingWork] = {}
         if open_fraction < 1:
             facade = self._dispatcher.facade
-            max_request_threads = facade.widest_request_threads()
+            max_request_threads = facade.max_request_threads()
             for endpoint, (threads, max_backlog) in facade.quotas_and_bounds().items():
                 work = assumed_work(open_fraction, threads, max_backlog, max_request_threads)
                 outstanding[endpoint] = OutstandingWork(work.threads, work.backlog, 0)
