--- a/benchmarks/start_simulation.py
+++ b/benchmarks/start_simulation.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from query_broker.decisions.facade import CoProcessLoad, OutstandingWork
+from query_broker.decisions.facade import OutstandingWork, PeerProcessLoad
 from query_broker.emulator.decision_simulation import (
     BEGIN_NS,
     SimulatedBroker,
@@ -148,7 +148,7 @@
         simulation = self._simulation
         served = sum(request.is_served for request in broker.requests.values())
         open_fraction = ramp.step(simulation.now_ns, served - served_before, 0)
-        broker.report(CoProcessLoad(_assumed_load(broker, open_fraction), 1))
+        broker.report(PeerProcessLoad(_assumed_load(broker, open_fraction), 1))
         if ramp.is_complete():
             self._open_s.append((simulation.now_ns - BEGIN_NS) / NS_PER_S)
             return
--- a/query_broker/cells/outstanding_work.py
+++ b/query_broker/cells/outstanding_work.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from ..decisions.facade import CoProcessLoad, OrderBatch, OutstandingWork
+from ..decisions.facade import OrderBatch, OutstandingWork, PeerProcessLoad
 from .cell_facade import CellFacade, extend_orders
 
 NO_WORK = OutstandingWork(0, 0, 0)
@@ -40,7 +40,7 @@
     def __init__(self, facades: Mapping[str, CellFacade]) -> None:
         """Start without work; ``facades`` holds the decisions of each cell by its name."""
         self._facades = facades
-        self.co_processes = CoProcessLoad({}, 1)
+        self.co_processes = PeerProcessLoad({}, 1)
         self.endpoints_with_former_work: set[int] = set()
         self.carried_work: dict[int, CarriedWork] = {}
 
@@ -70,7 +70,7 @@
                 outstanding[number] = _sum_work(
                     outstanding.get(number, NO_WORK), former_work[number]
                 )
-            load = CoProcessLoad(outstanding, processes)
+            load = PeerProcessLoad(outstanding, processes)
             extend_orders(orders, facade.report(now_ns, load))
 
     def _work_of_former_cells(self, now_ns: int) -> dict[int, OutstandingWork]:
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -15,11 +15,11 @@
     AdministrativeChange,
     AttemptEnded,
     CloseRequests,
-    CoProcessLoad,
     EndpointListUpdate,
     HealthCheckResult,
     OrderBatch,
     OutstandingWork,
+    PeerProcessLoad,
     RequestAbandoned,
     RequestArrived,
     Settings,
@@ -37,7 +37,7 @@
     | RequestAbandoned
     | EndpointListUpdate
     | AdministrativeChange
-    | CoProcessLoad
+    | PeerProcessLoad
     | SettingsChanged
     | CloseRequests
 )
@@ -127,7 +127,7 @@
         for change in self.seats.disabled.values():
             facade.report(now_ns, change)
         processes = self.outstanding_work.co_processes.accepting_processes
-        facade.report(now_ns, CoProcessLoad({}, processes))
+        facade.report(now_ns, PeerProcessLoad({}, processes))
 
     def _dissolve_if_ended(self, facade: CellFacade) -> None:
         """Remove a cell that the map has dropped and that has no open requests."""
@@ -217,7 +217,7 @@
             case AdministrativeChange():
                 self.seats.apply_administrative_change(event)
                 self._report_to(self.facades, now_ns, event, orders)
-            case CoProcessLoad():
+            case PeerProcessLoad():
                 self.outstanding_work.co_processes = event
                 self.outstanding_work.publish(now_ns, orders)
             case SettingsChanged(settings):
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -34,12 +34,12 @@
     AttemptEnded,
     AttemptProgress,
     CloseRequests,
-    CoProcessLoad,
     EndpointListUpdate,
     Event,
     HealthCheckResult,
     OutstandingWork,
     PeerMessage,
+    PeerProcessLoad,
     RequestAbandoned,
     RequestArrived,
     SettingsChanged,
@@ -177,7 +177,7 @@
             HealthCheckResult: self.outliers.handle_health_check,
             EndpointListUpdate: self._update_endpoints,
             AdministrativeChange: self.pool.set_administrative_state,
-            CoProcessLoad: self._handle_co_process_load,
+            PeerProcessLoad: self._handle_peer_process_load,
             SettingsChanged: self._change_settings,
             TimerFired: self._fire_timer,
             PeerMessage: _ignore_peer_message,
@@ -206,9 +206,9 @@
         self.affinity.forget_ranks()
         self.pool.update(now_ns, event)
 
-    def _handle_co_process_load(self, now_ns: int, event: CoProcessLoad) -> None:
+    def _handle_peer_process_load(self, now_ns: int, event: PeerProcessLoad) -> None:
         self.admission.set_accepting_processes(event.accepting_processes)
-        self.pool.set_co_process_load(event)
+        self.pool.set_peer_process_load(event)
 
     def _fire_timer(self, now_ns: int, event: TimerFired) -> None:
         self.orders.fire_timer(now_ns, event.token)
--- a/query_broker/decisions/endpoint_pool.py
+++ b/query_broker/decisions/endpoint_pool.py
@@ -12,12 +12,12 @@
 from .concurrency_limit import THREADS_PER_CORE, PoolConcurrencyLimit
 from .events import (
     AdministrativeChange,
-    CoProcessLoad,
     EndpointEntry,
     EndpointListUpdate,
     EndpointState,
     ListUpdateKind,
     OutstandingWork,
+    PeerProcessLoad,
 )
 from .period_clock import CONTROL_PERIOD_NS
 from .tracked_endpoint import NO_OUTSTANDING_WORK, TrackedEndpoint
@@ -124,17 +124,17 @@
                 self._restart(now_ns, endpoint, event.at_ns)
         self.refresh(now_ns)
 
-    def set_co_process_load(self, event: CoProcessLoad) -> None:
+    def set_peer_process_load(self, event: PeerProcessLoad) -> None:
         """Add the outstanding work of the broker's other processes to that of this process.
 
         Two processes that each used the full quota would overload endpoints, above all endpoints in
         warm-up.
         """
         for number, endpoint in self.endpoints.items():
-            previous = endpoint.co_process_work
-            endpoint.co_process_work = event.outstanding.get(number, NO_OUTSTANDING_WORK)
-            endpoint.threads_in_flight += endpoint.co_process_work.threads - previous.threads
-            endpoint.backlog_ns += endpoint.co_process_work.backlog_ns - previous.backlog_ns
+            previous = endpoint.peer_process_work
+            endpoint.peer_process_work = event.outstanding.get(number, NO_OUTSTANDING_WORK)
+            endpoint.threads_in_flight += endpoint.peer_process_work.threads - previous.threads
+            endpoint.backlog_ns += endpoint.peer_process_work.backlog_ns - previous.backlog_ns
 
     def add_outstanding(
         self, now_ns: int, endpoint: TrackedEndpoint, backlog_ns: int, threads: int
@@ -152,8 +152,8 @@
         """Return the outstanding work of this process, without the other processes, by endpoint."""
         return {
             number: OutstandingWork(
-                endpoint.threads_in_flight - endpoint.co_process_work.threads,
-                endpoint.backlog_ns - endpoint.co_process_work.backlog_ns,
+                endpoint.threads_in_flight - endpoint.peer_process_work.threads,
+                endpoint.backlog_ns - endpoint.peer_process_work.backlog_ns,
                 endpoint.warmup_work.sum_at(now_ns),
             )
             for number, endpoint in self.endpoints.items()
@@ -209,11 +209,11 @@
         quota = POOL_THREADS_PER_CORE * cores / fleet_size
         limit.thread_quota = quota or self.active_settings.max_request_threads
         limit.backlog_ns = sum(
-            pool_endpoint.backlog_ns - pool_endpoint.co_process_work.backlog_ns
+            pool_endpoint.backlog_ns - pool_endpoint.peer_process_work.backlog_ns
             for pool_endpoint in pool_endpoints
         )
         limit.threads_in_flight = sum(
-            pool_endpoint.threads_in_flight - pool_endpoint.co_process_work.threads
+            pool_endpoint.threads_in_flight - pool_endpoint.peer_process_work.threads
             for pool_endpoint in pool_endpoints
         )
         limit.mean_threads.record(now_ns, limit.threads_in_flight)
--- a/query_broker/decisions/events.py
+++ b/query_broker/decisions/events.py
@@ -251,7 +251,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoProcessLoad:
+class PeerProcessLoad:
     """Load of the broker's other processes; all processes of a broker share one quota.
 
     Attributes:
@@ -320,7 +320,7 @@
     | AttemptProgress
     | RequestAbandoned
     | AdministrativeChange
-    | CoProcessLoad
+    | PeerProcessLoad
     | SettingsChanged
     | CloseRequests
     | TimerFired
--- a/query_broker/decisions/slow_start.py
+++ b/query_broker/decisions/slow_start.py
@@ -70,7 +70,7 @@
             fraction = has_turn / TURN_ESTIMATE_SAFETY_FACTOR / self.pool.brokers_per_turn
         else:
             fraction = 1 / ESTIMATE_SAFETY_FACTOR / self.active_settings.settings.fleet_size
-        used_ns = endpoint.warmup_work.sum_at(now_ns) + endpoint.co_process_work.warmup_ns
+        used_ns = endpoint.warmup_work.sum_at(now_ns) + endpoint.peer_process_work.warmup_ns
         return used_ns + work_ns <= budget_ns * fraction
 
     def fits_in_turn(self, now_ns: int, endpoint: TrackedEndpoint, threads: int) -> bool:
--- a/query_broker/decisions/tracked_endpoint.py
+++ b/query_broker/decisions/tracked_endpoint.py
@@ -33,7 +33,7 @@
         warmup_work: Work dispatched to it during its warm-up, over the contract's overload window.
         last_activity_ns: When it last answered or reported progress, or got an attempt while it had
             none in flight.
-        co_process_work: Outstanding work of the broker's other processes at it; included in
+        peer_process_work: Outstanding work of the broker's other processes at it; included in
             `backlog_ns` and `threads_in_flight`.
         process_started_ns: When its process started; earlier attempts went to another process.
         ejected: Whether it is ejected as an outlier.
@@ -52,7 +52,7 @@
     warmup_ends_ns: int = 0
     warmup_work: SlidingSum
     last_activity_ns: int = 0
-    co_process_work: OutstandingWork = NO_OUTSTANDING_WORK
+    peer_process_work: OutstandingWork = NO_OUTSTANDING_WORK
     process_started_ns: int = 0
     ejected: bool = False
     in_pool: bool = False
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from ..config import Config
-from ..decisions.facade import CoProcessLoad
+from ..decisions.facade import PeerProcessLoad
 from ..discovery.event_codec import EndpointListEvent
 from ..discovery.watch_client import WatchClient
 from ..dispatch.dispatcher import Dispatcher
@@ -167,7 +167,7 @@
         """Divide the broker's limits among this and the other processes."""
         accepting_processes = 1 + sum(other.accepting for other in others)
         self.dispatcher.report_event(
-            CoProcessLoad(total_outstanding_work(others), accepting_processes)
+            PeerProcessLoad(total_outstanding_work(others), accepting_processes)
         )
         self.dispatcher.divide(1 + len(others), sum(other.clients for other in others))
         self.admission.max_connections = self.dispatcher.max_clients
--- a/query_broker/startup/dispatcher_hooks.py
+++ b/query_broker/startup/dispatcher_hooks.py
@@ -4,7 +4,7 @@
 
 from abc import abstractmethod
 
-from ..decisions.facade import CoProcessLoad, OutstandingWork
+from ..decisions.facade import OutstandingWork, PeerProcessLoad
 from ..dispatch.dispatcher import Dispatcher
 from ..dispatch.observers import DispatchObserver, RetryAfterPolicy, SettingsAdjuster
 from .admission_ramp import assumed_work
@@ -72,4 +72,4 @@
             for endpoint, (threads, max_backlog) in facade.quotas_and_bounds().items():
                 work = assumed_work(open_fraction, threads, max_backlog, max_request_threads)
                 outstanding[endpoint] = OutstandingWork(work.threads, work.backlog, 0)
-        self._dispatcher.report_event(CoProcessLoad(outstanding, 1))
+        self._dispatcher.report_event(PeerProcessLoad(outstanding, 1))
--- a/tests/cells/test_endpoints_that_change_cells.py
+++ b/tests/cells/test_endpoints_that_change_cells.py
@@ -90,14 +90,14 @@
         assert number in cell_router(broker).outstanding_work.endpoints_with_former_work
         endpoint = endpoint_in_cell(broker, "b", number)
         # Work in flight counts in the endpoint's new cell.
-        assert endpoint.co_process_work.threads == 2
-        assert endpoint.co_process_work.backlog_ns > 0
+        assert endpoint.peer_process_work.threads == 2
+        assert endpoint.peer_process_work.backlog_ns > 0
         assert (
             cell_router(broker).outstanding(0)[number].threads == 2
         )  # and once for other processes
         answer_request(engine_of_a, engine_of_a.commands_named(b"do")[0])
         assert (await client.answer())[:2] == (1, frames.SERVED)
-        assert endpoint_in_cell(broker, "b", number).co_process_work.threads == 0
+        assert endpoint_in_cell(broker, "b", number).peer_process_work.threads == 0
         assert not cell_router(broker).outstanding_work.endpoints_with_former_work
         assert not cell_router(broker).requests
         # Requests of the former cell's tenant no longer reach the endpoint.
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -268,7 +268,7 @@
             self.handle(api.AdministrativeChange(endpoint, self.draw.random() < 0.3, self.now))
         elif choice == 2:
             work = api.OutstandingWork(self.draw.randrange(4), self.draw.randrange(S), 0)
-            self.handle(api.CoProcessLoad({endpoint: work}, self.draw.choice((1, 1, 2))))
+            self.handle(api.PeerProcessLoad({endpoint: work}, self.draw.choice((1, 1, 2))))
         elif choice == 3 and self.in_flight:
             self.handle(api.RequestAbandoned(self.draw.choice(list(self.in_flight))[0]))
         elif choice == 4 and self.in_flight:
--- a/tests/server/test_co_process_load.py
+++ b/tests/server/test_co_process_load.py
@@ -12,7 +12,7 @@
     harness = Harness(make_settings(), entry(1))
     bound = int(harness.controller.endpoints[1].bound_ns)
     harness.do(
-        api.CoProcessLoad(
+        api.PeerProcessLoad(
             {1: api.OutstandingWork(40, bound, 0), 7: api.OutstandingWork(1, 1, 1)}, 2
         )
     )
@@ -21,7 +21,7 @@
     assert isinstance(harness.answers("r")[0], api.Reject)
     # the work of other processes is not reported as work of this process
     assert harness.controller.outstanding(harness.now)[1] == api.OutstandingWork(0, 0, 0)
-    harness.do(api.CoProcessLoad({}, 1))
+    harness.do(api.PeerProcessLoad({}, 1))
     assert harness.backlog() == 0
     harness.arrive("s", estimate_ns=100 * MS)
     assert harness.sends("s")
@@ -29,10 +29,10 @@
 
 def test_a_warming_up_endpoint_gets_no_more_work_from_two_processes_than_from_one() -> None:
     harness = Harness(make_settings(), entry(1, started_ns=100 * S))
-    harness.do(api.CoProcessLoad({1: api.OutstandingWork(0, 0, 2 * S)}, 2))
+    harness.do(api.PeerProcessLoad({1: api.OutstandingWork(0, 0, 2 * S)}, 2))
     harness.arrive("r", estimate_ns=100 * MS)
     assert not harness.sends("r")
-    harness.do(api.CoProcessLoad({}, 1))
+    harness.do(api.PeerProcessLoad({}, 1))
     harness.arrive("s", estimate_ns=100 * MS)
     assert harness.sends("s")
 
@@ -42,7 +42,7 @@
 
     def within_quota(accepting: int) -> int:
         harness = Harness(make_settings(query_class(), tenants=tenants), entry(1))
-        harness.do(api.CoProcessLoad({}, accepting))
+        harness.do(api.PeerProcessLoad({}, accepting))
         for number in range(10):
             harness.arrive(f"r{number}", estimate_ns=MS, tenant="a")
         return sum(not request.over_quota for request in harness.controller.requests.values())
