--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -115,7 +115,7 @@
         self.orders = orders
         self.clock = clock
         self.pool = pool
-        self.outliers = outliers
+        self.outlier_detector = outliers
         self.affinity = affinity
         self.selector = selector
         self.admission = admission
@@ -173,8 +173,8 @@
             RequestAbandoned: self.admission.handle_abandonment,
             CloseRequests: self.admission.handle_close,
             AttemptEnded: self.outcomes.handle_attempt_ended,
-            AttemptProgress: self.outliers.handle_progress,
-            HealthCheckResult: self.outliers.handle_health_check,
+            AttemptProgress: self.outlier_detector.handle_progress,
+            HealthCheckResult: self.outlier_detector.handle_health_check,
             EndpointListUpdate: self._update_endpoints,
             AdministrativeChange: self.pool.set_administrative_state,
             PeerProcessLoad: self._handle_peer_process_load,
@@ -189,7 +189,7 @@
         self.clock.start_period(now_ns)
         self.admission.end_period()
         self.pool.refresh(now_ns)  # some endpoints may have finished their warm-up
-        self.outliers.end_period(now_ns)
+        self.outlier_detector.end_period(now_ns)
         for endpoint in self.pool.endpoints.values():
             endpoint.end_period()
         self.pool.limit.end_period()
--- a/tests/decisions/fleet/test_endpoint_subsets.py
+++ b/tests/decisions/fleet/test_endpoint_subsets.py
@@ -46,7 +46,7 @@
     harness = make_broker(endpoints, index=7)
     controller = harness.controller
     before = subset_of(harness)
-    controller.outliers.set_ejected(harness.now, controller.pool.subset[2], True)
+    controller.outlier_detector.set_ejected(harness.now, controller.pool.subset[2], True)
     assert subset_of(harness)[:10] == before
     assert len(subset_of(harness)) == 11
     change_list(harness, entry(endpoints[0], state=api.EndpointState.REMOVED))
--- a/tests/decisions/fleet/test_health_checks.py
+++ b/tests/decisions/fleet/test_health_checks.py
@@ -22,7 +22,7 @@
     """Requests as trials would prolong the overload of an endpoint, and each would be late."""
     harness = make_broker(endpoint_numbers(30), limits=LIMITS)
     endpoint = harness.controller.pool.subset[0]
-    harness.controller.outliers.set_ejected(harness.now, endpoint, True)
+    harness.controller.outlier_detector.set_ejected(harness.now, endpoint, True)
     for step in range(300):
         harness.arrive(f"r{step}", "glance", estimate_ns=MS)
         attempts = harness.sends(f"r{step}")
@@ -47,7 +47,7 @@
     for harness in fleet:
         endpoint = harness.controller.pool.subset[0]
         endpoint.failure_rate = 0.6
-        harness.controller.outliers.set_ejected(harness.now, endpoint, True)
+        harness.controller.outlier_detector.set_ejected(harness.now, endpoint, True)
         due.add(endpoint.next_trial_ns - harness.now)
     assert len(due) == len(fleet)
     assert max(due) - min(due) > 3 * S
@@ -56,7 +56,7 @@
 def test_small_fleet_tries_an_ejected_endpoint_by_requests() -> None:
     harness = make_broker(endpoint_numbers(4), fleet_size=2, limits=LIMITS)
     endpoint = harness.controller.pool.subset[0]
-    harness.controller.outliers.set_ejected(harness.now, endpoint, True)
+    harness.controller.outlier_detector.set_ejected(harness.now, endpoint, True)
     harness.pass_time(9 * S)
     for index in range(60):
         harness.arrive(f"r{index}", "glance", estimate_ns=MS)
--- a/tests/decisions/fleet/test_pool_capacity.py
+++ b/tests/decisions/fleet/test_pool_capacity.py
@@ -32,7 +32,7 @@
     lost = [endpoint for endpoint in controller.pool.subset if endpoint.in_flight][:5]
     lost_threads = sum(endpoint.threads_in_flight for endpoint in lost)
     for endpoint in lost:
-        controller.outliers.set_ejected(harness.now, endpoint, True)
+        controller.outlier_detector.set_ejected(harness.now, endpoint, True)
     assert lost_threads > 0
     assert pool.threads_in_flight == before - lost_threads
     assert pool.thread_quota == pytest.approx(1.5 * CORES_PER_ENDPOINT * 25 / FLEET_SIZE)
@@ -120,7 +120,7 @@
         if endpoint not in controller.pool.subset
     )
     quota = controller.pool.limit.thread_quota
-    controller.outliers.set_ejected(harness.now, unused, True)
+    controller.outlier_detector.set_ejected(harness.now, unused, True)
     assert controller.pool.limit.thread_quota < quota
     harness.pass_time(12 * S)
     assert not unused.ejected
--- a/tests/decisions/test_many_brokers.py
+++ b/tests/decisions/test_many_brokers.py
@@ -124,9 +124,13 @@
     harness = fleet_harness(kinds=["good", "bad"])
     for number in (1, 3):
         for _ in range(3):
-            harness.controller.outliers.record_outcome(harness.controller.endpoints[number], True)
+            harness.controller.outlier_detector.record_outcome(
+                harness.controller.endpoints[number], True
+            )
     for number in (2, 4, 2, 4, 2, 4):
-        harness.controller.outliers.record_outcome(harness.controller.endpoints[number], False)
+        harness.controller.outlier_detector.record_outcome(
+            harness.controller.endpoints[number], False
+        )
     endpoints = []
     for index in range(60):
         harness.arrive(f"r{index}", estimate_ns=MS)
--- a/tests/dispatch/test_draining_endpoints.py
+++ b/tests/dispatch/test_draining_endpoints.py
@@ -19,7 +19,7 @@
         )
     )
     for number in (1, 2):
-        harness.controller.outliers.set_ejected(
+        harness.controller.outlier_detector.set_ejected(
             harness.now, harness.controller.endpoints[number], True
         )
         harness.controller.endpoints[number].next_trial_ns = harness.now + 9 * S
--- a/tests/protocols/test_health_checks.py
+++ b/tests/protocols/test_health_checks.py
@@ -61,5 +61,5 @@
     async with running(config) as running_broker:
         broker = running_broker.node.dispatcher
         endpoint = broker.facade.controller.endpoints[broker.endpoint_table.number("s-1")]
-        broker.facade.controller.outliers.set_ejected(broker.now(), endpoint, True)
+        broker.facade.controller.outlier_detector.set_ejected(broker.now(), endpoint, True)
         await until(lambda: engine.commands_named(b"top") and not endpoint.ejected)
