--- a/query_broker/cells/node.py
+++ b/query_broker/cells/node.py
@@ -41,7 +41,7 @@
         connection_accounting: The admission of client connections, which accounts them to cells.
     """
 
-    longest_rest_ns = 0  # a round of `read_turns` begins with every tick
+    max_tick_interval_ns = 0  # a round of `read_turns` begins with every tick
     read_turns: ReadTurns
     connection_accounting: CellAdmission
 
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -59,7 +59,7 @@
     """
 
     # The longest time between two ticks if no timer is due. Extension point.
-    longest_rest_ns = SWEEP_PERIOD_NS
+    max_tick_interval_ns = SWEEP_PERIOD_NS
 
     def __init__(self, config: Config, environ: Mapping[str, str] = os.environ) -> None:
         """Build the parts; nothing listens before ``run``.
--- a/query_broker/server/tick_loop.py
+++ b/query_broker/server/tick_loop.py
@@ -37,7 +37,7 @@
 class TickingNode(NodeContext, Protocol):
     """The part of a node that the tick loop needs."""
 
-    longest_rest_ns: int  # the longest time between two ticks if no timer is due
+    max_tick_interval_ns: int  # the longest time between two ticks if no timer is due
 
     @property
     def watch_client(self) -> WatchClient | None:
@@ -54,7 +54,7 @@
 class TickLoop:
     """Runs the periodic work whenever a timer of the dispatcher's wheel is due.
 
-    An idle broker ticks every ``longest_rest_ns``; an earlier timer brings the tick forward.
+    An idle broker ticks every ``max_tick_interval_ns``; an earlier timer brings the tick forward.
     """
 
     def __init__(self, node: TickingNode) -> None:
@@ -85,7 +85,9 @@
             self._run_due_work(now_ns)
         finally:
             now_ns = self.node.clock.now()
-            delay_ns = self.node.dispatcher.timer_wheel.idle_ns(now_ns, self.node.longest_rest_ns)
+            delay_ns = self.node.dispatcher.timer_wheel.idle_ns(
+                now_ns, self.node.max_tick_interval_ns
+            )
             self._schedule(delay_ns, now_ns)
         # The next tick is already scheduled, so that a timer set here can bring it forward.
         self.node.after_tick()
