--- a/query_broker/cells/client_admission.py
+++ b/query_broker/cells/client_admission.py
@@ -23,7 +23,7 @@
         self._dispatcher = dispatcher
         self._read_turns = read_turns
 
-    def has_place(self) -> bool:
+    def make_room(self) -> bool:
         """Account a new connection as unassigned; its first request assigns it to a cell."""
         return self._acquire_connection(UNASSIGNED)
 
--- a/query_broker/server/client_admission.py
+++ b/query_broker/server/client_admission.py
@@ -32,7 +32,7 @@
 
     def admit(self, connection: ClientConnection) -> bool:
         """Admit a new connection; False if the limit is reached and none can be evicted."""
-        if not self.has_place():
+        if not self.make_room():
             reason = f"limit of {self.max_connections} connections reached: rejected a new one"
             self.node.log("client", reason)
             return False
@@ -41,7 +41,7 @@
             connection.announce_shutdown()
         return True
 
-    def has_place(self) -> bool:
+    def make_room(self) -> bool:
         """Extension point: whether there is room for one more connection, after evicting one."""
         if len(self.connections) < self.max_connections:
             return True
--- a/tests/dispatch/test_stalls.py
+++ b/tests/dispatch/test_stalls.py
@@ -43,7 +43,7 @@
             await until(lambda: len(admission.connections) == 2)
             admission.max_connections = 2
             raw.sendall(request_frame(1))
-            assert admission.has_place()  # the event loop has not run since
+            assert admission.make_room()  # the event loop has not run since
             await read_until_suffix(raw, SERVED_ANSWER)
             assert await idle.ended()
 
