--- a/query_broker/operator_config/service.py
+++ b/query_broker/operator_config/service.py
@@ -212,7 +212,7 @@
 
     def reload(self) -> None:
         """Reload both files; neither is applied if one of them is rejected."""
-        if self.shutdown.begun:
+        if self.shutdown.started:
             super().reload()
         else:
             self._operator_file_reload.begin()
--- a/query_broker/server/graceful_shutdown.py
+++ b/query_broker/server/graceful_shutdown.py
@@ -60,7 +60,7 @@
     """Shuts a node down after SIGTERM.
 
     Attributes:
-        begun_at_ns: When SIGTERM came, in Unix nanoseconds; 0 before that. If it may have come
+        started_at_ns: When SIGTERM came, in Unix nanoseconds; 0 before that. If it may have come
             during a stall of this process, the beginning of the stall, since the time until SIGKILL
             may run from then.
         closed_out: Whether the requests that were open at ``close_out_after_s`` have been given a
@@ -70,15 +70,15 @@
     def __init__(self, node: NodeContext) -> None:
         """Prepare the shutdown; ``begin`` starts it."""
         self.node = node
-        self.begun_at_ns = 0
+        self.started_at_ns = 0
         self.closed_out = False
         self._accept_time: RunningTime | None = None  # since the end of the grace period
         self._flush_time: RunningTime | None = None  # since the close-out
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether SIGTERM has come."""
-        return self.begun_at_ns != 0
+        return self.started_at_ns != 0
 
     @property
     def close_out_after_s(self) -> float:
@@ -91,10 +91,10 @@
 
     def begin(self) -> None:
         """Start the shutdown at SIGTERM; further signals have no effect."""
-        if self.begun:
+        if self.started:
             return
         now_ns = self.node.clock.now()
-        self.begun_at_ns = self.node.earliest_signal_ns(now_ns)
+        self.started_at_ns = self.node.earliest_signal_ns(now_ns)
         peer_processes = self.node.peer_processes
         if peer_processes is not None:
             peer_processes.poll()
@@ -110,9 +110,9 @@
 
         If SIGTERM may have come during a stall, less time is left until the close-out.
         """
-        if self.begun_at_ns == now_ns:
+        if self.started_at_ns == now_ns:
             return GRACE_PERIOD_S
-        elapsed_s = (now_ns - self.begun_at_ns) / NS_PER_S
+        elapsed_s = (now_ns - self.started_at_ns) / NS_PER_S
         return min(GRACE_PERIOD_S, max(0.0, self.close_out_after_s - LINGER_S - elapsed_s))
 
     def _announce_leaving(self, linger_s: float = LINGER_S) -> None:
@@ -155,7 +155,7 @@
         if self._is_idle() or self._flush_timed_out():
             self._end_connections()
             return
-        elapsed_s = (self.node.clock.now() - self.begun_at_ns) / NS_PER_S
+        elapsed_s = (self.node.clock.now() - self.started_at_ns) / NS_PER_S
         if elapsed_s >= self.close_out_after_s and not self.closed_out:
             self._close_out()
         _call_later(CHECK_PERIOD_S, self._await_requests)
--- a/query_broker/server/reload.py
+++ b/query_broker/server/reload.py
@@ -44,7 +44,7 @@
 
     def reload(self) -> None:
         """Read the configuration again and apply it; a faulty one is logged and counted."""
-        if self.node.shutdown.begun:
+        if self.node.shutdown.started:
             self.node.log("reload", "SIGHUP ignored during the drain")
             return
         try:
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -170,7 +170,7 @@
         new.publish(topology_event(3, target_entry("s-3", 9)))
         await until(lambda: "s-3" in broker.node.dispatcher.endpoint_table.by_uid)
         assert "s-9" not in broker.node.dispatcher.endpoint_table.by_uid
-        broker.node.shutdown.begun_at_ns = 1
+        broker.node.shutdown.started_at_ns = 1
         reload(broker, config_text(f"127.0.0.1:{await third.start()}"))
         await until(
             lambda: any("SIGHUP ignored during the drain" in line for line in broker.logged)
--- a/tests/dispatch/test_shutdown_races.py
+++ b/tests/dispatch/test_shutdown_races.py
@@ -41,7 +41,7 @@
             raw.sendall(request_frame(1))
             await until(lambda: engine.commands_named(b"do"))
             shutdown = GracefulShutdown(broker.node)
-            shutdown.begun_at_ns = broker.node.clock.now()
+            shutdown.started_at_ns = broker.node.clock.now()
             # Lies in the system's buffer between the last read and the end of the connection.
             raw.sendall(request_frame(2) + PARTIAL_REQUEST)
             shutdown._end_connections()
@@ -94,7 +94,7 @@
         client.send_request(patience="700")
         await until(lambda: engine.commands_named(b"do"))
         shutdown = GracefulShutdown(broker.node)
-        shutdown.begun_at_ns = broker.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
+        shutdown.started_at_ns = broker.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
         assert shutdown.close_out_after_s < 0.7 + 0.7
         shutdown._await_requests()
         assert (await client.answer())[:2] == (1, frames.REFUSED)
@@ -109,7 +109,7 @@
     engine = Engine()
     async with broker_with_engines(engine) as broker:
         shutdown = GracefulShutdown(broker.node)
-        shutdown.begun_at_ns = broker.node.clock.now()
+        shutdown.started_at_ns = broker.node.clock.now()
         waiting = [socket.create_connection(("127.0.0.1", broker.port)) for _ in range(20)]
         for number, raw in enumerate(waiting):
             raw.sendall(request_frame(1, trace=f"{number:016x}"))
--- a/tests/dispatch/test_shutdown_stalls.py
+++ b/tests/dispatch/test_shutdown_stalls.py
@@ -82,7 +82,7 @@
     """
     async with broker_with_engines(Engine()) as broker:
         shutdown = GracefulShutdown(broker.node)
-        shutdown.begun_at_ns = broker.node.clock.now()
+        shutdown.started_at_ns = broker.node.clock.now()
         waiting = [socket.create_connection(("127.0.0.1", broker.port)) for _ in range(20)]
         for number, raw in enumerate(waiting):
             raw.sendall(request_frame(1, trace=f"{number:016x}"))
@@ -100,7 +100,7 @@
     monkeypatch.setattr(graceful_shutdown, "has_input", lambda descriptor: True)
     async with broker_with_engines(Engine()) as broker:
         shutdown = GracefulShutdown(broker.node)
-        shutdown.begun_at_ns = broker.node.clock.now()
+        shutdown.started_at_ns = broker.node.clock.now()
         shutdown._announce_leaving()
         await until(lambda: broker.node.closing_announced)
 
@@ -118,7 +118,7 @@
         with socket.create_connection(("127.0.0.1", broker.port)) as raw:
             await until(lambda: broker.node.clients)
             shutdown = GracefulShutdown(broker.node)
-            shutdown.begun_at_ns = broker.node.clock.now()
+            shutdown.started_at_ns = broker.node.clock.now()
             raw.sendall(request_frame(1))
             shutdown._await_requests()  # the event loop has not run since
             assert await read_to_end(raw) == SERVED_ANSWER
@@ -155,7 +155,7 @@
         await until(lambda: engine.commands_named(b"do"))
         shutdown = GracefulShutdown(broker.node)
         stalled_ns = int(shutdown.close_out_after_s * 1e9) + FLUSH_TIMEOUT_NS + 10 * MS
-        shutdown.begun_at_ns = broker.node.clock.now() - stalled_ns
+        shutdown.started_at_ns = broker.node.clock.now() - stalled_ns
         shutdown._await_requests()
         assert (await client.answer())[:2] == (1, frames.REFUSED)
         assert await within(client.reader.read()) == b""
@@ -172,7 +172,7 @@
             raw.sendall(request_frame(1))
             await until(lambda: engine.commands_named(b"do"))
             shutdown = GracefulShutdown(broker.node)
-            shutdown.begun_at_ns = broker.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
+            shutdown.started_at_ns = broker.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
             shutdown._await_requests()
             assert shutdown.closed_out
             raw.sendall(request_frame(2))
@@ -198,7 +198,7 @@
         with socket.create_connection(("127.0.0.1", broker.port)) as raw:
             await until(lambda: broker.node.clients)
             shutdown = GracefulShutdown(broker.node)
-            shutdown.begun_at_ns = broker.node.clock.now()
+            shutdown.started_at_ns = broker.node.clock.now()
             shutdown._end_connections()
             (connection,) = broker.node.clients
             discarded_bytes_at_stop: list[int] = []
@@ -234,7 +234,7 @@
         stall(broker, 2_000 * MS)
         broker.node.tick_loop._tick()  # the event loop runs timers before signal handlers
         broker.node.shutdown.begin()
-        assert broker.node.shutdown.begun_at_ns <= sent_ns
+        assert broker.node.shutdown.started_at_ns <= sent_ns
         assert await client.frame() == (frames.NO_MORE, 0, b"")
         assert (await client.answer())[:2] == (1, frames.REFUSED)
         assert broker.node.shutdown.closed_out
--- a/tests/server/test_lifecycle.py
+++ b/tests/server/test_lifecycle.py
@@ -120,7 +120,7 @@
         client.send_request(stream=2, trace="2" * 16)
         await until(lambda: len(engine.commands_named(b"do")) == 2)
         shutdown = GracefulShutdown(broker.node)
-        shutdown.begun_at_ns = broker.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
+        shutdown.started_at_ns = broker.node.clock.now() - int(shutdown.close_out_after_s * 1e9)
         shutdown._await_requests()
         answers = dict([(await client.answer())[:2], (await client.answer())[:2]])
         assert answers == {1: frames.FAILED, 2: frames.REFUSED}
@@ -141,7 +141,7 @@
         client.writer.write(frame[:9])
         await until(lambda: broker.node.partial_frame_bytes)
         shutdown = GracefulShutdown(broker.node)
-        shutdown.begun_at_ns = broker.node.clock.now()
+        shutdown.started_at_ns = broker.node.clock.now()
         shutdown._announce_leaving()
         shutdown._await_requests()
         assert not broker.node.stopped.is_set()
