--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -99,9 +99,9 @@
         )
         return self.cell_pools
 
-    def divide(self, processes: int, other_clients: int) -> None:
+    def apply_capacity_share(self, processes: int, other_process_clients: int) -> None:
         """Set this process's quota of the limits and divide it among the cells."""
-        super().divide(processes, other_clients)
+        super().apply_capacity_share(processes, other_process_clients)
         self._divide_among_cells()
 
     def apply_settings(self, config: Config) -> None:
--- a/query_broker/dispatch/dispatcher.py
+++ b/query_broker/dispatch/dispatcher.py
@@ -54,10 +54,11 @@
     """Wires the parts that handle requests, and reports their events to the decisions.
 
     Extension points, which `query_broker.cells` overrides to divide the broker into cells:
-    `make_facade` and `make_connection_pools` (called once, by the constructor), `divide`, and, in
-    the order in which a request passes them, `admit`, `has_statement_capacity`, `begin_answer` and
-    `release`. Overrides of `divide`, `admit`, `begin_answer` and `release` call the method of this
-    class; an override of `has_statement_capacity` does not.
+    `make_facade` and `make_connection_pools` (called once, by the constructor),
+    `apply_capacity_share`, and, in the order in which a request passes them, `admit`,
+    `has_statement_capacity`, `begin_answer` and `release`. Overrides of `apply_capacity_share`,
+    `admit`, `begin_answer` and `release` call the method of this class; an override of
+    `has_statement_capacity` does not.
 
     Attributes:
         config: The configuration in force.
@@ -116,7 +117,7 @@
         self.pools.dedicated_connections = (
             config.settings.handshake_price <= MAX_HANDSHAKE_COST_FRACTION
         )
-        self.divide(1, 0)
+        self.apply_capacity_share(1, 0)
 
     def make_facade(self, now_ns: int) -> Facade:
         """Create the decisions; the constructor calls this before the other parts exist."""
@@ -134,14 +135,14 @@
             may_hand_over=self.gate.may_proceed,
         )
 
-    def divide(self, processes: int, other_clients: int) -> None:
+    def apply_capacity_share(self, processes: int, other_process_clients: int) -> None:
         """Apply this process's share of the limits.
 
         Args:
             processes: Number of processes of this broker, including this one.
-            other_clients: Number of clients connected to the other processes.
+            other_process_clients: Number of clients connected to the other processes.
         """
-        capacity = divide_capacity(self.config, processes, other_clients)
+        capacity = divide_capacity(self.config, processes, other_process_clients)
         self.max_clients = capacity.client_connections
         self.pools.set_max_connections(capacity.endpoint_connections)
         self.statement_capacity_bytes = capacity.statement_bytes
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -169,7 +169,9 @@
         self.dispatcher.report_event(
             PeerProcessLoad(total_outstanding_work(others), accepting_processes)
         )
-        self.dispatcher.divide(1 + len(others), sum(other.clients for other in others))
+        self.dispatcher.apply_capacity_share(
+            1 + len(others), sum(other.clients for other in others)
+        )
         self.admission.max_connections = self.dispatcher.max_clients
 
     async def run(self) -> None:
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -157,11 +157,13 @@
             assert limits_of(old) == undivided
             dispatcher = old.node.dispatcher
             pools = dispatcher.pools
-            dispatcher.divide(2, 42)
+            dispatcher.apply_capacity_share(2, 42)
             # What remains of the descriptors covers the reserves of two processes.
             assert dispatcher.max_clients + 42 + 2 * pools.max_connections <= config.sockets - 90
             dispatcher.config = replace(dispatcher.config, sockets=64)
-            dispatcher.divide(3, 60)  # even the smallest limit must leave descriptors for clients
+            dispatcher.apply_capacity_share(
+                3, 60
+            )  # even the smallest limit must leave descriptors for clients
             assert dispatcher.max_clients >= 7
             assert pools.max_connections >= 4
 
