--- a/query_broker/deadlines/retry_budget.py
+++ b/query_broker/deadlines/retry_budget.py
@@ -54,7 +54,7 @@
         return ClassRate(class_name, self.tokens_per_attempt, self.burst)
 
 
-class RetryGate(Protocol):
+class SharedRetryLimit(Protocol):
     """A limit on retries that is shared by all brokers."""
 
     def admit_retry(self) -> bool:
@@ -69,17 +69,17 @@
         settings: The tokens that a first attempt earns, and the sizes of the buckets.
         tokens: The tokens in each bucket, by class and tenant.
         refused: The number of retries that the budget did not allow.
-        gate: The limit on retries that all brokers share; None if there is none.
+        shared_limit: The limit on retries that all brokers share; None if there is none.
     """
 
     settings: RetryBudgetSettings
     tokens: dict[tuple[str, str], float] = field(default_factory=dict)
     refused: int = 0
-    gate: RetryGate | None = None
+    shared_limit: SharedRetryLimit | None = None
 
-    def set_gate(self, gate: RetryGate) -> None:
+    def set_shared_limit(self, shared_limit: SharedRetryLimit) -> None:
         """Set a limit that all brokers share and that each retry must pass as well."""
-        self.gate = gate
+        self.shared_limit = shared_limit
 
     def _bucket_key(self, class_name: str, tenant: str) -> tuple[str, str]:
         return class_name, tenant if self.settings.by_tenant else ""
@@ -108,7 +108,7 @@
         """Spend a token on a retry; return False if the retry is not allowed."""
         key = self._bucket_key(class_name, tenant)
         tokens = self.tokens.get(key, self.settings.rate_for_class(class_name).burst)
-        if tokens < 1 or self.gate is not None and not self.gate.admit_retry():
+        if tokens < 1 or self.shared_limit is not None and not self.shared_limit.admit_retry():
             self.refused += 1
             return False
         self.tokens[key] = tokens - 1
--- a/query_broker/operator_config/apply.py
+++ b/query_broker/operator_config/apply.py
@@ -57,7 +57,7 @@
     """Make the retry budget observe the shared limit on retries, if both exist."""
     budget = controls.retry_budget
     if budget is not None and quota_service is not None and quota_service.has_retry_limit:
-        budget.set_gate(quota_service)
+        budget.set_shared_limit(quota_service)
 
 
 class LogFormat:
