--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -14,7 +14,7 @@
 
 from .. import __version__
 from ..config import Config, ConfigError, load
-from ..server.signals import remember_early_hangups
+from ..server.signals import record_early_sighups
 from .lazy_group import LazyGroup
 
 if TYPE_CHECKING:
@@ -56,7 +56,7 @@
 )
 def serve(operator_file: str) -> None:
     """Serve clients until SIGTERM."""
-    remember_early_hangups()
+    record_early_sighups()
     with _exit_on_configuration_error():
         config = load(os.environ)
         if config.accept_fd is not None:
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -32,7 +32,7 @@
 from .peer_process import PeerProcesses
 from .process_status import ProcessStatus, total_outstanding_work
 from .reload import ConfigReloader
-from .signals import handle_signals, ignore_signals, take_early_hangup
+from .signals import handle_signals, ignore_signals, take_early_sighup
 from .tick_loop import SWEEP_PERIOD_NS, TickLoop
 
 ADMIN_ADDRESS_KEY = "operator"  # settings key that the message of a `ListenerError` names
@@ -205,7 +205,7 @@
         gc.freeze()
         self._log_start()
         self.tick_loop.start()
-        if take_early_hangup():
+        if take_early_sighup():
             self.reload()
         await self.stopped.wait()
         self.log("stop", "done")
--- a/query_broker/server/signals.py
+++ b/query_broker/server/signals.py
@@ -7,22 +7,22 @@
 from collections.abc import Callable
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-_early_hangups: list[int] = []  # the SIGHUPs received before the event loop handles signals
+_early_sighups: list[int] = []  # the SIGHUPs received before the event loop handles signals
 
 
-def remember_early_hangups() -> None:
+def record_early_sighups() -> None:
     """Record each SIGHUP from now on, until the event loop handles signals.
 
     A process may be sent SIGHUP for new settings right after its start. Without a handler the
     signal would end the process; if it were ignored, the process would keep the old settings.
     """
-    signal.signal(signal.SIGHUP, lambda number, frame: _early_hangups.append(number))
+    signal.signal(signal.SIGHUP, lambda number, frame: _early_sighups.append(number))
 
 
-def take_early_hangup() -> bool:
+def take_early_sighup() -> bool:
     """Return whether a SIGHUP was recorded, and clear the record."""
-    was_received = bool(_early_hangups)
-    _early_hangups.clear()
+    was_received = bool(_early_sighups)
+    _early_sighups.clear()
     return was_received
 
 
