--- a/query_broker/discovery/watch_client.py
+++ b/query_broker/discovery/watch_client.py
@@ -19,7 +19,7 @@
 #: A connection is dropped after this time without a received byte. Heartbeats come every second,
 #: and events must be applied within 4 s after an interruption: this leaves time for a late
 #: heartbeat and for the next connect.
-SILENCE_LIMIT_NS = 1_700_000_000
+SERVICE_SILENCE_LIMIT_NS = 1_700_000_000
 #: Initial reconnect backoff, and the limit up to which it doubles. Events must be applied within
 #: 2 s after a disconnection: this leaves time for several connects.
 FIRST_BACKOFF_S = 0.05
@@ -143,7 +143,9 @@
         """
         if self.connection is None:
             return
-        limit_ns = SILENCE_LIMIT_NS if self.pacing is None else self.pacing.silence_limit_ns()
+        limit_ns = (
+            SERVICE_SILENCE_LIMIT_NS if self.pacing is None else self.pacing.silence_limit_ns()
+        )
         if now_ns - self.last_received_ns > limit_ns:
             self.log("bus", "no heartbeat: reconnecting")
             self.last_received_ns = now_ns
--- a/query_broker/startup/discovery_pace.py
+++ b/query_broker/startup/discovery_pace.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from ..discovery.watch_client import CONNECT_TIMEOUT_S, SILENCE_LIMIT_NS
+from ..discovery.watch_client import CONNECT_TIMEOUT_S, SERVICE_SILENCE_LIMIT_NS
 from ..timer_wheel import Clock
 from .pacing import PacedCalls, backoff_timeout_ns
 from .settings import NS_PER_SECOND
@@ -66,7 +66,9 @@
 
     def silence_limit_ns(self) -> int:
         """Return the silence, in nanoseconds, after which a connection is closed."""
-        return backoff_timeout_ns(self._calls.failure_count, SILENCE_LIMIT_NS, MAX_SILENCE_NS)
+        return backoff_timeout_ns(
+            self._calls.failure_count, SERVICE_SILENCE_LIMIT_NS, MAX_SILENCE_NS
+        )
 
     def list_confirmed(self) -> None:
         """Record that the discovery service has sent or confirmed its present endpoint list."""
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -12,7 +12,7 @@
 import pytest
 
 from query_broker.discovery.event_codec import EndpointListEvent
-from query_broker.discovery.watch_client import SILENCE_LIMIT_NS, WatchClient
+from query_broker.discovery.watch_client import SERVICE_SILENCE_LIMIT_NS, WatchClient
 from query_broker.emulator.discovery_service import ScriptedDiscoveryService
 
 from ..support.sockets import (
@@ -34,7 +34,7 @@
 pytestmark = pytest.mark.real_time
 
 #: Path of the constant of the watch client that the tests patch, and a limit that is never reached.
-SILENCE_LIMIT_PATH = "query_broker.discovery.watch_client.SILENCE_LIMIT_NS"
+SILENCE_LIMIT_PATH = "query_broker.discovery.watch_client.SERVICE_SILENCE_LIMIT_NS"
 NEVER_NS = 1 << 62
 
 
@@ -92,7 +92,7 @@
     watch_client: WatchClient, silent_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Run the client's silence check, with its real limit, after this time without a byte."""
-    monkeypatch.setattr(SILENCE_LIMIT_PATH, SILENCE_LIMIT_NS)
+    monkeypatch.setattr(SILENCE_LIMIT_PATH, SERVICE_SILENCE_LIMIT_NS)
     watch_client.drop_if_silent(watch_client.last_received_ns + silent_ms * MS)
     monkeypatch.setattr(SILENCE_LIMIT_PATH, NEVER_NS)
 
