--- a/query_broker/protocols/client_request.py
+++ b/query_broker/protocols/client_request.py
@@ -8,7 +8,7 @@
 
 from ..dispatch.validation import InvalidRequestError, ParsedRequest, read_number
 from .client_frames import read_fields
-from .statement import table_group
+from .statement import data_set_of
 
 # Field names of the wire protocol.
 FIELD_CLASS_NAME = "route"
@@ -51,7 +51,7 @@
         estimate_ms=read_number(fields.get(FIELD_ESTIMATE_MS, "0"), FIELD_ESTIMATE_MS),
         memory_mb=read_number(fields.get(FIELD_MEMORY_MB, "0"), FIELD_MEMORY_MB),
         is_retry=fields.get(FIELD_IS_RETRY) == "1",
-        data_set=table_group(statement),
+        data_set=data_set_of(statement),
         statement=statement,
         idempotency_key=fields.get(FIELD_IDEMPOTENCY_KEY),
     )
--- a/query_broker/protocols/statement.py
+++ b/query_broker/protocols/statement.py
@@ -19,7 +19,7 @@
 NO_DATA_SET = -1
 
 
-def table_group(statement: bytes) -> int:
+def data_set_of(statement: bytes) -> int:
     """Return the number of the statement's data set, or `NO_DATA_SET`.
 
     The number follows the underscore in the name of the first schema that has one.
--- a/tests/protocols/test_data_set.py
+++ b/tests/protocols/test_data_set.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from query_broker.protocols.statement import table_group
+from query_broker.protocols.statement import data_set_of
 
 
 @pytest.mark.parametrize(
@@ -29,4 +29,4 @@
 def test_the_data_set_of_a_statement_is_read_from_its_first_table(
     statement: bytes, data_set: int
 ) -> None:
-    assert table_group(statement) == data_set
+    assert data_set_of(statement) == data_set
