--- a/benchmarks/start_calls.py
+++ b/benchmarks/start_calls.py
@@ -12,7 +12,7 @@
 
 from query_broker.emulator.faulty_links import Fault, FaultKind, FaultSchedule
 from query_broker.startup.admission_ramp import AdmissionRamp
-from query_broker.startup.pacing import PacedCalls, call_window_ns, probe_slot_ns
+from query_broker.startup.pacing import CallSchedule, call_window_ns, probe_slot_ns
 from query_broker.startup.settings import StartupSettings
 
 from .harness.results import Results
@@ -49,7 +49,7 @@
 
     at_s: float
     broker: int
-    pacing: PacedCalls
+    pacing: CallSchedule
 
 
 class CallTimes(NamedTuple):
@@ -94,7 +94,7 @@
         heapq.heapify(self._heap)
 
     def _first_call(self, broker: int) -> ScheduledCall:
-        pacing = PacedCalls(broker, self._count, LIST_CALLS_PER_S, self._random.random)
+        pacing = CallSchedule(broker, self._count, LIST_CALLS_PER_S, self._random.random)
         begun_s = self._random.random()
         if not self._is_paced:
             return ScheduledCall(begun_s, broker, pacing)
--- a/benchmarks/start_simulation.py
+++ b/benchmarks/start_simulation.py
@@ -21,7 +21,7 @@
 )
 from query_broker.emulator.machine import Machine
 from query_broker.startup.admission_ramp import AdmissionRamp, assumed_work
-from query_broker.startup.pacing import PacedCalls, call_window_ns, probe_slot_ns
+from query_broker.startup.pacing import CallSchedule, call_window_ns, probe_slot_ns
 from query_broker.startup.settings import StartupSettings
 
 from .harness.results import Results
@@ -118,7 +118,7 @@
         settings = simulated_settings(index, brokers)
         broker = SimulatedBroker(simulation, settings, index, self._engines)
         begun_ns = simulation.now_ns + simulation.random.randrange(NS_PER_S)
-        calls = PacedCalls(index, brokers, LIST_CALLS_PER_S, simulation.random.random)
+        calls = CallSchedule(index, brokers, LIST_CALLS_PER_S, simulation.random.random)
         first_call_ns = calls.first_call_ns(begun_ns)
         due_ns = first_call_ns if self._is_paced else begun_ns
         simulation.call_at(due_ns, partial(self._receive_endpoints, broker))
--- a/query_broker/startup/discovery_pace.py
+++ b/query_broker/startup/discovery_pace.py
@@ -6,7 +6,7 @@
 
 from ..discovery.watch_client import CONNECT_TIMEOUT_S, SERVICE_SILENCE_LIMIT_NS
 from ..timer_wheel import Clock
-from .pacing import PacedCalls, backoff_timeout_ns
+from .pacing import CallSchedule, backoff_timeout_ns
 from .settings import NS_PER_SECOND
 
 #: Upper limit of the connect timeout, which doubles with each failure.
@@ -32,7 +32,7 @@
         first_wait_s: Seconds until the first call.
     """
 
-    def __init__(self, calls: PacedCalls, clock: Clock, listener: ConfirmationListener) -> None:
+    def __init__(self, calls: CallSchedule, clock: Clock, listener: ConfirmationListener) -> None:
         """Choose the time of the first call.
 
         Args:
--- a/query_broker/startup/pacing.py
+++ b/query_broker/startup/pacing.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class PacedCalls:
+class CallSchedule:
     """Schedules the calls of one broker to one service.
 
     Attributes:
--- a/query_broker/startup/service.py
+++ b/query_broker/startup/service.py
@@ -18,7 +18,7 @@
 from .dispatcher_hooks import DispatcherHooks, StartupObserver
 from .first_contact import InitialHealthChecks
 from .initial_list import InitialList
-from .pacing import PacedCalls, RateLimiter, next_slot_ns
+from .pacing import CallSchedule, RateLimiter, next_slot_ns
 from .recovery_ramp import RecoveryRamp
 from .settings import NS_PER_SECOND, StartupSettings
 from .snapshot_store import SnapshotStore
@@ -70,7 +70,7 @@
 
     def pace_watch_client(self, client: WatchClient) -> None:
         """Pace the connection attempts of a new discovery client."""
-        calls = PacedCalls(
+        calls = CallSchedule(
             self._broker_index,
             self._fleet_size,
             self._settings.list_connects_per_s,
--- a/tests/startup/test_call_pacing.py
+++ b/tests/startup/test_call_pacing.py
@@ -43,7 +43,7 @@
     ]
     started_at_ns = [1_796_000_000 * NS_PER_SECOND + int(rng.random() * spread_ns) for _ in started]
     calls = [
-        pacing.PacedCalls(broker_index, fleet_size, 50.0, rng.random).first_call_ns(now_ns)
+        pacing.CallSchedule(broker_index, fleet_size, 50.0, rng.random).first_call_ns(now_ns)
         for broker_index, now_ns in zip(started, started_at_ns, strict=True)
     ]
     assert max_calls_in_any_second(calls) <= 52
@@ -61,7 +61,7 @@
 ) -> None:
     rng = random.Random(configured_size)
     calls = [
-        pacing.PacedCalls(broker_index, configured_size, 50.0, rng.random).first_call_ns(0)
+        pacing.CallSchedule(broker_index, configured_size, 50.0, rng.random).first_call_ns(0)
         for broker_index in range(300)
     ]
     assert max_calls_in_any_second(calls) <= 52 * max(1, 300 // configured_size)
@@ -71,7 +71,7 @@
     rng = random.Random(5)
     times_ns: list[int] = []
     for broker_index in range(300):
-        calls = pacing.PacedCalls(broker_index, 300, 50.0, rng.random)
+        calls = pacing.CallSchedule(broker_index, 300, 50.0, rng.random)
         now_ns = calls.first_call_ns(int(rng.random() * NS_PER_SECOND))
         while now_ns < 120 * NS_PER_SECOND:
             times_ns.append(now_ns)
@@ -79,7 +79,7 @@
     assert max_calls_in_any_second(times_ns) <= 52
     late_ns = [at for at in times_ns if at > 60 * NS_PER_SECOND]
     assert len(late_ns) / 60 < 30
-    alone = pacing.PacedCalls(0, 1, 50.0, rng.random)
+    alone = pacing.CallSchedule(0, 1, 50.0, rng.random)
     now_ns = 0
     waits_ns = []
     for _ in range(60):
