--- a/benchmarks/start_calls.py
+++ b/benchmarks/start_calls.py
@@ -12,7 +12,7 @@
 
 from query_broker.emulator.faulty_links import Fault, FaultKind, FaultSchedule
 from query_broker.startup.admission_ramp import AdmissionRamp
-from query_broker.startup.pacing import CallSchedule, call_window_ns, probe_slot_ns
+from query_broker.startup.pacing import CallSchedule, call_window_ns, health_check_slot_ns
 from query_broker.startup.settings import StartupSettings
 
 from .harness.results import Results
@@ -145,7 +145,7 @@
         probe_s = self._now_s
         if self._is_paced:
             rate = self._settings.endpoint_probes_per_s
-            slot_ns = probe_slot_ns(now_ns, ENGINE_NUMBER, broker, self._count, rate)
+            slot_ns = health_check_slot_ns(now_ns, ENGINE_NUMBER, broker, self._count, rate)
             probe_s = slot_ns / NS_PER_S
         self._times.probes_s.append(probe_s)
         ramp = AdmissionRamp(self._settings, now_ns)
--- a/benchmarks/start_simulation.py
+++ b/benchmarks/start_simulation.py
@@ -21,7 +21,7 @@
 )
 from query_broker.emulator.machine import Machine
 from query_broker.startup.admission_ramp import AdmissionRamp, assumed_work
-from query_broker.startup.pacing import CallSchedule, call_window_ns, probe_slot_ns
+from query_broker.startup.pacing import CallSchedule, call_window_ns, health_check_slot_ns
 from query_broker.startup.settings import StartupSettings
 
 from .harness.results import Results
@@ -132,7 +132,9 @@
         index = broker.settings.broker_index
         brokers = broker.settings.fleet_size
         for number in self._engines:
-            slot_ns = probe_slot_ns(simulation.now_ns, number, index, brokers, ENGINE_PROBES_PER_S)
+            slot_ns = health_check_slot_ns(
+                simulation.now_ns, number, index, brokers, ENGINE_PROBES_PER_S
+            )
             simulation.call_at(slot_ns, partial(broker.check_health, number))
         opens_ns = simulation.now_ns + self._settings.contact_wait_ns
         simulation.call_at(opens_ns, partial(self._open, broker))
--- a/query_broker/startup/first_contact.py
+++ b/query_broker/startup/first_contact.py
@@ -6,7 +6,7 @@
 
 from ..decisions.facade import AttemptResult
 from .dispatcher_hooks import DispatcherHooks
-from .pacing import probe_slot_ns
+from .pacing import health_check_slot_ns
 
 #: Replaces the time slot of an endpoint whose health check has been started.
 STARTED = -1
@@ -45,7 +45,7 @@
         """
         for endpoint in endpoints:
             if endpoint not in self._slots_ns:
-                self._slots_ns[endpoint] = probe_slot_ns(
+                self._slots_ns[endpoint] = health_check_slot_ns(
                     now_ns, endpoint, broker_index, fleet_size, self._checks_per_s
                 )
             if 0 <= self._slots_ns[endpoint] <= now_ns:
--- a/query_broker/startup/pacing.py
+++ b/query_broker/startup/pacing.py
@@ -129,7 +129,7 @@
     return min(max_timeout_ns, min_timeout_ns << min(failure_count, MAX_DOUBLINGS))
 
 
-def probe_slot_ns(
+def health_check_slot_ns(
     now_ns: int, endpoint: int, broker_index: int, fleet_size: int, probes_per_s: float
 ) -> int:
     """Return when a broker sends its health check to an endpoint, in Unix nanoseconds.
--- a/tests/golden/stored/test_pacing.py
+++ b/tests/golden/stored/test_pacing.py
@@ -35,5 +35,5 @@
 
 
 def test_health_check_slot_of_an_endpoint() -> None:
-    at = pacing.probe_slot_ns(NOW_NS, 4_000_000_001, 7, FLEET_SIZE, CALLS_PER_S)
+    at = pacing.health_check_slot_ns(NOW_NS, 4_000_000_001, 7, FLEET_SIZE, CALLS_PER_S)
     assert at == 1700000000160000000
--- a/tests/startup/test_call_pacing.py
+++ b/tests/startup/test_call_pacing.py
@@ -94,10 +94,12 @@
     first_endpoint = random.Random(7).randrange(1 << 32)
     endpoints = range(first_endpoint, first_endpoint + 40)
     slots_at_endpoint = [
-        pacing.probe_slot_ns(broker_index, first_endpoint, broker_index, 300, 20.0)
+        pacing.health_check_slot_ns(broker_index, first_endpoint, broker_index, 300, 20.0)
         for broker_index in range(300)
     ]
-    slots_of_broker = [pacing.probe_slot_ns(0, endpoint, 3, 300, 20.0) for endpoint in endpoints]
+    slots_of_broker = [
+        pacing.health_check_slot_ns(0, endpoint, 3, 300, 20.0) for endpoint in endpoints
+    ]
     assert max_calls_in_any_second(slots_at_endpoint) <= 22
     assert len(set(slots_of_broker)) == len(endpoints)
 
