--- a/benchmarks/cell_lending.py
+++ b/benchmarks/cell_lending.py
@@ -56,7 +56,7 @@
     results.record("loans.lent", ledger.borrowed("a"), at_least=MIN_LENT)
     owner_wait_ms = await _seconds_until_owner_uses_quota(requests, node) * MS_PER_S
     results.record("loans.owner_has_its_part_after_ms", owner_wait_ms, at_most=MAX_OWNER_WAIT_MS)
-    results.record("loans.called_in", node.celled.called_in)
+    results.record("loans.called_in", node.celled.called_in_count)
     await requests.wait_until_idle(IDLE_TIMEOUT_S)
     without_one_answer = sum(record.answer_count != 1 for record in requests.records)
     results.record(
--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -88,7 +88,7 @@
     replies: dict[ReplyKey, int]
     accounting: RequestAccounting
     cell_pools: CellConnectionPools
-    called_in: int
+    called_in_count: int
 
     @property
     def router(self) -> CellRouter:
@@ -111,7 +111,7 @@
         f"{PREFIX}called_in_total",
         "Requests on loan that were called in.",
         "counter",
-        source.called_in,
+        source.called_in_count,
     )
     lines += single_metric(
         f"{PREFIX}map_epoch", "Epoch of the map in force.", "gauge", source.map.epoch
--- a/query_broker/cells/dispatcher.py
+++ b/query_broker/cells/dispatcher.py
@@ -46,7 +46,7 @@
         cell_pools: The connections to endpoints.
         rates: The rate of work of each subject.
         replies: The number of answers by cell, class and status.
-        called_in: How many requests on borrowed capacity were closed.
+        called_in_count: How many requests on borrowed capacity were closed.
     """
 
     cell_pools: CellConnectionPools
@@ -64,7 +64,7 @@
         self.connections = Ledger()
         self.rates = WorkRates()
         self.replies: dict[ReplyKey, int] = {}
-        self.called_in = 0
+        self.called_in_count = 0
         self._last_call_in_ns = clock.now()
         super().__init__(config, clock, log)
         self.accounting.set_firm_classes(self.config.settings)
@@ -215,7 +215,7 @@
         if now_ns - self._last_call_in_ns >= CALL_IN_PERIOD_NS:
             self._last_call_in_ns = now_ns
             self.rates.update_means(now_ns)
-            self.called_in += call_in_requests(self, now_ns)
+            self.called_in_count += call_in_requests(self, now_ns)
             self.cell_pools.call_in(now_ns)
             self.carry_out(now_ns, self.router.report_former_cells(now_ns))
 
--- a/tests/cells/test_tenant_isolation.py
+++ b/tests/cells/test_tenant_isolation.py
@@ -100,7 +100,7 @@
         send_request(client, 32, "beta")
         send_request(client, 33, "beta")
         await until(lambda: broker.request_ledger.borrowed("a") == 0)
-        assert broker.called_in == 6
+        assert broker.called_in_count == 6
         assert all(
             len(request.statement) or request.client is None for request in broker.requests.values()
         )
