--- a/benchmarks/cell_lending.py
+++ b/benchmarks/cell_lending.py
@@ -53,7 +53,7 @@
     for _ in range(FLOOD_REQUEST_COUNT):
         await requests.send_request("x", "glance", 1, TIMEOUT_NS, estimated_work_ms=1)
     await asyncio.sleep(FLOOD_SETTLE_S)
-    results.record("loans.lent", ledger.borrowed("a"), at_least=MIN_LENT)
+    results.record("loans.lent", ledger.borrowed_amount("a"), at_least=MIN_LENT)
     owner_wait_ms = await _seconds_until_owner_uses_quota(requests, node) * MS_PER_S
     results.record("loans.owner_has_its_part_after_ms", owner_wait_ms, at_most=MAX_OWNER_WAIT_MS)
     results.record("loans.called_in", node.celled.called_in_count)
--- a/query_broker/cells/admin.py
+++ b/query_broker/cells/admin.py
@@ -98,7 +98,7 @@
             "short": fleet.ready_count < cell.min_endpoints,
             "cores": sum(known[number].cores for number in facade.endpoints if number in known),
             "open": facade.open_count,
-            "lent": dispatcher.request_ledger.borrowed(cell.name),
+            "lent": dispatcher.request_ledger.borrowed_amount(cell.name),
             "refused_for_room": dispatcher.accounting.rejection_counts.get(cell.name, 0),
             "engines": sorted(seats.uid_of(number) for number in facade.endpoints),
         }
--- a/query_broker/cells/borrowing.py
+++ b/query_broker/cells/borrowing.py
@@ -54,7 +54,7 @@
         guaranteed = self.quota if self.reclaim_since_ns is not None else self.reserved_quota
         return max(0, guaranteed - self.in_use)
 
-    def borrowed(self) -> int:
+    def borrowed_amount(self) -> int:
         """Return the amount in use beyond the quota."""
         return max(0, self.in_use - self.quota)
 
@@ -182,13 +182,13 @@
         account.in_use = in_use
         account.firm_in_use = firm_in_use
 
-    def borrowed(self, name: str) -> int:
+    def borrowed_amount(self, name: str) -> int:
         """Return the amount that the cell uses beyond its quota."""
-        return self.accounts[name].borrowed()
+        return self.accounts[name].borrowed_amount()
 
     def borrows(self, name: str) -> bool:
         """Return whether the cell uses more than its quota."""
-        return name in self.accounts and self.borrowed(name) > 0
+        return name in self.accounts and self.borrowed_amount(name) > 0
 
     def amounts_to_call_in(self, now_ns: int) -> dict[str, int]:
         """Return the amount that each borrower has to give back now, the largest borrower first.
@@ -203,12 +203,12 @@
         if not due_accounts:
             return {}
         wanted_amount = sum(max(0, account.quota - account.in_use) for account in due_accounts)
-        largest_first = sorted(self.accounts, key=lambda name: (-self.borrowed(name), name))
+        largest_first = sorted(self.accounts, key=lambda name: (-self.borrowed_amount(name), name))
         return self._amounts_of_borrowers(largest_first, wanted_amount - max(0, self.free()))
 
     def amounts_over_total(self) -> dict[str, int]:
         """Return the amount that each borrower has to give back if the use exceeds the total."""
-        largest_first = sorted(self.accounts, key=lambda name: -self.borrowed(name))
+        largest_first = sorted(self.accounts, key=lambda name: -self.borrowed_amount(name))
         return self._amounts_of_borrowers(largest_first, -self.free())
 
     def _amounts_of_borrowers(
@@ -216,7 +216,7 @@
     ) -> dict[str, int]:
         amounts: dict[str, int] = {}
         for name in largest_first:
-            amount = min(self.borrowed(name), missing_amount)
+            amount = min(self.borrowed_amount(name), missing_amount)
             if amount <= 0:
                 break
             amounts[name] = amount
--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -122,7 +122,7 @@
 def _ledger_families(source: MetricsSource) -> list[CellFamily]:
     """Return the metrics of amounts in use, with one time series for each account."""
     requests = source.accounting.requests
-    borrowed = {cell: account.borrowed() for cell, account in requests.accounts.items()}
+    borrowed = {cell: account.borrowed_amount() for cell, account in requests.accounts.items()}
     return [
         CellFamily(
             "open", "gauge", "Requests that hold a part of the room.", _amounts_in_use(requests)
--- a/tests/cells/test_borrowing.py
+++ b/tests/cells/test_borrowing.py
@@ -23,7 +23,7 @@
     ledger = make_ledger()
     taken = sum(ledger.acquire("a", 1, 0) for _ in range(200))
     assert taken == 100 - int(borrowing.RESERVED_FRACTION * 50)
-    assert ledger.borrowed("a") == taken - 50
+    assert ledger.borrowed_amount("a") == taken - 50
     assert all(ledger.acquire("b", 1, 0) for _ in range(12))
     assert not ledger.acquire("b", 1, 0)
 
@@ -37,7 +37,7 @@
     assert ledger.amounts_to_call_in(NS_PER_SECOND + borrowing.CALL_IN_DELAY_NS - 1) == {}
     assert borrowing.CALL_IN_DELAY_NS < NS_PER_SECOND
     amounts_to_give_back = ledger.amounts_to_call_in(NS_PER_SECOND + borrowing.CALL_IN_DELAY_NS)
-    assert amounts_to_give_back == {"a": ledger.borrowed("a")}
+    assert amounts_to_give_back == {"a": ledger.borrowed_amount("a")}
     ledger.release("a", amounts_to_give_back["a"])
     assert sum(ledger.acquire("b", 1, 2 * NS_PER_SECOND) for _ in range(100)) == 50 - 12
     assert not ledger.acquire("a", 1, 2 * NS_PER_SECOND)  # the owner has its complete quota
@@ -77,7 +77,7 @@
     ledger.acquire("b", 40, 0)
     ledger.divide(100, {"a": 1.0})
     assert ledger.accounts["b"].quota == 0
-    assert ledger.borrowed("b") == 40
+    assert ledger.borrowed_amount("b") == 40
     assert not ledger.acquire("a", 61, 0)
     ledger.amounts_to_call_in(0)
     assert ledger.amounts_to_call_in(2 * NS_PER_SECOND) == {
--- a/tests/cells/test_tenant_isolation.py
+++ b/tests/cells/test_tenant_isolation.py
@@ -93,13 +93,13 @@
             stream, code, fields, _ = await other_client.answer()
             assert code == frames.REFUSED
             assert "pause" in fields
-        assert broker.request_ledger.borrowed("a") == 16 - int(RESERVED_FRACTION * 8) - 8
+        assert broker.request_ledger.borrowed_amount("a") == 16 - int(RESERVED_FRACTION * 8) - 8
         # Cell b reclaims its quota: requests on borrowed capacity are closed, each with one answer.
         engine_of_b.script = lambda *_: None
         send_request(client, 31, "beta")
         send_request(client, 32, "beta")
         send_request(client, 33, "beta")
-        await until(lambda: broker.request_ledger.borrowed("a") == 0)
+        await until(lambda: broker.request_ledger.borrowed_amount("a") == 0)
         assert broker.called_in_count == 6
         assert all(
             len(request.statement) or request.client is None for request in broker.requests.values()
@@ -124,7 +124,7 @@
         await until(lambda: len(engine_of_a.commands_named(b"do")) == 16)
         pools.count_use()
         assert pools.ledger.accounts["a"].in_use > 4
-        assert pools.ledger.borrowed("a")
+        assert pools.ledger.borrowed_amount("a")
         engine_of_b.script = lambda *_: None
         for stream in range(1, 13):
             send_request(other_client, stream, "beta")
