--- a/benchmarks/cell_isolation.py
+++ b/benchmarks/cell_isolation.py
@@ -118,7 +118,7 @@
     return sum(
         statement_mark in query.statement
         for uid in engines
-        for query in cluster.engines[uid].received
+        for query in cluster.engines[uid].received_queries
     )
 
 
--- a/benchmarks/soak/audit.py
+++ b/benchmarks/soak/audit.py
@@ -177,7 +177,7 @@
     violations = []
     for uid, engine in record.cluster.engines.items():
         limit_ns = drain_limits_ns.get(uid)
-        for query in engine.received:
+        for query in engine.received_queries:
             request = requests_by_id.get(query.query_id.decode())
             if request is None:
                 continue
@@ -223,7 +223,7 @@
     for uid, engine in record.cluster.engines.items():
         events += [
             (query.received_ns, f"came to {uid}")
-            for query in engine.received
+            for query in engine.received_queries
             if query.query_id.decode() == request.request_id
         ]
     for pause in record.pauses:
--- a/query_broker/emulator/cluster.py
+++ b/query_broker/emulator/cluster.py
@@ -151,7 +151,7 @@
             drained_ns = self._drained_ns(uid)
             if drained_ns is not None:
                 limit_ns = drained_ns + grace_ns
-                late_count += sum(query.received_ns > limit_ns for query in engine.received)
+                late_count += sum(query.received_ns > limit_ns for query in engine.received_queries)
         return late_count
 
     def _drained_ns(self, uid: str) -> int | None:
@@ -163,7 +163,7 @@
     def count_queries(self, statements: set[bytes]) -> dict[str, int]:
         """Count how many of these statements each engine received, by uid."""
         return {
-            uid: sum(query.statement in statements for query in engine.received)
+            uid: sum(query.statement in statements for query in engine.received_queries)
             for uid, engine in self.engines.items()
         }
 
--- a/query_broker/emulator/data_engine.py
+++ b/query_broker/emulator/data_engine.py
@@ -173,7 +173,7 @@
         uid: The engine's name in the endpoint list.
         machine: The machine that runs the queries; its ledger records every query that began.
         key_store: Idempotency keys, shared with other engines; None if keys are ignored.
-        received: All queries that arrived.
+        received_queries: All queries that arrived.
         connections: The open connections of brokers.
         requesters: The connection to which each running query is answered, by query id.
         pages: The pages of each result that has more than one, by query id.
@@ -214,7 +214,7 @@
         self.connections: set[EngineConnection] = set()
         self.requesters: dict[bytes, EngineConnection] = {}
         self.pages: dict[bytes, list[bytes]] = {}
-        self.received: list[ReceivedQuery] = []
+        self.received_queries: list[ReceivedQuery] = []
         self.server: asyncio.Server | None = None
         self.unresponsive = False
         self.port = 0
@@ -288,7 +288,7 @@
         statement: bytes,
     ) -> None:
         now_ns = time.time_ns()
-        self.received.append(ReceivedQuery(now_ns, query_id, statement))
+        self.received_queries.append(ReceivedQuery(now_ns, query_id, statement))
         self._answer_completed(self.machine.advance(now_ns))
         key = fields.get("nonce", "")
         if self.key_store is not None and self.key_store.is_repeat(key, now_ns):
--- a/tests/benchmarks/test_soak.py
+++ b/tests/benchmarks/test_soak.py
@@ -66,7 +66,7 @@
     """Record that the engine received and ran the request this long after it was sent."""
     at_ns = SENT_NS + delay_ns
     query_id = REQUEST_ID.encode()
-    engine.received.append(ReceivedQuery(at_ns, query_id, b""))
+    engine.received_queries.append(ReceivedQuery(at_ns, query_id, b""))
     engine.machine.ledger.append(QueryRun(query_id, b"load", b"", at_ns, 1.0, 1))
 
 
--- a/tests/cells/test_endpoints_that_change_cells.py
+++ b/tests/cells/test_endpoints_that_change_cells.py
@@ -155,7 +155,9 @@
         assert not any(engine.machine.crashed for engine in cluster.engines.values())
         assert all(record.answer_count == 1 for record in request_log.records)
         statements_in_b = {
-            command[2] for uid in ("b-1", "b-2", "b-3") for command in cluster.engines[uid].received
+            command[2]
+            for uid in ("b-1", "b-2", "b-3")
+            for command in cluster.engines[uid].received_queries
         }
         assert not any(b"work=5 " in statement for statement in statements_in_b)  # acme's
         request_log.close()
--- a/tests/startup/test_processes.py
+++ b/tests/startup/test_processes.py
@@ -170,7 +170,7 @@
             await send_lookups_of_both_tenants(request_log, 20)
             assert {record.code for record in request_log.records[20:]} == {frames.SERVED}
             request_log.close()
-        assert all(engine.received for engine in cluster.engines.values())
+        assert all(engine.received_queries for engine in cluster.engines.values())
 
 
 @on_uvloop
