--- a/query_broker/emulator/clients.py
+++ b/query_broker/emulator/clients.py
@@ -252,7 +252,7 @@
             if client.transport is not None:
                 client.transport.close()
 
-    def of_tenant(self, tenant: str) -> list[RequestRecord]:
+    def requests_of_tenant(self, tenant: str) -> list[RequestRecord]:
         """Return the requests of a tenant."""
         return [record for record in self.records if record.tenant == tenant]
 
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -148,7 +148,9 @@
 
 def _tenant_table(log: RequestLog) -> str:
     headings = ["tenant", "cell", "asked", "served", "in time", "refused", "failed", "median ms"]
-    return table(headings, [_tenant_row(tenant, log.of_tenant(tenant)) for tenant in TENANTS])
+    return table(
+        headings, [_tenant_row(tenant, log.requests_of_tenant(tenant)) for tenant in TENANTS]
+    )
 
 
 def _tenant_row(tenant: str, records: list[RequestRecord]) -> list[str]:
--- a/tests/cells/test_endpoints_that_change_cells.py
+++ b/tests/cells/test_endpoints_that_change_cells.py
@@ -146,9 +146,13 @@
                 await request_log.send_request("acme", "glance", 5, 5_000 * MS)
             await asyncio.sleep(0.005)
         await request_log.wait_until_idle(10)
-        assert all(record.code == frames.SERVED for record in request_log.of_tenant("acme"))
+        assert all(
+            record.code == frames.SERVED for record in request_log.requests_of_tenant("acme")
+        )
         rejected = [
-            record for record in request_log.of_tenant("beta") if record.code == frames.REFUSED
+            record
+            for record in request_log.requests_of_tenant("beta")
+            if record.code == frames.REFUSED
         ]
         assert rejected
         assert all(record.retry_after_ms > 0 for record in rejected[5:])
