--- a/benchmarks/start_processes.py
+++ b/benchmarks/start_processes.py
@@ -172,7 +172,7 @@
 
     async def _send_requests(self, broker: BrokerProcess) -> None:
         log = RequestLog("127.0.0.1", broker.port)
-        log.ids = itertools.count(1 + IDS_PER_BROKER * broker.number)
+        log.request_numbers = itertools.count(1 + IDS_PER_BROKER * broker.number)
         self.logs.append(log)
         for number in itertools.count(1):
             if time.monotonic() > self._end_s:
--- a/query_broker/emulator/clients.py
+++ b/query_broker/emulator/clients.py
@@ -172,7 +172,7 @@
         self.records: list[RequestRecord] = []
         self.clients: list[EmulatedClient] = []
         self.unmatched_answers = 0
-        self.ids = itertools.count(1)
+        self.request_numbers = itertools.count(1)
 
     async def connect(self) -> EmulatedClient:
         """Open another connection.
@@ -215,7 +215,7 @@
         Returns:
             The record of the request, which stays without an answer if no connection can be opened.
         """
-        number = next(self.ids)
+        number = next(self.request_numbers)
         request_id = f"{number:016x}"
         now_ns = time.time_ns()
         record = RequestRecord(request_id, tenant, request_class, now_ns, timeout_ns)
