--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -147,9 +147,9 @@
 )
 def demo(seconds: float) -> None:
     """Stand-in engines, a broker with two cells and some load, all on loopback; ends by itself."""
-    from ..emulator.demo import play
+    from ..emulator.demo import run_demo
 
-    sys.exit(play(seconds, click.echo))
+    sys.exit(run_demo(seconds, click.echo))
 
 
 @main.group(cls=LazyGroup, module=".start", group="start")
--- a/query_broker/emulator/demo.py
+++ b/query_broker/emulator/demo.py
@@ -44,7 +44,7 @@
 Printer = Callable[[str], None]
 
 
-def play(seconds: float, print_text: Printer) -> int:
+def run_demo(seconds: float, print_text: Printer) -> int:
     """Run the demo and return the exit code.
 
     Args:
