--- a/query_broker/simulator_adapter.py
+++ b/query_broker/simulator_adapter.py
@@ -43,7 +43,7 @@
 }
 LOAD_REPORT_ATTRIBUTES = {"busy": "utilisation", "q": "queue", "x0": "memory", "x1": "disk"}
 #: The name on the wire of each error of the decisions: that of the built-in type it derives from.
-NAMES_OF_ERRORS: dict[type[Exception], str] = {
+BUILTIN_ERROR_NAMES: dict[type[Exception], str] = {
     api.InvalidSettingsError: "ValueError",
     api.UnknownRequestClassError: "ValueError",
     api.UnknownEventError: "TypeError",
@@ -398,7 +398,7 @@
             raise WireError(line.name, str(error)) from None
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
-            error_name = NAMES_OF_ERRORS.get(type(error), type(error).__name__)
+            error_name = BUILTIN_ERROR_NAMES.get(type(error), type(error).__name__)
             text = f"{error_name}: {error}".replace("\n", " ").replace("\t", " ")
             return [f"BUG\ti={instance_id}\tbody_text={text}\n"]
         return [_render(instance_id, order) for order in orders]
--- a/tests/simulator/test_simulator_adapter.py
+++ b/tests/simulator/test_simulator_adapter.py
@@ -13,7 +13,7 @@
 from query_broker import decisions
 from query_broker.config import parse_settings
 from query_broker.errors import QueryBrokerError
-from query_broker.simulator_adapter import NAMES_OF_ERRORS
+from query_broker.simulator_adapter import BUILTIN_ERROR_NAMES
 
 from ..support.helpers import MS, S
 from ..support.sockets import ROOT
@@ -152,8 +152,8 @@
         for error in vars(decisions).values()
         if isinstance(error, type) and issubclass(error, QueryBrokerError)
     }
-    assert typed == set(NAMES_OF_ERRORS)
-    for error, name in NAMES_OF_ERRORS.items():
+    assert typed == set(BUILTIN_ERROR_NAMES)
+    for error, name in BUILTIN_ERROR_NAMES.items():
         built_in = next(base for base in error.__mro__ if base.__module__ == "builtins")
         assert built_in.__name__ == name
 
