--- a/query_broker/simulator_adapter.py
+++ b/query_broker/simulator_adapter.py
@@ -282,7 +282,7 @@
 }
 
 
-def _render(instance_id: str, order: api.Order) -> str:
+def _encode_order(instance_id: str, order: api.Order) -> str:
     """Return the line that tells the simulator about an instance's order."""
     match order:
         case api.Dispatch(request, _, endpoint, timeout_ns, _):
@@ -401,7 +401,7 @@
             error_name = BUILTIN_ERROR_NAMES.get(type(error), type(error).__name__)
             text = f"{error_name}: {error}".replace("\n", " ").replace("\t", " ")
             return [f"BUG\ti={instance_id}\tbody_text={text}\n"]
-        return [_render(instance_id, order) for order in orders]
+        return [_encode_order(instance_id, order) for order in orders]
 
     def _handle(self, now_ns: int, instance_id: str, line: WireLine) -> list[api.Order]:
         if line.name == "BEGIN":
--- a/tests/golden/client_wire/test_simulator_wire.py
+++ b/tests/golden/client_wire/test_simulator_wire.py
@@ -9,7 +9,7 @@
 import pytest
 
 from query_broker import decisions as api
-from query_broker.simulator_adapter import Adapter, _render
+from query_broker.simulator_adapter import Adapter, _encode_order
 
 NANOSECONDS_PER_MS = 1_000_000
 
@@ -39,7 +39,7 @@
     ],
 )
 def test_an_order_is_rendered_as_this_line(order: api.Order, line: str) -> None:
-    assert _render("g/0", order) == line
+    assert _encode_order("g/0", order) == line
 
 
 SETTINGS: dict[str, Any] = {
