--- a/benchmarks/start_simulation.py
+++ b/benchmarks/start_simulation.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from query_broker.decisions.facade import CoProcessLoad, OutstandingWork
+from query_broker.decisions.facade import OutstandingWork, PeerProcessLoad
 from query_broker.emulator.decision_simulation import (
     BEGIN_NS,
     SimulatedBroker,
@@ -21,7 +21,7 @@
 )
 from query_broker.emulator.machine import Machine
 from query_broker.startup.admission_ramp import AdmissionRamp, assumed_work
-from query_broker.startup.pacing import PacedCalls, call_window_ns, probe_slot_ns
+from query_broker.startup.pacing import CallSchedule, call_window_ns, health_check_slot_ns
 from query_broker.startup.settings import StartupSettings
 
 from .harness.results import Results
@@ -118,7 +118,7 @@
         settings = simulated_settings(index, brokers)
         broker = SimulatedBroker(simulation, settings, index, self._engines)
         begun_ns = simulation.now_ns + simulation.random.randrange(NS_PER_S)
-        calls = PacedCalls(index, brokers, LIST_CALLS_PER_S, simulation.random.random)
+        calls = CallSchedule(index, brokers, LIST_CALLS_PER_S, simulation.random.random)
         first_call_ns = calls.first_call_ns(begun_ns)
         due_ns = first_call_ns if self._is_paced else begun_ns
         simulation.call_at(due_ns, partial(self._receive_endpoints, broker))
@@ -132,7 +132,9 @@
         index = broker.settings.broker_index
         brokers = broker.settings.fleet_size
         for number in self._engines:
-            slot_ns = probe_slot_ns(simulation.now_ns, number, index, brokers, ENGINE_PROBES_PER_S)
+            slot_ns = health_check_slot_ns(
+                simulation.now_ns, number, index, brokers, ENGINE_PROBES_PER_S
+            )
             simulation.call_at(slot_ns, partial(broker.check_health, number))
         opens_ns = simulation.now_ns + self._settings.contact_wait_ns
         simulation.call_at(opens_ns, partial(self._open, broker))
@@ -148,7 +150,7 @@
         simulation = self._simulation
         served = sum(request.is_served for request in broker.requests.values())
         open_fraction = ramp.step(simulation.now_ns, served - served_before, 0)
-        broker.report(CoProcessLoad(_assumed_load(broker, open_fraction), 1))
+        broker.report(PeerProcessLoad(_assumed_load(broker, open_fraction), 1))
         if ramp.is_complete():
             self._open_s.append((simulation.now_ns - BEGIN_NS) / NS_PER_S)
             return
@@ -204,7 +206,7 @@
     """Return the outstanding work to assume at each engine while the ramp is incomplete."""
     if open_fraction >= 1:
         return {}
-    widest = broker.facade.widest_request_threads()
+    widest = broker.facade.max_request_threads()
     return {
         number: OutstandingWork(*assumed_work(open_fraction, threads, bound_ns, widest), 0)
         for number, (threads, bound_ns) in broker.facade.quotas_and_bounds().items()
--- a/query_broker/cells/cell_metrics.py
+++ b/query_broker/cells/cell_metrics.py
@@ -88,7 +88,7 @@
     replies: dict[ReplyKey, int]
     accounting: RequestAccounting
     cell_pools: CellConnectionPools
-    called_in: int
+    called_in_count: int
 
     @property
     def router(self) -> CellRouter:
@@ -111,7 +111,7 @@
         f"{PREFIX}called_in_total",
         "Requests on loan that were called in.",
         "counter",
-        source.called_in,
+        source.called_in_count,
     )
     lines += single_metric(
         f"{PREFIX}map_epoch", "Epoch of the map in force.", "gauge", source.map.epoch
@@ -122,7 +122,7 @@
 def _ledger_families(source: MetricsSource) -> list[CellFamily]:
     """Return the metrics of amounts in use, with one time series for each account."""
     requests = source.accounting.requests
-    borrowed = {cell: account.borrowed() for cell, account in requests.accounts.items()}
+    borrowed = {cell: account.borrowed_amount() for cell, account in requests.accounts.items()}
     return [
         CellFamily(
             "open", "gauge", "Requests that hold a part of the room.", _amounts_in_use(requests)
--- a/query_broker/cells/router.py
+++ b/query_broker/cells/router.py
@@ -15,11 +15,11 @@
     AdministrativeChange,
     AttemptEnded,
     CloseRequests,
-    CoProcessLoad,
     EndpointListUpdate,
     HealthCheckResult,
     OrderBatch,
     OutstandingWork,
+    PeerProcessLoad,
     RequestAbandoned,
     RequestArrived,
     Settings,
@@ -37,7 +37,7 @@
     | RequestAbandoned
     | EndpointListUpdate
     | AdministrativeChange
-    | CoProcessLoad
+    | PeerProcessLoad
     | SettingsChanged
     | CloseRequests
 )
@@ -127,7 +127,7 @@
         for change in self.seats.disabled.values():
             facade.report(now_ns, change)
         processes = self.outstanding_work.co_processes.accepting_processes
-        facade.report(now_ns, CoProcessLoad({}, processes))
+        facade.report(now_ns, PeerProcessLoad({}, processes))
 
     def _dissolve_if_ended(self, facade: CellFacade) -> None:
         """Remove a cell that the map has dropped and that has no open requests."""
@@ -217,7 +217,7 @@
             case AdministrativeChange():
                 self.seats.apply_administrative_change(event)
                 self._report_to(self.facades, now_ns, event, orders)
-            case CoProcessLoad():
+            case PeerProcessLoad():
                 self.outstanding_work.co_processes = event
                 self.outstanding_work.publish(now_ns, orders)
             case SettingsChanged(settings):
@@ -273,9 +273,9 @@
                     quotas[number] = quota
         return quotas
 
-    def widest_request_threads(self) -> int:
+    def max_request_threads(self) -> int:
         """Return the threads of the widest query."""
-        return max((facade.widest_request_threads() for facade in self.facades.values()), default=1)
+        return max((facade.max_request_threads() for facade in self.facades.values()), default=1)
 
     def outstanding(self, now_ns: int) -> dict[int, OutstandingWork]:
         """Return the outstanding work of this process, for the broker's other processes."""
--- a/query_broker/cli/main.py
+++ b/query_broker/cli/main.py
@@ -14,7 +14,7 @@
 
 from .. import __version__
 from ..config import Config, ConfigError, load
-from ..server.signals import remember_early_hangups
+from ..server.signals import record_early_sighups
 from .lazy_group import LazyGroup
 
 if TYPE_CHECKING:
@@ -56,7 +56,7 @@
 )
 def serve(operator_file: str) -> None:
     """Serve clients until SIGTERM."""
-    remember_early_hangups()
+    record_early_sighups()
     with _exit_on_configuration_error():
         config = load(os.environ)
         if config.accept_fd is not None:
@@ -147,9 +147,9 @@
 )
 def demo(seconds: float) -> None:
     """Stand-in engines, a broker with two cells and some load, all on loopback; ends by itself."""
-    from ..emulator.demo import play
+    from ..emulator.demo import run_demo
 
-    sys.exit(play(seconds, click.echo))
+    sys.exit(run_demo(seconds, click.echo))
 
 
 @main.group(cls=LazyGroup, module=".start", group="start")
--- a/query_broker/decisions/controller.py
+++ b/query_broker/decisions/controller.py
@@ -34,12 +34,12 @@
     AttemptEnded,
     AttemptProgress,
     CloseRequests,
-    CoProcessLoad,
     EndpointListUpdate,
     Event,
     HealthCheckResult,
     OutstandingWork,
     PeerMessage,
+    PeerProcessLoad,
     RequestAbandoned,
     RequestArrived,
     SettingsChanged,
@@ -115,7 +115,7 @@
         self.orders = orders
         self.clock = clock
         self.pool = pool
-        self.outliers = outliers
+        self.outlier_detector = outliers
         self.affinity = affinity
         self.selector = selector
         self.admission = admission
@@ -173,11 +173,11 @@
             RequestAbandoned: self.admission.handle_abandonment,
             CloseRequests: self.admission.handle_close,
             AttemptEnded: self.outcomes.handle_attempt_ended,
-            AttemptProgress: self.outliers.handle_progress,
-            HealthCheckResult: self.outliers.handle_health_check,
+            AttemptProgress: self.outlier_detector.handle_progress,
+            HealthCheckResult: self.outlier_detector.handle_health_check,
             EndpointListUpdate: self._update_endpoints,
             AdministrativeChange: self.pool.set_administrative_state,
-            CoProcessLoad: self._handle_co_process_load,
+            PeerProcessLoad: self._handle_peer_process_load,
             SettingsChanged: self._change_settings,
             TimerFired: self._fire_timer,
             PeerMessage: _ignore_peer_message,
@@ -189,7 +189,7 @@
         self.clock.start_period(now_ns)
         self.admission.end_period()
         self.pool.refresh(now_ns)  # some endpoints may have finished their warm-up
-        self.outliers.end_period(now_ns)
+        self.outlier_detector.end_period(now_ns)
         for endpoint in self.pool.endpoints.values():
             endpoint.end_period()
         self.pool.limit.end_period()
@@ -206,9 +206,9 @@
         self.affinity.forget_ranks()
         self.pool.update(now_ns, event)
 
-    def _handle_co_process_load(self, now_ns: int, event: CoProcessLoad) -> None:
+    def _handle_peer_process_load(self, now_ns: int, event: PeerProcessLoad) -> None:
         self.admission.set_accepting_processes(event.accepting_processes)
-        self.pool.set_co_process_load(event)
+        self.pool.set_peer_process_load(event)
 
     def _fire_timer(self, now_ns: int, event: TimerFired) -> None:
         self.orders.fire_timer(now_ns, event.token)
--- a/query_broker/decisions/facade.py
+++ b/query_broker/decisions/facade.py
@@ -21,7 +21,6 @@
     AttemptProgress,
     AttemptResult,
     CloseRequests,
-    CoProcessLoad,
     EndpointEntry,
     EndpointListUpdate,
     EndpointState,
@@ -30,6 +29,7 @@
     ListUpdateKind,
     LoadReport,
     OutstandingWork,
+    PeerProcessLoad,
     ProgressKind,
     RequestAbandoned,
     RequestArrived,
@@ -44,7 +44,7 @@
     "AttemptProgress",
     "AttemptEnded",
     "AdministrativeChange",
-    "CoProcessLoad",
+    "PeerProcessLoad",
     "CancelAttempt",
     "CloseRequests",
     "RequestAbandoned",
@@ -155,7 +155,7 @@
             for number, endpoint in endpoints.items()
         }
 
-    def widest_request_threads(self) -> int:
+    def max_request_threads(self) -> int:
         """Return the thread count of the request class with the most threads."""
         return self.controller.active_settings.max_request_threads
 
--- a/query_broker/server/node.py
+++ b/query_broker/server/node.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from ..config import Config
-from ..decisions.facade import CoProcessLoad
+from ..decisions.facade import PeerProcessLoad
 from ..discovery.event_codec import EndpointListEvent
 from ..discovery.watch_client import WatchClient
 from ..dispatch.dispatcher import Dispatcher
@@ -32,7 +32,7 @@
 from .peer_process import PeerProcesses
 from .process_status import ProcessStatus, total_outstanding_work
 from .reload import ConfigReloader
-from .signals import handle_signals, ignore_signals, take_early_hangup
+from .signals import handle_signals, ignore_signals, take_early_sighup
 from .tick_loop import SWEEP_PERIOD_NS, TickLoop
 
 ADMIN_ADDRESS_KEY = "operator"  # settings key that the message of a `ListenerError` names
@@ -59,7 +59,7 @@
     """
 
     # The longest time between two ticks if no timer is due. Extension point.
-    longest_rest_ns = SWEEP_PERIOD_NS
+    max_tick_interval_ns = SWEEP_PERIOD_NS
 
     def __init__(self, config: Config, environ: Mapping[str, str] = os.environ) -> None:
         """Build the parts; nothing listens before ``run``.
@@ -167,9 +167,11 @@
         """Divide the broker's limits among this and the other processes."""
         accepting_processes = 1 + sum(other.accepting for other in others)
         self.dispatcher.report_event(
-            CoProcessLoad(total_outstanding_work(others), accepting_processes)
+            PeerProcessLoad(total_outstanding_work(others), accepting_processes)
+        )
+        self.dispatcher.apply_capacity_share(
+            1 + len(others), sum(other.clients for other in others)
         )
-        self.dispatcher.divide(1 + len(others), sum(other.clients for other in others))
         self.admission.max_connections = self.dispatcher.max_clients
 
     async def run(self) -> None:
@@ -203,7 +205,7 @@
         gc.freeze()
         self._log_start()
         self.tick_loop.start()
-        if take_early_hangup():
+        if take_early_sighup():
             self.reload()
         await self.stopped.wait()
         self.log("stop", "done")
--- a/query_broker/startup/discovery_pace.py
+++ b/query_broker/startup/discovery_pace.py
@@ -4,9 +4,9 @@
 
 from typing import Protocol
 
-from ..discovery.watch_client import CONNECT_TIMEOUT_S, SILENCE_LIMIT_NS
+from ..discovery.watch_client import CONNECT_TIMEOUT_S, SERVICE_SILENCE_LIMIT_NS
 from ..timer_wheel import Clock
-from .pacing import PacedCalls, backoff_timeout_ns
+from .pacing import CallSchedule, backoff_timeout_ns
 from .settings import NS_PER_SECOND
 
 #: Upper limit of the connect timeout. The timeout doubles with each failed or lost connection until
@@ -36,7 +36,7 @@
         first_wait_s: Seconds until the first connection attempt.
     """
 
-    def __init__(self, calls: PacedCalls, clock: Clock, listener: ConfirmationListener) -> None:
+    def __init__(self, calls: CallSchedule, clock: Clock, listener: ConfirmationListener) -> None:
         """Choose the time of the first connection attempt.
 
         Args:
@@ -70,7 +70,9 @@
 
     def silence_limit_ns(self) -> int:
         """Return the silence, in nanoseconds, after which a connection is closed."""
-        return backoff_timeout_ns(self._calls.failure_count, SILENCE_LIMIT_NS, MAX_SILENCE_NS)
+        return backoff_timeout_ns(
+            self._calls.failure_count, SERVICE_SILENCE_LIMIT_NS, MAX_SILENCE_NS
+        )
 
     def list_confirmed(self) -> None:
         """Record that the discovery service has sent or confirmed this broker's endpoint list."""
--- a/tests/dispatch/test_stalls.py
+++ b/tests/dispatch/test_stalls.py
@@ -43,7 +43,7 @@
             await until(lambda: len(admission.connections) == 2)
             admission.max_connections = 2
             raw.sendall(request_frame(1))
-            assert admission.has_place()  # the event loop has not run since
+            assert admission.make_room()  # the event loop has not run since
             await read_until_suffix(raw, SERVED_ANSWER)
             assert await idle.ended()
 
@@ -104,7 +104,7 @@
     engine = Engine(script)
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask()
+        client.send_request()
         assert (await client.answer())[1] == frames.SERVED  # a connection is open
         results: list[AttemptResult] = []
         dispatcher = broker.node.dispatcher
@@ -131,7 +131,7 @@
     engine = Engine()
     async with broker_with_engines(engine) as broker:
         client = await broker.client()
-        client.ask(1)  # opens a connection to the engine
+        client.send_request(1)  # opens a connection to the engine
         assert (await client.answer())[:2] == (1, frames.SERVED)
         cancelled = request_frame(2) + frames.frame(frames.ABANDON, 2)
         client.writer.write(cancelled + request_frame(3))
--- a/tests/membership/test_processes.py
+++ b/tests/membership/test_processes.py
@@ -17,7 +17,7 @@
 from query_broker.emulator.processes import BrokerProcess
 
 from ..support.member_processes import NEW_KEY, OLD_KEY, MemberProcesses, member_processes
-from ..support.sockets import HANG, on_uvloop, until
+from ..support.sockets import HANG_TIMEOUT_S, on_uvloop, until
 
 pytestmark = pytest.mark.real_time
 
@@ -70,14 +70,14 @@
 async def test_no_running_broker_is_removed_on_faulty_links(tmp_path: Path) -> None:
     async with member_processes(6, tmp_path) as group:
         for seconds, faults in FAULT_PERIODS:
-            group.spoil(seconds, *faults)
+            group.inject_faults(seconds, *faults)
             await asyncio.sleep(seconds)
             faulty_link_patterns = [fault.link_pattern for fault in faults]
             others = [number for number in range(6) if f"*-n{number}" not in faulty_link_patterns]
             logs = "".join(member.log() for member in group.fleet.processes)
             assert await group.statistic("removals", others) == 0, f"{faults}\n{logs}"
-            group.heal()
-        await group.holds(range(6), range(6))
+            group.clear_faults()
+        await group.wait_for_members(range(6), range(6))
         verdicts = {member["verdict"] for member in (await group.status(0))["members"]}
         assert verdicts <= {"reached", "not asked yet"}
 
@@ -89,20 +89,20 @@
     """The removal is random; `test_lossy_links` states its frequency on a simulated clock."""
     async with member_processes(6, tmp_path) as group:
         others = [number for number in range(6) if number != 3]
-        group.spoil(4.0, *lossy_process_faults(0.9))
+        group.inject_faults(4.0, *lossy_process_faults(0.9))
         await asyncio.sleep(4.0)
         for number in others:
             log = group.fleet.processes[number].log()
             assert set(re.findall(r"(\S+): removed by", log)) <= {group.addresses[3]}
-        group.heal()
-        await group.holds(range(6), range(6))
+        group.clear_faults()
+        await group.wait_for_members(range(6), range(6))
 
 
 async def wait_for_reachability(
     group: MemberProcesses, observer: int, observed: int, reachability: str
 ) -> None:
     """Wait until one process reports the given reachability of another."""
-    deadline = time.monotonic() + HANG
+    deadline = time.monotonic() + HANG_TIMEOUT_S
     while True:
         status = await group.status(observer)
         reported = [
@@ -119,19 +119,19 @@
 @on_uvloop
 async def test_a_link_cut_in_one_direction_is_reported_at_both_ends(tmp_path: Path) -> None:
     async with member_processes(5, tmp_path) as group:
-        group.spoil(60, Fault(0, 0, "n1-n2", FaultKind.STALL))
+        group.inject_faults(60, Fault(0, 0, "n1-n2", FaultKind.STALL))
         await wait_for_reachability(group, 1, 2, "we can't reach it")
         await wait_for_reachability(group, 2, 1, "its answers don't reach us")
 
-        group.heal()
+        group.clear_faults()
         # A broker whose messages reach no other is removed, and its own view is not certain.
-        group.spoil(60, Fault(0, 0, "n3-*", FaultKind.STALL))
-        await group.holds([0, 1, 2, 4], [0, 1, 2, 4])
+        group.inject_faults(60, Fault(0, 0, "n3-*", FaultKind.STALL))
+        await group.wait_for_members([0, 1, 2, 4], [0, 1, 2, 4])
         view = (await group.status(3))["view"]
         assert not view["certain"]
         assert view["limits_by"] == 5
-        group.heal()
-        await group.holds(range(5), range(5))
+        group.clear_faults()
+        await group.wait_for_members(range(5), range(5))
 
 
 async def rotate_keys(group: MemberProcesses) -> None:
@@ -154,13 +154,13 @@
 ) -> None:
     async with member_processes(6, tmp_path) as group:
         majority = [0, 1, 2, 3, 4]
-        group.spoil(60, *partition_faults(0, 0, ["n0", "n1", "n2", "n3", "n4"], ["n5"]))
-        await group.holds(majority, majority)
+        group.inject_faults(60, *partition_faults(0, 0, ["n0", "n1", "n2", "n3", "n4"], ["n5"]))
+        await group.wait_for_members(majority, majority)
         await group.until_all(majority, partial(is_certain_with_limits_by, size=5))
         assert (await group.status(5))["view"]["limits_by"] == 6
         await rotate_keys(group)
-        group.heal()
-        await group.holds(range(6), range(6))
+        group.clear_faults()
+        await group.wait_for_members(range(6), range(6))
         keys = json.loads(
             (await asyncio.to_thread(group.fleet.processes[0].call_admin_api, "/members/keys"))[1]
         )
@@ -169,12 +169,12 @@
         assert keys["taken_in"]["2"] > 0
 
         # Neither half of a partition is certain.
-        group.spoil(60, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4", "n5"]))
-        await group.holds([0, 1, 2], [0, 1, 2])
-        await group.holds([3, 4, 5], [3, 4, 5])
+        group.inject_faults(60, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4", "n5"]))
+        await group.wait_for_members([0, 1, 2], [0, 1, 2])
+        await group.wait_for_members([3, 4, 5], [3, 4, 5])
         for number in range(6):
             view = (await group.status(number))["view"]
             assert not view["certain"]
             assert view["limits_by"] == 6
-        group.heal()
+        group.clear_faults()
         await group.until_all(range(6), partial(is_certain_of, alive=6))
--- a/tests/quotas/test_ejections_between_processes.py
+++ b/tests/quotas/test_ejections_between_processes.py
@@ -26,7 +26,7 @@
 from query_broker.protocols import resp
 
 from ..support.member_processes import MemberProcesses
-from ..support.sockets import HANG, make_config, on_uvloop, running, until
+from ..support.sockets import HANG_TIMEOUT_S, make_config, on_uvloop, running, until
 from .broker_processes import (
     FAULT_DURATION_S,
     POLL_INTERVAL_S,
@@ -62,7 +62,7 @@
     peers: MemberProcesses, condition: Callable[[Status], bool], numbers: Collection[int] = range(5)
 ) -> None:
     """Wait until the condition holds for the consensus status of each of the brokers."""
-    deadline = time.monotonic() + HANG
+    deadline = time.monotonic() + HANG_TIMEOUT_S
     for number in numbers:
         while not condition(status := await consensus_status(peers, number)):
             log = peers.fleet.processes[number].log()
@@ -96,7 +96,7 @@
     for _ in range(30):
         await request_log.send_request("acme", "glance", 1, 4_000 * MS)
         await asyncio.sleep(0.02)
-    await request_log.wait_until_idle(HANG)
+    await request_log.wait_until_idle(HANG_TIMEOUT_S)
     assert {request.code for request in request_log.records} == {0}
     assert len(failing_engine.commands_named(b"do")) == queries_before
     stop.set()
@@ -107,14 +107,14 @@
 
 async def check_concurrent_overrides_in_a_partition(peers: MemberProcesses) -> None:
     """Check that overrides from both sides of a partition merge, and that the loser is shown."""
-    peers.spoil(FAULT_DURATION_S, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4"]))
+    peers.inject_faults(FAULT_DURATION_S, *partition_faults(0, 0, ["n0", "n1", "n2"], ["n3", "n4"]))
     one = peers.fleet.processes[0]
     other = peers.fleet.processes[4]
     assert (await asyncio.to_thread(one.call_admin_api, "/verdicts/pin/s-2", "POST"))[0] == 200
     assert (await asyncio.to_thread(other.call_admin_api, "/verdicts/out/s-2", "POST"))[0] == 200
     assert (await asyncio.to_thread(other.call_admin_api, "/verdicts/out/none", "POST"))[0] == 404
     await wait_for_consensus_status(peers, some_override_has_value("words", "pinned"), (1, 2))
-    peers.heal()
+    peers.clear_faults()
     await wait_for_consensus_status(peers, only_override_has_value("s-2", "out"))
     await wait_for_consensus_status(peers, some_override_has_value("lost", "pinned"), (0, 1, 2))
 
--- a/tests/quotas/test_limits_between_processes.py
+++ b/tests/quotas/test_limits_between_processes.py
@@ -17,7 +17,7 @@
 from query_broker.quotas.lease_log import LeaseRecord
 
 from ..support.member_processes import MemberProcesses
-from ..support.sockets import HANG, on_uvloop
+from ..support.sockets import HANG_TIMEOUT_S, on_uvloop
 from .broker_processes import (
     FAULT_DURATION_S,
     POLL_INTERVAL_S,
@@ -60,7 +60,7 @@
 async def wait_for_limit_status(
     peers: MemberProcesses, number: int, condition: Callable[[Status], bool]
 ) -> Status:
-    deadline = time.monotonic() + HANG
+    deadline = time.monotonic() + HANG_TIMEOUT_S
     status: Status = {}
     while not status or not condition(status):
         assert time.monotonic() < deadline, f"{status}\n{peers.fleet.processes[number].log()}"
@@ -89,20 +89,20 @@
         lambda status: has_most_of_the_limit(status) and status["home"] != peers.addresses[leader],
     )
     peers.fleet.processes[leader].start()
-    await peers.holds(range(5), range(5))
+    await peers.wait_for_members(range(5), range(5))
 
 
 async def check_guaranteed_part_in_partitions(peers: MemberProcesses) -> None:
     # The messages of the busy broker do not arrive.
-    peers.spoil(FAULT_DURATION_S, Fault(0, 0, f"n{BUSY_BROKER}-*", FaultKind.STALL))
+    peers.inject_faults(FAULT_DURATION_S, Fault(0, 0, f"n{BUSY_BROKER}-*", FaultKind.STALL))
     status = await wait_for_limit_status(peers, BUSY_BROKER, has_guaranteed_part_only)
     assert status["ours"] == 100 * 0.2 / 5
-    peers.heal()
+    peers.clear_faults()
     await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
     others = [f"n{number}" for number in range(5) if number != BUSY_BROKER]
-    peers.spoil(FAULT_DURATION_S, *partition_faults(0, 0, [f"n{BUSY_BROKER}"], others))
+    peers.inject_faults(FAULT_DURATION_S, *partition_faults(0, 0, [f"n{BUSY_BROKER}"], others))
     await wait_for_limit_status(peers, BUSY_BROKER, has_guaranteed_part_only)
-    peers.heal()
+    peers.clear_faults()
     await wait_for_limit_status(peers, BUSY_BROKER, has_most_of_the_limit)
 
 
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -16,7 +16,7 @@
 
 from ..support.sockets import (
     Engine,
-    Rig,
+    RunningBroker,
     make_config,
     on_uvloop,
     running,
@@ -66,13 +66,15 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         async with co_process(config, listener, tmp_path) as old:
             client = await old.client()
-            client.ask(stream=1)
+            client.send_request(stream=1)
             await until(lambda: engine.commands_named(b"do"))
             async with co_process(config, listener, tmp_path) as new:
                 await meet(old, new)
                 old.node.shutdown.begin()
                 assert await client.frame() == (frames.NO_MORE, 0, b"")
-                client.ask(stream=2, trace="2" * 16)  # as if sent before the announcement came
+                client.send_request(
+                    stream=2, trace="2" * 16
+                )  # as if sent before the announcement came
                 await until(lambda: len(engine.commands_named(b"do")) == 2)
                 newcomers = [await new.client() for _ in range(5)]
                 await until(lambda: len(new.node.clients) == 5)
@@ -86,7 +88,7 @@
                     (2, frames.SERVED),
                 }
                 await within(old.node.stopped.wait())
-                newcomers[0].ask(trace="3" * 16)
+                newcomers[0].send_request(trace="3" * 16)
                 await until(lambda: len(engine.commands_named(b"do")) == 3)
                 await until(lambda: not peer_processes(new).others)
         assert not os.listdir(tmp_path)
@@ -98,11 +100,11 @@
     tmp_path: Path,
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as rig:
-            rig.node.shutdown.begin()
-            assert rig.node.ready()
-            assert rig.node.server is not None
-            assert rig.node.server.is_serving()
+        async with co_process(make_config(target_entry("s-1", 9)), listener, tmp_path) as broker:
+            broker.node.shutdown.begin()
+            assert broker.node.ready()
+            assert broker.node.server is not None
+            assert broker.node.server.is_serving()
 
 
 @on_uvloop
@@ -128,10 +130,10 @@
     statement_bytes: int
 
 
-def limits_of(rig: Rig) -> ProcessLimits:
-    dispatcher = rig.node.dispatcher
+def limits_of(broker: RunningBroker) -> ProcessLimits:
+    dispatcher = broker.node.dispatcher
     return ProcessLimits(
-        rig.node.admission.max_connections,
+        broker.node.admission.max_connections,
         dispatcher.pools.max_connections,
         dispatcher.statement_capacity_bytes,
     )
@@ -147,19 +149,21 @@
             undivided = limits_of(old)
             async with co_process(config, listener, tmp_path) as new:
                 await meet(old, new)
-                for rig in (old, new):
-                    divided = limits_of(rig)
+                for broker in (old, new):
+                    divided = limits_of(broker)
                     assert divided.engine_connections <= undivided.engine_connections // 2
                     assert divided.statement_bytes < undivided.statement_bytes
             await until(lambda: not peer_processes(old).others)
             assert limits_of(old) == undivided
             dispatcher = old.node.dispatcher
             pools = dispatcher.pools
-            dispatcher.divide(2, 42)
+            dispatcher.apply_capacity_share(2, 42)
             # What remains of the descriptors covers the reserves of two processes.
             assert dispatcher.max_clients + 42 + 2 * pools.max_connections <= config.sockets - 90
             dispatcher.config = replace(dispatcher.config, sockets=64)
-            dispatcher.divide(3, 60)  # even the smallest limit must leave descriptors for clients
+            dispatcher.apply_capacity_share(
+                3, 60
+            )  # even the smallest limit must leave descriptors for clients
             assert dispatcher.max_clients >= 7
             assert pools.max_connections >= 4
 
@@ -168,11 +172,11 @@
 async def test_idle_engine_connections_beyond_the_divided_limit_are_closed(tmp_path: Path) -> None:
     """A connection counts until its loss is reported: a loop that waited for that would hang."""
     engine = Engine(lambda *_: None)
-    async with running(make_config(target_entry("s-1", await engine.start()))) as rig:
-        client = await rig.client()
-        pools = rig.node.dispatcher.pools
+    async with running(make_config(target_entry("s-1", await engine.start()))) as broker:
+        client = await broker.client()
+        pools = broker.node.dispatcher.pools
         for stream in range(1, 13):
-            client.ask(stream=stream, trace=f"{stream:016x}")
+            client.send_request(stream=stream, trace=f"{stream:016x}")
         await until(lambda: len(engine.commands_named(b"do")) == 12)
         for do in engine.commands_named(b"do"):
             engine.answer_served(do, engine.writer_of(do))
--- a/tests/support/member_processes.py
+++ b/tests/support/member_processes.py
@@ -16,7 +16,7 @@
 from query_broker.emulator.processes import BrokerFleet, free_ports
 from query_broker.membership.codec import peek_sender
 
-from .sockets import HANG
+from .sockets import HANG_TIMEOUT_S
 
 INTERVAL_S = 0.25
 OLD_KEY = "1 " + "ab" * 32
@@ -54,7 +54,7 @@
         self.addresses = addresses
         self.script = net.schedule
 
-    def spoil(self, seconds: float, *faults: Fault) -> None:
+    def inject_faults(self, seconds: float, *faults: Fault) -> None:
         """Let faults act from now on for some time."""
         now = self.script.now_s()
         self.script.faults += [
@@ -71,7 +71,7 @@
             for fault in faults
         ]
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """End all faults."""
         self.script.faults.clear()
 
@@ -87,11 +87,11 @@
         counts = [(await self.status(number))["figures"].get(name, 0) for number in numbers]
         return sum(counts)
 
-    async def holds(self, numbers: Iterable[int], among: Iterable[int]) -> None:
+    async def wait_for_members(self, numbers: Iterable[int], among: Iterable[int]) -> None:
         """Wait until the views of the first processes are just the second ones."""
         wanted = {self.addresses[number] for number in among}
         waiting = set(numbers)
-        deadline = time.monotonic() + HANG
+        deadline = time.monotonic() + HANG_TIMEOUT_S
         status: Status = {}
         while waiting and time.monotonic() < deadline:
             for number in list(waiting):
@@ -104,7 +104,7 @@
 
     async def until_all(self, numbers: Iterable[int], holds: Callable[[Status], bool]) -> None:
         """Wait until a condition holds of the status of each process."""
-        deadline = time.monotonic() + HANG
+        deadline = time.monotonic() + HANG_TIMEOUT_S
         for number in numbers:
             status: Status = {}
             while not status or not holds(status):
@@ -158,7 +158,7 @@
             await net.add(f"n{member.number}", member.peer_port, int(address.rpartition(":")[2]))
         fleet.start()
         processes = MemberProcesses(fleet, net, keys, addresses)
-        await processes.holds(range(count), range(count))
+        await processes.wait_for_members(range(count), range(count))
         yield processes
     net.stop()
     world.stop()
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -40,14 +40,14 @@
     "TRACE",
     "Client",
     "Engine",
-    "Rig",
-    "celled",
+    "RunningBroker",
+    "cell_node_factory",
     "connect",
     "topology_event",
     "free_port",
-    "gated",
+    "connects_held_back",
     "make_config",
-    "make_known",
+    "known_setting",
     "on_uvloop",
     "process",
     "running",
@@ -59,7 +59,7 @@
 ]
 
 MS = 1_000_000
-HANG = 20.0
+HANG_TIMEOUT_S = 20.0
 T = TypeVar("T")
 TRACE = "9b1f03aa5c7e2d41"
 STATEMENT = b"SELECT 1 FROM sales_17.orders"
@@ -94,7 +94,7 @@
     return free_ports(1)[0]
 
 
-def make_known(*targets: dict[str, Any]) -> dict[str, Any]:
+def known_setting(*targets: dict[str, Any]) -> dict[str, Any]:
     return {"offset": 1, "batch": [topology_event(1, *targets, full=True)]}
 
 
@@ -134,7 +134,9 @@
         await made.wait()
 
 
-def gated(monkeypatch: Any, first: int = 0) -> tuple[asyncio.Event, list[ConnectionPool]]:
+def connects_held_back(
+    monkeypatch: Any, first: int = 0
+) -> tuple[asyncio.Event, list[ConnectionPool]]:
     """Connects to engines wait for the event, but for so many; the pools that dial, as they do."""
     gate, dialled, connect = asyncio.Event(), list[ConnectionPool](), ConnectionPool._connect
 
@@ -152,7 +154,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def ask(self, stream: int = 1, body: bytes = STATEMENT, **fields: str | None) -> None:
+    def send_request(self, stream: int = 1, body: bytes = STATEMENT, **fields: str | None) -> None:
         given = {
             "route": "glance",
             "trace": TRACE,
@@ -197,16 +199,16 @@
 
 
 async def within(what: Awaitable[T]) -> T:
-    return await asyncio.wait_for(what, HANG)
+    return await asyncio.wait_for(what, HANG_TIMEOUT_S)
 
 
 async def until(true: Callable[[], Any]) -> None:
-    async with asyncio.timeout(HANG):
+    async with asyncio.timeout(HANG_TIMEOUT_S):
         while not true():
             await asyncio.sleep(0.005)
 
 
-class Rig:
+class RunningBroker:
     """A node under test, and clients to it."""
 
     def __init__(self, node: Node) -> None:
@@ -233,7 +235,7 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
 
-def celled(map: CellMap, path: str = "") -> Callable[[Config, Mapping[str, str]], Node]:
+def cell_node_factory(map: CellMap, path: str = "") -> Callable[[Config, Mapping[str, str]], Node]:
     """Makes a node with these cells; ``path`` is where SIGHUP reads them again."""
     return lambda config, environ: CellNode(config, OperatorConfig(map), path, environ)
 
@@ -243,16 +245,16 @@
     config: Config,
     environ: Mapping[str, str] = os.environ,
     make: Callable[[Config, Mapping[str, str]], Node] = Node,
-) -> AsyncIterator[Rig]:
+) -> AsyncIterator[RunningBroker]:
     """A node on a free port, as `serve` runs it."""
     operator = config.admin_address and (config.admin_address[0], 0)
-    rig = Rig(make(replace(config, port=0, admin_address=operator), environ))
-    task = asyncio.create_task(rig.node.run())
-    await until(lambda: rig.node.server is not None or task.done())
+    broker = RunningBroker(make(replace(config, port=0, admin_address=operator), environ))
+    task = asyncio.create_task(broker.node.run())
+    await until(lambda: broker.node.server is not None or task.done())
     try:
-        yield rig
+        yield broker
     finally:
-        rig.node.stop()
+        broker.node.stop()
         await within(task)
 
 
