--- a/deploy/operators.star
+++ b/deploy/operators.star
@@ -1,6 +1,6 @@
 # The operators' file: what the platform's settings do not say. It is Starlark, read at the start where
 # PROXY_OPERATOR_FILE or --operator-file names it, and again at SIGHUP, whole or not at all.
-# Bounds: 5 s of processor time, 512 MB, 200,000 words. No files, no other scripts, no clock.
+# Bounds: 5 s of processor time, 512 MB, 200,000 directive calls. No files, no other scripts, no clock.
 
 # Every changed map needs a higher epoch: an older map never takes the place of a newer one.
 epoch(1)
